--- /dev/null
+++ b/internal/control/wire_test.go
@@ -0,0 +1,432 @@
+package control
+
+import (
+	"archive/tar"
+	"bytes"
+	"compress/gzip"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/hashicorp/raft"
+	"github.com/prometheus/client_golang/prometheus"
+
+	"molepaddle/internal/catalog"
+	"molepaddle/internal/lab/golden"
+	"molepaddle/internal/lab/loopback"
+)
+
+// The files in testdata are what the program of commit d25b370 wrote and answered. They stand
+// for data folders, for messages of other builds, for scripts and for dashboards: a name in Go
+// may change, these may not.
+
+// TestMessagesKeepTheirKeys holds the JSON form of the bodies of requests and answers, with
+// every field. Those of the catalog, of members and of lists are held beside their types.
+func TestMessagesKeepTheirKeys(t *testing.T) {
+	golden.Messages(t, "messages.txt", []golden.Message{
+		golden.Of[Status]("status"),
+		golden.Of[Renewals]("renewals"),
+		golden.Of[Word]("override of a server"),
+		golden.Of[seenBody]("seen"),
+		golden.Of[arrivalBody]("arrival"),
+		golden.Of[fenceBody]("sweep and voters"),
+		golden.Of[renewalBody]("renewal of a session"),
+		golden.Of[termsBody]("terms"),
+		golden.Of[DutyBody]("duty"),
+		golden.Of[claimBody]("claim"),
+		golden.Of[wordBody]("order on a duty"),
+		golden.Of[Evidence]("evidence"),
+	})
+}
+
+func quietLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
+
+// unstarted is the handler of a server that has opened nothing yet.
+func unstarted(t *testing.T) *Node {
+	t.Helper()
+	c := Defaults()
+	n := newNode(&c, quietLog())
+	t.Cleanup(n.stop)
+	return n
+}
+
+// TestRoutesKeepTheirPaths holds the methods of each path. A method that no route has is
+// answered with those that there are.
+func TestRoutesKeepTheirPaths(t *testing.T) {
+	handler := unstarted(t).handler()
+	var got []string
+	for _, path := range []string{"/metrics", "/v1/duties", "/v1/duties/x", "/v1/duties/x/claim", "/v1/duties/x/move",
+		"/v1/duties/x/park", "/v1/duties/x/revoke", "/v1/duties/x/unpark", "/v1/endpoints", "/v1/evidence", "/v1/guard/confirm",
+		"/v1/members", "/v1/members/x", "/v1/members/x/arrival", "/v1/peers/x", "/v1/renewals", "/v1/seen", "/v1/servers",
+		"/v1/servers/x", "/v1/servers/x/drain", "/v1/sessions", "/v1/sessions/x", "/v1/sessions/x/renewal",
+		"/v1/sessions/x/tasks", "/v1/snapshot", "/v1/status", "/v1/sweep", "/v1/terms", "/v1/voters", "/v1/x"} {
+		w := httptest.NewRecorder()
+		handler.ServeHTTP(w, httptest.NewRequest("PROBE", path, nil))
+		got = append(got, fmt.Sprintf("%s %d %s", path, w.Code, w.Header().Get("Allow")))
+	}
+	golden.Lines(t, "routes.txt", got)
+}
+
+// TestMetricsKeepTheirNames holds the name and the labels of each metric.
+func TestMetricsKeepTheirNames(t *testing.T) {
+	described := make(chan *prometheus.Desc, 1000)
+	unstarted(t).m.registry.Describe(described)
+	close(described)
+	form := regexp.MustCompile(`^Desc\{fqName: "([^"]*)", .*variableLabels: \{([^}]*)\}\}$`)
+	var got []string
+	for d := range described {
+		m := form.FindStringSubmatch(d.String())
+		if m == nil {
+			t.Fatalf("unknown form of a description: %s", d)
+		}
+		if strings.HasPrefix(m[1], "go_") || strings.HasPrefix(m[1], "process_") {
+			continue
+		}
+		got = append(got, m[1]+"{"+m[2]+"}")
+	}
+	slices.Sort(got)
+	golden.Lines(t, "metrics.txt", got)
+}
+
+// settings lists the keys of a configuration with their values.
+func settings(prefix string, v reflect.Value) (lines []string) {
+	for i := range v.NumField() {
+		key, f := prefix+v.Type().Field(i).Tag.Get("koanf"), v.Field(i)
+		switch {
+		case strings.HasSuffix(key, "-"):
+		case f.Kind() == reflect.Map:
+			for _, k := range f.MapKeys() {
+				lines = append(lines, settings(key+"."+k.String()+".", f.MapIndex(k))...)
+			}
+		default:
+			lines = append(lines, fmt.Sprintf("%s = %v", key, f))
+		}
+	}
+	slices.Sort(lines)
+	return lines
+}
+
+// TestConfigurationKeepsItsKeys reads a file with every key, then the same keys from the
+// environment. No key may be unknown, and none be left at its default.
+func TestConfigurationKeepsItsKeys(t *testing.T) {
+	defaults := Defaults()
+	unset := settings("", reflect.ValueOf(defaults))
+	golden.Lines(t, "defaults.txt", unset)
+	fromFile, err := LoadConfig(golden.Path("every-key.toml"), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := settings("", reflect.ValueOf(*fromFile))
+	golden.Lines(t, "settings.txt", got)
+	for _, line := range got {
+		if slices.Contains(unset, line) {
+			t.Errorf("every-key.toml leaves a key at its default: %s", line)
+		}
+	}
+	for _, line := range got {
+		if key, value, _ := strings.Cut(line, " = "); !strings.Contains(key, ".") {
+			t.Setenv("STEWARD_"+strings.ToUpper(key), value)
+		}
+	}
+	fromEnvironment, err := LoadConfig("", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fromEnvironment.Peers = fromFile.Peers // no variable sets a table
+	if again := settings("", reflect.ValueOf(*fromEnvironment)); !slices.Equal(again, got) {
+		t.Errorf("from the environment:\n%s\nfrom the file:\n%s", strings.Join(again, "\n"), strings.Join(got, "\n"))
+	}
+}
+
+// recordedFolder unpacks the data folder of a server that was killed with entries in its log
+// behind its last snapshot.
+func recordedFolder(t *testing.T) string {
+	t.Helper()
+	file, err := os.Open(golden.Path("folder.tar.gz"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	unzipped, err := gzip.NewReader(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	for archive := tar.NewReader(unzipped); ; {
+		h, err := archive.Next()
+		if errors.Is(err, io.EOF) {
+			return dir
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		path := filepath.Join(dir, filepath.FromSlash(h.Name))
+		if h.Typeflag == tar.TypeDir {
+			err = os.MkdirAll(path, 0o755)
+		} else {
+			var text []byte
+			if text, err = io.ReadAll(archive); err == nil {
+				err = os.WriteFile(path, text, 0o600)
+			}
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// TestRecordedFolderReplaysToRecordedState reads the snapshot and the log behind it. The state
+// is, byte for byte, what the program that wrote them answered before it was killed.
+func TestRecordedFolderReplaysToRecordedState(t *testing.T) {
+	s, err := openStore(recordedFolder(t), hclog.NewNullLogger())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { s.Close() })
+	snapshots, err := s.snaps.List()
+	if err != nil || len(snapshots) == 0 {
+		t.Fatalf("%d snapshots: %v", len(snapshots), err)
+	}
+	last := snapshots[0]
+	_, text, err := s.snaps.Open(last.ID)
+	if err != nil {
+		t.Fatal(err)
+	}
+	machine := &fsm{state: catalog.New(), changed: func() {}, broken: func(err error) { t.Error(err) }}
+	if err := machine.Restore(text); err != nil {
+		t.Fatal(err)
+	}
+	end, err := s.LastIndex()
+	if err != nil {
+		t.Fatal(err)
+	}
+	commands := 0
+	for i := last.Index + 1; i <= end; i++ {
+		var l raft.Log
+		if err := s.GetLog(i, &l); err != nil {
+			t.Fatal(err)
+		}
+		if l.Type == raft.LogCommand {
+			machine.Apply(&l)
+			commands++
+		}
+	}
+	if commands == 0 {
+		t.Error("the recorded log has no command behind the snapshot")
+	}
+	got, err := machine.state.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "folder-state.json", got)
+}
+
+// served asks a server that runs.
+type served struct {
+	t    *testing.T
+	addr string
+}
+
+func (s *served) do(method, path, body string) (status int, header http.Header, text string) {
+	s.t.Helper()
+	req, err := http.NewRequestWithContext(s.t.Context(), method, "http://"+s.addr+path, strings.NewReader(body))
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	read, err := io.ReadAll(resp.Body)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	return resp.StatusCode, resp.Header, string(read)
+}
+
+func (s *served) get(path string) string {
+	s.t.Helper()
+	status, _, text := s.do(http.MethodGet, path, "")
+	if status != http.StatusOK {
+		s.t.Fatalf("GET %s: %d %s", path, status, text)
+	}
+	return text
+}
+
+// serveFolder starts a server on a data folder and waits until it leads.
+func serveFolder(t *testing.T, dir string) *served {
+	t.Helper()
+	addrs, err := loopback.Claim()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { addrs.Close() })
+	c := Defaults()
+	c.Name, c.Data, c.LeaseTTL, c.Drain = "st-1", dir, 10*time.Minute, 0
+	for _, addr := range []*string{&c.Listen, &c.Raft} {
+		if *addr, err = addrs.FreePort(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	n, err := Start(t.Context(), &c, quietLog())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(n.Close)
+	s := &served{t, c.Listen}
+	for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+		// Only a leader that has applied its log and takes writes answers a consistent read.
+		status, _, text := s.do(http.MethodGet, "/v1/servers?consistent=1", "")
+		if status == http.StatusOK && s.version() > 0 {
+			return s
+		}
+		if time.Now().After(end) {
+			t.Fatalf("it never led: %d %s", status, text)
+		}
+	}
+}
+
+// version is the version of the list.
+func (s *served) version() int64 {
+	s.t.Helper()
+	var st struct {
+		Seq int64 `json:"seq"`
+	}
+	if err := json.Unmarshal([]byte(s.get("/v1/status")), &st); err != nil {
+		s.t.Fatal(err)
+	}
+	return st.Seq
+}
+
+// items are the elements of a JSON list, as they stand there, but for those that match.
+func items(t *testing.T, text string, but *regexp.Regexp) (out []string) {
+	t.Helper()
+	var all []json.RawMessage
+	if err := json.Unmarshal([]byte(text), &all); err != nil {
+		t.Fatalf("%v: %s", err, text)
+	}
+	for _, item := range all {
+		if !but.Match(item) {
+			out = append(out, string(item))
+		}
+	}
+	return out
+}
+
+// TestServerReadsRecordedFolder starts a server on the recorded data folder: lists, servers,
+// sessions and leased tasks are as the program before answered them, and writes go on. Left out is
+// what the server's own session holds, which begins anew with each start, and the session that
+// holds nothing, which ends soon.
+func TestServerReadsRecordedFolder(t *testing.T) {
+	s := serveFolder(t, recordedFolder(t))
+	var got []string
+	for _, path := range []string{"/v1/servers?consistent=1", "/v1/servers", "/v1/sessions?consistent=1", "/v1/duties?consistent=1"} {
+		got = append(got, path)
+		got = append(got, items(t, s.get(path), regexp.MustCompile(`"(process|name)":"(st-1|w-2|audit|snapshots|sweep|voters)"`))...)
+	}
+	for _, path := range []string{"/v1/servers/s-a", "/v1/duties/job.a", "/v1/endpoints", "/v1/endpoints?service=web&service="} {
+		text := regexp.MustCompile(`"seq":\d+`).ReplaceAllString(s.get(path), `"seq":0`)
+		got = append(got, path, strings.TrimSpace(text))
+	}
+	golden.Lines(t, "folder-answers.txt", got)
+
+	entry := `{"host":"s-f","dial":"127.0.0.1:9","site":"a","class":"k","block":3,"health":"ready","share":1,"born_ms":1000,"service":"web"}`
+	if status, _, text := s.do(http.MethodPut, "/v1/servers/s-f", entry); status != http.StatusOK {
+		t.Fatalf("register: %d %s", status, text)
+	}
+	if text := s.get("/v1/endpoints?service=web"); !strings.Contains(text, entry) {
+		t.Errorf("the registered server is not as it was written: %s", text)
+	}
+}
+
+// TestAnswersKeepStatusAndHeaders holds status, headers and first word of refusals, and the
+// keys and headers of what is answered.
+func TestAnswersKeepStatusAndHeaders(t *testing.T) {
+	s := serveFolder(t, t.TempDir())
+	entry := `{"host":"s-a","dial":"127.0.0.1:9","site":"a","class":"k","block":3,"health":"ready","share":1,"born_ms":1000}`
+	var got []string
+	for _, r := range [][3]string{
+		{"PUT", "/v1/servers/s-a", entry},
+		{"PUT", "/v1/servers/s-a", strings.Replace(entry, "1000", "900", 1)},
+		{"PUT", "/v1/servers/s-b", entry},
+		{"PUT", "/v1/servers/s-a", `{"strange":1}`},
+		{"PUT", "/v1/servers/s-a", `{`},
+		{"GET", "/v1/servers/s-b", ""},
+		{"PATCH", "/v1/servers/s-a", `{}`},
+		{"PATCH", "/v1/servers/s-a", `{"share":0.5,"if":1}`},
+		{"PATCH", "/v1/servers/s-b", `{"share":0.5}`},
+		{"POST", "/v1/servers/s-a/drain", ""},
+		{"POST", "/v1/servers/s-a/drain?born_ms=1", ""},
+		{"DELETE", "/v1/servers/s-a?born_ms=1000", ""},
+		{"POST", "/v1/renewals", `{"refs":[{"name":"s-b","born_ms":1}]}`},
+		{"POST", "/v1/guard/confirm", ""},
+		{"POST", "/v1/seen", `{"seq":1}`},
+		{"POST", "/v1/seen", `{"seq":-1}`},
+		{"PUT", "/v1/snapshot", `{}`},
+		{"GET", "/v1/endpoints?follow=1&since=x", ""},
+		{"GET", "/v1/endpoints?service=a&service=a", ""},
+		{"GET", "/v1/endpoints?service=a", ""},
+		{"GET", "/v1/endpoints", ""},
+		{"PUT", "/v1/sessions/w-1", `{"process":"w-1","id":"one","cap":0,"rev":0}`},
+		{"PUT", "/v1/sessions/w-1", `{"process":"w-1","id":"two","cap":0,"rev":0}`},
+		{"POST", "/v1/sessions/w-1/renewal", `{"id":"one","rev":0}`},
+		{"POST", "/v1/sessions/w-1/renewal", `{"id":"two","rev":0}`},
+		{"POST", "/v1/sessions/w-9/renewal", `{"id":"two","rev":0}`},
+		{"GET", "/v1/sessions/w-1/tasks?id=one&rev=0", ""},
+		{"GET", "/v1/sessions/w-1/tasks?id=one&rev=x", ""},
+		{"PUT", "/v1/duties/job.a", `{"ttl_ms":1}`},
+		{"PUT", "/v1/duties/job.a", `{"ttl_ms":600000}`},
+		{"POST", "/v1/duties/job.a/claim", `{"process":"w-9","id":"one"}`},
+		{"POST", "/v1/duties/job.a/revoke", ""},
+		{"POST", "/v1/duties/job.a/move", `{}`},
+		{"POST", "/v1/duties/job.a/park", `{"why":"until tomorrow"}`},
+		{"POST", "/v1/duties/job.a/unpark", ""},
+		{"DELETE", "/v1/duties/job.b", ""},
+		{"GET", "/v1/duties/job.b", ""},
+		{"POST", "/v1/terms", `{"kind":"grant","ties":[]}`},
+		{"POST", "/v1/terms", `{"kind":"give up","ties":[]}`},
+		{"POST", "/v1/terms", `{"kind":"give up","ties":[{"name":"job.a","session":"one","fence":1}],"why":"done"}`},
+		{"POST", "/v1/terms", `{"kind":"give up","ties":[{"name":"job.a","session":"one","fence":1}],"why":"strange"}`},
+		{"POST", "/v1/sweep", `{"fence":1}`},
+		{"POST", "/v1/voters", `{"fence":1}`},
+		{"PUT", "/v1/peers/nobody", ""},
+		{"GET", "/v1/members", ""},
+		{"POST", "/v1/evidence", `{"refs":[]}`},
+	} {
+		status, header, text := s.do(r[0], r[1], r[2])
+		first, rest, isText := strings.Cut(strings.TrimSpace(text), ": ")
+		if status == http.StatusOK {
+			first = shape([]byte(text))
+		} else if !isText || rest == "" {
+			first = "(text)"
+		}
+		line := fmt.Sprintf("%s %s %s\n\t%d %s", r[0], r[1], r[2], status, first)
+		for _, key := range []string{"Content-Type", "Retry-After", "Not-Applied", "Service-Scope"} {
+			if v := header.Get(key); v != "" {
+				line += fmt.Sprintf("\n\t%s: %s", key, v)
+			}
+		}
+		got = append(got, line)
+	}
+	golden.Lines(t, "answers.txt", got)
+}
+
+// shape is a JSON text whose numbers are all 0.
+func shape(text []byte) string {
+	numbers := regexp.MustCompile(`:-?\d+(\.\d+)?`)
+	return string(bytes.TrimSpace(numbers.ReplaceAll(text, []byte(":0"))))
+}
