--- /dev/null
+++ b/cmd/lab/formats_test.go
@@ -0,0 +1,221 @@
+package main
+
+import (
+	"encoding"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
+
+	"molepaddle/internal/lab/capacity"
+	"molepaddle/internal/lab/check"
+	"molepaddle/internal/lab/experiment"
+	"molepaddle/internal/lab/hollow"
+	"molepaddle/internal/lab/process"
+	"molepaddle/internal/lab/scale"
+)
+
+// The tests of this file hold what users' files and scripts rely on: the keys of experiment files
+// and results, the commands and their flags. A Go identifier may be renamed freely; the golden files
+// change only where a format is meant to change, by go test ./cmd/lab -run Golden -update.
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// formats are the types whose keys are held, by the tag that gives the keys.
+var formats = []struct {
+	golden string
+	tag    string
+	types  []any
+}{
+	{"experiment-keys.golden", "koanf", []any{experiment.Config{}}},
+	{"scale-keys.golden", "koanf", []any{scale.Config{}}},
+	{"summary-keys.golden", "json", []any{experiment.Summary{}}},
+	{"result-keys.golden", "json", []any{capacity.Results{}}},
+	{"state-keys.golden", "json", []any{experiment.Progress{}, experiment.Machine{}, check.Act{}, check.Breach{},
+		hollow.AgentsState{}, hollow.ServersState{}, hollow.Rates{}, hollow.Range{}, hollow.Registered{}, process.Use{}}},
+}
+
+func TestGoldenFileKeys(t *testing.T) {
+	for _, f := range formats {
+		t.Run(f.golden, func(t *testing.T) {
+			var lines []string
+			for i, x := range f.types {
+				path := ""
+				if len(f.types) > 1 {
+					path = fmt.Sprintf("%d", i)
+				}
+				lines = append(lines, keys(t, path, f.tag, reflect.TypeOf(x))...)
+			}
+			slices.Sort(lines)
+			compare(t, f.golden, strings.Join(lines, "\n")+"\n")
+		})
+	}
+}
+
+// keys lists the keys of a type with what they hold, as in "load.class[].aim duration".
+func keys(t *testing.T, path, tag string, x reflect.Type) []string {
+	t.Helper()
+	text := reflect.TypeFor[encoding.TextMarshaler]()
+	custom := reflect.TypeFor[json.Marshaler]()
+	switch {
+	case x == reflect.TypeFor[time.Duration]():
+		return []string{path + " duration"}
+	case x.Implements(text) || x.Implements(custom):
+		return []string{path + " text"}
+	}
+	switch x.Kind() {
+	case reflect.Pointer:
+		return keys(t, path+"?", tag, x.Elem())
+	case reflect.Slice, reflect.Array:
+		return keys(t, path+"[]", tag, x.Elem())
+	case reflect.Map:
+		return keys(t, path+"{"+x.Key().Kind().String()+"}", tag, x.Elem())
+	case reflect.Struct:
+		var lines []string
+		for i := range x.NumField() {
+			f := x.Field(i)
+			name, options, _ := strings.Cut(f.Tag.Get(tag), ",")
+			switch {
+			case name == "-" || !f.IsExported():
+				continue
+			case name == "" && f.Anonymous:
+				lines = append(lines, keys(t, path, tag, f.Type)...)
+				continue
+			case name == "" && x.PkgPath() != "" && !strings.Contains(strings.SplitN(x.PkgPath(), "/", 2)[0], "."):
+				t.Errorf("%s: field %s.%s has no key of its own, so that renaming it changes the format", path, x, f.Name)
+			case name == "":
+				name = f.Name // a library's type
+			}
+			if options != "" {
+				name += "," + options
+			}
+			lines = append(lines, keys(t, strings.TrimPrefix(path+"."+name, "."), tag, f.Type)...)
+		}
+		return lines
+	}
+	return []string{path + " " + x.Kind().String()}
+}
+
+// Every experiment in the repository is read without a complaint: no key or value has become unknown.
+func TestExperimentFilesAreRead(t *testing.T) {
+	files, err := filepath.Glob("../../experiments/*.toml")
+	if err != nil || len(files) == 0 {
+		t.Fatalf("no experiment files: %v", err)
+	}
+	for _, f := range files {
+		if scale.Is(f) {
+			_, err = scale.Load(f)
+		} else {
+			_, err = experiment.Load(f)
+		}
+		if err != nil {
+			t.Error(err)
+		}
+	}
+}
+
+// The recorded commands and flags are all there, under their name or an alias. More may have come.
+func TestGoldenCommandsAndFlags(t *testing.T) {
+	root := command(io.Discard, io.Discard)
+	if *update {
+		compare(t, "commands.golden", strings.Join(describe(root, root.Name()), "\n")+"\n")
+	}
+	for _, line := range strings.Split(strings.TrimSpace(golden(t, "commands.golden")), "\n") {
+		path, flagLine, isFlag := strings.Cut(line, " --")
+		words := strings.Fields(path)
+		if words[0] != root.Name() {
+			t.Errorf("the program is called %s, no longer %s", root.Name(), words[0])
+		}
+		hidden := words[len(words)-1] == "(hidden)"
+		if hidden {
+			words = words[:len(words)-1]
+		}
+		cmd, rest, err := root.Find(words[1:])
+		if err != nil || len(rest) > 0 {
+			t.Errorf("%s: no such command: %v", path, err)
+			continue
+		}
+		if !isFlag {
+			if cmd.Hidden != hidden {
+				t.Errorf("%s: hidden is %v", path, cmd.Hidden)
+			}
+			continue
+		}
+		name, _, _ := strings.Cut(flagLine, " ")
+		if f := cmd.Flags().Lookup(name); f == nil {
+			t.Errorf("%s: no flag --%s", path, name)
+		} else if got := describeFlag(f); got != "--"+flagLine {
+			t.Errorf("%s: flag %q, want %q", path, got, "--"+flagLine)
+		}
+	}
+}
+
+// describe lists a command, its flags and the commands below it.
+func describe(cmd *cobra.Command, path string) []string {
+	line := path
+	if cmd.Hidden {
+		line += " (hidden)"
+	}
+	lines := []string{line}
+	cmd.LocalFlags().VisitAll(func(f *pflag.Flag) { lines = append(lines, path+" "+describeFlag(f)) })
+	for _, c := range cmd.Commands() {
+		lines = append(lines, describe(c, path+" "+c.Name())...)
+	}
+	return lines
+}
+
+// describeFlag tells all of a flag that scripts rely on. Which program of bin is started by default
+// is no part of that.
+func describeFlag(f *pflag.Flag) string {
+	value := fmt.Sprintf("%q", f.DefValue)
+	if strings.HasPrefix(f.DefValue, "bin/") {
+		value = "a program of bin"
+	}
+	return fmt.Sprintf("--%s shorthand=%q %s default=%s", f.Name, f.Shorthand, f.Value.Type(), value)
+}
+
+func golden(t *testing.T, name string) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+func compare(t *testing.T, name, got string) {
+	t.Helper()
+	if *update {
+		if err := os.WriteFile(filepath.Join("testdata", name), []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want := golden(t, name)
+	if got == want {
+		return
+	}
+	was, is := strings.Split(want, "\n"), strings.Split(got, "\n")
+	for _, line := range was {
+		if !slices.Contains(is, line) {
+			t.Errorf("%s: gone: %s", name, line)
+		}
+	}
+	for _, line := range is {
+		if !slices.Contains(was, line) {
+			t.Errorf("%s: new: %s", name, line)
+		}
+	}
+	if !t.Failed() {
+		t.Errorf("%s: the lines come in another order or number", name)
+	}
+}
