--- /dev/null
+++ b/cmd/steward/mixed_test.go
@@ -0,0 +1,265 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"maps"
+	"os"
+	"slices"
+	"syscall"
+	"testing"
+	"time"
+
+	"molepaddle/internal/catalog"
+	"molepaddle/internal/control"
+)
+
+// build is a program that can serve as a server of the control plane.
+type build struct {
+	name, path string
+	env        []string
+}
+
+// otherBuild names the environment variable with the path of another build's program, which
+// TestMixedQuorum runs beside this one. Without it this build stands for both.
+const otherBuild = "OTHER_CONTROLPLANE"
+
+func builds(t *testing.T) (old, present build) {
+	t.Helper()
+	exe, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	present = build{"present", exe, []string{"STEWARD_CHILD=1"}}
+	old = present
+	if path := os.Getenv(otherBuild); path != "" {
+		old = build{"old", path, nil}
+	}
+	return old, present
+}
+
+// stop ends a server in order: it hands over what it leads and holds.
+func (f *fleet) stop(name string) {
+	f.t.Helper()
+	ended := f.all[name].proc.Ended()
+	if err := f.all[name].proc.Signal(syscall.SIGTERM); err != nil {
+		f.t.Fatal(err)
+	}
+	select {
+	case <-ended:
+	case <-time.After(soon):
+		f.t.Fatalf("%s did not end", name)
+	}
+}
+
+// startAs starts a server that doesn't run with the program of a build.
+func (f *fleet) startAs(name string, b build) {
+	f.t.Helper()
+	p := f.all[name].proc
+	p.Path, p.Env = b.path, b.env
+	f.start(name)
+	f.until(name+" follows or leads", func() bool {
+		st, err := f.status(name)
+		return err == nil && st.Leader != "" && st.Seq > 0 && !st.Stale
+	})
+}
+
+// mixed is a quorum of servers of two builds, and what was written to it.
+type mixed struct {
+	*fleet
+	runs  map[string]build
+	acked map[string]float64
+	fence int64 // of the leased task
+	rev   int64 // that the session was last told
+}
+
+// leads has one of the servers named lead, by stopping and starting another that does.
+func (m *mixed) leads(names ...string) {
+	m.t.Helper()
+	m.until(fmt.Sprintf("%v lead", names), func() bool {
+		leader := m.leader()
+		if slices.Contains(names, leader) {
+			return true
+		}
+		m.stop(leader)
+		m.startAs(leader, m.runs[leader])
+		return false
+	})
+}
+
+// through calls the server named until it does what is asked.
+func (m *mixed) through(name, what string, do func(ctx context.Context, c *control.Client) error) {
+	m.t.Helper()
+	var err error
+	defer func() {
+		if m.t.Failed() {
+			m.t.Logf("%s through %s (%s build): %v", what, name, m.runs[name].name, err)
+		}
+	}()
+	m.until(what+" through "+name, func() bool {
+		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
+		defer cancel()
+		err = do(ctx, m.all[name].client)
+		return err == nil
+	})
+}
+
+const (
+	mixedWorker  = "w-1"
+	mixedSession = "one"
+	mixedTask    = "job.a"
+	mixedTTL     = 10 * time.Minute
+)
+
+// writes writes through every server: servers come, change and end, and the session is renewed.
+func (m *mixed) writes(phase string) {
+	m.t.Helper()
+	for i, name := range m.names {
+		for j := range 4 {
+			server := fmt.Sprintf("%s-%d-%d", phase, i, j)
+			m.register(server, 1000, name)
+			m.acked[server] = 1000
+		}
+		first := fmt.Sprintf("%s-%d-0", phase, i)
+		m.through(name, "override", func(ctx context.Context, c *control.Client) error {
+			health, share := "draining", 0.5
+			_, err := c.Set(ctx, first, control.Word{Health: &health, Share: &share})
+			return err
+		})
+		m.through(name, "renewal of leases", func(ctx context.Context, c *control.Client) error {
+			r, err := c.Renew(ctx, []catalog.Ref{{Name: first, BornMs: 1000}, {Name: "nobody", BornMs: 1}})
+			if err == nil && !slices.Equal(r.Codes, []catalog.Code{catalog.Done, catalog.Unknown}) {
+				m.t.Fatalf("a renewal through %s is answered with %q", name, r.Codes)
+			}
+			return err
+		})
+		m.through(name, "renewal of the session", func(ctx context.Context, c *control.Client) error {
+			_, err := c.RenewSession(ctx, mixedWorker, mixedSession, m.rev)
+			return err
+		})
+		m.through(name, "definition of a task", func(ctx context.Context, c *control.Client) error {
+			return c.Define(ctx, fmt.Sprintf("other.%s.%d", phase, i), control.DutyBody{TTLMs: 1000})
+		})
+	}
+}
+
+// reads holds that all that was written is there, at every server.
+func (m *mixed) reads() {
+	m.t.Helper()
+	m.holds(m.acked)
+	for _, name := range m.names {
+		m.through(name, "list", func(ctx context.Context, c *control.Client) error {
+			l, err := c.List(ctx)
+			if err != nil {
+				return err
+			}
+			listed := map[string]bool{}
+			for _, h := range l.Hosts {
+				listed[h.Host] = true
+			}
+			for server := range m.acked {
+				if !listed[server] {
+					return fmt.Errorf("%s is not on the list", server)
+				}
+			}
+			return nil
+		})
+		m.through(name, "leased task", func(ctx context.Context, c *control.Client) error {
+			d, err := c.Duty(ctx, mixedTask)
+			if err == nil && (d.Holder != mixedWorker || d.Session != mixedSession || d.Fence != m.fence) {
+				m.t.Fatalf("%s has the task as %+v, it was granted with fence %d", name, d, m.fence)
+			}
+			return err
+		})
+		m.through(name, "tasks of the session", func(ctx context.Context, c *control.Client) error {
+			tasks, err := c.WatchSession(ctx, mixedWorker, mixedSession, 0)
+			if err == nil && (len(tasks.Tasks) != 1 || tasks.Tasks[0].Name != mixedTask || tasks.Tasks[0].Fence != m.fence) {
+				m.t.Fatalf("%s tells the session %+v", name, tasks)
+			}
+			return err
+		})
+	}
+	// The control plane's own tasks are held by its servers, of whichever build.
+	m.through(m.names[0], "sweep", func(ctx context.Context, c *control.Client) error {
+		d, err := c.Duty(ctx, "sweep")
+		if err == nil && m.all[d.Holder] == nil {
+			err = fmt.Errorf("held by %q", d.Holder)
+		}
+		return err
+	})
+	m.same()
+}
+
+// same waits until the states of all servers are equal, byte for byte. They change while the
+// control plane's own tasks are handed over.
+func (m *mixed) same() {
+	m.t.Helper()
+	m.until("equal states", func() bool {
+		var texts [][]byte
+		for _, name := range m.names {
+			status, _, text := m.get(name, "/v1/snapshot")
+			if status != 200 {
+				return false
+			}
+			texts = append(texts, text)
+		}
+		return bytes.Equal(texts[0], texts[1]) && bytes.Equal(texts[0], texts[2])
+	})
+}
+
+// TestMixedQuorum runs servers of two builds in one quorum: first an old one leads and a new one
+// follows, then a new one leads and an old one follows. In between each is started again on its
+// folder with the other build. Writes and reads go through all of them; servers, leases, the
+// leased task with its fence and the versions that a watch sees stay.
+func TestMixedQuorum(t *testing.T) {
+	old, present := builds(t)
+	f := gossiping(t, 3, "")
+	f.extra = "heartbeat = \"300ms\"\nlease_ttl = \"10m\"\nsnapshot_every = 16\nsnapshot_check = \"200ms\"\n"
+	m := &mixed{fleet: f, runs: map[string]build{"st-1": old, "st-2": old, "st-3": present}, acked: map[string]float64{}}
+	for _, name := range f.names {
+		f.configure(name, f.names)
+		p := f.all[name].proc
+		p.Path, p.Env = m.runs[name].path, m.runs[name].env
+		f.start(name)
+	}
+	m.leads("st-1", "st-2")
+	f.agree(f.names...)
+	watch := f.follow(f.names...)
+
+	m.through("st-3", "session", func(ctx context.Context, c *control.Client) error {
+		return c.OpenSession(ctx, catalog.Session{Process: mixedWorker, ID: mixedSession, Kinds: []string{"job"}, Cap: 1})
+	})
+	m.through("st-3", "task", func(ctx context.Context, c *control.Client) error {
+		return c.Define(ctx, mixedTask, control.DutyBody{TTLMs: mixedTTL.Milliseconds()})
+	})
+	m.through("st-3", "claim", func(ctx context.Context, c *control.Client) error {
+		r, err := c.Claim(ctx, mixedTask, mixedWorker, mixedSession)
+		m.fence = r.Fence
+		return err
+	})
+	m.writes("one")
+	m.reads()
+
+	swapped := map[string]build{"st-1": present, "st-2": present, "st-3": old}
+	for _, name := range slices.Sorted(maps.Keys(swapped)) {
+		f.stop(name)
+		m.register("while-"+name+"-is-away", 1000, f.others(name)...)
+		m.acked["while-"+name+"-is-away"] = 1000
+		m.runs[name] = swapped[name]
+		f.startAs(name, m.runs[name])
+	}
+	m.leads("st-1", "st-2")
+	f.agree(f.names...)
+	m.reads()
+	m.writes("two")
+	m.reads()
+
+	for server := range m.acked {
+		f.until("the watch has "+server, func() bool { return watch.knew(server) })
+	}
+	watch.end(t)
+	for _, name := range watch.gone {
+		t.Errorf("%s was taken off the list", name)
+	}
+}
--- /dev/null
+++ b/internal/duty/wire_test.go
@@ -0,0 +1,13 @@
+package duty
+
+import (
+	"testing"
+
+	"molepaddle/internal/lab/golden"
+)
+
+// TestMessagesKeepTheirKeys holds the JSON form of what a session is told to do, with every
+// field, as the program of commit d25b370 wrote it.
+func TestMessagesKeepTheirKeys(t *testing.T) {
+	golden.Messages(t, "messages.txt", []golden.Message{golden.Of[Tasks]("tasks")})
+}
--- /dev/null
+++ b/internal/endpoints/wire_test.go
@@ -0,0 +1,91 @@
+package endpoints
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"regexp"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"molepaddle/internal/lab/golden"
+)
+
+// The files in testdata are what the program of commit d25b370 wrote. They stand for what other
+// builds and other list services send and read: a name in Go may change, these may not.
+
+// TestMessagesKeepTheirKeys holds the JSON form of a list, with every field.
+func TestMessagesKeepTheirKeys(t *testing.T) {
+	golden.Messages(t, "messages.txt", []golden.Message{
+		golden.Of[List]("list"),
+		golden.Of[Host]("host"),
+	})
+}
+
+// TestConstantsKeepTheirValues holds the path, the words of health, the query parameter and
+// the headers.
+func TestConstantsKeepTheirValues(t *testing.T) {
+	golden.Includes(t, "constants.txt", golden.StringConstants(t, "."))
+}
+
+// TestRecordedListIsRead reads a list with a key that this build doesn't know.
+func TestRecordedListIsRead(t *testing.T) {
+	l, err := Parse([]byte(`{"seq":7,"whole":true,"later":1,"hosts":[{"host":"s-a","dial":"127.0.0.1:9","site":"a","class":"k",` +
+		`"block":3,"health":"draining","share":0.5,"born_ms":1000,"service":"web","later":1}]}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Host{"s-a", "127.0.0.1:9", "a", "k", 3, "draining", 0.5, 1000, "web"}
+	if l.Seq != 7 || !l.Whole || !slices.Equal(l.Hosts, []Host{want}) {
+		t.Errorf("read as %+v", l)
+	}
+}
+
+// TestRequestsKeepPathQueryAndHeaders holds what a reader sends: a fetch and a watch, of all
+// services and of some, under a name.
+func TestRequestsKeepPathQueryAndHeaders(t *testing.T) {
+	var mu sync.Mutex
+	var got []string
+	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		line := r.Method + " " + r.URL.RequestURI()
+		for _, key := range []string{"Other-Addresses", "Member-Name", "Member-Life", "Service-Scope"} {
+			if v := r.Header.Get(key); v != "" {
+				line += "\n\t" + key + ": " + regexp.MustCompile(`^[A-Z2-7]{26}$`).ReplaceAllString(v, "(drawn)")
+			}
+		}
+		mu.Lock()
+		got = append(got, line)
+		mu.Unlock()
+		w.Header().Set("Service-Scope", "1")
+		fmt.Fprintln(w, `{"seq":7,"whole":true,"hosts":[]}`)
+	}))
+	t.Cleanup(service.Close)
+	addr := strings.TrimPrefix(service.URL, "http://")
+	for _, c := range []ClientConfig{
+		{Addresses: []string{addr}},
+		{Addresses: []string{addr, "127.0.0.1:1"}, Member: "agent-1"},
+		{Addresses: []string{addr}, Services: []string{"web", "", "a+b"}},
+	} {
+		client := NewClient(c)
+		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
+		if _, err := client.Fetch(ctx, 0); err != nil {
+			t.Error(err)
+		}
+		watching, stop := context.WithCancel(ctx)
+		_ = client.Watch(watching, 5, func(List) { stop() })
+		stop()
+		if c.Member != "" {
+			if err := client.Leave(ctx); err != nil {
+				t.Error(err)
+			}
+		}
+		cancel()
+	}
+	mu.Lock()
+	defer mu.Unlock()
+	golden.Lines(t, "requests.txt", got)
+}
--- /dev/null
+++ b/internal/gossip/wire_test.go
@@ -0,0 +1,39 @@
+package gossip
+
+import (
+	"log/slog"
+	"regexp"
+	"testing"
+
+	"github.com/hashicorp/memberlist"
+
+	"molepaddle/internal/lab/golden"
+	"molepaddle/internal/member"
+)
+
+// The file in testdata is what the program of commit d25b370 sent to other members, which may be
+// of another build: a name in Go may change, this may not.
+
+// TestMembersAreToldInKnownForm holds what a member says of itself with each of its messages,
+// and what it tells of all that it knows. The messages of members are held beside their types.
+func TestMembersAreToldInKnownForm(t *testing.T) {
+	self := member.Info{Name: "st-1", Role: member.Steward, Zone: "zone-a", Program: "v1",
+		Speaks: member.Speaks{Gossip: 1, Catalog: 1}, Incarnation: 7, ID: "folder"}
+	n, err := Start(Config{Self: self, Listen: "127.0.0.1:0", Tracker: member.Defaults(self),
+		Peers: func() map[string]string { return map[string]string{"st-2": ""} }, Log: slog.New(slog.DiscardHandler)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(n.Close)
+	d := &delegate{n}
+	d.NotifyUpdate(&memberlist.Node{Name: "st-2", Meta: []byte(`{"f":1,"n":"st-2","r":"steward","s":{"g":1,"c":1},"i":8}`)})
+	d.report([]byte(`{"f":1,"n":"st-2","i":8,"q":1,"b":"first","w":true,"o":[{"n":"s-1","r":"server","z":"zone-b","i":9,"s":"present","t":1}]}`))
+	if v := n.View(); v.State("s-1") != member.Present {
+		t.Errorf("the recorded report was not taken: %+v", v.Members)
+	}
+	varies := regexp.MustCompile(`"(b|q|t)":("[A-Z2-7]{26}"|\d+)`) // drawn, counted, timed
+	golden.Lines(t, "told.txt", []string{
+		string(d.NodeMeta(512)),
+		varies.ReplaceAllString(string(d.LocalState(true)), `"$1":(varies)`),
+	})
+}
--- a/internal/lab/golden/golden.go
+++ b/internal/lab/golden/golden.go
@@ -64,6 +64,24 @@
 	Check(t, name, []byte(strings.Join(items, "\n")+"\n"))
 }
 
+// Includes fails the test if a line of the golden file is not among the items. Others may be.
+func Includes(t testing.TB, name string, items []string) {
+	t.Helper()
+	if *update {
+		Lines(t, name, items)
+		return
+	}
+	want, err := os.ReadFile(Path(name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, line := range strings.Split(strings.TrimSuffix(string(want), "\n"), "\n") {
+		if !slices.Contains(items, line) {
+			t.Errorf("%s has %s, which is not there any more", Path(name), line)
+		}
+	}
+}
+
 // Message is one type whose JSON form is frozen. Name is its name in the golden file: it does
 // not follow the name of the Go type.
 type Message struct {
