--- /dev/null
+++ b/internal/control/watchlines_test.go
@@ -0,0 +1,52 @@
+package control
+
+import (
+	"context"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"molepaddle/internal/catalog"
+	"molepaddle/internal/endpoints"
+	"molepaddle/internal/lab/golden"
+)
+
+// TestWatchLinesKeepTheirForm holds what a watch of the whole list and a watch of two services
+// write: the first list, a change, a move to another service, an end, and the line of a quiet
+// watch; as the program of commit d25b370 wrote them.
+func TestWatchLinesKeepTheirForm(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		st := newStand(t)
+		go st.hub.run(ctx)
+		register := func(name, service string, born float64) {
+			t.Helper()
+			h := endpoints.Host{Host: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Block: 3, Health: endpoints.Ready, Share: 1, BornMs: born, Service: service}
+			if r := st.apply(t, catalog.Command{Kind: catalog.Register, Host: &h}); r.Code != catalog.Done {
+				t.Fatalf("%+v", r)
+			}
+			time.Sleep(time.Second)
+		}
+		register("s-a", "", 1000)
+		register("s-b", "web", 1000)
+		whole, scoped := newReader(), newReader()
+		go st.hub.watch(ctx, whole, 0, nil)
+		go st.hub.watchServices(ctx, scoped, []string{"", "web"}, 0, nil)
+		time.Sleep(100 * time.Millisecond)
+		register("s-c", "web", 1000)
+		register("s-a", "mail", 2000)
+		st.apply(t, catalog.Command{Kind: catalog.Drain, Refs: []catalog.Ref{{Name: "s-b", BornMs: 1000}}})
+		time.Sleep(time.Second)
+		st.apply(t, catalog.Command{Kind: catalog.Leave, Refs: []catalog.Ref{{Name: "s-b", BornMs: 1000}}})
+		time.Sleep(2500 * time.Millisecond)
+		synctest.Wait()
+		lines := func(r *reader) []string {
+			return strings.Split(strings.TrimSuffix(strings.Join(r.lines, ""), "\n"), "\n")
+		}
+		golden.Lines(t, "watch-lines.txt", slices.Concat([]string{"all"}, lines(whole), []string{"services"}, lines(scoped)))
+		cancel()
+		synctest.Wait()
+	})
+}
