--- /dev/null
+++ b/internal/control/requests_test.go
@@ -0,0 +1,128 @@
+package control
+
+import (
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"regexp"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"molepaddle/internal/catalog"
+	"molepaddle/internal/endpoints"
+	"molepaddle/internal/lab/golden"
+)
+
+// TestClientKeepsItsRequests holds the method, the path with its query, and the body of each
+// call of the client, as the program of commit d25b370 sent them.
+func TestClientKeepsItsRequests(t *testing.T) {
+	var mu sync.Mutex
+	var got []string
+	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		text, err := io.ReadAll(r.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		mu.Lock()
+		defer mu.Unlock()
+		got = append(got, strings.TrimSpace(r.Method+" "+r.URL.RequestURI()+" "+string(text)))
+		w.WriteHeader(http.StatusTeapot)
+	}))
+	t.Cleanup(service.Close)
+	c := NewClient([]string{strings.TrimPrefix(service.URL, "http://")}, 5*time.Second)
+	ctx := t.Context()
+	var h endpoints.Host
+	var override Word
+	var session catalog.Session
+	var task DutyBody
+	var ref catalog.Ref
+	var tie catalog.Tie
+	for _, v := range []any{&h, &override, &session, &task, &ref, &tie} {
+		golden.Fill(t, v)
+	}
+	// Each call is refused: what was sent is all that counts.
+	_, _ = c.Register(ctx, h)
+	_, _ = c.Renew(ctx, []catalog.Ref{ref})
+	_, _ = c.Set(ctx, "s-a", override)
+	_, _ = c.Server(ctx, "s-a", true)
+	_, _ = c.Server(ctx, "s-a", false)
+	_, _ = c.Servers(ctx, true)
+	_, _ = c.Servers(ctx, false)
+	_, _ = c.List(ctx)
+	_, _ = c.Status(ctx)
+	_, _ = c.Snapshot(ctx)
+	_, _ = c.Restore(ctx, []byte(`{"form":1}`))
+	_, _ = c.Peer(ctx, "st-2", true)
+	_, _ = c.Peer(ctx, "st-2", false)
+	_ = c.Confirm(ctx)
+	_ = c.OpenSession(ctx, session)
+	_, _ = c.RenewSession(ctx, "w-1", "one", 7)
+	_, _ = c.WatchSession(ctx, "w-1", "one", 7)
+	_ = c.EndSession(ctx, "w-1", "one", true)
+	_ = c.EndSession(ctx, "w-1", "one", false)
+	_ = c.Terms(ctx, catalog.Accept, []catalog.Tie{tie}, catalog.WhyFailed)
+	_, _ = c.Duties(ctx)
+	_, _ = c.Duty(ctx, "job.a")
+	_, _ = c.Sessions(ctx)
+	_ = c.Define(ctx, "job.a", task)
+	_, _ = c.Claim(ctx, "job.a", "w-1", "one")
+	_ = c.GiveUp(ctx, tie)
+	for _, word := range []string{"move", "revoke", "park", "unpark", "drop"} {
+		_ = c.Order(ctx, "job.a", word, "w-2", "until tomorrow")
+	}
+	_, _ = Members(ctx, c.Addrs, time.Second)
+	mu.Lock()
+	defer mu.Unlock()
+	golden.Lines(t, "requests.txt", got)
+}
+
+// TestRefusalsKeepTheirHeaders holds the headers by which a caller knows when to ask again and
+// that a refused write had no effect: without a leader, and with too many calls.
+func TestRefusalsKeepTheirHeaders(t *testing.T) {
+	n := unstarted(t)
+	check := func(what string, status int, w *httptest.ResponseRecorder, notApplied string) {
+		t.Helper()
+		if w.Code != status || w.Header().Get("Retry-After") == "" || w.Header().Get("Not-Applied") != notApplied {
+			t.Errorf("%s: %d %v", what, w.Code, w.Header())
+		}
+	}
+	for _, call := range [][2]string{{"PUT", "/v1/servers/s-a"}, {"POST", "/v1/terms"}, {"PUT", "/v1/duties/job.a"},
+		{"GET", "/v1/servers?consistent=1"}, {"GET", "/v1/duties?consistent=1"}} {
+		w := httptest.NewRecorder()
+		n.handler().ServeHTTP(w, httptest.NewRequest(call[0], call[1], strings.NewReader("{}")))
+		check(call[0]+" "+call[1], http.StatusServiceUnavailable, w, "1")
+	}
+	w := httptest.NewRecorder()
+	n.calls.refuse(w, time.Second)
+	check("too many calls", http.StatusServiceUnavailable, w, "1")
+	w = httptest.NewRecorder()
+	refuse(w, errInDoubt)
+	check("unknown outcome", http.StatusServiceUnavailable, w, "")
+}
+
+// TestSessionsKeepTheirQuery holds the query that has a session rest instead of end, and the
+// header of a call that another server passed on.
+func TestSessionsKeepTheirQuery(t *testing.T) {
+	if forwarded != "Forwarded-By" {
+		t.Errorf("the header of a forwarded call is %q", forwarded)
+	}
+
+	s := serveFolder(t, t.TempDir())
+	session := func() string {
+		return strings.Join(items(t, s.get("/v1/sessions?consistent=1"), regexp.MustCompile(`"process":"st-1"`)), "")
+	}
+	for _, call := range [][4]string{
+		{http.MethodPut, "/v1/sessions/w-1", `{"process":"w-1","id":"one","cap":0,"rev":0}`, `{"process":"w-1","id":"one","cap":0,"opened":0,"rev":0}`},
+		{http.MethodDelete, "/v1/sessions/w-1?id=one&rest=1", "", `{"process":"w-1","id":"one","cap":0,"resting":true,"opened":0,"rev":0}`},
+		{http.MethodDelete, "/v1/sessions/w-1?id=one", "", ""},
+	} {
+		if status, _, text := s.do(call[0], call[1], call[2]); status != http.StatusOK {
+			t.Fatalf("%s %s: %d %s", call[0], call[1], status, text)
+		}
+		if got := shape([]byte(session())); got != call[3] {
+			t.Errorf("after %s %s there is %s, want %s", call[0], call[1], got, call[3])
+		}
+	}
+}
