--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -8,8 +8,8 @@
 	"io"
 	"os"
 
-	"molepaddle/internal/wire"
-	"molepaddle/policy"
+	"knotrouter/internal/wire"
+	"knotrouter/policy"
 )
 
 func main() {
--- a/cmd/lab/capacity.go
+++ b/cmd/lab/capacity.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"molepaddle/internal/lab/capacity"
+	"knotrouter/internal/lab/capacity"
 )
 
 // capacityPage is the page's file name in the folder of pages.
--- a/cmd/lab/capacity_test.go
+++ b/cmd/lab/capacity_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"molepaddle/internal/lab/capacity"
+	"knotrouter/internal/lab/capacity"
 )
 
 // capacityFolder is a copy of the page and the target with results that no run gave.
--- a/cmd/lab/cost.go
+++ b/cmd/lab/cost.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
-	"molepaddle/internal/lab/capacity"
-	"molepaddle/internal/lab/cost"
+	"knotrouter/internal/lab/capacity"
+	"knotrouter/internal/lab/cost"
 )
 
 // costCommand measures the agent's own cost.
--- a/cmd/lab/cost_test.go
+++ b/cmd/lab/cost_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"molepaddle/internal/lab/capacity"
+	"knotrouter/internal/lab/capacity"
 )
 
 // A short measurement with a real agent: what was called, served and opened is counted. Times
--- a/cmd/lab/formats_test.go
+++ b/cmd/lab/formats_test.go
@@ -17,12 +17,12 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
-	"molepaddle/internal/lab/capacity"
-	"molepaddle/internal/lab/check"
-	"molepaddle/internal/lab/experiment"
-	"molepaddle/internal/lab/hollow"
-	"molepaddle/internal/lab/process"
-	"molepaddle/internal/lab/scale"
+	"knotrouter/internal/lab/capacity"
+	"knotrouter/internal/lab/check"
+	"knotrouter/internal/lab/experiment"
+	"knotrouter/internal/lab/hollow"
+	"knotrouter/internal/lab/process"
+	"knotrouter/internal/lab/scale"
 )
 
 // The tests of this file hold what users' files and scripts rely on: the keys of experiment files
--- a/cmd/lab/hollow.go
+++ b/cmd/lab/hollow.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"molepaddle/internal/lab/hollow"
+	"knotrouter/internal/lab/hollow"
 )
 
 // hollowCommand runs many readers or servers of a list service in one process.
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -21,9 +21,9 @@
 	"github.com/vbauerster/mpb/v8"
 	"github.com/vbauerster/mpb/v8/decor"
 
-	"molepaddle/internal/lab/experiment"
-	"molepaddle/internal/lab/report"
-	"molepaddle/internal/lab/scale"
+	"knotrouter/internal/lab/experiment"
+	"knotrouter/internal/lab/report"
+	"knotrouter/internal/lab/scale"
 )
 
 // errBroke is a run that did not hold; its verdict is printed already.
--- a/cmd/lab/main_test.go
+++ b/cmd/lab/main_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/lab/experiment"
+	"knotrouter/internal/lab/experiment"
 )
 
 // TestMain makes the test binary the lab when it is started as a child.
@@ -43,7 +43,7 @@
 		return "", err
 	}
 	path := filepath.Join(dir, "molepaddle")
-	out, err := exec.Command("go", "build", "-o", path, "molepaddle/cmd/molepaddle").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", path, "knotrouter/cmd/molepaddle").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
--- a/cmd/lab/mutants.go
+++ b/cmd/lab/mutants.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"molepaddle/internal/lab/mutant"
+	"knotrouter/internal/lab/mutant"
 )
 
 func mutantsCommand(out io.Writer) *cobra.Command {
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"molepaddle/internal/lab/capacity"
-	"molepaddle/internal/lab/experiment"
-	"molepaddle/internal/lab/scale"
+	"knotrouter/internal/lab/capacity"
+	"knotrouter/internal/lab/experiment"
+	"knotrouter/internal/lab/scale"
 )
 
 // runScale plays an experiment that has a [scale] table.
--- a/cmd/lab/worker.go
+++ b/cmd/lab/worker.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"molepaddle/internal/lab/worker"
+	"knotrouter/internal/lab/worker"
 )
 
 // workerCommand is what an experiment with duties starts.
--- a/cmd/molepaddle/main.go
+++ b/cmd/molepaddle/main.go
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"molepaddle/internal/agent"
-	"molepaddle/internal/transient"
+	"knotrouter/internal/agent"
+	"knotrouter/internal/transient"
 )
 
 // startWithin is how long the calls of a start may go on failing: an agent has to be ready within
--- a/cmd/molepaddle/main_test.go
+++ b/cmd/molepaddle/main_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/lab/syscallfault"
+	"knotrouter/internal/lab/syscallfault"
 )
 
 // TestMain makes the test binary the program itself when it is started as a child.
--- a/cmd/molepaddle/reload.go
+++ b/cmd/molepaddle/reload.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"molepaddle/internal/agent"
+	"knotrouter/internal/agent"
 )
 
 const (
--- a/cmd/molepaddle/services_test.go
+++ b/cmd/molepaddle/services_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/endpoints"
 )
 
 // scopedSteward is a list service that knows services. What it is asked for is heard, and answered
--- a/cmd/molepaddle/syscalls_test.go
+++ b/cmd/molepaddle/syscalls_test.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"molepaddle/internal/lab/syscallfault"
+	"knotrouter/internal/lab/syscallfault"
 )
 
 // faultyProgram is the program with system calls that fail while fails is in force.
--- a/cmd/steward/bench_test.go
+++ b/cmd/steward/bench_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/control"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/control"
+	"knotrouter/internal/endpoints"
 )
 
 // report gives the figures of some durations.
--- a/cmd/steward/cli_test.go
+++ b/cmd/steward/cli_test.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
-	"molepaddle/internal/lab/golden"
+	"knotrouter/internal/lab/golden"
 )
 
 // TestCommandLineKeepsCommandsAndFlags holds each command with its arguments and flags, under its
--- a/cmd/steward/duties.go
+++ b/cmd/steward/duties.go
@@ -7,9 +7,9 @@
 
 	"github.com/spf13/cobra"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/control"
-	"molepaddle/internal/table"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/control"
+	"knotrouter/internal/table"
 )
 
 func dutiesCommand(out io.Writer, client func() *control.Client) *cobra.Command {
--- a/cmd/steward/duties_test.go
+++ b/cmd/steward/duties_test.go
@@ -22,13 +22,13 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/control"
-	"molepaddle/internal/duty"
-	"molepaddle/internal/lab/check"
-	"molepaddle/internal/lab/link"
-	"molepaddle/internal/lab/process"
-	"molepaddle/internal/lab/worker"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/control"
+	"knotrouter/internal/duty"
+	"knotrouter/internal/lab/check"
+	"knotrouter/internal/lab/link"
+	"knotrouter/internal/lab/process"
+	"knotrouter/internal/lab/worker"
 )
 
 func monotonic() time.Duration {
--- a/cmd/steward/faults_test.go
+++ b/cmd/steward/faults_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/control"
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/link"
+	"knotrouter/internal/control"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/link"
 )
 
 // follow starts a reader, which begins at the first named.
--- a/cmd/steward/fleet_test.go
+++ b/cmd/steward/fleet_test.go
@@ -15,13 +15,13 @@
 
 	"github.com/hashicorp/raft"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/control"
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/link"
-	"molepaddle/internal/lab/loopback"
-	"molepaddle/internal/lab/process"
-	"molepaddle/internal/lab/syscallfault"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/control"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/link"
+	"knotrouter/internal/lab/loopback"
+	"knotrouter/internal/lab/process"
+	"knotrouter/internal/lab/syscallfault"
 )
 
 // TestMain makes the test binary a steward when it is started as one.
--- a/cmd/steward/linear_test.go
+++ b/cmd/steward/linear_test.go
@@ -16,8 +16,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"molepaddle/internal/control"
-	"molepaddle/internal/lab/link"
+	"knotrouter/internal/control"
+	"knotrouter/internal/lab/link"
 )
 
 // An operation on one server's share: a read, a write, or a write on the condition that
--- a/cmd/steward/main.go
+++ b/cmd/steward/main.go
@@ -16,8 +16,8 @@
 
 	"github.com/spf13/cobra"
 
-	"molepaddle/internal/control"
-	"molepaddle/internal/table"
+	"knotrouter/internal/control"
+	"knotrouter/internal/table"
 )
 
 // callWait is how long the command line waits for a steward.
--- a/cmd/steward/members.go
+++ b/cmd/steward/members.go
@@ -10,9 +10,9 @@
 
 	"github.com/spf13/cobra"
 
-	"molepaddle/internal/control"
-	"molepaddle/internal/member"
-	"molepaddle/internal/table"
+	"knotrouter/internal/control"
+	"knotrouter/internal/member"
+	"knotrouter/internal/table"
 )
 
 func membersCommand(out io.Writer, client func() *control.Client) *cobra.Command {
--- a/cmd/steward/members_test.go
+++ b/cmd/steward/members_test.go
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/control"
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/link"
-	"molepaddle/internal/lab/process"
-	"molepaddle/internal/member"
+	"knotrouter/internal/control"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/link"
+	"knotrouter/internal/lab/process"
+	"knotrouter/internal/member"
 )
 
 // longer is how long a fault lasts that may last longer outside CI: MEMBER_FOR.
--- a/cmd/steward/mesh_test.go
+++ b/cmd/steward/mesh_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/control"
-	"molepaddle/internal/lab/link"
-	"molepaddle/internal/member"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/control"
+	"knotrouter/internal/lab/link"
+	"knotrouter/internal/member"
 )
 
 // mesh is the links over which the stewards of a fleet gossip and call each other, beside
--- a/cmd/steward/mixed_test.go
+++ b/cmd/steward/mixed_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/control"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/control"
 )
 
 // build is a program that can serve as a server of the control plane.
--- a/cmd/steward/notice_test.go
+++ b/cmd/steward/notice_test.go
@@ -17,11 +17,11 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/gossip"
-	"molepaddle/internal/lab/link"
-	"molepaddle/internal/lab/loopback"
-	"molepaddle/internal/lab/process"
-	"molepaddle/internal/member"
+	"knotrouter/internal/gossip"
+	"knotrouter/internal/lab/link"
+	"knotrouter/internal/lab/loopback"
+	"knotrouter/internal/lab/process"
+	"knotrouter/internal/member"
 )
 
 // memberMain is a process that gossips and does nothing else. Its log tells what it notices.
--- a/cmd/steward/readers_test.go
+++ b/cmd/steward/readers_test.go
@@ -18,10 +18,10 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/agent"
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/link"
-	"molepaddle/internal/lab/process"
+	"knotrouter/internal/agent"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/link"
+	"knotrouter/internal/lab/process"
 )
 
 // crowd is many readers, each with an order of its own, as agents have.
--- a/cmd/steward/scope_test.go
+++ b/cmd/steward/scope_test.go
@@ -16,9 +16,9 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/control"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/control"
+	"knotrouter/internal/endpoints"
 )
 
 // scopeQuery is the part of a call that names services.
--- a/cmd/steward/silent_test.go
+++ b/cmd/steward/silent_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
 )
 
 // silentAddress returns an address that takes connections and answers none of them.
--- a/cmd/steward/syscalls_test.go
+++ b/cmd/steward/syscalls_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/syscallfault"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/syscallfault"
 )
 
 // diskFault is the leader of some stewards with system calls, of its disk above all, that fail while a
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/policy"
+	"knotrouter/internal/endpoints"
+	"knotrouter/policy"
 )
 
 // config is a whole configuration; backends are listed as s-0, s-1, ...
--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/policy"
+	"knotrouter/policy"
 )
 
 const never = time.Hour // for what a test does not let run out
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -15,8 +15,8 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/internal/transient"
-	"molepaddle/policy"
+	"knotrouter/internal/transient"
+	"knotrouter/policy"
 )
 
 const maxBody = 64 << 10 // of a request and of an answer
--- a/internal/agent/clients.go
+++ b/internal/agent/clients.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"molepaddle/internal/transient"
+	"knotrouter/internal/transient"
 )
 
 const (
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -13,9 +13,9 @@
 	"slices"
 	"strconv"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/wire"
-	"molepaddle/policy"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/wire"
+	"knotrouter/policy"
 )
 
 // Limits is what the machine allows the process.
--- a/internal/agent/cost_test.go
+++ b/internal/agent/cost_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/lab/cost"
+	"knotrouter/internal/lab/cost"
 )
 
 // profiledServers are the numbers of known servers; AGENT_SERVERS names others.
--- a/internal/agent/crossing_test.go
+++ b/internal/agent/crossing_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/policy"
+	"knotrouter/policy"
 )
 
 // Tests of what ends in the very moment in which something is still owed. Each crossing is
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -6,8 +6,8 @@
 	"io"
 	"time"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/policy"
+	"knotrouter/internal/endpoints"
+	"knotrouter/policy"
 )
 
 var healths = map[string]policy.Health{
--- a/internal/agent/formats_test.go
+++ b/internal/agent/formats_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/policy"
+	"knotrouter/internal/endpoints"
+	"knotrouter/policy"
 )
 
 // The tests of this file hold what an agent shares with others: its configuration's keys, and the bytes
--- a/internal/agent/listener.go
+++ b/internal/agent/listener.go
@@ -6,7 +6,7 @@
 	"net"
 	"time"
 
-	"molepaddle/internal/transient"
+	"knotrouter/internal/transient"
 )
 
 const (
--- a/internal/agent/lists.go
+++ b/internal/agent/lists.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/policy"
+	"knotrouter/internal/endpoints"
+	"knotrouter/policy"
 )
 
 // warn writes a line on discovery, as long as there is room for one.
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/policy"
+	"knotrouter/internal/endpoints"
+	"knotrouter/policy"
 )
 
 // inKind tells what happened.
--- a/internal/agent/scope.go
+++ b/internal/agent/scope.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/endpoints"
 )
 
 // scope is the services whose servers the agent asks for. Its zero value is no scope: all
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/policy"
+	"knotrouter/policy"
 )
 
 const (
--- a/internal/agent/services_test.go
+++ b/internal/agent/services_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/policy"
+	"knotrouter/internal/endpoints"
+	"knotrouter/policy"
 )
 
 // scopedConfig is a configuration of an agent that subscribes to services at one steward; it
--- a/internal/agent/startclock.go
+++ b/internal/agent/startclock.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/policy"
+	"knotrouter/internal/endpoints"
+	"knotrouter/policy"
 )
 
 // listedWithin is how long after its start a server that could be reached is listed at the latest,
--- a/internal/agent/startclock_test.go
+++ b/internal/agent/startclock_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/endpoints"
 )
 
 // A process whose wall clock was stepped before it began knows all the same how long a server has
--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"time"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/policy"
+	"knotrouter/internal/endpoints"
+	"knotrouter/policy"
 )
 
 // reason is why something ended: a closed connection, an attempt, a request's answer, a watch.
--- a/internal/agent/window_test.go
+++ b/internal/agent/window_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/policy"
+	"knotrouter/policy"
 )
 
 // A repeat whose connection comes up only when the window of its first attempt is over is not
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -13,7 +13,7 @@
 	"sort"
 	"time"
 
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/endpoints"
 )
 
 // Form is the version of commands and snapshots that this build writes and reads.
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/endpoints"
 )
 
 func host(name string, born float64) *endpoints.Host {
--- a/internal/catalog/duty.go
+++ b/internal/catalog/duty.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/endpoints"
 )
 
 // The commands on duties: work that one process at a time may hold.
--- a/internal/catalog/member.go
+++ b/internal/catalog/member.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/endpoints"
 )
 
 // The commands on members.
--- a/internal/catalog/services.go
+++ b/internal/catalog/services.go
@@ -5,7 +5,7 @@
 	"slices"
 	"sort"
 
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/endpoints"
 )
 
 // Bounds of what is kept for readers that subscribe to services.
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -14,8 +14,8 @@
 	"github.com/hashicorp/raft"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
 )
 
 const (
--- a/internal/control/arrival.go
+++ b/internal/control/arrival.go
@@ -5,9 +5,9 @@
 	"net/http"
 	"time"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/member"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/member"
 )
 
 const (
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/duty"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/duty"
+	"knotrouter/internal/endpoints"
 )
 
 // Client speaks to stewards: to the first of its addresses that answers. One that did not
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -17,8 +17,8 @@
 	"github.com/knadh/koanf/providers/file"
 	"github.com/knadh/koanf/v2"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
 )
 
 // Peer is how a steward reaches one, by a table of its own.
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -18,8 +18,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
 )
 
 // stand is a state machine and a hub without raft.
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/duty"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/duty"
+	"knotrouter/internal/endpoints"
 )
 
 // The stewards' own duties.
--- a/internal/control/evidence.go
+++ b/internal/control/evidence.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/member"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/member"
 )
 
 const (
--- a/internal/control/fanout.go
+++ b/internal/control/fanout.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 	"net/http"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
 )
 
 // line is a change of the list, encoded once for all that watch.
--- a/internal/control/fsm.go
+++ b/internal/control/fsm.go
@@ -8,9 +8,9 @@
 
 	"github.com/hashicorp/raft"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/duty"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/duty"
+	"knotrouter/internal/endpoints"
 )
 
 // fsm is the catalog as raft's state machine.
--- a/internal/control/gossip.go
+++ b/internal/control/gossip.go
@@ -4,10 +4,10 @@
 	"net/http"
 	"time"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/gossip"
-	"molepaddle/internal/member"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/gossip"
+	"knotrouter/internal/member"
 )
 
 // startGossip joins the gossip protocol, if it is configured.
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"slices"
 
-	"molepaddle/internal/catalog"
+	"knotrouter/internal/catalog"
 )
 
 // Handlers that show the replicated state to operators copy what they answer while the state
--- a/internal/control/inspect_test.go
+++ b/internal/control/inspect_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"testing"
 
-	"molepaddle/internal/catalog"
+	"knotrouter/internal/catalog"
 )
 
 // A copy that is being encoded must not change when the state shifts a duty's past terms in
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -5,7 +5,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"molepaddle/internal/catalog"
+	"knotrouter/internal/catalog"
 )
 
 // decisionInterval is how often the leader decides on sessions and leased tasks.
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -1,7 +1,7 @@
 package control
 
 import (
-	"molepaddle/internal/catalog"
+	"knotrouter/internal/catalog"
 )
 
 // sweep decides which server leases have expired, which of those the mass-failure guard
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/member"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/member"
 )
 
 // Program returns the revision that this program was built from, or "unknown".
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -1,7 +1,7 @@
 package control
 
 import (
-	"molepaddle/internal/catalog"
+	"knotrouter/internal/catalog"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -14,10 +14,10 @@
 	"github.com/hashicorp/raft"
 	"golang.org/x/time/rate"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/duty"
-	"molepaddle/internal/gossip"
-	"molepaddle/internal/transient"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/duty"
+	"knotrouter/internal/gossip"
+	"knotrouter/internal/transient"
 )
 
 const (
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -8,7 +8,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"molepaddle/internal/catalog"
+	"knotrouter/internal/catalog"
 )
 
 // errNoLeader means that a command was certainly not applied and is safe to retry.
--- a/internal/control/raise_test.go
+++ b/internal/control/raise_test.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"testing"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
 )
 
 // A reader may have a version from a steward that has applied more than the leader has. The log
--- a/internal/control/renewals.go
+++ b/internal/control/renewals.go
@@ -7,8 +7,8 @@
 	"net/http"
 	"time"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/member"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/member"
 )
 
 // heardRenewals notes which servers renewed at this steward, before the renewals are passed on
--- a/internal/control/requests_test.go
+++ b/internal/control/requests_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/golden"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/golden"
 )
 
 // TestClientKeepsItsRequests holds the method, the path with its query, and the body of each
--- a/internal/control/scope.go
+++ b/internal/control/scope.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/endpoints"
 )
 
 // parseServices is the services that a call names, each once and in order; nil: it names
--- a/internal/control/scope_test.go
+++ b/internal/control/scope_test.go
@@ -19,8 +19,8 @@
 	"github.com/hashicorp/raft"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
 )
 
 // registerIn registers a server with a service.
--- a/internal/control/servicelists.go
+++ b/internal/control/servicelists.go
@@ -3,8 +3,8 @@
 import (
 	"sync"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
 )
 
 // maxCachedBytes bounds the encoded entries that are kept of whole services.
--- a/internal/control/servicemetrics.go
+++ b/internal/control/servicemetrics.go
@@ -6,7 +6,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"molepaddle/internal/catalog"
+	"knotrouter/internal/catalog"
 )
 
 const (
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -5,8 +5,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
 )
 
 // Status describes a steward as it sees itself.
--- a/internal/control/topics.go
+++ b/internal/control/topics.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"sync"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
 )
 
 const (
--- a/internal/control/verdicts.go
+++ b/internal/control/verdicts.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/member"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/member"
 )
 
 const (
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -8,8 +8,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/member"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/member"
 )
 
 const (
--- a/internal/control/watchlines_test.go
+++ b/internal/control/watchlines_test.go
@@ -8,9 +8,9 @@
 	"testing/synctest"
 	"time"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/golden"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/golden"
 )
 
 // TestWatchLinesKeepTheirForm holds what a watch of the whole list and a watch of two services
--- a/internal/control/wire_test.go
+++ b/internal/control/wire_test.go
@@ -24,9 +24,9 @@
 	"github.com/hashicorp/raft"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/lab/golden"
-	"molepaddle/internal/lab/loopback"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/lab/golden"
+	"knotrouter/internal/lab/loopback"
 )
 
 // The files in testdata are what the program of commit d25b370 wrote and answered. They stand
--- a/internal/duty/explore_test.go
+++ b/internal/duty/explore_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/catalog"
+	"knotrouter/internal/catalog"
 )
 
 // world is two claimants of one duty, a leader, and a resource, in steps of model time. It
--- a/internal/duty/keeper.go
+++ b/internal/duty/keeper.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"molepaddle/internal/catalog"
+	"knotrouter/internal/catalog"
 )
 
 // Margin is how much sooner than a lease's time its holder stops. The leader's clock and the
--- a/internal/duty/runner.go
+++ b/internal/duty/runner.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/internal/catalog"
+	"knotrouter/internal/catalog"
 )
 
 // Tasks is what the service says a session is to do.
--- a/internal/duty/runner_test.go
+++ b/internal/duty/runner_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/catalog"
+	"knotrouter/internal/catalog"
 )
 
 // halted is a clock whose waits end by hand only: a process that stood still sees that time
--- a/internal/duty/wire_test.go
+++ b/internal/duty/wire_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"molepaddle/internal/lab/golden"
+	"knotrouter/internal/lab/golden"
 )
 
 // TestMessagesKeepTheirKeys holds the JSON form of what a session is told to do, with every
--- a/internal/endpoints/wire_test.go
+++ b/internal/endpoints/wire_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/lab/golden"
+	"knotrouter/internal/lab/golden"
 )
 
 // The files in testdata are what the program of commit d25b370 wrote. They stand for what other
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -21,7 +21,7 @@
 	"github.com/hashicorp/memberlist"
 	"golang.org/x/time/rate"
 
-	"molepaddle/internal/member"
+	"knotrouter/internal/member"
 )
 
 // Config is one process.
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"molepaddle/internal/lab/golden"
-	"molepaddle/internal/member"
+	"knotrouter/internal/lab/golden"
+	"knotrouter/internal/member"
 )
 
 // The file in testdata is what the program of commit d25b370 sent to other members, which may be
--- a/internal/lab/capacity/derived.go
+++ b/internal/lab/capacity/derived.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/control"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/control"
 )
 
 const (
--- a/internal/lab/capacity/order.go
+++ b/internal/lab/capacity/order.go
@@ -6,8 +6,8 @@
 	"math"
 	"slices"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/control"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/control"
 )
 
 // Constants of other packages that are not exported, as they stand there.
--- a/internal/lab/capacity/placement.go
+++ b/internal/lab/capacity/placement.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math"
 
-	"molepaddle/internal/control"
+	"knotrouter/internal/control"
 )
 
 // replacementHours is an assumption: how long a control machine that failed stays without
--- a/internal/lab/check/answer.go
+++ b/internal/lab/check/answer.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"molepaddle/policy"
+	"knotrouter/policy"
 )
 
 // Kind is how a request ended for its client.
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"molepaddle/policy"
+	"knotrouter/policy"
 )
 
 // The rules, by the names that reports use.
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"molepaddle/policy"
+	"knotrouter/policy"
 )
 
 const ms = time.Millisecond
--- a/internal/lab/client/baseline.go
+++ b/internal/lab/client/baseline.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/check"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/check"
 )
 
 // Policies are the baselines' ways to choose a server.
--- a/internal/lab/client/call.go
+++ b/internal/lab/client/call.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"molepaddle/internal/lab/check"
-	"molepaddle/internal/lab/loopback"
+	"knotrouter/internal/lab/check"
+	"knotrouter/internal/lab/loopback"
 )
 
 // maxAnswer bounds the body of an answer.
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/internal/lab/check"
+	"knotrouter/internal/lab/check"
 )
 
 // Result is how one request ended, its retries included.
--- a/internal/lab/client/client_test.go
+++ b/internal/lab/client/client_test.go
@@ -14,9 +14,9 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/check"
-	"molepaddle/policy"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/check"
+	"knotrouter/policy"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/lab/cost/cell.go
+++ b/internal/lab/cost/cell.go
@@ -9,8 +9,8 @@
 	"path/filepath"
 	"time"
 
-	"molepaddle/internal/lab/capacity"
-	"molepaddle/internal/lab/process"
+	"knotrouter/internal/lab/capacity"
+	"knotrouter/internal/lab/process"
 )
 
 const (
--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -16,7 +16,7 @@
 	"strings"
 	"time"
 
-	"molepaddle/internal/lab/capacity"
+	"knotrouter/internal/lab/capacity"
 )
 
 // Experiment is the name of the measurement in the results.
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/agent"
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/capacity"
+	"knotrouter/internal/agent"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/capacity"
 )
 
 const testTimeout = time.Minute
--- a/internal/lab/discovery/discovery.go
+++ b/internal/lab/discovery/discovery.go
@@ -16,9 +16,9 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/check"
-	"molepaddle/internal/lab/loopback"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/check"
+	"knotrouter/internal/lab/loopback"
 )
 
 // Config is how the service behaves.
--- a/internal/lab/discovery/discovery_test.go
+++ b/internal/lab/discovery/discovery_test.go
@@ -11,10 +11,10 @@
 
 	"go.uber.org/goleak"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/check"
-	"molepaddle/internal/lab/loopback"
-	"molepaddle/policy"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/check"
+	"knotrouter/internal/lab/loopback"
+	"knotrouter/policy"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/lab/experiment/badagent_test.go
+++ b/internal/lab/experiment/badagent_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/endpoints"
 )
 
 // TestMain makes the test binary an agent when it is started as one: "agent honest", or
--- a/internal/lab/experiment/config.go
+++ b/internal/lab/experiment/config.go
@@ -15,10 +15,10 @@
 	"github.com/knadh/koanf/providers/rawbytes"
 	"github.com/knadh/koanf/v2"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/lab/client"
-	"molepaddle/internal/lab/discovery"
-	"molepaddle/internal/lab/server"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/lab/client"
+	"knotrouter/internal/lab/discovery"
+	"knotrouter/internal/lab/server"
 )
 
 // Config is an experiment file.
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/lab/check"
+	"knotrouter/internal/lab/check"
 )
 
 // small is an experiment in which a server drains and comes back cold, short enough for
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -20,9 +20,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"molepaddle/internal/lab/check"
-	"molepaddle/internal/lab/client"
-	"molepaddle/internal/lab/loopback"
+	"knotrouter/internal/lab/check"
+	"knotrouter/internal/lab/client"
+	"knotrouter/internal/lab/loopback"
 )
 
 // Options is how an experiment is played.
--- a/internal/lab/experiment/stewards.go
+++ b/internal/lab/experiment/stewards.go
@@ -16,12 +16,12 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/control"
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/process"
-	"molepaddle/internal/lab/server"
-	"molepaddle/internal/member"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/control"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/process"
+	"knotrouter/internal/lab/server"
+	"knotrouter/internal/member"
 )
 
 // Stewards is the project's own list service in place of the stand-in.
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -10,8 +10,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"molepaddle/internal/lab/check"
-	"molepaddle/internal/lab/client"
+	"knotrouter/internal/lab/check"
+	"knotrouter/internal/lab/client"
 )
 
 // Summary is all that a run showed; it is written as summary.json, whose keys stay.
--- a/internal/lab/experiment/timeline.go
+++ b/internal/lab/experiment/timeline.go
@@ -8,9 +8,9 @@
 	"syscall"
 	"time"
 
-	"molepaddle/internal/lab/client"
-	"molepaddle/internal/lab/link"
-	"molepaddle/internal/lab/server"
+	"knotrouter/internal/lab/client"
+	"knotrouter/internal/lab/link"
+	"knotrouter/internal/lab/server"
 )
 
 // Applied is a fault as it was injected.
--- a/internal/lab/experiment/wires.go
+++ b/internal/lab/experiment/wires.go
@@ -1,7 +1,7 @@
 package experiment
 
 import (
-	"molepaddle/internal/lab/link"
+	"knotrouter/internal/lab/link"
 )
 
 // The sorts of links: whose processes they lead from and to.
--- a/internal/lab/experiment/workers.go
+++ b/internal/lab/experiment/workers.go
@@ -10,9 +10,9 @@
 	"syscall"
 	"time"
 
-	"molepaddle/internal/control"
-	"molepaddle/internal/lab/check"
-	"molepaddle/internal/lab/process"
+	"knotrouter/internal/control"
+	"knotrouter/internal/lab/check"
+	"knotrouter/internal/lab/process"
 )
 
 // Duties is processes that hold duties of the stewards', and act under them at the emulated
--- a/internal/lab/experiment/world.go
+++ b/internal/lab/experiment/world.go
@@ -13,15 +13,15 @@
 	"syscall"
 	"time"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/check"
-	"molepaddle/internal/lab/client"
-	"molepaddle/internal/lab/discovery"
-	"molepaddle/internal/lab/link"
-	"molepaddle/internal/lab/loopback"
-	"molepaddle/internal/lab/process"
-	"molepaddle/internal/lab/server"
-	"molepaddle/policy"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/check"
+	"knotrouter/internal/lab/client"
+	"knotrouter/internal/lab/discovery"
+	"knotrouter/internal/lab/link"
+	"knotrouter/internal/lab/loopback"
+	"knotrouter/internal/lab/process"
+	"knotrouter/internal/lab/server"
+	"knotrouter/policy"
 )
 
 // lane is one fleet with its own servers, list and clients. The first lane has the
--- a/internal/lab/hollow/agent.go
+++ b/internal/lab/hollow/agent.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/policy"
+	"knotrouter/internal/endpoints"
+	"knotrouter/policy"
 )
 
 // Agent is a reader of the list as a real agent has it, without a data path: the real
--- a/internal/lab/hollow/agents.go
+++ b/internal/lab/hollow/agents.go
@@ -19,7 +19,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/endpoints"
 )
 
 // Bounds of one process.
--- a/internal/lab/hollow/change.go
+++ b/internal/lab/hollow/change.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/endpoints"
 )
 
 // A change carries the time at which it was sent, so that each reader can tell its age on
--- a/internal/lab/hollow/change_test.go
+++ b/internal/lab/hollow/change_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/endpoints"
 )
 
 // A share tells when it was sent, to the millisecond, also across the wrap of its window.
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/endpoints"
 )
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
--- a/internal/lab/hollow/servers.go
+++ b/internal/lab/hollow/servers.go
@@ -15,9 +15,9 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/control"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/control"
+	"knotrouter/internal/endpoints"
 )
 
 const (
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/internal/lab/loopback"
+	"knotrouter/internal/lab/loopback"
 )
 
 // Shape is what one direction of a link does with what goes along it.
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/goleak"
 
-	"molepaddle/internal/lab/loopback"
+	"knotrouter/internal/lab/loopback"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 
-	"molepaddle/internal/lab/experiment"
+	"knotrouter/internal/lab/experiment"
 )
 
 // series is one line of a plot.
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -13,8 +13,8 @@
 	"sort"
 	"strings"
 
-	"molepaddle/internal/lab/experiment"
-	"molepaddle/internal/table"
+	"knotrouter/internal/lab/experiment"
+	"knotrouter/internal/table"
 )
 
 // Write writes summary.json, report.md and the plots into a folder.
--- a/internal/lab/scale/beside_test.go
+++ b/internal/lab/scale/beside_test.go
@@ -19,10 +19,10 @@
 	"testing"
 	"time"
 
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/hollow"
-	"molepaddle/internal/lab/loopback"
-	"molepaddle/internal/lab/process"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/hollow"
+	"knotrouter/internal/lab/loopback"
+	"knotrouter/internal/lab/process"
 )
 
 // TestMain makes the test binary a process of one hollow agent when it is started as one.
@@ -62,7 +62,7 @@
 	if err != nil {
 		return "", err
 	}
-	out, err := exec.Command("go", "build", "-o", dir, "molepaddle/cmd/steward", "molepaddle/cmd/molepaddle").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", dir, "knotrouter/cmd/steward", "molepaddle/cmd/molepaddle").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -15,8 +15,8 @@
 	"github.com/knadh/koanf/providers/rawbytes"
 	"github.com/knadh/koanf/v2"
 
-	"molepaddle/internal/lab/experiment"
-	"molepaddle/internal/lab/hollow"
+	"knotrouter/internal/lab/experiment"
+	"knotrouter/internal/lab/hollow"
 )
 
 // Config is an experiment file that has a [scale] table.
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -18,12 +18,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/knadh/koanf/parsers/toml/v2"
 
-	"molepaddle/internal/control"
-	"molepaddle/internal/endpoints"
-	"molepaddle/internal/lab/experiment"
-	"molepaddle/internal/lab/hollow"
-	"molepaddle/internal/lab/loopback"
-	"molepaddle/internal/lab/process"
+	"knotrouter/internal/control"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/experiment"
+	"knotrouter/internal/lab/hollow"
+	"knotrouter/internal/lab/loopback"
+	"knotrouter/internal/lab/process"
 )
 
 const (
--- a/internal/lab/scale/forward.go
+++ b/internal/lab/scale/forward.go
@@ -6,7 +6,7 @@
 	"sync"
 	"sync/atomic"
 
-	"molepaddle/internal/lab/hollow"
+	"knotrouter/internal/lab/hollow"
 )
 
 // forwarder passes connections on to a steward and counts them, so that what real agents
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"molepaddle/internal/lab/capacity"
-	"molepaddle/internal/lab/hollow"
-	"molepaddle/internal/lab/process"
+	"knotrouter/internal/lab/capacity"
+	"knotrouter/internal/lab/hollow"
+	"knotrouter/internal/lab/process"
 )
 
 // The roles of measurements.
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -14,9 +14,9 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/internal/control"
-	"molepaddle/internal/lab/capacity"
-	"molepaddle/internal/lab/hollow"
+	"knotrouter/internal/control"
+	"knotrouter/internal/lab/capacity"
+	"knotrouter/internal/lab/hollow"
 )
 
 // Options is how an experiment is run.
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"molepaddle/internal/lab/capacity"
+	"knotrouter/internal/lab/capacity"
 )
 
 const good = `
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -9,7 +9,7 @@
 
 	"github.com/olekukonko/tablewriter"
 
-	"molepaddle/internal/lab/capacity"
+	"knotrouter/internal/lab/capacity"
 )
 
 // key names a row of a table: one metric of one role under one load.
--- a/internal/lab/server/http.go
+++ b/internal/lab/server/http.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/internal/lab/check"
-	"molepaddle/internal/lab/loopback"
+	"knotrouter/internal/lab/check"
+	"knotrouter/internal/lab/loopback"
 )
 
 type connKey struct{}
--- a/internal/lab/server/http_test.go
+++ b/internal/lab/server/http_test.go
@@ -15,8 +15,8 @@
 
 	"go.uber.org/goleak"
 
-	"molepaddle/internal/lab/check"
-	"molepaddle/policy"
+	"knotrouter/internal/lab/check"
+	"knotrouter/policy"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/internal/lab/check"
-	"molepaddle/internal/lab/loopback"
+	"knotrouter/internal/lab/check"
+	"knotrouter/internal/lab/loopback"
 )
 
 const maxBody = 64 << 10
--- a/internal/lab/worker/worker.go
+++ b/internal/lab/worker/worker.go
@@ -16,9 +16,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"molepaddle/internal/control"
-	"molepaddle/internal/duty"
-	"molepaddle/internal/lab/check"
+	"knotrouter/internal/control"
+	"knotrouter/internal/duty"
+	"knotrouter/internal/lab/check"
 )
 
 // Config is a worker.
--- a/internal/member/judge_test.go
+++ b/internal/member/judge_test.go
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"molepaddle/internal/catalog"
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
 )
 
 // truth is how a server is.
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -10,7 +10,7 @@
 	"errors"
 	"fmt"
 
-	"molepaddle/internal/endpoints"
+	"knotrouter/internal/endpoints"
 )
 
 // Form is the version of what members tell each other.
--- a/internal/member/wire_test.go
+++ b/internal/member/wire_test.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"testing"
 
-	"molepaddle/internal/lab/golden"
+	"knotrouter/internal/lab/golden"
 )
 
 // The files in testdata are what the program of commit d25b370 wrote. They stand for what members
--- a/internal/wire/formats_test.go
+++ b/internal/wire/formats_test.go
@@ -13,7 +13,7 @@
 	"strings"
 	"testing"
 
-	"molepaddle/policy"
+	"knotrouter/policy"
 )
 
 // The tests of this file hold the simulator's wire: its codes, where each field stands, the values of
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -10,7 +10,7 @@
 	"io"
 	"math"
 
-	"molepaddle/policy"
+	"knotrouter/policy"
 )
 
 // Record sizes of the wire.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"molepaddle/policy"
+	"knotrouter/policy"
 )
 
 // frame builds a batch from hex text; blanks and newlines are for the reader.
