--- a/cmd/molepaddle/main.go
+++ b/cmd/agent/main.go
@@ -1,4 +1,4 @@
-// Command molepaddle is one load-balancing agent on real sockets. Its file of
+// Command agent is one load-balancing agent on real sockets. Its file of
 // settings is named by EDGE_CONFIG.
 package main
 
@@ -25,7 +25,7 @@
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "molepaddle:", err)
+		fmt.Fprintln(os.Stderr, "agent:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/steward/duties.go
+++ b/cmd/controlplane/duties.go
@@ -26,7 +26,7 @@
 		return table.Terminal(out, false, []string{"duty", "holder", "fence", "time", "next", "state"}, rows)
 	}
 	cmd := &cobra.Command{Use: "duties", Short: "Show who holds which duty, and move, revoke or park one", Args: cobra.NoArgs, RunE: list,
-		Example: "  steward duties\n  steward duties show sweep\n  steward duties move sweep --to st-2\n  steward duties park release.web --why \"until tomorrow\"",
+		Example: "  controlplane duties\n  controlplane duties show sweep\n  controlplane duties move sweep --to st-2\n  controlplane duties park release.web --why \"until tomorrow\"",
 		Long: "A duty is work that one process at a time may hold. move has it go to another process, which says first\n" +
 			"that it is ready; revoke has its holder stop, and anybody may get it then; park has it stop, and nobody get it."}
 	cmd.AddCommand(&cobra.Command{Use: "list", Short: "Show all duties", Args: cobra.NoArgs, RunE: list},
--- a/cmd/steward/faults_test.go
+++ b/cmd/controlplane/faults_test.go
@@ -436,7 +436,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	own := filepath.Join(dir, "steward")
+	own := filepath.Join(dir, "controlplane")
 	if err := errors.Join(os.WriteFile(own, text, 0o755), os.Chmod(dir, 0o755), os.Chmod(filepath.Dir(dir), 0o755), os.Chmod(data, 0o555)); err != nil {
 		t.Fatal(err)
 	}
@@ -505,7 +505,7 @@
 				t.Errorf("it doesn't say why: %q", text[max(0, len(text)-600):])
 			}
 			if over() {
-				if !strings.Contains(string(text), "steward: data: the log can't be written: ") || strings.Contains(string(text), "goroutine ") {
+				if !strings.Contains(string(text), "controlplane: data: the log can't be written: ") || strings.Contains(string(text), "goroutine ") {
 					t.Errorf("said %q", text[max(0, len(text)-600):])
 				}
 			}
--- a/cmd/steward/main.go
+++ b/cmd/controlplane/main.go
@@ -1,5 +1,5 @@
-// Command steward is a control process of the fleet, and the operators' command line to
-// it. `steward serve` hosts the list service.
+// Command controlplane is a control process of the fleet, and the operators' command line to
+// it. `controlplane serve` hosts the list service.
 package main
 
 import (
@@ -28,13 +28,13 @@
 	err := command(os.Stdout).ExecuteContext(ctx)
 	stop()
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "steward:", strings.ReplaceAll(err.Error(), "\n", " "))
+		fmt.Fprintln(os.Stderr, "controlplane:", strings.ReplaceAll(err.Error(), "\n", " "))
 		os.Exit(1)
 	}
 }
 
 func command(out io.Writer) *cobra.Command {
-	root := &cobra.Command{Use: "steward", Short: "The fleet's list service, and the command line to it",
+	root := &cobra.Command{Use: "controlplane", Short: "The fleet's list service, and the command line to it",
 		SilenceUsage: true, SilenceErrors: true}
 	root.SetOut(out)
 	var at []string
@@ -51,7 +51,7 @@
 		Long: "serve runs a steward until SIGTERM. Its configuration is a TOML file, then the environment\n" +
 			"(STEWARD_LEASE_TTL is lease_ttl), then flags. One alone needs no more than a data folder. SIGHUP\n" +
 			"reads the table of peers again.",
-		Example: "  steward serve --data /var/lib/steward\n  steward serve --config steward.toml"}
+		Example: "  controlplane serve --data /var/lib/steward\n  controlplane serve --config steward.toml"}
 	flags := cmd.Flags()
 	flags.StringVar(&config, "config", "", "TOML file")
 	for _, f := range [][2]string{{"name", "name of this steward"}, {"data", "folder of the log and the snapshots"},
@@ -118,7 +118,7 @@
 
 func statusCommand(out io.Writer, client func() *control.Client) *cobra.Command {
 	return &cobra.Command{Use: "status", Short: "Show how the stewards stand", Args: cobra.NoArgs,
-		Example: "  steward status --at 127.0.0.1:8500,127.0.0.1:8510",
+		Example: "  controlplane status --at 127.0.0.1:8500,127.0.0.1:8510",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c := client()
 			var rows [][]string
@@ -141,7 +141,7 @@
 				rows = append(rows, []string{addr, st.Name, state, st.Leader, fmt.Sprint(st.Seq), fmt.Sprint(st.Listed),
 					fmt.Sprint(st.Watches), strings.Join(st.Voters, " ")})
 				if st.Held > 0 {
-					notes = append(notes, fmt.Sprintf("%s: %d servers would have lapsed at once and stay listed, for %v now; 'steward confirm' says that they are gone",
+					notes = append(notes, fmt.Sprintf("%s: %d servers would have lapsed at once and stay listed, for %v now; 'controlplane confirm' says that they are gone",
 						st.Name, st.Held, (time.Duration(st.HeldForMs)*time.Millisecond).Round(time.Second)))
 				}
 			}
@@ -163,7 +163,7 @@
 	var health string
 	var version int64
 	cmd := &cobra.Command{Use: "servers", Short: "Show the servers, or change what one is listed as", Args: cobra.NoArgs,
-		Example: "  steward servers\n  steward servers set s-03 --share 0.5 --if 1789\n  steward servers set s-03 --health draining",
+		Example: "  controlplane servers\n  controlplane servers set s-03 --share 0.5 --if 1789\n  controlplane servers set s-03 --health draining",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			all, err := client().Servers(cmd.Context(), true)
 			if err != nil {
--- a/cmd/steward/members.go
+++ b/cmd/controlplane/members.go
@@ -22,7 +22,7 @@
 		Long: "members shows what the first steward of --at that answers knows: its own opinions and what others\n" +
 			"report. --from shows one process's own opinions only; --compare asks all of --at and shows where they\n" +
 			"differ, since when, and who is alone with its opinion.",
-		Example: "  steward members\n  steward members --from st-2 --at 127.0.0.1:8500,127.0.0.1:8510\n  steward members --compare --at 127.0.0.1:8500,127.0.0.1:8510,127.0.0.1:8520",
+		Example: "  controlplane members\n  controlplane members --from st-2 --at 127.0.0.1:8500,127.0.0.1:8510\n  controlplane members --compare --at 127.0.0.1:8500,127.0.0.1:8510,127.0.0.1:8520",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			views, silent := control.Members(cmd.Context(), client().Addrs, 5*time.Second)
 			if len(views) == 0 {
--- a/cmd/steward/members_test.go
+++ b/cmd/controlplane/members_test.go
@@ -477,7 +477,7 @@
 	case <-time.After(soon):
 		t.Error("a second process of a name runs on")
 	}
-	if log, _ := os.ReadFile(second.Log); !strings.Contains(string(log), "steward: name: taken: another process is called st-3, and is there") {
+	if log, _ := os.ReadFile(second.Log); !strings.Contains(string(log), "controlplane: name: taken: another process is called st-3, and is there") {
 		t.Errorf("the second said %q", log)
 	}
 	told := false
--- a/cmd/steward/readers_test.go
+++ b/cmd/controlplane/readers_test.go
@@ -336,7 +336,7 @@
 	r.end(t)
 }
 
-// agentMain is a real agent, as cmd/molepaddle starts one.
+// agentMain is a real agent, as cmd/agent starts one.
 func agentMain() {
 	conf, err := agent.LoadConfig(os.Getenv("EDGE_CONFIG"))
 	if err == nil {
--- a/cmd/lab/cost.go
+++ b/cmd/lab/cost.go
@@ -36,7 +36,7 @@
 			return measureCost(cmd.Context(), out, &options, file, profile)
 		}}
 	flags := cmd.Flags()
-	flags.StringVar(&options.Agent, "agent", "bin/molepaddle", "the agent's program")
+	flags.StringVar(&options.Agent, "agent", "bin/agent", "the agent's program")
 	flags.IntSliceVar(&options.Servers, "servers", []int{20, 200, 2000, 10000, 39000}, "numbers of servers that the agent knows")
 	flags.Float64SliceVar(&options.Rates, "rates", []float64{115, 1150}, "calls a second")
 	flags.DurationVar(&options.Window, "for", 10*time.Second, "how long each number is measured at each rate")
--- a/cmd/lab/main_test.go
+++ b/cmd/lab/main_test.go
@@ -42,8 +42,8 @@
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(dir, "molepaddle")
-	out, err := exec.Command("go", "build", "-o", path, "knotrouter/cmd/molepaddle").CombinedOutput()
+	path := filepath.Join(dir, "agent")
+	out, err := exec.Command("go", "build", "-o", path, "knotrouter/cmd/agent").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
--- a/internal/lab/experiment/config.go
+++ b/internal/lab/experiment/config.go
@@ -134,8 +134,8 @@
 func defaults() Config {
 	return Config{Seed: 1, Warmup: 2 * time.Second, Lateness: 10 * time.Millisecond,
 		Zones:    []string{"kurume-main", "yame-annex"},
-		Agents:   Agents{Count: 5, Command: "bin/molepaddle", Cores: 1, MemoryMB: 192, Sockets: 1024, Known: "now"},
-		Stewards: Stewards{Command: "bin/steward", LeaseTTL: 6 * time.Second, Agents: "all", Gossip: true, Evidence: true},
+		Agents:   Agents{Count: 5, Command: "bin/agent", Cores: 1, MemoryMB: 192, Sockets: 1024, Known: "now"},
+		Stewards: Stewards{Command: "bin/controlplane", LeaseTTL: 6 * time.Second, Agents: "all", Gossip: true, Evidence: true},
 		Duties:   Duties{TTL: 3 * time.Second, Workers: 3, Cap: 100, Command: "bin/lab", Clocks: []float64{1}},
 		Servers: Servers{Count: 12, Cell: 4, Kind: []Kind{
 			{Name: "fast-single", Share: 0.5, SpeedCV: 0.12, Noise: 0.2, Spec: defaultSpec(1.8), Conns: defaultConns(), Reports: defaultReports()},
--- a/internal/lab/scale/beside_test.go
+++ b/internal/lab/scale/beside_test.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return "", err
 	}
-	out, err := exec.Command("go", "build", "-o", dir, "knotrouter/cmd/steward", "molepaddle/cmd/molepaddle").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", dir, "knotrouter/cmd/controlplane", "molepaddle/cmd/agent").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
@@ -78,7 +78,7 @@
 	}
 	config := defaults()
 	config.Scale.Stewards, config.Scale.RealAgents = 1, 1
-	config.Scale.StewardCommand, config.Scale.AgentCommand = filepath.Join(dir, "steward"), filepath.Join(dir, "molepaddle")
+	config.Scale.StewardCommand, config.Scale.AgentCommand = filepath.Join(dir, "controlplane"), filepath.Join(dir, "agent")
 	f, err := newFleet(&config, Size{Servers: servers, Watches: 1, Services: 1}, 1, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -101,7 +101,7 @@
 		Renew: 2 * time.Second, RenewBatch: 1, ConfigurationsPerDay: 34_000, RestartsPerDay: 9_200,
 		Steady: 10 * time.Second, RecoverWithin: 60 * time.Second,
 		AgentsPerProcess: 1000, MemoryMiB: mostMemoryMiB, EntryBytes: 1500, Processes: mostProcesses,
-		StewardCommand: "bin/steward", AgentCommand: "bin/molepaddle", LabCommand: "bin/lab",
+		StewardCommand: "bin/controlplane", AgentCommand: "bin/agent", LabCommand: "bin/lab",
 	}}
 }
 
