--- a/cmd/controlplane/duties_test.go
+++ b/cmd/controlplane/duties_test.go
@@ -24,11 +24,11 @@
 
 	"knotrouter/internal/catalog"
 	"knotrouter/internal/control"
-	"knotrouter/internal/duty"
 	"knotrouter/internal/lab/check"
 	"knotrouter/internal/lab/link"
 	"knotrouter/internal/lab/process"
 	"knotrouter/internal/lab/worker"
+	"knotrouter/internal/leaderelection"
 )
 
 func monotonic() time.Duration {
@@ -535,7 +535,7 @@
 		}
 		f.until("the session is over", func() bool {
 			err := f.client(f.others(old)...).EndSession(ctx, name, id, false)
-			return err == nil || errors.Is(err, duty.ErrGone)
+			return err == nil || errors.Is(err, leaderelection.ErrGone)
 		})
 		answers := f.heldBack(old, 40, func(ctx context.Context, c *control.Client) bool {
 			_, err := c.RenewSession(ctx, name, id, 0)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 
-	"knotrouter/internal/wire"
+	"knotrouter/internal/simwire"
 	"knotrouter/policy"
 )
 
@@ -22,14 +22,14 @@
 // run serves batches until the input ends. Instances share nothing but the
 // process; each is reached through its number only.
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
+	dec := simwire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	w := bufio.NewWriterSize(out, 1<<16)
 	instances := map[uint32]*policy.Balancer{}
-	var enc wire.Encoder
+	var enc simwire.Encoder
 	var actions []policy.Action
-	handle := func(now float64, rec *wire.Record) error {
+	handle := func(now float64, rec *simwire.Record) error {
 		switch rec.Kind {
-		case wire.Boot:
+		case simwire.Boot:
 			b, err := boot(rec)
 			if err != nil {
 				enc.Crash(rec.Instance, err.Error())
@@ -38,7 +38,7 @@
 			}
 			instances[rec.Instance] = b
 			actions = b.Start(now, actions[:0])
-		case wire.Killed:
+		case simwire.Killed:
 			delete(instances, rec.Instance)
 			return nil
 		default:
@@ -70,8 +70,8 @@
 	}
 }
 
-func boot(rec *wire.Record) (*policy.Balancer, error) {
-	settings, err := wire.ParseSettings(rec.Settings)
+func boot(rec *simwire.Record) (*policy.Balancer, error) {
+	settings, err := simwire.ParseSettings(rec.Settings)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -14,7 +14,7 @@
 	"strconv"
 
 	"knotrouter/internal/endpoints"
-	"knotrouter/internal/wire"
+	"knotrouter/internal/simwire"
 	"knotrouter/policy"
 )
 
@@ -131,7 +131,7 @@
 	case len(raw.Settings) == 0:
 		return nil, errors.New("config: settings: missing")
 	}
-	if c.Settings, err = wire.ParseSettings(raw.Settings); err != nil {
+	if c.Settings, err = simwire.ParseSettings(raw.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	var words struct {
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"knotrouter/internal/catalog"
-	"knotrouter/internal/duty"
 	"knotrouter/internal/endpoints"
+	"knotrouter/internal/leaderelection"
 )
 
 // Client speaks to stewards: to the first of its addresses that answers. One that did not
@@ -133,12 +133,12 @@
 }
 
 // RenewSession says that the process is there.
-func (c *Client) RenewSession(ctx context.Context, process, id string, rev int64) (t duty.Tasks, err error) {
+func (c *Client) RenewSession(ctx context.Context, process, id string, rev int64) (t leaderelection.Tasks, err error) {
 	return t, sessionError(c.do(ctx, http.MethodPost, "/v1/sessions/"+process+"/renewal", renewalBody{id, rev}, &t))
 }
 
 // WatchSession waits a while for a later revision.
-func (c *Client) WatchSession(ctx context.Context, process, id string, rev int64) (t duty.Tasks, err error) {
+func (c *Client) WatchSession(ctx context.Context, process, id string, rev int64) (t leaderelection.Tasks, err error) {
 	return t, sessionError(c.do(ctx, http.MethodGet, fmt.Sprintf("/v1/sessions/%s/tasks?id=%s&rev=%d", process, id, rev), nil, &t))
 }
 
@@ -169,9 +169,9 @@
 	}
 	switch {
 	case refused.Status == http.StatusNotFound:
-		return fmt.Errorf("%w: %v", duty.ErrGone, err)
+		return fmt.Errorf("%w: %v", leaderelection.ErrGone, err)
 	case refused.Status == http.StatusConflict:
-		return fmt.Errorf("%w: %v", duty.ErrTaken, err)
+		return fmt.Errorf("%w: %v", leaderelection.ErrTaken, err)
 	}
 	return err
 }
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"knotrouter/internal/catalog"
-	"knotrouter/internal/duty"
 	"knotrouter/internal/endpoints"
+	"knotrouter/internal/leaderelection"
 )
 
 // The stewards' own duties.
@@ -79,8 +79,8 @@
 	n.stopHolder, n.holderDone = stop, make(chan struct{})
 	c := NewClient(nil, pollWait+5*time.Second)
 	c.Table = n.addresses
-	n.holder = duty.NewRunner(duty.Config{Process: n.c.Name, Cap: ownCap, Service: c, Log: n.log,
-		Kinds: map[string]duty.Function{sweepDuty: haveLeader(c, "/v1/sweep", sweepEvery), snapshotDuty: n.doSnapshots(c), auditDuty: n.doAudit(c), votersDuty: haveLeader(c, "/v1/voters", votersInterval)}})
+	n.holder = leaderelection.NewRunner(leaderelection.Config{Process: n.c.Name, Cap: ownCap, Service: c, Log: n.log,
+		Kinds: map[string]leaderelection.Function{sweepDuty: haveLeader(c, "/v1/sweep", sweepEvery), snapshotDuty: n.doSnapshots(c), auditDuty: n.doAudit(c), votersDuty: haveLeader(c, "/v1/voters", votersInterval)}})
 	go func() {
 		defer close(n.holderDone)
 		n.holder.Run(ctx)
@@ -120,7 +120,7 @@
 
 // haveLeader has the leader do something again and again, under this duty's fence: only it
 // knows when each server was heard, and who votes.
-func haveLeader(c *Client, path string, every time.Duration) duty.Function {
+func haveLeader(c *Client, path string, every time.Duration) leaderelection.Function {
 	return func(ctx context.Context, _ string, fence int64) error {
 		for pause(ctx, every) {
 			err := c.do(ctx, http.MethodPost, path, fenceBody{fence}, nil)
@@ -141,7 +141,7 @@
 const mostSaved = 8
 
 // doSnapshots keeps copies of the state in the data folder of whoever has the duty.
-func (n *Node) doSnapshots(c *Client) duty.Function {
+func (n *Node) doSnapshots(c *Client) leaderelection.Function {
 	return func(ctx context.Context, _ string, fence int64) error {
 		if n.c.SaveEvery <= 0 {
 			<-ctx.Done()
@@ -209,7 +209,7 @@
 
 // doAudit asks each listed server how it is, and says where the list is of another mind. It
 // changes nothing: one observer is no evidence against a server.
-func (n *Node) doAudit(c *Client) duty.Function {
+func (n *Node) doAudit(c *Client) leaderelection.Function {
 	client := &http.Client{Timeout: auditWait, Transport: &http.Transport{DisableKeepAlives: true}}
 	return func(ctx context.Context, _ string, fence int64) error {
 		if n.c.AuditEvery <= 0 {
@@ -334,7 +334,7 @@
 		return errNoLeader
 	}
 	var code catalog.Code
-	var t duty.Tasks
+	var t leaderelection.Tasks
 	n.lead.Lock()
 	if n.tenures == nil {
 		n.lead.Unlock()
@@ -405,7 +405,7 @@
 			http.Error(w, "unknown: no session of "+r.PathValue("process"), http.StatusNotFound)
 			return
 		}
-		answer(w, duty.Tasks{Rev: t.Rev})
+		answer(w, leaderelection.Tasks{Rev: t.Rev})
 		return
 	}
 }
--- a/internal/control/fsm.go
+++ b/internal/control/fsm.go
@@ -9,8 +9,8 @@
 	"github.com/hashicorp/raft"
 
 	"knotrouter/internal/catalog"
-	"knotrouter/internal/duty"
 	"knotrouter/internal/endpoints"
+	"knotrouter/internal/leaderelection"
 )
 
 // fsm is the catalog as raft's state machine.
@@ -58,7 +58,7 @@
 }
 
 // tasks is what a session is to do, and what is closed when that may be another.
-func (f *fsm) tasks(process, id string) (t duty.Tasks, ok bool, stirred <-chan struct{}) {
+func (f *fsm) tasks(process, id string) (t leaderelection.Tasks, ok bool, stirred <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.stirred == nil {
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -15,8 +15,8 @@
 	"golang.org/x/time/rate"
 
 	"knotrouter/internal/catalog"
-	"knotrouter/internal/duty"
 	"knotrouter/internal/gossip"
+	"knotrouter/internal/leaderelection"
 	"knotrouter/internal/transient"
 )
 
@@ -69,7 +69,7 @@
 
 	readBarriers barriers
 	leaderChecks barriers
-	holder       *duty.Runner
+	holder       *leaderelection.Runner
 	stopHolder   context.CancelFunc
 	holderDone   chan struct{}
 	polls        atomic.Int64 // sessions that wait for a change of their tasks
--- a/internal/lab/capacity/roles.go
+++ b/internal/lab/capacity/roles.go
@@ -229,7 +229,7 @@
 			}},
 		{Name: "Exclusive leases",
 			State:     "leases (`catalog.MaxDuties` at most) and sessions of their holders (`catalog.MaxSessions` at most), replicated",
-			Mechanism: "`internal/duty`; no log entry while nothing changes. Their number at the target is not told", Needs: []Mechanism{mechanismMembers},
+			Mechanism: "`internal/leaderelection`; no log entry while nothing changes. Their number at the target is not told", Needs: []Mechanism{mechanismMembers},
 			Quoted: []Quoted{
 				{CPU, "leader's cores, 1,000 leases", leases1000Cores, sourceDuties, machine, false},
 				{CPU, "leader's cores, 5,000 leases", leases5000Cores, sourceDuties, machine, false},
--- a/internal/lab/worker/worker.go
+++ b/internal/lab/worker/worker.go
@@ -17,8 +17,8 @@
 	"golang.org/x/sys/unix"
 
 	"knotrouter/internal/control"
-	"knotrouter/internal/duty"
 	"knotrouter/internal/lab/check"
+	"knotrouter/internal/leaderelection"
 )
 
 // Config is a worker.
@@ -84,9 +84,9 @@
 		}
 		return nil
 	}
-	r := duty.NewRunner(duty.Config{Process: c.Name, Zone: c.Zone, Cap: c.Cap, Service: control.NewClient(c.At, callWait),
+	r := leaderelection.NewRunner(leaderelection.Config{Process: c.Name, Zone: c.Zone, Cap: c.Cap, Service: control.NewClient(c.At, callWait),
 		Log: log, Clock: driftClock{time.Now(), c.Rate},
-		Kinds: map[string]duty.Function{"work": work,
+		Kinds: map[string]leaderelection.Function{"work": work,
 			"idle": func(ctx context.Context, _ string, _ int64) error { <-ctx.Done(); return nil },
 			"fail": func(context.Context, string, int64) error { return errors.New("it fails") },
 			"kill": func(context.Context, string, int64) error { os.Exit(3); return nil }}})
--- a/internal/duty/keeper.go
+++ b/internal/leaderelection/keeper.go
@@ -1,6 +1,6 @@
-// Package duty is the holder's side of exclusive duties: it runs the functions of those that
+// Package leaderelection is the holder's side of exclusive duties: it runs the functions of those that
 // this process holds, and ends them before anybody else can be granted them.
-package duty
+package leaderelection
 
 import (
 	"slices"
--- a/internal/duty/wire_test.go
+++ b/internal/leaderelection/wire_test.go
@@ -1,4 +1,4 @@
-package duty
+package leaderelection
 
 import (
 	"testing"
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's binary frames and the
+// Package simwire translates between the simulator's binary frames and the
 // policy's events and actions. It decides nothing.
-package wire
+package simwire
 
 import (
 	"encoding/binary"
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
