--- a/internal/catalog/services_test.go
+++ b/internal/catalog/services_test.go
@@ -15,7 +15,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-func hostOf(name string, born float64, service string) *endpoints.Host {
+func hostOf(name string, born float64, service string) *endpoints.Endpoint {
 	h := host(name, born)
 	h.Service = service
 	return h
@@ -25,7 +25,7 @@
 type scopedReader struct {
 	services []string
 	seq      int64
-	hosts    map[string]endpoints.Host
+	hosts    map[string]endpoints.Endpoint
 }
 
 // apply takes a list, and reports what a reader must never be sent.
@@ -34,30 +34,30 @@
 		return fmt.Errorf("version %d after %d", l.Seq, r.seq)
 	}
 	r.seq = l.Seq
-	if l.Whole {
-		r.hosts = map[string]endpoints.Host{}
+	if l.Full {
+		r.hosts = map[string]endpoints.Endpoint{}
 	}
-	for _, h := range l.Hosts {
+	for _, h := range l.Endpoints {
 		switch {
 		case !slices.Contains(r.services, h.Service):
 			return fmt.Errorf("a reader of %q is sent %+v", r.services, h)
-		case h.Health != endpoints.Gone:
-			r.hosts[h.Host] = h
-		case l.Whole:
+		case h.Health != endpoints.Removed:
+			r.hosts[h.Name] = h
+		case l.Full:
 			return fmt.Errorf("gone in a whole list: %+v", h)
-		case r.hosts[h.Host].Service == h.Service:
-			delete(r.hosts, h.Host)
+		case r.hosts[h.Name].Service == h.Service:
+			delete(r.hosts, h.Name)
 		}
 	}
 	return nil
 }
 
 // wanted is the entries of services, counted from the entries alone.
-func wanted(s *State, services []string) map[string]endpoints.Host {
-	want := map[string]endpoints.Host{}
+func wanted(s *State, services []string) map[string]endpoints.Endpoint {
+	want := map[string]endpoints.Endpoint{}
 	for name, e := range s.Entries {
-		if h := e.Listed(); h.Health != endpoints.Gone && slices.Contains(services, e.Host.Service) {
-			h.Service = e.Host.Service
+		if h := e.Listed(); h.Health != endpoints.Removed && slices.Contains(services, e.Endpoint.Service) {
+			h.Service = e.Endpoint.Service
 			want[name] = h
 		}
 	}
@@ -69,16 +69,16 @@
 	listed, held := 0, 0
 	sizes := map[string]int{}
 	for _, e := range s.Entries {
-		if e.Listed().Health != endpoints.Gone {
+		if e.Listed().Health != endpoints.Removed {
 			listed++
-			sizes[e.Host.Service]++
+			sizes[e.Endpoint.Service]++
 		}
-		if e.Held {
+		if e.Quarantined {
 			held++
 		}
 	}
-	if listed != s.ListedCount() || held != s.held || (s.HeldSince != 0) != (held > 0) {
-		return fmt.Errorf("%d listed and %d held, counted as %d and %d, held since %v", listed, held, s.ListedCount(), s.held, s.HeldSince)
+	if listed != s.ListedCount() || held != s.held || (s.QuarantinedSince != 0) != (held > 0) {
+		return fmt.Errorf("%d listed and %d held, counted as %d and %d, held since %v", listed, held, s.ListedCount(), s.held, s.QuarantinedSince)
 	}
 	for name, size := range s.ServiceSizes() {
 		if size != sizes[name] {
@@ -103,11 +103,11 @@
 			{services: services}, {services: []string{"none"}}}
 		for i := range rapid.IntRange(1, 80).Draw(t, "commands") {
 			c := draw(t, time.Duration(i)*time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms"))*time.Millisecond)
-			if c.Host != nil {
-				c.Host.Service = rapid.SampledFrom(services).Draw(t, "service")
+			if c.Endpoint != nil {
+				c.Endpoint.Service = rapid.SampledFrom(services).Draw(t, "service")
 			}
-			if c.Kind == Hold && rapid.Bool().Draw(t, "of one service") {
-				c.Why = HoldService
+			if c.Kind == Quarantine && rapid.Bool().Draw(t, "of one service") {
+				c.Reason = QuarantineByService
 			}
 			before := s.Seq
 			s.Apply(&c)
@@ -161,10 +161,10 @@
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			c := draw(t, time.Duration(rapid.IntRange(0, 100_000).Draw(t, "ms"))*time.Millisecond)
 			with := c
-			if c.Host != nil { // a name stays with its service
-				h := *c.Host
-				h.Service = "service-of-" + h.Host
-				with.Host = &h
+			if c.Endpoint != nil { // a name stays with its service
+				h := *c.Endpoint
+				h.Service = "service-of-" + h.Name
+				with.Endpoint = &h
 			}
 			since := plain.Seq - int64(rapid.IntRange(0, 20).Draw(t, "behind by"))
 			a, b := plain.Apply(&c), named.Apply(&with)
@@ -185,18 +185,18 @@
 // The churn of one service costs no reader of another its place, however long it lasts.
 func TestChurnElsewhere(t *testing.T) {
 	s := New()
-	do(s, 0, Command{Kind: Register, Host: hostOf("quiet", 1, "small")})
+	do(s, 0, Command{Kind: Register, Endpoint: hostOf("quiet", 1, "small")})
 	since := s.Seq
 	share := 0.5
-	do(s, 0, Command{Kind: Register, Host: hostOf("busy", 1, "large")})
+	do(s, 0, Command{Kind: Register, Endpoint: hostOf("busy", 1, "large")})
 	for range 2 * MaxHistory {
-		do(s, 0, Command{Kind: Set, Name: "busy", Share: &share})
+		do(s, 0, Command{Kind: SetOverride, Name: "busy", Weight: &share})
 	}
-	if l := s.ListServices([]string{"small"}, since, false); l.Whole || len(l.Hosts) != 0 || l.Seq != s.Seq {
+	if l := s.ListServices([]string{"small"}, since, false); l.Full || len(l.Endpoints) != 0 || l.Seq != s.Seq {
 		t.Errorf("a reader that nothing concerned is sent %+v", l)
 	}
-	if l := s.ListServices([]string{"large"}, since, false); l.Whole || len(l.Hosts) != 1 {
-		t.Errorf("a reader far behind is sent %d entries, whole %v", len(l.Hosts), l.Whole)
+	if l := s.ListServices([]string{"large"}, since, false); l.Full || len(l.Endpoints) != 1 {
+		t.Errorf("a reader far behind is sent %d entries, whole %v", len(l.Endpoints), l.Full)
 	}
 	if kept := len(s.services["large"].changes); kept > 128 {
 		t.Errorf("%d changes kept of one server", kept)
@@ -209,49 +209,49 @@
 	s := New()
 	const names = 100
 	for i := range names {
-		do(s, 0, Command{Kind: Register, Host: hostOf(fmt.Sprint("s-", i), 1, "from")})
+		do(s, 0, Command{Kind: Register, Endpoint: hostOf(fmt.Sprint("s-", i), 1, "from")})
 	}
-	do(s, 0, Command{Kind: Register, Host: hostOf("stays", 1, "from")})
+	do(s, 0, Command{Kind: Register, Endpoint: hostOf("stays", 1, "from")})
 	since := s.Seq
 	for i := range names {
-		do(s, 0, Command{Kind: Register, Host: hostOf(fmt.Sprint("s-", i), 1, "to")})
+		do(s, 0, Command{Kind: Register, Endpoint: hostOf(fmt.Sprint("s-", i), 1, "to")})
 	}
-	if l := s.ListServices([]string{"from"}, since, false); l.Whole || len(l.Hosts) != names {
-		t.Fatalf("%d entries, whole %v, want %d that are gone", len(l.Hosts), l.Whole, names)
+	if l := s.ListServices([]string{"from"}, since, false); l.Full || len(l.Endpoints) != names {
+		t.Fatalf("%d entries, whole %v, want %d that are gone", len(l.Endpoints), l.Full, names)
 	}
-	for i := range MaxMoves {
-		do(s, 0, Command{Kind: Register, Host: hostOf("s-0", 1, fmt.Sprint("other-", i%2))})
+	for i := range MaxDepartures {
+		do(s, 0, Command{Kind: Register, Endpoint: hostOf("s-0", 1, fmt.Sprint("other-", i%2))})
 	}
-	if len(s.Scopes.Moved) != MaxMoves {
-		t.Errorf("%d moves kept", len(s.Scopes.Moved))
+	if len(s.ServiceHistory.Departures) != MaxDepartures {
+		t.Errorf("%d moves kept", len(s.ServiceHistory.Departures))
 	}
-	if l := s.ListServices([]string{"from"}, since, false); !l.Whole || len(l.Hosts) != 1 {
+	if l := s.ListServices([]string{"from"}, since, false); !l.Full || len(l.Endpoints) != 1 {
 		t.Errorf("a reader from before what was dropped: %+v", l)
 	}
-	if l := s.ListServices([]string{"to"}, since, false); l.Whole {
+	if l := s.ListServices([]string{"to"}, since, false); l.Full {
 		t.Error("readers of other services pay for what was dropped")
 	}
-	for i := range MaxServiceFloors + 1 {
+	for i := range MaxServiceMinRevisions + 1 {
 		s.raiseFloor(fmt.Sprint("service-", i), s.Seq)
 	}
 	s.boundFloors()
-	if len(s.Scopes.Floors) != 0 || s.Scopes.Floor != s.Seq {
-		t.Errorf("%d floors, the common one at %d of %d", len(s.Scopes.Floors), s.Scopes.Floor, s.Seq)
+	if len(s.ServiceHistory.MinRevisions) != 0 || s.ServiceHistory.MinRevision != s.Seq {
+		t.Errorf("%d floors, the common one at %d of %d", len(s.ServiceHistory.MinRevisions), s.ServiceHistory.MinRevision, s.Seq)
 	}
 }
 
 // A reader is sent changes only as long as they are not much more than the whole list.
 func TestLongChangesAreWhole(t *testing.T) {
 	s := New()
-	do(s, 0, Command{Kind: Register, Host: hostOf("stays", 1, "a")})
+	do(s, 0, Command{Kind: Register, Endpoint: hostOf("stays", 1, "a")})
 	since := s.Seq
 	for i := range 2 * MaxServiceChanges {
 		name := fmt.Sprint("s-", i)
-		do(s, 0, Command{Kind: Register, Host: hostOf(name, 1, "a")})
-		do(s, 0, Command{Kind: Leave, Refs: refs(name, 1)})
+		do(s, 0, Command{Kind: Register, Endpoint: hostOf(name, 1, "a")})
+		do(s, 0, Command{Kind: Deregister, Refs: refs(name, 1)})
 	}
-	if l := s.ListServices([]string{"a"}, since, false); !l.Whole || len(l.Hosts) != 1 {
-		t.Errorf("%d entries, whole %v", len(l.Hosts), l.Whole)
+	if l := s.ListServices([]string{"a"}, since, false); !l.Full || len(l.Endpoints) != 1 {
+		t.Errorf("%d entries, whole %v", len(l.Endpoints), l.Full)
 	}
 }
 
@@ -259,21 +259,21 @@
 // so it gets the whole list, whatever changed.
 func TestRaisedVersionIsWhole(t *testing.T) {
 	s := New()
-	do(s, 0, Command{Kind: Register, Host: hostOf("s", 1, "a")})
-	do(s, 0, Command{Kind: Register, Host: hostOf("moves", 1, "a")})
-	do(s, 0, Command{Kind: Register, Host: hostOf("moves", 1, "b")})
+	do(s, 0, Command{Kind: Register, Endpoint: hostOf("s", 1, "a")})
+	do(s, 0, Command{Kind: Register, Endpoint: hostOf("moves", 1, "a")})
+	do(s, 0, Command{Kind: Register, Endpoint: hostOf("moves", 1, "b")})
 	since := s.Seq
-	do(s, 0, Command{Kind: Floor, Seq: 1000})
+	do(s, 0, Command{Kind: RaiseRevision, Seq: 1000})
 	for _, from := range []int64{since, 999} {
-		if l := s.ListServices([]string{"a"}, from, false); !l.Whole || len(l.Hosts) != 1 || l.Seq != 1000 {
+		if l := s.ListServices([]string{"a"}, from, false); !l.Full || len(l.Endpoints) != 1 || l.Seq != 1000 {
 			t.Errorf("a reader at version %d: %+v", from, l)
 		}
 	}
-	if l := s.ListServices([]string{"a"}, 1000, false); l.Whole || len(l.Hosts) != 0 {
+	if l := s.ListServices([]string{"a"}, 1000, false); l.Full || len(l.Endpoints) != 0 {
 		t.Errorf("a reader at the raised version: %+v", l)
 	}
-	if len(s.Scopes.Moved) != 0 {
-		t.Errorf("moves from before it are kept: %+v", s.Scopes.Moved)
+	if len(s.ServiceHistory.Departures) != 0 {
+		t.Errorf("moves from before it are kept: %+v", s.ServiceHistory.Departures)
 	}
 }
 
@@ -290,20 +290,20 @@
 		t.Fatal(err)
 	}
 	l := s.ListServices([]string{""}, 106, false)
-	if !l.Whole || len(l.Hosts) != 1 || l.Hosts[0].Host != "s" || l.Hosts[0].Service != "" {
+	if !l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "s" || l.Endpoints[0].Service != "" {
 		t.Errorf("readers of the default service: %+v", l)
 	}
-	if l := s.ListServices([]string{"a"}, 106, false); !l.Whole || len(l.Hosts) != 0 {
+	if l := s.ListServices([]string{"a"}, 106, false); !l.Full || len(l.Endpoints) != 0 {
 		t.Errorf("readers of another service: %+v", l)
 	}
-	if l := s.List(106, false); l.Whole || len(l.Hosts) != 1 {
+	if l := s.List(106, false); l.Full || len(l.Endpoints) != 1 {
 		t.Errorf("readers of no service: %+v", l)
 	}
-	do(s, s.Clock, Command{Kind: Register, Host: hostOf("s", 10, "a")})
-	if l := s.ListServices([]string{"", "a"}, 107, false); l.Whole || len(l.Hosts) != 2 {
+	do(s, s.Clock, Command{Kind: Register, Endpoint: hostOf("s", 10, "a")})
+	if l := s.ListServices([]string{"", "a"}, 107, false); l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("after it: %+v", l)
 	}
-	if r := s.Apply(&Command{Form: Form, Kind: Register, Host: host("old", 1)}); r.Code != Done || s.Entries["old"].Host.Service != "" {
+	if r := s.Apply(&Command{FormatVersion: FormatVersion, Kind: Register, Endpoint: host("old", 1)}); r.Code != Done || s.Entries["old"].Endpoint.Service != "" {
 		t.Errorf("a command from before there were services: %+v", r)
 	}
 }
@@ -319,27 +319,27 @@
 }
 
 // serviceFleet is services of the sizes given, and the leases of their servers.
-func serviceFleet(sizes map[string]int) (*State, *Leases) {
+func serviceFleet(sizes map[string]int) (*State, *RegistrationLeases) {
 	s := New()
 	for service, size := range sizes {
 		for i := range size {
-			do(s, 0, Command{Kind: Register, Host: hostOf(fmt.Sprintf("%s-%d", service, i), 1, service)})
+			do(s, 0, Command{Kind: Register, Endpoint: hostOf(fmt.Sprintf("%s-%d", service, i), 1, service)})
 		}
 	}
-	return s, Lead(LeaseConfig{TTL: 6 * time.Second, Share: 0.4, Window: 10 * time.Second}, s, 0)
+	return s, NewRegistrationLeases(LeaseConfig{TTL: 6 * time.Second, MassFailureShare: 0.4, MassFailureWindow: 10 * time.Second}, s, 0)
 }
 
 // play renews all servers but the silent ones, every 2 s.
-func play(s *State, l *Leases, from, to time.Duration, silent func(name string) bool) {
+func play(s *State, l *RegistrationLeases, from, to time.Duration, silent func(name string) bool) {
 	for now := from; now < to; now += 500 * time.Millisecond {
 		if now%(2*time.Second) == 0 {
 			for name, e := range s.Entries {
-				if !e.Ended && !silent(name) {
-					l.Renew(s, Ref{name, e.Host.BornMs}, now)
+				if !e.Removed && !silent(name) {
+					l.Renew(s, InstanceRef{name, e.Endpoint.StartedMs}, now)
 				}
 			}
 		}
-		obey(s, now, l.Decide(s, now, LeaseAlone))
+		obey(s, now, l.Decide(s, now, ExpireByLeaseOnly))
 	}
 }
 
@@ -354,8 +354,8 @@
 	if got := s.ServiceSizes(); got["a"] != 20 || got["b"] != 59 || got["c"] != 0 || got["one"] != 0 {
 		t.Fatalf("listed by service: %v", got)
 	}
-	if s.HeldSince == 0 || !s.Entries["a-1"].HeldByService || s.Entries["a-0"].Held {
-		t.Errorf("held since %v: %+v", s.HeldSince, s.Entries["a-1"])
+	if s.QuarantinedSince == 0 || !s.Entries["a-1"].QuarantinedByService || s.Entries["a-0"].Quarantined {
+		t.Errorf("held since %v: %+v", s.QuarantinedSince, s.Entries["a-1"])
 	}
 	// While the service is held, the rest of the fleet goes on.
 	play(s, l, 30*time.Second, 60*time.Second, func(name string) bool { return silent(name) || name == "b-2" })
@@ -367,13 +367,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	do(confirmed, s.Clock, Command{Kind: Confirm})
-	if got := confirmed.ServiceSizes(); got["a"] != 1 || confirmed.HeldSince != 0 {
+	do(confirmed, s.Clock, Command{Kind: ConfirmRemoval})
+	if got := confirmed.ServiceSizes(); got["a"] != 1 || confirmed.QuarantinedSince != 0 {
 		t.Errorf("confirmed: %v", got)
 	}
 	play(s, l, 60*time.Second, 64*time.Second, func(name string) bool { return strings.HasPrefix(name, "b-1") && name == "b-1" })
-	if got := s.ServiceSizes(); got["a"] != 20 || s.HeldSince != 0 || s.Entries["a-1"].HeldByService {
-		t.Errorf("heard again: %v, held since %v", got, s.HeldSince)
+	if got := s.ServiceSizes(); got["a"] != 20 || s.QuarantinedSince != 0 || s.Entries["a-1"].QuarantinedByService {
+		t.Errorf("heard again: %v, held since %v", got, s.QuarantinedSince)
 	}
 }
 
@@ -392,8 +392,8 @@
 			return false
 		})
 	}
-	if left := s.ServiceSize("a"); left < 6 || s.HeldSince == 0 {
-		t.Errorf("%d of 10 servers listed within a window, held since %v", left, s.HeldSince)
+	if left := s.ServiceSize("a"); left < 6 || s.QuarantinedSince == 0 {
+		t.Errorf("%d of 10 servers listed within a window, held since %v", left, s.QuarantinedSince)
 	}
 }
 
@@ -403,8 +403,8 @@
 	quiet := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		c := LeaseConfig{TTL: 6 * time.Second, Share: rapid.SampledFrom([]float64{0.2, 1}).Draw(t, "share"), Window: 10 * time.Second}
-		skips, looks := Lead(c, s, 0), Lead(c, s, 0)
+		c := LeaseConfig{TTL: 6 * time.Second, MassFailureShare: rapid.SampledFrom([]float64{0.2, 1}).Draw(t, "share"), MassFailureWindow: 10 * time.Second}
+		skips, looks := NewRegistrationLeases(c, s, 0), NewRegistrationLeases(c, s, 0)
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
@@ -413,7 +413,7 @@
 				cmd := draw(t, now)
 				s.Apply(&cmd)
 			case 1, 2, 3:
-				ref := Ref{fmt.Sprint("s-", rapid.IntRange(0, 5).Draw(t, "name")), float64(rapid.IntRange(0, 4).Draw(t, "born"))}
+				ref := InstanceRef{fmt.Sprint("s-", rapid.IntRange(0, 5).Draw(t, "name")), float64(rapid.IntRange(0, 4).Draw(t, "born"))}
 				if a, b := skips.Renew(s, ref, now), looks.Renew(s, ref, now); a != b {
 					t.Fatalf("renewal: %q, %q", a, b)
 				}
@@ -422,11 +422,11 @@
 				quiet++
 			}
 			looks.scanned = nil
-			if got, want := skips.Doubtful(s, now), looks.Doubtful(s, now); len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
+			if got, want := skips.Suspected(s, now), looks.Suspected(s, now); len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
 				t.Fatalf("at %v in doubt are %v, and of all %v", now, got, want)
 			}
-			got, want := skips.Decide(s, now, LeaseAlone), looks.Decide(s, now, LeaseAlone)
-			if !reflect.DeepEqual(got, want) || skips.Kept != looks.Kept || skips.Waiting != looks.Waiting {
+			got, want := skips.Decide(s, now, ExpireByLeaseOnly), looks.Decide(s, now, ExpireByLeaseOnly)
+			if !reflect.DeepEqual(got, want) || skips.Retained != looks.Retained || skips.Undecided != looks.Undecided {
 				t.Fatalf("at %v decided is %+v, and of all %+v", now, got, want)
 			}
 			obey(s, now, got)
@@ -440,13 +440,13 @@
 	for now := time.Duration(0); now < 60*time.Second; now += 100 * time.Millisecond {
 		if now%(2*time.Second) == 0 {
 			for name := range s.Entries {
-				l.Renew(s, Ref{name, 1}, now)
+				l.Renew(s, InstanceRef{name, 1}, now)
 			}
 		}
 		if !l.isQuiet(s, now) {
 			looked++
 		}
-		if d := l.Decide(s, now, LeaseAlone); !d.Empty() {
+		if d := l.Decide(s, now, ExpireByLeaseOnly); !d.Empty() {
 			t.Fatalf("decided: %+v", d)
 		}
 	}
@@ -456,7 +456,7 @@
 }
 
 // ahead is the fleet of the target: 39,000 servers in 1,900 services, the first of 5,000.
-func ahead(tb testing.TB) (*State, *Leases) {
+func ahead(tb testing.TB) (*State, *RegistrationLeases) {
 	tb.Helper()
 	s := New()
 	for i := range 39_000 {
@@ -464,11 +464,11 @@
 		if i >= 5000 {
 			service = fmt.Sprint("service-", 1+i%1899)
 		}
-		if r := do(s, 0, Command{Kind: Register, Host: hostOf(fmt.Sprintf("server-%05d", i), 1, service)}); r.Code != Done {
+		if r := do(s, 0, Command{Kind: Register, Endpoint: hostOf(fmt.Sprintf("server-%05d", i), 1, service)}); r.Code != Done {
 			tb.Fatalf("server %d: %+v", i, r)
 		}
 	}
-	return s, Lead(LeaseConfig{TTL: time.Hour, Share: 0.4, Window: 10 * time.Second}, s, 0)
+	return s, NewRegistrationLeases(LeaseConfig{TTL: time.Hour, MassFailureShare: 0.4, MassFailureWindow: 10 * time.Second}, s, 0)
 }
 
 // The target's fleet fits, with the names of a whole region replaced at once, and its
@@ -477,16 +477,16 @@
 	s, _ := ahead(t)
 	const region = 6500
 	for i := range region {
-		do(s, time.Second, Command{Kind: Leave, Refs: refs(fmt.Sprintf("server-%05d", i), 1)})
+		do(s, time.Second, Command{Kind: Deregister, Refs: refs(fmt.Sprintf("server-%05d", i), 1)})
 	}
 	since := s.Seq
 	for i := range region {
-		if r := do(s, time.Second, Command{Kind: Register, Host: hostOf(fmt.Sprint("next-", i), 2, "service-0")}); r.Code != Done {
+		if r := do(s, time.Second, Command{Kind: Register, Endpoint: hostOf(fmt.Sprint("next-", i), 2, "service-0")}); r.Code != Done {
 			t.Fatalf("replacement %d: %+v", i, r)
 		}
 	}
-	if l := s.List(since-region, false); l.Whole || len(l.Hosts) != 2*region {
-		t.Errorf("a region lost and back is %d changes, whole %v", len(l.Hosts), l.Whole)
+	if l := s.List(since-region, false); l.Full || len(l.Endpoints) != 2*region {
+		t.Errorf("a region lost and back is %d changes, whole %v", len(l.Endpoints), l.Full)
 	}
 	text, err := s.Encode()
 	if err != nil {
@@ -517,22 +517,22 @@
 		{"WholeOf20Services", func() { s.ListServices(twenty, 0, true) }},
 		{"ChangeOf20Services", func() { s.ListServices(twenty, s.Seq-10, false) }},
 		{"ChangedServices", func() { s.ChangedServices(s.Seq - 10) }},
-		{"Decide", func() { l.scanned = nil; l.Decide(s, time.Second, LeaseAlone) }},
-		{"DecideQuiet", func() { l.Decide(s, time.Second, LeaseAlone) }},
-		{"Doubtful", func() { l.scanned = nil; l.Doubtful(s, time.Second) }},
+		{"Decide", func() { l.scanned = nil; l.Decide(s, time.Second, ExpireByLeaseOnly) }},
+		{"DecideQuiet", func() { l.Decide(s, time.Second, ExpireByLeaseOnly) }},
+		{"Doubtful", func() { l.scanned = nil; l.Suspected(s, time.Second) }},
 		{"Names", func() { s.Names() }},
 		{"Encode", func() { _, _ = s.Encode() }},
 		{"RegisterAgain", func() {
-			h := s.Entries["server-00007"].Host
-			h.BornMs++
+			h := s.Entries["server-00007"].Endpoint
+			h.StartedMs++
 			s.Clock += time.Hour
-			do(s, s.Clock, Command{Kind: Register, Host: &h})
+			do(s, s.Clock, Command{Kind: Register, Endpoint: &h})
 		}},
 		{"SetWhileHeld", func() {
-			if s.HeldSince == 0 {
-				do(s, s.Clock, Command{Kind: Hold, Refs: refs("server-00001", 1)})
+			if s.QuarantinedSince == 0 {
+				do(s, s.Clock, Command{Kind: Quarantine, Refs: refs("server-00001", 1)})
 			}
-			do(s, s.Clock, Command{Kind: Seen, Refs: refs("server-00002", 1)})
+			do(s, s.Clock, Command{Kind: Recover, Refs: refs("server-00002", 1)})
 		}},
 	}
 	for _, st := range steps {
--- a/internal/catalog/tenure.go
+++ b/internal/catalog/tenure.go
@@ -25,10 +25,10 @@
 	settled = 10 * time.Second
 )
 
-// Tenures is what the leader alone knows of sessions: when each was heard last. Like
+// TaskLeases is what the leader alone knows of sessions: when each was heard last. Like
 // Leases it goes through no log, and a new leader gives each its full time again, so that
 // what another leader promised a holder is over before anybody else is granted its duty.
-type Tenures struct {
+type TaskLeases struct {
 	heard map[string]time.Duration // by session's id
 	began time.Duration
 	// What was decided to be over and may not be so in the state yet: until it is, no
@@ -42,14 +42,14 @@
 	Absent map[string]bool
 }
 
-// Succeed begins a leader's time.
-func Succeed(now time.Duration) *Tenures {
-	return &Tenures{heard: map[string]time.Duration{}, began: now, over: map[string]int64{}, closing: map[string]bool{}, missed: map[string]time.Duration{}}
+// NewTaskLeases begins a leader's time.
+func NewTaskLeases(now time.Duration) *TaskLeases {
+	return &TaskLeases{heard: map[string]time.Duration{}, began: now, over: map[string]int64{}, closing: map[string]bool{}, missed: map[string]time.Duration{}}
 }
 
-// Heard notes that a session's process was heard. It is refused where there is no such, and
+// Renew notes that a session's process was heard. It is refused where there is no such, and
 // for the moment where its end has been decided.
-func (t *Tenures) Heard(s *State, process, id string, now time.Duration) Code {
+func (t *TaskLeases) Renew(s *State, process, id string, now time.Duration) Code {
 	o := s.Sessions[process]
 	switch {
 	case o == nil:
@@ -60,7 +60,7 @@
 		return Conflict
 	}
 	for name, fence := range t.over {
-		switch d := s.Duties[name]; {
+		switch d := s.LeasedTasks[name]; {
 		case d == nil || d.Holder == "" || d.Fence != fence:
 			delete(t.over, name)
 		case d.Holder == process:
@@ -72,37 +72,37 @@
 }
 
 // last is when a session was heard last, as far as this leader can tell.
-func (t *Tenures) last(o *Session) time.Duration {
+func (t *TaskLeases) last(o *Session) time.Duration {
 	return max(t.heard[o.ID], t.began, o.Opened)
 }
 
 // able tells whether a session can be given something: not one that rests, or has fallen
 // silent of late.
-func (t *Tenures) able(o *Session, now time.Duration) bool {
+func (t *TaskLeases) able(o *Session, now time.Duration) bool {
 	at, missed := t.missed[o.ID]
-	return !o.Resting && now < t.last(o)+lively && (!missed || t.heard[o.ID] > at)
+	return !o.Draining && now < t.last(o)+lively && (!missed || t.heard[o.ID] > at)
 }
 
 // Decide tells what has to be proposed now about duties: in the order of the commands.
-func (t *Tenures) Decide(s *State, now time.Duration) []Command {
+func (t *TaskLeases) Decide(s *State, now time.Duration) []Command {
 	var out []Command
-	ties := func(kind Kind, list []Tie) {
+	ties := func(kind Kind, list []TermRef) {
 		if len(list) > 0 {
-			out = append(out, Command{Kind: kind, Ties: list})
+			out = append(out, Command{Kind: kind, Terms: list})
 		}
 	}
-	names := s.DutyNames()
+	names := s.TaskNames()
 	load := map[string]int{}
-	var lapsed, unmove []Tie
+	var lapsed, unmove []TermRef
 	moving, resting := 0, 0
 	held := map[string]bool{}
 	latest := map[string]int{} // of the lapsed ones of a session, the one that it was granted last
 	for _, name := range names {
-		d := s.Duties[name]
-		if d.Next != "" {
-			load[d.Next]++
-			if moving++; now-d.NextFrom > moveWait && !d.Accepted {
-				unmove = append(unmove, Tie{Name: name})
+		d := s.LeasedTasks[name]
+		if d.Successor != "" {
+			load[d.Successor]++
+			if moving++; now-d.SuccessorSince > moveWait && !d.SuccessorReady {
+				unmove = append(unmove, TermRef{Name: name})
 			}
 		}
 		if d.Holder == "" {
@@ -112,28 +112,28 @@
 		o := s.Sessions[d.Holder]
 		// A holder counts its time from a renewal that it sent, so never from later than that;
 		// one that has just been granted something may not have been heard for a while.
-		if o == nil || o.ID != d.Session || now >= max(t.last(o), d.Since)+d.TTL {
+		if o == nil || o.ID != d.Session || now >= max(t.last(o), d.HolderSince)+d.TTL {
 			t.missed[d.Session] = now
 			if len(lapsed) < mostTies {
 				if i, some := latest[d.Session]; !some || lapsed[i].Fence < d.Fence {
 					latest[d.Session] = len(lapsed)
 				}
-				lapsed = append(lapsed, Tie{Name: name, Fence: d.Fence})
+				lapsed = append(lapsed, TermRef{Name: name, Fence: d.Fence})
 				t.over[name] = d.Fence
 			}
 			continue
 		}
-		if d.Next == "" {
+		if d.Successor == "" {
 			load[d.Holder]++
 		}
 	}
 	for _, i := range latest { // if it died of one of them, then of that, and soon
-		d := s.Duties[lapsed[i].Name]
+		d := s.LeasedTasks[lapsed[i].Name]
 		o := s.Sessions[d.Holder]
-		lapsed[i].Blame = o == nil || o.ID != d.Session || t.last(o) < d.Since+killSoon
+		lapsed[i].CountDeath = o == nil || o.ID != d.Session || t.last(o) < d.HolderSince+killSoon
 	}
-	ties(Free, lapsed)
-	ties(Move, unmove)
+	ties(ExpireTerm, lapsed)
+	ties(TransferTask, unmove)
 	for id := range t.heard {
 		if !slices.ContainsFunc(s.Processes(), func(p string) bool { return s.Sessions[p].ID == id }) {
 			delete(t.heard, id)
@@ -148,7 +148,7 @@
 		switch {
 		case gone && !held[o.ID]:
 			t.closing[o.ID] = true
-			out = append(out, Command{Kind: Close, Session: &Session{Process: o.Process, ID: o.ID}, Why: WhyLapsed})
+			out = append(out, Command{Kind: CloseSession, Session: &Session{Process: o.Process, ID: o.ID}, Reason: ReasonExpired})
 		case !gone && t.able(o, now):
 			able = append(able, o)
 		}
@@ -156,39 +156,39 @@
 	if len(able) == 0 {
 		return out
 	}
-	var grants []Tie
+	var grants []TermRef
 	for _, name := range names {
-		d := s.Duties[name]
-		if d.Holder != "" || d.Parked != "" || now < d.Wait || len(grants) == mostTies {
+		d := s.LeasedTasks[name]
+		if d.Holder != "" || d.SuspendReason != "" || now < d.NotBefore || len(grants) == mostTies {
 			continue
 		}
 		if o := t.best(able, load, d, ""); o != nil {
 			load[o.Process]++
-			grants = append(grants, Tie{Name: name, Process: o.Process, Session: o.ID})
+			grants = append(grants, TermRef{Name: name, Process: o.Process, Session: o.ID})
 		}
 	}
-	ties(Grant, grants)
+	ties(GrantTerm, grants)
 	if len(grants) > 0 {
 		return out // first all that nobody has
 	}
-	var moves []Tie
+	var moves []TermRef
 	for _, name := range names {
-		d := s.Duties[name]
+		d := s.LeasedTasks[name]
 		o := s.Sessions[d.Holder]
-		if d.Holder == "" || d.Next != "" || d.Stop || d.Parked != "" || o == nil || !o.Resting || moving+resting >= restMoves {
+		if d.Holder == "" || d.Successor != "" || d.StopRequested || d.SuspendReason != "" || o == nil || !o.Draining || moving+resting >= restMoves {
 			continue
 		}
 		if to := t.best(able, load, d, d.Holder); to != nil {
 			load[to.Process]++
 			resting++
-			moves = append(moves, Tie{Name: name, Process: to.Process})
+			moves = append(moves, TermRef{Name: name, Process: to.Process})
 		}
 	}
 	if len(moves) == 0 && moving < evenMoves {
 		able = slices.DeleteFunc(able, func(o *Session) bool { return t.Absent[o.Process] })
 		moves = even(s, able, load, names, now, evenMoves-moving)
 	}
-	ties(Move, moves)
+	ties(TransferTask, moves)
 	return out
 }
 
@@ -202,14 +202,14 @@
 	return names
 }
 
-// Other is who had best have a duty after its holder; "" is nobody.
-func (t *Tenures) Other(s *State, name string, now time.Duration) string {
-	d := s.Duties[name]
+// PreferredSuccessor is who had best have a duty after its holder; "" is nobody.
+func (t *TaskLeases) PreferredSuccessor(s *State, name string, now time.Duration) string {
+	d := s.LeasedTasks[name]
 	if d == nil || d.Holder == "" {
 		return ""
 	}
 	load := map[string]int{}
-	for _, other := range s.Duties {
+	for _, other := range s.LeasedTasks {
 		load[other.Holder]++
 	}
 	var able []*Session
@@ -226,28 +226,28 @@
 
 // best is the session that had best have a duty: who is present, the process that it prefers, then its
 // zone, not where it failed last, then who has least of what it may have.
-func (t *Tenures) best(able []*Session, load map[string]int, d *Duty, not string) *Session {
+func (t *TaskLeases) best(able []*Session, load map[string]int, d *LeasedTask, not string) *Session {
 	rank := func(o *Session) (r int) {
 		if t.Absent[o.Process] {
 			r += 16
 		}
-		if d.Process == "" || d.Process != o.Process {
+		if d.PreferredProcess == "" || d.PreferredProcess != o.Process {
 			r += 4
 		}
-		if o.Process == d.Avoid {
+		if o.Process == d.AvoidProcess {
 			r += 5 // worse than not to be preferred
 		}
-		if d.Zone != "" && d.Zone != o.Zone {
+		if d.PreferredZone != "" && d.PreferredZone != o.Zone {
 			r += 2
 		}
 		return r
 	}
 	var found *Session
 	for _, o := range able {
-		if o.Process == not || load[o.Process] >= o.Cap || !o.Does(d.Name) {
+		if o.Process == not || load[o.Process] >= o.MaxTasks || !o.CanRun(d.Name) {
 			continue
 		}
-		if found == nil || cmp.Or(cmp.Compare(rank(o), rank(found)), cmp.Compare(load[o.Process]*found.Cap, load[found.Process]*o.Cap)) < 0 {
+		if found == nil || cmp.Or(cmp.Compare(rank(o), rank(found)), cmp.Compare(load[o.Process]*found.MaxTasks, load[found.Process]*o.MaxTasks)) < 0 {
 			found = o
 		}
 	}
@@ -256,28 +256,28 @@
 
 // even moves a few duties to whoever has least of what it may have, from those that have
 // much more, while they are far apart; what prefers to be where it is stays.
-func even(s *State, able []*Session, load map[string]int, names []string, now time.Duration, most int) (moves []Tie) {
+func even(s *State, able []*Session, load map[string]int, names []string, now time.Duration, most int) (moves []TermRef) {
 	for _, name := range names {
-		d := s.Duties[name]
+		d := s.LeasedTasks[name]
 		high := s.Sessions[d.Holder]
 		if len(moves) == most {
 			break
 		}
-		if high == nil || d.Next != "" || d.Stop || d.Parked != "" || now-d.Since < settled || d.Process == high.Process || high.Cap == 0 {
+		if high == nil || d.Successor != "" || d.StopRequested || d.SuspendReason != "" || now-d.HolderSince < settled || d.PreferredProcess == high.Process || high.MaxTasks == 0 {
 			continue
 		}
 		var low *Session
 		for _, o := range able {
-			if o != high && load[o.Process] < o.Cap && o.Process != d.Avoid && o.Does(name) && (d.Zone == "" || d.Zone != high.Zone || d.Zone == o.Zone) &&
-				(low == nil || load[o.Process]*low.Cap < load[low.Process]*o.Cap) {
+			if o != high && load[o.Process] < o.MaxTasks && o.Process != d.AvoidProcess && o.CanRun(name) && (d.PreferredZone == "" || d.PreferredZone != high.Zone || d.PreferredZone == o.Zone) &&
+				(low == nil || load[o.Process]*low.MaxTasks < load[low.Process]*o.MaxTasks) {
 				low = o
 			}
 		}
 		// By how many the one has more than its part by the other's measure.
-		if low == nil || load[high.Process]-load[low.Process]*high.Cap/low.Cap <= 2+load[high.Process]/10 {
+		if low == nil || load[high.Process]-load[low.Process]*high.MaxTasks/low.MaxTasks <= 2+load[high.Process]/10 {
 			continue
 		}
-		moves = append(moves, Tie{Name: name, Process: low.Process})
+		moves = append(moves, TermRef{Name: name, Process: low.Process})
 		load[high.Process]--
 		load[low.Process]++
 	}
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -30,7 +30,7 @@
 	maxRefs       = 2000 // of one call
 )
 
-func (n *Node) handler() http.Handler {
+func (n *Server) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+endpoints.Path, n.serveList)
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { answer(w, n.status()) })
@@ -39,7 +39,7 @@
 	mux.HandleFunc("GET /v1/snapshot", n.leaderReads(n.serveSnapshot))
 	mux.HandleFunc("PUT /v1/servers/{name}", n.leaderWrites(n.register))
 	mux.HandleFunc("PATCH /v1/servers/{name}", n.leaderWrites(n.set))
-	mux.HandleFunc("DELETE /v1/servers/{name}", n.leaderWrites(n.ends(catalog.Leave)))
+	mux.HandleFunc("DELETE /v1/servers/{name}", n.leaderWrites(n.ends(catalog.Deregister)))
 	mux.HandleFunc("POST /v1/servers/{name}/drain", n.leaderWrites(n.ends(catalog.Drain)))
 	mux.HandleFunc("POST /v1/renewals", n.leaderWritesAfter(n.heardRenewals, n.renewals))
 	mux.HandleFunc("POST /v1/guard/confirm", n.leaderWrites(n.confirm))
@@ -101,7 +101,7 @@
 func bad(format string, args ...any) error { return &badRequest{fmt.Sprintf(format, args...)} }
 
 // serveList is discovery's form: the whole list, or a watch.
-func (n *Node) serveList(w http.ResponseWriter, r *http.Request) {
+func (n *Server) serveList(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	services, err := parseServices(r.URL.RawQuery)
 	if err != nil {
@@ -124,7 +124,7 @@
 		n.m.calls.WithLabelValues("list", "away").Inc()
 		return
 	}
-	movable := r.Header.Get(endpoints.OthersHeader) != ""
+	movable := r.Header.Get(endpoints.OtherAddressesHeader) != ""
 	if n.raft() == nil || n.fsm.seq() == 0 || n.stale() || movable && n.draining.Load() {
 		// Nobody is to be left without a list that is better than none; but whoever can go to
 		// a steward that has the quorum is better off there.
@@ -167,7 +167,7 @@
 }
 
 // writeWhole writes the whole list, of some services where any are named.
-func (n *Node) writeWhole(w http.ResponseWriter, services []string) {
+func (n *Server) writeWhole(w http.ResponseWriter, services []string) {
 	w.Header().Set("Content-Type", "application/json")
 	if services == nil {
 		_, _ = w.Write(n.hub.wholeList())
@@ -179,7 +179,7 @@
 }
 
 // listBytes is about how many bytes of a list a call is going to write at once.
-func (n *Node) listBytes(services []string, follow bool, since int64) int {
+func (n *Server) listBytes(services []string, follow bool, since int64) int {
 	switch {
 	case services != nil:
 		return n.hub.topics.listBytes(services, since, !follow)
@@ -192,7 +192,7 @@
 // behind deals with a reader whose version this steward has not reached. It may lag, and
 // catches up; or the reader's version is from another life of the service, and the leader
 // raises its own beyond it. Not ok is a steward that lags too far while a better one is there.
-func (n *Node) behind(ctx context.Context, since int64) bool {
+func (n *Server) behind(ctx context.Context, since int64) bool {
 	if since <= n.fsm.seq() || since > n.c.Now().UnixMicro()+dayOfVersions {
 		return true
 	}
@@ -214,7 +214,7 @@
 }
 
 // tellSeen tells the leader of a version that a reader has.
-func (n *Node) tellSeen(seq int64) {
+func (n *Server) tellSeen(seq int64) {
 	ctx, cancel := context.WithTimeout(n.ctx, catchUp)
 	defer cancel()
 	if _, leads := n.elapsed(); leads {
@@ -238,7 +238,7 @@
 // steward may have applied entries that this leader has committed and not applied yet, so all that
 // is committed is applied first: a raise drops the history, and every reader would be sent the
 // whole list for nothing.
-func (n *Node) raiseBeyond(ctx context.Context, seen int64) error {
+func (n *Server) raiseBeyond(ctx context.Context, seen int64) error {
 	if n.fsm.seq() >= seen {
 		return nil
 	}
@@ -252,7 +252,7 @@
 }
 
 // seen raises the version beyond what a reader has, if the leader has not been there.
-func (n *Node) seen(w http.ResponseWriter, r *http.Request) error {
+func (n *Server) seen(w http.ResponseWriter, r *http.Request) error {
 	var b seenBody
 	if err := body(w, r, &b); err != nil {
 		return err
@@ -271,12 +271,12 @@
 const forwarded = "Forwarded-By"
 
 // leaderWrites has the leader carry out a write, wherever it came in.
-func (n *Node) leaderWrites(do func(http.ResponseWriter, *http.Request) error) http.HandlerFunc {
+func (n *Server) leaderWrites(do func(http.ResponseWriter, *http.Request) error) http.HandlerFunc {
 	return n.leaderWritesAfter(func(http.ResponseWriter, *http.Request) error { return nil }, do)
 }
 
 // leaderWritesAfter does something with an admitted write here, before the leader carries it out.
-func (n *Node) leaderWritesAfter(here, do func(http.ResponseWriter, *http.Request) error) http.HandlerFunc {
+func (n *Server) leaderWritesAfter(here, do func(http.ResponseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ok, back := n.calls.write(w)
 		if !ok {
@@ -299,7 +299,7 @@
 
 // leaderReads has the leader answer a read that asks for all that was acknowledged before
 // it; any other is answered here, as far as this steward has come.
-func (n *Node) leaderReads(do http.HandlerFunc) http.HandlerFunc {
+func (n *Server) leaderReads(do http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("consistent") != "1" {
 			do(w, r)
@@ -318,7 +318,7 @@
 }
 
 // pass hands a call to the leader.
-func (n *Node) pass(w http.ResponseWriter, r *http.Request) {
+func (n *Server) pass(w http.ResponseWriter, r *http.Request) {
 	p, known := (*n.table.Load())[n.leader()]
 	if !known || n.leader() == n.c.Name || r.Header.Get(forwarded) != "" {
 		refuse(w, errNoLeader)
@@ -390,7 +390,7 @@
 }
 
 // commit proposes a command and answers with what became of it.
-func (n *Node) commit(w http.ResponseWriter, c catalog.Command) error {
+func (n *Server) commit(w http.ResponseWriter, c catalog.Command) error {
 	res, err := n.propose(c)
 	if err != nil {
 		return err
@@ -408,43 +408,43 @@
 func (r *refusal) Error() string { return string(r.Code) + ": " + r.Text }
 
 // register takes a server's entry; its lease begins.
-func (n *Node) register(w http.ResponseWriter, r *http.Request) error {
-	var h endpoints.Host
+func (n *Server) register(w http.ResponseWriter, r *http.Request) error {
+	var h endpoints.Endpoint
 	if err := body(w, r, &h); err != nil {
 		return err
 	}
-	if h.Host != r.PathValue("name") {
-		return bad("host: %q is not the name in the path", h.Host)
+	if h.Name != r.PathValue("name") {
+		return bad("host: %q is not the name in the path", h.Name)
 	}
 	if err := h.Validate(); err != nil {
 		return bad("%v", err)
 	}
-	if h.Health == endpoints.Gone {
+	if h.Health == endpoints.Removed {
 		return bad("health: a server that is gone doesn't register")
 	}
-	return n.commit(w, catalog.Command{Kind: catalog.Register, Host: &h})
+	return n.commit(w, catalog.Command{Kind: catalog.Register, Endpoint: &h})
 }
 
 // ends drains a server or takes it off the list.
-func (n *Node) ends(kind catalog.Kind) func(http.ResponseWriter, *http.Request) error {
+func (n *Server) ends(kind catalog.Kind) func(http.ResponseWriter, *http.Request) error {
 	return func(w http.ResponseWriter, r *http.Request) error {
 		born, err := strconv.ParseFloat(r.URL.Query().Get("born_ms"), 64)
 		if err != nil {
 			return bad("born_ms: no number in the query")
 		}
-		return n.commit(w, catalog.Command{Kind: kind, Refs: []catalog.Ref{{Name: r.PathValue("name"), BornMs: born}}})
+		return n.commit(w, catalog.Command{Kind: kind, Refs: []catalog.InstanceRef{{Name: r.PathValue("name"), StartedMs: born}}})
 	}
 }
 
-// Renewals is the servers that were heard, and what each is to be told.
-type Renewals struct {
-	Refs  []catalog.Ref  `json:"refs"`
-	Codes []catalog.Code `json:"codes,omitempty"`
-	TTLMs int64          `json:"ttl_ms,omitempty"`
+// RenewalBatch is the servers that were heard, and what each is to be told.
+type RenewalBatch struct {
+	Refs  []catalog.InstanceRef `json:"refs"`
+	Codes []catalog.Code        `json:"codes,omitempty"`
+	TTLMs int64                 `json:"ttl_ms,omitempty"`
 }
 
-func (n *Node) renewals(w http.ResponseWriter, r *http.Request) error {
-	var b Renewals
+func (n *Server) renewals(w http.ResponseWriter, r *http.Request) error {
+	var b RenewalBatch
 	if err := body(w, r, &b); err != nil {
 		return err
 	}
@@ -455,43 +455,43 @@
 	if err != nil {
 		return err
 	}
-	answer(w, Renewals{Refs: []catalog.Ref{}, Codes: codes, TTLMs: n.c.LeaseTTL.Milliseconds()})
+	answer(w, RenewalBatch{Refs: []catalog.InstanceRef{}, Codes: codes, TTLMs: n.c.LeaseTTL.Milliseconds()})
 	return nil
 }
 
-// Word is an operator's word for a server.
-type Word struct {
-	Share  *float64 `json:"share,omitempty"`
-	Health *string  `json:"health,omitempty"`
-	If     int64    `json:"if,omitempty"`
+// ServerOverride is an operator's word for a server.
+type ServerOverride struct {
+	Weight    *float64 `json:"share,omitempty"`
+	Health    *string  `json:"health,omitempty"`
+	IfVersion int64    `json:"if,omitempty"`
 }
 
-func (n *Node) set(w http.ResponseWriter, r *http.Request) error {
-	var b Word
+func (n *Server) set(w http.ResponseWriter, r *http.Request) error {
+	var b ServerOverride
 	if err := body(w, r, &b); err != nil {
 		return err
 	}
-	if b.Share == nil && b.Health == nil {
+	if b.Weight == nil && b.Health == nil {
 		return bad("share, health: neither is given")
 	}
-	return n.commit(w, catalog.Command{Kind: catalog.Set, Name: r.PathValue("name"), Share: b.Share, Health: b.Health, If: b.If})
+	return n.commit(w, catalog.Command{Kind: catalog.SetOverride, Name: r.PathValue("name"), Weight: b.Weight, Health: b.Health, IfVersion: b.IfVersion})
 }
 
-func (n *Node) confirm(w http.ResponseWriter, _ *http.Request) error {
+func (n *Server) confirm(w http.ResponseWriter, _ *http.Request) error {
 	n.log.Warn("an operator confirms that the held servers are gone")
-	return n.commit(w, catalog.Command{Kind: catalog.Confirm})
+	return n.commit(w, catalog.Command{Kind: catalog.ConfirmRemoval})
 }
 
-func (n *Node) serveServers(w http.ResponseWriter, _ *http.Request) {
+func (n *Server) serveServers(w http.ResponseWriter, _ *http.Request) {
 	answer(w, copyAll(n.fsm, entryTable, shallowCopy))
 }
 
-func (n *Node) serveServer(w http.ResponseWriter, r *http.Request) {
+func (n *Server) serveServer(w http.ResponseWriter, r *http.Request) {
 	e := copyOne(n.fsm, entryTable, r.PathValue("name"), shallowCopy)
 	answerOne(w, e, "no server of this name")
 }
 
-func (n *Node) serveSnapshot(w http.ResponseWriter, _ *http.Request) {
+func (n *Server) serveSnapshot(w http.ResponseWriter, _ *http.Request) {
 	var text []byte
 	var err error
 	n.fsm.read(func(s *catalog.State) { text, err = s.Encode() })
@@ -504,7 +504,7 @@
 }
 
 // restore puts a snapshot in place of the state. The version goes on from where it was.
-func (n *Node) restore(w http.ResponseWriter, r *http.Request) error {
+func (n *Server) restore(w http.ResponseWriter, r *http.Request) error {
 	text, err := readBody(w, r)
 	if err != nil {
 		return err
@@ -522,7 +522,7 @@
 	n.fsm.read(func(s *catalog.State) { // all that it names have their full time
 		n.base, n.ledSince = max(n.base+time.Since(n.ledSince), s.Clock), time.Now()
 		if n.leases != nil {
-			n.leases, n.tenures = catalog.Lead(n.c.leases(), s, n.base), catalog.Succeed(n.base)
+			n.leases, n.tenures = catalog.NewRegistrationLeases(n.c.leases(), s, n.base), catalog.NewTaskLeases(n.base)
 		}
 	})
 	n.lead.Unlock()
@@ -532,7 +532,7 @@
 }
 
 // addPeer takes a steward in: it hears all first, and votes once it has caught up.
-func (n *Node) addPeer(w http.ResponseWriter, r *http.Request) error {
+func (n *Server) addPeer(w http.ResponseWriter, r *http.Request) error {
 	name := r.PathValue("name")
 	if _, known := n.raftAddr(name); !known {
 		return bad("peer %s: not in the leader's table of peers", name)
@@ -571,7 +571,7 @@
 }
 
 // removePeer takes a steward off the voters.
-func (n *Node) removePeer(w http.ResponseWriter, r *http.Request) error {
+func (n *Server) removePeer(w http.ResponseWriter, r *http.Request) error {
 	name := r.PathValue("name")
 	if name == n.c.Name && len(n.voters()) == 1 {
 		return bad("peer %s: it is the only one that votes", name)
--- a/internal/control/arrival.go
+++ b/internal/control/arrival.go
@@ -27,9 +27,9 @@
 // arrivalLoop obtains this process's incarnation number from the catalog and gossips it. It
 // ends the process if its name belongs to another one, and returns then or when the steward
 // stops.
-func (n *Node) arrivalLoop() {
+func (n *Server) arrivalLoop() {
 	c := NewClient(nil, applyWait+peerWait)
-	c.Table = n.addresses
+	c.AddressSource = n.addresses
 	t := time.NewTicker(arrivalInterval)
 	defer t.Stop()
 	var conflictSince time.Time // when the name began to seem another process's; zero if it doesn't
@@ -42,9 +42,9 @@
 		})
 		had := n.gossip.Self().Incarnation
 		switch {
-		case mine.ID == n.id && mine.Life == n.startID:
+		case mine.ID == n.id && mine.BootID == n.startID:
 			if had != mine.Incarnation {
-				n.gossip.Say(func(i *member.Info) { i.Incarnation = mine.Incarnation })
+				n.gossip.UpdateSelf(func(i *member.Info) { i.Incarnation = mine.Incarnation })
 				n.log.Info("arrived", "incarnation", mine.Incarnation)
 			}
 		case had > 0 && mine.Incarnation > had && mine.ID == n.id:
@@ -76,17 +76,17 @@
 
 // present reports whether the membership view holds a process of this name to be present, and
 // the identity of its data folder.
-func (n *Node) present(name string) (id string, is bool) {
+func (n *Server) present(name string) (id string, is bool) {
 	if n.gossip == nil {
 		return "", false
 	}
-	n.gossip.Do(func(_ time.Duration, t *member.Tracker) { id, is = t.Folder(name) })
+	n.gossip.WithTracker(func(_ time.Duration, t *member.Tracker) { id, is = t.DataID(name) })
 	return id, is
 }
 
 // another returns a refusal if a process other than the one with this identity is present
 // under the name.
-func (n *Node) another(name, id string) error {
+func (n *Server) another(name, id string) error {
 	if has, is := n.present(name); is && id != "" && has != "" && has != id {
 		if n.repeatedLogs.Allow() {
 			n.log.Error("a second process came with the name of one that is there", "name", name)
@@ -98,7 +98,7 @@
 
 // takeArrival gives a process of the control plane its incarnation number. It refuses a name
 // that isn't in the table of peers or that another present process has.
-func (n *Node) takeArrival(w http.ResponseWriter, r *http.Request) error {
+func (n *Server) takeArrival(w http.ResponseWriter, r *http.Request) error {
 	var b arrivalBody
 	if err := body(w, r, &b); err != nil {
 		return err
@@ -111,5 +111,5 @@
 		return err
 	}
 	id, is := n.present(name)
-	return n.commit(w, catalog.Command{Kind: catalog.Arrive, Member: &catalog.Member{Name: name, ID: b.ID, Life: b.Life, Gone: !is || id == b.ID}})
+	return n.commit(w, catalog.Command{Kind: catalog.RegisterMember, Member: &catalog.Member{Name: name, ID: b.ID, BootID: b.Life, PredecessorAbsent: !is || id == b.ID}})
 }
--- a/internal/control/balance.go
+++ b/internal/control/balance.go
@@ -8,7 +8,7 @@
 // watchLoop sends watches to other stewards: all of them once this steward is stale and
 // another can serve them, and a few at a time when others have fewer. It also measures the
 // lag behind the leader that makes a steward stale. It returns when the steward stops.
-func (n *Node) watchLoop() {
+func (n *Server) watchLoop() {
 	t := time.NewTicker(min(n.c.StaleAfter/4, statusMaxAge))
 	defer t.Stop()
 	var behind progress
@@ -37,7 +37,7 @@
 
 // noteCommitted records the leader's commit index, against which this steward's lag is
 // measured.
-func (n *Node) noteCommitted(behind *progress, found []Status) {
+func (n *Server) noteCommitted(behind *progress, found []Status) {
 	for i := range found {
 		if st := &found[i]; st.State == "leader" && st.Term >= n.raft().CurrentTerm() {
 			behind.saw(time.Since(n.began), st.Committed)
@@ -46,7 +46,7 @@
 }
 
 // endWatches ends all watches of a stale steward, so that their readers go to another.
-func (n *Node) endWatches() {
+func (n *Server) endWatches() {
 	ended := n.hub.endAll()
 	if ended == 0 {
 		return
@@ -56,7 +56,7 @@
 }
 
 // rebalance ends a small part of the watches if other stewards have fewer.
-func (n *Node) rebalance(found []Status) {
+func (n *Server) rebalance(found []Status) {
 	moved := n.hub.move(surplus(n.hub.load(), peerLoads(found)))
 	if moved == 0 {
 		return
@@ -78,7 +78,7 @@
 // drain moves the watches that can go to other stewards, in steps spread over the configured
 // time, so that the others aren't hit by all of them at once. It does nothing but set the
 // draining flag if no other steward can serve.
-func (n *Node) drain() {
+func (n *Server) drain() {
 	n.draining.Store(true)
 	if n.c.Drain <= 0 || !n.betterElsewhere() {
 		return
--- a/internal/control/barrier.go
+++ b/internal/control/barrier.go
@@ -23,19 +23,19 @@
 // barrier waits until every entry that was in the log when it was called is applied here,
 // which makes a read that follows it linearizable. It returns errNoLeader if that can't be
 // shown, or the context's error.
-func (n *Node) barrier(ctx context.Context) error {
+func (n *Server) barrier(ctx context.Context) error {
 	return n.joinBarrier(ctx, &n.readBarriers, func() error { return n.raft().Barrier(applyWait).Error() })
 }
 
 // verifyLeader has a quorum confirm that this steward led when verifyLeader was called. It
 // returns errNoLeader if it can't be shown, or the context's error.
-func (n *Node) verifyLeader(ctx context.Context) error {
+func (n *Server) verifyLeader(ctx context.Context) error {
 	return n.joinBarrier(ctx, &n.leaderChecks, func() error { return n.raft().VerifyLeader().Error() })
 }
 
 // joinBarrier waits for the next check of b, starting the goroutine that runs them if there
 // is none.
-func (n *Node) joinBarrier(ctx context.Context, b *barriers, check func() error) error {
+func (n *Server) joinBarrier(ctx context.Context, b *barriers, check func() error) error {
 	b.mu.Lock()
 	if b.next == nil {
 		b.next = &barrier{done: make(chan struct{})}
@@ -55,7 +55,7 @@
 }
 
 // runBarriers runs checks one after the other until no call waits for one.
-func (n *Node) runBarriers(b *barriers, check func() error) {
+func (n *Server) runBarriers(b *barriers, check func() error) {
 	for {
 		b.mu.Lock()
 		current := b.next
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -16,10 +16,10 @@
 // Client speaks to stewards: to the first of its addresses that answers. One that did not
 // is asked last from then on.
 type Client struct {
-	Addrs []string
-	Table func() []string // the addresses as they are now, in place of those; nil: those
-	HTTP  *http.Client
-	first atomic.Int64
+	Addrs         []string
+	AddressSource func() []string // the addresses as they are now, in place of those; nil: those
+	HTTP          *http.Client
+	first         atomic.Int64
 }
 
 // NewClient makes a client whose calls may take as long as given.
@@ -33,8 +33,8 @@
 	err := errors.New("no address of a steward")
 	first := c.first.Load()
 	addrs := c.Addrs
-	if c.Table != nil {
-		addrs = c.Table()
+	if c.AddressSource != nil {
+		addrs = c.AddressSource()
 	}
 	for i := range addrs {
 		addr := addrs[(int(first)+i)%len(addrs)]
@@ -56,17 +56,17 @@
 }
 
 // Register puts an entry into the list.
-func (c *Client) Register(ctx context.Context, h endpoints.Host) (r catalog.Result, err error) {
-	return r, c.do(ctx, http.MethodPut, "/v1/servers/"+h.Host, h, &r)
+func (c *Client) Register(ctx context.Context, h endpoints.Endpoint) (r catalog.Result, err error) {
+	return r, c.do(ctx, http.MethodPut, "/v1/servers/"+h.Name, h, &r)
 }
 
 // Renew says that the processes are there.
-func (c *Client) Renew(ctx context.Context, refs []catalog.Ref) (r Renewals, err error) {
-	return r, c.do(ctx, http.MethodPost, "/v1/renewals", Renewals{Refs: refs}, &r)
+func (c *Client) Renew(ctx context.Context, refs []catalog.InstanceRef) (r RenewalBatch, err error) {
+	return r, c.do(ctx, http.MethodPost, "/v1/renewals", RenewalBatch{Refs: refs}, &r)
 }
 
-// Set gives an operator's word for a server.
-func (c *Client) Set(ctx context.Context, name string, w Word) (r catalog.Result, err error) {
+// SetOverride gives an operator's word for a server.
+func (c *Client) SetOverride(ctx context.Context, name string, w ServerOverride) (r catalog.Result, err error) {
 	return r, c.do(ctx, http.MethodPatch, "/v1/servers/"+name, w, &r)
 }
 
@@ -113,8 +113,8 @@
 // MarshalJSON returns the text as it is.
 func (r rawJSON) MarshalJSON() ([]byte, error) { return r, nil }
 
-// Peer takes a steward in, or off the voters.
-func (c *Client) Peer(ctx context.Context, name string, add bool) (st Status, err error) {
+// ChangePeer takes a steward in, or off the voters.
+func (c *Client) ChangePeer(ctx context.Context, name string, add bool) (st Status, err error) {
 	method := http.MethodDelete
 	if add {
 		method = http.MethodPut
@@ -122,8 +122,8 @@
 	return st, c.do(ctx, method, "/v1/peers/"+name, nil, &st)
 }
 
-// Confirm says that the servers that are held are gone.
-func (c *Client) Confirm(ctx context.Context) error {
+// ConfirmRemovals says that the servers that are held are gone.
+func (c *Client) ConfirmRemovals(ctx context.Context) error {
 	return c.do(ctx, http.MethodPost, "/v1/guard/confirm", nil, nil)
 }
 
@@ -133,12 +133,12 @@
 }
 
 // RenewSession says that the process is there.
-func (c *Client) RenewSession(ctx context.Context, process, id string, rev int64) (t leaderelection.Tasks, err error) {
+func (c *Client) RenewSession(ctx context.Context, process, id string, rev int64) (t leaderelection.AssignmentUpdate, err error) {
 	return t, sessionError(c.do(ctx, http.MethodPost, "/v1/sessions/"+process+"/renewal", renewalBody{id, rev}, &t))
 }
 
 // WatchSession waits a while for a later revision.
-func (c *Client) WatchSession(ctx context.Context, process, id string, rev int64) (t leaderelection.Tasks, err error) {
+func (c *Client) WatchSession(ctx context.Context, process, id string, rev int64) (t leaderelection.AssignmentUpdate, err error) {
 	return t, sessionError(c.do(ctx, http.MethodGet, fmt.Sprintf("/v1/sessions/%s/tasks?id=%s&rev=%d", process, id, rev), nil, &t))
 }
 
@@ -151,8 +151,8 @@
 	return sessionError(c.do(ctx, http.MethodDelete, "/v1/sessions/"+process+"?id="+id+query, nil, nil))
 }
 
-// Terms tells what became of terms. A term that is over by now is no error.
-func (c *Client) Terms(ctx context.Context, kind catalog.Kind, ties []catalog.Tie, why string) error {
+// ReportTerms tells what became of terms. A term that is over by now is no error.
+func (c *Client) ReportTerms(ctx context.Context, kind catalog.Kind, ties []catalog.TermRef, why string) error {
 	err := c.do(ctx, http.MethodPost, "/v1/terms", termsBody{kind, ties, why}, nil)
 	var refused *HTTPError
 	if errors.As(err, &refused) && refused.Status/100 == 4 {
@@ -169,20 +169,20 @@
 	}
 	switch {
 	case refused.Status == http.StatusNotFound:
-		return fmt.Errorf("%w: %v", leaderelection.ErrGone, err)
+		return fmt.Errorf("%w: %v", leaderelection.ErrSessionExpired, err)
 	case refused.Status == http.StatusConflict:
-		return fmt.Errorf("%w: %v", leaderelection.ErrTaken, err)
+		return fmt.Errorf("%w: %v", leaderelection.ErrNameTaken, err)
 	}
 	return err
 }
 
-// Duties reads all duties.
-func (c *Client) Duties(ctx context.Context) (all []catalog.Duty, err error) {
+// Tasks reads all duties.
+func (c *Client) Tasks(ctx context.Context) (all []catalog.LeasedTask, err error) {
 	return all, c.do(ctx, http.MethodGet, "/v1/duties?consistent=1", nil, &all)
 }
 
-// Duty reads one.
-func (c *Client) Duty(ctx context.Context, name string) (d catalog.Duty, err error) {
+// Task reads one.
+func (c *Client) Task(ctx context.Context, name string) (d catalog.LeasedTask, err error) {
 	return d, c.do(ctx, http.MethodGet, "/v1/duties/"+name+"?consistent=1", nil, &d)
 }
 
@@ -191,23 +191,23 @@
 	return all, c.do(ctx, http.MethodGet, "/v1/sessions?consistent=1", nil, &all)
 }
 
-// Define makes a duty, or changes whom it prefers.
-func (c *Client) Define(ctx context.Context, name string, b DutyBody) error {
+// DefineTask makes a duty, or changes whom it prefers.
+func (c *Client) DefineTask(ctx context.Context, name string, b TaskDefinition) error {
 	return c.do(ctx, http.MethodPut, "/v1/duties/"+name, b, nil)
 }
 
-// Claim asks for a duty that nobody holds, for a session.
-func (c *Client) Claim(ctx context.Context, name, process, id string) (r catalog.Result, err error) {
+// ClaimTask asks for a duty that nobody holds, for a session.
+func (c *Client) ClaimTask(ctx context.Context, name, process, id string) (r catalog.Result, err error) {
 	return r, c.do(ctx, http.MethodPost, "/v1/duties/"+name+"/claim", claimBody{process, id}, &r)
 }
 
-// GiveUp ends a term.
-func (c *Client) GiveUp(ctx context.Context, t catalog.Tie) error {
-	return c.do(ctx, http.MethodPost, "/v1/terms", termsBody{catalog.GiveUp, []catalog.Tie{t}, catalog.WhyDone}, nil)
+// ReleaseTerm ends a term.
+func (c *Client) ReleaseTerm(ctx context.Context, t catalog.TermRef) error {
+	return c.do(ctx, http.MethodPost, "/v1/terms", termsBody{catalog.ReleaseTerm, []catalog.TermRef{t}, catalog.ReasonCompleted}, nil)
 }
 
-// Order gives an operator's word on a duty: move, revoke, park, unpark, or drop.
-func (c *Client) Order(ctx context.Context, name, word, to, why string) error {
+// CommandTask gives an operator's word on a duty: move, revoke, park, unpark, or drop.
+func (c *Client) CommandTask(ctx context.Context, name, word, to, why string) error {
 	if word == "drop" {
 		return c.do(ctx, http.MethodDelete, "/v1/duties/"+name, nil, nil)
 	}
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -23,10 +23,10 @@
 
 // Peer is how a steward reaches one, by a table of its own.
 type Peer struct {
-	HTTP   string `koanf:"http"`
-	Raft   string `koanf:"raft"`
-	Gossip string `koanf:"gossip"` // "": it doesn't gossip
-	Spare  bool   `koanf:"spare"`  // in a fleet that begins, it hears all and doesn't vote
+	HTTP     string `koanf:"http"`
+	Raft     string `koanf:"raft"`
+	Gossip   string `koanf:"gossip"` // "": it doesn't gossip
+	NonVoter bool   `koanf:"spare"`  // in a fleet that begins, it hears all and doesn't vote
 }
 
 // Config is a steward's configuration: file, then environment, then flags.
@@ -61,15 +61,15 @@
 	AuditEvery    time.Duration `koanf:"audit_every"` // the list against what servers say; 0: never
 	LogLevel      string        `koanf:"log_level"`
 
-	Now func() time.Time                  `koanf:"-"` // the machine's clock, of which no more is asked than a hint
-	Log func(raft.LogStore) raft.LogStore `koanf:"-"` // stands before the log on the disk
+	Now          func() time.Time                  `koanf:"-"` // the machine's clock, of which no more is asked than a hint
+	WrapLogStore func(raft.LogStore) raft.LogStore `koanf:"-"` // stands before the log on the disk
 }
 
 // Defaults are those of a steward that stands alone on this machine.
 func Defaults() Config {
 	return Config{Name: "steward", Listen: "127.0.0.1:8500", Raft: "127.0.0.1:8501",
 		LeaseTTL: 6 * time.Second, GuardShare: 0.4, GuardWindow: 10 * time.Second,
-		Heartbeat: 500 * time.Millisecond, StaleAfter: 5 * time.Second, Coalesce: 5 * time.Millisecond, Drain: 2 * time.Second, Evidence: true, ReplaceAfter: 30 * time.Second, Now: time.Now, Log: func(s raft.LogStore) raft.LogStore { return s },
+		Heartbeat: 500 * time.Millisecond, StaleAfter: 5 * time.Second, Coalesce: 5 * time.Millisecond, Drain: 2 * time.Second, Evidence: true, ReplaceAfter: 30 * time.Second, Now: time.Now, WrapLogStore: func(s raft.LogStore) raft.LogStore { return s },
 		MaxWatches: 20_000, CallRate: 2000, MaxWrites: 1024, SnapshotEvery: 8192, SnapshotCheck: 20 * time.Second, LogLevel: "info"}
 }
 
@@ -124,12 +124,12 @@
 		bad bool
 		say string
 	}{
-		{"name", !endpoints.IsWord(c.Name, 64), "must be a word"},
+		{"name", !endpoints.IsToken(c.Name, 64), "must be a word"},
 		{"data", c.Data == "", "missing: the folder that holds the log and the snapshots"},
 		{"listen", !endpoints.IsAddress(c.Listen), fmt.Sprintf("no address with a port: %q", c.Listen)},
 		{"raft", !endpoints.IsAddress(c.Raft), fmt.Sprintf("no address with a port: %q", c.Raft)},
 		{"gossip", c.Gossip != "" && !endpoints.IsAddress(c.Gossip), fmt.Sprintf("no address with a port: %q", c.Gossip)},
-		{"zone", c.Zone != "" && !endpoints.IsWord(c.Zone, endpoints.MaxWord), "must be a word"},
+		{"zone", c.Zone != "" && !endpoints.IsToken(c.Zone, endpoints.MaxLabel), "must be a word"},
 		{"voters", c.Voters < 0 || c.Voters > 9, fmt.Sprintf("must be 0 to 9, is %d", c.Voters)},
 		{"voters", c.Voters > 0 && c.Gossip == "", "needs gossip, which tells who has failed"},
 		{"replace_after", c.ReplaceAfter < time.Second, fmt.Sprintf("must be 1s or above, is %v", c.ReplaceAfter)},
@@ -155,7 +155,7 @@
 	}
 	for name, p := range c.Peers {
 		switch {
-		case !endpoints.IsWord(name, 64):
+		case !endpoints.IsToken(name, 64):
 			return fmt.Errorf("configuration: peers: %q is no name", name)
 		case !endpoints.IsAddress(p.HTTP):
 			return fmt.Errorf("configuration: peers.%s.http: no address with a port: %q", name, p.HTTP)
@@ -169,7 +169,7 @@
 }
 
 func (c *Config) leases() catalog.LeaseConfig {
-	return catalog.LeaseConfig{TTL: c.LeaseTTL, Share: c.GuardShare, Window: c.GuardWindow}
+	return catalog.LeaseConfig{TTL: c.LeaseTTL, MassFailureShare: c.GuardShare, MassFailureWindow: c.GuardWindow}
 }
 
 // others names the peers but for this steward, in order.
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -38,7 +38,7 @@
 
 func (st *stand) apply(t *testing.T, c catalog.Command) catalog.Result {
 	t.Helper()
-	c.Form = catalog.Form
+	c.FormatVersion = catalog.FormatVersion
 	text, err := json.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
@@ -49,8 +49,8 @@
 
 func (st *stand) register(t *testing.T, name string, born float64) {
 	t.Helper()
-	h := endpoints.Host{Host: name, Dial: "127.0.0.1:1", Health: endpoints.Ready, Share: 1, BornMs: born}
-	if r := st.apply(t, catalog.Command{Kind: catalog.Register, Host: &h}); r.Code != catalog.Done {
+	h := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 1, StartedMs: born}
+	if r := st.apply(t, catalog.Command{Kind: catalog.Register, Endpoint: &h}); r.Code != catalog.Done {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -83,12 +83,12 @@
 	r.lines = append(r.lines, string(p))
 	var l endpoints.List
 	if len(p) > 1 && json.Unmarshal(p, &l) == nil {
-		if l.Whole {
+		if l.Full {
 			clear(r.have)
 		}
-		for _, h := range l.Hosts {
-			if r.have[h.Host] = h.BornMs; h.Health == endpoints.Gone {
-				delete(r.have, h.Host)
+		for _, h := range l.Endpoints {
+			if r.have[h.Name] = h.StartedMs; h.Health == endpoints.Removed {
+				delete(r.have, h.Name)
 			}
 		}
 		r.seq = l.Seq
@@ -296,7 +296,7 @@
 	defer close(hang)
 	c := NewClient(addrs, 200*time.Millisecond)
 	for i, want := range []bool{false, true, true} {
-		if _, err := c.Set(t.Context(), "s", Word{}); (err == nil) != want {
+		if _, err := c.SetOverride(t.Context(), "s", ServerOverride{}); (err == nil) != want {
 			t.Errorf("call %d: %v", i, err)
 		}
 	}
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -32,14 +32,14 @@
 )
 
 // defineOwn has the stewards' own duties be there.
-func (n *Node) defineOwn() {
+func (n *Server) defineOwn() {
 	for _, name := range []string{sweepDuty, snapshotDuty, auditDuty, votersDuty} {
 		known := false
-		n.fsm.read(func(s *catalog.State) { known = s.Duties[name] != nil })
+		n.fsm.read(func(s *catalog.State) { known = s.LeasedTasks[name] != nil })
 		if known {
 			continue
 		}
-		if _, err := n.propose(catalog.Command{Kind: catalog.Define, Duty: &catalog.Duty{Name: name, TTL: ownTTL}}); err != nil {
+		if _, err := n.propose(catalog.Command{Kind: catalog.DefineTask, LeasedTask: &catalog.LeasedTask{Name: name, TTL: ownTTL}}); err != nil {
 			n.log.Warn("a duty was not defined", "duty", name, "err", err)
 			return
 		}
@@ -47,7 +47,7 @@
 }
 
 // assign proposes what sessions and duties call for: who has none any more, who gets which.
-func (n *Node) assign() {
+func (n *Server) assign() {
 	now, leads := n.elapsed()
 	if !leads {
 		return
@@ -64,9 +64,9 @@
 			n.log.Warn("not proposed", "command", c.Kind, "err", err)
 			return
 		}
-		n.m.hands.WithLabelValues(string(c.Kind)).Add(float64(max(len(c.Ties), 1)))
-		if len(c.Ties) > 0 {
-			n.log.Info("duties", "command", c.Kind, "count", len(c.Ties), "first", c.Ties[0].Name, "process", c.Ties[0].Process)
+		n.m.hands.WithLabelValues(string(c.Kind)).Add(float64(max(len(c.Terms), 1)))
+		if len(c.Terms) > 0 {
+			n.log.Info("duties", "command", c.Kind, "count", len(c.Terms), "first", c.Terms[0].Name, "process", c.Terms[0].Process)
 		} else {
 			n.log.Info("duties", "command", c.Kind, "process", c.Session.Process)
 		}
@@ -74,12 +74,12 @@
 }
 
 // serveDuties has this steward take its part of the duties.
-func (n *Node) serveDuties() {
+func (n *Server) serveDuties() {
 	ctx, stop := context.WithCancel(context.Background())
 	n.stopHolder, n.holderDone = stop, make(chan struct{})
 	c := NewClient(nil, pollWait+5*time.Second)
-	c.Table = n.addresses
-	n.holder = leaderelection.NewRunner(leaderelection.Config{Process: n.c.Name, Cap: ownCap, Service: c, Log: n.log,
+	c.AddressSource = n.addresses
+	n.holder = leaderelection.NewRunner(leaderelection.Config{Process: n.c.Name, MaxTasks: ownCap, Service: c, Log: n.log,
 		Kinds: map[string]leaderelection.Function{sweepDuty: haveLeader(c, "/v1/sweep", sweepEvery), snapshotDuty: n.doSnapshots(c), auditDuty: n.doAudit(c), votersDuty: haveLeader(c, "/v1/voters", votersInterval)}})
 	go func() {
 		defer close(n.holderDone)
@@ -88,7 +88,7 @@
 }
 
 // addresses are those of all stewards as the table has them now, this one's first.
-func (n *Node) addresses() []string {
+func (n *Server) addresses() []string {
 	table := *n.table.Load()
 	addrs := []string{n.c.Listen}
 	for _, name := range slices.Sorted(maps.Keys(table)) {
@@ -100,7 +100,7 @@
 }
 
 // leaveDuties hands over what this steward holds.
-func (n *Node) leaveDuties() {
+func (n *Server) leaveDuties() {
 	if n.stopHolder != nil {
 		n.stopHolder()
 		<-n.holderDone
@@ -141,7 +141,7 @@
 const mostSaved = 8
 
 // doSnapshots keeps copies of the state in the data folder of whoever has the duty.
-func (n *Node) doSnapshots(c *Client) leaderelection.Function {
+func (n *Server) doSnapshots(c *Client) leaderelection.Function {
 	return func(ctx context.Context, _ string, fence int64) error {
 		if n.c.SaveEvery <= 0 {
 			<-ctx.Done()
@@ -167,13 +167,13 @@
 
 // save writes a copy whole or not at all, named by when it was made and under which fence,
 // and drops the oldest beyond those that are kept.
-func (n *Node) save(text []byte, fence int64) error {
+func (n *Server) save(text []byte, fence int64) error {
 	dir := filepath.Join(n.c.Data, "saved")
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	name := filepath.Join(dir, fmt.Sprintf("%020d-%d.json", n.c.Now().UnixMicro(), fence))
-	if err := WriteWhole(name, text); err != nil {
+	if err := WriteFileAtomic(name, text); err != nil {
 		return err
 	}
 	all, err := filepath.Glob(filepath.Join(dir, "*.json"))
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// WriteWhole writes a file whole or not at all, and has it on the disk before it returns.
-func WriteWhole(name string, text []byte) error {
+// WriteFileAtomic writes a file whole or not at all, and has it on the disk before it returns.
+func WriteFileAtomic(name string, text []byte) error {
 	f, err := os.OpenFile(name+".part", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -209,7 +209,7 @@
 
 // doAudit asks each listed server how it is, and says where the list is of another mind. It
 // changes nothing: one observer is no evidence against a server.
-func (n *Node) doAudit(c *Client) leaderelection.Function {
+func (n *Server) doAudit(c *Client) leaderelection.Function {
 	client := &http.Client{Timeout: auditWait, Transport: &http.Transport{DisableKeepAlives: true}}
 	return func(ctx context.Context, _ string, fence int64) error {
 		if n.c.AuditEvery <= 0 {
@@ -221,14 +221,14 @@
 			if err != nil {
 				continue
 			}
-			unlike := audit(ctx, client, l.Hosts)
+			unlike := audit(ctx, client, l.Endpoints)
 			if ctx.Err() != nil {
 				return nil
 			}
 			n.m.audited.Inc()
 			n.m.unlike.Set(float64(len(unlike)))
 			if len(unlike) > 0 {
-				n.log.Warn("the list is of another mind than servers", "servers", len(unlike), "of", len(l.Hosts), "first", unlike[0], "fence", fence)
+				n.log.Warn("the list is of another mind than servers", "servers", len(unlike), "of", len(l.Endpoints), "first", unlike[0], "fence", fence)
 			}
 		}
 		return nil
@@ -236,7 +236,7 @@
 }
 
 // audit returns the servers that are listed as ready and don't say so themselves, in order.
-func audit(ctx context.Context, client *http.Client, hosts []endpoints.Host) (unlike []string) {
+func audit(ctx context.Context, client *http.Client, hosts []endpoints.Endpoint) (unlike []string) {
 	places := make(chan struct{}, auditMany)
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -259,7 +259,7 @@
 			}
 			if err != nil || resp.StatusCode != http.StatusOK {
 				mu.Lock()
-				unlike = append(unlike, h.Host)
+				unlike = append(unlike, h.Name)
 				mu.Unlock()
 			}
 		}()
@@ -269,7 +269,7 @@
 	return unlike
 }
 
-func (n *Node) handleDuties(mux *http.ServeMux) {
+func (n *Server) handleDuties(mux *http.ServeMux) {
 	mux.HandleFunc("PUT /v1/sessions/{process}", n.leaderWrites(n.openSession))
 	mux.HandleFunc("DELETE /v1/sessions/{process}", n.leaderWrites(n.endSession))
 	mux.HandleFunc("POST /v1/sessions/{process}/renewal", n.leaderWrites(n.renewSession))
@@ -279,12 +279,12 @@
 	mux.HandleFunc("GET /v1/duties", n.leaderReads(n.serveDutyList))
 	mux.HandleFunc("GET /v1/duties/{name}", n.leaderReads(n.serveDuty))
 	mux.HandleFunc("PUT /v1/duties/{name}", n.leaderWrites(n.define))
-	mux.HandleFunc("DELETE /v1/duties/{name}", n.leaderWrites(n.order(catalog.Drop)))
+	mux.HandleFunc("DELETE /v1/duties/{name}", n.leaderWrites(n.order(catalog.DeleteTask)))
 	mux.HandleFunc("POST /v1/duties/{name}/claim", n.leaderWrites(n.claim))
 	mux.HandleFunc("POST /v1/duties/{name}/move", n.leaderWrites(n.move))
-	mux.HandleFunc("POST /v1/duties/{name}/revoke", n.leaderWrites(n.order(catalog.Revoke)))
-	mux.HandleFunc("POST /v1/duties/{name}/park", n.leaderWrites(n.order(catalog.Park)))
-	mux.HandleFunc("POST /v1/duties/{name}/unpark", n.leaderWrites(n.order(catalog.Unpark)))
+	mux.HandleFunc("POST /v1/duties/{name}/revoke", n.leaderWrites(n.order(catalog.RevokeTerm)))
+	mux.HandleFunc("POST /v1/duties/{name}/park", n.leaderWrites(n.order(catalog.Suspend)))
+	mux.HandleFunc("POST /v1/duties/{name}/unpark", n.leaderWrites(n.order(catalog.Resume)))
 	mux.HandleFunc("POST /v1/voters", n.leaderWrites(n.stepVoters))
 	mux.HandleFunc("POST /v1/sweep", n.leaderWrites(func(w http.ResponseWriter, r *http.Request) error {
 		var b fenceBody
@@ -299,19 +299,19 @@
 	}))
 }
 
-func (n *Node) openSession(w http.ResponseWriter, r *http.Request) error {
+func (n *Server) openSession(w http.ResponseWriter, r *http.Request) error {
 	var s catalog.Session
 	if err := body(w, r, &s); err != nil {
 		return err
 	}
-	s.Process, s.Rev, s.Opened, s.Resting = r.PathValue("process"), 0, 0, false
-	return n.commit(w, catalog.Command{Kind: catalog.Open, Session: &s})
+	s.Process, s.Revision, s.Opened, s.Draining = r.PathValue("process"), 0, 0, false
+	return n.commit(w, catalog.Command{Kind: catalog.OpenSession, Session: &s})
 }
 
-func (n *Node) endSession(w http.ResponseWriter, r *http.Request) error {
-	kind := catalog.Close
+func (n *Server) endSession(w http.ResponseWriter, r *http.Request) error {
+	kind := catalog.CloseSession
 	if r.URL.Query().Get("rest") == "1" {
-		kind = catalog.Rest
+		kind = catalog.DrainSession
 	}
 	return n.commit(w, catalog.Command{Kind: kind, Session: &catalog.Session{Process: r.PathValue("process"), ID: r.URL.Query().Get("id")}})
 }
@@ -323,7 +323,7 @@
 
 // renewSession notes that a process was heard. It is answered only by one that is shown to
 // have led when it was: what another promises later is later by the whole time.
-func (n *Node) renewSession(w http.ResponseWriter, r *http.Request) error {
+func (n *Server) renewSession(w http.ResponseWriter, r *http.Request) error {
 	var b renewalBody
 	if err := body(w, r, &b); err != nil {
 		return err
@@ -334,15 +334,15 @@
 		return errNoLeader
 	}
 	var code catalog.Code
-	var t leaderelection.Tasks
+	var t leaderelection.AssignmentUpdate
 	n.lead.Lock()
 	if n.tenures == nil {
 		n.lead.Unlock()
 		return errNoLeader
 	}
 	n.fsm.read(func(s *catalog.State) {
-		if code = n.tenures.Heard(s, process, b.ID, now); code == catalog.Done {
-			t.Tasks, t.Rev, _ = s.Tasks(process, b.ID)
+		if code = n.tenures.Renew(s, process, b.ID, now); code == catalog.Done {
+			t.Assignments, t.Revision, _ = s.Assignments(process, b.ID)
 		}
 	})
 	n.lead.Unlock()
@@ -358,8 +358,8 @@
 	if err := n.verifyLeader(r.Context()); err != nil {
 		return err
 	}
-	if t.Rev <= b.Rev {
-		t.Tasks = nil
+	if t.Revision <= b.Rev {
+		t.Assignments = nil
 	}
 	answer(w, t)
 	return nil
@@ -369,7 +369,7 @@
 const mostPolls = 4 * catalog.MaxSessions
 
 // serveTasks waits until what a session is to do is later than what it knows, or a while.
-func (n *Node) serveTasks(w http.ResponseWriter, r *http.Request) {
+func (n *Server) serveTasks(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	rev, err := strconv.ParseInt(q.Get("rev"), 10, 64)
 	if err != nil || rev < 0 {
@@ -390,7 +390,7 @@
 		case !ok && n.stale(), !ok && n.raft() == nil:
 			refuse(w, errNoLeader)
 			return
-		case ok && t.Rev > rev:
+		case ok && t.Revision > rev:
 			answer(w, t)
 			return
 		}
@@ -405,30 +405,30 @@
 			http.Error(w, "unknown: no session of "+r.PathValue("process"), http.StatusNotFound)
 			return
 		}
-		answer(w, leaderelection.Tasks{Rev: t.Rev})
+		answer(w, leaderelection.AssignmentUpdate{Revision: t.Revision})
 		return
 	}
 }
 
 type termsBody struct {
-	Kind catalog.Kind  `json:"kind"`
-	Ties []catalog.Tie `json:"ties"`
-	Why  string        `json:"why,omitempty"`
+	Kind catalog.Kind      `json:"kind"`
+	Ties []catalog.TermRef `json:"ties"`
+	Why  string            `json:"why,omitempty"`
 }
 
 // terms takes what holders say of their terms.
-func (n *Node) terms(w http.ResponseWriter, r *http.Request) error {
+func (n *Server) terms(w http.ResponseWriter, r *http.Request) error {
 	var b termsBody
 	if err := body(w, r, &b); err != nil {
 		return err
 	}
-	if b.Kind != catalog.GiveUp && b.Kind != catalog.Accept {
-		return bad("kind: must be %q or %q", catalog.GiveUp, catalog.Accept)
+	if b.Kind != catalog.ReleaseTerm && b.Kind != catalog.AcceptTransfer {
+		return bad("kind: must be %q or %q", catalog.ReleaseTerm, catalog.AcceptTransfer)
 	}
 	if len(b.Ties) == 0 || len(b.Ties) > maxRefs {
 		return bad("ties: must be 1 to %d", maxRefs)
 	}
-	if !slices.Contains([]string{"", catalog.WhyDone, catalog.WhyFailed, catalog.WhyMoved, catalog.WhyLapsed, catalog.WhyRevoked}, b.Why) {
+	if !slices.Contains([]string{"", catalog.ReasonCompleted, catalog.ReasonFailed, catalog.ReasonTransferred, catalog.ReasonExpired, catalog.ReasonRevoked}, b.Why) {
 		return bad("why: unknown word %q", b.Why)
 	}
 	for _, t := range b.Ties {
@@ -436,26 +436,26 @@
 			return bad("ties: one without its session")
 		}
 	}
-	return n.commit(w, catalog.Command{Kind: b.Kind, Ties: b.Ties, Why: b.Why})
+	return n.commit(w, catalog.Command{Kind: b.Kind, Terms: b.Ties, Reason: b.Why})
 }
 
-// DutyBody is how a duty is defined.
-type DutyBody struct {
+// TaskDefinition is how a duty is defined.
+type TaskDefinition struct {
 	TTLMs   int64  `json:"ttl_ms"`
 	Zone    string `json:"zone,omitempty"`
 	Process string `json:"process,omitempty"`
 }
 
-func (n *Node) define(w http.ResponseWriter, r *http.Request) error {
-	var b DutyBody
+func (n *Server) define(w http.ResponseWriter, r *http.Request) error {
+	var b TaskDefinition
 	if err := body(w, r, &b); err != nil {
 		return err
 	}
 	if b.TTLMs < 0 || b.TTLMs > catalog.MaxTTL.Milliseconds() {
 		return bad("ttl_ms: must be %d to %d, is %d", catalog.MinTTL.Milliseconds(), catalog.MaxTTL.Milliseconds(), b.TTLMs)
 	}
-	return n.commit(w, catalog.Command{Kind: catalog.Define, Duty: &catalog.Duty{Name: r.PathValue("name"),
-		TTL: time.Duration(b.TTLMs) * time.Millisecond, Zone: b.Zone, Process: b.Process}})
+	return n.commit(w, catalog.Command{Kind: catalog.DefineTask, LeasedTask: &catalog.LeasedTask{Name: r.PathValue("name"),
+		TTL: time.Duration(b.TTLMs) * time.Millisecond, PreferredZone: b.Zone, PreferredProcess: b.Process}})
 }
 
 type claimBody struct {
@@ -465,12 +465,12 @@
 
 // claim gives a session a duty that nobody holds. One that is repeated, as its answer was
 // lost, is answered as it was.
-func (n *Node) claim(w http.ResponseWriter, r *http.Request) error {
+func (n *Server) claim(w http.ResponseWriter, r *http.Request) error {
 	var b claimBody
 	if err := body(w, r, &b); err != nil {
 		return err
 	}
-	return n.commit(w, catalog.Command{Kind: catalog.Grant, Ties: []catalog.Tie{{Name: r.PathValue("name"), Process: b.Process, Session: b.ID}}})
+	return n.commit(w, catalog.Command{Kind: catalog.GrantTerm, Terms: []catalog.TermRef{{Name: r.PathValue("name"), Process: b.Process, Session: b.ID}}})
 }
 
 type wordBody struct {
@@ -478,7 +478,7 @@
 	Why string `json:"why,omitempty"`
 }
 
-func (n *Node) order(kind catalog.Kind) func(http.ResponseWriter, *http.Request) error {
+func (n *Server) order(kind catalog.Kind) func(http.ResponseWriter, *http.Request) error {
 	return func(w http.ResponseWriter, r *http.Request) error {
 		var b wordBody
 		if r.ContentLength != 0 {
@@ -490,12 +490,12 @@
 			return bad("why: must be one line of at most %d bytes", endpoints.MaxName)
 		}
 		n.log.Info("an operator's word on a duty", "duty", r.PathValue("name"), "command", kind, "why", b.Why)
-		return n.commit(w, catalog.Command{Kind: kind, Name: r.PathValue("name"), Why: b.Why})
+		return n.commit(w, catalog.Command{Kind: kind, Name: r.PathValue("name"), Reason: b.Why})
 	}
 }
 
 // move has a duty go to a process, or to the best other one.
-func (n *Node) move(w http.ResponseWriter, r *http.Request) error {
+func (n *Server) move(w http.ResponseWriter, r *http.Request) error {
 	var b wordBody
 	if err := body(w, r, &b); err != nil {
 		return err
@@ -505,7 +505,7 @@
 		n.lead.Lock()
 		n.fsm.read(func(s *catalog.State) {
 			if n.tenures != nil {
-				b.To = n.tenures.Other(s, name, n.base+time.Since(n.ledSince))
+				b.To = n.tenures.PreferredSuccessor(s, name, n.base+time.Since(n.ledSince))
 			}
 		})
 		n.lead.Unlock()
@@ -514,19 +514,19 @@
 		}
 	}
 	n.log.Info("an operator moves a duty", "duty", name, "to", b.To)
-	return n.commit(w, catalog.Command{Kind: catalog.Move, Ties: []catalog.Tie{{Name: name, Process: b.To}}})
+	return n.commit(w, catalog.Command{Kind: catalog.TransferTask, Terms: []catalog.TermRef{{Name: name, Process: b.To}}})
 }
 
-func (n *Node) serveDutyList(w http.ResponseWriter, _ *http.Request) {
+func (n *Server) serveDutyList(w http.ResponseWriter, _ *http.Request) {
 	answer(w, copyAll(n.fsm, dutyTable, copyDuty))
 }
 
-func (n *Node) serveDuty(w http.ResponseWriter, r *http.Request) {
+func (n *Server) serveDuty(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
 	d := copyOne(n.fsm, dutyTable, name, copyDuty)
 	answerOne(w, d, "unknown: no duty "+strconv.Quote(name))
 }
 
-func (n *Node) serveSessions(w http.ResponseWriter, _ *http.Request) {
+func (n *Server) serveSessions(w http.ResponseWriter, _ *http.Request) {
 	answer(w, copyAll(n.fsm, sessionTable, shallowCopy))
 }
--- a/internal/control/evidence.go
+++ b/internal/control/evidence.go
@@ -23,17 +23,17 @@
 	maxProbes = maxEvidence
 )
 
-// Evidence is a request for a steward's observation of servers, with Refs set, or the answer
+// ObservationMessage is a request for a steward's observation of servers, with Refs set, or the answer
 // to it, with From and Answers set.
-type Evidence struct {
+type ObservationMessage struct {
 	From    string                   `json:"from,omitempty"`
-	Refs    []catalog.Ref            `json:"refs,omitempty"`
+	Refs    []catalog.InstanceRef    `json:"refs,omitempty"`
 	Answers map[string]member.Answer `json:"answers,omitempty"`
 }
 
 // serveEvidence probes the servers of a request and answers with what it observed.
-func (n *Node) serveEvidence(w http.ResponseWriter, r *http.Request) {
-	var b Evidence
+func (n *Server) serveEvidence(w http.ResponseWriter, r *http.Request) {
+	var b ObservationMessage
 	if err := body(w, r, &b); err != nil {
 		refuse(w, err)
 		return
@@ -48,20 +48,20 @@
 		return
 	}
 	defer n.evidenceCalls.Add(-1)
-	answer(w, Evidence{From: n.c.Name, Answers: n.probeServers(r.Context(), b.Refs)})
+	answer(w, ObservationMessage{From: n.c.Name, Answers: n.probeServers(r.Context(), b.Refs)})
 }
 
 // probeServers asks servers for their health and returns an observation for each that this
 // steward knows and had the time to ask. If this process itself was slow, it doesn't report
 // any server as silent.
-func (n *Node) probeServers(ctx context.Context, refs []catalog.Ref) map[string]member.Answer {
+func (n *Server) probeServers(ctx context.Context, refs []catalog.InstanceRef) map[string]member.Answer {
 	ctx, cancel := context.WithTimeout(ctx, evidenceTimeout-evidenceReserve)
 	defer cancel()
 	dials := make([]string, len(refs))
 	n.fsm.read(func(s *catalog.State) {
 		for i, ref := range refs {
-			if e := s.Entries[ref.Name]; e != nil && !e.Ended && e.Host.BornMs == ref.BornMs {
-				dials[i] = e.Host.Dial
+			if e := s.Entries[ref.Name]; e != nil && !e.Removed && e.Endpoint.StartedMs == ref.StartedMs {
+				dials[i] = e.Endpoint.Dial
 			}
 		}
 	})
@@ -85,10 +85,10 @@
 	all.Wait()
 	slow := n.wasPaused() || time.Since(began) > 2*evidenceTimeout
 	for i, a := range found {
-		if slow && a == member.Silent {
-			a = member.Unsure // the delay may be this process's own
+		if slow && a == member.AnswerSilent {
+			a = member.AnswerUnsure // the delay may be this process's own
 		}
-		if a != member.None {
+		if a != member.AnswerNone {
 			out[refs[i].Name] = a
 		}
 	}
@@ -96,25 +96,25 @@
 }
 
 // probe requests a server's health.
-func (n *Node) probe(ctx context.Context, dial string) member.Answer {
+func (n *Server) probe(ctx context.Context, dial string) member.Answer {
 	if ctx.Err() != nil {
-		return member.None // there was no time for it: not the server's fault
+		return member.AnswerNone // there was no time for it: not the server's fault
 	}
 	c, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(c, http.MethodGet, "http://"+dial+"/health", nil)
 	if err != nil {
-		return member.None
+		return member.AnswerNone
 	}
 	resp, err := n.probes.Do(req)
 	switch {
 	case err == nil:
 		resp.Body.Close()
-		return member.Sees
+		return member.AnswerAlive
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return member.Refuses
+		return member.AnswerRefused
 	case ctx.Err() != nil:
-		return member.None
+		return member.AnswerNone
 	}
-	return member.Silent
+	return member.AnswerSilent
 }
--- a/internal/control/fanout.go
+++ b/internal/control/fanout.go
@@ -21,14 +21,14 @@
 	since := h.seq
 	h.mu.Unlock()
 	l := h.fsm.list(since, false)
-	if l.Seq == since && !l.Whole {
+	if l.Seq == since && !l.Full {
 		return
 	}
 	text := encode(&l)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.encoded++
-	if l.Whole { // the state is another, or far ahead: no line leads there
+	if l.Full { // the state is another, or far ahead: no line leads there
 		h.lines, h.bytes = nil, 0
 		h.whole = line{to: l.Seq, text: text}
 	} else {
@@ -95,7 +95,7 @@
 	l := h.fsm.list(since, false)
 	pos := l.Seq
 	first := encode(&l)
-	if l.Whole {
+	if l.Full {
 		first = h.wholeList()
 	}
 	if !out.write(first) {
--- a/internal/control/fsm.go
+++ b/internal/control/fsm.go
@@ -31,11 +31,11 @@
 		return catalog.Result{Code: catalog.Unsupported}
 	}
 	f.mu.Lock()
-	before, rev := f.state.Seq, f.state.Rev
+	before, rev := f.state.Seq, f.state.SessionRevision
 	r := f.state.Apply(&c)
 	f.index = l.Index
 	after := f.state.Seq
-	if f.state.Rev != rev || c.Kind == catalog.Close {
+	if f.state.SessionRevision != rev || c.Kind == catalog.CloseSession {
 		f.stir()
 	}
 	f.mu.Unlock()
@@ -58,13 +58,13 @@
 }
 
 // tasks is what a session is to do, and what is closed when that may be another.
-func (f *fsm) tasks(process, id string) (t leaderelection.Tasks, ok bool, stirred <-chan struct{}) {
+func (f *fsm) tasks(process, id string) (t leaderelection.AssignmentUpdate, ok bool, stirred <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.stirred == nil {
 		f.stirred = make(chan struct{})
 	}
-	t.Tasks, t.Rev, ok = f.state.Tasks(process, id)
+	t.Assignments, t.Revision, ok = f.state.Assignments(process, id)
 	return t, ok, f.stirred
 }
 
--- a/internal/control/input_test.go
+++ b/internal/control/input_test.go
@@ -14,7 +14,7 @@
 )
 
 // alone starts a steward that stands alone, and returns where it answers.
-func alone(t testing.TB) (*Node, string) {
+func alone(t testing.TB) (*Server, string) {
 	t.Helper()
 	c := Defaults()
 	c.Data, c.Raft, c.Heartbeat = t.TempDir(), "127.0.0.1:0", 100*time.Millisecond
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -15,16 +15,16 @@
 type stateTable[T any] func(*catalog.State) map[string]*T
 
 func entryTable(s *catalog.State) map[string]*catalog.Entry     { return s.Entries }
-func dutyTable(s *catalog.State) map[string]*catalog.Duty       { return s.Duties }
+func dutyTable(s *catalog.State) map[string]*catalog.LeasedTask { return s.LeasedTasks }
 func sessionTable(s *catalog.State) map[string]*catalog.Session { return s.Sessions }
 
 // shallowCopy copies a value whose slices the state never changes in place.
 func shallowCopy[T any](v *T) T { return *v }
 
 // copyDuty copies a duty with its past terms, which the state shifts in place.
-func copyDuty(d *catalog.Duty) catalog.Duty {
+func copyDuty(d *catalog.LeasedTask) catalog.LeasedTask {
 	c := *d
-	c.Past = slices.Clone(d.Past)
+	c.History = slices.Clone(d.History)
 	return c
 }
 
--- a/internal/control/inspect_test.go
+++ b/internal/control/inspect_test.go
@@ -12,19 +12,19 @@
 func TestCopiesOfDuties(t *testing.T) {
 	f := &fsm{state: catalog.New()}
 	past := []catalog.Term{{Process: "a", Fence: 1}, {Process: "b", Fence: 2}}
-	f.state.Duties["second"] = &catalog.Duty{Name: "second"}
-	f.state.Duties["first"] = &catalog.Duty{Name: "first", Past: slices.Clone(past)}
+	f.state.LeasedTasks["second"] = &catalog.LeasedTask{Name: "second"}
+	f.state.LeasedTasks["first"] = &catalog.LeasedTask{Name: "first", History: slices.Clone(past)}
 	all := copyAll(f, dutyTable, copyDuty)
 	one := copyOne(f, dutyTable, "first", copyDuty)
-	f.state.Duties["first"].Past = slices.Delete(f.state.Duties["first"].Past, 0, 1)
+	f.state.LeasedTasks["first"].History = slices.Delete(f.state.LeasedTasks["first"].History, 0, 1)
 	if len(all) != 2 || all[0].Name != "first" || all[1].Name != "second" {
 		t.Fatalf("duties are %v, not in the order of their names", all)
 	}
-	if !slices.Equal(all[0].Past, past) {
-		t.Errorf("the list's copy changed with the state: %v", all[0].Past)
+	if !slices.Equal(all[0].History, past) {
+		t.Errorf("the list's copy changed with the state: %v", all[0].History)
 	}
-	if !slices.Equal(one.Past, past) {
-		t.Errorf("the single copy changed with the state: %v", one.Past)
+	if !slices.Equal(one.History, past) {
+		t.Errorf("the single copy changed with the state: %v", one.History)
 	}
 	if copyOne(f, dutyTable, "none", copyDuty) != nil {
 		t.Error("a duty that isn't there was found")
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -23,7 +23,7 @@
 // startRaft opens the data folder, starts gossip and then raft. A steward with an empty data
 // folder may have voted before it lost its data, so it bootstraps only a new cluster, and
 // otherwise has itself removed from the voters before it joins again.
-func (n *Node) startRaft(ctx context.Context) error {
+func (n *Server) startRaft(ctx context.Context) error {
 	rl := raftLog(n.log)
 	var err error
 	if n.store, err = openStore(n.c.Data, rl); err != nil {
@@ -60,7 +60,7 @@
 }
 
 // runRaft listens for other stewards and starts the raft instance on the opened store.
-func (n *Node) runRaft(rl hclog.Logger) error {
+func (n *Server) runRaft(rl hclog.Logger) error {
 	ln, err := net.Listen("tcp", n.c.Raft)
 	if err != nil {
 		return fmt.Errorf("raft: %w", err)
@@ -72,7 +72,7 @@
 		Stream:  &namedStream{stream{ln, n.raftAddr}, n.c.Name},
 	})
 	stable := &promises{n.store.bolt, n.fail}
-	r, err := raft.NewRaft(n.raftConfig(rl), n.fsm, n.c.Log(n.store), stable, n.store.snaps, n.trans)
+	r, err := raft.NewRaft(n.raftConfig(rl), n.fsm, n.c.WrapLogStore(n.store), stable, n.store.snaps, n.trans)
 	if err != nil {
 		return fmt.Errorf("raft: %w", err)
 	}
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func (n *Node) raftConfig(rl hclog.Logger) *raft.Config {
+func (n *Server) raftConfig(rl hclog.Logger) *raft.Config {
 	rc := raft.DefaultConfig()
 	rc.LocalID = raft.ServerID(n.c.Name)
 	rc.Logger = rl
@@ -96,14 +96,14 @@
 
 // bootstrap writes the first configuration of a new cluster: all stewards of the table, with
 // spares as non-voters. A spare does nothing; the voters replicate the configuration to it.
-func (n *Node) bootstrap() error {
-	if n.c.Peers[n.c.Name].Spare {
+func (n *Server) bootstrap() error {
+	if n.c.Peers[n.c.Name].NonVoter {
 		return nil
 	}
 	var conf raft.Configuration
 	for _, name := range append([]string{n.c.Name}, n.c.others()...) {
 		s := raft.Server{ID: raft.ServerID(name), Address: raft.ServerAddress(name)}
-		if n.c.Peers[name].Spare {
+		if n.c.Peers[name].NonVoter {
 			s.Suffrage = raft.Nonvoter
 		}
 		conf.Servers = append(conf.Servers, s)
@@ -117,7 +117,7 @@
 
 // raftAddr resolves the name of a steward to the address of its raft transport. Raft knows
 // stewards by name only, so that each can dial the others by its own table.
-func (n *Node) raftAddr(name string) (string, bool) {
+func (n *Server) raftAddr(name string) (string, bool) {
 	if name == n.c.Name {
 		return n.c.Raft, true
 	}
@@ -130,7 +130,7 @@
 // has a state, this steward was replaced or lost its data: it has itself removed from the
 // voters, as it may have voted, and is to rejoin. It returns an error if the context ends or
 // if another process goes by this steward's name.
-func (n *Node) classifyEmptyFolder(ctx context.Context) (bootstrap, rejoin bool, err error) {
+func (n *Server) classifyEmptyFolder(ctx context.Context) (bootstrap, rejoin bool, err error) {
 	others := n.c.others()
 	for first := true; ; first = false {
 		empty := 0
@@ -166,7 +166,7 @@
 }
 
 // requestRemoval asks the cluster to remove this steward from the voters.
-func (n *Node) requestRemoval(ctx context.Context) error {
+func (n *Server) requestRemoval(ctx context.Context) error {
 	return n.tryPeers(ctx, func(base string) error {
 		return call(ctx, n.peers, http.MethodDelete, base+"/v1/peers/"+n.c.Name+"?id="+n.id, nil, nil)
 	})
@@ -174,9 +174,9 @@
 
 // requestAdmission asks the cluster to add this steward again, and repeats that until it
 // succeeds or the steward stops. It requires that raft listens.
-func (n *Node) requestAdmission() {
+func (n *Server) requestAdmission() {
 	query := ""
-	if (*n.table.Load())[n.c.Name].Spare {
+	if (*n.table.Load())[n.c.Name].NonVoter {
 		query = "?spare=1"
 	}
 	for {
@@ -197,7 +197,7 @@
 
 // tryPeers calls do with the base URL of one steward after the other, until one succeeds,
 // one answers with a conflict or the context ends. It returns the last error.
-func (n *Node) tryPeers(ctx context.Context, do func(base string) error) error {
+func (n *Server) tryPeers(ctx context.Context, do func(base string) error) error {
 	err := errors.New("no other steward in the table")
 	for _, name := range n.c.others() {
 		err = do("http://" + (*n.table.Load())[name].HTTP)
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -17,7 +17,7 @@
 
 // voters returns the names of the voters in the latest raft configuration that this steward
 // has, or nil if there is none.
-func (n *Node) voters() []string {
+func (n *Server) voters() []string {
 	f := n.raft().GetConfiguration()
 	if f.Error() != nil {
 		return nil
@@ -32,7 +32,7 @@
 }
 
 // leader returns the name of the leader, or "" if none is known.
-func (n *Node) leader() string {
+func (n *Server) leader() string {
 	if n.raft() == nil {
 		return ""
 	}
@@ -42,7 +42,7 @@
 
 // leaderLoop follows raft's leadership changes and, while this steward leads, proposes what
 // sessions and leased tasks call for. It returns when the steward stops.
-func (n *Node) leaderLoop() {
+func (n *Server) leaderLoop() {
 	tick := time.NewTicker(decisionInterval)
 	defer tick.Stop()
 	for {
@@ -64,7 +64,7 @@
 
 // becomeLeader starts the leader's work once every entry committed by earlier leaders is
 // applied here. All leases and sessions start with their full time.
-func (n *Node) becomeLeader() {
+func (n *Server) becomeLeader() {
 	if err := n.raft().Barrier(applyWait).Error(); err != nil {
 		n.log.Warn("leads no longer before it began", "err", err)
 		return
@@ -74,8 +74,8 @@
 	n.fsm.read(func(s *catalog.State) {
 		n.base, seq = s.Clock, s.Seq
 		n.ledSince = time.Now()
-		n.leases = catalog.Lead(n.c.leases(), s, s.Clock)
-		n.tenures = catalog.Succeed(s.Clock)
+		n.leases = catalog.NewRegistrationLeases(n.c.leases(), s, s.Clock)
+		n.tenures = catalog.NewTaskLeases(s.Clock)
 	})
 	n.lead.Unlock()
 	n.m.elections.Inc()
@@ -87,7 +87,7 @@
 }
 
 // stepDown drops the leader's unreplicated state. It does nothing on a follower.
-func (n *Node) stepDown() {
+func (n *Server) stepDown() {
 	n.lead.Lock()
 	defer n.lead.Unlock()
 	if n.leases != nil {
@@ -98,7 +98,7 @@
 
 // transferLeadership hands leadership to another voter, if this steward leads and there is
 // one.
-func (n *Node) transferLeadership() {
+func (n *Server) transferLeadership() {
 	if n.raft() == nil || n.raft().State() != raft.Leader || len(n.voters()) <= 1 {
 		return
 	}
@@ -110,12 +110,12 @@
 // raise advances the version past every one that a reader can have seen, so that versions
 // never decrease after the state was lost or restored. The wall clock in microseconds is a
 // first guess; seen, the highest version that a reader reported, is a lower bound.
-func (n *Node) raise(seen int64) {
+func (n *Server) raise(seen int64) {
 	version := max(n.c.Now().UnixMicro(), seen+1)
 	if version > maxSeq {
 		return // no steward has ever issued such a version
 	}
-	if _, err := n.propose(catalog.Command{Kind: catalog.Floor, Seq: version}); err != nil {
+	if _, err := n.propose(catalog.Command{Kind: catalog.RaiseRevision, Seq: version}); err != nil {
 		n.log.Warn("the version was not raised", "err", err)
 		return
 	}
@@ -124,7 +124,7 @@
 
 // elapsed returns the state's clock as the leader continues it by its monotonic time, and
 // whether this steward leads. The time is meaningless if it doesn't.
-func (n *Node) elapsed() (time.Duration, bool) {
+func (n *Server) elapsed() (time.Duration, bool) {
 	n.lead.Lock()
 	defer n.lead.Unlock()
 	return n.base + time.Since(n.ledSince), n.leases != nil
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -8,7 +8,7 @@
 // keeps, and which servers are released from damping, and proposes that with the fencing
 // token of the sweep task. It returns a refusal if the token is no longer valid, and
 // errNoLeader if this steward doesn't lead.
-func (n *Node) sweep(fence int64) error {
+func (n *Server) sweep(fence int64) error {
 	now, leads := n.elapsed()
 	if !leads {
 		return errNoLeader
@@ -20,17 +20,17 @@
 	}
 	n.lead.Unlock()
 	commands := []catalog.Command{
-		{Kind: catalog.Lapse, Refs: d.Lapse},
-		{Kind: catalog.Hold, Refs: d.Hold},
-		{Kind: catalog.Hold, Why: catalog.HoldService, Refs: d.HoldService},
-		{Kind: catalog.Seen, Refs: d.Seen},
-		{Kind: catalog.Admit, Refs: d.Admit},
+		{Kind: catalog.ExpireRegistration, Refs: d.Expire},
+		{Kind: catalog.Quarantine, Refs: d.Quarantine},
+		{Kind: catalog.Quarantine, Reason: catalog.QuarantineByService, Refs: d.QuarantineByService},
+		{Kind: catalog.Recover, Refs: d.Recover},
+		{Kind: catalog.EndDamping, Refs: d.EndDamping},
 	}
 	for _, c := range commands {
 		if len(c.Refs) == 0 {
 			continue
 		}
-		c.Under, c.Fence = sweepDuty, fence
+		c.UnderTask, c.Fence = sweepDuty, fence
 		if err := n.proposeFenced(c); err != nil {
 			return err
 		}
@@ -39,7 +39,7 @@
 }
 
 // proposeFenced commits a decision of the sweep task and counts it.
-func (n *Node) proposeFenced(c catalog.Command) error {
+func (n *Server) proposeFenced(c catalog.Command) error {
 	r, err := n.propose(c)
 	if err != nil {
 		return err
@@ -54,7 +54,7 @@
 
 // renew extends the leases of servers that were heard and returns a code for each. Renewals
 // are kept in the leader's memory only and are not replicated.
-func (n *Node) renew(refs []catalog.Ref) ([]catalog.Code, error) {
+func (n *Server) renew(refs []catalog.InstanceRef) ([]catalog.Code, error) {
 	now, leads := n.elapsed()
 	if !leads {
 		return nil, errNoLeader
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -17,8 +17,8 @@
 	"knotrouter/internal/member"
 )
 
-// Program returns the revision that this program was built from, or "unknown".
-func Program() string {
+// BuildRevision returns the revision that this program was built from, or "unknown".
+func BuildRevision() string {
 	if b, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range b.Settings {
 			if s.Key == "vcs.revision" {
@@ -34,21 +34,21 @@
 func identity(dir string) (string, error) {
 	path := filepath.Join(dir, "identity")
 	text, err := os.ReadFile(path)
-	if id := strings.TrimSpace(string(text)); err == nil && endpoints.IsWord(id, 64) {
+	if id := strings.TrimSpace(string(text)); err == nil && endpoints.IsToken(id, 64) {
 		return id, nil
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return "", fmt.Errorf("data: identity: %w", err)
 	}
 	id := rand.Text()
-	if err := WriteWhole(path, []byte(id+"\n")); err != nil {
+	if err := WriteFileAtomic(path, []byte(id+"\n")); err != nil {
 		return "", fmt.Errorf("data: identity: %w", err)
 	}
 	return id, nil
 }
 
 // handleMembers adds the routes of membership.
-func (n *Node) handleMembers(mux *http.ServeMux) {
+func (n *Server) handleMembers(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+endpoints.MembersPath, func(w http.ResponseWriter, _ *http.Request) {
 		if n.gossip == nil {
 			http.Error(w, "gossip: off at this steward", http.StatusNotFound)
@@ -61,10 +61,10 @@
 	mux.HandleFunc("POST /v1/evidence", n.serveEvidence)
 }
 
-// Members reads the membership views of the stewards at the given addresses, in the order of
+// ReadMemberViews reads the membership views of the stewards at the given addresses, in the order of
 // the stewards' names. It returns the addresses that didn't answer within the timeout, or
 // answered with an error, as silent.
-func Members(ctx context.Context, addrs []string, timeout time.Duration) (views []member.View, silent []string) {
+func ReadMemberViews(ctx context.Context, addrs []string, timeout time.Duration) (views []member.View, silent []string) {
 	for _, addr := range addrs {
 		var v member.View
 		if err := NewClient([]string{addr}, timeout).do(ctx, http.MethodGet, endpoints.MembersPath, nil, &v); err != nil {
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -25,7 +25,7 @@
 	replaced  prometheus.Counter
 }
 
-func newMetrics(n *Node) *metrics {
+func newMetrics(n *Server) *metrics {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	f := promauto.With(r)
@@ -37,13 +37,13 @@
 	}
 	gauge("version", "The version of the list that is served.", func(st *Status) float64 { return float64(st.Seq) })
 	gauge("listed", "Servers that are listed.", func(st *Status) float64 { return float64(st.Listed) })
-	gauge("held", "Servers that are listed though their leases ended: a mass failure that nobody has confirmed.", func(st *Status) float64 { return float64(st.Held) })
+	gauge("held", "Servers that are listed though their leases ended: a mass failure that nobody has confirmed.", func(st *Status) float64 { return float64(st.Quarantined) })
 	gauge("damped", "Servers that are kept off the list for coming and going.", func(st *Status) float64 { return float64(st.Damped) })
 	gauge("watches", "Watches that are open.", func(st *Status) float64 { return float64(st.Watches) })
 	gauge("leads", "1 while this steward leads.", func(st *Status) float64 { return truth(st.State == "leader") })
 	gauge("stale", "1 while it has been without the quorum for longer than its bound.", func(st *Status) float64 { return truth(st.Stale) })
 	gauge("lag_seconds", "Since the leader had committed what is not applied here.", func(st *Status) float64 { return float64(st.LagMs) / 1000 })
-	gauge("silence_seconds", "Since the leader was heard last.", func(st *Status) float64 { return float64(st.SilentMs) / 1000 })
+	gauge("silence_seconds", "Since the leader was heard last.", func(st *Status) float64 { return float64(st.SinceLeaderContactMs) / 1000 })
 	fanOut := func(name, help string, of func(h *hub) int64) {
 		f.NewCounterFunc(prometheus.CounterOpts{Name: "steward_" + name, Help: help}, func() float64 {
 			n.hub.mu.Lock()
@@ -85,7 +85,7 @@
 		if n.holder == nil {
 			return 0
 		}
-		return float64(n.holder.Holds())
+		return float64(n.holder.Active())
 	})
 	f.NewCounterFunc(prometheus.CounterOpts{Name: "steward_duties_overdue_total", Help: "Functions of duties that did not return in time."}, func() float64 {
 		if n.holder == nil {
@@ -93,11 +93,11 @@
 		}
 		return float64(n.holder.Overdue())
 	})
-	for name, of := range map[string]func(d *catalog.Duty) bool{"held": func(d *catalog.Duty) bool { return d.Holder != "" },
-		"free": func(d *catalog.Duty) bool { return d.Holder == "" && d.Parked == "" }, "parked": func(d *catalog.Duty) bool { return d.Parked != "" }} {
+	for name, of := range map[string]func(d *catalog.LeasedTask) bool{"held": func(d *catalog.LeasedTask) bool { return d.Holder != "" },
+		"free": func(d *catalog.LeasedTask) bool { return d.Holder == "" && d.SuspendReason == "" }, "parked": func(d *catalog.LeasedTask) bool { return d.SuspendReason != "" }} {
 		f.NewGaugeFunc(prometheus.GaugeOpts{Name: "steward_duties_" + name, Help: "Duties that are " + name + "."}, func() (count float64) {
 			n.fsm.read(func(s *catalog.State) {
-				for _, d := range s.Duties {
+				for _, d := range s.LeasedTasks {
 					count += truth(of(d))
 				}
 			})
@@ -109,7 +109,7 @@
 			func() float64 { return n.gossipCounts()[kind] })
 	}
 	r.MustRegister(&memberGauge{n, prometheus.NewDesc("steward_members", "Members in this steward's view, by role and state.", []string{"role", "state"}, nil)})
-	for name, of := range map[string]func(l *catalog.Leases) int{"kept": func(l *catalog.Leases) int { return l.Kept }, "waiting": func(l *catalog.Leases) int { return l.Waiting }} {
+	for name, of := range map[string]func(l *catalog.RegistrationLeases) int{"kept": func(l *catalog.RegistrationLeases) int { return l.Retained }, "waiting": func(l *catalog.RegistrationLeases) int { return l.Undecided }} {
 		f.NewGaugeFunc(prometheus.GaugeOpts{Name: "steward_leases_" + name, Help: "Servers whose leases are over and that stay: most see them (kept), or too little is known (waiting)."}, func() float64 {
 			n.lead.Lock()
 			defer n.lead.Unlock()
@@ -144,7 +144,7 @@
 
 // memberGauge counts the view's members when it is asked.
 type memberGauge struct {
-	n    *Node
+	n    *Server
 	desc *prometheus.Desc
 }
 
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -31,9 +31,9 @@
 	idlePeerTimeout   = 30 * time.Second
 )
 
-// Node is one steward: a raft replica of the catalog with its HTTP API, watches, gossip
+// Server is one steward: a raft replica of the catalog with its HTTP API, watches, gossip
 // membership and leased tasks. Create it with Start and release it with Close.
-type Node struct {
+type Server struct {
 	c          *Config
 	log        *slog.Logger
 	fsm        *fsm
@@ -52,10 +52,10 @@
 	stop       context.CancelFunc
 	fatal      chan error
 
-	lead     sync.Mutex       // guards the fields of this group
-	leases   *catalog.Leases  // nil unless this steward leads and has applied all earlier entries
-	tenures  *catalog.Tenures // nil when leases is
-	base     time.Duration    // state clock when leadership began
+	lead     sync.Mutex                  // guards the fields of this group
+	leases   *catalog.RegistrationLeases // nil unless this steward leads and has applied all earlier entries
+	tenures  *catalog.TaskLeases         // nil when leases is
+	base     time.Duration               // state clock when leadership began
 	ledSince time.Time
 
 	id            string // identity of the data folder
@@ -81,7 +81,7 @@
 // Start opens the data folder, starts raft and serves the API. It returns once raft runs,
 // which on an empty data folder may take until the other stewards answer; the context bounds
 // that wait. On an error everything that was started has been stopped.
-func Start(ctx context.Context, c *Config, log *slog.Logger) (*Node, error) {
+func Start(ctx context.Context, c *Config, log *slog.Logger) (*Server, error) {
 	n := newNode(c, log)
 	if err := n.start(ctx); err != nil {
 		n.close()
@@ -92,8 +92,8 @@
 }
 
 // newNode returns a Node that has opened nothing yet.
-func newNode(c *Config, log *slog.Logger) *Node {
-	n := &Node{
+func newNode(c *Config, log *slog.Logger) *Server {
+	n := &Server{
 		c:            c,
 		log:          log,
 		began:        time.Now(),
@@ -117,14 +117,14 @@
 }
 
 // acceptFailed is told of a connection that could not be accepted.
-func (n *Node) acceptFailed(err error, _ time.Time) {
+func (n *Server) acceptFailed(err error, _ time.Time) {
 	if n.repeatedLogs.Allow() {
 		n.log.Warn("accept failed", "err", err)
 	}
 }
 
 // start listens before raft runs: another steward's first start asks this one for its status.
-func (n *Node) start(ctx context.Context) error {
+func (n *Server) start(ctx context.Context) error {
 	ln, err := net.Listen("tcp", n.c.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -136,7 +136,7 @@
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
-	n.own(func() { _ = n.http.Serve(&transient.Listener{Listener: ln, Context: n.ctx, Failed: n.acceptFailed}) })
+	n.own(func() { _ = n.http.Serve(&transient.Listener{Listener: ln, Context: n.ctx, OnError: n.acceptFailed}) })
 	n.own(func() { n.hub.run(n.ctx) })
 	if err := n.startRaft(ctx); err != nil {
 		return err
@@ -152,7 +152,7 @@
 }
 
 // own runs f in a goroutine that close waits for.
-func (n *Node) own(f func()) {
+func (n *Server) own(f func()) {
 	n.goroutines.Add(1)
 	go func() {
 		defer n.goroutines.Done()
@@ -161,10 +161,10 @@
 }
 
 // raft returns the raft instance, or nil while it has not been started.
-func (n *Node) raft() *raft.Raft { return n.raftNode.Load() }
+func (n *Server) raft() *raft.Raft { return n.raftNode.Load() }
 
 // fail reports an error that ends the process; Wait returns the first one.
-func (n *Node) fail(err error) {
+func (n *Server) fail(err error) {
 	select {
 	case n.fatal <- err:
 	default:
@@ -173,7 +173,7 @@
 
 // Reload applies the part of a new configuration that can change at run time: the table of
 // peers.
-func (n *Node) Reload(c *Config) {
+func (n *Server) Reload(c *Config) {
 	table := c.Peers
 	n.table.Store(&table)
 	n.log.Info("the table of peers was read again", "peers", len(table))
@@ -181,7 +181,7 @@
 
 // Wait blocks until the context ends, and then returns nil, or until the steward meets an
 // error that it can't recover from, and then returns that.
-func (n *Node) Wait(ctx context.Context) error {
+func (n *Server) Wait(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return nil
@@ -192,7 +192,7 @@
 
 // Close stops the steward in order: it hands over its leased tasks, then leadership, moves
 // its watches to other stewards, and announces its leave to the gossip members.
-func (n *Node) Close() {
+func (n *Server) Close() {
 	n.leaveDuties()
 	n.transferLeadership()
 	if n.raft() != nil {
@@ -207,7 +207,7 @@
 }
 
 // close releases everything that was started, in any state of the start.
-func (n *Node) close() {
+func (n *Server) close() {
 	n.stop()
 	if n.http != nil {
 		n.http.Close()
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -32,7 +32,7 @@
 
 // peerStatuses returns the statuses of the other stewards, from the cache while it is fresh.
 // Stewards that don't answer in time are left out.
-func (n *Node) peerStatuses() []Status {
+func (n *Server) peerStatuses() []Status {
 	c := &n.peerCache
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,7 +45,7 @@
 }
 
 // requestStatuses asks all other stewards at once and waits for each to answer or time out.
-func (n *Node) requestStatuses() (found []Status) {
+func (n *Server) requestStatuses() (found []Status) {
 	ctx, cancel := context.WithTimeout(n.ctx, peerWait)
 	defer cancel()
 	names := n.c.others()
@@ -69,7 +69,7 @@
 }
 
 // statusOf requests the status of one steward.
-func (n *Node) statusOf(ctx context.Context, name string) (Status, error) {
+func (n *Server) statusOf(ctx context.Context, name string) (Status, error) {
 	var st Status
 	p, ok := (*n.table.Load())[name]
 	if !ok {
@@ -80,7 +80,7 @@
 
 // betterElsewhere reports whether another steward can serve. If none can, this one's list is
 // as good as any, even if it is stale.
-func (n *Node) betterElsewhere() bool { return anyCanServe(n.peerStatuses()) }
+func (n *Server) betterElsewhere() bool { return anyCanServe(n.peerStatuses()) }
 
 // canServe reports whether a steward has a current list to serve.
 func canServe(st *Status) bool { return st.HasState && !st.Stale && !st.Draining }
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -21,12 +21,12 @@
 // propose commits a command and returns its result, whose code may still refuse it. It
 // returns errNoLeader if the command was certainly not applied, and an error that wraps
 // errInDoubt if that is unknown.
-func (n *Node) propose(c catalog.Command) (catalog.Result, error) {
+func (n *Server) propose(c catalog.Command) (catalog.Result, error) {
 	at, leads := n.elapsed()
 	if !leads {
 		return catalog.Result{}, errNoLeader
 	}
-	c.Form, c.At = catalog.Form, at
+	c.FormatVersion, c.At = catalog.FormatVersion, at
 	text, err := json.Marshal(c)
 	if err != nil {
 		return catalog.Result{}, fmt.Errorf("%s: %w", c.Kind, err)
--- a/internal/control/raise_test.go
+++ b/internal/control/raise_test.go
@@ -26,8 +26,8 @@
 	if seq := n.fsm.seq(); seq != began+changes {
 		t.Errorf("the version is %d, %d beyond what the log leads to", seq, seq-began-changes)
 	}
-	if l := n.fsm.list(began, false); l.Whole || len(l.Hosts) != changes {
-		t.Errorf("a reader from before gets %d entries, whole %v, want the %d changes", len(l.Hosts), l.Whole, changes)
+	if l := n.fsm.list(began, false); l.Full || len(l.Endpoints) != changes {
+		t.Errorf("a reader from before gets %d entries, whole %v, want the %d changes", len(l.Endpoints), l.Full, changes)
 	}
 	// A version that no entry leads to is from another life of the service.
 	if err := n.raiseBeyond(context.Background(), began+changes+1); err != nil {
@@ -39,14 +39,14 @@
 }
 
 // registration encodes a command that registers a server.
-func registration(t *testing.T, n *Node, name string) []byte {
+func registration(t *testing.T, n *Server, name string) []byte {
 	t.Helper()
 	at, leads := n.elapsed()
 	if !leads {
 		t.Fatal("the steward doesn't lead")
 	}
-	host := endpoints.Host{Host: name, Dial: "127.0.0.1:1", Health: endpoints.Ready, Share: 1, BornMs: 1}
-	text, err := json.Marshal(catalog.Command{Form: catalog.Form, Kind: catalog.Register, At: at, Host: &host})
+	host := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 1, StartedMs: 1}
+	text, err := json.Marshal(catalog.Command{FormatVersion: catalog.FormatVersion, Kind: catalog.Register, At: at, Endpoint: &host})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/requests_test.go
+++ b/internal/control/requests_test.go
@@ -33,19 +33,19 @@
 	t.Cleanup(service.Close)
 	c := NewClient([]string{strings.TrimPrefix(service.URL, "http://")}, 5*time.Second)
 	ctx := t.Context()
-	var h endpoints.Host
-	var override Word
+	var h endpoints.Endpoint
+	var override ServerOverride
 	var session catalog.Session
-	var task DutyBody
-	var ref catalog.Ref
-	var tie catalog.Tie
+	var task TaskDefinition
+	var ref catalog.InstanceRef
+	var tie catalog.TermRef
 	for _, v := range []any{&h, &override, &session, &task, &ref, &tie} {
 		golden.Fill(t, v)
 	}
 	// Each call is refused: what was sent is all that counts.
 	_, _ = c.Register(ctx, h)
-	_, _ = c.Renew(ctx, []catalog.Ref{ref})
-	_, _ = c.Set(ctx, "s-a", override)
+	_, _ = c.Renew(ctx, []catalog.InstanceRef{ref})
+	_, _ = c.SetOverride(ctx, "s-a", override)
 	_, _ = c.Server(ctx, "s-a", true)
 	_, _ = c.Server(ctx, "s-a", false)
 	_, _ = c.Servers(ctx, true)
@@ -54,25 +54,25 @@
 	_, _ = c.Status(ctx)
 	_, _ = c.Snapshot(ctx)
 	_, _ = c.Restore(ctx, []byte(`{"form":1}`))
-	_, _ = c.Peer(ctx, "st-2", true)
-	_, _ = c.Peer(ctx, "st-2", false)
-	_ = c.Confirm(ctx)
+	_, _ = c.ChangePeer(ctx, "st-2", true)
+	_, _ = c.ChangePeer(ctx, "st-2", false)
+	_ = c.ConfirmRemovals(ctx)
 	_ = c.OpenSession(ctx, session)
 	_, _ = c.RenewSession(ctx, "w-1", "one", 7)
 	_, _ = c.WatchSession(ctx, "w-1", "one", 7)
 	_ = c.EndSession(ctx, "w-1", "one", true)
 	_ = c.EndSession(ctx, "w-1", "one", false)
-	_ = c.Terms(ctx, catalog.Accept, []catalog.Tie{tie}, catalog.WhyFailed)
-	_, _ = c.Duties(ctx)
-	_, _ = c.Duty(ctx, "job.a")
+	_ = c.ReportTerms(ctx, catalog.AcceptTransfer, []catalog.TermRef{tie}, catalog.ReasonFailed)
+	_, _ = c.Tasks(ctx)
+	_, _ = c.Task(ctx, "job.a")
 	_, _ = c.Sessions(ctx)
-	_ = c.Define(ctx, "job.a", task)
-	_, _ = c.Claim(ctx, "job.a", "w-1", "one")
-	_ = c.GiveUp(ctx, tie)
+	_ = c.DefineTask(ctx, "job.a", task)
+	_, _ = c.ClaimTask(ctx, "job.a", "w-1", "one")
+	_ = c.ReleaseTerm(ctx, tie)
 	for _, word := range []string{"move", "revoke", "park", "unpark", "drop"} {
-		_ = c.Order(ctx, "job.a", word, "w-2", "until tomorrow")
+		_ = c.CommandTask(ctx, "job.a", word, "w-2", "until tomorrow")
 	}
-	_, _ = Members(ctx, c.Addrs, time.Second)
+	_, _ = ReadMemberViews(ctx, c.Addrs, time.Second)
 	mu.Lock()
 	defer mu.Unlock()
 	golden.Lines(t, "requests.txt", got)
--- a/internal/control/scope.go
+++ b/internal/control/scope.go
@@ -22,8 +22,8 @@
 		return nil, bad("service: %d of at most %d", len(named), endpoints.MaxServices)
 	}
 	for _, name := range named {
-		if name != "" && !endpoints.IsWord(name, endpoints.MaxWord) {
-			return nil, bad("service: must be at most %d printable characters without spaces or slashes", endpoints.MaxWord)
+		if name != "" && !endpoints.IsToken(name, endpoints.MaxLabel) {
+			return nil, bad("service: must be at most %d printable characters without spaces or slashes", endpoints.MaxLabel)
 		}
 	}
 	services := slices.Clone(named)
--- a/internal/control/scope_test.go
+++ b/internal/control/scope_test.go
@@ -26,8 +26,8 @@
 // registerIn registers a server with a service.
 func (st *stand) registerIn(t *testing.T, service, name string, born float64) {
 	t.Helper()
-	h := endpoints.Host{Host: name, Dial: "127.0.0.1:1", Health: endpoints.Ready, Share: 1, BornMs: born, Service: service}
-	if r := st.apply(t, catalog.Command{Kind: catalog.Register, Host: &h}); r.Code != catalog.Done {
+	h := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 1, StartedMs: born, Service: service}
+	if r := st.apply(t, catalog.Command{Kind: catalog.Register, Endpoint: &h}); r.Code != catalog.Done {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -41,7 +41,7 @@
 	lists  []endpoints.List
 	bytes  int
 	beats  int
-	have   map[string]endpoints.Host
+	have   map[string]endpoints.Endpoint
 	seq    int64
 	faults []string
 }
@@ -70,17 +70,17 @@
 		r.faults = append(r.faults, fmt.Sprintf("%q after version %d: %v", p, r.seq, err))
 	}
 	r.lists, r.seq = append(r.lists, l), l.Seq
-	if l.Whole || r.have == nil {
-		r.have = map[string]endpoints.Host{}
+	if l.Full || r.have == nil {
+		r.have = map[string]endpoints.Endpoint{}
 	}
-	for _, h := range l.Hosts {
+	for _, h := range l.Endpoints {
 		switch {
 		case !slices.Contains(r.services, h.Service):
 			r.faults = append(r.faults, fmt.Sprintf("a reader of %q was sent %+v", r.services, h))
-		case h.Health != endpoints.Gone:
-			r.have[h.Host] = h
-		case r.have[h.Host].Service == h.Service:
-			delete(r.have, h.Host)
+		case h.Health != endpoints.Removed:
+			r.have[h.Name] = h
+		case r.have[h.Name].Service == h.Service:
+			delete(r.have, h.Name)
 		}
 	}
 	return len(p), nil
@@ -92,7 +92,7 @@
 	defer r.mu.Unlock()
 	var out []string
 	for _, h := range r.have {
-		out = append(out, h.Host+"@"+h.Service)
+		out = append(out, h.Name+"@"+h.Service)
 	}
 	slices.Sort(out)
 	return strings.Join(out, " ")
@@ -149,7 +149,7 @@
 			t.Errorf("three changes of one service at once were encoded %d times", n)
 		}
 		for _, r := range append(readers, both) {
-			if !strings.HasPrefix(r.names(), "a-1@a a-2@a") || len(r.lists) != 2 || r.seq != st.seq() || r.lists[1].Whole || len(r.lists[1].Hosts) != 1 {
+			if !strings.HasPrefix(r.names(), "a-1@a a-2@a") || len(r.lists) != 2 || r.seq != st.seq() || r.lists[1].Full || len(r.lists[1].Endpoints) != 1 {
 				t.Fatalf("a reader of %q has %q at version %d of %d after %d lists", r.services, r.names(), r.seq, st.seq(), len(r.lists))
 			}
 		}
@@ -248,13 +248,13 @@
 		slow.mu.Unlock()
 		synctest.Wait()
 		last := slow.lists[len(slow.lists)-1]
-		if !last.Whole || len(last.Hosts) != 1+2*maxEvents || len(slow.lists) > 3 || st.hub.topics.lagged != 1 {
-			t.Errorf("the slow one was sent %d lists, the last of %d entries, whole %v; lagged %d", len(slow.lists), len(last.Hosts), last.Whole, st.hub.topics.lagged)
+		if !last.Full || len(last.Endpoints) != 1+2*maxEvents || len(slow.lists) > 3 || st.hub.topics.lagged != 1 {
+			t.Errorf("the slow one was sent %d lists, the last of %d entries, whole %v; lagged %d", len(slow.lists), len(last.Endpoints), last.Full, st.hub.topics.lagged)
 		}
 		st.registerIn(t, "a", "last", 1)
 		time.Sleep(soonAfter)
 		synctest.Wait()
-		if slow.names() != quick.names() || !strings.Contains(slow.names(), "last@a") || slow.lists[len(slow.lists)-1].Whole {
+		if slow.names() != quick.names() || !strings.Contains(slow.names(), "last@a") || slow.lists[len(slow.lists)-1].Full {
 			t.Errorf("it does not go on: %q", slow.names())
 		}
 		if len(quiet.lists) != 1 {
@@ -280,18 +280,18 @@
 		time.Sleep(time.Second)
 		r := st.subscribe(ctx, 0, "a")
 		synctest.Wait()
-		st.apply(t, catalog.Command{Kind: catalog.Floor, Seq: 1000})
+		st.apply(t, catalog.Command{Kind: catalog.RaiseRevision, Seq: 1000})
 		time.Sleep(soonAfter)
 		synctest.Wait()
-		if last := r.lists[len(r.lists)-1]; !last.Whole || last.Seq != 1000 || r.names() != "a@a" {
+		if last := r.lists[len(r.lists)-1]; !last.Full || last.Seq != 1000 || r.names() != "a@a" {
 			t.Errorf("after version 1000: %+v", last)
 		}
 		back := st.subscribe(ctx, 500, "a")
 		ahead := st.subscribe(ctx, 2000, "a")
 		knows := st.subscribe(ctx, 1000, "a")
 		synctest.Wait()
-		if !back.lists[0].Whole || !ahead.lists[0].Whole || knows.lists[0].Whole || len(knows.lists[0].Hosts) != 0 {
-			t.Errorf("whole lists for readers at 500, 2000 and 1000: %v, %v, %v", back.lists[0].Whole, ahead.lists[0].Whole, knows.lists[0].Whole)
+		if !back.lists[0].Full || !ahead.lists[0].Full || knows.lists[0].Full || len(knows.lists[0].Endpoints) != 0 {
+			t.Errorf("whole lists for readers at 500, 2000 and 1000: %v, %v, %v", back.lists[0].Full, ahead.lists[0].Full, knows.lists[0].Full)
 		}
 		r.check(t)
 		cancel()
@@ -348,8 +348,8 @@
 		var want []string
 		st.read(func(s *catalog.State) {
 			for _, name := range r.services {
-				for _, h := range s.ServiceHosts(name) {
-					want = append(want, h.Host+"@"+h.Service)
+				for _, h := range s.ServiceEndpoints(name) {
+					want = append(want, h.Name+"@"+h.Service)
 				}
 			}
 		})
@@ -363,14 +363,14 @@
 
 // The lines are what the form's encoder makes of the same entries.
 func TestScopeEnvelope(t *testing.T) {
-	hosts := []endpoints.Host{{Host: "a", Dial: "127.0.0.1:1", Health: endpoints.Ready, Share: 0.5, BornMs: 7, Service: "s"},
-		{Host: "b", Health: endpoints.Gone}, {Host: "<c>&", Dial: "[::1]:2", Health: endpoints.Draining, Service: "é"}}
-	for _, l := range []endpoints.List{{Seq: 1 << 50, Whole: true, Hosts: hosts}, {Seq: -1, Hosts: hosts[:1]}, {Hosts: []endpoints.Host{}}} {
+	hosts := []endpoints.Endpoint{{Name: "a", Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 0.5, StartedMs: 7, Service: "s"},
+		{Name: "b", Health: endpoints.Removed}, {Name: "<c>&", Dial: "[::1]:2", Health: endpoints.Draining, Service: "é"}}
+	for _, l := range []endpoints.List{{Seq: 1 << 50, Full: true, Endpoints: hosts}, {Seq: -1, Endpoints: hosts[:1]}, {Endpoints: []endpoints.Endpoint{}}} {
 		var parts [][]byte
-		for i := range l.Hosts {
-			parts = append(parts, encodeHosts(l.Hosts[i:i+1]))
+		for i := range l.Endpoints {
+			parts = append(parts, encodeHosts(l.Endpoints[i:i+1]))
 		}
-		if got, want := envelope(l.Seq, l.Whole, parts), encode(&l); !bytes.Equal(got, want) {
+		if got, want := envelope(l.Seq, l.Full, parts), encode(&l); !bytes.Equal(got, want) {
 			t.Errorf("%s, want %s", got, want)
 		}
 	}
@@ -386,7 +386,7 @@
 	for range 3 {
 		text, seq := cache.list([]string{"a", "b", "none"})
 		var l endpoints.List
-		if err := json.Unmarshal(text, &l); err != nil || !l.Whole || len(l.Hosts) != 2 || l.Seq != seq || seq != st.seq() {
+		if err := json.Unmarshal(text, &l); err != nil || !l.Full || len(l.Endpoints) != 2 || l.Seq != seq || seq != st.seq() {
 			t.Fatalf("%s: %v", text, err)
 		}
 	}
@@ -482,7 +482,7 @@
 	if got, err := parseServices(many(endpoints.MaxServices)); err != nil || len(got) != endpoints.MaxServices {
 		t.Errorf("%d services, %v", len(got), err)
 	}
-	for _, query := range []string{"service=a%20b", "service=a/b", "service=a&service=%0a", "service=" + strings.Repeat("x", endpoints.MaxWord+1),
+	for _, query := range []string{"service=a%20b", "service=a/b", "service=a&service=%0a", "service=" + strings.Repeat("x", endpoints.MaxLabel+1),
 		"service=%zz", "service=a;service=b", many(endpoints.MaxServices + 1)} {
 		got, err := parseServices(query)
 		if err == nil || !strings.HasPrefix(err.Error(), "service: ") || strings.Contains(err.Error(), "\n") {
@@ -495,7 +495,7 @@
 // small service, and today's small lists cost one call.
 func TestScopeAdmission(t *testing.T) {
 	st := newStand(t)
-	n := &Node{hub: st.hub, fsm: st.fsm}
+	n := &Server{hub: st.hub, fsm: st.fsm}
 	st.registerIn(t, "small", "s", 1)
 	for i := range 2000 {
 		st.registerIn(t, "large", fmt.Sprint("l-", i), 1)
@@ -603,8 +603,8 @@
 	st.hub = newHub(st.fsm, 0)
 	st.changed = func() {}
 	register := func(i int, born float64) {
-		h := endpoints.Host{Host: fmt.Sprint("server-", i), Dial: "127.0.0.1:1", Health: endpoints.Ready, Share: 1, BornMs: born, Service: fmt.Sprint("service-", i%1900)}
-		text, _ := json.Marshal(catalog.Command{Form: catalog.Form, Kind: catalog.Register, Host: &h})
+		h := endpoints.Endpoint{Name: fmt.Sprint("server-", i), Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 1, StartedMs: born, Service: fmt.Sprint("service-", i%1900)}
+		text, _ := json.Marshal(catalog.Command{FormatVersion: catalog.FormatVersion, Kind: catalog.Register, Endpoint: &h})
 		st.index++
 		st.Apply(&raft.Log{Index: st.index, Data: text})
 	}
--- a/internal/control/servicelists.go
+++ b/internal/control/servicelists.go
@@ -48,7 +48,7 @@
 	type outdated struct {
 		name    string
 		version int64
-		hosts   []endpoints.Host
+		hosts   []endpoints.Endpoint
 	}
 	var missing []outdated
 	c.fsm.read(func(s *catalog.State) {
@@ -62,7 +62,7 @@
 			if kept, is := c.byService[name]; is && kept.version == version {
 				hosts = append(hosts, kept.hosts)
 			} else if s.ServiceSize(name) > 0 {
-				missing = append(missing, outdated{name, version, s.ServiceHosts(name)})
+				missing = append(missing, outdated{name, version, s.ServiceEndpoints(name)})
 			}
 		}
 	})
--- a/internal/control/staleness.go
+++ b/internal/control/staleness.go
@@ -7,7 +7,7 @@
 )
 
 // silence returns how long ago this steward last heard from a leader; zero if it leads.
-func (n *Node) silence() time.Duration {
+func (n *Server) silence() time.Duration {
 	if n.raft() == nil {
 		return time.Since(n.began)
 	}
@@ -23,6 +23,6 @@
 
 // stale reports whether this steward has been without a leader, or lagged behind one, for
 // longer than the configured bound.
-func (n *Node) stale() bool {
+func (n *Server) stale() bool {
 	return n.silence() > n.c.StaleAfter || time.Duration(n.lagged.Load()) > n.c.StaleAfter
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -11,26 +11,26 @@
 
 // Status describes a steward as it sees itself.
 type Status struct {
-	Name      string            `json:"name"`
-	State     string            `json:"state"` // "leader", "follower", "candidate", "ended" or "starting"
-	Leader    string            `json:"leader"`
-	Term      uint64            `json:"term"`
-	Seq       int64             `json:"seq"` // version of the list
-	Applied   uint64            `json:"applied"`
-	Committed uint64            `json:"committed"`
-	HasState  bool              `json:"has_state"` // its raft log holds more than the first configuration
-	Stale     bool              `json:"stale"`
-	SilentMs  int64             `json:"silent_ms"` // since it last heard from a leader
-	Voters    []string          `json:"voters"`
-	Peers     map[string]string `json:"peers"`    // suffrage by name
-	LagMs     int64             `json:"lag_ms"`   // behind what the leader had committed
-	Draining  bool              `json:"draining"` // it is about to stop
-	Watches   int               `json:"watches"`
-	Movable   int               `json:"movable"` // watches that can go to another steward
-	Listed    int               `json:"listed"`
-	Held      int               `json:"held"` // servers that the mass-failure guard keeps although their leases expired
-	Damped    int               `json:"damped"`
-	HeldForMs int64             `json:"held_for_ms"`
+	Name                 string            `json:"name"`
+	State                string            `json:"state"` // "leader", "follower", "candidate", "ended" or "starting"
+	Leader               string            `json:"leader"`
+	Term                 uint64            `json:"term"`
+	Seq                  int64             `json:"seq"` // version of the list
+	Applied              uint64            `json:"applied"`
+	Committed            uint64            `json:"committed"`
+	HasState             bool              `json:"has_state"` // its raft log holds more than the first configuration
+	Stale                bool              `json:"stale"`
+	SinceLeaderContactMs int64             `json:"silent_ms"` // since it last heard from a leader
+	Voters               []string          `json:"voters"`
+	Peers                map[string]string `json:"peers"`    // suffrage by name
+	LagMs                int64             `json:"lag_ms"`   // behind what the leader had committed
+	Draining             bool              `json:"draining"` // it is about to stop
+	Watches              int               `json:"watches"`
+	Movable              int               `json:"movable"` // watches that can go to another steward
+	Listed               int               `json:"listed"`
+	Quarantined          int               `json:"held"` // servers that the mass-failure guard keeps although their leases expired
+	Damped               int               `json:"damped"`
+	QuarantinedForMs     int64             `json:"held_for_ms"`
 }
 
 // stateNames are the values of Status.State by raft state.
@@ -43,7 +43,7 @@
 
 // status returns this steward's status. Without raft only the fields about the state and the
 // watches are set.
-func (n *Node) status() Status {
+func (n *Server) status() Status {
 	st := Status{
 		Name:     n.c.Name,
 		State:    "starting",
@@ -65,27 +65,27 @@
 	st.Seq = s.Seq
 	for _, e := range s.Entries {
 		switch {
-		case e.Ended:
-		case e.Damped > 0:
+		case e.Removed:
+		case e.DampedUntil > 0:
 			st.Damped++
-		case e.Listed().Health != endpoints.Gone:
+		case e.Listed().Health != endpoints.Removed:
 			st.Listed++
 		}
-		if e.Held {
-			st.Held++
+		if e.Quarantined {
+			st.Quarantined++
 		}
 	}
-	if s.HeldSince > 0 {
-		st.HeldForMs = (s.Clock - s.HeldSince).Milliseconds()
+	if s.QuarantinedSince > 0 {
+		st.QuarantinedForMs = (s.Clock - s.QuarantinedSince).Milliseconds()
 	}
 }
 
 // addRaftStatus fills in how raft stands. It requires that raft has started.
-func (n *Node) addRaftStatus(st *Status) {
+func (n *Server) addRaftStatus(st *Status) {
 	r := n.raft()
 	st.State, st.Leader, st.Term = stateNames[r.State()], n.leader(), r.CurrentTerm()
 	st.Applied, st.Committed = r.AppliedIndex(), r.CommitIndex()
-	st.Stale, st.SilentMs = n.stale(), n.silence().Milliseconds()
+	st.Stale, st.SinceLeaderContactMs = n.stale(), n.silence().Milliseconds()
 	st.LagMs = time.Duration(n.lagged.Load()).Milliseconds()
 	if f := r.GetConfiguration(); f.Error() == nil {
 		for _, s := range f.Configuration().Servers {
--- a/internal/control/topics.go
+++ b/internal/control/topics.go
@@ -106,7 +106,7 @@
 	defer t.mu.Unlock()
 	type changed struct {
 		of    *topic
-		hosts []endpoints.Host
+		hosts []endpoints.Endpoint
 	}
 	var all []changed
 	known, since := true, t.seq
@@ -218,9 +218,9 @@
 	if !whole {
 		var l endpoints.List
 		t.fsm.read(func(s *catalog.State) {
-			if whole = !s.TellsSince(services, since); !whole {
+			if whole = !s.HasChangesSince(services, since); !whole {
 				l = s.ListServices(services, since, false)
-				whole = l.Whole
+				whole = l.Full
 			}
 		})
 		if !whole {
@@ -234,7 +234,7 @@
 func (t *topics) listBytes(services []string, since int64, whole bool) int {
 	entries := 0
 	t.fsm.read(func(s *catalog.State) {
-		if !whole && s.TellsSince(services, since) {
+		if !whole && s.HasChangesSince(services, since) {
 			return
 		}
 		for _, name := range services {
@@ -295,7 +295,7 @@
 }
 
 // encodeHosts is the entries as they stand between the brackets of a list.
-func encodeHosts(hosts []endpoints.Host) []byte {
+func encodeHosts(hosts []endpoints.Endpoint) []byte {
 	text, _ := json.Marshal(hosts) // numbers, texts and truth values: nothing that can fail
 	return bytes.TrimSuffix(bytes.TrimPrefix(text, []byte("[")), []byte("]"))
 }
--- a/internal/control/verdicts.go
+++ b/internal/control/verdicts.go
@@ -32,31 +32,31 @@
 
 // judge returns the rule by which expired leases are decided: by the majority of the voters'
 // recent observations, or by the lease alone where evidence is off.
-func (n *Node) judge() catalog.Judge {
+func (n *Server) judge() catalog.ExpiryDecider {
 	if !n.c.Evidence {
-		return catalog.LeaseAlone
+		return catalog.ExpireByLeaseOnly
 	}
 	n.verdicts.mu.Lock()
 	about, voters := n.verdicts.about, n.verdicts.voters
 	n.verdicts.mu.Unlock()
-	return func(ref catalog.Ref, over bool) catalog.Evidence {
+	return func(ref catalog.InstanceRef, over bool) catalog.FailureEvidence {
 		t, ok := about[ref.Name]
-		if !ok || t.bornMs != ref.BornMs || time.Since(t.at) > verdictMaxAge {
-			return catalog.Unsettled
+		if !ok || t.bornMs != ref.StartedMs || time.Since(t.at) > verdictMaxAge {
+			return catalog.Inconclusive
 		}
-		switch member.Judge(voters, true, over, t.answers) {
-		case member.Keep:
-			return catalog.Stays
-		case member.Remove:
-			return catalog.Gone
+		switch member.DecideExpiry(voters, true, over, t.answers) {
+		case member.DecisionRetain:
+			return catalog.Alive
+		case member.DecisionRemove:
+			return catalog.Failed
 		}
-		return catalog.Unsettled
+		return catalog.Inconclusive
 	}
 }
 
 // evidenceLoop has the voters asked about servers whose leases are in doubt, while this
 // steward leads. It returns when the steward stops.
-func (n *Node) evidenceLoop() {
+func (n *Server) evidenceLoop() {
 	t := time.NewTicker(evidenceInterval)
 	defer t.Stop()
 	for {
@@ -81,7 +81,7 @@
 
 // doubtful returns the servers that evidence is needed about. It is empty on a follower and
 // where evidence is off.
-func (n *Node) doubtful() (refs []catalog.Ref) {
+func (n *Server) doubtful() (refs []catalog.InstanceRef) {
 	now, leads := n.elapsed()
 	if !leads || !n.c.Evidence {
 		return nil
@@ -89,13 +89,13 @@
 	n.lead.Lock()
 	defer n.lead.Unlock()
 	if n.leases != nil {
-		n.fsm.read(func(s *catalog.State) { refs = n.leases.Doubtful(s, now) })
+		n.fsm.read(func(s *catalog.State) { refs = n.leases.Suspected(s, now) })
 	}
 	return refs
 }
 
 // update adds the observations of one round and drops those that are too old.
-func (v *verdicts) update(at time.Time, voters []string, refs []catalog.Ref, answers map[string]map[string]member.Answer) {
+func (v *verdicts) update(at time.Time, voters []string, refs []catalog.InstanceRef, answers map[string]map[string]member.Answer) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	about := map[string]testimony{} // a new map: judge reads the old one without the lock
@@ -105,7 +105,7 @@
 		}
 	}
 	for _, ref := range refs {
-		about[ref.Name] = testimony{ref.BornMs, at, answers[ref.Name]}
+		about[ref.Name] = testimony{ref.StartedMs, at, answers[ref.Name]}
 	}
 	v.about, v.voters = about, voters
 }
@@ -118,7 +118,7 @@
 
 // collectEvidence asks all voters at once and returns their answers by server and voter.
 // Voters that don't answer in time are left out.
-func (n *Node) collectEvidence(voters []string, refs []catalog.Ref) map[string]map[string]member.Answer {
+func (n *Server) collectEvidence(voters []string, refs []catalog.InstanceRef) map[string]map[string]member.Answer {
 	ctx, cancel := context.WithTimeout(n.ctx, evidenceTimeout)
 	defer cancel()
 	observations := make(chan observation, len(voters))
@@ -142,7 +142,7 @@
 
 // requestEvidence returns one voter's answers by server, or nil if it gave none. A steward of
 // a version without evidence agrees with whatever the leases say.
-func (n *Node) requestEvidence(ctx context.Context, voter string, refs []catalog.Ref) map[string]member.Answer {
+func (n *Server) requestEvidence(ctx context.Context, voter string, refs []catalog.InstanceRef) map[string]member.Answer {
 	if voter == n.c.Name {
 		return n.probeServers(ctx, refs)
 	}
@@ -150,16 +150,16 @@
 	if !known {
 		return nil
 	}
-	var e Evidence
+	var e ObservationMessage
 	// The context bounds the call: n.peers would give up before a steward that has many silent
 	// servers to probe can answer.
 	client := &http.Client{Transport: n.peers.Transport}
-	err := call(ctx, client, http.MethodPost, "http://"+p.HTTP+"/v1/evidence", Evidence{Refs: refs}, &e)
+	err := call(ctx, client, http.MethodPost, "http://"+p.HTTP+"/v1/evidence", ObservationMessage{Refs: refs}, &e)
 	var refused *HTTPError
 	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
 		agreed := map[string]member.Answer{}
 		for _, ref := range refs {
-			agreed[ref.Name] = member.Agrees
+			agreed[ref.Name] = member.AnswerDefersToLease
 		}
 		return agreed
 	}
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -25,13 +25,13 @@
 
 // voterFleet returns what the leader knows of the stewards in the raft configuration: which
 // vote, which are present and caught up, and for how long others have failed.
-func (n *Node) voterFleet() member.Fleet {
-	f := member.Fleet{
-		Failed: map[string]time.Duration{},
-		There:  map[string]bool{},
-		Leader: n.c.Name,
-		Wanted: n.c.Voters,
-		After:  n.c.ReplaceAfter,
+func (n *Server) voterFleet() member.VoterSet {
+	f := member.VoterSet{
+		Failed:        map[string]time.Duration{},
+		Present:       map[string]bool{},
+		Leader:        n.c.Name,
+		DesiredVoters: n.c.Voters,
+		ReplaceAfter:  n.c.ReplaceAfter,
 	}
 	conf := n.raft().GetConfiguration()
 	if conf.Error() != nil {
@@ -54,11 +54,11 @@
 		if name == n.c.Name {
 			state = member.Present
 		}
-		f.There[name] = state == member.Present && caughtUp[name]
+		f.Present[name] = state == member.Present && caughtUp[name]
 		if s.Suffrage == raft.Voter {
 			f.Voters = append(f.Voters, name)
 		} else {
-			f.Spares = append(f.Spares, name)
+			f.NonVoters = append(f.NonVoters, name)
 		}
 		if state != member.Failed && state != member.Left {
 			delete(n.failures.since, name)
@@ -74,7 +74,7 @@
 
 // stepVoters changes the raft configuration by one step towards the wanted number of voters,
 // all of them alive, and answers with that step. It refuses an outdated fencing token.
-func (n *Node) stepVoters(w http.ResponseWriter, r *http.Request) error {
+func (n *Server) stepVoters(w http.ResponseWriter, r *http.Request) error {
 	var b fenceBody
 	if err := body(w, r, &b); err != nil {
 		return err
@@ -84,13 +84,13 @@
 		return nil
 	}
 	f := n.voterFleet()
-	step, some := member.Replace(&f)
+	step, some := member.NextReconfiguration(&f)
 	if !some {
 		answer(w, step)
 		return nil
 	}
 	// A committed entry shows that the fencing token is valid and that this steward leads.
-	res, err := n.propose(catalog.Command{Kind: catalog.Check, Under: votersDuty, Fence: b.Fence})
+	res, err := n.propose(catalog.Command{Kind: catalog.CheckTerm, UnderTask: votersDuty, Fence: b.Fence})
 	if err != nil {
 		return err
 	}
@@ -101,13 +101,13 @@
 		return membership(err)
 	}
 	n.m.replaced.Inc()
-	n.log.Warn("voters", "added", step.Add, "removed", step.Remove, "demoted", step.Demote, "wanted", f.Wanted, "fence", b.Fence)
+	n.log.Warn("voters", "added", step.Add, "removed", step.Remove, "demoted", step.Demote, "wanted", f.DesiredVoters, "fence", b.Fence)
 	answer(w, step)
 	return nil
 }
 
 // changeVoters applies one step to the raft configuration.
-func (n *Node) changeVoters(step member.Step) error {
+func (n *Server) changeVoters(step member.Reconfiguration) error {
 	switch {
 	case step.Add != "":
 		return n.raft().AddVoter(raft.ServerID(step.Add), raft.ServerAddress(step.Add), 0, applyWait).Error()
@@ -120,7 +120,7 @@
 
 // rejoinLost asks the leader to add this steward as a spare if it was removed from the raft
 // configuration while it was away.
-func (n *Node) rejoinLost(found []Status) {
+func (n *Server) rejoinLost(found []Status) {
 	if n.c.Voters == 0 || n.raft() == nil {
 		return
 	}
--- a/internal/control/watchlines_test.go
+++ b/internal/control/watchlines_test.go
@@ -23,8 +23,8 @@
 		go st.hub.run(ctx)
 		register := func(name, service string, born float64) {
 			t.Helper()
-			h := endpoints.Host{Host: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Block: 3, Health: endpoints.Ready, Share: 1, BornMs: born, Service: service}
-			if r := st.apply(t, catalog.Command{Kind: catalog.Register, Host: &h}); r.Code != catalog.Done {
+			h := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Block: 3, Health: endpoints.Ready, Weight: 1, StartedMs: born, Service: service}
+			if r := st.apply(t, catalog.Command{Kind: catalog.Register, Endpoint: &h}); r.Code != catalog.Done {
 				t.Fatalf("%+v", r)
 			}
 			time.Sleep(time.Second)
@@ -37,9 +37,9 @@
 		time.Sleep(100 * time.Millisecond)
 		register("s-c", "web", 1000)
 		register("s-a", "mail", 2000)
-		st.apply(t, catalog.Command{Kind: catalog.Drain, Refs: []catalog.Ref{{Name: "s-b", BornMs: 1000}}})
+		st.apply(t, catalog.Command{Kind: catalog.Drain, Refs: []catalog.InstanceRef{{Name: "s-b", StartedMs: 1000}}})
 		time.Sleep(time.Second)
-		st.apply(t, catalog.Command{Kind: catalog.Leave, Refs: []catalog.Ref{{Name: "s-b", BornMs: 1000}}})
+		st.apply(t, catalog.Command{Kind: catalog.Deregister, Refs: []catalog.InstanceRef{{Name: "s-b", StartedMs: 1000}}})
 		time.Sleep(2500 * time.Millisecond)
 		synctest.Wait()
 		lines := func(r *reader) []string {
--- a/internal/control/wire_test.go
+++ b/internal/control/wire_test.go
@@ -38,24 +38,24 @@
 func TestMessagesKeepTheirKeys(t *testing.T) {
 	golden.Messages(t, "messages.txt", []golden.Message{
 		golden.Of[Status]("status"),
-		golden.Of[Renewals]("renewals"),
-		golden.Of[Word]("override of a server"),
+		golden.Of[RenewalBatch]("renewals"),
+		golden.Of[ServerOverride]("override of a server"),
 		golden.Of[seenBody]("seen"),
 		golden.Of[arrivalBody]("arrival"),
 		golden.Of[fenceBody]("sweep and voters"),
 		golden.Of[renewalBody]("renewal of a session"),
 		golden.Of[termsBody]("terms"),
-		golden.Of[DutyBody]("duty"),
+		golden.Of[TaskDefinition]("duty"),
 		golden.Of[claimBody]("claim"),
 		golden.Of[wordBody]("order on a duty"),
-		golden.Of[Evidence]("evidence"),
+		golden.Of[ObservationMessage]("evidence"),
 	})
 }
 
 func quietLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // unstarted is the handler of a server that has opened nothing yet.
-func unstarted(t *testing.T) *Node {
+func unstarted(t *testing.T) *Server {
 	t.Helper()
 	c := Defaults()
 	n := newNode(&c, quietLog())
--- a/internal/endpoints/chooser.go
+++ b/internal/endpoints/chooser.go
@@ -13,10 +13,10 @@
 
 // How a call or a watch ends.
 const (
-	Failed End = iota // no answer, an error, silence, or a line that makes no sense
-	Behind            // the service knew less than the reader, or has no list of now
-	Moved             // it ended the watch in order: it wants the reader elsewhere
-	Busy              // it sent the reader away, with a time to come back
+	EndFailed     End = iota // no answer, an error, silence, or a line that makes no sense
+	EndStale                 // the service knew less than the reader, or has no list of now
+	EndRedirected            // it ended the watch in order: it wants the reader elsewhere
+	EndBusy                  // it sent the reader away, with a time to come back
 )
 
 const (
@@ -35,37 +35,37 @@
 	longestBusy = 5 * time.Second
 )
 
-// Bucket is a budget: so many at once, and so many a second in the long run.
-type Bucket struct {
-	Most      float64
-	PerSecond float64
+// TokenBucket is a budget: so many at once, and so many a second in the long run.
+type TokenBucket struct {
+	Burst float64
+	Rate  float64
 
 	spent float64
 	at    time.Duration
 }
 
 // Take takes one out of the budget, if there is one.
-func (b *Bucket) Take(now time.Duration) bool {
-	b.spent = max(b.spent-b.PerSecond*(now-b.at).Seconds(), 0)
+func (b *TokenBucket) Take(now time.Duration) bool {
+	b.spent = max(b.spent-b.Rate*(now-b.at).Seconds(), 0)
 	b.at = now
-	if b.spent+1 > b.Most {
+	if b.spent+1 > b.Burst {
 		return false
 	}
 	b.spent++
 	return true
 }
 
-// Chooser decides which address of the list service is asked, and after which wait. It is
+// AddressSelector decides which address of the list service is asked, and after which wait. It is
 // pure: clock and chance come from outside.
 //
 // When a list is asked for is decided elsewhere; that is a round, and its first call is
 // free. What follows in the round, because a call failed or a watch ended, is paid from a
 // budget that gets smaller with the fleet: a fault that all readers see at once must not
 // make them many times as many.
-type Chooser struct {
+type AddressSelector struct {
 	order  uint64
 	places []place // in the reader's own order
-	budget Bucket
+	budget TokenBucket
 	fresh  bool
 	tries  int // since one served
 	held   int64
@@ -79,16 +79,16 @@
 	strikes int
 }
 
-// NewChooser makes a chooser for one reader of a fleet of so many. The order gives the
+// NewAddressSelector makes a chooser for one reader of a fleet of so many. The order gives the
 // reader an order of its own, so that readers spread over the addresses.
-func NewChooser(addrs []string, order uint64, fleet int) *Chooser {
-	c := &Chooser{order: order, budget: Bucket{PerSecond: min(0.5, 100/float64(max(fleet, 1)))}}
-	c.Set(addrs)
+func NewAddressSelector(addrs []string, order uint64, fleet int) *AddressSelector {
+	c := &AddressSelector{order: order, budget: TokenBucket{Rate: min(0.5, 100/float64(max(fleet, 1)))}}
+	c.SetAddresses(addrs)
 	return c
 }
 
-// Set changes the addresses. What is known of those that stay is kept.
-func (c *Chooser) Set(addrs []string) {
+// SetAddresses changes the addresses. What is known of those that stay is kept.
+func (c *AddressSelector) SetAddresses(addrs []string) {
 	var places []place
 	for _, addr := range addrs {
 		p := place{addr: addr, rank: rank(c.order, addr)}
@@ -99,7 +99,7 @@
 	}
 	slices.SortFunc(places, func(a, b place) int { return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.addr, b.addr)) })
 	c.places = slices.CompactFunc(places, func(a, b place) bool { return a.addr == b.addr })
-	c.budget.Most = float64(len(c.places) + 1)
+	c.budget.Burst = float64(len(c.places) + 1)
 }
 
 // rank is an address's place in a reader's order: rendezvous hashing, so that readers of a
@@ -117,26 +117,26 @@
 	return x ^ x>>31
 }
 
-func (c *Chooser) index(addr string) int {
+func (c *AddressSelector) index(addr string) int {
 	return slices.IndexFunc(c.places, func(p place) bool { return p.addr == addr })
 }
 
 // Has tells whether the address is one of the set.
-func (c *Chooser) Has(addr string) bool { return c.index(addr) >= 0 }
+func (c *AddressSelector) Has(addr string) bool { return c.index(addr) >= 0 }
 
 // Others is how many addresses there are beside the one that is asked.
-func (c *Chooser) Others() int { return max(len(c.places)-1, 0) }
+func (c *AddressSelector) Others() int { return max(len(c.places)-1, 0) }
 
-// Held is how often the budget ended a round.
-func (c *Chooser) Held() int64 { return c.held }
+// BudgetExhausted is how often the budget ended a round.
+func (c *AddressSelector) BudgetExhausted() int64 { return c.held }
 
-// Begin begins a round.
-func (c *Chooser) Begin() { c.fresh, c.tries = true, 0 }
+// BeginRound begins a round.
+func (c *AddressSelector) BeginRound() { c.fresh, c.tries = true, 0 }
 
 // Next gives the address for the next call and how long it has to wait, by a random number
 // from 0 to below 1. Not ok ends the round: each address had its turn since one served, or
 // the budget is spent, or there is only one address, which is left to the next round.
-func (c *Chooser) Next(now time.Duration, random float64) (addr string, wait time.Duration, ok bool) {
+func (c *AddressSelector) Next(now time.Duration, random float64) (addr string, wait time.Duration, ok bool) {
 	if len(c.places) == 0 {
 		return "", 0, false
 	}
@@ -166,30 +166,30 @@
 // free is when a place is a first choice again, or now: the first in order of those wins.
 func free(p *place, now time.Duration) time.Duration { return max(p.avoid, p.busy, now) }
 
-// Served is told that an address gave a list.
-func (c *Chooser) Served(addr string) {
+// ListReceived is told that an address gave a list.
+func (c *AddressSelector) ListReceived(addr string) {
 	c.tries = 0
 	if i := c.index(addr); i >= 0 {
 		c.places[i].strikes, c.places[i].avoid, c.places[i].busy = 0, 0, 0
 	}
 }
 
-// Ended is told how a call or a watch ended; retry is the time that a busy one gave.
-func (c *Chooser) Ended(now time.Duration, addr string, how End, retry time.Duration) {
+// CallEnded is told how a call or a watch ended; retry is the time that a busy one gave.
+func (c *AddressSelector) CallEnded(now time.Duration, addr string, how End, retry time.Duration) {
 	i := c.index(addr)
 	if i < 0 {
 		return
 	}
 	p := &c.places[i]
 	switch how {
-	case Failed:
+	case EndFailed:
 		p.avoid = now + min(firstAvoid<<min(p.strikes, 10), longestAvoid)
 		p.strikes++
-	case Behind:
+	case EndStale:
 		p.avoid = now + behindAvoid
-	case Moved:
+	case EndRedirected:
 		p.avoid = now + movedAvoid
-	case Busy:
+	case EndBusy:
 		p.busy = now + min(max(retry, 0), longestBusy)
 	}
 }
--- a/internal/endpoints/chooser_test.go
+++ b/internal/endpoints/chooser_test.go
@@ -23,7 +23,7 @@
 		all := names(8)
 		set := all[:rapid.IntRange(1, 5).Draw(rt, "addresses")]
 		fleet := rapid.IntRange(1, 2000).Draw(rt, "fleet")
-		c := NewChooser(set, rapid.Uint64().Draw(rt, "order"), fleet)
+		c := NewAddressSelector(set, rapid.Uint64().Draw(rt, "order"), fleet)
 		bucket := &c.budget
 		var now time.Duration
 		paid, sinceServed := 0, 0
@@ -33,7 +33,7 @@
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
 			switch rapid.SampledFrom([]string{"begin", "next", "next", "served", "end", "wait", "set"}).Draw(rt, "step") {
 			case "begin":
-				c.Begin()
+				c.BeginRound()
 				fresh, began, sinceServed = true, true, 0
 			case "next":
 				if !began {
@@ -72,30 +72,30 @@
 				fresh, last = false, addr
 			case "served":
 				if last != "" {
-					c.Served(last)
+					c.ListReceived(last)
 					sinceServed = 0
 					delete(avoid, last)
 				}
 			case "end":
 				if last != "" && c.Has(last) {
-					how := rapid.SampledFrom([]End{Failed, Behind, Moved, Busy}).Draw(rt, "how")
-					c.Ended(now, last, how, time.Duration(rapid.IntRange(-1000, 100_000).Draw(rt, "retry"))*time.Millisecond)
+					how := rapid.SampledFrom([]End{EndFailed, EndStale, EndRedirected, EndBusy}).Draw(rt, "how")
+					c.CallEnded(now, last, how, time.Duration(rapid.IntRange(-1000, 100_000).Draw(rt, "retry"))*time.Millisecond)
 					avoid[last] = c.places[c.index(last)].avoid
-					if how != Busy && avoid[last] <= now || avoid[last] > now+movedAvoid {
+					if how != EndBusy && avoid[last] <= now || avoid[last] > now+movedAvoid {
 						rt.Fatalf("%d is avoided for %v", how, avoid[last]-now)
 					}
 				}
 			case "wait":
 				now += time.Duration(rapid.IntRange(0, 20_000).Draw(rt, "ms")) * time.Millisecond
 			case "set":
-				c.Set(all[:rapid.IntRange(1, 8).Draw(rt, "addresses")])
+				c.SetAddresses(all[:rapid.IntRange(1, 8).Draw(rt, "addresses")])
 			}
-			if most := 9 + bucket.PerSecond*now.Seconds(); float64(paid) > most {
+			if most := 9 + bucket.Rate*now.Seconds(); float64(paid) > most {
 				rt.Fatalf("%d calls beyond the rounds' first within %v, at most %.1f", paid, now, most)
 			}
 		}
-		if float64(fleet)*bucket.PerSecond > 100+0.01 && bucket.PerSecond > 0.5 {
-			rt.Fatalf("a fleet of %d may make %v calls a second each", fleet, bucket.PerSecond)
+		if float64(fleet)*bucket.Rate > 100+0.01 && bucket.Rate > 0.5 {
+			rt.Fatalf("a fleet of %d may make %v calls a second each", fleet, bucket.Rate)
 		}
 	})
 }
@@ -107,18 +107,18 @@
 	set := names(3)
 	first, second := map[string]int{}, map[string]int{}
 	for i := range readers {
-		c := NewChooser(set, uint64(i), readers)
-		c.Begin()
+		c := NewAddressSelector(set, uint64(i), readers)
+		c.BeginRound()
 		at, _, _ := c.Next(0, 0)
 		first[at]++
 		if at == set[0] {
-			c.Ended(0, at, Failed, 0)
-			c.Begin()
+			c.CallEnded(0, at, EndFailed, 0)
+			c.BeginRound()
 			next, _, _ := c.Next(0, 0)
 			second[next]++
 		}
-		without := NewChooser(set[1:], uint64(i), readers)
-		without.Begin()
+		without := NewAddressSelector(set[1:], uint64(i), readers)
+		without.BeginRound()
 		if stays, _, _ := without.Next(0, 0); at != set[0] && stays != at {
 			t.Fatalf("reader %d leaves %s for %s because a third is lost", i, at, stays)
 		}
--- a/internal/endpoints/client.go
+++ b/internal/endpoints/client.go
@@ -14,42 +14,42 @@
 	"time"
 )
 
-// OthersHeader says in a watch how many other addresses the reader can go to: the service
+// OtherAddressesHeader says in a watch how many other addresses the reader can go to: the service
 // may send it there. A reader that doesn't say so is left where it is.
-const OthersHeader = "Other-Addresses"
+const OtherAddressesHeader = "Other-Addresses"
 
-// MemberHeader names the reader in a watch, and LifeHeader its present life, where a reader
+// MemberHeader names the reader in a watch, and BootIDHeader its present life, where a reader
 // wants to be known as present.
 const (
 	MemberHeader = "Member-Name"
-	LifeHeader   = "Member-Life"
+	BootIDHeader = "Member-Life"
 	MembersPath  = "/v1/members"
 )
 
 const (
-	// Silence ends a watch on which no line came: the service writes one every 2 s, and
+	// WatchSilenceTimeout ends a watch on which no line came: the service writes one every 2 s, and
 	// what it has to tell counts as told after 6 s, asking again included.
-	Silence      = 3500 * time.Millisecond
-	fetchTimeout = 3 * time.Second
-	maxList      = 4 << 20 // bytes of one list
+	WatchSilenceTimeout = 3500 * time.Millisecond
+	fetchTimeout        = 3 * time.Second
+	maxList             = 4 << 20 // bytes of one list
 )
 
 // ClientConfig is what a reader of the list is told.
 type ClientConfig struct {
-	Addresses  []string
-	Order      uint64        // an order of the reader's own
-	Fleet      int           // how many readers share the service
-	Silence    time.Duration // 0: as above
-	Member     string        // the name under which the reader is known as present; "": under none
-	NeverOlder bool          // a list older than what the reader has is an address's failure
-	Services   []string      // what the reader subscribes to, as CheckServices takes it; nil: the list of all
-	Transport  http.RoundTripper
-	// Part is given, if it is not nil, what has come of a list whose rest didn't, or not yet: it
+	Addresses      []string
+	Order          uint64        // an order of the reader's own
+	Fleet          int           // how many readers share the service
+	SilenceTimeout time.Duration // 0: as above
+	Member         string        // the name under which the reader is known as present; "": under none
+	RejectOlder    bool          // a list older than what the reader has is an address's failure
+	Services       []string      // what the reader subscribes to, as CheckServices takes it; nil: the list of all
+	Transport      http.RoundTripper
+	// OnPartial is given, if it is not nil, what has come of a list whose rest didn't, or not yet: it
 	// counts as told, whatever becomes of the rest. It may be called from another goroutine than
 	// the call's, but never after a later list was heard.
-	Part func(l List)
-	// Failover hears why an address was left, if it is not nil. It may be called often.
-	Failover func(addr string, err error)
+	OnPartial func(l List)
+	// OnFailover hears why an address was left, if it is not nil. It may be called often.
+	OnFailover func(addr string, err error)
 }
 
 // Client reads the list from one of several addresses. A fetch and a watch may run beside
@@ -61,7 +61,7 @@
 	life  string
 
 	mu     sync.Mutex
-	choose *Chooser
+	choose *AddressSelector
 	wanted subscription
 	at     string                  // the address of the watch
 	leave  context.CancelCauseFunc // ends the call of the watch
@@ -86,8 +86,8 @@
 
 // NewClient makes a client.
 func NewClient(c ClientConfig) *Client {
-	if c.Silence <= 0 {
-		c.Silence = Silence
+	if c.SilenceTimeout <= 0 {
+		c.SilenceTimeout = WatchSilenceTimeout
 	}
 	if c.Transport == nil {
 		// A connection a call: a kept one could break under the next call, which the
@@ -95,14 +95,14 @@
 		c.Transport = &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	}
 	return &Client{c: c, http: &http.Client{Transport: c.Transport}, began: time.Now(),
-		life: crand.Text(), choose: NewChooser(c.Addresses, c.Order, c.Fleet), wanted: newSubscription(c.Services)}
+		life: crand.Text(), choose: NewAddressSelector(c.Addresses, c.Order, c.Fleet), wanted: newSubscription(c.Services)}
 }
 
-// Set changes the addresses. A watch at one that is no longer there goes elsewhere.
-func (c *Client) Set(addrs []string) {
+// SetAddresses changes the addresses. A watch at one that is no longer there goes elsewhere.
+func (c *Client) SetAddresses(addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.choose.Set(addrs)
+	c.choose.SetAddresses(addrs)
 	if c.leave != nil && !c.choose.Has(c.at) {
 		c.leave(errLeft)
 	}
@@ -119,7 +119,7 @@
 
 // Reconfigure is Set and Subscribe at the same time.
 func (c *Client) Reconfigure(addrs, services []string, least int64) (uint64, error) {
-	return c.update(func() { c.choose.Set(addrs) }, services, least)
+	return c.update(func() { c.choose.SetAddresses(addrs) }, services, least)
 }
 
 func (c *Client) update(move func(), services []string, least int64) (uint64, error) {
@@ -140,11 +140,11 @@
 	return c.wanted.number, nil
 }
 
-// Held is how often the budget for calls was spent.
-func (c *Client) Held() int64 {
+// BudgetExhausted is how often the budget for calls was spent.
+func (c *Client) BudgetExhausted() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.choose.Held()
+	return c.choose.BudgetExhausted()
 }
 
 // Fetch asks for the whole list once, at one address after the other.
@@ -174,7 +174,7 @@
 			return err
 		}
 		l.Scoped, l.Subscription = isScoped(resp), asked.number
-		if c.c.NeverOlder && l.Seq < asked.floor(least) {
+		if c.c.RejectOlder && l.Seq < asked.floor(least) {
 			return errOlder
 		}
 		return c.served(addr, &asked)
@@ -202,9 +202,9 @@
 		defer cancel(nil)
 		asked := c.begin(addr, cancel)
 		defer c.over()
-		dead := time.AfterFunc(c.c.Silence, func() { cancel(errSilent) })
+		dead := time.AfterFunc(c.c.SilenceTimeout, func() { cancel(errSilent) })
 		defer dead.Stop()
-		err := c.follow(ctx, addr, &asked, &since, func() { dead.Reset(c.c.Silence) }, heard)
+		err := c.follow(ctx, addr, &asked, &since, func() { dead.Reset(c.c.SilenceTimeout) }, heard)
 		if cause := context.Cause(ctx); cause != nil && !errors.Is(err, errOlder) {
 			if cut := new(IncompleteError); errors.As(err, &cut) {
 				return &IncompleteError{Pending: cut.Pending, Age: cut.Age, Err: cause}
@@ -248,11 +248,11 @@
 			return fmt.Errorf("list: %w", err)
 		}
 		l.Scoped, l.Subscription = isScoped(resp), asked.number
-		if c.c.NeverOlder && l.Seq < asked.floor(*since) {
+		if c.c.RejectOlder && l.Seq < asked.floor(*since) {
 			c.older(asked)
 			return errOlder
 		}
-		based = based || l.Whole
+		based = based || l.Full
 		switch {
 		case !based && asked.claims:
 			return errCaughtUp
@@ -283,12 +283,12 @@
 
 // part gives the reader what has come of a list that is not finished.
 func (c *Client) part(resp *http.Response, asked *subscription, text []byte, first time.Time) {
-	if c.c.Part == nil {
+	if c.c.OnPartial == nil {
 		return
 	}
 	l := parsePart(text)
 	l.Scoped, l.Subscription, l.Age = isScoped(resp), asked.number, time.Since(first)
-	c.c.Part(l)
+	c.c.OnPartial(l)
 }
 
 // took notes that a watch gave a list. On an error the list has to be dropped.
@@ -299,7 +299,7 @@
 		return errResubscribed
 	}
 	c.wanted.took(l)
-	c.choose.Served(addr)
+	c.choose.ListReceived(addr)
 	return nil
 }
 
@@ -320,7 +320,7 @@
 	c.mu.Lock()
 	addr := c.at
 	if addr == "" {
-		c.choose.Begin()
+		c.choose.BeginRound()
 		addr, _, _ = c.choose.Next(time.Since(c.began), 0)
 	}
 	c.mu.Unlock()
@@ -328,7 +328,7 @@
 	if err != nil {
 		return fmt.Errorf("leave: %w", err)
 	}
-	req.Header.Set(LifeHeader, c.life)
+	req.Header.Set(BootIDHeader, c.life)
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return fmt.Errorf("leave: %w", err)
@@ -340,7 +340,7 @@
 // round makes calls until one needs no other after it.
 func (c *Client) round(ctx context.Context, call func(addr string) error) error {
 	c.mu.Lock()
-	c.choose.Begin()
+	c.choose.BeginRound()
 	c.mu.Unlock()
 	last := errors.New("no address")
 	for {
@@ -365,7 +365,7 @@
 		}
 		if isOutdated(err) && ctx.Err() == nil {
 			c.mu.Lock()
-			c.choose.Begin() // at another address, and as soon
+			c.choose.BeginRound() // at another address, and as soon
 			c.mu.Unlock()
 			continue
 		}
@@ -374,14 +374,14 @@
 		}
 		how, retry := end(err)
 		c.mu.Lock()
-		c.choose.Ended(time.Since(c.began), addr, how, retry)
+		c.choose.CallEnded(time.Since(c.began), addr, how, retry)
 		several := c.choose.Others() > 0
 		c.mu.Unlock()
 		last = err
 		if several {
 			last = fmt.Errorf("%s: %w", addr, err)
-			if c.c.Failover != nil {
-				c.c.Failover(addr, err)
+			if c.c.OnFailover != nil {
+				c.c.OnFailover(addr, err)
 			}
 		}
 	}
@@ -405,7 +405,7 @@
 	if c.wanted.number != asked.number {
 		return errResubscribed
 	}
-	c.choose.Served(addr)
+	c.choose.ListReceived(addr)
 	return nil
 }
 
@@ -418,13 +418,13 @@
 	var a *away
 	switch {
 	case errors.As(err, &a):
-		return Busy, a.after
+		return EndBusy, a.after
 	case errors.Is(err, errOlder), errors.Is(err, errBehind):
-		return Behind, 0
+		return EndStale, 0
 	case errors.Is(err, errEnded):
-		return Moved, 0
+		return EndRedirected, 0
 	}
-	return Failed, 0
+	return EndFailed, 0
 }
 
 func (c *Client) get(ctx context.Context, addr, query string) (*http.Response, error) {
@@ -436,11 +436,11 @@
 	others := c.choose.Others()
 	c.mu.Unlock()
 	if others > 0 {
-		req.Header.Set(OthersHeader, strconv.Itoa(others))
+		req.Header.Set(OtherAddressesHeader, strconv.Itoa(others))
 	}
 	if c.c.Member != "" {
 		req.Header.Set(MemberHeader, c.c.Member)
-		req.Header.Set(LifeHeader, c.life)
+		req.Header.Set(BootIDHeader, c.life)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
--- a/internal/endpoints/client_test.go
+++ b/internal/endpoints/client_test.go
@@ -44,7 +44,7 @@
 	if p == nil {
 		return nil, errors.New("connection refused")
 	}
-	p.others = r.Header.Get(OthersHeader)
+	p.others = r.Header.Get(OtherAddressesHeader)
 	resp := &http.Response{StatusCode: p.status, Status: fmt.Sprint(p.status), Header: p.header, Body: http.NoBody, Request: r}
 	if p.header == nil {
 		resp.Header = http.Header{}
@@ -52,7 +52,7 @@
 	if p.status != http.StatusOK {
 		return resp, nil
 	}
-	text, _ := json.Marshal(List{Seq: p.version, Whole: true, Hosts: []Host{{Host: r.URL.Host, Dial: "127.0.0.1:9", Health: Ready}}})
+	text, _ := json.Marshal(List{Seq: p.version, Full: true, Endpoints: []Endpoint{{Name: r.URL.Host, Dial: "127.0.0.1:9", Health: Ready}}})
 	text = append(text, '\n')
 	if r.URL.RawQuery == "" {
 		resp.Body = io.NopCloser(strings.NewReader(string(text)))
@@ -105,7 +105,7 @@
 func run(t *testing.T, n int, play func(t *testing.T, s *service, c *Client, order []string, heard *[]List)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &service{at: map[string]*place2{}}
-		c := NewClient(ClientConfig{Addresses: names(n), Order: 7, Fleet: 10, NeverOlder: true, Transport: s})
+		c := NewClient(ClientConfig{Addresses: names(n), Order: 7, Fleet: 10, RejectOlder: true, Transport: s})
 		var order []string
 		for _, p := range c.choose.places {
 			order = append(order, p.addr)
@@ -137,7 +137,7 @@
 				done := make(chan error, 1)
 				began := time.Now()
 				go func() { done <- c.Watch(ctx, 5, func(l List) { *heard = append(*heard, l) }) }()
-				time.Sleep(Silence + time.Second)
+				time.Sleep(WatchSilenceTimeout + time.Second)
 				synctest.Wait()
 				if got := s.asked(); len(got) != 2 || got[0] != order[0] || got[1] != order[1] {
 					t.Errorf("asked %v of %v", got, order)
@@ -174,7 +174,7 @@
 				t.Fatal("a watch of nothing")
 			}
 		}
-		if n, held := len(s.asked()), c.Held(); n < 103 || n > 107 || held < 90 {
+		if n, held := len(s.asked()), c.BudgetExhausted(); n < 103 || n > 107 || held < 90 {
 			t.Errorf("100 rounds at once made %d calls, held back %d", n, held)
 		}
 		time.Sleep(time.Minute)
@@ -207,7 +207,7 @@
 			t.Errorf("asked %s, want %s", got, want)
 		}
 		// SIGHUP takes the address away at which it is: it goes on at one that stays.
-		c.Set(order[:2])
+		c.SetAddresses(order[:2])
 		s.set(order[0], ok(20))
 		s.set(order[1], ok(20))
 		time.Sleep(10 * time.Second)
@@ -247,16 +247,16 @@
 		if err != nil {
 			return
 		}
-		for i := range l.Hosts {
-			h := &l.Hosts[i]
-			if h.Host == "" || h.Health != Ready && h.Health != Draining && h.Health != Gone || h.Health != Gone && !IsAddress(h.Dial) {
+		for i := range l.Endpoints {
+			h := &l.Endpoints[i]
+			if h.Name == "" || h.Health != Ready && h.Health != Draining && h.Health != Removed || h.Health != Removed && !IsAddress(h.Dial) {
 				t.Errorf("took %+v", h)
 			}
 			if h.Validate() == nil {
 				// A name that a service takes can stand in a path and comes back from it.
-				u, err := url.Parse("http://a/v1/servers/" + h.Host)
-				if err != nil || u.Path != "/v1/servers/"+h.Host || !(h.Share >= 0) || strconv.Itoa(h.Block) == "" {
-					t.Errorf("took the name %q: %v", h.Host, err)
+				u, err := url.Parse("http://a/v1/servers/" + h.Name)
+				if err != nil || u.Path != "/v1/servers/"+h.Name || !(h.Weight >= 0) || strconv.Itoa(h.Block) == "" {
+					t.Errorf("took the name %q: %v", h.Name, err)
 				}
 			}
 		}
@@ -302,19 +302,19 @@
 		heard  int
 		lasted time.Duration // from the begin to the end by silence
 	}{
-		"indented":              {[]string{indented, "\n", indented}, 2, 2*time.Second + Silence},
-		"indented, in pieces":   {strings.SplitAfter(indented, "]"), 1, 2*time.Second + Silence},
-		"silent from the start": {nil, 0, Silence},
-		"silent within a line":  {[]string{"\n", indented[:20]}, 0, Silence},
-		"an object without end": {endless, 0, Silence},
-		"a line without end":    {letters, 0, Silence},
+		"indented":              {[]string{indented, "\n", indented}, 2, 2*time.Second + WatchSilenceTimeout},
+		"indented, in pieces":   {strings.SplitAfter(indented, "]"), 1, 2*time.Second + WatchSilenceTimeout},
+		"silent from the start": {nil, 0, WatchSilenceTimeout},
+		"silent within a line":  {[]string{"\n", indented[:20]}, 0, WatchSilenceTimeout},
+		"an object without end": {endless, 0, WatchSilenceTimeout},
+		"a line without end":    {letters, 0, WatchSilenceTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				cl := NewClient(ClientConfig{Addresses: names(1), Transport: written{c.texts, time.Second}})
 				heard, began := 0, time.Now()
 				err := cl.Watch(t.Context(), 5, func(l List) {
-					if heard++; l.Seq != 6 || len(l.Hosts) != 1 || l.Hosts[0].Host != "a}\"]" {
+					if heard++; l.Seq != 6 || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "a}\"]" {
 						t.Errorf("heard %+v", l)
 					}
 				})
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -21,14 +21,14 @@
 const (
 	Ready    = "ready"
 	Draining = "draining" // completes what it holds, wants nothing new
-	Gone     = "gone"     // only among changes
+	Removed  = "gone"     // only among changes
 )
 
 // List is a list of backends, or a change of it.
 type List struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []Host `json:"hosts"`
+	Seq       int64      `json:"seq"`
+	Full      bool       `json:"whole"`
+	Endpoints []Endpoint `json:"hosts"`
 
 	// What a Client notes on a list that it read; the form doesn't have it. Scoped: the list
 	// service understood which services were asked for, and sent only those. Subscription: the
@@ -40,16 +40,16 @@
 	Age time.Duration `json:"-"`
 }
 
-// Host is one backend of a list.
-type Host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMs float64 `json:"born_ms"`
+// Endpoint is one backend of a list.
+type Endpoint struct {
+	Name      string  `json:"host"`
+	Dial      string  `json:"dial"`
+	Site      string  `json:"site"`
+	Class     string  `json:"class"`
+	Block     int     `json:"block"`
+	Health    string  `json:"health"`
+	Weight    float64 `json:"share"`
+	StartedMs float64 `json:"born_ms"`
 	// Service is the service that the backend belongs to; "" is the default service. Readers
 	// that name no services are sent lists without it.
 	Service string `json:"service,omitempty"`
@@ -57,8 +57,8 @@
 
 // Bounds of what a service takes for an entry.
 const (
-	MaxName = 128
-	MaxWord = 64
+	MaxName  = 128
+	MaxLabel = 64
 )
 
 // Parse reads one list and reports the first entry that makes no sense.
@@ -67,8 +67,8 @@
 	if err := json.Unmarshal(text, &l); err != nil {
 		return l, err
 	}
-	for i := range l.Hosts {
-		if err := l.Hosts[i].Readable(); err != nil {
+	for i := range l.Endpoints {
+		if err := l.Endpoints[i].Readable(); err != nil {
 			return l, fmt.Errorf("hosts[%d].%w", i, err)
 		}
 	}
@@ -78,46 +78,46 @@
 // Readable tells whether a reader can use the entry: it has a name, a known word for its
 // health and, unless it is gone, an address. It is no stricter, so that a list from
 // elsewhere with an odd site or share is still a list.
-func (h *Host) Readable() error {
+func (h *Endpoint) Readable() error {
 	switch {
-	case h.Host == "":
+	case h.Name == "":
 		return errors.New("host: missing")
-	case h.Health != Ready && h.Health != Draining && h.Health != Gone:
+	case h.Health != Ready && h.Health != Draining && h.Health != Removed:
 		return fmt.Errorf("health: unknown word %q", h.Health)
-	case h.Health != Gone && !IsAddress(h.Dial):
+	case h.Health != Removed && !IsAddress(h.Dial):
 		return fmt.Errorf("dial: no address with a port: %q", h.Dial)
 	}
 	return nil
 }
 
 // Validate tells whether a service should take the entry into its list.
-func (h *Host) Validate() error {
+func (h *Endpoint) Validate() error {
 	if err := h.Readable(); err != nil {
 		return err
 	}
 	switch {
-	case !IsWord(h.Host, MaxName):
+	case !IsToken(h.Name, MaxName):
 		return fmt.Errorf("host: must be at most %d printable characters without spaces or slashes", MaxName)
 	case !IsAddress(h.Dial):
 		return fmt.Errorf("dial: no address with a port: %q", h.Dial)
-	case h.Site != "" && !IsWord(h.Site, MaxWord):
-		return fmt.Errorf("site: must be at most %d printable characters without spaces or slashes", MaxWord)
-	case h.Class != "" && !IsWord(h.Class, MaxWord):
-		return fmt.Errorf("class: must be at most %d printable characters without spaces or slashes", MaxWord)
-	case h.Service != "" && !IsWord(h.Service, MaxWord):
-		return fmt.Errorf("service: must be at most %d printable characters without spaces or slashes", MaxWord)
+	case h.Site != "" && !IsToken(h.Site, MaxLabel):
+		return fmt.Errorf("site: must be at most %d printable characters without spaces or slashes", MaxLabel)
+	case h.Class != "" && !IsToken(h.Class, MaxLabel):
+		return fmt.Errorf("class: must be at most %d printable characters without spaces or slashes", MaxLabel)
+	case h.Service != "" && !IsToken(h.Service, MaxLabel):
+		return fmt.Errorf("service: must be at most %d printable characters without spaces or slashes", MaxLabel)
 	case h.Block < 0 || h.Block > 1<<20:
 		return fmt.Errorf("block: must be 0 to %d, is %d", 1<<20, h.Block)
-	case !IsShare(h.Share):
-		return fmt.Errorf("share: must be 0 or above and at most 1e6, is %v", h.Share)
-	case !(h.BornMs >= 0) || h.BornMs > 1<<52 || h.BornMs != math.Trunc(h.BornMs):
-		return fmt.Errorf("born_ms: must be a whole number of milliseconds, is %v", h.BornMs)
+	case !IsWeight(h.Weight):
+		return fmt.Errorf("share: must be 0 or above and at most 1e6, is %v", h.Weight)
+	case !(h.StartedMs >= 0) || h.StartedMs > 1<<52 || h.StartedMs != math.Trunc(h.StartedMs):
+		return fmt.Errorf("born_ms: must be a whole number of milliseconds, is %v", h.StartedMs)
 	}
 	return nil
 }
 
-// IsShare tells whether a share makes sense.
-func IsShare(x float64) bool { return x >= 0 && x <= 1e6 }
+// IsWeight tells whether a share makes sense.
+func IsWeight(x float64) bool { return x >= 0 && x <= 1e6 }
 
 // IsAddress tells whether the text is an address with a port.
 func IsAddress(addr string) bool {
@@ -129,9 +129,9 @@
 	return err == nil
 }
 
-// IsWord tells whether a name can stand in a path, a log line and a metric: printable,
+// IsToken tells whether a name can stand in a path, a log line and a metric: printable,
 // without spaces, slashes or quotes, and not too long.
-func IsWord(s string, most int) bool {
+func IsToken(s string, most int) bool {
 	if s == "" || s == "." || s == ".." || len(s) > most || !utf8.ValidString(s) {
 		return false
 	}
--- a/internal/endpoints/fake_test.go
+++ b/internal/endpoints/fake_test.go
@@ -37,27 +37,27 @@
 // fakeState is a list with its changes.
 type fakeState struct {
 	seq     int64
-	hosts   []Host
+	hosts   []Endpoint
 	history []fakeChange
 }
 
 type fakeChange struct {
 	seq   int64
-	hosts []Host
+	hosts []Endpoint
 }
 
 func (s *fakeState) index(name string) int {
-	return slices.IndexFunc(s.hosts, func(h Host) bool { return h.Host == name })
+	return slices.IndexFunc(s.hosts, func(h Endpoint) bool { return h.Name == name })
 }
 
 // set lists a server; one that changes its service is also gone from the one before.
-func (s *fakeState) set(h Host, goneLast bool) {
-	change := []Host{h}
-	if i := s.index(h.Host); i < 0 {
+func (s *fakeState) set(h Endpoint, goneLast bool) {
+	change := []Endpoint{h}
+	if i := s.index(h.Name); i < 0 {
 		s.hosts = append(s.hosts, h)
 	} else {
 		if before := s.hosts[i]; before.Service != h.Service {
-			before.Health = Gone
+			before.Health = Removed
 			change = append(change, before)
 			if !goneLast {
 				slices.Reverse(change)
@@ -73,25 +73,25 @@
 func (s *fakeState) remove(name string) {
 	i := s.index(name)
 	h := s.hosts[i]
-	h.Health = Gone
+	h.Health = Removed
 	s.hosts = slices.Delete(s.hosts, i, i+1)
 	s.seq++
-	s.history = append(s.history, fakeChange{s.seq, []Host{h}})
+	s.history = append(s.history, fakeChange{s.seq, []Endpoint{h}})
 }
 
 // list is what a reader with the version since is sent; services nil: of all, without a service.
 func (s *fakeState) list(since int64, services []string) List {
-	l := List{Seq: s.seq, Whole: since <= 0, Hosts: []Host{}}
-	add := func(h Host) {
+	l := List{Seq: s.seq, Full: since <= 0, Endpoints: []Endpoint{}}
+	add := func(h Endpoint) {
 		if services != nil && !slices.Contains(services, h.Service) {
 			return
 		}
 		if services == nil {
 			h.Service = ""
 		}
-		l.Hosts = append(l.Hosts, h)
+		l.Endpoints = append(l.Endpoints, h)
 	}
-	if l.Whole {
+	if l.Full {
 		for _, h := range s.hosts {
 			add(h)
 		}
@@ -99,7 +99,7 @@
 	}
 	for _, c := range s.history {
 		for _, h := range c.hosts {
-			moved := services == nil && h.Health == Gone && len(c.hosts) > 1
+			moved := services == nil && h.Health == Removed && len(c.hosts) > 1
 			if c.seq > since && !moved {
 				add(h)
 			}
@@ -192,7 +192,7 @@
 	table  *ServiceTable
 	number uint64
 	seq    int64
-	held   map[string]Host
+	held   map[string]Endpoint
 	events []ServiceEvent
 	lists  []List   // as they came
 	ended  int      // watches that ended with an error
@@ -213,15 +213,15 @@
 }
 
 // consume does with a list what a consumer does that knows no services.
-func consume(held map[string]Host, l *List) {
-	if l.Whole {
+func consume(held map[string]Endpoint, l *List) {
+	if l.Full {
 		clear(held)
 	}
-	for _, h := range l.Hosts {
-		if h.Health == Gone {
-			delete(held, h.Host)
+	for _, h := range l.Endpoints {
+		if h.Health == Removed {
+			delete(held, h.Name)
 		} else {
-			held[h.Host] = h
+			held[h.Name] = h
 		}
 	}
 }
@@ -253,7 +253,7 @@
 
 // playScoped plays a reader of services over a fleet of so many addresses, which it asks in the
 // given order, on a clock of its own.
-func playScoped(t *testing.T, n int, services []string, hosts []Host, play func(t *testing.T, f *fakeFleet, r *fakeReader, order []string)) {
+func playScoped(t *testing.T, n int, services []string, hosts []Endpoint, play func(t *testing.T, f *fakeFleet, r *fakeReader, order []string)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeFleet{at: map[string]*fakeSteward{}, changed: make(chan struct{}), state: fakeState{seq: 100}}
 		for _, h := range hosts {
@@ -262,9 +262,9 @@
 		for _, addr := range names(n) {
 			f.at[addr] = &fakeSteward{moved: make(chan struct{})}
 		}
-		r := &fakeReader{table: NewServiceTable(services), held: map[string]Host{}}
-		r.client = NewClient(ClientConfig{Addresses: names(n), Order: 7, Fleet: 10, NeverOlder: true, Services: services, Transport: f,
-			Failover: func(addr string, _ error) {
+		r := &fakeReader{table: NewServiceTable(services), held: map[string]Endpoint{}}
+		r.client = NewClient(ClientConfig{Addresses: names(n), Order: 7, Fleet: 10, RejectOlder: true, Services: services, Transport: f,
+			OnFailover: func(addr string, _ error) {
 				r.mu.Lock()
 				defer r.mu.Unlock()
 				r.left = append(r.left, addr)
@@ -298,6 +298,6 @@
 	})
 }
 
-func server(name, service string) Host {
-	return Host{Host: name, Dial: "127.0.0.1:9", Health: Ready, Service: service}
+func server(name, service string) Endpoint {
+	return Endpoint{Name: name, Dial: "127.0.0.1:9", Health: Ready, Service: service}
 }
--- a/internal/endpoints/services.go
+++ b/internal/endpoints/services.go
@@ -40,8 +40,8 @@
 	}
 	seen := make(map[string]bool, len(services))
 	for i, service := range services {
-		if service != "" && !IsWord(service, MaxWord) {
-			return &ServiceError{i, fmt.Errorf("must be at most %d printable characters without spaces or slashes: %q", MaxWord, service)}
+		if service != "" && !IsToken(service, MaxLabel) {
+			return &ServiceError{i, fmt.Errorf("must be at most %d printable characters without spaces or slashes: %q", MaxLabel, service)}
 		}
 		if seen[service] {
 			return &ServiceError{i, fmt.Errorf("named twice: %q", service)}
@@ -113,7 +113,7 @@
 	switch {
 	case s.services != nil && !l.Scoped:
 		s.wantsWhole = true
-	case l.Whole:
+	case l.Full:
 		s.wantsWhole = false
 	}
 }
--- a/internal/endpoints/services_test.go
+++ b/internal/endpoints/services_test.go
@@ -85,7 +85,7 @@
 		{append(many, "one more"), "services: 257 of at most 256"},
 		{[]string{"a", "b", "a"}, `services[2]: named twice: "a"`},
 		{[]string{"a", "b/c"}, `services[1]: must be at most 64 printable characters without spaces or slashes: "b/c"`},
-		{[]string{strings.Repeat("x", MaxWord+1)}, "services[0]: must be at most 64"},
+		{[]string{strings.Repeat("x", MaxLabel+1)}, "services[0]: must be at most 64"},
 	} {
 		err := CheckServices(c.services)
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.HasPrefix(err.Error(), c.want)) {
@@ -104,7 +104,7 @@
 // address, with the whole list of the new services; what is held stays until that comes, and
 // nothing of it counts as a failure or against the budget.
 func TestSubscriptionChanges(t *testing.T) {
-	hosts := []Host{server("a1", "a"), server("b1", "b"), server("c1", "c")}
+	hosts := []Endpoint{server("a1", "a"), server("b1", "b"), server("c1", "c")}
 	playScoped(t, 3, []string{"a", "b"}, hosts, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
 		if got := r.holds(); got != "a1 b1" {
 			t.Fatalf("holds %q", got)
@@ -128,8 +128,8 @@
 			}
 			want = append(want, order[0]+"?follow=1&since=0&service="+strings.Join(services, "&service="))
 		}
-		if got := f.asked(); !slices.Equal(got, want) || time.Since(began) > 0 || r.client.Held() > 0 || r.ended > 0 {
-			t.Errorf("asked %q after %v, held %d, ended %d", got, time.Since(began), r.client.Held(), r.ended)
+		if got := f.asked(); !slices.Equal(got, want) || time.Since(began) > 0 || r.client.BudgetExhausted() > 0 || r.ended > 0 {
+			t.Errorf("asked %q after %v, held %d, ended %d", got, time.Since(began), r.client.BudgetExhausted(), r.ended)
 		}
 		if p := r.client.choose.places[0]; len(r.left) > 0 || p.strikes > 0 || p.avoid > 0 || p.busy > 0 || r.client.choose.budget.spent > 0 {
 			t.Errorf("the change counts against %+v", p)
@@ -143,7 +143,7 @@
 		}
 		f.change(func(s *fakeState) { s.set(server("a2", "a"), false) })
 		synctest.Wait()
-		if got := r.holds(); got != "a1 a2" || r.lists[len(r.lists)-1].Whole {
+		if got := r.holds(); got != "a1 a2" || r.lists[len(r.lists)-1].Full {
 			t.Errorf("holds %q, by %+v", got, r.lists[len(r.lists)-1])
 		}
 		// The reader stays where it is, also when another address is its first choice again.
@@ -162,7 +162,7 @@
 // The subscription changes with the addresses, while the watch stands, is refused everywhere, or
 // is on its way from one address to the other.
 func TestSubscriptionChangesWhileMoving(t *testing.T) {
-	hosts := []Host{server("a1", "a"), server("b1", "b")}
+	hosts := []Endpoint{server("a1", "a"), server("b1", "b")}
 	b := "?follow=1&since=0&service=b"
 	t.Run("address taken away", func(t *testing.T) {
 		playScoped(t, 3, []string{"a"}, hosts, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
@@ -255,7 +255,7 @@
 
 // A fetch whose services change under way asks again for the new ones, at once.
 func TestFetchWhileSubscriptionChanges(t *testing.T) {
-	playScoped(t, 1, []string{"a"}, []Host{server("a1", "a"), server("b1", "b")}, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
+	playScoped(t, 1, []string{"a"}, []Endpoint{server("a1", "a"), server("b1", "b")}, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
 		once := true
 		client := NewClient(ClientConfig{Addresses: order, Services: []string{"a"}})
 		client.http.Transport = roundTrip(func(req *http.Request) (*http.Response, error) {
@@ -269,7 +269,7 @@
 			return resp, err
 		})
 		l, err := client.Fetch(t.Context(), 0)
-		if err != nil || len(l.Hosts) != 1 || l.Hosts[0].Host != "b1" || l.Subscription != 1 || !l.Scoped || client.choose.budget.spent > 0 {
+		if err != nil || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "b1" || l.Subscription != 1 || !l.Scoped || client.choose.budget.spent > 0 {
 			t.Errorf("fetched %+v: %v", l, err)
 		}
 	})
@@ -282,7 +282,7 @@
 // The version never goes back over a change of the subscription: a steward whose list is older
 // is left, one of the same version is taken.
 func TestNeverOlderOverSubscriptions(t *testing.T) {
-	hosts := []Host{server("a1", "a"), server("b1", "b")}
+	hosts := []Endpoint{server("a1", "a"), server("b1", "b")}
 	playScoped(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
 		f.mu.Lock()
 		f.at[order[0]].behind = 1
@@ -310,7 +310,7 @@
 
 // What the reader knows by another way than the watch counts as its version too.
 func TestNeverOlderThanTheReader(t *testing.T) {
-	playScoped(t, 1, []string{"a"}, []Host{server("a1", "a")}, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
+	playScoped(t, 1, []string{"a"}, []Endpoint{server("a1", "a")}, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
 		if _, err := r.client.Subscribe([]string{"b"}, 500); err != nil {
 			t.Fatal(err)
 		}
@@ -329,7 +329,7 @@
 // A reader that wants a whole list and knows a later version than the list service ever had says
 // so, which makes the service raise its own; else the reader would take no list any more.
 func TestLaterVersionIsNamed(t *testing.T) {
-	playScoped(t, 1, []string{"a"}, []Host{server("a1", "a")}, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
+	playScoped(t, 1, []string{"a"}, []Endpoint{server("a1", "a")}, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
 		f.mu.Lock()
 		f.at[order[0]].behind, f.at[order[0]].raises = 50, true
 		f.mu.Unlock()
@@ -364,7 +364,7 @@
 // those that it holds, takes no other, follows their changes, and doesn't leave or avoid the
 // address for it. From there it asks any steward for a whole list.
 func TestOldStewardBesideNew(t *testing.T) {
-	hosts := []Host{server("a1", "a"), server("a2", "a"), server("b1", "b"), server("d1", "")}
+	hosts := []Endpoint{server("a1", "a"), server("a2", "a"), server("b1", "b"), server("d1", "")}
 	playScoped(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
 		f.mu.Lock()
 		f.at[order[1]].old = true
@@ -411,7 +411,7 @@
 
 // A reader of the default service takes from an old steward all that it doesn't hold otherwise.
 func TestOldStewardAlone(t *testing.T) {
-	hosts := []Host{server("a1", "a"), server("d1", "")}
+	hosts := []Endpoint{server("a1", "a"), server("d1", "")}
 	playScoped(t, 1, []string{"", "a"}, nil, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
 		f.mu.Lock()
 		f.at[order[0]].old = true
@@ -432,7 +432,7 @@
 
 // A reader that gives up its services asks for the list of all, whole at first.
 func TestSubscribeToAll(t *testing.T) {
-	hosts := []Host{server("a1", "a"), server("b1", "b")}
+	hosts := []Endpoint{server("a1", "a"), server("b1", "b")}
 	playScoped(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
 		if _, err := r.client.Subscribe(nil, r.seq); err != nil {
 			t.Fatal(err)
@@ -452,10 +452,10 @@
 // the bound's length is taken. The target's 39,000 servers are above it, a service of 5,000 isn't.
 func TestLongList(t *testing.T) {
 	listOf := func(n int) []byte {
-		l := List{Seq: 1, Whole: true}
+		l := List{Seq: 1, Full: true}
 		for i := range n {
-			l.Hosts = append(l.Hosts, Host{Host: fmt.Sprintf("server-%05d.zone-17", i), Dial: "127.0.0.1:54321", Site: "zone-17",
-				Class: "kind-3", Block: i, Health: Ready, Share: 1, BornMs: 1764650000000 + float64(i), Service: "service-0815"})
+			l.Endpoints = append(l.Endpoints, Endpoint{Name: fmt.Sprintf("server-%05d.zone-17", i), Dial: "127.0.0.1:54321", Site: "zone-17",
+				Class: "kind-3", Block: i, Health: Ready, Weight: 1, StartedMs: 1764650000000 + float64(i), Service: "service-0815"})
 		}
 		text, err := json.Marshal(l)
 		if err != nil {
--- a/internal/endpoints/servicetable.go
+++ b/internal/endpoints/servicetable.go
@@ -10,9 +10,9 @@
 
 // What may become of a service.
 const (
-	ServiceUnknown ServiceEventKind = iota // no list ever named a server of it
-	ServiceEmptied                         // it had servers, and the list names none any more
-	ServiceBack                            // it has servers again, or at last
+	ServiceUnknown  ServiceEventKind = iota // no list ever named a server of it
+	ServiceEmptied                          // it had servers, and the list names none any more
+	ServiceRestored                         // it has servers again, or at last
 )
 
 func (k ServiceEventKind) String() string {
@@ -21,7 +21,7 @@
 		return "service unknown"
 	case ServiceEmptied:
 		return "service emptied"
-	case ServiceBack:
+	case ServiceRestored:
 		return "service back"
 	}
 	return "service event unknown"
@@ -29,10 +29,10 @@
 
 // ServiceEvent reports a change of a service that its servers' entries alone don't show.
 type ServiceEvent struct {
-	Kind    ServiceEventKind
-	Service string
-	Kept    int  // how many servers stay in use though the list names none
-	Scoped  bool // the list was of the reader's services; if not, it may not tell whose a server is
+	Kind     ServiceEventKind
+	Service  string
+	Retained int  // how many servers stay in use though the list names none
+	Scoped   bool // the list was of the reader's services; if not, it may not tell whose a server is
 }
 
 // ServiceTable is what a reader holds of the services that it subscribes to. It turns the lists
@@ -47,7 +47,7 @@
 // time once each.
 type ServiceTable struct {
 	services map[string]*serviceEntries // subscribed to
-	hosts    map[string]Host            // by name; each with its service
+	hosts    map[string]Endpoint        // by name; each with its service
 	based    bool                       // a whole list came since the services changed
 	settled  bool                       // the last list came scoped, and so did the whole one below it
 }
@@ -71,7 +71,7 @@
 
 // NewServiceTable makes a table of these services, which have passed CheckServices.
 func NewServiceTable(services []string) *ServiceTable {
-	t := &ServiceTable{hosts: map[string]Host{}}
+	t := &ServiceTable{hosts: map[string]Endpoint{}}
 	t.Subscribe(services)
 	return t
 }
@@ -96,50 +96,50 @@
 	t.based, t.settled = false, false
 }
 
-// Settled tells whether the table rests on a whole scoped list and nothing unscoped came after it.
+// Synced tells whether the table rests on a whole scoped list and nothing unscoped came after it.
 // As long as it doesn't, the table may lack servers of its services.
-func (t *ServiceTable) Settled() bool { return t.settled }
+func (t *ServiceTable) Synced() bool { return t.settled }
 
 // Seed takes a list that is known from before, and returns what of it belongs to the services. It
 // causes no events: only the lists that come tell how a service stands.
 func (t *ServiceTable) Seed(l List) List {
-	out := List{Seq: l.Seq, Whole: l.Whole, Hosts: []Host{}}
-	for i := range l.Hosts {
-		h := l.Hosts[i]
-		if _, twice := t.hosts[h.Host]; twice || h.Health == Gone || t.services[h.Service] == nil {
+	out := List{Seq: l.Seq, Full: l.Full, Endpoints: []Endpoint{}}
+	for i := range l.Endpoints {
+		h := l.Endpoints[i]
+		if _, twice := t.hosts[h.Name]; twice || h.Health == Removed || t.services[h.Service] == nil {
 			continue
 		}
 		t.put(h)
-		out.Hosts = append(out.Hosts, h)
+		out.Endpoints = append(out.Endpoints, h)
 	}
 	return out
 }
 
 // Apply takes a list and returns it as the consumer has to take it, with the events that it causes.
 func (t *ServiceTable) Apply(l List) (List, []ServiceEvent) {
-	if l.Whole {
+	if l.Full {
 		return t.applyWhole(&l)
 	}
 	if !t.based {
-		return List{Seq: l.Seq, Hosts: []Host{}}, nil
+		return List{Seq: l.Seq, Endpoints: []Endpoint{}}, nil
 	}
 	return t.applyChange(&l)
 }
 
 // applyWhole takes a whole list.
 func (t *ServiceTable) applyWhole(l *List) (List, []ServiceEvent) {
-	next := map[string]Host{}
+	next := map[string]Endpoint{}
 	var order []string
-	add := func(h Host) {
-		if _, ok := next[h.Host]; !ok {
-			order = append(order, h.Host)
+	add := func(h Endpoint) {
+		if _, ok := next[h.Name]; !ok {
+			order = append(order, h.Name)
 		}
-		next[h.Host] = h
+		next[h.Name] = h
 	}
-	for i := range l.Hosts {
-		h := l.Hosts[i]
+	for i := range l.Endpoints {
+		h := l.Endpoints[i]
 		name, ok := t.serviceOf(&h, l.Scoped)
-		if ok && h.Health != Gone {
+		if ok && h.Health != Removed {
 			h.Service = name
 			add(h)
 		}
@@ -164,15 +164,15 @@
 	}
 	t.replace(next)
 	t.based, t.settled = true, l.Scoped
-	out := List{Seq: l.Seq, Whole: true, Hosts: make([]Host, 0, len(order))}
+	out := List{Seq: l.Seq, Full: true, Endpoints: make([]Endpoint, 0, len(order))}
 	for _, host := range order {
-		out.Hosts = append(out.Hosts, next[host])
+		out.Endpoints = append(out.Endpoints, next[host])
 	}
 	return out, t.review(names, l.Scoped)
 }
 
 // replace makes these the hosts of the table.
-func (t *ServiceTable) replace(hosts map[string]Host) {
+func (t *ServiceTable) replace(hosts map[string]Endpoint) {
 	for _, s := range t.services {
 		s.names = map[string]bool{}
 	}
@@ -184,38 +184,38 @@
 
 // applyChange takes a list of changes.
 func (t *ServiceTable) applyChange(l *List) (List, []ServiceEvent) {
-	c := change{table: t, before: map[string]Host{}, services: map[string]bool{}}
-	for i := range l.Hosts {
-		c.apply(l.Hosts[i], l.Scoped)
+	c := change{table: t, before: map[string]Endpoint{}, services: map[string]bool{}}
+	for i := range l.Endpoints {
+		c.apply(l.Endpoints[i], l.Scoped)
 	}
 	t.settled = t.settled && l.Scoped
-	return List{Seq: l.Seq, Hosts: c.result()}, t.review(slices.Sorted(maps.Keys(c.services)), l.Scoped)
+	return List{Seq: l.Seq, Endpoints: c.result()}, t.review(slices.Sorted(maps.Keys(c.services)), l.Scoped)
 }
 
 // change is one list of changes on its way into the table.
 type change struct {
 	table    *ServiceTable
-	order    []string        // the names that it touches
-	before   map[string]Host // as they were held; one that was not has no name
-	services map[string]bool // the services that it touches
+	order    []string            // the names that it touches
+	before   map[string]Endpoint // as they were held; one that was not has no name
+	services map[string]bool     // the services that it touches
 }
 
 // apply takes one entry.
-func (c *change) apply(h Host, scoped bool) {
+func (c *change) apply(h Endpoint, scoped bool) {
 	t := c.table
-	held, isHeld := t.hosts[h.Host]
-	if h.Health == Gone {
+	held, isHeld := t.hosts[h.Name]
+	if h.Health == Removed {
 		// A server that changed its service is gone from the one before: that may come after
 		// the entry that has it under its new one.
 		if isHeld && (h.Service == held.Service || !scoped && h.Service == "") {
-			c.remove(h.Host)
+			c.remove(h.Name)
 		}
 		return
 	}
 	name, ok := t.serviceOf(&h, scoped)
 	if !ok {
 		if isHeld && !scoped { // it went to a service that this reader doesn't subscribe to
-			c.remove(h.Host)
+			c.remove(h.Name)
 		}
 		return
 	}
@@ -226,7 +226,7 @@
 		}
 	}
 	h.Service = name
-	c.remove(h.Host)
+	c.remove(h.Name)
 	c.services[name] = true
 	t.put(h)
 }
@@ -249,15 +249,15 @@
 }
 
 // result is one entry for each server that was touched: as it is now, or gone.
-func (c *change) result() []Host {
-	hosts := make([]Host, 0, len(c.order))
+func (c *change) result() []Endpoint {
+	hosts := make([]Endpoint, 0, len(c.order))
 	for _, name := range c.order {
 		h, held := c.table.hosts[name]
 		if !held {
-			if h = c.before[name]; h.Host == "" {
+			if h = c.before[name]; h.Name == "" {
 				continue // it came and went in one line
 			}
-			h.Health = Gone
+			h.Health = Removed
 		}
 		hosts = append(hosts, h)
 	}
@@ -265,17 +265,17 @@
 }
 
 // put holds an entry.
-func (t *ServiceTable) put(h Host) {
-	t.hosts[h.Host] = h
-	t.services[h.Service].names[h.Host] = true
+func (t *ServiceTable) put(h Endpoint) {
+	t.hosts[h.Name] = h
+	t.services[h.Service].names[h.Name] = true
 }
 
 // serviceOf is the service that an entry belongs to, and whether it is subscribed to. An entry of
 // an unscoped list that names no service belongs to the one that it is held under, or else to the
 // default service.
-func (t *ServiceTable) serviceOf(h *Host, scoped bool) (string, bool) {
+func (t *ServiceTable) serviceOf(h *Endpoint, scoped bool) (string, bool) {
 	name := h.Service
-	if held, ok := t.hosts[h.Host]; ok && !scoped && name == "" {
+	if held, ok := t.hosts[h.Name]; ok && !scoped && name == "" {
 		name = held.Service
 	}
 	return name, t.services[name] != nil
@@ -299,11 +299,11 @@
 		case s.listed == unknown:
 			event.Kind = ServiceUnknown
 		case s.listed == emptied:
-			event.Kind, event.Kept = ServiceEmptied, len(s.names)
+			event.Kind, event.Retained = ServiceEmptied, len(s.names)
 		case was == unheard:
 			continue
 		default:
-			event.Kind = ServiceBack
+			event.Kind = ServiceRestored
 		}
 		events = append(events, event)
 	}
