--- a/internal/endpoints/servicetable_test.go
+++ b/internal/endpoints/servicetable_test.go
@@ -15,21 +15,21 @@
 type tableRun struct {
 	t     *testing.T
 	table *ServiceTable
-	held  map[string]Host
+	held  map[string]Endpoint
 	seq   int64
 }
 
 func newTableRun(t *testing.T, services ...string) *tableRun {
-	return &tableRun{t: t, table: NewServiceTable(services), held: map[string]Host{}}
+	return &tableRun{t: t, table: NewServiceTable(services), held: map[string]Endpoint{}}
 }
 
 // apply feeds one list and checks what is held after it, as "name/service" in order, and the events.
-func (r *tableRun) apply(what string, whole, scoped bool, hosts []Host, want string, events ...ServiceEvent) {
+func (r *tableRun) apply(what string, whole, scoped bool, hosts []Endpoint, want string, events ...ServiceEvent) {
 	r.t.Helper()
 	r.seq++
-	out, got := r.table.Apply(List{Seq: r.seq, Whole: whole, Scoped: scoped, Hosts: hosts})
+	out, got := r.table.Apply(List{Seq: r.seq, Full: whole, Scoped: scoped, Endpoints: hosts})
 	consume(r.held, &out)
-	if out.Seq != r.seq || out.Whole != whole {
+	if out.Seq != r.seq || out.Full != whole {
 		r.t.Errorf("%s: made %+v", what, out)
 	}
 	if holds := holding(r.held); holds != want {
@@ -40,7 +40,7 @@
 	}
 }
 
-func holding(held map[string]Host) string {
+func holding(held map[string]Endpoint) string {
 	var names []string
 	for name, h := range held {
 		names = append(names, name+"/"+h.Service)
@@ -49,9 +49,11 @@
 	return strings.Join(names, " ")
 }
 
-func gone(name, service string) Host { return Host{Host: name, Service: service, Health: Gone} }
+func gone(name, service string) Endpoint {
+	return Endpoint{Name: name, Service: service, Health: Removed}
+}
 
-func list(hosts ...Host) []Host { return hosts }
+func list(hosts ...Endpoint) []Endpoint { return hosts }
 
 // A service without servers is unknown if it never had any. One that had some keeps them if a
 // whole list names none of it, until a list names one again. Each is reported once.
@@ -60,16 +62,16 @@
 	a1, a2, b1 := server("a1", "a"), server("a2", "a"), server("b1", "b")
 	r.apply("first", true, true, list(a1, a2), "a1/a a2/a", ServiceEvent{Kind: ServiceUnknown, Service: "b", Scoped: true})
 	r.apply("again", true, true, list(a1, a2), "a1/a a2/a")
-	r.apply("b known", false, true, list(b1), "a1/a a2/a b1/b", ServiceEvent{Kind: ServiceBack, Service: "b", Scoped: true})
-	r.apply("a emptied", true, true, list(b1), "a1/a a2/a b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Kept: 2, Scoped: true})
+	r.apply("b known", false, true, list(b1), "a1/a a2/a b1/b", ServiceEvent{Kind: ServiceRestored, Service: "b", Scoped: true})
+	r.apply("a emptied", true, true, list(b1), "a1/a a2/a b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Retained: 2, Scoped: true})
 	r.apply("still", true, true, list(b1), "a1/a a2/a b1/b")
 	r.apply("a kept one is gone", false, true, list(gone("a2", "a")), "a1/a b1/b")
-	r.apply("all emptied", true, true, nil, "a1/a b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "b", Kept: 1, Scoped: true})
-	r.apply("a back", false, true, list(a2), "a2/a b1/b", ServiceEvent{Kind: ServiceBack, Service: "a", Scoped: true})
-	r.apply("b back", true, true, list(a2, server("b2", "b")), "a2/a b2/b", ServiceEvent{Kind: ServiceBack, Service: "b", Scoped: true})
+	r.apply("all emptied", true, true, nil, "a1/a b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "b", Retained: 1, Scoped: true})
+	r.apply("a back", false, true, list(a2), "a2/a b1/b", ServiceEvent{Kind: ServiceRestored, Service: "a", Scoped: true})
+	r.apply("b back", true, true, list(a2, server("b2", "b")), "a2/a b2/b", ServiceEvent{Kind: ServiceRestored, Service: "b", Scoped: true})
 	r.apply("a ends by changes", false, true, list(gone("a2", "a")), "b2/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
 	r.apply("and stays so", true, true, list(server("b2", "b")), "b2/b")
-	r.apply("a begins anew", false, true, list(a1), "a1/a b2/b", ServiceEvent{Kind: ServiceBack, Service: "a", Scoped: true})
+	r.apply("a begins anew", false, true, list(a1), "a1/a b2/b", ServiceEvent{Kind: ServiceRestored, Service: "a", Scoped: true})
 }
 
 // Entries of other services are dropped, and a server is gone only from the service under which
@@ -88,7 +90,7 @@
 	now := server("s", "b")
 	now.Dial = "127.0.0.1:10"
 	a, b := server("a1", "a"), server("b1", "b")
-	for name, line := range map[string][]Host{"gone first": {gone("s", "a"), now}, "gone last": {now, gone("s", "a")}} {
+	for name, line := range map[string][]Endpoint{"gone first": {gone("s", "a"), now}, "gone last": {now, gone("s", "a")}} {
 		t.Run(name, func(t *testing.T) {
 			both := newTableRun(t, "a", "b")
 			both.apply("both: whole", true, true, list(a, b, server("s", "a")), "a1/a b1/b s/a")
@@ -98,7 +100,7 @@
 			}
 			two := newTableRun(t, "a", "b") // the entries come in lines of their own
 			two.apply("two lines: whole", true, true, list(a, b, server("s", "a")), "a1/a b1/b s/a")
-			two.apply("two lines: first", false, true, line[:1], map[bool]string{true: "a1/a b1/b", false: "a1/a b1/b s/b"}[line[0].Health == Gone])
+			two.apply("two lines: first", false, true, line[:1], map[bool]string{true: "a1/a b1/b", false: "a1/a b1/b s/b"}[line[0].Health == Removed])
 			two.apply("two lines: second", false, true, line[1:], "a1/a b1/b s/b")
 		})
 	}
@@ -113,8 +115,8 @@
 	all.apply("all: whole", true, true, list(server("s", "a"), b), "b1/b s/a")
 	all.apply("all: moved", true, true, list(now, b), "b1/b s/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
 	// The line names a server once, whatever it has of it.
-	out, _ := all.table.Apply(List{Seq: 9, Scoped: true, Hosts: list(gone("s", "b"), server("s", "a"), gone("s", "a"), now)})
-	if len(out.Hosts) != 1 || out.Hosts[0] != now {
+	out, _ := all.table.Apply(List{Seq: 9, Scoped: true, Endpoints: list(gone("s", "b"), server("s", "a"), gone("s", "a"), now)})
+	if len(out.Endpoints) != 1 || out.Endpoints[0] != now {
 		t.Errorf("made %+v", out)
 	}
 }
@@ -122,19 +124,19 @@
 // What comes unscoped is filtered by the service that an entry names, else by the one that it is
 // held under, else it is the default service's.
 func TestUnscopedLists(t *testing.T) {
-	bare := func(name string) Host { return server(name, "") }
+	bare := func(name string) Endpoint { return server(name, "") }
 	r := newTableRun(t, "a", "b")
 	r.apply("scoped", true, true, list(server("a1", "a"), server("a2", "a"), server("b1", "b")), "a1/a a2/a b1/b")
 	r.apply("whole", true, false, list(bare("a1"), bare("b1"), bare("x1")), "a1/a b1/b")
-	if r.table.Settled() {
+	if r.table.Synced() {
 		t.Error("an unscoped list settles the table")
 	}
 	r.apply("changes", false, false, list(bare("x2"), server("a3", "a"), gone("x1", ""), server("x3", "x")), "a1/a a3/a b1/b")
 	r.apply("gone", false, false, list(gone("a3", ""), gone("b1", "a")), "a1/a b1/b")
 	r.apply("went to another service", false, false, list(server("b1", "x")), "a1/a",
 		ServiceEvent{Kind: ServiceEmptied, Service: "b"})
-	r.apply("mass failure", true, false, list(bare("x1")), "a1/a", ServiceEvent{Kind: ServiceEmptied, Service: "a", Kept: 1})
-	r.apply("over", true, false, list(bare("x1"), bare("a1")), "a1/a", ServiceEvent{Kind: ServiceBack, Service: "a"})
+	r.apply("mass failure", true, false, list(bare("x1")), "a1/a", ServiceEvent{Kind: ServiceEmptied, Service: "a", Retained: 1})
+	r.apply("over", true, false, list(bare("x1"), bare("a1")), "a1/a", ServiceEvent{Kind: ServiceRestored, Service: "a"})
 	d := newTableRun(t, "")
 	d.apply("default service", true, false, list(bare("d1"), server("x1", "x")), "d1/")
 	u := newTableRun(t, "a")
@@ -145,16 +147,16 @@
 // when that list has none of a service.
 func TestSeed(t *testing.T) {
 	table := NewServiceTable([]string{"a", "b"})
-	known := List{Seq: 5, Whole: true, Hosts: list(server("a1", "a"), server("d1", ""), server("x1", "x"), gone("a2", "a"), server("a1", "b"))}
-	if out := table.Seed(known); out.Seq != 5 || len(out.Hosts) != 1 || out.Hosts[0] != server("a1", "a") {
+	known := List{Seq: 5, Full: true, Endpoints: list(server("a1", "a"), server("d1", ""), server("x1", "x"), gone("a2", "a"), server("a1", "b"))}
+	if out := table.Seed(known); out.Seq != 5 || len(out.Endpoints) != 1 || out.Endpoints[0] != server("a1", "a") {
 		t.Fatalf("seeded %+v", out)
 	}
-	if out, events := table.Apply(List{Seq: 6, Scoped: true, Hosts: list(gone("a1", "a"))}); len(out.Hosts)+len(events) > 0 || out.Seq != 6 {
+	if out, events := table.Apply(List{Seq: 6, Scoped: true, Endpoints: list(gone("a1", "a"))}); len(out.Endpoints)+len(events) > 0 || out.Seq != 6 {
 		t.Fatalf("took a change before the whole list: %+v", out)
 	}
-	out, events := table.Apply(List{Seq: 6, Whole: true, Scoped: true})
-	want := []ServiceEvent{{Kind: ServiceEmptied, Service: "a", Kept: 1, Scoped: true}, {Kind: ServiceUnknown, Service: "b", Scoped: true}}
-	if len(out.Hosts) != 1 || !slices.Equal(events, want) {
+	out, events := table.Apply(List{Seq: 6, Full: true, Scoped: true})
+	want := []ServiceEvent{{Kind: ServiceEmptied, Service: "a", Retained: 1, Scoped: true}, {Kind: ServiceUnknown, Service: "b", Scoped: true}}
+	if len(out.Endpoints) != 1 || !slices.Equal(events, want) {
 		t.Fatalf("made %+v, %+v", out, events)
 	}
 }
@@ -166,16 +168,16 @@
 	r.apply("before", true, true, list(server("a1", "a"), server("b1", "b")), "a1/a b1/b")
 	r.table.Subscribe([]string{"b", "c"})
 	r.apply("a late change", false, true, list(gone("b1", "b"), server("c1", "c")), "a1/a b1/b")
-	if r.table.Settled() {
+	if r.table.Synced() {
 		t.Error("settled before the list")
 	}
-	r.apply("whole", true, true, list(server("c1", "c")), "b1/b c1/c", ServiceEvent{Kind: ServiceEmptied, Service: "b", Kept: 1, Scoped: true})
-	if !r.table.Settled() {
+	r.apply("whole", true, true, list(server("c1", "c")), "b1/b c1/c", ServiceEvent{Kind: ServiceEmptied, Service: "b", Retained: 1, Scoped: true})
+	if !r.table.Synced() {
 		t.Error("not settled")
 	}
 	r.table.Subscribe([]string{"a"})
 	r.table.Subscribe([]string{"b"}) // left and subscribed to again before a list came
-	r.apply("again", true, true, nil, "b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "b", Kept: 1, Scoped: true})
+	r.apply("again", true, true, nil, "b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "b", Retained: 1, Scoped: true})
 	many := make([]string, MaxServices+10)
 	for i := range many {
 		many[i] = fmt.Sprint("s", i)
@@ -191,23 +193,23 @@
 	cost := map[int]float64{}
 	for _, n := range []int{1, 5000} {
 		table := NewServiceTable([]string{"a"})
-		var hosts []Host
+		var hosts []Endpoint
 		for i := range n {
 			hosts = append(hosts, server(fmt.Sprint("a", i), "a"))
 		}
-		out, events := table.Apply(List{Seq: 1, Whole: true, Scoped: true, Hosts: hosts})
-		if !slices.Equal(out.Hosts, hosts) || len(events) > 0 {
-			t.Fatalf("made %d of %d, %+v", len(out.Hosts), n, events)
+		out, events := table.Apply(List{Seq: 1, Full: true, Scoped: true, Endpoints: hosts})
+		if !slices.Equal(out.Endpoints, hosts) || len(events) > 0 {
+			t.Fatalf("made %d of %d, %+v", len(out.Endpoints), n, events)
 		}
-		line := List{Seq: 2, Scoped: true, Hosts: list(hosts[0])}
+		line := List{Seq: 2, Scoped: true, Endpoints: list(hosts[0])}
 		cost[n] = testing.AllocsPerRun(100, func() { table.Apply(line) })
-		out, events = table.Apply(List{Seq: 3, Whole: true, Scoped: true})
-		if want := (ServiceEvent{Kind: ServiceEmptied, Service: "a", Kept: n, Scoped: true}); len(out.Hosts) != n || len(events) != 1 || events[0] != want {
-			t.Fatalf("kept %d of %d: %+v", len(out.Hosts), n, events)
+		out, events = table.Apply(List{Seq: 3, Full: true, Scoped: true})
+		if want := (ServiceEvent{Kind: ServiceEmptied, Service: "a", Retained: n, Scoped: true}); len(out.Endpoints) != n || len(events) != 1 || events[0] != want {
+			t.Fatalf("kept %d of %d: %+v", len(out.Endpoints), n, events)
 		}
-		out, _ = table.Apply(List{Seq: 4, Scoped: true, Hosts: list(hosts[0])})
-		if len(out.Hosts) != n || len(table.hosts) != 1 {
-			t.Fatalf("after the service is back %d are touched, %d held", len(out.Hosts), len(table.hosts))
+		out, _ = table.Apply(List{Seq: 4, Scoped: true, Endpoints: list(hosts[0])})
+		if len(out.Endpoints) != n || len(table.hosts) != 1 {
+			t.Fatalf("after the service is back %d are touched, %d held", len(out.Endpoints), len(table.hosts))
 		}
 	}
 	if cost[5000] > cost[1] {
@@ -218,15 +220,15 @@
 // modelTable is what ServiceTable does, written as whole new states and their difference.
 type modelTable struct {
 	services []string
-	held     map[string]Host // by name
-	doubted  map[string]bool // services
+	held     map[string]Endpoint // by name
+	doubted  map[string]bool     // services
 	state    map[string]string
 	based    bool
 }
 
 func (m *modelTable) subscribed(service string) bool { return slices.Contains(m.services, service) }
 
-func (m *modelTable) of(held map[string]Host, service string) (names []string) {
+func (m *modelTable) of(held map[string]Endpoint, service string) (names []string) {
 	for name, h := range held {
 		if h.Service == service {
 			names = append(names, name)
@@ -236,23 +238,23 @@
 }
 
 // service is where an entry belongs, given what is held.
-func (m *modelTable) service(h Host, scoped bool, held map[string]Host) string {
-	if before, ok := held[h.Host]; ok && !scoped && h.Service == "" {
+func (m *modelTable) service(h Endpoint, scoped bool, held map[string]Endpoint) string {
+	if before, ok := held[h.Name]; ok && !scoped && h.Service == "" {
 		return before.Service
 	}
 	return h.Service
 }
 
 func (m *modelTable) whole(l List) {
-	next := map[string]Host{}
-	for _, h := range l.Hosts {
+	next := map[string]Endpoint{}
+	for _, h := range l.Endpoints {
 		h.Service = m.service(h, l.Scoped, m.held)
-		if h.Health != Gone && m.subscribed(h.Service) {
-			next[h.Host] = h
+		if h.Health != Removed && m.subscribed(h.Service) {
+			next[h.Name] = h
 		}
 	}
 	m.doubted = map[string]bool{}
-	keep := map[string]Host{}
+	keep := map[string]Endpoint{}
 	for _, service := range m.services {
 		if len(m.of(next, service)) > 0 {
 			continue
@@ -272,22 +274,22 @@
 	if !m.based {
 		return
 	}
-	for _, h := range l.Hosts {
-		before, held := m.held[h.Host]
+	for _, h := range l.Endpoints {
+		before, held := m.held[h.Name]
 		service := m.service(h, l.Scoped, m.held)
 		switch {
-		case h.Health == Gone && held && before.Service == service:
-			delete(m.held, h.Host)
-		case h.Health == Gone:
+		case h.Health == Removed && held && before.Service == service:
+			delete(m.held, h.Name)
+		case h.Health == Removed:
 		case m.subscribed(service):
 			if m.doubted[service] {
-				maps.DeleteFunc(m.held, func(_ string, k Host) bool { return k.Service == service })
+				maps.DeleteFunc(m.held, func(_ string, k Endpoint) bool { return k.Service == service })
 				m.doubted[service] = false
 			}
 			h.Service = service
-			m.held[h.Host] = h
+			m.held[h.Name] = h
 		case !l.Scoped:
-			delete(m.held, h.Host)
+			delete(m.held, h.Name)
 		}
 	}
 }
@@ -312,9 +314,9 @@
 		switch {
 		case was == now || was == "" && now == "there":
 		case now == "there":
-			events = append(events, ServiceEvent{Kind: ServiceBack, Service: service, Scoped: l.Scoped})
+			events = append(events, ServiceEvent{Kind: ServiceRestored, Service: service, Scoped: l.Scoped})
 		case now == "emptied":
-			events = append(events, ServiceEvent{Kind: ServiceEmptied, Service: service, Kept: n, Scoped: l.Scoped})
+			events = append(events, ServiceEvent{Kind: ServiceEmptied, Service: service, Retained: n, Scoped: l.Scoped})
 		default:
 			events = append(events, ServiceEvent{Kind: ServiceUnknown, Service: service, Scoped: l.Scoped})
 		}
@@ -343,18 +345,18 @@
 		some := rapid.SliceOfNDistinct(rapid.SampledFrom(services), 1, 3, func(s string) string { return s })
 		first := some.Draw(rt, "services")
 		table := NewServiceTable(first)
-		model := &modelTable{services: first, held: map[string]Host{}, doubted: map[string]bool{}, state: map[string]string{}}
-		held := map[string]Host{}
-		host := rapid.Custom(func(rt *rapid.T) Host {
+		model := &modelTable{services: first, held: map[string]Endpoint{}, doubted: map[string]bool{}, state: map[string]string{}}
+		held := map[string]Endpoint{}
+		host := rapid.Custom(func(rt *rapid.T) Endpoint {
 			h := server(rapid.SampledFrom(hostNames).Draw(rt, "name"), rapid.SampledFrom(services).Draw(rt, "service"))
-			h.Health = rapid.SampledFrom([]string{Ready, Ready, Draining, Gone, Gone}).Draw(rt, "health")
+			h.Health = rapid.SampledFrom([]string{Ready, Ready, Draining, Removed, Removed}).Draw(rt, "health")
 			h.Block = rapid.IntRange(0, 9).Draw(rt, "block")
 			return h
 		})
 		if rapid.Bool().Draw(rt, "seeded") {
-			l := List{Hosts: rapid.SliceOfN(host, 0, 5).Draw(rt, "known")}
-			for _, h := range table.Seed(l).Hosts {
-				held[h.Host], model.held[h.Host] = h, h
+			l := List{Endpoints: rapid.SliceOfN(host, 0, 5).Draw(rt, "known")}
+			for _, h := range table.Seed(l).Endpoints {
+				held[h.Name], model.held[h.Name] = h, h
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
@@ -364,18 +366,18 @@
 				model.subscribe(next)
 				continue
 			}
-			l := List{Whole: rapid.IntRange(0, 3).Draw(rt, "whole") == 0, Scoped: rapid.IntRange(0, 3).Draw(rt, "unscoped") > 0,
-				Hosts: rapid.SliceOfN(host, 0, 6).Draw(rt, "hosts")}
+			l := List{Full: rapid.IntRange(0, 3).Draw(rt, "whole") == 0, Scoped: rapid.IntRange(0, 3).Draw(rt, "unscoped") > 0,
+				Endpoints: rapid.SliceOfN(host, 0, 6).Draw(rt, "hosts")}
 			out, events := table.Apply(l)
 			seen := map[string]bool{}
-			for _, h := range out.Hosts {
-				if seen[h.Host] || l.Whole && h.Health == Gone {
+			for _, h := range out.Endpoints {
+				if seen[h.Name] || l.Full && h.Health == Removed {
 					rt.Fatalf("made %+v of %+v", out, l)
 				}
-				seen[h.Host] = true
+				seen[h.Name] = true
 			}
 			consume(held, &out)
-			if l.Whole {
+			if l.Full {
 				model.whole(l)
 			} else {
 				model.change(l)
--- a/internal/endpoints/stream.go
+++ b/internal/endpoints/stream.go
@@ -186,9 +186,9 @@
 				return l
 			}
 		case "whole":
-			err = dec.Decode(&l.Whole)
+			err = dec.Decode(&l.Full)
 		case "hosts":
-			l.Hosts, err = parseHosts(dec)
+			l.Endpoints, err = parseHosts(dec)
 		default:
 			err = dec.Decode(new(json.RawMessage))
 		}
@@ -200,12 +200,12 @@
 }
 
 // parseHosts reads entries up to the end of their array or an error, and returns those read.
-func parseHosts(dec *json.Decoder) (hosts []Host, err error) {
+func parseHosts(dec *json.Decoder) (hosts []Endpoint, err error) {
 	if t, err := dec.Token(); err != nil || t != json.Delim('[') {
 		return nil, errNoList
 	}
 	for dec.More() {
-		var h Host
+		var h Endpoint
 		if err := dec.Decode(&h); err != nil {
 			return hosts, err
 		}
--- a/internal/endpoints/stream_test.go
+++ b/internal/endpoints/stream_test.go
@@ -17,10 +17,10 @@
 
 // drawList draws a list with names that look like JSON, and its text, indented or not.
 func drawList(t *rapid.T) (List, []byte) {
-	l := List{Seq: rapid.Int64Range(1, 1<<40).Draw(t, "seq"), Whole: rapid.Bool().Draw(t, "whole"), Hosts: []Host{}}
+	l := List{Seq: rapid.Int64Range(1, 1<<40).Draw(t, "seq"), Full: rapid.Bool().Draw(t, "whole"), Endpoints: []Endpoint{}}
 	for range rapid.IntRange(0, 4).Draw(t, "hosts") {
-		l.Hosts = append(l.Hosts, Host{Host: rapid.SampledFrom([]string{"a", `b}]"`, `c\`, "d\n"}).Draw(t, "host"),
-			Dial: "127.0.0.1:9", Health: rapid.SampledFrom([]string{Ready, Draining, Gone}).Draw(t, "health"), Share: 1})
+		l.Endpoints = append(l.Endpoints, Endpoint{Name: rapid.SampledFrom([]string{"a", `b}]"`, `c\`, "d\n"}).Draw(t, "host"),
+			Dial: "127.0.0.1:9", Health: rapid.SampledFrom([]string{Ready, Draining, Removed}).Draw(t, "health"), Weight: 1})
 	}
 	var text []byte
 	if rapid.Bool().Draw(t, "indented") {
@@ -41,14 +41,14 @@
 			if part.Seq != 0 && part.Seq != l.Seq {
 				t.Fatalf("%q: version %d of %d", text[:n], part.Seq, l.Seq)
 			}
-			got := len(part.Hosts)
-			if got < least || got > len(l.Hosts) || got > 0 && !reflect.DeepEqual(part.Hosts, l.Hosts[:got]) {
-				t.Fatalf("%q: %+v", text[:n], part.Hosts)
+			got := len(part.Endpoints)
+			if got < least || got > len(l.Endpoints) || got > 0 && !reflect.DeepEqual(part.Endpoints, l.Endpoints[:got]) {
+				t.Fatalf("%q: %+v", text[:n], part.Endpoints)
 			}
 			least = got
 		}
-		if least != len(l.Hosts) {
-			t.Fatalf("%d of %d entries of %q", least, len(l.Hosts), text)
+		if least != len(l.Endpoints) {
+			t.Fatalf("%d of %d entries of %q", least, len(l.Endpoints), text)
 		}
 	})
 }
@@ -123,7 +123,7 @@
 	for body, want := range map[string]int{"": 0, " \n": 0, `{"seq":7,"whole":true,"hosts":[`: 1,
 		`{"seq":7,"hosts":[{"host":"a","dial":"127.0.0.1:9","health":"draining"},{"ho`: 1} {
 		var parts []List
-		cl := NewClient(ClientConfig{Addresses: names(1), Part: func(l List) { parts = append(parts, l) },
+		cl := NewClient(ClientConfig{Addresses: names(1), OnPartial: func(l List) { parts = append(parts, l) },
 			Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
 				text := io.MultiReader(strings.NewReader(body), iotest.ErrReader(io.ErrUnexpectedEOF))
 				return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(text), Request: r}, nil
--- a/internal/endpoints/wire_test.go
+++ b/internal/endpoints/wire_test.go
@@ -22,7 +22,7 @@
 func TestMessagesKeepTheirKeys(t *testing.T) {
 	golden.Messages(t, "messages.txt", []golden.Message{
 		golden.Of[List]("list"),
-		golden.Of[Host]("host"),
+		golden.Of[Endpoint]("host"),
 	})
 }
 
@@ -39,8 +39,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Host{"s-a", "127.0.0.1:9", "a", "k", 3, "draining", 0.5, 1000, "web"}
-	if l.Seq != 7 || !l.Whole || !slices.Equal(l.Hosts, []Host{want}) {
+	want := Endpoint{"s-a", "127.0.0.1:9", "a", "k", 3, "draining", 0.5, 1000, "web"}
+	if l.Seq != 7 || !l.Full || !slices.Equal(l.Endpoints, []Endpoint{want}) {
 		t.Errorf("read as %+v", l)
 	}
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -32,10 +32,10 @@
 	Peers   func() map[string]string
 	Log     *slog.Logger
 	Tracker member.Config
-	// Changed hears whose state in the view is another; it must not block.
-	Changed func([]member.Change)
-	// Conflict hears of another process of a name; it must not block.
-	Conflict func(name, address string)
+	// OnChange hears whose state in the view is another; it must not block.
+	OnChange func([]member.Change)
+	// OnConflict hears of another process of a name; it must not block.
+	OnConflict func(name, address string)
 }
 
 // Times of the protocol. A death is suspected within one or two probes and believed after
@@ -88,7 +88,7 @@
 // Start opens the sockets and looks for the others.
 func Start(c Config) (*Node, error) {
 	n := &Node{c: c, log: c.Log, began: time.Now(), life: crand.Text(), self: c.Self}
-	n.self.Form = member.Form
+	n.self.ProtocolVersion = member.ProtocolVersion
 	c.Tracker.Self = n.self
 	n.t = member.NewTracker(c.Tracker)
 	n.ctx, n.stop = context.WithCancel(context.Background())
@@ -127,7 +127,7 @@
 	}
 	n.own(n.tick)
 	n.own(n.rejoin)
-	if c.Self.Role == member.Steward {
+	if c.Self.Role == member.RoleControlPlane {
 		n.own(n.reach)
 		n.own(n.tellStewards)
 	}
@@ -147,8 +147,8 @@
 
 func (n *Node) now() time.Duration { return time.Since(n.began) }
 
-// Do has something done with what is known.
-func (n *Node) Do(do func(now time.Duration, t *member.Tracker)) {
+// WithTracker has something done with what is known.
+func (n *Node) WithTracker(do func(now time.Duration, t *member.Tracker)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do(n.now(), n.t)
@@ -156,7 +156,7 @@
 
 // View is what this process knows now.
 func (n *Node) View() (v member.View) {
-	n.Do(func(now time.Duration, t *member.Tracker) { v = t.View(now) })
+	n.WithTracker(func(now time.Duration, t *member.Tracker) { v = t.View(now) })
 	return v
 }
 
@@ -167,13 +167,13 @@
 	return n.self
 }
 
-// Say changes what it says of itself.
-func (n *Node) Say(change func(i *member.Info)) {
+// UpdateSelf changes what it says of itself.
+func (n *Node) UpdateSelf(change func(i *member.Info)) {
 	n.mu.Lock()
 	was := n.self
 	change(&n.self)
 	same := was == n.self
-	n.t.Self(n.self)
+	n.t.UpdateSelf(n.self)
 	n.mu.Unlock()
 	if same || n.ctx.Err() != nil {
 		return
@@ -186,14 +186,14 @@
 // Counts is what a process counted.
 type Counts struct {
 	member.Counts
-	Pauses, Rubbish, Refused, Conflicts, Unknown, Dropped, Sent int64
-	Health, Queued                                              int
+	Pauses, Malformed, Refused, Conflicts, Unknown, Dropped, Sent int64
+	Health, Queued                                                int
 }
 
 // Counts tells what was counted.
 func (n *Node) Counts() (c Counts) {
-	n.Do(func(_ time.Duration, t *member.Tracker) { c.Counts = t.Counts() })
-	c.Pauses, c.Rubbish, c.Refused, c.Conflicts = n.pauses.Load(), n.rubbish.Load(), n.refused.Load(), n.conflict.Load()
+	n.WithTracker(func(_ time.Duration, t *member.Tracker) { c.Counts = t.Counts() })
+	c.Pauses, c.Malformed, c.Refused, c.Conflicts = n.pauses.Load(), n.rubbish.Load(), n.refused.Load(), n.conflict.Load()
 	c.Unknown, c.Dropped, c.Sent = n.trans.unknown.Load(), n.trans.dropped.Load(), n.trans.sent.Load()
 	c.Health, c.Queued = n.list.GetHealthScore(), n.queue.NumQueued()
 	return c
@@ -201,7 +201,7 @@
 
 // Leave tells the others that this process ends as planned.
 func (n *Node) Leave() {
-	n.Say(func(i *member.Info) { i.Leaving = true })
+	n.UpdateSelf(func(i *member.Info) { i.ShuttingDown = true })
 	if err := n.list.Leave(leaveWait); err != nil {
 		n.log.Debug("the leave was not spread in time", "err", err)
 	}
@@ -231,17 +231,17 @@
 		last = time.Now()
 		var changes []member.Change
 		var news []byte
-		n.Do(func(now time.Duration, t *member.Tracker) {
+		n.WithTracker(func(now time.Duration, t *member.Tracker) {
 			if late > lateBy {
 				n.pauses.Add(1)
 				t.Paused(now, late)
 			}
 			changes = t.Tick(now)
-			if n.c.Self.Role != member.Steward {
+			if n.c.Self.Role != member.RoleControlPlane {
 				return // only stewards are observers: n processes would tell n of n
 			}
-			if r, some := t.News(now, mostNews); some {
-				r.Life = n.life
+			if r, some := t.PendingReport(now, mostNews); some {
+				r.BootID = n.life
 				news, _ = json.Marshal(r)
 			}
 		})
@@ -252,8 +252,8 @@
 			n.queue.QueueBroadcast(broadcast(news))
 			n.queue.Prune(mostRumours) // the oldest go: what they tell is in the next whole report
 		}
-		if len(changes) > 0 && n.c.Changed != nil {
-			n.c.Changed(changes)
+		if len(changes) > 0 && n.c.OnChange != nil {
+			n.c.OnChange(changes)
 		}
 	}
 }
@@ -310,14 +310,14 @@
 			return
 		}
 		stewards := n.stewards()
-		n.Do(func(now time.Duration, t *member.Tracker) {
+		n.WithTracker(func(now time.Duration, t *member.Tracker) {
 			for _, name := range stewards {
-				t.Peer(now, name)
+				t.ExpectPeer(now, name)
 			}
 		})
 		beside(&asking, &n.asked, stewards, func(name string) {
 			if _, err := n.list.Ping(name, &net.UDPAddr{IP: net.IPv4zero}); err == nil {
-				n.Do(func(now time.Duration, t *member.Tracker) { t.Reached(now, name) })
+				n.WithTracker(func(now time.Duration, t *member.Tracker) { t.PeerAnswered(now, name) })
 			}
 		})
 	}
@@ -327,7 +327,7 @@
 func (n *Node) stewards() (names []string) {
 	v := n.View()
 	for i := range v.Members {
-		if e := &v.Members[i]; e.Role == member.Steward && e.Name != n.c.Self.Name && e.State != member.Left {
+		if e := &v.Members[i]; e.Role == member.RoleControlPlane && e.Name != n.c.Self.Name && e.State != member.Left {
 			names = append(names, e.Name)
 		}
 	}
@@ -383,8 +383,8 @@
 // whole is all that this process thinks.
 func (n *Node) whole() []byte {
 	var r member.Report
-	n.Do(func(now time.Duration, t *member.Tracker) { r = t.Own(now) })
-	r.Life = n.life
+	n.WithTracker(func(now time.Duration, t *member.Tracker) { r = t.FullReport(now) })
+	r.BootID = n.life
 	text, err := json.Marshal(r)
 	if err != nil {
 		return nil
@@ -421,8 +421,8 @@
 		return
 	}
 	fresh := false
-	d.n.Do(func(now time.Duration, t *member.Tracker) { fresh = t.Report(now, &r) })
-	if fresh && !r.Whole {
+	d.n.WithTracker(func(now time.Duration, t *member.Tracker) { fresh = t.MergeReport(now, &r) })
+	if fresh && !r.Full {
 		// The library passes its own news on, and leaves that of its users to them. Who has it
 		// already doesn't, so a rumour ends by itself.
 		d.n.queue.QueueBroadcast(broadcast(slices.Clone(text)))
@@ -435,7 +435,7 @@
 }
 
 func (d *delegate) LocalState(bool) []byte {
-	if d.n.c.Self.Role != member.Steward {
+	if d.n.c.Self.Role != member.RoleControlPlane {
 		return nil
 	}
 	return d.n.whole()
@@ -470,26 +470,26 @@
 	if err != nil || i.Name != peer.Name {
 		return // refused before
 	}
-	d.n.Do(func(now time.Duration, t *member.Tracker) { t.Alive(now, i) })
+	d.n.WithTracker(func(now time.Duration, t *member.Tracker) { t.Alive(now, i) })
 }
 
 func (d *delegate) NotifyLeave(peer *memberlist.Node) {
 	d.n.known.Delete(peer.Name)
-	d.n.Do(func(now time.Duration, t *member.Tracker) { t.Dead(now, peer.Name) })
+	d.n.WithTracker(func(now time.Duration, t *member.Tracker) { t.Dead(now, peer.Name) })
 }
 
 // NotifyConflict is told of a second process of a name.
 func (d *delegate) NotifyConflict(existing, other *memberlist.Node) {
 	d.n.conflict.Add(1)
-	if d.n.c.Conflict != nil {
-		d.n.c.Conflict(existing.Name, fmt.Sprintf("%s:%d", other.Addr, other.Port))
+	if d.n.c.OnConflict != nil {
+		d.n.c.OnConflict(existing.Name, fmt.Sprintf("%s:%d", other.Addr, other.Port))
 	}
 }
 
 func (d *delegate) AckPayload() []byte { return nil }
 
 func (d *delegate) NotifyPingComplete(other *memberlist.Node, _ time.Duration, _ []byte) {
-	d.n.Do(func(now time.Duration, t *member.Tracker) { t.Reached(now, other.Name) })
+	d.n.WithTracker(func(now time.Duration, t *member.Tracker) { t.PeerAnswered(now, other.Name) })
 }
 
 // logLines passes the library's log on, a bounded number of lines a second.
--- a/internal/lab/check/answer.go
+++ b/internal/lab/check/answer.go
@@ -94,7 +94,7 @@
 // mayRefuse tells whether a request of the class may be refused after it may have run:
 // its client's repeat must do no harm at any server.
 func mayRefuse(class *policy.Class) bool {
-	return class.Effect == policy.Free || class.Effect == policy.Guarded && class.Group == policy.GroupAll
+	return class.Effect == policy.Idempotent || class.Effect == policy.Deduplicated && class.Group == policy.GroupAll
 }
 
 func cut(s string) string {
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -188,17 +188,17 @@
 	if most := c.set.Limits.MaxAttempts; most > 0 && a.Index >= most {
 		c.breach(RuleDuplicate, r, 0, server, "attempt %d of at most %d", a.Index+1, most)
 	}
-	if parallel && clear && !c.set.Limits.ParallelTries {
+	if parallel && clear && !c.set.Limits.ParallelAttempts {
 		c.breach(RuleDuplicate, r, 0, server, "a second copy while the first is out")
 	}
 	if may != nil {
 		switch class.Effect {
-		case policy.SingleShot:
+		case policy.NonIdempotent:
 			c.breach(RuleDuplicate, r, 0, server, "sent again though attempt %d at %s may have run",
 				may.Index, c.server[may.Server].Name)
-		case policy.Guarded:
+		case policy.Deduplicated:
 			from, to := &c.server[may.Server], &c.server[server]
-			ttl := time.Duration(class.KeyTTLMs * float64(time.Millisecond))
+			ttl := time.Duration(class.DedupWindowMs * float64(time.Millisecond))
 			switch {
 			case class.Group == policy.GroupZone && from.Zone != to.Zone,
 				class.Group == policy.GroupCell && from.Cell != to.Cell:
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -23,12 +23,12 @@
 func newWorld() *world {
 	w := &world{now: time.Second}
 	w.set = policy.Settings{
-		Classes: []policy.Class{{Name: "look", Effect: policy.Free, Group: policy.GroupAll},
-			{Name: "send", Effect: policy.Guarded, Group: policy.GroupZone, KeyTTLMs: 3000},
-			{Name: "vote", Effect: policy.Guarded, Group: policy.GroupAll, KeyTTLMs: 3000},
-			{Name: "order", Effect: policy.SingleShot}, {Name: "cell", Effect: policy.Guarded, Group: policy.GroupCell, KeyTTLMs: 3000}},
+		Classes: []policy.Class{{Name: "look", Effect: policy.Idempotent, Group: policy.GroupAll},
+			{Name: "send", Effect: policy.Deduplicated, Group: policy.GroupZone, DedupWindowMs: 3000},
+			{Name: "vote", Effect: policy.Deduplicated, Group: policy.GroupAll, DedupWindowMs: 3000},
+			{Name: "order", Effect: policy.NonIdempotent}, {Name: "cell", Effect: policy.Deduplicated, Group: policy.GroupCell, DedupWindowMs: 3000}},
 		Contract: policy.Contract{AnswerSlackMs: 20, DrainGraceMs: 500, TipAfterMs: 1000},
-		Limits:   policy.Limits{MaxAttempts: 3, ParallelTries: true},
+		Limits:   policy.Limits{MaxAttempts: 3, ParallelAttempts: true},
 	}
 	w.Checker = New(func() time.Duration { return w.now }, &w.set, []string{"n0", "n1"},
 		[]Server{{"s0", 0, 0}, {"s1", 1, 1}, {"s2", 0, 2}})
@@ -116,13 +116,13 @@
 			}
 		}},
 		{"two copies where one is allowed", RuleDuplicate, func(w *world) {
-			w.set.Limits.ParallelTries = false
+			w.set.Limits.ParallelAttempts = false
 			r := w.ask(look)
 			w.arrive(r, 0)
 			w.arrive(r, 1)
 		}},
 		{"one copy after the other", "", func(w *world) {
-			w.set.Limits.ParallelTries = false
+			w.set.Limits.ParallelAttempts = false
 			r := w.ask(look)
 			w.arrive(r, 0).Ended()
 			w.arrive(r, 1)
--- a/internal/lab/client/baseline.go
+++ b/internal/lab/client/baseline.go
@@ -89,8 +89,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var ready []string
-	for i := range l.Hosts {
-		if h := &l.Hosts[i]; h.Health == "ready" && !tried[h.Dial] {
+	for i := range l.Endpoints {
+		if h := &l.Endpoints[i]; h.Health == "ready" && !tried[h.Dial] {
 			ready = append(ready, h.Dial)
 		}
 	}
--- a/internal/lab/client/client_test.go
+++ b/internal/lab/client/client_test.go
@@ -146,7 +146,7 @@
 	epoch := time.Now()
 	clock := func() time.Duration { return time.Since(epoch) }
 	s.clock = clock
-	set := &policy.Settings{Classes: []policy.Class{{Name: "a", Effect: policy.Free}, {Name: "b", Effect: policy.Guarded, Group: policy.GroupAll}}}
+	set := &policy.Settings{Classes: []policy.Class{{Name: "a", Effect: policy.Idempotent}, {Name: "b", Effect: policy.Deduplicated, Group: policy.GroupAll}}}
 	var mu sync.Mutex
 	var results []Result
 	c := New(&Env{Clock: clock, Epoch: epoch, Load: l, Lane: "t", Checker: check.New(clock, set, []string{"n0"}, nil),
@@ -246,16 +246,16 @@
 // and leaves alone what isn't ready.
 func TestBaselines(t *testing.T) {
 	for _, name := range Policies {
-		var hosts []endpoints.Host
+		var hosts []endpoints.Endpoint
 		count := map[string]int{}
 		for i := range 4 {
 			health := "ready"
 			if i == 3 {
 				health = "draining"
 			}
-			hosts = append(hosts, endpoints.Host{Host: fmt.Sprint(i), Dial: fmt.Sprint(i), Health: health})
+			hosts = append(hosts, endpoints.Endpoint{Name: fmt.Sprint(i), Dial: fmt.Sprint(i), Health: health})
 		}
-		b, err := NewBaseline(&Baseline{Policy: name, Load: load(), List: func() endpoints.List { return endpoints.List{Hosts: hosts} }}, 3)
+		b, err := NewBaseline(&Baseline{Policy: name, Load: load(), List: func() endpoints.List { return endpoints.List{Endpoints: hosts} }}, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -156,11 +156,11 @@
 		t.Fatal(err)
 	}
 	names, addresses := map[string]bool{}, map[string]bool{}
-	for _, host := range conf.Known.Hosts {
-		names[host.Host], addresses[host.Dial] = true, true
+	for _, host := range conf.Known.Endpoints {
+		names[host.Name], addresses[host.Dial] = true, true
 	}
-	if conf.BadKnown != nil || len(names) != 100 || len(addresses) != listeners {
-		t.Errorf("%d names at %d addresses, left out: %v", len(names), len(addresses), conf.BadKnown)
+	if conf.KnownErr != nil || len(names) != 100 || len(addresses) != listeners {
+		t.Errorf("%d names at %d addresses, left out: %v", len(names), len(addresses), conf.KnownErr)
 	}
 	if conf.Limits.MemoryMB != 256 || conf.Limits.Sockets != 1024 {
 		t.Errorf("limits are %+v", conf.Limits)
@@ -175,8 +175,8 @@
 		t.Fatal(err)
 	}
 	whole, err := endpoints.Parse(text)
-	if err != nil || !whole.Whole || len(whole.Hosts) != 30 {
-		t.Fatalf("whole list of %d entries: %v", len(whole.Hosts), err)
+	if err != nil || !whole.Full || len(whole.Endpoints) != 30 {
+		t.Fatalf("whole list of %d entries: %v", len(whole.Endpoints), err)
 	}
 	for since, entries := range map[int64]int{whole.Seq: 0, 0: 30} {
 		lines := bufio.NewReader(get(t, fmt.Sprintf("%s?follow=1&since=%d", base, since)).Body)
@@ -185,8 +185,8 @@
 			t.Fatal(err)
 		}
 		var list endpoints.List
-		if err := json.Unmarshal(first, &list); err != nil || list.Seq != whole.Seq || len(list.Hosts) != entries {
-			t.Errorf("since %d: version %d with %d entries: %v", since, list.Seq, len(list.Hosts), err)
+		if err := json.Unmarshal(first, &list); err != nil || list.Seq != whole.Seq || len(list.Endpoints) != entries {
+			t.Errorf("since %d: version %d with %d entries: %v", since, list.Seq, len(list.Endpoints), err)
 		}
 		if beat, err := lines.ReadString('\n'); err != nil || beat != "\n" {
 			t.Errorf("since %d: %q in place of a heartbeat: %v", since, beat, err)
--- a/internal/lab/cost/fleet.go
+++ b/internal/lab/cost/fleet.go
@@ -96,10 +96,10 @@
 }
 
 func newList(servers int, addresses []string) endpoints.List {
-	list := endpoints.List{Seq: listVersion, Whole: true, Hosts: make([]endpoints.Host, servers)}
-	for i := range list.Hosts {
-		list.Hosts[i] = endpoints.Host{Host: fmt.Sprintf("s-%05d", i), Dial: addresses[i%len(addresses)],
-			Site: sites[i%len(sites)], Class: machineKind, Block: i / cellSize, Health: endpoints.Ready, Share: 1}
+	list := endpoints.List{Seq: listVersion, Full: true, Endpoints: make([]endpoints.Endpoint, servers)}
+	for i := range list.Endpoints {
+		list.Endpoints[i] = endpoints.Endpoint{Name: fmt.Sprintf("s-%05d", i), Dial: addresses[i%len(addresses)],
+			Site: sites[i%len(sites)], Class: machineKind, Block: i / cellSize, Health: endpoints.Ready, Weight: 1}
 	}
 	return list
 }
@@ -234,16 +234,16 @@
 
 // settings are close to the lab's defaults, which stand for the operators' deployment.
 func settings() policy.Settings {
-	s := policy.Settings{Replicas: agentReplicas, RoundMs: 5, Weights: "nominal", WorthBy: "request",
-		Membership: "on_request", OverShareWorth: 0.1,
-		Classes: []policy.Class{{Name: CallClass, AimMs: 1200, GiveUpMs: float64(callTimeout / time.Millisecond),
-			Effect: policy.Free, Group: policy.GroupAll, KeyTTLMs: 5000, Credit: 3}},
+	s := policy.Settings{Replicas: agentReplicas, RoundMs: 5, Weights: "nominal", WeightBy: "request",
+		Membership: "on_request", OverQuotaWeight: 0.1,
+		Classes: []policy.Class{{Name: CallClass, TargetMs: 1200, DeadlineMs: float64(callTimeout / time.Millisecond),
+			Effect: policy.Idempotent, Group: policy.GroupAll, DedupWindowMs: 5000, Credit: 3}},
 		Limits: policy.Limits{Cancelling: true, ConnectTimeoutMs: 250, KeepaliveMs: 30000, MaxAttempts: 6,
-			MaxRetryAfterMs: 2000, ParallelTries: true, Probing: true, RetryAfter: true},
-		Contract: policy.Contract{AnswerSlackMs: 20, AskWithinMs: 10000, ColdFrom: 0.13, ColdMs: 24000,
+			MaxRetryAfterMs: 2000, ParallelAttempts: true, Probing: true, RetryAfter: true},
+		Contract: policy.Contract{AnswerSlackMs: 20, ListPollWithinMs: 10000, SlowStartFrom: 0.13, SlowStartMs: 24000,
 			DrainGraceMs: 500, FallMultiple: 4, TipAfterMs: 1000},
 		Prices:    policy.Prices{CrossZone: 0.1, LateFail: 0.023, Probe: 0.01, Waste: 0.25},
-		Objective: policy.Objective{Whole: 0.55, WorstWindow: 0.25, WorstClass: 0.2},
+		Objective: policy.Objective{Overall: 0.55, WorstWindow: 0.25, WorstClass: 0.2},
 		Report:    policy.Report{How: "on_probe", Names: []string{"util", "inflight"}}}
 	s.Clients.MarksRetry = true
 	s.FamilyInfo.WarmKeys = true
--- a/internal/lab/discovery/discovery.go
+++ b/internal/lab/discovery/discovery.go
@@ -299,18 +299,18 @@
 }
 
 func (s *Service) cut(agent_ int, since int64, whole bool) endpoints.List {
-	l := endpoints.List{Seq: s.seq, Hosts: []endpoints.Host{}}
+	l := endpoints.List{Seq: s.seq, Endpoints: []endpoints.Endpoint{}}
 	oldest := s.seq
 	if len(s.history) > 0 {
 		oldest = s.history[0].seq - 1
 	}
-	l.Whole = whole || since > s.seq || since < oldest
+	l.Full = whole || since > s.seq || since < oldest
 	add := func(i int) {
 		e := &s.list[i]
-		l.Hosts = append(l.Hosts, endpoints.Host{Host: e.Name, Dial: s.env.Dial(agent_, i), Site: e.Zone, Class: e.Kind,
-			Block: e.Cell, Health: e.Health, Share: e.Share, BornMs: float64(e.BornMs)})
+		l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Name: e.Name, Dial: s.env.Dial(agent_, i), Site: e.Zone, Class: e.Kind,
+			Block: e.Cell, Health: e.Health, Weight: e.Share, StartedMs: float64(e.BornMs)})
 	}
-	if l.Whole {
+	if l.Full {
 		for i := range s.list {
 			if h := s.list[i].Health; h != "" && h != "gone" {
 				add(i)
@@ -347,7 +347,7 @@
 	s.mu.Lock()
 	first := s.cut(number, since, !follow)
 	s.mu.Unlock()
-	if !s.turn(r.Context(), len(first.Hosts)) {
+	if !s.turn(r.Context(), len(first.Endpoints)) {
 		s.Failed.Add(1)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -408,7 +408,7 @@
 		l, changed := s.cut(number, since, false), s.changed
 		s.mu.Unlock()
 		text := []byte("\n")
-		if first || l.Whole || len(l.Hosts) > 0 {
+		if first || l.Full || len(l.Endpoints) > 0 {
 			line, _ := json.Marshal(l)
 			text = append(line, '\n')
 			s.told(number, &l)
@@ -434,18 +434,18 @@
 
 // told notes what an agent has been written.
 func (s *Service) told(number int, l *endpoints.List) {
-	s.Lines.Add(int64(len(l.Hosts)))
-	named := make(map[int]bool, len(l.Hosts))
-	for i := range l.Hosts {
-		h := &l.Hosts[i]
-		server, ok := s.index[h.Host]
+	s.Lines.Add(int64(len(l.Endpoints)))
+	named := make(map[int]bool, len(l.Endpoints))
+	for i := range l.Endpoints {
+		h := &l.Endpoints[i]
+		server, ok := s.index[h.Name]
 		if !ok {
 			continue
 		}
 		named[server] = true
-		s.env.Checker.Told(number, server, h.Health, int64(h.BornMs))
+		s.env.Checker.Told(number, server, h.Health, int64(h.StartedMs))
 	}
-	if !l.Whole {
+	if !l.Full {
 		return
 	}
 	for _, server := range s.index { // what a whole list doesn't name is gone
--- a/internal/lab/discovery/discovery_test.go
+++ b/internal/lab/discovery/discovery_test.go
@@ -96,8 +96,8 @@
 }
 
 func names(l endpoints.List) (out string) {
-	for _, h := range l.Hosts {
-		out += h.Host + " " + h.Health + ";"
+	for _, h := range l.Endpoints {
+		out += h.Name + " " + h.Health + ";"
 	}
 	return out
 }
@@ -114,14 +114,14 @@
 	var whole endpoints.List
 	err = json.NewDecoder(resp.Body).Decode(&whole)
 	resp.Body.Close()
-	if err != nil || whole.Seq != 41 || !whole.Whole || names(whole) != "s-00 ready;s-01 ready;" {
+	if err != nil || whole.Seq != 41 || !whole.Full || names(whole) != "s-00 ready;s-01 ready;" {
 		t.Fatalf("%+v, %v", whole, err)
 	}
-	if h := whole.Hosts[0]; h.Dial != "127.0.1.0:80" || h.Site != "a" || h.Class != "k" || h.Block != 1 || h.Share != 1.5 {
+	if h := whole.Endpoints[0]; h.Dial != "127.0.1.0:80" || h.Site != "a" || h.Class != "k" || h.Block != 1 || h.Weight != 1.5 {
 		t.Errorf("entry %+v", h)
 	}
 	w := st.watch(0, 41)
-	if l := next(t, w); l.Whole || len(l.Hosts) != 0 || l.Seq != 41 {
+	if l := next(t, w); l.Full || len(l.Endpoints) != 0 || l.Seq != 41 {
 		t.Errorf("first line of an up-to-date watch: %+v", l)
 	}
 	st.Notice(2, "ready", 77, false)
@@ -131,7 +131,7 @@
 	st.Notice(1, "draining", 0, false)
 	told, lines := "", 0
 	for l := (endpoints.List{}); l.Seq < 43; lines++ {
-		if l = next(t, w); l.Whole || len(l.Hosts) > 0 && l.Hosts[0].Host == "s-02" && l.Hosts[0].BornMs != 77 {
+		if l = next(t, w); l.Full || len(l.Endpoints) > 0 && l.Endpoints[0].Name == "s-02" && l.Endpoints[0].StartedMs != 77 {
 			t.Errorf("a change: %+v", l)
 		}
 		told += names(l)
@@ -140,11 +140,11 @@
 		t.Errorf("two changes in %d lines: %s", lines, told)
 	}
 	for name, since := range map[string]int64{"before its history": 3, "from the future": 900} {
-		if l := next(t, st.watch(0, since)); !l.Whole || names(l) != "s-00 ready;s-01 draining;s-02 ready;" {
+		if l := next(t, st.watch(0, since)); !l.Full || names(l) != "s-00 ready;s-01 draining;s-02 ready;" {
 			t.Errorf("%s: %+v", name, l)
 		}
 	}
-	if l := next(t, st.watch(0, 42)); l.Whole || names(l) != "s-01 draining;" {
+	if l := next(t, st.watch(0, 42)); l.Full || names(l) != "s-01 draining;" {
 		t.Errorf("one behind: %+v", l)
 	}
 	st.Notice(1, "gone", 0, false)
@@ -163,7 +163,7 @@
 	st.Notice(0, "ready", 5, false)
 	w := st.watch(0, 41)
 	next(t, w)
-	if l := next(t, w); names(l) != "s-00 ready;" || l.Hosts[0].BornMs != 5 {
+	if l := next(t, w); names(l) != "s-00 ready;" || l.Endpoints[0].StartedMs != 5 {
 		t.Errorf("%+v", l)
 	}
 	select {
--- a/internal/lab/experiment/badagent_test.go
+++ b/internal/lab/experiment/badagent_test.go
@@ -40,7 +40,7 @@
 	client *http.Transport
 	turn   atomic.Int64
 	mu     sync.Mutex
-	hosts  map[string]endpoints.Host
+	hosts  map[string]endpoints.Endpoint
 	stolen string // an old server that a drain doesn't keep it from
 	cold   string
 }
@@ -56,7 +56,7 @@
 	if err := json.Unmarshal(text, &conf); err != nil {
 		return err
 	}
-	p := &proxy{breaks: breaks, client: &http.Transport{}, hosts: map[string]endpoints.Host{}}
+	p := &proxy{breaks: breaks, client: &http.Transport{}, hosts: map[string]endpoints.Endpoint{}}
 	p.learn(conf.Known)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -93,16 +93,16 @@
 func (p *proxy) learn(l endpoints.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, h := range l.Hosts {
+	for _, h := range l.Endpoints {
 		if h.Health == "draining" {
 			p.stolen = h.Dial
 		} else if h.Dial == p.stolen {
 			p.stolen = ""
 		}
-		if h.Health == "ready" && h.BornMs > 0 {
+		if h.Health == "ready" && h.StartedMs > 0 {
 			p.cold = h.Dial
 		}
-		p.hosts[h.Host] = h
+		p.hosts[h.Name] = h
 	}
 }
 
@@ -118,7 +118,7 @@
 	}
 	for range 4 * len(p.hosts) {
 		h, ok := p.hosts[serverName(int(p.turn.Add(1))%len(p.hosts))]
-		if ok && h.Health == "ready" && h.BornMs == 0 {
+		if ok && h.Health == "ready" && h.StartedMs == 0 {
 			return h.Dial
 		}
 	}
--- a/internal/lab/experiment/stewards.go
+++ b/internal/lab/experiment/stewards.go
@@ -51,8 +51,8 @@
 	stop   context.CancelFunc
 	owned  sync.WaitGroup
 
-	views []view                   // by steward
-	told  []map[int]endpoints.Host // by agent: what the checker was told last
+	views []view                       // by steward
+	told  []map[int]endpoints.Endpoint // by agent: what the checker was told last
 	wires map[pair][]wire
 	// faulty are the pairs that the timeline has a fault for.
 	faulty map[pair]bool
@@ -69,7 +69,7 @@
 type view struct {
 	up    bool
 	upAt  time.Duration // when it was last
-	about map[int]endpoints.Host
+	about map[int]endpoints.Endpoint
 }
 
 func newStewards(l *lane) (*stewards, error) {
@@ -98,11 +98,11 @@
 	s.client = control.NewClient(s.addrs, 2*time.Second)
 	s.views = make([]view, len(s.addrs))
 	for i := range s.views {
-		s.views[i].about = map[int]endpoints.Host{}
+		s.views[i].about = map[int]endpoints.Endpoint{}
 	}
-	s.told = make([]map[int]endpoints.Host, l.c.Agents.Count)
+	s.told = make([]map[int]endpoints.Endpoint, l.c.Agents.Count)
 	for i := range s.told {
-		s.told[i] = map[int]endpoints.Host{}
+		s.told[i] = map[int]endpoints.Endpoint{}
 	}
 	for i := range s.addrs {
 		name := stewardName(i)
@@ -184,13 +184,13 @@
 }
 
 // entry is what a server says of itself.
-func (s *stewards) entry(sv *server.Server) endpoints.Host {
+func (s *stewards) entry(sv *server.Server) endpoints.Endpoint {
 	health := endpoints.Ready
 	if sv.Health() == endpoints.Draining {
 		health = endpoints.Draining
 	}
-	return endpoints.Host{Host: sv.Name, Dial: sv.Addr(), Site: sv.Zone, Class: sv.Kind, Block: sv.Cell, Health: health,
-		Share: sv.Share, BornMs: float64(sv.BornMs())}
+	return endpoints.Endpoint{Name: sv.Name, Dial: sv.Addr(), Site: sv.Zone, Class: sv.Kind, Block: sv.Cell, Health: health,
+		Weight: sv.Share, StartedMs: float64(sv.BornMs())}
 }
 
 func (s *stewards) register(ctx context.Context, sv *server.Server) error {
@@ -207,9 +207,9 @@
 // changed is told what happened to a server; only what it could say itself is said.
 func (s *stewards) changed(sv *server.Server, health string) {
 	s.mu.Lock()
-	s.heard[sv.Index] = health != endpoints.Gone
+	s.heard[sv.Index] = health != endpoints.Removed
 	s.mu.Unlock()
-	if health == endpoints.Gone {
+	if health == endpoints.Removed {
 		return // it is dead or cut off: the stewards have to notice
 	}
 	s.owned.Add(1)
@@ -226,12 +226,12 @@
 // renew says thrice a lease which servers are there, in one call for all as a host does.
 func (s *stewards) renew() {
 	for sleep(s.ctx, s.l.c.Stewards.LeaseTTL/3) {
-		var refs []catalog.Ref
+		var refs []catalog.InstanceRef
 		var of []*server.Server
 		s.mu.Lock()
 		for i, sv := range s.l.servers {
 			if s.heard[i] && !s.mute[i] {
-				refs, of = append(refs, catalog.Ref{Name: sv.Name, BornMs: float64(sv.BornMs())}), append(of, sv)
+				refs, of = append(refs, catalog.InstanceRef{Name: sv.Name, StartedMs: float64(sv.BornMs())}), append(of, sv)
 			}
 		}
 		s.mu.Unlock()
@@ -256,7 +256,7 @@
 
 // watch follows one steward; the first at each tells the checker what agents there know.
 func (s *stewards) watch(at int, tells bool) {
-	c := endpoints.NewClient(endpoints.ClientConfig{Addresses: s.addrs[at : at+1], Silence: silence})
+	c := endpoints.NewClient(endpoints.ClientConfig{Addresses: s.addrs[at : at+1], SilenceTimeout: silence})
 	var seq int64
 	for s.ctx.Err() == nil {
 		_ = c.Watch(s.ctx, seq, func(l endpoints.List) {
@@ -275,7 +275,7 @@
 
 // silence is later than an agent's own patience, so that it counts as told by a steward
 // that has gone silent no sooner than it has left it.
-const silence = endpoints.Silence + 1500*time.Millisecond
+const silence = endpoints.WatchSilenceTimeout + 1500*time.Millisecond
 
 // mayBeAt tells whether the agent can be at the steward.
 func (s *stewards) mayBeAt(agent, at int) bool {
@@ -303,20 +303,20 @@
 	s.mu.Lock()
 	v := &s.views[at]
 	v.up, v.upAt = true, s.l.clock()
-	if l.Whole {
+	if l.Full {
 		for i, h := range v.about { // what a whole list doesn't name is gone
-			h.Health = endpoints.Gone
+			h.Health = endpoints.Removed
 			v.about[i] = h
 		}
 	}
-	for _, h := range l.Hosts {
-		i := slices.IndexFunc(s.l.servers, func(sv *server.Server) bool { return sv.Name == h.Host })
+	for _, h := range l.Endpoints {
+		i := slices.IndexFunc(s.l.servers, func(sv *server.Server) bool { return sv.Name == h.Name })
 		if i < 0 {
 			continue
 		}
 		v.about[i] = h
-		s.l.checker.Known(i, h.Health, int64(h.BornMs))
-		s.l.events.tell("discovery lists " + h.Host + " " + h.Health)
+		s.l.checker.Known(i, h.Health, int64(h.StartedMs))
+		s.l.events.tell("discovery lists " + h.Name + " " + h.Health)
 	}
 	s.mu.Unlock()
 	s.judge()
@@ -355,7 +355,7 @@
 		for i, h := range at[0].about {
 			same := true
 			for _, v := range at[1:] {
-				same = same && v.about[i].Health == h.Health && v.about[i].BornMs == h.BornMs
+				same = same && v.about[i].Health == h.Health && v.about[i].StartedMs == h.StartedMs
 			}
 			// That it may send there again an agent may have heard from any of them.
 			if was, some := s.told[a][i]; !same && some && was.Health != endpoints.Ready {
@@ -368,7 +368,7 @@
 			// Once only: an agent that has started since learns it again in its own time.
 			if same && s.told[a][i] != h {
 				s.told[a][i] = h
-				s.l.checker.Told(a, i, h.Health, int64(h.BornMs))
+				s.l.checker.Told(a, i, h.Health, int64(h.StartedMs))
 			}
 		}
 	}
@@ -433,7 +433,7 @@
 func (s *stewards) started(agent int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.told[agent], func(_ int, h endpoints.Host) bool { return h.Health == endpoints.Ready })
+	maps.DeleteFunc(s.told[agent], func(_ int, h endpoints.Endpoint) bool { return h.Health == endpoints.Ready })
 }
 
 // figures tells how changes spread.
@@ -453,9 +453,9 @@
 	t.LastAgentP50Ms, t.LastAgentP99Ms = millisAt(toLast, 50), millisAt(toLast, 99)
 	t.Changes = toLast.TotalCount()
 	if s.l.c.Stewards.Gossip {
-		views, _ := control.Members(s.ctx, s.addrs, 2*time.Second)
+		views, _ := control.ReadMemberViews(s.ctx, s.addrs, 2*time.Second)
 		for i := range views { // the one that knows least
-			if n := views[i].Count(member.Agent, member.Present); i == 0 || n < t.AgentsPresent {
+			if n := views[i].Count(member.RoleAgent, member.Present); i == 0 || n < t.AgentsPresent {
 				t.AgentsPresent = n
 			}
 		}
--- a/internal/lab/experiment/workers.go
+++ b/internal/lab/experiment/workers.go
@@ -73,7 +73,7 @@
 	for i := range w.l.c.Duties.Count {
 		name := fmt.Sprint("work.", i)
 		err := again(ctx, "duty "+name+" was not taken", func() error {
-			return w.l.list.client.Define(ctx, name, control.DutyBody{TTLMs: w.l.c.Duties.TTL.Milliseconds()})
+			return w.l.list.client.DefineTask(ctx, name, control.TaskDefinition{TTLMs: w.l.c.Duties.TTL.Milliseconds()})
 		})
 		if err != nil {
 			return err
--- a/internal/lab/experiment/world.go
+++ b/internal/lab/experiment/world.go
@@ -125,21 +125,21 @@
 // settings is what the agents are told, in the form that they take.
 func (c *Config) settings() policy.Settings {
 	r := &c.Rules
-	s := policy.Settings{Replicas: c.Agents.Count, RoundMs: 5, Weights: "nominal", WorthBy: "request",
-		Membership: "on_request", OverShareWorth: 0.1,
+	s := policy.Settings{Replicas: c.Agents.Count, RoundMs: 5, Weights: "nominal", WeightBy: "request",
+		Membership: "on_request", OverQuotaWeight: 0.1,
 		Limits: policy.Limits{Cancelling: r.Cancelling, ConnectTimeoutMs: millis(r.Connect), KeepaliveMs: millis(r.Keepalive),
-			MaxAttempts: r.MaxAttempts, MaxRetryAfterMs: millis(r.MaxRetryAfter), ParallelTries: r.ParallelTries,
+			MaxAttempts: r.MaxAttempts, MaxRetryAfterMs: millis(r.MaxRetryAfter), ParallelAttempts: r.ParallelTries,
 			Probing: r.Probing, RetryAfter: r.RetryAfter},
-		Contract: policy.Contract{AnswerSlackMs: millis(r.AnswerSlack), AskWithinMs: millis(r.AskWithin), ColdFrom: r.ColdFrom,
-			ColdMs: millis(r.ColdFor), DrainGraceMs: millis(r.DrainGrace), FallMultiple: r.FallMultiple, TipAfterMs: millis(r.FallWindow)},
+		Contract: policy.Contract{AnswerSlackMs: millis(r.AnswerSlack), ListPollWithinMs: millis(r.AskWithin), SlowStartFrom: r.ColdFrom,
+			SlowStartMs: millis(r.ColdFor), DrainGraceMs: millis(r.DrainGrace), FallMultiple: r.FallMultiple, TipAfterMs: millis(r.FallWindow)},
 		Prices:    policy.Prices{CrossZone: 0.1, LateFail: 0.023, Probe: 0.01, Waste: 0.25},
-		Objective: policy.Objective{Whole: 0.55, WorstWindow: 0.25, WorstClass: 0.2},
+		Objective: policy.Objective{Overall: 0.55, WorstWindow: 0.25, WorstClass: 0.2},
 		Report:    policy.Report{How: c.Servers.Kind[0].Reports.How, Names: c.Servers.Kind[0].Reports.Names}}
 	s.Clients.MarksRetry = true
 	s.FamilyInfo.WarmKeys = c.Servers.Kind[0].Spec.AffinityGain > 0
 	for _, cl := range c.Load.Class {
-		s.Classes = append(s.Classes, policy.Class{Name: cl.Name, AimMs: millis(cl.Aim), GiveUpMs: millis(cl.GiveUp),
-			Effect: policy.Effect(cl.Effect), Group: policy.Group(cl.Group), KeyTTLMs: millis(cl.KeyTTL), Credit: cl.Worth})
+		s.Classes = append(s.Classes, policy.Class{Name: cl.Name, TargetMs: millis(cl.Aim), DeadlineMs: millis(cl.GiveUp),
+			Effect: policy.Effect(cl.Effect), Group: policy.Group(cl.Group), DedupWindowMs: millis(cl.KeyTTL), Credit: cl.Worth})
 	}
 	return s
 }
@@ -452,7 +452,7 @@
 	if err != nil {
 		return err
 	}
-	known := endpoints.List{Seq: 0, Whole: true, Hosts: []endpoints.Host{}}
+	known := endpoints.List{Seq: 0, Full: true, Endpoints: []endpoints.Endpoint{}}
 	if l.c.Agents.Known == "now" {
 		known = l.disc.List(a.index, 0, true)
 		if l.list != nil {
--- a/internal/lab/hollow/agent.go
+++ b/internal/lab/hollow/agent.go
@@ -22,7 +22,7 @@
 	mu       sync.Mutex
 	balancer *policy.Balancer
 	actions  []policy.Action
-	table    map[string]endpoints.Host
+	table    map[string]endpoints.Endpoint
 	scope    *endpoints.ServiceTable // as the real agent's; nil: it reads the whole list
 	version  int64
 	taken    time.Time // when the last list or change was taken
@@ -33,13 +33,13 @@
 // clientConfig is the configuration of the agent's reader, as the real agent's.
 func (a *Agent) clientConfig(order uint64, transport http.RoundTripper) endpoints.ClientConfig {
 	return endpoints.ClientConfig{
-		Addresses:  a.process.config.Stewards,
-		Order:      order,
-		Fleet:      a.process.config.Fleet,
-		NeverOlder: true,
-		Transport:  transport,
-		Failover:   func(string, error) { a.failedOver() },
-		Services:   a.services,
+		Addresses:   a.process.config.Stewards,
+		Order:       order,
+		Fleet:       a.process.config.Fleet,
+		RejectOlder: true,
+		Transport:   transport,
+		OnFailover:  func(string, error) { a.failedOver() },
+		Services:    a.services,
 	}
 }
 
@@ -49,10 +49,10 @@
 		Membership: "on_request",
 		Replicas:   fleet,
 		RoundMs:    5,
-		WorthBy:    "request",
+		WeightBy:   "request",
 		Weights:    "nominal",
-		Classes:    []policy.Class{{Name: "none", AimMs: 1000, GiveUpMs: 5000, Effect: policy.Free, Group: policy.GroupAll}},
-		Contract:   policy.Contract{AskWithinMs: 10000},
+		Classes:    []policy.Class{{Name: "none", TargetMs: 1000, DeadlineMs: 5000, Effect: policy.Idempotent, Group: policy.GroupAll}},
+		Contract:   policy.Contract{ListPollWithinMs: 10000},
 	}
 }
 
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{process: process, services: services, balancer: balancer, table: map[string]endpoints.Host{}}
+	a := &Agent{process: process, services: services, balancer: balancer, table: map[string]endpoints.Endpoint{}}
 	if services != nil {
 		a.scope = endpoints.NewServiceTable(services)
 	}
@@ -90,7 +90,7 @@
 		case policy.ActTimer:
 			token := action.Token
 			time.AfterFunc(time.Duration(action.Ms*float64(time.Millisecond)), func() { a.timer(token) })
-		case policy.ActFollow:
+		case policy.ActWatchList:
 			a.follow()
 		}
 	}
@@ -144,8 +144,8 @@
 	if list.Seq < a.version {
 		return
 	}
-	a.process.counts.entries.Add(int64(len(list.Hosts)))
-	if list.Whole {
+	a.process.counts.entries.Add(int64(len(list.Endpoints)))
+	if list.Full {
 		a.process.counts.wholeLists.Add(1)
 	}
 	if list.Seq > a.version {
@@ -160,24 +160,24 @@
 	if !first {
 		a.process.record(ages)
 	}
-	a.tell(&policy.Event{Kind: policy.EvList, List: policy.ListDelta})
+	a.tell(&policy.Event{Kind: policy.EvList, List: policy.ListChange})
 }
 
 // learn merges a list into the table and returns the ages of what changed.
 func (a *Agent) learn(list *endpoints.List, now time.Time) []time.Duration {
 	var ages []time.Duration
-	if list.Whole {
+	if list.Full {
 		a.removeUnlisted(list)
 	}
-	for i := range list.Hosts {
-		host := &list.Hosts[i]
-		before := a.table[host.Host]
+	for i := range list.Endpoints {
+		host := &list.Endpoints[i]
+		before := a.table[host.Name]
 		ages = append(ages, agesOf(&before, host, now)...)
-		if host.Health == endpoints.Gone {
-			delete(a.table, host.Host)
+		if host.Health == endpoints.Removed {
+			delete(a.table, host.Name)
 			continue
 		}
-		a.table[host.Host] = *host
+		a.table[host.Name] = *host
 	}
 	return ages
 }
@@ -187,9 +187,9 @@
 	if len(a.table) == 0 {
 		return
 	}
-	listed := make(map[string]bool, len(list.Hosts))
-	for i := range list.Hosts {
-		listed[list.Hosts[i].Host] = true
+	listed := make(map[string]bool, len(list.Endpoints))
+	for i := range list.Endpoints {
+		listed[list.Endpoints[i].Name] = true
 	}
 	for name := range a.table {
 		if !listed[name] {
--- a/internal/lab/hollow/agents.go
+++ b/internal/lab/hollow/agents.go
@@ -325,7 +325,7 @@
 		state.ListAgeMaxSec = max(state.ListAgeMaxSec, age)
 		state.ListAgeMeanSec += age
 	}
-	state.HeldBack += a.client.Held()
+	state.HeldBack += a.client.BudgetExhausted()
 }
 
 // resetAges begins a new measurement of ages.
--- a/internal/lab/hollow/change.go
+++ b/internal/lab/hollow/change.go
@@ -36,19 +36,19 @@
 // agesOf tells the age of what an entry changed against the one known before. A server
 // that was not known has no earlier entry; its start is a change too, unless it was longer
 // ago than any change of a run.
-func agesOf(before, after *endpoints.Host, now time.Time) []time.Duration {
+func agesOf(before, after *endpoints.Endpoint, now time.Time) []time.Duration {
 	if after.Health != endpoints.Ready {
 		return nil
 	}
 	var ages []time.Duration
-	if before.BornMs != after.BornMs && after.BornMs > 0 {
-		age := max(time.Duration(now.UnixMilli()-int64(after.BornMs))*time.Millisecond, 0)
+	if before.StartedMs != after.StartedMs && after.StartedMs > 0 {
+		age := max(time.Duration(now.UnixMilli()-int64(after.StartedMs))*time.Millisecond, 0)
 		if age < longestAge {
 			ages = append(ages, age)
 		}
 	}
-	if before.Host != "" && before.Share != after.Share {
-		if age, ok := ageOfShare(after.Share, now); ok {
+	if before.Name != "" && before.Weight != after.Weight {
+		if age, ok := ageOfShare(after.Weight, now); ok {
 			ages = append(ages, age)
 		}
 	}
--- a/internal/lab/hollow/change_test.go
+++ b/internal/lab/hollow/change_test.go
@@ -28,15 +28,15 @@
 // Ages are told of restarts, configuration changes and returns, and of nothing else.
 func TestAgesOf(t *testing.T) {
 	now := time.UnixMilli(1_796_186_400_000)
-	old := endpoints.Host{Host: "a", Health: endpoints.Ready, Share: baseShare, BornMs: float64(now.Add(-time.Hour).UnixMilli())}
+	old := endpoints.Endpoint{Name: "a", Health: endpoints.Ready, Weight: baseShare, StartedMs: float64(now.Add(-time.Hour).UnixMilli())}
 	restarted, configured, both, gone := old, old, old, old
-	restarted.BornMs = float64(now.Add(-40 * time.Millisecond).UnixMilli())
-	configured.Share = shareAt(now.Add(-30 * time.Millisecond))
-	both.BornMs, both.Share = restarted.BornMs, configured.Share
-	gone.Health = endpoints.Gone
+	restarted.StartedMs = float64(now.Add(-40 * time.Millisecond).UnixMilli())
+	configured.Weight = shareAt(now.Add(-30 * time.Millisecond))
+	both.StartedMs, both.Weight = restarted.StartedMs, configured.Weight
+	gone.Health = endpoints.Removed
 	for _, c := range []struct {
 		name          string
-		before, after endpoints.Host
+		before, after endpoints.Endpoint
 		want          []time.Duration
 	}{
 		{"nothing", old, old, nil},
@@ -44,9 +44,9 @@
 		{"a configuration change", old, configured, []time.Duration{30 * time.Millisecond}},
 		{"both in one line", old, both, []time.Duration{40 * time.Millisecond, 30 * time.Millisecond}},
 		{"an end", old, gone, nil},
-		{"a return", endpoints.Host{}, restarted, []time.Duration{40 * time.Millisecond}},
-		{"a return with a share from before", endpoints.Host{}, both, []time.Duration{40 * time.Millisecond}},
-		{"an old server that was not known", endpoints.Host{}, old, nil},
+		{"a return", endpoints.Endpoint{}, restarted, []time.Duration{40 * time.Millisecond}},
+		{"a return with a share from before", endpoints.Endpoint{}, both, []time.Duration{40 * time.Millisecond}},
+		{"an old server that was not known", endpoints.Endpoint{}, old, nil},
 	} {
 		got := agesOf(&c.before, &c.after, now)
 		if len(got) != len(c.want) {
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -108,18 +108,18 @@
 
 // A whole list stands in place of the table, a change is merged into it.
 func TestLearn(t *testing.T) {
-	a := &Agent{table: map[string]endpoints.Host{}}
-	learn := func(whole bool, hosts ...endpoints.Host) {
-		a.learn(&endpoints.List{Whole: whole, Hosts: hosts}, time.Now())
+	a := &Agent{table: map[string]endpoints.Endpoint{}}
+	learn := func(whole bool, hosts ...endpoints.Endpoint) {
+		a.learn(&endpoints.List{Full: whole, Endpoints: hosts}, time.Now())
 	}
-	ready := func(name string) endpoints.Host { return endpoints.Host{Host: name, Health: endpoints.Ready} }
+	ready := func(name string) endpoints.Endpoint { return endpoints.Endpoint{Name: name, Health: endpoints.Ready} }
 	learn(true, ready("a"), ready("b"), ready("c"))
-	learn(false, endpoints.Host{Host: "a", Health: endpoints.Gone}, endpoints.Host{Host: "b", Health: endpoints.Draining}, ready("d"))
-	if len(a.table) != 3 || a.table["b"].Health != endpoints.Draining || a.table["d"].Host == "" || a.table["a"].Host != "" {
+	learn(false, endpoints.Endpoint{Name: "a", Health: endpoints.Removed}, endpoints.Endpoint{Name: "b", Health: endpoints.Draining}, ready("d"))
+	if len(a.table) != 3 || a.table["b"].Health != endpoints.Draining || a.table["d"].Name == "" || a.table["a"].Name != "" {
 		t.Errorf("after a change the table is %v", a.table)
 	}
 	learn(true, ready("d"), ready("e"))
-	if len(a.table) != 2 || a.table["d"].Host == "" || a.table["e"].Host == "" {
+	if len(a.table) != 2 || a.table["d"].Name == "" || a.table["e"].Name == "" {
 		t.Errorf("after a whole list the table is %v", a.table)
 	}
 }
--- a/internal/lab/hollow/servers.go
+++ b/internal/lab/hollow/servers.go
@@ -89,7 +89,7 @@
 
 // server is one hollow server.
 type server struct {
-	host    endpoints.Host
+	host    endpoints.Endpoint
 	renewed bool // it is registered and says so; false: it has not registered, left or fell silent
 }
 
@@ -134,14 +134,14 @@
 		return nil, err
 	}
 	for i := range config.Count {
-		p.servers = append(p.servers, server{host: endpoints.Host{
-			Host:    fmt.Sprintf("hollow-%05d", i),
+		p.servers = append(p.servers, server{host: endpoints.Endpoint{
+			Name:    fmt.Sprintf("hollow-%05d", i),
 			Dial:    addresses[p.emulatedOf(i)],
 			Site:    ZoneName(zoneOf(i, config.Count)),
 			Class:   Class,
 			Block:   i / rack,
 			Health:  endpoints.Ready,
-			Share:   baseShare,
+			Weight:  baseShare,
 			Service: ServiceName(i % config.Services),
 		}})
 	}
@@ -254,12 +254,12 @@
 
 // renew says which of some servers are there, and registers those whose lease was lost.
 func (p *Servers) renew(ctx context.Context, writer, from, to int) {
-	var refs []catalog.Ref
+	var refs []catalog.InstanceRef
 	var indexes []int
 	p.mu.Lock()
 	for i := from; i < to; i++ {
 		if s := &p.servers[i]; s.renewed {
-			refs = append(refs, catalog.Ref{Name: s.host.Host, BornMs: s.host.BornMs})
+			refs = append(refs, catalog.InstanceRef{Name: s.host.Name, StartedMs: s.host.StartedMs})
 			indexes = append(indexes, i)
 		}
 	}
@@ -293,7 +293,7 @@
 	p.counts.registrations.Add(1)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.servers[index].host.BornMs == host.BornMs {
+	if p.servers[index].host.StartedMs == host.StartedMs {
 		p.setRenewed(index, true)
 	}
 	return result, nil
@@ -337,14 +337,14 @@
 func (p *Servers) configure(ctx context.Context, index int) {
 	p.mu.Lock()
 	s := &p.servers[index]
-	name, listed := s.host.Host, s.renewed
+	name, listed := s.host.Name, s.renewed
 	p.mu.Unlock()
 	if !listed {
 		return
 	}
 	share := shareAt(time.Now())
 	if p.repeat(ctx, func() error {
-		_, err := p.clients[index%writers].Set(ctx, name, control.Word{Share: &share})
+		_, err := p.clients[index%writers].SetOverride(ctx, name, control.ServerOverride{Weight: &share})
 		return err
 	}) {
 		p.counts.configurations.Add(1)
@@ -357,7 +357,7 @@
 	s := &p.servers[index]
 	listed := s.renewed
 	if listed {
-		s.host.BornMs = float64(time.Now().UnixMilli())
+		s.host.StartedMs = float64(time.Now().UnixMilli())
 	}
 	p.mu.Unlock()
 	if !listed {
@@ -441,10 +441,10 @@
 func (p *Servers) registerNew(ctx context.Context, writer, index int) error {
 	p.mu.Lock()
 	born := time.Now()
-	if p.servers[index].host.BornMs == 0 {
+	if p.servers[index].host.StartedMs == 0 {
 		born = born.Add(-warmAge)
 	}
-	p.servers[index].host.BornMs = float64(born.UnixMilli())
+	p.servers[index].host.StartedMs = float64(born.UnixMilli())
 	p.mu.Unlock()
 	var err error
 	for range registerTries {
@@ -473,7 +473,7 @@
 	for i := r.First; i < r.First+r.Count; i++ {
 		p.mu.Lock()
 		s := &p.servers[i]
-		ref := catalog.Ref{Name: s.host.Host, BornMs: s.host.BornMs}
+		ref := catalog.InstanceRef{Name: s.host.Name, StartedMs: s.host.StartedMs}
 		p.setRenewed(i, s.renewed && drain)
 		p.mu.Unlock()
 		if p.repeat(ctx, func() error { return p.endOne(ctx, ref, drain) }) {
@@ -484,14 +484,14 @@
 }
 
 // endOne sends the call by which a server drains or leaves.
-func (p *Servers) endOne(ctx context.Context, ref catalog.Ref, drain bool) error {
+func (p *Servers) endOne(ctx context.Context, ref catalog.InstanceRef, drain bool) error {
 	var err error
 	for _, address := range p.config.Stewards {
 		method, path := http.MethodDelete, "/v1/servers/"+ref.Name
 		if drain {
 			method, path = http.MethodPost, path+"/drain"
 		}
-		url := fmt.Sprintf("http://%s%s?born_ms=%.0f", address, path, ref.BornMs)
+		url := fmt.Sprintf("http://%s%s?born_ms=%.0f", address, path, ref.StartedMs)
 		if err = p.send(ctx, method, url); err == nil {
 			return nil
 		}
--- a/internal/lab/scale/beside_test.go
+++ b/internal/lab/scale/beside_test.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return "", err
 	}
-	out, err := exec.Command("go", "build", "-o", dir, "knotrouter/cmd/controlplane", "molepaddle/cmd/agent").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", dir, "knotrouter/cmd/controlplane", "knotrouter/cmd/agent").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
@@ -306,21 +306,21 @@
 		t.Fatal(err)
 	}
 	draining := 0
-	for i := range list.Hosts {
-		if list.Hosts[i].Health == endpoints.Draining {
+	for i := range list.Endpoints {
+		if list.Endpoints[i].Health == endpoints.Draining {
 			draining++
 		}
-		if strings.HasPrefix(list.Hosts[i].Host, "hollow-00012") {
-			t.Errorf("%s left and is listed", list.Hosts[i].Host)
+		if strings.HasPrefix(list.Endpoints[i].Name, "hollow-00012") {
+			t.Errorf("%s left and is listed", list.Endpoints[i].Name)
 		}
 	}
-	if len(list.Hosts) != servers-4 || draining != 2 || s.State().Renewed != servers-4 {
-		t.Errorf("%d servers are listed, %d of them draining, %d renewed", len(list.Hosts), draining, s.State().Renewed)
+	if len(list.Endpoints) != servers-4 || draining != 2 || s.State().Renewed != servers-4 {
+		t.Errorf("%d servers are listed, %d of them draining, %d renewed", len(list.Endpoints), draining, s.State().Renewed)
 	}
 	if r := s.Register(t.Context(), hollow.Range{First: 10, Count: 4}); r.Servers != 4 || r.Refused != "" {
 		t.Errorf("came back: %+v", r)
 	}
-	if list, err = f.client.List(t.Context()); err != nil || len(list.Hosts) != servers {
-		t.Errorf("%d servers are listed: %v", len(list.Hosts), err)
+	if list, err = f.client.List(t.Context()); err != nil || len(list.Endpoints) != servers {
+		t.Errorf("%d servers are listed: %v", len(list.Endpoints), err)
 	}
 }
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -345,7 +345,7 @@
 		"name": name, "listen": address, "discovery": lists[0], "stewards": lists,
 		"seed":     fmt.Sprintf("%016x", f.seed*1_000_003+uint64(index)),
 		"limits":   map[string]any{"cores": base.Agents.Cores, "memory_mb": base.Agents.MemoryMB, "sockets": base.Agents.Sockets},
-		"known":    endpoints.List{Whole: true, Hosts: []endpoints.Host{}},
+		"known":    endpoints.List{Full: true, Endpoints: []endpoints.Endpoint{}},
 		"settings": settings,
 	}
 	if services := hollow.DrawServices(f.seed, index, f.size.Services, f.config.Scale.Subscribed); services != nil {
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -417,7 +417,7 @@
 	client := control.NewClient(others, statusWait)
 	share := 1.0
 	took, ok := poll(ctx, p.config.Scale.RecoverWithin, func() bool {
-		_, err := client.Set(ctx, "hollow-00000", control.Word{Share: &share})
+		_, err := client.SetOverride(ctx, "hollow-00000", control.ServerOverride{Weight: &share})
 		return err == nil
 	})
 	if !ok {
--- a/internal/lab/server/http_test.go
+++ b/internal/lab/server/http_test.go
@@ -38,8 +38,8 @@
 	t.Helper()
 	st := &stand{t: t, http: &http.Transport{}}
 	epoch := time.Now()
-	set := &policy.Settings{Classes: []policy.Class{{Name: "look", Effect: policy.Free}, {Name: "vote", Effect: policy.Guarded, Group: policy.GroupAll, KeyTTLMs: 60000}},
-		Limits: policy.Limits{ParallelTries: true}, Contract: policy.Contract{TipAfterMs: 1000}}
+	set := &policy.Settings{Classes: []policy.Class{{Name: "look", Effect: policy.Idempotent}, {Name: "vote", Effect: policy.Deduplicated, Group: policy.GroupAll, DedupWindowMs: 60000}},
+		Limits: policy.Limits{ParallelAttempts: true}, Contract: policy.Contract{TipAfterMs: 1000}}
 	clock := func() time.Duration { return time.Since(epoch) }
 	st.checker = check.New(clock, set, []string{"n0"}, []check.Server{{Name: "s-0"}})
 	st.env = &Env{Clock: clock, Epoch: epoch, Checker: st.checker, Effects: NewEffects(), Classes: []string{"look", "vote"},
--- a/internal/lab/worker/worker.go
+++ b/internal/lab/worker/worker.go
@@ -84,7 +84,7 @@
 		}
 		return nil
 	}
-	r := leaderelection.NewRunner(leaderelection.Config{Process: c.Name, Zone: c.Zone, Cap: c.Cap, Service: control.NewClient(c.At, callWait),
+	r := leaderelection.NewRunner(leaderelection.Config{Process: c.Name, Zone: c.Zone, MaxTasks: c.Cap, Service: control.NewClient(c.At, callWait),
 		Log: log, Clock: driftClock{time.Now(), c.Rate},
 		Kinds: map[string]leaderelection.Function{"work": work,
 			"idle": func(ctx context.Context, _ string, _ int64) error { <-ctx.Done(); return nil },
--- a/internal/leaderelection/explore_test.go
+++ b/internal/leaderelection/explore_test.go
@@ -54,7 +54,7 @@
 )
 
 type leader struct {
-	t    *catalog.Tenures
+	t    *catalog.TaskLeases
 	base time.Duration
 	from int
 	rate float64
@@ -67,7 +67,7 @@
 
 type holder struct {
 	name, id string
-	k        *Keeper
+	k        *Participant
 	rate     float64
 	next     time.Duration // of renewals
 	running  int64         // fence; 0: none
@@ -85,32 +85,32 @@
 	kind string
 	sent time.Duration
 	rev  int64
-	list []catalog.Task
-	ties []catalog.Tie
+	list []catalog.Assignment
+	ties []catalog.TermRef
 	why  string
 }
 
 func newWorld(f faults, k knobs) *world {
 	w := &world{faults: f, knobs: k, state: catalog.New(), oldEnds: -1}
 	w.lead = &leader{rate: f.rateL}
-	w.apply(0, catalog.Command{Kind: catalog.Define, Duty: &catalog.Duty{Name: "d", TTL: modTTL}})
+	w.apply(0, catalog.Command{Kind: catalog.DefineTask, LeasedTask: &catalog.LeasedTask{Name: "d", TTL: modTTL}})
 	for i := range w.hold {
-		h := &holder{name: string(rune('a' + i)), id: fmt.Sprint("id-", i), k: NewKeeper(), rate: []float64{f.rateA, f.rateB}[i]}
+		h := &holder{name: string(rune('a' + i)), id: fmt.Sprint("id-", i), k: NewParticipant(), rate: []float64{f.rateA, f.rateB}[i]}
 		if k.noMargin {
 			h.k.margin = func(time.Duration) time.Duration { return 0 }
 		}
 		w.hold[i] = h
-		w.apply(0, catalog.Command{Kind: catalog.Open, Session: &catalog.Session{Process: h.name, ID: h.id, Cap: 1}})
+		w.apply(0, catalog.Command{Kind: catalog.OpenSession, Session: &catalog.Session{Process: h.name, ID: h.id, MaxTasks: 1}})
 	}
 	// The sessions are an hour old when the play begins.
 	w.lead.base = time.Hour
-	w.lead.t = catalog.Succeed(w.lead.base)
-	w.apply(0, catalog.Command{Kind: catalog.Floor})
+	w.lead.t = catalog.NewTaskLeases(w.lead.base)
+	w.apply(0, catalog.Command{Kind: catalog.RaiseRevision})
 	return w
 }
 
 func (w *world) apply(at int, c catalog.Command) {
-	c.Form, c.At = catalog.Form, w.lead.now(at)
+	c.FormatVersion, c.At = catalog.FormatVersion, w.lead.now(at)
 	w.state.Apply(&c)
 }
 
@@ -135,13 +135,13 @@
 				w.heard(at, i, m)
 			}
 			h.inbox = nil
-			if list, rev, ok := w.state.Tasks(h.name, h.id); ok && rev > h.k.Rev() && (i > 0 || !w.deaf) { // by the watch of its tasks
+			if list, rev, ok := w.state.Assignments(h.name, h.id); ok && rev > h.k.Revision() && (i > 0 || !w.deaf) { // by the watch of its tasks
 				w.post(message{due: at + w.lag, to: i, kind: "told", rev: rev, list: list})
 			}
 			acts, _, _ := h.k.Tick(h.now(at))
 			w.do(at, i, acts)
 			if now := h.now(at); now >= h.next {
-				h.next = now + h.k.Every()
+				h.next = now + h.k.RenewInterval()
 				w.renew(at, i)
 			}
 		}
@@ -161,7 +161,7 @@
 		if w.noWait {
 			began -= modTTL + 100*time.Millisecond
 		}
-		w.lead.t = catalog.Succeed(began)
+		w.lead.t = catalog.NewTaskLeases(began)
 	}
 	if at == w.oldEnds {
 		w.old = nil
@@ -175,12 +175,12 @@
 		w.apply(at, c)
 	}
 	if at%8 == 0 {
-		w.apply(at, catalog.Command{Kind: catalog.Floor}) // other commands carry the time too
+		w.apply(at, catalog.Command{Kind: catalog.RaiseRevision}) // other commands carry the time too
 	}
 	if at == w.move {
 		for _, h := range w.hold {
-			if d := w.state.Duties["d"]; d.Holder != "" && d.Holder != h.name {
-				w.apply(at, catalog.Command{Kind: catalog.Move, Ties: []catalog.Tie{{Name: "d", Process: h.name}}})
+			if d := w.state.LeasedTasks["d"]; d.Holder != "" && d.Holder != h.name {
+				w.apply(at, catalog.Command{Kind: catalog.TransferTask, Terms: []catalog.TermRef{{Name: "d", Process: h.name}}})
 				break
 			}
 		}
@@ -196,7 +196,7 @@
 
 // renew sends a renewal; the spoilt one is lost or late, on its way there.
 func (w *world) renew(at, i int) {
-	m := message{due: at + w.lag, to: 2, from: i, kind: "renew", sent: w.hold[i].now(at), rev: w.hold[i].k.Rev()}
+	m := message{due: at + w.lag, to: 2, from: i, kind: "renew", sent: w.hold[i].now(at), rev: w.hold[i].k.Revision()}
 	if w.old != nil && i == 0 {
 		m.to = 3 // the first still speaks to the one that was deposed
 	}
@@ -240,14 +240,14 @@
 		h := w.hold[m.from]
 		if m.kind != "renew" {
 			if m.to == 2 {
-				w.apply(at, catalog.Command{Kind: catalog.Kind(m.kind), Ties: m.ties, Why: m.why})
+				w.apply(at, catalog.Command{Kind: catalog.Kind(m.kind), Terms: m.ties, Reason: m.why})
 			}
 			return
 		}
-		if l.t.Heard(w.state, h.name, h.id, l.now(at)) != catalog.Done {
+		if l.t.Renew(w.state, h.name, h.id, l.now(at)) != catalog.Done {
 			return
 		}
-		list, rev, _ := w.state.Tasks(h.name, h.id)
+		list, rev, _ := w.state.Assignments(h.name, h.id)
 		w.spoiled(message{due: at + w.lag, to: m.from, kind: "renewed", sent: m.sent, rev: rev, list: list})
 	}
 }
@@ -255,16 +255,16 @@
 func (w *world) heard(at, i int, m message) {
 	h := w.hold[i]
 	if m.kind == "told" {
-		w.do(at, i, h.k.Told(h.now(at), m.rev, m.list))
+		w.do(at, i, h.k.Update(h.now(at), m.rev, m.list))
 		return
 	}
 	w.do(at, i, h.k.Renewed(h.now(at), m.sent, m.rev, m.list))
 }
 
-func (w *world) do(at, i int, acts []Act) {
+func (w *world) do(at, i int, acts []Action) {
 	h := w.hold[i]
 	for _, a := range acts {
-		tie := catalog.Tie{Name: a.Name, Process: h.name, Session: h.id, Fence: a.Fence}
+		tie := catalog.TermRef{Name: a.Name, Process: h.name, Session: h.id, Fence: a.Fence}
 		switch a.Kind {
 		case Start:
 			h.running = a.Fence
@@ -272,12 +272,12 @@
 		case Cancel:
 			if h.running == a.Fence {
 				h.running = 0
-				w.do(at, i, h.k.Returned(h.now(at), a.Name, a.Fence, false))
+				w.do(at, i, h.k.FunctionReturned(h.now(at), a.Name, a.Fence, false))
 			}
-		case GiveUp:
-			w.post(message{due: at + w.lag, to: 2, from: i, kind: string(catalog.GiveUp), ties: []catalog.Tie{tie}, why: a.Why})
+		case Release:
+			w.post(message{due: at + w.lag, to: 2, from: i, kind: string(catalog.ReleaseTerm), ties: []catalog.TermRef{tie}, why: a.Reason})
 		case Accept:
-			w.post(message{due: at + w.lag, to: 2, from: i, kind: string(catalog.Accept), ties: []catalog.Tie{tie}})
+			w.post(message{due: at + w.lag, to: 2, from: i, kind: string(catalog.AcceptTransfer), ties: []catalog.TermRef{tie}})
 		}
 	}
 }
@@ -286,7 +286,7 @@
 func (w *world) check(at int) {
 	believers := 0
 	for i, h := range w.hold {
-		if h.running == 0 || h.now(at) >= h.k.Until("d") {
+		if h.running == 0 || h.now(at) >= h.k.ValidUntil("d") {
 			continue
 		}
 		believers++
--- a/internal/leaderelection/runner.go
+++ b/internal/leaderelection/runner.go
@@ -14,10 +14,10 @@
 	"knotrouter/internal/catalog"
 )
 
-// Tasks is what the service says a session is to do.
-type Tasks struct {
-	Rev   int64          `json:"rev"`
-	Tasks []catalog.Task `json:"tasks"` // nil: as at the revision that is known
+// AssignmentUpdate is what the service says a session is to do.
+type AssignmentUpdate struct {
+	Revision    int64                `json:"rev"`
+	Assignments []catalog.Assignment `json:"tasks"` // nil: as at the revision that is known
 }
 
 // Service is the stewards, as a holder needs them.
@@ -25,17 +25,17 @@
 	OpenSession(ctx context.Context, s catalog.Session) error
 	// RenewSession says that the process is there. The answer is one of a leader that was
 	// the leader when it came.
-	RenewSession(ctx context.Context, process, id string, rev int64) (Tasks, error)
+	RenewSession(ctx context.Context, process, id string, rev int64) (AssignmentUpdate, error)
 	// WatchSession waits a while for a later revision than the one known.
-	WatchSession(ctx context.Context, process, id string, rev int64) (Tasks, error)
+	WatchSession(ctx context.Context, process, id string, rev int64) (AssignmentUpdate, error)
 	EndSession(ctx context.Context, process, id string, rest bool) error
-	Terms(ctx context.Context, kind catalog.Kind, ties []catalog.Tie, why string) error
+	ReportTerms(ctx context.Context, kind catalog.Kind, ties []catalog.TermRef, why string) error
 }
 
 // The errors of a service that a holder has to tell apart.
 var (
-	ErrGone  = errors.New("the session is over")
-	ErrTaken = errors.New("another process has the name")
+	ErrSessionExpired = errors.New("the session is over")
+	ErrNameTaken      = errors.New("another process has the name")
 )
 
 // Clock is time as a process sees it: what passed since some beginning, steps of the
@@ -60,15 +60,15 @@
 
 // Config is a holder.
 type Config struct {
-	Process string // a name that no other process has
-	Zone    string
-	Cap     int                 // duties at once
-	Kinds   map[string]Function // by the first part of duties' names, up to a dot
-	Service Service
-	Log     *slog.Logger
-	Clock   Clock                   // nil: the machine's
-	Overdue func(name string)       // hears of a function that does not return, once a term; may be nil
-	Changed func(name, what string) // hears of each start and end; may be nil
+	Process      string // a name that no other process has
+	Zone         string
+	MaxTasks     int                 // duties at once
+	Kinds        map[string]Function // by the first part of duties' names, up to a dot
+	Service      Service
+	Log          *slog.Logger
+	Clock        Clock                   // nil: the machine's
+	OnOverdue    func(name string)       // hears of a function that does not return, once a term; may be nil
+	OnTransition func(name, what string) // hears of each start and end; may be nil
 }
 
 const (
@@ -88,12 +88,12 @@
 
 	mu    sync.Mutex
 	id    string
-	keep  *Keeper
+	keep  *Participant
 	live  map[string]*live
-	out   map[outKey][]catalog.Tie // give-ups and acceptances to be told
-	poke  chan struct{}            // the keeper wants to be told the time
-	tell  chan struct{}            // there is something to be told
-	woken chan struct{}            // the session is to be renewed at once
+	out   map[outKey][]catalog.TermRef // give-ups and acceptances to be told
+	poke  chan struct{}                // the keeper wants to be told the time
+	tell  chan struct{}                // there is something to be told
+	woken chan struct{}                // the session is to be renewed at once
 	owned sync.WaitGroup
 	over  atomic.Int64
 }
@@ -117,15 +117,15 @@
 	if c.Clock == nil {
 		c.Clock = realClock{time.Now()}
 	}
-	return &Runner{c: c, clock: c.Clock, log: c.Log, live: map[string]*live{}, out: map[outKey][]catalog.Tie{}, keep: NewKeeper(),
+	return &Runner{c: c, clock: c.Clock, log: c.Log, live: map[string]*live{}, out: map[outKey][]catalog.TermRef{}, keep: NewParticipant(),
 		poke: make(chan struct{}, 1), tell: make(chan struct{}, 1), woken: make(chan struct{}, 1)}
 }
 
-// Holds is how many functions run.
-func (r *Runner) Holds() int {
+// Active is how many functions run.
+func (r *Runner) Active() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.keep.Holds()
+	return r.keep.Active()
 }
 
 // Overdue is how many functions did not return in time.
@@ -163,9 +163,9 @@
 		if ctx.Err() != nil {
 			break // what is held is handed over
 		}
-		r.do(func(k *Keeper) []Act { return k.Gone() })
+		r.do(func(k *Participant) []Action { return k.SessionExpired() })
 		// Functions of the old session return first: a new one must not run beside them.
-		for r.Holds() > 0 && ctx.Err() == nil {
+		for r.Active() > 0 && ctx.Err() == nil {
 			r.sleep(ctx, firstRetry)
 		}
 	}
@@ -192,14 +192,14 @@
 }
 
 // do has the keeper decide, and carries out what it wants.
-func (r *Runner) do(decide func(k *Keeper) []Act) {
+func (r *Runner) do(decide func(k *Participant) []Action) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, a := range decide(r.keep) {
 		r.act(a)
 	}
 	for _, l := range r.live {
-		l.until.Store(int64(r.keep.Until(l.name)))
+		l.until.Store(int64(r.keep.ValidUntil(l.name)))
 	}
 	notify(r.poke)
 }
@@ -212,8 +212,8 @@
 }
 
 // act carries out one act. The caller holds the lock.
-func (r *Runner) act(a Act) {
-	tie := catalog.Tie{Name: a.Name, Process: r.c.Process, Session: r.id, Fence: a.Fence}
+func (r *Runner) act(a Action) {
+	tie := catalog.TermRef{Name: a.Name, Process: r.c.Process, Session: r.id, Fence: a.Fence}
 	switch a.Kind {
 	case Start:
 		r.start(a)
@@ -222,24 +222,24 @@
 			l.cancel()
 			time.AfterFunc(returnWait, func() { r.overdue(l) })
 		}
-	case GiveUp:
-		r.queue(outKey{catalog.GiveUp, a.Why}, tie)
+	case Release:
+		r.queue(outKey{catalog.ReleaseTerm, a.Reason}, tie)
 	case Accept:
-		r.queue(outKey{catalog.Accept, ""}, tie)
+		r.queue(outKey{catalog.AcceptTransfer, ""}, tie)
 	}
 }
 
-func (r *Runner) queue(key outKey, t catalog.Tie) {
-	if len(r.out[key]) < catalog.MaxDuties { // the rest is asked for again by the keeper
+func (r *Runner) queue(key outKey, t catalog.TermRef) {
+	if len(r.out[key]) < catalog.MaxTasks { // the rest is asked for again by the keeper
 		r.out[key] = append(r.out[key], t)
 	}
 	notify(r.tell)
 }
 
-func (r *Runner) start(a Act) {
+func (r *Runner) start(a Action) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &live{name: a.Name, fence: a.Fence, cancel: cancel, clock: r.clock}
-	l.until.Store(int64(r.keep.Until(a.Name)))
+	l.until.Store(int64(r.keep.ValidUntil(a.Name)))
 	r.live[a.Name] = l
 	r.changed(a.Name, "held")
 	r.log.Info("duty held", "duty", a.Name, "fence", a.Fence)
@@ -247,11 +247,11 @@
 		defer cancel()
 		err := r.call(termContext{ctx, l}, l)
 		lost := ctx.Err() != nil
-		r.do(func(k *Keeper) []Act {
+		r.do(func(k *Participant) []Action {
 			if r.live[l.name] == l {
 				delete(r.live, l.name)
 			}
-			return k.Returned(r.clock.Now(), l.name, l.fence, err != nil && !lost)
+			return k.FunctionReturned(r.clock.Now(), l.name, l.fence, err != nil && !lost)
 		})
 		r.changed(l.name, "over")
 		r.log.Info("duty over", "duty", l.name, "fence", l.fence, "taken_away", lost, "err", err)
@@ -259,8 +259,8 @@
 }
 
 func (r *Runner) changed(name, what string) {
-	if r.c.Changed != nil {
-		r.c.Changed(name, what)
+	if r.c.OnTransition != nil {
+		r.c.OnTransition(name, what)
 	}
 }
 
@@ -290,8 +290,8 @@
 	}
 	r.over.Add(1)
 	r.log.Error("a duty's function does not return", "duty", l.name, "fence", l.fence)
-	if r.c.Overdue != nil {
-		r.c.Overdue(l.name)
+	if r.c.OnOverdue != nil {
+		r.c.OnOverdue(l.name)
 	}
 }
 
@@ -300,7 +300,7 @@
 	for {
 		var next time.Duration
 		some := false
-		r.do(func(k *Keeper) (acts []Act) {
+		r.do(func(k *Participant) (acts []Action) {
 			acts, next, some = k.Tick(r.clock.Now())
 			return acts
 		})
@@ -329,7 +329,7 @@
 func (r *Runner) session(ctx context.Context) error {
 	id := rand.Text()
 	r.mu.Lock()
-	r.id, r.keep = id, NewKeeper()
+	r.id, r.keep = id, NewParticipant()
 	clear(r.out)
 	r.mu.Unlock()
 	var kinds []string
@@ -339,12 +339,12 @@
 	retry := firstRetry
 	for {
 		err := r.timed(ctx, func(ctx context.Context) error {
-			return r.c.Service.OpenSession(ctx, catalog.Session{Process: r.c.Process, ID: id, Zone: r.c.Zone, Cap: r.c.Cap, Kinds: kinds})
+			return r.c.Service.OpenSession(ctx, catalog.Session{Process: r.c.Process, ID: id, Zone: r.c.Zone, MaxTasks: r.c.MaxTasks, TaskKinds: kinds})
 		})
 		if err == nil {
 			break
 		}
-		if errors.Is(err, ErrTaken) && retry < longRetry {
+		if errors.Is(err, ErrNameTaken) && retry < longRetry {
 			r.log.Warn("another process is called so: waiting until its time is over", "process", r.c.Process)
 		}
 		if r.sleep(ctx, retry); ctx.Err() != nil {
@@ -376,10 +376,10 @@
 	retry := firstRetry
 	for ctx.Err() == nil {
 		r.mu.Lock()
-		rev, every := r.keep.Rev(), r.keep.Every()
+		rev, every := r.keep.Revision(), r.keep.RenewInterval()
 		r.mu.Unlock()
 		sent := r.clock.Now()
-		var t Tasks
+		var t AssignmentUpdate
 		err := r.timed(ctx, func(ctx context.Context) (err error) {
 			// An answer that comes so late is worth little: sooner another steward is asked.
 			ctx, cancel := context.WithTimeout(ctx, max(every, 100*time.Millisecond))
@@ -391,8 +391,8 @@
 		switch {
 		case err == nil:
 			retry = firstRetry
-			r.do(func(k *Keeper) []Act { return k.Renewed(r.clock.Now(), sent, t.Rev, t.Tasks) })
-		case errors.Is(err, ErrGone), errors.Is(err, ErrTaken):
+			r.do(func(k *Participant) []Action { return k.Renewed(r.clock.Now(), sent, t.Revision, t.Assignments) })
+		case errors.Is(err, ErrSessionExpired), errors.Is(err, ErrNameTaken):
 			return err
 		default:
 			wait, retry = retry, min(2*retry, every)
@@ -413,7 +413,7 @@
 	retry := firstRetry
 	for ctx.Err() == nil {
 		r.mu.Lock()
-		rev := r.keep.Rev()
+		rev := r.keep.Revision()
 		r.mu.Unlock()
 		t, err := r.c.Service.WatchSession(ctx, r.c.Process, id, rev)
 		if err != nil {
@@ -423,9 +423,9 @@
 		}
 		retry = firstRetry
 		fresh := false
-		r.do(func(k *Keeper) []Act {
+		r.do(func(k *Participant) []Action {
 			fresh = !k.some
-			return k.Told(r.clock.Now(), t.Rev, t.Tasks)
+			return k.Update(r.clock.Now(), t.Revision, t.Assignments)
 		})
 		if fresh {
 			notify(r.woken)
@@ -446,12 +446,12 @@
 			if len(ties) == 0 {
 				break
 			}
-			err := r.timed(ctx, func(ctx context.Context) error { return r.c.Service.Terms(ctx, key.kind, ties, key.why) })
+			err := r.timed(ctx, func(ctx context.Context) error { return r.c.Service.ReportTerms(ctx, key.kind, ties, key.why) })
 			if err != nil {
 				// What was not told is asked for again with the next answer to a renewal; a give-up
 				// is worth another try, as somebody may be waiting for it.
 				r.mu.Lock()
-				if key.kind == catalog.GiveUp && len(r.out[key]) < catalog.MaxDuties {
+				if key.kind == catalog.ReleaseTerm && len(r.out[key]) < catalog.MaxTasks {
 					r.out[key] = append(r.out[key], ties...)
 				}
 				r.mu.Unlock()
@@ -462,7 +462,7 @@
 	}
 }
 
-func (r *Runner) batch() (outKey, []catalog.Tie) {
+func (r *Runner) batch() (outKey, []catalog.TermRef) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for key, ties := range r.out {
@@ -485,24 +485,24 @@
 	r.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), leaveWait)
 	defer cancel()
-	if r.Holds() > 0 && r.timed(ctx, func(ctx context.Context) error { return r.c.Service.EndSession(ctx, r.c.Process, id, true) }) == nil {
+	if r.Active() > 0 && r.timed(ctx, func(ctx context.Context) error { return r.c.Service.EndSession(ctx, r.c.Process, id, true) }) == nil {
 		// The session goes on meanwhile: what is held is still held until each is handed over.
 		both, stop := context.WithCancel(ctx)
 		var beside sync.WaitGroup
 		beside.Add(2)
 		go func() { defer beside.Done(); _ = r.renew(both, id) }()
 		go func() { defer beside.Done(); r.watch(both, id) }()
-		for end := r.clock.Now() + leaveWait/2; r.Holds() > 0 && r.clock.Now() < end; {
+		for end := r.clock.Now() + leaveWait/2; r.Active() > 0 && r.clock.Now() < end; {
 			r.sleep(ctx, 10*time.Millisecond)
 		}
 		stop()
 		beside.Wait()
 	}
-	r.do(func(k *Keeper) []Act { return k.Gone() })
-	for r.Holds() > 0 && ctx.Err() == nil {
+	r.do(func(k *Participant) []Action { return k.SessionExpired() })
+	for r.Active() > 0 && ctx.Err() == nil {
 		r.sleep(ctx, 10*time.Millisecond)
 	}
-	if r.Holds() == 0 { // else its time has to run out: its functions have not returned
+	if r.Active() == 0 { // else its time has to run out: its functions have not returned
 		_ = r.timed(ctx, func(ctx context.Context) error { return r.c.Service.EndSession(ctx, r.c.Process, id, false) })
 	}
 }
--- a/internal/leaderelection/runner_test.go
+++ b/internal/leaderelection/runner_test.go
@@ -37,15 +37,15 @@
 type oneTask struct{ ttl time.Duration }
 
 func (s oneTask) OpenSession(context.Context, catalog.Session) error { return nil }
-func (s oneTask) RenewSession(context.Context, string, string, int64) (Tasks, error) {
-	return Tasks{Rev: 1, Tasks: []catalog.Task{{Name: "d", TTL: s.ttl, Fence: 7}}}, nil
+func (s oneTask) RenewSession(context.Context, string, string, int64) (AssignmentUpdate, error) {
+	return AssignmentUpdate{Revision: 1, Assignments: []catalog.Assignment{{Name: "d", TTL: s.ttl, Fence: 7}}}, nil
 }
-func (s oneTask) WatchSession(ctx context.Context, _, _ string, _ int64) (Tasks, error) {
+func (s oneTask) WatchSession(ctx context.Context, _, _ string, _ int64) (AssignmentUpdate, error) {
 	<-ctx.Done()
-	return Tasks{}, ctx.Err()
+	return AssignmentUpdate{}, ctx.Err()
 }
 func (s oneTask) EndSession(context.Context, string, string, bool) error { return nil }
-func (s oneTask) Terms(context.Context, catalog.Kind, []catalog.Tie, string) error {
+func (s oneTask) ReportTerms(context.Context, catalog.Kind, []catalog.TermRef, string) error {
 	return nil
 }
 
@@ -53,9 +53,9 @@
 // clock: its context has ended though nobody has run yet who could have ended it.
 func TestWakes(t *testing.T) {
 	const ttl = 2 * time.Second
-	for stood, over := range map[time.Duration]bool{ttl / 2: false, ttl - Margin(ttl) - 1: false, ttl - Margin(ttl): true, 3 * ttl: true} {
+	for stood, over := range map[time.Duration]bool{ttl / 2: false, ttl - SafetyMargin(ttl) - 1: false, ttl - SafetyMargin(ttl): true, 3 * ttl: true} {
 		clock, held, look, saw := &halted{}, make(chan struct{}), make(chan struct{}), make(chan error, 1)
-		r := NewRunner(Config{Process: "p", Cap: 1, Service: oneTask{ttl}, Clock: clock, Log: slog.New(slog.DiscardHandler),
+		r := NewRunner(Config{Process: "p", MaxTasks: 1, Service: oneTask{ttl}, Clock: clock, Log: slog.New(slog.DiscardHandler),
 			Kinds: map[string]Function{"d": func(ctx context.Context, _ string, _ int64) error {
 				close(held)
 				<-look
@@ -74,7 +74,7 @@
 		}
 		clock.pass(time.Hour, true)
 		cancel()
-		r.do(func(k *Keeper) []Act { return k.Gone() })
+		r.do(func(k *Participant) []Action { return k.SessionExpired() })
 		<-ended
 	}
 }
--- a/internal/leaderelection/wire_test.go
+++ b/internal/leaderelection/wire_test.go
@@ -9,5 +9,5 @@
 // TestMessagesKeepTheirKeys holds the JSON form of what a session is told to do, with every
 // field, as the program of commit d25b370 wrote it.
 func TestMessagesKeepTheirKeys(t *testing.T) {
-	golden.Messages(t, "messages.txt", []golden.Message{golden.Of[Tasks]("tasks")})
+	golden.Messages(t, "messages.txt", []golden.Message{golden.Of[AssignmentUpdate]("tasks")})
 }
--- a/internal/member/judge_test.go
+++ b/internal/member/judge_test.go
@@ -42,19 +42,19 @@
 func (w *explorers) says(o int, s *explored) Answer {
 	switch {
 	case !w.reach[o]:
-		return None
+		return AnswerNone
 	case w.old[o]:
-		return Agrees
+		return AnswerDefersToLease
 	case s.is == alive && s.ways[o]:
-		return Sees
+		return AnswerAlive
 	case s.is == turning && s.ways[o] && o == 2:
-		return Sees
+		return AnswerAlive
 	case (s.is == ended || s.is == turning) && s.ways[o]:
-		return Refuses
+		return AnswerRefused
 	case w.slow[o]:
-		return Unsure
+		return AnswerUnsure
 	}
-	return Silent
+	return AnswerSilent
 }
 
 // Each state that three observers and two subjects can be in, with the guard and without:
@@ -75,14 +75,14 @@
 	}
 	const ttl = 6 * time.Second
 	plays, removed, kept := 0, 0, 0
-	broke := func(why string, w explorers, two [2]explored, others int, got []catalog.Ref) {
+	broke := func(why string, w explorers, two [2]explored, others int, got []catalog.InstanceRef) {
 		t.Fatalf("after %d plays: %s: %+v, %+v beside %d others: removed %v", plays, why, w, two, others, got)
 	}
 	for _, others := range []int{0, 4} { // with none beside them, both at once are a mass failure
 		st := catalog.New()
 		for i := range 2 + others {
-			h := endpoints.Host{Host: fmt.Sprint("s-", i), Dial: "127.0.0.1:9", Health: endpoints.Ready, Share: 1, BornMs: 1}
-			st.Apply(&catalog.Command{Form: catalog.Form, Kind: catalog.Register, Host: &h})
+			h := endpoints.Endpoint{Name: fmt.Sprint("s-", i), Dial: "127.0.0.1:9", Health: endpoints.Ready, Weight: 1, StartedMs: 1}
+			st.Apply(&catalog.Command{FormatVersion: catalog.FormatVersion, Kind: catalog.Register, Endpoint: &h})
 		}
 		for _, w := range worlds {
 			if w.slow != [3]bool{} && w.old != [3]bool{} {
@@ -96,14 +96,14 @@
 					}
 					two := [2]explored{a, b}
 					plays++
-					l := catalog.Lead(catalog.LeaseConfig{TTL: ttl, Share: 0.5, Window: 10 * time.Second}, st, 0)
+					l := catalog.NewRegistrationLeases(catalog.LeaseConfig{TTL: ttl, MassFailureShare: 0.5, MassFailureWindow: 10 * time.Second}, st, 0)
 					for i := range 2 + others {
 						if i >= 2 || !two[i].lapsed {
 							at := ttl / 4 // late by the end of a lease from the beginning on
 							if i >= 2 {
 								at = ttl
 							}
-							l.Renew(st, catalog.Ref{Name: fmt.Sprint("s-", i), BornMs: 1}, at)
+							l.Renew(st, catalog.InstanceRef{Name: fmt.Sprint("s-", i), StartedMs: 1}, at)
 						}
 					}
 					answers := [2]map[string]Answer{{}, {}}
@@ -112,18 +112,18 @@
 							answers[i][v] = w.says(o, &two[i])
 						}
 					}
-					d := l.Decide(st, ttl, func(ref catalog.Ref, over bool) catalog.Evidence {
+					d := l.Decide(st, ttl, func(ref catalog.InstanceRef, over bool) catalog.FailureEvidence {
 						i := int(ref.Name[2] - '0')
-						switch Judge(voters, quorum, over, answers[i]) {
-						case Keep:
-							return catalog.Stays
-						case Remove:
-							return catalog.Gone
+						switch DecideExpiry(voters, quorum, over, answers[i]) {
+						case DecisionRetain:
+							return catalog.Alive
+						case DecisionRemove:
+							return catalog.Failed
 						}
-						return catalog.Unsettled
+						return catalog.Inconclusive
 					})
 					gone := [2]bool{}
-					for _, ref := range d.Lapse {
+					for _, ref := range d.Expire {
 						gone[ref.Name[2]-'0'] = true
 					}
 					mass := others == 0 // two of two
@@ -131,11 +131,11 @@
 						sees, says, plain := 0, 0, 0
 						for _, v := range voters {
 							switch answers[i][v] {
-							case Sees:
+							case AnswerAlive:
 								sees++
-							case Silent, Agrees:
+							case AnswerSilent, AnswerDefersToLease:
 								says++
-							case Refuses:
+							case AnswerRefused:
 								says++
 								plain++
 							}
@@ -145,19 +145,19 @@
 						case !gone[i]:
 							kept++
 							if promised && !mass {
-								broke("one that is gone stays", w, two, others, d.Lapse)
+								broke("one that is gone stays", w, two, others, d.Expire)
 							}
 							continue
 						case !quorum:
-							broke("removed without the quorum", w, two, others, d.Lapse)
+							broke("removed without the quorum", w, two, others, d.Expire)
 						case says < 2:
-							broke("removed by one observer alone", w, two, others, d.Lapse)
+							broke("removed by one observer alone", w, two, others, d.Expire)
 						case sees >= 2:
-							broke("removed though most see it", w, two, others, d.Lapse)
+							broke("removed though most see it", w, two, others, d.Expire)
 						case !s.lapsed && (plain < 2 || sees > 0 || s.is == alive):
-							broke("removed before its time without a plain word", w, two, others, d.Lapse)
+							broke("removed before its time without a plain word", w, two, others, d.Expire)
 						case mass && gone[1-i]:
-							broke("all removed at once", w, two, others, d.Lapse)
+							broke("all removed at once", w, two, others, d.Expire)
 						}
 						removed++
 					}
@@ -178,20 +178,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 9).Draw(t, "stewards")
 		wanted := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "wanted")
-		f := Fleet{Wanted: wanted, After: 30 * time.Second, Failed: map[string]time.Duration{}, There: map[string]bool{}}
+		f := VoterSet{DesiredVoters: wanted, ReplaceAfter: 30 * time.Second, Failed: map[string]time.Duration{}, Present: map[string]bool{}}
 		for i := range n {
 			name := fmt.Sprint("st-", i)
-			f.There[name] = true
+			f.Present[name] = true
 			if i < min(wanted, n) {
 				f.Voters = append(f.Voters, name)
 			} else {
-				f.Spares = append(f.Spares, name)
+				f.NonVoters = append(f.NonVoters, name)
 			}
 		}
 		f.Leader = rapid.SampledFrom(f.Voters).Draw(t, "leader")
 		alive := func() (there int) {
 			for _, v := range f.Voters {
-				if f.There[v] {
+				if f.Present[v] {
 					there++
 				}
 			}
@@ -199,7 +199,7 @@
 		}
 		step := func() bool {
 			before := alive() >= len(f.Voters)/2+1
-			s, some := Replace(&f)
+			s, some := NextReconfiguration(&f)
 			if !some {
 				return false
 			}
@@ -210,19 +210,19 @@
 				t.Fatalf("not one step: %+v", s)
 			case s.Demote != "" && (alive() < len(f.Voters) || s.Demote == f.Leader):
 				t.Fatalf("demoted %s: %+v", s.Demote, f)
-			case s.Add != "" && (!f.There[s.Add] || slices.Contains(f.Voters, s.Add)):
+			case s.Add != "" && (!f.Present[s.Add] || slices.Contains(f.Voters, s.Add)):
 				t.Fatalf("added %s: %+v", s.Add, f)
-			case s.Remove != "" && (f.There[s.Remove] || f.Failed[s.Remove] < f.After || !slices.Contains(f.Voters, s.Remove)):
+			case s.Remove != "" && (f.Present[s.Remove] || f.Failed[s.Remove] < f.ReplaceAfter || !slices.Contains(f.Voters, s.Remove)):
 				t.Fatalf("removed %s: %+v", s.Remove, f)
 			}
 			if s.Add != "" {
 				f.Voters = append(f.Voters, s.Add)
-				f.Spares = slices.DeleteFunc(f.Spares, func(x string) bool { return x == s.Add })
+				f.NonVoters = slices.DeleteFunc(f.NonVoters, func(x string) bool { return x == s.Add })
 			} else {
 				f.Voters = slices.DeleteFunc(f.Voters, func(x string) bool { return x == s.Remove || x == s.Demote })
 			}
 			if s.Demote != "" {
-				f.Spares = append(f.Spares, s.Demote)
+				f.NonVoters = append(f.NonVoters, s.Demote)
 			}
 			if alive() < len(f.Voters)/2+1 {
 				t.Fatalf("no quorum after %+v: %+v", s, f)
@@ -234,10 +234,10 @@
 		}
 		for range rapid.IntRange(1, 12).Draw(t, "events") {
 			name := fmt.Sprint("st-", rapid.IntRange(0, n-1).Draw(t, "who"))
-			if f.There[name] = !f.There[name]; f.There[name] {
+			if f.Present[name] = !f.Present[name]; f.Present[name] {
 				delete(f.Failed, name)
-				if !slices.Contains(f.Voters, name) && !slices.Contains(f.Spares, name) {
-					f.Spares = append(f.Spares, name) // replaced while away
+				if !slices.Contains(f.Voters, name) && !slices.Contains(f.NonVoters, name) {
+					f.NonVoters = append(f.NonVoters, name) // replaced while away
 				}
 			} else {
 				f.Failed[name] = 0
@@ -256,13 +256,13 @@
 			step()
 		}
 		there := 0
-		for _, is := range f.There {
+		for _, is := range f.Present {
 			if is {
 				there++
 			}
 		}
 		if alive() >= len(f.Voters)/2+1 && there > wanted && (len(f.Voters) != wanted || alive() != wanted) {
-			t.Fatalf("in the end %v vote, there are %v, %d wanted", f.Voters, f.There, wanted)
+			t.Fatalf("in the end %v vote, there are %v, %d wanted", f.Voters, f.Present, wanted)
 		}
 	})
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -13,24 +13,26 @@
 	"knotrouter/internal/endpoints"
 )
 
-// Form is the version of what members tell each other.
-const Form = 1
+// ProtocolVersion is the version of what members tell each other.
+const ProtocolVersion = 1
 
 // Role is what a member is there for.
 type Role string
 
 // The roles. Stewards and workers gossip; for agents and servers a steward holds a session.
 const (
-	Steward Role = "steward"
-	Worker  Role = "worker"
-	Agent   Role = "agent"
-	Server  Role = "server"
+	RoleControlPlane Role = "steward"
+	RoleWorker       Role = "worker"
+	RoleAgent        Role = "agent"
+	RoleServer       Role = "server"
 )
 
 // Gossips tells whether members of the role speak for themselves.
-func (r Role) Gossips() bool { return r == Steward || r == Worker }
+func (r Role) Gossips() bool { return r == RoleControlPlane || r == RoleWorker }
 
-func (r Role) known() bool { return r == Steward || r == Worker || r == Agent || r == Server }
+func (r Role) known() bool {
+	return r == RoleControlPlane || r == RoleWorker || r == RoleAgent || r == RoleServer
+}
 
 // State is how a member is thought to be.
 type State string
@@ -48,23 +50,23 @@
 	return s == Joining || s == Present || s == Suspect || s == Left || s == Failed
 }
 
-// Speaks is the forms that a process reads: of what members tell each other, and of the
+// ProtocolVersions is the forms that a process reads: of what members tell each other, and of the
 // catalog's commands.
-type Speaks struct {
+type ProtocolVersions struct {
 	Gossip  int `json:"g"`
 	Catalog int `json:"c"`
 }
 
 // Info is what a member says of itself.
 type Info struct {
-	Form        int    `json:"f"`
-	Name        string `json:"n"`
-	Role        Role   `json:"r"`
-	Zone        string `json:"z,omitempty"`
-	Program     string `json:"v,omitempty"` // its version
-	Speaks      Speaks `json:"s"`
-	Incarnation int64  `json:"i,omitempty"` // given by the catalog; 0: not yet
-	Leaving     bool   `json:"l,omitempty"` // it is about to end as planned
+	ProtocolVersion int              `json:"f"`
+	Name            string           `json:"n"`
+	Role            Role             `json:"r"`
+	Zone            string           `json:"z,omitempty"`
+	Program         string           `json:"v,omitempty"` // its version
+	Versions        ProtocolVersions `json:"s"`
+	Incarnation     int64            `json:"i,omitempty"` // given by the catalog; 0: not yet
+	ShuttingDown    bool             `json:"l,omitempty"` // it is about to end as planned
 	// ID is of the folder that the process has its state in: another process of the name, which
 	// is not the same one started again, has another.
 	ID string `json:"d,omitempty"`
@@ -73,13 +75,13 @@
 // Validate tells why a word for itself makes no sense.
 func (i *Info) Validate() error {
 	switch {
-	case i.Form != Form:
-		return fmt.Errorf("form %d, this build reads form %d", i.Form, Form)
-	case !endpoints.IsWord(i.Name, endpoints.MaxName):
+	case i.ProtocolVersion != ProtocolVersion:
+		return fmt.Errorf("form %d, this build reads form %d", i.ProtocolVersion, ProtocolVersion)
+	case !endpoints.IsToken(i.Name, endpoints.MaxName):
 		return errors.New("name: must be a word")
 	case !i.Role.known():
 		return fmt.Errorf("role: unknown word %q", i.Role)
-	case i.Zone != "" && !endpoints.IsWord(i.Zone, endpoints.MaxWord), len(i.Program) > 64, len(i.ID) > 64:
+	case i.Zone != "" && !endpoints.IsToken(i.Zone, endpoints.MaxLabel), len(i.Program) > 64, len(i.ID) > 64:
 		return errors.New("zone, program, id: must be words")
 	case i.Incarnation < 0:
 		return errors.New("incarnation: must be 0 or above")
@@ -87,8 +89,8 @@
 	return nil
 }
 
-// Sight is what one observer thinks of a member; without a state it thinks nothing any more.
-type Sight struct {
+// Observation is what one observer thinks of a member; without a state it thinks nothing any more.
+type Observation struct {
 	Name        string `json:"n"`
 	Role        Role   `json:"r"`
 	Zone        string `json:"z,omitempty"`
@@ -99,19 +101,19 @@
 
 // Report is what an observer thinks, all of it or what has changed.
 type Report struct {
-	Form        int     `json:"f"`
-	From        string  `json:"n"`
-	Incarnation int64   `json:"i,omitempty"`
-	Seq         int64   `json:"q"` // grows within one life of the observer
-	Life        string  `json:"b"` // drawn at the start of each life of the observer
-	Whole       bool    `json:"w,omitempty"`
-	Sights      []Sight `json:"o,omitempty"`
+	ProtocolVersion int           `json:"f"`
+	From            string        `json:"n"`
+	Incarnation     int64         `json:"i,omitempty"`
+	Seq             int64         `json:"q"` // grows within one life of the observer
+	BootID          string        `json:"b"` // drawn at the start of each life of the observer
+	Full            bool          `json:"w,omitempty"`
+	Observations    []Observation `json:"o,omitempty"`
 }
 
 // Bounds of what is taken from others.
 const (
-	MostMembers = 4096
-	mostReport  = 1 << 20 // bytes
+	MaxMembers = 4096
+	mostReport = 1 << 20 // bytes
 )
 
 // DecodeInfo reads a member's word for itself.
@@ -134,17 +136,17 @@
 		return Report{}, fmt.Errorf("report: %w", err)
 	}
 	switch {
-	case r.Form != Form:
-		return Report{}, fmt.Errorf("report: form %d, this build reads form %d", r.Form, Form)
-	case !endpoints.IsWord(r.From, endpoints.MaxName):
+	case r.ProtocolVersion != ProtocolVersion:
+		return Report{}, fmt.Errorf("report: form %d, this build reads form %d", r.ProtocolVersion, ProtocolVersion)
+	case !endpoints.IsToken(r.From, endpoints.MaxName):
 		return Report{}, errors.New("report: from: must be a word")
-	case len(r.Sights) > MostMembers:
-		return Report{}, fmt.Errorf("report: %d members of at most %d", len(r.Sights), MostMembers)
+	case len(r.Observations) > MaxMembers:
+		return Report{}, fmt.Errorf("report: %d members of at most %d", len(r.Observations), MaxMembers)
 	}
-	for i := range r.Sights {
-		s := &r.Sights[i]
-		if !endpoints.IsWord(s.Name, endpoints.MaxName) || !s.Role.known() || s.State != "" && !s.State.known() || s.ForMs < 0 || s.Incarnation < 0 ||
-			s.Zone != "" && !endpoints.IsWord(s.Zone, endpoints.MaxWord) {
+	for i := range r.Observations {
+		s := &r.Observations[i]
+		if !endpoints.IsToken(s.Name, endpoints.MaxName) || !s.Role.known() || s.State != "" && !s.State.known() || s.ForMs < 0 || s.Incarnation < 0 ||
+			s.Zone != "" && !endpoints.IsToken(s.Zone, endpoints.MaxLabel) {
 			return Report{}, fmt.Errorf("report: member %d makes no sense", i)
 		}
 	}
--- a/internal/member/tracker.go
+++ b/internal/member/tracker.go
@@ -9,25 +9,25 @@
 // Config is how a tracker judges.
 type Config struct {
 	Self Info
-	// Reach is how long a peer may not answer this process itself before that is held against it.
-	Reach time.Duration
-	// Grace is how long a session may be away, as it moves from one steward to another, and
-	// Fail how long after that it counts as failed.
-	Grace, Fail time.Duration
-	// Share of the present members that gossip which may fail within Window; of more, all that
+	// PeerTimeout is how long a peer may not answer this process itself before that is held against it.
+	PeerTimeout time.Duration
+	// SessionGrace is how long a session may be away, as it moves from one steward to another, and
+	// FailTimeout how long after that it counts as failed.
+	SessionGrace, FailTimeout time.Duration
+	// MassFailureShare of the present members that gossip which may fail within Window; of more, all that
 	// do are in doubt, at most for Hold where others say the same.
-	Share        float64
-	Window, Hold time.Duration
-	// Keep is how long a report counts that is not renewed.
-	Keep time.Duration
-	// Forget is how long the end of a member is remembered.
-	Forget time.Duration
+	MassFailureShare                    float64
+	MassFailureWindow, MassFailureDelay time.Duration
+	// ReportRetention is how long a report counts that is not renewed.
+	ReportRetention time.Duration
+	// TombstoneRetention is how long the end of a member is remembered.
+	TombstoneRetention time.Duration
 }
 
 // Defaults are those for processes of one site.
 func Defaults(self Info) Config {
-	return Config{Self: self, Reach: 3 * time.Second, Grace: 2 * time.Second, Fail: time.Second, Share: 0.4,
-		Window: 5 * time.Second, Hold: 3 * time.Second, Keep: 16 * time.Second, Forget: 10 * time.Minute}
+	return Config{Self: self, PeerTimeout: 3 * time.Second, SessionGrace: 2 * time.Second, FailTimeout: time.Second, MassFailureShare: 0.4,
+		MassFailureWindow: 5 * time.Second, MassFailureDelay: 3 * time.Second, ReportRetention: 16 * time.Second, TombstoneRetention: 10 * time.Minute}
 }
 
 // Tracker keeps what one process knows of the others. It is pure, and not safe for
@@ -45,12 +45,12 @@
 
 // Counts is what a tracker counted.
 type Counts struct {
-	Old      int64 // news of an earlier life, which changed nothing
-	Held     int64 // ends that were not believed at first: too many at once, or this process was slow
-	Suspects int64 // members that gossip and became suspect here
-	Wrongs   int64 // of them, those that were present again without having ended
-	Full     int64 // members that there was no room for
-	Strange  int64 // reports by somebody who is no steward
+	Stale          int64 // news of an earlier life, which changed nothing
+	Deferred       int64 // ends that were not believed at first: too many at once, or this process was slow
+	Suspects       int64 // members that gossip and became suspect here
+	FalsePositives int64 // of them, those that were present again without having ended
+	Overflow       int64 // members that there was no room for
+	UnknownSenders int64 // reports by somebody who is no steward
 }
 
 // never is before all that can be.
@@ -77,7 +77,7 @@
 }
 
 type told struct {
-	Sight
+	Observation
 	at time.Duration // since when it has thought so, by this process's time
 	in time.Duration // when it came
 	// seq is of the report that it came with. News is passed on by many, and comes in any
@@ -103,8 +103,8 @@
 	return &Tracker{c: c, all: map[string]*subject{}, lives: map[string]life{}}
 }
 
-// Self changes what this process says of itself.
-func (t *Tracker) Self(i Info) {
+// UpdateSelf changes what this process says of itself.
+func (t *Tracker) UpdateSelf(i Info) {
 	if i.Incarnation != t.c.Self.Incarnation {
 		for _, s := range t.all {
 			s.said = "" // what was said without the number may not have counted
@@ -125,14 +125,14 @@
 	s := t.all[i.Name]
 	switch {
 	case s == nil:
-		if len(t.all) >= MostMembers {
-			t.counts.Full++
+		if len(t.all) >= MaxMembers {
+			t.counts.Overflow++
 			return nil
 		}
 		s = &subject{others: map[string]told{}, since: now}
 		t.all[i.Name] = s
 	case i.Incarnation < s.info.Incarnation:
-		t.counts.Old++
+		t.counts.Stale++
 		return nil
 	case i.Incarnation > s.info.Incarnation: // what was said of its earlier life is over
 		if s.info.Incarnation > 0 || i.Incarnation > 0 && s.own != Joining {
@@ -152,7 +152,7 @@
 	case st == Suspect:
 		t.counts.Suspects++
 	case st == Present && s.own == Suspect:
-		t.counts.Wrongs++
+		t.counts.FalsePositives++
 	}
 	s.own, s.since = st, now
 	t.version++
@@ -181,11 +181,11 @@
 		return
 	}
 	s.dead = true
-	if !s.info.Leaving {
+	if !s.info.ShuttingDown {
 		t.deaths = append(t.deaths, death{now, name})
 		if t.mass(now) || now < t.calm {
-			t.counts.Held++
-			s.due = now + t.c.Hold
+			t.counts.Deferred++
+			s.due = now + t.c.MassFailureDelay
 		}
 	}
 	t.settle(now, s)
@@ -193,7 +193,7 @@
 
 // mass tells whether too many members died at once to be believed.
 func (t *Tracker) mass(now time.Duration) bool {
-	for len(t.deaths) > 0 && now-t.deaths[0].at > t.c.Window {
+	for len(t.deaths) > 0 && now-t.deaths[0].at > t.c.MassFailureWindow {
 		t.deaths = t.deaths[1:]
 	}
 	dead := map[string]bool{}
@@ -208,26 +208,26 @@
 			n++
 		}
 	}
-	return len(dead) > max(int(t.c.Share*float64(n)), 1)
+	return len(dead) > max(int(t.c.MassFailureShare*float64(n)), 1)
 }
 
-// Reached is told that a member answered this process itself; Peer, that it is asked to.
-func (t *Tracker) Reached(now time.Duration, name string) {
+// PeerAnswered is told that a member answered this process itself; Peer, that it is asked to.
+func (t *Tracker) PeerAnswered(now time.Duration, name string) {
 	if s := t.all[name]; s != nil {
 		s.heard = max(s.heard, now)
 		t.settle(now, s)
 	}
 }
 
-// Peer says that a member is asked by this process itself, so that its silence means something.
-func (t *Tracker) Peer(now time.Duration, name string) {
+// ExpectPeer says that a member is asked by this process itself, so that its silence means something.
+func (t *Tracker) ExpectPeer(now time.Duration, name string) {
 	if s := t.all[name]; s != nil && !s.peer {
 		s.peer, s.heard = true, now
 	}
 }
 
-// Open is told of a session that began here: an agent's watch.
-func (t *Tracker) Open(now time.Duration, i Info) {
+// SessionOpened is told of a session that began here: an agent's watch.
+func (t *Tracker) SessionOpened(now time.Duration, i Info) {
 	if s := t.get(now, i); s != nil {
 		s.open++
 		s.heard, s.due = now, 0
@@ -235,33 +235,33 @@
 	}
 }
 
-// Closed is told of the end of a session that was open here.
-func (t *Tracker) Closed(now time.Duration, name string) {
+// SessionClosed is told of the end of a session that was open here.
+func (t *Tracker) SessionClosed(now time.Duration, name string) {
 	if s := t.all[name]; s != nil && s.open > 0 {
 		if s.open--; s.open == 0 {
 			s.heard = now
-			s.due = now + t.c.Grace
+			s.due = now + t.c.SessionGrace
 		}
 	}
 }
 
-// Heard is told of a member that says now and then that it is there, and for how long that
+// Heartbeat is told of a member that says now and then that it is there, and for how long that
 // counts.
-func (t *Tracker) Heard(now time.Duration, i Info, counts time.Duration) {
+func (t *Tracker) Heartbeat(now time.Duration, i Info, counts time.Duration) {
 	if s := t.get(now, i); s != nil {
 		s.heard, s.due = now, now+counts
 		t.set(now, s, Present)
 	}
 }
 
-// Leaves is told by a member itself that it ends.
-func (t *Tracker) Leaves(now time.Duration, i Info) {
+// Leave is told by a member itself that it ends.
+func (t *Tracker) Leave(now time.Duration, i Info) {
 	if s := t.all[i.Name]; s != nil && s.info.ID != i.ID {
-		t.counts.Old++ // the word of a life before, which comes late
+		t.counts.Stale++ // the word of a life before, which comes late
 		return
 	}
 	if s := t.get(now, i); s != nil {
-		s.info.Leaving, s.due, s.open = true, 0, 0
+		s.info.ShuttingDown, s.due, s.open = true, 0, 0
 		t.set(now, s, Left)
 	}
 }
@@ -269,7 +269,7 @@
 // Paused is told that this process stood still, or ran late, for so long: what it did not
 // hear meanwhile is held against nobody.
 func (t *Tracker) Paused(now, by time.Duration) {
-	t.calm = max(t.calm, now+t.c.Hold)
+	t.calm = max(t.calm, now+t.c.MassFailureDelay)
 	for _, s := range t.all {
 		if s.heard > 0 {
 			s.heard = min(s.heard+by, now)
@@ -284,11 +284,11 @@
 	}
 }
 
-// Calm tells whether this process was slow itself of late, so that it accuses nobody.
-func (t *Tracker) Calm(now time.Duration) bool { return now < t.calm }
+// SelfSuspect tells whether this process was slow itself of late, so that it accuses nobody.
+func (t *Tracker) SelfSuspect(now time.Duration) bool { return now < t.calm }
 
-// Folder is the folder of the process that has a name, where the view has it as there.
-func (t *Tracker) Folder(name string) (id string, is bool) {
+// DataID is the folder of the process that has a name, where the view has it as there.
+func (t *Tracker) DataID(name string) (id string, is bool) {
 	if name == t.c.Self.Name {
 		return t.c.Self.ID, true
 	}
@@ -300,8 +300,8 @@
 	return s.info.ID, st != Failed && st != Left // whoever is in doubt may be there
 }
 
-// Absent adds those that gossip and are not there by the view.
-func (t *Tracker) Absent(to map[string]bool) {
+// AddAbsent adds those that gossip and are not there by the view.
+func (t *Tracker) AddAbsent(to map[string]bool) {
 	for name, s := range t.all {
 		if st := t.combined(s); s.info.Role.Gossips() && st != Present && st != Joining {
 			to[name] = true
@@ -315,9 +315,9 @@
 		return
 	}
 	switch {
-	case s.info.Leaving && s.dead:
+	case s.info.ShuttingDown && s.dead:
 		t.set(now, s, Left)
-	case s.dead && s.peer && now-s.heard < t.c.Reach/2:
+	case s.dead && s.peer && now-s.heard < t.c.PeerTimeout/2:
 		// It has just answered this process itself, so the news may be of an earlier life of it.
 		t.set(now, s, Suspect)
 	case s.dead && s.due > 0 && !t.confirmed(now, s):
@@ -325,7 +325,7 @@
 	case s.dead:
 		s.due = 0
 		t.set(now, s, Failed)
-	case s.peer && now-s.heard >= t.c.Reach && now >= t.calm:
+	case s.peer && now-s.heard >= t.c.PeerTimeout && now >= t.calm:
 		t.set(now, s, Suspect)
 	case s.info.Incarnation == 0:
 		t.set(now, s, Joining)
@@ -339,22 +339,22 @@
 func (t *Tracker) confirmed(now time.Duration, s *subject) bool {
 	say, observers := 1, 1
 	for name, o := range t.all {
-		if o == s || o.info.Role != Steward || o.own != Present && o.own != Joining {
+		if o == s || o.info.Role != RoleControlPlane || o.own != Present && o.own != Joining {
 			continue
 		}
 		observers++
-		if x, ok := s.others[name]; ok && x.Incarnation == s.info.Incarnation && (x.State == Failed || x.State == Suspect) && now-x.in < t.c.Keep {
+		if x, ok := s.others[name]; ok && x.Incarnation == s.info.Incarnation && (x.State == Failed || x.State == Suspect) && now-x.in < t.c.ReportRetention {
 			say++
 		}
 	}
 	return say >= 2 && 2*say > observers && (now >= s.due || say == observers)
 }
 
-// Report takes what another observer thinks, and tells whether any of it was new.
-func (t *Tracker) Report(now time.Duration, r *Report) (fresh bool) {
+// MergeReport takes what another observer thinks, and tells whether any of it was new.
+func (t *Tracker) MergeReport(now time.Duration, r *Report) (fresh bool) {
 	o := t.all[r.From]
-	if o == nil || o.info.Role != Steward {
-		t.counts.Strange++
+	if o == nil || o.info.Role != RoleControlPlane {
+		t.counts.UnknownSenders++
 		return false
 	}
 	l := t.lives[r.From]
@@ -363,14 +363,14 @@
 		number = l.incarnation
 	}
 	switch {
-	case number < l.incarnation, r.Life == l.life && r.Seq <= l.whole,
+	case number < l.incarnation, r.BootID == l.life && r.Seq <= l.whole,
 		// Lives that the catalog has not numbered are told apart only: what is whole comes from
 		// the observer itself, what is passed on may be of a life before.
-		number == l.incarnation && r.Life != l.life && l.life != "" && !r.Whole:
-		t.counts.Old++
+		number == l.incarnation && r.BootID != l.life && l.life != "" && !r.Full:
+		t.counts.Stale++
 		return false
 	}
-	if r.Life != l.life {
+	if r.BootID != l.life {
 		l.whole = 0
 		for _, s := range t.all {
 			if o, ok := s.others[r.From]; ok { // its numbers begin anew
@@ -379,28 +379,28 @@
 			}
 		}
 	}
-	if r.Whole {
+	if r.Full {
 		l.whole = r.Seq
 	}
-	t.lives[r.From] = life{number, l.whole, r.Life}
-	if r.Whole {
+	t.lives[r.From] = life{number, l.whole, r.BootID}
+	if r.Full {
 		for _, s := range t.all {
-			if o, ok := s.others[r.From]; ok && o.seq < r.Seq && !slices.ContainsFunc(r.Sights, func(y Sight) bool { return y.Name == s.info.Name }) {
+			if o, ok := s.others[r.From]; ok && o.seq < r.Seq && !slices.ContainsFunc(r.Observations, func(y Observation) bool { return y.Name == s.info.Name }) {
 				delete(s.others, r.From)
 				t.version++
 			}
 		}
 	}
-	for _, x := range r.Sights {
+	for _, x := range r.Observations {
 		if x.Name == t.c.Self.Name || x.Name == r.From {
 			continue
 		}
 		s := t.all[x.Name]
 		if s == nil {
-			if x.Role.Gossips() || len(t.all) >= MostMembers {
+			if x.Role.Gossips() || len(t.all) >= MaxMembers {
 				continue // those that gossip are known by gossip, or not at all
 			}
-			s = &subject{info: Info{Form: Form, Name: x.Name, Role: x.Role, Zone: x.Zone, Incarnation: x.Incarnation}, others: map[string]told{}, since: now}
+			s = &subject{info: Info{ProtocolVersion: ProtocolVersion, Name: x.Name, Role: x.Role, Zone: x.Zone, Incarnation: x.Incarnation}, others: map[string]told{}, since: now}
 			t.all[x.Name] = s
 		}
 		was, had := s.others[r.From]
@@ -426,7 +426,7 @@
 func (t *Tracker) Tick(now time.Duration) (changes []Change) {
 	for name, s := range t.all {
 		for from, o := range s.others {
-			if now-o.in >= t.c.Keep {
+			if now-o.in >= t.c.ReportRetention {
 				delete(s.others, from)
 				t.version++
 			}
@@ -444,7 +444,7 @@
 					break
 				}
 				t.set(now, s, Suspect)
-				s.due = now + t.c.Fail
+				s.due = now + t.c.FailTimeout
 			case Suspect:
 				if t.elsewhere(s, never) {
 					s.own, s.due = "", 0
@@ -459,7 +459,7 @@
 			t.version++
 		}
 		ended := s.own == Failed || s.own == Left || s.own == ""
-		if ended && now-s.since > t.c.Forget && len(s.others) == 0 {
+		if ended && now-s.since > t.c.TombstoneRetention && len(s.others) == 0 {
 			delete(t.all, name)
 			t.version++
 			continue
@@ -467,7 +467,7 @@
 		if st := t.combined(s); st == "" && s.shown == Present && !s.info.Role.Gossips() {
 			// Whoever saw it has ended: it has as long as a session that moves, and longer.
 			t.set(now, s, Suspect)
-			s.due = now + t.c.Grace + t.c.Fail
+			s.due = now + t.c.SessionGrace + t.c.FailTimeout
 		}
 		if st := t.combined(s); st != s.shown {
 			if st != "" {
@@ -497,21 +497,21 @@
 	return false
 }
 
-// Own is what this process thinks itself, for the others.
-func (t *Tracker) Own(now time.Duration) Report {
+// FullReport is what this process thinks itself, for the others.
+func (t *Tracker) FullReport(now time.Duration) Report {
 	r := t.report(now, true)
 	for _, s := range t.all {
 		if s.own != "" {
-			r.Sights = append(r.Sights, t.sight(now, s))
+			r.Observations = append(r.Observations, t.sight(now, s))
 		}
 	}
-	slices.SortFunc(r.Sights, func(a, b Sight) int { return compareNames(a.Name, b.Name) })
+	slices.SortFunc(r.Observations, func(a, b Observation) int { return compareNames(a.Name, b.Name) })
 	return r
 }
 
-// News is what it thinks otherwise than it last told, at most so many members; not some is
+// PendingReport is what it thinks otherwise than it last told, at most so many members; not some is
 // nothing.
-func (t *Tracker) News(now time.Duration, most int) (r Report, some bool) {
+func (t *Tracker) PendingReport(now time.Duration, most int) (r Report, some bool) {
 	var names []string
 	for name, s := range t.all {
 		if s.own != s.said {
@@ -526,16 +526,16 @@
 	for _, name := range names[:min(most, len(names))] {
 		s := t.all[name]
 		s.said = s.own
-		r.Sights = append(r.Sights, t.sight(now, s))
+		r.Observations = append(r.Observations, t.sight(now, s))
 	}
 	return r, true
 }
 
 func (t *Tracker) report(now time.Duration, whole bool) Report {
 	t.seq++
-	return Report{Form: Form, From: t.c.Self.Name, Incarnation: t.c.Self.Incarnation, Seq: t.seq, Whole: whole}
+	return Report{ProtocolVersion: ProtocolVersion, From: t.c.Self.Name, Incarnation: t.c.Self.Incarnation, Seq: t.seq, Full: whole}
 }
 
-func (t *Tracker) sight(now time.Duration, s *subject) Sight {
-	return Sight{s.info.Name, s.info.Role, s.info.Zone, s.info.Incarnation, s.own, (now - s.since).Milliseconds()}
+func (t *Tracker) sight(now time.Duration, s *subject) Observation {
+	return Observation{s.info.Name, s.info.Role, s.info.Zone, s.info.Incarnation, s.own, (now - s.since).Milliseconds()}
 }
--- a/internal/member/tracker_test.go
+++ b/internal/member/tracker_test.go
@@ -10,30 +10,32 @@
 )
 
 func steward(name string, incarnation int64) Info {
-	return Info{Form: Form, Name: name, Role: Steward, Incarnation: incarnation, ID: "f-" + name}
+	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleControlPlane, Incarnation: incarnation, ID: "f-" + name}
 }
 
-func agentOf(name, life string) Info { return Info{Form: Form, Name: name, Role: Agent, ID: life} }
+func agentOf(name, life string) Info {
+	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleAgent, ID: life}
+}
 
 // five is a steward that has four others as present, all heard just now.
 func five(now time.Duration) *Tracker {
 	t := NewTracker(Defaults(steward("a", 1)))
 	for _, name := range []string{"b", "c", "d", "e"} {
 		t.Alive(now, steward(name, 1))
-		t.Peer(now, name)
+		t.ExpectPeer(now, name)
 	}
 	t.Tick(now)
 	return t
 }
 
 func says(from string, seq int64, state State, incarnation int64, names ...string) *Report {
-	r := &Report{Form: Form, From: from, Incarnation: 1, Seq: seq, Life: from}
+	r := &Report{ProtocolVersion: ProtocolVersion, From: from, Incarnation: 1, Seq: seq, BootID: from}
 	for _, n := range names {
-		role := Steward
+		role := RoleControlPlane
 		if n[0] == 'n' {
-			role = Agent
+			role = RoleAgent
 		}
-		r.Sights = append(r.Sights, Sight{Name: n, Role: role, State: state, Incarnation: incarnation})
+		r.Observations = append(r.Observations, Observation{Name: n, Role: role, State: state, Incarnation: incarnation})
 	}
 	return r
 }
@@ -53,25 +55,29 @@
 		"a death is believed once the dead was not heard for a while, and a return too": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s:  func(t *Tracker, now time.Duration) { t.Dead(now, "b") },
-				10 * s: func(t *Tracker, now time.Duration) { t.Alive(now, steward("b", 2)); t.Reached(now, "b") }},
+				10 * s: func(t *Tracker, now time.Duration) { t.Alive(now, steward("b", 2)); t.PeerAnswered(now, "b") }},
 			[]want{{1 * s, "b", Suspect}, {2 * s, "b", Failed}, {9 * s, "b", Failed}, {10 * s, "b", Present}}},
 		"who doesn't answer this one itself is in doubt, and never dead by that alone": {
 			map[time.Duration]func(*Tracker, time.Duration){
-				1 * s: func(t *Tracker, now time.Duration) { t.Reached(now, "c"); t.Reached(now, "d"); t.Reached(now, "e") }},
+				1 * s: func(t *Tracker, now time.Duration) {
+					t.PeerAnswered(now, "c")
+					t.PeerAnswered(now, "d")
+					t.PeerAnswered(now, "e")
+				}},
 			[]want{{2 * s, "b", Present}, {3 * s, "b", Suspect}, {3 * s, "c", Present}, {30 * s, "b", Suspect}}},
 		"one of four observers has its doubts: it is present": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
 					for i, from := range []string{"c", "d", "e"} {
-						t.Report(now, says(from, int64(i+1), Present, 1, "b"))
+						t.MergeReport(now, says(from, int64(i+1), Present, 1, "b"))
 					}
 				}},
 			[]want{{3 * s, "b", Present}, {9 * s, "b", Present}}},
 		"most have it as failed": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
-					t.Report(now, says("c", 1, Failed, 1, "b"))
-					t.Report(now, says("d", 1, Failed, 1, "b"))
+					t.MergeReport(now, says("c", 1, Failed, 1, "b"))
+					t.MergeReport(now, says("d", 1, Failed, 1, "b"))
 				}},
 			[]want{{1 * s, "b", Failed}}},
 		"too many deaths at once are not believed, not even after long": {
@@ -86,18 +92,18 @@
 		"unless most that are left say the same": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				4 * s: func(t *Tracker, now time.Duration) {
-					t.Reached(now, "e")
+					t.PeerAnswered(now, "e")
 					t.Dead(now, "b")
 					t.Dead(now, "c")
 					t.Dead(now, "d")
 				},
 				5 * s: func(t *Tracker, now time.Duration) {
-					t.Reached(now, "e")
-					t.Report(now, says("e", 1, Suspect, 1, "b", "c", "d"))
+					t.PeerAnswered(now, "e")
+					t.MergeReport(now, says("e", 1, Suspect, 1, "b", "c", "d"))
 				},
 				6 * s: func(t *Tracker, now time.Duration) {
-					t.Reached(now, "e")
-					t.Report(now, says("e", 2, Failed, 1, "b", "c", "d"))
+					t.PeerAnswered(now, "e")
+					t.MergeReport(now, says("e", 2, Failed, 1, "b", "c", "d"))
 				}},
 			[]want{{4 * s, "d", Suspect}, {5 * s, "d", Suspect}, {6 * s, "d", Failed}}},
 		"who stood still accuses nobody of silence": {
@@ -106,7 +112,7 @@
 				11 * s: func(t *Tracker, now time.Duration) {
 					t.Alive(now, steward("b", 1))
 					for _, n := range []string{"b", "c", "d", "e"} {
-						t.Reached(now, n)
+						t.PeerAnswered(now, n)
 					}
 				}},
 			[]want{{10 * s, "b", Suspect}, {10 * s, "c", Present}, {12 * s, "b", Present}}},
@@ -115,16 +121,16 @@
 				1 * s: func(t *Tracker, now time.Duration) { t.Alive(now, steward("b", 5)) },
 				2 * s: func(t *Tracker, now time.Duration) {
 					for i, from := range []string{"c", "d", "e"} {
-						t.Report(now, says(from, int64(i+1), Left, 4, "b"))
+						t.MergeReport(now, says(from, int64(i+1), Left, 4, "b"))
 					}
 					old := steward("b", 4)
-					old.Leaving = true
+					old.ShuttingDown = true
 					t.Alive(now, old)
 				}},
 			[]want{{2 * s, "b", Present}}},
 		"a planned leave": {
 			map[time.Duration]func(*Tracker, time.Duration){
-				1 * s: func(t *Tracker, now time.Duration) { i := steward("b", 1); i.Leaving = true; t.Alive(now, i) },
+				1 * s: func(t *Tracker, now time.Duration) { i := steward("b", 1); i.ShuttingDown = true; t.Alive(now, i) },
 				2 * s: func(t *Tracker, now time.Duration) { t.Dead(now, "b") }},
 			[]want{{1 * s, "b", Present}, {2 * s, "b", Left}}},
 		"started again and without a number, it is there": {
@@ -134,8 +140,8 @@
 					i := steward("b", 0)
 					i.ID = "another folder"
 					t.Alive(now, i)
-					t.Reached(now, "b")
-					if id, is := t.Folder("b"); !is || id != i.ID {
+					t.PeerAnswered(now, "b")
+					if id, is := t.DataID("b"); !is || id != i.ID {
 						panic("its folder is " + id)
 					}
 				}},
@@ -147,46 +153,46 @@
 			[]want{{1 * s, "f", Joining}, {2 * s, "f", Present}}},
 		"a session that ends, and nobody has it": {
 			map[time.Duration]func(*Tracker, time.Duration){
-				1 * s: func(t *Tracker, now time.Duration) { t.Open(now, agentOf("n1", "x")) },
-				5 * s: func(t *Tracker, now time.Duration) { t.Closed(now, "n1") }},
+				1 * s: func(t *Tracker, now time.Duration) { t.SessionOpened(now, agentOf("n1", "x")) },
+				5 * s: func(t *Tracker, now time.Duration) { t.SessionClosed(now, "n1") }},
 			[]want{{4 * s, "n1", Present}, {6 * s, "n1", Present}, {7 * s, "n1", Suspect}, {8 * s, "n1", Failed}}},
 		"a session that moves": {
 			map[time.Duration]func(*Tracker, time.Duration){
-				1 * s: func(t *Tracker, now time.Duration) { t.Open(now, agentOf("n1", "x")) },
-				5 * s: func(t *Tracker, now time.Duration) { t.Closed(now, "n1") },
-				6 * s: func(t *Tracker, now time.Duration) { t.Report(now, says("c", 1, Present, 0, "n1")) }},
+				1 * s: func(t *Tracker, now time.Duration) { t.SessionOpened(now, agentOf("n1", "x")) },
+				5 * s: func(t *Tracker, now time.Duration) { t.SessionClosed(now, "n1") },
+				6 * s: func(t *Tracker, now time.Duration) { t.MergeReport(now, says("c", 1, Present, 0, "n1")) }},
 			[]want{{6 * s, "n1", Present}, {8 * s, "n1", Present}, {21 * s, "n1", Present}, {23 * s, "n1", Suspect}}},
 		"an observer that dies, and what it alone saw": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
-					t.Report(now, says("c", 1, Present, 0, "n1", "n2"))
+					t.MergeReport(now, says("c", 1, Present, 0, "n1", "n2"))
 					for i, from := range []string{"d", "e"} {
-						t.Report(now, says(from, int64(i+1), Failed, 1, "b"))
+						t.MergeReport(now, says(from, int64(i+1), Failed, 1, "b"))
 					}
 				},
 				2 * s: func(t *Tracker, now time.Duration) { t.Dead(now, "c") },
-				4 * s: func(t *Tracker, now time.Duration) { t.Report(now, says("d", 9, Present, 0, "n2")) }},
+				4 * s: func(t *Tracker, now time.Duration) { t.MergeReport(now, says("d", 9, Present, 0, "n2")) }},
 			[]want{{1 * s, "n1", Present}, {2 * s, "n1", Suspect}, {2 * s, "n2", Suspect}, {4 * s, "n2", Present}, {4 * s, "n1", Suspect}, {5 * s, "n1", Failed}, {9 * s, "n2", Present}}},
 		"an agent that leaves, and whose old word comes late": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
-					t.Open(now, agentOf("n1", "x"))
-					t.Leaves(now, agentOf("n1", "x"))
+					t.SessionOpened(now, agentOf("n1", "x"))
+					t.Leave(now, agentOf("n1", "x"))
 				},
-				2 * s: func(t *Tracker, now time.Duration) { t.Open(now, agentOf("n1", "y")) },
-				3 * s: func(t *Tracker, now time.Duration) { t.Leaves(now, agentOf("n1", "x")) }},
+				2 * s: func(t *Tracker, now time.Duration) { t.SessionOpened(now, agentOf("n1", "y")) },
+				3 * s: func(t *Tracker, now time.Duration) { t.Leave(now, agentOf("n1", "x")) }},
 			[]want{{1 * s, "n1", Left}, {2 * s, "n1", Present}, {4 * s, "n1", Present}}},
 		"a report of one that is no steward, one out of order, one of a life before": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
-					t.Alive(now, Info{Form: Form, Name: "w", Role: Worker, Incarnation: 1})
-					t.Report(now, says("w", 1, Present, 0, "n1"))
-					t.Report(now, says("z", 1, Present, 0, "n1"))
-					t.Report(now, says("c", 2, Failed, 0, "n2"))
-					t.Report(now, says("c", 1, Present, 0, "n2"))
+					t.Alive(now, Info{ProtocolVersion: ProtocolVersion, Name: "w", Role: RoleWorker, Incarnation: 1})
+					t.MergeReport(now, says("w", 1, Present, 0, "n1"))
+					t.MergeReport(now, says("z", 1, Present, 0, "n1"))
+					t.MergeReport(now, says("c", 2, Failed, 0, "n2"))
+					t.MergeReport(now, says("c", 1, Present, 0, "n2"))
 					other := says("c", 9, Present, 0, "n2")
-					other.Life = "another"
-					t.Report(now, other)
+					other.BootID = "another"
+					t.MergeReport(now, other)
 				}},
 			[]want{{1 * s, "n1", ""}, {1 * s, "n2", Failed}}},
 	} {
@@ -235,11 +241,11 @@
 		pass := func(lossy bool) {
 			now += 100 * time.Millisecond
 			for _, n := range names {
-				r, some := all[n].News(now, 4)
+				r, some := all[n].PendingReport(now, 4)
 				if now%time.Second == 0 {
-					r, some = all[n].Own(now), true
+					r, some = all[n].FullReport(now), true
 				}
-				r.Life = n
+				r.BootID = n
 				text, _ := json.Marshal(r)
 				for _, o := range names {
 					if o == n || !some || lossy && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
@@ -261,14 +267,14 @@
 				if r, err := DecodeReport(x.text); err != nil {
 					t.Fatal(err)
 				} else {
-					all[x.to].Report(now, &r)
+					all[x.to].MergeReport(now, &r)
 				}
 			}
 			notes = rest
 			for _, n := range names {
 				all[n].Tick(now)
 				for _, e := range func() []Entry { v := all[n].View(now); return v.Members }() {
-					if e.Role != Steward && e.Incarnation < lives[n+e.Name] {
+					if e.Role != RoleControlPlane && e.Incarnation < lives[n+e.Name] {
 						t.Fatalf("%s: %s is of life %d, and was of %d", n, e.Name, e.Incarnation, lives[n+e.Name])
 					}
 					lives[n+e.Name] = e.Incarnation
@@ -280,18 +286,18 @@
 			switch rapid.SampledFrom([]string{"open", "move", "close", "server"}).Draw(t, "event") {
 			case "open", "move":
 				if was := open[who]; was != "" {
-					all[was].Closed(now, who)
+					all[was].SessionClosed(now, who)
 				}
-				all[at].Open(now, agentOf(who, who))
+				all[at].SessionOpened(now, agentOf(who, who))
 				open[who], ever[who] = at, true
 			case "close":
 				if was := open[who]; was != "" {
-					all[was].Closed(now, who)
+					all[was].SessionClosed(now, who)
 					delete(open, who)
 				}
 			case "server":
 				born := int64(rapid.IntRange(1, 5).Draw(t, "born"))
-				all[at].Heard(now, Info{Form: Form, Name: "s", Role: Server, Incarnation: born}, 2*time.Second)
+				all[at].Heartbeat(now, Info{ProtocolVersion: ProtocolVersion, Name: "s", Role: RoleServer, Incarnation: born}, 2*time.Second)
 			}
 			for range rapid.IntRange(0, 20).Draw(t, "passes") {
 				pass(true)
@@ -325,23 +331,23 @@
 	view := func(from string, of map[string]State) View {
 		v := View{From: from}
 		for name, st := range of {
-			role := Steward
+			role := RoleControlPlane
 			if name[0] == 'n' {
-				role = Agent
+				role = RoleAgent
 			}
 			v.Members = append(v.Members, Entry{Name: name, Role: role, State: st, Observers: []Opinion{{from, st, 1, int64(from[0]-'a'+1) * 1000}, {"x", Failed, 1, 1}}})
 		}
 		return v
 	}
-	got := Compare([]View{view("a", map[string]State{"b": Present, "c": Suspect, "d": Present, "n1": Present}), view("b", map[string]State{"a": Present, "c": Present, "d": Present, "n1": Failed}),
+	got := CompareViews([]View{view("a", map[string]State{"b": Present, "c": Suspect, "d": Present, "n1": Present}), view("b", map[string]State{"a": Present, "c": Present, "d": Present, "n1": Failed}),
 		view("c", map[string]State{"a": Present, "b": Present, "d": Present}), view("d", map[string]State{"a": Present, "b": Present, "c": Present, "n1": Suspect})})
-	if len(got) != 1 || got[0].Name != "c" || got[0].Alone != "a" || got[0].ForMs != 1000 || got[0].Says["b"] != "present" {
+	if len(got) != 1 || got[0].Name != "c" || got[0].Dissenter != "a" || got[0].ForMs != 1000 || got[0].States["b"] != "present" {
 		t.Errorf("%+v", got)
 	}
-	if got := Compare([]View{view("a", map[string]State{"b": Present}), view("b", map[string]State{"a": Present})}); len(got) != 0 {
+	if got := CompareViews([]View{view("a", map[string]State{"b": Present}), view("b", map[string]State{"a": Present})}); len(got) != 0 {
 		t.Errorf("of one mind: %+v", got)
 	}
-	if got := Compare([]View{view("a", map[string]State{"b": Present, "c": Present}), view("b", map[string]State{"a": Present}), view("c", map[string]State{"a": Present, "b": Present})}); len(got) != 1 ||
+	if got := CompareViews([]View{view("a", map[string]State{"b": Present, "c": Present}), view("b", map[string]State{"a": Present}), view("c", map[string]State{"a": Present, "b": Present})}); len(got) != 1 ||
 		got[0].Name != "c" || len(got[0].Absent) != 1 || got[0].Absent[0] != "b" {
 		t.Errorf("one that is not known to all: %+v", got)
 	}
@@ -350,8 +356,8 @@
 // FuzzDecode: what others send makes sense or is refused, and what is taken harms nobody.
 func FuzzDecode(f *testing.F) {
 	tr := five(0)
-	tr.Open(0, agentOf("n1", "x"))
-	own, _ := json.Marshal(tr.Own(0))
+	tr.SessionOpened(0, agentOf("n1", "x"))
+	own, _ := json.Marshal(tr.FullReport(0))
 	info, _ := json.Marshal(steward("b", 3))
 	for _, seed := range [][]byte{own, info, []byte("{}"), []byte(`{"f":2,"n":"b"}`), []byte(`{"f":1,"n":"b","o":[{"n":"c","r":"steward","s":"present","t":-1}]}`), nil} {
 		f.Add(seed)
@@ -362,12 +368,12 @@
 			tr.Alive(time.Second, i)
 		}
 		if r, err := DecodeReport(text); err == nil {
-			tr.Report(time.Second, &r)
+			tr.MergeReport(time.Second, &r)
 		}
 		tr.Dead(2*time.Second, "b")
 		tr.Tick(5 * time.Second)
 		v := tr.View(5 * time.Second)
-		if v.State("a") != Present || len(v.Members) > MostMembers+5 {
+		if v.State("a") != Present || len(v.Members) > MaxMembers+5 {
 			t.Errorf("%+v", v)
 		}
 	})
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -16,14 +16,14 @@
 
 // Entry is one member.
 type Entry struct {
-	Name        string    `json:"name"`
-	Role        Role      `json:"role"`
-	Zone        string    `json:"zone,omitempty"`
-	Program     string    `json:"program,omitempty"`
-	Speaks      Speaks    `json:"speaks,omitzero"`
-	Incarnation int64     `json:"incarnation"`
-	State       State     `json:"state"`
-	Observers   []Opinion `json:"observers"` // this process's own first, if it has one
+	Name        string           `json:"name"`
+	Role        Role             `json:"role"`
+	Zone        string           `json:"zone,omitempty"`
+	Program     string           `json:"program,omitempty"`
+	Versions    ProtocolVersions `json:"speaks,omitzero"`
+	Incarnation int64            `json:"incarnation"`
+	State       State            `json:"state"`
+	Observers   []Opinion        `json:"observers"` // this process's own first, if it has one
 }
 
 // Opinion is what one observer thinks of a member, and for how long.
@@ -92,19 +92,19 @@
 	v := View{From: self.Name, Version: t.version, Members: []Entry{}}
 	state := Present
 	switch {
-	case self.Leaving:
+	case self.ShuttingDown:
 		state = Left
 	case self.Incarnation == 0:
 		state = Joining
 	}
-	v.Members = append(v.Members, Entry{self.Name, self.Role, self.Zone, self.Program, self.Speaks, self.Incarnation, state,
+	v.Members = append(v.Members, Entry{self.Name, self.Role, self.Zone, self.Program, self.Versions, self.Incarnation, state,
 		[]Opinion{{self.Name, state, self.Incarnation, 0}}})
 	for name, s := range t.all {
 		st := t.combined(s)
 		if st == "" {
 			continue
 		}
-		e := Entry{name, s.info.Role, s.info.Zone, s.info.Program, s.info.Speaks, s.info.Incarnation, st, []Opinion{}}
+		e := Entry{name, s.info.Role, s.info.Zone, s.info.Program, s.info.Versions, s.info.Incarnation, st, []Opinion{}}
 		for from, o := range s.others {
 			if o.State == "" {
 				continue
@@ -143,18 +143,18 @@
 
 // Difference is a member about which observers are of different minds.
 type Difference struct {
-	Name   string            `json:"name"`
-	Role   Role              `json:"role"`
-	Says   map[string]string `json:"says"`            // by observer: the state, and the life it is about where they differ
-	ForMs  int64             `json:"for_ms"`          // since the last of them changed its mind
-	Alone  string            `json:"alone,omitempty"` // who alone is of another mind than all others
-	Absent []string          `json:"absent,omitempty"`
+	Name      string            `json:"name"`
+	Role      Role              `json:"role"`
+	States    map[string]string `json:"says"`            // by observer: the state, and the life it is about where they differ
+	ForMs     int64             `json:"for_ms"`          // since the last of them changed its mind
+	Dissenter string            `json:"alone,omitempty"` // who alone is of another mind than all others
+	Absent    []string          `json:"absent,omitempty"`
 }
 
-// Compare tells where the views of several processes differ. Each is taken by its own
+// CompareViews tells where the views of several processes differ. Each is taken by its own
 // opinion only: what it has from others would count twice. Sessions are at one observer at a
 // time, so of those only states count that deny each other.
-func Compare(views []View) (out []Difference) {
+func CompareViews(views []View) (out []Difference) {
 	type said struct {
 		o    Opinion
 		role Role
@@ -176,7 +176,7 @@
 		}
 	}
 	for name, all := range by {
-		d := Difference{Name: name, Says: map[string]string{}, ForMs: -1}
+		d := Difference{Name: name, States: map[string]string{}, ForMs: -1}
 		words := map[string][]string{}
 		lives := map[int64]bool{}
 		for from, s := range all {
@@ -186,7 +186,7 @@
 			if d.ForMs < 0 || s.o.ForMs < d.ForMs {
 				d.ForMs = s.o.ForMs
 			}
-			d.Says[from] = string(s.o.State)
+			d.States[from] = string(s.o.State)
 		}
 		if d.Role.Gossips() {
 			for i := range views {
@@ -203,11 +203,11 @@
 		}
 		for _, who := range words {
 			if len(who) == 1 && len(all) > 2 && len(words) == 2 {
-				d.Alone = who[0]
+				d.Dissenter = who[0]
 			}
 		}
-		if d.Alone == "" && len(words) == 1 && len(d.Absent) == 1 && len(all) > 1 {
-			d.Alone = d.Absent[0]
+		if d.Dissenter == "" && len(words) == 1 && len(d.Absent) == 1 && len(all) > 1 {
+			d.Dissenter = d.Absent[0]
 		}
 		out = append(out, d)
 	}
--- a/internal/member/wire_test.go
+++ b/internal/member/wire_test.go
@@ -18,8 +18,8 @@
 	golden.Messages(t, "messages.txt", []golden.Message{
 		golden.Of[Info]("info"),
 		golden.Of[Report]("report"),
-		golden.Of[Sight]("observation"),
-		golden.Of[Speaks]("versions"),
+		golden.Of[Observation]("observation"),
+		golden.Of[ProtocolVersions]("versions"),
 		golden.Of[View]("view"),
 		golden.Of[Entry]("view entry"),
 		golden.Of[Opinion]("opinion"),
--- a/internal/simwire/formats_test.go
+++ b/internal/simwire/formats_test.go
@@ -30,26 +30,26 @@
 }{
 	{"19 00000009 0102030405060708 00000000 00000002", Record{Kind: Boot, Seed: 0x0102030405060708, Settings: []byte("{}")}},
 	{"15 00000009", Record{Kind: Killed}},
-	{"10 00000009 0a0b0c0d", Record{Kind: Event, Event: policy.Event{Kind: policy.EvDropped, Request: 0x0a0b0c0d}}},
+	{"10 00000009 0a0b0c0d", Record{Kind: Event, Event: policy.Event{Kind: policy.EvClientCanceled, Request: 0x0a0b0c0d}}},
 	{"11 00000009 0a0b0c0d 0102 00000304 0506070809101112 4059000000000000 4029000000000000 07",
 		Record{Kind: Event, Event: policy.Event{Kind: policy.EvRequest, Request: 0x0a0b0c0d, Class: 0x0102, Tenant: 0x0304,
-			Key: 0x0506070809101112, LeftMs: 100, HintMs: 12.5, HasHint: true, Retry: true}}},
+			Key: 0x0506070809101112, RemainingMs: 100, HintMs: 12.5, HasHint: true, Retry: true}}},
 	{"11 00000009 0a0b0c0d 0102 00000304 0506070809101112 4059000000000000 4029000000000000 01",
 		Record{Kind: Event, Event: policy.Event{Kind: policy.EvRequest, Request: 0x0a0b0c0d, Class: 0x0102, Tenant: 0x0304,
-			Key: 0x0506070809101112, LeftMs: 100, HintMs: 12.5, HasHint: true}}},
+			Key: 0x0506070809101112, RemainingMs: 100, HintMs: 12.5, HasHint: true}}},
 	{"11 00000009 0a0b0c0d 0102 00000304 0506070809101112 4059000000000000 4029000000000000 06",
 		Record{Kind: Event, Event: policy.Event{Kind: policy.EvRequest, Request: 0x0a0b0c0d, Class: 0x0102, Tenant: 0x0304,
-			Key: 0x0506070809101112, LeftMs: 100, HintMs: 12.5, Retry: true}}},
+			Key: 0x0506070809101112, RemainingMs: 100, HintMs: 12.5, Retry: true}}},
 	{"12 00000009 0a0b0c0d 0102 010203040506 012d 4029000000000000 01 04 3f800000 40000000 40400000 40800000",
 		Record{Kind: Event, Event: policy.Event{Kind: policy.EvOutcome, Request: 0x0a0b0c0d, Attempt: 0x0102, Server: sampleAddr,
 			Status: policy.Error, LatencyMs: 12.5, Final: true, Report: []float32{1, 2, 3, 4}}}},
-	{"14 00000009 0a0b0c0d 010203040506 4029000000000000 0102", Record{Kind: Event, Event: policy.Event{Kind: policy.EvStarted,
+	{"14 00000009 0a0b0c0d 010203040506 4029000000000000 0102", Record{Kind: Event, Event: policy.Event{Kind: policy.EvResponseStarted,
 		Request: 0x0a0b0c0d, Server: sampleAddr, LatencyMs: 12.5, Attempt: 0x0102}}},
-	{"16 00000009 00 0000002a 00000001", Record{Kind: Event, Event: policy.Event{Kind: policy.EvList, List: policy.ListDelta, Entries: sampleEntries}}},
+	{"16 00000009 00 0000002a 00000001", Record{Kind: Event, Event: policy.Event{Kind: policy.EvList, List: policy.ListChange, Entries: sampleEntries}}},
 	{"16 00000009 01 0000002a 00000001", Record{Kind: Event, Event: policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: sampleEntries}}},
 	{"16 00000009 02 0000002a 00000001", Record{Kind: Event, Event: policy.Event{Kind: policy.EvList, List: policy.ListCached, Entries: sampleEntries}}},
 	{"16 00000009 03 0000002a 00000001", Record{Kind: Event, Event: policy.Event{Kind: policy.EvList, List: policy.ListFailed}}},
-	{"18 00000009 010203040506 0064 4029000000000000 02 3f800000 40000000", Record{Kind: Event, Event: policy.Event{Kind: policy.EvProbed,
+	{"18 00000009 010203040506 0064 4029000000000000 02 3f800000 40000000", Record{Kind: Event, Event: policy.Event{Kind: policy.EvProbeResult,
 		Server: sampleAddr, Status: policy.OK, LatencyMs: 12.5, Report: []float32{1, 2}}}},
 	{"1a 00000009 0a0b0c0d", Record{Kind: Event, Event: policy.Event{Kind: policy.EvTimer, Token: 0x0a0b0c0d}}},
 	{"17 00000009 00000001 00000000 00000002", Record{Kind: Event, Event: policy.Event{Kind: policy.EvPeer}}},
@@ -61,9 +61,9 @@
 	"0102 4059000000000000 02 010203040506 40400000 0304 07"
 
 var sampleEntries = []policy.Entry{
-	{Zone: 0x0102, SinceMs: 100, Health: policy.Draining, Server: sampleAddr, Weight: 1, Cell: 0x0304, Kind: 5},
-	{Zone: 0x0102, SinceMs: 100, Health: policy.Ready, Server: sampleAddr, Weight: 2, Cell: 0x0304, Kind: 6},
-	{Zone: 0x0102, SinceMs: 100, Health: policy.Gone, Server: sampleAddr, Weight: 3, Cell: 0x0304, Kind: 7},
+	{Zone: 0x0102, StartedMs: 100, Health: policy.Draining, Server: sampleAddr, Weight: 1, Cell: 0x0304, Kind: 5},
+	{Zone: 0x0102, StartedMs: 100, Health: policy.Ready, Server: sampleAddr, Weight: 2, Cell: 0x0304, Kind: 6},
+	{Zone: 0x0102, StartedMs: 100, Health: policy.Gone, Server: sampleAddr, Weight: 3, Cell: 0x0304, Kind: 7},
 }
 
 func TestEveryEventAndFieldHasItsPlace(t *testing.T) {
@@ -100,14 +100,14 @@
 		action policy.Action
 		want   string
 	}{
-		{policy.Action{Kind: policy.ActSend, Request: 0x0a0b0c0d, Server: sampleAddr, Ms: 12.5, ByMs: 3}, "54 00000009 0a0b0c0d 010203040506 4029000000000000"},
+		{policy.Action{Kind: policy.ActSend, Request: 0x0a0b0c0d, Server: sampleAddr, Ms: 12.5, SendByMs: 3}, "54 00000009 0a0b0c0d 010203040506 4029000000000000"},
 		{policy.Action{Kind: policy.ActCancel, Request: 0x0a0b0c0d, Attempt: 0x0102}, "59 00000009 0a0b0c0d 0102"},
-		{policy.Action{Kind: policy.ActRefuse, Request: 0x0a0b0c0d, Ms: 12.5}, "51 00000009 0a0b0c0d 4029000000000000"},
+		{policy.Action{Kind: policy.ActReject, Request: 0x0a0b0c0d, Ms: 12.5}, "51 00000009 0a0b0c0d 4029000000000000"},
 		{policy.Action{Kind: policy.ActFail, Request: 0x0a0b0c0d}, "5a 00000009 0a0b0c0d"},
 		{policy.Action{Kind: policy.ActProbe, Server: sampleAddr}, "52 00000009 010203040506"},
 		{policy.Action{Kind: policy.ActTimer, Ms: 12.5, Token: 0x0a0b0c0d}, "58 00000009 4029000000000000 0a0b0c0d"},
-		{policy.Action{Kind: policy.ActFollow}, "53 00000009 01"},
-		{policy.Action{Kind: policy.ActFetch}, "55 00000009"},
+		{policy.Action{Kind: policy.ActWatchList}, "53 00000009 01"},
+		{policy.Action{Kind: policy.ActFetchList}, "55 00000009"},
 		{policy.Action{Kind: policy.ActClose, Server: sampleAddr}, "50 00000009 010203040506"},
 		{policy.Action{Kind: policy.ActLog, Text: "text"}, "5b 00000009 00000000 00000004"},
 		{policy.Action{Kind: policy.ActWithdraw, Server: sampleAddr}, ""}, // the simulator has no such action
@@ -156,10 +156,10 @@
 func TestEnumerationValues(t *testing.T) {
 	for i, c := range []struct{ got, want any }{
 		{policy.OK, 100}, {policy.Error, 301}, {policy.Full, 302}, {policy.Timeout, 303}, {policy.ConnectFailed, 304},
-		{policy.Reset, 305}, {policy.Cancelled, 306}, {policy.Moot, 307},
+		{policy.Reset, 305}, {policy.Cancelled, 306}, {policy.Withdrawn, 307},
 		{policy.Draining, 0}, {policy.Ready, 1}, {policy.Gone, 2},
-		{policy.ListDelta, 0}, {policy.ListFull, 1}, {policy.ListCached, 2}, {policy.ListFailed, 3},
-		{policy.Free, "free"}, {policy.Guarded, "guarded"}, {policy.SingleShot, "single_shot"},
+		{policy.ListChange, 0}, {policy.ListFull, 1}, {policy.ListCached, 2}, {policy.ListFailed, 3},
+		{policy.Idempotent, "free"}, {policy.Deduplicated, "guarded"}, {policy.NonIdempotent, "single_shot"},
 		{policy.GroupAll, "all"}, {policy.GroupZone, "zone"}, {policy.GroupCell, "cell"},
 		{EventSize, 48}, {ActionSize, 24},
 	} {
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -182,7 +182,7 @@
 	case codeAsk:
 		ev.Kind, ev.Request = policy.EvRequest, policy.RequestID(be.Uint32(raw[5:]))
 		ev.Class, ev.Tenant = int(be.Uint16(raw[9:])), int(be.Uint32(raw[11:]))
-		ev.Key, ev.LeftMs, ev.HintMs = be.Uint64(raw[15:]), getF64(raw[23:]), getF64(raw[31:])
+		ev.Key, ev.RemainingMs, ev.HintMs = be.Uint64(raw[15:]), getF64(raw[23:]), getF64(raw[31:])
 		ev.HasHint, ev.Retry = raw[39]&1 != 0, raw[39]&2 != 0
 	case codeVerdict:
 		ev.Kind, ev.Request = policy.EvOutcome, policy.RequestID(be.Uint32(raw[5:]))
@@ -190,16 +190,16 @@
 		ev.Status, ev.LatencyMs = policy.Status(be.Uint16(raw[17:])), getF64(raw[19:])
 		ev.Final = raw[27] != 0
 		ev.Report, err = report("verdict: report", raw[28:])
-		if err == nil && (ev.Status != policy.OK && (ev.Status < policy.Error || ev.Status > policy.Moot)) {
+		if err == nil && (ev.Status != policy.OK && (ev.Status < policy.Error || ev.Status > policy.Withdrawn)) {
 			err = fmt.Errorf("verdict: ending: unknown value %d", ev.Status)
 		}
 	case codeFlowing:
-		ev.Kind, ev.Request = policy.EvStarted, policy.RequestID(be.Uint32(raw[5:]))
+		ev.Kind, ev.Request = policy.EvResponseStarted, policy.RequestID(be.Uint32(raw[5:]))
 		ev.Server, ev.LatencyMs, ev.Attempt = policy.Addr(raw[9:15]), getF64(raw[15:]), int(be.Uint16(raw[23:]))
 	case codeDropped:
-		ev.Kind, ev.Request = policy.EvDropped, policy.RequestID(be.Uint32(raw[5:]))
+		ev.Kind, ev.Request = policy.EvClientCanceled, policy.RequestID(be.Uint32(raw[5:]))
 	case codeHealth:
-		ev.Kind, ev.Server = policy.EvProbed, policy.Addr(raw[5:11])
+		ev.Kind, ev.Server = policy.EvProbeResult, policy.Addr(raw[5:11])
 		ev.Status, ev.LatencyMs = policy.Status(be.Uint16(raw[11:])), getF64(raw[13:])
 		ev.Report, err = report("health: report", raw[21:])
 	case codeFired:
@@ -229,13 +229,13 @@
 			return fmt.Errorf("pool: health: unknown value %d", lines[10])
 		}
 		entries = append(entries, policy.Entry{
-			Zone:    int(be.Uint16(lines)),
-			SinceMs: getF64(lines[2:]),
-			Health:  policy.Health(lines[10]),
-			Server:  policy.Addr(lines[11:17]),
-			Weight:  float64(math.Float32frombits(be.Uint32(lines[17:]))),
-			Cell:    int(be.Uint16(lines[21:])),
-			Kind:    int(lines[23]),
+			Zone:      int(be.Uint16(lines)),
+			StartedMs: getF64(lines[2:]),
+			Health:    policy.Health(lines[10]),
+			Server:    policy.Addr(lines[11:17]),
+			Weight:    float64(math.Float32frombits(be.Uint32(lines[17:]))),
+			Cell:      int(be.Uint16(lines[21:])),
+			Kind:      int(lines[23]),
 		})
 	}
 	d.pools[table] = entries // a fresh slice: events of the old list keep theirs
@@ -312,7 +312,7 @@
 		raw := e.record(codeRetract, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		be.PutUint16(raw[9:], uint16(a.Attempt))
-	case policy.ActRefuse:
+	case policy.ActReject:
 		raw := e.record(codeNotNow, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		putF64(raw[9:], a.Ms)
@@ -324,9 +324,9 @@
 		raw := e.record(codeNotifyMe, instance)
 		putF64(raw[5:], a.Ms)
 		be.PutUint32(raw[13:], a.Token)
-	case policy.ActFollow:
+	case policy.ActWatchList:
 		e.record(codeFollow, instance)[5] = 1
-	case policy.ActFetch:
+	case policy.ActFetchList:
 		e.record(codeReadList, instance)
 	case policy.ActClose:
 		copy(e.record(codeHangUp, instance)[5:11], a.Server[:])
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -51,14 +51,14 @@
 		t.Errorf("clock %v, want 8412.25", clocks[0])
 	}
 	ask := recs[0].Event
-	if recs[0].Instance != 3 || ask.Kind != policy.EvRequest || ask.Request != 0x5d3a91c4 || ask.LeftMs != 240 ||
+	if recs[0].Instance != 3 || ask.Kind != policy.EvRequest || ask.Request != 0x5d3a91c4 || ask.RemainingMs != 240 ||
 		ask.HintMs != 12 || !ask.HasHint || ask.Retry || ask.Key != 0x91f03b7c55d20a64 {
 		t.Errorf("ask: %+v", recs[0])
 	}
 	if e := recs[1].Event; e.Kind != policy.EvTimer || e.Token != 0x4d {
 		t.Errorf("fired: %+v", e)
 	}
-	if e := recs[2].Event; recs[2].Instance != 5 || e.Kind != policy.EvDropped || e.Request != 0x0e6f2b19 {
+	if e := recs[2].Event; recs[2].Instance != 5 || e.Kind != policy.EvClientCanceled || e.Request != 0x0e6f2b19 {
 		t.Errorf("dropped: %+v", recs[2])
 	}
 }
@@ -76,7 +76,7 @@
 		v.Status != policy.OK || v.LatencyMs != 18.5 || !v.Final || len(v.Report) != 2 || v.Report[1] != 2 {
 		t.Errorf("verdict: %+v", v)
 	}
-	if p := recs[1].Event; p.Kind != policy.EvProbed || p.Status != policy.OK || p.LatencyMs != 1.4 || p.Report != nil {
+	if p := recs[1].Event; p.Kind != policy.EvProbeResult || p.Status != policy.OK || p.LatencyMs != 1.4 || p.Report != nil {
 		t.Errorf("health: %+v", p)
 	}
 }
@@ -100,7 +100,7 @@
 		t.Errorf("lists: %+v then %+v", a, b)
 	}
 	e := a.Entries[0]
-	if e.Zone != 1 || e.SinceMs != 6100 || e.Health != policy.Ready || e.Weight != 1.5 || e.Cell != 2 || e.Kind != 1 {
+	if e.Zone != 1 || e.StartedMs != 6100 || e.Health != policy.Ready || e.Weight != 1.5 || e.Cell != 2 || e.Kind != 1 {
 		t.Errorf("entry: %+v", e)
 	}
 }
@@ -124,13 +124,13 @@
 	for _, a := range []policy.Action{
 		{Kind: policy.ActSend, Request: 0x5d3a91c4, Server: s, Ms: 80},
 		{Kind: policy.ActTimer, Ms: 500, Token: 0x4d},
-		{Kind: policy.ActRefuse, Request: 0x0e6f2b19, Ms: 250},
+		{Kind: policy.ActReject, Request: 0x0e6f2b19, Ms: 250},
 		{Kind: policy.ActFail, Request: 0x0e6f2b19},
 		{Kind: policy.ActCancel, Request: 0x5d3a91c4, Attempt: 1},
 		{Kind: policy.ActProbe, Server: s},
 		{Kind: policy.ActClose, Server: s},
-		{Kind: policy.ActFollow},
-		{Kind: policy.ActFetch},
+		{Kind: policy.ActWatchList},
+		{Kind: policy.ActFetchList},
 		{Kind: policy.ActLog, Text: "two servers known"},
 	} {
 		e.Add(3, &a)
@@ -181,7 +181,7 @@
 
 func TestParseSettings(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"classes": [{"name": "x", "aimMs": 5, "effect": "free", "novel": 1}], "roundMs": 5, "strange": {}}`))
-	if err != nil || len(s.Classes) != 1 || s.Classes[0].AimMs != 5 || s.RoundMs != 5 {
+	if err != nil || len(s.Classes) != 1 || s.Classes[0].TargetMs != 5 || s.RoundMs != 5 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if _, err := ParseSettings([]byte("classes:")); err == nil {
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -26,9 +26,9 @@
 	return slices.ContainsFunc(of, func(e error) bool { return errors.Is(err, e) })
 }
 
-// Is tells whether a call that failed so may go well a moment later, as it failed for want
+// IsTemporary tells whether a call that failed so may go well a moment later, as it failed for want
 // of something on this machine, or in reading from it.
-func Is(err error) bool { return isAny(err, localErrors) || errors.Is(err, syscall.EIO) }
+func IsTemporary(err error) bool { return isAny(err, localErrors) || errors.Is(err, syscall.EIO) }
 
 // firstWait is the time between tries of a call that failed for a moment, and grows to MaxWait: clients
 // wait in the listener's queue meanwhile, and their time runs.
@@ -40,8 +40,8 @@
 // IsNetwork tells whether a connect failed for want of a way through the network.
 func IsNetwork(err error) bool { return isAny(err, networkErrors) }
 
-// Pause waits before the next try, for longer the more there were, and tells whether there is one.
-func Pause(ctx context.Context, tries int) bool {
+// Backoff waits before the next try, for longer the more there were, and tells whether there is one.
+func Backoff(ctx context.Context, tries int) bool {
 	t := time.NewTimer(min(firstWait<<min(tries, 10), MaxWait))
 	defer t.Stop()
 	select {
@@ -59,7 +59,7 @@
 	defer cancel()
 	for tries := 0; ; tries++ {
 		err := call()
-		if err == nil || !Is(err) || !Pause(ctx, tries) {
+		if err == nil || !IsTemporary(err) || !Backoff(ctx, tries) {
 			return err
 		}
 	}
@@ -70,8 +70,8 @@
 	net.Listener
 	// Context ends the waits between tries.
 	Context context.Context
-	// Failed is told of each try that failed, and when it began; nil: nobody is.
-	Failed func(err error, began time.Time)
+	// OnError is told of each try that failed, and when it began; nil: nobody is.
+	OnError func(err error, began time.Time)
 }
 
 // Accept waits for a connection. Its error is net.ErrClosed, or one that lasts.
@@ -82,10 +82,10 @@
 		if err == nil || errors.Is(err, net.ErrClosed) || isAny(err, lastingErrors) {
 			return c, err
 		}
-		if l.Failed != nil {
-			l.Failed(err, began)
+		if l.OnError != nil {
+			l.OnError(err, began)
 		}
-		if !Pause(l.Context, tries) {
+		if !Backoff(l.Context, tries) {
 			return nil, net.ErrClosed
 		}
 	}
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -34,7 +34,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := &failing{errs: []error{errno, errno, errno, errno, errno, errno, errno, errno}}
 			told, began := 0, time.Now()
-			l := Listener{Listener: f, Context: t.Context(), Failed: func(err error, since time.Time) { told++ }}
+			l := Listener{Listener: f, Context: t.Context(), OnError: func(err error, since time.Time) { told++ }}
 			c, err := l.Accept()
 			took := time.Since(began)
 			switch {
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -99,7 +99,7 @@
 	}
 	entries := make([]Entry, f.servers)
 	for s := range entries {
-		entries[s] = Entry{Server: addr(s), Health: Ready, Weight: 1, SinceMs: f.cold[addr(s)]}
+		entries[s] = Entry{Server: addr(s), Health: Ready, Weight: 1, StartedMs: f.cold[addr(s)]}
 	}
 	f.act(f.agents[i], b, b.Handle(f.now, &Event{Kind: EvList, List: ListCached, Entries: entries}, nil))
 }
@@ -107,11 +107,11 @@
 // begin lets a server start anew, which all agents learn within so long.
 func (f *coldFleet) begin(s int, within float64) {
 	f.cold[addr(s)] = f.now
-	e := Entry{Server: addr(s), Health: Ready, Weight: 1, SinceMs: f.now}
+	e := Entry{Server: addr(s), Health: Ready, Weight: 1, StartedMs: f.now}
 	for _, a := range f.agents {
 		f.after(f.rng.Float64()*within, func() {
 			a.told[addr(s)] = true
-			f.act(a, a.b, a.b.Handle(f.now, &Event{Kind: EvList, List: ListDelta, Entries: []Entry{e}}, nil))
+			f.act(a, a.b, a.b.Handle(f.now, &Event{Kind: EvList, List: ListChange, Entries: []Entry{e}}, nil))
 		})
 	}
 }
@@ -120,7 +120,7 @@
 	f.nextID++
 	// Some keys are asked for far more often than the rest.
 	key := 1 + uint64(math.Pow(f.rng.Float64(), 3)*1000)
-	f.act(a, a.b, a.b.Handle(f.now, &Event{Kind: EvRequest, Request: f.nextID, Class: 0, Key: key, LeftMs: 5000}, nil))
+	f.act(a, a.b, a.b.Handle(f.now, &Event{Kind: EvRequest, Request: f.nextID, Class: 0, Key: key, RemainingMs: 5000}, nil))
 	f.after(f.rng.ExpFloat64()/a.rate, func() { f.request(a) })
 }
 
@@ -132,7 +132,7 @@
 		case ActSend:
 			f.send(a, b, act)
 		case ActProbe:
-			f.after(2, func() { f.tell(a, b, Event{Kind: EvProbed, Server: act.Server, Status: OK}) })
+			f.after(2, func() { f.tell(a, b, Event{Kind: EvProbeResult, Server: act.Server, Status: OK}) })
 		}
 	}
 }
@@ -164,7 +164,7 @@
 }
 
 func (f *coldFleet) ramp(age float64) float64 {
-	return min(f.set.Contract.ColdFrom+(1-f.set.Contract.ColdFrom)*age/f.set.Contract.ColdMs, 1)
+	return min(f.set.Contract.SlowStartFrom+(1-f.set.Contract.SlowStartFrom)*age/f.set.Contract.SlowStartMs, 1)
 }
 
 // worst is how many calls beyond N the cold servers got in the worst window, as a part of what
@@ -202,9 +202,9 @@
 		name string
 		c    Contract
 	}{
-		{"wide", Contract{ColdFrom: 0.13, ColdMs: 24000, FallMultiple: 4, TipAfterMs: 1000}},
-		{"narrow", Contract{ColdFrom: 0.2, ColdMs: 9000, FallMultiple: 2.5, TipAfterMs: 800}},
-		{"long", Contract{ColdFrom: 0.34, ColdMs: 9000, FallMultiple: 3, TipAfterMs: 3000}},
+		{"wide", Contract{SlowStartFrom: 0.13, SlowStartMs: 24000, FallMultiple: 4, TipAfterMs: 1000}},
+		{"narrow", Contract{SlowStartFrom: 0.2, SlowStartMs: 9000, FallMultiple: 2.5, TipAfterMs: 800}},
+		{"long", Contract{SlowStartFrom: 0.34, SlowStartMs: 9000, FallMultiple: 3, TipAfterMs: 3000}},
 	} {
 		for _, agents := range []int{5, 20, 30} {
 			for name, trouble := range map[string]func(f *coldFleet){
@@ -282,13 +282,13 @@
 					for seed := range uint64(6) {
 						set := testSettings()
 						set.Contract = deploy.c
-						set.Contract.AskWithinMs, set.Contract.DrainGraceMs = 8000, 500
-						set.Classes[0].AimMs, set.Classes[0].GiveUpMs = 1200, 5000
+						set.Contract.ListPollWithinMs, set.Contract.DrainGraceMs = 8000, 500
+						set.Classes[0].TargetMs, set.Classes[0].DeadlineMs = 1200, 5000
 						set.Limits.KeepaliveMs, set.Limits.MaxAttempts = 30000, 6
 						f := newColdFleet(t, seed, agents, 14, 0.75, set)
 						f.run(f.now + 15000)
 						trouble(f)
-						f.run(f.now + deploy.c.ColdMs)
+						f.run(f.now + deploy.c.SlowStartMs)
 						x, where := f.worst()
 						if len(worst) == 0 || x > slices.Max(worst) {
 							at = fmt.Sprintf("seed %d: %s", seed, where)
--- a/policy/crowd.go
+++ b/policy/crowd.go
@@ -156,7 +156,7 @@
 	}
 	for _, a := range s.out {
 		c := &b.set.Classes[a.r.class]
-		if !a.r.closed && !a.r.started && (c.Effect == Free || c.Effect == Guarded && c.Group == GroupAll) {
+		if !a.r.closed && !a.r.started && (c.Effect == Idempotent || c.Effect == Deduplicated && c.Group == GroupAll) {
 			b.do(Action{Kind: ActCancel, Request: a.r.id, Attempt: a.index})
 		}
 	}
--- a/policy/crowd_test.go
+++ b/policy/crowd_test.go
@@ -87,7 +87,7 @@
 			t.Fatalf("the request waited for the probe or went to the server in doubt: %+v", actions)
 		}
 		r.now += 2
-		r.do(Event{Kind: EvProbed, Server: srv.id, Status: OK, Report: []float32{1, c.inflight}})
+		r.do(Event{Kind: EvProbeResult, Server: srv.id, Status: OK, Report: []float32{1, c.inflight}})
 		if srv.state != c.want {
 			t.Errorf("state %d after a report of %v in flight, want %d", srv.state, c.inflight, c.want)
 		}
@@ -112,7 +112,7 @@
 		id, s := r.sent(class, 7)
 		r.tick(160)
 		r.ask(0, 8)
-		actions := r.do(Event{Kind: EvProbed, Server: s, Status: OK, Report: []float32{1, 12}})
+		actions := r.do(Event{Kind: EvProbeResult, Server: s, Status: OK, Report: []float32{1, 12}})
 		a := find(actions, ActCancel)
 		if back != (a != nil && a.Request == id) {
 			t.Fatalf("class %d: taken back: %v, want %v: %+v", class, a != nil, back, actions)
@@ -132,7 +132,7 @@
 	r := newRig(t, manySettings(), 4)
 	srv := r.lateAt(200)
 	r.ask(0, 8)
-	r.do(Event{Kind: EvProbed, Server: srv.id, Status: OK, Report: []float32{1, 12}})
+	r.do(Event{Kind: EvProbeResult, Server: srv.id, Status: OK, Report: []float32{1, 12}})
 	looked := func(until float64) bool {
 		for ; r.now < until; r.now += 50 {
 			id, actions := r.ask(0, 0)
@@ -171,7 +171,7 @@
 				r.outcome(id, 0, s, OK, 20)
 			}
 		}
-		r.do(Event{Kind: EvProbed, Server: srv.id, Status: OK, Report: []float32{1, inflight}})
+		r.do(Event{Kind: EvProbeResult, Server: srv.id, Status: OK, Report: []float32{1, inflight}})
 	}
 	report(12)
 	report(standing - 1)
--- a/policy/health.go
+++ b/policy/health.go
@@ -21,7 +21,7 @@
 	if i := slices.Index(s.out, a); i >= 0 {
 		s.out = slices.Delete(s.out, i, i+1)
 	}
-	if ev.Status.NeverRan() {
+	if ev.Status.NotExecuted() {
 		r.risky--
 	}
 	b.hangUp(s)
@@ -34,7 +34,7 @@
 	b.failing, b.triedAt = b.failing*math.Exp((b.triedAt-b.now)/(trySpan*b.aimMin)), b.now
 	// What never began for want of a client, or whose client left in good time, tells nothing
 	// of the servers: clients that leave in a burst must not close the throttle for the others.
-	if left := r.closed && ev.Status == Cancelled && b.now < r.aimAt; ev.Status != Moot && !left {
+	if left := r.closed && ev.Status == Cancelled && b.now < r.aimAt; ev.Status != Withdrawn && !left {
 		b.failing += 1 - tryFactor*worth
 	}
 	b.judge(a, ev.Status, finite(ev.LatencyMs))
@@ -62,8 +62,8 @@
 // ends it. It competes with first tries, so that trouble does not multiply the load.
 func (b *Balancer) further(r *request, why Status) {
 	c := &b.set.Classes[r.class]
-	able := r.risky == 0 || c.Effect == Free || c.Effect == Guarded
-	if !able || len(r.attempts) >= b.set.Limits.MaxAttempts || why == Moot || b.now >= r.deadline ||
+	able := r.risky == 0 || c.Effect == Idempotent || c.Effect == Deduplicated
+	if !able || len(r.attempts) >= b.set.Limits.MaxAttempts || why == Withdrawn || b.now >= r.deadline ||
 		b.windowLeft(r) <= 0 {
 		b.end(r)
 		return
@@ -105,7 +105,7 @@
 	b.heardFrom(s)
 	s.rtt = mean(s.rtt, rtt, smooth)
 	c := &b.set.Classes[r.class]
-	b.expect[r.class] = mean(b.expect[r.class], min(rtt, 2*c.AimMs), 4*slowSmooth)
+	b.expect[r.class] = mean(b.expect[r.class], min(rtt, 2*c.TargetMs), 4*slowSmooth)
 	if b.now <= r.aimAt {
 		b.won[r.class] += 1 - fade
 	}
@@ -268,7 +268,7 @@
 			continue
 		}
 		a := s.out[0]
-		if !a.checked && s.state <= Unknown && b.suspect((b.now-a.sentAt)/b.set.Classes[a.r.class].AimMs) {
+		if !a.checked && s.state <= Unknown && b.suspect((b.now-a.sentAt)/b.set.Classes[a.r.class].TargetMs) {
 			a.checked = true
 			b.enter(s, UnhealthyPending)
 			continue
--- a/policy/list.go
+++ b/policy/list.go
@@ -50,14 +50,14 @@
 func (b *Balancer) follow() {
 	if b.following && b.now >= b.followDue-1 {
 		b.following, b.followed, b.followAt = false, false, b.now
-		b.do(Action{Kind: ActFollow})
+		b.do(Action{Kind: ActWatchList})
 	}
 }
 
 // firstFollow spreads the first calls over a part of the contract's time: agents that
 // start together must not all call at once.
 func (b *Balancer) firstFollow() {
-	b.followIn(b.rng.Float64() * min(b.set.Contract.AskWithinMs/8*min(b.askers(), 4), firstWithin))
+	b.followIn(b.rng.Float64() * min(b.set.Contract.ListPollWithinMs/8*min(b.askers(), 4), firstWithin))
 }
 
 // followAgain sets the time for the next call after one failed, or a subscription ended.
@@ -67,7 +67,7 @@
 	if b.follows == 1 {
 		b.following = false // the time of the first call is of no use any more
 	}
-	ask, u := b.set.Contract.AskWithinMs/5, b.rng.Float64()
+	ask, u := b.set.Contract.ListPollWithinMs/5, b.rng.Float64()
 	if b.inDoubt() && b.follows <= quickCalls {
 		b.followIn(min(servedWait, ask) * u) // an answer is owed
 		return
@@ -100,9 +100,9 @@
 	if b.set.Membership == "on_request" && b.askers() > 1 {
 		return
 	}
-	if b.now-b.lookedAt >= max(b.set.Contract.AskWithinMs, 1000) {
+	if b.now-b.lookedAt >= max(b.set.Contract.ListPollWithinMs, 1000) {
 		b.lookedAt = b.now
-		b.do(Action{Kind: ActFetch})
+		b.do(Action{Kind: ActFetchList})
 	}
 }
 
@@ -114,10 +114,10 @@
 			b.followAgain()
 		}
 		return
-	case ListPart:
+	case ListPartial:
 		b.onPart(ev)
 		return
-	case ListMoved:
+	case ListSourceChanged:
 		b.follows, b.followed, b.atOnce = 0, true, false
 		return
 	}
@@ -136,7 +136,7 @@
 		named[ev.Entries[i].Server] = true
 		b.update(&ev.Entries[i])
 	}
-	if ev.List != ListDelta {
+	if ev.List != ListChange {
 		for _, s := range b.servers {
 			s.usable = s.usable && named[s.id]
 		}
@@ -151,7 +151,7 @@
 }
 
 func (b *Balancer) update(e *Entry) {
-	s, since := b.byAddr[e.Server], finite(e.SinceMs)
+	s, since := b.byAddr[e.Server], finite(e.StartedMs)
 	if s == nil {
 		s = &server{id: e.Server, hash: mix(hashAddr(e.Server)), state: Unknown, since: b.now,
 			window: min(firstWindow, b.mostWindow()), startedAt: since, listedAt: since,
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -14,7 +14,7 @@
 		return 2
 	case UnhealthyPending:
 		// What must not run twice does not check a server while others are healthy.
-		once := b.set.Classes[r.class].Effect == SingleShot
+		once := b.set.Classes[r.class].Effect == NonIdempotent
 		if once || b.set.Limits.Probing && b.now-s.since < b.lapse() {
 			return 1
 		}
@@ -135,17 +135,17 @@
 	}
 	return b.ramp(s) == 1 || s.credit >= b.cost(r) ||
 		b.warmWeight() == 0 && (b.now-s.sentAt)*b.flow*s.weight*b.coldShare(s) >=
-			b.cost(r)*b.set.Contract.ColdMs
+			b.cost(r)*b.set.Contract.SlowStartMs
 }
 
 // ramp is the part of its capacity that a started server has by the contract.
 func (b *Balancer) ramp(s *server) float64 {
 	c := &b.set.Contract
 	age := b.now - s.startedAt
-	if s.startedAt <= 0 || age >= c.ColdMs || s.startedAt != s.listedAt && age > c.AskWithinMs {
+	if s.startedAt <= 0 || age >= c.SlowStartMs || s.startedAt != s.listedAt && age > c.ListPollWithinMs {
 		return 1 // long past, or assumed and not borne out by the list in its time
 	}
-	return c.ColdFrom + (1-c.ColdFrom)*max(age, 0)/c.ColdMs
+	return c.SlowStartFrom + (1-c.SlowStartFrom)*max(age, 0)/c.SlowStartMs
 }
 
 // coldShare is the part of an even share that a server may be sent: of a cold one what
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -85,8 +85,8 @@
 		b.kinds[i].weight = 1
 	}
 	for _, c := range set.Classes {
-		b.expect = append(b.expect, c.AimMs*crowdShare/2)
-		b.aimMin = min(b.aimMin, c.AimMs)
+		b.expect = append(b.expect, c.TargetMs*crowdShare/2)
+		b.aimMin = min(b.aimMin, c.TargetMs)
 		b.asked, b.won = append(b.asked, 1), append(b.won, 1)
 	}
 	return b, nil
@@ -110,21 +110,21 @@
 		b.onRequest(ev)
 	case EvOutcome:
 		b.onOutcome(ev)
-	case EvStarted:
+	case EvResponseStarted:
 		if r := b.requests[ev.Request]; r != nil && !r.closed {
 			r.started = true
 			if ev.Attempt >= 0 && ev.Attempt < len(r.attempts) {
 				r.attempts[ev.Attempt].s.heard = now
 			}
 		}
-	case EvDropped:
+	case EvClientCanceled:
 		if r := b.requests[ev.Request]; r != nil && !r.closed {
 			b.remember(r)
 			b.close(r)
 		}
 	case EvList:
 		b.onList(ev)
-	case EvProbed:
+	case EvProbeResult:
 		b.onProbed(ev)
 	case EvTimer:
 		b.onTimer(ev.Token)
@@ -175,12 +175,12 @@
 	} else if r.hint > 0 {
 		b.meanHint = mean(b.meanHint, r.hint, slowSmooth)
 	}
-	left := finite(ev.LeftMs)
+	left := finite(ev.RemainingMs)
 	r.deadline = b.now + left - min(b.set.RoundMs, left/4)
 	if ev.Retry {
 		r.first = b.recall(r)
 	}
-	r.aimAt = min(r.first+c.AimMs+c.AimStretch*r.hint, r.deadline)
+	r.aimAt = min(r.first+c.TargetMs+c.TargetStretch*r.hint, r.deadline)
 	r.hash = b.split(r.key)
 	b.requests[r.id] = r
 	b.seen++
@@ -202,7 +202,7 @@
 func (b *Balancer) value(r *request) float64 {
 	c := &b.set.Classes[r.class]
 	o := &b.set.Objective
-	v := c.Credit * (o.Whole + o.WorstWindow)
+	v := c.Credit * (o.Overall + o.WorstWindow)
 	if r.class == b.worst {
 		v += o.WorstClass * b.credit / b.asked[r.class]
 	}
@@ -210,9 +210,9 @@
 		v *= c.LateShare + b.set.Prices.LateFail
 	}
 	if b.overShare(r.tenant) {
-		v *= b.set.OverShareWorth
+		v *= b.set.OverQuotaWeight
 	}
-	if b.set.WorthBy != "work" {
+	if b.set.WeightBy != "work" {
 		v /= b.expect[r.class]
 	}
 	return v
@@ -304,9 +304,9 @@
 	}
 	c := &b.set.Classes[r.class]
 	switch c.Effect {
-	case Free:
+	case Idempotent:
 		return true
-	case Guarded:
+	case Deduplicated:
 		same := c.Group == GroupAll || c.Group == GroupZone && s.zone == r.ranOn.zone ||
 			c.Group == GroupCell && s.cell == r.ranOn.cell
 		return same && b.windowLeft(r) > 0
@@ -318,10 +318,10 @@
 // without bound where it is no repeat.
 func (b *Balancer) windowLeft(r *request) float64 {
 	c := &b.set.Classes[r.class]
-	if r.risky == 0 || c.Effect != Guarded {
+	if r.risky == 0 || c.Effect != Deduplicated {
 		return math.Inf(1)
 	}
-	return r.ranAt + c.KeyTTLMs - heldUp - 2*b.set.RoundMs - b.now
+	return r.ranAt + c.DedupWindowMs - heldUp - 2*b.set.RoundMs - b.now
 }
 
 func (b *Balancer) send(r *request, s *server) bool {
@@ -350,7 +350,7 @@
 	if b.ramp(s) < 1 {
 		s.credit -= a.cost
 	}
-	b.do(Action{Kind: ActSend, Request: r.id, Server: s.id, Ms: r.deadline - b.now, ByMs: by})
+	b.do(Action{Kind: ActSend, Request: r.id, Server: s.id, Ms: r.deadline - b.now, SendByMs: by})
 	return true
 }
 
@@ -364,7 +364,7 @@
 	}
 	warm := b.warmWeight() * float64(b.subset()) / float64(len(b.servers)) // of its subset
 	if warm > 0 {
-		b.flow = b.flow*math.Exp((b.flowAt-b.now)/b.set.Contract.ColdMs) + cost/warm
+		b.flow = b.flow*math.Exp((b.flowAt-b.now)/b.set.Contract.SlowStartMs) + cost/warm
 		b.flowAt = b.now
 	}
 	for _, o := range b.servers {
@@ -382,10 +382,10 @@
 	}
 	b.remember(r)
 	c := &b.set.Classes[r.class]
-	harmless := r.risky == 0 || c.Effect == Free || c.Effect == Guarded && c.Group == GroupAll
+	harmless := r.risky == 0 || c.Effect == Idempotent || c.Effect == Deduplicated && c.Group == GroupAll
 	b.close(r)
 	if harmless {
-		b.do(Action{Kind: ActRefuse, Request: r.id, Ms: b.set.Limits.MaxRetryAfterMs})
+		b.do(Action{Kind: ActReject, Request: r.id, Ms: b.set.Limits.MaxRetryAfterMs})
 	} else {
 		b.do(Action{Kind: ActFail, Request: r.id})
 	}
