--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -20,15 +20,15 @@
 func testSettings() Settings {
 	s := Settings{
 		Classes: []Class{
-			{Name: "free", AimMs: 300, GiveUpMs: 1000, Effect: Free, Credit: 1},
-			{Name: "once", AimMs: 300, GiveUpMs: 1000, Effect: SingleShot, Credit: 4},
-			{Name: "keyed", AimMs: 300, GiveUpMs: 1000, Effect: Guarded, Group: GroupCell, KeyTTLMs: 500, Credit: 2},
+			{Name: "free", TargetMs: 300, DeadlineMs: 1000, Effect: Idempotent, Credit: 1},
+			{Name: "once", TargetMs: 300, DeadlineMs: 1000, Effect: NonIdempotent, Credit: 4},
+			{Name: "keyed", TargetMs: 300, DeadlineMs: 1000, Effect: Deduplicated, Group: GroupCell, DedupWindowMs: 500, Credit: 2},
 		},
-		Limits: Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 500, ParallelTries: true,
+		Limits: Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 500, ParallelAttempts: true,
 			ConnectTimeoutMs: 100},
-		Contract: Contract{AnswerSlackMs: 20, AskWithinMs: 8000, ColdFrom: 0.2, ColdMs: 10000, DrainGraceMs: 500,
+		Contract: Contract{AnswerSlackMs: 20, ListPollWithinMs: 8000, SlowStartFrom: 0.2, SlowStartMs: 10000, DrainGraceMs: 500,
 			FallMultiple: 3, TipAfterMs: 1000},
-		Membership: "pushed", Replicas: 3, RoundMs: 5, WorthBy: "request", Weights: "nominal",
+		Membership: "pushed", Replicas: 3, RoundMs: 5, WeightBy: "request", Weights: "nominal",
 	}
 	s.Clients.MarksRetry = true
 	return s
@@ -58,7 +58,7 @@
 
 func (r *rig) ask(class int, key uint64) (RequestID, []Action) {
 	r.id++
-	return r.id, r.do(Event{Kind: EvRequest, Request: r.id, Class: class, Key: key, LeftMs: 600})
+	return r.id, r.do(Event{Kind: EvRequest, Request: r.id, Class: class, Key: key, RemainingMs: 600})
 }
 
 func (r *rig) outcome(id RequestID, try int, s Addr, st Status, rtt float64) []Action {
@@ -113,7 +113,7 @@
 	if srv.state != Unhealthy {
 		t.Fatalf("error: state %d, want Unhealthy", srv.state)
 	}
-	if find(actions, ActFetch) == nil {
+	if find(actions, ActFetchList) == nil {
 		t.Error("a demotion did not force a refresh of the list")
 	}
 	if a := find(actions, ActSend); a == nil || a.Server == s {
@@ -162,13 +162,13 @@
 	if a := find(actions, ActSend); a == nil || a.Server == s {
 		t.Error("a request went to a pending server before its probe")
 	}
-	r.do(Event{Kind: EvProbed, Server: s, Status: Timeout, LatencyMs: 100})
+	r.do(Event{Kind: EvProbeResult, Server: s, Status: Timeout, LatencyMs: 100})
 	if r.b.byAddr[s].state != Unhealthy {
 		t.Error("a failed probe did not demote")
 	}
 	r.now += 10 * r.b.holdFor(r.b.byAddr[s])
 	r.ask(0, 8)
-	r.do(Event{Kind: EvProbed, Server: s, Status: OK, LatencyMs: 5})
+	r.do(Event{Kind: EvProbeResult, Server: s, Status: OK, LatencyMs: 5})
 	if r.b.byAddr[s].state != Connected {
 		t.Error("a good probe did not set Connected")
 	}
@@ -188,7 +188,7 @@
 		}
 		r.now += r.b.holdFor(bad)
 		r.ask(0, 0) // sends the probe
-		r.do(Event{Kind: EvProbed, Server: bad.id, Status: status, LatencyMs: 5})
+		r.do(Event{Kind: EvProbeResult, Server: bad.id, Status: status, LatencyMs: 5})
 		if bad.state != Unhealthy {
 			t.Fatalf("a probe that ended %d did not demote", status)
 		}
@@ -219,7 +219,7 @@
 		r := newRig(t, testSettings(), 3)
 		id, s := r.sent(1, 5)
 		actions := r.outcome(id, 0, s, st, 50)
-		if find(actions, ActSend) != nil || find(actions, ActRefuse) != nil || find(actions, ActFail) == nil {
+		if find(actions, ActSend) != nil || find(actions, ActReject) != nil || find(actions, ActFail) == nil {
 			t.Errorf("ending %d: want a failure and nothing else, got %+v", st, actions)
 		}
 	}
@@ -251,16 +251,16 @@
 	r := newRig(t, testSettings(), 6)
 	id, actions := r.ask(2, 5)
 	first := find(actions, ActSend)
-	if first == nil || first.ByMs != 0 {
+	if first == nil || first.SendByMs != 0 {
 		t.Fatalf("the first attempt has an end: %+v", first)
 	}
 	r.now += 200
 	a := find(r.outcome(id, 0, first.Server, Error, 20), ActSend)
-	if want := 500 - 200 - 150 - 2*5.0; a == nil || a.ByMs != want {
+	if want := 500 - 200 - 150 - 2*5.0; a == nil || a.SendByMs != want {
 		t.Fatalf("the repeat may go until %+v, want %.0f ms", a, want)
 	}
 	r.now += 50
-	if a = find(r.outcome(id, 1, a.Server, ConnectFailed, 20), ActSend); a == nil || a.ByMs != 90 {
+	if a = find(r.outcome(id, 1, a.Server, ConnectFailed, 20), ActSend); a == nil || a.SendByMs != 90 {
 		t.Fatalf("one after a connect that failed may go until %+v, want 90 ms", a)
 	}
 	r.now += 90
@@ -272,19 +272,19 @@
 	id, actions = r.ask(2, 6)
 	first = find(actions, ActSend)
 	r.now += 100
-	if a = find(r.outcome(id, 0, first.Server, ConnectFailed, 20), ActSend); a == nil || a.ByMs != 0 {
+	if a = find(r.outcome(id, 0, first.Server, ConnectFailed, 20), ActSend); a == nil || a.SendByMs != 0 {
 		t.Fatalf("after an attempt that never ran: %+v", a)
 	}
 	// One that is held for room ends with its window, too.
 	set := testSettings()
-	set.Classes[2].KeyTTLMs = 250
+	set.Classes[2].DedupWindowMs = 250
 	r = newRig(t, set, 6)
 	id, actions = r.ask(2, 5)
 	first = find(actions, ActSend)
 	cell := r.b.byAddr[first.Server].cell
 	for i := range 6 {
 		if i%2 == cell {
-			r.list(ListDelta, Entry{Server: addr(i), Health: Draining, Weight: 1, Cell: cell, Zone: cell})
+			r.list(ListChange, Entry{Server: addr(i), Health: Draining, Weight: 1, Cell: cell, Zone: cell})
 		}
 	}
 	if actions = r.outcome(id, 0, first.Server, Error, 20); find(actions, ActSend) != nil || len(r.b.held) != 1 {
@@ -300,7 +300,7 @@
 
 func TestDrainingAndGoneGetNothing(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	r.list(ListDelta, Entry{Server: addr(0), Health: Draining, Weight: 1})
+	r.list(ListChange, Entry{Server: addr(0), Health: Draining, Weight: 1})
 	for key := range uint64(20) {
 		id, s := r.sent(0, key+1)
 		if s == addr(0) {
@@ -322,7 +322,7 @@
 	r := newRig(t, testSettings(), 0)
 	id, actions := r.ask(1, 1)
 	for range 130 {
-		if a := find(actions, ActRefuse); a != nil {
+		if a := find(actions, ActReject); a != nil {
 			if a.Request != id {
 				t.Fatalf("refused %d, want %d", a.Request, id)
 			}
@@ -336,7 +336,7 @@
 // A cold server gets no more than its share by ramp, even after a quiet time.
 func TestColdServerBudget(t *testing.T) {
 	r := newRig(t, testSettings(), 5)
-	r.list(ListDelta, Entry{Server: addr(4), Health: Ready, Weight: 1, SinceMs: r.now - 10})
+	r.list(ListChange, Entry{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now - 10})
 	got, all := 0, 2000
 	for range all {
 		r.now++
@@ -356,7 +356,7 @@
 // a storm of them let the agents push cold servers over.
 func TestTurnedAwayAttemptsEarnNoColdCredit(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	r.list(ListDelta, Entry{Server: addr(4), Health: Ready, Weight: 1, SinceMs: r.now})
+	r.list(ListChange, Entry{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now})
 	cold := r.b.byAddr[addr(4)]
 	for _, st := range []Status{Full, OK} {
 		cold.credit = -1
@@ -394,7 +394,7 @@
 		for i := range entries {
 			entries[i] = Entry{Server: addr(i), Health: Ready, Weight: 1}
 		}
-		entries[0].SinceMs = r.now
+		entries[0].StartedMs = r.now
 		r.list(ListFull, entries...)
 		for range each {
 			id, s := r.sent(0, b.rng.Uint64())
@@ -405,7 +405,7 @@
 		}
 	}
 	c := testSettings().Contract
-	share := float64(agents*each) / 9 * c.ColdFrom * c.FallMultiple / coldMargin
+	share := float64(agents*each) / 9 * c.SlowStartFrom * c.FallMultiple / coldMargin
 	if float64(got) > share*1.3 || float64(got) < share*0.2 {
 		t.Errorf("%d agents sent a cold server %d requests, want up to about %.0f", agents, got, share)
 	}
@@ -422,7 +422,7 @@
 		set.Index = i
 		r := newRig(t, set, servers/2)
 		for s := range servers / 2 {
-			r.list(ListDelta, Entry{Server: addr(servers/2 + s), Health: Ready, Weight: 1, SinceMs: r.now - set.Contract.ColdMs/4})
+			r.list(ListChange, Entry{Server: addr(servers/2 + s), Health: Ready, Weight: 1, StartedMs: r.now - set.Contract.SlowStartMs/4})
 		}
 		for range each {
 			r.now += 10
@@ -485,7 +485,7 @@
 		t.Errorf("limit %.2f with a high calm, want %.2f", l, crowdShare)
 	}
 	r := newRig(t, testSettings(), 1)
-	r.list(ListDelta, Entry{Server: addr(1), Health: Ready, Weight: 1, SinceMs: r.now})
+	r.list(ListChange, Entry{Server: addr(1), Health: Ready, Weight: 1, StartedMs: r.now})
 	r.b.calmLat = 0.2
 	if cold, warm := r.b.limit(r.b.byAddr[addr(1)]), r.b.limit(r.b.byAddr[addr(0)]); cold < 2*warm {
 		t.Errorf("limit %.2f of a cold server, %.2f of a warm one", cold, warm)
@@ -513,7 +513,7 @@
 		id, s := r.sent(0, uint64(r.b.rng.Int64()))
 		r.outcome(id, 0, s, OK, 20)
 	}
-	r.list(ListDelta, Entry{Server: addr(2), Health: Ready, Weight: 1, SinceMs: r.now})
+	r.list(ListChange, Entry{Server: addr(2), Health: Ready, Weight: 1, StartedMs: r.now})
 	r.b.byAddr[addr(2)].sentAt = 0
 	for i := range 2 {
 		r.b.demote(r.b.byAddr[addr(i)], true)
@@ -552,7 +552,7 @@
 				if c.probes {
 					srv.state, srv.probing = UnhealthyPending, true
 					r.b.probes++
-					r.do(Event{Kind: EvProbed, Server: srv.id, Status: ConnectFailed})
+					r.do(Event{Kind: EvProbeResult, Server: srv.id, Status: ConnectFailed})
 					continue
 				}
 				id, s := r.sentTo(srv)
@@ -753,10 +753,10 @@
 	r := newRig(t, testSettings(), 1)
 	id, s := r.sent(0, 5)
 	r.now += 200
-	r.do(Event{Kind: EvDropped, Request: id})
+	r.do(Event{Kind: EvClientCanceled, Request: id})
 	r.outcome(id, 0, s, Cancelled, 200)
 	r.id++
-	r.do(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: 5, LeftMs: 600, Retry: true})
+	r.do(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: 5, RemainingMs: 600, Retry: true})
 	if q := r.b.requests[r.id]; q == nil || q.aimAt-r.now > 101 {
 		t.Error("a retry was given the whole aim again")
 	}
@@ -770,26 +770,26 @@
 		t.Fatal(err)
 	}
 	first := find(b.Start(0, nil), ActTimer)
-	if first == nil || first.Ms > set.Contract.AskWithinMs {
+	if first == nil || first.Ms > set.Contract.ListPollWithinMs {
 		t.Fatalf("no subscription within the contract's time: %+v", first)
 	}
-	if find(b.Handle(first.Ms, &Event{Kind: EvTimer, Token: first.Token}, nil), ActFollow) == nil {
+	if find(b.Handle(first.Ms, &Event{Kind: EvTimer, Token: first.Token}, nil), ActWatchList) == nil {
 		t.Fatal("the timer did not subscribe")
 	}
 	now := first.Ms
 	for range 8 {
 		again := find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer)
-		if again == nil || again.Ms > set.Contract.AskWithinMs {
+		if again == nil || again.Ms > set.Contract.ListPollWithinMs {
 			t.Fatalf("a failed call was not repeated in the contract's time: %+v", again)
 		}
 		if second := find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer); second != nil {
 			t.Fatalf("two times are set to ask again: %+v, %+v", again, second)
 		}
 		now += again.Ms // its time has come, and not before
-		if find(b.Handle(now-2, &Event{Kind: EvTimer, Token: again.Token}, nil), ActFollow) != nil {
+		if find(b.Handle(now-2, &Event{Kind: EvTimer, Token: again.Token}, nil), ActWatchList) != nil {
 			t.Fatal("subscribed before its time")
 		}
-		if find(b.Handle(now, &Event{Kind: EvTimer, Token: again.Token}, nil), ActFollow) == nil {
+		if find(b.Handle(now, &Event{Kind: EvTimer, Token: again.Token}, nil), ActWatchList) == nil {
 			t.Fatal("the timer did not subscribe again")
 		}
 	}
@@ -805,7 +805,7 @@
 	r.do(Event{Kind: EvTimer, Token: followToken})
 	for range 20 {
 		again := find(r.list(ListFailed), ActTimer)
-		if again == nil || again.Token != followToken || again.Ms > set.Contract.AskWithinMs/5 {
+		if again == nil || again.Token != followToken || again.Ms > set.Contract.ListPollWithinMs/5 {
 			t.Fatalf("asked again too late: %+v", again)
 		}
 		r.now += again.Ms
@@ -819,7 +819,7 @@
 	const agents, step, seconds = 80, 10, 60
 	set := testSettings()
 	set.Membership, set.Replicas = "on_request", agents
-	set.Contract.AskWithinMs = 10000
+	set.Contract.ListPollWithinMs = 10000
 	bals, due := make([]*Balancer, agents), make([]float64, agents)
 	after := func(i int, now float64, actions []Action) {
 		if a := find(actions, ActTimer); a != nil {
@@ -845,7 +845,7 @@
 				continue
 			}
 			due[i] = math.Inf(1)
-			if find(b.Handle(now, &Event{Kind: EvTimer, Token: followToken}, nil), ActFollow) == nil {
+			if find(b.Handle(now, &Event{Kind: EvTimer, Token: followToken}, nil), ActWatchList) == nil {
 				t.Fatalf("agent %d did not subscribe", i)
 			}
 			calls[int(now/1000)]++
@@ -853,9 +853,9 @@
 		}
 		if now == 4000 { // a server fails all of them at once
 			for _, b := range bals {
-				send := find(b.Handle(now, &Event{Kind: EvRequest, Request: 1, LeftMs: 600}, nil), ActSend)
+				send := find(b.Handle(now, &Event{Kind: EvRequest, Request: 1, RemainingMs: 600}, nil), ActSend)
 				for _, a := range b.Handle(now, &Event{Kind: EvOutcome, Request: 1, Server: send.Server, Status: Error}, nil) {
-					if a.Kind == ActFetch {
+					if a.Kind == ActFetchList {
 						fetches++
 					}
 				}
@@ -895,16 +895,16 @@
 	} {
 		for seed := range uint64(50) {
 			set := testSettings()
-			set.Membership, set.Contract.AskWithinMs = "on_request", 10000
+			set.Membership, set.Contract.ListPollWithinMs = "on_request", 10000
 			b, err := New(set, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			now := find(b.Start(0, nil), ActTimer).Ms
-			if find(b.Handle(now, &Event{Kind: EvTimer, Token: followToken}, nil), ActFollow) == nil {
+			if find(b.Handle(now, &Event{Kind: EvTimer, Token: followToken}, nil), ActWatchList) == nil {
 				t.Fatal("did not ask")
 			}
-			b.Handle(now, &Event{Kind: EvList, List: ListDelta}, nil)
+			b.Handle(now, &Event{Kind: EvList, List: ListChange}, nil)
 			now += c.lasted
 			wait := find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer).Ms
 			if wait < c.least || wait > c.most {
@@ -920,14 +920,14 @@
 	for _, agents := range []int{1, 40, 300} {
 		for seed := range uint64(50) {
 			set := testSettings()
-			set.Membership, set.Contract.AskWithinMs, set.Replicas = "on_request", 10000, agents
+			set.Membership, set.Contract.ListPollWithinMs, set.Replicas = "on_request", 10000, agents
 			b, err := New(set, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			now := find(b.Start(0, nil), ActTimer).Ms
 			b.Handle(now, &Event{Kind: EvTimer, Token: followToken}, nil)
-			b.Handle(now, &Event{Kind: EvList, List: ListDelta}, nil)
+			b.Handle(now, &Event{Kind: EvList, List: ListChange}, nil)
 			ended := now + 3000
 			now = ended
 			for range 2 {
@@ -954,7 +954,7 @@
 			const seconds = 120
 			set := testSettings()
 			set.Membership, set.Replicas = "on_request", agents
-			set.Contract.AskWithinMs = 10000
+			set.Contract.ListPollWithinMs = 10000
 			var calls [seconds + 10]int
 			for i := range agents {
 				set.Index = i
@@ -965,7 +965,7 @@
 				rng := rand.New(rand.NewPCG(uint64(i), 7))
 				at := find(b.Start(0, nil), ActTimer).Ms
 				for last := 0.0; at < seconds*1000; {
-					if find(b.Handle(at, &Event{Kind: EvTimer, Token: followToken}, nil), ActFollow) == nil {
+					if find(b.Handle(at, &Event{Kind: EvTimer, Token: followToken}, nil), ActWatchList) == nil {
 						t.Fatalf("agent %d did not ask", i)
 					}
 					if at-last > 4000 {
@@ -990,11 +990,11 @@
 func TestSettingsThatMakeNoSense(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
 		"classes":             func(s *Settings) { s.Classes = nil },
-		"classes[0].aimMs":    func(s *Settings) { s.Classes[0].AimMs = math.NaN() },
-		"classes[1].giveUpMs": func(s *Settings) { s.Classes[1].GiveUpMs = -1 },
+		"classes[0].aimMs":    func(s *Settings) { s.Classes[0].TargetMs = math.NaN() },
+		"classes[1].giveUpMs": func(s *Settings) { s.Classes[1].DeadlineMs = -1 },
 		"classes[0].effect":   func(s *Settings) { s.Classes[0].Effect = "maybe" },
 		"classes[2].group":    func(s *Settings) { s.Classes[2].Group = "moon" },
-		"contract.coldMs":     func(s *Settings) { s.Contract.ColdMs = -5 },
+		"contract.coldMs":     func(s *Settings) { s.Contract.SlowStartMs = -5 },
 		"prices.handshake":    func(s *Settings) { s.Prices.Handshake = math.NaN() },
 		"limits.keepaliveMs":  func(s *Settings) { s.Limits.KeepaliveMs = math.Inf(1) },
 		"membershipMode":      func(s *Settings) { s.Membership = "" },
@@ -1018,7 +1018,7 @@
 
 func ExampleBalancer() {
 	settings := Settings{
-		Classes:    []Class{{Name: "read", AimMs: 200, GiveUpMs: 800, Effect: Free, Credit: 1}},
+		Classes:    []Class{{Name: "read", TargetMs: 200, DeadlineMs: 800, Effect: Idempotent, Credit: 1}},
 		Limits:     Limits{MaxAttempts: 3},
 		Membership: "pushed",
 		RoundMs:    5,
@@ -1032,7 +1032,7 @@
 	b.Start(now, nil)
 	list := []Entry{{Server: Addr{10, 0, 0, 1, 0x1f, 0x90}, Health: Ready, Weight: 1}}
 	b.Handle(now, &Event{Kind: EvList, List: ListFull, Entries: list}, nil)
-	for _, a := range b.Handle(now, &Event{Kind: EvRequest, Request: 1, Key: 7, LeftMs: 800}, nil) {
+	for _, a := range b.Handle(now, &Event{Kind: EvRequest, Request: 1, Key: 7, RemainingMs: 800}, nil) {
 		if a.Kind == ActSend {
 			fmt.Println("send request", a.Request, "to", a.Server)
 		}
@@ -1076,7 +1076,7 @@
 // i7e1314: the class of least worth was starved though the worst class counts.
 func TestWorstClassCountsAmongHeld(t *testing.T) {
 	set := testSettings()
-	set.Objective = Objective{Whole: 0.5, WorstClass: 0.5}
+	set.Objective = Objective{Overall: 0.5, WorstClass: 0.5}
 	r := newRig(t, set, 2)
 	once, free := &request{class: 1, aimAt: r.now + 500}, &request{class: 0, aimAt: r.now + 500}
 	for range 500 { // of class 1 all are served, of class 0 none
@@ -1116,7 +1116,7 @@
 	r := newRig(t, set, 4)
 	id, s := r.sent(0, 3)
 	r.now += 30
-	r.do(Event{Kind: EvStarted, Request: id, Attempt: 0, Server: s, LatencyMs: 30})
+	r.do(Event{Kind: EvResponseStarted, Request: id, Attempt: 0, Server: s, LatencyMs: 30})
 	for range 200 {
 		for _, a := range r.tick(10) {
 			if a.Request == id && a.Kind != ActTimer {
@@ -1197,7 +1197,7 @@
 		after  float64 // the share of the aim that has passed
 		open   bool
 	}{
-		{"never begun", Moot, 0.1, true},
+		{"never begun", Withdrawn, 0.1, true},
 		{"taken back in time", Cancelled, 0.5, true},
 		{"taken back late", Cancelled, 1.1, false},
 		{"timed out", Timeout, 0.5, false},
@@ -1215,9 +1215,9 @@
 				id, to := r.sent(0, 0)
 				all = append(all, sent{id, to})
 			}
-			r.now += c.after * set.Classes[0].AimMs
+			r.now += c.after * set.Classes[0].TargetMs
 			for _, s := range all {
-				r.do(Event{Kind: EvDropped, Request: s.id})
+				r.do(Event{Kind: EvClientCanceled, Request: s.id})
 				r.outcome(s.id, 0, s.to, c.status, 1)
 			}
 			if r.b.mayTry() != c.open {
@@ -1421,20 +1421,20 @@
 func TestOddValuesAreSurvived(t *testing.T) {
 	odd := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 0, 1e300}
 	r := newRig(t, testSettings(), 3)
-	r.list(ListDelta, Entry{Server: addr(9), Health: Gone}, Entry{Server: addr(1), Health: Draining})
+	r.list(ListChange, Entry{Server: addr(9), Health: Gone}, Entry{Server: addr(1), Health: Draining})
 	final := map[RequestID]int{}
 	count := func(actions []Action) {
 		for _, a := range actions {
-			if a.Kind == ActRefuse || a.Kind == ActFail {
+			if a.Kind == ActReject || a.Kind == ActFail {
 				final[a.Request]++
 			}
 		}
 	}
 	for i, x := range odd {
-		r.list(ListDelta, Entry{Server: addr(2), Health: Ready, Weight: x, SinceMs: x})
+		r.list(ListChange, Entry{Server: addr(2), Health: Ready, Weight: x, StartedMs: x})
 		for _, class := range []int{-1, 0, 1, 2, 3, 1 << 16} {
 			r.id++
-			actions := r.do(Event{Kind: EvRequest, Request: r.id, Class: class, Tenant: -i, Key: 5, LeftMs: x, HintMs: x, HasHint: true})
+			actions := r.do(Event{Kind: EvRequest, Request: r.id, Class: class, Tenant: -i, Key: 5, RemainingMs: x, HintMs: x, HasHint: true})
 			count(actions)
 			if a := find(actions, ActSend); a != nil {
 				r.now++
@@ -1473,7 +1473,7 @@
 		t.Fatal(err)
 	}
 	b.Start(0, nil)
-	b.Handle(1, &Event{Kind: EvRequest, Request: 1, Class: 0, Key: 5, LeftMs: 600}, nil)
+	b.Handle(1, &Event{Kind: EvRequest, Request: 1, Class: 0, Key: 5, RemainingMs: 600}, nil)
 	b.Handle(2, &Event{Kind: EvTimer, Token: tickToken}, nil)
 	list := []Entry{{Server: addr(1), Health: Ready, Weight: 1}}
 	if a := find(b.Handle(3, &Event{Kind: EvList, List: ListFull, Entries: list}, nil), ActSend); a == nil || a.Request != 1 {
@@ -1488,7 +1488,7 @@
 		set := testSettings()
 		set.Limits.KeepaliveMs, set.Prices.Handshake = keepalive, 0.1
 		r := newRig(t, set, 64)
-		r.list(ListDelta, Entry{Server: addr(99), Health: Ready, Weight: 1, SinceMs: r.now})
+		r.list(ListChange, Entry{Server: addr(99), Health: Ready, Weight: 1, StartedMs: r.now})
 		cold := r.b.byAddr[addr(99)]
 		cold.credit = 0
 		r.b.earn(r.b.byAddr[addr(0)], 1)
@@ -1512,7 +1512,7 @@
 		r.list(ListCached, Entry{Server: addr(0), Health: Ready, Weight: 1}, Entry{Server: addr(1), Health: Ready, Weight: 1})
 		for _, left := range []float64{0, -5, 600} {
 			r.id++
-			finals, actions := 0, r.do(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: 3, LeftMs: left})
+			finals, actions := 0, r.do(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: 3, RemainingMs: left})
 			a := find(actions, ActSend)
 			if (a != nil) != (left > 0) {
 				t.Fatalf("clock %v, %v ms left: sent %v", start, left, a != nil)
@@ -1524,7 +1524,7 @@
 			}
 			for range 3 {
 				for _, a := range append(actions, r.tick(10)...) {
-					if a.Request == r.id && (a.Kind == ActRefuse || a.Kind == ActFail) {
+					if a.Request == r.id && (a.Kind == ActReject || a.Kind == ActFail) {
 						finals++
 					}
 				}
@@ -1550,7 +1550,7 @@
 			switch a.Kind {
 			case ActSend:
 				sent++
-			case ActRefuse:
+			case ActReject:
 				refused++
 			case ActFail:
 				t.Error("failed what never ran")
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -46,22 +46,22 @@
 
 func randomSettings(rng *rand.Rand) Settings {
 	s := testSettings()
-	s.Limits.ParallelTries = rng.IntN(2) == 0
+	s.Limits.ParallelAttempts = rng.IntN(2) == 0
 	s.Limits.Cancelling = rng.IntN(2) == 0
 	s.Limits.Probing = rng.IntN(2) == 0
 	s.Limits.MaxAttempts = 1 + rng.IntN(5)
 	s.Classes[2].Group = []Group{GroupAll, GroupZone, GroupCell}[rng.IntN(3)]
-	s.Classes[2].KeyTTLMs = 100 + 900*rng.Float64()
+	s.Classes[2].DedupWindowMs = 100 + 900*rng.Float64()
 	for i := range s.Classes {
-		s.Classes[i].AimMs = 50 + 400*rng.Float64()
+		s.Classes[i].TargetMs = 50 + 400*rng.Float64()
 		s.Classes[i].LateShare = []float64{0, 0.2}[rng.IntN(2)]
 	}
 	if rng.IntN(2) == 0 {
 		s.Membership = "on_request"
 	}
 	if rng.IntN(2) == 0 {
-		s.Tenants = []Tenant{{Name: "a", Portion: 0.7}, {Name: "b", Portion: 0.3}}
-		s.OverShareWorth = 0.1
+		s.Tenants = []Tenant{{Name: "a", QuotaFraction: 0.7}, {Name: "b", QuotaFraction: 0.3}}
+		s.OverQuotaWeight = 0.1
 	}
 	s.Clients.MarksRetry = rng.IntN(2) == 0
 	return s
@@ -80,7 +80,7 @@
 				ends = w.now + a.Ms
 			}
 			r.tries = append(r.tries, &worldTry{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.Ms), status: st})
-		case ActRefuse, ActFail:
+		case ActReject, ActFail:
 			if r.final++; r.final > 1 {
 				w.t.Fatalf("request %d: a second final answer", a.Request)
 			}
@@ -88,7 +88,7 @@
 				w.t.Fatalf("request %d answered %.1f ms after its deadline", a.Request, w.now-r.deadline)
 			}
 			c := w.set.Classes[r.class]
-			if a.Kind == ActRefuse && r.mayHaveRun() && (c.Effect == SingleShot || c.Effect == Guarded && c.Group != GroupAll) {
+			if a.Kind == ActReject && r.mayHaveRun() && (c.Effect == NonIdempotent || c.Effect == Deduplicated && c.Group != GroupAll) {
 				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Effect)
 			}
 		case ActCancel:
@@ -109,7 +109,7 @@
 }
 
 func (r *worldReq) mayHaveRun() bool {
-	return slices.ContainsFunc(r.tries, func(t *worldTry) bool { return !t.ended || !t.status.NeverRan() })
+	return slices.ContainsFunc(r.tries, func(t *worldTry) bool { return !t.ended || !t.status.NotExecuted() })
 }
 
 func (w *world) checkSend(r *worldReq, a *Action) {
@@ -124,21 +124,21 @@
 		w.t.Fatalf("sent to %v %.0f ms after it was told to drain", a.Server, w.now-since)
 	}
 	for _, t := range r.tries {
-		if !t.ended && !w.set.Limits.ParallelTries {
+		if !t.ended && !w.set.Limits.ParallelAttempts {
 			w.t.Fatalf("request %d: two attempts out at once", a.Request)
 		}
-		if t.ended && t.status.NeverRan() {
+		if t.ended && t.status.NotExecuted() {
 			continue
 		}
 		x, y := w.list[t.server], w.list[a.Server]
 		switch {
-		case c.Effect == SingleShot:
+		case c.Effect == NonIdempotent:
 			w.t.Fatalf("request %d sent again though it may have run", a.Request)
-		case c.Effect == Guarded && (a.ByMs <= 0 || w.now+a.ByMs-t.sentAt > c.KeyTTLMs-150): // 0.15 s: STANDING
-			w.t.Fatalf("request %d may arrive %.0f ms after it may have run", a.Request, w.now+a.ByMs-t.sentAt)
-		case c.Effect == Guarded && w.now-t.sentAt > c.KeyTTLMs:
+		case c.Effect == Deduplicated && (a.SendByMs <= 0 || w.now+a.SendByMs-t.sentAt > c.DedupWindowMs-150): // 0.15 s: STANDING
+			w.t.Fatalf("request %d may arrive %.0f ms after it may have run", a.Request, w.now+a.SendByMs-t.sentAt)
+		case c.Effect == Deduplicated && w.now-t.sentAt > c.DedupWindowMs:
 			w.t.Fatalf("request %d sent again %.0f ms after it may have run", a.Request, w.now-t.sentAt)
-		case c.Effect == Guarded && (c.Group == GroupZone && x.Zone != y.Zone || c.Group == GroupCell && x.Cell != y.Cell):
+		case c.Effect == Deduplicated && (c.Group == GroupZone && x.Zone != y.Zone || c.Group == GroupCell && x.Cell != y.Cell):
 			w.t.Fatalf("request %d sent again outside its group", a.Request)
 		}
 	}
@@ -191,7 +191,7 @@
 	e := Entry{Server: s, Zone: int(s[3]) % 2, Cell: int(s[3]) % 3, Weight: 1 + w.rng.Float64(),
 		Health: []Health{Ready, Ready, Draining, Gone}[w.rng.IntN(4)]}
 	if w.rng.IntN(3) == 0 {
-		e.SinceMs = w.now - 100*w.rng.Float64()
+		e.StartedMs = w.now - 100*w.rng.Float64()
 	}
 	w.list[s] = e
 	if e.Health == Ready {
@@ -199,7 +199,7 @@
 	} else if _, told := w.badSince[s]; !told {
 		w.badSince[s] = w.now
 	}
-	w.handle(Event{Kind: EvList, List: ListDelta, Entries: []Entry{e}})
+	w.handle(Event{Kind: EvList, List: ListChange, Entries: []Entry{e}})
 }
 
 func play(t *testing.T, seed uint64) []Action {
@@ -222,7 +222,7 @@
 			class := rng.IntN(len(w.set.Classes))
 			w.reqs[w.next] = &worldReq{class: class, deadline: w.now + left}
 			w.handle(Event{Kind: EvRequest, Request: w.next, Class: class, Tenant: rng.IntN(2), Key: uint64(rng.IntN(30)),
-				LeftMs: left, HasHint: rng.IntN(2) == 0, HintMs: 100 * rng.Float64(), Retry: rng.IntN(5) == 0})
+				RemainingMs: left, HasHint: rng.IntN(2) == 0, HintMs: 100 * rng.Float64(), Retry: rng.IntN(5) == 0})
 		}
 		switch rng.IntN(40) {
 		case 0:
@@ -230,11 +230,11 @@
 		case 1:
 			if r := w.reqs[w.next]; r != nil && r.final == 0 {
 				r.final = 1
-				w.handle(Event{Kind: EvDropped, Request: w.next})
+				w.handle(Event{Kind: EvClientCanceled, Request: w.next})
 			}
 		case 2: // what is unknown or over is ignored
 			w.handle(Event{Kind: EvOutcome, Request: 1 << 30, Server: addr(1), Status: OK})
-			w.handle(Event{Kind: EvDropped, Request: 1 << 30})
+			w.handle(Event{Kind: EvClientCanceled, Request: 1 << 30})
 			w.handle(Event{Kind: EvTimer, Token: 99})
 			w.handle(Event{Kind: EvList, List: ListFailed})
 		}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -13,18 +13,18 @@
 	for i, c := range s.Classes {
 		at := func(key string) string { return fmt.Sprintf("settings: classes[%d].%s", i, key) }
 		switch {
-		case !(c.AimMs > 0) || math.IsInf(c.AimMs, 0):
-			return fmt.Errorf("%s: must be above 0 and finite, is %v", at("aimMs"), c.AimMs)
-		case !(c.GiveUpMs > 0) || math.IsInf(c.GiveUpMs, 0):
-			return fmt.Errorf("%s: must be above 0 and finite, is %v", at("giveUpMs"), c.GiveUpMs)
+		case !(c.TargetMs > 0) || math.IsInf(c.TargetMs, 0):
+			return fmt.Errorf("%s: must be above 0 and finite, is %v", at("aimMs"), c.TargetMs)
+		case !(c.DeadlineMs > 0) || math.IsInf(c.DeadlineMs, 0):
+			return fmt.Errorf("%s: must be above 0 and finite, is %v", at("giveUpMs"), c.DeadlineMs)
 		case !(c.Credit >= 0):
 			return fmt.Errorf("%s: must be 0 or above, is %v", at("credit"), c.Credit)
-		case c.Effect != Free && c.Effect != Guarded && c.Effect != SingleShot:
+		case c.Effect != Idempotent && c.Effect != Deduplicated && c.Effect != NonIdempotent:
 			return fmt.Errorf("%s: unknown effect %q", at("effect"), c.Effect)
-		case c.Effect == Guarded && c.Group != GroupAll && c.Group != GroupZone && c.Group != GroupCell:
+		case c.Effect == Deduplicated && c.Group != GroupAll && c.Group != GroupZone && c.Group != GroupCell:
 			return fmt.Errorf("%s: unknown group %q", at("group"), c.Group)
-		case c.Effect == Guarded && !(c.KeyTTLMs >= 0):
-			return fmt.Errorf("%s: must be 0 or above, is %v", at("keyTtlMs"), c.KeyTTLMs)
+		case c.Effect == Deduplicated && !(c.DedupWindowMs >= 0):
+			return fmt.Errorf("%s: must be 0 or above, is %v", at("keyTtlMs"), c.DedupWindowMs)
 		}
 	}
 	if s.Membership != "pushed" && s.Membership != "on_request" {
@@ -35,9 +35,9 @@
 		value float64
 	}{
 		{"contract.answerSlackMs", s.Contract.AnswerSlackMs},
-		{"contract.askWithinMs", s.Contract.AskWithinMs},
-		{"contract.coldFrom", s.Contract.ColdFrom},
-		{"contract.coldMs", s.Contract.ColdMs},
+		{"contract.askWithinMs", s.Contract.ListPollWithinMs},
+		{"contract.coldFrom", s.Contract.SlowStartFrom},
+		{"contract.coldMs", s.Contract.SlowStartMs},
 		{"contract.drainGraceMs", s.Contract.DrainGraceMs},
 		{"contract.fallMultiple", s.Contract.FallMultiple},
 		{"contract.tipAfterMs", s.Contract.TipAfterMs},
--- a/policy/state.go
+++ b/policy/state.go
@@ -241,7 +241,7 @@
 // partOfAim is an answer time as a part of the aim. Where hints tell the work a costly
 // request counts as one of mean work; a small one's time is mostly the network's.
 func (b *Balancer) partOfAim(r *request, rtt float64) float64 {
-	x := rtt / b.set.Classes[r.class].AimMs
+	x := rtt / b.set.Classes[r.class].TargetMs
 	if r.hint > 0 {
 		x *= min(b.meanHint/r.hint, 1)
 	}
@@ -262,7 +262,7 @@
 		return
 	}
 	b.pasts = slices.DeleteFunc(b.pasts, func(p past) bool {
-		return b.now-p.first > b.set.Classes[p.class].GiveUpMs
+		return b.now-p.first > b.set.Classes[p.class].DeadlineMs
 	})
 	if len(b.pasts) < maxHeld {
 		b.pasts = append(b.pasts, past{r.class, r.key, r.first})
@@ -340,5 +340,5 @@
 	if tenant < 0 || tenant >= len(b.usage) {
 		return false
 	}
-	return b.usage[tenant] > 1.1*b.set.Tenants[tenant].Portion
+	return b.usage[tenant] > 1.1*b.set.Tenants[tenant].QuotaFraction
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -29,9 +29,9 @@
 
 // The effects a class may have.
 const (
-	Free       Effect = "free"        // safe to repeat
-	Guarded    Effect = "guarded"     // repeats are dropped within a group of servers, for a time
-	SingleShot Effect = "single_shot" // must never run twice
+	Idempotent    Effect = "free"        // safe to repeat
+	Deduplicated  Effect = "guarded"     // repeats are dropped within a group of servers, for a time
+	NonIdempotent Effect = "single_shot" // must never run twice
 )
 
 // Group tells which servers drop repeats of a guarded request.
@@ -46,23 +46,23 @@
 
 // Class is one class of requests.
 type Class struct {
-	Name       string  `json:"name"`
-	AimMs      float64 `json:"aimMs"`
-	AimStretch float64 `json:"aimStretch"`
-	GiveUpMs   float64 `json:"giveUpMs"`
-	Effect     Effect  `json:"effect"`
-	Group      Group   `json:"group"`
-	KeyTTLMs   float64 `json:"keyTtlMs"`
-	Credit     float64 `json:"credit"`
-	LateShare  float64 `json:"lateShare"`
-	Streamed   bool    `json:"streamed"`
+	Name          string  `json:"name"`
+	TargetMs      float64 `json:"aimMs"`
+	TargetStretch float64 `json:"aimStretch"`
+	DeadlineMs    float64 `json:"giveUpMs"`
+	Effect        Effect  `json:"effect"`
+	Group         Group   `json:"group"`
+	DedupWindowMs float64 `json:"keyTtlMs"`
+	Credit        float64 `json:"credit"`
+	LateShare     float64 `json:"lateShare"`
+	Streamed      bool    `json:"streamed"`
 }
 
 // Tenant is a customer with a share of what the servers can do.
 type Tenant struct {
-	Name      string  `json:"name"`
-	QuotaPerS float64 `json:"quotaPerS"`
-	Portion   float64 `json:"portion"`
+	Name          string  `json:"name"`
+	QuotaPerS     float64 `json:"quotaPerS"`
+	QuotaFraction float64 `json:"portion"`
 }
 
 // Limits is what a deployment permits an agent.
@@ -72,7 +72,7 @@
 	KeepaliveMs      float64 `json:"keepaliveMs"`
 	MaxAttempts      int     `json:"maxAttempts"`
 	MaxRetryAfterMs  float64 `json:"maxRetryAfterMs"`
-	ParallelTries    bool    `json:"parallelTries"`
+	ParallelAttempts bool    `json:"parallelTries"`
 	Probing          bool    `json:"probing"`
 	RetryAfter       bool    `json:"retryAfter"`
 	OpenCap          int     `json:"openCap"`
@@ -80,13 +80,13 @@
 
 // Contract holds the figures of the four rules.
 type Contract struct {
-	AnswerSlackMs float64 `json:"answerSlackMs"`
-	AskWithinMs   float64 `json:"askWithinMs"`
-	ColdFrom      float64 `json:"coldFrom"`
-	ColdMs        float64 `json:"coldMs"`
-	DrainGraceMs  float64 `json:"drainGraceMs"`
-	FallMultiple  float64 `json:"fallMultiple"`
-	TipAfterMs    float64 `json:"tipAfterMs"`
+	AnswerSlackMs    float64 `json:"answerSlackMs"`
+	ListPollWithinMs float64 `json:"askWithinMs"`
+	SlowStartFrom    float64 `json:"coldFrom"`
+	SlowStartMs      float64 `json:"coldMs"`
+	DrainGraceMs     float64 `json:"drainGraceMs"`
+	FallMultiple     float64 `json:"fallMultiple"`
+	TipAfterMs       float64 `json:"tipAfterMs"`
 }
 
 // Prices are points taken off the result, each times its share or rate.
@@ -102,7 +102,7 @@
 
 // Objective holds the weights of the result's components.
 type Objective struct {
-	Whole       float64 `json:"whole"`
+	Overall     float64 `json:"whole"`
 	WorstWindow float64 `json:"worstWindow"`
 	WorstClass  float64 `json:"worstClass"`
 	WorstTenant float64 `json:"worstTenant"`
@@ -130,13 +130,13 @@
 	FamilyInfo struct {
 		WarmKeys bool `json:"warmKeys"`
 	} `json:"familyInfo"`
-	Index          int     `json:"index"`
-	Replicas       int     `json:"replicasOfMe"`
-	OverShareWorth float64 `json:"overShareWorth"`
-	RoundMs        float64 `json:"roundMs"`
-	Weights        string  `json:"weights"` // "off", "nominal", "rough" or "live"
-	WorthBy        string  `json:"worthBy"` // "request" or "work"
-	Zone           int     `json:"zone"`
+	Index           int     `json:"index"`
+	Replicas        int     `json:"replicasOfMe"`
+	OverQuotaWeight float64 `json:"overShareWorth"`
+	RoundMs         float64 `json:"roundMs"`
+	Weights         string  `json:"weights"` // "off", "nominal", "rough" or "live"
+	WeightBy        string  `json:"worthBy"` // "request" or "work"
+	Zone            int     `json:"zone"`
 }
 
 // Health is what the list says of a server.
@@ -151,13 +151,13 @@
 
 // Entry is one line of the list of servers.
 type Entry struct {
-	Server  Addr
-	Zone    int
-	Cell    int
-	Kind    int
-	SinceMs float64 // clock time of the latest start; 0: long past
-	Health  Health
-	Weight  float64
+	Server    Addr
+	Zone      int
+	Cell      int
+	Kind      int
+	StartedMs float64 // clock time of the latest start; 0: long past
+	Health    Health
+	Weight    float64
 }
 
 // ListKind tells how a list event changes the list at hand.
@@ -165,12 +165,12 @@
 
 // The kinds of list events.
 const (
-	ListDelta ListKind = iota
+	ListChange ListKind = iota
 	ListFull
 	ListCached
 	ListFailed
-	ListPart  // what arrived of an answer whose rest didn't, or not yet; AgeMs since its begin
-	ListMoved // discovery is elsewhere: what failed before doesn't count
+	ListPartial       // what arrived of an answer whose rest didn't, or not yet; AgeMs since its begin
+	ListSourceChanged // discovery is elsewhere: what failed before doesn't count
 )
 
 // Status is how an attempt or a probe ended.
@@ -185,48 +185,48 @@
 	ConnectFailed Status = 304
 	Reset         Status = 305
 	Cancelled     Status = 306
-	Moot          Status = 307
+	Withdrawn     Status = 307
 )
 
-// NeverRan tells whether the ending proves that the attempt did not run.
-func (s Status) NeverRan() bool { return s == Full || s == ConnectFailed || s == Moot }
+// NotExecuted tells whether the ending proves that the attempt did not run.
+func (s Status) NotExecuted() bool { return s == Full || s == ConnectFailed || s == Withdrawn }
 
 // EventKind tells which fields of an Event count.
 type EventKind uint8
 
 // The events.
 const (
-	EvRequest EventKind = iota + 1 // Request, Class, Tenant, Key, LeftMs, HintMs, HasHint, Retry
-	EvOutcome                      // Request, Attempt, Server, Status, LatencyMs, Final, Report
-	EvStarted                      // Request, Attempt, Server, LatencyMs: a streamed answer began
-	EvDropped                      // Request: the client left
-	EvList                         // List, Entries, AgeMs
-	EvProbed                       // Server, Status, LatencyMs, Report
-	EvTimer                        // Token
-	EvPeer                         // a message of another agent; carries nothing that is used
+	EvRequest         EventKind = iota + 1 // Request, Class, Tenant, Key, RemainingMs, HintMs, HasHint, Retry
+	EvOutcome                              // Request, Attempt, Server, Status, LatencyMs, Final, Report
+	EvResponseStarted                      // Request, Attempt, Server, LatencyMs: a streamed answer began
+	EvClientCanceled                       // Request: the client left
+	EvList                                 // List, Entries, AgeMs
+	EvProbeResult                          // Server, Status, LatencyMs, Report
+	EvTimer                                // Token
+	EvPeer                                 // a message of another agent; carries nothing that is used
 )
 
 // Event is something that happened to one agent.
 type Event struct {
-	Kind      EventKind
-	Request   RequestID
-	Class     int
-	Tenant    int
-	Key       uint64 // 0: none
-	LeftMs    float64
-	HintMs    float64
-	HasHint   bool
-	Retry     bool
-	Attempt   int
-	Server    Addr
-	Status    Status
-	LatencyMs float64
-	Final     bool // the request is finished
-	Report    []float32
-	List      ListKind
-	AgeMs     float64
-	Entries   []Entry // not changed and not kept by the Balancer
-	Token     uint32
+	Kind        EventKind
+	Request     RequestID
+	Class       int
+	Tenant      int
+	Key         uint64 // 0: none
+	RemainingMs float64
+	HintMs      float64
+	HasHint     bool
+	Retry       bool
+	Attempt     int
+	Server      Addr
+	Status      Status
+	LatencyMs   float64
+	Final       bool // the request is finished
+	Report      []float32
+	List        ListKind
+	AgeMs       float64
+	Entries     []Entry // not changed and not kept by the Balancer
+	Token       uint32
 }
 
 // ActionKind tells which fields of an Action count.
@@ -234,27 +234,27 @@
 
 // The actions.
 const (
-	ActSend     ActionKind = iota + 1 // Request, Server, Ms: time-out, ByMs
-	ActCancel                         // Request, Attempt
-	ActRefuse                         // Request, Ms: advice
-	ActFail                           // Request
-	ActProbe                          // Server
-	ActTimer                          // Ms, Token
-	ActFollow                         // subscribe to the list
-	ActFetch                          // ask for the whole list once
-	ActLog                            // Text
-	ActClose                          // Server: close idle connections to it
-	ActWithdraw                       // Server: end its attempts of which no byte has gone out, as those of a server that drains
+	ActSend      ActionKind = iota + 1 // Request, Server, Ms: time-out, SendByMs
+	ActCancel                          // Request, Attempt
+	ActReject                          // Request, Ms: advice
+	ActFail                            // Request
+	ActProbe                           // Server
+	ActTimer                           // Ms, Token
+	ActWatchList                       // subscribe to the list
+	ActFetchList                       // ask for the whole list once
+	ActLog                             // Text
+	ActClose                           // Server: close idle connections to it
+	ActWithdraw                        // Server: end its attempts of which no byte has gone out, as those of a server that drains
 )
 
 // Action is something the agent is to do, in the order given.
 type Action struct {
-	Kind    ActionKind
-	Request RequestID
-	Server  Addr
-	Attempt int
-	Ms      float64
-	ByMs    float64 // until its last byte must be out, else it must not go; 0: whenever
-	Token   uint32
-	Text    string
+	Kind     ActionKind
+	Request  RequestID
+	Server   Addr
+	Attempt  int
+	Ms       float64
+	SendByMs float64 // until its last byte must be out, else it must not go; 0: whenever
+	Token    uint32
+	Text     string
 }
--- a/policy/unconfirmed.go
+++ b/policy/unconfirmed.go
@@ -67,6 +67,6 @@
 		}
 	}
 	if !b.partEnded {
-		b.do(Action{Kind: ActFetch})
+		b.do(Action{Kind: ActFetchList})
 	}
 }
--- a/policy/unconfirmed_test.go
+++ b/policy/unconfirmed_test.go
@@ -19,10 +19,10 @@
 		{"after it", nil, nil, grace/2 + 20, nil},
 		{"one is confirmed", []Entry{entry(2, Ready)}, nil, grace, []int{2}},
 		{"one drains", []Entry{entry(1, Draining)}, nil, 20, []int{2, 3}},
-		{"a whole answer came", nil, func(r *rig) { r.list(ListDelta) }, grace, []int{1, 2, 3}},
+		{"a whole answer came", nil, func(r *rig) { r.list(ListChange) }, grace, []int{1, 2, 3}},
 		{"a call failed", nil, func(r *rig) { r.list(ListFailed) }, grace, nil},
-		{"discovery moved", nil, func(r *rig) { r.list(ListMoved) }, grace, nil},
-		{"another part names others", []Entry{entry(2, Ready)}, func(r *rig) { r.list(ListPart, entry(3, Ready)) }, grace, []int{3}},
+		{"discovery moved", nil, func(r *rig) { r.list(ListSourceChanged) }, grace, nil},
+		{"another part names others", []Entry{entry(2, Ready)}, func(r *rig) { r.list(ListPartial, entry(3, Ready)) }, grace, []int{3}},
 		{"nothing came for long", nil, nil, maxUnconfirmed + 20, []int{1, 2, 3}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -30,7 +30,7 @@
 			set.Membership, set.Contract.DrainGraceMs = "on_request", grace
 			r := newRig(t, set, 1)
 			r.list(ListFull, entry(1, Ready), entry(2, Ready), entry(3, Ready))
-			r.list(ListPart, c.part...)
+			r.list(ListPartial, c.part...)
 			began := r.now
 			if c.then != nil {
 				r.now += 10
@@ -60,7 +60,7 @@
 		r := newRig(t, set, 1)
 		a, b := Entry{Server: Addr{1}, Health: Ready, Weight: 1}, Entry{Server: Addr{2}, Health: Ready, Weight: 1}
 		r.list(ListFull, a, b)
-		timer := find(r.do(Event{Kind: EvList, List: ListPart, Entries: []Entry{a}, AgeMs: 100}), ActTimer)
+		timer := find(r.do(Event{Kind: EvList, List: ListPartial, Entries: []Entry{a}, AgeMs: 100}), ActTimer)
 		if timer == nil || timer.Token != partToken || timer.Ms != 150 {
 			t.Fatalf("timer %+v, want one in 150 ms", timer)
 		}
@@ -75,7 +75,7 @@
 		if withdrawn == nil || withdrawn.Server != b.Server {
 			t.Errorf("withdrew %+v, want from the server that isn't confirmed", withdrawn)
 		}
-		if asked := find(actions, ActFetch) != nil; asked == ended {
+		if asked := find(actions, ActFetchList) != nil; asked == ended {
 			t.Errorf("ended %v: asked for the whole list: %v", ended, asked)
 		}
 	}
