--- a/internal/endpoints/chooser_test.go
+++ b/internal/endpoints/addressselector_test.go
@@ -49,23 +49,23 @@
 				if !c.Has(addr) {
 					rt.Fatalf("asks %s, which is not of the set", addr)
 				}
-				if wait < 0 || wait > max(longestWait, longestBusy) {
+				if wait < 0 || wait > max(maxBackoff, maxRetryAfter) {
 					rt.Fatalf("waits %v", wait)
 				}
 				if !fresh {
-					if paid++; len(c.places) == 1 {
+					if paid++; len(c.candidates) == 1 {
 						rt.Fatal("a second call in a round to the only address")
 					}
 				}
-				if sinceServed++; sinceServed > max(len(c.places), 1) {
-					rt.Fatalf("%d calls to %d addresses in one round with none served", sinceServed, len(c.places))
+				if sinceServed++; sinceServed > max(len(c.candidates), 1) {
+					rt.Fatalf("%d calls to %d addresses in one round with none served", sinceServed, len(c.candidates))
 				}
-				for i := range c.places {
-					p := c.places[i].addr
+				for i := range c.candidates {
+					p := c.candidates[i].addr
 					if p == addr {
 						break
 					}
-					if avoid[p] <= now && c.places[i].busy <= now {
+					if avoid[p] <= now && c.candidates[i].busyUntil <= now {
 						rt.Fatalf("asks %s though %s stands before it and gave no cause", addr, p)
 					}
 				}
@@ -78,10 +78,10 @@
 				}
 			case "end":
 				if last != "" && c.Has(last) {
-					how := rapid.SampledFrom([]End{EndFailed, EndStale, EndRedirected, EndBusy}).Draw(rt, "how")
+					how := rapid.SampledFrom([]CallOutcome{OutcomeFailed, OutcomeStale, OutcomeRedirected, OutcomeBusy}).Draw(rt, "how")
 					c.CallEnded(now, last, how, time.Duration(rapid.IntRange(-1000, 100_000).Draw(rt, "retry"))*time.Millisecond)
-					avoid[last] = c.places[c.index(last)].avoid
-					if how != EndBusy && avoid[last] <= now || avoid[last] > now+movedAvoid {
+					avoid[last] = c.candidates[c.index(last)].avoidUntil
+					if how != OutcomeBusy && avoid[last] <= now || avoid[last] > now+redirectAvoidance {
 						rt.Fatalf("%d is avoided for %v", how, avoid[last]-now)
 					}
 				}
@@ -112,7 +112,7 @@
 		at, _, _ := c.Next(0, 0)
 		first[at]++
 		if at == set[0] {
-			c.CallEnded(0, at, EndFailed, 0)
+			c.CallEnded(0, at, OutcomeFailed, 0)
 			c.BeginRound()
 			next, _, _ := c.Next(0, 0)
 			second[next]++
--- a/internal/endpoints/client.go
+++ b/internal/endpoints/client.go
@@ -31,7 +31,7 @@
 	// what it has to tell counts as told after 6 s, asking again included.
 	WatchSilenceTimeout = 3500 * time.Millisecond
 	fetchTimeout        = 3 * time.Second
-	maxList             = 4 << 20 // bytes of one list
+	maxListBytes        = 4 << 20 // bytes of one list
 )
 
 // ClientConfig is what a reader of the list is told.
@@ -55,33 +55,33 @@
 // Client reads the list from one of several addresses. A fetch and a watch may run beside
 // each other.
 type Client struct {
-	c     ClientConfig
-	http  *http.Client
-	began time.Time
-	life  string
-
-	mu     sync.Mutex
-	choose *AddressSelector
-	wanted subscription
-	at     string                  // the address of the watch
-	leave  context.CancelCauseFunc // ends the call of the watch
+	config     ClientConfig
+	httpClient *http.Client
+	createdAt  time.Time
+	bootID     string
+
+	mu             sync.Mutex
+	selector       *AddressSelector
+	subscription   subscription
+	watchedAddress string                  // the address of the watch
+	cancelWatch    context.CancelCauseFunc // ends the call of the watch
 }
 
 var (
-	errSilent = errors.New("silent for too long")
-	errLong   = fmt.Errorf("a list of over %d bytes", maxList)
-	errOlder  = errors.New("older than the list at hand")
-	errBehind = errors.New("behind, or without a list of now")
-	errLeft   = errors.New("no longer one of the addresses")
-	errBusy   = errors.New("too many calls there")
-	errEnded  = errors.New("the watch was ended in order")
-	// errResubscribed ends a call for services that are no longer the ones subscribed to. It is
+	errSilenceTimeout = errors.New("silent for too long")
+	errListTooLong    = fmt.Errorf("a list of over %d bytes", maxListBytes)
+	errStaleList      = errors.New("older than the list at hand")
+	errServerStale    = errors.New("behind, or without a list of now")
+	errAddressRemoved = errors.New("no longer one of the addresses")
+	errBusy           = errors.New("too many calls there")
+	errWatchClosed    = errors.New("the watch was ended in order")
+	// errSubscriptionChanged ends a call for services that are no longer the ones subscribed to. It is
 	// no fault of the address.
-	errResubscribed = errors.New("the services subscribed to have changed")
-	errNotWhole     = errors.New("changes in place of the whole list that was asked for")
-	// errCaughtUp ends a watch that named the reader's version where the list service has it after
+	errSubscriptionChanged = errors.New("the services subscribed to have changed")
+	errFullListExpected    = errors.New("changes in place of the whole list that was asked for")
+	// errServerCaughtUp ends a watch that named the reader's version where the list service has it after
 	// all. It is no fault of the address, which is asked for the whole list next.
-	errCaughtUp = errors.New("the list service has the reader's version")
+	errServerCaughtUp = errors.New("the list service has the reader's version")
 )
 
 // NewClient makes a client.
@@ -94,17 +94,17 @@
 		// transport would then send twice, and each call is work for the service.
 		c.Transport = &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	}
-	return &Client{c: c, http: &http.Client{Transport: c.Transport}, began: time.Now(),
-		life: crand.Text(), choose: NewAddressSelector(c.Addresses, c.Order, c.Fleet), wanted: newSubscription(c.Services)}
+	return &Client{config: c, httpClient: &http.Client{Transport: c.Transport}, createdAt: time.Now(),
+		bootID: crand.Text(), selector: NewAddressSelector(c.Addresses, c.Order, c.Fleet), subscription: newSubscription(c.Services)}
 }
 
 // SetAddresses changes the addresses. A watch at one that is no longer there goes elsewhere.
 func (c *Client) SetAddresses(addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.choose.SetAddresses(addrs)
-	if c.leave != nil && !c.choose.Has(c.at) {
-		c.leave(errLeft)
+	c.selector.SetAddresses(addrs)
+	if c.cancelWatch != nil && !c.selector.Has(c.watchedAddress) {
+		c.cancelWatch(errAddressRemoved)
 	}
 }
 
@@ -114,15 +114,15 @@
 // It returns the number that lists of the new subscription carry: what comes with another one was
 // under way and has to be dropped. On an error, which names the service, nothing changes.
 func (c *Client) Subscribe(services []string, least int64) (uint64, error) {
-	return c.update(nil, services, least)
+	return c.changeSubscription(nil, services, least)
 }
 
 // Reconfigure is Set and Subscribe at the same time.
 func (c *Client) Reconfigure(addrs, services []string, least int64) (uint64, error) {
-	return c.update(func() { c.choose.SetAddresses(addrs) }, services, least)
+	return c.changeSubscription(func() { c.selector.SetAddresses(addrs) }, services, least)
 }
 
-func (c *Client) update(move func(), services []string, least int64) (uint64, error) {
+func (c *Client) changeSubscription(move func(), services []string, least int64) (uint64, error) {
 	if services != nil {
 		if err := CheckServices(services); err != nil {
 			return 0, err
@@ -133,30 +133,30 @@
 	if move != nil {
 		move()
 	}
-	c.wanted.change(services, least)
-	if c.leave != nil {
-		c.leave(errResubscribed)
+	c.subscription.replace(services, least)
+	if c.cancelWatch != nil {
+		c.cancelWatch(errSubscriptionChanged)
 	}
-	return c.wanted.number, nil
+	return c.subscription.number, nil
 }
 
 // BudgetExhausted is how often the budget for calls was spent.
 func (c *Client) BudgetExhausted() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.choose.BudgetExhausted()
+	return c.selector.BudgetExhausted()
 }
 
 // Fetch asks for the whole list once, at one address after the other.
 func (c *Client) Fetch(ctx context.Context, least int64) (List, error) {
 	var l List
-	err := c.round(ctx, func(addr string) error {
+	err := c.runRound(ctx, func(addr string) error {
 		ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 		defer cancel()
 		c.mu.Lock()
-		asked := c.wanted
+		asked := c.subscription
 		c.mu.Unlock()
-		resp, err := c.get(ctx, addr, asked.fetchQuery())
+		resp, err := c.requestList(ctx, addr, asked.fetchQuery())
 		if err != nil {
 			return err
 		}
@@ -166,7 +166,7 @@
 		if err != nil {
 			// A head alone says nothing of the list: discovery may stall before it writes any of it.
 			if len(bytes.TrimSpace(text)) > 0 {
-				c.part(resp, &asked, text, first)
+				c.reportPartial(resp, &asked, text, first)
 			}
 			return err
 		}
@@ -174,19 +174,19 @@
 			return err
 		}
 		l.Scoped, l.Subscription = isScoped(resp), asked.number
-		if c.c.RejectOlder && l.Seq < asked.floor(least) {
-			return errOlder
+		if c.config.RejectOlder && l.Seq < asked.requiredVersion(least) {
+			return errStaleList
 		}
-		return c.served(addr, &asked)
+		return c.acceptFetchedList(addr, &asked)
 	})
 	return l, err
 }
 
 // readList reads the text of one list. On an error it returns what has come.
 func readList(body io.Reader) ([]byte, error) {
-	text, err := io.ReadAll(io.LimitReader(body, maxList+1))
-	if err == nil && len(text) > maxList {
-		err = errLong
+	text, err := io.ReadAll(io.LimitReader(body, maxListBytes+1))
+	if err == nil && len(text) > maxListBytes {
+		err = errListTooLong
 	}
 	return text, err
 }
@@ -197,15 +197,15 @@
 // Watch follows the changes after a version, from address to address, until the round is
 // over, and tells why the last one ended.
 func (c *Client) Watch(ctx context.Context, since int64, heard func(List)) error {
-	err := c.round(ctx, func(addr string) error {
+	err := c.runRound(ctx, func(addr string) error {
 		ctx, cancel := context.WithCancelCause(ctx)
 		defer cancel(nil)
-		asked := c.begin(addr, cancel)
-		defer c.over()
-		dead := time.AfterFunc(c.c.SilenceTimeout, func() { cancel(errSilent) })
+		asked := c.watchStarted(addr, cancel)
+		defer c.watchEnded()
+		dead := time.AfterFunc(c.config.SilenceTimeout, func() { cancel(errSilenceTimeout) })
 		defer dead.Stop()
-		err := c.follow(ctx, addr, &asked, &since, func() { dead.Reset(c.c.SilenceTimeout) }, heard)
-		if cause := context.Cause(ctx); cause != nil && !errors.Is(err, errOlder) {
+		err := c.watchAddress(ctx, addr, &asked, &since, func() { dead.Reset(c.config.SilenceTimeout) }, heard)
+		if cause := context.Cause(ctx); cause != nil && !errors.Is(err, errStaleList) {
 			if cut := new(IncompleteError); errors.As(err, &cut) {
 				return &IncompleteError{Pending: cut.Pending, Age: cut.Age, Err: cause}
 			}
@@ -216,50 +216,50 @@
 	return err
 }
 
-// begin notes that the watch is at an address, and returns what it asks for there.
-func (c *Client) begin(addr string, leave context.CancelCauseFunc) subscription {
+// watchStarted notes that the watch is at an address, and returns what it asks for there.
+func (c *Client) watchStarted(addr string, leave context.CancelCauseFunc) subscription {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.at, c.leave = addr, leave
-	asked := c.wanted
-	c.wanted.claims = false
+	c.watchedAddress, c.cancelWatch = addr, leave
+	asked := c.subscription
+	c.subscription.sendsVersion = false
 	return asked
 }
 
-// over notes that the watch is at no address.
-func (c *Client) over() {
+// watchEnded notes that the watch is at no address.
+func (c *Client) watchEnded() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.at, c.leave = "", nil
+	c.watchedAddress, c.cancelWatch = "", nil
 }
 
-// follow is one watch at one address. Its end is never nil: in order it is errEnded.
-func (c *Client) follow(ctx context.Context, addr string, asked *subscription, since *int64, alive func(), heard func(List)) error {
-	resp, err := c.get(ctx, addr, asked.watchQuery(*since))
+// watchAddress is one watch at one address. Its end is never nil: in order it is errWatchClosed.
+func (c *Client) watchAddress(ctx context.Context, addr string, asked *subscription, since *int64, alive func(), heard func(List)) error {
+	resp, err := c.requestList(ctx, addr, asked.watchQuery(*since))
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	based := !asked.wantsWhole // changes make sense
-	lists := stream{blank: alive, part: func(text []byte, first time.Time) { c.part(resp, asked, text, first) }}
-	lists.whole = func(text []byte) error {
+	based := !asked.needsFullList // changes make sense
+	lists := listScanner{onBlankLine: alive, onPartial: func(text []byte, first time.Time) { c.reportPartial(resp, asked, text, first) }}
+	lists.onList = func(text []byte) error {
 		l, err := Parse(text)
 		if err != nil {
 			return fmt.Errorf("list: %w", err)
 		}
 		l.Scoped, l.Subscription = isScoped(resp), asked.number
-		if c.c.RejectOlder && l.Seq < asked.floor(*since) {
-			c.older(asked)
-			return errOlder
+		if c.config.RejectOlder && l.Seq < asked.requiredVersion(*since) {
+			c.staleListReceived(asked)
+			return errStaleList
 		}
 		based = based || l.Full
 		switch {
-		case !based && asked.claims:
-			return errCaughtUp
+		case !based && asked.sendsVersion:
+			return errServerCaughtUp
 		case !based:
-			return errNotWhole
+			return errFullListExpected
 		}
-		if err := c.took(addr, asked, &l); err != nil {
+		if err := c.acceptWatchedList(addr, asked, &l); err != nil {
 			return err
 		}
 		*since = l.Seq
@@ -273,63 +273,63 @@
 			return bad
 		}
 		if err == io.EOF {
-			err = errEnded
+			err = errWatchClosed
 		}
 		if err != nil {
-			return lists.end(err)
+			return lists.close(err)
 		}
 	}
 }
 
-// part gives the reader what has come of a list that is not finished.
-func (c *Client) part(resp *http.Response, asked *subscription, text []byte, first time.Time) {
-	if c.c.OnPartial == nil {
+// reportPartial gives the reader what has come of a list that is not finished.
+func (c *Client) reportPartial(resp *http.Response, asked *subscription, text []byte, first time.Time) {
+	if c.config.OnPartial == nil {
 		return
 	}
-	l := parsePart(text)
+	l := parsePartialList(text)
 	l.Scoped, l.Subscription, l.Age = isScoped(resp), asked.number, time.Since(first)
-	c.c.OnPartial(l)
+	c.config.OnPartial(l)
 }
 
-// took notes that a watch gave a list. On an error the list has to be dropped.
-func (c *Client) took(addr string, asked *subscription, l *List) error {
+// acceptWatchedList notes that a watch gave a list. On an error the list has to be dropped.
+func (c *Client) acceptWatchedList(addr string, asked *subscription, l *List) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.wanted.number != asked.number {
-		return errResubscribed
+	if c.subscription.number != asked.number {
+		return errSubscriptionChanged
 	}
-	c.wanted.took(l)
-	c.choose.ListReceived(addr)
+	c.subscription.listReceived(l)
+	c.selector.ListReceived(addr)
 	return nil
 }
 
-// older notes that an address answered a watch with a list older than the reader's.
-func (c *Client) older(asked *subscription) {
+// staleListReceived notes that an address answered a watch with a list staleListReceived than the reader's.
+func (c *Client) staleListReceived(asked *subscription) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.wanted.number == asked.number {
-		c.wanted.claims = asked.wantsWhole && !asked.claims
+	if c.subscription.number == asked.number {
+		c.subscription.sendsVersion = asked.needsFullList && !asked.sendsVersion
 	}
 }
 
 // Leave tells the service that the reader ends as planned, at one address.
 func (c *Client) Leave(ctx context.Context) error {
-	if c.c.Member == "" {
+	if c.config.Member == "" {
 		return nil
 	}
 	c.mu.Lock()
-	addr := c.at
+	addr := c.watchedAddress
 	if addr == "" {
-		c.choose.BeginRound()
-		addr, _, _ = c.choose.Next(time.Since(c.began), 0)
+		c.selector.BeginRound()
+		addr, _, _ = c.selector.Next(time.Since(c.createdAt), 0)
 	}
 	c.mu.Unlock()
-	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+addr+MembersPath+"/"+c.c.Member, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+addr+MembersPath+"/"+c.config.Member, nil)
 	if err != nil {
 		return fmt.Errorf("leave: %w", err)
 	}
-	req.Header.Set(BootIDHeader, c.life)
-	resp, err := c.http.Do(req)
+	req.Header.Set(BootIDHeader, c.bootID)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return fmt.Errorf("leave: %w", err)
 	}
@@ -337,15 +337,15 @@
 	return nil
 }
 
-// round makes calls until one needs no other after it.
-func (c *Client) round(ctx context.Context, call func(addr string) error) error {
+// runRound makes calls until one needs no other after it.
+func (c *Client) runRound(ctx context.Context, call func(addr string) error) error {
 	c.mu.Lock()
-	c.choose.BeginRound()
+	c.selector.BeginRound()
 	c.mu.Unlock()
 	last := errors.New("no address")
 	for {
 		c.mu.Lock()
-		addr, wait, ok := c.choose.Next(time.Since(c.began), rand.Float64())
+		addr, wait, ok := c.selector.Next(time.Since(c.createdAt), rand.Float64())
 		c.mu.Unlock()
 		if !ok {
 			return last
@@ -360,28 +360,28 @@
 			}
 		}
 		err := call(addr)
-		for isOutdated(err) && ctx.Err() == nil && c.has(addr) {
+		for isOutdated(err) && ctx.Err() == nil && c.hasAddress(addr) {
 			err = call(addr)
 		}
 		if isOutdated(err) && ctx.Err() == nil {
 			c.mu.Lock()
-			c.choose.BeginRound() // at another address, and as soon
+			c.selector.BeginRound() // at another address, and as soon
 			c.mu.Unlock()
 			continue
 		}
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		how, retry := end(err)
+		how, retry := classifyOutcome(err)
 		c.mu.Lock()
-		c.choose.CallEnded(time.Since(c.began), addr, how, retry)
-		several := c.choose.Others() > 0
+		c.selector.CallEnded(time.Since(c.createdAt), addr, how, retry)
+		several := c.selector.Others() > 0
 		c.mu.Unlock()
 		last = err
 		if several {
 			last = fmt.Errorf("%s: %w", addr, err)
-			if c.c.OnFailover != nil {
-				c.c.OnFailover(addr, err)
+			if c.config.OnFailover != nil {
+				c.config.OnFailover(addr, err)
 			}
 		}
 	}
@@ -389,60 +389,60 @@
 
 // isOutdated tells whether a call ended because the reader has to ask for something else now.
 func isOutdated(err error) bool {
-	return errors.Is(err, errResubscribed) || errors.Is(err, errCaughtUp)
+	return errors.Is(err, errSubscriptionChanged) || errors.Is(err, errServerCaughtUp)
 }
 
-func (c *Client) has(addr string) bool {
+func (c *Client) hasAddress(addr string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.choose.Has(addr)
+	return c.selector.Has(addr)
 }
 
-// served notes that an address gave the list that was fetched. On an error it has to be dropped.
-func (c *Client) served(addr string, asked *subscription) error {
+// acceptFetchedList notes that an address gave the list that was fetched. On an error it has to be dropped.
+func (c *Client) acceptFetchedList(addr string, asked *subscription) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.wanted.number != asked.number {
-		return errResubscribed
+	if c.subscription.number != asked.number {
+		return errSubscriptionChanged
 	}
-	c.choose.ListReceived(addr)
+	c.selector.ListReceived(addr)
 	return nil
 }
 
-// away is an answer that sends the reader away for a time.
-type away struct{ after time.Duration }
+// busyError is an answer that sends the reader busyError for a time.
+type busyError struct{ retryAfter time.Duration }
 
-func (a *away) Error() string { return fmt.Sprintf("%v: come back in %v", errBusy, a.after) }
+func (a *busyError) Error() string { return fmt.Sprintf("%v: come back in %v", errBusy, a.retryAfter) }
 
-func end(err error) (End, time.Duration) {
-	var a *away
+func classifyOutcome(err error) (CallOutcome, time.Duration) {
+	var a *busyError
 	switch {
 	case errors.As(err, &a):
-		return EndBusy, a.after
-	case errors.Is(err, errOlder), errors.Is(err, errBehind):
-		return EndStale, 0
-	case errors.Is(err, errEnded):
-		return EndRedirected, 0
+		return OutcomeBusy, a.retryAfter
+	case errors.Is(err, errStaleList), errors.Is(err, errServerStale):
+		return OutcomeStale, 0
+	case errors.Is(err, errWatchClosed):
+		return OutcomeRedirected, 0
 	}
-	return EndFailed, 0
+	return OutcomeFailed, 0
 }
 
-func (c *Client) get(ctx context.Context, addr, query string) (*http.Response, error) {
+func (c *Client) requestList(ctx context.Context, addr, query string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+Path+query, nil)
 	if err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
-	others := c.choose.Others()
+	others := c.selector.Others()
 	c.mu.Unlock()
 	if others > 0 {
 		req.Header.Set(OtherAddressesHeader, strconv.Itoa(others))
 	}
-	if c.c.Member != "" {
-		req.Header.Set(MemberHeader, c.c.Member)
-		req.Header.Set(BootIDHeader, c.life)
+	if c.config.Member != "" {
+		req.Header.Set(MemberHeader, c.config.Member)
+		req.Header.Set(BootIDHeader, c.bootID)
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return nil, err
 	}
@@ -453,9 +453,9 @@
 		case others == 0 || resp.StatusCode != http.StatusServiceUnavailable || bad != nil || !(seconds >= 0) || seconds > 1e6:
 			return nil, errors.New(resp.Status)
 		case resp.Header.Get("Not-Applied") != "":
-			return nil, &away{time.Duration(seconds * float64(time.Second))}
+			return nil, &busyError{time.Duration(seconds * float64(time.Second))}
 		}
-		return nil, errBehind
+		return nil, errServerStale
 	}
 	return resp, nil
 }
--- a/internal/endpoints/client_test.go
+++ b/internal/endpoints/client_test.go
@@ -107,7 +107,7 @@
 		s := &service{at: map[string]*place2{}}
 		c := NewClient(ClientConfig{Addresses: names(n), Order: 7, Fleet: 10, RejectOlder: true, Transport: s})
 		var order []string
-		for _, p := range c.choose.places {
+		for _, p := range c.selector.candidates {
 			order = append(order, p.addr)
 		}
 		var heard []List
@@ -148,7 +148,7 @@
 				if s.at[order[1]].others != "2" {
 					t.Errorf("said to know %q others", s.at[order[1]].others)
 				}
-				if name != "silent" && s.times[1].Sub(began) > 2*firstWait {
+				if name != "silent" && s.times[1].Sub(began) > 2*initialBackoff {
 					t.Errorf("asked the next after %v", s.times[1].Sub(began))
 				}
 				time.Sleep(time.Minute) // it stays
@@ -320,7 +320,7 @@
 				})
 				lasted := time.Since(began)
 				synctest.Wait()
-				if !errors.Is(err, errSilent) || heard != c.heard || lasted != c.lasted {
+				if !errors.Is(err, errSilenceTimeout) || heard != c.heard || lasted != c.lasted {
 					t.Errorf("heard %d lists, ended after %v: %v", heard, lasted, err)
 				}
 			})
@@ -334,7 +334,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			cl := NewClient(ClientConfig{Addresses: names(1), Transport: written{[]string{text}, 0}})
 			err := cl.Watch(t.Context(), 5, func(l List) { t.Errorf("%q: heard %+v", text, l) })
-			if err == nil || errors.Is(err, errSilent) {
+			if err == nil || errors.Is(err, errSilenceTimeout) {
 				t.Errorf("%q ended with %v", text, err)
 			}
 		})
--- a/internal/endpoints/fake_test.go
+++ b/internal/endpoints/fakeservice_test.go
@@ -270,7 +270,7 @@
 				r.left = append(r.left, addr)
 			}})
 		var order []string
-		for _, p := range r.client.choose.places {
+		for _, p := range r.client.selector.candidates {
 			order = append(order, p.addr)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/endpoints/stream_test.go
+++ b/internal/endpoints/listscanner_test.go
@@ -37,7 +37,7 @@
 		l, text := drawList(t)
 		least := 0 // entries read of less
 		for n := range len(text) {
-			part := parsePart(text[:n])
+			part := parsePartialList(text[:n])
 			if part.Seq != 0 && part.Seq != l.Seq {
 				t.Fatalf("%q: version %d of %d", text[:n], part.Seq, l.Seq)
 			}
@@ -57,8 +57,8 @@
 func TestStreamInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want, got []List
-		s := stream{blank: func() {}, part: func([]byte, time.Time) {}}
-		s.whole = func(text []byte) error {
+		s := listScanner{onBlankLine: func() {}, onPartial: func([]byte, time.Time) {}}
+		s.onList = func(text []byte) error {
 			l, err := Parse(text)
 			got = append(got, l)
 			return err
@@ -77,7 +77,7 @@
 		if !reflect.DeepEqual(got, want) {
 			t.Fatalf("got %+v, want %+v", got, want)
 		}
-		if err := s.end(io.EOF); err != io.EOF {
+		if err := s.close(io.EOF); err != io.EOF {
 			t.Fatalf("ended with %v", err)
 		}
 	})
@@ -88,27 +88,27 @@
 func TestPartIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		parts, lists := []string{}, 0
-		s := stream{blank: func() {}, whole: func([]byte) error { lists++; return nil }}
-		s.part = func(text []byte, since time.Time) { parts = append(parts, string(text)) }
+		s := listScanner{onBlankLine: func() {}, onList: func([]byte) error { lists++; return nil }}
+		s.onPartial = func(text []byte, since time.Time) { parts = append(parts, string(text)) }
 		feed := func(text string) {
 			if err := s.feed([]byte(text)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		feed(`{"a":`)
-		time.Sleep(partAfter - time.Millisecond)
+		time.Sleep(partialListDelay - time.Millisecond)
 		feed(`1}{`[:2]) // in time
 		time.Sleep(time.Second)
 		if len(parts) != 0 || lists != 1 {
 			t.Fatalf("parts %q, %d lists", parts, lists)
 		}
 		feed("\n{\"b\"")
-		time.Sleep(10 * partAfter)
+		time.Sleep(10 * partialListDelay)
 		feed(":")
-		time.Sleep(10 * partAfter)
+		time.Sleep(10 * partialListDelay)
 		feed("[")
 		cut := new(IncompleteError)
-		if err := s.end(io.EOF); !errors.As(err, &cut) || cut.Pending != 6 || cut.Age != 20*partAfter || !errors.Is(err, io.EOF) {
+		if err := s.close(io.EOF); !errors.As(err, &cut) || cut.Pending != 6 || cut.Age != 20*partialListDelay || !errors.Is(err, io.EOF) {
 			t.Errorf("ended with %+v", err)
 		}
 		if want := []string{`{"b"`, `{"b":`, `{"b":[`}; !reflect.DeepEqual(parts, want) {
--- a/internal/endpoints/servicetable.go
+++ b/internal/endpoints/servicetable.go
@@ -46,32 +46,32 @@
 // the entries of the list and the table; servers that were kept and are replaced by a change cost
 // time once each.
 type ServiceTable struct {
-	services map[string]*serviceEntries // subscribed to
-	hosts    map[string]Endpoint        // by name; each with its service
-	based    bool                       // a whole list came since the services changed
-	settled  bool                       // the last list came scoped, and so did the whole one below it
+	services    map[string]*serviceState // subscribed to
+	endpoints   map[string]Endpoint      // by name; each with its service
+	hasFullList bool                     // a whole list came since the services changed
+	synced      bool                     // the last list came scoped, and so did the whole one below it
 }
 
-// serviceEntries is what the table holds of one service.
-type serviceEntries struct {
-	names   map[string]bool // the servers held
-	doubted bool            // they are held though the last whole list named none of them
-	listed  listing
+// serviceState is what the table holds of one service.
+type serviceState struct {
+	endpointNames map[string]bool // the servers held
+	retained      bool            // they are held though the last whole list named none of them
+	status        serviceStatus
 }
 
-// listing is how the lists had the service so far.
-type listing uint8
+// serviceStatus is how the lists had the service so far.
+type serviceStatus uint8
 
 const (
-	unheard listing = iota
-	present
-	unknown
-	emptied
+	statusUnseen serviceStatus = iota
+	statusPresent
+	statusUnknown
+	statusEmptied
 )
 
 // NewServiceTable makes a table of these services, which have passed CheckServices.
 func NewServiceTable(services []string) *ServiceTable {
-	t := &ServiceTable{hosts: map[string]Endpoint{}}
+	t := &ServiceTable{endpoints: map[string]Endpoint{}}
 	t.Subscribe(services)
 	return t
 }
@@ -80,25 +80,25 @@
 // next whole list, and changes before that list are not taken.
 func (t *ServiceTable) Subscribe(services []string) {
 	before := t.services
-	t.services = make(map[string]*serviceEntries, len(services))
+	t.services = make(map[string]*serviceState, len(services))
 	for _, name := range services[:min(len(services), MaxServices)] {
 		s := before[name]
 		if s == nil {
-			s = &serviceEntries{names: map[string]bool{}}
+			s = &serviceState{endpointNames: map[string]bool{}}
 		}
 		t.services[name] = s
 	}
-	for name, h := range t.hosts {
+	for name, h := range t.endpoints {
 		if s := t.services[h.Service]; s != nil {
-			s.names[name] = true // of one that was left and is subscribed to again
+			s.endpointNames[name] = true // of one that was left and is subscribed to again
 		}
 	}
-	t.based, t.settled = false, false
+	t.hasFullList, t.synced = false, false
 }
 
 // Synced tells whether the table rests on a whole scoped list and nothing unscoped came after it.
 // As long as it doesn't, the table may lack servers of its services.
-func (t *ServiceTable) Synced() bool { return t.settled }
+func (t *ServiceTable) Synced() bool { return t.synced }
 
 // Seed takes a list that is known from before, and returns what of it belongs to the services. It
 // causes no events: only the lists that come tell how a service stands.
@@ -106,7 +106,7 @@
 	out := List{Seq: l.Seq, Full: l.Full, Endpoints: []Endpoint{}}
 	for i := range l.Endpoints {
 		h := l.Endpoints[i]
-		if _, twice := t.hosts[h.Name]; twice || h.Health == Removed || t.services[h.Service] == nil {
+		if _, twice := t.endpoints[h.Name]; twice || h.Health == Removed || t.services[h.Service] == nil {
 			continue
 		}
 		t.put(h)
@@ -118,16 +118,16 @@
 // Apply takes a list and returns it as the consumer has to take it, with the events that it causes.
 func (t *ServiceTable) Apply(l List) (List, []ServiceEvent) {
 	if l.Full {
-		return t.applyWhole(&l)
+		return t.applyFullList(&l)
 	}
-	if !t.based {
+	if !t.hasFullList {
 		return List{Seq: l.Seq, Endpoints: []Endpoint{}}, nil
 	}
-	return t.applyChange(&l)
+	return t.applyUpdate(&l)
 }
 
-// applyWhole takes a whole list.
-func (t *ServiceTable) applyWhole(l *List) (List, []ServiceEvent) {
+// applyFullList takes a whole list.
+func (t *ServiceTable) applyFullList(l *List) (List, []ServiceEvent) {
 	next := map[string]Endpoint{}
 	var order []string
 	add := func(h Endpoint) {
@@ -151,59 +151,59 @@
 	names := slices.Sorted(maps.Keys(t.services))
 	for _, name := range names {
 		s := t.services[name]
-		s.doubted = false
+		s.retained = false
 		if named[name] > 0 {
 			continue
 		}
-		for _, host := range slices.Sorted(maps.Keys(s.names)) {
+		for _, host := range slices.Sorted(maps.Keys(s.endpointNames)) {
 			if _, elsewhere := next[host]; !elsewhere {
-				add(t.hosts[host])
-				s.doubted = true
+				add(t.endpoints[host])
+				s.retained = true
 			}
 		}
 	}
-	t.replace(next)
-	t.based, t.settled = true, l.Scoped
+	t.replaceEndpoints(next)
+	t.hasFullList, t.synced = true, l.Scoped
 	out := List{Seq: l.Seq, Full: true, Endpoints: make([]Endpoint, 0, len(order))}
 	for _, host := range order {
 		out.Endpoints = append(out.Endpoints, next[host])
 	}
-	return out, t.review(names, l.Scoped)
+	return out, t.updateStatuses(names, l.Scoped)
 }
 
-// replace makes these the hosts of the table.
-func (t *ServiceTable) replace(hosts map[string]Endpoint) {
+// replaceEndpoints makes these the hosts of the table.
+func (t *ServiceTable) replaceEndpoints(hosts map[string]Endpoint) {
 	for _, s := range t.services {
-		s.names = map[string]bool{}
+		s.endpointNames = map[string]bool{}
 	}
-	t.hosts = hosts
+	t.endpoints = hosts
 	for name, h := range hosts {
-		t.services[h.Service].names[name] = true
+		t.services[h.Service].endpointNames[name] = true
 	}
 }
 
-// applyChange takes a list of changes.
-func (t *ServiceTable) applyChange(l *List) (List, []ServiceEvent) {
-	c := change{table: t, before: map[string]Endpoint{}, services: map[string]bool{}}
+// applyUpdate takes a list of changes.
+func (t *ServiceTable) applyUpdate(l *List) (List, []ServiceEvent) {
+	c := tableUpdate{table: t, previous: map[string]Endpoint{}, touchedServices: map[string]bool{}}
 	for i := range l.Endpoints {
 		c.apply(l.Endpoints[i], l.Scoped)
 	}
-	t.settled = t.settled && l.Scoped
-	return List{Seq: l.Seq, Endpoints: c.result()}, t.review(slices.Sorted(maps.Keys(c.services)), l.Scoped)
+	t.synced = t.synced && l.Scoped
+	return List{Seq: l.Seq, Endpoints: c.changedEndpoints()}, t.updateStatuses(slices.Sorted(maps.Keys(c.touchedServices)), l.Scoped)
 }
 
-// change is one list of changes on its way into the table.
-type change struct {
-	table    *ServiceTable
-	order    []string            // the names that it touches
-	before   map[string]Endpoint // as they were held; one that was not has no name
-	services map[string]bool     // the services that it touches
+// tableUpdate is one list of changes on its way into the table.
+type tableUpdate struct {
+	table           *ServiceTable
+	touchedNames    []string            // the names that it touches
+	previous        map[string]Endpoint // as they were held; one that was not has no name
+	touchedServices map[string]bool     // the services that it touches
 }
 
 // apply takes one entry.
-func (c *change) apply(h Endpoint, scoped bool) {
+func (c *tableUpdate) apply(h Endpoint, scoped bool) {
 	t := c.table
-	held, isHeld := t.hosts[h.Name]
+	held, isHeld := t.endpoints[h.Name]
 	if h.Health == Removed {
 		// A server that changed its service is gone from the one before: that may come after
 		// the entry that has it under its new one.
@@ -219,42 +219,42 @@
 		}
 		return
 	}
-	if s := t.services[name]; s.doubted {
-		s.doubted = false
-		for _, host := range slices.Sorted(maps.Keys(s.names)) {
+	if s := t.services[name]; s.retained {
+		s.retained = false
+		for _, host := range slices.Sorted(maps.Keys(s.endpointNames)) {
 			c.remove(host)
 		}
 	}
 	h.Service = name
 	c.remove(h.Name)
-	c.services[name] = true
+	c.touchedServices[name] = true
 	t.put(h)
 }
 
 // remove takes a server out of the table, if it is held there, and notes that it was touched.
-func (c *change) remove(name string) {
-	held, ok := c.table.hosts[name]
-	if _, touched := c.before[name]; !touched {
-		c.order = append(c.order, name)
-		c.before[name] = held
+func (c *tableUpdate) remove(name string) {
+	held, ok := c.table.endpoints[name]
+	if _, touched := c.previous[name]; !touched {
+		c.touchedNames = append(c.touchedNames, name)
+		c.previous[name] = held
 	}
 	if !ok {
 		return
 	}
-	c.services[held.Service] = true
-	delete(c.table.hosts, name)
+	c.touchedServices[held.Service] = true
+	delete(c.table.endpoints, name)
 	if s := c.table.services[held.Service]; s != nil {
-		delete(s.names, name)
+		delete(s.endpointNames, name)
 	}
 }
 
-// result is one entry for each server that was touched: as it is now, or gone.
-func (c *change) result() []Endpoint {
-	hosts := make([]Endpoint, 0, len(c.order))
-	for _, name := range c.order {
-		h, held := c.table.hosts[name]
+// changedEndpoints is one entry for each server that was touched: as it is now, or gone.
+func (c *tableUpdate) changedEndpoints() []Endpoint {
+	hosts := make([]Endpoint, 0, len(c.touchedNames))
+	for _, name := range c.touchedNames {
+		h, held := c.table.endpoints[name]
 		if !held {
-			if h = c.before[name]; h.Name == "" {
+			if h = c.previous[name]; h.Name == "" {
 				continue // it came and went in one line
 			}
 			h.Health = Removed
@@ -266,8 +266,8 @@
 
 // put holds an entry.
 func (t *ServiceTable) put(h Endpoint) {
-	t.hosts[h.Name] = h
-	t.services[h.Service].names[h.Name] = true
+	t.endpoints[h.Name] = h
+	t.services[h.Service].endpointNames[h.Name] = true
 }
 
 // serviceOf is the service that an entry belongs to, and whether it is subscribed to. An entry of
@@ -275,32 +275,32 @@
 // default service.
 func (t *ServiceTable) serviceOf(h *Endpoint, scoped bool) (string, bool) {
 	name := h.Service
-	if held, ok := t.hosts[h.Name]; ok && !scoped && name == "" {
+	if held, ok := t.endpoints[h.Name]; ok && !scoped && name == "" {
 		name = held.Service
 	}
 	return name, t.services[name] != nil
 }
 
-// review notes what became of the services and returns what is to be reported.
-func (t *ServiceTable) review(names []string, scoped bool) []ServiceEvent {
+// updateStatuses notes what became of the services and returns what is to be reported.
+func (t *ServiceTable) updateStatuses(names []string, scoped bool) []ServiceEvent {
 	var events []ServiceEvent
 	for _, name := range names {
 		s := t.services[name]
 		if s == nil {
 			continue
 		}
-		was := s.listed
-		s.listed = s.next()
-		if s.listed == was {
+		was := s.status
+		s.status = s.nextStatus()
+		if s.status == was {
 			continue
 		}
 		event := ServiceEvent{Service: name, Scoped: scoped}
 		switch {
-		case s.listed == unknown:
+		case s.status == statusUnknown:
 			event.Kind = ServiceUnknown
-		case s.listed == emptied:
-			event.Kind, event.Retained = ServiceEmptied, len(s.names)
-		case was == unheard:
+		case s.status == statusEmptied:
+			event.Kind, event.Retained = ServiceEmptied, len(s.endpointNames)
+		case was == statusUnseen:
 			continue
 		default:
 			event.Kind = ServiceRestored
@@ -310,13 +310,13 @@
 	return events
 }
 
-// next is how the service is listed after a list was taken.
-func (s *serviceEntries) next() listing {
+// nextStatus is how the service is listed after a list was taken.
+func (s *serviceState) nextStatus() serviceStatus {
 	switch {
-	case len(s.names) > 0 && !s.doubted:
-		return present
-	case s.listed == unknown || s.listed == unheard && len(s.names) == 0:
-		return unknown
+	case len(s.endpointNames) > 0 && !s.retained:
+		return statusPresent
+	case s.status == statusUnknown || s.status == statusUnseen && len(s.endpointNames) == 0:
+		return statusUnknown
 	}
-	return emptied
+	return statusEmptied
 }
--- a/internal/endpoints/servicetable_test.go
+++ b/internal/endpoints/servicetable_test.go
@@ -208,8 +208,8 @@
 			t.Fatalf("kept %d of %d: %+v", len(out.Endpoints), n, events)
 		}
 		out, _ = table.Apply(List{Seq: 4, Scoped: true, Endpoints: list(hosts[0])})
-		if len(out.Endpoints) != n || len(table.hosts) != 1 {
-			t.Fatalf("after the service is back %d are touched, %d held", len(out.Endpoints), len(table.hosts))
+		if len(out.Endpoints) != n || len(table.endpoints) != 1 {
+			t.Fatalf("after the service is back %d are touched, %d held", len(out.Endpoints), len(table.endpoints))
 		}
 	}
 	if cost[5000] > cost[1] {
@@ -383,7 +383,7 @@
 				model.change(l)
 			}
 			want := model.events(l)
-			if !maps.Equal(held, model.held) || !maps.Equal(table.hosts, model.held) {
+			if !maps.Equal(held, model.held) || !maps.Equal(table.endpoints, model.held) {
 				rt.Fatalf("of %+v holds %v, want %v", l, holding(held), holding(model.held))
 			}
 			byService := func(a, b ServiceEvent) int { return cmp.Compare(a.Service, b.Service) }
--- a/internal/endpoints/services.go
+++ b/internal/endpoints/subscription.go
@@ -53,33 +53,33 @@
 
 // subscription is what a client asks the list service for.
 type subscription struct {
-	services []string // sorted; nil: the list of all services
-	number   uint64   // counts the changes of services
-	least    int64    // the reader's version at the last change
-	// wantsWhole: what the reader holds is no base for changes of these services, so the next
+	services   []string // sorted; nil: the list of all services
+	number     uint64   // counts the changes of services
+	minVersion int64    // the reader's version at the last change
+	// needsFullList: what the reader holds is no base for changes of these services, so the next
 	// watch has to begin with a whole list.
-	wantsWhole bool
-	// claims: the next watch names the reader's version although it wants a whole list. The
+	needsFullList bool
+	// sendsVersion: the next watch names the reader's version although it wants a whole list. The
 	// last answer was older than that version, and the list service raises its own only when
 	// a reader names a later one.
-	claims bool
+	sendsVersion bool
 }
 
 func newSubscription(services []string) subscription {
-	return subscription{services: sortedServices(services), wantsWhole: services != nil}
+	return subscription{services: sortedServices(services), needsFullList: services != nil}
 }
 
-// change makes these the services from now on; least is the reader's version.
-func (s *subscription) change(services []string, least int64) {
-	*s = subscription{services: sortedServices(services), number: s.number + 1, least: least, wantsWhole: true}
+// replace makes these the services from now on; least is the reader's version.
+func (s *subscription) replace(services []string, least int64) {
+	*s = subscription{services: sortedServices(services), number: s.number + 1, minVersion: least, needsFullList: true}
 }
 
-// floor is the version that a list must not be older than, for a reader that has since.
-func (s *subscription) floor(since int64) int64 {
+// requiredVersion is the version that a list must not be older than, for a reader that has since.
+func (s *subscription) requiredVersion(since int64) int64 {
 	if s.number == 0 {
 		return since
 	}
-	return max(since, s.least)
+	return max(since, s.minVersion)
 }
 
 // fetchQuery is the query of a request for the whole list.
@@ -87,34 +87,34 @@
 	if s.services == nil {
 		return ""
 	}
-	return "?" + s.params()
+	return "?" + s.serviceParams()
 }
 
 // watchQuery is the query of a watch by a reader that has the version since.
 func (s *subscription) watchQuery(since int64) string {
-	since = s.floor(since)
-	if s.wantsWhole && !s.claims {
+	since = s.requiredVersion(since)
+	if s.needsFullList && !s.sendsVersion {
 		since = 0
 	}
 	query := "?follow=1&since=" + strconv.FormatInt(since, 10)
 	if s.services == nil {
 		return query
 	}
-	return query + "&" + s.params()
+	return query + "&" + s.serviceParams()
 }
 
-func (s *subscription) params() string {
+func (s *subscription) serviceParams() string {
 	return url.Values{ServiceParam: s.services}.Encode()
 }
 
-// took is told of a list that was taken from a watch. Only a list of the reader's services is a
+// listReceived is told of a list that was taken from a watch. Only a list of the reader's services is a
 // base for later changes of them: the list of all services may leave out whose an entry is.
-func (s *subscription) took(l *List) {
+func (s *subscription) listReceived(l *List) {
 	switch {
 	case s.services != nil && !l.Scoped:
-		s.wantsWhole = true
+		s.needsFullList = true
 	case l.Full:
-		s.wantsWhole = false
+		s.needsFullList = false
 	}
 }
 
--- a/internal/endpoints/services_test.go
+++ b/internal/endpoints/subscription_test.go
@@ -58,7 +58,7 @@
 		if _, err := client.Fetch(t.Context(), 5); err != nil {
 			t.Fatal(err)
 		}
-		if err := client.Watch(t.Context(), 5, func(List) {}); !errors.Is(err, errEnded) {
+		if err := client.Watch(t.Context(), 5, func(List) {}); !errors.Is(err, errWatchClosed) {
 			t.Fatal(err)
 		}
 		for _, path := range []string{c.fetch, c.line} {
@@ -93,7 +93,7 @@
 		}
 		if err != nil {
 			client := NewClient(ClientConfig{Addresses: names(1)})
-			if _, err := client.Subscribe(c.services, 1); err == nil || client.wanted.number != 0 {
+			if _, err := client.Subscribe(c.services, 1); err == nil || client.subscription.number != 0 {
 				t.Errorf("%.20q: subscribed to", c.services)
 			}
 		}
@@ -131,7 +131,7 @@
 		if got := f.asked(); !slices.Equal(got, want) || time.Since(began) > 0 || r.client.BudgetExhausted() > 0 || r.ended > 0 {
 			t.Errorf("asked %q after %v, held %d, ended %d", got, time.Since(began), r.client.BudgetExhausted(), r.ended)
 		}
-		if p := r.client.choose.places[0]; len(r.left) > 0 || p.strikes > 0 || p.avoid > 0 || p.busy > 0 || r.client.choose.budget.spent > 0 {
+		if p := r.client.selector.candidates[0]; len(r.left) > 0 || p.consecutiveFailures > 0 || p.avoidUntil > 0 || p.busyUntil > 0 || r.client.selector.budget.spent > 0 {
 			t.Errorf("the change counts against %+v", p)
 		}
 		// The next call of this subscription goes on from its version.
@@ -243,7 +243,7 @@
 			}
 		})
 		synctest.Wait()
-		if !errors.Is(err, errSilent) {
+		if !errors.Is(err, errSilenceTimeout) {
 			t.Errorf("ended with %v", err)
 		}
 		// The transport writes both lines to the new watch, too: those are its own.
@@ -258,7 +258,7 @@
 	playScoped(t, 1, []string{"a"}, []Endpoint{server("a1", "a"), server("b1", "b")}, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
 		once := true
 		client := NewClient(ClientConfig{Addresses: order, Services: []string{"a"}})
-		client.http.Transport = roundTrip(func(req *http.Request) (*http.Response, error) {
+		client.httpClient.Transport = roundTrip(func(req *http.Request) (*http.Response, error) {
 			resp, err := f.RoundTrip(req)
 			if once {
 				once = false
@@ -269,7 +269,7 @@
 			return resp, err
 		})
 		l, err := client.Fetch(t.Context(), 0)
-		if err != nil || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "b1" || l.Subscription != 1 || !l.Scoped || client.choose.budget.spent > 0 {
+		if err != nil || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "b1" || l.Subscription != 1 || !l.Scoped || client.selector.budget.spent > 0 {
 			t.Errorf("fetched %+v: %v", l, err)
 		}
 	})
@@ -320,7 +320,7 @@
 		if len(r.lists) != 1 || r.seq != 101 {
 			t.Errorf("took %+v", r.lists)
 		}
-		if _, err := r.client.Fetch(t.Context(), 0); !errors.Is(err, errOlder) {
+		if _, err := r.client.Fetch(t.Context(), 0); !errors.Is(err, errStaleList) {
 			t.Errorf("fetched: %v", err)
 		}
 	})
@@ -353,7 +353,7 @@
 		client := NewClient(ClientConfig{Addresses: names(1), Services: []string{"a"},
 			Transport: written{[]string{`{"seq":6,"whole":false,"hosts":[]}` + "\n"}, time.Second}})
 		err := client.Watch(t.Context(), 5, func(l List) { t.Errorf("heard %+v", l) })
-		if !errors.Is(err, errNotWhole) {
+		if !errors.Is(err, errFullListExpected) {
 			t.Errorf("ended with %v", err)
 		}
 		synctest.Wait()
@@ -391,7 +391,7 @@
 		if got := r.holds(); got != "a2" || r.held["a2"].Health != Draining || r.held["a2"].Service != "a" {
 			t.Errorf("holds %q: %+v", got, r.held)
 		}
-		if got := f.asked(); len(got) != 2 || r.client.choose.places[1].strikes > 0 || r.client.choose.places[1].avoid > 0 {
+		if got := f.asked(); len(got) != 2 || r.client.selector.candidates[1].consecutiveFailures > 0 || r.client.selector.candidates[1].avoidUntil > 0 {
 			t.Errorf("left the old steward: %q", got)
 		}
 		f.mu.Lock()
@@ -473,8 +473,8 @@
 	}{
 		"a service of 5,000": {listOf(5000), false},
 		"39,000":             {listOf(39000), true},
-		"the bound":          {padded(maxList), false},
-		"one byte more":      {padded(maxList + 1), true},
+		"the bound":          {padded(maxListBytes), false},
+		"one byte more":      {padded(maxListBytes + 1), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := NewClient(ClientConfig{Addresses: names(1), Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
@@ -485,7 +485,7 @@
 				return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(text)), Request: r}, nil
 			})})
 			_, err := client.Fetch(t.Context(), 0)
-			if errors.Is(err, errLong) != c.long || !c.long && err != nil {
+			if errors.Is(err, errListTooLong) != c.long || !c.long && err != nil {
 				t.Errorf("fetched: %v", err)
 			}
 			if c.long && !strings.Contains(err.Error(), "4194304") {
@@ -493,7 +493,7 @@
 			}
 			heard := 0
 			err = client.Watch(context.Background(), 0, func(List) { heard++ })
-			if errors.Is(err, errLong) != c.long || (heard == 0) != c.long {
+			if errors.Is(err, errListTooLong) != c.long || (heard == 0) != c.long {
 				t.Errorf("watched %d: %v", heard, err)
 			}
 		})
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -22,30 +22,30 @@
 	lastingErrors = []error{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 )
 
-func isAny(err error, of []error) bool {
+func matchesAny(err error, of []error) bool {
 	return slices.ContainsFunc(of, func(e error) bool { return errors.Is(err, e) })
 }
 
 // IsTemporary tells whether a call that failed so may go well a moment later, as it failed for want
 // of something on this machine, or in reading from it.
-func IsTemporary(err error) bool { return isAny(err, localErrors) || errors.Is(err, syscall.EIO) }
+func IsTemporary(err error) bool { return matchesAny(err, localErrors) || errors.Is(err, syscall.EIO) }
 
-// firstWait is the time between tries of a call that failed for a moment, and grows to MaxWait: clients
+// initialDelay is the time between tries of a call that failed for a moment, and grows to MaxWait: clients
 // wait in the listener's queue meanwhile, and their time runs.
-const firstWait, MaxWait = 2 * time.Millisecond, 20 * time.Millisecond
+const initialDelay, MaxWait = 2 * time.Millisecond, 20 * time.Millisecond
 
 // IsLocal tells whether a call failed for want of something on this machine.
-func IsLocal(err error) bool { return isAny(err, localErrors) }
+func IsLocal(err error) bool { return matchesAny(err, localErrors) }
 
 // IsNetwork tells whether a connect failed for want of a way through the network.
-func IsNetwork(err error) bool { return isAny(err, networkErrors) }
+func IsNetwork(err error) bool { return matchesAny(err, networkErrors) }
 
 // Backoff waits before the next try, for longer the more there were, and tells whether there is one.
-func Backoff(ctx context.Context, tries int) bool {
-	t := time.NewTimer(min(firstWait<<min(tries, 10), MaxWait))
-	defer t.Stop()
+func Backoff(ctx context.Context, attempts int) bool {
+	timer := time.NewTimer(min(initialDelay<<min(attempts, 10), MaxWait))
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
@@ -57,9 +57,9 @@
 func Retry(ctx context.Context, within time.Duration, call func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	for tries := 0; ; tries++ {
+	for attempts := 0; ; attempts++ {
 		err := call()
-		if err == nil || !IsTemporary(err) || !Backoff(ctx, tries) {
+		if err == nil || !IsTemporary(err) || !Backoff(ctx, attempts) {
 			return err
 		}
 	}
@@ -76,16 +76,16 @@
 
 // Accept waits for a connection. Its error is net.ErrClosed, or one that lasts.
 func (l *Listener) Accept() (net.Conn, error) {
-	for tries := 0; ; tries++ {
-		began := time.Now()
-		c, err := l.Listener.Accept()
-		if err == nil || errors.Is(err, net.ErrClosed) || isAny(err, lastingErrors) {
-			return c, err
+	for attempts := 0; ; attempts++ {
+		startedAt := time.Now()
+		conn, err := l.Listener.Accept()
+		if err == nil || errors.Is(err, net.ErrClosed) || matchesAny(err, lastingErrors) {
+			return conn, err
 		}
 		if l.OnError != nil {
-			l.OnError(err, began)
+			l.OnError(err, startedAt)
 		}
-		if !Backoff(l.Context, tries) {
+		if !Backoff(l.Context, attempts) {
 			return nil, net.ErrClosed
 		}
 	}
