--- a/internal/endpoints/addressselector.go
+++ b/internal/endpoints/addressselector.go
@@ -81,117 +81,117 @@
 
 // NewAddressSelector makes a chooser for one reader of a fleet of so many. The order gives the
 // reader an order of its own, so that readers spread over the addresses.
-func NewAddressSelector(addrs []string, order uint64, fleet int) *AddressSelector {
-	c := &AddressSelector{orderSeed: order, budget: TokenBucket{Rate: min(0.5, 100/float64(max(fleet, 1)))}}
-	c.SetAddresses(addrs)
-	return c
+func NewAddressSelector(addresses []string, order uint64, fleet int) *AddressSelector {
+	selector := &AddressSelector{orderSeed: order, budget: TokenBucket{Rate: min(0.5, 100/float64(max(fleet, 1)))}}
+	selector.SetAddresses(addresses)
+	return selector
 }
 
 // SetAddresses changes the addresses. What is known of those that stay is kept.
-func (c *AddressSelector) SetAddresses(addrs []string) {
-	var places []candidate
-	for _, addr := range addrs {
-		p := candidate{addr: addr, rank: rendezvousRank(c.orderSeed, addr)}
-		if i := c.index(addr); i >= 0 {
-			p = c.candidates[i]
+func (s *AddressSelector) SetAddresses(addresses []string) {
+	var candidates []candidate
+	for _, addr := range addresses {
+		kept := candidate{addr: addr, rank: rendezvousRank(s.orderSeed, addr)}
+		if i := s.index(addr); i >= 0 {
+			kept = s.candidates[i]
 		}
-		places = append(places, p)
+		candidates = append(candidates, kept)
 	}
-	slices.SortFunc(places, func(a, b candidate) int { return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.addr, b.addr)) })
-	c.candidates = slices.CompactFunc(places, func(a, b candidate) bool { return a.addr == b.addr })
-	c.budget.Burst = float64(len(c.candidates) + 1)
+	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.addr, b.addr)) })
+	s.candidates = slices.CompactFunc(candidates, func(a, b candidate) bool { return a.addr == b.addr })
+	s.budget.Burst = float64(len(s.candidates) + 1)
 }
 
 // rendezvousRank is an address's place in a reader's order: rendezvous hashing, so that readers of a
 // lost address spread over all others, and the rest stay where they are.
 func rendezvousRank(order uint64, addr string) uint64 {
-	h := fnv.New64a()
+	hasher := fnv.New64a()
 	var seed [8]byte
 	binary.BigEndian.PutUint64(seed[:], order)
-	_, _ = h.Write(seed[:])
-	_, _ = h.Write([]byte(addr))
-	x := h.Sum64()
+	_, _ = hasher.Write(seed[:])
+	_, _ = hasher.Write([]byte(addr))
+	hash := hasher.Sum64()
 	// FNV alone mixes the last bytes too little for an order (finalizer of SplitMix64).
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
+	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
+	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
+	return hash ^ hash>>31
 }
 
-func (c *AddressSelector) index(addr string) int {
-	return slices.IndexFunc(c.candidates, func(p candidate) bool { return p.addr == addr })
+func (s *AddressSelector) index(addr string) int {
+	return slices.IndexFunc(s.candidates, func(p candidate) bool { return p.addr == addr })
 }
 
 // Has tells whether the address is one of the set.
-func (c *AddressSelector) Has(addr string) bool { return c.index(addr) >= 0 }
+func (s *AddressSelector) Has(addr string) bool { return s.index(addr) >= 0 }
 
 // Others is how many addresses there are beside the one that is asked.
-func (c *AddressSelector) Others() int { return max(len(c.candidates)-1, 0) }
+func (s *AddressSelector) Others() int { return max(len(s.candidates)-1, 0) }
 
 // BudgetExhausted is how often the budget ended a round.
-func (c *AddressSelector) BudgetExhausted() int64 { return c.budgetExhausted }
+func (s *AddressSelector) BudgetExhausted() int64 { return s.budgetExhausted }
 
 // BeginRound begins a round.
-func (c *AddressSelector) BeginRound() { c.firstCall, c.attempts = true, 0 }
+func (s *AddressSelector) BeginRound() { s.firstCall, s.attempts = true, 0 }
 
 // Next gives the address for the next call and how long it has to wait, by a random number
 // from 0 to below 1. Not ok ends the round: each address had its turn since one served, or
 // the budget is spent, or there is only one address, which is left to the next round.
-func (c *AddressSelector) Next(now time.Duration, random float64) (addr string, wait time.Duration, ok bool) {
-	if len(c.candidates) == 0 {
+func (s *AddressSelector) Next(now time.Duration, random float64) (addr string, wait time.Duration, ok bool) {
+	if len(s.candidates) == 0 {
 		return "", 0, false
 	}
-	if !c.firstCall {
-		if len(c.candidates) == 1 || c.attempts >= len(c.candidates) {
+	if !s.firstCall {
+		if len(s.candidates) == 1 || s.attempts >= len(s.candidates) {
 			return "", 0, false
 		}
-		if !c.budget.Take(now) {
-			c.budgetExhausted++
+		if !s.budget.Take(now) {
+			s.budgetExhausted++
 			return "", 0, false
 		}
-		wait = time.Duration(random * float64(min(initialBackoff<<c.attempts, maxBackoff)))
+		wait = time.Duration(random * float64(min(initialBackoff<<s.attempts, maxBackoff)))
 	}
-	c.firstCall = false
-	c.attempts++
-	at := now + wait
-	best := &c.candidates[0]
-	for i := range c.candidates {
-		p := &c.candidates[i]
-		if availableAt(p, at) < availableAt(best, at) {
-			best = p
+	s.firstCall = false
+	s.attempts++
+	callAt := now + wait
+	best := &s.candidates[0]
+	for i := range s.candidates {
+		candidate := &s.candidates[i]
+		if availableAt(candidate, callAt) < availableAt(best, callAt) {
+			best = candidate
 		}
 	}
 	return best.addr, max(wait, min(best.busyUntil-now, maxRetryAfter)), true
 }
 
 // availableAt is when a place is a first choice again, or now: the first in order of those wins.
-func availableAt(p *candidate, now time.Duration) time.Duration {
-	return max(p.avoidUntil, p.busyUntil, now)
+func availableAt(c *candidate, now time.Duration) time.Duration {
+	return max(c.avoidUntil, c.busyUntil, now)
 }
 
 // ListReceived is told that an address gave a list.
-func (c *AddressSelector) ListReceived(addr string) {
-	c.attempts = 0
-	if i := c.index(addr); i >= 0 {
-		c.candidates[i].consecutiveFailures, c.candidates[i].avoidUntil, c.candidates[i].busyUntil = 0, 0, 0
+func (s *AddressSelector) ListReceived(addr string) {
+	s.attempts = 0
+	if i := s.index(addr); i >= 0 {
+		s.candidates[i].consecutiveFailures, s.candidates[i].avoidUntil, s.candidates[i].busyUntil = 0, 0, 0
 	}
 }
 
 // CallEnded is told how a call or a watch ended; retry is the time that a busy one gave.
-func (c *AddressSelector) CallEnded(now time.Duration, addr string, how CallOutcome, retry time.Duration) {
-	i := c.index(addr)
+func (s *AddressSelector) CallEnded(now time.Duration, addr string, outcome CallOutcome, retryAfter time.Duration) {
+	i := s.index(addr)
 	if i < 0 {
 		return
 	}
-	p := &c.candidates[i]
-	switch how {
+	candidate := &s.candidates[i]
+	switch outcome {
 	case OutcomeFailed:
-		p.avoidUntil = now + min(initialAvoidance<<min(p.consecutiveFailures, 10), maxAvoidance)
-		p.consecutiveFailures++
+		candidate.avoidUntil = now + min(initialAvoidance<<min(candidate.consecutiveFailures, 10), maxAvoidance)
+		candidate.consecutiveFailures++
 	case OutcomeStale:
-		p.avoidUntil = now + staleAvoidance
+		candidate.avoidUntil = now + staleAvoidance
 	case OutcomeRedirected:
-		p.avoidUntil = now + redirectAvoidance
+		candidate.avoidUntil = now + redirectAvoidance
 	case OutcomeBusy:
-		p.busyUntil = now + min(max(retry, 0), maxRetryAfter)
+		candidate.busyUntil = now + min(max(retryAfter, 0), maxRetryAfter)
 	}
 }
--- a/internal/endpoints/client.go
+++ b/internal/endpoints/client.go
@@ -85,24 +85,24 @@
 )
 
 // NewClient makes a client.
-func NewClient(c ClientConfig) *Client {
-	if c.SilenceTimeout <= 0 {
-		c.SilenceTimeout = WatchSilenceTimeout
+func NewClient(config ClientConfig) *Client {
+	if config.SilenceTimeout <= 0 {
+		config.SilenceTimeout = WatchSilenceTimeout
 	}
-	if c.Transport == nil {
+	if config.Transport == nil {
 		// A connection a call: a kept one could break under the next call, which the
 		// transport would then send twice, and each call is work for the service.
-		c.Transport = &http.Transport{DisableKeepAlives: true, DisableCompression: true}
+		config.Transport = &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	}
-	return &Client{config: c, httpClient: &http.Client{Transport: c.Transport}, createdAt: time.Now(),
-		bootID: crand.Text(), selector: NewAddressSelector(c.Addresses, c.Order, c.Fleet), subscription: newSubscription(c.Services)}
+	return &Client{config: config, httpClient: &http.Client{Transport: config.Transport}, createdAt: time.Now(),
+		bootID: crand.Text(), selector: NewAddressSelector(config.Addresses, config.Order, config.Fleet), subscription: newSubscription(config.Services)}
 }
 
 // SetAddresses changes the addresses. A watch at one that is no longer there goes elsewhere.
-func (c *Client) SetAddresses(addrs []string) {
+func (c *Client) SetAddresses(addresses []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.selector.SetAddresses(addrs)
+	c.selector.SetAddresses(addresses)
 	if c.cancelWatch != nil && !c.selector.Has(c.watchedAddress) {
 		c.cancelWatch(errAddressRemoved)
 	}
@@ -113,16 +113,16 @@
 // its place at once and at no cost to the budget. No list older than least is taken from then on.
 // It returns the number that lists of the new subscription carry: what comes with another one was
 // under way and has to be dropped. On an error, which names the service, nothing changes.
-func (c *Client) Subscribe(services []string, least int64) (uint64, error) {
-	return c.changeSubscription(nil, services, least)
+func (c *Client) Subscribe(services []string, version int64) (uint64, error) {
+	return c.changeSubscription(nil, services, version)
 }
 
 // Reconfigure is Set and Subscribe at the same time.
-func (c *Client) Reconfigure(addrs, services []string, least int64) (uint64, error) {
-	return c.changeSubscription(func() { c.selector.SetAddresses(addrs) }, services, least)
+func (c *Client) Reconfigure(addresses, services []string, version int64) (uint64, error) {
+	return c.changeSubscription(func() { c.selector.SetAddresses(addresses) }, services, version)
 }
 
-func (c *Client) changeSubscription(move func(), services []string, least int64) (uint64, error) {
+func (c *Client) changeSubscription(setAddresses func(), services []string, version int64) (uint64, error) {
 	if services != nil {
 		if err := CheckServices(services); err != nil {
 			return 0, err
@@ -130,10 +130,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if move != nil {
-		move()
+	if setAddresses != nil {
+		setAddresses()
 	}
-	c.subscription.replace(services, least)
+	c.subscription.replace(services, version)
 	if c.cancelWatch != nil {
 		c.cancelWatch(errSubscriptionChanged)
 	}
@@ -148,38 +148,38 @@
 }
 
 // Fetch asks for the whole list once, at one address after the other.
-func (c *Client) Fetch(ctx context.Context, least int64) (List, error) {
-	var l List
+func (c *Client) Fetch(ctx context.Context, minVersion int64) (List, error) {
+	var list List
 	err := c.runRound(ctx, func(addr string) error {
 		ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 		defer cancel()
 		c.mu.Lock()
-		asked := c.subscription
+		requested := c.subscription
 		c.mu.Unlock()
-		resp, err := c.requestList(ctx, addr, asked.fetchQuery())
+		resp, err := c.requestList(ctx, addr, requested.fetchQuery())
 		if err != nil {
 			return err
 		}
 		defer resp.Body.Close()
-		first := time.Now()
+		firstByteAt := time.Now()
 		text, err := readList(resp.Body)
 		if err != nil {
 			// A head alone says nothing of the list: discovery may stall before it writes any of it.
 			if len(bytes.TrimSpace(text)) > 0 {
-				c.reportPartial(resp, &asked, text, first)
+				c.reportPartial(resp, &requested, text, firstByteAt)
 			}
 			return err
 		}
-		if l, err = Parse(text); err != nil {
+		if list, err = Parse(text); err != nil {
 			return err
 		}
-		l.Scoped, l.Subscription = isScoped(resp), asked.number
-		if c.config.RejectOlder && l.Seq < asked.requiredVersion(least) {
+		list.Scoped, list.Subscription = isScoped(resp), requested.number
+		if c.config.RejectOlder && list.Seq < requested.requiredVersion(minVersion) {
 			return errStaleList
 		}
-		return c.acceptFetchedList(addr, &asked)
+		return c.acceptFetchedList(addr, &requested)
 	})
-	return l, err
+	return list, err
 }
 
 // readList reads the text of one list. On an error it returns what has come.
@@ -196,18 +196,18 @@
 
 // Watch follows the changes after a version, from address to address, until the round is
 // over, and tells why the last one ended.
-func (c *Client) Watch(ctx context.Context, since int64, heard func(List)) error {
+func (c *Client) Watch(ctx context.Context, since int64, onList func(List)) error {
 	err := c.runRound(ctx, func(addr string) error {
 		ctx, cancel := context.WithCancelCause(ctx)
 		defer cancel(nil)
-		asked := c.watchStarted(addr, cancel)
+		requested := c.watchStarted(addr, cancel)
 		defer c.watchEnded()
-		dead := time.AfterFunc(c.config.SilenceTimeout, func() { cancel(errSilenceTimeout) })
-		defer dead.Stop()
-		err := c.watchAddress(ctx, addr, &asked, &since, func() { dead.Reset(c.config.SilenceTimeout) }, heard)
+		silenceTimer := time.AfterFunc(c.config.SilenceTimeout, func() { cancel(errSilenceTimeout) })
+		defer silenceTimer.Stop()
+		err := c.watchAddress(ctx, addr, &requested, &since, func() { silenceTimer.Reset(c.config.SilenceTimeout) }, onList)
 		if cause := context.Cause(ctx); cause != nil && !errors.Is(err, errStaleList) {
-			if cut := new(IncompleteError); errors.As(err, &cut) {
-				return &IncompleteError{Pending: cut.Pending, Age: cut.Age, Err: cause}
+			if incomplete := new(IncompleteError); errors.As(err, &incomplete) {
+				return &IncompleteError{Pending: incomplete.Pending, Age: incomplete.Age, Err: cause}
 			}
 			err = cause
 		}
@@ -217,13 +217,13 @@
 }
 
 // watchStarted notes that the watch is at an address, and returns what it asks for there.
-func (c *Client) watchStarted(addr string, leave context.CancelCauseFunc) subscription {
+func (c *Client) watchStarted(addr string, cancel context.CancelCauseFunc) subscription {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.watchedAddress, c.cancelWatch = addr, leave
-	asked := c.subscription
+	c.watchedAddress, c.cancelWatch = addr, cancel
+	requested := c.subscription
 	c.subscription.sendsVersion = false
-	return asked
+	return requested
 }
 
 // watchEnded notes that the watch is at no address.
@@ -234,81 +234,81 @@
 }
 
 // watchAddress is one watch at one address. Its end is never nil: in order it is errWatchClosed.
-func (c *Client) watchAddress(ctx context.Context, addr string, asked *subscription, since *int64, alive func(), heard func(List)) error {
-	resp, err := c.requestList(ctx, addr, asked.watchQuery(*since))
+func (c *Client) watchAddress(ctx context.Context, addr string, requested *subscription, since *int64, onActivity func(), onList func(List)) error {
+	resp, err := c.requestList(ctx, addr, requested.watchQuery(*since))
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	based := !asked.needsFullList // changes make sense
-	lists := listScanner{onBlankLine: alive, onPartial: func(text []byte, first time.Time) { c.reportPartial(resp, asked, text, first) }}
-	lists.onList = func(text []byte) error {
-		l, err := Parse(text)
+	hasBase := !requested.needsFullList // changes make sense
+	scanner := listScanner{onBlankLine: onActivity, onPartial: func(text []byte, firstByteAt time.Time) { c.reportPartial(resp, requested, text, firstByteAt) }}
+	scanner.onList = func(text []byte) error {
+		list, err := Parse(text)
 		if err != nil {
 			return fmt.Errorf("list: %w", err)
 		}
-		l.Scoped, l.Subscription = isScoped(resp), asked.number
-		if c.config.RejectOlder && l.Seq < asked.requiredVersion(*since) {
-			c.staleListReceived(asked)
+		list.Scoped, list.Subscription = isScoped(resp), requested.number
+		if c.config.RejectOlder && list.Seq < requested.requiredVersion(*since) {
+			c.staleListReceived(requested)
 			return errStaleList
 		}
-		based = based || l.Full
+		hasBase = hasBase || list.Full
 		switch {
-		case !based && asked.sendsVersion:
+		case !hasBase && requested.sendsVersion:
 			return errServerCaughtUp
-		case !based:
+		case !hasBase:
 			return errFullListExpected
 		}
-		if err := c.acceptWatchedList(addr, asked, &l); err != nil {
+		if err := c.acceptWatchedList(addr, requested, &list); err != nil {
 			return err
 		}
-		*since = l.Seq
-		heard(l)
-		alive()
+		*since = list.Seq
+		onList(list)
+		onActivity()
 		return nil
 	}
 	for buf := make([]byte, 4096); ; {
 		n, err := resp.Body.Read(buf)
-		if bad := lists.feed(buf[:n]); bad != nil {
-			return bad
+		if scanErr := scanner.feed(buf[:n]); scanErr != nil {
+			return scanErr
 		}
 		if err == io.EOF {
 			err = errWatchClosed
 		}
 		if err != nil {
-			return lists.close(err)
+			return scanner.close(err)
 		}
 	}
 }
 
 // reportPartial gives the reader what has come of a list that is not finished.
-func (c *Client) reportPartial(resp *http.Response, asked *subscription, text []byte, first time.Time) {
+func (c *Client) reportPartial(resp *http.Response, requested *subscription, text []byte, firstByteAt time.Time) {
 	if c.config.OnPartial == nil {
 		return
 	}
-	l := parsePartialList(text)
-	l.Scoped, l.Subscription, l.Age = isScoped(resp), asked.number, time.Since(first)
-	c.config.OnPartial(l)
+	list := parsePartialList(text)
+	list.Scoped, list.Subscription, list.Age = isScoped(resp), requested.number, time.Since(firstByteAt)
+	c.config.OnPartial(list)
 }
 
 // acceptWatchedList notes that a watch gave a list. On an error the list has to be dropped.
-func (c *Client) acceptWatchedList(addr string, asked *subscription, l *List) error {
+func (c *Client) acceptWatchedList(addr string, requested *subscription, list *List) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.subscription.number != asked.number {
+	if c.subscription.number != requested.number {
 		return errSubscriptionChanged
 	}
-	c.subscription.listReceived(l)
+	c.subscription.listReceived(list)
 	c.selector.ListReceived(addr)
 	return nil
 }
 
 // staleListReceived notes that an address answered a watch with a list staleListReceived than the reader's.
-func (c *Client) staleListReceived(asked *subscription) {
+func (c *Client) staleListReceived(requested *subscription) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.subscription.number == asked.number {
-		c.subscription.sendsVersion = asked.needsFullList && !asked.sendsVersion
+	if c.subscription.number == requested.number {
+		c.subscription.sendsVersion = requested.needsFullList && !requested.sendsVersion
 	}
 }
 
@@ -342,13 +342,13 @@
 	c.mu.Lock()
 	c.selector.BeginRound()
 	c.mu.Unlock()
-	last := errors.New("no address")
+	lastErr := errors.New("no address")
 	for {
 		c.mu.Lock()
 		addr, wait, ok := c.selector.Next(time.Since(c.createdAt), rand.Float64())
 		c.mu.Unlock()
 		if !ok {
-			return last
+			return lastErr
 		}
 		if wait > 0 {
 			t := time.NewTimer(wait)
@@ -372,14 +372,14 @@
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		how, retry := classifyOutcome(err)
+		outcome, retryAfter := classifyOutcome(err)
 		c.mu.Lock()
-		c.selector.CallEnded(time.Since(c.createdAt), addr, how, retry)
-		several := c.selector.Others() > 0
+		c.selector.CallEnded(time.Since(c.createdAt), addr, outcome, retryAfter)
+		hasOthers := c.selector.Others() > 0
 		c.mu.Unlock()
-		last = err
-		if several {
-			last = fmt.Errorf("%s: %w", addr, err)
+		lastErr = err
+		if hasOthers {
+			lastErr = fmt.Errorf("%s: %w", addr, err)
 			if c.config.OnFailover != nil {
 				c.config.OnFailover(addr, err)
 			}
@@ -399,10 +399,10 @@
 }
 
 // acceptFetchedList notes that an address gave the list that was fetched. On an error it has to be dropped.
-func (c *Client) acceptFetchedList(addr string, asked *subscription) error {
+func (c *Client) acceptFetchedList(addr string, requested *subscription) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.subscription.number != asked.number {
+	if c.subscription.number != requested.number {
 		return errSubscriptionChanged
 	}
 	c.selector.ListReceived(addr)
@@ -412,13 +412,13 @@
 // busyError is an answer that sends the reader busyError for a time.
 type busyError struct{ retryAfter time.Duration }
 
-func (a *busyError) Error() string { return fmt.Sprintf("%v: come back in %v", errBusy, a.retryAfter) }
+func (e *busyError) Error() string { return fmt.Sprintf("%v: come back in %v", errBusy, e.retryAfter) }
 
 func classifyOutcome(err error) (CallOutcome, time.Duration) {
-	var a *busyError
+	var busy *busyError
 	switch {
-	case errors.As(err, &a):
-		return OutcomeBusy, a.retryAfter
+	case errors.As(err, &busy):
+		return OutcomeBusy, busy.retryAfter
 	case errors.Is(err, errStaleList), errors.Is(err, errServerStale):
 		return OutcomeStale, 0
 	case errors.Is(err, errWatchClosed):
@@ -448,9 +448,9 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		resp.Body.Close()
-		seconds, bad := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
+		seconds, parseErr := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		switch {
-		case others == 0 || resp.StatusCode != http.StatusServiceUnavailable || bad != nil || !(seconds >= 0) || seconds > 1e6:
+		case others == 0 || resp.StatusCode != http.StatusServiceUnavailable || parseErr != nil || !(seconds >= 0) || seconds > 1e6:
 			return nil, errors.New(resp.Status)
 		case resp.Header.Get("Not-Applied") != "":
 			return nil, &busyError{time.Duration(seconds * float64(time.Second))}
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -63,61 +63,61 @@
 
 // Parse reads one list and reports the first entry that makes no sense.
 func Parse(text []byte) (List, error) {
-	var l List
-	if err := json.Unmarshal(text, &l); err != nil {
-		return l, err
+	var list List
+	if err := json.Unmarshal(text, &list); err != nil {
+		return list, err
 	}
-	for i := range l.Endpoints {
-		if err := l.Endpoints[i].Readable(); err != nil {
-			return l, fmt.Errorf("hosts[%d].%w", i, err)
+	for i := range list.Endpoints {
+		if err := list.Endpoints[i].Readable(); err != nil {
+			return list, fmt.Errorf("hosts[%d].%w", i, err)
 		}
 	}
-	return l, nil
+	return list, nil
 }
 
 // Readable tells whether a reader can use the entry: it has a name, a known word for its
 // health and, unless it is gone, an address. It is no stricter, so that a list from
 // elsewhere with an odd site or share is still a list.
-func (h *Endpoint) Readable() error {
+func (e *Endpoint) Readable() error {
 	switch {
-	case h.Name == "":
+	case e.Name == "":
 		return errors.New("host: missing")
-	case h.Health != Ready && h.Health != Draining && h.Health != Removed:
-		return fmt.Errorf("health: unknown word %q", h.Health)
-	case h.Health != Removed && !IsAddress(h.Dial):
-		return fmt.Errorf("dial: no address with a port: %q", h.Dial)
+	case e.Health != Ready && e.Health != Draining && e.Health != Removed:
+		return fmt.Errorf("health: unknown word %q", e.Health)
+	case e.Health != Removed && !IsAddress(e.Dial):
+		return fmt.Errorf("dial: no address with a port: %q", e.Dial)
 	}
 	return nil
 }
 
 // Validate tells whether a service should take the entry into its list.
-func (h *Endpoint) Validate() error {
-	if err := h.Readable(); err != nil {
+func (e *Endpoint) Validate() error {
+	if err := e.Readable(); err != nil {
 		return err
 	}
 	switch {
-	case !IsToken(h.Name, MaxName):
+	case !IsToken(e.Name, MaxName):
 		return fmt.Errorf("host: must be at most %d printable characters without spaces or slashes", MaxName)
-	case !IsAddress(h.Dial):
-		return fmt.Errorf("dial: no address with a port: %q", h.Dial)
-	case h.Site != "" && !IsToken(h.Site, MaxLabel):
+	case !IsAddress(e.Dial):
+		return fmt.Errorf("dial: no address with a port: %q", e.Dial)
+	case e.Site != "" && !IsToken(e.Site, MaxLabel):
 		return fmt.Errorf("site: must be at most %d printable characters without spaces or slashes", MaxLabel)
-	case h.Class != "" && !IsToken(h.Class, MaxLabel):
+	case e.Class != "" && !IsToken(e.Class, MaxLabel):
 		return fmt.Errorf("class: must be at most %d printable characters without spaces or slashes", MaxLabel)
-	case h.Service != "" && !IsToken(h.Service, MaxLabel):
+	case e.Service != "" && !IsToken(e.Service, MaxLabel):
 		return fmt.Errorf("service: must be at most %d printable characters without spaces or slashes", MaxLabel)
-	case h.Block < 0 || h.Block > 1<<20:
-		return fmt.Errorf("block: must be 0 to %d, is %d", 1<<20, h.Block)
-	case !IsWeight(h.Weight):
-		return fmt.Errorf("share: must be 0 or above and at most 1e6, is %v", h.Weight)
-	case !(h.StartedMs >= 0) || h.StartedMs > 1<<52 || h.StartedMs != math.Trunc(h.StartedMs):
-		return fmt.Errorf("born_ms: must be a whole number of milliseconds, is %v", h.StartedMs)
+	case e.Block < 0 || e.Block > 1<<20:
+		return fmt.Errorf("block: must be 0 to %d, is %d", 1<<20, e.Block)
+	case !IsWeight(e.Weight):
+		return fmt.Errorf("share: must be 0 or above and at most 1e6, is %v", e.Weight)
+	case !(e.StartedMs >= 0) || e.StartedMs > 1<<52 || e.StartedMs != math.Trunc(e.StartedMs):
+		return fmt.Errorf("born_ms: must be a whole number of milliseconds, is %v", e.StartedMs)
 	}
 	return nil
 }
 
 // IsWeight tells whether a share makes sense.
-func IsWeight(x float64) bool { return x >= 0 && x <= 1e6 }
+func IsWeight(weight float64) bool { return weight >= 0 && weight <= 1e6 }
 
 // IsAddress tells whether the text is an address with a port.
 func IsAddress(addr string) bool {
@@ -131,11 +131,11 @@
 
 // IsToken tells whether a name can stand in a path, a log line and a metric: printable,
 // without spaces, slashes or quotes, and not too long.
-func IsToken(s string, most int) bool {
-	if s == "" || s == "." || s == ".." || len(s) > most || !utf8.ValidString(s) {
+func IsToken(name string, maxLength int) bool {
+	if name == "" || name == "." || name == ".." || len(name) > maxLength || !utf8.ValidString(name) {
 		return false
 	}
-	for _, r := range s {
+	for _, r := range name {
 		if !unicode.IsGraphic(r) || unicode.IsSpace(r) || r == '/' || r == '"' || r == '\\' || r == '%' || r == '?' || r == '#' {
 			return false
 		}
--- a/internal/endpoints/listscanner.go
+++ b/internal/endpoints/listscanner.go
@@ -47,15 +47,15 @@
 }
 
 // feed takes the next bytes. An error means that what came is no list, or is what whole returned.
-func (s *listScanner) feed(p []byte) error {
+func (s *listScanner) feed(data []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for len(p) > 0 {
+	for len(data) > 0 {
 		var err error
 		if len(s.pending) == 0 {
-			p, err = s.scanBetweenLists(p)
+			data, err = s.scanBetweenLists(data)
 		} else {
-			p, err = s.scanList(p)
+			data, err = s.scanList(data)
 		}
 		if err != nil {
 			return err
@@ -68,8 +68,8 @@
 }
 
 // scanBetweenLists takes bytes scanBetweenLists two lists, up to the first byte of one.
-func (s *listScanner) scanBetweenLists(p []byte) (rest []byte, err error) {
-	for i, b := range p {
+func (s *listScanner) scanBetweenLists(data []byte) (rest []byte, err error) {
+	for i, b := range data {
 		switch b {
 		case '\n':
 			s.onBlankLine()
@@ -77,7 +77,7 @@
 		case '{':
 			s.firstByteAt = time.Now()
 			s.pending, s.depth = append(s.pending, b), 1
-			return p[i+1:], nil
+			return data[i+1:], nil
 		default:
 			return nil, errMalformedList
 		}
@@ -86,8 +86,8 @@
 }
 
 // scanList takes bytes of the list at hand, up to its last one.
-func (s *listScanner) scanList(p []byte) (rest []byte, err error) {
-	for i, b := range p {
+func (s *listScanner) scanList(data []byte) (rest []byte, err error) {
+	for i, b := range data {
 		switch {
 		case s.escaped:
 			s.escaped = false
@@ -104,25 +104,25 @@
 			s.depth--
 		}
 		if s.depth == 0 {
-			return s.finishList(p[:i+1], p[i+1:])
+			return s.finishList(data[:i+1], data[i+1:])
 		}
 	}
-	if len(s.pending)+len(p) > maxListBytes {
+	if len(s.pending)+len(data) > maxListBytes {
 		return nil, errListTooLong
 	}
-	s.pending = append(s.pending, p...)
+	s.pending = append(s.pending, data...)
 	return nil, nil
 }
 
 // finishList hands on the list that ends with last; what follows on its line has to be blank.
-func (s *listScanner) finishList(last, rest []byte) ([]byte, error) {
+func (s *listScanner) finishList(tail, rest []byte) ([]byte, error) {
 	if next := bytes.TrimLeft(rest, " \t\r"); len(next) > 0 && next[0] != '\n' {
 		return nil, errMalformedList
 	}
-	if len(s.pending)+len(last) > maxListBytes {
+	if len(s.pending)+len(tail) > maxListBytes {
 		return nil, errListTooLong
 	}
-	err := s.onList(append(s.pending, last...))
+	err := s.onList(append(s.pending, tail...))
 	s.reset()
 	return rest, err
 }
@@ -169,50 +169,50 @@
 
 // parsePartialList reads as much of a list as the beginning of its text tells: the entries that are whole
 // and can be used, and the version, which is 0 where it isn't known.
-func parsePartialList(text []byte) (l List) {
-	dec := json.NewDecoder(bytes.NewReader(text))
-	if t, err := dec.Token(); err != nil || t != json.Delim('{') {
-		return l
+func parsePartialList(text []byte) (list List) {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
+		return list
 	}
-	for dec.More() {
-		key, err := dec.Token()
+	for decoder.More() {
+		key, err := decoder.Token()
 		if err != nil {
-			return l
+			return list
 		}
 		switch key {
 		case "seq":
-			if dec.Decode(&l.Seq) != nil || dec.InputOffset() >= int64(len(text)) {
-				l.Seq = 0 // further digits may follow
-				return l
+			if decoder.Decode(&list.Seq) != nil || decoder.InputOffset() >= int64(len(text)) {
+				list.Seq = 0 // further digits may follow
+				return list
 			}
 		case "whole":
-			err = dec.Decode(&l.Full)
+			err = decoder.Decode(&list.Full)
 		case "hosts":
-			l.Endpoints, err = parsePartialEndpoints(dec)
+			list.Endpoints, err = parsePartialEndpoints(decoder)
 		default:
-			err = dec.Decode(new(json.RawMessage))
+			err = decoder.Decode(new(json.RawMessage))
 		}
 		if err != nil {
-			return l
+			return list
 		}
 	}
-	return l
+	return list
 }
 
 // parsePartialEndpoints reads entries up to the end of their array or an error, and returns those read.
-func parsePartialEndpoints(dec *json.Decoder) (hosts []Endpoint, err error) {
-	if t, err := dec.Token(); err != nil || t != json.Delim('[') {
+func parsePartialEndpoints(decoder *json.Decoder) (endpoints []Endpoint, err error) {
+	if token, err := decoder.Token(); err != nil || token != json.Delim('[') {
 		return nil, errMalformedList
 	}
-	for dec.More() {
-		var h Endpoint
-		if err := dec.Decode(&h); err != nil {
-			return hosts, err
+	for decoder.More() {
+		var endpoint Endpoint
+		if err := decoder.Decode(&endpoint); err != nil {
+			return endpoints, err
 		}
-		if h.Readable() == nil {
-			hosts = append(hosts, h)
+		if endpoint.Readable() == nil {
+			endpoints = append(endpoints, endpoint)
 		}
 	}
-	_, err = dec.Token()
-	return hosts, err
+	_, err = decoder.Token()
+	return endpoints, err
 }
--- a/internal/endpoints/servicetable.go
+++ b/internal/endpoints/servicetable.go
@@ -79,18 +79,18 @@
 // Subscribe changes the services, which have passed CheckServices. What is held stays until the
 // next whole list, and changes before that list are not taken.
 func (t *ServiceTable) Subscribe(services []string) {
-	before := t.services
+	previous := t.services
 	t.services = make(map[string]*serviceState, len(services))
 	for _, name := range services[:min(len(services), MaxServices)] {
-		s := before[name]
-		if s == nil {
-			s = &serviceState{endpointNames: map[string]bool{}}
+		state := previous[name]
+		if state == nil {
+			state = &serviceState{endpointNames: map[string]bool{}}
 		}
-		t.services[name] = s
+		t.services[name] = state
 	}
-	for name, h := range t.endpoints {
-		if s := t.services[h.Service]; s != nil {
-			s.endpointNames[name] = true // of one that was left and is subscribed to again
+	for name, endpoint := range t.endpoints {
+		if state := t.services[endpoint.Service]; state != nil {
+			state.endpointNames[name] = true // of one that was left and is subscribed to again
 		}
 	}
 	t.hasFullList, t.synced = false, false
@@ -102,94 +102,94 @@
 
 // Seed takes a list that is known from before, and returns what of it belongs to the services. It
 // causes no events: only the lists that come tell how a service stands.
-func (t *ServiceTable) Seed(l List) List {
-	out := List{Seq: l.Seq, Full: l.Full, Endpoints: []Endpoint{}}
-	for i := range l.Endpoints {
-		h := l.Endpoints[i]
-		if _, twice := t.endpoints[h.Name]; twice || h.Health == Removed || t.services[h.Service] == nil {
+func (t *ServiceTable) Seed(list List) List {
+	seeded := List{Seq: list.Seq, Full: list.Full, Endpoints: []Endpoint{}}
+	for i := range list.Endpoints {
+		endpoint := list.Endpoints[i]
+		if _, known := t.endpoints[endpoint.Name]; known || endpoint.Health == Removed || t.services[endpoint.Service] == nil {
 			continue
 		}
-		t.put(h)
-		out.Endpoints = append(out.Endpoints, h)
+		t.put(endpoint)
+		seeded.Endpoints = append(seeded.Endpoints, endpoint)
 	}
-	return out
+	return seeded
 }
 
 // Apply takes a list and returns it as the consumer has to take it, with the events that it causes.
-func (t *ServiceTable) Apply(l List) (List, []ServiceEvent) {
-	if l.Full {
-		return t.applyFullList(&l)
+func (t *ServiceTable) Apply(list List) (List, []ServiceEvent) {
+	if list.Full {
+		return t.applyFullList(&list)
 	}
 	if !t.hasFullList {
-		return List{Seq: l.Seq, Endpoints: []Endpoint{}}, nil
+		return List{Seq: list.Seq, Endpoints: []Endpoint{}}, nil
 	}
-	return t.applyUpdate(&l)
+	return t.applyUpdate(&list)
 }
 
 // applyFullList takes a whole list.
-func (t *ServiceTable) applyFullList(l *List) (List, []ServiceEvent) {
+func (t *ServiceTable) applyFullList(list *List) (List, []ServiceEvent) {
 	next := map[string]Endpoint{}
 	var order []string
-	add := func(h Endpoint) {
-		if _, ok := next[h.Name]; !ok {
-			order = append(order, h.Name)
+	add := func(endpoint Endpoint) {
+		if _, ok := next[endpoint.Name]; !ok {
+			order = append(order, endpoint.Name)
 		}
-		next[h.Name] = h
+		next[endpoint.Name] = endpoint
 	}
-	for i := range l.Endpoints {
-		h := l.Endpoints[i]
-		name, ok := t.serviceOf(&h, l.Scoped)
-		if ok && h.Health != Removed {
-			h.Service = name
-			add(h)
+	for i := range list.Endpoints {
+		endpoint := list.Endpoints[i]
+		name, ok := t.serviceOf(&endpoint, list.Scoped)
+		if ok && endpoint.Health != Removed {
+			endpoint.Service = name
+			add(endpoint)
 		}
 	}
-	named := map[string]int{}
-	for _, h := range next {
-		named[h.Service]++
+	listedCount := map[string]int{}
+	for _, endpoint := range next {
+		listedCount[endpoint.Service]++
 	}
 	names := slices.Sorted(maps.Keys(t.services))
 	for _, name := range names {
-		s := t.services[name]
-		s.retained = false
-		if named[name] > 0 {
+		state := t.services[name]
+		state.retained = false
+		if listedCount[name] > 0 {
 			continue
 		}
-		for _, host := range slices.Sorted(maps.Keys(s.endpointNames)) {
-			if _, elsewhere := next[host]; !elsewhere {
-				add(t.endpoints[host])
-				s.retained = true
+		for _, endpointName := range slices.Sorted(maps.Keys(state.endpointNames)) {
+			if _, listed := next[endpointName]; !listed {
+				add(t.endpoints[endpointName])
+				state.retained = true
 			}
 		}
 	}
 	t.replaceEndpoints(next)
-	t.hasFullList, t.synced = true, l.Scoped
-	out := List{Seq: l.Seq, Full: true, Endpoints: make([]Endpoint, 0, len(order))}
-	for _, host := range order {
-		out.Endpoints = append(out.Endpoints, next[host])
+	t.hasFullList, t.synced = true, list.Scoped
+	out := List{Seq: list.Seq, Full: true, Endpoints: make([]Endpoint, 0, len(order))}
+	for _, endpointName := range order {
+		out.Endpoints = append(out.Endpoints, next[endpointName])
 	}
-	return out, t.updateStatuses(names, l.Scoped)
+	return out, t.updateStatuses(names, list.Scoped)
 }
 
 // replaceEndpoints makes these the hosts of the table.
-func (t *ServiceTable) replaceEndpoints(hosts map[string]Endpoint) {
-	for _, s := range t.services {
-		s.endpointNames = map[string]bool{}
+func (t *ServiceTable) replaceEndpoints(endpoints map[string]Endpoint) {
+	for _, state := range t.services {
+		state.endpointNames = map[string]bool{}
 	}
-	t.endpoints = hosts
-	for name, h := range hosts {
-		t.services[h.Service].endpointNames[name] = true
+	t.endpoints = endpoints
+	for name, endpoint := range endpoints {
+		t.services[endpoint.Service].endpointNames[name] = true
 	}
 }
 
 // applyUpdate takes a list of changes.
-func (t *ServiceTable) applyUpdate(l *List) (List, []ServiceEvent) {
-	c := tableUpdate{table: t, previous: map[string]Endpoint{}, touchedServices: map[string]bool{}}
-	for i := range l.Endpoints {
-		c.apply(l.Endpoints[i], l.Scoped)
+func (t *ServiceTable) applyUpdate(list *List) (List, []ServiceEvent) {
+	update := tableUpdate{table: t, previous: map[string]Endpoint{}, touchedServices: map[string]bool{}}
+	for i := range list.Endpoints {
+		update.apply(list.Endpoints[i], list.Scoped)
 	}
-	t.synced = t.synced && l.Scoped
-	return List{Seq: l.Seq, Endpoints: c.changedEndpoints()}, t.updateStatuses(slices.Sorted(maps.Keys(c.touchedServices)), l.Scoped)
+	t.synced = t.synced && list.Scoped
+	return List{Seq: list.Seq, Endpoints: update.changedEndpoints()}, t.updateStatuses(slices.Sorted(maps.Keys(update.touchedServices)), list.Scoped)
 }
 
 // tableUpdate is one list of changes on its way into the table.
@@ -201,106 +201,106 @@
 }
 
 // apply takes one entry.
-func (c *tableUpdate) apply(h Endpoint, scoped bool) {
-	t := c.table
-	held, isHeld := t.endpoints[h.Name]
-	if h.Health == Removed {
+func (c *tableUpdate) apply(endpoint Endpoint, scoped bool) {
+	table := c.table
+	current, exists := table.endpoints[endpoint.Name]
+	if endpoint.Health == Removed {
 		// A server that changed its service is gone from the one before: that may come after
 		// the entry that has it under its new one.
-		if isHeld && (h.Service == held.Service || !scoped && h.Service == "") {
-			c.remove(h.Name)
+		if exists && (endpoint.Service == current.Service || !scoped && endpoint.Service == "") {
+			c.remove(endpoint.Name)
 		}
 		return
 	}
-	name, ok := t.serviceOf(&h, scoped)
-	if !ok {
-		if isHeld && !scoped { // it went to a service that this reader doesn't subscribe to
-			c.remove(h.Name)
+	service, subscribed := table.serviceOf(&endpoint, scoped)
+	if !subscribed {
+		if exists && !scoped { // it went to a service that this reader doesn't subscribe to
+			c.remove(endpoint.Name)
 		}
 		return
 	}
-	if s := t.services[name]; s.retained {
-		s.retained = false
-		for _, host := range slices.Sorted(maps.Keys(s.endpointNames)) {
-			c.remove(host)
+	if state := table.services[service]; state.retained {
+		state.retained = false
+		for _, name := range slices.Sorted(maps.Keys(state.endpointNames)) {
+			c.remove(name)
 		}
 	}
-	h.Service = name
-	c.remove(h.Name)
-	c.touchedServices[name] = true
-	t.put(h)
+	endpoint.Service = service
+	c.remove(endpoint.Name)
+	c.touchedServices[service] = true
+	table.put(endpoint)
 }
 
 // remove takes a server out of the table, if it is held there, and notes that it was touched.
 func (c *tableUpdate) remove(name string) {
-	held, ok := c.table.endpoints[name]
+	current, exists := c.table.endpoints[name]
 	if _, touched := c.previous[name]; !touched {
 		c.touchedNames = append(c.touchedNames, name)
-		c.previous[name] = held
+		c.previous[name] = current
 	}
-	if !ok {
+	if !exists {
 		return
 	}
-	c.touchedServices[held.Service] = true
+	c.touchedServices[current.Service] = true
 	delete(c.table.endpoints, name)
-	if s := c.table.services[held.Service]; s != nil {
-		delete(s.endpointNames, name)
+	if state := c.table.services[current.Service]; state != nil {
+		delete(state.endpointNames, name)
 	}
 }
 
 // changedEndpoints is one entry for each server that was touched: as it is now, or gone.
 func (c *tableUpdate) changedEndpoints() []Endpoint {
-	hosts := make([]Endpoint, 0, len(c.touchedNames))
+	changed := make([]Endpoint, 0, len(c.touchedNames))
 	for _, name := range c.touchedNames {
-		h, held := c.table.endpoints[name]
-		if !held {
-			if h = c.previous[name]; h.Name == "" {
+		endpoint, exists := c.table.endpoints[name]
+		if !exists {
+			if endpoint = c.previous[name]; endpoint.Name == "" {
 				continue // it came and went in one line
 			}
-			h.Health = Removed
+			endpoint.Health = Removed
 		}
-		hosts = append(hosts, h)
+		changed = append(changed, endpoint)
 	}
-	return hosts
+	return changed
 }
 
 // put holds an entry.
-func (t *ServiceTable) put(h Endpoint) {
-	t.endpoints[h.Name] = h
-	t.services[h.Service].endpointNames[h.Name] = true
+func (t *ServiceTable) put(endpoint Endpoint) {
+	t.endpoints[endpoint.Name] = endpoint
+	t.services[endpoint.Service].endpointNames[endpoint.Name] = true
 }
 
 // serviceOf is the service that an entry belongs to, and whether it is subscribed to. An entry of
 // an unscoped list that names no service belongs to the one that it is held under, or else to the
 // default service.
-func (t *ServiceTable) serviceOf(h *Endpoint, scoped bool) (string, bool) {
-	name := h.Service
-	if held, ok := t.endpoints[h.Name]; ok && !scoped && name == "" {
-		name = held.Service
+func (t *ServiceTable) serviceOf(endpoint *Endpoint, scoped bool) (string, bool) {
+	service := endpoint.Service
+	if current, ok := t.endpoints[endpoint.Name]; ok && !scoped && service == "" {
+		service = current.Service
 	}
-	return name, t.services[name] != nil
+	return service, t.services[service] != nil
 }
 
 // updateStatuses notes what became of the services and returns what is to be reported.
 func (t *ServiceTable) updateStatuses(names []string, scoped bool) []ServiceEvent {
 	var events []ServiceEvent
 	for _, name := range names {
-		s := t.services[name]
-		if s == nil {
+		state := t.services[name]
+		if state == nil {
 			continue
 		}
-		was := s.status
-		s.status = s.nextStatus()
-		if s.status == was {
+		previous := state.status
+		state.status = state.nextStatus()
+		if state.status == previous {
 			continue
 		}
 		event := ServiceEvent{Service: name, Scoped: scoped}
 		switch {
-		case s.status == statusUnknown:
+		case state.status == statusUnknown:
 			event.Kind = ServiceUnknown
-		case s.status == statusEmptied:
-			event.Kind, event.Retained = ServiceEmptied, len(s.endpointNames)
-		case was == statusUnseen:
+		case state.status == statusEmptied:
+			event.Kind, event.Retained = ServiceEmptied, len(state.endpointNames)
+		case previous == statusUnseen:
 			continue
 		default:
 			event.Kind = ServiceRestored
--- a/internal/endpoints/subscription.go
+++ b/internal/endpoints/subscription.go
@@ -70,8 +70,8 @@
 }
 
 // replace makes these the services from now on; least is the reader's version.
-func (s *subscription) replace(services []string, least int64) {
-	*s = subscription{services: sortedServices(services), number: s.number + 1, minVersion: least, needsFullList: true}
+func (s *subscription) replace(services []string, version int64) {
+	*s = subscription{services: sortedServices(services), number: s.number + 1, minVersion: version, needsFullList: true}
 }
 
 // requiredVersion is the version that a list must not be older than, for a reader that has since.
@@ -109,11 +109,11 @@
 
 // listReceived is told of a list that was taken from a watch. Only a list of the reader's services is a
 // base for later changes of them: the list of all services may leave out whose an entry is.
-func (s *subscription) listReceived(l *List) {
+func (s *subscription) listReceived(list *List) {
 	switch {
-	case s.services != nil && !l.Scoped:
+	case s.services != nil && !list.Scoped:
 		s.needsFullList = true
-	case l.Full:
+	case list.Full:
 		s.needsFullList = false
 	}
 }
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -22,8 +22,8 @@
 	lastingErrors = []error{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 )
 
-func matchesAny(err error, of []error) bool {
-	return slices.ContainsFunc(of, func(e error) bool { return errors.Is(err, e) })
+func matchesAny(err error, targets []error) bool {
+	return slices.ContainsFunc(targets, func(target error) bool { return errors.Is(err, target) })
 }
 
 // IsTemporary tells whether a call that failed so may go well a moment later, as it failed for want
