--- a/internal/endpoints/addressselector_test.go
+++ b/internal/endpoints/addressselector_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func names(n int) (out []string) {
+func testAddresses(n int) (out []string) {
 	for i := range n {
 		out = append(out, fmt.Sprintf("127.0.0.1:%d", i+1))
 	}
@@ -18,9 +18,9 @@
 // Whatever happens, a chooser asks only addresses of its set, at most once each in a round
 // after one served, pays for all but the first call of a round from its budget, never waits
 // longer than its bounds, and prefers the first in its order that gave no cause to avoid it.
-func TestChooser(t *testing.T) {
+func TestAddressSelectorKeepsBudgetAndOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		all := names(8)
+		all := testAddresses(8)
 		set := all[:rapid.IntRange(1, 5).Draw(rt, "addresses")]
 		fleet := rapid.IntRange(1, 2000).Draw(rt, "fleet")
 		c := NewAddressSelector(set, rapid.Uint64().Draw(rt, "order"), fleet)
@@ -102,9 +102,9 @@
 
 // Readers spread over the addresses, and when one is lost its readers spread over the rest
 // while all others stay.
-func TestOrders(t *testing.T) {
+func TestReadersSpreadOverAddresses(t *testing.T) {
 	const readers = 3000
-	set := names(3)
+	set := testAddresses(3)
 	first, second := map[string]int{}, map[string]int{}
 	for i := range readers {
 		c := NewAddressSelector(set, uint64(i), readers)
--- a/internal/endpoints/client_test.go
+++ b/internal/endpoints/client_test.go
@@ -16,35 +16,35 @@
 	"time"
 )
 
-// service is some addresses of a list service without sockets, for a clock of its own.
-type service struct {
-	mu    sync.Mutex
-	at    map[string]*place2
-	calls []string // address and query
-	times []time.Time
+// stubService is some addresses of a list stubService without sockets, for a clock of its own.
+type stubService struct {
+	mu        sync.Mutex
+	addresses map[string]*stubAddress
+	calls     []string // address and query
+	callTimes []time.Time
 }
 
-// place2 is what an address does with a watch: it refuses it, or writes its version and
+// stubAddress is what an address does with a watch: it refuses it, or writes its version and
 // then beats, until it is told to end.
-type place2 struct {
-	status  int
-	header  http.Header
-	version int64
-	mute    bool // no line after the first
-	end     chan error
-	others  string
+type stubAddress struct {
+	status         int
+	header         http.Header
+	version        int64
+	silent         bool // no line after the first
+	closeWatch     chan error
+	otherAddresses string
 }
 
-func (s *service) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *stubService) RoundTrip(r *http.Request) (*http.Response, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls = append(s.calls, r.URL.Host+"?"+r.URL.RawQuery)
-	s.times = append(s.times, time.Now())
-	p := s.at[r.URL.Host]
+	s.callTimes = append(s.callTimes, time.Now())
+	p := s.addresses[r.URL.Host]
 	if p == nil {
 		return nil, errors.New("connection refused")
 	}
-	p.others = r.Header.Get(OtherAddressesHeader)
+	p.otherAddresses = r.Header.Get(OtherAddressesHeader)
 	resp := &http.Response{StatusCode: p.status, Status: fmt.Sprint(p.status), Header: p.header, Body: http.NoBody, Request: r}
 	if p.header == nil {
 		resp.Header = http.Header{}
@@ -60,8 +60,8 @@
 	}
 	out, in := io.Pipe()
 	resp.Body = out
-	p.end = make(chan error, 1)
-	end, mute := p.end, p.mute
+	p.closeWatch = make(chan error, 1)
+	end, mute := p.closeWatch, p.silent
 	go func() {
 		_, _ = in.Write(text)
 		beat := time.NewTicker(2 * time.Second)
@@ -84,13 +84,13 @@
 	return resp, nil
 }
 
-func (s *service) set(addr string, p *place2) {
+func (s *stubService) set(addr string, p *stubAddress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.at[addr] = p
+	s.addresses[addr] = p
 }
 
-func (s *service) asked() []string {
+func (s *stubService) requestedHosts() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var hosts []string
@@ -101,11 +101,11 @@
 	return hosts
 }
 
-// run plays a client over the service in a bubble of its own clock.
-func run(t *testing.T, n int, play func(t *testing.T, s *service, c *Client, order []string, heard *[]List)) {
+// runClient plays a client over the service in a bubble of its own clock.
+func runClient(t *testing.T, n int, play func(t *testing.T, s *stubService, c *Client, order []string, heard *[]List)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &service{at: map[string]*place2{}}
-		c := NewClient(ClientConfig{Addresses: names(n), Order: 7, Fleet: 10, RejectOlder: true, Transport: s})
+		s := &stubService{addresses: map[string]*stubAddress{}}
+		c := NewClient(ClientConfig{Addresses: testAddresses(n), Order: 7, Fleet: 10, RejectOlder: true, Transport: s})
 		var order []string
 		for _, p := range c.selector.candidates {
 			order = append(order, p.addr)
@@ -115,46 +115,48 @@
 	})
 }
 
-func ok(version int64) *place2 { return &place2{status: http.StatusOK, version: version} }
+func servingVersion(version int64) *stubAddress {
+	return &stubAddress{status: http.StatusOK, version: version}
+}
 
 // A watch goes from address to address: past those that refuse, fall silent, break, lag,
 // send it away or know less than it has, and stays where all is well.
-func TestFailover(t *testing.T) {
-	busy := &place2{status: 503, header: http.Header{"Retry-After": {"1.5"}, "Not-Applied": {"1"}}}
-	behind := &place2{status: 503, header: http.Header{"Retry-After": {"0.2"}}}
-	mute := ok(5)
-	mute.mute = true
-	for name, first := range map[string]*place2{"refused": nil, "error": {status: 500}, "busy": busy, "behind": behind,
-		"older": ok(3), "silent": mute} {
+func TestWatchFailsOverToNextAddress(t *testing.T) {
+	busy := &stubAddress{status: 503, header: http.Header{"Retry-After": {"1.5"}, "Not-Applied": {"1"}}}
+	behind := &stubAddress{status: 503, header: http.Header{"Retry-After": {"0.2"}}}
+	mute := servingVersion(5)
+	mute.silent = true
+	for name, first := range map[string]*stubAddress{"refused": nil, "error": {status: 500}, "busy": busy, "behind": behind,
+		"older": servingVersion(3), "silent": mute} {
 		t.Run(name, func(t *testing.T) {
-			run(t, 3, func(t *testing.T, s *service, c *Client, order []string, heard *[]List) {
+			runClient(t, 3, func(t *testing.T, s *stubService, c *Client, order []string, heard *[]List) {
 				if first != nil {
 					s.set(order[0], first)
 				}
-				s.set(order[1], ok(6))
-				s.set(order[2], ok(6))
+				s.set(order[1], servingVersion(6))
+				s.set(order[2], servingVersion(6))
 				ctx, cancel := context.WithCancel(t.Context())
 				done := make(chan error, 1)
 				began := time.Now()
 				go func() { done <- c.Watch(ctx, 5, func(l List) { *heard = append(*heard, l) }) }()
 				time.Sleep(WatchSilenceTimeout + time.Second)
 				synctest.Wait()
-				if got := s.asked(); len(got) != 2 || got[0] != order[0] || got[1] != order[1] {
+				if got := s.requestedHosts(); len(got) != 2 || got[0] != order[0] || got[1] != order[1] {
 					t.Errorf("asked %v of %v", got, order)
 				}
 				if n := len(*heard); n == 0 || (*heard)[n-1].Seq != 6 || (*heard)[0].Seq < 5 {
 					t.Errorf("heard %+v", *heard)
 				}
-				if s.at[order[1]].others != "2" {
-					t.Errorf("said to know %q others", s.at[order[1]].others)
+				if s.addresses[order[1]].otherAddresses != "2" {
+					t.Errorf("said to know %q others", s.addresses[order[1]].otherAddresses)
 				}
-				if name != "silent" && s.times[1].Sub(began) > 2*initialBackoff {
-					t.Errorf("asked the next after %v", s.times[1].Sub(began))
+				if name != "silent" && s.callTimes[1].Sub(began) > 2*initialBackoff {
+					t.Errorf("asked the next after %v", s.callTimes[1].Sub(began))
 				}
 				time.Sleep(time.Minute) // it stays
 				synctest.Wait()
-				if len(s.asked()) != 2 {
-					t.Errorf("asked %v", s.asked())
+				if len(s.requestedHosts()) != 2 {
+					t.Errorf("asked %v", s.requestedHosts())
 				}
 				cancel()
 				if err := <-done; !errors.Is(err, context.Canceled) {
@@ -167,20 +169,20 @@
 
 // With no address that answers, a round ends after each had its turn, and a fleet's rounds
 // don't multiply its calls; the budget comes back with time.
-func TestBudget(t *testing.T) {
-	run(t, 3, func(t *testing.T, s *service, c *Client, order []string, _ *[]List) {
+func TestBudgetBoundsCallsOfFailingRounds(t *testing.T) {
+	runClient(t, 3, func(t *testing.T, s *stubService, c *Client, order []string, _ *[]List) {
 		for range 100 {
 			if err := c.Watch(t.Context(), 0, nil); err == nil {
 				t.Fatal("a watch of nothing")
 			}
 		}
-		if n, held := len(s.asked()), c.BudgetExhausted(); n < 103 || n > 107 || held < 90 {
+		if n, held := len(s.requestedHosts()), c.BudgetExhausted(); n < 103 || n > 107 || held < 90 {
 			t.Errorf("100 rounds at once made %d calls, held back %d", n, held)
 		}
 		time.Sleep(time.Minute)
-		before := len(s.asked())
+		before := len(s.requestedHosts())
 		_ = c.Watch(t.Context(), 0, nil)
-		if n := len(s.asked()) - before; n != 3 {
+		if n := len(s.requestedHosts()) - before; n != 3 {
 			t.Errorf("a round after a minute made %d calls", n)
 		}
 	})
@@ -188,17 +190,17 @@
 
 // A service that moves a watch finds it at another address and not back soon, the next in
 // the reader's order; the version goes along.
-func TestMoved(t *testing.T) {
-	run(t, 3, func(t *testing.T, s *service, c *Client, order []string, heard *[]List) {
+func TestClosedWatchContinuesAtNextAddress(t *testing.T) {
+	runClient(t, 3, func(t *testing.T, s *stubService, c *Client, order []string, heard *[]List) {
 		for i, addr := range order {
-			s.set(addr, ok(int64(10+i)))
+			s.set(addr, servingVersion(int64(10+i)))
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = c.Watch(ctx, 5, func(l List) { *heard = append(*heard, l) }) }()
 		for i := range order[:2] {
 			time.Sleep(time.Second)
 			synctest.Wait()
-			s.at[order[i]].end <- nil
+			s.addresses[order[i]].closeWatch <- nil
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -208,11 +210,11 @@
 		}
 		// SIGHUP takes the address away at which it is: it goes on at one that stays.
 		c.SetAddresses(order[:2])
-		s.set(order[0], ok(20))
-		s.set(order[1], ok(20))
+		s.set(order[0], servingVersion(20))
+		s.set(order[1], servingVersion(20))
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		if got := s.asked(); len(got) != 4 || got[3] == order[2] {
+		if got := s.requestedHosts(); len(got) != 4 || got[3] == order[2] {
 			t.Errorf("asked %v after %s was taken away", got, order[2])
 		}
 		cancel()
@@ -221,15 +223,15 @@
 }
 
 // A whole list is fetched from the first that has one which is not older than the reader's.
-func TestFetchNewEnough(t *testing.T) {
-	run(t, 3, func(t *testing.T, s *service, c *Client, order []string, _ *[]List) {
-		s.set(order[0], ok(4))
-		s.set(order[2], ok(9))
+func TestFetchSkipsStaleLists(t *testing.T) {
+	runClient(t, 3, func(t *testing.T, s *stubService, c *Client, order []string, _ *[]List) {
+		s.set(order[0], servingVersion(4))
+		s.set(order[2], servingVersion(9))
 		l, err := c.Fetch(t.Context(), 5)
 		if err != nil || l.Seq != 9 {
 			t.Errorf("got %+v, %v", l, err)
 		}
-		s.set(order[2], ok(4))
+		s.set(order[2], servingVersion(4))
 		time.Sleep(time.Minute)
 		if l, err := c.Fetch(t.Context(), 5); err == nil {
 			t.Errorf("took version %d, older than 5", l.Seq)
@@ -263,13 +265,13 @@
 	})
 }
 
-// written is a service whose watch writes texts with waits between, and then is silent.
-type written struct {
+// scriptedTransport is a service whose watch writes texts with waits between, and then is silent.
+type scriptedTransport struct {
 	texts []string
-	wait  time.Duration
+	pause time.Duration
 }
 
-func (w written) RoundTrip(r *http.Request) (*http.Response, error) {
+func (w scriptedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	out, in := io.Pipe()
 	go func() {
 		for _, text := range w.texts {
@@ -277,7 +279,7 @@
 				return
 			}
 			select {
-			case <-time.After(w.wait):
+			case <-time.After(w.pause):
 			case <-r.Context().Done():
 			}
 		}
@@ -288,7 +290,7 @@
 
 // What a watch writes may be indented, with what looks like an end inside a string, and is
 // a list once it is whole; bytes that never make one are no sign of life, however they come.
-func TestWatchedText(t *testing.T) {
+func TestWatchDecodesListsAndDetectsSilence(t *testing.T) {
 	const indented = "{\n  \"seq\": 6,\n  \"whole\": false,\n  \"hosts\": [\n    {\"host\": \"a}\\\"]\",\n" +
 		"     \"dial\": \"127.0.0.1:9\", \"health\": \"draining\"}\n  ]\n}\n"
 	endless := []string{"{\"seq\": 7, \"hosts\": [\n"}
@@ -311,7 +313,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				cl := NewClient(ClientConfig{Addresses: names(1), Transport: written{c.texts, time.Second}})
+				cl := NewClient(ClientConfig{Addresses: testAddresses(1), Transport: scriptedTransport{c.texts, time.Second}})
 				heard, began := 0, time.Now()
 				err := cl.Watch(t.Context(), 5, func(l List) {
 					if heard++; l.Seq != 6 || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "a}\"]" {
@@ -329,10 +331,10 @@
 }
 
 // A line that is no list ends the watch, also where its brackets never match.
-func TestWatchedNonsense(t *testing.T) {
+func TestWatchRejectsMalformedLists(t *testing.T) {
 	for _, text := range []string{"}\n", "x\n", "[1]\n", "{\"seq\":\"\n", "{}}\n", "{\"a\":[}]}\n"} {
 		synctest.Test(t, func(t *testing.T) {
-			cl := NewClient(ClientConfig{Addresses: names(1), Transport: written{[]string{text}, 0}})
+			cl := NewClient(ClientConfig{Addresses: testAddresses(1), Transport: scriptedTransport{[]string{text}, 0}})
 			err := cl.Watch(t.Context(), 5, func(l List) { t.Errorf("%q: heard %+v", text, l) })
 			if err == nil || errors.Is(err, errSilenceTimeout) {
 				t.Errorf("%q ended with %v", text, err)
--- a/internal/endpoints/fakeservice_test.go
+++ b/internal/endpoints/fakeservice_test.go
@@ -15,72 +15,72 @@
 	"time"
 )
 
-// fakeFleet is a list service that knows services, without sockets: some addresses of it with
+// fakeControlPlane is a list service that knows services, without sockets: some addresses of it with
 // one state. A client reads it as its transport.
-type fakeFleet struct {
+type fakeControlPlane struct {
 	mu      sync.Mutex
-	state   fakeState
-	at      map[string]*fakeSteward
+	list    fakeList
+	servers map[string]*fakeServer
 	calls   []string // address and query, in order
 	changed chan struct{}
 }
 
-// fakeSteward is one address.
-type fakeSteward struct {
-	old     bool  // it doesn't know services
-	behind  int64 // its versions are so much lower
-	raises  bool  // it raises its version where a reader names a later one
-	refuses bool
-	moved   chan struct{} // closed: its watches end in order
+// fakeServer is one address.
+type fakeServer struct {
+	ignoresServices    bool  // it doesn't know services
+	versionLag         int64 // its versions are so much lower
+	raisesVersion      bool  // it raises its version where a reader names a later one
+	refusesConnections bool
+	closeWatches       chan struct{} // closed: its watches end in order
 }
 
-// fakeState is a list with its changes.
-type fakeState struct {
-	seq     int64
-	hosts   []Endpoint
-	history []fakeChange
+// fakeList is a list with its changes.
+type fakeList struct {
+	seq       int64
+	endpoints []Endpoint
+	history   []fakeChange
 }
 
 type fakeChange struct {
-	seq   int64
-	hosts []Endpoint
+	seq       int64
+	endpoints []Endpoint
 }
 
-func (s *fakeState) index(name string) int {
-	return slices.IndexFunc(s.hosts, func(h Endpoint) bool { return h.Name == name })
+func (s *fakeList) index(name string) int {
+	return slices.IndexFunc(s.endpoints, func(h Endpoint) bool { return h.Name == name })
 }
 
 // set lists a server; one that changes its service is also gone from the one before.
-func (s *fakeState) set(h Endpoint, goneLast bool) {
+func (s *fakeList) set(h Endpoint, goneLast bool) {
 	change := []Endpoint{h}
 	if i := s.index(h.Name); i < 0 {
-		s.hosts = append(s.hosts, h)
+		s.endpoints = append(s.endpoints, h)
 	} else {
-		if before := s.hosts[i]; before.Service != h.Service {
+		if before := s.endpoints[i]; before.Service != h.Service {
 			before.Health = Removed
 			change = append(change, before)
 			if !goneLast {
 				slices.Reverse(change)
 			}
 		}
-		s.hosts[i] = h
+		s.endpoints[i] = h
 	}
 	s.seq++
 	s.history = append(s.history, fakeChange{s.seq, change})
 }
 
 // remove takes a server off the list.
-func (s *fakeState) remove(name string) {
+func (s *fakeList) remove(name string) {
 	i := s.index(name)
-	h := s.hosts[i]
+	h := s.endpoints[i]
 	h.Health = Removed
-	s.hosts = slices.Delete(s.hosts, i, i+1)
+	s.endpoints = slices.Delete(s.endpoints, i, i+1)
 	s.seq++
 	s.history = append(s.history, fakeChange{s.seq, []Endpoint{h}})
 }
 
-// list is what a reader with the version since is sent; services nil: of all, without a service.
-func (s *fakeState) list(since int64, services []string) List {
+// response is what a reader with the version since is sent; services nil: of all, without a service.
+func (s *fakeList) response(since int64, services []string) List {
 	l := List{Seq: s.seq, Full: since <= 0, Endpoints: []Endpoint{}}
 	add := func(h Endpoint) {
 		if services != nil && !slices.Contains(services, h.Service) {
@@ -92,14 +92,14 @@
 		l.Endpoints = append(l.Endpoints, h)
 	}
 	if l.Full {
-		for _, h := range s.hosts {
+		for _, h := range s.endpoints {
 			add(h)
 		}
 		return l
 	}
 	for _, c := range s.history {
-		for _, h := range c.hosts {
-			moved := services == nil && h.Health == Removed && len(c.hosts) > 1
+		for _, h := range c.endpoints {
+			moved := services == nil && h.Health == Removed && len(c.endpoints) > 1
 			if c.seq > since && !moved {
 				add(h)
 			}
@@ -108,33 +108,33 @@
 	return l
 }
 
-func (f *fakeFleet) change(change func(s *fakeState)) {
+func (f *fakeControlPlane) change(change func(s *fakeList)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	change(&f.state)
+	change(&f.list)
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// asked is the calls so far.
-func (f *fakeFleet) asked() []string {
+// requests is the calls so far.
+func (f *fakeControlPlane) requests() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.calls)
 }
 
-func (f *fakeFleet) RoundTrip(r *http.Request) (*http.Response, error) {
+func (f *fakeControlPlane) RoundTrip(r *http.Request) (*http.Response, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls = append(f.calls, r.URL.Host+"?"+r.URL.RawQuery)
-	s := f.at[r.URL.Host]
-	if s == nil || s.refuses {
+	s := f.servers[r.URL.Host]
+	if s == nil || s.refusesConnections {
 		return nil, errors.New("connection refused")
 	}
 	q := r.URL.Query()
 	resp := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: http.NoBody, Request: r}
 	services := q[ServiceParam]
-	if s.old {
+	if s.ignoresServices {
 		services = nil
 	}
 	if services != nil {
@@ -142,12 +142,12 @@
 	}
 	since, _ := strconv.ParseInt(q.Get("since"), 10, 64)
 	if q.Get("follow") == "" {
-		text, _ := json.Marshal(f.state.list(0, services))
+		text, _ := json.Marshal(f.list.response(0, services))
 		resp.Body = io.NopCloser(strings.NewReader(string(text)))
 		return resp, nil
 	}
-	if s.raises && since > f.state.seq-s.behind {
-		f.state.seq, f.state.history, s.behind, since = since+1, nil, 0, 0
+	if s.raisesVersion && since > f.list.seq-s.versionLag {
+		f.list.seq, f.list.history, s.versionLag, since = since+1, nil, 0, 0
 	}
 	out, in := io.Pipe()
 	resp.Body = out
@@ -156,12 +156,12 @@
 }
 
 // serve writes one watch.
-func (f *fakeFleet) serve(ctx context.Context, s *fakeSteward, in *io.PipeWriter, since int64, services []string) {
+func (f *fakeControlPlane) serve(ctx context.Context, s *fakeServer, in *io.PipeWriter, since int64, services []string) {
 	beat := time.NewTicker(2 * time.Second)
 	defer beat.Stop()
 	for first := true; ; first = false {
 		f.mu.Lock()
-		l, changed, behind := f.state.list(since, services), f.changed, s.behind
+		l, changed, behind := f.list.response(since, services), f.changed, s.versionLag
 		f.mu.Unlock()
 		if l.Seq > since || first {
 			since = l.Seq
@@ -174,7 +174,7 @@
 		select {
 		case <-changed:
 		case <-beat.C:
-		case <-s.moved:
+		case <-s.closeWatches:
 			in.Close()
 			return
 		case <-ctx.Done():
@@ -187,19 +187,19 @@
 // fakeReader is a reader as the agent is one: it drops lists of another subscription and of an
 // older version, and keeps what the table makes of the rest.
 type fakeReader struct {
-	client *Client
-	mu     sync.Mutex
-	table  *ServiceTable
-	number uint64
-	seq    int64
-	held   map[string]Endpoint
-	events []ServiceEvent
-	lists  []List   // as they came
-	ended  int      // watches that ended with an error
-	left   []string // the addresses that were left, in order
+	client          *Client
+	mu              sync.Mutex
+	table           *ServiceTable
+	number          uint64
+	seq             int64
+	endpoints       map[string]Endpoint
+	events          []ServiceEvent
+	lists           []List   // as they came
+	failedWatches   int      // watches that ended with an error
+	failedAddresses []string // the addresses that were left, in order
 }
 
-func (r *fakeReader) take(l List) {
+func (r *fakeReader) onList(l List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if l.Subscription != r.number || l.Seq < r.seq {
@@ -209,11 +209,11 @@
 	r.lists = append(r.lists, l)
 	out, events := r.table.Apply(l)
 	r.events = append(r.events, events...)
-	consume(r.held, &out)
+	consumeList(r.endpoints, &out)
 }
 
-// consume does with a list what a consumer does that knows no services.
-func consume(held map[string]Endpoint, l *List) {
+// consumeList does with a list what a consumer does that knows no services.
+func consumeList(held map[string]Endpoint, l *List) {
 	if l.Full {
 		clear(held)
 	}
@@ -239,35 +239,35 @@
 	r.table.Subscribe(services)
 }
 
-// holds is the names that the reader holds, in order.
-func (r *fakeReader) holds() string {
+// endpointNames is the names that the reader endpointNames, in order.
+func (r *fakeReader) endpointNames() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var names []string
-	for name := range r.held {
+	for name := range r.endpoints {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return strings.Join(names, " ")
 }
 
-// playScoped plays a reader of services over a fleet of so many addresses, which it asks in the
+// runScopedReader plays a reader of services over a fleet of so many addresses, which it asks in the
 // given order, on a clock of its own.
-func playScoped(t *testing.T, n int, services []string, hosts []Endpoint, play func(t *testing.T, f *fakeFleet, r *fakeReader, order []string)) {
+func runScopedReader(t *testing.T, n int, services []string, hosts []Endpoint, play func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeFleet{at: map[string]*fakeSteward{}, changed: make(chan struct{}), state: fakeState{seq: 100}}
+		f := &fakeControlPlane{servers: map[string]*fakeServer{}, changed: make(chan struct{}), list: fakeList{seq: 100}}
 		for _, h := range hosts {
-			f.state.set(h, false)
+			f.list.set(h, false)
 		}
-		for _, addr := range names(n) {
-			f.at[addr] = &fakeSteward{moved: make(chan struct{})}
+		for _, addr := range testAddresses(n) {
+			f.servers[addr] = &fakeServer{closeWatches: make(chan struct{})}
 		}
-		r := &fakeReader{table: NewServiceTable(services), held: map[string]Endpoint{}}
-		r.client = NewClient(ClientConfig{Addresses: names(n), Order: 7, Fleet: 10, RejectOlder: true, Services: services, Transport: f,
+		r := &fakeReader{table: NewServiceTable(services), endpoints: map[string]Endpoint{}}
+		r.client = NewClient(ClientConfig{Addresses: testAddresses(n), Order: 7, Fleet: 10, RejectOlder: true, Services: services, Transport: f,
 			OnFailover: func(addr string, _ error) {
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				r.left = append(r.left, addr)
+				r.failedAddresses = append(r.failedAddresses, addr)
 			}})
 		var order []string
 		for _, p := range r.client.selector.candidates {
@@ -281,9 +281,9 @@
 				r.mu.Lock()
 				seq := r.seq
 				r.mu.Unlock()
-				if err := r.client.Watch(ctx, seq, r.take); ctx.Err() == nil {
+				if err := r.client.Watch(ctx, seq, r.onList); ctx.Err() == nil {
 					r.mu.Lock()
-					r.ended++
+					r.failedWatches++
 					r.mu.Unlock()
 					t.Logf("watch ended: %v", err)
 					time.Sleep(time.Second)
@@ -298,6 +298,6 @@
 	})
 }
 
-func server(name, service string) Endpoint {
+func readyEndpoint(name, service string) Endpoint {
 	return Endpoint{Name: name, Dial: "127.0.0.1:9", Health: Ready, Service: service}
 }
--- a/internal/endpoints/listscanner_test.go
+++ b/internal/endpoints/listscanner_test.go
@@ -32,7 +32,7 @@
 }
 
 // Wherever a list is cut, what is read of it is the beginning of its entries, and its version or none.
-func TestPartOfAList(t *testing.T) {
+func TestParsePartialListReturnsPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, text := drawList(t)
 		least := 0 // entries read of less
@@ -54,7 +54,7 @@
 }
 
 // However a watch's bytes are cut into pieces, the lists are the same, each with its last brace.
-func TestStreamInPieces(t *testing.T) {
+func TestScannerSplitsListsAtAnyBoundary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want, got []List
 		s := listScanner{onBlankLine: func() {}, onPartial: func([]byte, time.Time) {}}
@@ -85,7 +85,7 @@
 
 // A part is reported 100 ms after its begin, again where it has grown, and at the end; a list that is
 // finished in time is not. The end says how much was left.
-func TestPartIsReported(t *testing.T) {
+func TestScannerReportsPartialLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		parts, lists := []string{}, 0
 		s := listScanner{onBlankLine: func() {}, onList: func([]byte) error { lists++; return nil }}
@@ -119,12 +119,12 @@
 
 // A fetch that ends in the midst of its list gives the part that came; one that ends behind the head,
 // or with blanks alone, gives none: nothing of the list was written.
-func TestPartOfAFetchedList(t *testing.T) {
+func TestFetchReportsPartialList(t *testing.T) {
 	for body, want := range map[string]int{"": 0, " \n": 0, `{"seq":7,"whole":true,"hosts":[`: 1,
 		`{"seq":7,"hosts":[{"host":"a","dial":"127.0.0.1:9","health":"draining"},{"ho`: 1} {
 		var parts []List
-		cl := NewClient(ClientConfig{Addresses: names(1), OnPartial: func(l List) { parts = append(parts, l) },
-			Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
+		cl := NewClient(ClientConfig{Addresses: testAddresses(1), OnPartial: func(l List) { parts = append(parts, l) },
+			Transport: roundTripFunc(func(r *http.Request) (*http.Response, error) {
 				text := io.MultiReader(strings.NewReader(body), iotest.ErrReader(io.ErrUnexpectedEOF))
 				return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(text), Request: r}, nil
 			})})
--- a/internal/endpoints/servicetable_test.go
+++ b/internal/endpoints/servicetable_test.go
@@ -11,28 +11,28 @@
 	"pgregory.net/rapid"
 )
 
-// tableRun feeds a table and a consumer of what it makes of the lists.
-type tableRun struct {
-	t     *testing.T
-	table *ServiceTable
-	held  map[string]Endpoint
-	seq   int64
+// tableHarness feeds a table and a consumer of what it makes of the lists.
+type tableHarness struct {
+	t        *testing.T
+	table    *ServiceTable
+	consumed map[string]Endpoint
+	seq      int64
 }
 
-func newTableRun(t *testing.T, services ...string) *tableRun {
-	return &tableRun{t: t, table: NewServiceTable(services), held: map[string]Endpoint{}}
+func newTableHarness(t *testing.T, services ...string) *tableHarness {
+	return &tableHarness{t: t, table: NewServiceTable(services), consumed: map[string]Endpoint{}}
 }
 
 // apply feeds one list and checks what is held after it, as "name/service" in order, and the events.
-func (r *tableRun) apply(what string, whole, scoped bool, hosts []Endpoint, want string, events ...ServiceEvent) {
+func (r *tableHarness) apply(what string, whole, scoped bool, hosts []Endpoint, want string, events ...ServiceEvent) {
 	r.t.Helper()
 	r.seq++
 	out, got := r.table.Apply(List{Seq: r.seq, Full: whole, Scoped: scoped, Endpoints: hosts})
-	consume(r.held, &out)
+	consumeList(r.consumed, &out)
 	if out.Seq != r.seq || out.Full != whole {
 		r.t.Errorf("%s: made %+v", what, out)
 	}
-	if holds := holding(r.held); holds != want {
+	if holds := describeEndpoints(r.consumed); holds != want {
 		r.t.Errorf("%s: holds %q, want %q", what, holds, want)
 	}
 	if !slices.Equal(got, events) {
@@ -40,7 +40,7 @@
 	}
 }
 
-func holding(held map[string]Endpoint) string {
+func describeEndpoints(held map[string]Endpoint) string {
 	var names []string
 	for name, h := range held {
 		names = append(names, name+"/"+h.Service)
@@ -49,73 +49,73 @@
 	return strings.Join(names, " ")
 }
 
-func gone(name, service string) Endpoint {
+func removedEndpoint(name, service string) Endpoint {
 	return Endpoint{Name: name, Service: service, Health: Removed}
 }
 
-func list(hosts ...Endpoint) []Endpoint { return hosts }
+func endpointsOf(hosts ...Endpoint) []Endpoint { return hosts }
 
 // A service without servers is unknown if it never had any. One that had some keeps them if a
 // whole list names none of it, until a list names one again. Each is reported once.
 func TestServiceEvents(t *testing.T) {
-	r := newTableRun(t, "a", "b")
-	a1, a2, b1 := server("a1", "a"), server("a2", "a"), server("b1", "b")
-	r.apply("first", true, true, list(a1, a2), "a1/a a2/a", ServiceEvent{Kind: ServiceUnknown, Service: "b", Scoped: true})
-	r.apply("again", true, true, list(a1, a2), "a1/a a2/a")
-	r.apply("b known", false, true, list(b1), "a1/a a2/a b1/b", ServiceEvent{Kind: ServiceRestored, Service: "b", Scoped: true})
-	r.apply("a emptied", true, true, list(b1), "a1/a a2/a b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Retained: 2, Scoped: true})
-	r.apply("still", true, true, list(b1), "a1/a a2/a b1/b")
-	r.apply("a kept one is gone", false, true, list(gone("a2", "a")), "a1/a b1/b")
+	r := newTableHarness(t, "a", "b")
+	a1, a2, b1 := readyEndpoint("a1", "a"), readyEndpoint("a2", "a"), readyEndpoint("b1", "b")
+	r.apply("first", true, true, endpointsOf(a1, a2), "a1/a a2/a", ServiceEvent{Kind: ServiceUnknown, Service: "b", Scoped: true})
+	r.apply("again", true, true, endpointsOf(a1, a2), "a1/a a2/a")
+	r.apply("b known", false, true, endpointsOf(b1), "a1/a a2/a b1/b", ServiceEvent{Kind: ServiceRestored, Service: "b", Scoped: true})
+	r.apply("a emptied", true, true, endpointsOf(b1), "a1/a a2/a b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Retained: 2, Scoped: true})
+	r.apply("still", true, true, endpointsOf(b1), "a1/a a2/a b1/b")
+	r.apply("a kept one is gone", false, true, endpointsOf(removedEndpoint("a2", "a")), "a1/a b1/b")
 	r.apply("all emptied", true, true, nil, "a1/a b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "b", Retained: 1, Scoped: true})
-	r.apply("a back", false, true, list(a2), "a2/a b1/b", ServiceEvent{Kind: ServiceRestored, Service: "a", Scoped: true})
-	r.apply("b back", true, true, list(a2, server("b2", "b")), "a2/a b2/b", ServiceEvent{Kind: ServiceRestored, Service: "b", Scoped: true})
-	r.apply("a ends by changes", false, true, list(gone("a2", "a")), "b2/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
-	r.apply("and stays so", true, true, list(server("b2", "b")), "b2/b")
-	r.apply("a begins anew", false, true, list(a1), "a1/a b2/b", ServiceEvent{Kind: ServiceRestored, Service: "a", Scoped: true})
+	r.apply("a back", false, true, endpointsOf(a2), "a2/a b1/b", ServiceEvent{Kind: ServiceRestored, Service: "a", Scoped: true})
+	r.apply("b back", true, true, endpointsOf(a2, readyEndpoint("b2", "b")), "a2/a b2/b", ServiceEvent{Kind: ServiceRestored, Service: "b", Scoped: true})
+	r.apply("a ends by changes", false, true, endpointsOf(removedEndpoint("a2", "a")), "b2/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
+	r.apply("and stays so", true, true, endpointsOf(readyEndpoint("b2", "b")), "b2/b")
+	r.apply("a begins anew", false, true, endpointsOf(a1), "a1/a b2/b", ServiceEvent{Kind: ServiceRestored, Service: "a", Scoped: true})
 }
 
 // Entries of other services are dropped, and a server is gone only from the service under which
 // it is held.
-func TestForeignEntries(t *testing.T) {
-	r := newTableRun(t, "a")
-	r.apply("whole", true, true, list(server("a1", "a"), server("x1", "x"), server("d1", "")), "a1/a")
-	r.apply("foreign", false, true, list(server("x2", "x"), server("d1", ""), server("a1", "x")), "a1/a")
-	r.apply("gone elsewhere", false, true, list(gone("a1", "x"), gone("a1", ""), gone("x1", "x")), "a1/a")
-	r.apply("gone", false, true, list(gone("a1", "a")), "", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
+func TestEntriesOfOtherServicesAreIgnored(t *testing.T) {
+	r := newTableHarness(t, "a")
+	r.apply("whole", true, true, endpointsOf(readyEndpoint("a1", "a"), readyEndpoint("x1", "x"), readyEndpoint("d1", "")), "a1/a")
+	r.apply("foreign", false, true, endpointsOf(readyEndpoint("x2", "x"), readyEndpoint("d1", ""), readyEndpoint("a1", "x")), "a1/a")
+	r.apply("gone elsewhere", false, true, endpointsOf(removedEndpoint("a1", "x"), removedEndpoint("a1", ""), removedEndpoint("x1", "x")), "a1/a")
+	r.apply("gone", false, true, endpointsOf(removedEndpoint("a1", "a")), "", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
 }
 
 // A server that changes its service under one name: a reader of both may hear it in either
 // order, a reader of one hears only its own.
-func TestServerChangesService(t *testing.T) {
-	now := server("s", "b")
+func TestEndpointChangesService(t *testing.T) {
+	now := readyEndpoint("s", "b")
 	now.Dial = "127.0.0.1:10"
-	a, b := server("a1", "a"), server("b1", "b")
-	for name, line := range map[string][]Endpoint{"gone first": {gone("s", "a"), now}, "gone last": {now, gone("s", "a")}} {
+	a, b := readyEndpoint("a1", "a"), readyEndpoint("b1", "b")
+	for name, line := range map[string][]Endpoint{"gone first": {removedEndpoint("s", "a"), now}, "gone last": {now, removedEndpoint("s", "a")}} {
 		t.Run(name, func(t *testing.T) {
-			both := newTableRun(t, "a", "b")
-			both.apply("both: whole", true, true, list(a, b, server("s", "a")), "a1/a b1/b s/a")
+			both := newTableHarness(t, "a", "b")
+			both.apply("both: whole", true, true, endpointsOf(a, b, readyEndpoint("s", "a")), "a1/a b1/b s/a")
 			both.apply("both: change", false, true, line, "a1/a b1/b s/b")
-			if both.held["s"].Dial != now.Dial {
-				t.Errorf("holds %+v", both.held["s"])
+			if both.consumed["s"].Dial != now.Dial {
+				t.Errorf("holds %+v", both.consumed["s"])
 			}
-			two := newTableRun(t, "a", "b") // the entries come in lines of their own
-			two.apply("two lines: whole", true, true, list(a, b, server("s", "a")), "a1/a b1/b s/a")
+			two := newTableHarness(t, "a", "b") // the entries come in lines of their own
+			two.apply("two lines: whole", true, true, endpointsOf(a, b, readyEndpoint("s", "a")), "a1/a b1/b s/a")
 			two.apply("two lines: first", false, true, line[:1], map[bool]string{true: "a1/a b1/b", false: "a1/a b1/b s/b"}[line[0].Health == Removed])
 			two.apply("two lines: second", false, true, line[1:], "a1/a b1/b s/b")
 		})
 	}
-	before := newTableRun(t, "a")
-	before.apply("before: whole", true, true, list(a, server("s", "a")), "a1/a s/a")
-	before.apply("before: change", false, true, list(gone("s", "a")), "a1/a")
-	after := newTableRun(t, "b")
-	after.apply("after: whole", true, true, list(b), "b1/b")
-	after.apply("after: change", false, true, list(now), "b1/b s/b")
+	before := newTableHarness(t, "a")
+	before.apply("before: whole", true, true, endpointsOf(a, readyEndpoint("s", "a")), "a1/a s/a")
+	before.apply("before: change", false, true, endpointsOf(removedEndpoint("s", "a")), "a1/a")
+	after := newTableHarness(t, "b")
+	after.apply("after: whole", true, true, endpointsOf(b), "b1/b")
+	after.apply("after: change", false, true, endpointsOf(now), "b1/b s/b")
 	// A whole list that has all servers of a service under another one leaves nothing to keep.
-	all := newTableRun(t, "a", "b")
-	all.apply("all: whole", true, true, list(server("s", "a"), b), "b1/b s/a")
-	all.apply("all: moved", true, true, list(now, b), "b1/b s/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
+	all := newTableHarness(t, "a", "b")
+	all.apply("all: whole", true, true, endpointsOf(readyEndpoint("s", "a"), b), "b1/b s/a")
+	all.apply("all: moved", true, true, endpointsOf(now, b), "b1/b s/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
 	// The line names a server once, whatever it has of it.
-	out, _ := all.table.Apply(List{Seq: 9, Scoped: true, Endpoints: list(gone("s", "b"), server("s", "a"), gone("s", "a"), now)})
+	out, _ := all.table.Apply(List{Seq: 9, Scoped: true, Endpoints: endpointsOf(removedEndpoint("s", "b"), readyEndpoint("s", "a"), removedEndpoint("s", "a"), now)})
 	if len(out.Endpoints) != 1 || out.Endpoints[0] != now {
 		t.Errorf("made %+v", out)
 	}
@@ -123,35 +123,35 @@
 
 // What comes unscoped is filtered by the service that an entry names, else by the one that it is
 // held under, else it is the default service's.
-func TestUnscopedLists(t *testing.T) {
-	bare := func(name string) Endpoint { return server(name, "") }
-	r := newTableRun(t, "a", "b")
-	r.apply("scoped", true, true, list(server("a1", "a"), server("a2", "a"), server("b1", "b")), "a1/a a2/a b1/b")
-	r.apply("whole", true, false, list(bare("a1"), bare("b1"), bare("x1")), "a1/a b1/b")
+func TestUnscopedListsAreFilteredByService(t *testing.T) {
+	bare := func(name string) Endpoint { return readyEndpoint(name, "") }
+	r := newTableHarness(t, "a", "b")
+	r.apply("scoped", true, true, endpointsOf(readyEndpoint("a1", "a"), readyEndpoint("a2", "a"), readyEndpoint("b1", "b")), "a1/a a2/a b1/b")
+	r.apply("whole", true, false, endpointsOf(bare("a1"), bare("b1"), bare("x1")), "a1/a b1/b")
 	if r.table.Synced() {
 		t.Error("an unscoped list settles the table")
 	}
-	r.apply("changes", false, false, list(bare("x2"), server("a3", "a"), gone("x1", ""), server("x3", "x")), "a1/a a3/a b1/b")
-	r.apply("gone", false, false, list(gone("a3", ""), gone("b1", "a")), "a1/a b1/b")
-	r.apply("went to another service", false, false, list(server("b1", "x")), "a1/a",
+	r.apply("changes", false, false, endpointsOf(bare("x2"), readyEndpoint("a3", "a"), removedEndpoint("x1", ""), readyEndpoint("x3", "x")), "a1/a a3/a b1/b")
+	r.apply("gone", false, false, endpointsOf(removedEndpoint("a3", ""), removedEndpoint("b1", "a")), "a1/a b1/b")
+	r.apply("went to another service", false, false, endpointsOf(readyEndpoint("b1", "x")), "a1/a",
 		ServiceEvent{Kind: ServiceEmptied, Service: "b"})
-	r.apply("mass failure", true, false, list(bare("x1")), "a1/a", ServiceEvent{Kind: ServiceEmptied, Service: "a", Retained: 1})
-	r.apply("over", true, false, list(bare("x1"), bare("a1")), "a1/a", ServiceEvent{Kind: ServiceRestored, Service: "a"})
-	d := newTableRun(t, "")
-	d.apply("default service", true, false, list(bare("d1"), server("x1", "x")), "d1/")
-	u := newTableRun(t, "a")
-	u.apply("can't tell", true, false, list(bare("x1")), "", ServiceEvent{Kind: ServiceUnknown, Service: "a"})
+	r.apply("mass failure", true, false, endpointsOf(bare("x1")), "a1/a", ServiceEvent{Kind: ServiceEmptied, Service: "a", Retained: 1})
+	r.apply("over", true, false, endpointsOf(bare("x1"), bare("a1")), "a1/a", ServiceEvent{Kind: ServiceRestored, Service: "a"})
+	d := newTableHarness(t, "")
+	d.apply("default service", true, false, endpointsOf(bare("d1"), readyEndpoint("x1", "x")), "d1/")
+	u := newTableHarness(t, "a")
+	u.apply("can't tell", true, false, endpointsOf(bare("x1")), "", ServiceEvent{Kind: ServiceUnknown, Service: "a"})
 }
 
 // What was known before the first list stays in use, as far as it is of the services, and is kept
 // when that list has none of a service.
-func TestSeed(t *testing.T) {
+func TestSeedKeepsKnownEndpoints(t *testing.T) {
 	table := NewServiceTable([]string{"a", "b"})
-	known := List{Seq: 5, Full: true, Endpoints: list(server("a1", "a"), server("d1", ""), server("x1", "x"), gone("a2", "a"), server("a1", "b"))}
-	if out := table.Seed(known); out.Seq != 5 || len(out.Endpoints) != 1 || out.Endpoints[0] != server("a1", "a") {
+	known := List{Seq: 5, Full: true, Endpoints: endpointsOf(readyEndpoint("a1", "a"), readyEndpoint("d1", ""), readyEndpoint("x1", "x"), removedEndpoint("a2", "a"), readyEndpoint("a1", "b"))}
+	if out := table.Seed(known); out.Seq != 5 || len(out.Endpoints) != 1 || out.Endpoints[0] != readyEndpoint("a1", "a") {
 		t.Fatalf("seeded %+v", out)
 	}
-	if out, events := table.Apply(List{Seq: 6, Scoped: true, Endpoints: list(gone("a1", "a"))}); len(out.Endpoints)+len(events) > 0 || out.Seq != 6 {
+	if out, events := table.Apply(List{Seq: 6, Scoped: true, Endpoints: endpointsOf(removedEndpoint("a1", "a"))}); len(out.Endpoints)+len(events) > 0 || out.Seq != 6 {
 		t.Fatalf("took a change before the whole list: %+v", out)
 	}
 	out, events := table.Apply(List{Seq: 6, Full: true, Scoped: true})
@@ -163,15 +163,15 @@
 
 // A subscription that changes keeps what is held until the whole list of the new one comes; what
 // is known of the services that stay goes along.
-func TestTableSubscribes(t *testing.T) {
-	r := newTableRun(t, "a", "b")
-	r.apply("before", true, true, list(server("a1", "a"), server("b1", "b")), "a1/a b1/b")
+func TestSubscribeKeepsEndpointsUntilFullList(t *testing.T) {
+	r := newTableHarness(t, "a", "b")
+	r.apply("before", true, true, endpointsOf(readyEndpoint("a1", "a"), readyEndpoint("b1", "b")), "a1/a b1/b")
 	r.table.Subscribe([]string{"b", "c"})
-	r.apply("a late change", false, true, list(gone("b1", "b"), server("c1", "c")), "a1/a b1/b")
+	r.apply("a late change", false, true, endpointsOf(removedEndpoint("b1", "b"), readyEndpoint("c1", "c")), "a1/a b1/b")
 	if r.table.Synced() {
 		t.Error("settled before the list")
 	}
-	r.apply("whole", true, true, list(server("c1", "c")), "b1/b c1/c", ServiceEvent{Kind: ServiceEmptied, Service: "b", Retained: 1, Scoped: true})
+	r.apply("whole", true, true, endpointsOf(readyEndpoint("c1", "c")), "b1/b c1/c", ServiceEvent{Kind: ServiceEmptied, Service: "b", Retained: 1, Scoped: true})
 	if !r.table.Synced() {
 		t.Error("not settled")
 	}
@@ -189,25 +189,25 @@
 
 // A change costs by its own entries and not by the servers of its service; a service of one server
 // and one of 5,000 are the same to it. Counted are allocations, which each entry's work needs.
-func TestCostOfChange(t *testing.T) {
+func TestUpdateCostIsIndependentOfServiceSize(t *testing.T) {
 	cost := map[int]float64{}
 	for _, n := range []int{1, 5000} {
 		table := NewServiceTable([]string{"a"})
 		var hosts []Endpoint
 		for i := range n {
-			hosts = append(hosts, server(fmt.Sprint("a", i), "a"))
+			hosts = append(hosts, readyEndpoint(fmt.Sprint("a", i), "a"))
 		}
 		out, events := table.Apply(List{Seq: 1, Full: true, Scoped: true, Endpoints: hosts})
 		if !slices.Equal(out.Endpoints, hosts) || len(events) > 0 {
 			t.Fatalf("made %d of %d, %+v", len(out.Endpoints), n, events)
 		}
-		line := List{Seq: 2, Scoped: true, Endpoints: list(hosts[0])}
+		line := List{Seq: 2, Scoped: true, Endpoints: endpointsOf(hosts[0])}
 		cost[n] = testing.AllocsPerRun(100, func() { table.Apply(line) })
 		out, events = table.Apply(List{Seq: 3, Full: true, Scoped: true})
 		if want := (ServiceEvent{Kind: ServiceEmptied, Service: "a", Retained: n, Scoped: true}); len(out.Endpoints) != n || len(events) != 1 || events[0] != want {
 			t.Fatalf("kept %d of %d: %+v", len(out.Endpoints), n, events)
 		}
-		out, _ = table.Apply(List{Seq: 4, Scoped: true, Endpoints: list(hosts[0])})
+		out, _ = table.Apply(List{Seq: 4, Scoped: true, Endpoints: endpointsOf(hosts[0])})
 		if len(out.Endpoints) != n || len(table.endpoints) != 1 {
 			t.Fatalf("after the service is back %d are touched, %d held", len(out.Endpoints), len(table.endpoints))
 		}
@@ -219,16 +219,16 @@
 
 // modelTable is what ServiceTable does, written as whole new states and their difference.
 type modelTable struct {
-	services []string
-	held     map[string]Endpoint // by name
-	doubted  map[string]bool     // services
-	state    map[string]string
-	based    bool
+	services    []string
+	endpoints   map[string]Endpoint // by name
+	retained    map[string]bool     // services
+	statuses    map[string]string
+	hasFullList bool
 }
 
 func (m *modelTable) subscribed(service string) bool { return slices.Contains(m.services, service) }
 
-func (m *modelTable) of(held map[string]Endpoint, service string) (names []string) {
+func (m *modelTable) namesOf(held map[string]Endpoint, service string) (names []string) {
 	for name, h := range held {
 		if h.Service == service {
 			names = append(names, name)
@@ -237,59 +237,59 @@
 	return names
 }
 
-// service is where an entry belongs, given what is held.
-func (m *modelTable) service(h Endpoint, scoped bool, held map[string]Endpoint) string {
+// serviceOf is where an entry belongs, given what is held.
+func (m *modelTable) serviceOf(h Endpoint, scoped bool, held map[string]Endpoint) string {
 	if before, ok := held[h.Name]; ok && !scoped && h.Service == "" {
 		return before.Service
 	}
 	return h.Service
 }
 
-func (m *modelTable) whole(l List) {
+func (m *modelTable) applyFullList(l List) {
 	next := map[string]Endpoint{}
 	for _, h := range l.Endpoints {
-		h.Service = m.service(h, l.Scoped, m.held)
+		h.Service = m.serviceOf(h, l.Scoped, m.endpoints)
 		if h.Health != Removed && m.subscribed(h.Service) {
 			next[h.Name] = h
 		}
 	}
-	m.doubted = map[string]bool{}
+	m.retained = map[string]bool{}
 	keep := map[string]Endpoint{}
 	for _, service := range m.services {
-		if len(m.of(next, service)) > 0 {
+		if len(m.namesOf(next, service)) > 0 {
 			continue
 		}
-		for _, name := range m.of(m.held, service) {
+		for _, name := range m.namesOf(m.endpoints, service) {
 			if _, listed := next[name]; !listed {
-				keep[name] = m.held[name]
-				m.doubted[service] = true
+				keep[name] = m.endpoints[name]
+				m.retained[service] = true
 			}
 		}
 	}
 	maps.Copy(next, keep)
-	m.held, m.based = next, true
+	m.endpoints, m.hasFullList = next, true
 }
 
-func (m *modelTable) change(l List) {
-	if !m.based {
+func (m *modelTable) applyUpdate(l List) {
+	if !m.hasFullList {
 		return
 	}
 	for _, h := range l.Endpoints {
-		before, held := m.held[h.Name]
-		service := m.service(h, l.Scoped, m.held)
+		before, held := m.endpoints[h.Name]
+		service := m.serviceOf(h, l.Scoped, m.endpoints)
 		switch {
 		case h.Health == Removed && held && before.Service == service:
-			delete(m.held, h.Name)
+			delete(m.endpoints, h.Name)
 		case h.Health == Removed:
 		case m.subscribed(service):
-			if m.doubted[service] {
-				maps.DeleteFunc(m.held, func(_ string, k Endpoint) bool { return k.Service == service })
-				m.doubted[service] = false
+			if m.retained[service] {
+				maps.DeleteFunc(m.endpoints, func(_ string, k Endpoint) bool { return k.Service == service })
+				m.retained[service] = false
 			}
 			h.Service = service
-			m.held[h.Name] = h
+			m.endpoints[h.Name] = h
 		case !l.Scoped:
-			delete(m.held, h.Name)
+			delete(m.endpoints, h.Name)
 		}
 	}
 }
@@ -297,20 +297,20 @@
 // events is what became of the services, by state alone. All are looked at: those that no entry
 // touched have not changed.
 func (m *modelTable) events(l List) (events []ServiceEvent) {
-	if !m.based {
+	if !m.hasFullList {
 		return nil
 	}
 	for _, service := range slices.Sorted(slices.Values(m.services)) {
-		n, was := len(m.of(m.held, service)), m.state[service]
+		n, was := len(m.namesOf(m.endpoints, service)), m.statuses[service]
 		now := "there"
 		switch {
-		case n > 0 && !m.doubted[service]:
+		case n > 0 && !m.retained[service]:
 		case n == 0 && (was == "" || was == "unknown"):
 			now = "unknown"
 		default:
 			now = "emptied"
 		}
-		m.state[service] = now
+		m.statuses[service] = now
 		switch {
 		case was == now || was == "" && now == "there":
 		case now == "there":
@@ -329,26 +329,26 @@
 	state := map[string]string{}
 	for _, s := range services {
 		if m.subscribed(s) {
-			state[s] = m.state[s]
+			state[s] = m.statuses[s]
 		}
 	}
-	m.services, m.state, m.based = services, state, false
+	m.services, m.statuses, m.hasFullList = services, state, false
 }
 
 // Whatever lists come, scoped or not, whole or not, over changes of the subscription: a consumer
 // of what the table makes of them holds what the model holds, a change names each server once,
 // and the events are the model's.
-func TestTableEqualsModel(t *testing.T) {
+func TestTableMatchesModel(t *testing.T) {
 	services := []string{"", "a", "b", "c"}
 	hostNames := []string{"s0", "s1", "s2", "s3", "s4", "s5"}
 	rapid.Check(t, func(rt *rapid.T) {
 		some := rapid.SliceOfNDistinct(rapid.SampledFrom(services), 1, 3, func(s string) string { return s })
 		first := some.Draw(rt, "services")
 		table := NewServiceTable(first)
-		model := &modelTable{services: first, held: map[string]Endpoint{}, doubted: map[string]bool{}, state: map[string]string{}}
+		model := &modelTable{services: first, endpoints: map[string]Endpoint{}, retained: map[string]bool{}, statuses: map[string]string{}}
 		held := map[string]Endpoint{}
 		host := rapid.Custom(func(rt *rapid.T) Endpoint {
-			h := server(rapid.SampledFrom(hostNames).Draw(rt, "name"), rapid.SampledFrom(services).Draw(rt, "service"))
+			h := readyEndpoint(rapid.SampledFrom(hostNames).Draw(rt, "name"), rapid.SampledFrom(services).Draw(rt, "service"))
 			h.Health = rapid.SampledFrom([]string{Ready, Ready, Draining, Removed, Removed}).Draw(rt, "health")
 			h.Block = rapid.IntRange(0, 9).Draw(rt, "block")
 			return h
@@ -356,7 +356,7 @@
 		if rapid.Bool().Draw(rt, "seeded") {
 			l := List{Endpoints: rapid.SliceOfN(host, 0, 5).Draw(rt, "known")}
 			for _, h := range table.Seed(l).Endpoints {
-				held[h.Name], model.held[h.Name] = h, h
+				held[h.Name], model.endpoints[h.Name] = h, h
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
@@ -376,15 +376,15 @@
 				}
 				seen[h.Name] = true
 			}
-			consume(held, &out)
+			consumeList(held, &out)
 			if l.Full {
-				model.whole(l)
+				model.applyFullList(l)
 			} else {
-				model.change(l)
+				model.applyUpdate(l)
 			}
 			want := model.events(l)
-			if !maps.Equal(held, model.held) || !maps.Equal(table.endpoints, model.held) {
-				rt.Fatalf("of %+v holds %v, want %v", l, holding(held), holding(model.held))
+			if !maps.Equal(held, model.endpoints) || !maps.Equal(table.endpoints, model.endpoints) {
+				rt.Fatalf("of %+v holds %v, want %v", l, describeEndpoints(held), describeEndpoints(model.endpoints))
 			}
 			byService := func(a, b ServiceEvent) int { return cmp.Compare(a.Service, b.Service) }
 			if slices.SortFunc(events, byService); !slices.Equal(events, want) {
--- a/internal/endpoints/subscription_test.go
+++ b/internal/endpoints/subscription_test.go
@@ -18,7 +18,7 @@
 
 // A client without services sends, byte for byte, what clients sent before there were any; one
 // with services adds no more than the parameter.
-func TestRawRequests(t *testing.T) {
+func TestRequestsOnTheWire(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 			t.Errorf("%.20q: %v, want %q", c.services, err, c.want)
 		}
 		if err != nil {
-			client := NewClient(ClientConfig{Addresses: names(1)})
+			client := NewClient(ClientConfig{Addresses: testAddresses(1)})
 			if _, err := client.Subscribe(c.services, 1); err == nil || client.subscription.number != 0 {
 				t.Errorf("%.20q: subscribed to", c.services)
 			}
@@ -103,10 +103,10 @@
 // A change of the subscription ends the watch and begins the new one at once, at the same
 // address, with the whole list of the new services; what is held stays until that comes, and
 // nothing of it counts as a failure or against the budget.
-func TestSubscriptionChanges(t *testing.T) {
-	hosts := []Endpoint{server("a1", "a"), server("b1", "b"), server("c1", "c")}
-	playScoped(t, 3, []string{"a", "b"}, hosts, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
-		if got := r.holds(); got != "a1 b1" {
+func TestSubscriptionChangeRestartsWatchAtSameAddress(t *testing.T) {
+	hosts := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b"), readyEndpoint("c1", "c")}
+	runScopedReader(t, 3, []string{"a", "b"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
+		if got := r.endpointNames(); got != "a1 b1" {
 			t.Fatalf("holds %q", got)
 		}
 		began := time.Now()
@@ -118,108 +118,108 @@
 			}
 			f.mu.Lock() // the answer can't come yet
 			r.reconfigure(t, order, services)
-			if got := r.holds(); i == 0 && got != "a1 b1" {
+			if got := r.endpointNames(); i == 0 && got != "a1 b1" {
 				t.Fatalf("holds %q before the new list came", got)
 			}
 			f.mu.Unlock()
 			synctest.Wait()
-			if got, want := r.holds(), []string{"b1 c1", "a1"}[i%2]; got != want {
+			if got, want := r.endpointNames(), []string{"b1 c1", "a1"}[i%2]; got != want {
 				t.Fatalf("holds %q, want %q", got, want)
 			}
 			want = append(want, order[0]+"?follow=1&since=0&service="+strings.Join(services, "&service="))
 		}
-		if got := f.asked(); !slices.Equal(got, want) || time.Since(began) > 0 || r.client.BudgetExhausted() > 0 || r.ended > 0 {
-			t.Errorf("asked %q after %v, held %d, ended %d", got, time.Since(began), r.client.BudgetExhausted(), r.ended)
+		if got := f.requests(); !slices.Equal(got, want) || time.Since(began) > 0 || r.client.BudgetExhausted() > 0 || r.failedWatches > 0 {
+			t.Errorf("asked %q after %v, held %d, ended %d", got, time.Since(began), r.client.BudgetExhausted(), r.failedWatches)
 		}
-		if p := r.client.selector.candidates[0]; len(r.left) > 0 || p.consecutiveFailures > 0 || p.avoidUntil > 0 || p.busyUntil > 0 || r.client.selector.budget.spent > 0 {
+		if p := r.client.selector.candidates[0]; len(r.failedAddresses) > 0 || p.consecutiveFailures > 0 || p.avoidUntil > 0 || p.busyUntil > 0 || r.client.selector.budget.spent > 0 {
 			t.Errorf("the change counts against %+v", p)
 		}
 		// The next call of this subscription goes on from its version.
-		close(f.at[order[0]].moved)
+		close(f.servers[order[0]].closeWatches)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if got := f.asked(); got[len(got)-1] != order[1]+"?follow=1&since=103&service=a" {
+		if got := f.requests(); got[len(got)-1] != order[1]+"?follow=1&since=103&service=a" {
 			t.Errorf("asked %q", got[len(got)-1])
 		}
-		f.change(func(s *fakeState) { s.set(server("a2", "a"), false) })
+		f.change(func(s *fakeList) { s.set(readyEndpoint("a2", "a"), false) })
 		synctest.Wait()
-		if got := r.holds(); got != "a1 a2" || r.lists[len(r.lists)-1].Full {
+		if got := r.endpointNames(); got != "a1 a2" || r.lists[len(r.lists)-1].Full {
 			t.Errorf("holds %q, by %+v", got, r.lists[len(r.lists)-1])
 		}
 		// The reader stays where it is, also when another address is its first choice again.
 		time.Sleep(time.Minute)
 		f.mu.Lock()
-		f.at[order[0]].moved = make(chan struct{})
+		f.servers[order[0]].closeWatches = make(chan struct{})
 		f.mu.Unlock()
 		r.reconfigure(t, order, []string{"b"})
 		synctest.Wait()
-		if got := f.asked(); got[len(got)-1] != order[1]+"?follow=1&since=0&service=b" || r.holds() != "b1" {
-			t.Errorf("asked %q, holds %q", got[len(got)-1], r.holds())
+		if got := f.requests(); got[len(got)-1] != order[1]+"?follow=1&since=0&service=b" || r.endpointNames() != "b1" {
+			t.Errorf("asked %q, holds %q", got[len(got)-1], r.endpointNames())
 		}
 	})
 }
 
 // The subscription changes with the addresses, while the watch stands, is refused everywhere, or
 // is on its way from one address to the other.
-func TestSubscriptionChangesWhileMoving(t *testing.T) {
-	hosts := []Endpoint{server("a1", "a"), server("b1", "b")}
+func TestSubscriptionChangeDuringAddressChange(t *testing.T) {
+	hosts := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b")}
 	b := "?follow=1&since=0&service=b"
 	t.Run("address taken away", func(t *testing.T) {
-		playScoped(t, 3, []string{"a"}, hosts, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
+		runScopedReader(t, 3, []string{"a"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 			began := time.Now()
 			r.reconfigure(t, order[1:], []string{"b"})
 			synctest.Wait()
-			if got := f.asked(); len(got) != 2 || got[1] != order[1]+b || time.Since(began) > 0 || r.holds() != "b1" {
-				t.Errorf("asked %q, holds %q", got, r.holds())
+			if got := f.requests(); len(got) != 2 || got[1] != order[1]+b || time.Since(began) > 0 || r.endpointNames() != "b1" {
+				t.Errorf("asked %q, holds %q", got, r.endpointNames())
 			}
 		})
 	})
 	t.Run("the only address replaced", func(t *testing.T) {
-		playScoped(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
+		runScopedReader(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 			r.reconfigure(t, order[:1], []string{"a"})
 			synctest.Wait()
 			began := time.Now()
 			r.reconfigure(t, order[1:], []string{"b"})
 			synctest.Wait()
-			if got := f.asked(); got[len(got)-1] != order[1]+b || time.Since(began) > 0 || r.holds() != "b1" || r.ended > 0 {
-				t.Errorf("asked %q, holds %q", got, r.holds())
+			if got := f.requests(); got[len(got)-1] != order[1]+b || time.Since(began) > 0 || r.endpointNames() != "b1" || r.failedWatches > 0 {
+				t.Errorf("asked %q, holds %q", got, r.endpointNames())
 			}
 		})
 	})
 	t.Run("ended in order at the same time", func(t *testing.T) {
-		playScoped(t, 3, []string{"a"}, hosts, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
-			close(f.at[order[0]].moved)
+		runScopedReader(t, 3, []string{"a"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
+			close(f.servers[order[0]].closeWatches)
 			r.reconfigure(t, order, []string{"b"})
 			time.Sleep(time.Second)
 			synctest.Wait()
-			if got := f.asked(); got[len(got)-1] != order[1]+b && got[len(got)-1] != order[1]+"?follow=1&since=102&service=b" || r.holds() != "b1" {
-				t.Errorf("asked %q, holds %q", got, r.holds())
+			if got := f.requests(); got[len(got)-1] != order[1]+b && got[len(got)-1] != order[1]+"?follow=1&since=102&service=b" || r.endpointNames() != "b1" {
+				t.Errorf("asked %q, holds %q", got, r.endpointNames())
 			}
 		})
 	})
 	t.Run("refused everywhere", func(t *testing.T) {
-		playScoped(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
+		runScopedReader(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 			f.mu.Lock()
-			for _, s := range f.at {
-				s.refuses = true
-				close(s.moved)
-				s.moved = make(chan struct{})
+			for _, s := range f.servers {
+				s.refusesConnections = true
+				close(s.closeWatches)
+				s.closeWatches = make(chan struct{})
 			}
 			f.mu.Unlock()
 			time.Sleep(10 * time.Second)
 			r.reconfigure(t, order, []string{"b"})
 			time.Sleep(10 * time.Second)
-			if got := r.holds(); got != "a1" {
+			if got := r.endpointNames(); got != "a1" {
 				t.Errorf("holds %q with nobody to ask", got)
 			}
 			f.mu.Lock()
-			for _, s := range f.at {
-				s.refuses = false
+			for _, s := range f.servers {
+				s.refusesConnections = false
 			}
 			f.mu.Unlock()
 			time.Sleep(time.Minute)
 			synctest.Wait()
-			if got := r.holds(); got != "b1" {
+			if got := r.endpointNames(); got != "b1" {
 				t.Errorf("holds %q", got)
 			}
 		})
@@ -227,13 +227,13 @@
 }
 
 // A line of the old services that is already read when the subscription changes is dropped.
-func TestLateLineIsDropped(t *testing.T) {
+func TestListOfFormerSubscriptionIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		line := func(seq int) string {
 			return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[{"host":"a%d","dial":"127.0.0.1:9","health":"ready","service":"a"}]}`+"\n", seq, seq)
 		}
-		client := NewClient(ClientConfig{Addresses: names(1), Services: []string{"a"},
-			Transport: written{[]string{line(6) + line(7)}, time.Second}})
+		client := NewClient(ClientConfig{Addresses: testAddresses(1), Services: []string{"a"},
+			Transport: scriptedTransport{[]string{line(6) + line(7)}, time.Second}})
 		var heard []List
 		err := client.Watch(t.Context(), 5, func(l List) {
 			if heard = append(heard, l); len(heard) == 1 {
@@ -254,11 +254,11 @@
 }
 
 // A fetch whose services change under way asks again for the new ones, at once.
-func TestFetchWhileSubscriptionChanges(t *testing.T) {
-	playScoped(t, 1, []string{"a"}, []Endpoint{server("a1", "a"), server("b1", "b")}, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
+func TestFetchRepeatsAfterSubscriptionChange(t *testing.T) {
+	runScopedReader(t, 1, []string{"a"}, []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b")}, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		once := true
 		client := NewClient(ClientConfig{Addresses: order, Services: []string{"a"}})
-		client.httpClient.Transport = roundTrip(func(req *http.Request) (*http.Response, error) {
+		client.httpClient.Transport = roundTripFunc(func(req *http.Request) (*http.Response, error) {
 			resp, err := f.RoundTrip(req)
 			if once {
 				once = false
@@ -275,17 +275,17 @@
 	})
 }
 
-type roundTrip func(*http.Request) (*http.Response, error)
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
 // The version never goes back over a change of the subscription: a steward whose list is older
 // is left, one of the same version is taken.
-func TestNeverOlderOverSubscriptions(t *testing.T) {
-	hosts := []Endpoint{server("a1", "a"), server("b1", "b")}
-	playScoped(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
+func TestVersionNeverDecreasesAcrossSubscriptions(t *testing.T) {
+	hosts := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b")}
+	runScopedReader(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		f.mu.Lock()
-		f.at[order[0]].behind = 1
+		f.servers[order[0]].versionLag = 1
 		f.mu.Unlock()
 		r.reconfigure(t, order, []string{"b"})
 		time.Sleep(time.Second)
@@ -294,11 +294,11 @@
 			order[1] + "?follow=1&since=102&service=b", order[1] + "?follow=1&since=0&service=b"}
 		// The second address has the reader's version: it answers with changes, which are no base,
 		// and is asked for the whole list at once.
-		if got := f.asked(); !slices.Equal(got, want) || r.holds() != "b1" || r.seq != 102 || r.ended > 0 {
-			t.Errorf("asked %q, holds %q of version %d", got, r.holds(), r.seq)
+		if got := f.requests(); !slices.Equal(got, want) || r.endpointNames() != "b1" || r.seq != 102 || r.failedWatches > 0 {
+			t.Errorf("asked %q, holds %q of version %d", got, r.endpointNames(), r.seq)
 		}
-		if !slices.Equal(r.left, order[:1]) {
-			t.Errorf("left %q", r.left)
+		if !slices.Equal(r.failedAddresses, order[:1]) {
+			t.Errorf("left %q", r.failedAddresses)
 		}
 		for _, l := range r.lists {
 			if l.Seq != 102 || !l.Scoped {
@@ -309,8 +309,8 @@
 }
 
 // What the reader knows by another way than the watch counts as its version too.
-func TestNeverOlderThanTheReader(t *testing.T) {
-	playScoped(t, 1, []string{"a"}, []Endpoint{server("a1", "a")}, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
+func TestSubscribeVersionIsLowerBound(t *testing.T) {
+	runScopedReader(t, 1, []string{"a"}, []Endpoint{readyEndpoint("a1", "a")}, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		if _, err := r.client.Subscribe([]string{"b"}, 500); err != nil {
 			t.Fatal(err)
 		}
@@ -328,30 +328,30 @@
 
 // A reader that wants a whole list and knows a later version than the list service ever had says
 // so, which makes the service raise its own; else the reader would take no list any more.
-func TestLaterVersionIsNamed(t *testing.T) {
-	playScoped(t, 1, []string{"a"}, []Endpoint{server("a1", "a")}, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
+func TestReaderReportsLaterVersion(t *testing.T) {
+	runScopedReader(t, 1, []string{"a"}, []Endpoint{readyEndpoint("a1", "a")}, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		f.mu.Lock()
-		f.at[order[0]].behind, f.at[order[0]].raises = 50, true
+		f.servers[order[0]].versionLag, f.servers[order[0]].raisesVersion = 50, true
 		f.mu.Unlock()
 		r.reconfigure(t, order, []string{"a", "b"})
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		want := []string{"?follow=1&since=0&service=a", "?follow=1&since=0&service=a&service=b", "?follow=1&since=101&service=a&service=b"}
-		got := f.asked()
+		got := f.requests()
 		for i := range want {
 			want[i] = order[0] + want[i]
 		}
-		if !slices.Equal(got, want) || r.seq != 102 || r.holds() != "a1" {
-			t.Errorf("asked %q, has version %d and holds %q", got, r.seq, r.holds())
+		if !slices.Equal(got, want) || r.seq != 102 || r.endpointNames() != "a1" {
+			t.Errorf("asked %q, has version %d and holds %q", got, r.seq, r.endpointNames())
 		}
 	})
 }
 
 // Changes in place of the whole list that was asked for are no list.
-func TestChangesAreNoBase(t *testing.T) {
+func TestChangesInPlaceOfFullListAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client := NewClient(ClientConfig{Addresses: names(1), Services: []string{"a"},
-			Transport: written{[]string{`{"seq":6,"whole":false,"hosts":[]}` + "\n"}, time.Second}})
+		client := NewClient(ClientConfig{Addresses: testAddresses(1), Services: []string{"a"},
+			Transport: scriptedTransport{[]string{`{"seq":6,"whole":false,"hosts":[]}` + "\n"}, time.Second}})
 		err := client.Watch(t.Context(), 5, func(l List) { t.Errorf("heard %+v", l) })
 		if !errors.Is(err, errFullListExpected) {
 			t.Errorf("ended with %v", err)
@@ -363,45 +363,45 @@
 // A steward that doesn't know services sends all servers without their services: the reader keeps
 // those that it holds, takes no other, follows their changes, and doesn't leave or avoid the
 // address for it. From there it asks any steward for a whole list.
-func TestOldStewardBesideNew(t *testing.T) {
-	hosts := []Endpoint{server("a1", "a"), server("a2", "a"), server("b1", "b"), server("d1", "")}
-	playScoped(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
+func TestUnscopedServerBesideScopedServer(t *testing.T) {
+	hosts := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("a2", "a"), readyEndpoint("b1", "b"), readyEndpoint("d1", "")}
+	runScopedReader(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		f.mu.Lock()
-		f.at[order[1]].old = true
+		f.servers[order[1]].ignoresServices = true
 		f.mu.Unlock()
-		close(f.at[order[0]].moved)
+		close(f.servers[order[0]].closeWatches)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if got := f.asked(); len(got) != 2 || got[1] != order[1]+"?follow=1&since=104&service=a" {
+		if got := f.requests(); len(got) != 2 || got[1] != order[1]+"?follow=1&since=104&service=a" {
 			t.Fatalf("asked %q", got)
 		}
-		if got := r.holds(); got != "a1 a2" {
+		if got := r.endpointNames(); got != "a1 a2" {
 			t.Errorf("holds %q", got)
 		}
-		f.change(func(s *fakeState) {
+		f.change(func(s *fakeList) {
 			s.remove("a1")
-			s.set(server("a3", "a"), false) // nothing tells that this is one of ours
-			s.set(server("b1", "b"), false)
-			h := server("a2", "a")
+			s.set(readyEndpoint("a3", "a"), false) // nothing tells that this is one of ours
+			s.set(readyEndpoint("b1", "b"), false)
+			h := readyEndpoint("a2", "a")
 			h.Health = Draining
 			s.set(h, false)
 		})
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		if got := r.holds(); got != "a2" || r.held["a2"].Health != Draining || r.held["a2"].Service != "a" {
-			t.Errorf("holds %q: %+v", got, r.held)
+		if got := r.endpointNames(); got != "a2" || r.endpoints["a2"].Health != Draining || r.endpoints["a2"].Service != "a" {
+			t.Errorf("holds %q: %+v", got, r.endpoints)
 		}
-		if got := f.asked(); len(got) != 2 || r.client.selector.candidates[1].consecutiveFailures > 0 || r.client.selector.candidates[1].avoidUntil > 0 {
+		if got := f.requests(); len(got) != 2 || r.client.selector.candidates[1].consecutiveFailures > 0 || r.client.selector.candidates[1].avoidUntil > 0 {
 			t.Errorf("left the old steward: %q", got)
 		}
 		f.mu.Lock()
-		f.at[order[0]].moved = make(chan struct{})
-		close(f.at[order[1]].moved)
+		f.servers[order[0]].closeWatches = make(chan struct{})
+		close(f.servers[order[1]].closeWatches)
 		f.mu.Unlock()
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if got := f.asked(); len(got) != 3 || got[2] != order[0]+"?follow=1&since=0&service=a" || r.holds() != "a2 a3" {
-			t.Errorf("asked %q, holds %q", got, r.holds())
+		if got := f.requests(); len(got) != 3 || got[2] != order[0]+"?follow=1&since=0&service=a" || r.endpointNames() != "a2 a3" {
+			t.Errorf("asked %q, holds %q", got, r.endpointNames())
 		}
 		if len(r.events) > 0 {
 			t.Errorf("events %+v", r.events)
@@ -410,39 +410,39 @@
 }
 
 // A reader of the default service takes from an old steward all that it doesn't hold otherwise.
-func TestOldStewardAlone(t *testing.T) {
-	hosts := []Endpoint{server("a1", "a"), server("d1", "")}
-	playScoped(t, 1, []string{"", "a"}, nil, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
+func TestUnscopedServerAlone(t *testing.T) {
+	hosts := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("d1", "")}
+	runScopedReader(t, 1, []string{"", "a"}, nil, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		f.mu.Lock()
-		f.at[order[0]].old = true
+		f.servers[order[0]].ignoresServices = true
 		f.mu.Unlock()
 		r.reconfigure(t, order, []string{"", "a"})
-		f.change(func(s *fakeState) {
+		f.change(func(s *fakeList) {
 			for _, h := range hosts {
 				s.set(h, false)
 			}
 		})
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if got := r.holds(); got != "a1 d1" || r.held["a1"].Service != "" {
-			t.Errorf("holds %q: %+v", got, r.held)
+		if got := r.endpointNames(); got != "a1 d1" || r.endpoints["a1"].Service != "" {
+			t.Errorf("holds %q: %+v", got, r.endpoints)
 		}
 	})
 }
 
 // A reader that gives up its services asks for the list of all, whole at first.
-func TestSubscribeToAll(t *testing.T) {
-	hosts := []Endpoint{server("a1", "a"), server("b1", "b")}
-	playScoped(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeFleet, r *fakeReader, order []string) {
+func TestSubscribeToAllServices(t *testing.T) {
+	hosts := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b")}
+	runScopedReader(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		if _, err := r.client.Subscribe(nil, r.seq); err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
-		close(f.at[order[0]].moved)
+		close(f.servers[order[0]].closeWatches)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		want := []string{order[0] + "?follow=1&since=0&service=a", order[0] + "?follow=1&since=0", order[1] + "?follow=1&since=102"}
-		if got := f.asked(); !slices.Equal(got, want) {
+		if got := f.requests(); !slices.Equal(got, want) {
 			t.Errorf("asked %q", got)
 		}
 	})
@@ -450,7 +450,7 @@
 
 // A list of more bytes than a reader takes is refused with an error that names the bound; one of
 // the bound's length is taken. The target's 39,000 servers are above it, a service of 5,000 isn't.
-func TestLongList(t *testing.T) {
+func TestListSizeLimit(t *testing.T) {
 	listOf := func(n int) []byte {
 		l := List{Seq: 1, Full: true}
 		for i := range n {
@@ -477,7 +477,7 @@
 		"one byte more":      {padded(maxListBytes + 1), true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			client := NewClient(ClientConfig{Addresses: names(1), Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
+			client := NewClient(ClientConfig{Addresses: testAddresses(1), Transport: roundTripFunc(func(r *http.Request) (*http.Response, error) {
 				text := string(c.text)
 				if r.URL.RawQuery != "" {
 					text += "\n"
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// failing fails with each error in turn, and then accepts.
-type failing struct {
+// failingListener fails with each error in turn, and then accepts.
+type failingListener struct {
 	net.Listener
 	errs  []error
 	calls int
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	f.calls++
 	if f.calls <= len(f.errs) {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", f.errs[f.calls-1])}
@@ -28,11 +28,11 @@
 
 // Every error of accept(2) passes but those that mean that there is no listening socket, and the tries
 // are soon and at most 20 ms apart.
-func TestListener(t *testing.T) {
+func TestAcceptRetriesTransientErrors(t *testing.T) {
 	for errno := syscall.Errno(1); errno < 133; errno++ {
 		lasts := errno == syscall.EBADF || errno == syscall.EINVAL || errno == syscall.ENOTSOCK || errno == syscall.EFAULT
 		synctest.Test(t, func(t *testing.T) {
-			f := &failing{errs: []error{errno, errno, errno, errno, errno, errno, errno, errno}}
+			f := &failingListener{errs: []error{errno, errno, errno, errno, errno, errno, errno, errno}}
 			told, began := 0, time.Now()
 			l := Listener{Listener: f, Context: t.Context(), OnError: func(err error, since time.Time) { told++ }}
 			c, err := l.Accept()
@@ -48,11 +48,11 @@
 }
 
 // The end of its context ends the tries.
-func TestListenerEnds(t *testing.T) {
+func TestAcceptStopsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		f := &failing{errs: make([]error, 1000)}
+		f := &failingListener{errs: make([]error, 1000)}
 		for i := range f.errs {
 			f.errs[i] = syscall.ENFILE
 		}
@@ -64,7 +64,7 @@
 }
 
 // A call is made again while its error passes and there is time, and not after another error.
-func TestRetry(t *testing.T) {
+func TestRetryWhileErrorIsTemporary(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fails int // calls, before one goes well
