--- a/internal/endpoints/addressselector.go
+++ b/internal/endpoints/addressselector.go
@@ -8,102 +8,97 @@
 	"time"
 )
 
-// CallOutcome tells how a call or a watch ended.
+// CallOutcome says how a failed fetch or a finished watch ended.
 type CallOutcome uint8
 
-// How a call or a watch ends.
+// How a fetch or a watch ends.
 const (
-	OutcomeFailed     CallOutcome = iota // no answer, an error, silence, or a line that makes no sense
-	OutcomeStale                         // the service knew less than the reader, or has no list of now
-	OutcomeRedirected                    // it ended the watch in order: it wants the reader elsewhere
-	OutcomeBusy                          // it sent the reader away, with a time to come back
+	OutcomeFailed     CallOutcome = iota // no response, an error, silence, or a malformed line
+	OutcomeStale                         // the server has an older list than the reader, or no current one
+	OutcomeRedirected                    // the server ended the watch in order: the reader should use another
+	OutcomeBusy                          // the server rejected the call and named a time to come back
 )
 
 const (
-	// A call that follows one that ended waits a random time, up to a bound that doubles
-	// from initialBackoff to maxBackoff ("full jitter": M. Brooker, "Exponential Backoff and
-	// Jitter", AWS Architecture Blog, 2015).
+	// A further call of a round waits a random time up to a bound that doubles from initialBackoff
+	// to maxBackoff ("full jitter": M. Brooker, "Exponential Backoff and Jitter", AWS Architecture
+	// Blog, 2015).
 	initialBackoff = 200 * time.Millisecond
 	maxBackoff     = 2 * time.Second
-	// An address that failed is not the first choice for as long, doubled each time.
-	initialAvoidance = time.Second
-	maxAvoidance     = 30 * time.Second
-	// staleAvoidance is for one that was behind, and redirectAvoidance for one that sent the reader
-	// elsewhere, which would only do so again.
+	// An address that failed is avoided for initialAvoidance, doubled with each failure in a row up
+	// to maxAvoidance. maxAvoidanceShift keeps the doubling from overflowing.
+	initialAvoidance  = time.Second
+	maxAvoidance      = 30 * time.Second
+	maxAvoidanceShift = 10
+	// staleAvoidance is for an address with an old list, and redirectAvoidance for one that sent the
+	// reader elsewhere, which would do so again.
 	staleAvoidance    = 5 * time.Second
 	redirectAvoidance = 30 * time.Second
-	maxRetryAfter     = 5 * time.Second
+	// maxRetryAfter bounds the wait that a busy server asks for.
+	maxRetryAfter = 5 * time.Second
 )
 
-// TokenBucket is a budget: so many at once, and so many a second in the long run.
-type TokenBucket struct {
-	Burst float64
-	Rate  float64
-
-	spent      float64
-	refilledAt time.Duration
-}
-
-// Take takes one out of the budget, if there is one.
-func (b *TokenBucket) Take(now time.Duration) bool {
-	b.spent = max(b.spent-b.Rate*(now-b.refilledAt).Seconds(), 0)
-	b.refilledAt = now
-	if b.spent+1 > b.Burst {
-		return false
-	}
-	b.spent++
-	return true
-}
+const (
+	// maxReaderRate and maxFleetRate bound the refill of the budget, in calls a second: of one reader,
+	// and of all readers of the fleet together.
+	maxReaderRate = 0.5
+	maxFleetRate  = 100
+)
 
-// AddressSelector decides which address of the list service is asked, and after which wait. It is
-// pure: clock and chance come from outside.
+// AddressSelector decides which address of the list service the next call goes to, and how long that
+// call waits. It has no clock and no random source of its own: the caller passes both in. It is not
+// safe for concurrent use.
 //
-// When a list is asked for is decided elsewhere; that is a round, and its first call is
-// free. What follows in the round, because a call failed or a watch ended, is paid from a
-// budget that gets smaller with the fleet: a fault that all readers see at once must not
-// make them many times as many.
+// A round begins when the reader needs a list or a watch. Its first call is free. The further calls
+// of the round, after a failed call or a finished watch, are paid for from a budget that shrinks with
+// the size of the fleet, so that a fault that all readers notice at once doesn't multiply their calls.
 type AddressSelector struct {
 	orderSeed       uint64
 	candidates      []candidate // in the reader's own order
 	budget          TokenBucket
-	firstCall       bool
-	attempts        int // since one served
+	firstCall       bool // the next call is the first one of its round
+	attempts        int  // calls of this round since the last list received
 	budgetExhausted int64
 }
 
+// candidate is one address with what is known of it.
 type candidate struct {
 	addr                string
 	rank                uint64
-	avoidUntil          time.Duration // until then any other is better
-	busyUntil           time.Duration // until then it doesn't want to be asked
+	avoidUntil          time.Duration // any other address is preferred until then
+	busyUntil           time.Duration // the server asked for no calls until then
 	consecutiveFailures int
 }
 
-// NewAddressSelector makes a chooser for one reader of a fleet of so many. The order gives the
-// reader an order of its own, so that readers spread over the addresses.
+// NewAddressSelector returns a selector for one reader of a fleet of that many readers. The order is
+// the seed of the reader's own order of the addresses: with different seeds, readers spread over the
+// addresses.
 func NewAddressSelector(addresses []string, order uint64, fleet int) *AddressSelector {
-	selector := &AddressSelector{orderSeed: order, budget: TokenBucket{Rate: min(0.5, 100/float64(max(fleet, 1)))}}
+	rate := min(maxReaderRate, maxFleetRate/float64(max(fleet, 1)))
+	selector := &AddressSelector{orderSeed: order, budget: TokenBucket{Rate: rate}}
 	selector.SetAddresses(addresses)
 	return selector
 }
 
-// SetAddresses changes the addresses. What is known of those that stay is kept.
+// SetAddresses replaces the addresses. What is known of an address that stays is kept.
 func (s *AddressSelector) SetAddresses(addresses []string) {
 	var candidates []candidate
 	for _, addr := range addresses {
-		kept := candidate{addr: addr, rank: rendezvousRank(s.orderSeed, addr)}
+		next := candidate{addr: addr, rank: rendezvousRank(s.orderSeed, addr)}
 		if i := s.index(addr); i >= 0 {
-			kept = s.candidates[i]
+			next = s.candidates[i]
 		}
-		candidates = append(candidates, kept)
+		candidates = append(candidates, next)
 	}
-	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.addr, b.addr)) })
+	slices.SortFunc(candidates, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.addr, b.addr))
+	})
 	s.candidates = slices.CompactFunc(candidates, func(a, b candidate) bool { return a.addr == b.addr })
 	s.budget.Burst = float64(len(s.candidates) + 1)
 }
 
-// rendezvousRank is an address's place in a reader's order: rendezvous hashing, so that readers of a
-// lost address spread over all others, and the rest stay where they are.
+// rendezvousRank returns the sort key of an address in a reader's order. It is rendezvous hashing: the
+// readers of a lost address spread over all others, and every other reader stays where it is.
 func rendezvousRank(order uint64, addr string) uint64 {
 	hasher := fnv.New64a()
 	var seed [8]byte
@@ -117,25 +112,27 @@
 	return hash ^ hash>>31
 }
 
+// index returns the position of an address among the candidates, or -1.
 func (s *AddressSelector) index(addr string) int {
-	return slices.IndexFunc(s.candidates, func(p candidate) bool { return p.addr == addr })
+	return slices.IndexFunc(s.candidates, func(c candidate) bool { return c.addr == addr })
 }
 
-// Has tells whether the address is one of the set.
+// Has reports whether addr is one of the addresses.
 func (s *AddressSelector) Has(addr string) bool { return s.index(addr) >= 0 }
 
-// Others is how many addresses there are beside the one that is asked.
+// Others returns the number of addresses beside the one that is in use.
 func (s *AddressSelector) Others() int { return max(len(s.candidates)-1, 0) }
 
-// BudgetExhausted is how often the budget ended a round.
+// BudgetExhausted returns how many rounds ended because the budget was spent.
 func (s *AddressSelector) BudgetExhausted() int64 { return s.budgetExhausted }
 
 // BeginRound begins a round.
 func (s *AddressSelector) BeginRound() { s.firstCall, s.attempts = true, 0 }
 
-// Next gives the address for the next call and how long it has to wait, by a random number
-// from 0 to below 1. Not ok ends the round: each address had its turn since one served, or
-// the budget is spent, or there is only one address, which is left to the next round.
+// Next returns the address of the next call and how long the call has to wait, which it derives from
+// a random number from 0 to below 1. ok is false at the end of the round: each address was called
+// since a list was received, or the budget is spent, or there is only one address, which has to wait
+// for the next round.
 func (s *AddressSelector) Next(now time.Duration, random float64) (addr string, wait time.Duration, ok bool) {
 	if len(s.candidates) == 0 {
 		return "", 0, false
@@ -152,46 +149,55 @@
 	}
 	s.firstCall = false
 	s.attempts++
-	callAt := now + wait
+	best := s.firstAvailable(now + wait)
+	return best.addr, max(wait, min(best.busyUntil-now, maxRetryAfter)), true
+}
+
+// firstAvailable returns the candidate that is available first from the given time on: the first in
+// the reader's order if several are available by then. There has to be a candidate.
+func (s *AddressSelector) firstAvailable(at time.Duration) *candidate {
 	best := &s.candidates[0]
 	for i := range s.candidates {
-		candidate := &s.candidates[i]
-		if availableAt(candidate, callAt) < availableAt(best, callAt) {
-			best = candidate
+		c := &s.candidates[i]
+		if c.availableAt(at) < best.availableAt(at) {
+			best = c
 		}
 	}
-	return best.addr, max(wait, min(best.busyUntil-now, maxRetryAfter)), true
+	return best
 }
 
-// availableAt is when a place is a first choice again, or now: the first in order of those wins.
-func availableAt(c *candidate, now time.Duration) time.Duration {
+// availableAt returns when the candidate need not be avoided any more, and not less than now.
+func (c *candidate) availableAt(now time.Duration) time.Duration {
 	return max(c.avoidUntil, c.busyUntil, now)
 }
 
-// ListReceived is told that an address gave a list.
+// ListReceived records that an address returned a list: nothing speaks against the address then, and
+// every address may be called again in this round.
 func (s *AddressSelector) ListReceived(addr string) {
 	s.attempts = 0
 	if i := s.index(addr); i >= 0 {
-		s.candidates[i].consecutiveFailures, s.candidates[i].avoidUntil, s.candidates[i].busyUntil = 0, 0, 0
+		c := &s.candidates[i]
+		c.consecutiveFailures, c.avoidUntil, c.busyUntil = 0, 0, 0
 	}
 }
 
-// CallEnded is told how a call or a watch ended; retry is the time that a busy one gave.
+// CallEnded records how a call ended. retryAfter is the time that a busy server named; it counts for
+// OutcomeBusy alone.
 func (s *AddressSelector) CallEnded(now time.Duration, addr string, outcome CallOutcome, retryAfter time.Duration) {
 	i := s.index(addr)
 	if i < 0 {
 		return
 	}
-	candidate := &s.candidates[i]
+	c := &s.candidates[i]
 	switch outcome {
 	case OutcomeFailed:
-		candidate.avoidUntil = now + min(initialAvoidance<<min(candidate.consecutiveFailures, 10), maxAvoidance)
-		candidate.consecutiveFailures++
+		c.avoidUntil = now + min(initialAvoidance<<min(c.consecutiveFailures, maxAvoidanceShift), maxAvoidance)
+		c.consecutiveFailures++
 	case OutcomeStale:
-		candidate.avoidUntil = now + staleAvoidance
+		c.avoidUntil = now + staleAvoidance
 	case OutcomeRedirected:
-		candidate.avoidUntil = now + redirectAvoidance
+		c.avoidUntil = now + redirectAvoidance
 	case OutcomeBusy:
-		candidate.busyUntil = now + min(max(retryAfter, 0), maxRetryAfter)
+		c.busyUntil = now + min(max(retryAfter, 0), maxRetryAfter)
 	}
 }
--- /dev/null
+++ b/internal/endpoints/fetch.go
@@ -0,0 +1,101 @@
+package endpoints
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"time"
+)
+
+const (
+	fetchTimeout = 3 * time.Second
+	maxListBytes = 4 << 20 // of one list
+)
+
+// Fetch requests the full list, at one address after the other until one returns it. With
+// ClientConfig.RejectOlder, a list older than minVersion counts as a failure of its address. Fetch
+// returns the error of the last address if none returned a list; the list is not valid then.
+func (c *Client) Fetch(ctx context.Context, minVersion int64) (List, error) {
+	var list List
+	err := c.runRound(ctx, func(addr string) error {
+		return c.fetchFrom(ctx, addr, minVersion, &list)
+	})
+	return list, err
+}
+
+// fetchFrom reads the full list from one address into list.
+func (c *Client) fetchFrom(ctx context.Context, addr string, minVersion int64, list *List) error {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
+	defer cancel()
+	requested := c.currentSubscription()
+	resp, err := c.requestList(ctx, addr, requested.fetchQuery())
+	if err != nil {
+		return err
+	}
+	defer resp.Body.Close()
+	firstByteAt := time.Now()
+	text, err := readList(resp.Body)
+	if err != nil {
+		// The response's header alone delivers nothing: the service may stall before it writes any
+		// byte of the list.
+		if len(bytes.TrimSpace(text)) > 0 {
+			c.reportPartial(resp, &requested, text, firstByteAt)
+		}
+		return err
+	}
+	if *list, err = Parse(text); err != nil {
+		return err
+	}
+	markOrigin(list, resp, &requested)
+	if c.config.RejectOlder && list.Seq < requested.requiredVersion(minVersion) {
+		return errStaleList
+	}
+	return c.acceptFetchedList(addr, &requested)
+}
+
+// readList reads the text of one list. On an error it also returns the bytes received so far.
+func readList(body io.Reader) ([]byte, error) {
+	text, err := io.ReadAll(io.LimitReader(body, maxListBytes+1))
+	if err == nil && len(text) > maxListBytes {
+		err = errListTooLong
+	}
+	return text, err
+}
+
+// acceptFetchedList records that an address returned a list. It returns an error if the subscription
+// has changed since the request: the list has to be dropped then.
+func (c *Client) acceptFetchedList(addr string, requested *subscription) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.subscription.number != requested.number {
+		return errSubscriptionChanged
+	}
+	c.selector.ListReceived(addr)
+	return nil
+}
+
+// currentSubscription returns a copy of the subscription, as a request is made for it.
+func (c *Client) currentSubscription() subscription {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.subscription
+}
+
+// markOrigin records on a list which subscription it answers, and whether the service limited it to
+// the requested services.
+func markOrigin(list *List, resp *http.Response, requested *subscription) {
+	list.Scoped = resp.Header.Get(ScopeHeader) != ""
+	list.Subscription = requested.number
+}
+
+// reportPartial hands the received part of an unfinished list to OnPartial.
+func (c *Client) reportPartial(resp *http.Response, requested *subscription, text []byte, firstByteAt time.Time) {
+	if c.config.OnPartial == nil {
+		return
+	}
+	list := parsePartialList(text)
+	markOrigin(&list, resp, requested)
+	list.Age = time.Since(firstByteAt)
+	c.config.OnPartial(list)
+}
--- a/internal/endpoints/listscanner.go
+++ b/internal/endpoints/listscanner.go
@@ -2,51 +2,35 @@
 
 import (
 	"bytes"
-	"encoding/json"
-	"errors"
-	"fmt"
 	"sync"
 	"time"
 )
 
-// partialListDelay is how long a list may stand unfinished before its reader is given the part that has
-// come: what the service has written counts as told (PROTOCOL, "The rules on sockets"), and the
-// grace after that is half a second.
+// partialListDelay is how long a list may stay unfinished before its reader receives the part that
+// has arrived: the service counts as delivered what it has written (PROTOCOL, "The rules on
+// sockets"), and a reader has half a second to apply it.
 const partialListDelay = 100 * time.Millisecond
 
-var errMalformedList = errors.New("no list")
-
-// IncompleteError reports that an answer ended in the midst of a list.
-type IncompleteError struct {
-	Pending int           // bytes of the list that had come
-	Age     time.Duration // since the first of them
-	Err     error         // why the answer ended
-}
-
-func (e *IncompleteError) Error() string {
-	return fmt.Sprintf("%d bytes into a list: %v", e.Pending, e.Err)
-}
-
-func (e *IncompleteError) Unwrap() error { return e.Err }
-
-// listScanner cuts what a watch writes into lists as it comes. A list ends with its last brace, whether
-// or not its line does; it may be written indented. A part that stays unfinished is reported.
+// listScanner splits the bytes of a watch into lists as they arrive. A list ends with its last brace,
+// whether or not its line does, and may be indented over several lines. A list that stays unfinished
+// is reported in part. The callbacks run with the scanner locked.
 type listScanner struct {
-	onList      func(text []byte) error            // is given each list
-	onBlankLine func()                             // is told of each line without one
-	onPartial   func(text []byte, since time.Time) // is given what has come of an unfinished one
-
-	mu            sync.Mutex // the timer's and the reader's
-	pending       []byte     // of the list at hand; empty: none
-	depth         int        // of braces and brackets
-	inString      bool       // in a string
-	escaped       bool       // behind a backslash in one
-	firstByteAt   time.Time  // when the first byte of the list came
-	reportedBytes int        // how much of it was reported
+	onList      func(text []byte) error                  // receives each list
+	onBlankLine func()                                   // is called for each blank line between lists
+	onPartial   func(text []byte, firstByteAt time.Time) // receives the part of an unfinished list
+
+	mu            sync.Mutex // guards the fields below, which feed and the timer share
+	pending       []byte     // bytes of the unfinished list; empty between lists
+	depth         int        // open braces and brackets
+	inString      bool
+	escaped       bool      // the last byte was a backslash in a string
+	firstByteAt   time.Time // when the first byte of the list arrived
+	reportedBytes int       // length of the part reported last
 	partialTimer  *time.Timer
 }
 
-// feed takes the next bytes. An error means that what came is no list, or is what whole returned.
+// feed scans the next bytes. It returns an error if they are not part of a list, or the error of
+// onList.
 func (s *listScanner) feed(data []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +51,7 @@
 	return nil
 }
 
-// scanBetweenLists takes bytes scanBetweenLists two lists, up to the first byte of one.
+// scanBetweenLists scans bytes between two lists, up to and including the first byte of a list.
 func (s *listScanner) scanBetweenLists(data []byte) (rest []byte, err error) {
 	for i, b := range data {
 		switch b {
@@ -85,7 +69,7 @@
 	return nil, nil
 }
 
-// scanList takes bytes of the list at hand, up to its last one.
+// scanList scans bytes of the unfinished list, up to and including its last byte.
 func (s *listScanner) scanList(data []byte) (rest []byte, err error) {
 	for i, b := range data {
 		switch {
@@ -114,7 +98,7 @@
 	return nil, nil
 }
 
-// finishList hands on the list that ends with last; what follows on its line has to be blank.
+// finishList hands over the list that ends with tail. Only blanks may follow on the same line.
 func (s *listScanner) finishList(tail, rest []byte) ([]byte, error) {
 	if next := bytes.TrimLeft(rest, " \t\r"); len(next) > 0 && next[0] != '\n' {
 		return nil, errMalformedList
@@ -135,17 +119,19 @@
 	}
 }
 
-// reportOverdue gives the part that has come since the last reportOverdue, and looks again later.
+// reportOverdue runs on the timer: it reports the part of a list that is overdue, and restarts the
+// timer to report what arrives later.
 func (s *listScanner) reportOverdue() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.partialTimer == nil || len(s.pending) == 0 || time.Since(s.firstByteAt) < partialListDelay {
-		return // it was finished meanwhile
+		return // the list was finished while the timer fired
 	}
 	s.reportGrowth()
 	s.partialTimer.Reset(partialListDelay)
 }
 
+// reportGrowth reports the part that has arrived, if it has grown since the last report.
 func (s *listScanner) reportGrowth() {
 	if len(s.pending) > s.reportedBytes {
 		s.reportedBytes = len(s.pending)
@@ -153,8 +139,8 @@
 	}
 }
 
-// close tells that no more comes, for the reason err. Where it ends in the midst of a list, the part
-// is reported and the error is an *IncompleteError.
+// close ends the scan for the reason err, which it returns. If a list is unfinished, close reports its
+// part first and returns an *IncompleteError that wraps err.
 func (s *listScanner) close(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,53 +152,3 @@
 	s.reset()
 	return err
 }
-
-// parsePartialList reads as much of a list as the beginning of its text tells: the entries that are whole
-// and can be used, and the version, which is 0 where it isn't known.
-func parsePartialList(text []byte) (list List) {
-	decoder := json.NewDecoder(bytes.NewReader(text))
-	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
-		return list
-	}
-	for decoder.More() {
-		key, err := decoder.Token()
-		if err != nil {
-			return list
-		}
-		switch key {
-		case "seq":
-			if decoder.Decode(&list.Seq) != nil || decoder.InputOffset() >= int64(len(text)) {
-				list.Seq = 0 // further digits may follow
-				return list
-			}
-		case "whole":
-			err = decoder.Decode(&list.Full)
-		case "hosts":
-			list.Endpoints, err = parsePartialEndpoints(decoder)
-		default:
-			err = decoder.Decode(new(json.RawMessage))
-		}
-		if err != nil {
-			return list
-		}
-	}
-	return list
-}
-
-// parsePartialEndpoints reads entries up to the end of their array or an error, and returns those read.
-func parsePartialEndpoints(decoder *json.Decoder) (endpoints []Endpoint, err error) {
-	if token, err := decoder.Token(); err != nil || token != json.Delim('[') {
-		return nil, errMalformedList
-	}
-	for decoder.More() {
-		var endpoint Endpoint
-		if err := decoder.Decode(&endpoint); err != nil {
-			return endpoints, err
-		}
-		if endpoint.Readable() == nil {
-			endpoints = append(endpoints, endpoint)
-		}
-	}
-	_, err = decoder.Token()
-	return endpoints, err
-}
--- /dev/null
+++ b/internal/endpoints/round.go
@@ -0,0 +1,97 @@
+package endpoints
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"time"
+)
+
+// runRound makes one round of calls: it calls one address after the other, as the selector says,
+// until a call succeeds, ctx ends, or the selector ends the round. It returns the error of the last
+// call, with its address if there is more than one.
+func (c *Client) runRound(ctx context.Context, call func(addr string) error) error {
+	c.beginRound()
+	lastErr := errNoAddress
+	for {
+		addr, wait, ok := c.nextAddress()
+		if !ok {
+			return lastErr
+		}
+		if err := sleep(ctx, wait); err != nil {
+			return err
+		}
+		err := c.callWhileOutdated(ctx, addr, call)
+		if isOutdated(err) && ctx.Err() == nil {
+			c.beginRound() // the address was removed: the next one is called without backoff
+			continue
+		}
+		if err == nil || ctx.Err() != nil {
+			return err
+		}
+		lastErr = c.recordFailure(addr, err)
+	}
+}
+
+func (c *Client) beginRound() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.selector.BeginRound()
+}
+
+// nextAddress returns the address of the next call and the time to wait before it; ok is false at the
+// end of the round.
+func (c *Client) nextAddress() (addr string, wait time.Duration, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.selector.Next(time.Since(c.createdAt), rand.Float64())
+}
+
+// sleep waits, and returns the error of ctx if that ends first. It doesn't look at ctx if there is
+// nothing to wait for.
+func sleep(ctx context.Context, wait time.Duration) error {
+	if wait <= 0 {
+		return nil
+	}
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// callWhileOutdated calls an address, and again for as long as the call ends because the request has
+// become outdated and the address is still one of the addresses.
+func (c *Client) callWhileOutdated(ctx context.Context, addr string, call func(addr string) error) error {
+	err := call(addr)
+	for isOutdated(err) && ctx.Err() == nil && c.hasAddress(addr) {
+		err = call(addr)
+	}
+	return err
+}
+
+func (c *Client) hasAddress(addr string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.selector.Has(addr)
+}
+
+// recordFailure tells the selector how a call ended and reports the failover, if there is another
+// address. It returns the error for the caller of the round.
+func (c *Client) recordFailure(addr string, err error) error {
+	outcome, retryAfter := classifyOutcome(err)
+	c.mu.Lock()
+	c.selector.CallEnded(time.Since(c.createdAt), addr, outcome, retryAfter)
+	hasOthers := c.selector.Others() > 0
+	c.mu.Unlock()
+	if !hasOthers {
+		return err
+	}
+	if c.config.OnFailover != nil {
+		c.config.OnFailover(addr, err)
+	}
+	return fmt.Errorf("%s: %w", addr, err)
+}
--- a/internal/endpoints/servicetable.go
+++ b/internal/endpoints/servicetable.go
@@ -5,79 +5,39 @@
 	"slices"
 )
 
-// ServiceEventKind tells what became of a service that a reader subscribes to.
-type ServiceEventKind uint8
-
-// What may become of a service.
-const (
-	ServiceUnknown  ServiceEventKind = iota // no list ever named a server of it
-	ServiceEmptied                          // it had servers, and the list names none any more
-	ServiceRestored                         // it has servers again, or at last
-)
-
-func (k ServiceEventKind) String() string {
-	switch k {
-	case ServiceUnknown:
-		return "service unknown"
-	case ServiceEmptied:
-		return "service emptied"
-	case ServiceRestored:
-		return "service back"
-	}
-	return "service event unknown"
-}
-
-// ServiceEvent reports a change of a service that its servers' entries alone don't show.
-type ServiceEvent struct {
-	Kind     ServiceEventKind
-	Service  string
-	Retained int  // how many servers stay in use though the list names none
-	Scoped   bool // the list was of the reader's services; if not, it may not tell whose a server is
-}
-
-// ServiceTable is what a reader holds of the services that it subscribes to. It turns the lists
-// that come into lists of these services alone, for a consumer that knows no services.
+// ServiceTable is a reader's table of the endpoints of the services that it subscribes to. It turns
+// the lists that arrive into lists of these services alone, for a consumer that knows no services.
 //
-// A whole list that names no server of a service that had some is more likely wrong than right:
-// the table keeps these servers until a list names one of the service again. A change that takes
-// a server away is believed, as the list service guards its changes itself.
+// A full list without any endpoint of a service that had some is more likely wrong than right: the
+// table retains these endpoints until a list names one of the service again. A change that removes an
+// endpoint is believed, as the list service guards against mass removal by changes itself.
 //
-// It is pure and not safe for concurrent use. A change costs time by its own entries, a whole list by
-// the entries of the list and the table; servers that were kept and are replaced by a change cost
-// time once each.
+// A ServiceTable is not safe for concurrent use. The time of a change grows with the entries of the
+// change, and the time of a full list with the entries of the list and of the table; the endpoints
+// that were retained and are replaced by a change take time once each.
 type ServiceTable struct {
-	services    map[string]*serviceState // subscribed to
+	services    map[string]*serviceState // subscribed to, by name
 	endpoints   map[string]Endpoint      // by name; each with its service
-	hasFullList bool                     // a whole list came since the services changed
-	synced      bool                     // the last list came scoped, and so did the whole one below it
+	hasFullList bool                     // a full list was applied since the services changed
+	synced      bool                     // the last full list and all changes after it were scoped
 }
 
 // serviceState is what the table holds of one service.
 type serviceState struct {
-	endpointNames map[string]bool // the servers held
-	retained      bool            // they are held though the last whole list named none of them
+	endpointNames map[string]bool // the endpoints in the table
+	retained      bool            // they are in the table though the last full list named none of them
 	status        serviceStatus
 }
 
-// serviceStatus is how the lists had the service so far.
-type serviceStatus uint8
-
-const (
-	statusUnseen serviceStatus = iota
-	statusPresent
-	statusUnknown
-	statusEmptied
-)
-
-// NewServiceTable makes a table of these services, which have passed CheckServices.
+// NewServiceTable returns an empty table of these services, which have to pass CheckServices.
 func NewServiceTable(services []string) *ServiceTable {
 	t := &ServiceTable{endpoints: map[string]Endpoint{}}
 	t.Subscribe(services)
 	return t
 }
 
-// Subscribe changes the services, which have passed CheckServices. What is held stays until the
-// next whole list, and changes before that list are not taken.
+// Subscribe replaces the services; the new ones have to pass CheckServices. The endpoints in the table
+// stay until the next full list, and changes before that list are ignored.
 func (t *ServiceTable) Subscribe(services []string) {
 	previous := t.services
 	t.services = make(map[string]*serviceState, len(services))
@@ -88,20 +48,22 @@
 		}
 		t.services[name] = state
 	}
+	// A service that was given up and is subscribed to again before a full list arrived still has
+	// its endpoints in the table.
 	for name, endpoint := range t.endpoints {
 		if state := t.services[endpoint.Service]; state != nil {
-			state.endpointNames[name] = true // of one that was left and is subscribed to again
+			state.endpointNames[name] = true
 		}
 	}
 	t.hasFullList, t.synced = false, false
 }
 
-// Synced tells whether the table rests on a whole scoped list and nothing unscoped came after it.
-// As long as it doesn't, the table may lack servers of its services.
+// Synced reports whether the table rests on a full scoped list and no unscoped list was applied after
+// it. A table that is not synced may lack endpoints of its services.
 func (t *ServiceTable) Synced() bool { return t.synced }
 
-// Seed takes a list that is known from before, and returns what of it belongs to the services. It
-// causes no events: only the lists that come tell how a service stands.
+// Seed puts a list into the table that is known from an earlier run, and returns the entries of the
+// table's services. It causes no events: those tell what lists of the service say.
 func (t *ServiceTable) Seed(list List) List {
 	seeded := List{Seq: list.Seq, Full: list.Full, Endpoints: []Endpoint{}}
 	for i := range list.Endpoints {
@@ -115,7 +77,8 @@
 	return seeded
 }
 
-// Apply takes a list and returns it as the consumer has to take it, with the events that it causes.
+// Apply applies a list to the table. It returns the list for the consumer, and the events that the
+// list causes.
 func (t *ServiceTable) Apply(list List) (List, []ServiceEvent) {
 	if list.Full {
 		return t.applyFullList(&list)
@@ -123,55 +86,78 @@
 	if !t.hasFullList {
 		return List{Seq: list.Seq, Endpoints: []Endpoint{}}, nil
 	}
-	return t.applyUpdate(&list)
+	return t.applyChanges(&list)
 }
 
-// applyFullList takes a whole list.
+// applyFullList replaces the table by a full list and the endpoints that are retained beside it.
 func (t *ServiceTable) applyFullList(list *List) (List, []ServiceEvent) {
-	next := map[string]Endpoint{}
-	var order []string
-	add := func(endpoint Endpoint) {
-		if _, ok := next[endpoint.Name]; !ok {
-			order = append(order, endpoint.Name)
-		}
-		next[endpoint.Name] = endpoint
+	next := t.subscribedEntries(list)
+	services := slices.Sorted(maps.Keys(t.services))
+	t.retainEmptied(next, services)
+	t.replaceEndpoints(next.byName)
+	t.hasFullList, t.synced = true, list.Scoped
+	return List{Seq: list.Seq, Full: true, Endpoints: next.inOrder()}, t.updateStatuses(services, list.Scoped)
+}
+
+// entrySet is a set of entries in the order in which their names were added first.
+type entrySet struct {
+	byName map[string]Endpoint
+	names  []string
+}
+
+// add adds an entry, or replaces the one of the same name in its place.
+func (s *entrySet) add(endpoint Endpoint) {
+	if _, exists := s.byName[endpoint.Name]; !exists {
+		s.names = append(s.names, endpoint.Name)
 	}
+	s.byName[endpoint.Name] = endpoint
+}
+
+func (s *entrySet) inOrder() []Endpoint {
+	entries := make([]Endpoint, 0, len(s.names))
+	for _, name := range s.names {
+		entries = append(entries, s.byName[name])
+	}
+	return entries
+}
+
+// subscribedEntries returns the entries of a full list that belong to the table's services.
+func (t *ServiceTable) subscribedEntries(list *List) *entrySet {
+	entries := &entrySet{byName: map[string]Endpoint{}}
 	for i := range list.Endpoints {
 		endpoint := list.Endpoints[i]
-		name, ok := t.serviceOf(&endpoint, list.Scoped)
-		if ok && endpoint.Health != Removed {
-			endpoint.Service = name
-			add(endpoint)
+		service, subscribed := t.serviceOf(&endpoint, list.Scoped)
+		if subscribed && endpoint.Health != Removed {
+			endpoint.Service = service
+			entries.add(endpoint)
 		}
 	}
+	return entries
+}
+
+// retainEmptied adds to next, for each service without an entry in next, the endpoints that the table
+// has of it.
+func (t *ServiceTable) retainEmptied(next *entrySet, services []string) {
 	listedCount := map[string]int{}
-	for _, endpoint := range next {
+	for _, endpoint := range next.byName {
 		listedCount[endpoint.Service]++
 	}
-	names := slices.Sorted(maps.Keys(t.services))
-	for _, name := range names {
-		state := t.services[name]
+	for _, service := range services {
+		state := t.services[service]
 		state.retained = false
-		if listedCount[name] > 0 {
+		if listedCount[service] > 0 {
 			continue
 		}
-		for _, endpointName := range slices.Sorted(maps.Keys(state.endpointNames)) {
-			if _, listed := next[endpointName]; !listed {
-				add(t.endpoints[endpointName])
+		for _, name := range slices.Sorted(maps.Keys(state.endpointNames)) {
+			if _, listed := next.byName[name]; !listed { // it could be listed under another service
+				next.add(t.endpoints[name])
 				state.retained = true
 			}
 		}
 	}
-	t.replaceEndpoints(next)
-	t.hasFullList, t.synced = true, list.Scoped
-	out := List{Seq: list.Seq, Full: true, Endpoints: make([]Endpoint, 0, len(order))}
-	for _, endpointName := range order {
-		out.Endpoints = append(out.Endpoints, next[endpointName])
-	}
-	return out, t.updateStatuses(names, list.Scoped)
 }
 
-// replaceEndpoints makes these the hosts of the table.
+// replaceEndpoints makes these the endpoints of the table.
 func (t *ServiceTable) replaceEndpoints(endpoints map[string]Endpoint) {
 	for _, state := range t.services {
 		state.endpointNames = map[string]bool{}
@@ -182,141 +168,19 @@
 	}
 }
 
-// applyUpdate takes a list of changes.
-func (t *ServiceTable) applyUpdate(list *List) (List, []ServiceEvent) {
-	update := tableUpdate{table: t, previous: map[string]Endpoint{}, touchedServices: map[string]bool{}}
-	for i := range list.Endpoints {
-		update.apply(list.Endpoints[i], list.Scoped)
-	}
-	t.synced = t.synced && list.Scoped
-	return List{Seq: list.Seq, Endpoints: update.changedEndpoints()}, t.updateStatuses(slices.Sorted(maps.Keys(update.touchedServices)), list.Scoped)
-}
-
-// tableUpdate is one list of changes on its way into the table.
-type tableUpdate struct {
-	table           *ServiceTable
-	touchedNames    []string            // the names that it touches
-	previous        map[string]Endpoint // as they were held; one that was not has no name
-	touchedServices map[string]bool     // the services that it touches
-}
-
-// apply takes one entry.
-func (c *tableUpdate) apply(endpoint Endpoint, scoped bool) {
-	table := c.table
-	current, exists := table.endpoints[endpoint.Name]
-	if endpoint.Health == Removed {
-		// A server that changed its service is gone from the one before: that may come after
-		// the entry that has it under its new one.
-		if exists && (endpoint.Service == current.Service || !scoped && endpoint.Service == "") {
-			c.remove(endpoint.Name)
-		}
-		return
-	}
-	service, subscribed := table.serviceOf(&endpoint, scoped)
-	if !subscribed {
-		if exists && !scoped { // it went to a service that this reader doesn't subscribe to
-			c.remove(endpoint.Name)
-		}
-		return
-	}
-	if state := table.services[service]; state.retained {
-		state.retained = false
-		for _, name := range slices.Sorted(maps.Keys(state.endpointNames)) {
-			c.remove(name)
-		}
-	}
-	endpoint.Service = service
-	c.remove(endpoint.Name)
-	c.touchedServices[service] = true
-	table.put(endpoint)
-}
-
-// remove takes a server out of the table, if it is held there, and notes that it was touched.
-func (c *tableUpdate) remove(name string) {
-	current, exists := c.table.endpoints[name]
-	if _, touched := c.previous[name]; !touched {
-		c.touchedNames = append(c.touchedNames, name)
-		c.previous[name] = current
-	}
-	if !exists {
-		return
-	}
-	c.touchedServices[current.Service] = true
-	delete(c.table.endpoints, name)
-	if state := c.table.services[current.Service]; state != nil {
-		delete(state.endpointNames, name)
-	}
-}
-
-// changedEndpoints is one entry for each server that was touched: as it is now, or gone.
-func (c *tableUpdate) changedEndpoints() []Endpoint {
-	changed := make([]Endpoint, 0, len(c.touchedNames))
-	for _, name := range c.touchedNames {
-		endpoint, exists := c.table.endpoints[name]
-		if !exists {
-			if endpoint = c.previous[name]; endpoint.Name == "" {
-				continue // it came and went in one line
-			}
-			endpoint.Health = Removed
-		}
-		changed = append(changed, endpoint)
-	}
-	return changed
-}
-
-// put holds an entry.
+// put adds or replaces an entry of one of the table's services.
 func (t *ServiceTable) put(endpoint Endpoint) {
 	t.endpoints[endpoint.Name] = endpoint
 	t.services[endpoint.Service].endpointNames[endpoint.Name] = true
 }
 
-// serviceOf is the service that an entry belongs to, and whether it is subscribed to. An entry of
-// an unscoped list that names no service belongs to the one that it is held under, or else to the
-// default service.
-func (t *ServiceTable) serviceOf(endpoint *Endpoint, scoped bool) (string, bool) {
-	service := endpoint.Service
+// serviceOf returns the service that an entry belongs to, and whether the table subscribes to it. An
+// entry of an unscoped list may leave its service out: it belongs to the service that the table has
+// the endpoint under, or else to the default service.
+func (t *ServiceTable) serviceOf(endpoint *Endpoint, scoped bool) (service string, subscribed bool) {
+	service = endpoint.Service
 	if current, ok := t.endpoints[endpoint.Name]; ok && !scoped && service == "" {
 		service = current.Service
 	}
 	return service, t.services[service] != nil
 }
-
-// updateStatuses notes what became of the services and returns what is to be reported.
-func (t *ServiceTable) updateStatuses(names []string, scoped bool) []ServiceEvent {
-	var events []ServiceEvent
-	for _, name := range names {
-		state := t.services[name]
-		if state == nil {
-			continue
-		}
-		previous := state.status
-		state.status = state.nextStatus()
-		if state.status == previous {
-			continue
-		}
-		event := ServiceEvent{Service: name, Scoped: scoped}
-		switch {
-		case state.status == statusUnknown:
-			event.Kind = ServiceUnknown
-		case state.status == statusEmptied:
-			event.Kind, event.Retained = ServiceEmptied, len(state.endpointNames)
-		case previous == statusUnseen:
-			continue
-		default:
-			event.Kind = ServiceRestored
-		}
-		events = append(events, event)
-	}
-	return events
-}
-
-// nextStatus is how the service is listed after a list was taken.
-func (s *serviceState) nextStatus() serviceStatus {
-	switch {
-	case len(s.endpointNames) > 0 && !s.retained:
-		return statusPresent
-	case s.status == statusUnknown || s.status == statusUnseen && len(s.endpointNames) == 0:
-		return statusUnknown
-	}
-	return statusEmptied
-}
--- /dev/null
+++ b/internal/endpoints/watch.go
@@ -0,0 +1,174 @@
+package endpoints
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+)
+
+// watchBufferBytes is the size of one read from a watch.
+const watchBufferBytes = 4096
+
+// Watch hands each change after the version since to onList, and continues at another address where
+// one fails. It returns when its round of calls is over, with the reason for which the last call
+// ended; it never returns nil. onList runs on the goroutine of Watch.
+func (c *Client) Watch(ctx context.Context, since int64, onList func(List)) error {
+	return c.runRound(ctx, func(addr string) error {
+		return c.watchAddress(ctx, addr, &since, onList)
+	})
+}
+
+// watchAddress runs one watch at one address, and keeps version at the version of the last list.
+func (c *Client) watchAddress(ctx context.Context, addr string, version *int64, onList func(List)) error {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	requested := c.watchStarted(addr, cancel)
+	defer c.watchEnded()
+	silenceTimer := time.AfterFunc(c.config.SilenceTimeout, func() { cancel(errSilenceTimeout) })
+	defer silenceTimer.Stop()
+	w := watch{
+		client:     c,
+		addr:       addr,
+		requested:  requested,
+		version:    version,
+		hasBase:    !requested.needsFullList,
+		onActivity: func() { silenceTimer.Reset(c.config.SilenceTimeout) },
+		onList:     onList,
+	}
+	return watchError(ctx, w.run(ctx))
+}
+
+// watchError returns the reason for which a watch was canceled in place of the read error that this
+// caused. A stale list stays the reason where the watch was canceled at the same time.
+func watchError(ctx context.Context, err error) error {
+	cause := context.Cause(ctx)
+	if cause == nil || errors.Is(err, errStaleList) {
+		return err
+	}
+	if incomplete := new(IncompleteError); errors.As(err, &incomplete) {
+		return &IncompleteError{Pending: incomplete.Pending, Age: incomplete.Age, Err: cause}
+	}
+	return cause
+}
+
+// watchStarted records the address of the running watch, and returns the subscription to request.
+func (c *Client) watchStarted(addr string, cancel context.CancelCauseFunc) subscription {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.watchedAddress, c.cancelWatch = addr, cancel
+	requested := c.subscription
+	c.subscription.sendsVersion = false
+	return requested
+}
+
+// watchEnded records that no watch is running.
+func (c *Client) watchEnded() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.watchedAddress, c.cancelWatch = "", nil
+}
+
+// watch is one watch at one address.
+type watch struct {
+	client     *Client
+	addr       string
+	requested  subscription
+	version    *int64 // of the last list that the reader accepted
+	hasBase    bool   // the reader holds a list that changes of the requested services apply to
+	onActivity func() // is called for each line and each list
+	onList     func(List)
+
+	resp *http.Response
+}
+
+// run reads the watch until it ends. The error is never nil: it is errWatchClosed if the server ended
+// the response in order.
+func (w *watch) run(ctx context.Context) error {
+	resp, err := w.client.requestList(ctx, w.addr, w.requested.watchQuery(*w.version))
+	if err != nil {
+		return err
+	}
+	defer resp.Body.Close()
+	w.resp = resp
+	scanner := listScanner{onList: w.handleList, onBlankLine: w.onActivity, onPartial: w.handlePartial}
+	buf := make([]byte, watchBufferBytes)
+	for {
+		n, err := resp.Body.Read(buf)
+		if scanErr := scanner.feed(buf[:n]); scanErr != nil {
+			return scanErr
+		}
+		if err == io.EOF {
+			err = errWatchClosed
+		}
+		if err != nil {
+			return scanner.close(err)
+		}
+	}
+}
+
+// handleList parses and checks one list and hands it to the reader. An error ends the watch.
+func (w *watch) handleList(text []byte) error {
+	list, err := Parse(text)
+	if err != nil {
+		return fmt.Errorf("list: %w", err)
+	}
+	markOrigin(&list, w.resp, &w.requested)
+	if err := w.checkList(&list); err != nil {
+		return err
+	}
+	if err := w.client.acceptWatchedList(w.addr, &w.requested, &list); err != nil {
+		return err
+	}
+	*w.version = list.Seq
+	w.onList(list)
+	w.onActivity()
+	return nil
+}
+
+// checkList returns an error for a list that the reader can't apply: one that is older than what the
+// reader holds, or changes without the full list that they apply to.
+func (w *watch) checkList(list *List) error {
+	if w.client.config.RejectOlder && list.Seq < w.requested.requiredVersion(*w.version) {
+		w.client.staleListReceived(&w.requested)
+		return errStaleList
+	}
+	w.hasBase = w.hasBase || list.Full
+	switch {
+	case w.hasBase:
+		return nil
+	case w.requested.sendsVersion:
+		return errServerCaughtUp
+	}
+	return errFullListExpected
+}
+
+// handlePartial reports the received part of an unfinished list.
+func (w *watch) handlePartial(text []byte, firstByteAt time.Time) {
+	w.client.reportPartial(w.resp, &w.requested, text, firstByteAt)
+}
+
+// acceptWatchedList records that a watch received a list. It returns an error if the subscription has
+// changed since the request: the list has to be dropped then.
+func (c *Client) acceptWatchedList(addr string, requested *subscription, list *List) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.subscription.number != requested.number {
+		return errSubscriptionChanged
+	}
+	c.subscription.listReceived(list)
+	c.selector.ListReceived(addr)
+	return nil
+}
+
+// staleListReceived records that a watch received a list older than the reader's version. The next
+// watch sends that version, unless this one did, so that the service can raise its own.
+func (c *Client) staleListReceived(requested *subscription) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.subscription.number == requested.number {
+		c.subscription.sendsVersion = requested.needsFullList && !requested.sendsVersion
+	}
+}
