--- a/internal/endpoints/addressselector_test.go
+++ b/internal/endpoints/addressselector_test.go
@@ -8,128 +8,167 @@
 	"pgregory.net/rapid"
 )
 
-func testAddresses(n int) (out []string) {
+// testAddresses returns n addresses.
+func testAddresses(n int) []string {
+	var addresses []string
 	for i := range n {
-		out = append(out, fmt.Sprintf("127.0.0.1:%d", i+1))
+		addresses = append(addresses, fmt.Sprintf("127.0.0.1:%d", i+1))
 	}
-	return out
+	return addresses
 }
 
-// Whatever happens, a chooser asks only addresses of its set, at most once each in a round
-// after one served, pays for all but the first call of a round from its budget, never waits
-// longer than its bounds, and prefers the first in its order that gave no cause to avoid it.
+// selectorModel drives an AddressSelector with random steps and checks its bounds after each of them.
+type selectorModel struct {
+	rt       *rapid.T
+	selector *AddressSelector
+	fleet    int
+	all      []string // the addresses that a step may set
+
+	now               time.Duration
+	roundBegan        bool
+	firstCall         bool
+	paidCalls         int                      // calls that were not the first of their round
+	callsSinceList    int                      // of the present round
+	avoidUntil        map[string]time.Duration // by address
+	lastCalledAddress string
+}
+
+// Whatever happens, a selector returns only its own addresses, each at most once in a round after a
+// list was received, pays for all but the first call of a round from its budget, never waits longer
+// than its bounds, and prefers the first address in its order that gave no cause to avoid it.
 func TestAddressSelectorKeepsBudgetAndOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		all := testAddresses(8)
-		set := all[:rapid.IntRange(1, 5).Draw(rt, "addresses")]
+		addresses := all[:rapid.IntRange(1, 5).Draw(rt, "addresses")]
 		fleet := rapid.IntRange(1, 2000).Draw(rt, "fleet")
-		c := NewAddressSelector(set, rapid.Uint64().Draw(rt, "order"), fleet)
-		bucket := &c.budget
-		var now time.Duration
-		paid, sinceServed := 0, 0
-		fresh, began := false, false
-		avoid := map[string]time.Duration{}
-		last := ""
+		m := &selectorModel{rt: rt, fleet: fleet, all: all, avoidUntil: map[string]time.Duration{}}
+		m.selector = NewAddressSelector(addresses, rapid.Uint64().Draw(rt, "order"), fleet)
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
-			switch rapid.SampledFrom([]string{"begin", "next", "next", "served", "end", "wait", "set"}).Draw(rt, "step") {
-			case "begin":
-				c.BeginRound()
-				fresh, began, sinceServed = true, true, 0
-			case "next":
-				if !began {
-					continue
-				}
-				addr, wait, ok := c.Next(now, rapid.Float64Range(0, 0.999).Draw(rt, "random"))
-				if !ok {
-					if fresh {
-						rt.Fatal("the first call of a round was held back")
-					}
-					continue
-				}
-				if !c.Has(addr) {
-					rt.Fatalf("asks %s, which is not of the set", addr)
-				}
-				if wait < 0 || wait > max(maxBackoff, maxRetryAfter) {
-					rt.Fatalf("waits %v", wait)
-				}
-				if !fresh {
-					if paid++; len(c.candidates) == 1 {
-						rt.Fatal("a second call in a round to the only address")
-					}
-				}
-				if sinceServed++; sinceServed > max(len(c.candidates), 1) {
-					rt.Fatalf("%d calls to %d addresses in one round with none served", sinceServed, len(c.candidates))
-				}
-				for i := range c.candidates {
-					p := c.candidates[i].addr
-					if p == addr {
-						break
-					}
-					if avoid[p] <= now && c.candidates[i].busyUntil <= now {
-						rt.Fatalf("asks %s though %s stands before it and gave no cause", addr, p)
-					}
-				}
-				fresh, last = false, addr
-			case "served":
-				if last != "" {
-					c.ListReceived(last)
-					sinceServed = 0
-					delete(avoid, last)
-				}
-			case "end":
-				if last != "" && c.Has(last) {
-					how := rapid.SampledFrom([]CallOutcome{OutcomeFailed, OutcomeStale, OutcomeRedirected, OutcomeBusy}).Draw(rt, "how")
-					c.CallEnded(now, last, how, time.Duration(rapid.IntRange(-1000, 100_000).Draw(rt, "retry"))*time.Millisecond)
-					avoid[last] = c.candidates[c.index(last)].avoidUntil
-					if how != OutcomeBusy && avoid[last] <= now || avoid[last] > now+redirectAvoidance {
-						rt.Fatalf("%d is avoided for %v", how, avoid[last]-now)
-					}
-				}
-			case "wait":
-				now += time.Duration(rapid.IntRange(0, 20_000).Draw(rt, "ms")) * time.Millisecond
-			case "set":
-				c.SetAddresses(all[:rapid.IntRange(1, 8).Draw(rt, "addresses")])
-			}
-			if most := 9 + bucket.Rate*now.Seconds(); float64(paid) > most {
-				rt.Fatalf("%d calls beyond the rounds' first within %v, at most %.1f", paid, now, most)
-			}
-		}
-		if float64(fleet)*bucket.Rate > 100+0.01 && bucket.Rate > 0.5 {
-			rt.Fatalf("a fleet of %d may make %v calls a second each", fleet, bucket.Rate)
+			m.step()
+			m.checkBudget()
 		}
 	})
 }
 
-// Readers spread over the addresses, and when one is lost its readers spread over the rest
+func (m *selectorModel) step() {
+	switch rapid.SampledFrom([]string{"begin", "next", "next", "list", "end", "wait", "set"}).Draw(m.rt, "step") {
+	case "begin":
+		m.selector.BeginRound()
+		m.firstCall, m.roundBegan, m.callsSinceList = true, true, 0
+	case "next":
+		m.next()
+	case "list":
+		if m.lastCalledAddress != "" {
+			m.selector.ListReceived(m.lastCalledAddress)
+			m.callsSinceList = 0
+			delete(m.avoidUntil, m.lastCalledAddress)
+		}
+	case "end":
+		m.endCall()
+	case "wait":
+		m.now += time.Duration(rapid.IntRange(0, 20_000).Draw(m.rt, "ms")) * time.Millisecond
+	case "set":
+		m.selector.SetAddresses(m.all[:rapid.IntRange(1, 8).Draw(m.rt, "addresses")])
+	}
+}
+
+// next asks for the next address and checks it.
+func (m *selectorModel) next() {
+	if !m.roundBegan {
+		return
+	}
+	addr, wait, ok := m.selector.Next(m.now, rapid.Float64Range(0, 0.999).Draw(m.rt, "random"))
+	if !ok {
+		if m.firstCall {
+			m.rt.Fatal("the first call of a round was denied")
+		}
+		return
+	}
+	if !m.selector.Has(addr) {
+		m.rt.Fatalf("returned %s, which is none of the addresses", addr)
+	}
+	if wait < 0 || wait > max(maxBackoff, maxRetryAfter) {
+		m.rt.Fatalf("waits %v", wait)
+	}
+	candidates := m.selector.candidates
+	if !m.firstCall {
+		if m.paidCalls++; len(candidates) == 1 {
+			m.rt.Fatal("a second call in a round to the only address")
+		}
+	}
+	if m.callsSinceList++; m.callsSinceList > max(len(candidates), 1) {
+		m.rt.Fatalf("%d calls to %d addresses in one round without a list", m.callsSinceList, len(candidates))
+	}
+	for i := range candidates {
+		preferred := candidates[i].addr
+		if preferred == addr {
+			break
+		}
+		if m.avoidUntil[preferred] <= m.now && candidates[i].busyUntil <= m.now {
+			m.rt.Fatalf("returned %s though %s comes before it and gave no cause to avoid it", addr, preferred)
+		}
+	}
+	m.firstCall, m.lastCalledAddress = false, addr
+}
+
+// endCall ends the last call with a random outcome and checks how long its address is avoided.
+func (m *selectorModel) endCall() {
+	addr := m.lastCalledAddress
+	if addr == "" || !m.selector.Has(addr) {
+		return
+	}
+	outcome := rapid.SampledFrom([]CallOutcome{OutcomeFailed, OutcomeStale, OutcomeRedirected, OutcomeBusy}).Draw(m.rt, "outcome")
+	retryAfter := time.Duration(rapid.IntRange(-1000, 100_000).Draw(m.rt, "retry after")) * time.Millisecond
+	m.selector.CallEnded(m.now, addr, outcome, retryAfter)
+	until := m.selector.candidates[m.selector.index(addr)].avoidUntil
+	m.avoidUntil[addr] = until
+	if outcome != OutcomeBusy && until <= m.now || until > m.now+redirectAvoidance {
+		m.rt.Fatalf("outcome %d: avoided for %v", outcome, until-m.now)
+	}
+}
+
+// checkBudget checks the calls so far, and the rate of the whole fleet.
+func (m *selectorModel) checkBudget() {
+	rate := m.selector.budget.Rate
+	if limit := 9 + rate*m.now.Seconds(); float64(m.paidCalls) > limit {
+		m.rt.Fatalf("%d calls beyond the rounds' first within %v, at most %.1f", m.paidCalls, m.now, limit)
+	}
+	if float64(m.fleet)*rate > 100+0.01 && rate > 0.5 {
+		m.rt.Fatalf("a fleet of %d may make %v calls a second each", m.fleet, rate)
+	}
+}
+
+// Readers spread over the addresses, and when one address is lost its readers spread over the rest
 // while all others stay.
 func TestReadersSpreadOverAddresses(t *testing.T) {
 	const readers = 3000
-	set := testAddresses(3)
-	first, second := map[string]int{}, map[string]int{}
+	addresses := testAddresses(3)
+	firstChoices, secondChoices := map[string]int{}, map[string]int{}
 	for i := range readers {
-		c := NewAddressSelector(set, uint64(i), readers)
-		c.BeginRound()
-		at, _, _ := c.Next(0, 0)
-		first[at]++
-		if at == set[0] {
-			c.CallEnded(0, at, OutcomeFailed, 0)
-			c.BeginRound()
-			next, _, _ := c.Next(0, 0)
-			second[next]++
+		selector := NewAddressSelector(addresses, uint64(i), readers)
+		selector.BeginRound()
+		first, _, _ := selector.Next(0, 0)
+		firstChoices[first]++
+		if first == addresses[0] {
+			selector.CallEnded(0, first, OutcomeFailed, 0)
+			selector.BeginRound()
+			second, _, _ := selector.Next(0, 0)
+			secondChoices[second]++
 		}
-		without := NewAddressSelector(set[1:], uint64(i), readers)
+		without := NewAddressSelector(addresses[1:], uint64(i), readers)
 		without.BeginRound()
-		if stays, _, _ := without.Next(0, 0); at != set[0] && stays != at {
-			t.Fatalf("reader %d leaves %s for %s because a third is lost", i, at, stays)
+		if addr, _, _ := without.Next(0, 0); first != addresses[0] && addr != first {
+			t.Fatalf("reader %d leaves %s for %s because a third address is lost", i, first, addr)
 		}
 	}
 	// Four standard deviations of a fair draw.
-	for at, n := range first {
+	for addr, n := range firstChoices {
 		if n < readers/3-104 || n > readers/3+104 {
-			t.Errorf("%d of %d readers begin at %s", n, readers, at)
+			t.Errorf("%d of %d readers begin at %s", n, readers, addr)
 		}
 	}
-	if n := second[set[1]]; n < first[set[0]]/2-66 || n > first[set[0]]/2+66 || second[set[0]] > 0 {
-		t.Errorf("of %d readers of a lost address: %v", first[set[0]], second)
+	lost := firstChoices[addresses[0]]
+	if n := secondChoices[addresses[1]]; n < lost/2-66 || n > lost/2+66 || secondChoices[addresses[0]] > 0 {
+		t.Errorf("of %d readers of a lost address: %v", lost, secondChoices)
 	}
 }
--- a/internal/endpoints/client_test.go
+++ b/internal/endpoints/client_test.go
@@ -16,23 +16,24 @@
 	"time"
 )
 
-// stubService is some addresses of a list stubService without sockets, for a clock of its own.
+// stubService is the transport of a client: a list service with several addresses, without sockets, so
+// that it can run on the clock of a synctest bubble.
 type stubService struct {
 	mu        sync.Mutex
 	addresses map[string]*stubAddress
-	calls     []string // address and query
+	calls     []string // address and query, in order
 	callTimes []time.Time
 }
 
-// stubAddress is what an address does with a watch: it refuses it, or writes its version and
-// then beats, until it is told to end.
+// stubAddress is what one address does with a call: it rejects the call, or sends its list and then a
+// blank line every 2 s until closeWatch receives a value.
 type stubAddress struct {
 	status         int
 	header         http.Header
 	version        int64
-	silent         bool // no line after the first
-	closeWatch     chan error
-	otherAddresses string
+	silent         bool       // sends nothing after the list
+	closeWatch     chan error // the error that ends the running watch; nil: in order
+	otherAddresses string     // header of the last call
 }
 
 func (s *stubService) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -61,27 +62,30 @@
 	out, in := io.Pipe()
 	resp.Body = out
 	p.closeWatch = make(chan error, 1)
-	end, mute := p.closeWatch, p.silent
-	go func() {
-		_, _ = in.Write(text)
-		beat := time.NewTicker(2 * time.Second)
-		defer beat.Stop()
-		for {
-			select {
-			case <-beat.C:
-				if !mute {
-					_, _ = in.Write([]byte("\n"))
-				}
-			case err := <-end:
-				in.CloseWithError(err)
-				return
-			case <-r.Context().Done():
-				in.CloseWithError(r.Context().Err())
-				return
+	go p.serveWatch(r.Context(), in, text, p.closeWatch, p.silent)
+	return resp, nil
+}
+
+// serveWatch writes the list and then heartbeats. It takes the state of the address as arguments, as a
+// later call may change it.
+func (p *stubAddress) serveWatch(ctx context.Context, in *io.PipeWriter, list []byte, closeWatch <-chan error, silent bool) {
+	_, _ = in.Write(list)
+	heartbeat := time.NewTicker(2 * time.Second)
+	defer heartbeat.Stop()
+	for {
+		select {
+		case <-heartbeat.C:
+			if !silent {
+				_, _ = in.Write([]byte("\n"))
 			}
+		case err := <-closeWatch:
+			in.CloseWithError(err)
+			return
+		case <-ctx.Done():
+			in.CloseWithError(ctx.Err())
+			return
 		}
-	}()
-	return resp, nil
+	}
 }
 
 func (s *stubService) set(addr string, p *stubAddress) {
@@ -90,6 +94,7 @@
 	s.addresses[addr] = p
 }
 
+// requestedHosts returns the addresses of the calls so far, in order.
 func (s *stubService) requestedHosts() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,8 +106,10 @@
 	return hosts
 }
 
-// runClient plays a client over the service in a bubble of its own clock.
-func runClient(t *testing.T, n int, play func(t *testing.T, s *stubService, c *Client, order []string, heard *[]List)) {
+// runClient runs a test in a synctest bubble with a client of a service of n addresses. The test
+// receives the addresses in the client's order.
+func runClient(t *testing.T, n int, test func(t *testing.T, s *stubService, c *Client, order []string)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := &stubService{addresses: map[string]*stubAddress{}}
 		c := NewClient(ClientConfig{Addresses: testAddresses(n), Order: 7, Fleet: 10, RejectOlder: true, Transport: s})
@@ -110,26 +117,26 @@
 		for _, p := range c.selector.candidates {
 			order = append(order, p.addr)
 		}
-		var heard []List
-		play(t, s, c, order, &heard)
+		test(t, s, c, order)
 	})
 }
 
+// servingVersion returns an address that serves a list of the version.
 func servingVersion(version int64) *stubAddress {
 	return &stubAddress{status: http.StatusOK, version: version}
 }
 
-// A watch goes from address to address: past those that refuse, fall silent, break, lag,
-// send it away or know less than it has, and stays where all is well.
+// A watch leaves an address that refuses the connection, returns an error, is busy, has no current
+// list, has an older list than the reader, or falls silent, and stays at an address without a fault.
 func TestWatchFailsOverToNextAddress(t *testing.T) {
 	busy := &stubAddress{status: 503, header: http.Header{"Retry-After": {"1.5"}, "Not-Applied": {"1"}}}
-	behind := &stubAddress{status: 503, header: http.Header{"Retry-After": {"0.2"}}}
-	mute := servingVersion(5)
-	mute.silent = true
-	for name, first := range map[string]*stubAddress{"refused": nil, "error": {status: 500}, "busy": busy, "behind": behind,
-		"older": servingVersion(3), "silent": mute} {
+	stale := &stubAddress{status: 503, header: http.Header{"Retry-After": {"0.2"}}}
+	silent := servingVersion(5)
+	silent.silent = true
+	for name, first := range map[string]*stubAddress{"refused": nil, "error": {status: 500}, "busy": busy, "stale": stale,
+		"older": servingVersion(3), "silent": silent} {
 		t.Run(name, func(t *testing.T) {
-			runClient(t, 3, func(t *testing.T, s *stubService, c *Client, order []string, heard *[]List) {
+			runClient(t, 3, func(t *testing.T, s *stubService, c *Client, order []string) {
 				if first != nil {
 					s.set(order[0], first)
 				}
@@ -138,25 +145,26 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				done := make(chan error, 1)
 				began := time.Now()
-				go func() { done <- c.Watch(ctx, 5, func(l List) { *heard = append(*heard, l) }) }()
+				var received []List
+				go func() { done <- c.Watch(ctx, 5, func(l List) { received = append(received, l) }) }()
 				time.Sleep(WatchSilenceTimeout + time.Second)
 				synctest.Wait()
 				if got := s.requestedHosts(); len(got) != 2 || got[0] != order[0] || got[1] != order[1] {
-					t.Errorf("asked %v of %v", got, order)
+					t.Errorf("requested %v of %v", got, order)
 				}
-				if n := len(*heard); n == 0 || (*heard)[n-1].Seq != 6 || (*heard)[0].Seq < 5 {
-					t.Errorf("heard %+v", *heard)
+				if n := len(received); n == 0 || received[n-1].Seq != 6 || received[0].Seq < 5 {
+					t.Errorf("received %+v", received)
 				}
 				if s.addresses[order[1]].otherAddresses != "2" {
-					t.Errorf("said to know %q others", s.addresses[order[1]].otherAddresses)
+					t.Errorf("sent %q as the number of other addresses", s.addresses[order[1]].otherAddresses)
 				}
 				if name != "silent" && s.callTimes[1].Sub(began) > 2*initialBackoff {
-					t.Errorf("asked the next after %v", s.callTimes[1].Sub(began))
+					t.Errorf("called the next address after %v", s.callTimes[1].Sub(began))
 				}
-				time.Sleep(time.Minute) // it stays
+				time.Sleep(time.Minute) // the watch stays at the address
 				synctest.Wait()
 				if len(s.requestedHosts()) != 2 {
-					t.Errorf("asked %v", s.requestedHosts())
+					t.Errorf("requested %v", s.requestedHosts())
 				}
 				cancel()
 				if err := <-done; !errors.Is(err, context.Canceled) {
@@ -167,17 +175,17 @@
 	}
 }
 
-// With no address that answers, a round ends after each had its turn, and a fleet's rounds
-// don't multiply its calls; the budget comes back with time.
+// With no address that responds, a round calls each address once at most, and many rounds in a row are
+// cut short by the budget, which refills with time.
 func TestBudgetBoundsCallsOfFailingRounds(t *testing.T) {
-	runClient(t, 3, func(t *testing.T, s *stubService, c *Client, order []string, _ *[]List) {
+	runClient(t, 3, func(t *testing.T, s *stubService, c *Client, order []string) {
 		for range 100 {
 			if err := c.Watch(t.Context(), 0, nil); err == nil {
-				t.Fatal("a watch of nothing")
+				t.Fatal("a watch without a server returned no error")
 			}
 		}
-		if n, held := len(s.requestedHosts()), c.BudgetExhausted(); n < 103 || n > 107 || held < 90 {
-			t.Errorf("100 rounds at once made %d calls, held back %d", n, held)
+		if n, exhausted := len(s.requestedHosts()), c.BudgetExhausted(); n < 103 || n > 107 || exhausted < 90 {
+			t.Errorf("100 rounds at once made %d calls, %d ended by the budget", n, exhausted)
 		}
 		time.Sleep(time.Minute)
 		before := len(s.requestedHosts())
@@ -188,15 +196,15 @@
 	})
 }
 
-// A service that moves a watch finds it at another address and not back soon, the next in
-// the reader's order; the version goes along.
+// A watch that its server ends in order continues at the next address in the reader's order, from the
+// version that it has, and doesn't return to the first address soon.
 func TestClosedWatchContinuesAtNextAddress(t *testing.T) {
-	runClient(t, 3, func(t *testing.T, s *stubService, c *Client, order []string, heard *[]List) {
+	runClient(t, 3, func(t *testing.T, s *stubService, c *Client, order []string) {
 		for i, addr := range order {
 			s.set(addr, servingVersion(int64(10+i)))
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		go func() { _ = c.Watch(ctx, 5, func(l List) { *heard = append(*heard, l) }) }()
+		go func() { _ = c.Watch(ctx, 5, func(List) {}) }()
 		for i := range order[:2] {
 			time.Sleep(time.Second)
 			synctest.Wait()
@@ -206,25 +214,25 @@
 		synctest.Wait()
 		want := fmt.Sprintf("%s?follow=1&since=5 %s?follow=1&since=10 %s?follow=1&since=11", order[0], order[1], order[2])
 		if got := strings.Join(s.calls, " "); got != want {
-			t.Errorf("asked %s, want %s", got, want)
+			t.Errorf("requested %s, want %s", got, want)
 		}
-		// SIGHUP takes the address away at which it is: it goes on at one that stays.
+		// The address of the watch is removed: the watch continues at one that stays.
 		c.SetAddresses(order[:2])
 		s.set(order[0], servingVersion(20))
 		s.set(order[1], servingVersion(20))
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		if got := s.requestedHosts(); len(got) != 4 || got[3] == order[2] {
-			t.Errorf("asked %v after %s was taken away", got, order[2])
+			t.Errorf("requested %v after %s was removed", got, order[2])
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// A whole list is fetched from the first that has one which is not older than the reader's.
+// A fetch takes the list of the first address whose list is not older than the reader's.
 func TestFetchSkipsStaleLists(t *testing.T) {
-	runClient(t, 3, func(t *testing.T, s *stubService, c *Client, order []string, _ *[]List) {
+	runClient(t, 3, func(t *testing.T, s *stubService, c *Client, order []string) {
 		s.set(order[0], servingVersion(4))
 		s.set(order[2], servingVersion(9))
 		l, err := c.Fetch(t.Context(), 5)
@@ -234,12 +242,12 @@
 		s.set(order[2], servingVersion(4))
 		time.Sleep(time.Minute)
 		if l, err := c.Fetch(t.Context(), 5); err == nil {
-			t.Errorf("took version %d, older than 5", l.Seq)
+			t.Errorf("accepted version %d, older than 5", l.Seq)
 		}
 	})
 }
 
-// FuzzParse: no bytes upset the reader, and what it takes it can use.
+// FuzzParse: Parse returns an error or a list whose entries are all readable, whatever the text.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"seq":2,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"ready","share":1,"born_ms":5}]}`))
 	f.Add([]byte(`{"seq":-1,"hosts":[{"host":"","health":"gone"}]}`))
@@ -250,22 +258,22 @@
 			return
 		}
 		for i := range l.Endpoints {
-			h := &l.Endpoints[i]
-			if h.Name == "" || h.Health != Ready && h.Health != Draining && h.Health != Removed || h.Health != Removed && !IsAddress(h.Dial) {
-				t.Errorf("took %+v", h)
+			e := &l.Endpoints[i]
+			if e.Name == "" || e.Health != Ready && e.Health != Draining && e.Health != Removed || e.Health != Removed && !IsAddress(e.Dial) {
+				t.Errorf("accepted %+v", e)
 			}
-			if h.Validate() == nil {
-				// A name that a service takes can stand in a path and comes back from it.
-				u, err := url.Parse("http://a/v1/servers/" + h.Name)
-				if err != nil || u.Path != "/v1/servers/"+h.Name || !(h.Weight >= 0) || strconv.Itoa(h.Block) == "" {
-					t.Errorf("took the name %q: %v", h.Name, err)
+			if e.Validate() == nil {
+				// A valid name can stand in a path and is the same when the path is parsed.
+				u, err := url.Parse("http://a/v1/servers/" + e.Name)
+				if err != nil || u.Path != "/v1/servers/"+e.Name || !(e.Weight >= 0) || strconv.Itoa(e.Block) == "" {
+					t.Errorf("accepted the name %q: %v", e.Name, err)
 				}
 			}
 		}
 	})
 }
 
-// scriptedTransport is a service whose watch writes texts with waits between, and then is silent.
+// scriptedTransport is a service whose watch writes texts with a pause after each, and then is silent.
 type scriptedTransport struct {
 	texts []string
 	pause time.Duration
@@ -288,54 +296,54 @@
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: out, Request: r}, nil
 }
 
-// What a watch writes may be indented, with what looks like an end inside a string, and is
-// a list once it is whole; bytes that never make one are no sign of life, however they come.
+// The text of a watch may be indented, with braces inside strings, and is a list once it is complete.
+// Bytes that never make a list don't keep the watch alive, however they are split.
 func TestWatchDecodesListsAndDetectsSilence(t *testing.T) {
 	const indented = "{\n  \"seq\": 6,\n  \"whole\": false,\n  \"hosts\": [\n    {\"host\": \"a}\\\"]\",\n" +
 		"     \"dial\": \"127.0.0.1:9\", \"health\": \"draining\"}\n  ]\n}\n"
 	endless := []string{"{\"seq\": 7, \"hosts\": [\n"}
-	letters := []string{}
+	blanks := []string{}
 	for range 100 {
 		endless = append(endless, "\n", "   \n")
-		letters = append(letters, " ")
+		blanks = append(blanks, " ")
 	}
 	for name, c := range map[string]struct {
 		texts  []string
-		heard  int
-		lasted time.Duration // from the begin to the end by silence
+		lists  int
+		lasted time.Duration // from the start to the end by silence
 	}{
 		"indented":              {[]string{indented, "\n", indented}, 2, 2*time.Second + WatchSilenceTimeout},
 		"indented, in pieces":   {strings.SplitAfter(indented, "]"), 1, 2*time.Second + WatchSilenceTimeout},
 		"silent from the start": {nil, 0, WatchSilenceTimeout},
 		"silent within a line":  {[]string{"\n", indented[:20]}, 0, WatchSilenceTimeout},
 		"an object without end": {endless, 0, WatchSilenceTimeout},
-		"a line without end":    {letters, 0, WatchSilenceTimeout},
+		"a line without end":    {blanks, 0, WatchSilenceTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				cl := NewClient(ClientConfig{Addresses: testAddresses(1), Transport: scriptedTransport{c.texts, time.Second}})
-				heard, began := 0, time.Now()
-				err := cl.Watch(t.Context(), 5, func(l List) {
-					if heard++; l.Seq != 6 || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "a}\"]" {
-						t.Errorf("heard %+v", l)
+				client := NewClient(ClientConfig{Addresses: testAddresses(1), Transport: scriptedTransport{c.texts, time.Second}})
+				lists, began := 0, time.Now()
+				err := client.Watch(t.Context(), 5, func(l List) {
+					if lists++; l.Seq != 6 || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "a}\"]" {
+						t.Errorf("received %+v", l)
 					}
 				})
 				lasted := time.Since(began)
 				synctest.Wait()
-				if !errors.Is(err, errSilenceTimeout) || heard != c.heard || lasted != c.lasted {
-					t.Errorf("heard %d lists, ended after %v: %v", heard, lasted, err)
+				if !errors.Is(err, errSilenceTimeout) || lists != c.lists || lasted != c.lasted {
+					t.Errorf("received %d lists, ended after %v: %v", lists, lasted, err)
 				}
 			})
 		})
 	}
 }
 
-// A line that is no list ends the watch, also where its brackets never match.
+// A line that is no list ends the watch, even if its brackets never match.
 func TestWatchRejectsMalformedLists(t *testing.T) {
 	for _, text := range []string{"}\n", "x\n", "[1]\n", "{\"seq\":\"\n", "{}}\n", "{\"a\":[}]}\n"} {
 		synctest.Test(t, func(t *testing.T) {
-			cl := NewClient(ClientConfig{Addresses: testAddresses(1), Transport: scriptedTransport{[]string{text}, 0}})
-			err := cl.Watch(t.Context(), 5, func(l List) { t.Errorf("%q: heard %+v", text, l) })
+			client := NewClient(ClientConfig{Addresses: testAddresses(1), Transport: scriptedTransport{[]string{text}, 0}})
+			err := client.Watch(t.Context(), 5, func(l List) { t.Errorf("%q: received %+v", text, l) })
 			if err == nil || errors.Is(err, errSilenceTimeout) {
 				t.Errorf("%q ended with %v", text, err)
 			}
--- a/internal/endpoints/fakeservice_test.go
+++ b/internal/endpoints/fakeservice_test.go
@@ -15,100 +15,104 @@
 	"time"
 )
 
-// fakeControlPlane is a list service that knows services, without sockets: some addresses of it with
-// one state. A client reads it as its transport.
+// fakeControlPlane is the transport of a client: a list service that knows services, without sockets.
+// Its servers share one list.
 type fakeControlPlane struct {
 	mu      sync.Mutex
 	list    fakeList
 	servers map[string]*fakeServer
-	calls   []string // address and query, in order
-	changed chan struct{}
+	calls   []string      // address and query, in order
+	changed chan struct{} // closed, and replaced, by each change of the list
 }
 
-// fakeServer is one address.
+// fakeServer is what one address does.
 type fakeServer struct {
-	ignoresServices    bool  // it doesn't know services
-	versionLag         int64 // its versions are so much lower
-	raisesVersion      bool  // it raises its version where a reader names a later one
+	ignoresServices    bool  // as a server of a release without services
+	versionLag         int64 // how much lower its versions are than the list's
+	raisesVersion      bool  // raises its version when a reader sends a later one
 	refusesConnections bool
-	closeWatches       chan struct{} // closed: its watches end in order
+	closeWatches       chan struct{} // closed to end the server's watches in order
 }
 
-// fakeList is a list with its changes.
+// fakeList is a list with the history of its changes.
 type fakeList struct {
 	seq       int64
 	endpoints []Endpoint
 	history   []fakeChange
 }
 
+// fakeChange is the entries of one change.
 type fakeChange struct {
 	seq       int64
 	endpoints []Endpoint
 }
 
 func (s *fakeList) index(name string) int {
-	return slices.IndexFunc(s.endpoints, func(h Endpoint) bool { return h.Name == name })
+	return slices.IndexFunc(s.endpoints, func(e Endpoint) bool { return e.Name == name })
 }
 
-// set lists a server; one that changes its service is also gone from the one before.
-func (s *fakeList) set(h Endpoint, goneLast bool) {
-	change := []Endpoint{h}
-	if i := s.index(h.Name); i < 0 {
-		s.endpoints = append(s.endpoints, h)
+// set adds or replaces an endpoint. The change of an endpoint with another service than before also holds
+// its removal from that service, before or after its new entry.
+func (s *fakeList) set(e Endpoint, removalLast bool) {
+	change := []Endpoint{e}
+	if i := s.index(e.Name); i < 0 {
+		s.endpoints = append(s.endpoints, e)
 	} else {
-		if before := s.endpoints[i]; before.Service != h.Service {
+		if before := s.endpoints[i]; before.Service != e.Service {
 			before.Health = Removed
 			change = append(change, before)
-			if !goneLast {
+			if !removalLast {
 				slices.Reverse(change)
 			}
 		}
-		s.endpoints[i] = h
+		s.endpoints[i] = e
 	}
 	s.seq++
 	s.history = append(s.history, fakeChange{s.seq, change})
 }
 
-// remove takes a server off the list.
+// remove removes an endpoint from the list.
 func (s *fakeList) remove(name string) {
 	i := s.index(name)
-	h := s.endpoints[i]
-	h.Health = Removed
+	e := s.endpoints[i]
+	e.Health = Removed
 	s.endpoints = slices.Delete(s.endpoints, i, i+1)
 	s.seq++
-	s.history = append(s.history, fakeChange{s.seq, []Endpoint{h}})
+	s.history = append(s.history, fakeChange{s.seq, []Endpoint{e}})
 }
 
-// response is what a reader with the version since is sent; services nil: of all, without a service.
+// response returns what a reader with the version since receives. With nil services it holds the
+// endpoints of all services, without their service.
 func (s *fakeList) response(since int64, services []string) List {
 	l := List{Seq: s.seq, Full: since <= 0, Endpoints: []Endpoint{}}
-	add := func(h Endpoint) {
-		if services != nil && !slices.Contains(services, h.Service) {
+	add := func(e Endpoint) {
+		if services != nil && !slices.Contains(services, e.Service) {
 			return
 		}
 		if services == nil {
-			h.Service = ""
+			e.Service = ""
 		}
-		l.Endpoints = append(l.Endpoints, h)
+		l.Endpoints = append(l.Endpoints, e)
 	}
 	if l.Full {
-		for _, h := range s.endpoints {
-			add(h)
+		for _, e := range s.endpoints {
+			add(e)
 		}
 		return l
 	}
 	for _, c := range s.history {
-		for _, h := range c.endpoints {
-			moved := services == nil && h.Health == Removed && len(c.endpoints) > 1
-			if c.seq > since && !moved {
-				add(h)
+		for _, e := range c.endpoints {
+			movedAway := services == nil && e.Health == Removed && len(c.endpoints) > 1
+			if c.seq > since && !movedAway {
+				add(e)
 			}
 		}
 	}
 	return l
 }
 
-func (f *fakeControlPlane) change(change func(s *fakeList)) {
+// update changes the list and notifies the watches.
+func (f *fakeControlPlane) update(change func(list *fakeList)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(&f.list)
@@ -116,7 +120,7 @@
 	f.changed = make(chan struct{})
 }
 
-// requests is the calls so far.
+// requests returns the calls so far, as address and query.
 func (f *fakeControlPlane) requests() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -155,17 +159,17 @@
 	return resp, nil
 }
 
-// serve writes one watch.
+// serve writes one watch: the list or its changes first, then each change, and blank lines between.
 func (f *fakeControlPlane) serve(ctx context.Context, s *fakeServer, in *io.PipeWriter, since int64, services []string) {
-	beat := time.NewTicker(2 * time.Second)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(2 * time.Second)
+	defer heartbeat.Stop()
 	for first := true; ; first = false {
 		f.mu.Lock()
-		l, changed, behind := f.list.response(since, services), f.changed, s.versionLag
+		l, changed, lag := f.list.response(since, services), f.changed, s.versionLag
 		f.mu.Unlock()
 		if l.Seq > since || first {
 			since = l.Seq
-			l.Seq -= behind
+			l.Seq -= lag
 			text, _ := json.Marshal(l)
 			_, _ = in.Write(append(text, '\n'))
 		} else {
@@ -173,7 +177,7 @@
 		}
 		select {
 		case <-changed:
-		case <-beat.C:
+		case <-heartbeat.C:
 		case <-s.closeWatches:
 			in.Close()
 			return
@@ -184,8 +188,8 @@
 	}
 }
 
-// fakeReader is a reader as the agent is one: it drops lists of another subscription and of an
-// older version, and keeps what the table makes of the rest.
+// fakeReader uses a Client and a ServiceTable as the agent does: it drops lists of another subscription
+// and of an older version, and applies the rest.
 type fakeReader struct {
 	client          *Client
 	mu              sync.Mutex
@@ -194,11 +198,12 @@
 	seq             int64
 	endpoints       map[string]Endpoint
 	events          []ServiceEvent
-	lists           []List   // as they came
-	failedWatches   int      // watches that ended with an error
-	failedAddresses []string // the addresses that were left, in order
+	lists           []List   // in the order of arrival
+	failedWatches   int      // rounds of the watch that ended with an error
+	failedAddresses []string // of failovers, in order
 }
 
+// onList is the reader's callback for a watch.
 func (r *fakeReader) onList(l List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -212,21 +217,21 @@
 	consumeList(r.endpoints, &out)
 }
 
-// consumeList does with a list what a consumer does that knows no services.
-func consumeList(held map[string]Endpoint, l *List) {
+// consumeList applies a list as a consumer does that knows no services.
+func consumeList(endpoints map[string]Endpoint, l *List) {
 	if l.Full {
-		clear(held)
+		clear(endpoints)
 	}
-	for _, h := range l.Endpoints {
-		if h.Health == Removed {
-			delete(held, h.Name)
+	for _, e := range l.Endpoints {
+		if e.Health == Removed {
+			delete(endpoints, e.Name)
 		} else {
-			held[h.Name] = h
+			endpoints[e.Name] = e
 		}
 	}
 }
 
-// reconfigure is what a SIGHUP does.
+// reconfigure changes the addresses and the services, as a reload of the agent's configuration does.
 func (r *fakeReader) reconfigure(t *testing.T, addrs, services []string) {
 	t.Helper()
 	r.mu.Lock()
@@ -239,7 +244,7 @@
 	r.table.Subscribe(services)
 }
 
-// endpointNames is the names that the reader endpointNames, in order.
+// endpointNames returns the names of the reader's endpoints, sorted, with spaces between.
 func (r *fakeReader) endpointNames() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -251,13 +256,14 @@
 	return strings.Join(names, " ")
 }
 
-// runScopedReader plays a reader of services over a fleet of so many addresses, which it asks in the
-// given order, on a clock of its own.
-func runScopedReader(t *testing.T, n int, services []string, hosts []Endpoint, play func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string)) {
+// runScopedReader runs a test in a synctest bubble with a reader of services and a control plane of n
+// servers that lists the endpoints. The test receives the addresses in the reader's order.
+func runScopedReader(t *testing.T, n int, services []string, endpoints []Endpoint, test func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeControlPlane{servers: map[string]*fakeServer{}, changed: make(chan struct{}), list: fakeList{seq: 100}}
-		for _, h := range hosts {
-			f.list.set(h, false)
+		for _, e := range endpoints {
+			f.list.set(e, false)
 		}
 		for _, addr := range testAddresses(n) {
 			f.servers[addr] = &fakeServer{closeWatches: make(chan struct{})}
@@ -291,13 +297,14 @@
 			}
 		}()
 		synctest.Wait()
-		play(t, f, r, order)
+		test(t, f, r, order)
 		cancel()
 		<-done
 		synctest.Wait()
 	})
 }
 
+// readyEndpoint returns an endpoint of a service.
 func readyEndpoint(name, service string) Endpoint {
 	return Endpoint{Name: name, Dial: "127.0.0.1:9", Health: Ready, Service: service}
 }
--- a/internal/endpoints/listscanner_test.go
+++ b/internal/endpoints/listscanner_test.go
@@ -15,7 +15,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawList draws a list with names that look like JSON, and its text, indented or not.
+// drawList draws a list with names that look like JSON, and returns it with its text, which may be
+// indented.
 func drawList(t *rapid.T) (List, []byte) {
 	l := List{Seq: rapid.Int64Range(1, 1<<40).Draw(t, "seq"), Full: rapid.Bool().Draw(t, "whole"), Endpoints: []Endpoint{}}
 	for range rapid.IntRange(0, 4).Draw(t, "hosts") {
@@ -31,29 +32,31 @@
 	return l, append(text, '\n')
 }
 
-// Wherever a list is cut, what is read of it is the beginning of its entries, and its version or none.
+// Of the text of a list up to any byte, parsePartialList returns the first entries and either the version
+// or none.
 func TestParsePartialListReturnsPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, text := drawList(t)
-		least := 0 // entries read of less
+		parsed := 0 // entries of the shorter texts
 		for n := range len(text) {
 			part := parsePartialList(text[:n])
 			if part.Seq != 0 && part.Seq != l.Seq {
 				t.Fatalf("%q: version %d of %d", text[:n], part.Seq, l.Seq)
 			}
 			got := len(part.Endpoints)
-			if got < least || got > len(l.Endpoints) || got > 0 && !reflect.DeepEqual(part.Endpoints, l.Endpoints[:got]) {
+			if got < parsed || got > len(l.Endpoints) || got > 0 && !reflect.DeepEqual(part.Endpoints, l.Endpoints[:got]) {
 				t.Fatalf("%q: %+v", text[:n], part.Endpoints)
 			}
-			least = got
+			parsed = got
 		}
-		if least != len(l.Endpoints) {
-			t.Fatalf("%d of %d entries of %q", least, len(l.Endpoints), text)
+		if parsed != len(l.Endpoints) {
+			t.Fatalf("%d of %d entries of %q", parsed, len(l.Endpoints), text)
 		}
 	})
 }
 
-// However a watch's bytes are cut into pieces, the lists are the same, each with its last brace.
+// However the bytes of a watch are split into pieces, the scanner returns the same lists, each as soon as
+// its last brace arrives.
 func TestScannerSplitsListsAtAnyBoundary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want, got []List
@@ -83,8 +86,9 @@
 	})
 }
 
-// A part is reported 100 ms after its begin, again where it has grown, and at the end; a list that is
-// finished in time is not. The end says how much was left.
+// The part of a list is reported 100 ms after its first byte, again when it has grown, and at the end of
+// the watch. A list that is complete in time is not reported in part. The error at the end says how many
+// bytes were left.
 func TestScannerReportsPartialLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		parts, lists := []string{}, 0
@@ -97,7 +101,7 @@
 		}
 		feed(`{"a":`)
 		time.Sleep(partialListDelay - time.Millisecond)
-		feed(`1}{`[:2]) // in time
+		feed(`1}`) // in time
 		time.Sleep(time.Second)
 		if len(parts) != 0 || lists != 1 {
 			t.Fatalf("parts %q, %d lists", parts, lists)
@@ -107,8 +111,8 @@
 		feed(":")
 		time.Sleep(10 * partialListDelay)
 		feed("[")
-		cut := new(IncompleteError)
-		if err := s.close(io.EOF); !errors.As(err, &cut) || cut.Pending != 6 || cut.Age != 20*partialListDelay || !errors.Is(err, io.EOF) {
+		incomplete := new(IncompleteError)
+		if err := s.close(io.EOF); !errors.As(err, &incomplete) || incomplete.Pending != 6 || incomplete.Age != 20*partialListDelay || !errors.Is(err, io.EOF) {
 			t.Errorf("ended with %+v", err)
 		}
 		if want := []string{`{"b"`, `{"b":`, `{"b":[`}; !reflect.DeepEqual(parts, want) {
@@ -117,18 +121,18 @@
 	})
 }
 
-// A fetch that ends in the midst of its list gives the part that came; one that ends behind the head,
-// or with blanks alone, gives none: nothing of the list was written.
+// A fetch that ends inside its list reports the part that has arrived. A fetch that ends after the
+// header, or after blanks alone, reports none, as nothing of the list was written.
 func TestFetchReportsPartialList(t *testing.T) {
 	for body, want := range map[string]int{"": 0, " \n": 0, `{"seq":7,"whole":true,"hosts":[`: 1,
 		`{"seq":7,"hosts":[{"host":"a","dial":"127.0.0.1:9","health":"draining"},{"ho`: 1} {
 		var parts []List
-		cl := NewClient(ClientConfig{Addresses: testAddresses(1), OnPartial: func(l List) { parts = append(parts, l) },
+		client := NewClient(ClientConfig{Addresses: testAddresses(1), OnPartial: func(l List) { parts = append(parts, l) },
 			Transport: roundTripFunc(func(r *http.Request) (*http.Response, error) {
 				text := io.MultiReader(strings.NewReader(body), iotest.ErrReader(io.ErrUnexpectedEOF))
 				return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(text), Request: r}, nil
 			})})
-		if _, err := cl.Fetch(t.Context(), 0); !errors.Is(err, io.ErrUnexpectedEOF) {
+		if _, err := client.Fetch(t.Context(), 0); !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("%q: %v", body, err)
 		}
 		if len(parts) != want || want > 0 && parts[0].Seq != 7 {
--- a/internal/endpoints/subscription_test.go
+++ b/internal/endpoints/subscription_test.go
@@ -16,14 +16,14 @@
 	"time"
 )
 
-// A client without services sends, byte for byte, what clients sent before there were any; one
-// with services adds no more than the parameter.
+// A client without services sends, byte for byte, what clients sent before there were services. A client
+// with services adds nothing but the parameter.
 func TestRequestsOnTheWire(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	t.Cleanup(func() { ln.Close() })
 	raw := make(chan string, 10)
 	go func() {
 		for {
@@ -47,8 +47,8 @@
 	}()
 	addr := ln.Addr().String()
 	for _, c := range []struct {
-		services    []string
-		fetch, line string
+		services     []string
+		fetch, watch string
 	}{
 		{nil, "/v1/endpoints", "/v1/endpoints?follow=1&since=5"},
 		{[]string{"b", "", "a&c=+"}, "/v1/endpoints?service=&service=a%26c%3D%2B&service=b",
@@ -61,7 +61,7 @@
 		if err := client.Watch(t.Context(), 5, func(List) {}); !errors.Is(err, errWatchClosed) {
 			t.Fatal(err)
 		}
-		for _, path := range []string{c.fetch, c.line} {
+		for _, path := range []string{c.fetch, c.watch} {
 			want := "GET " + path + " HTTP/1.1\r\nHost: " + addr + "\r\nUser-Agent: Go-http-client/1.1\r\nConnection: close\r\n\r\n"
 			if got := <-raw; got != want {
 				t.Errorf("sent %q, want %q", got, want)
@@ -70,6 +70,7 @@
 	}
 }
 
+// CheckServices and Client.Subscribe reject the same subscriptions.
 func TestCheckServices(t *testing.T) {
 	many := []string{}
 	for i := range MaxServices {
@@ -94,59 +95,60 @@
 		if err != nil {
 			client := NewClient(ClientConfig{Addresses: testAddresses(1)})
 			if _, err := client.Subscribe(c.services, 1); err == nil || client.subscription.number != 0 {
-				t.Errorf("%.20q: subscribed to", c.services)
+				t.Errorf("%.20q: Subscribe accepted them", c.services)
 			}
 		}
 	}
 }
 
-// A change of the subscription ends the watch and begins the new one at once, at the same
-// address, with the whole list of the new services; what is held stays until that comes, and
-// nothing of it counts as a failure or against the budget.
+// A change of the subscription ends the watch and begins a new one at once, at the same address, with the
+// full list of the new services. The reader's endpoints stay until that list arrives. The change counts
+// neither as a failure nor against the budget.
 func TestSubscriptionChangeRestartsWatchAtSameAddress(t *testing.T) {
-	hosts := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b"), readyEndpoint("c1", "c")}
-	runScopedReader(t, 3, []string{"a", "b"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
+	endpoints := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b"), readyEndpoint("c1", "c")}
+	runScopedReader(t, 3, []string{"a", "b"}, endpoints, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		if got := r.endpointNames(); got != "a1 b1" {
-			t.Fatalf("holds %q", got)
+			t.Fatalf("endpoints %q", got)
 		}
 		began := time.Now()
 		want := []string{order[0] + "?follow=1&since=0&service=a&service=b"}
-		for i := range 20 { // more often than the budget has calls
+		for i := range 20 { // more calls than the budget has
 			services := []string{"b", "c"}
 			if i%2 == 1 {
 				services = []string{"a"}
 			}
-			f.mu.Lock() // the answer can't come yet
+			f.mu.Lock() // holds the response back
 			r.reconfigure(t, order, services)
 			if got := r.endpointNames(); i == 0 && got != "a1 b1" {
-				t.Fatalf("holds %q before the new list came", got)
+				t.Fatalf("endpoints %q before the new list", got)
 			}
 			f.mu.Unlock()
 			synctest.Wait()
 			if got, want := r.endpointNames(), []string{"b1 c1", "a1"}[i%2]; got != want {
-				t.Fatalf("holds %q, want %q", got, want)
+				t.Fatalf("endpoints %q, want %q", got, want)
 			}
 			want = append(want, order[0]+"?follow=1&since=0&service="+strings.Join(services, "&service="))
 		}
 		if got := f.requests(); !slices.Equal(got, want) || time.Since(began) > 0 || r.client.BudgetExhausted() > 0 || r.failedWatches > 0 {
-			t.Errorf("asked %q after %v, held %d, ended %d", got, time.Since(began), r.client.BudgetExhausted(), r.failedWatches)
+			t.Errorf("requested %q after %v, %d rounds ended by the budget, %d watches failed", got, time.Since(began), r.client.BudgetExhausted(), r.failedWatches)
 		}
-		if p := r.client.selector.candidates[0]; len(r.failedAddresses) > 0 || p.consecutiveFailures > 0 || p.avoidUntil > 0 || p.busyUntil > 0 || r.client.selector.budget.spent > 0 {
-			t.Errorf("the change counts against %+v", p)
+		first, spent := r.client.selector.candidates[0], r.client.selector.budget.spent
+		if len(r.failedAddresses) > 0 || first.consecutiveFailures > 0 || first.avoidUntil > 0 || first.busyUntil > 0 || spent > 0 {
+			t.Errorf("the change counts against %+v", first)
 		}
-		// The next call of this subscription goes on from its version.
+		// The next watch of this subscription continues from its version.
 		close(f.servers[order[0]].closeWatches)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if got := f.requests(); got[len(got)-1] != order[1]+"?follow=1&since=103&service=a" {
-			t.Errorf("asked %q", got[len(got)-1])
+			t.Errorf("requested %q", got[len(got)-1])
 		}
-		f.change(func(s *fakeList) { s.set(readyEndpoint("a2", "a"), false) })
+		f.update(func(list *fakeList) { list.set(readyEndpoint("a2", "a"), false) })
 		synctest.Wait()
 		if got := r.endpointNames(); got != "a1 a2" || r.lists[len(r.lists)-1].Full {
-			t.Errorf("holds %q, by %+v", got, r.lists[len(r.lists)-1])
+			t.Errorf("endpoints %q, by %+v", got, r.lists[len(r.lists)-1])
 		}
-		// The reader stays where it is, also when another address is its first choice again.
+		// The reader stays at its address, even when another one is its first choice again.
 		time.Sleep(time.Minute)
 		f.mu.Lock()
 		f.servers[order[0]].closeWatches = make(chan struct{})
@@ -154,89 +156,102 @@
 		r.reconfigure(t, order, []string{"b"})
 		synctest.Wait()
 		if got := f.requests(); got[len(got)-1] != order[1]+"?follow=1&since=0&service=b" || r.endpointNames() != "b1" {
-			t.Errorf("asked %q, holds %q", got[len(got)-1], r.endpointNames())
+			t.Errorf("requested %q, endpoints %q", got[len(got)-1], r.endpointNames())
 		}
 	})
 }
 
-// The subscription changes with the addresses, while the watch stands, is refused everywhere, or
-// is on its way from one address to the other.
+// The subscription changes while the watch loses its address, ends, or finds no server.
 func TestSubscriptionChangeDuringAddressChange(t *testing.T) {
-	hosts := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b")}
-	b := "?follow=1&since=0&service=b"
-	t.Run("address taken away", func(t *testing.T) {
-		runScopedReader(t, 3, []string{"a"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
-			began := time.Now()
-			r.reconfigure(t, order[1:], []string{"b"})
-			synctest.Wait()
-			if got := f.requests(); len(got) != 2 || got[1] != order[1]+b || time.Since(began) > 0 || r.endpointNames() != "b1" {
-				t.Errorf("asked %q, holds %q", got, r.endpointNames())
-			}
-		})
-	})
-	t.Run("the only address replaced", func(t *testing.T) {
-		runScopedReader(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
-			r.reconfigure(t, order[:1], []string{"a"})
-			synctest.Wait()
-			began := time.Now()
-			r.reconfigure(t, order[1:], []string{"b"})
-			synctest.Wait()
-			if got := f.requests(); got[len(got)-1] != order[1]+b || time.Since(began) > 0 || r.endpointNames() != "b1" || r.failedWatches > 0 {
-				t.Errorf("asked %q, holds %q", got, r.endpointNames())
-			}
-		})
-	})
-	t.Run("ended in order at the same time", func(t *testing.T) {
-		runScopedReader(t, 3, []string{"a"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
-			close(f.servers[order[0]].closeWatches)
-			r.reconfigure(t, order, []string{"b"})
-			time.Sleep(time.Second)
-			synctest.Wait()
-			if got := f.requests(); got[len(got)-1] != order[1]+b && got[len(got)-1] != order[1]+"?follow=1&since=102&service=b" || r.endpointNames() != "b1" {
-				t.Errorf("asked %q, holds %q", got, r.endpointNames())
-			}
-		})
-	})
-	t.Run("refused everywhere", func(t *testing.T) {
-		runScopedReader(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
-			f.mu.Lock()
-			for _, s := range f.servers {
-				s.refusesConnections = true
-				close(s.closeWatches)
-				s.closeWatches = make(chan struct{})
-			}
-			f.mu.Unlock()
-			time.Sleep(10 * time.Second)
-			r.reconfigure(t, order, []string{"b"})
-			time.Sleep(10 * time.Second)
-			if got := r.endpointNames(); got != "a1" {
-				t.Errorf("holds %q with nobody to ask", got)
-			}
-			f.mu.Lock()
-			for _, s := range f.servers {
-				s.refusesConnections = false
-			}
-			f.mu.Unlock()
-			time.Sleep(time.Minute)
-			synctest.Wait()
-			if got := r.endpointNames(); got != "b1" {
-				t.Errorf("holds %q", got)
-			}
+	for _, c := range []struct {
+		name      string
+		addresses int
+		test      func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string)
+	}{
+		{"address removed", 3, subscribeWithAddressRemoved},
+		{"the only address replaced", 2, subscribeWithOnlyAddressReplaced},
+		{"ended in order at the same time", 3, subscribeWhileWatchIsClosed},
+		{"refused everywhere", 2, subscribeWhileRefusedEverywhere},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			endpoints := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b")}
+			runScopedReader(t, c.addresses, []string{"a"}, endpoints, c.test)
 		})
-	})
+	}
+}
+
+// watchOfB is the query of a watch that begins with the full list of the service b.
+const watchOfB = "?follow=1&since=0&service=b"
+
+func subscribeWithAddressRemoved(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
+	began := time.Now()
+	r.reconfigure(t, order[1:], []string{"b"})
+	synctest.Wait()
+	if got := f.requests(); len(got) != 2 || got[1] != order[1]+watchOfB || time.Since(began) > 0 || r.endpointNames() != "b1" {
+		t.Errorf("requested %q, endpoints %q", got, r.endpointNames())
+	}
+}
+
+func subscribeWithOnlyAddressReplaced(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
+	r.reconfigure(t, order[:1], []string{"a"})
+	synctest.Wait()
+	began := time.Now()
+	r.reconfigure(t, order[1:], []string{"b"})
+	synctest.Wait()
+	if got := f.requests(); got[len(got)-1] != order[1]+watchOfB || time.Since(began) > 0 || r.endpointNames() != "b1" || r.failedWatches > 0 {
+		t.Errorf("requested %q, endpoints %q", got, r.endpointNames())
+	}
+}
+
+func subscribeWhileWatchIsClosed(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
+	close(f.servers[order[0]].closeWatches)
+	r.reconfigure(t, order, []string{"b"})
+	time.Sleep(time.Second)
+	synctest.Wait()
+	requests := f.requests()
+	last := requests[len(requests)-1]
+	if last != order[1]+watchOfB && last != order[1]+"?follow=1&since=102&service=b" || r.endpointNames() != "b1" {
+		t.Errorf("requested %q, endpoints %q", requests, r.endpointNames())
+	}
+}
+
+func subscribeWhileRefusedEverywhere(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
+	f.mu.Lock()
+	for _, s := range f.servers {
+		s.refusesConnections = true
+		close(s.closeWatches)
+		s.closeWatches = make(chan struct{})
+	}
+	f.mu.Unlock()
+	time.Sleep(10 * time.Second)
+	r.reconfigure(t, order, []string{"b"})
+	time.Sleep(10 * time.Second)
+	if got := r.endpointNames(); got != "a1" {
+		t.Errorf("endpoints %q without a server", got)
+	}
+	f.mu.Lock()
+	for _, s := range f.servers {
+		s.refusesConnections = false
+	}
+	f.mu.Unlock()
+	time.Sleep(time.Minute)
+	synctest.Wait()
+	if got := r.endpointNames(); got != "b1" {
+		t.Errorf("endpoints %q", got)
+	}
 }
 
-// A line of the old services that is already read when the subscription changes is dropped.
-func TestListOfFormerSubscriptionIsDropped(t *testing.T) {
+// A list of the previous services that is already read when the subscription changes is dropped.
+func TestListOfPreviousSubscriptionIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		line := func(seq int) string {
+		listText := func(seq int) string {
 			return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[{"host":"a%d","dial":"127.0.0.1:9","health":"ready","service":"a"}]}`+"\n", seq, seq)
 		}
 		client := NewClient(ClientConfig{Addresses: testAddresses(1), Services: []string{"a"},
-			Transport: scriptedTransport{[]string{line(6) + line(7)}, time.Second}})
-		var heard []List
+			Transport: scriptedTransport{[]string{listText(6) + listText(7)}, time.Second}})
+		var received []List
 		err := client.Watch(t.Context(), 5, func(l List) {
-			if heard = append(heard, l); len(heard) == 1 {
+			if received = append(received, l); len(received) == 1 {
 				if _, err := client.Subscribe([]string{"b"}, l.Seq); err != nil {
 					t.Error(err)
 				}
@@ -246,22 +261,22 @@
 		if !errors.Is(err, errSilenceTimeout) {
 			t.Errorf("ended with %v", err)
 		}
-		// The transport writes both lines to the new watch, too: those are its own.
-		if len(heard) != 3 || heard[0].Subscription != 0 || heard[1].Subscription != 1 || heard[1].Seq != 6 {
-			t.Errorf("heard %+v", heard)
+		// The transport writes both lists to the new watch, too: those belong to it.
+		if len(received) != 3 || received[0].Subscription != 0 || received[1].Subscription != 1 || received[1].Seq != 6 {
+			t.Errorf("received %+v", received)
 		}
 	})
 }
 
-// A fetch whose services change under way asks again for the new ones, at once.
+// A fetch whose services change while it runs is repeated at once for the new ones.
 func TestFetchRepeatsAfterSubscriptionChange(t *testing.T) {
 	runScopedReader(t, 1, []string{"a"}, []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b")}, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
-		once := true
+		first := true
 		client := NewClient(ClientConfig{Addresses: order, Services: []string{"a"}})
 		client.httpClient.Transport = roundTripFunc(func(req *http.Request) (*http.Response, error) {
 			resp, err := f.RoundTrip(req)
-			if once {
-				once = false
+			if first {
+				first = false
 				if _, err := client.Subscribe([]string{"b"}, 0); err != nil {
 					t.Error(err)
 				}
@@ -275,15 +290,16 @@
 	})
 }
 
+// roundTripFunc is a transport that is a function.
 type roundTripFunc func(*http.Request) (*http.Response, error)
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// The version never goes back over a change of the subscription: a steward whose list is older
-// is left, one of the same version is taken.
+// The version never decreases over a change of the subscription: the reader leaves a server with an older
+// list, and accepts a list of the same version.
 func TestVersionNeverDecreasesAcrossSubscriptions(t *testing.T) {
-	hosts := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b")}
-	runScopedReader(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
+	endpoints := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b")}
+	runScopedReader(t, 2, []string{"a"}, endpoints, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		f.mu.Lock()
 		f.servers[order[0]].versionLag = 1
 		f.mu.Unlock()
@@ -292,23 +308,24 @@
 		synctest.Wait()
 		want := []string{order[0] + "?follow=1&since=0&service=a", order[0] + "?follow=1&since=0&service=b",
 			order[1] + "?follow=1&since=102&service=b", order[1] + "?follow=1&since=0&service=b"}
-		// The second address has the reader's version: it answers with changes, which are no base,
-		// and is asked for the whole list at once.
+		// The second address has the reader's version: it responds with changes, which don't apply to
+		// anything, and is requested the full list at once.
 		if got := f.requests(); !slices.Equal(got, want) || r.endpointNames() != "b1" || r.seq != 102 || r.failedWatches > 0 {
-			t.Errorf("asked %q, holds %q of version %d", got, r.endpointNames(), r.seq)
+			t.Errorf("requested %q, endpoints %q of version %d", got, r.endpointNames(), r.seq)
 		}
 		if !slices.Equal(r.failedAddresses, order[:1]) {
-			t.Errorf("left %q", r.failedAddresses)
+			t.Errorf("failovers from %q", r.failedAddresses)
 		}
 		for _, l := range r.lists {
 			if l.Seq != 102 || !l.Scoped {
-				t.Errorf("took %+v", l)
+				t.Errorf("accepted %+v", l)
 			}
 		}
 	})
 }
 
-// What the reader knows by another way than the watch counts as its version too.
+// The version that a reader passes to Subscribe bounds the lists that follow, even if it is not from the
+// watch.
 func TestSubscribeVersionIsLowerBound(t *testing.T) {
 	runScopedReader(t, 1, []string{"a"}, []Endpoint{readyEndpoint("a1", "a")}, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		if _, err := r.client.Subscribe([]string{"b"}, 500); err != nil {
@@ -318,7 +335,7 @@
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if len(r.lists) != 1 || r.seq != 101 {
-			t.Errorf("took %+v", r.lists)
+			t.Errorf("accepted %+v", r.lists)
 		}
 		if _, err := r.client.Fetch(t.Context(), 0); !errors.Is(err, errStaleList) {
 			t.Errorf("fetched: %v", err)
@@ -326,8 +343,8 @@
 	})
 }
 
-// A reader that wants a whole list and knows a later version than the list service ever had says
-// so, which makes the service raise its own; else the reader would take no list any more.
+// A reader that needs a full list sends its version if that is later than any of the list service, which
+// makes the service raise its own. Otherwise the reader would never accept a list again.
 func TestReaderReportsLaterVersion(t *testing.T) {
 	runScopedReader(t, 1, []string{"a"}, []Endpoint{readyEndpoint("a1", "a")}, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		f.mu.Lock()
@@ -342,17 +359,17 @@
 			want[i] = order[0] + want[i]
 		}
 		if !slices.Equal(got, want) || r.seq != 102 || r.endpointNames() != "a1" {
-			t.Errorf("asked %q, has version %d and holds %q", got, r.seq, r.endpointNames())
+			t.Errorf("requested %q, version %d, endpoints %q", got, r.seq, r.endpointNames())
 		}
 	})
 }
 
-// Changes in place of the whole list that was asked for are no list.
+// Changes in place of the requested full list end the watch.
 func TestChangesInPlaceOfFullListAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := NewClient(ClientConfig{Addresses: testAddresses(1), Services: []string{"a"},
 			Transport: scriptedTransport{[]string{`{"seq":6,"whole":false,"hosts":[]}` + "\n"}, time.Second}})
-		err := client.Watch(t.Context(), 5, func(l List) { t.Errorf("heard %+v", l) })
+		err := client.Watch(t.Context(), 5, func(l List) { t.Errorf("received %+v", l) })
 		if !errors.Is(err, errFullListExpected) {
 			t.Errorf("ended with %v", err)
 		}
@@ -360,12 +377,12 @@
 	})
 }
 
-// A steward that doesn't know services sends all servers without their services: the reader keeps
-// those that it holds, takes no other, follows their changes, and doesn't leave or avoid the
-// address for it. From there it asks any steward for a whole list.
+// A server that doesn't know services sends all endpoints without their services: the reader keeps the
+// ones that it has, accepts no other, follows their changes, and doesn't leave or avoid the address for
+// it. The next watch, at any server, begins with a full list.
 func TestUnscopedServerBesideScopedServer(t *testing.T) {
-	hosts := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("a2", "a"), readyEndpoint("b1", "b"), readyEndpoint("d1", "")}
-	runScopedReader(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
+	endpoints := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("a2", "a"), readyEndpoint("b1", "b"), readyEndpoint("d1", "")}
+	runScopedReader(t, 2, []string{"a"}, endpoints, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		f.mu.Lock()
 		f.servers[order[1]].ignoresServices = true
 		f.mu.Unlock()
@@ -373,26 +390,26 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if got := f.requests(); len(got) != 2 || got[1] != order[1]+"?follow=1&since=104&service=a" {
-			t.Fatalf("asked %q", got)
+			t.Fatalf("requested %q", got)
 		}
 		if got := r.endpointNames(); got != "a1 a2" {
-			t.Errorf("holds %q", got)
+			t.Errorf("endpoints %q", got)
 		}
-		f.change(func(s *fakeList) {
+		f.update(func(s *fakeList) {
 			s.remove("a1")
-			s.set(readyEndpoint("a3", "a"), false) // nothing tells that this is one of ours
+			s.set(readyEndpoint("a3", "a"), false) // nothing says that the service is a
 			s.set(readyEndpoint("b1", "b"), false)
-			h := readyEndpoint("a2", "a")
-			h.Health = Draining
-			s.set(h, false)
+			e := readyEndpoint("a2", "a")
+			e.Health = Draining
+			s.set(e, false)
 		})
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if got := r.endpointNames(); got != "a2" || r.endpoints["a2"].Health != Draining || r.endpoints["a2"].Service != "a" {
-			t.Errorf("holds %q: %+v", got, r.endpoints)
+			t.Errorf("endpoints %q: %+v", got, r.endpoints)
 		}
 		if got := f.requests(); len(got) != 2 || r.client.selector.candidates[1].consecutiveFailures > 0 || r.client.selector.candidates[1].avoidUntil > 0 {
-			t.Errorf("left the old steward: %q", got)
+			t.Errorf("left the server without services: %q", got)
 		}
 		f.mu.Lock()
 		f.servers[order[0]].closeWatches = make(chan struct{})
@@ -401,7 +418,7 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if got := f.requests(); len(got) != 3 || got[2] != order[0]+"?follow=1&since=0&service=a" || r.endpointNames() != "a2 a3" {
-			t.Errorf("asked %q, holds %q", got, r.endpointNames())
+			t.Errorf("requested %q, endpoints %q", got, r.endpointNames())
 		}
 		if len(r.events) > 0 {
 			t.Errorf("events %+v", r.events)
@@ -409,31 +426,32 @@
 	})
 }
 
-// A reader of the default service takes from an old steward all that it doesn't hold otherwise.
+// A reader of the default service accepts from a server that doesn't know services all endpoints that it
+// doesn't have under another service.
 func TestUnscopedServerAlone(t *testing.T) {
-	hosts := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("d1", "")}
+	endpoints := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("d1", "")}
 	runScopedReader(t, 1, []string{"", "a"}, nil, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		f.mu.Lock()
 		f.servers[order[0]].ignoresServices = true
 		f.mu.Unlock()
 		r.reconfigure(t, order, []string{"", "a"})
-		f.change(func(s *fakeList) {
-			for _, h := range hosts {
-				s.set(h, false)
+		f.update(func(s *fakeList) {
+			for _, e := range endpoints {
+				s.set(e, false)
 			}
 		})
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if got := r.endpointNames(); got != "a1 d1" || r.endpoints["a1"].Service != "" {
-			t.Errorf("holds %q: %+v", got, r.endpoints)
+			t.Errorf("endpoints %q: %+v", got, r.endpoints)
 		}
 	})
 }
 
-// A reader that gives up its services asks for the list of all, whole at first.
+// A reader that gives up its services requests the list of all services, beginning with the full one.
 func TestSubscribeToAllServices(t *testing.T) {
-	hosts := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b")}
-	runScopedReader(t, 2, []string{"a"}, hosts, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
+	endpoints := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b")}
+	runScopedReader(t, 2, []string{"a"}, endpoints, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		if _, err := r.client.Subscribe(nil, r.seq); err != nil {
 			t.Fatal(err)
 		}
@@ -443,13 +461,13 @@
 		synctest.Wait()
 		want := []string{order[0] + "?follow=1&since=0&service=a", order[0] + "?follow=1&since=0", order[1] + "?follow=1&since=102"}
 		if got := f.requests(); !slices.Equal(got, want) {
-			t.Errorf("asked %q", got)
+			t.Errorf("requested %q", got)
 		}
 	})
 }
 
-// A list of more bytes than a reader takes is refused with an error that names the bound; one of
-// the bound's length is taken. The target's 39,000 servers are above it, a service of 5,000 isn't.
+// A list of more than maxListBytes is rejected with an error that names the limit; a list of exactly that
+// length is accepted. A list of 39,000 endpoints is above the limit, a service of 5,000 isn't.
 func TestListSizeLimit(t *testing.T) {
 	listOf := func(n int) []byte {
 		l := List{Seq: 1, Full: true}
@@ -473,7 +491,7 @@
 	}{
 		"a service of 5,000": {listOf(5000), false},
 		"39,000":             {listOf(39000), true},
-		"the bound":          {padded(maxListBytes), false},
+		"the limit":          {padded(maxListBytes), false},
 		"one byte more":      {padded(maxListBytes + 1), true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -489,12 +507,12 @@
 				t.Errorf("fetched: %v", err)
 			}
 			if c.long && !strings.Contains(err.Error(), "4194304") {
-				t.Errorf("the error doesn't name the bound: %v", err)
+				t.Errorf("the error doesn't name the limit: %v", err)
 			}
-			heard := 0
-			err = client.Watch(context.Background(), 0, func(List) { heard++ })
-			if errors.Is(err, errListTooLong) != c.long || (heard == 0) != c.long {
-				t.Errorf("watched %d: %v", heard, err)
+			lists := 0
+			err = client.Watch(context.Background(), 0, func(List) { lists++ })
+			if errors.Is(err, errListTooLong) != c.long || (lists == 0) != c.long {
+				t.Errorf("watched %d lists: %v", lists, err)
 			}
 		})
 	}
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// failingListener fails with each error in turn, and then accepts.
+// failingListener fails with each error in turn, and then returns a connection.
 type failingListener struct {
 	net.Listener
 	errs  []error
@@ -26,28 +26,28 @@
 	return &net.TCPConn{}, nil
 }
 
-// Every error of accept(2) passes but those that mean that there is no listening socket, and the tries
-// are soon and at most 20 ms apart.
+// Accept retries after every error of accept(2) but those that mean that there is no listening socket, and
+// the retries are at most MaxWait apart.
 func TestAcceptRetriesTransientErrors(t *testing.T) {
 	for errno := syscall.Errno(1); errno < 133; errno++ {
-		lasts := errno == syscall.EBADF || errno == syscall.EINVAL || errno == syscall.ENOTSOCK || errno == syscall.EFAULT
+		permanent := errno == syscall.EBADF || errno == syscall.EINVAL || errno == syscall.ENOTSOCK || errno == syscall.EFAULT
 		synctest.Test(t, func(t *testing.T) {
 			f := &failingListener{errs: []error{errno, errno, errno, errno, errno, errno, errno, errno}}
-			told, began := 0, time.Now()
-			l := Listener{Listener: f, Context: t.Context(), OnError: func(err error, since time.Time) { told++ }}
-			c, err := l.Accept()
+			errorCalls, began := 0, time.Now()
+			l := Listener{Listener: f, Context: t.Context(), OnError: func(err error, since time.Time) { errorCalls++ }}
+			conn, err := l.Accept()
 			took := time.Since(began)
 			switch {
-			case lasts && (!errors.Is(err, errno) || f.calls != 1):
+			case permanent && (!errors.Is(err, errno) || f.calls != 1):
 				t.Errorf("%v: %v after %d calls", errno, err, f.calls)
-			case !lasts && (c == nil || err != nil || told != len(f.errs) || took > time.Duration(len(f.errs))*MaxWait):
-				t.Errorf("%v: %v, told %d times, after %v", errno, err, told, took)
+			case !permanent && (conn == nil || err != nil || errorCalls != len(f.errs) || took > time.Duration(len(f.errs))*MaxWait):
+				t.Errorf("%v: %v, %d calls of OnError, after %v", errno, err, errorCalls, took)
 			}
 		})
 	}
 }
 
-// The end of its context ends the tries.
+// The end of the listener's context ends the retries.
 func TestAcceptStopsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -63,19 +63,19 @@
 	})
 }
 
-// A call is made again while its error passes and there is time, and not after another error.
+// Retry repeats a call while its error is temporary and there is time, and not after another error.
 func TestRetryWhileErrorIsTemporary(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		fails int // calls, before one goes well
+		fails int // calls before the first that succeeds
 		err   error
 		want  error
-		most  time.Duration
+		limit time.Duration // of the duration
 	}{
-		{"well at once", 0, nil, nil, 0},
-		{"well in the end", 10, syscall.EMFILE, nil, 200 * time.Millisecond},
-		{"never", 1 << 30, syscall.EIO, syscall.EIO, time.Second},
-		{"lasting", 1 << 30, syscall.ENOENT, syscall.ENOENT, 0},
+		{"success at once", 0, nil, nil, 0},
+		{"success after failures", 10, syscall.EMFILE, nil, 200 * time.Millisecond},
+		{"no success", 1 << 30, syscall.EIO, syscall.EIO, time.Second},
+		{"permanent error", 1 << 30, syscall.ENOENT, syscall.ENOENT, 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			calls, began := 0, time.Now()
@@ -85,7 +85,7 @@
 				}
 				return nil
 			})
-			if took := time.Since(began); !errors.Is(err, c.want) || took > c.most {
+			if took := time.Since(began); !errors.Is(err, c.want) || took > c.limit {
 				t.Errorf("%s: %v after %v and %d calls", c.name, err, took, calls)
 			}
 		})
