--- a/internal/endpoints/list.go
+++ b/internal/endpoints/list.go
@@ -49,7 +49,7 @@
 	Block     int     `json:"block"`
 	Health    string  `json:"health"` // Ready, Draining or Removed
 	Weight    float64 `json:"share"`
-	StartedMs float64 `json:"born_ms"` // start of the backend's process, in milliseconds
+	StartedMs float64 `json:"born_ms"` // start of the backend's process by the wall clock, in milliseconds
 	// Service is the service that the backend belongs to; "" is the default service. A reader that
 	// requests no services receives lists without it.
 	Service string `json:"service,omitempty"`
--- a/internal/endpoints/servicetable.go
+++ b/internal/endpoints/servicetable.go
@@ -10,7 +10,7 @@
 //
 // A full list without any endpoint of a service that had some is more likely wrong than right: the
 // table retains these endpoints until a list names one of the service again. A change that removes an
-// endpoint is believed, as the list service guards against mass removal by changes itself.
+// endpoint is applied as it is, as the list service guards its changes itself.
 //
 // A ServiceTable is not safe for concurrent use. The time of a change grows with the entries of the
 // change, and the time of a full list with the entries of the list and of the table; the endpoints
--- a/internal/endpoints/servicetable_test.go
+++ b/internal/endpoints/servicetable_test.go
@@ -20,7 +20,7 @@
 	return &tableHarness{t: t, table: NewServiceTable(services), consumed: map[string]Endpoint{}}
 }
 
-// listKind is what a list is beside its entries.
+// listKind says whether a list is full or holds changes, and whether it is scoped.
 type listKind struct{ full, scoped bool }
 
 var (
--- a/internal/endpoints/validation.go
+++ b/internal/endpoints/validation.go
@@ -21,7 +21,7 @@
 const (
 	maxBlock     = 1 << 20
 	maxWeight    = 1e6
-	maxStartedMs = 1 << 52 // above it not every whole number is a float64
+	maxStartedMs = 1 << 52 // a float64 holds every whole number up to it
 )
 
 // Readable returns an error if a reader can't use the entry: it needs a name, a known health value
