--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -443,7 +443,7 @@
 
 // confirm ends what is held.
 func (s *State) confirm() Result {
-	for _, name := range s.Names() {
+	for _, name := range s.EntryNames() {
 		if e := s.Entries[name]; e.Quarantined {
 			was := e.Listed()
 			s.end(e)
@@ -505,8 +505,8 @@
 	}
 }
 
-// Names returns all names in order, those that ended of late included.
-func (s *State) Names() []string {
+// EntryNames returns all names in order, those that ended of late included.
+func (s *State) EntryNames() []string {
 	names := make([]string, 0, len(s.Entries))
 	for name := range s.Entries {
 		names = append(names, name)
@@ -521,7 +521,7 @@
 	l := endpoints.List{Seq: s.Seq, Endpoints: []endpoints.Endpoint{}}
 	l.Full = whole || since > s.Seq || since < s.oldest()
 	if l.Full {
-		for _, name := range s.Names() {
+		for _, name := range s.EntryNames() {
 			if h := s.Entries[name].Listed(); h.Health != endpoints.Removed {
 				l.Endpoints = append(l.Endpoints, h)
 			}
--- a/internal/catalog/duty_test.go
+++ b/internal/catalog/duty_test.go
@@ -131,7 +131,7 @@
 				}
 			}
 			beyond = begun
-			for _, p := range s.Processes() {
+			for _, p := range s.ProcessNames() {
 				o := s.Sessions[p]
 				tasks, rev, _ := s.Assignments(p, o.ID)
 				key, now := fmt.Sprint(o.ID, rev), fmt.Sprint(tasks)
--- a/internal/catalog/services.go
+++ b/internal/catalog/services.go
@@ -49,8 +49,8 @@
 	changed int64 // version of the last change
 }
 
-// Scoped is the entry as readers see it that subscribe to services.
-func (e *Entry) Scoped() endpoints.Endpoint {
+// ListedWithService is the entry as readers see it that subscribe to services.
+func (e *Entry) ListedWithService() endpoints.Endpoint {
 	h := e.Listed()
 	h.Service = e.Endpoint.Service
 	return h
@@ -276,7 +276,7 @@
 	hosts := make([]endpoints.Endpoint, 0, svc.listed)
 	for _, e := range svc.entries {
 		if e.isListed() {
-			hosts = append(hosts, e.Scoped())
+			hosts = append(hosts, e.ListedWithService())
 		}
 	}
 	sort.Slice(hosts, func(i, j int) bool { return hosts[i].Name < hosts[j].Name })
@@ -296,7 +296,7 @@
 			continue
 		}
 		if e := svc.entries[c.Name]; e != nil {
-			hosts = append(hosts, e.Scoped())
+			hosts = append(hosts, e.ListedWithService())
 		} else {
 			hosts = append(hosts, endpoints.Endpoint{Name: c.Name, Health: endpoints.Removed, Service: name})
 		}
--- a/internal/catalog/services_test.go
+++ b/internal/catalog/services_test.go
@@ -520,7 +520,7 @@
 		{"Decide", func() { l.scanned = nil; l.Decide(s, time.Second, ExpireByLeaseOnly) }},
 		{"DecideQuiet", func() { l.Decide(s, time.Second, ExpireByLeaseOnly) }},
 		{"Doubtful", func() { l.scanned = nil; l.Suspected(s, time.Second) }},
-		{"Names", func() { s.Names() }},
+		{"Names", func() { s.EntryNames() }},
 		{"Encode", func() { _, _ = s.Encode() }},
 		{"RegisterAgain", func() {
 			h := s.Entries["server-00007"].Endpoint
--- a/internal/catalog/tenure.go
+++ b/internal/catalog/tenure.go
@@ -135,14 +135,14 @@
 	ties(ExpireTerm, lapsed)
 	ties(TransferTask, unmove)
 	for id := range t.heard {
-		if !slices.ContainsFunc(s.Processes(), func(p string) bool { return s.Sessions[p].ID == id }) {
+		if !slices.ContainsFunc(s.ProcessNames(), func(p string) bool { return s.Sessions[p].ID == id }) {
 			delete(t.heard, id)
 			delete(t.closing, id)
 			delete(t.missed, id)
 		}
 	}
 	var able []*Session
-	for _, process := range s.Processes() {
+	for _, process := range s.ProcessNames() {
 		o := s.Sessions[process]
 		gone := now >= t.last(o)+sessionTTL
 		switch {
@@ -192,8 +192,8 @@
 	return out
 }
 
-// Processes returns the names of all sessions in order.
-func (s *State) Processes() []string {
+// ProcessNames returns the names of all sessions in order.
+func (s *State) ProcessNames() []string {
 	var names []string
 	for name := range s.Sessions {
 		names = append(names, name)
@@ -213,7 +213,7 @@
 		load[other.Holder]++
 	}
 	var able []*Session
-	for _, process := range s.Processes() {
+	for _, process := range s.ProcessNames() {
 		if o := s.Sessions[process]; t.able(o, now) {
 			able = append(able, o)
 		}
