--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -102,15 +102,15 @@
 	// MaxHistory is how many changes are kept for watches of the whole list; one from before them
 	// gets the whole list. A region that is lost and comes back is 13,000.
 	MaxHistory = 16_384
-	// keepGone is how long the end of a name is remembered: for an older process of that
+	// removedEntryRetention is how long the end of a name is remembered: for an older process of that
 	// name that is heard late, and for its comings and goings.
-	keepGone = 10 * time.Minute
-	// A server that ended flapAfter times within flapWindow is kept off the list for
-	// flapFirst, and twice as long each time more, up to flapMost.
-	flapAfter  = 3
-	flapWindow = time.Minute
-	flapFirst  = 5 * time.Second
-	flapMost   = time.Minute
+	removedEntryRetention = 10 * time.Minute
+	// A server that ended maxUndampedRemovals times within dampingWindow is kept off the list for
+	// minDampingDuration, and twice as long each time more, up to maxDampingDuration.
+	maxUndampedRemovals = 3
+	dampingWindow       = time.Minute
+	minDampingDuration  = 5 * time.Second
+	maxDampingDuration  = time.Minute
 )
 
 // Entry is a server as the state knows it.
@@ -127,7 +127,7 @@
 	Removals             []time.Duration `json:"ends,omitempty"`   // its last ends
 	DampedUntil          time.Duration   `json:"damped,omitempty"` // unlisted until then; 0: it is not
 
-	counted bool // it is in its service's number of listed servers
+	countedAsListed bool // it is in its service's number of listed servers
 }
 
 // Listed is the entry as readers see it. It leaves the service out: readers that know no
@@ -147,8 +147,8 @@
 	return h
 }
 
-// change is one version's cause.
-type change struct {
+// entryChange is one version's cause.
+type entryChange struct {
 	Seq  int64  `json:"seq"`
 	Name string `json:"name"`
 }
@@ -159,7 +159,7 @@
 	Seq           int64             `json:"seq"`
 	Clock         time.Duration     `json:"clock"`
 	Entries       map[string]*Entry `json:"entries"`
-	History       []change          `json:"history"`
+	History       []entryChange     `json:"history"`
 	// QuarantinedSince is since when entries are kept that would have lapsed; 0: none is.
 	QuarantinedSince time.Duration `json:"held_since,omitempty"`
 
@@ -174,16 +174,16 @@
 	ServiceHistory *ServiceHistory `json:"scopes,omitempty"`
 
 	// What follows is derived from the above, and built again when a snapshot is read.
-	services map[string]*service
-	listed   int   // servers that are on the list
-	held     int   // entries that are held
-	applied  int64 // commands since it was made or read
+	serviceIndexes   map[string]*serviceIndex
+	listedCount      int   // servers that are on the list
+	quarantinedCount int   // entries that are held
+	appliedCommands  int64 // commands since it was made or read
 }
 
 // New is the empty state.
 func New() *State {
 	return &State{FormatVersion: FormatVersion, Entries: map[string]*Entry{}, Sessions: map[string]*Session{}, LeasedTasks: map[string]*LeasedTask{}, Members: map[string]*Member{},
-		ServiceHistory: &ServiceHistory{}, services: map[string]*service{}}
+		ServiceHistory: &ServiceHistory{}, serviceIndexes: map[string]*serviceIndex{}}
 }
 
 // Encode words the state; one state has one wording.
@@ -214,7 +214,7 @@
 		// were services, until the version is raised; nothing that is decided depends on it.
 		s.ServiceHistory = &ServiceHistory{MinRevision: s.Seq}
 	}
-	if err := errors.Join(s.checkDuties(), s.checkMembers(), s.checkScopes()); err != nil {
+	if err := errors.Join(s.checkTasks(), s.checkMembers(), s.checkServiceHistory()); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	for name, e := range s.Entries {
@@ -235,7 +235,7 @@
 		}
 		last = c.Seq
 	}
-	s.rebuildIndex()
+	s.rebuildIndexes()
 	return s, nil
 }
 
@@ -245,13 +245,13 @@
 		return s.result(Unsupported, fmt.Sprintf("form %d, this build reads form %d", c.FormatVersion, FormatVersion))
 	}
 	s.Clock = max(s.Clock, c.At)
-	if r, is := s.fenced(c); is {
+	if r, is := s.rejectStaleTerm(c); is {
 		return r
 	}
-	if r, is := s.duties(c); is {
+	if r, is := s.applyTaskCommand(c); is {
 		return r
 	}
-	s.applied++
+	s.appliedCommands++
 	switch c.Kind {
 	case RaiseRevision:
 		// Fences and revisions go on beyond those of another life of the state too.
@@ -261,19 +261,19 @@
 			// A reader who comes with a version below it may have it from another life of the
 			// service, so no change leads on from there: it gets the whole list.
 			s.Seq, s.History = c.Seq, nil
-			s.resetScopes(c.Seq)
+			s.resetServiceHistory(c.Seq)
 		}
 		return s.result(Done, "")
 	case Register:
-		return s.register(c.Endpoint)
+		return s.registerEndpoint(c.Endpoint)
 	case Drain, Deregister, ExpireRegistration, Quarantine, Recover, EndDamping:
-		return s.each(c)
+		return s.applyToInstances(c)
 	case ConfirmRemoval:
-		return s.confirm()
+		return s.confirmRemovals()
 	case SetOverride:
-		return s.set(c)
+		return s.setOverride(c)
 	case RegisterMember:
-		return s.arrive(c.Member)
+		return s.registerMember(c.Member)
 	case CheckTerm:
 		return s.result(Done, "")
 	}
@@ -284,19 +284,19 @@
 	return Result{Code: code, Seq: s.Seq, Text: text}
 }
 
-// touch gives the state its next version, which is the entry's.
-func (s *State) touch(e *Entry) {
+// recordChange gives the state its next version, which is the entry's.
+func (s *State) recordChange(e *Entry) {
 	s.Seq++
 	e.Version = s.Seq
 	if len(s.History) >= MaxHistory {
 		s.History = s.History[len(s.History)-MaxHistory+1:]
 	}
-	s.History = append(s.History, change{s.Seq, e.Endpoint.Name})
-	s.index(e)
+	s.History = append(s.History, entryChange{s.Seq, e.Endpoint.Name})
+	s.indexEntry(e)
 }
 
-// register takes a server's word for itself. The process that was born last has the name.
-func (s *State) register(h *endpoints.Endpoint) Result {
+// registerEndpoint takes a server's word for itself. The process that was born last has the name.
+func (s *State) registerEndpoint(h *endpoints.Endpoint) Result {
 	if h == nil {
 		return s.result(Invalid, "no entry")
 	}
@@ -309,14 +309,14 @@
 	e := s.Entries[h.Name]
 	if e == nil {
 		if len(s.Entries) >= MaxEntries {
-			s.forget()
+			s.pruneRemovedEntries()
 		}
 		if len(s.Entries) >= MaxEntries {
 			return s.result(TooMany, fmt.Sprintf("%d names, which is all there is room for", MaxEntries))
 		}
 		e = &Entry{Endpoint: *h}
 		s.Entries[h.Name] = e
-		s.touch(e)
+		s.recordChange(e)
 		return s.result(Done, "")
 	}
 	if e.Endpoint.StartedMs > h.StartedMs {
@@ -326,24 +326,24 @@
 	left, moves := e.Endpoint.Service, e.Endpoint.Service != h.Service
 	again := e.Removed
 	if !e.Removed && e.Endpoint.StartedMs < h.StartedMs {
-		s.end(e) // the process before ended and nobody noticed
+		s.markRemoved(e) // the process before ended and nobody noticed
 		again = true
 	}
-	s.setHeld(e, false)
+	s.setQuarantined(e, false)
 	if moves {
 		s.removeFromService(e)
 	}
 	e.Endpoint, e.Removed, e.RemovedAt = *h, false, 0
 	if again {
-		e.DampedUntil = s.damp(e)
+		e.DampedUntil = s.dampingEnd(e)
 	}
-	s.settle()
+	s.clearQuarantineIfEmpty()
 	if e.Listed() != was || again && e.DampedUntil == 0 || moves {
-		s.touch(e)
+		s.recordChange(e)
 	}
 	if moves {
-		s.noteMove(Departure{Seq: s.Seq, Name: h.Name, Service: left})
-		s.boundFloors()
+		s.recordDeparture(Departure{Seq: s.Seq, Name: h.Name, Service: left})
+		s.limitMinRevisions()
 	}
 	r := s.result(Done, "")
 	if e.DampedUntil > 0 {
@@ -352,33 +352,33 @@
 	return r
 }
 
-// end notes the end of an entry's process.
-func (s *State) end(e *Entry) {
-	s.setHeld(e, false)
+// markRemoved notes the markRemoved of an entry's process.
+func (s *State) markRemoved(e *Entry) {
+	s.setQuarantined(e, false)
 	e.Removed, e.RemovedAt = true, s.Clock
 	e.Removals = append(e.Removals, s.Clock)
-	if most := flapAfter + 5; len(e.Removals) > most {
+	if most := maxUndampedRemovals + 5; len(e.Removals) > most {
 		e.Removals = e.Removals[len(e.Removals)-most:]
 	}
 }
 
-// damp tells until when a server that came back stays unlisted; 0: it is listed at once.
-func (s *State) damp(e *Entry) time.Duration {
+// dampingEnd tells until when a server that came back stays unlisted; 0: it is listed at once.
+func (s *State) dampingEnd(e *Entry) time.Duration {
 	n := 0
 	for _, at := range e.Removals {
-		if s.Clock-at <= flapWindow {
+		if s.Clock-at <= dampingWindow {
 			n++
 		}
 	}
-	if n <= flapAfter {
+	if n <= maxUndampedRemovals {
 		return 0
 	}
-	return s.Clock + min(flapFirst<<(n-flapAfter-1), flapMost)
+	return s.Clock + min(minDampingDuration<<(n-maxUndampedRemovals-1), maxDampingDuration)
 }
 
-// each carries out a command on the processes that it names; one that has been replaced
+// applyToInstances carries out a command on the processes that it names; one that has been replaced
 // or has ended meanwhile is passed over.
-func (s *State) each(c *Command) Result {
+func (s *State) applyToInstances(c *Command) Result {
 	done, refs := 0, c.Refs
 	for _, ref := range refs {
 		e := s.Entries[ref.Name]
@@ -391,25 +391,25 @@
 		case Drain:
 			e.Endpoint.Health = endpoints.Draining
 		case Deregister, ExpireRegistration:
-			s.end(e)
+			s.markRemoved(e)
 		case Quarantine:
-			s.setHeld(e, true)
+			s.setQuarantined(e, true)
 			e.QuarantinedByService = c.Reason == QuarantineByService
 			if s.QuarantinedSince == 0 {
 				s.QuarantinedSince = max(s.Clock, 1)
 			}
 		case Recover:
-			s.setHeld(e, false)
+			s.setQuarantined(e, false)
 		case EndDamping:
 			if e.DampedUntil > 0 && s.Clock >= e.DampedUntil {
 				e.DampedUntil = 0
 			}
 		}
 		if e.Listed() != was {
-			s.touch(e)
+			s.recordChange(e)
 		}
 	}
-	s.settle()
+	s.clearQuarantineIfEmpty()
 	if done == 0 && len(refs) == 1 {
 		e := s.Entries[refs[0].Name]
 		if e != nil && e.Endpoint.StartedMs > refs[0].StartedMs {
@@ -420,20 +420,20 @@
 	return s.result(Done, "")
 }
 
-// settle ends the guard's hold when nothing is held any more.
-func (s *State) settle() {
-	if s.held == 0 {
+// clearQuarantineIfEmpty ends the guard's hold when nothing is held any more.
+func (s *State) clearQuarantineIfEmpty() {
+	if s.quarantinedCount == 0 {
 		s.QuarantinedSince = 0
 	}
 }
 
-// setHeld marks an entry as held or not, and counts it.
-func (s *State) setHeld(e *Entry, held bool) {
+// setQuarantined marks an entry as held or not, and counts it.
+func (s *State) setQuarantined(e *Entry, held bool) {
 	switch {
 	case held && !e.Quarantined:
-		s.held++
+		s.quarantinedCount++
 	case !held && e.Quarantined:
-		s.held--
+		s.quarantinedCount--
 	}
 	e.Quarantined = held
 	if !held {
@@ -441,14 +441,14 @@
 	}
 }
 
-// confirm ends what is held.
-func (s *State) confirm() Result {
+// confirmRemovals ends what is held.
+func (s *State) confirmRemovals() Result {
 	for _, name := range s.EntryNames() {
 		if e := s.Entries[name]; e.Quarantined {
 			was := e.Listed()
-			s.end(e)
+			s.markRemoved(e)
 			if e.Listed() != was {
-				s.touch(e)
+				s.recordChange(e)
 			}
 		}
 	}
@@ -456,8 +456,8 @@
 	return s.result(Done, "")
 }
 
-// set takes an operator's word for a server's share or health.
-func (s *State) set(c *Command) Result {
+// setOverride takes an operator's word for a server's share or health.
+func (s *State) setOverride(c *Command) Result {
 	e := s.Entries[c.Name]
 	switch {
 	case e == nil || e.Removed:
@@ -476,17 +476,17 @@
 	if c.Health != nil {
 		e.HealthOverride = *c.Health
 	}
-	s.touch(e)
+	s.recordChange(e)
 	return s.result(Done, "")
 }
 
-// forget drops the ends of names that were long ago, with their part of the history.
-func (s *State) forget() {
+// pruneRemovedEntries drops the ends of names that were long ago, with their part of the history.
+func (s *State) pruneRemovedEntries() {
 	dropped := false
 	for name, e := range s.Entries {
-		if e.Removed && s.Clock-e.RemovedAt > keepGone {
+		if e.Removed && s.Clock-e.RemovedAt > removedEntryRetention {
 			delete(s.Entries, name)
-			s.raiseFloor(e.Endpoint.Service, e.Version)
+			s.raiseMinRevision(e.Endpoint.Service, e.Version)
 			s.removeFromService(e)
 			dropped = true
 		}
@@ -494,7 +494,7 @@
 	if !dropped {
 		return
 	}
-	s.boundFloors()
+	s.limitMinRevisions()
 	// A watch from before a dropped end can't be told of it, so it gets the whole list:
 	// the history begins behind the last change of what was dropped.
 	for i := len(s.History) - 1; i >= 0; i-- {
@@ -519,7 +519,7 @@
 // older than the history, or from a future that this state never had, gets the whole list.
 func (s *State) List(since int64, whole bool) endpoints.List {
 	l := endpoints.List{Seq: s.Seq, Endpoints: []endpoints.Endpoint{}}
-	l.Full = whole || since > s.Seq || since < s.oldest()
+	l.Full = whole || since > s.Seq || since < s.oldestRevision()
 	if l.Full {
 		for _, name := range s.EntryNames() {
 			if h := s.Entries[name].Listed(); h.Health != endpoints.Removed {
@@ -539,8 +539,8 @@
 	return l
 }
 
-// oldest is the version from which on changes can be told one by one.
-func (s *State) oldest() int64 {
+// oldestRevision is the version from which on changes can be told one by one.
+func (s *State) oldestRevision() int64 {
 	if len(s.History) == 0 {
 		return s.Seq
 	}
--- a/internal/catalog/duty.go
+++ b/internal/catalog/duty.go
@@ -45,18 +45,18 @@
 
 // Bounds of duties.
 const (
-	MaxTasks    = 20_000
-	MaxSessions = 256
-	MinTTL      = 500 * time.Millisecond
-	MaxTTL      = 10 * time.Minute
-	mostKinds   = 32
-	mostTerms   = 8 // kept of a duty's past
-	// A term that fails sooner than quick is backed off, from failFirst, doubled up to
-	// failMost; after killAfter holders in a row that ended so soon in it, it is parked.
-	quick     = 30 * time.Second
-	failFirst = time.Second
-	failMost  = 5 * time.Minute
-	killAfter = 3
+	MaxTasks       = 20_000
+	MaxSessions    = 256
+	MinTTL         = 500 * time.Millisecond
+	MaxTTL         = 10 * time.Minute
+	maxTaskKinds   = 32
+	maxTermHistory = 8 // kept of a duty's past
+	// A term that fails sooner than shortTermDuration is backed off, from minRetryBackoff, doubled up to
+	// maxRetryBackoff; after suspendAfterDeaths holders in a row that ended so soon in it, it is parked.
+	shortTermDuration  = 30 * time.Second
+	minRetryBackoff    = time.Second
+	maxRetryBackoff    = 5 * time.Minute
+	suspendAfterDeaths = 3
 )
 
 // Session is a process that can hold duties, from its start to its end.
@@ -118,26 +118,26 @@
 	CountDeath bool   `json:"blame,omitempty"` // of a lapsed one: its holder may have died of it
 }
 
-// duties carries out a command on duties; not ok is one of another kind.
-func (s *State) duties(c *Command) (Result, bool) {
+// applyTaskCommand carries out a command on applyTaskCommand; not ok is one of another kind.
+func (s *State) applyTaskCommand(c *Command) (Result, bool) {
 	switch c.Kind {
 	case OpenSession:
-		return s.open(c.Session), true
+		return s.openSession(c.Session), true
 	case CloseSession, DrainSession:
-		return s.leave(c), true
+		return s.closeOrDrainSession(c), true
 	case DefineTask:
-		return s.define(c.LeasedTask), true
+		return s.defineTask(c.LeasedTask), true
 	case DeleteTask, RevokeTerm, Suspend, Resume:
-		return s.order(c), true
+		return s.applyOperatorCommand(c), true
 	case GrantTerm, ExpireTerm, ReleaseTerm, TransferTask, AcceptTransfer:
-		return s.ties(c), true
+		return s.applyTermCommand(c), true
 	}
 	return Result{}, false
 }
 
-// fenced tells why an act under a duty must not be carried out: its term is not the present
+// rejectStaleTerm tells why an act under a duty must not be carried out: its term is not the present
 // one. A command that names no duty is not an act under one.
-func (s *State) fenced(c *Command) (Result, bool) {
+func (s *State) rejectStaleTerm(c *Command) (Result, bool) {
 	if c.UnderTask == "" {
 		return Result{}, false
 	}
@@ -151,16 +151,16 @@
 	return Result{}, false
 }
 
-// open takes a process in. A name is one process's until that has closed its session or
+// openSession takes a process in. A name is one process's until that has closed its session or
 // lapsed: whoever comes with it meanwhile is told so.
-func (s *State) open(o *Session) Result {
+func (s *State) openSession(o *Session) Result {
 	switch {
 	case o == nil || !endpoints.IsToken(o.Process, endpoints.MaxName) || !endpoints.IsToken(o.ID, endpoints.MaxName):
 		return s.result(Invalid, "process, id: must be words")
 	case o.Zone != "" && !endpoints.IsToken(o.Zone, endpoints.MaxLabel):
 		return s.result(Invalid, "zone: must be a word")
-	case len(o.TaskKinds) > mostKinds || slices.ContainsFunc(o.TaskKinds, func(k string) bool { return !endpoints.IsToken(k, endpoints.MaxLabel) }):
-		return s.result(Invalid, fmt.Sprintf("kinds: must be at most %d words", mostKinds))
+	case len(o.TaskKinds) > maxTaskKinds || slices.ContainsFunc(o.TaskKinds, func(k string) bool { return !endpoints.IsToken(k, endpoints.MaxLabel) }):
+		return s.result(Invalid, fmt.Sprintf("kinds: must be at most %d words", maxTaskKinds))
 	case o.MaxTasks < 0 || o.MaxTasks > MaxTasks:
 		return s.result(Invalid, fmt.Sprintf("cap: must be 0 to %d, is %d", MaxTasks, o.MaxTasks))
 	}
@@ -174,24 +174,24 @@
 	if len(s.Sessions) >= MaxSessions {
 		return s.result(TooMany, fmt.Sprintf("%d processes, which is all there is room for", MaxSessions))
 	}
-	s.Sessions[o.Process] = &Session{Process: o.Process, ID: o.ID, Zone: o.Zone, TaskKinds: o.TaskKinds, MaxTasks: o.MaxTasks, Opened: s.Clock, Revision: s.revision()}
+	s.Sessions[o.Process] = &Session{Process: o.Process, ID: o.ID, Zone: o.Zone, TaskKinds: o.TaskKinds, MaxTasks: o.MaxTasks, Opened: s.Clock, Revision: s.nextSessionRevision()}
 	return s.result(Done, "")
 }
 
-// revision gives a number that no session had before.
-func (s *State) revision() int64 {
+// nextSessionRevision gives a number that no session had before.
+func (s *State) nextSessionRevision() int64 {
 	s.SessionRevision++
 	return s.SessionRevision
 }
 
-// stir tells a session that what it is to do has changed.
-func (s *State) stir(process string) {
+// bumpSessionRevision tells a session that what it is to do has changed.
+func (s *State) bumpSessionRevision(process string) {
 	if o := s.Sessions[process]; o != nil {
-		o.Revision = s.revision()
+		o.Revision = s.nextSessionRevision()
 	}
 }
 
-func (s *State) leave(c *Command) Result {
+func (s *State) closeOrDrainSession(c *Command) Result {
 	if c.Session == nil {
 		return s.result(Invalid, "no session")
 	}
@@ -207,19 +207,19 @@
 	for _, name := range s.TaskNames() {
 		d := s.LeasedTasks[name]
 		if d.Successor == o.Process {
-			s.unmove(d)
+			s.cancelTransfer(d)
 		}
 		if d.Holder == o.Process {
-			s.vacate(d, why)
+			s.endTerm(d, why)
 		}
 	}
 	delete(s.Sessions, o.Process)
 	return s.result(Done, "")
 }
 
-// define makes a duty, or changes whom it prefers. Its time is part of what its holder
+// defineTask makes a duty, or changes whom it prefers. Its time is part of what its holder
 // relies on, so that stays while somebody has it.
-func (s *State) define(n *LeasedTask) Result {
+func (s *State) defineTask(n *LeasedTask) Result {
 	switch {
 	case n == nil || !endpoints.IsToken(n.Name, endpoints.MaxName):
 		return s.result(Invalid, "name: must be a word")
@@ -242,8 +242,8 @@
 	return s.result(Done, "")
 }
 
-// order carries out an operator's word on a duty.
-func (s *State) order(c *Command) Result {
+// applyOperatorCommand carries out an operator's word on a duty.
+func (s *State) applyOperatorCommand(c *Command) Result {
 	d := s.LeasedTasks[c.Name]
 	if d == nil {
 		return s.result(Unknown, fmt.Sprintf("no duty %s", c.Name))
@@ -259,13 +259,13 @@
 			return s.result(Conflict, fmt.Sprintf("nobody holds duty %s", d.Name))
 		}
 		d.StopRequested = true
-		s.stir(d.Holder)
+		s.bumpSessionRevision(d.Holder)
 	case Suspend:
 		d.SuspendReason = cmp.Or(c.Reason, "an operator's word")
-		s.unmove(d)
+		s.cancelTransfer(d)
 		if d.Holder != "" {
 			d.StopRequested = true
-			s.stir(d.Holder)
+			s.bumpSessionRevision(d.Holder)
 		}
 	case Resume:
 		d.SuspendReason, d.Failures, d.HolderDeaths, d.NotBefore, d.AvoidProcess = "", 0, 0, 0, ""
@@ -273,9 +273,9 @@
 	return s.result(Done, "")
 }
 
-// ties carries out what names terms of duties. Of a single one the result tells what became
+// applyTermCommand carries out what names terms of duties. Of a single one the result tells what became
 // of it; of several, those that are not so any more are passed over.
-func (s *State) ties(c *Command) Result {
+func (s *State) applyTermCommand(c *Command) Result {
 	r := s.result(Done, "")
 	for _, t := range c.Terms {
 		d := s.LeasedTasks[t.Name]
@@ -284,25 +284,25 @@
 		case d == nil:
 			one = s.result(Unknown, fmt.Sprintf("no duty %s", t.Name))
 		case c.Kind == GrantTerm:
-			one = s.grant(d, t.Process, t.Session)
+			one = s.grantTerm(d, t.Process, t.Session)
 		case c.Kind == TransferTask:
-			one = s.move(d, t.Process)
+			one = s.transferTask(d, t.Process)
 		case c.Kind == AcceptTransfer:
 			if o := s.Sessions[t.Process]; d.Successor != t.Process || o == nil || o.ID != t.Session {
 				one = s.result(Conflict, fmt.Sprintf("duty %s is not to go to %s", d.Name, t.Process))
 			} else if !d.SuccessorReady {
 				d.SuccessorReady = true
-				s.stir(d.Holder)
+				s.bumpSessionRevision(d.Holder)
 			}
 		case d.Holder == "" || d.Fence != t.Fence || t.Session != "" && d.Session != t.Session:
 			one = s.result(Fenced, fmt.Sprintf("fence %d of duty %s is not the present one, %d", t.Fence, d.Name, d.Fence))
 		case c.Kind == ExpireTerm:
-			s.vacate(d, ReasonExpired)
+			s.endTerm(d, ReasonExpired)
 			if t.CountDeath {
-				s.blame(d)
+				s.countHolderDeath(d)
 			}
 		default:
-			s.vacate(d, cmp.Or(c.Reason, ReasonCompleted))
+			s.endTerm(d, cmp.Or(c.Reason, ReasonCompleted))
 		}
 		if len(c.Terms) == 1 {
 			r = one
@@ -311,9 +311,9 @@
 	return r
 }
 
-// grant gives a free duty to a session that has room. The fence is a number that no term of
+// grantTerm gives a free duty to a session that has room. The fence is a number that no term of
 // any duty had before.
-func (s *State) grant(d *LeasedTask, process, id string) Result {
+func (s *State) grantTerm(d *LeasedTask, process, id string) Result {
 	o := s.Sessions[process]
 	switch {
 	case d.Holder == process && d.Session == id: // asked again, as the answer was lost
@@ -332,17 +332,17 @@
 	s.Fence++
 	d.Holder, d.Session, d.Fence, d.HolderSince = process, id, s.Fence, s.Clock
 	d.Successor, d.SuccessorSince, d.SuccessorReady, d.StopRequested = "", 0, false, false
-	s.stir(process)
+	s.bumpSessionRevision(process)
 	r := s.result(Done, "")
 	r.Fence = d.Fence
 	return r
 }
 
-// move has a duty go to another process: that confirms first that it is ready, then the
+// transferTask has a duty go to another process: that confirms first that it is ready, then the
 // holder is told to stop, and its giving up is the other's grant.
-func (s *State) move(d *LeasedTask, to string) Result {
+func (s *State) transferTask(d *LeasedTask, to string) Result {
 	if to == "" {
-		s.unmove(d)
+		s.cancelTransfer(d)
 		return s.result(Done, "")
 	}
 	o := s.Sessions[to]
@@ -356,39 +356,39 @@
 	case o == nil || o.Draining || !o.CanRun(d.Name):
 		return s.result(Unknown, fmt.Sprintf("no session of %s that takes duties", to))
 	}
-	s.unmove(d)
+	s.cancelTransfer(d)
 	d.Successor, d.SuccessorSince = to, s.Clock
-	s.stir(to)
+	s.bumpSessionRevision(to)
 	return s.result(Done, "")
 }
 
-func (s *State) unmove(d *LeasedTask) {
+func (s *State) cancelTransfer(d *LeasedTask) {
 	if d.Successor == "" {
 		return
 	}
-	s.stir(d.Successor)
-	s.stir(d.Holder)
+	s.bumpSessionRevision(d.Successor)
+	s.bumpSessionRevision(d.Holder)
 	d.Successor, d.SuccessorSince, d.SuccessorReady = "", 0, false
 }
 
-// vacate ends a term. A duty that was to move, and whose next holder is ready, is that
+// endTerm ends a term. A duty that was to move, and whose next holder is ready, is that
 // one's at once.
-func (s *State) vacate(d *LeasedTask, why string) {
+func (s *State) endTerm(d *LeasedTask, why string) {
 	if d.StopRequested && why == ReasonCompleted {
 		why = ReasonRevoked
 	}
-	soon := s.Clock-d.HolderSince < quick
+	soon := s.Clock-d.HolderSince < shortTermDuration
 	d.History = append(d.History, Term{d.Holder, d.Fence, d.HolderSince, s.Clock, why})
-	if len(d.History) > mostTerms {
-		d.History = slices.Delete(d.History, 0, len(d.History)-mostTerms)
+	if len(d.History) > maxTermHistory {
+		d.History = slices.Delete(d.History, 0, len(d.History)-maxTermHistory)
 	}
-	s.stir(d.Holder)
+	s.bumpSessionRevision(d.Holder)
 	from := d.Holder
 	d.Holder, d.Session, d.HolderSince, d.StopRequested = "", "", 0, false
 	switch {
 	case why == ReasonFailed && soon:
 		d.Failures++
-		d.NotBefore, d.AvoidProcess = s.Clock+min(failFirst<<min(d.Failures-1, 20), failMost), from
+		d.NotBefore, d.AvoidProcess = s.Clock+min(minRetryBackoff<<min(d.Failures-1, 20), maxRetryBackoff), from
 	case why == ReasonFailed || why == ReasonExpired:
 		d.AvoidProcess = from
 		if !soon {
@@ -401,15 +401,15 @@
 	}
 	next, ready := d.Successor, d.SuccessorReady
 	if next != "" {
-		s.unmove(d)
+		s.cancelTransfer(d)
 	}
 	if o := s.Sessions[next]; ready && o != nil && d.SuspendReason == "" && why != ReasonFailed {
-		s.grant(d, next, o.ID)
+		s.grantTerm(d, next, o.ID)
 	}
 }
 
-// checkDuties refuses what Apply could not have made.
-func (s *State) checkDuties() error {
+// checkTasks refuses what Apply could not have made.
+func (s *State) checkTasks() error {
 	if s.Sessions == nil {
 		s.Sessions = map[string]*Session{}
 	}
@@ -432,10 +432,10 @@
 	return nil
 }
 
-// blame counts a holder that ended soon after it was granted this duty last of all. After a
+// countHolderDeath counts a holder that ended soon after it was granted this duty last of all. After a
 // few in a row nobody gets it any more before an operator has looked.
-func (s *State) blame(d *LeasedTask) {
-	if d.HolderDeaths++; d.HolderDeaths >= killAfter && d.Holder == "" {
+func (s *State) countHolderDeath(d *LeasedTask) {
+	if d.HolderDeaths++; d.HolderDeaths >= suspendAfterDeaths && d.Holder == "" {
 		d.SuspendReason = fmt.Sprintf("its last %d holders ended in it", d.HolderDeaths)
 	}
 }
--- a/internal/catalog/duty_test.go
+++ b/internal/catalog/duty_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawDuty makes one command on duties, sound or not.
-func drawDuty(t *rapid.T, s *State, at time.Duration) Command {
+// drawTaskCommand makes one command on duties, sound or not.
+func drawTaskCommand(t *rapid.T, s *State, at time.Duration) Command {
 	c := Command{FormatVersion: FormatVersion, At: at, Kind: rapid.SampledFrom([]Kind{OpenSession, OpenSession, CloseSession, DrainSession, DefineTask, DefineTask, DeleteTask, GrantTerm, GrantTerm, GrantTerm,
 		ExpireTerm, ReleaseTerm, TransferTask, AcceptTransfer, RevokeTerm, Suspend, Resume, RaiseRevision, SetOverride}).Draw(t, "kind")}
 	process := func() string { return fmt.Sprint("p-", rapid.IntRange(0, 3).Draw(t, "process")) }
@@ -50,12 +50,12 @@
 // its own holder's word, by its lapse, or with its session; an act under an older fence is
 // refused and changes nothing; what a session is told changes with its revision; a replay,
 // and a snapshot with the rest of the log, give the same state.
-func TestDutyLogs(t *testing.T) {
+func TestTaskLogs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		do(s, 0, Command{Kind: Register, Endpoint: host("s", 1)})
+		apply(s, 0, Command{Kind: Register, Endpoint: endpoint("s", 1)})
 		restored := New()
-		do(restored, 0, Command{Kind: Register, Endpoint: host("s", 1)})
+		apply(restored, 0, Command{Kind: Register, Endpoint: endpoint("s", 1)})
 		terms := map[int64]string{}
 		beyond := int64(0) // what each term that begins has to be beyond: all before it, and each floor
 		told := map[string]string{}
@@ -70,7 +70,7 @@
 					t.Fatal(err)
 				}
 			}
-			c := drawDuty(t, s, time.Duration(i*rapid.IntRange(0, 2000).Draw(t, "ms"))*time.Millisecond)
+			c := drawTaskCommand(t, s, time.Duration(i*rapid.IntRange(0, 2000).Draw(t, "ms"))*time.Millisecond)
 			before := map[string]LeasedTask{}
 			for name, d := range s.LeasedTasks {
 				before[name] = *d
@@ -156,7 +156,7 @@
 // before its time since it was heard last is over, counted by a new leader from its own
 // beginning; nobody has more than it has room for; all that can be held is, in the end, and
 // then nothing changes hands.
-func TestTenures(t *testing.T) {
+func TestTaskLeases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
 		now := time.Duration(rapid.IntRange(0, 100).Draw(t, "from")) * time.Hour
@@ -165,7 +165,7 @@
 		began := now
 		n := rapid.IntRange(1, 40).Draw(t, "duties")
 		for i := range n {
-			do(s, now, Command{Kind: DefineTask, LeasedTask: &LeasedTask{Name: fmt.Sprintf("d-%02d", i), TTL: time.Duration(1+i%3) * time.Second,
+			apply(s, now, Command{Kind: DefineTask, LeasedTask: &LeasedTask{Name: fmt.Sprintf("d-%02d", i), TTL: time.Duration(1+i%3) * time.Second,
 				PreferredZone: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "zone")}})
 		}
 		lives := 0
@@ -185,21 +185,21 @@
 					}
 				}
 				for _, tie := range c.Terms {
-					if last := max(heard[tie.Session], began); c.Kind == GrantTerm && now >= last+lively {
+					if last := max(heard[tie.Session], began); c.Kind == GrantTerm && now >= last+maxGrantSilence {
 						t.Fatalf("%s is granted to %s, which was heard %v ago", tie.Name, tie.Process, now-last)
 					}
 				}
 				if c.Kind == GrantTerm || c.Kind == TransferTask && len(c.Terms) > 0 && c.Terms[0].Process != "" {
 					grants += len(c.Terms)
 				}
-				do(s, now, c)
+				apply(s, now, c)
 			}
 			load := map[string]int{}
 			for _, d := range s.LeasedTasks {
 				if d.Successor != "" { // the next is ready at once, and the holder stops at once
 					o := s.Sessions[d.Successor]
-					do(s, now, Command{Kind: AcceptTransfer, Terms: []TermRef{{Name: d.Name, Process: d.Successor, Session: o.ID}}})
-					do(s, now, Command{Kind: ReleaseTerm, Terms: []TermRef{{Name: d.Name, Fence: d.Fence}}})
+					apply(s, now, Command{Kind: AcceptTransfer, Terms: []TermRef{{Name: d.Name, Process: d.Successor, Session: o.ID}}})
+					apply(s, now, Command{Kind: ReleaseTerm, Terms: []TermRef{{Name: d.Name, Fence: d.Fence}}})
 				}
 				if d.Holder != "" {
 					load[d.Holder]++
@@ -219,16 +219,16 @@
 			case "open":
 				lives++
 				id := fmt.Sprint(p, "-", lives)
-				if r := do(s, now, Command{Kind: OpenSession, Session: &Session{Process: p, ID: id, MaxTasks: rapid.IntRange(1, 30).Draw(t, "cap"),
+				if r := apply(s, now, Command{Kind: OpenSession, Session: &Session{Process: p, ID: id, MaxTasks: rapid.IntRange(1, 30).Draw(t, "cap"),
 					Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")}}); r.Code == Done {
 					up[p], heard[id] = id, now
 				}
 			case "die":
 				delete(up, p)
 			case "rest":
-				do(s, now, Command{Kind: DrainSession, Session: &Session{Process: p, ID: up[p]}})
+				apply(s, now, Command{Kind: DrainSession, Session: &Session{Process: p, ID: up[p]}})
 			case "close":
-				do(s, now, Command{Kind: CloseSession, Session: &Session{Process: p, ID: up[p]}})
+				apply(s, now, Command{Kind: CloseSession, Session: &Session{Process: p, ID: up[p]}})
 				delete(up, p)
 			case "leader":
 				now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "without")) * time.Millisecond
@@ -265,15 +265,15 @@
 
 // A duty that fails is backed off, longer each time; one that ends its holders is parked,
 // and what they held beside it is not.
-func TestBlame(t *testing.T) {
+func TestTasksThatEndTheirHoldersAreSuspended(t *testing.T) {
 	s := New()
-	do(s, 0, Command{Kind: OpenSession, Session: &Session{Process: "p", ID: "i", MaxTasks: 9}})
-	do(s, 0, Command{Kind: DefineTask, LeasedTask: &LeasedTask{Name: "f", TTL: time.Second}})
+	apply(s, 0, Command{Kind: OpenSession, Session: &Session{Process: "p", ID: "i", MaxTasks: 9}})
+	apply(s, 0, Command{Kind: DefineTask, LeasedTask: &LeasedTask{Name: "f", TTL: time.Second}})
 	var waits []time.Duration
 	for range 4 {
 		d := s.LeasedTasks["f"]
-		do(s, max(d.NotBefore, s.Clock), Command{Kind: GrantTerm, Terms: []TermRef{{Name: "f", Process: "p", Session: "i"}}})
-		do(s, s.Clock, Command{Kind: ReleaseTerm, Reason: ReasonFailed, Terms: []TermRef{{Name: "f", Session: "i", Fence: d.Fence}}})
+		apply(s, max(d.NotBefore, s.Clock), Command{Kind: GrantTerm, Terms: []TermRef{{Name: "f", Process: "p", Session: "i"}}})
+		apply(s, s.Clock, Command{Kind: ReleaseTerm, Reason: ReasonFailed, Terms: []TermRef{{Name: "f", Session: "i", Fence: d.Fence}}})
 		waits = append(waits, d.NotBefore-s.Clock)
 	}
 	if fmt.Sprint(waits) != "[1s 2s 4s 8s]" {
@@ -282,18 +282,18 @@
 	now := s.Clock
 	tenures := NewTaskLeases(now)
 	for _, name := range []string{"innocent", "killer"} {
-		do(s, now, Command{Kind: DefineTask, LeasedTask: &LeasedTask{Name: name, TTL: time.Second}})
+		apply(s, now, Command{Kind: DefineTask, LeasedTask: &LeasedTask{Name: name, TTL: time.Second}})
 	}
 	for life := range 4 {
 		id := fmt.Sprint("k-", life)
-		do(s, now, Command{Kind: OpenSession, Session: &Session{Process: "q", ID: id, MaxTasks: 9}})
-		do(s, now, Command{Kind: GrantTerm, Terms: []TermRef{{Name: "innocent", Process: "q", Session: id}}})
-		do(s, now, Command{Kind: GrantTerm, Terms: []TermRef{{Name: "killer", Process: "q", Session: id}}})
+		apply(s, now, Command{Kind: OpenSession, Session: &Session{Process: "q", ID: id, MaxTasks: 9}})
+		apply(s, now, Command{Kind: GrantTerm, Terms: []TermRef{{Name: "innocent", Process: "q", Session: id}}})
+		apply(s, now, Command{Kind: GrantTerm, Terms: []TermRef{{Name: "killer", Process: "q", Session: id}}})
 		for range 60 { // it is not heard of again
 			now += 100 * time.Millisecond
 			for _, c := range tenures.Decide(s, now) {
 				if c.Kind != GrantTerm {
-					do(s, now, c)
+					apply(s, now, c)
 				}
 			}
 		}
@@ -304,18 +304,18 @@
 }
 
 // Whom the view doesn't have as present gets a duty only where nobody else has room.
-func TestAbsent(t *testing.T) {
+func TestAbsentProcessesAreChosenLast(t *testing.T) {
 	s := New()
 	for _, p := range []string{"a", "b"} {
-		do(s, 0, Command{Kind: OpenSession, Session: &Session{Process: p, ID: p, MaxTasks: 2}})
+		apply(s, 0, Command{Kind: OpenSession, Session: &Session{Process: p, ID: p, MaxTasks: 2}})
 	}
 	for i := range 3 {
-		do(s, 0, Command{Kind: DefineTask, LeasedTask: &LeasedTask{Name: fmt.Sprint("d-", i), TTL: time.Second, PreferredProcess: "a"}})
+		apply(s, 0, Command{Kind: DefineTask, LeasedTask: &LeasedTask{Name: fmt.Sprint("d-", i), TTL: time.Second, PreferredProcess: "a"}})
 	}
 	tenures := NewTaskLeases(0)
 	tenures.Absent = map[string]bool{"a": true}
 	for _, c := range tenures.Decide(s, 0) {
-		do(s, 0, c)
+		apply(s, 0, c)
 	}
 	held := map[string]int{}
 	for _, d := range s.LeasedTasks {
--- a/internal/catalog/lease.go
+++ b/internal/catalog/lease.go
@@ -19,18 +19,18 @@
 // RegistrationLeases is what the leader alone knows: when each server was heard last. It goes through
 // no log; a new leader gives every lease its full time again. Like the state it is pure.
 type RegistrationLeases struct {
-	c      LeaseConfig
-	until  map[string]lease
-	lapsed []time.Duration // the lapses within the window, in order
-	listed int             // servers that were listed when the window began
-	// services are the lapses within the window by service.
-	services map[string]*serviceLapses
-	turn     int // of those that are asked about
-	// scanned is the state that the last decision saw, as of its scannedAt-th command; nothing is
-	// late or damped too long before dueAt, unless the state changes.
-	scanned   *State
-	scannedAt int64
-	dueAt     time.Duration
+	config              LeaseConfig
+	leases              map[string]registrationLease
+	recentExpiries      []time.Duration // the lapses within the window, in order
+	listedAtWindowStart int             // servers that were listed when the window began
+	// expiriesByService are the lapses within the window by service.
+	expiriesByService map[string]*serviceExpiries
+	rotation          int // of those that are asked about
+	// scannedState is the state that the last decision saw, as of its scannedCommands-th command; nothing is
+	// late or damped too long before nextDue, unless the state changes.
+	scannedState    *State
+	scannedCommands int64
+	nextDue         time.Duration
 	// Retained and Undecided count, at the last decision, the servers whose leases are over and that
 	// stay: because most see them, or because too little is known.
 	Retained, Undecided int
@@ -41,21 +41,21 @@
 // so that a service of one server can end.
 const MinGuardedService = 5
 
-// serviceLapses is what lapsed of one service within the window.
-type serviceLapses struct {
-	lapsed []time.Duration
-	listed int // servers that were listed when the window began
+// serviceExpiries is what lapsed of one service within the window.
+type serviceExpiries struct {
+	recent              []time.Duration
+	listedAtWindowStart int // servers that were listed when the window began
 }
 
-// serviceDoubt counts the servers of one service that are not heard.
-type serviceDoubt struct {
-	silent int // their leases are over, or about to be, and nobody is known to see them
-	held   int // by the service's share
+// serviceSuspects counts the servers of one service that are not heard.
+type serviceSuspects struct {
+	silent      int // their leases are over, or about to be, and nobody is known to see them
+	quarantined int // by the service's share
 }
 
-type lease struct {
-	bornMs  float64
-	expires time.Duration
+type registrationLease struct {
+	startedMs float64
+	expiresAt time.Duration
 }
 
 // Decision is what the leader should propose.
@@ -86,14 +86,14 @@
 	return Inconclusive
 }
 
-// mostAsked bounds the servers that are asked about at once. A zone of the largest fleet that the
+// maxSuspects bounds the servers that are asked about at once. A zone of the largest fleet that the
 // state holds has to be settled in some seconds, at one question a second.
-const mostAsked = 256
+const maxSuspects = 256
 
 // Suspected is the servers about which others should be asked: late, over, or held. Those that
 // have been in doubt for the longest come first.
 func (l *RegistrationLeases) Suspected(s *State, now time.Duration) []InstanceRef {
-	if l.isQuiet(s, now) {
+	if l.nothingDue(s, now) {
 		return nil
 	}
 	type doubt struct {
@@ -102,21 +102,21 @@
 	}
 	var all []doubt
 	for name, e := range s.Entries {
-		if at, known := l.until[name]; known && !e.Removed && at.bornMs == e.Endpoint.StartedMs && at.expires-now < l.c.TTL/2 {
-			all = append(all, doubt{InstanceRef{name, e.Endpoint.StartedMs}, at.expires})
+		if at, known := l.leases[name]; known && !e.Removed && at.startedMs == e.Endpoint.StartedMs && at.expiresAt-now < l.config.TTL/2 {
+			all = append(all, doubt{InstanceRef{name, e.Endpoint.StartedMs}, at.expiresAt})
 		}
 	}
 	sort.Slice(all, func(i, j int) bool {
 		return all[i].since < all[j].since || all[i].since == all[j].since && all[i].ref.Name < all[j].ref.Name
 	})
 	// Those that stay for long must not keep the others from being asked about.
-	if len(all) > mostAsked {
-		l.turn++
-		from := (l.turn * mostAsked) % len(all)
+	if len(all) > maxSuspects {
+		l.rotation++
+		from := (l.rotation * maxSuspects) % len(all)
 		all = append(all[from:], all[:from]...)
 	}
-	out := make([]InstanceRef, 0, min(len(all), mostAsked))
-	for _, d := range all[:min(len(all), mostAsked)] {
+	out := make([]InstanceRef, 0, min(len(all), maxSuspects))
+	for _, d := range all[:min(len(all), maxSuspects)] {
 		out = append(out, d.ref)
 	}
 	return out
@@ -129,20 +129,20 @@
 
 // NewRegistrationLeases begins a leader's time: every lease has its full time from now on.
 func NewRegistrationLeases(c LeaseConfig, s *State, now time.Duration) *RegistrationLeases {
-	l := &RegistrationLeases{c: c, until: map[string]lease{}, services: map[string]*serviceLapses{}}
+	l := &RegistrationLeases{config: c, leases: map[string]registrationLease{}, expiriesByService: map[string]*serviceExpiries{}}
 	for name, e := range s.Entries {
 		if !e.Removed {
-			l.until[name] = lease{e.Endpoint.StartedMs, now + c.TTL}
+			l.leases[name] = registrationLease{e.Endpoint.StartedMs, now + c.TTL}
 		}
 	}
 	return l
 }
 
-// isQuiet tells without looking at each server that a decision would find nothing: since the
+// nothingDue tells without looking at each server that a decision would find nothing: since the
 // last one the state is the same, nothing is held, and no lease can have become late, as
 // renewals only put that off.
-func (l *RegistrationLeases) isQuiet(s *State, now time.Duration) bool {
-	return l.scanned == s && l.scannedAt == s.applied && s.held == 0 && now <= l.dueAt
+func (l *RegistrationLeases) nothingDue(s *State, now time.Duration) bool {
+	return l.scannedState == s && l.scannedCommands == s.appliedCommands && s.quarantinedCount == 0 && now <= l.nextDue
 }
 
 // Renew notes that a process was heard. It is refused if another has the name by now, or
@@ -155,7 +155,7 @@
 	case e == nil || e.Removed || e.Endpoint.StartedMs != ref.StartedMs:
 		return Unknown
 	}
-	l.until[ref.Name] = lease{ref.StartedMs, now + l.c.TTL}
+	l.leases[ref.Name] = registrationLease{ref.StartedMs, now + l.config.TTL}
 	return Done
 }
 
@@ -165,23 +165,23 @@
 // merely late where it is plain.
 func (l *RegistrationLeases) Decide(s *State, now time.Duration, judge ExpiryDecider) Decision {
 	var d Decision
-	if l.isQuiet(s, now) {
+	if l.nothingDue(s, now) {
 		return d
 	}
-	l.scanned, l.scannedAt, l.dueAt = s, s.applied, math.MaxInt64
+	l.scannedState, l.scannedCommands, l.nextDue = s, s.appliedCommands, math.MaxInt64
 	var ended, early []InstanceRef
 	listed, held, late := 0, 0, 0
-	doubts := map[string]*serviceDoubt{}
-	doubt := func(e *Entry) *serviceDoubt {
+	doubts := map[string]*serviceSuspects{}
+	doubt := func(e *Entry) *serviceSuspects {
 		if doubts[e.Endpoint.Service] == nil {
-			doubts[e.Endpoint.Service] = &serviceDoubt{}
+			doubts[e.Endpoint.Service] = &serviceSuspects{}
 		}
 		return doubts[e.Endpoint.Service]
 	}
 	l.Retained, l.Undecided = 0, 0
 	for name, e := range s.Entries {
 		if e.Removed {
-			delete(l.until, name)
+			delete(l.leases, name)
 			continue
 		}
 		if e.isListed() {
@@ -189,22 +189,22 @@
 		}
 		ref := InstanceRef{name, e.Endpoint.StartedMs}
 		if e.DampedUntil > 0 {
-			l.dueAt = min(l.dueAt, e.DampedUntil-1)
+			l.nextDue = min(l.nextDue, e.DampedUntil-1)
 		}
 		if e.DampedUntil > 0 && now >= e.DampedUntil {
 			d.EndDamping = append(d.EndDamping, ref)
 		}
-		at, known := l.until[name]
-		if !known || at.bornMs != e.Endpoint.StartedMs { // registered since: its time begins now
-			l.until[name] = lease{e.Endpoint.StartedMs, now + l.c.TTL}
-			l.dueAt = min(l.dueAt, now+l.c.TTL-l.c.TTL/2)
+		at, known := l.leases[name]
+		if !known || at.startedMs != e.Endpoint.StartedMs { // registered since: its time begins now
+			l.leases[name] = registrationLease{e.Endpoint.StartedMs, now + l.config.TTL}
+			l.nextDue = min(l.nextDue, now+l.config.TTL-l.config.TTL/2)
 			continue
 		}
-		l.dueAt = min(l.dueAt, at.expires-l.c.TTL/2)
-		over := now >= at.expires
+		l.nextDue = min(l.nextDue, at.expiresAt-l.config.TTL/2)
+		over := now >= at.expiresAt
 		// Servers renew thrice a lease, so one that was not heard for half of it is late. Of a
 		// mass failure all are, by the time that the first lease ends.
-		if !over && at.expires-now >= l.c.TTL/2 {
+		if !over && at.expiresAt-now >= l.config.TTL/2 {
 			if e.Quarantined {
 				d.Recover = append(d.Recover, ref)
 			}
@@ -215,7 +215,7 @@
 		case e.Quarantined && (!over || said == Alive):
 			d.Recover = append(d.Recover, ref)
 		case e.QuarantinedByService:
-			doubt(e).held++
+			doubt(e).quarantined++
 		case e.Quarantined:
 			held++
 		case said == Alive:
@@ -236,11 +236,11 @@
 			}
 		}
 	}
-	for len(l.lapsed) > 0 && now-l.lapsed[0] > l.c.MassFailureWindow {
-		l.lapsed = l.lapsed[1:]
+	for len(l.recentExpiries) > 0 && now-l.recentExpiries[0] > l.config.MassFailureWindow {
+		l.recentExpiries = l.recentExpiries[1:]
 	}
-	if len(l.lapsed) == 0 {
-		l.listed = listed
+	if len(l.recentExpiries) == 0 {
+		l.listedAtWindowStart = listed
 	}
 	byName := func(refs []InstanceRef) {
 		sort.Slice(refs, func(i, j int) bool { return refs[i].Name < refs[j].Name })
@@ -249,12 +249,12 @@
 	byName(d.Recover)
 	byName(d.EndDamping)
 	// While some are held the observer or the network is in doubt, so more are held too.
-	most := max(int(l.c.MassFailureShare*float64(max(l.listed, listed))), 1)
-	if held > 0 || len(l.lapsed)+len(ended)+len(early)+late > most {
+	most := max(int(l.config.MassFailureShare*float64(max(l.listedAtWindowStart, listed))), 1)
+	if held > 0 || len(l.recentExpiries)+len(ended)+len(early)+late > most {
 		d.Quarantine = ended
 		return d
 	}
-	guarded := l.guarded(s, now, doubts)
+	guarded := l.guardedServices(s, now, doubts)
 	isGuarded := func(ref InstanceRef) bool { return guarded[s.Entries[ref.Name].Endpoint.Service] }
 	for _, ref := range ended {
 		if isGuarded(ref) {
@@ -270,43 +270,43 @@
 	}
 	byName(d.Expire)
 	for _, ref := range d.Expire {
-		l.lapsed = append(l.lapsed, now)
-		l.noteLapse(s, s.Entries[ref.Name].Endpoint.Service, now)
+		l.recentExpiries = append(l.recentExpiries, now)
+		l.recordServiceExpiry(s, s.Entries[ref.Name].Endpoint.Service, now)
 	}
 	return d
 }
 
-// guarded is the services of which too many servers are silent at once to be believed.
-func (l *RegistrationLeases) guarded(s *State, now time.Duration, doubts map[string]*serviceDoubt) map[string]bool {
-	for name, of := range l.services {
-		for len(of.lapsed) > 0 && now-of.lapsed[0] > l.c.MassFailureWindow {
-			of.lapsed = of.lapsed[1:]
+// guardedServices is the services of which too many servers are silent at once to be believed.
+func (l *RegistrationLeases) guardedServices(s *State, now time.Duration, doubts map[string]*serviceSuspects) map[string]bool {
+	for name, of := range l.expiriesByService {
+		for len(of.recent) > 0 && now-of.recent[0] > l.config.MassFailureWindow {
+			of.recent = of.recent[1:]
 		}
-		if len(of.lapsed) == 0 {
-			delete(l.services, name)
+		if len(of.recent) == 0 {
+			delete(l.expiriesByService, name)
 		}
 	}
 	guarded := map[string]bool{}
 	for name, doubt := range doubts {
 		listed, lapsed := s.ServiceSize(name), 0
-		if of := l.services[name]; of != nil {
-			listed, lapsed = max(listed, of.listed), len(of.lapsed)
+		if of := l.expiriesByService[name]; of != nil {
+			listed, lapsed = max(listed, of.listedAtWindowStart), len(of.recent)
 		}
 		if listed < MinGuardedService {
 			continue
 		}
-		most := max(int(l.c.MassFailureShare*float64(listed)), 1)
-		guarded[name] = doubt.held > 0 || lapsed+doubt.silent > most
+		most := max(int(l.config.MassFailureShare*float64(listed)), 1)
+		guarded[name] = doubt.quarantined > 0 || lapsed+doubt.silent > most
 	}
 	return guarded
 }
 
-// noteLapse counts a lapse of a service's server within the window.
-func (l *RegistrationLeases) noteLapse(s *State, service string, now time.Duration) {
-	of := l.services[service]
+// recordServiceExpiry counts a lapse of a service's server within the window.
+func (l *RegistrationLeases) recordServiceExpiry(s *State, service string, now time.Duration) {
+	of := l.expiriesByService[service]
 	if of == nil {
-		of = &serviceLapses{listed: s.ServiceSize(service)}
-		l.services[service] = of
+		of = &serviceExpiries{listedAtWindowStart: s.ServiceSize(service)}
+		l.expiriesByService[service] = of
 	}
-	of.lapsed = append(of.lapsed, now)
+	of.recent = append(of.recent, now)
 }
--- a/internal/catalog/member.go
+++ b/internal/catalog/member.go
@@ -28,10 +28,10 @@
 	PredecessorAbsent bool `json:"gone,omitempty"`
 }
 
-// arrive gives a process the number of its life. A name is one folder's for as long as the
+// registerMember gives a process the number of its life. A name is one folder's for as long as the
 // process of that folder is there: another that comes with it is told so, and yields. A
 // process of the same folder is the same one started again, as one at a time can have it.
-func (s *State) arrive(m *Member) Result {
+func (s *State) registerMember(m *Member) Result {
 	if m == nil || !endpoints.IsToken(m.Name, endpoints.MaxName) || !endpoints.IsToken(m.ID, endpoints.MaxName) || !endpoints.IsToken(m.BootID, endpoints.MaxName) {
 		return s.result(Invalid, "name, id, life: must be words")
 	}
--- a/internal/catalog/service_test.go
+++ b/internal/catalog/service_test.go
@@ -8,14 +8,14 @@
 )
 
 // A reader that names no services gets the list as it was before entries had a service.
-func TestServiceStaysOutOfWholeList(t *testing.T) {
+func TestServiceStaysOutOfFullList(t *testing.T) {
 	plain, named := New(), New()
-	with := host("s", 10)
+	with := endpoint("s", 10)
 	with.Service = "billing"
-	if r := do(plain, time.Second, Command{Kind: Register, Endpoint: host("s", 10)}); r.Code != Done {
+	if r := apply(plain, time.Second, Command{Kind: Register, Endpoint: endpoint("s", 10)}); r.Code != Done {
 		t.Fatalf("register: %+v", r)
 	}
-	if r := do(named, time.Second, Command{Kind: Register, Endpoint: with}); r.Code != Done {
+	if r := apply(named, time.Second, Command{Kind: Register, Endpoint: with}); r.Code != Done {
 		t.Fatalf("register with a service: %+v", r)
 	}
 	for _, whole := range []bool{true, false} {
@@ -32,9 +32,9 @@
 
 func TestServiceNameIsChecked(t *testing.T) {
 	for _, name := range []string{"a b", "a/b", "a?b", strings.Repeat("x", 65)} {
-		h := host("s", 10)
+		h := endpoint("s", 10)
 		h.Service = name
-		r := do(New(), time.Second, Command{Kind: Register, Endpoint: h})
+		r := apply(New(), time.Second, Command{Kind: Register, Endpoint: h})
 		if r.Code != Invalid || !strings.HasPrefix(r.Text, "service: ") {
 			t.Errorf("service %q: %+v", name, r)
 		}
--- a/internal/catalog/services.go
+++ b/internal/catalog/services.go
@@ -38,15 +38,15 @@
 	Service string `json:"service,omitempty"` // that it left
 }
 
-// service is the index of one service. It follows from the entries and the moves, and is
+// serviceIndex is the index of one serviceIndex. It follows from the entries and the moves, and is
 // built again when a snapshot is read.
-type service struct {
-	entries map[string]*Entry // ended ones included
-	moved   map[string]int64  // the versions at which servers left for another service
+type serviceIndex struct {
+	entries  map[string]*Entry // ended ones included
+	departed map[string]int64  // the versions at which servers left for another service
 	// changes are in order of versions. Some are outdated: the entry has changed again.
-	changes []change
-	listed  int
-	changed int64 // version of the last change
+	changes      []entryChange
+	listedCount  int
+	lastRevision int64 // version of the last change
 }
 
 // ListedWithService is the entry as readers see it that subscribe to services.
@@ -59,109 +59,109 @@
 // isListed tells whether the entry is on the list.
 func (e *Entry) isListed() bool { return !e.Removed && e.DampedUntil <= 0 }
 
-// service returns the index of a service, and creates it if there is none.
-func (s *State) service(name string) *service {
-	svc := s.services[name]
+// serviceIndexFor returns the index of a serviceIndexFor, and creates it if there is none.
+func (s *State) serviceIndexFor(name string) *serviceIndex {
+	svc := s.serviceIndexes[name]
 	if svc == nil {
-		svc = &service{entries: map[string]*Entry{}, moved: map[string]int64{}}
-		s.services[name] = svc
+		svc = &serviceIndex{entries: map[string]*Entry{}, departed: map[string]int64{}}
+		s.serviceIndexes[name] = svc
 	}
 	return svc
 }
 
-// note adds a change, and drops outdated ones once they are most of what is kept.
-func (svc *service) note(c change) {
+// recordChange adds a change, and drops outdated ones once they are most of what is kept.
+func (svc *serviceIndex) recordChange(c entryChange) {
 	svc.changes = append(svc.changes, c)
-	svc.changed = max(svc.changed, c.Seq)
-	if len(svc.changes) > 2*(len(svc.entries)+len(svc.moved))+64 {
-		svc.changes = slices.DeleteFunc(svc.changes, func(c change) bool { return !svc.isCurrent(c) })
+	svc.lastRevision = max(svc.lastRevision, c.Seq)
+	if len(svc.changes) > 2*(len(svc.entries)+len(svc.departed))+64 {
+		svc.changes = slices.DeleteFunc(svc.changes, func(c entryChange) bool { return !svc.isCurrent(c) })
 	}
 }
 
 // isCurrent tells whether a change is the last one of its name in this service.
-func (svc *service) isCurrent(c change) bool {
+func (svc *serviceIndex) isCurrent(c entryChange) bool {
 	if e := svc.entries[c.Name]; e != nil {
 		return e.Version == c.Seq
 	}
-	at, moved := svc.moved[c.Name]
+	at, moved := svc.departed[c.Name]
 	return moved && at == c.Seq
 }
 
-// index brings an entry's service up to date after a change of the entry.
-func (s *State) index(e *Entry) {
-	svc := s.service(e.Endpoint.Service)
+// indexEntry brings an entry's service up to date after a change of the entry.
+func (s *State) indexEntry(e *Entry) {
+	svc := s.serviceIndexFor(e.Endpoint.Service)
 	svc.entries[e.Endpoint.Name] = e
-	delete(svc.moved, e.Endpoint.Name)
-	svc.note(change{e.Version, e.Endpoint.Name})
-	s.count(svc, e)
+	delete(svc.departed, e.Endpoint.Name)
+	svc.recordChange(entryChange{e.Version, e.Endpoint.Name})
+	s.countListed(svc, e)
 }
 
-// count keeps the numbers of listed servers.
-func (s *State) count(svc *service, e *Entry) {
+// countListed keeps the numbers of listed servers.
+func (s *State) countListed(svc *serviceIndex, e *Entry) {
 	is := e.isListed()
 	switch {
-	case is && !e.counted:
-		svc.listed++
-		s.listed++
-	case !is && e.counted:
-		svc.listed--
-		s.listed--
-	}
-	e.counted = is
+	case is && !e.countedAsListed:
+		svc.listedCount++
+		s.listedCount++
+	case !is && e.countedAsListed:
+		svc.listedCount--
+		s.listedCount--
+	}
+	e.countedAsListed = is
 }
 
 // removeFromService takes an entry out of its service's index.
 func (s *State) removeFromService(e *Entry) {
-	svc := s.service(e.Endpoint.Service)
+	svc := s.serviceIndexFor(e.Endpoint.Service)
 	delete(svc.entries, e.Endpoint.Name)
-	if e.counted {
-		svc.listed--
-		s.listed--
-		e.counted = false
+	if e.countedAsListed {
+		svc.listedCount--
+		s.listedCount--
+		e.countedAsListed = false
 	}
-	s.dropIfEmpty(e.Endpoint.Service)
+	s.dropIndexIfEmpty(e.Endpoint.Service)
 }
 
-func (s *State) dropIfEmpty(name string) {
-	if svc := s.services[name]; svc != nil && len(svc.entries)+len(svc.moved) == 0 {
-		delete(s.services, name)
+func (s *State) dropIndexIfEmpty(name string) {
+	if svc := s.serviceIndexes[name]; svc != nil && len(svc.entries)+len(svc.departed) == 0 {
+		delete(s.serviceIndexes, name)
 	}
 }
 
-// noteMove remembers that a server left a service, for that service's readers.
-func (s *State) noteMove(m Departure) {
+// recordDeparture remembers that a server left a service, for that service's readers.
+func (s *State) recordDeparture(m Departure) {
 	s.ServiceHistory.Departures = append(s.ServiceHistory.Departures, m)
-	svc := s.service(m.Service)
-	svc.moved[m.Name] = m.Seq
-	svc.note(change{m.Seq, m.Name})
+	svc := s.serviceIndexFor(m.Service)
+	svc.departed[m.Name] = m.Seq
+	svc.recordChange(entryChange{m.Seq, m.Name})
 	for len(s.ServiceHistory.Departures) > MaxDepartures {
 		oldest := s.ServiceHistory.Departures[0]
 		s.ServiceHistory.Departures = s.ServiceHistory.Departures[1:]
-		s.dropMove(oldest)
+		s.dropDeparture(oldest)
 	}
 }
 
-// dropMove forgets a move; the service's readers from before it get the whole list.
-func (s *State) dropMove(m Departure) {
-	svc := s.services[m.Service]
-	if svc == nil || svc.moved[m.Name] != m.Seq {
+// dropDeparture forgets a move; the service's readers from before it get the whole list.
+func (s *State) dropDeparture(m Departure) {
+	svc := s.serviceIndexes[m.Service]
+	if svc == nil || svc.departed[m.Name] != m.Seq {
 		return // the server is back, or has left again since
 	}
-	delete(svc.moved, m.Name)
-	s.raiseFloor(m.Service, m.Seq)
-	s.dropIfEmpty(m.Service)
+	delete(svc.departed, m.Name)
+	s.raiseMinRevision(m.Service, m.Seq)
+	s.dropIndexIfEmpty(m.Service)
 }
 
-// raiseFloor notes that a service's changes can be told from a version on only.
-func (s *State) raiseFloor(service string, seq int64) {
+// raiseMinRevision notes that a service's changes can be told from a version on only.
+func (s *State) raiseMinRevision(service string, seq int64) {
 	if s.ServiceHistory.MinRevisions == nil {
 		s.ServiceHistory.MinRevisions = map[string]int64{}
 	}
 	s.ServiceHistory.MinRevisions[service] = max(s.ServiceHistory.MinRevisions[service], seq)
 }
 
-// boundFloors holds the number of services with an oldest version of their own.
-func (s *State) boundFloors() {
+// limitMinRevisions holds the number of services with an oldest version of their own.
+func (s *State) limitMinRevisions() {
 	if len(s.ServiceHistory.MinRevisions) <= MaxServiceMinRevisions {
 		return
 	}
@@ -171,17 +171,17 @@
 	s.ServiceHistory.MinRevisions = nil
 }
 
-// resetScopes begins the services' history at a version.
-func (s *State) resetScopes(seq int64) {
+// resetServiceHistory begins the services' history at a version.
+func (s *State) resetServiceHistory(seq int64) {
 	s.ServiceHistory = &ServiceHistory{MinRevision: seq}
-	for name, svc := range s.services {
-		clear(svc.moved)
-		s.dropIfEmpty(name)
+	for name, svc := range s.serviceIndexes {
+		clear(svc.departed)
+		s.dropIndexIfEmpty(name)
 	}
 }
 
-// checkScopes reports the first thing in a snapshot's part on services that can't be.
-func (s *State) checkScopes() error {
+// checkServiceHistory reports the first thing in a snapshot's part on services that can't be.
+func (s *State) checkServiceHistory() error {
 	if len(s.ServiceHistory.Departures) > MaxDepartures || len(s.ServiceHistory.MinRevisions) > MaxServiceMinRevisions || s.ServiceHistory.MinRevision > s.Seq {
 		return fmt.Errorf("scopes: beyond their bounds")
 	}
@@ -201,34 +201,34 @@
 	return nil
 }
 
-// rebuildIndex derives from a state that was read what is not encoded with it.
-func (s *State) rebuildIndex() {
-	s.services, s.listed, s.held = map[string]*service{}, 0, 0
+// rebuildIndexes derives from a state that was read what is not encoded with it.
+func (s *State) rebuildIndexes() {
+	s.serviceIndexes, s.listedCount, s.quarantinedCount = map[string]*serviceIndex{}, 0, 0
 	for name, e := range s.Entries {
-		svc := s.service(e.Endpoint.Service)
+		svc := s.serviceIndexFor(e.Endpoint.Service)
 		svc.entries[name] = e
-		svc.changes = append(svc.changes, change{e.Version, name})
-		s.count(svc, e)
+		svc.changes = append(svc.changes, entryChange{e.Version, name})
+		s.countListed(svc, e)
 		if e.Quarantined {
-			s.held++
+			s.quarantinedCount++
 		}
 	}
 	for _, m := range s.ServiceHistory.Departures {
-		svc := s.service(m.Service)
+		svc := s.serviceIndexFor(m.Service)
 		if svc.entries[m.Name] == nil {
-			svc.moved[m.Name] = m.Seq
-			svc.changes = append(svc.changes, change{m.Seq, m.Name})
+			svc.departed[m.Name] = m.Seq
+			svc.changes = append(svc.changes, entryChange{m.Seq, m.Name})
 		}
 	}
-	for name, svc := range s.services {
+	for name, svc := range s.serviceIndexes {
 		sort.Slice(svc.changes, func(i, j int) bool {
 			a, b := svc.changes[i], svc.changes[j]
 			return a.Seq < b.Seq || a.Seq == b.Seq && a.Name < b.Name
 		})
 		if last := len(svc.changes) - 1; last >= 0 {
-			svc.changed = svc.changes[last].Seq
+			svc.lastRevision = svc.changes[last].Seq
 		}
-		s.dropIfEmpty(name)
+		s.dropIndexIfEmpty(name)
 	}
 }
 
@@ -269,11 +269,11 @@
 
 // ServiceEndpoints is the listed servers of a service, by name.
 func (s *State) ServiceEndpoints(name string) []endpoints.Endpoint {
-	svc := s.services[name]
+	svc := s.serviceIndexes[name]
 	if svc == nil {
 		return nil
 	}
-	hosts := make([]endpoints.Endpoint, 0, svc.listed)
+	hosts := make([]endpoints.Endpoint, 0, svc.listedCount)
 	for _, e := range svc.entries {
 		if e.isListed() {
 			hosts = append(hosts, e.ListedWithService())
@@ -286,7 +286,7 @@
 // ServiceChanges is the servers of a service that changed after a version, each once; those
 // that ended or went to another service are gone.
 func (s *State) ServiceChanges(name string, since int64) (hosts []endpoints.Endpoint) {
-	svc := s.services[name]
+	svc := s.serviceIndexes[name]
 	if svc == nil {
 		return nil
 	}
@@ -306,36 +306,36 @@
 
 // ServiceSize is how many servers of a service are listed.
 func (s *State) ServiceSize(name string) int {
-	if svc := s.services[name]; svc != nil {
-		return svc.listed
+	if svc := s.serviceIndexes[name]; svc != nil {
+		return svc.listedCount
 	}
 	return 0
 }
 
 // ServiceVersion is the version of a service's last change; 0: it has no entries.
 func (s *State) ServiceVersion(name string) int64 {
-	if svc := s.services[name]; svc != nil {
-		return svc.changed
+	if svc := s.serviceIndexes[name]; svc != nil {
+		return svc.lastRevision
 	}
 	return 0
 }
 
 // ServiceSizes is the number of listed servers of each service.
 func (s *State) ServiceSizes() map[string]int {
-	sizes := make(map[string]int, len(s.services))
-	for name, svc := range s.services {
-		sizes[name] = svc.listed
+	sizes := make(map[string]int, len(s.serviceIndexes))
+	for name, svc := range s.serviceIndexes {
+		sizes[name] = svc.listedCount
 	}
 	return sizes
 }
 
 // ListedCount is how many servers are listed.
-func (s *State) ListedCount() int { return s.listed }
+func (s *State) ListedCount() int { return s.listedCount }
 
 // ChangedServices is the services that changed after a version, in order; not ok where that
 // is not known, so that any may have. It costs by the changes.
 func (s *State) ChangedServices(since int64) (names []string, ok bool) {
-	if since > s.Seq || since < s.oldest() || since < s.ServiceHistory.MinRevision {
+	if since > s.Seq || since < s.oldestRevision() || since < s.ServiceHistory.MinRevision {
 		return nil, false
 	}
 	changed := map[string]bool{}
--- a/internal/catalog/services_test.go
+++ b/internal/catalog/services_test.go
@@ -15,21 +15,21 @@
 	"knotrouter/internal/endpoints"
 )
 
-func hostOf(name string, born float64, service string) *endpoints.Endpoint {
-	h := host(name, born)
+func endpointOf(name string, born float64, service string) *endpoints.Endpoint {
+	h := endpoint(name, born)
 	h.Service = service
 	return h
 }
 
-// scopedReader applies lists of services in the contract's way.
-type scopedReader struct {
+// serviceReader applies lists of services in the contract's way.
+type serviceReader struct {
 	services []string
 	seq      int64
 	hosts    map[string]endpoints.Endpoint
 }
 
 // apply takes a list, and reports what a reader must never be sent.
-func (r *scopedReader) apply(l endpoints.List) error {
+func (r *serviceReader) apply(l endpoints.List) error {
 	if l.Seq < r.seq {
 		return fmt.Errorf("version %d after %d", l.Seq, r.seq)
 	}
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// wanted is the entries of services, counted from the entries alone.
-func wanted(s *State, services []string) map[string]endpoints.Endpoint {
+// wantedEndpoints is the entries of services, counted from the entries alone.
+func wantedEndpoints(s *State, services []string) map[string]endpoints.Endpoint {
 	want := map[string]endpoints.Endpoint{}
 	for name, e := range s.Entries {
 		if h := e.Listed(); h.Health != endpoints.Removed && slices.Contains(services, e.Endpoint.Service) {
@@ -77,8 +77,8 @@
 			held++
 		}
 	}
-	if listed != s.ListedCount() || held != s.held || (s.QuarantinedSince != 0) != (held > 0) {
-		return fmt.Errorf("%d listed and %d held, counted as %d and %d, held since %v", listed, held, s.ListedCount(), s.held, s.QuarantinedSince)
+	if listed != s.ListedCount() || held != s.quarantinedCount || (s.QuarantinedSince != 0) != (held > 0) {
+		return fmt.Errorf("%d listed and %d held, counted as %d and %d, held since %v", listed, held, s.ListedCount(), s.quarantinedCount, s.QuarantinedSince)
 	}
 	for name, size := range s.ServiceSizes() {
 		if size != sizes[name] {
@@ -95,14 +95,14 @@
 // Whatever the log holds, and whenever a snapshot takes the state's place: readers of
 // services that apply their lines have exactly their services' entries at every version they
 // read at, and no version goes back.
-func TestScopedReaders(t *testing.T) {
+func TestServiceReaders(t *testing.T) {
 	services := []string{"", "a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		readers := []*scopedReader{{services: []string{"a"}}, {services: []string{"a", "b"}}, {services: []string{""}},
+		readers := []*serviceReader{{services: []string{"a"}}, {services: []string{"a", "b"}}, {services: []string{""}},
 			{services: services}, {services: []string{"none"}}}
 		for i := range rapid.IntRange(1, 80).Draw(t, "commands") {
-			c := draw(t, time.Duration(i)*time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms"))*time.Millisecond)
+			c := drawCommand(t, time.Duration(i)*time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms"))*time.Millisecond)
 			if c.Endpoint != nil {
 				c.Endpoint.Service = rapid.SampledFrom(services).Draw(t, "service")
 			}
@@ -116,8 +116,8 @@
 			}
 			changed, known := s.ChangedServices(before)
 			if rapid.IntRange(0, 15).Draw(t, "forgets") == 0 {
-				s.Clock += keepGone + 1
-				s.forget()
+				s.Clock += removedEntryRetention + 1
+				s.pruneRemovedEntries()
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
 				text, err := s.Encode()
@@ -137,7 +137,7 @@
 			}
 			for _, r := range readers {
 				touched := slices.ContainsFunc(r.services, func(name string) bool { return slices.Contains(changed, name) })
-				if known && !touched && r.seq >= before && !reflect.DeepEqual(wanted(s, r.services), r.hosts) && r.hosts != nil {
+				if known && !touched && r.seq >= before && !reflect.DeepEqual(wantedEndpoints(s, r.services), r.hosts) && r.hosts != nil {
 					t.Fatalf("%s changed %q, and not what a reader of %q has", c.Kind, changed, r.services)
 				}
 				if rapid.IntRange(0, 2).Draw(t, "reads") > 0 {
@@ -146,7 +146,7 @@
 				if err := r.apply(s.ListServices(r.services, r.seq, r.hosts == nil)); err != nil {
 					t.Fatal(err)
 				}
-				if want := wanted(s, r.services); !reflect.DeepEqual(r.hosts, want) {
+				if want := wantedEndpoints(s, r.services); !reflect.DeepEqual(r.hosts, want) {
 					t.Fatalf("at version %d a reader of %q has %v, the entries are %v", s.Seq, r.services, r.hosts, want)
 				}
 			}
@@ -155,11 +155,11 @@
 }
 
 // Readers that name no services get the same bytes whatever services the servers name.
-func TestUnscopedBytes(t *testing.T) {
+func TestReadersWithoutServicesGetSameBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain, named := New(), New()
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
-			c := draw(t, time.Duration(rapid.IntRange(0, 100_000).Draw(t, "ms"))*time.Millisecond)
+			c := drawCommand(t, time.Duration(rapid.IntRange(0, 100_000).Draw(t, "ms"))*time.Millisecond)
 			with := c
 			if c.Endpoint != nil { // a name stays with its service
 				h := *c.Endpoint
@@ -183,14 +183,14 @@
 }
 
 // The churn of one service costs no reader of another its place, however long it lasts.
-func TestChurnElsewhere(t *testing.T) {
+func TestChurnOfOtherServices(t *testing.T) {
 	s := New()
-	do(s, 0, Command{Kind: Register, Endpoint: hostOf("quiet", 1, "small")})
+	apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("quiet", 1, "small")})
 	since := s.Seq
 	share := 0.5
-	do(s, 0, Command{Kind: Register, Endpoint: hostOf("busy", 1, "large")})
+	apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("busy", 1, "large")})
 	for range 2 * MaxHistory {
-		do(s, 0, Command{Kind: SetOverride, Name: "busy", Weight: &share})
+		apply(s, 0, Command{Kind: SetOverride, Name: "busy", Weight: &share})
 	}
 	if l := s.ListServices([]string{"small"}, since, false); l.Full || len(l.Endpoints) != 0 || l.Seq != s.Seq {
 		t.Errorf("a reader that nothing concerned is sent %+v", l)
@@ -198,29 +198,29 @@
 	if l := s.ListServices([]string{"large"}, since, false); l.Full || len(l.Endpoints) != 1 {
 		t.Errorf("a reader far behind is sent %d entries, whole %v", len(l.Endpoints), l.Full)
 	}
-	if kept := len(s.services["large"].changes); kept > 128 {
+	if kept := len(s.serviceIndexes["large"].changes); kept > 128 {
 		t.Errorf("%d changes kept of one server", kept)
 	}
 }
 
 // The servers that left a service are remembered up to a bound, and readers from before
 // those that were dropped get the whole list.
-func TestMovesAreBounded(t *testing.T) {
+func TestDeparturesAreBounded(t *testing.T) {
 	s := New()
 	const names = 100
 	for i := range names {
-		do(s, 0, Command{Kind: Register, Endpoint: hostOf(fmt.Sprint("s-", i), 1, "from")})
+		apply(s, 0, Command{Kind: Register, Endpoint: endpointOf(fmt.Sprint("s-", i), 1, "from")})
 	}
-	do(s, 0, Command{Kind: Register, Endpoint: hostOf("stays", 1, "from")})
+	apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("stays", 1, "from")})
 	since := s.Seq
 	for i := range names {
-		do(s, 0, Command{Kind: Register, Endpoint: hostOf(fmt.Sprint("s-", i), 1, "to")})
+		apply(s, 0, Command{Kind: Register, Endpoint: endpointOf(fmt.Sprint("s-", i), 1, "to")})
 	}
 	if l := s.ListServices([]string{"from"}, since, false); l.Full || len(l.Endpoints) != names {
 		t.Fatalf("%d entries, whole %v, want %d that are gone", len(l.Endpoints), l.Full, names)
 	}
 	for i := range MaxDepartures {
-		do(s, 0, Command{Kind: Register, Endpoint: hostOf("s-0", 1, fmt.Sprint("other-", i%2))})
+		apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("s-0", 1, fmt.Sprint("other-", i%2))})
 	}
 	if len(s.ServiceHistory.Departures) != MaxDepartures {
 		t.Errorf("%d moves kept", len(s.ServiceHistory.Departures))
@@ -232,23 +232,23 @@
 		t.Error("readers of other services pay for what was dropped")
 	}
 	for i := range MaxServiceMinRevisions + 1 {
-		s.raiseFloor(fmt.Sprint("service-", i), s.Seq)
+		s.raiseMinRevision(fmt.Sprint("service-", i), s.Seq)
 	}
-	s.boundFloors()
+	s.limitMinRevisions()
 	if len(s.ServiceHistory.MinRevisions) != 0 || s.ServiceHistory.MinRevision != s.Seq {
 		t.Errorf("%d floors, the common one at %d of %d", len(s.ServiceHistory.MinRevisions), s.ServiceHistory.MinRevision, s.Seq)
 	}
 }
 
 // A reader is sent changes only as long as they are not much more than the whole list.
-func TestLongChangesAreWhole(t *testing.T) {
+func TestLongChangesBecomeFullLists(t *testing.T) {
 	s := New()
-	do(s, 0, Command{Kind: Register, Endpoint: hostOf("stays", 1, "a")})
+	apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("stays", 1, "a")})
 	since := s.Seq
 	for i := range 2 * MaxServiceChanges {
 		name := fmt.Sprint("s-", i)
-		do(s, 0, Command{Kind: Register, Endpoint: hostOf(name, 1, "a")})
-		do(s, 0, Command{Kind: Deregister, Refs: refs(name, 1)})
+		apply(s, 0, Command{Kind: Register, Endpoint: endpointOf(name, 1, "a")})
+		apply(s, 0, Command{Kind: Deregister, Refs: refs(name, 1)})
 	}
 	if l := s.ListServices([]string{"a"}, since, false); !l.Full || len(l.Endpoints) != 1 {
 		t.Errorf("%d entries, whole %v", len(l.Endpoints), l.Full)
@@ -257,13 +257,13 @@
 
 // A reader from before a raised version may have its own from another life of the service,
 // so it gets the whole list, whatever changed.
-func TestRaisedVersionIsWhole(t *testing.T) {
+func TestRaisedRevisionGivesFullList(t *testing.T) {
 	s := New()
-	do(s, 0, Command{Kind: Register, Endpoint: hostOf("s", 1, "a")})
-	do(s, 0, Command{Kind: Register, Endpoint: hostOf("moves", 1, "a")})
-	do(s, 0, Command{Kind: Register, Endpoint: hostOf("moves", 1, "b")})
+	apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("s", 1, "a")})
+	apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("moves", 1, "a")})
+	apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("moves", 1, "b")})
 	since := s.Seq
-	do(s, 0, Command{Kind: RaiseRevision, Seq: 1000})
+	apply(s, 0, Command{Kind: RaiseRevision, Seq: 1000})
 	for _, from := range []int64{since, 999} {
 		if l := s.ListServices([]string{"a"}, from, false); !l.Full || len(l.Endpoints) != 1 || l.Seq != 1000 {
 			t.Errorf("a reader at version %d: %+v", from, l)
@@ -299,17 +299,17 @@
 	if l := s.List(106, false); l.Full || len(l.Endpoints) != 1 {
 		t.Errorf("readers of no service: %+v", l)
 	}
-	do(s, s.Clock, Command{Kind: Register, Endpoint: hostOf("s", 10, "a")})
+	apply(s, s.Clock, Command{Kind: Register, Endpoint: endpointOf("s", 10, "a")})
 	if l := s.ListServices([]string{"", "a"}, 107, false); l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("after it: %+v", l)
 	}
-	if r := s.Apply(&Command{FormatVersion: FormatVersion, Kind: Register, Endpoint: host("old", 1)}); r.Code != Done || s.Entries["old"].Endpoint.Service != "" {
+	if r := s.Apply(&Command{FormatVersion: FormatVersion, Kind: Register, Endpoint: endpoint("old", 1)}); r.Code != Done || s.Entries["old"].Endpoint.Service != "" {
 		t.Errorf("a command from before there were services: %+v", r)
 	}
 }
 
 // Snapshots whose part on services can't be are refused.
-func TestBadScopes(t *testing.T) {
+func TestInvalidServiceHistoryIsRejected(t *testing.T) {
 	for _, scopes := range []string{`{"floor":8}`, `{"floors":{"a":8}}`, `{"floors":{"a b":1}}`, `{"moved":[{"seq":8,"name":"s"}]}`,
 		`{"moved":[{"seq":3,"name":"s"},{"seq":2,"name":"s"}]}`, `{"moved":[{"seq":3,"name":""}]}`, `{"moved":[{"seq":3,"name":"s","service":"/"}]}`} {
 		if _, err := Decode([]byte(`{"form":1,"seq":7,"entries":{},"scopes":` + scopes + `}`)); err == nil || !strings.Contains(err.Error(), "scopes: ") {
@@ -323,14 +323,14 @@
 	s := New()
 	for service, size := range sizes {
 		for i := range size {
-			do(s, 0, Command{Kind: Register, Endpoint: hostOf(fmt.Sprintf("%s-%d", service, i), 1, service)})
+			apply(s, 0, Command{Kind: Register, Endpoint: endpointOf(fmt.Sprintf("%s-%d", service, i), 1, service)})
 		}
 	}
 	return s, NewRegistrationLeases(LeaseConfig{TTL: 6 * time.Second, MassFailureShare: 0.4, MassFailureWindow: 10 * time.Second}, s, 0)
 }
 
-// play renews all servers but the silent ones, every 2 s.
-func play(s *State, l *RegistrationLeases, from, to time.Duration, silent func(name string) bool) {
+// runLeases renews all servers but the silent ones, every 2 s.
+func runLeases(s *State, l *RegistrationLeases, from, to time.Duration, silent func(name string) bool) {
 	for now := from; now < to; now += 500 * time.Millisecond {
 		if now%(2*time.Second) == 0 {
 			for name, e := range s.Entries {
@@ -339,18 +339,18 @@
 				}
 			}
 		}
-		obey(s, now, l.Decide(s, now, ExpireByLeaseOnly))
+		applyDecision(s, now, l.Decide(s, now, ExpireByLeaseOnly))
 	}
 }
 
 // Of a service that falls silent nearly whole while all others stand its servers are held;
 // single servers of other services and services of one server end as before.
-func TestGuardByService(t *testing.T) {
+func TestQuarantineByService(t *testing.T) {
 	s, l := serviceFleet(map[string]int{"a": 20, "b": 60, "c": 4, "one": 1})
 	silent := func(name string) bool {
 		return strings.HasPrefix(name, "a-") && name != "a-0" || name == "b-1" || strings.HasPrefix(name, "c-") || name == "one-0"
 	}
-	play(s, l, 0, 30*time.Second, silent)
+	runLeases(s, l, 0, 30*time.Second, silent)
 	if got := s.ServiceSizes(); got["a"] != 20 || got["b"] != 59 || got["c"] != 0 || got["one"] != 0 {
 		t.Fatalf("listed by service: %v", got)
 	}
@@ -358,7 +358,7 @@
 		t.Errorf("held since %v: %+v", s.QuarantinedSince, s.Entries["a-1"])
 	}
 	// While the service is held, the rest of the fleet goes on.
-	play(s, l, 30*time.Second, 60*time.Second, func(name string) bool { return silent(name) || name == "b-2" })
+	runLeases(s, l, 30*time.Second, 60*time.Second, func(name string) bool { return silent(name) || name == "b-2" })
 	if got := s.ServiceSizes(); got["a"] != 20 || got["b"] != 58 {
 		t.Errorf("while one service is held, listed by service: %v", got)
 	}
@@ -367,23 +367,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	do(confirmed, s.Clock, Command{Kind: ConfirmRemoval})
+	apply(confirmed, s.Clock, Command{Kind: ConfirmRemoval})
 	if got := confirmed.ServiceSizes(); got["a"] != 1 || confirmed.QuarantinedSince != 0 {
 		t.Errorf("confirmed: %v", got)
 	}
-	play(s, l, 60*time.Second, 64*time.Second, func(name string) bool { return strings.HasPrefix(name, "b-1") && name == "b-1" })
+	runLeases(s, l, 60*time.Second, 64*time.Second, func(name string) bool { return strings.HasPrefix(name, "b-1") && name == "b-1" })
 	if got := s.ServiceSizes(); got["a"] != 20 || s.QuarantinedSince != 0 || s.Entries["a-1"].QuarantinedByService {
 		t.Errorf("heard again: %v, held since %v", got, s.QuarantinedSince)
 	}
 }
 
 // A service loses its share at most within a window, however slowly its servers fail.
-func TestGuardByServiceWithinWindow(t *testing.T) {
+func TestQuarantineByServiceWithinWindow(t *testing.T) {
 	s, l := serviceFleet(map[string]int{"a": 10, "b": 90})
 	failed := 0
 	for at := time.Duration(0); at < 16*time.Second; at += 2 * time.Second { // one more fails every 2 s
 		failed++
-		play(s, l, at, at+2*time.Second, func(name string) bool {
+		runLeases(s, l, at, at+2*time.Second, func(name string) bool {
 			for i := range failed {
 				if name == fmt.Sprint("a-", i) {
 					return true
@@ -399,7 +399,7 @@
 
 // Whatever is registered, renewed, damped and held, a decision that skips what can't be due
 // is the one that looks at each server.
-func TestQuietDecisions(t *testing.T) {
+func TestSkippedDecisionsFindNothing(t *testing.T) {
 	quiet := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
@@ -410,7 +410,7 @@
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
-				cmd := draw(t, now)
+				cmd := drawCommand(t, now)
 				s.Apply(&cmd)
 			case 1, 2, 3:
 				ref := InstanceRef{fmt.Sprint("s-", rapid.IntRange(0, 5).Draw(t, "name")), float64(rapid.IntRange(0, 4).Draw(t, "born"))}
@@ -418,10 +418,10 @@
 					t.Fatalf("renewal: %q, %q", a, b)
 				}
 			}
-			if skips.isQuiet(s, now) {
+			if skips.nothingDue(s, now) {
 				quiet++
 			}
-			looks.scanned = nil
+			looks.scannedState = nil
 			if got, want := skips.Suspected(s, now), looks.Suspected(s, now); len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
 				t.Fatalf("at %v in doubt are %v, and of all %v", now, got, want)
 			}
@@ -429,7 +429,7 @@
 			if !reflect.DeepEqual(got, want) || skips.Retained != looks.Retained || skips.Undecided != looks.Undecided {
 				t.Fatalf("at %v decided is %+v, and of all %+v", now, got, want)
 			}
-			obey(s, now, got)
+			applyDecision(s, now, got)
 		}
 	})
 	if quiet == 0 {
@@ -443,7 +443,7 @@
 				l.Renew(s, InstanceRef{name, 1}, now)
 			}
 		}
-		if !l.isQuiet(s, now) {
+		if !l.nothingDue(s, now) {
 			looked++
 		}
 		if d := l.Decide(s, now, ExpireByLeaseOnly); !d.Empty() {
@@ -455,8 +455,8 @@
 	}
 }
 
-// ahead is the fleet of the target: 39,000 servers in 1,900 services, the first of 5,000.
-func ahead(tb testing.TB) (*State, *RegistrationLeases) {
+// largestFleet is the fleet of the target: 39,000 servers in 1,900 services, the first of 5,000.
+func largestFleet(tb testing.TB) (*State, *RegistrationLeases) {
 	tb.Helper()
 	s := New()
 	for i := range 39_000 {
@@ -464,7 +464,7 @@
 		if i >= 5000 {
 			service = fmt.Sprint("service-", 1+i%1899)
 		}
-		if r := do(s, 0, Command{Kind: Register, Endpoint: hostOf(fmt.Sprintf("server-%05d", i), 1, service)}); r.Code != Done {
+		if r := apply(s, 0, Command{Kind: Register, Endpoint: endpointOf(fmt.Sprintf("server-%05d", i), 1, service)}); r.Code != Done {
 			tb.Fatalf("server %d: %+v", i, r)
 		}
 	}
@@ -473,15 +473,15 @@
 
 // The target's fleet fits, with the names of a whole region replaced at once, and its
 // snapshot is read again.
-func TestFleetAheadFits(t *testing.T) {
-	s, _ := ahead(t)
+func TestLargestFleetFits(t *testing.T) {
+	s, _ := largestFleet(t)
 	const region = 6500
 	for i := range region {
-		do(s, time.Second, Command{Kind: Deregister, Refs: refs(fmt.Sprintf("server-%05d", i), 1)})
+		apply(s, time.Second, Command{Kind: Deregister, Refs: refs(fmt.Sprintf("server-%05d", i), 1)})
 	}
 	since := s.Seq
 	for i := range region {
-		if r := do(s, time.Second, Command{Kind: Register, Endpoint: hostOf(fmt.Sprint("next-", i), 2, "service-0")}); r.Code != Done {
+		if r := apply(s, time.Second, Command{Kind: Register, Endpoint: endpointOf(fmt.Sprint("next-", i), 2, "service-0")}); r.Code != Done {
 			t.Fatalf("replacement %d: %+v", i, r)
 		}
 	}
@@ -502,9 +502,9 @@
 	t.Logf("snapshot of %d bytes", len(text))
 }
 
-// BenchmarkAhead is what single steps cost with the target's fleet.
-func BenchmarkAhead(b *testing.B) {
-	s, l := ahead(b)
+// BenchmarkLargestFleet is what single steps cost with the target's fleet.
+func BenchmarkLargestFleet(b *testing.B) {
+	s, l := largestFleet(b)
 	twenty := make([]string, 20)
 	for i := range twenty {
 		twenty[i] = fmt.Sprint("service-", i+1)
@@ -517,22 +517,22 @@
 		{"WholeOf20Services", func() { s.ListServices(twenty, 0, true) }},
 		{"ChangeOf20Services", func() { s.ListServices(twenty, s.Seq-10, false) }},
 		{"ChangedServices", func() { s.ChangedServices(s.Seq - 10) }},
-		{"Decide", func() { l.scanned = nil; l.Decide(s, time.Second, ExpireByLeaseOnly) }},
+		{"Decide", func() { l.scannedState = nil; l.Decide(s, time.Second, ExpireByLeaseOnly) }},
 		{"DecideQuiet", func() { l.Decide(s, time.Second, ExpireByLeaseOnly) }},
-		{"Doubtful", func() { l.scanned = nil; l.Suspected(s, time.Second) }},
+		{"Doubtful", func() { l.scannedState = nil; l.Suspected(s, time.Second) }},
 		{"Names", func() { s.EntryNames() }},
 		{"Encode", func() { _, _ = s.Encode() }},
 		{"RegisterAgain", func() {
 			h := s.Entries["server-00007"].Endpoint
 			h.StartedMs++
 			s.Clock += time.Hour
-			do(s, s.Clock, Command{Kind: Register, Endpoint: &h})
+			apply(s, s.Clock, Command{Kind: Register, Endpoint: &h})
 		}},
 		{"SetWhileHeld", func() {
 			if s.QuarantinedSince == 0 {
-				do(s, s.Clock, Command{Kind: Quarantine, Refs: refs("server-00001", 1)})
+				apply(s, s.Clock, Command{Kind: Quarantine, Refs: refs("server-00001", 1)})
 			}
-			do(s, s.Clock, Command{Kind: Recover, Refs: refs("server-00002", 1)})
+			apply(s, s.Clock, Command{Kind: Recover, Refs: refs("server-00002", 1)})
 		}},
 	}
 	for _, st := range steps {
--- a/internal/catalog/tenure.go
+++ b/internal/catalog/tenure.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	// sessionTTL is how long a session without a duty is kept though it is not heard, and
+	// idleSessionTimeout is how long a session without a duty is kept though it is not heard, and
 	// lively how long it is given any: idle ones renew twice a second.
-	sessionTTL = 3 * time.Second
-	lively     = time.Second
-	// mostTies bounds the duties of one decision: a command in the log stays small, and the
+	idleSessionTimeout = 3 * time.Second
+	maxGrantSilence    = time.Second
+	// maxTermsPerCommand bounds the duties of one decision: a command in the log stays small, and the
 	// death of a holder of a thousand is worked off a part at a time.
-	mostTies = 256
-	// moveWait is how long one that is to have a duty may take to be ready.
-	moveWait = 2 * time.Second
-	// restMoves and evenMoves bound the moves under way: those of processes that rest, and
+	maxTermsPerCommand = 256
+	// acceptTimeout is how long one that is to have a duty may take to be ready.
+	acceptTimeout = 2 * time.Second
+	// maxDrainTransfers and maxRebalanceTransfers bound the moves under way: those of processes that rest, and
 	// those that only even out.
-	restMoves, evenMoves = 128, 8
-	// killSoon is how soon after its grant a duty ends a process, if it does.
-	killSoon = 2 * time.Second
-	// settled is how long a term has to last before it is moved to even out.
-	settled = 10 * time.Second
+	maxDrainTransfers, maxRebalanceTransfers = 128, 8
+	// deathAttributionWindow is how soon after its grant a duty ends a process, if it does.
+	deathAttributionWindow = 2 * time.Second
+	// minTermBeforeRebalance is how long a term has to last before it is moved to even out.
+	minTermBeforeRebalance = 10 * time.Second
 )
 
 // TaskLeases is what the leader alone knows of sessions: when each was heard last. Like
 // Leases it goes through no log, and a new leader gives each its full time again, so that
 // what another leader promised a holder is over before anybody else is granted its duty.
 type TaskLeases struct {
-	heard map[string]time.Duration // by session's id
-	began time.Duration
-	// What was decided to be over and may not be so in the state yet: until it is, no
+	lastHeard   map[string]time.Duration // by session's id
+	leaderSince time.Duration
+	// What was decided to be expiringTerms and may not be so in the state yet: until it is, no
 	// renewal may promise its holder any more.
-	over    map[string]int64 // duties, by name, and the fence
-	closing map[string]bool  // sessions, by id
-	// missed is when a session that held something lapsed: it is dead until it is heard.
-	missed map[string]time.Duration
+	expiringTerms   map[string]int64 // duties, by name, and the fence
+	closingSessions map[string]bool  // sessions, by id
+	// expiredAt is when a session that held something lapsed: it is dead until it is heard.
+	expiredAt map[string]time.Duration
 	// Absent is told from outside: processes that the view doesn't have as present. They are
 	// given something only where nobody else can do it.
 	Absent map[string]bool
@@ -44,7 +44,7 @@
 
 // NewTaskLeases begins a leader's time.
 func NewTaskLeases(now time.Duration) *TaskLeases {
-	return &TaskLeases{heard: map[string]time.Duration{}, began: now, over: map[string]int64{}, closing: map[string]bool{}, missed: map[string]time.Duration{}}
+	return &TaskLeases{lastHeard: map[string]time.Duration{}, leaderSince: now, expiringTerms: map[string]int64{}, closingSessions: map[string]bool{}, expiredAt: map[string]time.Duration{}}
 }
 
 // Renew notes that a session's process was heard. It is refused where there is no such, and
@@ -56,31 +56,31 @@
 		return Unknown
 	case o.ID != id:
 		return Taken
-	case t.closing[id]:
+	case t.closingSessions[id]:
 		return Conflict
 	}
-	for name, fence := range t.over {
+	for name, fence := range t.expiringTerms {
 		switch d := s.LeasedTasks[name]; {
 		case d == nil || d.Holder == "" || d.Fence != fence:
-			delete(t.over, name)
+			delete(t.expiringTerms, name)
 		case d.Holder == process:
 			return Conflict
 		}
 	}
-	t.heard[id] = max(t.heard[id], now)
+	t.lastHeard[id] = max(t.lastHeard[id], now)
 	return Done
 }
 
-// last is when a session was heard last, as far as this leader can tell.
-func (t *TaskLeases) last(o *Session) time.Duration {
-	return max(t.heard[o.ID], t.began, o.Opened)
+// lastSeen is when a session was heard lastSeen, as far as this leader can tell.
+func (t *TaskLeases) lastSeen(o *Session) time.Duration {
+	return max(t.lastHeard[o.ID], t.leaderSince, o.Opened)
 }
 
-// able tells whether a session can be given something: not one that rests, or has fallen
+// canTakeTasks tells whether a session can be given something: not one that rests, or has fallen
 // silent of late.
-func (t *TaskLeases) able(o *Session, now time.Duration) bool {
-	at, missed := t.missed[o.ID]
-	return !o.Draining && now < t.last(o)+lively && (!missed || t.heard[o.ID] > at)
+func (t *TaskLeases) canTakeTasks(o *Session, now time.Duration) bool {
+	at, missed := t.expiredAt[o.ID]
+	return !o.Draining && now < t.lastSeen(o)+maxGrantSilence && (!missed || t.lastHeard[o.ID] > at)
 }
 
 // Decide tells what has to be proposed now about duties: in the order of the commands.
@@ -101,7 +101,7 @@
 		d := s.LeasedTasks[name]
 		if d.Successor != "" {
 			load[d.Successor]++
-			if moving++; now-d.SuccessorSince > moveWait && !d.SuccessorReady {
+			if moving++; now-d.SuccessorSince > acceptTimeout && !d.SuccessorReady {
 				unmove = append(unmove, TermRef{Name: name})
 			}
 		}
@@ -112,14 +112,14 @@
 		o := s.Sessions[d.Holder]
 		// A holder counts its time from a renewal that it sent, so never from later than that;
 		// one that has just been granted something may not have been heard for a while.
-		if o == nil || o.ID != d.Session || now >= max(t.last(o), d.HolderSince)+d.TTL {
-			t.missed[d.Session] = now
-			if len(lapsed) < mostTies {
+		if o == nil || o.ID != d.Session || now >= max(t.lastSeen(o), d.HolderSince)+d.TTL {
+			t.expiredAt[d.Session] = now
+			if len(lapsed) < maxTermsPerCommand {
 				if i, some := latest[d.Session]; !some || lapsed[i].Fence < d.Fence {
 					latest[d.Session] = len(lapsed)
 				}
 				lapsed = append(lapsed, TermRef{Name: name, Fence: d.Fence})
-				t.over[name] = d.Fence
+				t.expiringTerms[name] = d.Fence
 			}
 			continue
 		}
@@ -130,26 +130,26 @@
 	for _, i := range latest { // if it died of one of them, then of that, and soon
 		d := s.LeasedTasks[lapsed[i].Name]
 		o := s.Sessions[d.Holder]
-		lapsed[i].CountDeath = o == nil || o.ID != d.Session || t.last(o) < d.HolderSince+killSoon
+		lapsed[i].CountDeath = o == nil || o.ID != d.Session || t.lastSeen(o) < d.HolderSince+deathAttributionWindow
 	}
 	ties(ExpireTerm, lapsed)
 	ties(TransferTask, unmove)
-	for id := range t.heard {
+	for id := range t.lastHeard {
 		if !slices.ContainsFunc(s.ProcessNames(), func(p string) bool { return s.Sessions[p].ID == id }) {
-			delete(t.heard, id)
-			delete(t.closing, id)
-			delete(t.missed, id)
+			delete(t.lastHeard, id)
+			delete(t.closingSessions, id)
+			delete(t.expiredAt, id)
 		}
 	}
 	var able []*Session
 	for _, process := range s.ProcessNames() {
 		o := s.Sessions[process]
-		gone := now >= t.last(o)+sessionTTL
+		gone := now >= t.lastSeen(o)+idleSessionTimeout
 		switch {
 		case gone && !held[o.ID]:
-			t.closing[o.ID] = true
+			t.closingSessions[o.ID] = true
 			out = append(out, Command{Kind: CloseSession, Session: &Session{Process: o.Process, ID: o.ID}, Reason: ReasonExpired})
-		case !gone && t.able(o, now):
+		case !gone && t.canTakeTasks(o, now):
 			able = append(able, o)
 		}
 	}
@@ -159,10 +159,10 @@
 	var grants []TermRef
 	for _, name := range names {
 		d := s.LeasedTasks[name]
-		if d.Holder != "" || d.SuspendReason != "" || now < d.NotBefore || len(grants) == mostTies {
+		if d.Holder != "" || d.SuspendReason != "" || now < d.NotBefore || len(grants) == maxTermsPerCommand {
 			continue
 		}
-		if o := t.best(able, load, d, ""); o != nil {
+		if o := t.bestSession(able, load, d, ""); o != nil {
 			load[o.Process]++
 			grants = append(grants, TermRef{Name: name, Process: o.Process, Session: o.ID})
 		}
@@ -175,18 +175,18 @@
 	for _, name := range names {
 		d := s.LeasedTasks[name]
 		o := s.Sessions[d.Holder]
-		if d.Holder == "" || d.Successor != "" || d.StopRequested || d.SuspendReason != "" || o == nil || !o.Draining || moving+resting >= restMoves {
+		if d.Holder == "" || d.Successor != "" || d.StopRequested || d.SuspendReason != "" || o == nil || !o.Draining || moving+resting >= maxDrainTransfers {
 			continue
 		}
-		if to := t.best(able, load, d, d.Holder); to != nil {
+		if to := t.bestSession(able, load, d, d.Holder); to != nil {
 			load[to.Process]++
 			resting++
 			moves = append(moves, TermRef{Name: name, Process: to.Process})
 		}
 	}
-	if len(moves) == 0 && moving < evenMoves {
+	if len(moves) == 0 && moving < maxRebalanceTransfers {
 		able = slices.DeleteFunc(able, func(o *Session) bool { return t.Absent[o.Process] })
-		moves = even(s, able, load, names, now, evenMoves-moving)
+		moves = rebalance(s, able, load, names, now, maxRebalanceTransfers-moving)
 	}
 	ties(TransferTask, moves)
 	return out
@@ -214,19 +214,19 @@
 	}
 	var able []*Session
 	for _, process := range s.ProcessNames() {
-		if o := s.Sessions[process]; t.able(o, now) {
+		if o := s.Sessions[process]; t.canTakeTasks(o, now) {
 			able = append(able, o)
 		}
 	}
-	if o := t.best(able, load, d, d.Holder); o != nil {
+	if o := t.bestSession(able, load, d, d.Holder); o != nil {
 		return o.Process
 	}
 	return ""
 }
 
-// best is the session that had best have a duty: who is present, the process that it prefers, then its
+// bestSession is the session that had bestSession have a duty: who is present, the process that it prefers, then its
 // zone, not where it failed last, then who has least of what it may have.
-func (t *TaskLeases) best(able []*Session, load map[string]int, d *LeasedTask, not string) *Session {
+func (t *TaskLeases) bestSession(able []*Session, load map[string]int, d *LeasedTask, not string) *Session {
 	rank := func(o *Session) (r int) {
 		if t.Absent[o.Process] {
 			r += 16
@@ -254,16 +254,16 @@
 	return found
 }
 
-// even moves a few duties to whoever has least of what it may have, from those that have
+// rebalance moves a few duties to whoever has least of what it may have, from those that have
 // much more, while they are far apart; what prefers to be where it is stays.
-func even(s *State, able []*Session, load map[string]int, names []string, now time.Duration, most int) (moves []TermRef) {
+func rebalance(s *State, able []*Session, load map[string]int, names []string, now time.Duration, most int) (moves []TermRef) {
 	for _, name := range names {
 		d := s.LeasedTasks[name]
 		high := s.Sessions[d.Holder]
 		if len(moves) == most {
 			break
 		}
-		if high == nil || d.Successor != "" || d.StopRequested || d.SuspendReason != "" || now-d.HolderSince < settled || d.PreferredProcess == high.Process || high.MaxTasks == 0 {
+		if high == nil || d.Successor != "" || d.StopRequested || d.SuspendReason != "" || now-d.HolderSince < minTermBeforeRebalance || d.PreferredProcess == high.Process || high.MaxTasks == 0 {
 			continue
 		}
 		var low *Session
