--- a/internal/catalog/lease.go
+++ b/internal/catalog/lease.go
@@ -187,7 +187,7 @@
 		if e.isListed() {
 			listed++
 		}
-		ref := InstanceRef{name, e.Endpoint.StartedMs}
+		ref := e.ref()
 		if e.DampedUntil > 0 {
 			l.nextDue = min(l.nextDue, e.DampedUntil-1)
 		}
--- /dev/null
+++ b/internal/catalog/leasedtask.go
@@ -0,0 +1,159 @@
+package catalog
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+const (
+	// MaxTasks bounds the leased tasks, and Session.MaxTasks.
+	MaxTasks = 20_000
+	// MinTTL and MaxTTL bound the TTL of a task.
+	MinTTL = 500 * time.Millisecond
+	MaxTTL = 10 * time.Minute
+)
+
+// LeasedTask is work that at most one process runs at a time: its holder, under a lease.
+type LeasedTask struct {
+	Name string `json:"name"`
+	// TTL is how long a holder that is not heard keeps the task.
+	TTL              time.Duration `json:"ttl"`
+	PreferredZone    string        `json:"zone,omitempty"`
+	PreferredProcess string        `json:"process,omitempty"`
+
+	// The current term. Holder and Session are "" if nobody holds the task.
+
+	Holder      string        `json:"holder,omitempty"`  // a process
+	Session     string        `json:"session,omitempty"` // the ID of its session
+	Fence       int64         `json:"fence"`             // the fencing token of the current or last term
+	HolderSince time.Duration `json:"since,omitempty"`
+
+	// A transfer. Successor is "" if there is none.
+
+	Successor      string        `json:"next,omitempty"` // the process that is to take over
+	SuccessorSince time.Duration `json:"next_from,omitempty"`
+	SuccessorReady bool          `json:"accepted,omitempty"` // so the holder is to stop
+
+	StopRequested bool `json:"stop,omitempty"` // the holder is to stop, whether or not there is a successor
+
+	// What keeps the task from being granted.
+
+	NotBefore     time.Duration `json:"wait,omitempty"`   // backoff after failures
+	AvoidProcess  string        `json:"avoid,omitempty"`  // where the task failed last
+	Failures      int           `json:"fails,omitempty"`  // short terms in a row that failed
+	HolderDeaths  int           `json:"deaths,omitempty"` // holders that died soon after the grant
+	SuspendReason string        `json:"parked,omitempty"` // "": the task is not suspended
+
+	History []Term `json:"past,omitempty"` // the last terms, in order
+}
+
+// Assignment is what a session's process is to do about one task.
+type Assignment struct {
+	Name  string        `json:"name"`
+	TTL   time.Duration `json:"ttl"`
+	Fence int64         `json:"fence,omitempty"` // the process holds the task under this token
+	Stop  bool          `json:"stop,omitempty"`  // it is to stop, and then to release its term
+	Ready bool          `json:"ready,omitempty"` // it is to get ready, and then to accept the transfer
+}
+
+// TaskNames returns the names of all tasks in order.
+func (s *State) TaskNames() []string {
+	names := make([]string, 0, len(s.LeasedTasks))
+	for name := range s.LeasedTasks {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names
+}
+
+// Assignments returns what a session's process is to do, in order of task names, and the
+// session's revision. It returns false if the process has no open session of that ID.
+func (s *State) Assignments(process, id string) (assignments []Assignment, revision int64, ok bool) {
+	session := s.Sessions[process]
+	if session == nil || session.ID != id {
+		return nil, 0, false
+	}
+	assignments = []Assignment{}
+	for _, name := range s.TaskNames() {
+		switch task := s.LeasedTasks[name]; {
+		case task.Holder == process:
+			stop := task.StopRequested || task.SuccessorReady
+			assignments = append(assignments, Assignment{Name: name, TTL: task.TTL, Fence: task.Fence, Stop: stop})
+		case task.Successor == process && !task.SuccessorReady:
+			assignments = append(assignments, Assignment{Name: name, TTL: task.TTL, Ready: true})
+		}
+	}
+	return assignments, session.Revision, true
+}
+
+// defineTask creates a task, or changes its TTL and preferences. The holder of a task relies
+// on the TTL, so that can't change while the task is held.
+func (s *State) defineTask(definition *LeasedTask) Result {
+	switch {
+	case definition == nil || !isName(definition.Name):
+		return s.reject(Invalid, "name: must be a word")
+	case definition.TTL < MinTTL || definition.TTL > MaxTTL:
+		return s.reject(Invalid, "ttl: must be %v to %v, is %v", MinTTL, MaxTTL, definition.TTL)
+	case definition.PreferredZone != "" && !isLabel(definition.PreferredZone),
+		definition.PreferredProcess != "" && !isName(definition.PreferredProcess):
+		return s.reject(Invalid, "zone, process: must be words")
+	}
+	task := s.LeasedTasks[definition.Name]
+	switch {
+	case task == nil && len(s.LeasedTasks) >= MaxTasks:
+		return s.reject(TooMany, "%d duties, which is all there is room for", MaxTasks)
+	case task == nil:
+		task = &LeasedTask{Name: definition.Name, Fence: s.Fence}
+		s.LeasedTasks[definition.Name] = task
+	case task.TTL != definition.TTL && task.Holder != "":
+		return s.reject(Conflict, "duty %s is held for %v a time; its time can't change", task.Name, task.TTL)
+	}
+	task.TTL, task.PreferredZone, task.PreferredProcess = definition.TTL, definition.PreferredZone, definition.PreferredProcess
+	return s.done()
+}
+
+// applyOperatorCommand carries out an operator's command on one task.
+func (s *State) applyOperatorCommand(c *Command) Result {
+	task := s.LeasedTasks[c.Name]
+	if task == nil {
+		return s.reject(Unknown, "no duty %s", c.Name)
+	}
+	switch c.Kind {
+	case DeleteTask:
+		if task.Holder != "" {
+			return s.reject(Conflict, "duty %s is held by %s; park it first", task.Name, task.Holder)
+		}
+		delete(s.LeasedTasks, task.Name)
+	case RevokeTerm:
+		if task.Holder == "" {
+			return s.rejectNotHeld(task)
+		}
+		s.requestStop(task)
+	case Suspend:
+		task.SuspendReason = cmp.Or(c.Reason, "an operator's word")
+		s.cancelTransfer(task)
+		if task.Holder != "" {
+			s.requestStop(task)
+		}
+	case Resume:
+		task.SuspendReason, task.Failures, task.HolderDeaths, task.NotBefore, task.AvoidProcess = "", 0, 0, 0, ""
+	}
+	return s.done()
+}
+
+// requestStop has the holder of a task told to stop.
+func (s *State) requestStop(task *LeasedTask) {
+	task.StopRequested = true
+	s.bumpSessionRevision(task.Holder)
+}
+
+// rejectNotHeld rejects a command that requires a holder of the task.
+func (s *State) rejectNotHeld(task *LeasedTask) Result {
+	return s.reject(Conflict, "nobody holds duty %s", task.Name)
+}
+
+// rejectSuspended rejects a command that requires a task that is not suspended.
+func (s *State) rejectSuspended(task *LeasedTask) Result {
+	return s.reject(Conflict, "duty %s is parked: %s", task.Name, task.SuspendReason)
+}
--- a/internal/catalog/member.go
+++ b/internal/catalog/member.go
@@ -1,69 +1,49 @@
 package catalog
 
-import (
-	"fmt"
-	"time"
+import "time"
 
-	"knotrouter/internal/endpoints"
-)
-
-// The commands on members.
-const (
-	RegisterMember Kind = "arrive" // Member: a process is there, and gets its number
-	CheckTerm      Kind = "check"  // nothing, but that it is refused when its duty's term is over
-)
-
-// MaxMembers bounds the processes whose numbers are remembered.
+// MaxMembers bounds the processes whose incarnations are remembered.
 const MaxMembers = 1024
 
-// Member is a process that speaks for itself. Its incarnation numbers its lives: it outlives
-// restarts, and is not taken from a clock.
+// Member is a process that takes part in membership. Its incarnation numbers its starts: it
+// grows with each, across all members, and is not taken from a clock.
 type Member struct {
 	Name        string        `json:"name"`
-	ID          string        `json:"id"`   // of the folder that its state is in
-	BootID      string        `json:"life"` // drawn at its start
+	ID          string        `json:"id"`   // of the folder that the process keeps its state in
+	BootID      string        `json:"life"` // drawn at each start of the process
 	Incarnation int64         `json:"incarnation"`
 	Since       time.Duration `json:"since"`
-	// PredecessorAbsent is the leader's word, from its view, that the process that had the name is not there.
+	// PredecessorAbsent is set by the leader in a command: as far as its view of the members
+	// tells, the process that has the name is not running.
 	PredecessorAbsent bool `json:"gone,omitempty"`
 }
 
-// registerMember gives a process the number of its life. A name is one folder's for as long as the
-// process of that folder is there: another that comes with it is told so, and yields. A
-// process of the same folder is the same one started again, as one at a time can have it.
-func (s *State) registerMember(m *Member) Result {
-	if m == nil || !endpoints.IsToken(m.Name, endpoints.MaxName) || !endpoints.IsToken(m.ID, endpoints.MaxName) || !endpoints.IsToken(m.BootID, endpoints.MaxName) {
-		return s.result(Invalid, "name, id, life: must be words")
+// registerMember gives a process its incarnation, which Result.Fence returns. A name belongs
+// to one folder for as long as the process of that folder is running: a process of another
+// folder is rejected as Taken. A process of the same folder is the same one started again,
+// since only one process at a time can use a folder.
+func (s *State) registerMember(request *Member) Result {
+	if request == nil || !isName(request.Name) || !isName(request.ID) || !isName(request.BootID) {
+		return s.reject(Invalid, "name, id, life: must be words")
 	}
-	was := s.Members[m.Name]
+	member := s.Members[request.Name]
 	switch {
-	case was == nil && len(s.Members) >= MaxMembers:
-		return s.result(TooMany, fmt.Sprintf("%d members, which is all there is room for", MaxMembers))
-	case was == nil:
-		was = &Member{Name: m.Name}
-		s.Members[m.Name] = was
-	case was.ID == m.ID && was.BootID == m.BootID: // asked again, as the answer was lost
-		r := s.result(Done, "")
-		r.Fence = was.Incarnation
-		return r
-	case was.ID != m.ID && !m.PredecessorAbsent:
-		return s.result(Taken, fmt.Sprintf("another process is called %s, and is there", m.Name))
+	case member == nil && len(s.Members) >= MaxMembers:
+		return s.reject(TooMany, "%d members, which is all there is room for", MaxMembers)
+	case member == nil:
+		member = &Member{Name: request.Name}
+		s.Members[request.Name] = member
+	case member.ID == request.ID && member.BootID == request.BootID:
+		return s.doneWithNumber(member.Incarnation) // a retry: the first answer was lost
+	case member.ID != request.ID && !request.PredecessorAbsent:
+		return s.rejectNameTaken(request.Name)
 	}
 	s.Incarnation++
-	was.ID, was.BootID, was.Incarnation, was.Since = m.ID, m.BootID, s.Incarnation, s.Clock
-	r := s.result(Done, "")
-	r.Fence = was.Incarnation
-	return r
+	member.ID, member.BootID, member.Incarnation, member.Since = request.ID, request.BootID, s.Incarnation, s.Clock
+	return s.doneWithNumber(member.Incarnation)
 }
 
-func (s *State) checkMembers() error {
-	if s.Members == nil {
-		s.Members = map[string]*Member{}
-	}
-	for name, m := range s.Members {
-		if m == nil || m.Name != name || m.Incarnation > s.Incarnation {
-			return fmt.Errorf("member %q is not itself", name)
-		}
-	}
-	return nil
+// rejectNameTaken rejects a process whose name another running process has.
+func (s *State) rejectNameTaken(name string) Result {
+	return s.reject(Taken, "another process is called %s, and is there", name)
 }
--- /dev/null
+++ b/internal/catalog/servicelist.go
@@ -0,0 +1,131 @@
+package catalog
+
+import (
+	"maps"
+	"slices"
+	"sort"
+
+	"knotrouter/internal/endpoints"
+)
+
+// MaxServiceChanges is by how many entries a list of changes may be longer than the full list
+// of the same services; a reader that would get more gets the full list.
+const MaxServiceChanges = 256
+
+// ListServices returns the full list of the services, or the entries that changed in them
+// after the revision since. It returns the full list also if the changes are not known, or
+// are much longer than it. The cost depends on the size of these services only.
+func (s *State) ListServices(services []string, since int64, full bool) endpoints.List {
+	list := endpoints.List{Seq: s.Seq, Endpoints: []endpoints.Endpoint{}}
+	if !full && s.HasChangesSince(services, since) {
+		listed := 0
+		for _, service := range services {
+			list.Endpoints = append(list.Endpoints, s.ServiceChanges(service, since)...)
+			listed += s.ServiceSize(service)
+		}
+		if len(list.Endpoints) <= listed+MaxServiceChanges {
+			return list
+		}
+		list.Endpoints = list.Endpoints[:0]
+	}
+	list.Full = true
+	for _, service := range services {
+		list.Endpoints = append(list.Endpoints, s.ServiceEndpoints(service)...)
+	}
+	return list
+}
+
+// HasChangesSince reports whether all changes of the services after a revision are known.
+func (s *State) HasChangesSince(services []string, since int64) bool {
+	if since > s.Seq || since < s.ServiceHistory.MinRevision {
+		return false
+	}
+	for _, service := range services {
+		if since < s.ServiceHistory.MinRevisions[service] {
+			return false
+		}
+	}
+	return true
+}
+
+// ServiceEndpoints returns the listed servers of a service, by name.
+func (s *State) ServiceEndpoints(service string) []endpoints.Endpoint {
+	index := s.serviceIndexes[service]
+	if index == nil {
+		return nil
+	}
+	listed := make([]endpoints.Endpoint, 0, index.listedCount)
+	for _, entry := range index.entries {
+		if entry.isListed() {
+			listed = append(listed, entry.ListedWithService())
+		}
+	}
+	sort.Slice(listed, func(i, j int) bool { return listed[i].Name < listed[j].Name })
+	return listed
+}
+
+// ServiceChanges returns the servers of a service that changed after the revision since, each
+// once. Those that were removed or left for another service have the health Removed.
+func (s *State) ServiceChanges(service string, since int64) []endpoints.Endpoint {
+	index := s.serviceIndexes[service]
+	if index == nil {
+		return nil
+	}
+	var changed []endpoints.Endpoint
+	for _, change := range changesAfter(index.changes, since) {
+		if !index.isCurrent(change) {
+			continue
+		}
+		if entry := index.entries[change.Name]; entry != nil {
+			changed = append(changed, entry.ListedWithService())
+		} else {
+			changed = append(changed, endpoints.Endpoint{Name: change.Name, Health: endpoints.Removed, Service: service})
+		}
+	}
+	return changed
+}
+
+// ServiceSize returns how many servers of a service are listed.
+func (s *State) ServiceSize(service string) int {
+	if index := s.serviceIndexes[service]; index != nil {
+		return index.listedCount
+	}
+	return 0
+}
+
+// ServiceVersion returns the revision of a service's last change, or 0 if the service has no
+// entries.
+func (s *State) ServiceVersion(service string) int64 {
+	if index := s.serviceIndexes[service]; index != nil {
+		return index.lastRevision
+	}
+	return 0
+}
+
+// ServiceSizes returns the number of listed servers of each service.
+func (s *State) ServiceSizes() map[string]int {
+	sizes := make(map[string]int, len(s.serviceIndexes))
+	for service, index := range s.serviceIndexes {
+		sizes[service] = index.listedCount
+	}
+	return sizes
+}
+
+// ChangedServices returns the services that changed after the revision since, in order. It
+// returns false if that is not known, so that any service may have changed. The cost depends
+// on the number of changes only.
+func (s *State) ChangedServices(since int64) (services []string, known bool) {
+	if since > s.Seq || since < s.oldestRevision() || since < s.ServiceHistory.MinRevision {
+		return nil, false
+	}
+	changed := map[string]bool{}
+	for _, change := range changesAfter(s.History, since) {
+		changed[s.Entries[change.Name].Endpoint.Service] = true
+	}
+	departures := s.ServiceHistory.Departures
+	first := sort.Search(len(departures), func(i int) bool { return departures[i].Seq > since })
+	for _, departure := range departures[first:] {
+		changed[departure.Service] = true
+	}
+	return slices.Sorted(maps.Keys(changed)), true
+}
--- /dev/null
+++ b/internal/catalog/session.go
@@ -0,0 +1,137 @@
+package catalog
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+	"time"
+)
+
+const (
+	// MaxSessions bounds the open sessions.
+	MaxSessions = 256
+	// maxTaskKinds bounds the kinds of tasks that a session names.
+	maxTaskKinds = 32
+)
+
+// Session is a process that can run leased tasks, from when it opens the session to when it
+// closes it or the leader does.
+type Session struct {
+	Process string `json:"process"`
+	ID      string `json:"id"` // drawn by the process: one that is started again has another
+	Zone    string `json:"zone,omitempty"`
+	// TaskKinds are the kinds of tasks that the process can run: the parts of their names up to
+	// the first dot. None means that it can run all tasks.
+	TaskKinds []string      `json:"kinds,omitempty"`
+	MaxTasks  int           `json:"cap"`               // that the process runs at once
+	Draining  bool          `json:"resting,omitempty"` // its tasks are transferred to others
+	Opened    time.Duration `json:"opened,omitempty"`
+	Revision  int64         `json:"rev"` // changes whenever the session's Assignments do
+}
+
+// CanRun reports whether the process can run the task of that name.
+func (o *Session) CanRun(task string) bool {
+	kind, _, _ := strings.Cut(task, ".")
+	return len(o.TaskKinds) == 0 || slices.Contains(o.TaskKinds, kind)
+}
+
+// ProcessNames returns the processes of all open sessions in order.
+func (s *State) ProcessNames() []string {
+	var names []string
+	for name := range s.Sessions {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names
+}
+
+// openSession opens a session, or updates the one that is open with the same ID. A process
+// name belongs to one session until that is closed: another ID is rejected as Taken.
+func (s *State) openSession(request *Session) Result {
+	switch {
+	case request == nil || !isName(request.Process) || !isName(request.ID):
+		return s.reject(Invalid, "process, id: must be words")
+	case request.Zone != "" && !isLabel(request.Zone):
+		return s.reject(Invalid, "zone: must be a word")
+	case len(request.TaskKinds) > maxTaskKinds || slices.ContainsFunc(request.TaskKinds, func(kind string) bool { return !isLabel(kind) }):
+		return s.reject(Invalid, "kinds: must be at most %d words", maxTaskKinds)
+	case request.MaxTasks < 0 || request.MaxTasks > MaxTasks:
+		return s.reject(Invalid, "cap: must be 0 to %d, is %d", MaxTasks, request.MaxTasks)
+	}
+	if session := s.Sessions[request.Process]; session != nil {
+		if session.ID != request.ID {
+			return s.rejectNameTaken(request.Process)
+		}
+		session.Zone, session.TaskKinds, session.MaxTasks, session.Draining = request.Zone, request.TaskKinds, request.MaxTasks, false
+		return s.done()
+	}
+	if len(s.Sessions) >= MaxSessions {
+		return s.reject(TooMany, "%d processes, which is all there is room for", MaxSessions)
+	}
+	s.Sessions[request.Process] = &Session{
+		Process:   request.Process,
+		ID:        request.ID,
+		Zone:      request.Zone,
+		TaskKinds: request.TaskKinds,
+		MaxTasks:  request.MaxTasks,
+		Opened:    s.Clock,
+		Revision:  s.nextSessionRevision(),
+	}
+	return s.done()
+}
+
+// drainSession marks a session as draining, until its process opens it again.
+func (s *State) drainSession(request *Session) Result {
+	session, rejection := s.findSession(request)
+	if session == nil {
+		return rejection
+	}
+	session.Draining = true
+	return s.done()
+}
+
+// closeSession ends a session with its terms. A task whose successor is ready is granted to it.
+func (s *State) closeSession(request *Session, reason string) Result {
+	session, rejection := s.findSession(request)
+	if session == nil {
+		return rejection
+	}
+	for _, name := range s.TaskNames() {
+		task := s.LeasedTasks[name]
+		if task.Successor == session.Process {
+			s.cancelTransfer(task)
+		}
+		if task.Holder == session.Process {
+			s.endTerm(task, cmp.Or(reason, ReasonSessionClosed))
+		}
+	}
+	delete(s.Sessions, session.Process)
+	return s.done()
+}
+
+// findSession returns the open session that a command names by its process and ID, or nil and
+// the result that rejects the command.
+func (s *State) findSession(request *Session) (*Session, Result) {
+	if request == nil {
+		return nil, s.reject(Invalid, "no session")
+	}
+	session := s.Sessions[request.Process]
+	if session == nil || session.ID != request.ID {
+		return nil, s.reject(Unknown, "no session of %s", request.Process)
+	}
+	return session, Result{}
+}
+
+// nextSessionRevision returns a revision that no session has had.
+func (s *State) nextSessionRevision() int64 {
+	s.SessionRevision++
+	return s.SessionRevision
+}
+
+// bumpSessionRevision gives a process's session, if one is open, a new revision, since its
+// assignments change.
+func (s *State) bumpSessionRevision(process string) {
+	if session := s.Sessions[process]; session != nil {
+		session.Revision = s.nextSessionRevision()
+	}
+}
--- /dev/null
+++ b/internal/catalog/state.go
@@ -0,0 +1,162 @@
+package catalog
+
+import (
+	"fmt"
+	"time"
+
+	"knotrouter/internal/endpoints"
+)
+
+// State is all that the replicas of the control plane agree on. It is not safe for
+// concurrent use.
+type State struct {
+	FormatVersion int               `json:"form"`
+	Seq           int64             `json:"seq"` // the list's revision
+	Clock         time.Duration     `json:"clock"`
+	Entries       map[string]*Entry `json:"entries"` // by server, including recently removed ones
+	History       []entryChange     `json:"history"` // by revision
+	// QuarantinedSince is when the first of the quarantined entries was; 0: there is none.
+	QuarantinedSince time.Duration `json:"held_since,omitempty"`
+
+	Sessions        map[string]*Session    `json:"sessions,omitempty"` // by process
+	LeasedTasks     map[string]*LeasedTask `json:"duties,omitempty"`   // by name
+	Fence           int64                  `json:"fence,omitempty"`    // the last one issued
+	SessionRevision int64                  `json:"rev,omitempty"`      // the last one issued
+	Members         map[string]*Member     `json:"members,omitempty"`  // by name
+	Incarnation     int64                  `json:"incarnation,omitempty"`
+	// ServiceHistory is nil only in snapshots from before servers had services.
+	ServiceHistory *ServiceHistory `json:"scopes,omitempty"`
+
+	// The fields below are derived from those above and rebuilt when a snapshot is decoded.
+
+	serviceIndexes   map[string]*serviceIndex
+	listedCount      int // entries that are listed
+	quarantinedCount int // entries that are quarantined
+
+	// appliedCommands counts the commands applied by this process, those on sessions and tasks
+	// excepted. It tells RegistrationLeases whether an entry may have changed.
+	appliedCommands int64
+}
+
+// New returns the empty state.
+func New() *State {
+	return &State{
+		FormatVersion:  FormatVersion,
+		Entries:        map[string]*Entry{},
+		Sessions:       map[string]*Session{},
+		LeasedTasks:    map[string]*LeasedTask{},
+		Members:        map[string]*Member{},
+		ServiceHistory: &ServiceHistory{},
+		serviceIndexes: map[string]*serviceIndex{},
+	}
+}
+
+// Apply carries out one command and returns its outcome. A rejected command changes nothing
+// but the clock; one of an unknown format changes nothing at all.
+func (s *State) Apply(c *Command) Result {
+	if c.FormatVersion != FormatVersion {
+		return s.reject(Unsupported, "%s", (&FormatError{c.FormatVersion}).Error())
+	}
+	s.Clock = max(s.Clock, c.At)
+	if result, stale := s.rejectStaleTerm(c); stale {
+		return result
+	}
+	if result, known := s.applyTaskCommand(c); known {
+		return result
+	}
+	s.appliedCommands++
+	switch c.Kind {
+	case RaiseRevision:
+		return s.raiseRevision(c.Seq)
+	case Register:
+		return s.registerEndpoint(c.Endpoint)
+	case Drain, Deregister, ExpireRegistration, Quarantine, Recover, EndDamping:
+		return s.applyToInstances(c)
+	case ConfirmRemoval:
+		return s.confirmRemovals()
+	case SetOverride:
+		return s.setOverride(c)
+	case RegisterMember:
+		return s.registerMember(c.Member)
+	case CheckTerm:
+		return s.done()
+	}
+	return s.reject(Unsupported, "unknown command %q", c.Kind)
+}
+
+// applyTaskCommand carries out a command on sessions or leased tasks. It returns false for a
+// command of another kind.
+func (s *State) applyTaskCommand(c *Command) (Result, bool) {
+	switch c.Kind {
+	case OpenSession:
+		return s.openSession(c.Session), true
+	case CloseSession:
+		return s.closeSession(c.Session, c.Reason), true
+	case DrainSession:
+		return s.drainSession(c.Session), true
+	case DefineTask:
+		return s.defineTask(c.LeasedTask), true
+	case DeleteTask, RevokeTerm, Suspend, Resume:
+		return s.applyOperatorCommand(c), true
+	case GrantTerm, ExpireTerm, ReleaseTerm, TransferTask, AcceptTransfer:
+		return s.applyToTerms(c), true
+	}
+	return Result{}, false
+}
+
+// rejectStaleTerm rejects a command that is proposed under a term which is not the task's
+// current one. It returns false if the command may go on.
+func (s *State) rejectStaleTerm(c *Command) (Result, bool) {
+	if c.UnderTask == "" {
+		return Result{}, false
+	}
+	task := s.LeasedTasks[c.UnderTask]
+	if task == nil {
+		return s.reject(Unknown, "no duty %s", c.UnderTask), true
+	}
+	if task.Holder == "" || task.Fence != c.Fence {
+		return s.rejectFence(task, c.Fence), true
+	}
+	return Result{}, false
+}
+
+// raiseRevision raises all numbers that the state issues to at least revision, so that they
+// stay above those of a previous state that was lost.
+func (s *State) raiseRevision(revision int64) Result {
+	s.Fence, s.SessionRevision = max(s.Fence, revision), max(s.SessionRevision, revision)
+	s.Incarnation = max(s.Incarnation, revision)
+	if revision > s.Seq {
+		// A reader with an older revision may have it from the previous state, so no change
+		// leads on from there: it has to get the full list.
+		s.Seq, s.History = revision, nil
+		s.resetServiceHistory(revision)
+	}
+	return s.done()
+}
+
+// done is the result of a command that was carried out.
+func (s *State) done() Result { return Result{Seq: s.Seq} }
+
+// doneWithNumber is done with a fencing token or an incarnation.
+func (s *State) doneWithNumber(number int64) Result {
+	return Result{Seq: s.Seq, Fence: number}
+}
+
+// reject is the result of a command that was not carried out, and why.
+func (s *State) reject(code Code, format string, args ...any) Result {
+	return Result{Code: code, Seq: s.Seq, Text: fmt.Sprintf(format, args...)}
+}
+
+// rejectFence rejects an action under a fencing token that is not the task's current one.
+func (s *State) rejectFence(task *LeasedTask, fence int64) Result {
+	return s.reject(Fenced, "fence %d of duty %s is not the present one, %d", fence, task.Name, task.Fence)
+}
+
+// isName reports whether text can be the name or the ID of a server, process or task.
+func isName(text string) bool { return endpoints.IsToken(text, endpoints.MaxName) }
+
+// isLabel reports whether text can be a zone or a kind of tasks.
+func isLabel(text string) bool { return endpoints.IsToken(text, endpoints.MaxLabel) }
+
+// isServiceName reports whether text can be the name of a service; "" is the default service.
+func isServiceName(text string) bool { return text == "" || isLabel(text) }
--- a/internal/catalog/tenure.go
+++ b/internal/catalog/tenure.go
@@ -192,16 +192,6 @@
 	return out
 }
 
-// ProcessNames returns the names of all sessions in order.
-func (s *State) ProcessNames() []string {
-	var names []string
-	for name := range s.Sessions {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
-}
-
 // PreferredSuccessor is who had best have a duty after its holder; "" is nobody.
 func (t *TaskLeases) PreferredSuccessor(s *State, name string, now time.Duration) string {
 	d := s.LeasedTasks[name]
--- /dev/null
+++ b/internal/catalog/term.go
@@ -0,0 +1,236 @@
+package catalog
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+)
+
+// Reasons for the end of a term. They are stored in logs and snapshots and must not change.
+const (
+	ReasonCompleted     = "done"    // the task's function returned
+	ReasonFailed        = "failed"  // the task's function returned an error
+	ReasonTransferred   = "moved"   // the holder stopped for its successor
+	ReasonExpired       = "lapsed"  // the holder was not heard for the TTL
+	ReasonSessionClosed = "closed"  // the holder shut down
+	ReasonRevoked       = "revoked" // the holder was asked to stop
+)
+
+const (
+	// maxTermHistory bounds the ended terms that a task remembers.
+	maxTermHistory = 8
+
+	// A term is short if it ends sooner than shortTermDuration. After a short term that failed, a
+	// task is not granted for minRetryBackoff, doubled with each such term in a row, up to
+	// maxRetryBackoff.
+	shortTermDuration = 30 * time.Second
+	minRetryBackoff   = time.Second
+	maxRetryBackoff   = 5 * time.Minute
+	maxRetryDoublings = 20 // bounds the shift, far beyond maxRetryBackoff
+
+	// suspendAfterDeaths is after how many holders that died soon after the grant a task is
+	// suspended.
+	suspendAfterDeaths = 3
+)
+
+// Term is the time in which one process held a task.
+type Term struct {
+	Process string        `json:"process"`
+	Fence   int64         `json:"fence"`
+	From    time.Duration `json:"from"`
+	To      time.Duration `json:"to"`
+	Reason  string        `json:"why"`
+}
+
+// TermRef refers to the term of a task. GrantTerm, TransferTask and AcceptTransfer read
+// Process, and but for TransferTask also Session: who is to hold the task. ExpireTerm and
+// ReleaseTerm read Fence: the term is skipped if it is not the current one, or if Session is
+// given and is not its session.
+type TermRef struct {
+	Name       string `json:"name"` // of the task
+	Process    string `json:"process,omitempty"`
+	Session    string `json:"session,omitempty"`
+	Fence      int64  `json:"fence,omitempty"`
+	CountDeath bool   `json:"blame,omitempty"` // of ExpireTerm: the task may have killed its holder
+}
+
+// applyToTerms carries out a command on terms. The result of a single one is its own; of
+// several, those that can't be applied are skipped.
+func (s *State) applyToTerms(c *Command) Result {
+	for _, term := range c.Terms {
+		result := s.applyToTerm(c, term)
+		if len(c.Terms) == 1 {
+			return result
+		}
+	}
+	return s.done()
+}
+
+// applyToTerm carries out a command on one term.
+func (s *State) applyToTerm(c *Command, term TermRef) Result {
+	task := s.LeasedTasks[term.Name]
+	if task == nil {
+		return s.reject(Unknown, "no duty %s", term.Name)
+	}
+	switch c.Kind {
+	case GrantTerm:
+		return s.grantTerm(task, term.Process, term.Session)
+	case TransferTask:
+		return s.transferTask(task, term.Process)
+	case AcceptTransfer:
+		return s.acceptTransfer(task, term.Process, term.Session)
+	}
+	if !task.isCurrentTerm(term) {
+		return s.rejectFence(task, term.Fence)
+	}
+	if c.Kind == ExpireTerm {
+		s.endTerm(task, ReasonExpired)
+		if term.CountDeath {
+			s.countHolderDeath(task)
+		}
+		return s.done()
+	}
+	s.endTerm(task, cmp.Or(c.Reason, ReasonCompleted))
+	return s.done()
+}
+
+// isCurrentTerm reports whether the task is held in the term that ref refers to.
+func (task *LeasedTask) isCurrentTerm(ref TermRef) bool {
+	return task.Holder != "" && task.Fence == ref.Fence && (ref.Session == "" || task.Session == ref.Session)
+}
+
+// grantTerm grants a task that nobody holds to a session. Result.Fence is the fencing token,
+// which no earlier term of any task had.
+func (s *State) grantTerm(task *LeasedTask, process, sessionID string) Result {
+	session := s.Sessions[process]
+	switch {
+	case task.Holder == process && task.Session == sessionID:
+		return s.doneWithNumber(task.Fence) // a retry: the first answer was lost
+	case task.Holder != "":
+		return s.reject(Taken, "duty %s is held by %s", task.Name, task.Holder)
+	case task.SuspendReason != "":
+		return s.rejectSuspended(task)
+	case s.Clock < task.NotBefore:
+		return s.reject(Conflict, "duty %s waits for another %v", task.Name, task.NotBefore-s.Clock)
+	case session == nil || session.ID != sessionID || session.Draining || !session.CanRun(task.Name):
+		return s.rejectProcess(process)
+	}
+	s.Fence++
+	task.Holder, task.Session, task.Fence, task.HolderSince = process, sessionID, s.Fence, s.Clock
+	task.Successor, task.SuccessorSince, task.SuccessorReady, task.StopRequested = "", 0, false, false
+	s.bumpSessionRevision(process)
+	return s.doneWithNumber(task.Fence)
+}
+
+// transferTask names the process that is to take over a task. That process gets ready and
+// accepts, then the holder is told to stop, and when it releases its term, the task is granted
+// to the successor. Process "" cancels the transfer.
+func (s *State) transferTask(task *LeasedTask, process string) Result {
+	if process == "" {
+		s.cancelTransfer(task)
+		return s.done()
+	}
+	session := s.Sessions[process]
+	switch {
+	case task.Holder == "":
+		return s.rejectNotHeld(task)
+	case task.SuspendReason != "":
+		return s.rejectSuspended(task)
+	case task.Holder == process:
+		return s.reject(Conflict, "%s holds duty %s already", process, task.Name)
+	case session == nil || session.Draining || !session.CanRun(task.Name):
+		return s.rejectProcess(process)
+	}
+	s.cancelTransfer(task)
+	task.Successor, task.SuccessorSince = process, s.Clock
+	s.bumpSessionRevision(process)
+	return s.done()
+}
+
+// acceptTransfer records that the successor of a task is ready, so that the holder is told to
+// stop.
+func (s *State) acceptTransfer(task *LeasedTask, process, sessionID string) Result {
+	session := s.Sessions[process]
+	if task.Successor != process || session == nil || session.ID != sessionID {
+		return s.reject(Conflict, "duty %s is not to go to %s", task.Name, process)
+	}
+	if !task.SuccessorReady {
+		task.SuccessorReady = true
+		s.bumpSessionRevision(task.Holder)
+	}
+	return s.done()
+}
+
+// cancelTransfer removes the successor of a task, if there is one.
+func (s *State) cancelTransfer(task *LeasedTask) {
+	if task.Successor == "" {
+		return
+	}
+	s.bumpSessionRevision(task.Successor)
+	s.bumpSessionRevision(task.Holder)
+	task.Successor, task.SuccessorSince, task.SuccessorReady = "", 0, false
+}
+
+// endTerm ends the current term of a task. If the task has a successor that is ready, and did
+// not fail, it is granted to the successor at once.
+func (s *State) endTerm(task *LeasedTask, reason string) {
+	if task.StopRequested && reason == ReasonCompleted {
+		reason = ReasonRevoked
+	}
+	term := Term{Process: task.Holder, Fence: task.Fence, From: task.HolderSince, To: s.Clock, Reason: reason}
+	task.recordTerm(term)
+	s.bumpSessionRevision(task.Holder)
+	task.Holder, task.Session, task.HolderSince, task.StopRequested = "", "", 0, false
+	s.updateBackoff(task, term)
+
+	successor, ready := task.Successor, task.SuccessorReady
+	s.cancelTransfer(task)
+	if session := s.Sessions[successor]; ready && session != nil && task.SuspendReason == "" && reason != ReasonFailed {
+		s.grantTerm(task, successor, session.ID)
+	}
+}
+
+// recordTerm adds an ended term to the task's history.
+func (task *LeasedTask) recordTerm(term Term) {
+	task.History = append(task.History, term)
+	if excess := len(task.History) - maxTermHistory; excess > 0 {
+		task.History = slices.Delete(task.History, 0, excess)
+	}
+}
+
+// updateBackoff decides from an ended term when the task may be granted again, and which
+// process is to be avoided then. A term that was not short clears earlier failures.
+func (s *State) updateBackoff(task *LeasedTask, term Term) {
+	short := term.To-term.From < shortTermDuration
+	switch {
+	case term.Reason == ReasonFailed && short:
+		task.Failures++
+		doublings := min(task.Failures-1, maxRetryDoublings)
+		task.NotBefore = s.Clock + min(minRetryBackoff<<doublings, maxRetryBackoff)
+		task.AvoidProcess = term.Process
+	case term.Reason == ReasonFailed || term.Reason == ReasonExpired:
+		task.AvoidProcess = term.Process
+		if !short {
+			task.Failures, task.HolderDeaths = 0, 0
+		}
+	default:
+		if !short {
+			task.Failures, task.HolderDeaths, task.AvoidProcess = 0, 0, ""
+		}
+	}
+}
+
+// countHolderDeath counts a holder that died soon after the task was granted to it. After
+// suspendAfterDeaths in a row the task is suspended until an operator resumes it.
+func (s *State) countHolderDeath(task *LeasedTask) {
+	task.HolderDeaths++
+	if task.HolderDeaths >= suspendAfterDeaths && task.Holder == "" {
+		task.SuspendReason = fmt.Sprintf("its last %d holders ended in it", task.HolderDeaths)
+	}
+}
+
+// rejectProcess rejects a process that has no session, or one that can't be granted the task.
+func (s *State) rejectProcess(process string) Result {
+	return s.reject(Unknown, "no session of %s that takes duties", process)
+}
