--- /dev/null
+++ b/internal/catalog/registrationleases.go
@@ -0,0 +1,297 @@
+package catalog
+
+import (
+	"math"
+	"sort"
+	"time"
+)
+
+// LeaseConfig says when registrations expire.
+type LeaseConfig struct {
+	TTL time.Duration // of a lease, from one renewal on
+	// MassFailureShare is the share of the listed servers that may expire within
+	// MassFailureWindow. If more would, they are quarantined until they are heard again or an
+	// operator confirms their removal. The same share holds within each service of at least
+	// MinGuardedService servers.
+	MassFailureShare  float64
+	MassFailureWindow time.Duration
+}
+
+// RegistrationLeases are the leases of the registered servers. They exist in the leader's
+// memory only: renewals do not go through the log, and a new leader gives every lease its full
+// TTL. It is as pure as the state, and not safe for concurrent use.
+type RegistrationLeases struct {
+	config LeaseConfig
+	leases map[string]registrationLease // by server
+	// expiries are the expiries within the window, of the fleet and by service.
+	expiries          expiryWindow
+	expiriesByService map[string]*expiryWindow
+	// rotation is the number of times that Suspected had more servers than it returns.
+	rotation int
+
+	// What the last decision has seen: the state after scannedCommands commands. Unless the state
+	// has changed, no lease is late and no damping over before nextDue.
+	scannedState    *State
+	scannedCommands int64
+	nextDue         time.Duration
+
+	// Retained and Undecided are the numbers of servers that the last decision left listed though
+	// their leases are over: those with the evidence Alive, and those with Inconclusive.
+	Retained, Undecided int
+}
+
+// registrationLease is the lease of one instance of a server.
+type registrationLease struct {
+	startedMs float64 // of the instance
+	expiresAt time.Duration
+}
+
+// Decision is what the leader is to propose, each list in order of names.
+type Decision struct {
+	Expire, Quarantine, Recover, EndDamping []InstanceRef
+	// QuarantineByService are to be quarantined because the failure is of their service alone.
+	QuarantineByService []InstanceRef
+}
+
+// Empty reports whether there is nothing to propose.
+func (d *Decision) Empty() bool {
+	return len(d.Expire)+len(d.Quarantine)+len(d.QuarantineByService)+len(d.Recover)+len(d.EndDamping) == 0
+}
+
+// FailureEvidence is what other processes know about a server that the leader does not hear.
+type FailureEvidence uint8
+
+// The evidence.
+const (
+	Inconclusive FailureEvidence = iota // too little is known: the server stays for now
+	Alive                               // most processes reach the server: it stays
+	Failed                              // most processes do not reach the server: it is removed
+)
+
+// ExpiryDecider returns the evidence about a server whose lease is late or, if expired is
+// true, over.
+type ExpiryDecider func(ref InstanceRef, expired bool) FailureEvidence
+
+// ExpireByLeaseOnly is the ExpiryDecider of a fleet without other observers: a server fails
+// when its lease is over.
+func ExpireByLeaseOnly(_ InstanceRef, expired bool) FailureEvidence {
+	if expired {
+		return Failed
+	}
+	return Inconclusive
+}
+
+// NewRegistrationLeases returns the leases of a new leader: each has its full TTL from now on.
+func NewRegistrationLeases(c LeaseConfig, s *State, now time.Duration) *RegistrationLeases {
+	l := &RegistrationLeases{config: c, leases: map[string]registrationLease{}, expiriesByService: map[string]*expiryWindow{}}
+	for _, entry := range s.Entries {
+		if !entry.Removed {
+			l.renew(entry, now)
+		}
+	}
+	return l
+}
+
+// Renew extends the lease of an instance that was heard. It returns Superseded if a newer
+// instance has the name, and Unknown if the instance is not registered.
+func (l *RegistrationLeases) Renew(s *State, ref InstanceRef, now time.Duration) Code {
+	entry := s.Entries[ref.Name]
+	switch {
+	case entry != nil && entry.Endpoint.StartedMs > ref.StartedMs:
+		return Superseded
+	case !entry.isInstance(ref):
+		return Unknown
+	}
+	l.renew(entry, now)
+	return Done
+}
+
+// renew gives the current instance of an entry a full lease.
+func (l *RegistrationLeases) renew(entry *Entry, now time.Duration) {
+	l.leases[entry.Endpoint.Name] = registrationLease{entry.Endpoint.StartedMs, now + l.config.TTL}
+}
+
+// lease returns the lease of an entry's current instance, if it has one already.
+func (l *RegistrationLeases) lease(entry *Entry) (registrationLease, bool) {
+	lease, known := l.leases[entry.Endpoint.Name]
+	return lease, known && lease.startedMs == entry.Endpoint.StartedMs
+}
+
+// lateAt returns when a lease is late. Servers renew three times per TTL, so one that was not
+// heard for half of it is; in a mass failure all are, by the time the first lease is over.
+func (l *RegistrationLeases) lateAt(lease registrationLease) time.Duration {
+	return lease.expiresAt - l.config.TTL/2
+}
+
+// maxSuspects bounds the servers that observers are asked about at once. A zone of the largest
+// fleet has to be decided within seconds, at one question a second.
+const maxSuspects = 256
+
+// Suspected returns the servers about which other processes should be asked, since their
+// leases are late or over: at most maxSuspects, the longest suspected first. If there are more,
+// each call returns the next part of them.
+func (l *RegistrationLeases) Suspected(s *State, now time.Duration) []InstanceRef {
+	if l.nothingDue(s, now) {
+		return nil
+	}
+	type suspect struct {
+		ref       InstanceRef
+		expiresAt time.Duration
+	}
+	var suspects []suspect
+	for _, entry := range s.Entries {
+		if lease, known := l.lease(entry); known && !entry.Removed && now > l.lateAt(lease) {
+			suspects = append(suspects, suspect{entry.ref(), lease.expiresAt})
+		}
+	}
+	sort.Slice(suspects, func(i, j int) bool {
+		a, b := suspects[i], suspects[j]
+		return a.expiresAt < b.expiresAt || a.expiresAt == b.expiresAt && a.ref.Name < b.ref.Name
+	})
+	// Servers that stay suspected must not keep the others from being asked about.
+	if len(suspects) > maxSuspects {
+		l.rotation++
+		first := (l.rotation * maxSuspects) % len(suspects)
+		suspects = append(suspects[first:], suspects[:first]...)[:maxSuspects]
+	}
+	refs := make([]InstanceRef, 0, len(suspects))
+	for _, suspect := range suspects {
+		refs = append(refs, suspect.ref)
+	}
+	return refs
+}
+
+// nothingDue reports, without looking at each server, that a decision would find nothing: the
+// state is the one of the last decision, no entry is quarantined, and no lease can have become
+// late, since renewals only put that off.
+func (l *RegistrationLeases) nothingDue(s *State, now time.Duration) bool {
+	return l.scannedState == s && l.scannedCommands == s.appliedCommands && s.quarantinedCount == 0 && now <= l.nextDue
+}
+
+// Decide returns what the leader is to propose now: which registrations expire, which are
+// quarantined instead because of a mass failure, which have recovered from quarantine, and
+// whose damping is over. A server whose lease is over expires only if decide returns Failed;
+// so does one whose lease is merely late, unless its service is in a mass failure.
+func (l *RegistrationLeases) Decide(s *State, now time.Duration, decide ExpiryDecider) Decision {
+	if l.nothingDue(s, now) {
+		return Decision{}
+	}
+	scan := l.scan(s, now, decide)
+	l.expiries.advance(now, l.config.MassFailureWindow)
+	if l.expiries.isEmpty() {
+		l.expiries.listedAtStart = scan.listed
+	}
+	decision := Decision{Recover: scan.recovered, EndDamping: scan.undamped}
+	if l.isMassFailure(scan) {
+		decision.Quarantine = scan.expired
+		return decision
+	}
+	decision.Expire, decision.QuarantineByService = l.splitByMassFailure(s, now, scan)
+	for _, ref := range decision.Expire {
+		l.recordExpiry(s, s.Entries[ref.Name].Endpoint.Service, now)
+	}
+	return decision
+}
+
+// leaseScan is what one decision finds, server by server.
+type leaseScan struct {
+	recovered, undamped []InstanceRef // from quarantine, and whose damping is over
+	expired             []InstanceRef // their leases are over and the evidence is Failed
+	failedEarly         []InstanceRef // their leases are late only, but the evidence is Failed
+	inconclusive        int           // late or over, and the evidence is Inconclusive
+	retained, undecided int           // see RegistrationLeases
+	listed              int
+	quarantined         int // and not heard again, those by service excepted
+	services            map[string]*serviceSuspects
+}
+
+// scan looks at each server, and gives those that have no lease yet a full one.
+func (l *RegistrationLeases) scan(s *State, now time.Duration, decide ExpiryDecider) *leaseScan {
+	l.scannedState, l.scannedCommands, l.nextDue = s, s.appliedCommands, math.MaxInt64
+	scan := &leaseScan{services: map[string]*serviceSuspects{}}
+	for name, entry := range s.Entries {
+		if entry.Removed {
+			delete(l.leases, name)
+			continue
+		}
+		if entry.isListed() {
+			scan.listed++
+		}
+		if entry.DampedUntil > 0 {
+			l.nextDue = min(l.nextDue, entry.DampedUntil-1)
+			if now >= entry.DampedUntil {
+				scan.undamped = append(scan.undamped, entry.ref())
+			}
+		}
+		l.scanLease(scan, entry, now, decide)
+	}
+	sortByName(scan.recovered)
+	sortByName(scan.undamped)
+	sortByName(scan.expired)
+	l.Retained, l.Undecided = scan.retained, scan.undecided
+	return scan
+}
+
+// scanLease looks at the lease of one server.
+func (l *RegistrationLeases) scanLease(scan *leaseScan, entry *Entry, now time.Duration, decide ExpiryDecider) {
+	lease, known := l.lease(entry)
+	if !known { // registered since the last decision
+		l.renew(entry, now)
+		lease, _ = l.lease(entry)
+		l.nextDue = min(l.nextDue, l.lateAt(lease))
+		return
+	}
+	l.nextDue = min(l.nextDue, l.lateAt(lease))
+	expired := now >= lease.expiresAt
+	if !expired && now <= l.lateAt(lease) {
+		if entry.Quarantined {
+			scan.recovered = append(scan.recovered, entry.ref())
+		}
+		return
+	}
+	scan.addSuspect(entry, expired, decide(entry.ref(), expired))
+}
+
+// addSuspect sorts in a server whose lease is late or, if expired is true, over.
+func (scan *leaseScan) addSuspect(entry *Entry, expired bool, evidence FailureEvidence) {
+	service := scan.service(entry.Endpoint.Service)
+	switch {
+	case entry.Quarantined && (!expired || evidence == Alive):
+		scan.recovered = append(scan.recovered, entry.ref())
+	case entry.QuarantinedByService:
+		service.quarantined++
+	case entry.Quarantined:
+		scan.quarantined++
+	case evidence == Alive:
+		if expired {
+			scan.retained++
+		}
+	case evidence == Failed && expired:
+		scan.expired = append(scan.expired, entry.ref())
+		service.silent++
+	case evidence == Failed:
+		scan.failedEarly = append(scan.failedEarly, entry.ref())
+		service.silent++
+	default:
+		scan.inconclusive++
+		service.silent++
+		if expired {
+			scan.undecided++
+		}
+	}
+}
+
+// service returns the counts of one service.
+func (scan *leaseScan) service(name string) *serviceSuspects {
+	counts := scan.services[name]
+	if counts == nil {
+		counts = &serviceSuspects{}
+		scan.services[name] = counts
+	}
+	return counts
+}
+
+// sortByName puts instances in order of names.
+func sortByName(refs []InstanceRef) {
+	sort.Slice(refs, func(i, j int) bool { return refs[i].Name < refs[j].Name })
+}
--- /dev/null
+++ b/internal/catalog/taskleases.go
@@ -0,0 +1,260 @@
+package catalog
+
+import "time"
+
+const (
+	// idleSessionTimeout is how long a session that holds no task stays open without being heard.
+	// Processes without a task renew twice a second.
+	idleSessionTimeout = 3 * time.Second
+	// maxGrantSilence is how long ago a process may have been heard to be given a task.
+	maxGrantSilence = time.Second
+	// maxTermsPerCommand bounds the terms of one command, so that an entry of the log stays small:
+	// a process that held a thousand tasks is worked off by several decisions.
+	maxTermsPerCommand = 256
+	// acceptTimeout is how long a successor may take to accept a transfer.
+	acceptTimeout = 2 * time.Second
+	// deathAttributionWindow is how soon after its grant a task kills its holder, if it does.
+	deathAttributionWindow = 2 * time.Second
+)
+
+// TaskLeases are the leases of the sessions that run tasks. Like RegistrationLeases they exist
+// in the leader's memory only, and a new leader gives each its full TTL: what another leader
+// promised a holder is over before the task is granted to another process. It is not safe for
+// concurrent use.
+type TaskLeases struct {
+	// Absent is set by the caller: processes that the membership view does not have as present.
+	// They are given a task only if no other process can take it.
+	Absent map[string]bool
+
+	leaderSince time.Duration
+	lastHeard   map[string]time.Duration // by session ID
+	// expiringTerms and closingSessions have been decided to end, and may not have ended in the
+	// state yet. Until they have, no renewal may promise their holder anything.
+	expiringTerms   map[string]int64 // fencing tokens, by task
+	closingSessions map[string]bool  // by session ID
+	// expiredAt has the sessions that held a task when they expired, by ID. They are not given
+	// another before they are heard again.
+	expiredAt map[string]time.Duration
+}
+
+// NewTaskLeases returns the leases of a new leader: each has its full TTL from now on.
+func NewTaskLeases(now time.Duration) *TaskLeases {
+	return &TaskLeases{
+		leaderSince:     now,
+		lastHeard:       map[string]time.Duration{},
+		expiringTerms:   map[string]int64{},
+		closingSessions: map[string]bool{},
+		expiredAt:       map[string]time.Duration{},
+	}
+}
+
+// Renew extends the leases of a session, by its process and ID. It returns Unknown if the
+// process has no session, Taken if its session has another ID, and Conflict while the end of
+// the session or of one of its terms is decided but not applied; the process asks again then.
+func (t *TaskLeases) Renew(s *State, process, id string, now time.Duration) Code {
+	session := s.Sessions[process]
+	switch {
+	case session == nil:
+		return Unknown
+	case session.ID != id:
+		return Taken
+	case t.closingSessions[id]:
+		return Conflict
+	}
+	for name, fence := range t.expiringTerms {
+		switch task := s.LeasedTasks[name]; {
+		case task == nil || task.Holder == "" || task.Fence != fence:
+			delete(t.expiringTerms, name)
+		case task.Holder == process:
+			return Conflict
+		}
+	}
+	t.lastHeard[id] = max(t.lastHeard[id], now)
+	return Done
+}
+
+// lastSeen returns when a session was heard last, at the latest possible: a new leader does
+// not know of earlier renewals.
+func (t *TaskLeases) lastSeen(session *Session) time.Duration {
+	return max(t.lastHeard[session.ID], t.leaderSince, session.Opened)
+}
+
+// canTakeTasks reports whether a session may be given a task: it is not draining, and was
+// heard recently and since it expired, if it did.
+func (t *TaskLeases) canTakeTasks(session *Session, now time.Duration) bool {
+	expiredAt, expired := t.expiredAt[session.ID]
+	return !session.Draining && now < t.lastSeen(session)+maxGrantSilence && (!expired || t.lastHeard[session.ID] > expiredAt)
+}
+
+// isExpired reports whether the term of a task that is held is over. The holder counts the TTL
+// from when it sent a renewal, which is not later than lastSeen. A term that has just been
+// granted lasts for its TTL though the process may not have been heard since.
+func (t *TaskLeases) isExpired(s *State, task *LeasedTask, now time.Duration) bool {
+	session := s.holderSession(task)
+	return session == nil || now >= max(t.lastSeen(session), task.HolderSince)+task.TTL
+}
+
+// holderSession returns the session in which a task is held, or nil if it is not open.
+func (s *State) holderSession(task *LeasedTask) *Session {
+	if session := s.Sessions[task.Holder]; session != nil && session.ID == task.Session {
+		return session
+	}
+	return nil
+}
+
+// Decide returns the commands that the leader is to propose now, in order: terms that expire,
+// transfers that were not accepted in time, sessions to close, and then the grants of tasks
+// that nobody holds, or else transfers from draining processes, or else transfers that even
+// out the load.
+func (t *TaskLeases) Decide(s *State, now time.Duration) []Command {
+	scan := t.scan(s, now)
+	commands := appendTerms(nil, ExpireTerm, scan.expired)
+	commands = appendTerms(commands, TransferTask, scan.unaccepted)
+	t.dropClosedSessions(s)
+	commands = t.appendIdleSessions(commands, s, now, scan.sessionsWithTasks)
+
+	p := placement{state: s, now: now, absent: t.Absent, candidates: t.candidates(s, now), taskNames: scan.taskNames, load: scan.load}
+	if len(p.candidates) == 0 {
+		return commands
+	}
+	if grants := p.grants(); len(grants) > 0 {
+		return appendTerms(commands, GrantTerm, grants)
+	}
+	transfers := p.drainTransfers(maxDrainTransfers - scan.transfers)
+	if len(transfers) == 0 {
+		transfers = p.rebalanceTransfers(maxRebalanceTransfers - scan.transfers)
+	}
+	return appendTerms(commands, TransferTask, transfers)
+}
+
+// appendTerms appends a command on terms, if there are any.
+func appendTerms(commands []Command, kind Kind, terms []TermRef) []Command {
+	if len(terms) == 0 {
+		return commands
+	}
+	return append(commands, Command{Kind: kind, Terms: terms})
+}
+
+// taskScan is what one decision finds, task by task.
+type taskScan struct {
+	taskNames  []string
+	expired    []TermRef // at most maxTermsPerCommand
+	unaccepted []TermRef // transfers to cancel: the successor did not accept in time
+	transfers  int       // under way
+	// sessionsWithTasks are the IDs of the sessions that hold a task, expired or not.
+	sessionsWithTasks map[string]bool
+	// load is the number of tasks of each process once all transfers are done.
+	load map[string]int
+}
+
+// scan looks at each task, in order of names.
+func (t *TaskLeases) scan(s *State, now time.Duration) *taskScan {
+	scan := &taskScan{taskNames: s.TaskNames(), sessionsWithTasks: map[string]bool{}, load: map[string]int{}}
+	for _, name := range scan.taskNames {
+		task := s.LeasedTasks[name]
+		if task.Successor != "" {
+			scan.load[task.Successor]++
+			scan.transfers++
+			if now-task.SuccessorSince > acceptTimeout && !task.SuccessorReady {
+				scan.unaccepted = append(scan.unaccepted, TermRef{Name: name})
+			}
+		}
+		if task.Holder == "" {
+			continue
+		}
+		scan.sessionsWithTasks[task.Session] = true
+		if t.isExpired(s, task, now) {
+			t.expire(scan, task, now)
+			continue
+		}
+		if task.Successor == "" {
+			scan.load[task.Holder]++
+		}
+	}
+	t.attributeDeaths(s, scan)
+	return scan
+}
+
+// expire adds the current term of a task to those that expire, unless there are too many.
+func (t *TaskLeases) expire(scan *taskScan, task *LeasedTask, now time.Duration) {
+	t.expiredAt[task.Session] = now
+	if len(scan.expired) < maxTermsPerCommand {
+		scan.expired = append(scan.expired, TermRef{Name: task.Name, Fence: task.Fence})
+		t.expiringTerms[task.Name] = task.Fence
+	}
+}
+
+// attributeDeaths marks, of each session's expired terms, the one that may have killed the
+// process: the last that was granted, if the process was not heard for long after that.
+func (t *TaskLeases) attributeDeaths(s *State, scan *taskScan) {
+	lastGranted := map[string]int{} // index in expired, by session ID
+	for i, term := range scan.expired {
+		session := s.LeasedTasks[term.Name].Session
+		if last, found := lastGranted[session]; !found || scan.expired[last].Fence < term.Fence {
+			lastGranted[session] = i
+		}
+	}
+	for _, i := range lastGranted {
+		task := s.LeasedTasks[scan.expired[i].Name]
+		session := s.holderSession(task)
+		scan.expired[i].CountDeath = session == nil || t.lastSeen(session) < task.HolderSince+deathAttributionWindow
+	}
+}
+
+// dropClosedSessions drops what is recorded of sessions that are not open any more.
+func (t *TaskLeases) dropClosedSessions(s *State) {
+	open := map[string]bool{}
+	for _, session := range s.Sessions {
+		open[session.ID] = true
+	}
+	for id := range t.lastHeard {
+		if !open[id] {
+			delete(t.lastHeard, id)
+			delete(t.closingSessions, id)
+			delete(t.expiredAt, id)
+		}
+	}
+}
+
+// appendIdleSessions appends commands that close the sessions which hold no task and were not
+// heard for idleSessionTimeout.
+func (t *TaskLeases) appendIdleSessions(commands []Command, s *State, now time.Duration, withTasks map[string]bool) []Command {
+	for _, process := range s.ProcessNames() {
+		session := s.Sessions[process]
+		if now < t.lastSeen(session)+idleSessionTimeout || withTasks[session.ID] {
+			continue
+		}
+		t.closingSessions[session.ID] = true
+		closed := &Session{Process: session.Process, ID: session.ID}
+		commands = append(commands, Command{Kind: CloseSession, Session: closed, Reason: ReasonExpired})
+	}
+	return commands
+}
+
+// candidates returns the sessions that may be given a task, in order of processes.
+func (t *TaskLeases) candidates(s *State, now time.Duration) []*Session {
+	var candidates []*Session
+	for _, process := range s.ProcessNames() {
+		if session := s.Sessions[process]; t.canTakeTasks(session, now) {
+			candidates = append(candidates, session)
+		}
+	}
+	return candidates
+}
+
+// PreferredSuccessor returns the process that should have a task after its holder, or "" if
+// nobody holds the task or no other process can take it.
+func (t *TaskLeases) PreferredSuccessor(s *State, name string, now time.Duration) string {
+	task := s.LeasedTasks[name]
+	if task == nil || task.Holder == "" {
+		return ""
+	}
+	p := placement{state: s, now: now, absent: t.Absent, candidates: t.candidates(s, now), load: map[string]int{}}
+	for _, other := range s.LeasedTasks {
+		p.load[other.Holder]++
+	}
+	if session := p.best(task); session != nil {
+		return session.Process
+	}
+	return ""
+}
