--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -19,47 +19,47 @@
 )
 
 const (
-	maxBody = 64 << 10
-	// bodyWait is how long a body may take to come, and catchUp how long a reader who knows
+	maxBodyBytes = 64 << 10
+	// bodyTimeout is how long a body may take to come, and catchUpTimeout how long a reader who knows
 	// more than this steward waits for it to catch up.
-	bodyWait = 3 * time.Second
-	catchUp  = 1500 * time.Millisecond
-	// dayOfVersions is how far beyond the clock a version can be that a reader truly has: one
+	bodyTimeout    = 3 * time.Second
+	catchUpTimeout = 1500 * time.Millisecond
+	// maxRevisionLead is how far beyond the clock a version can be that a reader truly has: one
 	// a microsecond for a day.
-	dayOfVersions = int64(24 * time.Hour / time.Microsecond)
-	maxRefs       = 2000 // of one call
+	maxRevisionLead = int64(24 * time.Hour / time.Microsecond)
+	maxRefsPerCall  = 2000 // of one call
 )
 
-func (n *Server) handler() http.Handler {
+func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+endpoints.Path, n.serveList)
-	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { answer(w, n.status()) })
-	mux.HandleFunc("GET /v1/servers", n.leaderReads(n.serveServers))
-	mux.HandleFunc("GET /v1/servers/{name}", n.leaderReads(n.serveServer))
-	mux.HandleFunc("GET /v1/snapshot", n.leaderReads(n.serveSnapshot))
-	mux.HandleFunc("PUT /v1/servers/{name}", n.leaderWrites(n.register))
-	mux.HandleFunc("PATCH /v1/servers/{name}", n.leaderWrites(n.set))
-	mux.HandleFunc("DELETE /v1/servers/{name}", n.leaderWrites(n.ends(catalog.Deregister)))
-	mux.HandleFunc("POST /v1/servers/{name}/drain", n.leaderWrites(n.ends(catalog.Drain)))
-	mux.HandleFunc("POST /v1/renewals", n.leaderWritesAfter(n.heardRenewals, n.renewals))
-	mux.HandleFunc("POST /v1/guard/confirm", n.leaderWrites(n.confirm))
-	mux.HandleFunc("POST /v1/seen", n.leaderWrites(n.seen))
-	mux.HandleFunc("PUT /v1/snapshot", n.leaderWrites(n.restore))
-	mux.HandleFunc("PUT /v1/peers/{name}", n.leaderWrites(n.addPeer))
-	mux.HandleFunc("DELETE /v1/peers/{name}", n.leaderWrites(n.removePeer))
-	n.handleDuties(mux)
-	n.handleMembers(mux)
-	mux.Handle("GET /metrics", promhttp.HandlerFor(n.m.registry, promhttp.HandlerOpts{}))
+	mux.HandleFunc("GET "+endpoints.Path, s.handleList)
+	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.status()) })
+	mux.HandleFunc("GET /v1/servers", s.leaderReads(s.handleServers))
+	mux.HandleFunc("GET /v1/servers/{name}", s.leaderReads(s.handleServer))
+	mux.HandleFunc("GET /v1/snapshot", s.leaderReads(s.handleSnapshot))
+	mux.HandleFunc("PUT /v1/servers/{name}", s.leaderWrites(s.handleRegister))
+	mux.HandleFunc("PATCH /v1/servers/{name}", s.leaderWrites(s.handleSetOverride))
+	mux.HandleFunc("DELETE /v1/servers/{name}", s.leaderWrites(s.registrationEndHandler(catalog.Deregister)))
+	mux.HandleFunc("POST /v1/servers/{name}/drain", s.leaderWrites(s.registrationEndHandler(catalog.Drain)))
+	mux.HandleFunc("POST /v1/renewals", s.leaderWritesAfter(s.observeRenewals, s.handleRenewals))
+	mux.HandleFunc("POST /v1/guard/confirm", s.leaderWrites(s.handleConfirmRemovals))
+	mux.HandleFunc("POST /v1/seen", s.leaderWrites(s.handleReportedRevision))
+	mux.HandleFunc("PUT /v1/snapshot", s.leaderWrites(s.handleRestore))
+	mux.HandleFunc("PUT /v1/peers/{name}", s.leaderWrites(s.handleAddPeer))
+	mux.HandleFunc("DELETE /v1/peers/{name}", s.leaderWrites(s.handleRemovePeer))
+	s.registerTaskRoutes(mux)
+	s.registerMemberRoutes(mux)
+	mux.Handle("GET /metrics", promhttp.HandlerFor(s.metrics.registry, promhttp.HandlerOpts{}))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength != 0 {
 			// Also for what no handler reads: the server reads it to its end otherwise.
-			_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyWait))
+			_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 		}
 		mux.ServeHTTP(w, r)
 	})
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	text, err := json.Marshal(v)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -69,19 +69,19 @@
 	_, _ = w.Write(append(text, '\n'))
 }
 
-// statuses are the codes of the catalog on HTTP.
-var statuses = map[catalog.Code]int{catalog.Superseded: http.StatusConflict, catalog.Unknown: http.StatusNotFound,
+// statusByCode are the codes of the catalog on HTTP.
+var statusByCode = map[catalog.Code]int{catalog.Superseded: http.StatusConflict, catalog.Unknown: http.StatusNotFound,
 	catalog.Conflict: http.StatusPreconditionFailed, catalog.Invalid: http.StatusBadRequest,
 	catalog.Fenced: http.StatusPreconditionFailed, catalog.Taken: http.StatusConflict,
 	catalog.TooMany: http.StatusInsufficientStorage, catalog.Unsupported: http.StatusNotImplemented}
 
-// refuse words an error in one line. What surely had no effect says so.
-func refuse(w http.ResponseWriter, err error) {
-	var bad *badRequest
-	var refused *refusal
+// writeError words an error in one line. What surely had no effect says so.
+func writeError(w http.ResponseWriter, err error) {
+	var bad *badRequestError
+	var refused *rejectedError
 	switch {
 	case errors.As(err, &refused):
-		http.Error(w, err.Error(), statuses[refused.Code])
+		http.Error(w, err.Error(), statusByCode[refused.Code])
 	case errors.As(err, &bad):
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	case errors.Is(err, errNoLeader):
@@ -94,118 +94,120 @@
 	}
 }
 
-type badRequest struct{ text string }
+type badRequestError struct{ text string }
 
-func (b *badRequest) Error() string { return b.text }
+func (b *badRequestError) Error() string { return b.text }
 
-func bad(format string, args ...any) error { return &badRequest{fmt.Sprintf(format, args...)} }
+func newBadRequest(format string, args ...any) error {
+	return &badRequestError{fmt.Sprintf(format, args...)}
+}
 
-// serveList is discovery's form: the whole list, or a watch.
-func (n *Server) serveList(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
+// handleList is discovery's form: the whole list, or a watch.
+func (s *Server) handleList(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
 	services, err := parseServices(r.URL.RawQuery)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	follow := q.Get("follow") == "1"
+	follow := query.Get("follow") == "1"
 	var since int64
 	if follow {
-		if since, err = strconv.ParseInt(q.Get("since"), 10, 64); err != nil || since < 0 {
+		if since, err = strconv.ParseInt(query.Get("since"), 10, 64); err != nil || since < 0 {
 			http.Error(w, "since: no version", http.StatusBadRequest)
 			return
 		}
 	}
-	if q.Get("consistent") == "1" && !follow {
-		n.leaderReads(func(w http.ResponseWriter, _ *http.Request) { n.writeWhole(w, services) })(w, r)
+	if query.Get("consistent") == "1" && !follow {
+		s.leaderReads(func(w http.ResponseWriter, _ *http.Request) { s.writeFullList(w, services) })(w, r)
 		return
 	}
-	if !n.calls.call(w, n.listBytes(services, follow, since)) {
-		n.m.calls.WithLabelValues("list", "away").Inc()
+	if !s.admission.admitCall(w, s.estimateListBytes(services, follow, since)) {
+		s.metrics.calls.WithLabelValues("list", "away").Inc()
 		return
 	}
 	movable := r.Header.Get(endpoints.OtherAddressesHeader) != ""
-	if n.raft() == nil || n.fsm.seq() == 0 || n.stale() || movable && n.draining.Load() {
+	if s.raft() == nil || s.fsm.revision() == 0 || s.stale() || movable && s.draining.Load() {
 		// Nobody is to be left without a list that is better than none; but whoever can go to
 		// a steward that has the quorum is better off there.
-		if n.raft() == nil || n.fsm.seq() == 0 || n.betterElsewhere() {
-			n.m.calls.WithLabelValues("list", "elsewhere").Inc()
+		if s.raft() == nil || s.fsm.revision() == 0 || s.betterElsewhere() {
+			s.metrics.calls.WithLabelValues("list", "elsewhere").Inc()
 			w.Header().Set("Retry-After", "0.2")
 			http.Error(w, "this steward has no list of now; another may", http.StatusServiceUnavailable)
 			return
 		}
 	}
 	if !follow {
-		n.m.calls.WithLabelValues("list", "whole").Inc()
-		n.writeWhole(w, services)
+		s.metrics.calls.WithLabelValues("list", "whole").Inc()
+		s.writeFullList(w, services)
 		return
 	}
-	if !n.behind(r.Context(), since) {
-		n.m.calls.WithLabelValues("list", "behind").Inc()
+	if !s.awaitRevision(r.Context(), since) {
+		s.metrics.calls.WithLabelValues("list", "behind").Inc()
 		w.Header().Set("Retry-After", "0.2")
 		http.Error(w, "this steward lags behind what the reader knows", http.StatusServiceUnavailable)
 		return
 	}
-	end, ok := n.hub.enter(n.calls.maxWatches, movable)
+	end, ok := s.broadcaster.register(s.admission.maxWatches, movable)
 	if !ok {
-		n.calls.refuse(w, latest)
+		s.admission.reject(w, maxRetryAfter)
 		return
 	}
-	defer n.hub.leave(end)
-	defer n.openSessionOf(r)()
-	n.m.calls.WithLabelValues("list", "watch").Inc()
+	defer s.broadcaster.unregister(end)
+	defer s.openAgentSession(r)()
+	s.metrics.calls.WithLabelValues("list", "watch").Inc()
 	w.Header().Set("Content-Type", "application/json")
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	defer context.AfterFunc(n.ctx, cancel)()
+	defer context.AfterFunc(s.ctx, cancel)()
 	if services == nil {
-		n.hub.watch(ctx, w, since, end)
+		s.broadcaster.watch(ctx, w, since, end)
 		return
 	}
 	setScope(w, services)
-	n.hub.watchServices(ctx, w, services, since, end)
+	s.broadcaster.watchServices(ctx, w, services, since, end)
 }
 
-// writeWhole writes the whole list, of some services where any are named.
-func (n *Server) writeWhole(w http.ResponseWriter, services []string) {
+// writeFullList writes the whole list, of some services where any are named.
+func (s *Server) writeFullList(w http.ResponseWriter, services []string) {
 	w.Header().Set("Content-Type", "application/json")
 	if services == nil {
-		_, _ = w.Write(n.hub.wholeList())
+		_, _ = w.Write(s.broadcaster.encodedFullList())
 		return
 	}
 	setScope(w, services)
-	text, _ := n.hub.topics.list(services, 0, true)
+	text, _ := s.broadcaster.services.encodedList(services, 0, true)
 	_, _ = w.Write(text)
 }
 
-// listBytes is about how many bytes of a list a call is going to write at once.
-func (n *Server) listBytes(services []string, follow bool, since int64) int {
+// estimateListBytes is about how many bytes of a list a call is going to write at once.
+func (s *Server) estimateListBytes(services []string, follow bool, since int64) int {
 	switch {
 	case services != nil:
-		return n.hub.topics.listBytes(services, since, !follow)
+		return s.broadcaster.services.estimateListBytes(services, since, !follow)
 	case follow:
 		return 0
 	}
-	return n.hub.wholeListBytes()
+	return s.broadcaster.estimateFullListBytes()
 }
 
-// behind deals with a reader whose version this steward has not reached. It may lag, and
+// awaitRevision deals with a reader whose version this steward has not reached. It may lag, and
 // catches up; or the reader's version is from another life of the service, and the leader
 // raises its own beyond it. Not ok is a steward that lags too far while a better one is there.
-func (n *Server) behind(ctx context.Context, since int64) bool {
-	if since <= n.fsm.seq() || since > n.c.Now().UnixMicro()+dayOfVersions {
+func (s *Server) awaitRevision(ctx context.Context, since int64) bool {
+	if since <= s.fsm.revision() || since > s.config.Now().UnixMicro()+maxRevisionLead {
 		return true
 	}
-	n.tellSeen(since)
-	end := time.NewTimer(catchUp)
+	s.reportRevision(since)
+	end := time.NewTimer(catchUpTimeout)
 	defer end.Stop()
 	look := time.NewTicker(5 * time.Millisecond)
 	defer look.Stop()
-	for n.fsm.seq() < since {
+	for s.fsm.revision() < since {
 		select {
 		case <-look.C:
 		case <-end.C:
-			return !n.betterElsewhere()
+			return !s.betterElsewhere()
 		case <-ctx.Done():
 			return false
 		}
@@ -213,138 +215,138 @@
 	return true
 }
 
-// tellSeen tells the leader of a version that a reader has.
-func (n *Server) tellSeen(seq int64) {
-	ctx, cancel := context.WithTimeout(n.ctx, catchUp)
+// reportRevision tells the leader of a version that a reader has.
+func (s *Server) reportRevision(seq int64) {
+	ctx, cancel := context.WithTimeout(s.ctx, catchUpTimeout)
 	defer cancel()
-	if _, leads := n.elapsed(); leads {
-		if err := n.raiseBeyond(ctx, seq); err != nil {
-			n.log.Debug("whether a reader's version is later is unknown", "err", err)
+	if _, leads := s.leaderClock(); leads {
+		if err := s.raiseRevisionAbove(ctx, seq); err != nil {
+			s.log.Debug("whether a reader's version is later is unknown", "err", err)
 		}
 		return
 	}
-	if p, ok := (*n.table.Load())[n.leader()]; ok {
-		if err := call(ctx, n.peers, http.MethodPost, "http://"+p.HTTP+"/v1/seen", seenBody{seq}, nil); err != nil {
-			n.log.Debug("the leader was not told what a reader has", "err", err)
+	if p, ok := (*s.peerTable.Load())[s.leader()]; ok {
+		if err := call(ctx, s.peerClient, http.MethodPost, "http://"+p.HTTP+"/v1/seen", revisionBody{seq}, nil); err != nil {
+			s.log.Debug("the leader was not told what a reader has", "err", err)
 		}
 	}
 }
 
-type seenBody struct {
+type revisionBody struct {
 	Seq int64 `json:"seq"`
 }
 
-// raiseBeyond raises the version beyond what a reader has, if the log doesn't lead there. A
+// raiseRevisionAbove raises the version beyond what a reader has, if the log doesn't lead there. A
 // steward may have applied entries that this leader has committed and not applied yet, so all that
 // is committed is applied first: a raise drops the history, and every reader would be sent the
 // whole list for nothing.
-func (n *Server) raiseBeyond(ctx context.Context, seen int64) error {
-	if n.fsm.seq() >= seen {
+func (s *Server) raiseRevisionAbove(ctx context.Context, seen int64) error {
+	if s.fsm.revision() >= seen {
 		return nil
 	}
-	if err := n.barrier(ctx); err != nil {
+	if err := s.barrier(ctx); err != nil {
 		return err
 	}
-	if n.fsm.seq() < seen {
-		n.raise(seen)
+	if s.fsm.revision() < seen {
+		s.raiseRevision(seen)
 	}
 	return nil
 }
 
-// seen raises the version beyond what a reader has, if the leader has not been there.
-func (n *Server) seen(w http.ResponseWriter, r *http.Request) error {
-	var b seenBody
-	if err := body(w, r, &b); err != nil {
+// handleReportedRevision raises the version beyond what a reader has, if the leader has not been there.
+func (s *Server) handleReportedRevision(w http.ResponseWriter, r *http.Request) error {
+	var b revisionBody
+	if err := decodeBody(w, r, &b); err != nil {
 		return err
 	}
-	if b.Seq > n.c.Now().UnixMicro()+dayOfVersions || b.Seq < 0 {
-		return bad("seq: no version that a reader can have")
+	if b.Seq > s.config.Now().UnixMicro()+maxRevisionLead || b.Seq < 0 {
+		return newBadRequest("seq: no version that a reader can have")
 	}
-	if err := n.raiseBeyond(r.Context(), b.Seq); err != nil {
+	if err := s.raiseRevisionAbove(r.Context(), b.Seq); err != nil {
 		return err
 	}
-	answer(w, seenBody{n.fsm.seq()})
+	writeJSON(w, revisionBody{s.fsm.revision()})
 	return nil
 }
 
-// forwarded marks a call that another steward passed on; it isn't passed on again.
-const forwarded = "Forwarded-By"
+// forwardedByHeader marks a call that another steward passed on; it isn't passed on again.
+const forwardedByHeader = "Forwarded-By"
 
 // leaderWrites has the leader carry out a write, wherever it came in.
-func (n *Server) leaderWrites(do func(http.ResponseWriter, *http.Request) error) http.HandlerFunc {
-	return n.leaderWritesAfter(func(http.ResponseWriter, *http.Request) error { return nil }, do)
+func (s *Server) leaderWrites(do func(http.ResponseWriter, *http.Request) error) http.HandlerFunc {
+	return s.leaderWritesAfter(func(http.ResponseWriter, *http.Request) error { return nil }, do)
 }
 
 // leaderWritesAfter does something with an admitted write here, before the leader carries it out.
-func (n *Server) leaderWritesAfter(here, do func(http.ResponseWriter, *http.Request) error) http.HandlerFunc {
+func (s *Server) leaderWritesAfter(here, do func(http.ResponseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		ok, back := n.calls.write(w)
+		ok, back := s.admission.admitWrite(w)
 		if !ok {
 			return
 		}
 		defer back()
 		if err := here(w, r); err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
-		if _, leads := n.elapsed(); !leads {
-			n.pass(w, r)
+		if _, leads := s.leaderClock(); !leads {
+			s.forwardToLeader(w, r)
 			return
 		}
 		if err := do(w, r); err != nil {
-			refuse(w, err)
+			writeError(w, err)
 		}
 	}
 }
 
 // leaderReads has the leader answer a read that asks for all that was acknowledged before
 // it; any other is answered here, as far as this steward has come.
-func (n *Server) leaderReads(do http.HandlerFunc) http.HandlerFunc {
+func (s *Server) leaderReads(do http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("consistent") != "1" {
 			do(w, r)
 			return
 		}
-		if _, leads := n.elapsed(); !leads {
-			n.pass(w, r)
+		if _, leads := s.leaderClock(); !leads {
+			s.forwardToLeader(w, r)
 			return
 		}
-		if err := n.barrier(r.Context()); err != nil {
-			refuse(w, err)
+		if err := s.barrier(r.Context()); err != nil {
+			writeError(w, err)
 			return
 		}
 		do(w, r)
 	}
 }
 
-// pass hands a call to the leader.
-func (n *Server) pass(w http.ResponseWriter, r *http.Request) {
-	p, known := (*n.table.Load())[n.leader()]
-	if !known || n.leader() == n.c.Name || r.Header.Get(forwarded) != "" {
-		refuse(w, errNoLeader)
+// forwardToLeader hands a call to the leader.
+func (s *Server) forwardToLeader(w http.ResponseWriter, r *http.Request) {
+	leader, known := (*s.peerTable.Load())[s.leader()]
+	if !known || s.leader() == s.config.Name || r.Header.Get(forwardedByHeader) != "" {
+		writeError(w, errNoLeader)
 		return
 	}
 	text, err := readBody(w, r)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), applyWait+peerWait)
+	ctx, cancel := context.WithTimeout(r.Context(), applyTimeout+peerTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+p.HTTP+r.URL.RequestURI(), bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+leader.HTTP+r.URL.RequestURI(), bytes.NewReader(text))
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
-	req.Header.Set(forwarded, n.c.Name)
+	req.Header.Set(forwardedByHeader, s.config.Name)
 	req.GetBody = nil // the transport must not send it again by itself
-	resp, err := (&http.Client{Transport: n.peers.Transport}).Do(req)
+	resp, err := (&http.Client{Transport: s.peerClient.Transport}).Do(req)
 	switch {
 	case err != nil && neverSent(err):
-		refuse(w, errNoLeader)
+		writeError(w, errNoLeader)
 		return
 	case err != nil:
-		refuse(w, fmt.Errorf("%w: %v", errInDoubt, err))
+		writeError(w, fmt.Errorf("%w: %v", errUnknownOutcome, err))
 		return
 	}
 	defer resp.Body.Close()
@@ -359,21 +361,21 @@
 
 // readBody reads a body within its time and its bound.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	most := int64(maxBody)
+	most := int64(maxBodyBytes)
 	if r.URL.Path == "/v1/snapshot" || r.URL.Path == "/v1/renewals" {
-		most = maxSnapshot
+		most = maxSnapshotBytes
 	}
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
 	if err != nil {
 		w.Header().Set("Connection", "close") // what is left of it is waited for no longer
-		return nil, bad("body: %v", err)
+		return nil, newBadRequest("body: %v", err)
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	return text, nil
 }
 
-// body reads one JSON value, with no key that is not known.
-func body(w http.ResponseWriter, r *http.Request, into any) error {
+// decodeBody reads one JSON value, with no key that is not known.
+func decodeBody(w http.ResponseWriter, r *http.Request, into any) error {
 	text, err := readBody(w, r)
 	if err != nil {
 		return err
@@ -381,58 +383,58 @@
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
-		return bad("body: %v", err)
+		return newBadRequest("body: %v", err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return bad("body: more than one value")
+		return newBadRequest("body: more than one value")
 	}
 	return nil
 }
 
-// commit proposes a command and answers with what became of it.
-func (n *Server) commit(w http.ResponseWriter, c catalog.Command) error {
-	res, err := n.propose(c)
+// commitAndAnswer proposes a command and answers with what became of it.
+func (s *Server) commitAndAnswer(w http.ResponseWriter, c catalog.Command) error {
+	res, err := s.propose(c)
 	if err != nil {
 		return err
 	}
 	if res.Code != catalog.Done {
-		return &refusal{res}
+		return &rejectedError{res}
 	}
-	answer(w, res)
+	writeJSON(w, res)
 	return nil
 }
 
-// refusal is what the state said no to.
-type refusal struct{ catalog.Result }
+// rejectedError is what the state said no to.
+type rejectedError struct{ catalog.Result }
 
-func (r *refusal) Error() string { return string(r.Code) + ": " + r.Text }
+func (r *rejectedError) Error() string { return string(r.Code) + ": " + r.Text }
 
-// register takes a server's entry; its lease begins.
-func (n *Server) register(w http.ResponseWriter, r *http.Request) error {
-	var h endpoints.Endpoint
-	if err := body(w, r, &h); err != nil {
+// handleRegister takes a server's entry; its lease begins.
+func (s *Server) handleRegister(w http.ResponseWriter, r *http.Request) error {
+	var endpoint endpoints.Endpoint
+	if err := decodeBody(w, r, &endpoint); err != nil {
 		return err
 	}
-	if h.Name != r.PathValue("name") {
-		return bad("host: %q is not the name in the path", h.Name)
+	if endpoint.Name != r.PathValue("name") {
+		return newBadRequest("host: %q is not the name in the path", endpoint.Name)
 	}
-	if err := h.Validate(); err != nil {
-		return bad("%v", err)
+	if err := endpoint.Validate(); err != nil {
+		return newBadRequest("%v", err)
 	}
-	if h.Health == endpoints.Removed {
-		return bad("health: a server that is gone doesn't register")
+	if endpoint.Health == endpoints.Removed {
+		return newBadRequest("health: a server that is gone doesn't register")
 	}
-	return n.commit(w, catalog.Command{Kind: catalog.Register, Endpoint: &h})
+	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.Register, Endpoint: &endpoint})
 }
 
-// ends drains a server or takes it off the list.
-func (n *Server) ends(kind catalog.Kind) func(http.ResponseWriter, *http.Request) error {
+// registrationEndHandler drains a server or takes it off the list.
+func (s *Server) registrationEndHandler(kind catalog.Kind) func(http.ResponseWriter, *http.Request) error {
 	return func(w http.ResponseWriter, r *http.Request) error {
 		born, err := strconv.ParseFloat(r.URL.Query().Get("born_ms"), 64)
 		if err != nil {
-			return bad("born_ms: no number in the query")
+			return newBadRequest("born_ms: no number in the query")
 		}
-		return n.commit(w, catalog.Command{Kind: kind, Refs: []catalog.InstanceRef{{Name: r.PathValue("name"), StartedMs: born}}})
+		return s.commitAndAnswer(w, catalog.Command{Kind: kind, Refs: []catalog.InstanceRef{{Name: r.PathValue("name"), StartedMs: born}}})
 	}
 }
 
@@ -443,19 +445,19 @@
 	TTLMs int64                 `json:"ttl_ms,omitempty"`
 }
 
-func (n *Server) renewals(w http.ResponseWriter, r *http.Request) error {
+func (s *Server) handleRenewals(w http.ResponseWriter, r *http.Request) error {
 	var b RenewalBatch
-	if err := body(w, r, &b); err != nil {
+	if err := decodeBody(w, r, &b); err != nil {
 		return err
 	}
-	if len(b.Refs) > maxRefs {
-		return bad("refs: %d of at most %d", len(b.Refs), maxRefs)
+	if len(b.Refs) > maxRefsPerCall {
+		return newBadRequest("refs: %d of at most %d", len(b.Refs), maxRefsPerCall)
 	}
-	codes, err := n.renew(b.Refs)
+	codes, err := s.renew(b.Refs)
 	if err != nil {
 		return err
 	}
-	answer(w, RenewalBatch{Refs: []catalog.InstanceRef{}, Codes: codes, TTLMs: n.c.LeaseTTL.Milliseconds()})
+	writeJSON(w, RenewalBatch{Refs: []catalog.InstanceRef{}, Codes: codes, TTLMs: s.config.LeaseTTL.Milliseconds()})
 	return nil
 }
 
@@ -466,95 +468,95 @@
 	IfVersion int64    `json:"if,omitempty"`
 }
 
-func (n *Server) set(w http.ResponseWriter, r *http.Request) error {
+func (s *Server) handleSetOverride(w http.ResponseWriter, r *http.Request) error {
 	var b ServerOverride
-	if err := body(w, r, &b); err != nil {
+	if err := decodeBody(w, r, &b); err != nil {
 		return err
 	}
 	if b.Weight == nil && b.Health == nil {
-		return bad("share, health: neither is given")
+		return newBadRequest("share, health: neither is given")
 	}
-	return n.commit(w, catalog.Command{Kind: catalog.SetOverride, Name: r.PathValue("name"), Weight: b.Weight, Health: b.Health, IfVersion: b.IfVersion})
+	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.SetOverride, Name: r.PathValue("name"), Weight: b.Weight, Health: b.Health, IfVersion: b.IfVersion})
 }
 
-func (n *Server) confirm(w http.ResponseWriter, _ *http.Request) error {
-	n.log.Warn("an operator confirms that the held servers are gone")
-	return n.commit(w, catalog.Command{Kind: catalog.ConfirmRemoval})
+func (s *Server) handleConfirmRemovals(w http.ResponseWriter, _ *http.Request) error {
+	s.log.Warn("an operator confirms that the held servers are gone")
+	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.ConfirmRemoval})
 }
 
-func (n *Server) serveServers(w http.ResponseWriter, _ *http.Request) {
-	answer(w, copyAll(n.fsm, entryTable, shallowCopy))
+func (s *Server) handleServers(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, copyAll(s.fsm, entryTable, shallowCopy))
 }
 
-func (n *Server) serveServer(w http.ResponseWriter, r *http.Request) {
-	e := copyOne(n.fsm, entryTable, r.PathValue("name"), shallowCopy)
-	answerOne(w, e, "no server of this name")
+func (s *Server) handleServer(w http.ResponseWriter, r *http.Request) {
+	e := copyOne(s.fsm, entryTable, r.PathValue("name"), shallowCopy)
+	writeJSONOrNotFound(w, e, "no server of this name")
 }
 
-func (n *Server) serveSnapshot(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleSnapshot(w http.ResponseWriter, _ *http.Request) {
 	var text []byte
 	var err error
-	n.fsm.read(func(s *catalog.State) { text, err = s.Encode() })
+	s.fsm.read(func(state *catalog.State) { text, err = state.Encode() })
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write(text)
 }
 
-// restore puts a snapshot in place of the state. The version goes on from where it was.
-func (n *Server) restore(w http.ResponseWriter, r *http.Request) error {
+// handleRestore puts a snapshot in place of the state. The version goes on from where it was.
+func (s *Server) handleRestore(w http.ResponseWriter, r *http.Request) error {
 	text, err := readBody(w, r)
 	if err != nil {
 		return err
 	}
-	s, err := catalog.Decode(text)
+	state, err := catalog.Decode(text)
 	if err != nil {
-		return bad("%v", err)
-	}
-	before := max(n.fsm.seq(), s.Seq)
-	if err := n.raft().Restore(&raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(len(text))}, bytes.NewReader(text), 30*time.Second); err != nil {
-		return fmt.Errorf("%w: %v", errInDoubt, err)
-	}
-	n.raise(before)
-	n.lead.Lock()
-	n.fsm.read(func(s *catalog.State) { // all that it names have their full time
-		n.base, n.ledSince = max(n.base+time.Since(n.ledSince), s.Clock), time.Now()
-		if n.leases != nil {
-			n.leases, n.tenures = catalog.NewRegistrationLeases(n.c.leases(), s, n.base), catalog.NewTaskLeases(n.base)
+		return newBadRequest("%v", err)
+	}
+	before := max(s.fsm.revision(), state.Seq)
+	if err := s.raft().Restore(&raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(len(text))}, bytes.NewReader(text), 30*time.Second); err != nil {
+		return fmt.Errorf("%w: %v", errUnknownOutcome, err)
+	}
+	s.raiseRevision(before)
+	s.leaderMu.Lock()
+	s.fsm.read(func(state *catalog.State) { // all that it names have their full time
+		s.clockAtElection, s.electedAt = max(s.clockAtElection+time.Since(s.electedAt), state.Clock), time.Now()
+		if s.registrationLeases != nil {
+			s.registrationLeases, s.taskLeases = catalog.NewRegistrationLeases(s.config.leaseConfig(), state, s.clockAtElection), catalog.NewTaskLeases(s.clockAtElection)
 		}
 	})
-	n.lead.Unlock()
-	n.log.Warn("a snapshot was put in place of the state", "entries", len(s.Entries), "version", n.fsm.seq())
-	answer(w, n.status())
+	s.leaderMu.Unlock()
+	s.log.Warn("a snapshot was put in place of the state", "entries", len(state.Entries), "version", s.fsm.revision())
+	writeJSON(w, s.status())
 	return nil
 }
 
-// addPeer takes a steward in: it hears all first, and votes once it has caught up.
-func (n *Server) addPeer(w http.ResponseWriter, r *http.Request) error {
+// handleAddPeer takes a steward in: it hears all first, and votes once it has caught up.
+func (s *Server) handleAddPeer(w http.ResponseWriter, r *http.Request) error {
 	name := r.PathValue("name")
-	if _, known := n.raftAddr(name); !known {
-		return bad("peer %s: not in the leader's table of peers", name)
+	if _, known := s.raftAddr(name); !known {
+		return newBadRequest("peer %s: not in the leader's table of peers", name)
 	}
 	id, addr := raft.ServerID(name), raft.ServerAddress(name)
-	for _, v := range n.voters() {
+	for _, v := range s.voters() {
 		if v == name {
-			answer(w, n.status())
+			writeJSON(w, s.status())
 			return nil
 		}
 	}
-	if err := n.raft().AddNonvoter(id, addr, 0, applyWait).Error(); err != nil {
-		return membership(err)
+	if err := s.raft().AddNonvoter(id, addr, 0, applyTimeout).Error(); err != nil {
+		return configurationError(err)
 	}
 	if r.URL.Query().Get("spare") == "1" {
-		n.log.Info("a steward hears all, as a spare", "peer", name)
-		answer(w, n.status())
+		s.log.Info("a steward hears all, as a spare", "peer", name)
+		writeJSON(w, s.status())
 		return nil
 	}
 	end := time.Now().Add(30 * time.Second)
 	for {
-		if st, err := n.statusOf(r.Context(), name); err == nil && st.Applied+16 >= n.raft().CommitIndex() && st.Applied > 0 {
+		if st, err := s.statusOf(r.Context(), name); err == nil && st.Applied+16 >= s.raft().CommitIndex() && st.Applied > 0 {
 			break
 		}
 		if time.Now().After(end) || r.Context().Err() != nil {
@@ -562,34 +564,34 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if err := n.raft().AddVoter(id, addr, 0, applyWait).Error(); err != nil {
-		return membership(err)
+	if err := s.raft().AddVoter(id, addr, 0, applyTimeout).Error(); err != nil {
+		return configurationError(err)
 	}
-	n.log.Info("a steward votes", "peer", name)
-	answer(w, n.status())
+	s.log.Info("a steward votes", "peer", name)
+	writeJSON(w, s.status())
 	return nil
 }
 
-// removePeer takes a steward off the voters.
-func (n *Server) removePeer(w http.ResponseWriter, r *http.Request) error {
+// handleRemovePeer takes a steward off the voters.
+func (s *Server) handleRemovePeer(w http.ResponseWriter, r *http.Request) error {
 	name := r.PathValue("name")
-	if name == n.c.Name && len(n.voters()) == 1 {
-		return bad("peer %s: it is the only one that votes", name)
+	if name == s.config.Name && len(s.voters()) == 1 {
+		return newBadRequest("peer %s: it is the only one that votes", name)
 	}
-	if err := n.another(name, r.URL.Query().Get("id")); err != nil {
+	if err := s.checkNameConflict(name, r.URL.Query().Get("id")); err != nil {
 		return err
 	}
-	if err := n.raft().RemoveServer(raft.ServerID(name), 0, applyWait).Error(); err != nil {
-		return membership(err)
+	if err := s.raft().RemoveServer(raft.ServerID(name), 0, applyTimeout).Error(); err != nil {
+		return configurationError(err)
 	}
-	n.log.Info("a steward is off the voters", "peer", name)
-	answer(w, n.status())
+	s.log.Info("a steward is off the voters", "peer", name)
+	writeJSON(w, s.status())
 	return nil
 }
 
-func membership(err error) error {
+func configurationError(err error) error {
 	if errors.Is(err, raft.ErrNotLeader) {
 		return errNoLeader
 	}
-	return fmt.Errorf("%w: %v", errInDoubt, err)
+	return fmt.Errorf("%w: %v", errUnknownOutcome, err)
 }
--- a/internal/control/barrier.go
+++ b/internal/control/barrier.go
@@ -23,19 +23,19 @@
 // barrier waits until every entry that was in the log when it was called is applied here,
 // which makes a read that follows it linearizable. It returns errNoLeader if that can't be
 // shown, or the context's error.
-func (n *Server) barrier(ctx context.Context) error {
-	return n.joinBarrier(ctx, &n.readBarriers, func() error { return n.raft().Barrier(applyWait).Error() })
+func (s *Server) barrier(ctx context.Context) error {
+	return s.joinBarrier(ctx, &s.readBarriers, func() error { return s.raft().Barrier(applyTimeout).Error() })
 }
 
 // verifyLeader has a quorum confirm that this steward led when verifyLeader was called. It
 // returns errNoLeader if it can't be shown, or the context's error.
-func (n *Server) verifyLeader(ctx context.Context) error {
-	return n.joinBarrier(ctx, &n.leaderChecks, func() error { return n.raft().VerifyLeader().Error() })
+func (s *Server) verifyLeader(ctx context.Context) error {
+	return s.joinBarrier(ctx, &s.leaderChecks, func() error { return s.raft().VerifyLeader().Error() })
 }
 
 // joinBarrier waits for the next check of b, starting the goroutine that runs them if there
 // is none.
-func (n *Server) joinBarrier(ctx context.Context, b *barriers, check func() error) error {
+func (s *Server) joinBarrier(ctx context.Context, b *barriers, check func() error) error {
 	b.mu.Lock()
 	if b.next == nil {
 		b.next = &barrier{done: make(chan struct{})}
@@ -43,7 +43,7 @@
 	joined := b.next
 	if !b.running {
 		b.running = true
-		n.own(func() { n.runBarriers(b, check) })
+		s.startGoroutine(func() { s.runBarriers(b, check) })
 	}
 	b.mu.Unlock()
 	select {
@@ -55,7 +55,7 @@
 }
 
 // runBarriers runs checks one after the other until no call waits for one.
-func (n *Server) runBarriers(b *barriers, check func() error) {
+func (s *Server) runBarriers(b *barriers, check func() error) {
 	for {
 		b.mu.Lock()
 		current := b.next
@@ -66,7 +66,7 @@
 		}
 		b.next = nil
 		b.mu.Unlock()
-		if _, leads := n.elapsed(); !leads || check() != nil {
+		if _, leads := s.leaderClock(); !leads || check() != nil {
 			current.err = errNoLeader
 		}
 		close(current.done)
--- a/internal/control/call.go
+++ b/internal/control/call.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxSnapshot))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxSnapshotBytes))
 	if err != nil {
 		return fmt.Errorf("%s %s: %w", method, url, err)
 	}
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -19,7 +19,7 @@
 	Addrs         []string
 	AddressSource func() []string // the addresses as they are now, in place of those; nil: those
 	HTTP          *http.Client
-	first         atomic.Int64
+	preferred     atomic.Int64
 }
 
 // NewClient makes a client whose calls may take as long as given.
@@ -31,7 +31,7 @@
 // only where the call surely had no effect.
 func (c *Client) do(ctx context.Context, method, path string, body, into any) error {
 	err := errors.New("no address of a steward")
-	first := c.first.Load()
+	first := c.preferred.Load()
 	addrs := c.Addrs
 	if c.AddressSource != nil {
 		addrs = c.AddressSource()
@@ -41,7 +41,7 @@
 		err = call(ctx, c.HTTP, method, "http://"+addr+path, body, into)
 		var refused *HTTPError
 		if err != nil && !errors.As(err, &refused) {
-			c.first.CompareAndSwap(first+int64(i), first+int64(i)+1)
+			c.preferred.CompareAndSwap(first+int64(i), first+int64(i)+1)
 		}
 		switch {
 		case err == nil:
@@ -211,5 +211,5 @@
 	if word == "drop" {
 		return c.do(ctx, http.MethodDelete, "/v1/duties/"+name, nil, nil)
 	}
-	return c.do(ctx, http.MethodPost, "/v1/duties/"+name+"/"+word, wordBody{to, why}, nil)
+	return c.do(ctx, http.MethodPost, "/v1/duties/"+name+"/"+word, taskCommandBody{to, why}, nil)
 }
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -73,8 +73,8 @@
 		MaxWatches: 20_000, CallRate: 2000, MaxWrites: 1024, SnapshotEvery: 8192, SnapshotCheck: 20 * time.Second, LogLevel: "info"}
 }
 
-// mostWatches bounds what max_watches may be: beyond it there are no descriptors anywhere.
-const mostWatches = 1_000_000
+// maxWatchesSetting bounds what max_watches may be: beyond it there are no descriptors anywhere.
+const maxWatchesSetting = 1_000_000
 
 // EnvPrefix begins the names of the environment's variables: STEWARD_LEASE_TTL is lease_ttl.
 const EnvPrefix = "STEWARD_"
@@ -119,7 +119,7 @@
 }
 
 func (c *Config) validate() error {
-	for _, ch := range []struct {
+	for _, check := range []struct {
 		key string
 		bad bool
 		say string
@@ -140,7 +140,7 @@
 		{"stale_after", c.StaleAfter <= 0, fmt.Sprintf("must be above 0, is %v", c.StaleAfter)},
 		{"coalesce", c.Coalesce < 0, fmt.Sprintf("must be 0 or above, is %v", c.Coalesce)},
 		{"drain", c.Drain < 0 || c.Drain > time.Minute, fmt.Sprintf("must be 0 to 1m, is %v", c.Drain)},
-		{"max_watches", c.MaxWatches < 1 || c.MaxWatches > mostWatches, fmt.Sprintf("must be 1 to %d, is %d", mostWatches, c.MaxWatches)},
+		{"max_watches", c.MaxWatches < 1 || c.MaxWatches > maxWatchesSetting, fmt.Sprintf("must be 1 to %d, is %d", maxWatchesSetting, c.MaxWatches)},
 		{"call_rate", !(c.CallRate > 0), fmt.Sprintf("must be above 0, is %v", c.CallRate)},
 		{"max_writes", c.MaxWrites < 1, fmt.Sprintf("must be 1 or above, is %d", c.MaxWrites)},
 		{"snapshot_every", c.SnapshotEvery < 1, "must be 1 or above"},
@@ -149,31 +149,31 @@
 		{"audit_every", c.AuditEvery < 0 || c.AuditEvery > 0 && c.AuditEvery < 100*time.Millisecond, fmt.Sprintf("must be 0, or 100ms or above, is %v", c.AuditEvery)},
 		{"log_level", !slices.Contains([]string{"debug", "info", "warn", "error"}, c.LogLevel), fmt.Sprintf("must be debug, info, warn or error, is %q", c.LogLevel)},
 	} {
-		if ch.bad {
-			return fmt.Errorf("configuration: %s: %s", ch.key, ch.say)
+		if check.bad {
+			return fmt.Errorf("configuration: %s: %s", check.key, check.say)
 		}
 	}
-	for name, p := range c.Peers {
+	for name, peer := range c.Peers {
 		switch {
 		case !endpoints.IsToken(name, 64):
 			return fmt.Errorf("configuration: peers: %q is no name", name)
-		case !endpoints.IsAddress(p.HTTP):
-			return fmt.Errorf("configuration: peers.%s.http: no address with a port: %q", name, p.HTTP)
-		case !endpoints.IsAddress(p.Raft):
-			return fmt.Errorf("configuration: peers.%s.raft: no address with a port: %q", name, p.Raft)
-		case p.Gossip != "" && !endpoints.IsAddress(p.Gossip):
-			return fmt.Errorf("configuration: peers.%s.gossip: no address with a port: %q", name, p.Gossip)
+		case !endpoints.IsAddress(peer.HTTP):
+			return fmt.Errorf("configuration: peers.%s.http: no address with a port: %q", name, peer.HTTP)
+		case !endpoints.IsAddress(peer.Raft):
+			return fmt.Errorf("configuration: peers.%s.raft: no address with a port: %q", name, peer.Raft)
+		case peer.Gossip != "" && !endpoints.IsAddress(peer.Gossip):
+			return fmt.Errorf("configuration: peers.%s.gossip: no address with a port: %q", name, peer.Gossip)
 		}
 	}
 	return nil
 }
 
-func (c *Config) leases() catalog.LeaseConfig {
+func (c *Config) leaseConfig() catalog.LeaseConfig {
 	return catalog.LeaseConfig{TTL: c.LeaseTTL, MassFailureShare: c.GuardShare, MassFailureWindow: c.GuardWindow}
 }
 
-// others names the peers but for this steward, in order.
-func (c *Config) others() []string {
+// otherServers names the peers but for this steward, in order.
+func (c *Config) otherServers() []string {
 	var names []string
 	for name := range c.Peers {
 		if name != c.Name {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -22,21 +22,21 @@
 	"knotrouter/internal/endpoints"
 )
 
-// stand is a state machine and a hub without raft.
-type stand struct {
+// fsmFixture is a state machine and a hub without raft.
+type fsmFixture struct {
 	*fsm
-	hub   *hub
-	index uint64
+	broadcaster *watchBroadcaster
+	index       uint64
 }
 
-func newStand(t *testing.T) *stand {
-	st := &stand{fsm: &fsm{state: catalog.New(), broken: func(err error) { t.Error(err) }}}
-	st.hub = newHub(st.fsm, 5*time.Millisecond)
-	st.changed = st.hub.poke
+func newFSMFixture(t *testing.T) *fsmFixture {
+	st := &fsmFixture{fsm: &fsm{state: catalog.New(), onFatal: func(err error) { t.Error(err) }}}
+	st.broadcaster = newWatchBroadcaster(st.fsm, 5*time.Millisecond)
+	st.onChange = st.broadcaster.notifyChanged
 	return st
 }
 
-func (st *stand) apply(t *testing.T, c catalog.Command) catalog.Result {
+func (st *fsmFixture) apply(t *testing.T, c catalog.Command) catalog.Result {
 	t.Helper()
 	c.FormatVersion = catalog.FormatVersion
 	text, err := json.Marshal(c)
@@ -47,7 +47,7 @@
 	return st.Apply(&raft.Log{Index: st.index, Data: text}).(catalog.Result)
 }
 
-func (st *stand) register(t *testing.T, name string, born float64) {
+func (st *fsmFixture) register(t *testing.T, name string, born float64) {
 	t.Helper()
 	h := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 1, StartedMs: born}
 	if r := st.apply(t, catalog.Command{Kind: catalog.Register, Endpoint: &h}); r.Code != catalog.Done {
@@ -55,25 +55,25 @@
 	}
 }
 
-// reader takes what a watch writes, and can be slow.
-type reader struct {
-	mu    sync.Mutex
-	lines []string
-	block chan struct{} // while it is open, writes wait
-	have  map[string]float64
-	seq   int64
+// watchReader takes what a watch writes, and can be slow.
+type watchReader struct {
+	mu       sync.Mutex
+	lines    []string
+	blocked  chan struct{} // while it is open, writes wait
+	servers  map[string]float64
+	revision int64
 }
 
-func newReader() *reader { return &reader{have: map[string]float64{}} }
+func newReader() *watchReader { return &watchReader{servers: map[string]float64{}} }
 
-func (r *reader) Header() http.Header              { return http.Header{} }
-func (r *reader) WriteHeader(int)                  {}
-func (r *reader) Flush()                           {}
-func (r *reader) SetWriteDeadline(time.Time) error { return nil }
+func (r *watchReader) Header() http.Header              { return http.Header{} }
+func (r *watchReader) WriteHeader(int)                  {}
+func (r *watchReader) Flush()                           {}
+func (r *watchReader) SetWriteDeadline(time.Time) error { return nil }
 
-func (r *reader) Write(p []byte) (int, error) {
+func (r *watchReader) Write(p []byte) (int, error) {
 	r.mu.Lock()
-	block := r.block
+	block := r.blocked
 	r.mu.Unlock()
 	if block != nil {
 		<-block
@@ -84,19 +84,19 @@
 	var l endpoints.List
 	if len(p) > 1 && json.Unmarshal(p, &l) == nil {
 		if l.Full {
-			clear(r.have)
+			clear(r.servers)
 		}
 		for _, h := range l.Endpoints {
-			if r.have[h.Name] = h.StartedMs; h.Health == endpoints.Removed {
-				delete(r.have, h.Name)
+			if r.servers[h.Name] = h.StartedMs; h.Health == endpoints.Removed {
+				delete(r.servers, h.Name)
 			}
 		}
-		r.seq = l.Seq
+		r.revision = l.Seq
 	}
 	return len(p), nil
 }
 
-func (r *reader) count() int {
+func (r *watchReader) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.lines)
@@ -107,30 +107,30 @@
 func TestFanOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		st := newStand(t)
-		go st.hub.run(ctx)
+		st := newFSMFixture(t)
+		go st.broadcaster.run(ctx)
 		st.register(t, "a", 1)
 		time.Sleep(time.Second)
-		readers := make([]*reader, 50)
+		readers := make([]*watchReader, 50)
 		for i := range readers {
 			readers[i] = newReader()
-			go st.hub.watch(ctx, readers[i], 0, nil)
+			go st.broadcaster.watch(ctx, readers[i], 0, nil)
 		}
 		synctest.Wait()
-		before := st.hub.encoded
+		before := st.broadcaster.encodedCount
 		for i := range 3 {
 			st.register(t, "b", float64(i+1))
 		}
 		between := newReader() // it comes before the line does, and knows two of the three
-		go st.hub.watch(ctx, between, st.seq()-1, nil)
+		go st.broadcaster.watch(ctx, between, st.revision()-1, nil)
 		time.Sleep(20 * time.Millisecond)
 		synctest.Wait()
-		if n := st.hub.encoded - before; n != 1 {
+		if n := st.broadcaster.encodedCount - before; n != 1 {
 			t.Errorf("three changes at once were encoded %d times", n)
 		}
 		for _, r := range append(readers, between) {
-			if r.have["b"] != 3 || r.seq != st.seq() || r.count() > 2 {
-				t.Errorf("a reader has %v at version %d after %d lines", r.have, r.seq, r.count())
+			if r.servers["b"] != 3 || r.revision != st.revision() || r.count() > 2 {
+				t.Errorf("a reader has %v at version %d after %d lines", r.servers, r.revision, r.count())
 				break
 			}
 		}
@@ -150,40 +150,40 @@
 func TestSlowReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		st := newStand(t)
-		go st.hub.run(ctx)
+		st := newFSMFixture(t)
+		go st.broadcaster.run(ctx)
 		st.register(t, "a", 1)
 		time.Sleep(time.Second)
 		slow, quick := newReader(), newReader()
-		go st.hub.watch(ctx, slow, 0, nil)
-		go st.hub.watch(ctx, quick, 0, nil)
+		go st.broadcaster.watch(ctx, slow, 0, nil)
+		go st.broadcaster.watch(ctx, quick, 0, nil)
 		synctest.Wait()
 		slow.mu.Lock()
-		slow.block = make(chan struct{})
+		slow.blocked = make(chan struct{})
 		slow.mu.Unlock()
-		for i := range 2 * mostLines {
+		for i := range 2 * maxListEvents {
 			st.register(t, fmt.Sprint("s-", i), 1)
 			time.Sleep(10 * time.Millisecond)
 		}
 		synctest.Wait()
-		if quick.seq != st.seq() || len(st.hub.lines) > mostLines {
-			t.Errorf("the quick one is at %d of %d; %d lines kept", quick.seq, st.seq(), len(st.hub.lines))
+		if quick.revision != st.revision() || len(st.broadcaster.events) > maxListEvents {
+			t.Errorf("the quick one is at %d of %d; %d lines kept", quick.revision, st.revision(), len(st.broadcaster.events))
 		}
 		slow.mu.Lock()
-		close(slow.block)
-		slow.block = nil
+		close(slow.blocked)
+		slow.blocked = nil
 		slow.mu.Unlock()
 		synctest.Wait()
-		if slow.seq != st.seq() || len(slow.have) != 2*mostLines+1 || slow.count() > 10 || st.hub.lagged != 1 {
-			t.Errorf("the slow one is at %d of %d with %d servers after %d lines, lagged %d", slow.seq, st.seq(), len(slow.have), slow.count(), st.hub.lagged)
+		if slow.revision != st.revision() || len(slow.servers) != 2*maxListEvents+1 || slow.count() > 10 || st.broadcaster.laggedCount != 1 {
+			t.Errorf("the slow one is at %d of %d with %d servers after %d lines, lagged %d", slow.revision, st.revision(), len(slow.servers), slow.count(), st.broadcaster.laggedCount)
 		}
 		st.register(t, "last", 1)
 		time.Sleep(20 * time.Millisecond)
 		synctest.Wait()
-		if slow.have["last"] != 1 {
+		if slow.servers["last"] != 1 {
 			t.Error("it does not go on")
 		}
-		st.hub.endAll()
+		st.broadcaster.endAll()
 		synctest.Wait()
 		cancel()
 	})
@@ -199,12 +199,12 @@
 		admitted, late := 0, 0
 		for range 1000 {
 			w := httptest.NewRecorder()
-			if a.call(w, 0) {
+			if a.admitCall(w, 0) {
 				admitted++
 				continue
 			}
 			s, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
-			if w.Code != http.StatusServiceUnavailable || err != nil || s < soonest.Seconds() || s > (soonest+2*latest).Seconds() {
+			if w.Code != http.StatusServiceUnavailable || err != nil || s < minRetryAfter.Seconds() || s > (minRetryAfter+2*maxRetryAfter).Seconds() {
 				t.Fatalf("%d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 			}
 			if s > 1 {
@@ -218,13 +218,13 @@
 		if late < 450 || late > 650 {
 			t.Errorf("%d of 900 told to come later than in a second", late)
 		}
-		if w := httptest.NewRecorder(); a.call(w, 0) {
+		if w := httptest.NewRecorder(); a.admitCall(w, 0) {
 			t.Error("admitted at the bound")
 		}
 		time.Sleep(3 * time.Second)
 		again := 0
 		for range 1000 {
-			if a.call(httptest.NewRecorder(), 10*bytesPerCall) {
+			if a.admitCall(httptest.NewRecorder(), 10*bytesPerCall) {
 				again++
 			}
 		}
@@ -233,7 +233,7 @@
 		}
 		var back []func()
 		for i := range 3 {
-			ok, done := a.write(httptest.NewRecorder())
+			ok, done := a.admitWrite(httptest.NewRecorder())
 			if ok != (i < 2) {
 				t.Errorf("write %d admitted: %v", i, ok)
 			}
@@ -242,31 +242,31 @@
 			}
 		}
 		back[0]()
-		if ok, _ := a.write(httptest.NewRecorder()); !ok {
+		if ok, _ := a.admitWrite(httptest.NewRecorder()); !ok {
 			t.Error("a place that was given back is not taken")
 		}
 	})
 }
 
-// full is a disk that takes nothing.
-type full struct{ raft.StableStore }
+// fullDisk is a disk that takes nothing.
+type fullDisk struct{ raft.StableStore }
 
-func (full) Set(_, _ []byte) error              { return errors.New("no space left on device") }
-func (full) SetUint64(_ []byte, _ uint64) error { return errors.New("no space left on device") }
+func (fullDisk) Set(_, _ []byte) error              { return errors.New("no space left on device") }
+func (fullDisk) SetUint64(_ []byte, _ uint64) error { return errors.New("no space left on device") }
 
 // What raft promised and can't be written ends the steward with a line that says why, before
 // raft goes on as if it were.
 func TestPromises(t *testing.T) {
-	for what, promise := range map[string]func(p *promises){
-		"vote": func(p *promises) { _ = p.Set([]byte("LastVoteCand"), []byte("st-1")) },
-		"term": func(p *promises) { _ = p.SetUint64([]byte("CurrentTerm"), 7) },
+	for what, promise := range map[string]func(p *stableStore){
+		"vote": func(p *stableStore) { _ = p.Set([]byte("LastVoteCand"), []byte("st-1")) },
+		"term": func(p *stableStore) { _ = p.SetUint64([]byte("CurrentTerm"), 7) },
 	} {
 		var said []error
 		wentOn := false
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			promise(&promises{full{}, func(err error) { said = append(said, err) }})
+			promise(&stableStore{fullDisk{}, func(err error) { said = append(said, err) }})
 			wentOn = true
 		}()
 		<-done
@@ -308,12 +308,12 @@
 // Whatever doesn't fit in a log or a snapshot ends the steward rather than its state.
 func TestUnreadable(t *testing.T) {
 	var broken []error
-	f := &fsm{state: catalog.New(), changed: func() {}, broken: func(err error) { broken = append(broken, err) }}
+	f := &fsm{state: catalog.New(), onChange: func() {}, onFatal: func(err error) { broken = append(broken, err) }}
 	for _, text := range []string{"{", `{"form":2,"kind":"floor","seq":5}`, `{"form":1,"kind":"later"}`} {
 		before := len(broken)
 		f.Apply(&raft.Log{Index: 7, Data: []byte(text)})
-		if len(broken) != before+1 || !strings.Contains(broken[before].Error(), "entry 7 of the log") || f.seq() != 0 {
-			t.Errorf("%s: %v, version %d", text, broken, f.seq())
+		if len(broken) != before+1 || !strings.Contains(broken[before].Error(), "entry 7 of the log") || f.revision() != 0 {
+			t.Errorf("%s: %v, version %d", text, broken, f.revision())
 		}
 	}
 }
--- a/internal/control/evidence.go
+++ b/internal/control/evidence.go
@@ -31,36 +31,36 @@
 	Answers map[string]member.Answer `json:"answers,omitempty"`
 }
 
-// serveEvidence probes the servers of a request and answers with what it observed.
-func (n *Server) serveEvidence(w http.ResponseWriter, r *http.Request) {
+// handleEvidence probes the servers of a request and answers with what it observed.
+func (s *Server) handleEvidence(w http.ResponseWriter, r *http.Request) {
 	var b ObservationMessage
-	if err := body(w, r, &b); err != nil {
-		refuse(w, err)
+	if err := decodeBody(w, r, &b); err != nil {
+		writeError(w, err)
 		return
 	}
 	if len(b.Refs) > maxEvidence {
-		refuse(w, bad("refs: %d of at most %d", len(b.Refs), maxEvidence))
+		writeError(w, newBadRequest("refs: %d of at most %d", len(b.Refs), maxEvidence))
 		return
 	}
-	if n.evidenceCalls.Add(1) > maxEvidenceCalls {
-		n.evidenceCalls.Add(-1)
-		n.calls.refuse(w, evidenceTimeout) // who asked counts this one as silent
+	if s.evidenceCalls.Add(1) > maxEvidenceCalls {
+		s.evidenceCalls.Add(-1)
+		s.admission.reject(w, evidenceTimeout) // who asked counts this one as silent
 		return
 	}
-	defer n.evidenceCalls.Add(-1)
-	answer(w, ObservationMessage{From: n.c.Name, Answers: n.probeServers(r.Context(), b.Refs)})
+	defer s.evidenceCalls.Add(-1)
+	writeJSON(w, ObservationMessage{From: s.config.Name, Answers: s.probeServers(r.Context(), b.Refs)})
 }
 
 // probeServers asks servers for their health and returns an observation for each that this
 // steward knows and had the time to ask. If this process itself was slow, it doesn't report
 // any server as silent.
-func (n *Server) probeServers(ctx context.Context, refs []catalog.InstanceRef) map[string]member.Answer {
+func (s *Server) probeServers(ctx context.Context, refs []catalog.InstanceRef) map[string]member.Answer {
 	ctx, cancel := context.WithTimeout(ctx, evidenceTimeout-evidenceReserve)
 	defer cancel()
 	dials := make([]string, len(refs))
-	n.fsm.read(func(s *catalog.State) {
+	s.fsm.read(func(state *catalog.State) {
 		for i, ref := range refs {
-			if e := s.Entries[ref.Name]; e != nil && !e.Removed && e.Endpoint.StartedMs == ref.StartedMs {
+			if e := state.Entries[ref.Name]; e != nil && !e.Removed && e.Endpoint.StartedMs == ref.StartedMs {
 				dials[i] = e.Endpoint.Dial
 			}
 		}
@@ -79,11 +79,11 @@
 		go func() {
 			defer all.Done()
 			defer func() { <-places }()
-			found[i] = n.probe(ctx, dial)
+			found[i] = s.probe(ctx, dial)
 		}()
 	}
 	all.Wait()
-	slow := n.wasPaused() || time.Since(began) > 2*evidenceTimeout
+	slow := s.wasPaused() || time.Since(began) > 2*evidenceTimeout
 	for i, a := range found {
 		if slow && a == member.AnswerSilent {
 			a = member.AnswerUnsure // the delay may be this process's own
@@ -96,7 +96,7 @@
 }
 
 // probe requests a server's health.
-func (n *Server) probe(ctx context.Context, dial string) member.Answer {
+func (s *Server) probe(ctx context.Context, dial string) member.Answer {
 	if ctx.Err() != nil {
 		return member.AnswerNone // there was no time for it: not the server's fault
 	}
@@ -106,7 +106,7 @@
 	if err != nil {
 		return member.AnswerNone
 	}
-	resp, err := n.probes.Do(req)
+	resp, err := s.probeClient.Do(req)
 	switch {
 	case err == nil:
 		resp.Body.Close()
--- /dev/null
+++ b/internal/control/incarnation.go
@@ -0,0 +1,115 @@
+package control
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/member"
+)
+
+const (
+	arrivalInterval = 500 * time.Millisecond // between checks of this process's incarnation
+	// nameConflictTimeout is for how long a name may seem to belong to another process before
+	// this one gives up: after a quick restart with an empty data folder, the others need some
+	// time to notice that the earlier process is gone.
+	nameConflictTimeout = 10 * time.Second
+)
+
+// arrivalBody asks for the incarnation number of a start of a process.
+type arrivalBody struct {
+	ID     string `json:"id"`
+	BootID string `json:"life"`
+}
+
+// incarnationLoop obtains this process's incarnation number from the catalog and gossips it. It
+// ends the process if its name belongs to another one, and returns then or when the steward
+// stops.
+func (s *Server) incarnationLoop() {
+	client := NewClient(nil, applyTimeout+peerTimeout)
+	client.AddressSource = s.serverAddresses
+	ticker := time.NewTicker(arrivalInterval)
+	defer ticker.Stop()
+	var conflictSince time.Time // when the name began to seem another process's; zero if it doesn't
+	for {
+		var registered catalog.Member
+		s.fsm.read(func(state *catalog.State) {
+			if m := state.Members[s.config.Name]; m != nil {
+				registered = *m
+			}
+		})
+		current := s.gossip.Self().Incarnation
+		switch {
+		case registered.ID == s.dataID && registered.BootID == s.bootID:
+			if current != registered.Incarnation {
+				s.gossip.UpdateSelf(func(i *member.Info) { i.Incarnation = registered.Incarnation })
+				s.log.Info("arrived", "incarnation", registered.Incarnation)
+			}
+		case current > 0 && registered.Incarnation > current && registered.ID == s.dataID:
+			s.fail(fmt.Errorf("name: a later process is called %s and has a copy of this folder: this one yields", s.config.Name))
+			return
+		case current > 0 && registered.Incarnation > current:
+			s.fail(fmt.Errorf("name: another process is called %s, and this one was thought to be gone: it yields", s.config.Name))
+			return
+		default:
+			var r catalog.Result
+			err := client.do(s.ctx, http.MethodPost, endpoints.MembersPath+"/"+s.config.Name+"/arrival", arrivalBody{s.dataID, s.bootID}, &r)
+			switch {
+			case !isConflict(err):
+				conflictSince = time.Time{}
+			case conflictSince.IsZero():
+				conflictSince = time.Now()
+			case time.Since(conflictSince) > nameConflictTimeout:
+				s.fail(fmt.Errorf("name: %w", err))
+				return
+			}
+		}
+		select {
+		case <-ticker.C:
+		case <-s.ctx.Done():
+			return
+		}
+	}
+}
+
+// presentMember reports whether the membership view holds a process of this name to be presentMember, and
+// the identity of its data folder.
+func (s *Server) presentMember(name string) (id string, is bool) {
+	if s.gossip == nil {
+		return "", false
+	}
+	s.gossip.WithTracker(func(_ time.Duration, t *member.Tracker) { id, is = t.DataID(name) })
+	return id, is
+}
+
+// checkNameConflict returns a refusal if a process other than the one with this identity is present
+// under the name.
+func (s *Server) checkNameConflict(name, id string) error {
+	if has, is := s.presentMember(name); is && id != "" && has != "" && has != id {
+		if s.logLimiter.Allow() {
+			s.log.Error("a second process came with the name of one that is there", "name", name)
+		}
+		return &rejectedError{catalog.Result{Code: catalog.Taken, Text: fmt.Sprintf("another process is called %s, and is there", name)}}
+	}
+	return nil
+}
+
+// handleMemberArrival gives a process of the control plane its incarnation number. It refuses a name
+// that isn't in the table of peers or that another present process has.
+func (s *Server) handleMemberArrival(w http.ResponseWriter, r *http.Request) error {
+	var b arrivalBody
+	if err := decodeBody(w, r, &b); err != nil {
+		return err
+	}
+	name := r.PathValue("name")
+	if _, known := (*s.peerTable.Load())[name]; !known && name != s.config.Name {
+		return newBadRequest("name: %q is not in the leader's table of peers", name)
+	}
+	if err := s.checkNameConflict(name, b.ID); err != nil {
+		return err
+	}
+	id, is := s.presentMember(name)
+	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.RegisterMember, Member: &catalog.Member{Name: name, ID: b.ID, BootID: b.BootID, PredecessorAbsent: !is || id == b.ID}})
+}
--- a/internal/control/input_test.go
+++ b/internal/control/input_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// alone starts a steward that stands alone, and returns where it answers.
-func alone(t testing.TB) (*Server, string) {
+// startSingleServer starts a steward that stands startSingleServer, and returns where it answers.
+func startSingleServer(t testing.TB) (*Server, string) {
 	t.Helper()
 	c := Defaults()
 	c.Data, c.Raft, c.Heartbeat = t.TempDir(), "127.0.0.1:0", 100*time.Millisecond
@@ -24,17 +24,17 @@
 	}
 	c.Listen = ln.Addr().String()
 	ln.Close()
-	n, err := Start(context.Background(), &c, slog.New(slog.DiscardHandler))
+	s, err := Start(context.Background(), &c, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(n.Close)
-	for end := time.Now().Add(time.Minute); n.fsm.seq() == 0; time.Sleep(5 * time.Millisecond) {
+	t.Cleanup(s.Close)
+	for end := time.Now().Add(time.Minute); s.fsm.revision() == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("it never leads")
 		}
 	}
-	return n, c.Listen
+	return s, c.Listen
 }
 
 // FuzzHTTP: whatever is asked, a steward answers with one line and a status of its own, and
@@ -52,15 +52,15 @@
 	} {
 		f.Add(seed[0], seed[1], seed[2])
 	}
-	n, _ := alone(f)
-	handler := n.handler()
+	s, _ := startSingleServer(f)
+	handler := s.handler()
 	f.Fuzz(func(t *testing.T, method, path, text string) {
 		req, err := http.NewRequest(method, "http://a/"+strings.TrimPrefix(path, "/"), strings.NewReader(text))
 		if err != nil || req.URL.Query().Get("follow") == "1" {
 			return // no request at all; or a watch, which has no end of its own
 		}
 		req.RequestURI = req.URL.RequestURI()
-		before := n.fsm.seq()
+		before := s.fsm.revision()
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, req)
 		said := w.Body.String()
@@ -69,17 +69,17 @@
 			if strings.Count(said, "\n") != 1 || len(said) > 2000 {
 				t.Errorf("%s %q %q: %d %q", method, path, text, w.Code, said)
 			}
-			if n.fsm.seq() != before {
-				t.Errorf("%s %q %q: refused with %d, and the version went from %d to %d", method, path, text, w.Code, before, n.fsm.seq())
+			if s.fsm.revision() != before {
+				t.Errorf("%s %q %q: refused with %d, and the version went from %d to %d", method, path, text, w.Code, before, s.fsm.revision())
 			}
 		case w.Code/100 == 5 && w.Code != http.StatusServiceUnavailable && w.Code != http.StatusInsufficientStorage:
 			t.Errorf("%s %q %q: %d %q", method, path, text, w.Code, said)
 		}
-		if n.fsm.seq() < before || n.fsm.seq() > maxSeq {
-			t.Fatalf("%s %q %q: the version went from %d to %d", method, path, text, before, n.fsm.seq())
+		if s.fsm.revision() < before || s.fsm.revision() > maxRevision {
+			t.Fatalf("%s %q %q: the version went from %d to %d", method, path, text, before, s.fsm.revision())
 		}
 		select {
-		case err := <-n.fatal:
+		case err := <-s.fatalErrors:
 			t.Fatalf("%s %q %q ended the steward: %v", method, path, text, err)
 		default:
 		}
@@ -89,8 +89,8 @@
 // Senders that are slow, stop half way or send no proper request hold up nobody and are
 // done with in a bounded time; nothing of what they sent has an effect.
 func TestSlowSenders(t *testing.T) {
-	n, addr := alone(t)
-	before := n.fsm.seq()
+	s, addr := startSingleServer(t)
+	before := s.fsm.revision()
 	body := `{"host":"x","dial":"127.0.0.1:9","site":"a","class":"k","block":0,"health":"ready","share":1,"born_ms":5}`
 	head := fmt.Sprintf("PUT /v1/servers/x HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", len(body))
 	type end struct {
@@ -139,7 +139,7 @@
 			t.Errorf("%s: after %v %q", e.what, e.took, e.said)
 		}
 	}
-	if n.fsm.seq() != before {
-		t.Errorf("the version went from %d to %d", before, n.fsm.seq())
+	if s.fsm.revision() != before {
+		t.Errorf("the version went from %d to %d", before, s.fsm.revision())
 	}
 }
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -14,15 +14,15 @@
 // stateTable selects one table of the replicated state.
 type stateTable[T any] func(*catalog.State) map[string]*T
 
-func entryTable(s *catalog.State) map[string]*catalog.Entry     { return s.Entries }
-func dutyTable(s *catalog.State) map[string]*catalog.LeasedTask { return s.LeasedTasks }
+func entryTable(state *catalog.State) map[string]*catalog.Entry { return state.Entries }
+func taskTable(s *catalog.State) map[string]*catalog.LeasedTask { return s.LeasedTasks }
 func sessionTable(s *catalog.State) map[string]*catalog.Session { return s.Sessions }
 
 // shallowCopy copies a value whose slices the state never changes in place.
 func shallowCopy[T any](v *T) T { return *v }
 
-// copyDuty copies a duty with its past terms, which the state shifts in place.
-func copyDuty(d *catalog.LeasedTask) catalog.LeasedTask {
+// copyTask copies a duty with its past terms, which the state shifts in place.
+func copyTask(d *catalog.LeasedTask) catalog.LeasedTask {
 	c := *d
 	c.History = slices.Clone(d.History)
 	return c
@@ -32,8 +32,8 @@
 // nil.
 func copyAll[T any](f *fsm, table stateTable[T], clone func(*T) T) []T {
 	all := []T{}
-	f.read(func(s *catalog.State) {
-		byName := table(s)
+	f.read(func(state *catalog.State) {
+		byName := table(state)
 		for _, name := range slices.Sorted(maps.Keys(byName)) {
 			all = append(all, clone(byName[name]))
 		}
@@ -43,8 +43,8 @@
 
 // copyOne returns a copy of the value of a name, or nil if the table has none.
 func copyOne[T any](f *fsm, table stateTable[T], name string, clone func(*T) T) (found *T) {
-	f.read(func(s *catalog.State) {
-		if v := table(s)[name]; v != nil {
+	f.read(func(state *catalog.State) {
+		if v := table(state)[name]; v != nil {
 			c := clone(v)
 			found = &c
 		}
@@ -52,11 +52,11 @@
 	return found
 }
 
-// answerOne answers with the value, or with status 404 and the given text if it is nil.
-func answerOne[T any](w http.ResponseWriter, v *T, notFound string) {
+// writeJSONOrNotFound answers with the value, or with status 404 and the given text if it is nil.
+func writeJSONOrNotFound[T any](w http.ResponseWriter, v *T, notFound string) {
 	if v == nil {
 		http.Error(w, notFound, http.StatusNotFound)
 		return
 	}
-	answer(w, v)
+	writeJSON(w, v)
 }
--- a/internal/control/inspect_test.go
+++ b/internal/control/inspect_test.go
@@ -14,8 +14,8 @@
 	past := []catalog.Term{{Process: "a", Fence: 1}, {Process: "b", Fence: 2}}
 	f.state.LeasedTasks["second"] = &catalog.LeasedTask{Name: "second"}
 	f.state.LeasedTasks["first"] = &catalog.LeasedTask{Name: "first", History: slices.Clone(past)}
-	all := copyAll(f, dutyTable, copyDuty)
-	one := copyOne(f, dutyTable, "first", copyDuty)
+	all := copyAll(f, taskTable, copyTask)
+	one := copyOne(f, taskTable, "first", copyTask)
 	f.state.LeasedTasks["first"].History = slices.Delete(f.state.LeasedTasks["first"].History, 0, 1)
 	if len(all) != 2 || all[0].Name != "first" || all[1].Name != "second" {
 		t.Fatalf("duties are %v, not in the order of their names", all)
@@ -26,7 +26,7 @@
 	if !slices.Equal(one.History, past) {
 		t.Errorf("the single copy changed with the state: %v", one.History)
 	}
-	if copyOne(f, dutyTable, "none", copyDuty) != nil {
+	if copyOne(f, taskTable, "none", copyTask) != nil {
 		t.Error("a duty that isn't there was found")
 	}
 	if got := copyAll(f, sessionTable, shallowCopy); got == nil || len(got) != 0 {
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -23,72 +23,72 @@
 // startRaft opens the data folder, starts gossip and then raft. A steward with an empty data
 // folder may have voted before it lost its data, so it bootstraps only a new cluster, and
 // otherwise has itself removed from the voters before it joins again.
-func (n *Server) startRaft(ctx context.Context) error {
-	rl := raftLog(n.log)
+func (s *Server) startRaft(ctx context.Context) error {
+	rl := newRaftLogger(s.log)
 	var err error
-	if n.store, err = openStore(n.c.Data, rl); err != nil {
+	if s.store, err = openStore(s.config.Data, rl); err != nil {
 		return err
 	}
-	if n.id, err = identity(n.c.Data); err != nil {
+	if s.dataID, err = loadDataID(s.config.Data); err != nil {
 		return err
 	}
-	if err := n.startGossip(); err != nil {
+	if err := s.startGossip(); err != nil {
 		return err
 	}
-	has, err := raft.HasExistingState(n.store, n.store.bolt, n.store.snaps)
+	has, err := raft.HasExistingState(s.store, s.store.bolt, s.store.snaps)
 	if err != nil {
 		return fmt.Errorf("data: %w", err)
 	}
 	bootstrap, rejoin := false, false
 	if !has {
-		if bootstrap, rejoin, err = n.classifyEmptyFolder(ctx); err != nil {
+		if bootstrap, rejoin, err = s.classifyEmptyFolder(ctx); err != nil {
 			return err
 		}
 	}
-	if err := n.runRaft(rl); err != nil {
+	if err := s.runRaft(rl); err != nil {
 		return err
 	}
 	if bootstrap {
-		if err := n.bootstrap(); err != nil {
+		if err := s.bootstrap(); err != nil {
 			return err
 		}
 	}
 	if rejoin {
-		n.own(n.requestAdmission)
+		s.startGoroutine(s.requestAdmission)
 	}
 	return nil
 }
 
 // runRaft listens for other stewards and starts the raft instance on the opened store.
-func (n *Server) runRaft(rl hclog.Logger) error {
-	ln, err := net.Listen("tcp", n.c.Raft)
+func (s *Server) runRaft(rl hclog.Logger) error {
+	ln, err := net.Listen("tcp", s.config.Raft)
 	if err != nil {
 		return fmt.Errorf("raft: %w", err)
 	}
-	n.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+	s.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		MaxPool: raftPoolSize,
 		Timeout: raftTimeout,
 		Logger:  rl,
-		Stream:  &namedStream{stream{ln, n.raftAddr}, n.c.Name},
+		Stream:  &raftStreamLayer{peerDialer{ln, s.raftAddr}, s.config.Name},
 	})
-	stable := &promises{n.store.bolt, n.fail}
-	r, err := raft.NewRaft(n.raftConfig(rl), n.fsm, n.c.WrapLogStore(n.store), stable, n.store.snaps, n.trans)
+	stable := &stableStore{s.store.bolt, s.fail}
+	r, err := raft.NewRaft(s.raftConfig(rl), s.fsm, s.config.WrapLogStore(s.store), stable, s.store.snaps, s.transport)
 	if err != nil {
 		return fmt.Errorf("raft: %w", err)
 	}
-	n.raftNode.Store(r)
+	s.raftNode.Store(r)
 	return nil
 }
 
-func (n *Server) raftConfig(rl hclog.Logger) *raft.Config {
+func (s *Server) raftConfig(rl hclog.Logger) *raft.Config {
 	rc := raft.DefaultConfig()
-	rc.LocalID = raft.ServerID(n.c.Name)
+	rc.LocalID = raft.ServerID(s.config.Name)
 	rc.Logger = rl
-	rc.HeartbeatTimeout, rc.ElectionTimeout = n.c.Heartbeat, n.c.Heartbeat
-	rc.LeaderLeaseTimeout = n.c.Heartbeat * 4 / 5
+	rc.HeartbeatTimeout, rc.ElectionTimeout = s.config.Heartbeat, s.config.Heartbeat
+	rc.LeaderLeaseTimeout = s.config.Heartbeat * 4 / 5
 	rc.CommitTimeout = commitTimeout
-	rc.SnapshotThreshold, rc.SnapshotInterval = n.c.SnapshotEvery, n.c.SnapshotCheck
-	rc.TrailingLogs = n.c.SnapshotEvery
+	rc.SnapshotThreshold, rc.SnapshotInterval = s.config.SnapshotEvery, s.config.SnapshotCheck
+	rc.TrailingLogs = s.config.SnapshotEvery
 	rc.NoSnapshotRestoreOnStart = false
 	rc.ShutdownOnRemove = false // a removed steward serves its list until it is stopped
 	return rc
@@ -96,19 +96,19 @@
 
 // bootstrap writes the first configuration of a new cluster: all stewards of the table, with
 // spares as non-voters. A spare does nothing; the voters replicate the configuration to it.
-func (n *Server) bootstrap() error {
-	if n.c.Peers[n.c.Name].NonVoter {
+func (s *Server) bootstrap() error {
+	if s.config.Peers[s.config.Name].NonVoter {
 		return nil
 	}
 	var conf raft.Configuration
-	for _, name := range append([]string{n.c.Name}, n.c.others()...) {
-		s := raft.Server{ID: raft.ServerID(name), Address: raft.ServerAddress(name)}
-		if n.c.Peers[name].NonVoter {
-			s.Suffrage = raft.Nonvoter
+	for _, name := range append([]string{s.config.Name}, s.config.otherServers()...) {
+		replica := raft.Server{ID: raft.ServerID(name), Address: raft.ServerAddress(name)}
+		if s.config.Peers[name].NonVoter {
+			replica.Suffrage = raft.Nonvoter
 		}
-		conf.Servers = append(conf.Servers, s)
+		conf.Servers = append(conf.Servers, replica)
 	}
-	err := n.raft().BootstrapCluster(conf).Error()
+	err := s.raft().BootstrapCluster(conf).Error()
 	if err != nil && !errors.Is(err, raft.ErrCantBootstrap) {
 		return fmt.Errorf("raft: %w", err)
 	}
@@ -117,11 +117,11 @@
 
 // raftAddr resolves the name of a steward to the address of its raft transport. Raft knows
 // stewards by name only, so that each can dial the others by its own table.
-func (n *Server) raftAddr(name string) (string, bool) {
-	if name == n.c.Name {
-		return n.c.Raft, true
+func (s *Server) raftAddr(name string) (string, bool) {
+	if name == s.config.Name {
+		return s.config.Raft, true
 	}
-	p, ok := (*n.table.Load())[name]
+	p, ok := (*s.peerTable.Load())[name]
 	return p.Raft, ok
 }
 
@@ -130,21 +130,21 @@
 // has a state, this steward was replaced or lost its data: it has itself removed from the
 // voters, as it may have voted, and is to rejoin. It returns an error if the context ends or
 // if another process goes by this steward's name.
-func (n *Server) classifyEmptyFolder(ctx context.Context) (bootstrap, rejoin bool, err error) {
-	others := n.c.others()
+func (s *Server) classifyEmptyFolder(ctx context.Context) (bootstrap, rejoin bool, err error) {
+	others := s.config.otherServers()
 	for first := true; ; first = false {
 		empty := 0
 		for _, name := range others {
-			st, err := n.statusOf(ctx, name)
+			st, err := s.statusOf(ctx, name)
 			switch {
 			case err != nil:
 			case st.HasState:
-				err := n.requestRemoval(ctx)
+				err := s.requestRemoval(ctx)
 				switch {
 				case err == nil:
-					n.log.Info("rejoining with an empty folder", "told_by", name)
+					s.log.Info("rejoining with an empty folder", "told_by", name)
 					return false, true, nil
-				case isConflict(err) && time.Since(n.began) > nameConflictTimeout:
+				case isConflict(err) && time.Since(s.startedAt) > nameConflictTimeout:
 					return false, false, fmt.Errorf("name: %w", err)
 				}
 			default:
@@ -155,7 +155,7 @@
 			return true, false, nil
 		}
 		if first {
-			n.log.Info("the folder is empty: waiting until all other stewards answer, or one that has a state", "others", others)
+			s.log.Info("the folder is empty: waiting until all other stewards answer, or one that has a state", "others", others)
 		}
 		select {
 		case <-time.After(firstStartInterval):
@@ -166,30 +166,30 @@
 }
 
 // requestRemoval asks the cluster to remove this steward from the voters.
-func (n *Server) requestRemoval(ctx context.Context) error {
-	return n.tryPeers(ctx, func(base string) error {
-		return call(ctx, n.peers, http.MethodDelete, base+"/v1/peers/"+n.c.Name+"?id="+n.id, nil, nil)
+func (s *Server) requestRemoval(ctx context.Context) error {
+	return s.tryPeers(ctx, func(base string) error {
+		return call(ctx, s.peerClient, http.MethodDelete, base+"/v1/peers/"+s.config.Name+"?id="+s.dataID, nil, nil)
 	})
 }
 
 // requestAdmission asks the cluster to add this steward again, and repeats that until it
 // succeeds or the steward stops. It requires that raft listens.
-func (n *Server) requestAdmission() {
+func (s *Server) requestAdmission() {
 	query := ""
-	if (*n.table.Load())[n.c.Name].NonVoter {
+	if (*s.peerTable.Load())[s.config.Name].NonVoter {
 		query = "?spare=1"
 	}
 	for {
-		err := n.tryPeers(n.ctx, func(base string) error {
-			return call(n.ctx, n.peers, http.MethodPut, base+"/v1/peers/"+n.c.Name+query, nil, nil)
+		err := s.tryPeers(s.ctx, func(base string) error {
+			return call(s.ctx, s.peerClient, http.MethodPut, base+"/v1/peers/"+s.config.Name+query, nil, nil)
 		})
 		if err == nil {
 			return
 		}
-		n.log.Warn("not taken in yet", "err", err)
+		s.log.Warn("not taken in yet", "err", err)
 		select {
 		case <-time.After(admissionInterval):
-		case <-n.ctx.Done():
+		case <-s.ctx.Done():
 			return
 		}
 	}
@@ -197,10 +197,10 @@
 
 // tryPeers calls do with the base URL of one steward after the other, until one succeeds,
 // one answers with a conflict or the context ends. It returns the last error.
-func (n *Server) tryPeers(ctx context.Context, do func(base string) error) error {
+func (s *Server) tryPeers(ctx context.Context, do func(base string) error) error {
 	err := errors.New("no other steward in the table")
-	for _, name := range n.c.others() {
-		err = do("http://" + (*n.table.Load())[name].HTTP)
+	for _, name := range s.config.otherServers() {
+		err = do("http://" + (*s.peerTable.Load())[name].HTTP)
 		if err == nil || ctx.Err() != nil || isConflict(err) {
 			return err
 		}
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -11,52 +11,52 @@
 // decisionInterval is how often the leader decides on sessions and leased tasks.
 const decisionInterval = 100 * time.Millisecond
 
-// maxSeq is the highest version that is accepted from a reader. JSON numbers are exact up to
+// maxRevision is the highest version that is accepted from a reader. JSON numbers are exact up to
 // it, and it keeps one reader with an invalid version from exhausting the range.
-const maxSeq = 1 << 52
+const maxRevision = 1 << 52
 
 // voters returns the names of the voters in the latest raft configuration that this steward
 // has, or nil if there is none.
-func (n *Server) voters() []string {
-	f := n.raft().GetConfiguration()
+func (s *Server) voters() []string {
+	f := s.raft().GetConfiguration()
 	if f.Error() != nil {
 		return nil
 	}
 	var names []string
-	for _, s := range f.Configuration().Servers {
-		if s.Suffrage == raft.Voter {
-			names = append(names, string(s.ID))
+	for _, replica := range f.Configuration().Servers {
+		if replica.Suffrage == raft.Voter {
+			names = append(names, string(replica.ID))
 		}
 	}
 	return names
 }
 
 // leader returns the name of the leader, or "" if none is known.
-func (n *Server) leader() string {
-	if n.raft() == nil {
+func (s *Server) leader() string {
+	if s.raft() == nil {
 		return ""
 	}
-	_, id := n.raft().LeaderWithID()
+	_, id := s.raft().LeaderWithID()
 	return string(id)
 }
 
 // leaderLoop follows raft's leadership changes and, while this steward leads, proposes what
 // sessions and leased tasks call for. It returns when the steward stops.
-func (n *Server) leaderLoop() {
+func (s *Server) leaderLoop() {
 	tick := time.NewTicker(decisionInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case leads := <-n.raft().LeaderCh():
+		case leads := <-s.raft().LeaderCh():
 			if leads {
-				n.becomeLeader()
+				s.becomeLeader()
 			} else {
-				n.stepDown()
+				s.stepDown()
 			}
 		case <-tick.C:
-			n.assign()
-		case <-n.ctx.Done():
-			n.stepDown()
+			s.assignTasks()
+		case <-s.ctx.Done():
+			s.stepDown()
 			return
 		}
 	}
@@ -64,68 +64,68 @@
 
 // becomeLeader starts the leader's work once every entry committed by earlier leaders is
 // applied here. All leases and sessions start with their full time.
-func (n *Server) becomeLeader() {
-	if err := n.raft().Barrier(applyWait).Error(); err != nil {
-		n.log.Warn("leads no longer before it began", "err", err)
+func (s *Server) becomeLeader() {
+	if err := s.raft().Barrier(applyTimeout).Error(); err != nil {
+		s.log.Warn("leads no longer before it began", "err", err)
 		return
 	}
-	n.lead.Lock()
+	s.leaderMu.Lock()
 	var seq int64
-	n.fsm.read(func(s *catalog.State) {
-		n.base, seq = s.Clock, s.Seq
-		n.ledSince = time.Now()
-		n.leases = catalog.NewRegistrationLeases(n.c.leases(), s, s.Clock)
-		n.tenures = catalog.NewTaskLeases(s.Clock)
+	s.fsm.read(func(state *catalog.State) {
+		s.clockAtElection, seq = state.Clock, state.Seq
+		s.electedAt = time.Now()
+		s.registrationLeases = catalog.NewRegistrationLeases(s.config.leaseConfig(), state, state.Clock)
+		s.taskLeases = catalog.NewTaskLeases(state.Clock)
 	})
-	n.lead.Unlock()
-	n.m.elections.Inc()
-	n.log.Info("leads", "version", seq, "term", n.raft().CurrentTerm())
+	s.leaderMu.Unlock()
+	s.metrics.electionsWon.Inc()
+	s.log.Info("leads", "version", seq, "term", s.raft().CurrentTerm())
 	if seq == 0 {
-		n.raise(0)
+		s.raiseRevision(0)
 	}
-	n.defineOwn()
+	s.defineControlTasks()
 }
 
 // stepDown drops the leader's unreplicated state. It does nothing on a follower.
-func (n *Server) stepDown() {
-	n.lead.Lock()
-	defer n.lead.Unlock()
-	if n.leases != nil {
-		n.log.Info("leads no longer")
+func (s *Server) stepDown() {
+	s.leaderMu.Lock()
+	defer s.leaderMu.Unlock()
+	if s.registrationLeases != nil {
+		s.log.Info("leads no longer")
 	}
-	n.leases, n.tenures = nil, nil
+	s.registrationLeases, s.taskLeases = nil, nil
 }
 
 // transferLeadership hands leadership to another voter, if this steward leads and there is
 // one.
-func (n *Server) transferLeadership() {
-	if n.raft() == nil || n.raft().State() != raft.Leader || len(n.voters()) <= 1 {
+func (s *Server) transferLeadership() {
+	if s.raft() == nil || s.raft().State() != raft.Leader || len(s.voters()) <= 1 {
 		return
 	}
-	if err := n.raft().LeadershipTransfer().Error(); err != nil {
-		n.log.Warn("leadership was not handed over", "err", err)
+	if err := s.raft().LeadershipTransfer().Error(); err != nil {
+		s.log.Warn("leadership was not handed over", "err", err)
 	}
 }
 
-// raise advances the version past every one that a reader can have seen, so that versions
+// raiseRevision advances the version past every one that a reader can have seen, so that versions
 // never decrease after the state was lost or restored. The wall clock in microseconds is a
 // first guess; seen, the highest version that a reader reported, is a lower bound.
-func (n *Server) raise(seen int64) {
-	version := max(n.c.Now().UnixMicro(), seen+1)
-	if version > maxSeq {
+func (s *Server) raiseRevision(seen int64) {
+	version := max(s.config.Now().UnixMicro(), seen+1)
+	if version > maxRevision {
 		return // no steward has ever issued such a version
 	}
-	if _, err := n.propose(catalog.Command{Kind: catalog.RaiseRevision, Seq: version}); err != nil {
-		n.log.Warn("the version was not raised", "err", err)
+	if _, err := s.propose(catalog.Command{Kind: catalog.RaiseRevision, Seq: version}); err != nil {
+		s.log.Warn("the version was not raised", "err", err)
 		return
 	}
-	n.log.Info("version raised", "to", version, "seen_by_a_reader", seen)
+	s.log.Info("version raised", "to", version, "seen_by_a_reader", seen)
 }
 
-// elapsed returns the state's clock as the leader continues it by its monotonic time, and
+// leaderClock returns the state's clock as the leader continues it by its monotonic time, and
 // whether this steward leads. The time is meaningless if it doesn't.
-func (n *Server) elapsed() (time.Duration, bool) {
-	n.lead.Lock()
-	defer n.lead.Unlock()
-	return n.base + time.Since(n.ledSince), n.leases != nil
+func (s *Server) leaderClock() (time.Duration, bool) {
+	s.leaderMu.Lock()
+	defer s.leaderMu.Unlock()
+	return s.clockAtElection + time.Since(s.electedAt), s.registrationLeases != nil
 }
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -8,17 +8,17 @@
 // keeps, and which servers are released from damping, and proposes that with the fencing
 // token of the sweep task. It returns a refusal if the token is no longer valid, and
 // errNoLeader if this steward doesn't lead.
-func (n *Server) sweep(fence int64) error {
-	now, leads := n.elapsed()
+func (s *Server) sweep(fence int64) error {
+	now, leads := s.leaderClock()
 	if !leads {
 		return errNoLeader
 	}
 	var d catalog.Decision
-	n.lead.Lock()
-	if n.leases != nil {
-		n.fsm.read(func(s *catalog.State) { d = n.leases.Decide(s, now, n.judge()) })
+	s.leaderMu.Lock()
+	if s.registrationLeases != nil {
+		s.fsm.read(func(state *catalog.State) { d = s.registrationLeases.Decide(state, now, s.expiryDecider()) })
 	}
-	n.lead.Unlock()
+	s.leaderMu.Unlock()
 	commands := []catalog.Command{
 		{Kind: catalog.ExpireRegistration, Refs: d.Expire},
 		{Kind: catalog.Quarantine, Refs: d.Quarantine},
@@ -30,8 +30,8 @@
 		if len(c.Refs) == 0 {
 			continue
 		}
-		c.UnderTask, c.Fence = sweepDuty, fence
-		if err := n.proposeFenced(c); err != nil {
+		c.UnderTask, c.Fence = sweepTask, fence
+		if err := s.proposeFenced(c); err != nil {
 			return err
 		}
 	}
@@ -39,35 +39,35 @@
 }
 
 // proposeFenced commits a decision of the sweep task and counts it.
-func (n *Server) proposeFenced(c catalog.Command) error {
-	r, err := n.propose(c)
+func (s *Server) proposeFenced(c catalog.Command) error {
+	r, err := s.propose(c)
 	if err != nil {
 		return err
 	}
 	if r.Code == catalog.Fenced {
-		return &refusal{r}
+		return &rejectedError{r}
 	}
-	n.m.decided.WithLabelValues(string(c.Kind)).Add(float64(len(c.Refs)))
-	n.log.Info("decided", "command", c.Kind, "servers", len(c.Refs), "first", c.Refs[0].Name, "fence", c.Fence)
+	s.metrics.leaseDecisions.WithLabelValues(string(c.Kind)).Add(float64(len(c.Refs)))
+	s.log.Info("decided", "command", c.Kind, "servers", len(c.Refs), "first", c.Refs[0].Name, "fence", c.Fence)
 	return nil
 }
 
 // renew extends the leases of servers that were heard and returns a code for each. Renewals
 // are kept in the leader's memory only and are not replicated.
-func (n *Server) renew(refs []catalog.InstanceRef) ([]catalog.Code, error) {
-	now, leads := n.elapsed()
+func (s *Server) renew(refs []catalog.InstanceRef) ([]catalog.Code, error) {
+	now, leads := s.leaderClock()
 	if !leads {
 		return nil, errNoLeader
 	}
 	codes := make([]catalog.Code, len(refs))
-	n.lead.Lock()
-	defer n.lead.Unlock()
-	if n.leases == nil {
+	s.leaderMu.Lock()
+	defer s.leaderMu.Unlock()
+	if s.registrationLeases == nil {
 		return nil, errNoLeader
 	}
-	n.fsm.read(func(s *catalog.State) {
+	s.fsm.read(func(state *catalog.State) {
 		for i, ref := range refs {
-			codes[i] = n.leases.Renew(s, ref, now)
+			codes[i] = s.registrationLeases.Renew(state, ref, now)
 		}
 	})
 	return codes, nil
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -29,9 +29,9 @@
 	return "unknown"
 }
 
-// identity returns the identity of a data folder, which is drawn at random when the folder is
+// loadDataID returns the loadDataID of a data folder, which is drawn at random when the folder is
 // first used. It distinguishes a restart of this process from another process with its name.
-func identity(dir string) (string, error) {
+func loadDataID(dir string) (string, error) {
 	path := filepath.Join(dir, "identity")
 	text, err := os.ReadFile(path)
 	if id := strings.TrimSpace(string(text)); err == nil && endpoints.IsToken(id, 64) {
@@ -47,18 +47,18 @@
 	return id, nil
 }
 
-// handleMembers adds the routes of membership.
-func (n *Server) handleMembers(mux *http.ServeMux) {
+// registerMemberRoutes adds the routes of membership.
+func (s *Server) registerMemberRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+endpoints.MembersPath, func(w http.ResponseWriter, _ *http.Request) {
-		if n.gossip == nil {
+		if s.gossip == nil {
 			http.Error(w, "gossip: off at this steward", http.StatusNotFound)
 			return
 		}
-		answer(w, n.gossip.View())
+		writeJSON(w, s.gossip.View())
 	})
-	mux.HandleFunc("POST "+endpoints.MembersPath+"/{name}/arrival", n.leaderWrites(n.takeArrival))
-	mux.HandleFunc("DELETE "+endpoints.MembersPath+"/{name}", n.leaveSession)
-	mux.HandleFunc("POST /v1/evidence", n.serveEvidence)
+	mux.HandleFunc("POST "+endpoints.MembersPath+"/{name}/arrival", s.leaderWrites(s.handleMemberArrival))
+	mux.HandleFunc("DELETE "+endpoints.MembersPath+"/{name}", s.handleAgentLeave)
+	mux.HandleFunc("POST /v1/evidence", s.handleEvidence)
 }
 
 // ReadMemberViews reads the membership views of the stewards at the given addresses, in the order of
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -32,27 +32,27 @@
 
 // peerStatuses returns the statuses of the other stewards, from the cache while it is fresh.
 // Stewards that don't answer in time are left out.
-func (n *Server) peerStatuses() []Status {
-	c := &n.peerCache
+func (s *Server) peerStatuses() []Status {
+	c := &s.statusCache
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.fresh(min(n.c.StaleAfter/4, statusMaxAge) / 2) {
+	if c.fresh(min(s.config.StaleAfter/4, statusMaxAge) / 2) {
 		return c.found
 	}
-	c.found = n.requestStatuses()
+	c.found = s.requestStatuses()
 	c.at = time.Now()
 	return c.found
 }
 
 // requestStatuses asks all other stewards at once and waits for each to answer or time out.
-func (n *Server) requestStatuses() (found []Status) {
-	ctx, cancel := context.WithTimeout(n.ctx, peerWait)
+func (s *Server) requestStatuses() (statuses []Status) {
+	ctx, cancel := context.WithTimeout(s.ctx, peerTimeout)
 	defer cancel()
-	names := n.c.others()
+	names := s.config.otherServers()
 	answers := make(chan *Status)
 	for _, name := range names {
 		go func() {
-			st, err := n.statusOf(ctx, name)
+			st, err := s.statusOf(ctx, name)
 			if err != nil {
 				answers <- nil
 				return
@@ -62,33 +62,33 @@
 	}
 	for range names {
 		if st := <-answers; st != nil {
-			found = append(found, *st)
+			statuses = append(statuses, *st)
 		}
 	}
-	return found
+	return statuses
 }
 
 // statusOf requests the status of one steward.
-func (n *Server) statusOf(ctx context.Context, name string) (Status, error) {
+func (s *Server) statusOf(ctx context.Context, name string) (Status, error) {
 	var st Status
-	p, ok := (*n.table.Load())[name]
+	p, ok := (*s.peerTable.Load())[name]
 	if !ok {
 		return st, fmt.Errorf("steward %s: not in the table of peers", name)
 	}
-	return st, call(ctx, n.peers, http.MethodGet, "http://"+p.HTTP+"/v1/status", nil, &st)
+	return st, call(ctx, s.peerClient, http.MethodGet, "http://"+p.HTTP+"/v1/status", nil, &st)
 }
 
 // betterElsewhere reports whether another steward can serve. If none can, this one's list is
 // as good as any, even if it is stale.
-func (n *Server) betterElsewhere() bool { return anyCanServe(n.peerStatuses()) }
+func (s *Server) betterElsewhere() bool { return anyCanServe(s.peerStatuses()) }
 
 // canServe reports whether a steward has a current list to serve.
 func canServe(st *Status) bool { return st.HasState && !st.Stale && !st.Draining }
 
 // anyCanServe reports whether one of the stewards can serve.
-func anyCanServe(found []Status) bool {
-	for i := range found {
-		if canServe(&found[i]) {
+func anyCanServe(statuses []Status) bool {
+	for i := range statuses {
+		if canServe(&statuses[i]) {
 			return true
 		}
 	}
--- a/internal/control/renewals.go
+++ b/internal/control/renewals.go
@@ -11,10 +11,10 @@
 	"knotrouter/internal/member"
 )
 
-// heardRenewals notes which servers renewed at this steward, before the renewals are passed on
+// observeRenewals notes which servers renewed at this steward, before the renewals are passed on
 // to the leader. It leaves the body of the request readable.
-func (n *Server) heardRenewals(w http.ResponseWriter, r *http.Request) error {
-	if n.gossip == nil {
+func (s *Server) observeRenewals(w http.ResponseWriter, r *http.Request) error {
+	if s.gossip == nil {
 		return nil
 	}
 	text, err := readBody(w, r)
@@ -23,27 +23,27 @@
 	}
 	r.Body = io.NopCloser(bytes.NewReader(text))
 	var b RenewalBatch
-	if r.Header.Get(forwarded) == "" && json.Unmarshal(text, &b) == nil && len(b.Refs) <= maxRefs {
-		n.noteRenewals(b.Refs)
+	if r.Header.Get(forwardedByHeader) == "" && json.Unmarshal(text, &b) == nil && len(b.Refs) <= maxRefsPerCall {
+		s.recordRenewals(b.Refs)
 	}
 	return nil
 }
 
-// noteRenewals records in the membership tracker the servers among refs that the catalog has
+// recordRenewals records in the membership tracker the servers among refs that the catalog has
 // under the same name and start time.
-func (n *Server) noteRenewals(refs []catalog.InstanceRef) {
+func (s *Server) recordRenewals(refs []catalog.InstanceRef) {
 	var known []catalog.InstanceRef
 	zones := map[string]string{}
-	n.fsm.read(func(s *catalog.State) {
+	s.fsm.read(func(state *catalog.State) {
 		for _, ref := range refs {
-			if e := s.Entries[ref.Name]; e != nil && !e.Removed && e.Endpoint.StartedMs == ref.StartedMs {
+			if e := state.Entries[ref.Name]; e != nil && !e.Removed && e.Endpoint.StartedMs == ref.StartedMs {
 				known, zones[ref.Name] = append(known, ref), e.Endpoint.Site
 			}
 		}
 	})
-	n.gossip.WithTracker(func(now time.Duration, t *member.Tracker) {
+	s.gossip.WithTracker(func(now time.Duration, t *member.Tracker) {
 		for _, ref := range known {
-			t.Heartbeat(now, member.Info{ProtocolVersion: member.ProtocolVersion, Name: ref.Name, Role: member.RoleServer, Zone: zones[ref.Name], Incarnation: int64(ref.StartedMs)}, n.c.LeaseTTL)
+			t.Heartbeat(now, member.Info{ProtocolVersion: member.ProtocolVersion, Name: ref.Name, Role: member.RoleServer, Zone: zones[ref.Name], Incarnation: int64(ref.StartedMs)}, s.config.LeaseTTL)
 		}
 	})
 }
--- a/internal/control/requests_test.go
+++ b/internal/control/requests_test.go
@@ -95,18 +95,18 @@
 		check(call[0]+" "+call[1], http.StatusServiceUnavailable, w, "1")
 	}
 	w := httptest.NewRecorder()
-	n.calls.refuse(w, time.Second)
+	n.admission.reject(w, time.Second)
 	check("too many calls", http.StatusServiceUnavailable, w, "1")
 	w = httptest.NewRecorder()
-	refuse(w, errInDoubt)
+	writeError(w, errUnknownOutcome)
 	check("unknown outcome", http.StatusServiceUnavailable, w, "")
 }
 
 // TestSessionsKeepTheirQuery holds the query that has a session rest instead of end, and the
 // header of a call that another server passed on.
 func TestSessionsKeepTheirQuery(t *testing.T) {
-	if forwarded != "Forwarded-By" {
-		t.Errorf("the header of a forwarded call is %q", forwarded)
+	if forwardedByHeader != "Forwarded-By" {
+		t.Errorf("the header of a forwarded call is %q", forwardedByHeader)
 	}
 
 	s := serveFolder(t, t.TempDir())
--- a/internal/control/raise_test.go
+++ b/internal/control/revision_test.go
@@ -13,35 +13,35 @@
 // A reader may have a version from a steward that has applied more than the leader has. The log
 // leads to that version, so the leader must not raise its own, which drops the history.
 func TestVersionInTheLogIsNotRaised(t *testing.T) {
-	n, _ := alone(t)
+	s, _ := startSingleServer(t)
 	const changes = 300
-	began := n.fsm.seq()
+	began := s.fsm.revision()
 	for i := range changes {
-		text := registration(t, n, fmt.Sprint("s-", i))
-		n.raft().Apply(text, applyWait) // in the log, and not waited for
+		text := registration(t, s, fmt.Sprint("s-", i))
+		s.raft().Apply(text, applyTimeout) // in the log, and not waited for
 	}
-	if err := n.raiseBeyond(context.Background(), began+changes); err != nil {
+	if err := s.raiseRevisionAbove(context.Background(), began+changes); err != nil {
 		t.Fatal(err)
 	}
-	if seq := n.fsm.seq(); seq != began+changes {
+	if seq := s.fsm.revision(); seq != began+changes {
 		t.Errorf("the version is %d, %d beyond what the log leads to", seq, seq-began-changes)
 	}
-	if l := n.fsm.list(began, false); l.Full || len(l.Endpoints) != changes {
+	if l := s.fsm.list(began, false); l.Full || len(l.Endpoints) != changes {
 		t.Errorf("a reader from before gets %d entries, whole %v, want the %d changes", len(l.Endpoints), l.Full, changes)
 	}
 	// A version that no entry leads to is from another life of the service.
-	if err := n.raiseBeyond(context.Background(), began+changes+1); err != nil {
+	if err := s.raiseRevisionAbove(context.Background(), began+changes+1); err != nil {
 		t.Fatal(err)
 	}
-	if seq := n.fsm.seq(); seq <= began+changes {
+	if seq := s.fsm.revision(); seq <= began+changes {
 		t.Errorf("the version stayed at %d although a reader has a later one", seq)
 	}
 }
 
 // registration encodes a command that registers a server.
-func registration(t *testing.T, n *Server, name string) []byte {
+func registration(t *testing.T, s *Server, name string) []byte {
 	t.Helper()
-	at, leads := n.elapsed()
+	at, leads := s.leaderClock()
 	if !leads {
 		t.Fatal("the steward doesn't lead")
 	}
--- a/internal/control/scope.go
+++ b/internal/control/scope.go
@@ -15,15 +15,15 @@
 func parseServices(query string) ([]string, error) {
 	q, err := url.ParseQuery(query)
 	if err != nil && strings.Contains(query, endpoints.ServiceParam) {
-		return nil, bad("service: the query makes no sense: %v", err)
+		return nil, newBadRequest("service: the query makes no sense: %v", err)
 	}
 	named := q[endpoints.ServiceParam]
 	if len(named) > endpoints.MaxServices {
-		return nil, bad("service: %d of at most %d", len(named), endpoints.MaxServices)
+		return nil, newBadRequest("service: %d of at most %d", len(named), endpoints.MaxServices)
 	}
 	for _, name := range named {
 		if name != "" && !endpoints.IsToken(name, endpoints.MaxLabel) {
-			return nil, bad("service: must be at most %d printable characters without spaces or slashes", endpoints.MaxLabel)
+			return nil, newBadRequest("service: must be at most %d printable characters without spaces or slashes", endpoints.MaxLabel)
 		}
 	}
 	services := slices.Clone(named)
--- a/internal/control/scope_test.go
+++ b/internal/control/scope_test.go
@@ -23,8 +23,8 @@
 	"knotrouter/internal/endpoints"
 )
 
-// registerIn registers a server with a service.
-func (st *stand) registerIn(t *testing.T, service, name string, born float64) {
+// registerInService registers a server with a service.
+func (st *fsmFixture) registerInService(t *testing.T, service, name string, born float64) {
 	t.Helper()
 	h := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 1, StartedMs: born, Service: service}
 	if r := st.apply(t, catalog.Command{Kind: catalog.Register, Endpoint: &h}); r.Code != catalog.Done {
@@ -36,14 +36,14 @@
 type scopedReader struct {
 	services []string
 
-	mu     sync.Mutex
-	block  chan struct{} // while it is open, writes wait
-	lists  []endpoints.List
-	bytes  int
-	beats  int
-	have   map[string]endpoints.Endpoint
-	seq    int64
-	faults []string
+	mu         sync.Mutex
+	blocked    chan struct{} // while it is open, writes wait
+	lists      []endpoints.List
+	bytes      int
+	heartbeats int
+	servers    map[string]endpoints.Endpoint
+	revision   int64
+	faults     []string
 }
 
 func (r *scopedReader) Header() http.Header              { return http.Header{} }
@@ -53,7 +53,7 @@
 
 func (r *scopedReader) Write(p []byte) (int, error) {
 	r.mu.Lock()
-	block := r.block
+	block := r.blocked
 	r.mu.Unlock()
 	if block != nil {
 		<-block
@@ -61,26 +61,26 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if string(p) == "\n" {
-		r.beats++
+		r.heartbeats++
 		return len(p), nil
 	}
 	r.bytes += len(p)
 	l, err := endpoints.Parse(p)
-	if err != nil || bytes.Count(p, []byte("\n")) != 1 || l.Seq < r.seq {
-		r.faults = append(r.faults, fmt.Sprintf("%q after version %d: %v", p, r.seq, err))
+	if err != nil || bytes.Count(p, []byte("\n")) != 1 || l.Seq < r.revision {
+		r.faults = append(r.faults, fmt.Sprintf("%q after version %d: %v", p, r.revision, err))
 	}
-	r.lists, r.seq = append(r.lists, l), l.Seq
-	if l.Full || r.have == nil {
-		r.have = map[string]endpoints.Endpoint{}
+	r.lists, r.revision = append(r.lists, l), l.Seq
+	if l.Full || r.servers == nil {
+		r.servers = map[string]endpoints.Endpoint{}
 	}
 	for _, h := range l.Endpoints {
 		switch {
 		case !slices.Contains(r.services, h.Service):
 			r.faults = append(r.faults, fmt.Sprintf("a reader of %q was sent %+v", r.services, h))
 		case h.Health != endpoints.Removed:
-			r.have[h.Name] = h
-		case r.have[h.Name].Service == h.Service:
-			delete(r.have, h.Name)
+			r.servers[h.Name] = h
+		case r.servers[h.Name].Service == h.Service:
+			delete(r.servers, h.Name)
 		}
 	}
 	return len(p), nil
@@ -91,7 +91,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
-	for _, h := range r.have {
+	for _, h := range r.servers {
 		out = append(out, h.Name+"@"+h.Service)
 	}
 	slices.Sort(out)
@@ -108,24 +108,24 @@
 }
 
 // subscribe starts a watch of services from a version on.
-func (st *stand) subscribe(ctx context.Context, since int64, services ...string) *scopedReader {
+func (st *fsmFixture) subscribe(ctx context.Context, since int64, services ...string) *scopedReader {
 	slices.Sort(services)
 	r := &scopedReader{services: services}
-	go st.hub.watchServices(ctx, r, services, since, nil)
+	go st.broadcaster.watchServices(ctx, r, services, since, nil)
 	return r
 }
 
-const soonAfter = 20 * time.Millisecond // of a change, its line has been written
+const publishDelay = 20 * time.Millisecond // of a change, its line has been written
 
 // Each watch is sent its services only: a change is encoded once for all that subscribe to
 // the service, and one that nothing concerns gets the heartbeat.
 func TestScopeFanOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		st := newStand(t)
-		go st.hub.run(ctx)
-		st.registerIn(t, "a", "a-1", 1)
-		st.registerIn(t, "b", "b-1", 1)
+		st := newFSMFixture(t)
+		go st.broadcaster.run(ctx)
+		st.registerInService(t, "a", "a-1", 1)
+		st.registerInService(t, "b", "b-1", 1)
 		st.register(t, "plain", 1)
 		time.Sleep(time.Second)
 		readers := make([]*scopedReader, 50)
@@ -139,18 +139,18 @@
 				t.Fatalf("a reader of %q has %q after %d lists, want %q", r.services, got, len(r.lists), what)
 			}
 		}
-		encoded, before, beats := st.hub.topics.encoded, other.bytes, other.beats
+		encoded, before, beats := st.broadcaster.services.encodedCount, other.bytes, other.heartbeats
 		for i := range 3 {
-			st.registerIn(t, "a", "a-2", float64(i+1))
+			st.registerInService(t, "a", "a-2", float64(i+1))
 		}
-		time.Sleep(soonAfter)
+		time.Sleep(publishDelay)
 		synctest.Wait()
-		if n := st.hub.topics.encoded - encoded; n != 1 {
+		if n := st.broadcaster.services.encodedCount - encoded; n != 1 {
 			t.Errorf("three changes of one service at once were encoded %d times", n)
 		}
 		for _, r := range append(readers, both) {
-			if !strings.HasPrefix(r.names(), "a-1@a a-2@a") || len(r.lists) != 2 || r.seq != st.seq() || r.lists[1].Full || len(r.lists[1].Endpoints) != 1 {
-				t.Fatalf("a reader of %q has %q at version %d of %d after %d lists", r.services, r.names(), r.seq, st.seq(), len(r.lists))
+			if !strings.HasPrefix(r.names(), "a-1@a a-2@a") || len(r.lists) != 2 || r.revision != st.revision() || r.lists[1].Full || len(r.lists[1].Endpoints) != 1 {
+				t.Fatalf("a reader of %q has %q at version %d of %d after %d lists", r.services, r.names(), r.revision, st.revision(), len(r.lists))
 			}
 		}
 		if len(other.lists) != 1 || other.bytes != before || len(plain.lists) != 1 {
@@ -158,7 +158,7 @@
 		}
 		time.Sleep(6100 * time.Millisecond)
 		synctest.Wait()
-		if n := other.beats - beats; n != 3 {
+		if n := other.heartbeats - beats; n != 3 {
 			t.Errorf("%d heartbeats in six quiet seconds", n)
 		}
 		for _, r := range append(readers, other, both, plain) {
@@ -166,8 +166,8 @@
 		}
 		cancel()
 		synctest.Wait()
-		if len(st.hub.topics.byService) != 0 || st.hub.topics.bytes != 0 || st.hub.topics.watches != 0 {
-			t.Errorf("after the last watch: %d topics, %d bytes, %d watches", len(st.hub.topics.byService), st.hub.topics.bytes, st.hub.topics.watches)
+		if len(st.broadcaster.services.byService) != 0 || st.broadcaster.services.eventBytes != 0 || st.broadcaster.services.watchCount != 0 {
+			t.Errorf("after the last watch: %d topics, %d bytes, %d watches", len(st.broadcaster.services.byService), st.broadcaster.services.eventBytes, st.broadcaster.services.watchCount)
 		}
 	})
 }
@@ -177,34 +177,34 @@
 func TestScopeMovesInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		st := newStand(t)
-		go st.hub.run(ctx)
-		st.registerIn(t, "a", "s", 1)
+		st := newFSMFixture(t)
+		go st.broadcaster.run(ctx)
+		st.registerInService(t, "a", "s", 1)
 		time.Sleep(time.Second)
 		both, a, b := st.subscribe(ctx, 0, "a", "b"), st.subscribe(ctx, 0, "a"), st.subscribe(ctx, 0, "b")
 		synctest.Wait()
 		for _, r := range []*scopedReader{both, a, b} {
 			r.mu.Lock()
-			r.block = make(chan struct{})
+			r.blocked = make(chan struct{})
 			r.mu.Unlock()
 		}
 		for _, service := range []string{"b", "a", "b", "a"} {
-			st.registerIn(t, service, "s", 1)
-			time.Sleep(soonAfter)
+			st.registerInService(t, service, "s", 1)
+			time.Sleep(publishDelay)
 		}
 		synctest.Wait()
 		for _, r := range []*scopedReader{both, a, b} {
-			close(r.block)
+			close(r.blocked)
 			r.mu.Lock()
-			r.block = nil
+			r.blocked = nil
 			r.mu.Unlock()
 		}
 		synctest.Wait()
 		if both.names() != "s@a" || a.names() != "s@a" || b.names() != "" {
 			t.Errorf("readers of both, a and b have %q, %q and %q", both.names(), a.names(), b.names())
 		}
-		st.registerIn(t, "b", "s", 2) // a new process, of the other service
-		time.Sleep(soonAfter)
+		st.registerInService(t, "b", "s", 2) // a new process, of the other service
+		time.Sleep(publishDelay)
 		synctest.Wait()
 		if both.names() != "s@b" || a.names() != "" || b.names() != "s@b" {
 			t.Errorf("readers of both, a and b have %q, %q and %q", both.names(), a.names(), b.names())
@@ -222,37 +222,37 @@
 func TestScopeSlowReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		st := newStand(t)
-		go st.hub.run(ctx)
-		st.registerIn(t, "a", "a", 1)
+		st := newFSMFixture(t)
+		go st.broadcaster.run(ctx)
+		st.registerInService(t, "a", "a", 1)
 		for i := range 100 {
-			st.registerIn(t, "b", fmt.Sprint("b-", i), 1)
+			st.registerInService(t, "b", fmt.Sprint("b-", i), 1)
 		}
 		time.Sleep(time.Second)
 		slow, quick, quiet := st.subscribe(ctx, 0, "a"), st.subscribe(ctx, 0, "a"), st.subscribe(ctx, 0, "b")
 		synctest.Wait()
 		slow.mu.Lock()
-		slow.block = make(chan struct{})
+		slow.blocked = make(chan struct{})
 		slow.mu.Unlock()
-		for i := range 2 * maxEvents {
-			st.registerIn(t, "a", fmt.Sprint("a-", i), 1)
-			time.Sleep(soonAfter)
+		for i := range 2 * maxTopicEvents {
+			st.registerInService(t, "a", fmt.Sprint("a-", i), 1)
+			time.Sleep(publishDelay)
 		}
 		synctest.Wait()
-		if kept := len(st.hub.topics.byService["a"].events); kept != maxEvents || len(quick.lists) != 1+2*maxEvents {
+		if kept := len(st.broadcaster.services.byService["a"].events); kept != maxTopicEvents || len(quick.lists) != 1+2*maxTopicEvents {
 			t.Errorf("%d events kept; the quick one was sent %d lists", kept, len(quick.lists))
 		}
-		close(slow.block)
+		close(slow.blocked)
 		slow.mu.Lock()
-		slow.block = nil
+		slow.blocked = nil
 		slow.mu.Unlock()
 		synctest.Wait()
 		last := slow.lists[len(slow.lists)-1]
-		if !last.Full || len(last.Endpoints) != 1+2*maxEvents || len(slow.lists) > 3 || st.hub.topics.lagged != 1 {
-			t.Errorf("the slow one was sent %d lists, the last of %d entries, whole %v; lagged %d", len(slow.lists), len(last.Endpoints), last.Full, st.hub.topics.lagged)
+		if !last.Full || len(last.Endpoints) != 1+2*maxTopicEvents || len(slow.lists) > 3 || st.broadcaster.services.laggedCount != 1 {
+			t.Errorf("the slow one was sent %d lists, the last of %d entries, whole %v; lagged %d", len(slow.lists), len(last.Endpoints), last.Full, st.broadcaster.services.laggedCount)
 		}
-		st.registerIn(t, "a", "last", 1)
-		time.Sleep(soonAfter)
+		st.registerInService(t, "a", "last", 1)
+		time.Sleep(publishDelay)
 		synctest.Wait()
 		if slow.names() != quick.names() || !strings.Contains(slow.names(), "last@a") || slow.lists[len(slow.lists)-1].Full {
 			t.Errorf("it does not go on: %q", slow.names())
@@ -260,10 +260,10 @@
 		if len(quiet.lists) != 1 {
 			t.Errorf("a reader of another service was sent %d lists", len(quiet.lists))
 		}
-		st.hub.endAll()
+		st.broadcaster.endAll()
 		synctest.Wait()
-		if st.hub.topics.watches != 0 {
-			t.Errorf("%d watches left", st.hub.topics.watches)
+		if st.broadcaster.services.watchCount != 0 {
+			t.Errorf("%d watches left", st.broadcaster.services.watchCount)
 		}
 		cancel()
 	})
@@ -273,15 +273,15 @@
 func TestScopeRaised(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		st := newStand(t)
-		go st.hub.run(ctx)
-		st.registerIn(t, "a", "a", 1)
-		st.registerIn(t, "b", "b", 1)
+		st := newFSMFixture(t)
+		go st.broadcaster.run(ctx)
+		st.registerInService(t, "a", "a", 1)
+		st.registerInService(t, "b", "b", 1)
 		time.Sleep(time.Second)
 		r := st.subscribe(ctx, 0, "a")
 		synctest.Wait()
 		st.apply(t, catalog.Command{Kind: catalog.RaiseRevision, Seq: 1000})
-		time.Sleep(soonAfter)
+		time.Sleep(publishDelay)
 		synctest.Wait()
 		if last := r.lists[len(r.lists)-1]; !last.Full || last.Seq != 1000 || r.names() != "a@a" {
 			t.Errorf("after version 1000: %+v", last)
@@ -304,10 +304,10 @@
 	const seed, services, changes, watches = 23, 5, 400, 60
 	t.Logf("seed %d", seed)
 	ctx, cancel := context.WithCancel(t.Context())
-	st := newStand(t)
-	st.hub.coalesce = 200 * time.Microsecond
+	st := newFSMFixture(t)
+	st.broadcaster.coalesce = 200 * time.Microsecond
 	var running sync.WaitGroup
-	running.Go(func() { st.hub.run(ctx) })
+	running.Go(func() { st.broadcaster.run(ctx) })
 	readers := make([]*scopedReader, watches)
 	running.Go(func() {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -316,18 +316,18 @@
 			slices.Sort(scope)
 			scope = slices.Compact(scope)
 			readers[i] = &scopedReader{services: scope}
-			running.Go(func() { st.hub.watchServices(ctx, readers[i], scope, 0, nil) })
+			running.Go(func() { st.broadcaster.watchServices(ctx, readers[i], scope, 0, nil) })
 			time.Sleep(time.Duration(rng.IntN(1000)) * time.Microsecond)
 		}
 	})
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for i := range changes {
 		name := fmt.Sprint("s-", rng.IntN(30))
-		st.registerIn(t, fmt.Sprint(rng.IntN(services)), name, float64(i))
+		st.registerInService(t, fmt.Sprint(rng.IntN(services)), name, float64(i))
 		time.Sleep(time.Duration(rng.IntN(200)) * time.Microsecond)
 	}
 	for i := range services { // each watch hears of a last change
-		st.registerIn(t, fmt.Sprint(i), fmt.Sprint("last-", i), changes)
+		st.registerInService(t, fmt.Sprint(i), fmt.Sprint("last-", i), changes)
 	}
 	caughtUp := func() bool {
 		for _, r := range readers {
@@ -346,9 +346,9 @@
 	running.Wait()
 	for i, r := range readers {
 		var want []string
-		st.read(func(s *catalog.State) {
+		st.read(func(state *catalog.State) {
 			for _, name := range r.services {
-				for _, h := range s.ServiceEndpoints(name) {
+				for _, h := range state.ServiceEndpoints(name) {
 					want = append(want, h.Name+"@"+h.Service)
 				}
 			}
@@ -368,9 +368,9 @@
 	for _, l := range []endpoints.List{{Seq: 1 << 50, Full: true, Endpoints: hosts}, {Seq: -1, Endpoints: hosts[:1]}, {Endpoints: []endpoints.Endpoint{}}} {
 		var parts [][]byte
 		for i := range l.Endpoints {
-			parts = append(parts, encodeHosts(l.Endpoints[i:i+1]))
+			parts = append(parts, encodeEntries(l.Endpoints[i:i+1]))
 		}
-		if got, want := envelope(l.Seq, l.Full, parts), encode(&l); !bytes.Equal(got, want) {
+		if got, want := assembleList(l.Seq, l.Full, parts), encodeList(&l); !bytes.Equal(got, want) {
 			t.Errorf("%s, want %s", got, want)
 		}
 	}
@@ -379,74 +379,74 @@
 // Whole lists of services are encoded once a version of the service, and what is kept of
 // them is bounded.
 func TestScopeListsAreCached(t *testing.T) {
-	st := newStand(t)
-	cache := st.hub.topics.cache
-	st.registerIn(t, "a", "a", 1)
-	st.registerIn(t, "b", "b", 1)
+	st := newFSMFixture(t)
+	cache := st.broadcaster.services.fullLists
+	st.registerInService(t, "a", "a", 1)
+	st.registerInService(t, "b", "b", 1)
 	for range 3 {
-		text, seq := cache.list([]string{"a", "b", "none"})
+		text, seq := cache.encodedList([]string{"a", "b", "none"})
 		var l endpoints.List
-		if err := json.Unmarshal(text, &l); err != nil || !l.Full || len(l.Endpoints) != 2 || l.Seq != seq || seq != st.seq() {
+		if err := json.Unmarshal(text, &l); err != nil || !l.Full || len(l.Endpoints) != 2 || l.Seq != seq || seq != st.revision() {
 			t.Fatalf("%s: %v", text, err)
 		}
 	}
-	if cache.encoded != 2 {
-		t.Errorf("two services were encoded %d times", cache.encoded)
+	if cache.encodedCount != 2 {
+		t.Errorf("two services were encoded %d times", cache.encodedCount)
 	}
-	st.registerIn(t, "a", "a-2", 1)
-	if text, seq := cache.list([]string{"a", "b"}); cache.encoded != 3 || seq != st.seq() || bytes.Count(text, []byte(`"host"`)) != 3 {
-		t.Errorf("after a change of one: encoded %d times, %s", cache.encoded, text)
+	st.registerInService(t, "a", "a-2", 1)
+	if text, seq := cache.encodedList([]string{"a", "b"}); cache.encodedCount != 3 || seq != st.revision() || bytes.Count(text, []byte(`"host"`)) != 3 {
+		t.Errorf("after a change of one: encoded %d times, %s", cache.encodedCount, text)
 	}
 	for i := range 9 {
-		cache.keep(fmt.Sprint("large-", i), encodedService{1, make([]byte, maxCachedBytes/4)})
-		if cache.bytes > maxCachedBytes {
-			t.Fatalf("%d bytes kept", cache.bytes)
+		cache.add(fmt.Sprint("large-", i), encodedService{1, make([]byte, maxCachedBytes/4)})
+		if cache.cachedBytes > maxCachedBytes {
+			t.Fatalf("%d bytes kept", cache.cachedBytes)
 		}
 	}
 	sum := 0
 	for _, kept := range cache.byService {
-		sum += len(kept.hosts)
+		sum += len(kept.entries)
 	}
-	if sum != cache.bytes {
-		t.Errorf("%d bytes kept, counted as %d", sum, cache.bytes)
+	if sum != cache.cachedBytes {
+		t.Errorf("%d bytes kept, counted as %d", sum, cache.cachedBytes)
 	}
 }
 
 // The lists that are kept of one state are not served once another is in its place, also
 // where the versions are the same.
 func TestScopeListsOfAnotherState(t *testing.T) {
-	st, other := newStand(t), newStand(t)
-	st.registerIn(t, "a", "before", 1)
-	other.registerIn(t, "a", "after", 1)
-	st.hub.topics.cache.list([]string{"a"})
+	st, other := newFSMFixture(t), newFSMFixture(t)
+	st.registerInService(t, "a", "before", 1)
+	other.registerInService(t, "a", "after", 1)
+	st.broadcaster.services.fullLists.encodedList([]string{"a"})
 	st.fsm.mu.Lock()
 	st.fsm.state = other.fsm.state
 	st.fsm.mu.Unlock()
-	if text, _ := st.hub.topics.cache.list([]string{"a"}); !bytes.Contains(text, []byte(`"after"`)) || bytes.Contains(text, []byte(`"before"`)) {
+	if text, _ := st.broadcaster.services.fullLists.encodedList([]string{"a"}); !bytes.Contains(text, []byte(`"after"`)) || bytes.Contains(text, []byte(`"before"`)) {
 		t.Errorf("of another state: %s", text)
 	}
 }
 
 // The events of all topics together are bounded; who needs what was dropped gets a whole list.
 func TestScopeEventsAreBounded(t *testing.T) {
-	st := newStand(t)
+	st := newFSMFixture(t)
 	var subs []*subscription
 	for i := range 200 {
-		subs = append(subs, st.hub.topics.subscribe([]string{fmt.Sprint(i)}))
+		subs = append(subs, st.broadcaster.services.subscribe([]string{fmt.Sprint(i)}))
 	}
-	st.hub.topics.mu.Lock()
+	st.broadcaster.services.mu.Lock()
 	for i := range subs {
-		st.hub.topics.add(subs[i].topics[0], event{1, make([]byte, maxEventBytes)})
+		st.broadcaster.services.appendEvent(subs[i].topics[0], serviceEvent{1, make([]byte, maxTopicEventBytes)})
 	}
-	st.hub.topics.mu.Unlock()
-	st.registerIn(t, "0", "s", 1)
-	st.hub.topics.publish()
-	if st.hub.topics.bytes > maxTopicBytes {
-		t.Errorf("%d bytes kept", st.hub.topics.bytes)
+	st.broadcaster.services.mu.Unlock()
+	st.registerInService(t, "0", "s", 1)
+	st.broadcaster.services.publish()
+	if st.broadcaster.services.eventBytes > maxAllTopicBytes {
+		t.Errorf("%d bytes kept", st.broadcaster.services.eventBytes)
 	}
 	whole := 0
 	for _, sub := range subs {
-		if _, _, ok := st.hub.topics.pending(sub, 0); !ok {
+		if _, _, ok := st.broadcaster.services.eventsSince(sub, 0); !ok {
 			whole++
 		}
 	}
@@ -454,13 +454,13 @@
 		t.Errorf("%d of %d need whole lists", whole, len(subs))
 	}
 	of := subs[1].topics[0]
-	st.hub.topics.mu.Lock()
+	st.broadcaster.services.mu.Lock()
 	for i := range 3 {
-		st.hub.topics.add(of, event{int64(10 + i), make([]byte, maxEventBytes-1)})
+		st.broadcaster.services.appendEvent(of, serviceEvent{int64(10 + i), make([]byte, maxTopicEventBytes-1)})
 	}
-	st.hub.topics.mu.Unlock()
-	if len(of.events) != 1 || of.floor != 11 {
-		t.Errorf("%d events of one topic kept, from version %d", len(of.events), of.floor)
+	st.broadcaster.services.mu.Unlock()
+	if len(of.events) != 1 || of.startRevision != 11 {
+		t.Errorf("%d events of one topic kept, from version %d", len(of.events), of.startRevision)
 	}
 }
 
@@ -494,11 +494,11 @@
 // Admission counts the bytes that a call writes: the fleet's size shows in no call for a
 // small service, and today's small lists cost one call.
 func TestScopeAdmission(t *testing.T) {
-	st := newStand(t)
-	n := &Server{hub: st.hub, fsm: st.fsm}
-	st.registerIn(t, "small", "s", 1)
+	st := newFSMFixture(t)
+	s := &Server{broadcaster: st.broadcaster, fsm: st.fsm}
+	st.registerInService(t, "small", "s", 1)
 	for i := range 2000 {
-		st.registerIn(t, "large", fmt.Sprint("l-", i), 1)
+		st.registerInService(t, "large", fmt.Sprint("l-", i), 1)
 	}
 	for _, c := range []struct {
 		services []string
@@ -509,9 +509,9 @@
 	}{
 		{nil, false, 0, 2000 * 100, 2000 * 160}, {nil, true, 0, 0, 0},
 		{[]string{"small"}, false, 0, 100, 160}, {[]string{"large"}, false, 0, 2000 * 100, 2000 * 160}, {[]string{"none"}, false, 0, 0, 0},
-		{[]string{"large"}, true, st.seq() + 1, 2000 * 100, 2000 * 160}, {[]string{"large"}, true, st.seq() - 1, 0, 0},
+		{[]string{"large"}, true, st.revision() + 1, 2000 * 100, 2000 * 160}, {[]string{"large"}, true, st.revision() - 1, 0, 0},
 	} {
-		got := n.listBytes(c.services, c.follow, c.since)
+		got := s.estimateListBytes(c.services, c.follow, c.since)
 		if got < c.least || got > c.most {
 			t.Errorf("%q, follow %v from %d: %d bytes, want %d to %d", c.services, c.follow, c.since, got, c.least, c.most)
 		}
@@ -519,9 +519,9 @@
 	synctest.Test(t, func(t *testing.T) { // at once: no time passes while they are admitted
 		c := Defaults()
 		c.CallRate = 400
-		for bytes, want := range map[int]int{0: 100, 30 * listEntryBytes: 100, 2000 * listEntryBytes: 9, 39_000 * listEntryBytes: 1} {
+		for bytes, want := range map[int]int{0: 100, 30 * estimatedEntryBytes: 100, 2000 * estimatedEntryBytes: 9, 39_000 * estimatedEntryBytes: 1} {
 			a, admitted := newAdmission(&c), 0
-			for a.call(httptest.NewRecorder(), bytes) {
+			for a.admitCall(httptest.NewRecorder(), bytes) {
 				admitted++
 			}
 			if admitted != want {
@@ -533,13 +533,13 @@
 
 // As many watches are admitted as there are descriptors for.
 func TestScopeWatchLimit(t *testing.T) {
-	if got := watchLimit(1); got != 1 {
+	if got := availableWatches(1); got != 1 {
 		t.Errorf("of 1 watch, %d", got)
 	}
-	if got := watchLimit(1 << 40); got < 1 || got >= 1<<40 {
+	if got := availableWatches(1 << 40); got < 1 || got >= 1<<40 {
 		t.Errorf("of more watches than descriptors, %d", got)
 	}
-	for _, watches := range []int{0, -1, mostWatches + 1} {
+	for _, watches := range []int{0, -1, maxWatchesSetting + 1} {
 		c := Defaults()
 		c.Data, c.MaxWatches = "data", watches
 		if err := c.validate(); err == nil || !strings.HasPrefix(err.Error(), "configuration: max_watches: ") {
@@ -550,20 +550,20 @@
 
 // The metrics by service name the largest, whatever the services are called.
 func TestScopeMetrics(t *testing.T) {
-	st := newStand(t)
+	st := newFSMFixture(t)
 	for i := range 30 {
 		service := fmt.Sprintf("service-%02d", i)
 		for j := range i + 1 {
-			st.registerIn(t, service, fmt.Sprintf("%s-%d", service, j), 1)
+			st.registerInService(t, service, fmt.Sprintf("%s-%d", service, j), 1)
 		}
 	}
 	for i := range 40 {
 		st.register(t, fmt.Sprint("plain-", i), 1)
-		st.registerIn(t, "other", fmt.Sprint("other-", i), 1)
+		st.registerInService(t, "other", fmt.Sprint("other-", i), 1)
 	}
-	st.hub.topics.subscribe([]string{"other", "service-00", "unknown"})
+	st.broadcaster.services.subscribe([]string{"other", "service-00", "unknown"})
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(newServiceCollector(st.hub))
+	registry.MustRegister(newServiceCollector(st.broadcaster))
 	families, err := registry.Gather()
 	if err != nil {
 		t.Fatal(err)
@@ -591,7 +591,7 @@
 			labels++
 		}
 	}
-	if labels != largestServices+1 {
+	if labels != maxServiceLabels+1 {
 		t.Errorf("%d labels of services", labels)
 	}
 }
@@ -599,9 +599,9 @@
 // BenchmarkScopePublish is what a change of one of 1,900 services costs while 13,000 watches
 // of 20 services each are open, and how long until the subscriptions it concerns are notified.
 func BenchmarkScopePublish(b *testing.B) {
-	st := &stand{fsm: &fsm{state: catalog.New(), broken: func(err error) { b.Error(err) }}}
-	st.hub = newHub(st.fsm, 0)
-	st.changed = func() {}
+	st := &fsmFixture{fsm: &fsm{state: catalog.New(), onFatal: func(err error) { b.Error(err) }}}
+	st.broadcaster = newWatchBroadcaster(st.fsm, 0)
+	st.onChange = func() {}
 	register := func(i int, born float64) {
 		h := endpoints.Endpoint{Name: fmt.Sprint("server-", i), Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 1, StartedMs: born, Service: fmt.Sprint("service-", i%1900)}
 		text, _ := json.Marshal(catalog.Command{FormatVersion: catalog.FormatVersion, Kind: catalog.Register, Endpoint: &h})
@@ -618,13 +618,13 @@
 			services = append(services, fmt.Sprint("service-", rng.IntN(1900)))
 		}
 		slices.Sort(services)
-		st.hub.topics.subscribe(slices.Compact(services))
+		st.broadcaster.services.subscribe(slices.Compact(services))
 	}
-	st.hub.topics.publish()
+	st.broadcaster.services.publish()
 	born := 1.0
 	for b.Loop() {
 		born++
 		register(7, born)
-		st.hub.topics.publish()
+		st.broadcaster.services.publish()
 	}
 }
--- a/internal/control/servicemetrics.go
+++ b/internal/control/servicemetrics.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// largestServices is how many services have a label of their own; all others share one.
-	largestServices = 20
+	// maxServiceLabels is how many services have a label of their own; all others share one.
+	maxServiceLabels = 20
 	// The labels that are no service's name have a space, which no name has.
 	defaultServiceLabel = "default service"
 	otherServicesLabel  = "other services"
@@ -19,14 +19,14 @@
 
 // serviceCollector gives the numbers of the largest services when it is asked.
 type serviceCollector struct {
-	hub             *hub
+	broadcaster     *watchBroadcaster
 	listed, watches *prometheus.Desc
 	services        *prometheus.Desc
 }
 
-func newServiceCollector(h *hub) *serviceCollector {
+func newServiceCollector(b *watchBroadcaster) *serviceCollector {
 	labels := []string{"service"}
-	return &serviceCollector{hub: h,
+	return &serviceCollector{broadcaster: b,
 		listed:   prometheus.NewDesc("steward_service_listed", "Servers that are listed, by service: the largest, and all others.", labels, nil),
 		watches:  prometheus.NewDesc("steward_service_watches", "Watches that are open and subscribe to a service: the largest, and all others.", labels, nil),
 		services: prometheus.NewDesc("steward_services", "Services that have servers.", nil, nil)}
@@ -42,19 +42,19 @@
 // Collect is the registry's.
 func (c *serviceCollector) Collect(ch chan<- prometheus.Metric) {
 	var sizes map[string]int
-	c.hub.fsm.read(func(s *catalog.State) { sizes = s.ServiceSizes() })
+	c.broadcaster.fsm.read(func(state *catalog.State) { sizes = state.ServiceSizes() })
 	ch <- prometheus.MustNewConstMetric(c.services, prometheus.GaugeValue, float64(len(sizes)))
-	own := largest(sizes, largestServices)
-	for label, count := range byLabel(sizes, own) {
+	labelled := largestServices(sizes, maxServiceLabels)
+	for label, count := range sumByLabel(sizes, labelled) {
 		ch <- prometheus.MustNewConstMetric(c.listed, prometheus.GaugeValue, float64(count), label)
 	}
-	for label, count := range byLabel(c.hub.topics.watchesByService(), own) {
+	for label, count := range sumByLabel(c.broadcaster.services.watchesByService(), labelled) {
 		ch <- prometheus.MustNewConstMetric(c.watches, prometheus.GaugeValue, float64(count), label)
 	}
 }
 
-// largest names the services with the most servers; of equals, the first by name.
-func largest(sizes map[string]int, most int) []string {
+// largestServices names the services with the most servers; of equals, the first by name.
+func largestServices(sizes map[string]int, limit int) []string {
 	names := make([]string, 0, len(sizes))
 	for name := range sizes {
 		names = append(names, name)
@@ -65,15 +65,15 @@
 		}
 		return strings.Compare(a, b)
 	})
-	return names[:min(len(names), most)]
+	return names[:min(len(names), limit)]
 }
 
-// byLabel adds up the numbers of services that share a label.
-func byLabel(numbers map[string]int, own []string) map[string]int {
+// sumByLabel adds up the numbers of services that share a label.
+func sumByLabel(numbers map[string]int, labelled []string) map[string]int {
 	sums := map[string]int{}
 	for name, n := range numbers {
 		switch {
-		case !slices.Contains(own, name):
+		case !slices.Contains(labelled, name):
 			sums[otherServicesLabel] += n
 		case name == "":
 			sums[defaultServiceLabel] += n
--- a/internal/control/staleness.go
+++ b/internal/control/staleness.go
@@ -7,22 +7,22 @@
 )
 
 // silence returns how long ago this steward last heard from a leader; zero if it leads.
-func (n *Server) silence() time.Duration {
-	if n.raft() == nil {
-		return time.Since(n.began)
+func (s *Server) silence() time.Duration {
+	if s.raft() == nil {
+		return time.Since(s.startedAt)
 	}
-	if n.raft().State() == raft.Leader {
+	if s.raft().State() == raft.Leader {
 		return 0
 	}
-	last := n.raft().LastContact()
+	last := s.raft().LastContact()
 	if last.IsZero() {
-		last = n.began
+		last = s.startedAt
 	}
 	return time.Since(last)
 }
 
 // stale reports whether this steward has been without a leader, or lagged behind one, for
 // longer than the configured bound.
-func (n *Server) stale() bool {
-	return n.silence() > n.c.StaleAfter || time.Duration(n.lagged.Load()) > n.c.StaleAfter
+func (s *Server) stale() bool {
+	return s.silence() > s.config.StaleAfter || time.Duration(s.replicationLag.Load()) > s.config.StaleAfter
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -43,27 +43,27 @@
 
 // status returns this steward's status. Without raft only the fields about the state and the
 // watches are set.
-func (n *Server) status() Status {
+func (s *Server) status() Status {
 	st := Status{
-		Name:     n.c.Name,
+		Name:     s.config.Name,
 		State:    "starting",
-		Watches:  n.hub.watches(),
-		Movable:  n.hub.load().movable,
-		Draining: n.draining.Load(),
+		Watches:  s.broadcaster.watchCount(),
+		Movable:  s.broadcaster.load().movable,
+		Draining: s.draining.Load(),
 		Peers:    map[string]string{},
 	}
-	n.fsm.read(func(s *catalog.State) { countEntries(&st, s) })
-	if n.raft() == nil {
+	s.fsm.read(func(state *catalog.State) { countEntries(&st, state) })
+	if s.raft() == nil {
 		return st
 	}
-	n.addRaftStatus(&st)
+	s.addRaftStatus(&st)
 	return st
 }
 
 // countEntries fills in what the replicated state holds.
-func countEntries(st *Status, s *catalog.State) {
-	st.Seq = s.Seq
-	for _, e := range s.Entries {
+func countEntries(st *Status, state *catalog.State) {
+	st.Seq = state.Seq
+	for _, e := range state.Entries {
 		switch {
 		case e.Removed:
 		case e.DampedUntil > 0:
@@ -75,23 +75,23 @@
 			st.Quarantined++
 		}
 	}
-	if s.QuarantinedSince > 0 {
-		st.QuarantinedForMs = (s.Clock - s.QuarantinedSince).Milliseconds()
+	if state.QuarantinedSince > 0 {
+		st.QuarantinedForMs = (state.Clock - state.QuarantinedSince).Milliseconds()
 	}
 }
 
 // addRaftStatus fills in how raft stands. It requires that raft has started.
-func (n *Server) addRaftStatus(st *Status) {
-	r := n.raft()
-	st.State, st.Leader, st.Term = stateNames[r.State()], n.leader(), r.CurrentTerm()
+func (s *Server) addRaftStatus(st *Status) {
+	r := s.raft()
+	st.State, st.Leader, st.Term = stateNames[r.State()], s.leader(), r.CurrentTerm()
 	st.Applied, st.Committed = r.AppliedIndex(), r.CommitIndex()
-	st.Stale, st.SinceLeaderContactMs = n.stale(), n.silence().Milliseconds()
-	st.LagMs = time.Duration(n.lagged.Load()).Milliseconds()
+	st.Stale, st.SinceLeaderContactMs = s.stale(), s.silence().Milliseconds()
+	st.LagMs = time.Duration(s.replicationLag.Load()).Milliseconds()
 	if f := r.GetConfiguration(); f.Error() == nil {
-		for _, s := range f.Configuration().Servers {
-			st.Peers[string(s.ID)] = s.Suffrage.String()
-			if s.Suffrage == raft.Voter {
-				st.Voters = append(st.Voters, string(s.ID))
+		for _, replica := range f.Configuration().Servers {
+			st.Peers[string(replica.ID)] = replica.Suffrage.String()
+			if replica.Suffrage == raft.Voter {
+				st.Voters = append(st.Voters, string(replica.ID))
 			}
 		}
 	}
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -24,16 +24,16 @@
 	"golang.org/x/time/rate"
 )
 
-// snapshotsKept is how many snapshots stay on the disk: should the last be unreadable, the
+// retainedSnapshots is how many snapshots stay on the disk: should the last be unreadable, the
 // one before it and the log behind it still tell all.
-const snapshotsKept = 2
+const retainedSnapshots = 2
 
-// lockWait is how long it is waited for another process to let go of the data folder.
-const lockWait = 2 * time.Second
+// lockTimeout is how long it is waited for another process to let go of the data folder.
+const lockTimeout = 2 * time.Second
 
 // store is the disk of a steward.
 type store struct {
-	*sealed
+	*checksumLogStore
 	bolt  *boltdb.BoltStore
 	snaps *raft.FileSnapshotStore
 }
@@ -56,30 +56,30 @@
 			s, err = nil, fmt.Errorf("data: the log in %s is damaged: %v", dir, p)
 		}
 	}()
-	bolt, err := boltdb.New(boltdb.Options{Path: filepath.Join(dir, "raft.db"), BoltOptions: &bbolt.Options{Timeout: lockWait}})
+	bolt, err := boltdb.New(boltdb.Options{Path: filepath.Join(dir, "raft.db"), BoltOptions: &bbolt.Options{Timeout: lockTimeout}})
 	if errors.Is(err, bbolt.ErrTimeout) {
 		return nil, fmt.Errorf("data: another process uses %s", dir)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("data: the log in %s: %w", dir, err)
 	}
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, snapshotsKept, log)
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, log)
 	if err != nil {
 		bolt.Close()
 		return nil, fmt.Errorf("data: snapshots: %w", err)
 	}
-	s = &store{sealed: &sealed{bolt}, bolt: bolt, snaps: snaps}
-	if err := s.check(); err != nil {
+	s = &store{checksumLogStore: &checksumLogStore{bolt}, bolt: bolt, snaps: snaps}
+	if err := s.verifyLog(); err != nil {
 		bolt.Close()
 		return nil, fmt.Errorf("data: the log in %s is damaged: %w", dir, err)
 	}
 	return s, nil
 }
 
-// check reads the whole log once: better no steward than one that forgot what it said. What
+// verifyLog reads the whole log once: better no steward than one that forgot what it said. What
 // a snapshot covers may be missing, as it is between a snapshot that was sent by the leader
 // and the compaction behind it.
-func (s *store) check() error {
+func (s *store) verifyLog() error {
 	var covered uint64
 	metas, err := s.snaps.List()
 	if err != nil {
@@ -111,82 +111,84 @@
 
 func (s *store) Close() error { return s.bolt.Close() }
 
-// sealed writes a checksum with each entry of the log and looks at it when it is read: a
+// checksumLogStore writes a checksum with each entry of the log and looks at it when it is read: a
 // damaged record must be noticed, not applied.
-type sealed struct{ raft.LogStore }
+type checksumLogStore struct{ raft.LogStore }
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// errDamaged is an entry whose checksum is wrong.
-var errDamaged = errors.New("its checksum is wrong")
+// errChecksumMismatch is an entry whose checksum is wrong.
+var errChecksumMismatch = errors.New("its checksum is wrong")
 
-func sum(l *raft.Log) uint32 {
+func entryChecksum(entry *raft.Log) uint32 {
 	var head [17]byte
-	binary.BigEndian.PutUint64(head[:], l.Index)
-	binary.BigEndian.PutUint64(head[8:], l.Term)
-	head[16] = byte(l.Type)
-	return crc32.Update(crc32.Checksum(head[:], table), table, l.Data)
+	binary.BigEndian.PutUint64(head[:], entry.Index)
+	binary.BigEndian.PutUint64(head[8:], entry.Term)
+	head[16] = byte(entry.Type)
+	return crc32.Update(crc32.Checksum(head[:], castagnoli), castagnoli, entry.Data)
 }
 
-func (s *sealed) GetLog(index uint64, l *raft.Log) error {
-	if err := s.LogStore.GetLog(index, l); err != nil {
+func (s *checksumLogStore) GetLog(index uint64, entry *raft.Log) error {
+	if err := s.LogStore.GetLog(index, entry); err != nil {
 		return err
 	}
-	n := len(l.Data) - 4
-	if n < 0 {
-		return errDamaged
+	size := len(entry.Data) - 4
+	if size < 0 {
+		return errChecksumMismatch
 	}
-	want := binary.BigEndian.Uint32(l.Data[n:])
-	l.Data = l.Data[:n]
-	if l.Index != index || sum(l) != want {
-		return errDamaged
+	want := binary.BigEndian.Uint32(entry.Data[size:])
+	entry.Data = entry.Data[:size]
+	if entry.Index != index || entryChecksum(entry) != want {
+		return errChecksumMismatch
 	}
 	return nil
 }
 
-func (s *sealed) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
+func (s *checksumLogStore) StoreLog(entry *raft.Log) error { return s.StoreLogs([]*raft.Log{entry}) }
 
-func (s *sealed) StoreLogs(logs []*raft.Log) error {
+func (s *checksumLogStore) StoreLogs(logs []*raft.Log) error {
 	out := make([]*raft.Log, len(logs))
-	for i, l := range logs {
-		c := *l
-		c.Data = binary.BigEndian.AppendUint32(append(make([]byte, 0, len(l.Data)+4), l.Data...), sum(l))
+	for i, entry := range logs {
+		c := *entry
+		c.Data = binary.BigEndian.AppendUint32(append(make([]byte, 0, len(entry.Data)+4), entry.Data...), entryChecksum(entry))
 		out[i] = &c
 	}
 	return s.LogStore.StoreLogs(out)
 }
 
-// promises keeps what raft promised (its term, its vote). Raft panics where that can't be
+// stableStore keeps what raft promised (its term, its vote). Raft panics where that can't be
 // written, as on a full disk; a steward is to end with one line that says why, and before
 // it breaks the promise.
-type promises struct {
+type stableStore struct {
 	raft.StableStore
 	fail func(error)
 }
 
-func (p *promises) Set(key, value []byte) error { return p.must(p.StableStore.Set(key, value)) }
+func (s *stableStore) Set(key, value []byte) error {
+	return s.mustPersist(s.StableStore.Set(key, value))
+}
 
-func (p *promises) SetUint64(key []byte, value uint64) error {
-	return p.must(p.StableStore.SetUint64(key, value))
+func (s *stableStore) SetUint64(key []byte, value uint64) error {
+	return s.mustPersist(s.StableStore.SetUint64(key, value))
 }
 
-// must ends raft's goroutine, in order, where a promise was not written.
-func (p *promises) must(err error) error {
+// mustPersist ends raft's goroutine, in order, where a promise was not written.
+func (s *stableStore) mustPersist(err error) error {
 	if err != nil {
-		p.fail(fmt.Errorf("data: the log can't be written: %w", err))
+		s.fail(fmt.Errorf("data: the log can't be written: %w", err))
 		runtime.Goexit()
 	}
 	return nil
 }
 
-// stream is raft's way to the other stewards: by name, through this one's own table.
-type stream struct {
+// peerDialer is raft's way to the other stewards: by name, through this one's own table.
+type peerDialer struct {
 	net.Listener
-	dial func(name string) (string, bool)
+	resolve func(name string) (string, bool)
 }
 
-func (s *stream) Dial(name raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	addr, known := s.dial(string(name))
+func (s *peerDialer) Dial(name raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	addr, known := s.resolve(string(name))
 	if !known {
 		return nil, fmt.Errorf("steward %s: not in the table of peers", name)
 	}
@@ -197,46 +199,46 @@
 	// A table that leads to another steward than it says must not make that one's answers
 	// count as this one's: they would be counted twice towards a quorum.
 	_ = conn.SetWriteDeadline(time.Now().Add(timeout))
-	if _, err := conn.Write(append([]byte{calls, byte(len(name))}, name...)); err != nil {
+	if _, err := conn.Write(append([]byte{callPreamble, byte(len(name))}, name...)); err != nil {
 		conn.Close()
 		return nil, err
 	}
 	return conn, conn.SetWriteDeadline(time.Time{})
 }
 
-// calls is the byte before the name of the steward that is dialled; no message of raft's
+// callPreamble is the byte before the name of the steward that is dialled; no message of raft's
 // begins with it.
-const calls = 0xfe
+const callPreamble = 0xfe
 
 // Accept takes a connection, which is looked at with its first read.
-func (s *namedStream) Accept() (net.Conn, error) {
+func (s *raftStreamLayer) Accept() (net.Conn, error) {
 	conn, err := s.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &calledConn{Conn: conn, name: s.name}, nil
+	return &addressedConn{Conn: conn, name: s.name}, nil
 }
 
-// calledConn passes on what comes after its own steward's name, and ends where it is
+// addressedConn passes on what comes after its own steward's name, and ends where it is
 // another's. One without a name is of a build before names were sent.
-type calledConn struct {
+type addressedConn struct {
 	net.Conn
-	name   string
-	looked bool
-	rest   []byte
+	name         string
+	preambleRead bool
+	unread       []byte
 }
 
-var errCalled = errors.New("the call was for another steward")
+var errWrongServer = errors.New("the call was for another steward")
 
-func (c *calledConn) Read(p []byte) (int, error) {
-	if !c.looked {
-		c.looked = true
+func (c *addressedConn) Read(p []byte) (int, error) {
+	if !c.preambleRead {
+		c.preambleRead = true
 		var head [2]byte
 		if _, err := io.ReadFull(c.Conn, head[:1]); err != nil {
 			return 0, err
 		}
-		if head[0] != calls {
-			c.rest = append(c.rest, head[0])
+		if head[0] != callPreamble {
+			c.unread = append(c.unread, head[0])
 		} else {
 			if _, err := io.ReadFull(c.Conn, head[1:]); err != nil {
 				return 0, err
@@ -247,50 +249,50 @@
 			}
 			if string(name) != c.name {
 				c.Conn.Close()
-				return 0, fmt.Errorf("%w: %q, this is %q", errCalled, name, c.name)
+				return 0, fmt.Errorf("%w: %q, this is %q", errWrongServer, name, c.name)
 			}
 		}
 	}
-	if len(c.rest) > 0 {
-		n := copy(p, c.rest)
-		c.rest = c.rest[n:]
+	if len(c.unread) > 0 {
+		n := copy(p, c.unread)
+		c.unread = c.unread[n:]
 		return n, nil
 	}
 	return c.Conn.Read(p)
 }
 
-// named is an address that is a name.
-type named string
+// serverName is an address that is a name.
+type serverName string
 
-func (n named) Network() string { return "steward" }
-func (n named) String() string  { return string(n) }
+func (n serverName) Network() string { return "steward" }
+func (n serverName) String() string  { return string(n) }
 
 // Addr is what the others are told: the name, which each looks up in its own table.
-func (s *namedStream) Addr() net.Addr { return named(s.name) }
+func (s *raftStreamLayer) Addr() net.Addr { return serverName(s.name) }
 
-type namedStream struct {
-	stream
+type raftStreamLayer struct {
+	peerDialer
 	name string
 }
 
-// raftLog passes the library's log on, line by line and no more than some a second.
-func raftLog(log *slog.Logger) hclog.Logger {
+// newRaftLogger passes the library's log on, line by line and no more than some a second.
+func newRaftLogger(log *slog.Logger) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Info, DisableTime: true,
-		Output: &lines{log: log, limit: rate.NewLimiter(20, 50)}})
+		Output: &raftLogWriter{log: log, limit: rate.NewLimiter(20, 50)}})
 }
 
-type lines struct {
-	log   *slog.Logger
-	limit *rate.Limiter
-	mu    sync.Mutex
-	cut   int
+type raftLogWriter struct {
+	log        *slog.Logger
+	limit      *rate.Limiter
+	mu         sync.Mutex
+	suppressed int
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *raftLogWriter) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.limit.Allow() {
-		l.cut++
+		l.suppressed++
 		return len(p), nil
 	}
 	text := strings.TrimSpace(string(p))
@@ -301,8 +303,8 @@
 		}
 	}
 	args := []any{}
-	if l.cut > 0 {
-		args, l.cut = append(args, "left_out", l.cut), 0
+	if l.suppressed > 0 {
+		args, l.suppressed = append(args, "left_out", l.suppressed), 0
 	}
 	l.log.Log(context.Background(), level, text, args...)
 	return len(p), nil
--- a/internal/control/watchlines_test.go
+++ b/internal/control/watchlines_test.go
@@ -19,8 +19,8 @@
 func TestWatchLinesKeepTheirForm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		st := newStand(t)
-		go st.hub.run(ctx)
+		st := newFSMFixture(t)
+		go st.broadcaster.run(ctx)
 		register := func(name, service string, born float64) {
 			t.Helper()
 			h := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Block: 3, Health: endpoints.Ready, Weight: 1, StartedMs: born, Service: service}
@@ -32,8 +32,8 @@
 		register("s-a", "", 1000)
 		register("s-b", "web", 1000)
 		whole, scoped := newReader(), newReader()
-		go st.hub.watch(ctx, whole, 0, nil)
-		go st.hub.watchServices(ctx, scoped, []string{"", "web"}, 0, nil)
+		go st.broadcaster.watch(ctx, whole, 0, nil)
+		go st.broadcaster.watchServices(ctx, scoped, []string{"", "web"}, 0, nil)
 		time.Sleep(100 * time.Millisecond)
 		register("s-c", "web", 1000)
 		register("s-a", "mail", 2000)
@@ -42,7 +42,7 @@
 		st.apply(t, catalog.Command{Kind: catalog.Deregister, Refs: []catalog.InstanceRef{{Name: "s-b", StartedMs: 1000}}})
 		time.Sleep(2500 * time.Millisecond)
 		synctest.Wait()
-		lines := func(r *reader) []string {
+		lines := func(r *watchReader) []string {
 			return strings.Split(strings.TrimSuffix(strings.Join(r.lines, ""), "\n"), "\n")
 		}
 		golden.Lines(t, "watch-lines.txt", slices.Concat([]string{"all"}, lines(whole), []string{"services"}, lines(scoped)))
--- a/internal/control/spread_test.go
+++ b/internal/control/watchload_test.go
@@ -12,7 +12,7 @@
 func TestSpread(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(rt, "stewards")
-		at := make([]load, n)
+		at := make([]watchLoad, n)
 		sum, steps := 0, 0
 		for i := range at {
 			at[i].watches = rapid.IntRange(0, 2000).Draw(rt, "watches")
@@ -32,13 +32,13 @@
 			out := make([]int, n)
 			total := 0
 			for i := range at {
-				var others []load
+				var others []watchLoad
 				for j := range at {
 					if j != i {
 						others = append(others, at[j])
 					}
 				}
-				out[i] = surplus(at[i], others)
+				out[i] = excessWatches(at[i], others)
 				if out[i] < 0 || out[i] > at[i].movable || out[i] > max(at[i].watches/20, 1) {
 					rt.Fatalf("ends %d of %+v", out[i], at[i])
 				}
@@ -64,7 +64,7 @@
 			}
 		}
 		for i := range at {
-			if over := at[i].watches - part - roomFor(part); over > 0 && at[i].movable > 0 && n > 1 {
+			if over := at[i].watches - part - loadTolerance(part); over > 0 && at[i].movable > 0 && n > 1 {
 				rt.Fatalf("at rest with %+v, a part is %d", at, part)
 			}
 		}
@@ -78,7 +78,7 @@
 // A lag is as old as the oldest thing that the leader had committed and is not applied.
 func TestProgress(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var p progress
+		var p commitProgress
 		type seen struct {
 			at        time.Duration
 			committed uint64
@@ -86,11 +86,11 @@
 		var all []seen
 		var now time.Duration
 		var committed, applied uint64
-		for range rapid.IntRange(1, mostSamples-1).Draw(rt, "steps") {
+		for range rapid.IntRange(1, maxCommitSamples-1).Draw(rt, "steps") {
 			now += time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms")) * time.Millisecond
 			committed += uint64(rapid.IntRange(0, 3).Draw(rt, "committed"))
 			applied = min(committed, applied+uint64(rapid.IntRange(0, 4).Draw(rt, "applied")))
-			p.saw(now, committed)
+			p.record(now, committed)
 			all = append(all, seen{now, committed})
 			want := time.Duration(0)
 			for _, s := range all {
--- a/internal/control/wire_test.go
+++ b/internal/control/wire_test.go
@@ -40,14 +40,14 @@
 		golden.Of[Status]("status"),
 		golden.Of[RenewalBatch]("renewals"),
 		golden.Of[ServerOverride]("override of a server"),
-		golden.Of[seenBody]("seen"),
+		golden.Of[revisionBody]("seen"),
 		golden.Of[arrivalBody]("arrival"),
 		golden.Of[fenceBody]("sweep and voters"),
 		golden.Of[renewalBody]("renewal of a session"),
 		golden.Of[termsBody]("terms"),
 		golden.Of[TaskDefinition]("duty"),
 		golden.Of[claimBody]("claim"),
-		golden.Of[wordBody]("order on a duty"),
+		golden.Of[taskCommandBody]("order on a duty"),
 		golden.Of[ObservationMessage]("evidence"),
 	})
 }
@@ -58,8 +58,8 @@
 func unstarted(t *testing.T) *Server {
 	t.Helper()
 	c := Defaults()
-	n := newNode(&c, quietLog())
-	t.Cleanup(n.stop)
+	n := newServer(&c, quietLog())
+	t.Cleanup(n.cancel)
 	return n
 }
 
@@ -83,7 +83,7 @@
 // TestMetricsKeepTheirNames holds the name and the labels of each metric.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	described := make(chan *prometheus.Desc, 1000)
-	unstarted(t).m.registry.Describe(described)
+	unstarted(t).metrics.registry.Describe(described)
 	close(described)
 	form := regexp.MustCompile(`^Desc\{fqName: "([^"]*)", .*variableLabels: \{([^}]*)\}\}$`)
 	var got []string
@@ -205,7 +205,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	machine := &fsm{state: catalog.New(), changed: func() {}, broken: func(err error) { t.Error(err) }}
+	machine := &fsm{state: catalog.New(), onChange: func() {}, onFatal: func(err error) { t.Error(err) }}
 	if err := machine.Restore(text); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/capacity/order.go
+++ b/internal/lab/capacity/order.go
@@ -14,7 +14,7 @@
 const (
 	maxListBytes  = 4 << 20 // endpoints.maxList: bytes of a whole list that a reader takes
 	bytesPerCall  = 24_000  // control.bytesPerCall: bytes of a list that cost as much as a call
-	entryBytes    = 140     // control.scopedEntryBytes: what admission reckons an entry with
+	entryBytes    = 140     // control.estimatedScopedEntryBytes: what admission reckons an entry with
 	stewardsToday = 3
 	// entriesPerCallBefore is the entries of the whole fleet that cost as much as a call before
 	// lists by service.
