--- a/cmd/controlplane/members_test.go
+++ b/cmd/controlplane/members_test.go
@@ -483,7 +483,7 @@
 	told := false
 	for _, n := range names {
 		log, _ := os.ReadFile(f.all[n].proc.Log)
-		if strings.Contains(string(log), `"a steward is off the voters"`) {
+		if strings.Contains(string(log), `"peer removed from the raft configuration"`) {
 			t.Errorf("%s: the first was taken off the voters for the second", n)
 		}
 		told = told || strings.Contains(string(log), "second process came with the name") || strings.Contains(string(log), "two processes have one name")
--- /dev/null
+++ b/internal/control/errors.go
@@ -0,0 +1,91 @@
+package control
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+
+	"github.com/hashicorp/raft"
+
+	"knotrouter/internal/catalog"
+)
+
+var (
+	// errNoLeader means that a command was certainly not applied and is safe to retry.
+	errNoLeader = errors.New("there is no leader at the moment")
+	// errUnknownOutcome means that the outcome of a command is ambiguous: it may have been
+	// applied, or may yet be.
+	errUnknownOutcome = errors.New("the leader changed: whether it was carried out is unknown")
+	// errNotInPeerTable means that a control-plane server can't be reached, as this server's
+	// configuration has no address for its name.
+	errNotInPeerTable = errors.New("not in the table of peers")
+)
+
+// retryAfterNoLeader is the Retry-After value, in seconds, of an answer to a request that this
+// server could not serve: an election takes about as long.
+const retryAfterNoLeader = "0.2"
+
+// notAppliedHeader marks an answer to a request that certainly had no effect.
+const notAppliedHeader = "Not-Applied"
+
+// badRequestError is a request that no state of the catalog would accept.
+type badRequestError struct{ text string }
+
+// Error returns the text of the answer.
+func (e *badRequestError) Error() string { return e.text }
+
+// newBadRequest returns a badRequestError with a formatted text.
+func newBadRequest(format string, args ...any) error {
+	return &badRequestError{fmt.Sprintf(format, args...)}
+}
+
+// rejectedError is a command that the catalog rejected in its present state.
+type rejectedError struct{ catalog.Result }
+
+// Error returns the text of the answer: the code of the result and its text.
+func (e *rejectedError) Error() string { return string(e.Code) + ": " + e.Text }
+
+// statusByCode maps the codes with which the catalog rejects commands to HTTP statuses.
+var statusByCode = map[catalog.Code]int{
+	catalog.Superseded:  http.StatusConflict,
+	catalog.Unknown:     http.StatusNotFound,
+	catalog.Conflict:    http.StatusPreconditionFailed,
+	catalog.Invalid:     http.StatusBadRequest,
+	catalog.Fenced:      http.StatusPreconditionFailed,
+	catalog.Taken:       http.StatusConflict,
+	catalog.TooMany:     http.StatusInsufficientStorage,
+	catalog.Unsupported: http.StatusNotImplemented,
+}
+
+// writeError answers with an error as one line of text. An answer to a request that certainly
+// had no effect, as there is no leader, has the header Not-Applied.
+func writeError(w http.ResponseWriter, err error) {
+	var badRequest *badRequestError
+	var rejected *rejectedError
+	switch {
+	case errors.As(err, &rejected):
+		http.Error(w, err.Error(), statusByCode[rejected.Code])
+	case errors.As(err, &badRequest):
+		http.Error(w, err.Error(), http.StatusBadRequest)
+	case errors.Is(err, errNoLeader):
+		w.Header().Set(notAppliedHeader, "1")
+		writeUnavailable(w, err.Error())
+	default:
+		writeUnavailable(w, err.Error())
+	}
+}
+
+// writeUnavailable answers with status 503 and asks the client to retry soon.
+func writeUnavailable(w http.ResponseWriter, text string) {
+	w.Header().Set("Retry-After", retryAfterNoLeader)
+	http.Error(w, text, http.StatusServiceUnavailable)
+}
+
+// configurationError translates an error of a change of the raft configuration: it returns
+// errNoLeader if the change was certainly not made, and wraps errUnknownOutcome otherwise.
+func configurationError(err error) error {
+	if errors.Is(err, raft.ErrNotLeader) {
+		return errNoLeader
+	}
+	return fmt.Errorf("%w: %v", errUnknownOutcome, err)
+}
--- /dev/null
+++ b/internal/control/forwarding.go
@@ -0,0 +1,122 @@
+package control
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
+)
+
+// forwardedByHeader marks a request that another server forwarded to the leader; it isn't
+// forwarded again.
+const forwardedByHeader = "Forwarded-By"
+
+// leaderWrites returns a handler that has the leader carry out a write, at whichever server the
+// request arrived.
+func (s *Server) leaderWrites(do commandHandler) http.HandlerFunc {
+	return s.leaderWritesAfter(func(http.ResponseWriter, *http.Request) error { return nil }, do)
+}
+
+// leaderWritesAfter is leaderWrites, and calls here at the server where the request arrived,
+// after admitting it and before the leader carries it out.
+func (s *Server) leaderWritesAfter(here, do commandHandler) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		ok, release := s.admission.admitWrite(w)
+		if !ok {
+			return
+		}
+		defer release()
+		if err := here(w, r); err != nil {
+			writeError(w, err)
+			return
+		}
+		if _, leads := s.leaderClock(); !leads {
+			s.forwardToLeader(w, r)
+			return
+		}
+		if err := do(w, r); err != nil {
+			writeError(w, err)
+		}
+	}
+}
+
+// leaderReads returns a handler for a read. A request with consistent=1 is answered by the
+// leader, with all that was acknowledged before it; any other is answered here, with what this
+// server has applied.
+func (s *Server) leaderReads(do http.HandlerFunc) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Query().Get("consistent") != "1" {
+			do(w, r)
+			return
+		}
+		if _, leads := s.leaderClock(); !leads {
+			s.forwardToLeader(w, r)
+			return
+		}
+		if err := s.barrier(r.Context()); err != nil {
+			writeError(w, err)
+			return
+		}
+		do(w, r)
+	}
+}
+
+// forwardToLeader forwards a request to the leader and answers as the leader does. It answers
+// with errNoLeader if the leader certainly didn't get the request, and with errUnknownOutcome if
+// the leader didn't answer.
+func (s *Server) forwardToLeader(w http.ResponseWriter, r *http.Request) {
+	leader, known := (*s.peerTable.Load())[s.leader()]
+	if !known || s.leader() == s.config.Name || r.Header.Get(forwardedByHeader) != "" {
+		writeError(w, errNoLeader)
+		return
+	}
+	text, err := readBody(w, r)
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), applyTimeout+peerTimeout)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+leader.HTTP+r.URL.RequestURI(), bytes.NewReader(text))
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	req.Header.Set(forwardedByHeader, s.config.Name)
+	req.GetBody = nil // so that the transport can't repeat the request by itself
+	resp, err := (&http.Client{Transport: s.peerClient.Transport}).Do(req)
+	switch {
+	case err != nil && neverSent(err):
+		writeError(w, errNoLeader)
+		return
+	case err != nil:
+		writeError(w, fmt.Errorf("%w: %v", errUnknownOutcome, err))
+		return
+	}
+	defer resp.Body.Close()
+	for _, key := range []string{"Content-Type", "Retry-After", notAppliedHeader, endpoints.ScopeHeader} {
+		if v := resp.Header.Get(key); v != "" {
+			w.Header().Set(key, v)
+		}
+	}
+	w.WriteHeader(resp.StatusCode)
+	_, _ = io.Copy(w, resp.Body)
+}
+
+// commitAndAnswer proposes a command and answers with its result. It returns a rejectedError if
+// the catalog rejected the command, and the errors of propose.
+func (s *Server) commitAndAnswer(w http.ResponseWriter, c catalog.Command) error {
+	result, err := s.propose(c)
+	if err != nil {
+		return err
+	}
+	if result.Code != catalog.Done {
+		return &rejectedError{result}
+	}
+	writeJSON(w, result)
+	return nil
+}
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -11,10 +11,6 @@
 // decisionInterval is how often the leader decides on sessions and leased tasks.
 const decisionInterval = 100 * time.Millisecond
 
-// maxRevision is the highest version that is accepted from a reader. JSON numbers are exact up to
-// it, and it keeps one reader with an invalid version from exhausting the range.
-const maxRevision = 1 << 52
-
 // voters returns the names of the voters in the latest raft configuration that this steward
 // has, or nil if there is none.
 func (s *Server) voters() []string {
@@ -107,21 +103,6 @@
 	}
 }
 
-// raiseRevision advances the version past every one that a reader can have seen, so that versions
-// never decrease after the state was lost or restored. The wall clock in microseconds is a
-// first guess; seen, the highest version that a reader reported, is a lower bound.
-func (s *Server) raiseRevision(seen int64) {
-	version := max(s.config.Now().UnixMicro(), seen+1)
-	if version > maxRevision {
-		return // no steward has ever issued such a version
-	}
-	if _, err := s.propose(catalog.Command{Kind: catalog.RaiseRevision, Seq: version}); err != nil {
-		s.log.Warn("the version was not raised", "err", err)
-		return
-	}
-	s.log.Info("version raised", "to", version, "seen_by_a_reader", seen)
-}
-
 // leaderClock returns the state's clock as the leader continues it by its monotonic time, and
 // whether this steward leads. The time is meaningless if it doesn't.
 func (s *Server) leaderClock() (time.Duration, bool) {
--- /dev/null
+++ b/internal/control/listrevision.go
@@ -0,0 +1,119 @@
+package control
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"knotrouter/internal/catalog"
+)
+
+const (
+	// catchUpTimeout is how long a reader with a later version than this server's waits until
+	// this server has caught up.
+	catchUpTimeout = 1500 * time.Millisecond
+	// catchUpInterval is the time between two looks at whether it has.
+	catchUpInterval = 5 * time.Millisecond
+	// maxRevisionLead is how far beyond the clock's microseconds a version can be that a reader
+	// truly has: one version a microsecond for a day.
+	maxRevisionLead = int64(24 * time.Hour / time.Microsecond)
+	// maxRevision is the highest version that is accepted from a reader. JSON numbers are exact
+	// up to it, and it keeps one reader with an invalid version from exhausting the range.
+	maxRevision = 1 << 52
+)
+
+// revisionBody reports a version of the list, or answers with one.
+type revisionBody struct {
+	Seq int64 `json:"seq"`
+}
+
+// awaitRevision waits until this server has the version that a reader has. This server may lag
+// and catch up; or the version is from an earlier state of the service, which was lost, and the
+// leader raises its own beyond it. It returns false if this server still lags after
+// catchUpTimeout and another one can serve, or if the context ends.
+func (s *Server) awaitRevision(ctx context.Context, since int64) bool {
+	if since <= s.fsm.revision() || since > s.config.Now().UnixMicro()+maxRevisionLead {
+		return true
+	}
+	s.reportRevision(since)
+	timeout := time.NewTimer(catchUpTimeout)
+	defer timeout.Stop()
+	ticker := time.NewTicker(catchUpInterval)
+	defer ticker.Stop()
+	for s.fsm.revision() < since {
+		select {
+		case <-ticker.C:
+		case <-timeout.C:
+			return !s.betterElsewhere()
+		case <-ctx.Done():
+			return false
+		}
+	}
+	return true
+}
+
+// reportRevision reports a version that a reader has to the leader, which may be this server.
+func (s *Server) reportRevision(revision int64) {
+	ctx, cancel := context.WithTimeout(s.ctx, catchUpTimeout)
+	defer cancel()
+	if _, leads := s.leaderClock(); leads {
+		if err := s.raiseRevisionAbove(ctx, revision); err != nil {
+			s.log.Debug("raising the list version above a reader's failed", "list_version", revision, "err", err)
+		}
+		return
+	}
+	if p, ok := (*s.peerTable.Load())[s.leader()]; ok {
+		if err := call(ctx, s.peerClient, http.MethodPost, "http://"+p.HTTP+"/v1/seen", revisionBody{revision}, nil); err != nil {
+			s.log.Debug("reporting a reader's list version to the leader failed", "list_version", revision, "err", err)
+		}
+	}
+}
+
+// handleReportedRevision raises the version above the one that a reader reported to another
+// server, and answers with the version then.
+func (s *Server) handleReportedRevision(w http.ResponseWriter, r *http.Request) error {
+	var b revisionBody
+	if err := decodeBody(w, r, &b); err != nil {
+		return err
+	}
+	if b.Seq > s.config.Now().UnixMicro()+maxRevisionLead || b.Seq < 0 {
+		return newBadRequest("seq: no version that a reader can have")
+	}
+	if err := s.raiseRevisionAbove(r.Context(), b.Seq); err != nil {
+		return err
+	}
+	writeJSON(w, revisionBody{s.fsm.revision()})
+	return nil
+}
+
+// raiseRevisionAbove raises the version above the one that a reader has, unless the log leads
+// there. A follower may have applied entries that this leader has committed but not applied yet,
+// so all committed entries are applied first: raising the version drops the history, and every
+// reader would be sent the full list for nothing.
+func (s *Server) raiseRevisionAbove(ctx context.Context, seen int64) error {
+	if s.fsm.revision() >= seen {
+		return nil
+	}
+	if err := s.barrier(ctx); err != nil {
+		return err
+	}
+	if s.fsm.revision() < seen {
+		s.raiseRevision(seen)
+	}
+	return nil
+}
+
+// raiseRevision advances the version past every one that a reader can have seen, so that
+// versions never decrease after the state was lost or restored. The wall clock in microseconds
+// is a first guess; seen, the highest version that a reader reported, is a lower bound.
+func (s *Server) raiseRevision(seen int64) {
+	version := max(s.config.Now().UnixMicro(), seen+1)
+	if version > maxRevision {
+		return // no server has ever issued such a version
+	}
+	if _, err := s.propose(catalog.Command{Kind: catalog.RaiseRevision, Seq: version}); err != nil {
+		s.log.Warn("raising the list version failed", "list_version", version, "err", err)
+		return
+	}
+	s.log.Info("list version raised", "list_version", version, "reader_list_version", seen)
+}
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -47,18 +47,13 @@
 	return id, nil
 }
 
-// registerMemberRoutes adds the routes of membership.
-func (s *Server) registerMemberRoutes(mux *http.ServeMux) {
-	mux.HandleFunc("GET "+endpoints.MembersPath, func(w http.ResponseWriter, _ *http.Request) {
-		if s.gossip == nil {
-			http.Error(w, "gossip: off at this steward", http.StatusNotFound)
-			return
-		}
-		writeJSON(w, s.gossip.View())
-	})
-	mux.HandleFunc("POST "+endpoints.MembersPath+"/{name}/arrival", s.leaderWrites(s.handleMemberArrival))
-	mux.HandleFunc("DELETE "+endpoints.MembersPath+"/{name}", s.handleAgentLeave)
-	mux.HandleFunc("POST /v1/evidence", s.handleEvidence)
+// handleMemberView answers with the membership view.
+func (s *Server) handleMemberView(w http.ResponseWriter, _ *http.Request) {
+	if s.gossip == nil {
+		http.Error(w, "gossip: off at this steward", http.StatusNotFound)
+		return
+	}
+	writeJSON(w, s.gossip.View())
 }
 
 // ReadMemberViews reads the membership views of the stewards at the given addresses, in the order of
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -11,13 +11,6 @@
 	"knotrouter/internal/catalog"
 )
 
-// errNoLeader means that a command was certainly not applied and is safe to retry.
-var errNoLeader = errors.New("there is no leader at the moment")
-
-// errUnknownOutcome means that the outcome of a command is ambiguous: it may have been applied, or
-// may yet be.
-var errUnknownOutcome = errors.New("the leader changed: whether it was carried out is unknown")
-
 // propose commits a command and returns its result, whose code may still refuse it. It
 // returns errNoLeader if the command was certainly not applied, and an error that wraps
 // errUnknownOutcome if that is unknown.
--- /dev/null
+++ b/internal/control/snapshots.go
@@ -0,0 +1,65 @@
+package control
+
+import (
+	"bytes"
+	"fmt"
+	"net/http"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"knotrouter/internal/catalog"
+)
+
+// restoreTimeout is how long a restored snapshot may take to be replicated.
+const restoreTimeout = 30 * time.Second
+
+// handleSnapshot answers with the replicated state.
+func (s *Server) handleSnapshot(w http.ResponseWriter, _ *http.Request) {
+	var text []byte
+	var err error
+	s.fsm.read(func(state *catalog.State) { text, err = state.Encode() })
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	_, _ = w.Write(text)
+}
+
+// handleRestore replaces the replicated state by a snapshot and answers with this server's
+// status. The version of the list goes on from the later of the two.
+func (s *Server) handleRestore(w http.ResponseWriter, r *http.Request) error {
+	text, err := readBody(w, r)
+	if err != nil {
+		return err
+	}
+	restored, err := catalog.Decode(text)
+	if err != nil {
+		return newBadRequest("%v", err)
+	}
+	seen := max(s.fsm.revision(), restored.Seq)
+	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(len(text))}
+	if err := s.raft().Restore(meta, bytes.NewReader(text), restoreTimeout); err != nil {
+		return fmt.Errorf("%w: %v", errUnknownOutcome, err)
+	}
+	s.raiseRevision(seen)
+	s.restartLeases()
+	s.log.Warn("state replaced by a snapshot", "entries", len(restored.Entries), "list_version", s.fsm.revision())
+	writeJSON(w, s.status())
+	return nil
+}
+
+// restartLeases gives all servers and sessions of a restored state their full time.
+func (s *Server) restartLeases() {
+	s.leaderMu.Lock()
+	defer s.leaderMu.Unlock()
+	s.fsm.read(func(state *catalog.State) {
+		s.clockAtElection = max(s.clockAtElection+time.Since(s.electedAt), state.Clock)
+		s.electedAt = time.Now()
+		if s.registrationLeases != nil {
+			s.registrationLeases = catalog.NewRegistrationLeases(s.config.leaseConfig(), state, s.clockAtElection)
+			s.taskLeases = catalog.NewTaskLeases(s.clockAtElection)
+		}
+	})
+}
--- /dev/null
+++ b/internal/control/statecopies.go
@@ -0,0 +1,90 @@
+package control
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+
+	"knotrouter/internal/leaderelection"
+)
+
+const (
+	maxStateCopies   = 8       // kept in a data folder
+	stateCopyFolder  = "saved" // in the data folder
+	stateCopyPattern = "*.json"
+)
+
+// stateCopyFunction returns the function of the state-copy task, which saves a copy of the
+// replicated state in this server's data folder at the configured interval.
+func (s *Server) stateCopyFunction(c *Client) leaderelection.Function {
+	return func(ctx context.Context, _ string, fence int64) error {
+		if s.config.SaveEvery <= 0 {
+			<-ctx.Done()
+			return nil
+		}
+		for sleep(ctx, s.config.SaveEvery) {
+			text, err := c.Snapshot(ctx)
+			if err != nil {
+				s.log.Warn("reading the state for a copy failed", "err", err)
+				continue
+			}
+			if ctx.Err() != nil {
+				return nil
+			}
+			if err := s.saveStateCopy(text, fence); err != nil {
+				return fmt.Errorf("keep a copy of the state: %w", err)
+			}
+			s.metrics.savedCopies.Inc()
+		}
+		return nil
+	}
+}
+
+// saveStateCopy writes a copy of the state, named by the time and the fencing token, and removes
+// the oldest copies beyond maxStateCopies.
+func (s *Server) saveStateCopy(text []byte, fence int64) error {
+	dir := filepath.Join(s.config.Data, stateCopyFolder)
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return err
+	}
+	name := filepath.Join(dir, fmt.Sprintf("%020d-%d.json", s.config.Now().UnixMicro(), fence))
+	if err := WriteFileAtomic(name, text); err != nil {
+		return err
+	}
+	copies, err := filepath.Glob(filepath.Join(dir, stateCopyPattern))
+	if err != nil {
+		return err
+	}
+	slices.Sort(copies)
+	for _, oldest := range copies[:max(len(copies)-maxStateCopies, 0)] {
+		if err := os.Remove(oldest); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// WriteFileAtomic replaces the file of this name by one with the given text and mode 0600. A
+// reader finds either the old file or the complete new one, also after a crash of this process:
+// the text is written and synced under the name with ".part" appended, and then renamed. The
+// folder isn't synced, so that after a power failure the old file may be back. Two calls for one
+// name must not run at the same time. On an error the ".part" file may be left.
+//
+// This is not github.com/google/renameio, which would be a new dependency for the sake of one
+// function and differs: it writes under random names, so that files that a crash left behind
+// add up instead of being overwritten, and it keeps the mode of the old file.
+func WriteFileAtomic(name string, text []byte) error {
+	part := name + ".part"
+	f, err := os.OpenFile(part, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	if err != nil {
+		return err
+	}
+	_, err = f.Write(text)
+	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
+		return err
+	}
+	return os.Rename(part, name)
+}
--- /dev/null
+++ b/internal/control/tasks.go
@@ -0,0 +1,184 @@
+package control
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
+)
+
+// TaskDefinition defines a leased task.
+type TaskDefinition struct {
+	TTLMs   int64  `json:"ttl_ms"`            // the time to live of a term, in milliseconds
+	Zone    string `json:"zone,omitempty"`    // the zone whose processes are preferred
+	Process string `json:"process,omitempty"` // the process that is preferred
+}
+
+// claimBody claims a task that has no holder for a session.
+type claimBody struct {
+	Process string `json:"process"`
+	ID      string `json:"id"`
+}
+
+// taskCommandBody is an operator's command on a leased task.
+type taskCommandBody struct {
+	To  string `json:"to,omitempty"`  // the process that a transfer goes to
+	Why string `json:"why,omitempty"` // the reason, for the task's history
+}
+
+// termsBody reports what happened to terms.
+type termsBody struct {
+	Kind catalog.Kind      `json:"kind"`
+	Ties []catalog.TermRef `json:"ties"`
+	Why  string            `json:"why,omitempty"`
+}
+
+// releaseReasons are the reasons that a holder can give.
+var releaseReasons = []string{"", catalog.ReasonCompleted, catalog.ReasonFailed, catalog.ReasonTransferred, catalog.ReasonExpired, catalog.ReasonRevoked}
+
+// assignTasks proposes what sessions and leased tasks call for at this time: which sessions have
+// expired, and which process is granted which task. It does nothing on a follower.
+func (s *Server) assignTasks() {
+	now, leads := s.leaderClock()
+	if !leads {
+		return
+	}
+	var commands []catalog.Command
+	s.leaderMu.Lock()
+	if s.taskLeases != nil {
+		s.taskLeases.Absent = s.absentProcesses()
+		s.fsm.read(func(state *catalog.State) { commands = s.taskLeases.Decide(state, now) })
+	}
+	s.leaderMu.Unlock()
+	for _, command := range commands {
+		if _, err := s.propose(command); err != nil {
+			s.log.Warn("proposing a task command failed", "command", command.Kind, "err", err)
+			return
+		}
+		s.metrics.taskDecisions.WithLabelValues(string(command.Kind)).Add(float64(max(len(command.Terms), 1)))
+		if len(command.Terms) > 0 {
+			first := command.Terms[0]
+			s.log.Info("task command committed", "command", command.Kind, "count", len(command.Terms), "task", first.Name, "process", first.Process)
+		} else {
+			s.log.Info("task command committed", "command", command.Kind, "process", command.Session.Process)
+		}
+	}
+}
+
+// handleTerms takes a holder's report that terms were released or their transfer accepted.
+func (s *Server) handleTerms(w http.ResponseWriter, r *http.Request) error {
+	var b termsBody
+	if err := decodeBody(w, r, &b); err != nil {
+		return err
+	}
+	if b.Kind != catalog.ReleaseTerm && b.Kind != catalog.AcceptTransfer {
+		return newBadRequest("kind: must be %q or %q", catalog.ReleaseTerm, catalog.AcceptTransfer)
+	}
+	if len(b.Ties) == 0 || len(b.Ties) > maxRefsPerCall {
+		return newBadRequest("ties: must be 1 to %d", maxRefsPerCall)
+	}
+	if !slices.Contains(releaseReasons, b.Why) {
+		return newBadRequest("why: unknown word %q", b.Why)
+	}
+	for _, term := range b.Ties {
+		if term.Session == "" {
+			return newBadRequest("ties: one without its session")
+		}
+	}
+	return s.commitAndAnswer(w, catalog.Command{Kind: b.Kind, Terms: b.Ties, Reason: b.Why})
+}
+
+// handleDefineTask defines a leased task, or changes the definition of one.
+func (s *Server) handleDefineTask(w http.ResponseWriter, r *http.Request) error {
+	var b TaskDefinition
+	if err := decodeBody(w, r, &b); err != nil {
+		return err
+	}
+	if b.TTLMs < 0 || b.TTLMs > catalog.MaxTTL.Milliseconds() {
+		return newBadRequest("ttl_ms: must be %d to %d, is %d", catalog.MinTTL.Milliseconds(), catalog.MaxTTL.Milliseconds(), b.TTLMs)
+	}
+	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.DefineTask, LeasedTask: &catalog.LeasedTask{
+		Name:             r.PathValue("name"),
+		TTL:              time.Duration(b.TTLMs) * time.Millisecond,
+		PreferredZone:    b.Zone,
+		PreferredProcess: b.Process,
+	}})
+}
+
+// handleClaimTask grants a task without a holder to a session. It is idempotent: a repeated
+// claim of the same session gets the same answer.
+func (s *Server) handleClaimTask(w http.ResponseWriter, r *http.Request) error {
+	var b claimBody
+	if err := decodeBody(w, r, &b); err != nil {
+		return err
+	}
+	term := catalog.TermRef{Name: r.PathValue("name"), Process: b.Process, Session: b.ID}
+	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.GrantTerm, Terms: []catalog.TermRef{term}})
+}
+
+// taskCommandHandler returns a handler that carries out an operator's command on a task. The
+// body of the request may be empty.
+func (s *Server) taskCommandHandler(kind catalog.Kind) commandHandler {
+	return func(w http.ResponseWriter, r *http.Request) error {
+		var b taskCommandBody
+		if r.ContentLength != 0 {
+			if err := decodeBody(w, r, &b); err != nil {
+				return err
+			}
+		}
+		if len(b.Why) > endpoints.MaxName || strings.ContainsAny(b.Why, "\n\r") {
+			return newBadRequest("why: must be one line of at most %d bytes", endpoints.MaxName)
+		}
+		name := r.PathValue("name")
+		s.log.Info("operator command on a task", "task", name, "command", kind, "reason", b.Why)
+		return s.commitAndAnswer(w, catalog.Command{Kind: kind, Name: name, Reason: b.Why})
+	}
+}
+
+// handleTransferTask transfers a task to the process that the request names, or to the best
+// other one.
+func (s *Server) handleTransferTask(w http.ResponseWriter, r *http.Request) error {
+	var b taskCommandBody
+	if err := decodeBody(w, r, &b); err != nil {
+		return err
+	}
+	name := r.PathValue("name")
+	if b.To == "" {
+		b.To = s.preferredSuccessor(name)
+		if b.To == "" {
+			return &rejectedError{catalog.Result{Code: catalog.Conflict, Text: fmt.Sprintf("no other process has room for duty %s, or nobody holds it", name)}}
+		}
+	}
+	s.log.Info("operator command on a task", "task", name, "command", catalog.TransferTask, "process", b.To)
+	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.TransferTask, Terms: []catalog.TermRef{{Name: name, Process: b.To}}})
+}
+
+// preferredSuccessor returns the process to which a task is best transferred, or "" if there is
+// none or this server doesn't lead.
+func (s *Server) preferredSuccessor(task string) (process string) {
+	s.leaderMu.Lock()
+	defer s.leaderMu.Unlock()
+	s.fsm.read(func(state *catalog.State) {
+		if s.taskLeases != nil {
+			process = s.taskLeases.PreferredSuccessor(state, task, s.clockAtElection+time.Since(s.electedAt))
+		}
+	})
+	return process
+}
+
+// handleTasks answers with all leased tasks.
+func (s *Server) handleTasks(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, copyAll(s.fsm, taskTable, copyTask))
+}
+
+// handleTask answers with one leased task.
+func (s *Server) handleTask(w http.ResponseWriter, r *http.Request) {
+	name := r.PathValue("name")
+	task := copyOne(s.fsm, taskTable, name, copyTask)
+	writeJSONOrNotFound(w, task, "unknown: no duty "+strconv.Quote(name))
+}
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -14,7 +14,6 @@
 
 const (
 	votersInterval = time.Second // between steps of the voters task
-	maxReplicaLag  = 16          // entries by which a steward may lag and still become a voter
 )
 
 // memberFailures holds since when the leader has seen each failed member as failed.
