--- a/cmd/controlplane/readers_test.go
+++ b/cmd/controlplane/readers_test.go
@@ -152,7 +152,7 @@
 		t.Errorf("%d of the %d readers of a steward that ends went elsewhere within 100 ms", got, n/3)
 	}
 	text, _ := os.ReadFile(f.all[victim].proc.Log)
-	if !strings.Contains(string(text), "msg=drained") || !strings.Contains(string(text), "left=0") {
+	if !strings.Contains(string(text), "msg=drained") || !strings.Contains(string(text), "remaining=0") {
 		t.Errorf("it ended with watches left: %s", text[max(0, len(text)-400):])
 	}
 	c.forget()
--- a/internal/control/fsm.go
+++ b/internal/control/fsm.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"sync"
@@ -13,35 +14,41 @@
 	"knotrouter/internal/leaderelection"
 )
 
-// fsm is the catalog as raft's state machine.
+// maxSnapshotBytes bounds a snapshot. It is far above what the bounds of the state allow.
+const maxSnapshotBytes = 256 << 20
+
+var errSnapshotTooLarge = fmt.Errorf("over %d bytes", maxSnapshotBytes)
+
+// fsm is raft's state machine: it applies committed entries to the replicated state and lets the
+// rest of the server read that state.
 type fsm struct {
-	mu              sync.RWMutex
+	onChange func()      // called without the lock when the version of the list has changed
+	onFatal  func(error) // called for an entry that this program can't apply
+
+	mu              sync.RWMutex // guards the fields below and everything that state leads to
 	state           *catalog.State
-	index           uint64 // of the last entry that it was applied
-	onChange        func() // the version or the list may be another
-	onFatal         func(error)
-	sessionsChanged chan struct{} // closed when what a session is to do may be another; nil: nobody waits
+	sessionsChanged chan struct{} // closed when assignments may have changed; nil if nobody waits
 }
 
-// Apply is raft's: one committed entry.
+// Apply implements raft.FSM: it applies a committed entry and returns its catalog.Result.
 func (f *fsm) Apply(entry *raft.Log) any {
 	var command catalog.Command
 	if err := json.Unmarshal(entry.Data, &command); err != nil {
-		f.onFatal(fmt.Errorf("entry %d of the log: %w", entry.Index, err))
+		f.onFatal(logEntryError(entry, err))
 		return catalog.Result{Code: catalog.Unsupported}
 	}
 	f.mu.Lock()
-	before, rev := f.state.Seq, f.state.SessionRevision
+	before, sessionsBefore := f.state.Seq, f.state.SessionRevision
 	result := f.state.Apply(&command)
-	f.index = entry.Index
 	after := f.state.Seq
-	if f.state.SessionRevision != rev || command.Kind == catalog.CloseSession {
+	if f.state.SessionRevision != sessionsBefore || command.Kind == catalog.CloseSession {
 		f.notifySessions()
 	}
 	f.mu.Unlock()
 	if result.Code == catalog.Unsupported {
-		// The others may have understood it: to go on would be another state under one name.
-		f.onFatal(fmt.Errorf("entry %d of the log: %s", entry.Index, result.Text))
+		// Other servers may run a program that supports the entry. If this one went on, its state
+		// would differ from theirs.
+		f.onFatal(logEntryError(entry, errors.New(result.Text)))
 	}
 	if after != before {
 		f.onChange()
@@ -49,7 +56,12 @@
 	return result
 }
 
-// notifySessions wakes whoever waits for what a session is to do. The caller holds the lock.
+// logEntryError wraps the reason why an entry can't be applied.
+func logEntryError(entry *raft.Log, err error) error {
+	return fmt.Errorf("entry %d of the log: %w", entry.Index, err)
+}
+
+// notifySessions wakes the requests that wait for assignments. The caller holds the lock.
 func (f *fsm) notifySessions() {
 	if f.sessionsChanged != nil {
 		close(f.sessionsChanged)
@@ -57,18 +69,19 @@
 	}
 }
 
-// assignments is what a session is to do, and what is closed when that may be another.
-func (f *fsm) assignments(process, id string) (t leaderelection.AssignmentUpdate, ok bool, changed <-chan struct{}) {
+// assignments returns the assignments of a session, and a channel that is closed when they may
+// have changed. ok is false if there is no such session.
+func (f *fsm) assignments(process, id string) (update leaderelection.AssignmentUpdate, ok bool, changed <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.sessionsChanged == nil {
 		f.sessionsChanged = make(chan struct{})
 	}
-	t.Assignments, t.Revision, ok = f.state.Assignments(process, id)
-	return t, ok, f.sessionsChanged
+	update.Assignments, update.Revision, ok = f.state.Assignments(process, id)
+	return update, ok, f.sessionsChanged
 }
 
-// Snapshot is raft's: the state as it is now.
+// Snapshot implements raft.FSM.
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -79,7 +92,7 @@
 	return encodedState(text), nil
 }
 
-// Restore is raft's: a snapshot in place of the state.
+// Restore implements raft.FSM: it replaces the state by a snapshot.
 func (f *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	text, err := io.ReadAll(io.LimitReader(r, maxSnapshotBytes+1))
@@ -87,25 +100,24 @@
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	if len(text) > maxSnapshotBytes {
-		return fmt.Errorf("snapshot: over %d bytes", maxSnapshotBytes)
+		return fmt.Errorf("snapshot: %w", errSnapshotTooLarge)
 	}
-	s, err := catalog.Decode(text)
+	state, err := catalog.Decode(text)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
-	f.state = s
+	f.state = state
 	f.notifySessions()
 	f.mu.Unlock()
 	f.onChange()
 	return nil
 }
 
-// maxSnapshotBytes bounds what is read as a snapshot: far above what the bounds of the state allow.
-const maxSnapshotBytes = 256 << 20
-
+// encodedState is a raft.FSMSnapshot of a state that is already encoded.
 type encodedState []byte
 
+// Persist implements raft.FSMSnapshot.
 func (s encodedState) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		_ = sink.Cancel()
@@ -114,21 +126,25 @@
 	return sink.Close()
 }
 
+// Release implements raft.FSMSnapshot.
 func (encodedState) Release() {}
 
-// read looks at the state.
+// read calls do with the state, which do must neither change nor keep.
 func (f *fsm) read(do func(state *catalog.State)) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	do(f.state)
 }
 
-func (f *fsm) list(since int64, full bool) (l endpoints.List) {
-	f.read(func(state *catalog.State) { l = state.List(since, full) })
-	return l
+// list returns the full list, or what changed after a version if full is false and the state has
+// the history for that.
+func (f *fsm) list(since int64, full bool) (list endpoints.List) {
+	f.read(func(state *catalog.State) { list = state.List(since, full) })
+	return list
 }
 
-func (f *fsm) revision() (seq int64) {
-	f.read(func(state *catalog.State) { seq = state.Seq })
-	return seq
+// revision returns the version of the list.
+func (f *fsm) revision() (revision int64) {
+	f.read(func(state *catalog.State) { revision = state.Seq })
+	return revision
 }
--- /dev/null
+++ b/internal/control/listencoding.go
@@ -0,0 +1,71 @@
+package control
+
+import (
+	"bytes"
+	"encoding/json"
+	"strconv"
+
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
+)
+
+const (
+	estimatedEntryBytes       = 120 // of an entry in the full list
+	estimatedScopedEntryBytes = 140 // of an entry in a list of services
+)
+
+// encodeList returns a list as a line of a watch.
+func encodeList(l *endpoints.List) []byte {
+	text, _ := json.Marshal(l) // has only numbers, strings and booleans, which can't fail
+	return append(text, '\n')
+}
+
+// encodeEntries returns entries as they stand between the brackets of an encoded list.
+func encodeEntries(entries []endpoints.Endpoint) []byte {
+	text, _ := json.Marshal(entries) // has only numbers, strings and booleans, which can't fail
+	return bytes.TrimSuffix(bytes.TrimPrefix(text, []byte("[")), []byte("]"))
+}
+
+// assembleList returns a list of encoded entries as a line of a watch, byte for byte as
+// encodeList would of the decoded ones.
+func assembleList(revision int64, full bool, entries [][]byte) []byte {
+	const envelopeBytes = len(`{"seq":-9223372036854775808,"whole":false,"hosts":[]}`) + 1
+	size := envelopeBytes
+	for _, e := range entries {
+		size += len(e) + 1
+	}
+	text := make([]byte, 0, size)
+	text = append(text, `{"seq":`...)
+	text = strconv.AppendInt(text, revision, 10)
+	text = append(text, `,"whole":`...)
+	text = strconv.AppendBool(text, full)
+	text = append(text, `,"hosts":[`...)
+	for i, e := range entries {
+		if i > 0 {
+			text = append(text, ',')
+		}
+		text = append(text, e...)
+	}
+	return append(text, "]}\n"...)
+}
+
+// estimateFullListBytes returns about how many bytes the full list takes.
+func (b *watchBroadcaster) estimateFullListBytes() int {
+	listed := 0
+	b.fsm.read(func(state *catalog.State) { listed = state.ListedCount() })
+	return listed * estimatedEntryBytes
+}
+
+// estimateListBytes returns about how many bytes encodedList would return.
+func (t *serviceTopics) estimateListBytes(services []string, since int64, full bool) int {
+	entries := 0
+	t.fsm.read(func(state *catalog.State) {
+		if !full && state.HasChangesSince(services, since) {
+			return
+		}
+		for _, name := range services {
+			entries += state.ServiceSize(name)
+		}
+	})
+	return entries * estimatedScopedEntryBytes
+}
--- a/internal/control/servicelists.go
+++ b/internal/control/servicelists.go
@@ -7,24 +7,21 @@
 	"knotrouter/internal/endpoints"
 )
 
-// maxCachedBytes bounds the encoded entries that are kept of whole services.
+// maxCachedBytes bounds the encoded entries that are cached of all services.
 const maxCachedBytes = 32 << 20
 
-// estimatedScopedEntryBytes is about what an entry takes of a list of services.
-const estimatedScopedEntryBytes = 140
-
-// serviceLists is the whole lists of services, each encoded once a version of the service.
+// serviceLists caches the full lists of services, each encoded once per version of the service.
 type serviceLists struct {
 	fsm *fsm
 
-	mu           sync.Mutex
-	state        *catalog.State // that the lists are of
+	mu           sync.Mutex     // guards the fields below
+	state        *catalog.State // the state that the cached lists are of
 	byService    map[string]encodedService
 	cachedBytes  int
-	encodedCount int64
+	encodedCount int64 // for the metrics
 }
 
-// encodedService is a service's listed entries, as they stand between the brackets of a list.
+// encodedService is the listed entries of a service, as encoded by encodeEntries.
 type encodedService struct {
 	version int64 // of the service's last change
 	entries []byte
@@ -34,23 +31,25 @@
 	return &serviceLists{fsm: f, byService: map[string]encodedService{}}
 }
 
-// encodedList is the whole encodedList of some services, and its version.
+// encodedList returns the full list of some services as a line, and its version.
 func (l *serviceLists) encodedList(services []string) ([]byte, int64) {
 	revision, entries := l.collect(services)
 	return assembleList(revision, true, entries), revision
 }
 
-// collect is the encoded entries of some services, all of one version of the state. Those
-// that changed are encoded under the lock, so that many calls at once encode them once.
+// outdatedService is a service whose cached entries are missing or of an earlier version.
+type outdatedService struct {
+	name    string
+	version int64
+	entries []endpoints.Endpoint
+}
+
+// collect returns the encoded entries of some services, all as of one version of the list.
+// Services that changed are encoded under the lock, so that concurrent calls encode them once.
 func (l *serviceLists) collect(services []string) (revision int64, entries [][]byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	type outdated struct {
-		name    string
-		version int64
-		hosts   []endpoints.Endpoint
-	}
-	var missing []outdated
+	var outdated []outdatedService
 	l.fsm.read(func(state *catalog.State) {
 		revision = state.Seq
 		if l.state != state {
@@ -62,20 +61,21 @@
 			if cached, is := l.byService[name]; is && cached.version == version {
 				entries = append(entries, cached.entries)
 			} else if state.ServiceSize(name) > 0 {
-				missing = append(missing, outdated{name, version, state.ServiceEndpoints(name)})
+				outdated = append(outdated, outdatedService{name, version, state.ServiceEndpoints(name)})
 			}
 		}
 	})
-	for _, m := range missing {
-		text := encodeEntries(m.hosts)
+	for _, o := range outdated {
+		text := encodeEntries(o.entries)
 		l.encodedCount++
-		l.add(m.name, encodedService{m.version, text})
+		l.add(o.name, encodedService{o.version, text})
 		entries = append(entries, text)
 	}
 	return revision, entries
 }
 
-// add takes a service's entries in, and drops others, whichever they are, beyond the bound.
+// add caches the entries of a service, and evicts those of others in any order while the cache
+// is too large.
 func (l *serviceLists) add(name string, e encodedService) {
 	l.cachedBytes += len(e.entries) - len(l.byService[name].entries)
 	l.byService[name] = e
--- a/internal/control/servicemetrics.go
+++ b/internal/control/servicemetrics.go
@@ -12,12 +12,12 @@
 const (
 	// maxServiceLabels is how many services have a label of their own; all others share one.
 	maxServiceLabels = 20
-	// The labels that are no service's name have a space, which no name has.
+	// The labels that are no service's name contain a space, which no name does.
 	defaultServiceLabel = "default service"
 	otherServicesLabel  = "other services"
 )
 
-// serviceCollector gives the numbers of the largest services when it is asked.
+// serviceCollector is a prometheus.Collector of the sizes and watches of the largest services.
 type serviceCollector struct {
 	broadcaster     *watchBroadcaster
 	listed, watches *prometheus.Desc
@@ -26,20 +26,22 @@
 
 func newServiceCollector(b *watchBroadcaster) *serviceCollector {
 	labels := []string{"service"}
-	return &serviceCollector{broadcaster: b,
-		listed:   prometheus.NewDesc("steward_service_listed", "Servers that are listed, by service: the largest, and all others.", labels, nil),
-		watches:  prometheus.NewDesc("steward_service_watches", "Watches that are open and subscribe to a service: the largest, and all others.", labels, nil),
-		services: prometheus.NewDesc("steward_services", "Services that have servers.", nil, nil)}
+	return &serviceCollector{
+		broadcaster: b,
+		listed:      prometheus.NewDesc("steward_service_listed", "Servers that are listed, by service: the largest, and all others.", labels, nil),
+		watches:     prometheus.NewDesc("steward_service_watches", "Watches that are open and subscribe to a service: the largest, and all others.", labels, nil),
+		services:    prometheus.NewDesc("steward_services", "Services that have servers.", nil, nil),
+	}
 }
 
-// Describe is the registry's.
+// Describe implements prometheus.Collector.
 func (c *serviceCollector) Describe(ch chan<- *prometheus.Desc) {
 	ch <- c.listed
 	ch <- c.watches
 	ch <- c.services
 }
 
-// Collect is the registry's.
+// Collect implements prometheus.Collector.
 func (c *serviceCollector) Collect(ch chan<- prometheus.Metric) {
 	var sizes map[string]int
 	c.broadcaster.fsm.read(func(state *catalog.State) { sizes = state.ServiceSizes() })
@@ -53,7 +55,8 @@
 	}
 }
 
-// largestServices names the services with the most servers; of equals, the first by name.
+// largestServices returns the names of up to limit services with the most servers; of equal
+// ones, the first by name.
 func largestServices(sizes map[string]int, limit int) []string {
 	names := make([]string, 0, len(sizes))
 	for name := range sizes {
@@ -68,17 +71,18 @@
 	return names[:min(len(names), limit)]
 }
 
-// sumByLabel adds up the numbers of services that share a label.
-func sumByLabel(numbers map[string]int, labelled []string) map[string]int {
+// sumByLabel adds up the counts of services that share a label. labelled names the services that
+// have their own.
+func sumByLabel(counts map[string]int, labelled []string) map[string]int {
 	sums := map[string]int{}
-	for name, n := range numbers {
+	for name, count := range counts {
 		switch {
 		case !slices.Contains(labelled, name):
-			sums[otherServicesLabel] += n
+			sums[otherServicesLabel] += count
 		case name == "":
-			sums[defaultServiceLabel] += n
+			sums[defaultServiceLabel] += count
 		default:
-			sums[name] += n
+			sums[name] += count
 		}
 	}
 	return sums
--- a/internal/control/servicetopics.go
+++ b/internal/control/servicetopics.go
@@ -1,13 +1,10 @@
 package control
 
 import (
-	"bytes"
 	"cmp"
-	"encoding/json"
 	"net/http"
 	"slices"
 	"sort"
-	"strconv"
 	"sync"
 
 	"knotrouter/internal/catalog"
@@ -15,22 +12,22 @@
 )
 
 const (
-	// maxTopicEvents and maxTopicEventBytes bound the events that one topic keeps for readers that lag,
-	// and maxAllTopicBytes those of all topics; a reader that lags further gets the whole list of
-	// its services.
+	// maxTopicEvents and maxTopicEventBytes bound the events that one topic retains for readers
+	// that lag, and maxAllTopicBytes those of all topics; a reader that lags further is sent the
+	// full list of its services.
 	maxTopicEvents     = 64
 	maxTopicEventBytes = 256 << 10
 	maxAllTopicBytes   = 32 << 20
 )
 
-// serviceEvent is a change of one service, encoded once for all that subscribe to it: the entries
-// that changed up to a version, as they stand between the brackets of a list.
+// serviceEvent is a change of one service up to a version: the entries that changed, as encoded
+// by encodeEntries, once for all subscriptions.
 type serviceEvent struct {
 	revision int64
 	entries  []byte
 }
 
-// serviceTopic is a service that somebody subscribes to.
+// serviceTopic is a service that has subscriptions.
 type serviceTopic struct {
 	service       string
 	startRevision int64 // the events lead on from this version
@@ -39,34 +36,34 @@
 	subscriptions map[*subscription]struct{}
 }
 
-// subscription is one watch's interest in some services.
+// subscription is the interest of one watch in some services.
 type subscription struct {
 	services []string
 	topics   []*serviceTopic
-	notify   chan struct{} // holds one notice at most, however many topics changed
+	notify   chan struct{} // has one element if any of the topics changed
 }
 
-// serviceTopics tells watches of services what changes in them. A change costs by the services that
-// it concerns and by their subscriptions, and nothing of the other watches.
+// serviceTopics sends changes of services to watches of them. The cost of a change depends on
+// the services that changed and their subscriptions, and not on the other watches.
 type serviceTopics struct {
 	fsm       *fsm
 	fullLists *serviceLists
 
-	mu                sync.Mutex
-	publishedRevision int64 // all changes up to it are published
+	mu                sync.Mutex // guards the fields below, also those of the topics
+	publishedRevision int64      // the events lead up to this version
 	byService         map[string]*serviceTopic
 	eventBytes        int // of the events of all topics
 	watchCount        int
 
-	encodedCount, sentCount, sentBytes, laggedCount int64
+	encodedCount, sentCount, sentBytes, laggedCount int64 // for the metrics
 }
 
 func newServiceTopics(f *fsm) *serviceTopics {
 	return &serviceTopics{fsm: f, fullLists: newServiceLists(f), byService: map[string]*serviceTopic{}}
 }
 
-// subscribe begins a subscription: what is published from now on leads on from any list that
-// is read after it.
+// subscribe begins a subscription. Events that are published from then on lead on from any list
+// that is read after it.
 func (t *serviceTopics) subscribe(services []string) *subscription {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,7 +81,7 @@
 	return sub
 }
 
-// unsubscribe ends a subscription; a topic without any is dropped.
+// unsubscribe ends a subscription and drops the topics that have no other.
 func (t *serviceTopics) unsubscribe(sub *subscription) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,18 +95,38 @@
 	t.watchCount--
 }
 
-// publish encodes what changed since it was called last, once for each service, and notifies
-// the subscriptions that it concerns. It holds the lock throughout, so that a subscription
-// is from before all that it publishes, or reads its first list after it.
+// topicChange is what changed in a topic's service since the last event.
+type topicChange struct {
+	topic   *serviceTopic
+	entries []endpoints.Endpoint
+}
+
+// publish makes an event for each topic of what changed since the last call, and notifies the
+// subscriptions. It holds the lock throughout, so that a subscription began before all events of
+// one call, or its first list is read after them.
 func (t *serviceTopics) publish() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	type changed struct {
-		of    *serviceTopic
-		hosts []endpoints.Endpoint
+	changes, known := t.changesSince(t.publishedRevision)
+	if !known {
+		t.dropAllEvents()
+		return
 	}
-	var all []changed
-	known, since := true, t.publishedRevision
+	for _, c := range changes {
+		if len(c.entries) > 0 {
+			t.appendEvent(c.topic, serviceEvent{t.publishedRevision, encodeEntries(c.entries)})
+			t.encodedCount++
+		}
+	}
+	if t.eventBytes > maxAllTopicBytes {
+		t.evictEvents()
+	}
+}
+
+// changesSince returns what changed in the topics after a version, and takes the state's version
+// as the published one. known is false if the state doesn't have that version's history.
+func (t *serviceTopics) changesSince(since int64) (changes []topicChange, known bool) {
+	known = true
 	t.fsm.read(func(state *catalog.State) {
 		if t.publishedRevision = state.Seq; t.publishedRevision == since {
 			return
@@ -120,26 +137,15 @@
 		}
 		for _, name := range names {
 			if topic := t.byService[name]; topic != nil {
-				all = append(all, changed{topic, state.ServiceChanges(name, since)})
+				changes = append(changes, topicChange{topic, state.ServiceChanges(name, since)})
 			}
 		}
 	})
-	if !known {
-		t.dropAllEvents()
-		return
-	}
-	for _, c := range all {
-		if len(c.hosts) > 0 {
-			t.appendEvent(c.of, serviceEvent{t.publishedRevision, encodeEntries(c.hosts)})
-			t.encodedCount++
-		}
-	}
-	if t.eventBytes > maxAllTopicBytes {
-		t.evictEvents()
-	}
+	return changes, known
 }
 
-// appendEvent keeps an event of a topic within the topic's bounds, and notifies its subscriptions.
+// appendEvent adds an event to a topic, drops the oldest ones beyond the topic's bounds, and
+// notifies the topic's subscriptions.
 func (t *serviceTopics) appendEvent(topic *serviceTopic, e serviceEvent) {
 	topic.events = append(topic.events, e)
 	topic.eventBytes += len(e.entries)
@@ -153,7 +159,8 @@
 	topic.notifyAll()
 }
 
-// dropAllEvents drops all events: the state is another, or far ahead, and none leads there.
+// dropAllEvents drops the events of all topics, after the state was replaced or its history
+// dropped, so that none leads to the present version.
 func (t *serviceTopics) dropAllEvents() {
 	for _, topic := range t.byService {
 		topic.events, topic.eventBytes, topic.startRevision = nil, 0, t.publishedRevision
@@ -162,7 +169,7 @@
 	t.eventBytes = 0
 }
 
-// evictEvents drops the events of topics, whichever they are, until half of the bound is left.
+// evictEvents drops the events of topics in any order until half of maxAllTopicBytes is left.
 func (t *serviceTopics) evictEvents() {
 	for _, topic := range t.byService {
 		if t.eventBytes <= maxAllTopicBytes/2 {
@@ -176,6 +183,7 @@
 	}
 }
 
+// notifyAll notifies the topic's subscriptions. It never blocks.
 func (t *serviceTopic) notifyAll() {
 	for sub := range t.subscriptions {
 		select {
@@ -185,8 +193,9 @@
 	}
 }
 
-// eventsSince is the lines that lead a subscription on from a version, one for each version that
-// was published, and the version that they lead to; not ok where none leads on from there.
+// eventsSince returns the lines that lead a subscription on from a version, one for each
+// published version, and the version that they lead to. ok is false if an event that is needed
+// is no longer retained.
 func (t *serviceTopics) eventsSince(sub *subscription, since int64) (lines [][]byte, to int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -212,40 +221,26 @@
 	return lines, to, true
 }
 
-// encodedList is the whole encodedList of some services, or what changed in them after a version, and its
-// own version.
+// encodedList returns the list of some services as a line, and its version: the full list, or
+// what changed after a version if full is false and the state has the history for that.
 func (t *serviceTopics) encodedList(services []string, since int64, full bool) ([]byte, int64) {
 	if !full {
-		var l endpoints.List
+		var list endpoints.List
 		t.fsm.read(func(state *catalog.State) {
 			if full = !state.HasChangesSince(services, since); !full {
-				l = state.ListServices(services, since, false)
-				full = l.Full
+				list = state.ListServices(services, since, false)
+				full = list.Full
 			}
 		})
 		if !full {
-			return encodeList(&l), l.Seq
+			return encodeList(&list), list.Seq
 		}
 	}
 	return t.fullLists.encodedList(services)
 }
 
-// estimateListBytes is about how many bytes list is going to make.
-func (t *serviceTopics) estimateListBytes(services []string, since int64, full bool) int {
-	entries := 0
-	t.fsm.read(func(state *catalog.State) {
-		if !full && state.HasChangesSince(services, since) {
-			return
-		}
-		for _, name := range services {
-			entries += state.ServiceSize(name)
-		}
-	})
-	return entries * estimatedScopedEntryBytes
-}
-
-// watch writes what changes in some services after a version until the reader or the steward
-// ends it.
+// watch writes the changes of some services after a version until the reader doesn't read in
+// time or the watch is ended.
 func (t *serviceTopics) watch(w http.ResponseWriter, services []string, since int64, end watchTermination) {
 	out := newWatchWriter(w)
 	defer out.close()
@@ -259,7 +254,7 @@
 	for out.awaitChange(sub.notify, end) {
 		lines, to, ok := t.eventsSince(sub, revision)
 		if !ok {
-			// Where no line leads on, the whole list does; it is of the last version published at least.
+			// The full list is of the last published version or a later one.
 			text, to = t.encodedList(services, 0, true)
 			lines = [][]byte{text}
 		}
@@ -273,7 +268,7 @@
 	}
 }
 
-// recordSent notes lines that were written.
+// recordSent counts lines that were written.
 func (t *serviceTopics) recordSent(lines [][]byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -283,7 +278,7 @@
 	}
 }
 
-// watchesByService is how many watches subscribe to each service.
+// watchesByService returns the number of watches that subscribe to each service.
 func (t *serviceTopics) watchesByService() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -293,31 +288,3 @@
 	}
 	return count
 }
-
-// encodeEntries is the entries as they stand between the brackets of a list.
-func encodeEntries(entries []endpoints.Endpoint) []byte {
-	text, _ := json.Marshal(entries) // numbers, texts and truth values: nothing that can fail
-	return bytes.TrimSuffix(bytes.TrimPrefix(text, []byte("[")), []byte("]"))
-}
-
-// assembleList makes a list of encoded entries.
-func assembleList(revision int64, full bool, entries [][]byte) []byte {
-	const around = len(`{"seq":-9223372036854775808,"whole":false,"hosts":[]}`) + 1
-	size := around
-	for _, h := range entries {
-		size += len(h) + 1
-	}
-	text := make([]byte, 0, size)
-	text = append(text, `{"seq":`...)
-	text = strconv.AppendInt(text, revision, 10)
-	text = append(text, `,"whole":`...)
-	text = strconv.AppendBool(text, full)
-	text = append(text, `,"hosts":[`...)
-	for i, h := range entries {
-		if i > 0 {
-			text = append(text, ',')
-		}
-		text = append(text, h...)
-	}
-	return append(text, "]}\n"...)
-}
--- a/internal/control/staleness.go
+++ b/internal/control/staleness.go
@@ -6,8 +6,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// silence returns how long ago this steward last heard from a leader; zero if it leads.
-func (s *Server) silence() time.Duration {
+// sinceLeaderContact returns how long ago this server last heard from a leader; zero if it leads.
+func (s *Server) sinceLeaderContact() time.Duration {
 	if s.raft() == nil {
 		return time.Since(s.startedAt)
 	}
@@ -21,8 +21,47 @@
 	return time.Since(last)
 }
 
-// stale reports whether this steward has been without a leader, or lagged behind one, for
-// longer than the configured bound.
+// stale reports whether this server has been without a leader, or lagged behind one, for longer
+// than the configured bound.
 func (s *Server) stale() bool {
-	return s.silence() > s.config.StaleAfter || time.Duration(s.replicationLag.Load()) > s.config.StaleAfter
+	return s.sinceLeaderContact() > s.config.StaleAfter || time.Duration(s.replicationLag.Load()) > s.config.StaleAfter
+}
+
+// maxCommitSamples bounds the samples of a commitProgress. A lag that is older than the oldest
+// of them is reported as shorter than it is.
+const maxCommitSamples = 128
+
+// commitProgress records the leader's commit index over time, from which follows for how long
+// this server has not applied what was committed.
+type commitProgress struct {
+	samples []commitSample // in the order of time and commit index
+}
+
+// commitSample is a commit index at a time since the start of the server.
+type commitSample struct {
+	at        time.Duration
+	committed uint64
+}
+
+// record adds the leader's commit index at a time.
+func (p *commitProgress) record(now time.Duration, committed uint64) {
+	if n := len(p.samples); n > 0 && p.samples[n-1].committed >= committed {
+		return
+	}
+	if len(p.samples) == maxCommitSamples {
+		p.samples = p.samples[1:]
+	}
+	p.samples = append(p.samples, commitSample{now, committed})
+}
+
+// lag returns for how long an entry that the leader had committed has not been applied here, and
+// drops the samples that no longer matter.
+func (p *commitProgress) lag(now time.Duration, applied uint64) time.Duration {
+	for len(p.samples) > 0 && p.samples[0].committed <= applied {
+		p.samples = p.samples[1:]
+	}
+	if len(p.samples) == 0 {
+		return 0
+	}
+	return now - p.samples[0].at
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -9,7 +9,24 @@
 	"knotrouter/internal/endpoints"
 )
 
-// Status describes a steward as it sees itself.
+// Values of Status.State.
+const (
+	stateLeader    = "leader"
+	stateFollower  = "follower"
+	stateCandidate = "candidate"
+	stateEnded     = "ended"
+	stateStarting  = "starting"
+)
+
+// stateNames are the values of Status.State by raft state.
+var stateNames = map[raft.RaftState]string{
+	raft.Leader:    stateLeader,
+	raft.Follower:  stateFollower,
+	raft.Candidate: stateCandidate,
+	raft.Shutdown:  stateEnded,
+}
+
+// Status describes a control-plane server as it sees itself.
 type Status struct {
 	Name                 string            `json:"name"`
 	State                string            `json:"state"` // "leader", "follower", "candidate", "ended" or "starting"
@@ -20,33 +37,25 @@
 	Committed            uint64            `json:"committed"`
 	HasState             bool              `json:"has_state"` // its raft log holds more than the first configuration
 	Stale                bool              `json:"stale"`
-	SinceLeaderContactMs int64             `json:"silent_ms"` // since it last heard from a leader
+	SinceLeaderContactMs int64             `json:"silent_ms"`
 	Voters               []string          `json:"voters"`
 	Peers                map[string]string `json:"peers"`    // suffrage by name
 	LagMs                int64             `json:"lag_ms"`   // behind what the leader had committed
 	Draining             bool              `json:"draining"` // it is about to stop
 	Watches              int               `json:"watches"`
-	Movable              int               `json:"movable"` // watches that can go to another steward
+	Movable              int               `json:"movable"` // watches that can migrate to another server
 	Listed               int               `json:"listed"`
 	Quarantined          int               `json:"held"` // servers that the mass-failure guard keeps although their leases expired
 	Damped               int               `json:"damped"`
 	QuarantinedForMs     int64             `json:"held_for_ms"`
 }
 
-// stateNames are the values of Status.State by raft state.
-var stateNames = map[raft.RaftState]string{
-	raft.Leader:    "leader",
-	raft.Follower:  "follower",
-	raft.Candidate: "candidate",
-	raft.Shutdown:  "ended",
-}
-
-// status returns this steward's status. Without raft only the fields about the state and the
+// status returns this server's status. Without raft only the fields about the state and the
 // watches are set.
 func (s *Server) status() Status {
 	st := Status{
 		Name:     s.config.Name,
-		State:    "starting",
+		State:    stateStarting,
 		Watches:  s.broadcaster.watchCount(),
 		Movable:  s.broadcaster.load().movable,
 		Draining: s.draining.Load(),
@@ -80,12 +89,12 @@
 	}
 }
 
-// addRaftStatus fills in how raft stands. It requires that raft has started.
+// addRaftStatus fills in the state of raft. It requires that raft has started.
 func (s *Server) addRaftStatus(st *Status) {
 	r := s.raft()
 	st.State, st.Leader, st.Term = stateNames[r.State()], s.leader(), r.CurrentTerm()
 	st.Applied, st.Committed = r.AppliedIndex(), r.CommitIndex()
-	st.Stale, st.SinceLeaderContactMs = s.stale(), s.silence().Milliseconds()
+	st.Stale, st.SinceLeaderContactMs = s.stale(), s.sinceLeaderContact().Milliseconds()
 	st.LagMs = time.Duration(s.replicationLag.Load()).Milliseconds()
 	if f := r.GetConfiguration(); f.Error() == nil {
 		for _, replica := range f.Configuration().Servers {
@@ -95,7 +104,7 @@
 			}
 		}
 	}
-	// The first entry is the configuration that each steward writes at bootstrap; any later
-	// one took a quorum.
+	// The first entry is the configuration that each server writes at bootstrap; any later one
+	// took a quorum.
 	st.HasState = r.LastIndex() > 1
 }
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -125,7 +125,7 @@
 	}
 	for i := range statuses {
 		status := &statuses[i]
-		if status.State != "leader" || status.Term < s.raft().CurrentTerm() && s.silence() < s.config.StaleAfter {
+		if status.State != "leader" || status.Term < s.raft().CurrentTerm() && s.sinceLeaderContact() < s.config.StaleAfter {
 			continue
 		}
 		if _, in := status.Peers[s.config.Name]; in || len(status.Peers) == 0 {
--- a/internal/control/watchbroadcaster.go
+++ b/internal/control/watchbroadcaster.go
@@ -8,43 +8,52 @@
 )
 
 const (
-	// heartbeatInterval is how often a quiet watch gets an empty line, which shows that it lives.
-	heartbeatInterval = 2 * time.Second
-	// writeTimeout is how long a reader may take for a line before its watch ends.
-	writeTimeout = 10 * time.Second
-	// maxListEvents and maxListEventBytes bound the lines that are kept for readers that lag; one that
-	// lags further gets the whole list.
+	// maxListEvents and maxListEventBytes bound the events that are retained for readers that
+	// lag; a reader that lags further is sent the full list.
 	maxListEvents     = 256
 	maxListEventBytes = 4 << 20
 )
 
-// watchBroadcaster tells watches what changes: those of the whole list by lines that all of them share,
-// those of services by topics.
+// watchBroadcaster sends changes of the endpoint list to watches. Watches of the full list share
+// its events, each encoded once; watches of services are left to serviceTopics.
 type watchBroadcaster struct {
 	fsm          *fsm
-	coalesce     time.Duration
-	changeSignal chan struct{}
+	coalesce     time.Duration // changes within it become one event
+	changeSignal chan struct{} // has one element if the list may have changed since the last event
 	services     *serviceTopics
 
-	mu                sync.Mutex
-	publishedRevision int64
+	mu                sync.Mutex // guards the fields below
+	publishedRevision int64      // the events lead up to this version
 	events            []listEvent
 	eventBytes        int
-	changed           chan struct{} // closed at the next line
+	changed           chan struct{} // closed at the next event
 	endAllSignal      chan struct{} // closed to end all watches
 	openWatches       int
-	movable           map[chan struct{}]bool // ends of the watches whose readers know other stewards
-	fullList          listEvent              // the whole list, as it was encoded last
+	movable           map[chan struct{}]bool // signals that end the watches of readers that know other servers
+	fullList          listEvent              // the full list as last encoded; from is not used
 
-	encodedCount, sentCount, laggedCount int64
+	encodedCount, sentCount, laggedCount int64 // for the metrics
+}
+
+// listEvent is a change of the list from one version to another, encoded as a line of a watch.
+type listEvent struct {
+	from, to int64
+	encoded  []byte
 }
 
 func newWatchBroadcaster(f *fsm, coalesce time.Duration) *watchBroadcaster {
-	return &watchBroadcaster{fsm: f, services: newServiceTopics(f), coalesce: coalesce, changeSignal: make(chan struct{}, 1), changed: make(chan struct{}), endAllSignal: make(chan struct{}),
-		movable: map[chan struct{}]bool{}}
+	return &watchBroadcaster{
+		fsm:          f,
+		services:     newServiceTopics(f),
+		coalesce:     coalesce,
+		changeSignal: make(chan struct{}, 1),
+		changed:      make(chan struct{}),
+		endAllSignal: make(chan struct{}),
+		movable:      map[chan struct{}]bool{},
+	}
 }
 
-// notifyChanged says that the list may be another.
+// notifyChanged has run publish the changes of the list. It never blocks.
 func (b *watchBroadcaster) notifyChanged() {
 	select {
 	case b.changeSignal <- struct{}{}:
@@ -52,7 +61,8 @@
 	}
 }
 
-// run encodes what changed, all that comes within a few milliseconds together.
+// run publishes changes until the context ends. Changes that follow one another within coalesce
+// are published together.
 func (b *watchBroadcaster) run(ctx context.Context) {
 	for {
 		select {
@@ -72,11 +82,118 @@
 	}
 }
 
-// watchServices writes what changes in some services after a version until the reader or the
-// steward ends it.
+// publish makes an event of what changed since the last one, if anything did.
+func (b *watchBroadcaster) publish() {
+	b.mu.Lock()
+	since := b.publishedRevision
+	b.mu.Unlock()
+	list := b.fsm.list(since, false)
+	if list.Seq == since && !list.Full {
+		return
+	}
+	encoded := encodeList(&list)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.encodedCount++
+	if list.Full { // the state was replaced or its history dropped: no event leads there
+		b.events, b.eventBytes = nil, 0
+		b.fullList = listEvent{to: list.Seq, encoded: encoded}
+	} else {
+		b.events = append(b.events, listEvent{since, list.Seq, encoded})
+		b.eventBytes += len(encoded)
+		for len(b.events) > maxListEvents || b.eventBytes > maxListEventBytes && len(b.events) > 1 {
+			b.eventBytes -= len(b.events[0].encoded)
+			b.events = b.events[1:]
+		}
+	}
+	b.publishedRevision = list.Seq
+	close(b.changed)
+	b.changed = make(chan struct{})
+}
+
+// encodedFullList returns the full list as a line, which is encoded once per version.
+func (b *watchBroadcaster) encodedFullList() []byte {
+	b.mu.Lock()
+	cached := b.fullList
+	b.mu.Unlock()
+	if cached.encoded != nil && cached.to == b.fsm.revision() {
+		return cached.encoded
+	}
+	list := b.fsm.list(0, true)
+	encoded := encodeList(&list)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.encodedCount++
+	b.fullList = listEvent{to: list.Seq, encoded: encoded}
+	return encoded
+}
+
+// eventsSince returns the events that lead on from a version, a channel that is closed at the
+// next event, and one that is closed to end all watches. ok is false if an event that is needed
+// is no longer retained, or no event leads on from that version.
+func (b *watchBroadcaster) eventsSince(since int64) (events []listEvent, ok bool, changed, endAll <-chan struct{}) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	ok = true
+	for i := range b.events {
+		if b.events[i].to > since {
+			// For a version in the middle of an event, that event repeats some of what the reader
+			// has, which does no harm.
+			events, ok = append(events, b.events[i:]...), b.events[i].from <= since
+			break
+		}
+	}
+	if len(events) == 0 && b.publishedRevision > since {
+		ok = false
+	}
+	return events, ok, b.changed, b.endAllSignal
+}
+
+// watch writes the changes after a version until the context ends, the reader doesn't read in
+// time, all watches are ended, or migrated is closed.
+func (b *watchBroadcaster) watch(ctx context.Context, w http.ResponseWriter, since int64, migrated <-chan struct{}) {
+	out := newWatchWriter(w)
+	defer out.close()
+	// The channel is taken before the list is read, so that no change between the two is missed;
+	// one that the reader gets twice does no harm.
+	_, _, changed, endAll := b.eventsSince(since)
+	list := b.fsm.list(since, false)
+	revision := list.Seq
+	first := encodeList(&list)
+	if list.Full {
+		first = b.encodedFullList()
+	}
+	if !out.write(first) {
+		return
+	}
+	for out.awaitChange(changed, watchTermination{ctx, endAll, migrated}) {
+		var events []listEvent
+		var ok bool
+		events, ok, changed, endAll = b.eventsSince(revision)
+		if !ok {
+			b.mu.Lock()
+			b.laggedCount++
+			b.mu.Unlock()
+			// The full list is of the last published version or a later one.
+			list := b.fsm.list(0, true)
+			events = []listEvent{{to: list.Seq, encoded: encodeList(&list)}}
+		}
+		for i := range events {
+			if !out.write(events[i].encoded) {
+				return
+			}
+			revision = events[i].to
+		}
+		b.mu.Lock()
+		b.sentCount += int64(len(events))
+		b.mu.Unlock()
+	}
+}
+
+// watchServices is watch for the changes of some services.
 func (b *watchBroadcaster) watchServices(ctx context.Context, w http.ResponseWriter, services []string, since int64, migrated <-chan struct{}) {
 	b.mu.Lock()
-	all := b.endAllSignal
+	endAll := b.endAllSignal
 	b.mu.Unlock()
-	b.services.watch(w, services, since, watchTermination{ctx, all, migrated})
+	b.services.watch(w, services, since, watchTermination{ctx, endAll, migrated})
 }
