--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -12,29 +12,44 @@
 	"golang.org/x/time/rate"
 )
 
-// admission bounds the calls that are worked on. What comes on top is sent away at once,
-// with a time to come back that spreads the callers over as long as they need: each that
-// is sent away is given the next place at the rate that is admitted.
+const (
+	// minRetryAfter is the shortest time after which a rejected client is asked to retry, and
+	// maxRetryAfter the longest that is added to it, before it is drawn around.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
+	// writeRetryAfter is about the time after which a rejected write is retried.
+	writeRetryAfter = 200 * time.Millisecond
+	// bytesPerCall is how many bytes of a list cost as much as a request.
+	bytesPerCall = 24_000
+	// burstShare is the part of a second's requests that are admitted at once.
+	burstShare = 4
+	// reservedDescriptors are left to the log, the other servers and requests that are no watches.
+	reservedDescriptors = 1024
+)
+
+// admission bounds the requests that are served at a time, and sheds the load beyond that: each
+// rejected client is given a time to retry such that the retries arrive at the admitted rate.
 type admission struct {
-	config *Config
-	// maxWatches is how many watches may be open: what is configured, if there are descriptors for them.
-	maxWatches    int
+	config        *Config
+	maxWatches    int // the configured number, or fewer if there are not enough file descriptors
 	callLimiter   *rate.Limiter
 	writeSlots    chan struct{}
-	rejectedCalls atomic.Int64
+	rejectedCalls atomic.Int64 // for the metrics
 
 	mu       sync.Mutex
-	nextSlot time.Time // the place behind all that were given
+	nextSlot time.Time // after all retries that were given a time; guarded by mu
 }
 
 func newAdmission(c *Config) *admission {
-	return &admission{config: c, maxWatches: availableWatches(c.MaxWatches), callLimiter: rate.NewLimiter(rate.Limit(c.CallRate), max(int(c.CallRate/4), 1)), writeSlots: make(chan struct{}, c.MaxWrites)}
+	return &admission{
+		config:      c,
+		maxWatches:  availableWatches(c.MaxWatches),
+		callLimiter: rate.NewLimiter(rate.Limit(c.CallRate), max(int(c.CallRate/burstShare), 1)),
+		writeSlots:  make(chan struct{}, c.MaxWrites),
+	}
 }
 
-// reservedDescriptors are left to the log, the other stewards and calls that are no watches.
-const reservedDescriptors = 1024
-
-// availableWatches is how many watches of those that are configured there are descriptors for.
+// availableWatches returns how many of the configured watches there are file descriptors for.
 func availableWatches(configured int) int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -46,10 +61,8 @@
 	return max(int(limit.Cur)-reservedDescriptors, int(limit.Cur)/2)
 }
 
-// bytesPerCall is how many bytes of a list cost as much as a call.
-const bytesPerCall = 24_000
-
-// admitCall admits a admitCall that writes about so many bytes of a list, or answers it.
+// admitCall admits a read whose answer has about this many bytes of a list. If it returns false,
+// it has answered.
 func (a *admission) admitCall(w http.ResponseWriter, bytes int) bool {
 	cost := min(1+bytes/bytesPerCall, a.callLimiter.Burst())
 	if a.callLimiter.AllowN(time.Now(), cost) {
@@ -59,7 +72,8 @@
 	return false
 }
 
-// reserveSlot gives a caller the next reserveSlot, and tells how far off it is.
+// reserveSlot reserves the next time at which a rejected request that takes the given part of
+// the rate can be admitted, and returns how far off that is.
 func (a *admission) reserveSlot(cost time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -67,36 +81,31 @@
 	if a.nextSlot.Before(now) {
 		a.nextSlot = now
 	}
-	// Nobody is sent away for longer than that: who comes too soon is told so again.
+	// No client is asked to wait for longer; one that retries too soon is rejected again.
 	if a.nextSlot = a.nextSlot.Add(cost); a.nextSlot.After(now.Add(maxRetryAfter)) {
 		a.nextSlot = now.Add(maxRetryAfter)
 	}
 	return a.nextSlot.Sub(now)
 }
 
-// admitWrite admits a admitWrite, which go on beside the reads and before them: they have places of
-// their own. The second result gives the place back.
+// admitWrite admits a write, which has slots of its own, so that reads can't keep it waiting. It
+// returns a function that releases the slot. If it returns false, it has answered.
 func (a *admission) admitWrite(w http.ResponseWriter) (bool, func()) {
 	select {
 	case a.writeSlots <- struct{}{}:
 		return true, func() { <-a.writeSlots }
 	default:
-		a.reject(w, 200*time.Millisecond)
+		a.reject(w, writeRetryAfter)
 		return false, nil
 	}
 }
 
-const (
-	minRetryAfter = 100 * time.Millisecond
-	maxRetryAfter = 5 * time.Second
-)
-
-// reject sends a caller away for about a time, drawn so that those who were sent away
-// together don't come back together.
+// reject answers with status 503 and asks the client to retry after about the delay. The time is
+// drawn at random, so that clients that were rejected together don't retry together.
 func (a *admission) reject(w http.ResponseWriter, delay time.Duration) {
 	a.rejectedCalls.Add(1)
 	wait := minRetryAfter + time.Duration((0.75+rand.Float64()/2)*float64(delay))
 	w.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
-	w.Header().Set("Not-Applied", "1")
+	w.Header().Set(notAppliedHeader, "1")
 	http.Error(w, "too many calls at once", http.StatusServiceUnavailable)
 }
--- a/internal/control/barrier.go
+++ b/internal/control/barrier.go
@@ -27,7 +27,7 @@
 	return s.joinBarrier(ctx, &s.readBarriers, func() error { return s.raft().Barrier(applyTimeout).Error() })
 }
 
-// verifyLeader has a quorum confirm that this steward led when verifyLeader was called. It
+// verifyLeader has a quorum confirm that this server led when verifyLeader was called. It
 // returns errNoLeader if it can't be shown, or the context's error.
 func (s *Server) verifyLeader(ctx context.Context) error {
 	return s.joinBarrier(ctx, &s.leaderChecks, func() error { return s.raft().VerifyLeader().Error() })
--- a/internal/control/call.go
+++ b/internal/control/call.go
@@ -11,7 +11,7 @@
 	"net/http"
 )
 
-// HTTPError is an answer of a steward with a status other than 2xx.
+// HTTPError is an answer of a server with a status other than 2xx.
 type HTTPError struct {
 	Status     int
 	Text       string
--- a/internal/control/evidence.go
+++ b/internal/control/evidence.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	evidenceTimeout  = 1200 * time.Millisecond // for another steward's answer
-	evidenceReserve  = 100 * time.Millisecond  // of it, for the answer's way back
+	evidenceTimeout  = 1200 * time.Millisecond // for another voter's answer
+	evidenceReserve  = 100 * time.Millisecond  // of it, for the transfer of the answer
 	probeTimeout     = 500 * time.Millisecond  // for a server's answer
 	maxEvidence      = 256                     // servers of one request
 	maxEvidenceCalls = 4                       // requests served at once; one leader sends one at a time
 	// maxProbes is the number of servers probed at once. All servers of a request are, so that
-	// silent ones cost one probe's timeout and not the whole request's.
+	// unresponsive ones cost one probe's timeout and not the whole request's.
 	maxProbes = maxEvidence
 )
 
-// ObservationMessage is a request for a steward's observation of servers, with Refs set, or the answer
-// to it, with From and Answers set.
+// ObservationMessage is a request for a voter's observations of servers, with Refs set, or the
+// answer to it, with From and Answers set.
 type ObservationMessage struct {
 	From    string                   `json:"from,omitempty"`
 	Refs    []catalog.InstanceRef    `json:"refs,omitempty"`
-	Answers map[string]member.Answer `json:"answers,omitempty"`
+	Answers map[string]member.Answer `json:"answers,omitempty"` // by the server's name
 }
 
 // handleEvidence probes the servers of a request and answers with what it observed.
@@ -44,65 +44,80 @@
 	}
 	if s.evidenceCalls.Add(1) > maxEvidenceCalls {
 		s.evidenceCalls.Add(-1)
-		s.admission.reject(w, evidenceTimeout) // who asked counts this one as silent
+		s.admission.reject(w, evidenceTimeout) // the leader goes on without this voter's observations
 		return
 	}
 	defer s.evidenceCalls.Add(-1)
 	writeJSON(w, ObservationMessage{From: s.config.Name, Answers: s.probeServers(r.Context(), b.Refs)})
 }
 
-// probeServers asks servers for their health and returns an observation for each that this
-// steward knows and had the time to ask. If this process itself was slow, it doesn't report
-// any server as silent.
+// probeServers checks the health of servers and returns an observation of each that this server
+// knows and had the time to probe. If this process itself was slow, it doesn't report any server
+// as unresponsive.
 func (s *Server) probeServers(ctx context.Context, refs []catalog.InstanceRef) map[string]member.Answer {
 	ctx, cancel := context.WithTimeout(ctx, evidenceTimeout-evidenceReserve)
 	defer cancel()
-	dials := make([]string, len(refs))
+	addresses := s.addressesOf(refs)
+	startedAt := time.Now()
+	observed := make([]member.Answer, len(refs))
+	slots := make(chan struct{}, maxProbes)
+	var running sync.WaitGroup
+	for i, address := range addresses {
+		if address == "" {
+			continue // not known here: no observation
+		}
+		slots <- struct{}{}
+		running.Go(func() {
+			defer func() { <-slots }()
+			observed[i] = s.probe(ctx, address)
+		})
+	}
+	running.Wait()
+	slow := s.wasPaused() || time.Since(startedAt) > 2*evidenceTimeout
+	answers := map[string]member.Answer{}
+	for i, answer := range observed {
+		if slow && answer == member.AnswerSilent {
+			answer = member.AnswerUnsure // the delay may be this process's own
+		}
+		if answer != member.AnswerNone {
+			answers[refs[i].Name] = answer
+		}
+	}
+	return answers
+}
+
+// addressesOf returns the address of each instance, in the order of refs, or "" if the catalog
+// doesn't have that instance.
+func (s *Server) addressesOf(refs []catalog.InstanceRef) []string {
+	addresses := make([]string, len(refs))
 	s.fsm.read(func(state *catalog.State) {
 		for i, ref := range refs {
-			if e := state.Entries[ref.Name]; e != nil && !e.Removed && e.Endpoint.StartedMs == ref.StartedMs {
-				dials[i] = e.Endpoint.Dial
+			if e := instanceEntry(state, ref); e != nil {
+				addresses[i] = e.Endpoint.Dial
 			}
 		}
 	})
-	out := map[string]member.Answer{}
-	began := time.Now()
-	found := make([]member.Answer, len(refs))
-	places := make(chan struct{}, maxProbes)
-	var all sync.WaitGroup
-	for i, dial := range dials {
-		if dial == "" {
-			continue // this steward doesn't know it: no opinion
-		}
-		places <- struct{}{}
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			defer func() { <-places }()
-			found[i] = s.probe(ctx, dial)
-		}()
-	}
-	all.Wait()
-	slow := s.wasPaused() || time.Since(began) > 2*evidenceTimeout
-	for i, a := range found {
-		if slow && a == member.AnswerSilent {
-			a = member.AnswerUnsure // the delay may be this process's own
-		}
-		if a != member.AnswerNone {
-			out[refs[i].Name] = a
-		}
+	return addresses
+}
+
+// instanceEntry returns the entry of an instance, or nil if the catalog doesn't have it or it was
+// removed.
+func instanceEntry(state *catalog.State, ref catalog.InstanceRef) *catalog.Entry {
+	e := state.Entries[ref.Name]
+	if e == nil || e.Removed || e.Endpoint.StartedMs != ref.StartedMs {
+		return nil
 	}
-	return out
+	return e
 }
 
-// probe requests a server's health.
-func (s *Server) probe(ctx context.Context, dial string) member.Answer {
+// probe checks the health of a server. Any answer at all shows that it is alive.
+func (s *Server) probe(ctx context.Context, address string) member.Answer {
 	if ctx.Err() != nil {
-		return member.AnswerNone // there was no time for it: not the server's fault
+		return member.AnswerNone // there was no time for it, which is not the server's fault
 	}
-	c, cancel := context.WithTimeout(ctx, probeTimeout)
+	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(c, http.MethodGet, "http://"+dial+"/health", nil)
+	req, err := http.NewRequestWithContext(probeCtx, http.MethodGet, "http://"+address+"/health", nil)
 	if err != nil {
 		return member.AnswerNone
 	}
--- a/internal/control/failureobservations.go
+++ b/internal/control/failureobservations.go
@@ -16,35 +16,36 @@
 	observationMaxAge = 3 * time.Second        // older observations are dropped
 )
 
-// failureObservations holds what the voters observed of servers whose leases are in doubt.
+// failureObservations holds what the voters observed of servers whose leases are suspected to
+// have expired.
 type failureObservations struct {
-	mu       sync.Mutex
-	byServer map[string]observationSet // by server
+	mu       sync.Mutex                // guards the fields, but not what they refer to, which never changes
+	byServer map[string]observationSet // by the server's name
 	voters   []string                  // that were asked last
 }
 
-// observationSet is what each voter observed of one start of a server.
+// observationSet is what each voter observed of one instance of a server.
 type observationSet struct {
 	startedMs  float64
 	observedAt time.Time
 	answers    map[string]member.Answer // by voter
 }
 
-// expiryDecider returns the rule by which expired leases are decided: by the majority of the voters'
-// recent observations, or by the lease alone where evidence is off.
+// expiryDecider returns the rule by which expired leases are decided on: by the majority of the
+// voters' recent observations, or by the lease alone if evidence is turned off.
 func (s *Server) expiryDecider() catalog.ExpiryDecider {
 	if !s.config.Evidence {
 		return catalog.ExpireByLeaseOnly
 	}
 	s.observations.mu.Lock()
-	about, voters := s.observations.byServer, s.observations.voters
+	byServer, voters := s.observations.byServer, s.observations.voters
 	s.observations.mu.Unlock()
-	return func(ref catalog.InstanceRef, over bool) catalog.FailureEvidence {
-		t, ok := about[ref.Name]
-		if !ok || t.startedMs != ref.StartedMs || time.Since(t.observedAt) > observationMaxAge {
+	return func(ref catalog.InstanceRef, expired bool) catalog.FailureEvidence {
+		set, ok := byServer[ref.Name]
+		if !ok || set.startedMs != ref.StartedMs || time.Since(set.observedAt) > observationMaxAge {
 			return catalog.Inconclusive
 		}
-		switch member.DecideExpiry(voters, true, over, t.answers) {
+		switch member.DecideExpiry(voters, true, expired, set.answers) {
 		case member.DecisionRetain:
 			return catalog.Alive
 		case member.DecisionRemove:
@@ -54,8 +55,8 @@
 	}
 }
 
-// evidenceLoop has the voters asked about servers whose leases are in doubt, while this
-// steward leads. It returns when the steward stops.
+// evidenceLoop has the voters asked about suspected servers while this server leads. It returns
+// when the server stops.
 func (s *Server) evidenceLoop() {
 	ticker := time.NewTicker(evidenceInterval)
 	defer ticker.Stop()
@@ -71,7 +72,7 @@
 		}
 		voters := s.voters()
 		answers := s.collectEvidence(voters, refs)
-		// The answers count only if this steward still led after they were given.
+		// The answers count only if this server still led after they were given.
 		if s.verifyLeader(s.ctx) != nil {
 			continue
 		}
@@ -79,8 +80,8 @@
 	}
 }
 
-// suspectedServers returns the servers that evidence is needed about. It is empty on a follower and
-// where evidence is off.
+// suspectedServers returns the servers that evidence is needed about. It returns nil on a
+// follower and if evidence is turned off.
 func (s *Server) suspectedServers() (refs []catalog.InstanceRef) {
 	now, leads := s.leaderClock()
 	if !leads || !s.config.Evidence {
@@ -94,20 +95,21 @@
 	return refs
 }
 
-// update adds the observations of one round and drops those that are too old.
+// update adds the observations of one round, by server and voter, and drops those that are too
+// old.
 func (o *failureObservations) update(at time.Time, voters []string, refs []catalog.InstanceRef, answers map[string]map[string]member.Answer) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	about := map[string]observationSet{} // a new map: judge reads the old one without the lock
-	for name, t := range o.byServer {
-		if at.Sub(t.observedAt) <= observationMaxAge {
-			about[name] = t
+	byServer := map[string]observationSet{} // a new map: deciders read the old one without the lock
+	for name, set := range o.byServer {
+		if at.Sub(set.observedAt) <= observationMaxAge {
+			byServer[name] = set
 		}
 	}
 	for _, ref := range refs {
-		about[ref.Name] = observationSet{ref.StartedMs, at, answers[ref.Name]}
+		byServer[ref.Name] = observationSet{ref.StartedMs, at, answers[ref.Name]}
 	}
-	o.byServer, o.voters = about, voters
+	o.byServer, o.voters = byServer, voters
 }
 
 // voterAnswers is one voter's answers by server, nil if it gave none.
@@ -116,32 +118,32 @@
 	answers map[string]member.Answer
 }
 
-// collectEvidence asks all voters at once and returns their answers by server and voter.
-// Voters that don't answer in time are left out.
+// collectEvidence asks all voters at once and returns their answers by server and voter. Voters
+// that don't answer in time are left out.
 func (s *Server) collectEvidence(voters []string, refs []catalog.InstanceRef) map[string]map[string]member.Answer {
 	ctx, cancel := context.WithTimeout(s.ctx, evidenceTimeout)
 	defer cancel()
-	observations := make(chan voterAnswers, len(voters))
+	received := make(chan voterAnswers, len(voters))
 	for _, voter := range voters {
-		go func() { observations <- voterAnswers{voter, s.requestEvidence(ctx, voter, refs)} }()
+		go func() { received <- voterAnswers{voter, s.requestEvidence(ctx, voter, refs)} }()
 	}
-	out := map[string]map[string]member.Answer{}
+	byServer := map[string]map[string]member.Answer{}
 	for _, ref := range refs {
-		out[ref.Name] = map[string]member.Answer{}
+		byServer[ref.Name] = map[string]member.Answer{}
 	}
 	for range voters {
-		o := <-observations
-		for name, answer := range o.answers {
-			if out[name] != nil {
-				out[name][o.voter] = answer
+		a := <-received
+		for name, answer := range a.answers {
+			if byServer[name] != nil {
+				byServer[name][a.voter] = answer
 			}
 		}
 	}
-	return out
+	return byServer
 }
 
-// requestEvidence returns one voter's answers by server, or nil if it gave none. A steward of
-// a version without evidence agrees with whatever the leases say.
+// requestEvidence returns one voter's answers by server, or nil if it gave none. A voter of a
+// version without evidence defers to the leases.
 func (s *Server) requestEvidence(ctx context.Context, voter string, refs []catalog.InstanceRef) map[string]member.Answer {
 	if voter == s.config.Name {
 		return s.probeServers(ctx, refs)
@@ -151,19 +153,19 @@
 		return nil
 	}
 	var e ObservationMessage
-	// The context bounds the call: n.peers would give up before a steward that has many silent
-	// servers to probe can answer.
+	// The context bounds the request: peerClient's own timeout is too short for a voter that has
+	// many unresponsive servers to probe.
 	client := &http.Client{Transport: s.peerClient.Transport}
 	err := call(ctx, client, http.MethodPost, "http://"+p.HTTP+"/v1/evidence", ObservationMessage{Refs: refs}, &e)
-	var refused *HTTPError
-	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
-		agreed := map[string]member.Answer{}
+	var rejected *HTTPError
+	if errors.As(err, &rejected) && rejected.Status == http.StatusNotFound {
+		deferring := map[string]member.Answer{}
 		for _, ref := range refs {
-			agreed[ref.Name] = member.AnswerDefersToLease
+			deferring[ref.Name] = member.AnswerDefersToLease
 		}
-		return agreed
+		return deferring
 	}
-	if err != nil || e.From != voter { // the table may lead to another steward
+	if err != nil || e.From != voter { // the peer table may have another server's address
 		return nil
 	}
 	return e.Answers
--- a/internal/control/incarnation.go
+++ b/internal/control/incarnation.go
@@ -25,7 +25,7 @@
 }
 
 // incarnationLoop obtains this process's incarnation number from the catalog and gossips it. It
-// ends the process if its name belongs to another one, and returns then or when the steward
+// ends the process if its name belongs to another one, and returns then or when the server
 // stops.
 func (s *Server) incarnationLoop() {
 	client := NewClient(nil, applyTimeout+peerTimeout)
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -16,11 +16,11 @@
 	firstStartInterval = 100 * time.Millisecond // between rounds of status requests on an empty folder
 	admissionInterval  = 500 * time.Millisecond // between requests to be added to the configuration
 	raftTimeout        = 5 * time.Second        // of the raft transport's connections
-	raftPoolSize       = 3                      // kept connections per steward
+	raftPoolSize       = 3                      // kept connections per control-plane server
 	commitTimeout      = 5 * time.Millisecond
 )
 
-// startRaft opens the data folder, starts gossip and then raft. A steward with an empty data
+// startRaft opens the data folder, starts gossip and then raft. A server with an empty data
 // folder may have voted before it lost its data, so it bootstraps only a new cluster, and
 // otherwise has itself removed from the voters before it joins again.
 func (s *Server) startRaft(ctx context.Context) error {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// runRaft listens for other stewards and starts the raft instance on the opened store.
+// runRaft listens for peers and starts the raft instance on the opened store.
 func (s *Server) runRaft(rl hclog.Logger) error {
 	ln, err := net.Listen("tcp", s.config.Raft)
 	if err != nil {
@@ -90,11 +90,11 @@
 	rc.SnapshotThreshold, rc.SnapshotInterval = s.config.SnapshotEvery, s.config.SnapshotCheck
 	rc.TrailingLogs = s.config.SnapshotEvery
 	rc.NoSnapshotRestoreOnStart = false
-	rc.ShutdownOnRemove = false // a removed steward serves its list until it is stopped
+	rc.ShutdownOnRemove = false // a removed control-plane server serves its list until it is stopped
 	return rc
 }
 
-// bootstrap writes the first configuration of a new cluster: all stewards of the table, with
+// bootstrap writes the first configuration of a new cluster: all servers of the table, with
 // spares as non-voters. A spare does nothing; the voters replicate the configuration to it.
 func (s *Server) bootstrap() error {
 	if s.config.Peers[s.config.Name].NonVoter {
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// raftAddr resolves the name of a steward to the address of its raft transport. Raft knows
-// stewards by name only, so that each can dial the others by its own table.
+// raftAddr resolves the name of a server to the address of its raft transport. Raft knows
+// control-plane servers by name only, so that each can dial the others by its own table.
 func (s *Server) raftAddr(name string) (string, bool) {
 	if name == s.config.Name {
 		return s.config.Raft, true
@@ -125,11 +125,11 @@
 	return p.Raft, ok
 }
 
-// classifyEmptyFolder asks the other stewards, until it is certain, what an empty data folder
-// means. If all of them are empty too, the cluster is new and is to be bootstrapped. If one
-// has a state, this steward was replaced or lost its data: it has itself removed from the
-// voters, as it may have voted, and is to rejoin. It returns an error if the context ends or
-// if another process goes by this steward's name.
+// classifyEmptyFolder asks the peers, until it is certain, what an empty data folder means. If
+// all of them are empty too, the cluster is new and is to be bootstrapped. If one has a state,
+// this server was replaced or lost its data: it has itself removed from the voters, as it may
+// have voted, and is to rejoin. It returns an error if the context ends or if another process
+// goes by this server's name.
 func (s *Server) classifyEmptyFolder(ctx context.Context) (bootstrap, rejoin bool, err error) {
 	others := s.config.otherServers()
 	for first := true; ; first = false {
@@ -142,7 +142,7 @@
 				err := s.requestRemoval(ctx)
 				switch {
 				case err == nil:
-					s.log.Info("rejoining with an empty folder", "told_by", name)
+					s.log.Info("rejoining with an empty data folder", "reported_by", name)
 					return false, true, nil
 				case isConflict(err) && time.Since(s.startedAt) > nameConflictTimeout:
 					return false, false, fmt.Errorf("name: %w", err)
@@ -155,7 +155,7 @@
 			return true, false, nil
 		}
 		if first {
-			s.log.Info("the folder is empty: waiting until all other stewards answer, or one that has a state", "others", others)
+			s.log.Info("data folder is empty: waiting until all peers answer, or one that has a state", "peers", others)
 		}
 		select {
 		case <-time.After(firstStartInterval):
@@ -165,15 +165,15 @@
 	}
 }
 
-// requestRemoval asks the cluster to remove this steward from the voters.
+// requestRemoval asks the cluster to remove this server from the voters.
 func (s *Server) requestRemoval(ctx context.Context) error {
 	return s.tryPeers(ctx, func(base string) error {
 		return call(ctx, s.peerClient, http.MethodDelete, base+"/v1/peers/"+s.config.Name+"?id="+s.dataID, nil, nil)
 	})
 }
 
-// requestAdmission asks the cluster to add this steward again, and repeats that until it
-// succeeds or the steward stops. It requires that raft listens.
+// requestAdmission asks the cluster to add this server again, and repeats that until it succeeds
+// or the server stops. It requires that raft listens.
 func (s *Server) requestAdmission() {
 	query := ""
 	if (*s.peerTable.Load())[s.config.Name].NonVoter {
@@ -186,7 +186,7 @@
 		if err == nil {
 			return
 		}
-		s.log.Warn("not taken in yet", "err", err)
+		s.log.Warn("admission to the cluster failed, will be retried", "err", err)
 		select {
 		case <-time.After(admissionInterval):
 		case <-s.ctx.Done():
@@ -195,8 +195,8 @@
 	}
 }
 
-// tryPeers calls do with the base URL of one steward after the other, until one succeeds,
-// one answers with a conflict or the context ends. It returns the last error.
+// tryPeers calls do with the base URL of one peer after the other, until one succeeds, one
+// answers with a conflict or the context ends. It returns the last error.
 func (s *Server) tryPeers(ctx context.Context, do func(base string) error) error {
 	err := errors.New("no other steward in the table")
 	for _, name := range s.config.otherServers() {
@@ -208,8 +208,7 @@
 	return err
 }
 
-// isConflict reports whether a steward refused a request because another process has the
-// name.
+// isConflict reports whether a server refused a request because another process has the name.
 func isConflict(err error) bool {
 	var refused *HTTPError
 	return errors.As(err, &refused) && refused.Status == http.StatusConflict
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -11,8 +11,8 @@
 // decisionInterval is how often the leader decides on sessions and leased tasks.
 const decisionInterval = 100 * time.Millisecond
 
-// voters returns the names of the voters in the latest raft configuration that this steward
-// has, or nil if there is none.
+// voters returns the names of the voters in the latest raft configuration that this server has,
+// or nil if there is none.
 func (s *Server) voters() []string {
 	f := s.raft().GetConfiguration()
 	if f.Error() != nil {
@@ -36,11 +36,11 @@
 	return string(id)
 }
 
-// leaderLoop follows raft's leadership changes and, while this steward leads, proposes what
-// sessions and leased tasks call for. It returns when the steward stops.
+// leaderLoop follows raft's leadership changes and, while this server leads, proposes what
+// sessions and leased tasks call for. It returns when the server stops.
 func (s *Server) leaderLoop() {
-	tick := time.NewTicker(decisionInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(decisionInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case leads := <-s.raft().LeaderCh():
@@ -49,7 +49,7 @@
 			} else {
 				s.stepDown()
 			}
-		case <-tick.C:
+		case <-ticker.C:
 			s.assignTasks()
 		case <-s.ctx.Done():
 			s.stepDown()
@@ -58,25 +58,25 @@
 	}
 }
 
-// becomeLeader starts the leader's work once every entry committed by earlier leaders is
-// applied here. All leases and sessions start with their full time.
+// becomeLeader starts the leader's work once every entry committed by earlier leaders is applied
+// here. All leases and sessions start with their full time.
 func (s *Server) becomeLeader() {
 	if err := s.raft().Barrier(applyTimeout).Error(); err != nil {
-		s.log.Warn("leads no longer before it began", "err", err)
+		s.log.Warn("lost leadership before taking over", "err", err)
 		return
 	}
 	s.leaderMu.Lock()
-	var seq int64
+	var version int64
 	s.fsm.read(func(state *catalog.State) {
-		s.clockAtElection, seq = state.Clock, state.Seq
+		s.clockAtElection, version = state.Clock, state.Seq
 		s.electedAt = time.Now()
 		s.registrationLeases = catalog.NewRegistrationLeases(s.config.leaseConfig(), state, state.Clock)
 		s.taskLeases = catalog.NewTaskLeases(state.Clock)
 	})
 	s.leaderMu.Unlock()
 	s.metrics.electionsWon.Inc()
-	s.log.Info("leads", "version", seq, "term", s.raft().CurrentTerm())
-	if seq == 0 {
+	s.log.Info("became leader", "list_version", version, "term", s.raft().CurrentTerm())
+	if version == 0 {
 		s.raiseRevision(0)
 	}
 	s.defineControlTasks()
@@ -87,25 +87,25 @@
 	s.leaderMu.Lock()
 	defer s.leaderMu.Unlock()
 	if s.registrationLeases != nil {
-		s.log.Info("leads no longer")
+		s.log.Info("lost leadership")
 	}
 	s.registrationLeases, s.taskLeases = nil, nil
 }
 
-// transferLeadership hands leadership to another voter, if this steward leads and there is
+// transferLeadership transfers leadership to another voter, if this server leads and there is
 // one.
 func (s *Server) transferLeadership() {
 	if s.raft() == nil || s.raft().State() != raft.Leader || len(s.voters()) <= 1 {
 		return
 	}
 	if err := s.raft().LeadershipTransfer().Error(); err != nil {
-		s.log.Warn("leadership was not handed over", "err", err)
+		s.log.Warn("leadership transfer failed", "err", err)
 	}
 }
 
 // leaderClock returns the state's clock as the leader continues it by its monotonic time, and
-// whether this steward leads. The time is meaningless if it doesn't.
-func (s *Server) leaderClock() (time.Duration, bool) {
+// whether this server leads. The time is meaningless if it doesn't.
+func (s *Server) leaderClock() (now time.Duration, leads bool) {
 	s.leaderMu.Lock()
 	defer s.leaderMu.Unlock()
 	return s.clockAtElection + time.Since(s.electedAt), s.registrationLeases != nil
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -4,10 +4,10 @@
 	"knotrouter/internal/catalog"
 )
 
-// sweep decides which server leases have expired, which of those the mass-failure guard
-// keeps, and which servers are released from damping, and proposes that with the fencing
-// token of the sweep task. It returns a refusal if the token is no longer valid, and
-// errNoLeader if this steward doesn't lead.
+// sweep decides which server leases have expired, which of those the mass-failure guard keeps,
+// and which servers are released from damping, and proposes that with the fencing token of the
+// sweep task. It returns a rejectedError if the token is no longer valid, and errNoLeader if this
+// server doesn't lead.
 func (s *Server) sweep(fence int64) error {
 	now, leads := s.leaderClock()
 	if !leads {
@@ -48,12 +48,13 @@
 		return &rejectedError{r}
 	}
 	s.metrics.leaseDecisions.WithLabelValues(string(c.Kind)).Add(float64(len(c.Refs)))
-	s.log.Info("decided", "command", c.Kind, "servers", len(c.Refs), "first", c.Refs[0].Name, "fence", c.Fence)
+	s.log.Info("lease command committed", "command", c.Kind, "count", len(c.Refs), "server", c.Refs[0].Name, "fence", c.Fence)
 	return nil
 }
 
-// renew extends the leases of servers that were heard and returns a code for each. Renewals
-// are kept in the leader's memory only and are not replicated.
+// renew extends the leases of servers and returns a code for each. Renewals are kept in the
+// leader's memory only and are not replicated. It returns errNoLeader if this server doesn't
+// lead.
 func (s *Server) renew(refs []catalog.InstanceRef) ([]catalog.Code, error) {
 	now, leads := s.leaderClock()
 	if !leads {
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -9,29 +9,28 @@
 )
 
 const (
-	// statusMaxAge is the longest time for which the statuses of the other stewards are
-	// cached.
+	// statusMaxAge is the longest time for which the statuses of the peers are cached.
 	statusMaxAge = time.Second
 	// statusMinAge is the shortest time between two requests for them.
 	statusMinAge = 100 * time.Millisecond
 )
 
-// statusCache holds the last statuses of the other stewards.
+// statusCache holds the last statuses of the peers.
 type statusCache struct {
 	mu    sync.Mutex
 	at    time.Time
 	found []Status
 }
 
-// fresh reports whether the cached statuses are recent enough. If no other steward can serve,
-// they are requested again sooner, as this steward serves a stale list only while that is so.
+// fresh reports whether the cached statuses are recent enough. If no peer can serve, they are
+// requested again sooner, as this server serves a stale list only while that is so.
 func (c *statusCache) fresh(maxAge time.Duration) bool {
 	age := time.Since(c.at)
 	return age < statusMinAge || age < maxAge && anyCanServe(c.found)
 }
 
-// peerStatuses returns the statuses of the other stewards, from the cache while it is fresh.
-// Stewards that don't answer in time are left out.
+// peerStatuses returns the statuses of the peers, from the cache while it is fresh. Stewards
+// that don't answer in time are left out.
 func (s *Server) peerStatuses() []Status {
 	c := &s.statusCache
 	c.mu.Lock()
@@ -44,7 +43,7 @@
 	return c.found
 }
 
-// requestStatuses asks all other stewards at once and waits for each to answer or time out.
+// requestStatuses asks all peers at once and waits for each to answer or time out.
 func (s *Server) requestStatuses() (statuses []Status) {
 	ctx, cancel := context.WithTimeout(s.ctx, peerTimeout)
 	defer cancel()
@@ -68,24 +67,24 @@
 	return statuses
 }
 
-// statusOf requests the status of one steward.
+// statusOf requests the status of one peer.
 func (s *Server) statusOf(ctx context.Context, name string) (Status, error) {
 	var st Status
 	p, ok := (*s.peerTable.Load())[name]
 	if !ok {
-		return st, fmt.Errorf("steward %s: not in the table of peers", name)
+		return st, fmt.Errorf("steward %s: %w", name, errNotInPeerTable)
 	}
 	return st, call(ctx, s.peerClient, http.MethodGet, "http://"+p.HTTP+"/v1/status", nil, &st)
 }
 
-// betterElsewhere reports whether another steward can serve. If none can, this one's list is
-// as good as any, even if it is stale.
+// betterElsewhere reports whether a peer can serve. If none can, this one's list is as good as
+// any, even if it is stale.
 func (s *Server) betterElsewhere() bool { return anyCanServe(s.peerStatuses()) }
 
-// canServe reports whether a steward has a current list to serve.
+// canServe reports whether a server has a current list to serve.
 func canServe(st *Status) bool { return st.HasState && !st.Stale && !st.Draining }
 
-// anyCanServe reports whether one of the stewards can serve.
+// anyCanServe reports whether one of the control-plane servers can serve.
 func anyCanServe(statuses []Status) bool {
 	for i := range statuses {
 		if canServe(&statuses[i]) {
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -11,9 +11,9 @@
 	"knotrouter/internal/catalog"
 )
 
-// propose commits a command and returns its result, whose code may still refuse it. It
-// returns errNoLeader if the command was certainly not applied, and an error that wraps
-// errUnknownOutcome if that is unknown.
+// propose commits a command and returns its result, whose code may still reject it. It returns
+// errNoLeader if the command was certainly not applied, and an error that wraps errUnknownOutcome
+// if that is unknown.
 func (s *Server) propose(command catalog.Command) (catalog.Result, error) {
 	at, leads := s.leaderClock()
 	if !leads {
@@ -24,7 +24,7 @@
 	if err != nil {
 		return catalog.Result{}, fmt.Errorf("%s: %w", command.Kind, err)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	future := s.raft().Apply(text, applyTimeout)
 	switch err := future.Error(); {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrLeadershipTransferInProgress):
@@ -32,6 +32,6 @@
 	case err != nil:
 		return catalog.Result{}, fmt.Errorf("%w: %v", errUnknownOutcome, err)
 	}
-	s.metrics.commitSeconds.Observe(time.Since(began).Seconds())
+	s.metrics.commitSeconds.Observe(time.Since(startedAt).Seconds())
 	return future.Response().(catalog.Result), nil
 }
--- a/internal/control/renewals.go
+++ b/internal/control/renewals.go
@@ -11,8 +11,8 @@
 	"knotrouter/internal/member"
 )
 
-// observeRenewals notes which servers renewed at this steward, before the renewals are passed on
-// to the leader. It leaves the body of the request readable.
+// observeRenewals records which servers renewed at this server, before the renewals are
+// forwarded to the leader. It leaves the body of the request readable.
 func (s *Server) observeRenewals(w http.ResponseWriter, r *http.Request) error {
 	if s.gossip == nil {
 		return nil
@@ -29,21 +29,27 @@
 	return nil
 }
 
-// recordRenewals records in the membership tracker the servers among refs that the catalog has
-// under the same name and start time.
+// recordRenewals records in the membership tracker the instances among refs that the catalog has.
 func (s *Server) recordRenewals(refs []catalog.InstanceRef) {
 	var known []catalog.InstanceRef
 	zones := map[string]string{}
 	s.fsm.read(func(state *catalog.State) {
 		for _, ref := range refs {
-			if e := state.Entries[ref.Name]; e != nil && !e.Removed && e.Endpoint.StartedMs == ref.StartedMs {
+			if e := instanceEntry(state, ref); e != nil {
 				known, zones[ref.Name] = append(known, ref), e.Endpoint.Site
 			}
 		}
 	})
 	s.gossip.WithTracker(func(now time.Duration, t *member.Tracker) {
 		for _, ref := range known {
-			t.Heartbeat(now, member.Info{ProtocolVersion: member.ProtocolVersion, Name: ref.Name, Role: member.RoleServer, Zone: zones[ref.Name], Incarnation: int64(ref.StartedMs)}, s.config.LeaseTTL)
+			info := member.Info{
+				ProtocolVersion: member.ProtocolVersion,
+				Name:            ref.Name,
+				Role:            member.RoleServer,
+				Zone:            zones[ref.Name],
+				Incarnation:     int64(ref.StartedMs),
+			}
+			t.Heartbeat(now, info, s.config.LeaseTTL)
 		}
 	})
 }
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -12,18 +12,33 @@
 	"knotrouter/internal/member"
 )
 
-const (
-	votersInterval = time.Second // between steps of the voters task
-)
+// votersInterval is the time between two steps of the voters task.
+const votersInterval = time.Second
 
 // memberFailures holds since when the leader has seen each failed member as failed.
 type memberFailures struct {
 	mu    sync.Mutex
-	since map[string]time.Time
+	since map[string]time.Time // guarded by mu
+}
+
+// duration records whether a member has failed at present, and returns for how long it has. The
+// caller holds the lock.
+func (f *memberFailures) duration(name string, failed bool) time.Duration {
+	if f.since == nil {
+		f.since = map[string]time.Time{}
+	}
+	if !failed {
+		delete(f.since, name)
+		return 0
+	}
+	if f.since[name].IsZero() {
+		f.since[name] = time.Now()
+	}
+	return time.Since(f.since[name])
 }
 
-// voterSet returns what the leader knows of the stewards in the raft configuration: which
-// vote, which are present and caught up, and for how long others have failed.
+// voterSet returns what the leader knows of the servers in the raft configuration: which vote,
+// which are present and caught up, and for how long others have failed.
 func (s *Server) voterSet() member.VoterSet {
 	set := member.VoterSet{
 		Failed:        map[string]time.Duration{},
@@ -37,42 +52,35 @@
 		return set
 	}
 	committed := s.raft().CommitIndex()
-	caughtUp := map[string]bool{s.config.Name: true}
+	upToDate := map[string]bool{s.config.Name: true}
 	for _, status := range s.peerStatuses() {
-		caughtUp[status.Name] = status.Applied > 0 && status.Applied+maxReplicaLag >= committed
+		upToDate[status.Name] = caughtUp(&status, committed)
 	}
 	view := s.gossip.View()
 	s.memberFailures.mu.Lock()
 	defer s.memberFailures.mu.Unlock()
-	if s.memberFailures.since == nil {
-		s.memberFailures.since = map[string]time.Time{}
-	}
 	for _, replica := range conf.Configuration().Servers {
 		name := string(replica.ID)
 		state := view.State(name)
 		if name == s.config.Name {
 			state = member.Present
 		}
-		set.Present[name] = state == member.Present && caughtUp[name]
+		set.Present[name] = state == member.Present && upToDate[name]
 		if replica.Suffrage == raft.Voter {
 			set.Voters = append(set.Voters, name)
 		} else {
 			set.NonVoters = append(set.NonVoters, name)
 		}
-		if state != member.Failed && state != member.Left {
-			delete(s.memberFailures.since, name)
-			continue
-		}
-		if s.memberFailures.since[name].IsZero() {
-			s.memberFailures.since[name] = time.Now()
+		failed := state == member.Failed || state == member.Left
+		if since := s.memberFailures.duration(name, failed); failed {
+			set.Failed[name] = since
 		}
-		set.Failed[name] = time.Since(s.memberFailures.since[name])
 	}
 	return set
 }
 
-// handleVoterStep changes the raft configuration by one step towards the wanted number of voters,
-// all of them alive, and answers with that step. It refuses an outdated fencing token.
+// handleVoterStep changes the raft configuration by one step towards the desired number of
+// voters, all of them alive, and answers with that step. It rejects an outdated fencing token.
 func (s *Server) handleVoterStep(w http.ResponseWriter, r *http.Request) error {
 	var b fenceBody
 	if err := decodeBody(w, r, &b); err != nil {
@@ -83,12 +91,12 @@
 		return nil
 	}
 	voters := s.voterSet()
-	step, some := member.NextReconfiguration(&voters)
-	if !some {
+	step, needed := member.NextReconfiguration(&voters)
+	if !needed {
 		writeJSON(w, step)
 		return nil
 	}
-	// A committed entry shows that the fencing token is valid and that this steward leads.
+	// A committed entry shows that the fencing token is valid and that this server leads.
 	result, err := s.propose(catalog.Command{Kind: catalog.CheckTerm, UnderTask: votersTask, Fence: b.Fence})
 	if err != nil {
 		return err
@@ -100,7 +108,8 @@
 		return configurationError(err)
 	}
 	s.metrics.voterSteps.Inc()
-	s.log.Warn("voters", "added", step.Add, "removed", step.Remove, "demoted", step.Demote, "wanted", voters.DesiredVoters, "fence", b.Fence)
+	s.log.Warn("voters changed", "added", step.Add, "removed", step.Remove, "demoted", step.Demote,
+		"desired_voters", voters.DesiredVoters, "fence", b.Fence)
 	writeJSON(w, step)
 	return nil
 }
@@ -117,31 +126,41 @@
 	}
 }
 
-// rejoinIfRemoved asks the leader to add this steward as a spare if it was removed from the raft
-// configuration while it was away.
+// rejoinIfRemoved asks the leader to add this server as a non-voter if it was removed from the
+// raft configuration while it was away.
 func (s *Server) rejoinIfRemoved(statuses []Status) {
 	if s.config.Voters == 0 || s.raft() == nil {
 		return
 	}
+	leader := s.findLeader(statuses)
+	if leader == nil {
+		return
+	}
+	if _, in := leader.Peers[s.config.Name]; in || len(leader.Peers) == 0 {
+		return
+	}
+	p, known := (*s.peerTable.Load())[leader.Name]
+	if !known {
+		return
+	}
+	ctx, cancel := context.WithTimeout(s.ctx, peerTimeout)
+	defer cancel()
+	if err := call(ctx, s.peerClient, http.MethodPut, "http://"+p.HTTP+"/v1/peers/"+s.config.Name+"?spare=1", nil, nil); err != nil {
+		s.log.Warn("rejoining as a non-voter after a replacement failed", "err", err)
+		return
+	}
+	s.log.Info("rejoined as a non-voter after a replacement")
+}
+
+// findLeader returns the status of the first server that leads, or nil if there is none. The
+// leader of an earlier term counts only if this server is without one of its own.
+func (s *Server) findLeader(statuses []Status) *Status {
 	for i := range statuses {
-		status := &statuses[i]
-		if status.State != "leader" || status.Term < s.raft().CurrentTerm() && s.sinceLeaderContact() < s.config.StaleAfter {
+		st := &statuses[i]
+		if st.State != stateLeader || st.Term < s.raft().CurrentTerm() && s.sinceLeaderContact() < s.config.StaleAfter {
 			continue
 		}
-		if _, in := status.Peers[s.config.Name]; in || len(status.Peers) == 0 {
-			return
-		}
-		p, known := (*s.peerTable.Load())[status.Name]
-		if !known {
-			return
-		}
-		ctx, cancel := context.WithTimeout(s.ctx, peerTimeout)
-		defer cancel()
-		if err := call(ctx, s.peerClient, http.MethodPut, "http://"+p.HTTP+"/v1/peers/"+s.config.Name+"?spare=1", nil, nil); err != nil {
-			s.log.Warn("replaced while away, and not taken in as a spare yet", "err", err)
-			return
-		}
-		s.log.Info("replaced while away: a spare from now on")
-		return
+		return st
 	}
+	return nil
 }
