--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -1,5 +1,3 @@
-// Package control is the shell round the catalog: raft, disk, HTTP, timers and metrics. It
-// carries decisions out and makes none.
 package control
 
 import (
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -16,7 +16,7 @@
 	firstStartInterval = 100 * time.Millisecond // between rounds of status requests on an empty folder
 	admissionInterval  = 500 * time.Millisecond // between requests to be added to the configuration
 	raftTimeout        = 5 * time.Second        // of the raft transport's connections
-	raftPoolSize       = 3                      // kept connections per control-plane server
+	raftPoolSize       = 3                      // idle connections kept per peer
 	commitTimeout      = 5 * time.Millisecond
 )
 
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -57,7 +57,7 @@
 }
 
 // ReadMemberViews reads the membership views of the control-plane servers at the given
-// addresses, in the order of the control-plane servers' names. It returns the addresses that
+// addresses, in the order of their names. It returns the addresses that
 // didn't answer within the timeout, or answered with an error, as silent.
 func ReadMemberViews(ctx context.Context, addrs []string, timeout time.Duration) (views []member.View, silent []string) {
 	for _, addr := range addrs {
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -29,7 +29,7 @@
 	return age < statusMinAge || age < maxAge && anyCanServe(c.found)
 }
 
-// peerStatuses returns the statuses of the peers, from the cache while it is fresh. Stewards
+// peerStatuses returns the statuses of the peers, from the cache while it is fresh. Peers
 // that don't answer in time are left out.
 func (s *Server) peerStatuses() []Status {
 	c := &s.statusCache
--- /dev/null
+++ b/internal/control/raftlogger.go
@@ -0,0 +1,62 @@
+package control
+
+import (
+	"context"
+	"log/slog"
+	"strings"
+	"sync"
+
+	"github.com/hashicorp/go-hclog"
+	"golang.org/x/time/rate"
+)
+
+const (
+	raftLogLinesPerSecond = 20
+	raftLogBurst          = 50
+)
+
+// newRaftLogger returns a logger for the raft library that writes its lines to log, up to a rate.
+func newRaftLogger(log *slog.Logger) hclog.Logger {
+	return hclog.New(&hclog.LoggerOptions{
+		Name:        "raft",
+		Level:       hclog.Info,
+		DisableTime: true,
+		Output:      &raftLogWriter{log: log, limit: rate.NewLimiter(raftLogLinesPerSecond, raftLogBurst)},
+	})
+}
+
+// raftLogWriter is an io.Writer that turns lines of hclog into messages of slog.
+type raftLogWriter struct {
+	log        *slog.Logger
+	limit      *rate.Limiter
+	mu         sync.Mutex
+	suppressed int // lines since the last one that was logged; guarded by mu
+}
+
+// Write implements io.Writer for one line. It never fails.
+func (l *raftLogWriter) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.limit.Allow() {
+		l.suppressed++
+		return len(p), nil
+	}
+	text := strings.TrimSpace(string(p))
+	level := slog.LevelInfo
+	for prefix, prefixLevel := range map[string]slog.Level{
+		"[ERROR]": slog.LevelError,
+		"[WARN]":  slog.LevelWarn,
+		"[INFO]":  slog.LevelInfo,
+		"[DEBUG]": slog.LevelDebug,
+	} {
+		if rest, ok := strings.CutPrefix(text, prefix); ok {
+			text, level = strings.TrimSpace(rest), prefixLevel
+		}
+	}
+	args := []any{}
+	if l.suppressed > 0 {
+		args, l.suppressed = append(args, "left_out", l.suppressed), 0
+	}
+	l.log.Log(context.Background(), level, text, args...)
+	return len(p), nil
+}
--- /dev/null
+++ b/internal/control/raftstream.go
@@ -0,0 +1,125 @@
+package control
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"time"
+
+	"github.com/hashicorp/raft"
+)
+
+// callPreamble is the byte before the name of the server that is dialled. No message of raft's
+// begins with it.
+const callPreamble = 0xfe
+
+// errWrongServer means that a peer dialled this server for another one, as its peer table has a
+// wrong address.
+var errWrongServer = errors.New("the call was for another steward")
+
+// raftStreamLayer is the raft.StreamLayer of this server. Servers know one another by name, and
+// each dials the others by its own peer table.
+type raftStreamLayer struct {
+	peerDialer
+	name string
+}
+
+// Accept implements net.Listener. The preamble of the connection is verified at its first read.
+func (s *raftStreamLayer) Accept() (net.Conn, error) {
+	conn, err := s.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return &addressedConn{Conn: conn, name: s.name}, nil
+}
+
+// Addr implements net.Listener. It returns this server's name, which each peer resolves by its
+// own table.
+func (s *raftStreamLayer) Addr() net.Addr { return serverName(s.name) }
+
+// peerDialer dials the raft transports of peers.
+type peerDialer struct {
+	net.Listener
+	resolve func(name string) (addr string, known bool)
+}
+
+// Dial implements raft.StreamLayer. It sends the name of the server that it wants to reach: if
+// the peer table led to another server, that one's votes and acknowledgements would be counted
+// twice towards a quorum.
+func (s *peerDialer) Dial(name raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	addr, known := s.resolve(string(name))
+	if !known {
+		return nil, fmt.Errorf("steward %s: %w", name, errNotInPeerTable)
+	}
+	conn, err := net.DialTimeout("tcp", addr, timeout)
+	if err != nil {
+		return nil, err
+	}
+	_ = conn.SetWriteDeadline(time.Now().Add(timeout))
+	if _, err := conn.Write(append([]byte{callPreamble, byte(len(name))}, name...)); err != nil {
+		conn.Close()
+		return nil, err
+	}
+	return conn, conn.SetWriteDeadline(time.Time{})
+}
+
+// addressedConn is an accepted connection. Its first read verifies that the peer dialled this
+// server. A connection without a preamble is from a program of before names were sent.
+type addressedConn struct {
+	net.Conn
+	name         string
+	preambleRead bool
+	unread       []byte // the first byte, if it was no preamble
+}
+
+// Read implements net.Conn. It returns errWrongServer, and closes the connection, if the peer
+// wants to reach another server.
+func (c *addressedConn) Read(p []byte) (int, error) {
+	if !c.preambleRead {
+		c.preambleRead = true
+		if err := c.readPreamble(); err != nil {
+			return 0, err
+		}
+	}
+	if len(c.unread) > 0 {
+		n := copy(p, c.unread)
+		c.unread = c.unread[n:]
+		return n, nil
+	}
+	return c.Conn.Read(p)
+}
+
+// readPreamble reads the name that the peer sent, if it sent one, and compares it with this
+// server's.
+func (c *addressedConn) readPreamble() error {
+	var head [2]byte
+	if _, err := io.ReadFull(c.Conn, head[:1]); err != nil {
+		return err
+	}
+	if head[0] != callPreamble {
+		c.unread = append(c.unread, head[0])
+		return nil
+	}
+	if _, err := io.ReadFull(c.Conn, head[1:]); err != nil {
+		return err
+	}
+	name := make([]byte, head[1])
+	if _, err := io.ReadFull(c.Conn, name); err != nil {
+		return err
+	}
+	if string(name) != c.name {
+		c.Conn.Close()
+		return fmt.Errorf("%w: %q, this is %q", errWrongServer, name, c.name)
+	}
+	return nil
+}
+
+// serverName is a net.Addr that is the name of a control-plane server.
+type serverName string
+
+// Network implements net.Addr.
+func (n serverName) Network() string { return "steward" }
+
+// String implements net.Addr.
+func (n serverName) String() string { return string(n) }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -21,77 +21,85 @@
 )
 
 const (
-	applyTimeout = 3 * time.Second // timeout for a command to be committed
-	peerTimeout  = time.Second     // timeout for a request to another steward
+	applyTimeout = 3 * time.Second // for a command to be committed
+	peerTimeout  = time.Second     // for a request to a peer
 
 	readHeaderTimeout = 2 * time.Second
 	idleTimeout       = time.Minute
 	maxHeaderBytes    = 16 << 10
-	maxIdlePeerConns  = 8 // kept per steward
+	maxIdlePeerConns  = 8 // kept per peer
 	idlePeerTimeout   = 30 * time.Second
+
+	repeatedLogsPerSecond = 1
+	repeatedLogsBurst     = 5
 )
 
-// Server is one steward: a raft replica of the catalog with its HTTP API, watches, gossip
-// membership and leased tasks. Create it with Start and release it with Close.
+// Server is one control-plane server: a raft replica of the catalog with its HTTP API, watches,
+// gossip membership and leased tasks. Create it with Start and release it with Close.
 type Server struct {
-	config      *Config
-	log         *slog.Logger
-	fsm         *fsm
-	broadcaster *watchBroadcaster
-	store       *store
-	raftNode    atomic.Pointer[raft.Raft] // nil until raft has started
-	transport   *raft.NetworkTransport
-	peerTable   atomic.Pointer[map[string]Peer] // replaced by Reload
-	httpServer  *http.Server
-	admission   *admission
-	peerClient  *http.Client // for requests to other stewards
-	metrics     *metrics
-	startedAt   time.Time
-	goroutines  sync.WaitGroup // started by own
+	config    *Config
+	log       *slog.Logger
+	startedAt time.Time
+	dataID    string                          // identity of the data folder
+	bootID    string                          // identity of this start of the process
+	peerTable atomic.Pointer[map[string]Peer] // replaced by Reload
+	metrics   *metrics
+	// logLimiter limits log messages that one fault can repeat.
+	logLimiter *rate.Limiter
+
+	goroutines  sync.WaitGroup // started by startGoroutine
 	ctx         context.Context
 	cancel      context.CancelFunc
-	fatalErrors chan error
+	fatalErrors chan error // has the first error that ends the process
+
+	httpServer  *http.Server
+	admission   *admission
+	broadcaster *watchBroadcaster
+	peerClient  *http.Client // for requests to peers
+	probeClient *http.Client // for health checks of registered servers
+
+	fsm          *fsm
+	store        *store
+	raftNode     atomic.Pointer[raft.Raft] // nil until raft has started
+	transport    *raft.NetworkTransport
+	readBarriers barriers
+	leaderChecks barriers
 
 	leaderMu           sync.Mutex                  // guards the fields of this group
-	registrationLeases *catalog.RegistrationLeases // nil unless this steward leads and has applied all earlier entries
-	taskLeases         *catalog.TaskLeases         // nil when leases is
-	clockAtElection    time.Duration               // state clock when leadership began
+	registrationLeases *catalog.RegistrationLeases // nil unless this server leads and has applied all earlier entries
+	taskLeases         *catalog.TaskLeases         // nil when registrationLeases is
+	clockAtElection    time.Duration               // the state's clock at electedAt
 	electedAt          time.Time
 
-	dataID         string // identity of the data folder
-	bootID         string // identity of this start of the process
-	gossip         *gossip.Node
+	gossip         *gossip.Node // nil if gossip is not configured
 	observations   failureObservations
-	evidenceCalls  atomic.Int64  // evidence requests in flight
-	probeClient    *http.Client  // for health requests to servers
-	logLimiter     *rate.Limiter // limits log lines that one fault can repeat
+	evidenceCalls  atomic.Int64 // evidence requests in flight
 	memberFailures memberFailures
 
-	readBarriers     barriers
-	leaderChecks     barriers
 	taskRunner       *leaderelection.Runner
 	cancelTaskRunner context.CancelFunc
 	taskRunnerDone   chan struct{}
-	openPolls        atomic.Int64 // sessions that wait for a change of their tasks
-	statusCache      statusCache
-	replicationLag   atomic.Int64 // nanoseconds by which the applied state lags behind the leader's commit index
-	draining         atomic.Bool
+	openPolls        atomic.Int64 // requests that wait for a change of assignments
+
+	statusCache    statusCache
+	replicationLag atomic.Int64 // nanoseconds by which the applied state lags behind the leader's commit index
+	draining       atomic.Bool
 }
 
-// Start opens the data folder, starts raft and serves the API. It returns once raft runs,
-// which on an empty data folder may take until the other stewards answer; the context bounds
-// that wait. On an error everything that was started has been stopped.
+// Start opens the data folder, starts raft and serves the API. It returns once raft runs, which
+// on an empty data folder may take until the peers answer; the context bounds that wait. On an
+// error everything that was started has been stopped.
 func Start(ctx context.Context, c *Config, log *slog.Logger) (*Server, error) {
-	n := newServer(c, log)
-	if err := n.start(ctx); err != nil {
-		n.close()
+	s := newServer(c, log)
+	if err := s.start(ctx); err != nil {
+		s.close()
 		return nil, err
 	}
 	log.Info("started", "listen", c.Listen, "raft", c.Raft, "data", c.Data)
-	return n, nil
+	return s, nil
 }
 
-// newServer returns a Node that has opened nothing yet.
+// newServer returns a Server that has opened nothing yet.
 func newServer(c *Config, log *slog.Logger) *Server {
 	s := &Server{
 		config:      c,
@@ -100,7 +108,7 @@
 		fatalErrors: make(chan error, 1),
 		bootID:      rand.Text(),
 		probeClient: &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
-		logLimiter:  rate.NewLimiter(1, 5),
+		logLimiter:  rate.NewLimiter(repeatedLogsPerSecond, repeatedLogsBurst),
 		peerClient: &http.Client{
 			Timeout:   peerTimeout,
 			Transport: &http.Transport{MaxIdleConnsPerHost: maxIdlePeerConns, IdleConnTimeout: idlePeerTimeout},
@@ -116,14 +124,8 @@
 	return s
 }
 
-// logAcceptError is told of a connection that could not be accepted.
-func (s *Server) logAcceptError(err error, _ time.Time) {
-	if s.logLimiter.Allow() {
-		s.log.Warn("accept failed", "err", err)
-	}
-}
-
-// start listens before raft runs: another steward's first start asks this one for its status.
+// start starts everything. It listens before raft runs, as the first start of a peer asks this
+// server for its status.
 func (s *Server) start(ctx context.Context) error {
 	ln, err := net.Listen("tcp", s.config.Listen)
 	if err != nil {
@@ -153,15 +155,16 @@
 	return nil
 }
 
-// startGoroutine runs f in a goroutine that close waits for.
-func (s *Server) startGoroutine(f func()) {
-	s.goroutines.Add(1)
-	go func() {
-		defer s.goroutines.Done()
-		f()
-	}()
+// logAcceptError logs that a connection could not be accepted, which will be retried.
+func (s *Server) logAcceptError(err error, _ time.Time) {
+	if s.logLimiter.Allow() {
+		s.log.Warn("accept failed", "err", err)
+	}
 }
 
+// startGoroutine runs f in a goroutine that close waits for.
+func (s *Server) startGoroutine(f func()) { s.goroutines.Go(f) }
+
 // raft returns the raft instance, or nil while it has not been started.
 func (s *Server) raft() *raft.Raft { return s.raftNode.Load() }
 
@@ -173,16 +176,15 @@
 	}
 }
 
-// Reload applies the part of a new configuration that can change at run time: the table of
-// peers.
+// Reload applies the part of a new configuration that can change at run time: the peer table.
 func (s *Server) Reload(c *Config) {
 	table := c.Peers
 	s.peerTable.Store(&table)
-	s.log.Info("the table of peers was read again", "peers", len(table))
+	s.log.Info("peer table reloaded", "peers", len(table))
 }
 
-// Wait blocks until the context ends, and then returns nil, or until the steward meets an
-// error that it can't recover from, and then returns that.
+// Wait blocks until the context ends, and then returns nil, or until the server meets an error
+// that it can't recover from, and then returns that.
 func (s *Server) Wait(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -192,15 +194,15 @@
 	}
 }
 
-// Close stops the steward in order: it hands over its leased tasks, then leadership, moves
-// its watches to other stewards, and announces its leave to the gossip members.
+// Close shuts the server down gracefully: it releases its leased tasks, transfers leadership,
+// migrates its watches to peers, and announces to the gossip members that it leaves.
 func (s *Server) Close() {
 	s.stopTaskRunner()
 	s.transferLeadership()
 	if s.raft() != nil {
 		s.drain()
 	}
-	// Until here this steward gossips for the sessions that have now moved.
+	// Not earlier, as until here this server gossips for the agents whose watches have migrated.
 	if s.gossip != nil {
 		s.gossip.Leave()
 	}
@@ -208,7 +210,7 @@
 	s.log.Info("ended")
 }
 
-// close releases everything that was started, in any state of the start.
+// close releases everything that was started, whichever part of start has run.
 func (s *Server) close() {
 	s.cancel()
 	if s.httpServer != nil {
@@ -216,7 +218,7 @@
 	}
 	if s.raft() != nil {
 		if err := s.raft().Shutdown().Error(); err != nil {
-			s.log.Warn("raft did not end in order", "err", err)
+			s.log.Warn("raft shutdown failed", "err", err)
 		}
 	}
 	if s.transport != nil {
@@ -228,7 +230,7 @@
 	}
 	if s.store != nil {
 		if err := s.store.Close(); err != nil {
-			s.log.Warn("the log was not closed in order", "err", err)
+			s.log.Warn("closing the log store failed", "err", err)
 		}
 	}
 	s.peerClient.CloseIdleConnections()
