--- a/cmd/controlplane/members_test.go
+++ b/cmd/controlplane/members_test.go
@@ -486,7 +486,7 @@
 		if strings.Contains(string(log), `"peer removed from the raft configuration"`) {
 			t.Errorf("%s: the first was taken off the voters for the second", n)
 		}
-		told = told || strings.Contains(string(log), "second process came with the name") || strings.Contains(string(log), "two processes have one name")
+		told = told || strings.Contains(string(log), "request of a second process with the name") || strings.Contains(string(log), "two processes use one name")
 	}
 	if st, err := f.status("st-3"); err != nil || !told || !slices.Contains(st.Voters, "st-3") {
 		t.Errorf("the first was told: %v; %+v, %v", told, st, err)
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -13,22 +13,26 @@
 	"knotrouter/internal/leaderelection"
 )
 
-// Client speaks to stewards: to the first of its addresses that answers. One that did not
-// is asked last from then on.
+// Client calls the HTTP API of the control plane. It tries one address after the other until a
+// server answers; one that doesn't answer is tried last from then on. A Client may be used by
+// several goroutines.
+//
+// Each method returns an *HTTPError if a server rejected the request, and any other error if no
+// server answered. A write whose answer was lost is not retried, as it may have had an effect.
 type Client struct {
 	Addrs         []string
-	AddressSource func() []string // the addresses as they are now, in place of those; nil: those
+	AddressSource func() []string // if not nil, returns the present addresses, which replace Addrs
 	HTTP          *http.Client
-	preferred     atomic.Int64
+	preferred     atomic.Int64 // the index of the address that is tried first, modulo their number
 }
 
-// NewClient makes a client whose calls may take as long as given.
-func NewClient(addrs []string, within time.Duration) *Client {
-	return &Client{Addrs: addrs, HTTP: &http.Client{Timeout: within}}
+// NewClient returns a Client whose requests time out after the given time.
+func NewClient(addrs []string, timeout time.Duration) *Client {
+	return &Client{Addrs: addrs, HTTP: &http.Client{Timeout: timeout}}
 }
 
-// do asks one address after the other. After an answer, even a refusal, the next is asked
-// only where the call surely had no effect.
+// do sends a request to one address after the other. After an answer, even a rejection, it tries
+// the next only if the request certainly had no effect.
 func (c *Client) do(ctx context.Context, method, path string, body, into any) error {
 	err := errors.New("no address of a steward")
 	first := c.preferred.Load()
@@ -39,47 +43,50 @@
 	for i := range addrs {
 		addr := addrs[(int(first)+i)%len(addrs)]
 		err = call(ctx, c.HTTP, method, "http://"+addr+path, body, into)
-		var refused *HTTPError
-		if err != nil && !errors.As(err, &refused) {
+		var rejected *HTTPError
+		if err != nil && !errors.As(err, &rejected) {
 			c.preferred.CompareAndSwap(first+int64(i), first+int64(i)+1)
 		}
 		switch {
 		case err == nil:
 			return nil
-		case errors.As(err, &refused) && !refused.NotApplied:
+		case errors.As(err, &rejected) && !rejected.NotApplied:
 			return err
-		case !errors.As(err, &refused) && method != http.MethodGet && !neverSent(err):
+		case !errors.As(err, &rejected) && method != http.MethodGet && !neverSent(err):
 			return fmt.Errorf("%s: %w", addr, err)
 		}
 	}
 	return err
 }
 
-// Register puts an entry into the list.
-func (c *Client) Register(ctx context.Context, h endpoints.Endpoint) (r catalog.Result, err error) {
-	return r, c.do(ctx, http.MethodPut, "/v1/servers/"+h.Name, h, &r)
+// Register registers a server, whose lease begins.
+func (c *Client) Register(ctx context.Context, e endpoints.Endpoint) (r catalog.Result, err error) {
+	return r, c.do(ctx, http.MethodPut, "/v1/servers/"+e.Name, e, &r)
 }
 
-// Renew says that the processes are there.
+// Renew renews the leases of servers. The result has a code for each, in the order of refs.
 func (c *Client) Renew(ctx context.Context, refs []catalog.InstanceRef) (r RenewalBatch, err error) {
 	return r, c.do(ctx, http.MethodPost, "/v1/renewals", RenewalBatch{Refs: refs}, &r)
 }
 
-// SetOverride gives an operator's word for a server.
-func (c *Client) SetOverride(ctx context.Context, name string, w ServerOverride) (r catalog.Result, err error) {
-	return r, c.do(ctx, http.MethodPatch, "/v1/servers/"+name, w, &r)
+// SetOverride sets an operator's override of a server's weight and health.
+func (c *Client) SetOverride(ctx context.Context, name string, override ServerOverride) (r catalog.Result, err error) {
+	return r, c.do(ctx, http.MethodPatch, "/v1/servers/"+name, override, &r)
 }
 
-// Server reads an entry; consistent is as of now, by way of the leader.
+// Server returns the entry of a server. If consistent is true, the leader answers, with all that
+// was acknowledged before the call.
 func (c *Client) Server(ctx context.Context, name string, consistent bool) (e catalog.Entry, err error) {
 	return e, c.do(ctx, http.MethodGet, "/v1/servers/"+name+query(consistent), nil, &e)
 }
 
-// Servers reads all entries, those that ended of late included.
+// Servers returns all entries, including those that were removed recently. For consistent, see
+// Server.
 func (c *Client) Servers(ctx context.Context, consistent bool) (all []catalog.Entry, err error) {
 	return all, c.do(ctx, http.MethodGet, "/v1/servers"+query(consistent), nil, &all)
 }
 
+// query returns the query of a read.
 func query(consistent bool) string {
 	if consistent {
 		return "?consistent=1"
@@ -87,33 +94,34 @@
 	return ""
 }
 
-// List reads the whole list.
+// List returns the full endpoint list.
 func (c *Client) List(ctx context.Context) (l endpoints.List, err error) {
 	return l, c.do(ctx, http.MethodGet, endpoints.Path, nil, &l)
 }
 
-// Status tells how the steward stands that answers first.
+// Status returns the status of the first server that answers.
 func (c *Client) Status(ctx context.Context) (st Status, err error) {
 	return st, c.do(ctx, http.MethodGet, "/v1/status", nil, &st)
 }
 
-// Snapshot reads the state as of now.
+// Snapshot returns the encoded state of the leader.
 func (c *Client) Snapshot(ctx context.Context) (text []byte, err error) {
 	return text, c.do(ctx, http.MethodGet, "/v1/snapshot?consistent=1", nil, &text)
 }
 
-// Restore puts a snapshot in place of the state.
+// Restore replaces the replicated state by a snapshot, and returns the status of the leader.
 func (c *Client) Restore(ctx context.Context, text []byte) (st Status, err error) {
 	return st, c.do(ctx, http.MethodPut, "/v1/snapshot", rawJSON(text), &st)
 }
 
-// rawJSON is a body that is JSON already.
+// rawJSON is a request body that is already encoded.
 type rawJSON []byte
 
-// MarshalJSON returns the text as it is.
+// MarshalJSON implements json.Marshaler.
 func (r rawJSON) MarshalJSON() ([]byte, error) { return r, nil }
 
-// ChangePeer takes a steward in, or off the voters.
+// ChangePeer adds a control-plane server to the voters, or removes it from them, and returns the
+// status of the leader.
 func (c *Client) ChangePeer(ctx context.Context, name string, add bool) (st Status, err error) {
 	method := http.MethodDelete
 	if add {
@@ -122,94 +130,99 @@
 	return st, c.do(ctx, method, "/v1/peers/"+name, nil, &st)
 }
 
-// ConfirmRemovals says that the servers that are held are gone.
+// ConfirmRemovals removes the servers that the mass-failure guard has quarantined.
 func (c *Client) ConfirmRemovals(ctx context.Context) error {
 	return c.do(ctx, http.MethodPost, "/v1/guard/confirm", nil, nil)
 }
 
-// OpenSession takes the process in among those that can hold duties.
+// OpenSession opens the session of a process, which lets it hold leased tasks. It returns an error
+// that wraps leaderelection.ErrNameTaken if another process has the name.
 func (c *Client) OpenSession(ctx context.Context, s catalog.Session) error {
 	return sessionError(c.do(ctx, http.MethodPut, "/v1/sessions/"+s.Process, s, nil))
 }
 
-// RenewSession says that the process is there.
-func (c *Client) RenewSession(ctx context.Context, process, id string, rev int64) (t leaderelection.AssignmentUpdate, err error) {
-	return t, sessionError(c.do(ctx, http.MethodPost, "/v1/sessions/"+process+"/renewal", renewalBody{id, rev}, &t))
+// RenewSession renews a session, and returns its assignments if their revision is later than rev.
+// It returns an error that wraps leaderelection.ErrSessionExpired if there is no such session.
+func (c *Client) RenewSession(ctx context.Context, process, id string, rev int64) (u leaderelection.AssignmentUpdate, err error) {
+	return u, sessionError(c.do(ctx, http.MethodPost, "/v1/sessions/"+process+"/renewal", renewalBody{id, rev}, &u))
 }
 
-// WatchSession waits a while for a later revision.
-func (c *Client) WatchSession(ctx context.Context, process, id string, rev int64) (t leaderelection.AssignmentUpdate, err error) {
-	return t, sessionError(c.do(ctx, http.MethodGet, fmt.Sprintf("/v1/sessions/%s/tasks?id=%s&rev=%d", process, id, rev), nil, &t))
+// WatchSession waits until the assignments of a session have a later revision than rev, or until
+// the server answers without any. Errors are as for RenewSession.
+func (c *Client) WatchSession(ctx context.Context, process, id string, rev int64) (u leaderelection.AssignmentUpdate, err error) {
+	return u, sessionError(c.do(ctx, http.MethodGet, fmt.Sprintf("/v1/sessions/%s/tasks?id=%s&rev=%d", process, id, rev), nil, &u))
 }
 
-// EndSession closes the session, or has it rest: its duties go to others.
-func (c *Client) EndSession(ctx context.Context, process, id string, rest bool) error {
+// EndSession closes a session, or if drain is true has it drain: its tasks go to other processes.
+func (c *Client) EndSession(ctx context.Context, process, id string, drain bool) error {
 	query := ""
-	if rest {
+	if drain {
 		query = "&rest=1"
 	}
 	return sessionError(c.do(ctx, http.MethodDelete, "/v1/sessions/"+process+"?id="+id+query, nil, nil))
 }
 
-// ReportTerms tells what became of terms. A term that is over by now is no error.
-func (c *Client) ReportTerms(ctx context.Context, kind catalog.Kind, ties []catalog.TermRef, why string) error {
-	err := c.do(ctx, http.MethodPost, "/v1/terms", termsBody{kind, ties, why}, nil)
-	var refused *HTTPError
-	if errors.As(err, &refused) && refused.Status/100 == 4 {
+// ReportTerms reports that terms were released or their transfer accepted, by kind. It returns no
+// error for a term that has ended already.
+func (c *Client) ReportTerms(ctx context.Context, kind catalog.Kind, terms []catalog.TermRef, reason string) error {
+	err := c.do(ctx, http.MethodPost, "/v1/terms", termsBody{kind, terms, reason}, nil)
+	var rejected *HTTPError
+	if errors.As(err, &rejected) && rejected.Status/100 == 4 {
 		return nil
 	}
 	return err
 }
 
-// sessionError gives refusals the meaning that a holder knows.
+// sessionError translates a rejection to the errors of package leaderelection.
 func sessionError(err error) error {
-	var refused *HTTPError
-	if !errors.As(err, &refused) {
+	var rejected *HTTPError
+	if !errors.As(err, &rejected) {
 		return err
 	}
 	switch {
-	case refused.Status == http.StatusNotFound:
+	case rejected.Status == http.StatusNotFound:
 		return fmt.Errorf("%w: %v", leaderelection.ErrSessionExpired, err)
-	case refused.Status == http.StatusConflict:
+	case rejected.Status == http.StatusConflict:
 		return fmt.Errorf("%w: %v", leaderelection.ErrNameTaken, err)
 	}
 	return err
 }
 
-// Tasks reads all duties.
+// Tasks returns all leased tasks.
 func (c *Client) Tasks(ctx context.Context) (all []catalog.LeasedTask, err error) {
 	return all, c.do(ctx, http.MethodGet, "/v1/duties?consistent=1", nil, &all)
 }
 
-// Task reads one.
+// Task returns one leased task.
 func (c *Client) Task(ctx context.Context, name string) (d catalog.LeasedTask, err error) {
 	return d, c.do(ctx, http.MethodGet, "/v1/duties/"+name+"?consistent=1", nil, &d)
 }
 
-// Sessions reads the processes that can hold duties.
+// Sessions returns all sessions.
 func (c *Client) Sessions(ctx context.Context) (all []catalog.Session, err error) {
 	return all, c.do(ctx, http.MethodGet, "/v1/sessions?consistent=1", nil, &all)
 }
 
-// DefineTask makes a duty, or changes whom it prefers.
+// DefineTask defines a leased task, or changes the definition of one.
 func (c *Client) DefineTask(ctx context.Context, name string, b TaskDefinition) error {
 	return c.do(ctx, http.MethodPut, "/v1/duties/"+name, b, nil)
 }
 
-// ClaimTask asks for a duty that nobody holds, for a session.
+// ClaimTask asks for a task that has no holder, for a session. It is idempotent.
 func (c *Client) ClaimTask(ctx context.Context, name, process, id string) (r catalog.Result, err error) {
 	return r, c.do(ctx, http.MethodPost, "/v1/duties/"+name+"/claim", claimBody{process, id}, &r)
 }
 
-// ReleaseTerm ends a term.
+// ReleaseTerm ends a term whose work is completed.
 func (c *Client) ReleaseTerm(ctx context.Context, t catalog.TermRef) error {
 	return c.do(ctx, http.MethodPost, "/v1/terms", termsBody{catalog.ReleaseTerm, []catalog.TermRef{t}, catalog.ReasonCompleted}, nil)
 }
 
-// CommandTask gives an operator's word on a duty: move, revoke, park, unpark, or drop.
-func (c *Client) CommandTask(ctx context.Context, name, word, to, why string) error {
-	if word == "drop" {
+// CommandTask carries out an operator's command on a task: move, revoke, park, unpark or drop. The
+// process to is that of a move, or "" for the best one.
+func (c *Client) CommandTask(ctx context.Context, name, command, to, reason string) error {
+	if command == "drop" {
 		return c.do(ctx, http.MethodDelete, "/v1/duties/"+name, nil, nil)
 	}
-	return c.do(ctx, http.MethodPost, "/v1/duties/"+name+"/"+word, taskCommandBody{to, why}, nil)
+	return c.do(ctx, http.MethodPost, "/v1/duties/"+name+"/"+command, taskCommandBody{to, reason}, nil)
 }
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -19,67 +19,124 @@
 	"knotrouter/internal/endpoints"
 )
 
-// Peer is how a steward reaches one, by a table of its own.
+// maxWatchesSetting bounds max_watches: no machine has file descriptors for more.
+const maxWatchesSetting = 1_000_000
+
+// Peer is the addresses of a control-plane server in the peer table. Each server has a table of
+// its own.
 type Peer struct {
 	HTTP     string `koanf:"http"`
 	Raft     string `koanf:"raft"`
 	Gossip   string `koanf:"gossip"` // "": it doesn't gossip
-	NonVoter bool   `koanf:"spare"`  // in a fleet that begins, it hears all and doesn't vote
+	NonVoter bool   `koanf:"spare"`  // in the first configuration of a new cluster
 }
 
-// Config is a steward's configuration: file, then environment, then flags.
+// Config is the configuration of a control-plane server. See Defaults for the values of settings
+// that aren't given.
 type Config struct {
-	Name   string          `koanf:"name"`
-	Data   string          `koanf:"data"`
-	Listen string          `koanf:"listen"` // HTTP
-	Raft   string          `koanf:"raft"`   // where the other stewards replicate to
-	Gossip string          `koanf:"gossip"` // UDP and TCP, where members tell each other who is there; "": nowhere
+	Name   string          `koanf:"name"`   // unique among the peers
+	Data   string          `koanf:"data"`   // the data folder
+	Listen string          `koanf:"listen"` // address of HTTP
+	Raft   string          `koanf:"raft"`   // address of raft's transport
+	Gossip string          `koanf:"gossip"` // address of gossip, UDP and TCP; "": no gossip
 	Zone   string          `koanf:"zone"`
-	Peers  map[string]Peer `koanf:"peers"` // by name; this one may stand among them
+	Peers  map[string]Peer `koanf:"peers"` // the peer table, by name; this server may be in it
 
-	Evidence     bool          `koanf:"evidence"`      // the other stewards are asked before a server is taken off the list
-	Voters       int           `koanf:"voters"`        // how many are to vote: one that fails is replaced by a spare; 0: none is
-	ReplaceAfter time.Duration `koanf:"replace_after"` // of failure
+	Evidence     bool          `koanf:"evidence"`      // voters are asked before a server with an expired lease is taken off the list
+	Voters       int           `koanf:"voters"`        // desired number: a voter that failed is replaced by a non-voter; 0: none is
+	ReplaceAfter time.Duration `koanf:"replace_after"` // the time from a voter's failure to its replacement
 
 	LeaseTTL    time.Duration `koanf:"lease_ttl"`
-	GuardShare  float64       `koanf:"guard_share"` // of the listed servers that may lapse within the window
+	GuardShare  float64       `koanf:"guard_share"` // the part of the listed servers that may expire within the window
 	GuardWindow time.Duration `koanf:"guard_window"`
 
-	Heartbeat  time.Duration `koanf:"heartbeat"`   // a leader that is silent for longer is replaced
-	StaleAfter time.Duration `koanf:"stale_after"` // without the quorum, watches are sent elsewhere
-	Coalesce   time.Duration `koanf:"coalesce"`    // changes within it are one line of a watch
-	Drain      time.Duration `koanf:"drain"`       // before it ends, its watches are sent elsewhere within it
-	MaxWatches int           `koanf:"max_watches"` // fewer where the process may not open as many descriptors
-	CallRate   float64       `koanf:"call_rate"`   // whole lists and new watches a second; a whole list counts as one for each 24,000 bytes
-	MaxWrites  int           `koanf:"max_writes"`
+	Heartbeat  time.Duration `koanf:"heartbeat"`   // a leader that is not heard for longer is replaced
+	StaleAfter time.Duration `koanf:"stale_after"` // after this time without the quorum, watches are sent to peers
+	Coalesce   time.Duration `koanf:"coalesce"`    // changes within it are one event of a watch
+	Drain      time.Duration `koanf:"drain"`       // the time over which Close migrates the watches
+	MaxWatches int           `koanf:"max_watches"` // fewer if there are not enough file descriptors
+	CallRate   float64       `koanf:"call_rate"`   // full lists and new watches a second; a full list counts as one for each 24,000 bytes
+	MaxWrites  int           `koanf:"max_writes"`  // at a time
 
 	SnapshotEvery uint64        `koanf:"snapshot_every"` // log entries
-	SnapshotCheck time.Duration `koanf:"snapshot_check"`
-	SaveEvery     time.Duration `koanf:"save_every"`  // a copy of the state by whoever has that duty; 0: none
-	AuditEvery    time.Duration `koanf:"audit_every"` // the list against what servers say; 0: never
+	SnapshotCheck time.Duration `koanf:"snapshot_check"` // the time between checks whether a snapshot is due
+	SaveEvery     time.Duration `koanf:"save_every"`     // the time between copies of the state by the state-copy task; 0: none
+	AuditEvery    time.Duration `koanf:"audit_every"`    // the time between audits by the audit task; 0: none
 	LogLevel      string        `koanf:"log_level"`
 
-	Now          func() time.Time                  `koanf:"-"` // the machine's clock, of which no more is asked than a hint
-	WrapLogStore func(raft.LogStore) raft.LogStore `koanf:"-"` // stands before the log on the disk
+	Now          func() time.Time                  `koanf:"-"` // the wall clock, which is only used as a hint
+	WrapLogStore func(raft.LogStore) raft.LogStore `koanf:"-"` // for tests: wraps the log on the disk
 }
 
-// Defaults are those of a steward that stands alone on this machine.
+// Defaults returns the configuration of a server without peers on this machine. Data must still
+// be set.
 func Defaults() Config {
-	return Config{Name: "steward", Listen: "127.0.0.1:8500", Raft: "127.0.0.1:8501",
-		LeaseTTL: 6 * time.Second, GuardShare: 0.4, GuardWindow: 10 * time.Second,
-		Heartbeat: 500 * time.Millisecond, StaleAfter: 5 * time.Second, Coalesce: 5 * time.Millisecond, Drain: 2 * time.Second, Evidence: true, ReplaceAfter: 30 * time.Second, Now: time.Now, WrapLogStore: func(s raft.LogStore) raft.LogStore { return s },
-		MaxWatches: 20_000, CallRate: 2000, MaxWrites: 1024, SnapshotEvery: 8192, SnapshotCheck: 20 * time.Second, LogLevel: "info"}
+	return Config{
+		Name:          "steward",
+		Listen:        "127.0.0.1:8500",
+		Raft:          "127.0.0.1:8501",
+		Evidence:      true,
+		ReplaceAfter:  30 * time.Second,
+		LeaseTTL:      6 * time.Second,
+		GuardShare:    0.4,
+		GuardWindow:   10 * time.Second,
+		Heartbeat:     500 * time.Millisecond,
+		StaleAfter:    5 * time.Second,
+		Coalesce:      5 * time.Millisecond,
+		Drain:         2 * time.Second,
+		MaxWatches:    20_000,
+		CallRate:      2000,
+		MaxWrites:     1024,
+		SnapshotEvery: 8192,
+		SnapshotCheck: 20 * time.Second,
+		LogLevel:      "info",
+		Now:           time.Now,
+		WrapLogStore:  func(s raft.LogStore) raft.LogStore { return s },
+	}
 }
 
-// maxWatchesSetting bounds what max_watches may be: beyond it there are no descriptors anywhere.
-const maxWatchesSetting = 1_000_000
-
-// EnvPrefix begins the names of the environment's variables: STEWARD_LEASE_TTL is lease_ttl.
+// EnvPrefix begins the names of the environment variables: STEWARD_LEASE_TTL is lease_ttl.
 const EnvPrefix = "STEWARD_"
 
-// LoadConfig reads a file, if one is named, then the environment, then what the flags set.
-// Its error names the key.
+// configError is a setting with an invalid value.
+type configError struct{ key, problem string }
+
+// Error names the key and says what is wrong.
+func (e *configError) Error() string { return "configuration: " + e.key + ": " + e.problem }
+
+// LoadConfig reads the configuration from the file at path, if path isn't empty, then from the
+// environment, then from the given flags; later ones override earlier ones. The text of an error
+// is one line that names the key.
 func LoadConfig(path string, flags map[string]any) (*Config, error) {
+	settings, err := loadSettings(path, flags)
+	if err != nil {
+		return nil, err
+	}
+	c := Defaults()
+	var meta mapstructure.Metadata
+	decoder, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{
+		Result:           &c,
+		TagName:          "koanf",
+		Metadata:         &meta,
+		WeaklyTypedInput: true,
+		DecodeHook:       mapstructure.StringToTimeDurationHookFunc(),
+	})
+	if err != nil {
+		return nil, err
+	}
+	if err := decoder.Decode(settings); err != nil {
+		text, _, _ := strings.Cut(strings.TrimPrefix(err.Error(), "decoding failed due to the following error(s):\n\n"), "\n")
+		return nil, errors.New("configuration: " + text)
+	}
+	if len(meta.Unused) > 0 {
+		slices.Sort(meta.Unused)
+		return nil, &configError{meta.Unused[0], "unknown key"}
+	}
+	return &c, c.validate()
+}
+
+// loadSettings merges the settings of the file, the environment and the flags.
+func loadSettings(path string, flags map[string]any) (map[string]any, error) {
 	k := koanf.New(".")
 	if path != "" {
 		if err := k.Load(file.Provider(path), toml.Parser()); err != nil {
@@ -98,35 +155,21 @@
 			return nil, fmt.Errorf("--%s: %w", key, err)
 		}
 	}
-	c := Defaults()
-	var meta mapstructure.Metadata
-	dec, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{Result: &c, TagName: "koanf", Metadata: &meta,
-		WeaklyTypedInput: true, DecodeHook: mapstructure.StringToTimeDurationHookFunc()})
-	if err != nil {
-		return nil, err
-	}
-	if err := dec.Decode(k.Raw()); err != nil {
-		text, _, _ := strings.Cut(strings.TrimPrefix(err.Error(), "decoding failed due to the following error(s):\n\n"), "\n")
-		return nil, errors.New("configuration: " + text)
-	}
-	if len(meta.Unused) > 0 {
-		slices.Sort(meta.Unused)
-		return nil, fmt.Errorf("configuration: %s: unknown key", meta.Unused[0])
-	}
-	return &c, c.validate()
+	return k.Raw(), nil
 }
 
+// validate returns a configError for the first invalid setting.
 func (c *Config) validate() error {
 	for _, check := range []struct {
-		key string
-		bad bool
-		say string
+		key     string
+		invalid bool
+		problem string
 	}{
 		{"name", !endpoints.IsToken(c.Name, 64), "must be a word"},
 		{"data", c.Data == "", "missing: the folder that holds the log and the snapshots"},
-		{"listen", !endpoints.IsAddress(c.Listen), fmt.Sprintf("no address with a port: %q", c.Listen)},
-		{"raft", !endpoints.IsAddress(c.Raft), fmt.Sprintf("no address with a port: %q", c.Raft)},
-		{"gossip", c.Gossip != "" && !endpoints.IsAddress(c.Gossip), fmt.Sprintf("no address with a port: %q", c.Gossip)},
+		{"listen", !endpoints.IsAddress(c.Listen), noAddress(c.Listen)},
+		{"raft", !endpoints.IsAddress(c.Raft), noAddress(c.Raft)},
+		{"gossip", c.Gossip != "" && !endpoints.IsAddress(c.Gossip), noAddress(c.Gossip)},
 		{"zone", c.Zone != "" && !endpoints.IsToken(c.Zone, endpoints.MaxLabel), "must be a word"},
 		{"voters", c.Voters < 0 || c.Voters > 9, fmt.Sprintf("must be 0 to 9, is %d", c.Voters)},
 		{"voters", c.Voters > 0 && c.Gossip == "", "needs gossip, which tells who has failed"},
@@ -147,30 +190,39 @@
 		{"audit_every", c.AuditEvery < 0 || c.AuditEvery > 0 && c.AuditEvery < 100*time.Millisecond, fmt.Sprintf("must be 0, or 100ms or above, is %v", c.AuditEvery)},
 		{"log_level", !slices.Contains([]string{"debug", "info", "warn", "error"}, c.LogLevel), fmt.Sprintf("must be debug, info, warn or error, is %q", c.LogLevel)},
 	} {
-		if check.bad {
-			return fmt.Errorf("configuration: %s: %s", check.key, check.say)
+		if check.invalid {
+			return &configError{check.key, check.problem}
 		}
 	}
+	return c.validatePeers()
+}
+
+// validatePeers returns a configError for the first invalid entry of the peer table.
+func (c *Config) validatePeers() error {
 	for name, peer := range c.Peers {
 		switch {
 		case !endpoints.IsToken(name, 64):
-			return fmt.Errorf("configuration: peers: %q is no name", name)
+			return &configError{"peers", fmt.Sprintf("%q is no name", name)}
 		case !endpoints.IsAddress(peer.HTTP):
-			return fmt.Errorf("configuration: peers.%s.http: no address with a port: %q", name, peer.HTTP)
+			return &configError{"peers." + name + ".http", noAddress(peer.HTTP)}
 		case !endpoints.IsAddress(peer.Raft):
-			return fmt.Errorf("configuration: peers.%s.raft: no address with a port: %q", name, peer.Raft)
+			return &configError{"peers." + name + ".raft", noAddress(peer.Raft)}
 		case peer.Gossip != "" && !endpoints.IsAddress(peer.Gossip):
-			return fmt.Errorf("configuration: peers.%s.gossip: no address with a port: %q", name, peer.Gossip)
+			return &configError{"peers." + name + ".gossip", noAddress(peer.Gossip)}
 		}
 	}
 	return nil
 }
 
+// noAddress describes a value that is not an address.
+func noAddress(value string) string { return fmt.Sprintf("no address with a port: %q", value) }
+
+// leaseConfig returns the settings of registration leases.
 func (c *Config) leaseConfig() catalog.LeaseConfig {
 	return catalog.LeaseConfig{TTL: c.LeaseTTL, MassFailureShare: c.GuardShare, MassFailureWindow: c.GuardWindow}
 }
 
-// otherServers names the peers but for this steward, in order.
+// otherServers returns the names of the peers, sorted.
 func (c *Config) otherServers() []string {
 	var names []string
 	for name := range c.Peers {
--- a/internal/control/gossip.go
+++ b/internal/control/gossip.go
@@ -10,13 +10,23 @@
 	"knotrouter/internal/member"
 )
 
+// maxBootIDBytes bounds the boot identity that is taken from an agent's request.
+const maxBootIDBytes = 64
+
 // startGossip joins the gossip protocol, if it is configured.
 func (s *Server) startGossip() error {
 	if s.config.Gossip == "" {
 		return nil
 	}
-	self := member.Info{ProtocolVersion: member.ProtocolVersion, Name: s.config.Name, Role: member.RoleControlPlane, Zone: s.config.Zone, Program: BuildRevision(),
-		Versions: member.ProtocolVersions{Gossip: member.ProtocolVersion, Catalog: catalog.FormatVersion}, ID: s.dataID}
+	self := member.Info{
+		ProtocolVersion: member.ProtocolVersion,
+		Name:            s.config.Name,
+		Role:            member.RoleControlPlane,
+		Zone:            s.config.Zone,
+		Program:         BuildRevision(),
+		Versions:        member.ProtocolVersions{Gossip: member.ProtocolVersion, Catalog: catalog.FormatVersion},
+		ID:              s.dataID,
+	}
 	g, err := gossip.Start(gossip.Config{
 		Self:       self,
 		Listen:     s.config.Gossip,
@@ -44,51 +54,54 @@
 	return addrs
 }
 
+// logMemberChanges counts and logs changes of members' states. Those of members that don't gossip,
+// agents and registered servers, are logged at the level of debugging only, as there are many.
 func (s *Server) logMemberChanges(changes []member.Change) {
 	for _, c := range changes {
 		s.metrics.memberChanges.WithLabelValues(string(c.Role), string(c.To)).Inc()
 		if c.Role.Gossips() {
-			s.log.Info("member", "name", c.Name, "role", c.Role, "from", c.From, "to", c.To)
+			s.log.Info("member state changed", "name", c.Name, "role", c.Role, "from", c.From, "to", c.To)
 		} else {
-			s.log.Debug("member", "name", c.Name, "role", c.Role, "from", c.From, "to", c.To)
+			s.log.Debug("member state changed", "name", c.Name, "role", c.Role, "from", c.From, "to", c.To)
 		}
 	}
 }
 
+// logNameConflict counts and logs that another process at an address uses a member's name.
 func (s *Server) logNameConflict(name, address string) {
 	if s.metrics.nameConflicts.Inc(); s.logLimiter.Allow() {
-		s.log.Error("two processes have one name: the one whose folder the catalog knows keeps it", "name", name, "other", address)
+		s.log.Error("two processes use one name: the one whose data folder the catalog has keeps it", "name", name, "address", address)
 	}
 }
 
-// openAgentSession opens a membership session for the agent that started a watch here, and
-// returns the function that closes it. Without gossip, or without a valid name in the request,
-// both do nothing.
+// openAgentSession records in the membership view that the agent that started a watch is present,
+// and returns a function that records that its watch has ended. Without gossip, or without a valid
+// name in the request, both do nothing.
 func (s *Server) openAgentSession(r *http.Request) func() {
 	name := r.Header.Get(endpoints.MemberHeader)
 	if s.gossip == nil || !endpoints.IsToken(name, endpoints.MaxName) {
 		return func() {}
 	}
 	bootID := r.Header.Get(endpoints.BootIDHeader)
-	i := member.Info{ProtocolVersion: member.ProtocolVersion, Name: name, Role: member.RoleAgent, ID: bootID[:min(len(bootID), 64)]}
-	s.gossip.WithTracker(func(now time.Duration, t *member.Tracker) { t.SessionOpened(now, i) })
+	info := member.Info{ProtocolVersion: member.ProtocolVersion, Name: name, Role: member.RoleAgent, ID: bootID[:min(len(bootID), maxBootIDBytes)]}
+	s.gossip.WithTracker(func(now time.Duration, t *member.Tracker) { t.SessionOpened(now, info) })
 	return func() {
 		s.gossip.WithTracker(func(now time.Duration, t *member.Tracker) { t.SessionClosed(now, name) })
 	}
 }
 
-// handleAgentLeave records that an agent has stopped in order.
+// handleAgentLeave records that an agent has shut down gracefully.
 func (s *Server) handleAgentLeave(w http.ResponseWriter, r *http.Request) {
 	if s.gossip == nil {
 		http.Error(w, "gossip: off at this steward", http.StatusNotFound)
 		return
 	}
-	i := member.Info{ProtocolVersion: member.ProtocolVersion, Name: r.PathValue("name"), Role: member.RoleAgent, ID: r.Header.Get(endpoints.BootIDHeader)}
-	if err := i.Validate(); err != nil {
+	info := member.Info{ProtocolVersion: member.ProtocolVersion, Name: r.PathValue("name"), Role: member.RoleAgent, ID: r.Header.Get(endpoints.BootIDHeader)}
+	if err := info.Validate(); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.gossip.WithTracker(func(now time.Duration, t *member.Tracker) { t.Leave(now, i) })
+	s.gossip.WithTracker(func(now time.Duration, t *member.Tracker) { t.Leave(now, info) })
 	writeJSON(w, struct{}{})
 }
 
@@ -118,7 +131,19 @@
 		return nil
 	}
 	c := s.gossip.Counts()
-	return map[string]float64{"old": float64(c.Stale), "held": float64(c.Deferred), "suspects": float64(c.Suspects), "wrongs": float64(c.FalsePositives),
-		"full": float64(c.Overflow), "strange": float64(c.UnknownSenders), "pauses": float64(c.Pauses), "rubbish": float64(c.Malformed),
-		"refused": float64(c.Refused), "conflicts": float64(c.Conflicts), "unknown": float64(c.Unknown), "dropped": float64(c.Dropped), "sent_bytes": float64(c.Sent)}
+	return map[string]float64{
+		"old":        float64(c.Stale),
+		"held":       float64(c.Deferred),
+		"suspects":   float64(c.Suspects),
+		"wrongs":     float64(c.FalsePositives),
+		"full":       float64(c.Overflow),
+		"strange":    float64(c.UnknownSenders),
+		"pauses":     float64(c.Pauses),
+		"rubbish":    float64(c.Malformed),
+		"refused":    float64(c.Refused),
+		"conflicts":  float64(c.Conflicts),
+		"unknown":    float64(c.Unknown),
+		"dropped":    float64(c.Dropped),
+		"sent_bytes": float64(c.Sent),
+	}
 }
--- a/internal/control/incarnation.go
+++ b/internal/control/incarnation.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	arrivalInterval = 500 * time.Millisecond // between checks of this process's incarnation
+	incarnationInterval = 500 * time.Millisecond // between checks of this process's incarnation
 	// nameConflictTimeout is for how long a name may seem to belong to another process before
 	// this one gives up: after a quick restart with an empty data folder, the others need some
 	// time to notice that the earlier process is gone.
 	nameConflictTimeout = 10 * time.Second
 )
 
-// arrivalBody asks for the incarnation number of a start of a process.
-type arrivalBody struct {
+// memberArrivalBody asks for the incarnation number of a start of a process: the identity of its data
+// folder, and that of the start.
+type memberArrivalBody struct {
 	ID     string `json:"id"`
 	BootID string `json:"life"`
 }
@@ -30,41 +31,13 @@
 func (s *Server) incarnationLoop() {
 	client := NewClient(nil, applyTimeout+peerTimeout)
 	client.AddressSource = s.serverAddresses
-	ticker := time.NewTicker(arrivalInterval)
+	ticker := time.NewTicker(incarnationInterval)
 	defer ticker.Stop()
-	var conflictSince time.Time // when the name began to seem another process's; zero if it doesn't
+	var conflictSince time.Time
 	for {
-		var registered catalog.Member
-		s.fsm.read(func(state *catalog.State) {
-			if m := state.Members[s.config.Name]; m != nil {
-				registered = *m
-			}
-		})
-		current := s.gossip.Self().Incarnation
-		switch {
-		case registered.ID == s.dataID && registered.BootID == s.bootID:
-			if current != registered.Incarnation {
-				s.gossip.UpdateSelf(func(i *member.Info) { i.Incarnation = registered.Incarnation })
-				s.log.Info("arrived", "incarnation", registered.Incarnation)
-			}
-		case current > 0 && registered.Incarnation > current && registered.ID == s.dataID:
-			s.fail(fmt.Errorf("name: a later process is called %s and has a copy of this folder: this one yields", s.config.Name))
+		if err := s.checkIncarnation(client, &conflictSince); err != nil {
+			s.fail(err)
 			return
-		case current > 0 && registered.Incarnation > current:
-			s.fail(fmt.Errorf("name: another process is called %s, and this one was thought to be gone: it yields", s.config.Name))
-			return
-		default:
-			var r catalog.Result
-			err := client.do(s.ctx, http.MethodPost, endpoints.MembersPath+"/"+s.config.Name+"/arrival", arrivalBody{s.dataID, s.bootID}, &r)
-			switch {
-			case !isConflict(err):
-				conflictSince = time.Time{}
-			case conflictSince.IsZero():
-				conflictSince = time.Now()
-			case time.Since(conflictSince) > nameConflictTimeout:
-				s.fail(fmt.Errorf("name: %w", err))
-				return
-			}
 		}
 		select {
 		case <-ticker.C:
@@ -74,6 +47,42 @@
 	}
 }
 
+// checkIncarnation takes over this process's incarnation number once the catalog has it, and
+// requests one until then. It returns an error if this server's name belongs to another process.
+// conflictSince is when the name began to seem another process's; zero if it doesn't.
+func (s *Server) checkIncarnation(client *Client, conflictSince *time.Time) error {
+	var registered catalog.Member
+	s.fsm.read(func(state *catalog.State) {
+		if m := state.Members[s.config.Name]; m != nil {
+			registered = *m
+		}
+	})
+	current := s.gossip.Self().Incarnation
+	switch {
+	case registered.ID == s.dataID && registered.BootID == s.bootID:
+		if current != registered.Incarnation {
+			s.gossip.UpdateSelf(func(i *member.Info) { i.Incarnation = registered.Incarnation })
+			s.log.Info("incarnation number obtained", "incarnation", registered.Incarnation)
+		}
+		return nil
+	case current > 0 && registered.Incarnation > current && registered.ID == s.dataID:
+		return fmt.Errorf("name: a later process is called %s and has a copy of this folder: this one yields", s.config.Name)
+	case current > 0 && registered.Incarnation > current:
+		return fmt.Errorf("name: another process is called %s, and this one was thought to be gone: it yields", s.config.Name)
+	}
+	var result catalog.Result
+	err := client.do(s.ctx, http.MethodPost, endpoints.MembersPath+"/"+s.config.Name+"/arrival", memberArrivalBody{s.dataID, s.bootID}, &result)
+	switch {
+	case !isConflict(err):
+		*conflictSince = time.Time{}
+	case conflictSince.IsZero():
+		*conflictSince = time.Now()
+	case time.Since(*conflictSince) > nameConflictTimeout:
+		return fmt.Errorf("name: %w", err)
+	}
+	return nil
+}
+
 // presentMember reports whether the membership view holds a process of this name to be presentMember, and
 // the identity of its data folder.
 func (s *Server) presentMember(name string) (id string, is bool) {
@@ -84,22 +93,23 @@
 	return id, is
 }
 
-// checkNameConflict returns a refusal if a process other than the one with this identity is present
+// checkNameConflict returns a rejectedError if a process other than the one with this identity is present
 // under the name.
 func (s *Server) checkNameConflict(name, id string) error {
 	if has, is := s.presentMember(name); is && id != "" && has != "" && has != id {
 		if s.logLimiter.Allow() {
-			s.log.Error("a second process came with the name of one that is there", "name", name)
+			s.log.Error("request of a second process with the name of a present one", "name", name)
 		}
-		return &rejectedError{catalog.Result{Code: catalog.Taken, Text: fmt.Sprintf("another process is called %s, and is there", name)}}
+		text := fmt.Sprintf("another process is called %s, and is there", name)
+		return &rejectedError{catalog.Result{Code: catalog.Taken, Text: text}}
 	}
 	return nil
 }
 
-// handleMemberArrival gives a process of the control plane its incarnation number. It refuses a name
+// handleMemberArrival gives a process of the control plane its incarnation number. It rejects a name
 // that isn't in the table of peers or that another present process has.
 func (s *Server) handleMemberArrival(w http.ResponseWriter, r *http.Request) error {
-	var b arrivalBody
+	var b memberArrivalBody
 	if err := decodeBody(w, r, &b); err != nil {
 		return err
 	}
@@ -111,5 +121,10 @@
 		return err
 	}
 	id, is := s.presentMember(name)
-	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.RegisterMember, Member: &catalog.Member{Name: name, ID: b.ID, BootID: b.BootID, PredecessorAbsent: !is || id == b.ID}})
+	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.RegisterMember, Member: &catalog.Member{
+		Name:              name,
+		ID:                b.ID,
+		BootID:            b.BootID,
+		PredecessorAbsent: !is || id == b.ID,
+	}})
 }
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -14,17 +14,17 @@
 // stateTable selects one table of the replicated state.
 type stateTable[T any] func(*catalog.State) map[string]*T
 
-func entryTable(state *catalog.State) map[string]*catalog.Entry { return state.Entries }
-func taskTable(s *catalog.State) map[string]*catalog.LeasedTask { return s.LeasedTasks }
-func sessionTable(s *catalog.State) map[string]*catalog.Session { return s.Sessions }
+func entryTable(state *catalog.State) map[string]*catalog.Entry     { return state.Entries }
+func taskTable(state *catalog.State) map[string]*catalog.LeasedTask { return state.LeasedTasks }
+func sessionTable(state *catalog.State) map[string]*catalog.Session { return state.Sessions }
 
 // shallowCopy copies a value whose slices the state never changes in place.
 func shallowCopy[T any](v *T) T { return *v }
 
-// copyTask copies a duty with its past terms, which the state shifts in place.
-func copyTask(d *catalog.LeasedTask) catalog.LeasedTask {
-	c := *d
-	c.History = slices.Clone(d.History)
+// copyTask copies a leased task with its history, which the state shifts in place.
+func copyTask(task *catalog.LeasedTask) catalog.LeasedTask {
+	c := *task
+	c.History = slices.Clone(task.History)
 	return c
 }
 
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -1,169 +1,250 @@
 package control
 
 import (
-	"knotrouter/internal/catalog"
-
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promauto"
+
+	"knotrouter/internal/catalog"
 )
 
-// metrics is what a steward counts.
+// metricPrefix begins the names of all metrics.
+const metricPrefix = "steward_"
+
+// commitBuckets are the upper bounds of the histogram of commit times, in seconds.
+var commitBuckets = prometheus.ExponentialBuckets(0.0005, 2, 14)
+
+// metrics holds the counters that the server's code increments. All other metrics are read from
+// the server when they are collected.
 type metrics struct {
 	registry        *prometheus.Registry
 	electionsWon    prometheus.Counter
 	commitSeconds   prometheus.Histogram
-	leaseDecisions  *prometheus.CounterVec
-	calls           *prometheus.CounterVec
+	leaseDecisions  *prometheus.CounterVec // by command
+	taskDecisions   *prometheus.CounterVec // by command
+	calls           *prometheus.CounterVec // by kind and outcome
 	watchesMigrated prometheus.Counter
-	taskDecisions   *prometheus.CounterVec
 	savedCopies     prometheus.Counter
 	audits          prometheus.Counter
 	auditMismatches prometheus.Gauge
-	memberChanges   *prometheus.CounterVec
+	memberChanges   *prometheus.CounterVec // by role and state
 	nameConflicts   prometheus.Counter
 	voterSteps      prometheus.Counter
 }
 
+// newMetrics returns the metrics of a server in a registry of their own.
 func newMetrics(s *Server) *metrics {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	f := promauto.With(r)
-	gauge := func(name, help string, of func(st *Status) float64) {
-		f.NewGaugeFunc(prometheus.GaugeOpts{Name: "steward_" + name, Help: help}, func() float64 {
+	addStatusMetrics(f, s)
+	addWatchMetrics(f, s)
+	addServiceWatchMetrics(f, s)
+	addTaskMetrics(f, s)
+	addGossipMetrics(f, s)
+	addLeaseMetrics(f, s)
+	r.MustRegister(newServiceCollector(s.broadcaster), newMemberCollector(s))
+	return &metrics{
+		registry:        r,
+		memberChanges:   newCounterVec(f, "member_changes_total", "Changes of members' states in the view.", "role", "state"),
+		nameConflicts:   newCounter(f, "name_conflicts_total", "Times that a second process of a name was heard."),
+		voterSteps:      newCounter(f, "voter_steps_total", "Steps by which voters were replaced."),
+		taskDecisions:   newCounterVec(f, "duties_decided_total", "What the leader decided on duties, by command.", "command"),
+		savedCopies:     newCounter(f, "copies_saved_total", "Copies of the state that were kept."),
+		audits:          newCounter(f, "audits_total", "Times that the list was compared with what servers say."),
+		auditMismatches: f.NewGauge(prometheus.GaugeOpts{Name: metricPrefix + "audit_unlike", Help: "Servers that are listed as ready and did not say so at the last audit."}),
+		electionsWon:    newCounter(f, "terms_led_total", "Times that this steward began to lead."),
+		watchesMigrated: newCounter(f, "watches_moved_total", "Watches that were sent to other stewards, a few at a time."),
+		commitSeconds:   f.NewHistogram(prometheus.HistogramOpts{Name: metricPrefix + "commit_seconds", Help: "From a proposal to its result.", Buckets: commitBuckets}),
+		leaseDecisions:  newCounterVec(f, "decided_total", "Servers that the leader decided on, by command.", "command"),
+		calls:           newCounterVec(f, "calls_total", "Calls by kind and status.", "kind", "status"),
+	}
+}
+
+func newCounter(f promauto.Factory, name, help string) prometheus.Counter {
+	return f.NewCounter(prometheus.CounterOpts{Name: metricPrefix + name, Help: help})
+}
+
+func newCounterVec(f promauto.Factory, name, help string, labels ...string) *prometheus.CounterVec {
+	return f.NewCounterVec(prometheus.CounterOpts{Name: metricPrefix + name, Help: help}, labels)
+}
+
+// addGauge adds a gauge that is read when it is collected.
+func addGauge(f promauto.Factory, name, help string, read func() float64) {
+	f.NewGaugeFunc(prometheus.GaugeOpts{Name: metricPrefix + name, Help: help}, read)
+}
+
+// addCounter adds a counter that is read when it is collected.
+func addCounter(f promauto.Factory, name, help string, read func() float64) {
+	f.NewCounterFunc(prometheus.CounterOpts{Name: metricPrefix + name, Help: help}, read)
+}
+
+// addStatusMetrics adds the gauges of the server's status.
+func addStatusMetrics(f promauto.Factory, s *Server) {
+	add := func(name, help string, read func(st *Status) float64) {
+		addGauge(f, name, help, func() float64 {
 			st := s.status()
-			return of(&st)
+			return read(&st)
 		})
 	}
-	gauge("version", "The version of the list that is served.", func(st *Status) float64 { return float64(st.Seq) })
-	gauge("listed", "Servers that are listed.", func(st *Status) float64 { return float64(st.Listed) })
-	gauge("held", "Servers that are listed though their leases ended: a mass failure that nobody has confirmed.", func(st *Status) float64 { return float64(st.Quarantined) })
-	gauge("damped", "Servers that are kept off the list for coming and going.", func(st *Status) float64 { return float64(st.Damped) })
-	gauge("watches", "Watches that are open.", func(st *Status) float64 { return float64(st.Watches) })
-	gauge("leads", "1 while this steward leads.", func(st *Status) float64 { return boolValue(st.State == "leader") })
-	gauge("stale", "1 while it has been without the quorum for longer than its bound.", func(st *Status) float64 { return boolValue(st.Stale) })
-	gauge("lag_seconds", "Since the leader had committed what is not applied here.", func(st *Status) float64 { return float64(st.LagMs) / 1000 })
-	gauge("silence_seconds", "Since the leader was heard last.", func(st *Status) float64 { return float64(st.SinceLeaderContactMs) / 1000 })
-	fanOut := func(name, help string, of func(b *watchBroadcaster) int64) {
-		f.NewCounterFunc(prometheus.CounterOpts{Name: "steward_" + name, Help: help}, func() float64 {
+	add("version", "The version of the list that is served.", func(st *Status) float64 { return float64(st.Seq) })
+	add("listed", "Servers that are listed.", func(st *Status) float64 { return float64(st.Listed) })
+	add("held", "Servers that are listed though their leases ended: a mass failure that nobody has confirmed.", func(st *Status) float64 { return float64(st.Quarantined) })
+	add("damped", "Servers that are kept off the list for coming and going.", func(st *Status) float64 { return float64(st.Damped) })
+	add("watches", "Watches that are open.", func(st *Status) float64 { return float64(st.Watches) })
+	add("leads", "1 while this steward leads.", func(st *Status) float64 { return boolValue(st.State == stateLeader) })
+	add("stale", "1 while it has been without the quorum for longer than its bound.", func(st *Status) float64 { return boolValue(st.Stale) })
+	add("lag_seconds", "Since the leader had committed what is not applied here.", func(st *Status) float64 { return float64(st.LagMs) / 1000 })
+	add("silence_seconds", "Since the leader was heard last.", func(st *Status) float64 { return float64(st.SinceLeaderContactMs) / 1000 })
+}
+
+// addWatchMetrics adds the metrics of the watches of the full list, and of admission.
+func addWatchMetrics(f promauto.Factory, s *Server) {
+	add := func(name, help string, read func(b *watchBroadcaster) int64) {
+		addCounter(f, name, help, func() float64 {
 			s.broadcaster.mu.Lock()
 			defer s.broadcaster.mu.Unlock()
-			return float64(of(s.broadcaster))
-		})
-	}
-	fanOut("lines_encoded_total", "Lists and changes that were encoded.", func(b *watchBroadcaster) int64 { return b.encodedCount })
-	fanOut("lines_sent_total", "Changes that were written to watches.", func(b *watchBroadcaster) int64 { return b.sentCount })
-	fanOut("watches_lagged_total", "Times that a watch was too far behind and got the whole list.", func(b *watchBroadcaster) int64 { return b.laggedCount })
-	scoped := func(name, help string, of func(t *serviceTopics) int64) {
-		f.NewCounterFunc(prometheus.CounterOpts{Name: "steward_scoped_" + name, Help: help}, func() float64 {
-			s.broadcaster.services.mu.Lock()
-			defer s.broadcaster.services.mu.Unlock()
-			return float64(of(s.broadcaster.services))
+			return float64(read(s.broadcaster))
 		})
 	}
-	scoped("events_encoded_total", "Changes of a service that were encoded.", func(t *serviceTopics) int64 { return t.encodedCount })
-	scoped("lines_sent_total", "Lists and changes that were written to watches of services.", func(t *serviceTopics) int64 { return t.sentCount })
-	scoped("bytes_sent_total", "Bytes of the lists and changes that were written to watches of services.", func(t *serviceTopics) int64 { return t.sentBytes })
-	scoped("watches_lagged_total", "Times that a watch of services was too far behind and got the whole list of them.", func(t *serviceTopics) int64 { return t.laggedCount })
-	f.NewCounterFunc(prometheus.CounterOpts{Name: "steward_scoped_lists_encoded_total", Help: "Whole lists of a service that were encoded."}, func() float64 {
-		c := s.broadcaster.services.fullLists
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		return float64(c.encodedCount)
-	})
-	f.NewGaugeFunc(prometheus.GaugeOpts{Name: "steward_scoped_watches", Help: "Watches of services that are open."}, func() float64 {
-		s.broadcaster.services.mu.Lock()
-		defer s.broadcaster.services.mu.Unlock()
-		return float64(s.broadcaster.services.watchCount)
-	})
-	f.NewGaugeFunc(prometheus.GaugeOpts{Name: "steward_watches_limit", Help: "Watches that may be open: what is configured, if there are descriptors for them."},
+	add("lines_encoded_total", "Lists and changes that were encoded.", func(b *watchBroadcaster) int64 { return b.encodedCount })
+	add("lines_sent_total", "Changes that were written to watches.", func(b *watchBroadcaster) int64 { return b.sentCount })
+	add("watches_lagged_total", "Times that a watch was too far behind and got the whole list.", func(b *watchBroadcaster) int64 { return b.laggedCount })
+	addGauge(f, "watches_limit", "Watches that may be open: what is configured, if there are descriptors for them.",
 		func() float64 { return float64(s.admission.maxWatches) })
-	r.MustRegister(newServiceCollector(s.broadcaster))
-	f.NewCounterFunc(prometheus.CounterOpts{Name: "steward_calls_refused_total", Help: "Calls sent away because there were too many."},
+	addCounter(f, "calls_refused_total", "Calls sent away because there were too many.",
 		func() float64 { return float64(s.admission.rejectedCalls.Load()) })
-	f.NewGaugeFunc(prometheus.GaugeOpts{Name: "steward_duties_held_here", Help: "Duties whose functions run here."}, func() float64 {
+}
+
+// addServiceWatchMetrics adds the metrics of the watches of services.
+func addServiceWatchMetrics(f promauto.Factory, s *Server) {
+	topics := s.broadcaster.services
+	locked := func(read func(t *serviceTopics) int64) func() float64 {
+		return func() float64 {
+			topics.mu.Lock()
+			defer topics.mu.Unlock()
+			return float64(read(topics))
+		}
+	}
+	addCounter(f, "scoped_events_encoded_total", "Changes of a service that were encoded.",
+		locked(func(t *serviceTopics) int64 { return t.encodedCount }))
+	addCounter(f, "scoped_lines_sent_total", "Lists and changes that were written to watches of services.",
+		locked(func(t *serviceTopics) int64 { return t.sentCount }))
+	addCounter(f, "scoped_bytes_sent_total", "Bytes of the lists and changes that were written to watches of services.",
+		locked(func(t *serviceTopics) int64 { return t.sentBytes }))
+	addCounter(f, "scoped_watches_lagged_total", "Times that a watch of services was too far behind and got the whole list of them.",
+		locked(func(t *serviceTopics) int64 { return t.laggedCount }))
+	addGauge(f, "scoped_watches", "Watches of services that are open.",
+		locked(func(t *serviceTopics) int64 { return int64(t.watchCount) }))
+	addCounter(f, "scoped_lists_encoded_total", "Whole lists of a service that were encoded.", func() float64 {
+		topics.fullLists.mu.Lock()
+		defer topics.fullLists.mu.Unlock()
+		return float64(topics.fullLists.encodedCount)
+	})
+}
+
+// addTaskMetrics adds the metrics of leased tasks: of the control plane's own that run here, and
+// of all by their state.
+func addTaskMetrics(f promauto.Factory, s *Server) {
+	addGauge(f, "duties_held_here", "Duties whose functions run here.", func() float64 {
 		if s.taskRunner == nil {
 			return 0
 		}
 		return float64(s.taskRunner.Active())
 	})
-	f.NewCounterFunc(prometheus.CounterOpts{Name: "steward_duties_overdue_total", Help: "Functions of duties that did not return in time."}, func() float64 {
+	addCounter(f, "duties_overdue_total", "Functions of duties that did not return in time.", func() float64 {
 		if s.taskRunner == nil {
 			return 0
 		}
 		return float64(s.taskRunner.Overdue())
 	})
-	for name, of := range map[string]func(d *catalog.LeasedTask) bool{"held": func(d *catalog.LeasedTask) bool { return d.Holder != "" },
-		"free": func(d *catalog.LeasedTask) bool { return d.Holder == "" && d.SuspendReason == "" }, "parked": func(d *catalog.LeasedTask) bool { return d.SuspendReason != "" }} {
-		f.NewGaugeFunc(prometheus.GaugeOpts{Name: "steward_duties_" + name, Help: "Duties that are " + name + "."}, func() (count float64) {
-			s.fsm.read(func(state *catalog.State) {
-				for _, d := range state.LeasedTasks {
-					count += boolValue(of(d))
+	for state, is := range map[string]func(t *catalog.LeasedTask) bool{
+		"held":   func(t *catalog.LeasedTask) bool { return t.Holder != "" },
+		"free":   func(t *catalog.LeasedTask) bool { return t.Holder == "" && t.SuspendReason == "" },
+		"parked": func(t *catalog.LeasedTask) bool { return t.SuspendReason != "" },
+	} {
+		addGauge(f, "duties_"+state, "Duties that are "+state+".", func() (count float64) {
+			s.fsm.read(func(replicated *catalog.State) {
+				for _, t := range replicated.LeasedTasks {
+					count += boolValue(is(t))
 				}
 			})
 			return count
 		})
 	}
-	for _, kind := range []string{"old", "held", "suspects", "wrongs", "full", "strange", "pauses", "rubbish", "refused", "conflicts", "unknown", "dropped", "sent_bytes"} {
-		f.NewCounterFunc(prometheus.CounterOpts{Name: "steward_gossip_" + kind + "_total", Help: gossipHelp[kind]},
-			func() float64 { return s.gossipCounts()[kind] })
+}
+
+// gossipHelp describes the counters of gossip, by their names in the metrics.
+var gossipHelp = map[string]string{
+	"old":        "News of an earlier life of a member, which changed nothing.",
+	"held":       "Ends that were not believed at first: too many at once, or this process was slow.",
+	"suspects":   "Members that became suspect here.",
+	"wrongs":     "Suspects that were present again without having ended.",
+	"full":       "Members that there was no room for.",
+	"strange":    "Reports by somebody who is no steward.",
+	"pauses":     "Times that this process stood still.",
+	"rubbish":    "Messages that made no sense, or of a form that isn't read.",
+	"refused":    "Words of members that the configuration doesn't name.",
+	"conflicts":  "Words of a second process of a name.",
+	"unknown":    "Sends to names that the table doesn't have.",
+	"dropped":    "Messages that came while the queue was full.",
+	"sent_bytes": "Bytes that gossip sent.",
+}
+
+// addGossipMetrics adds the counters of gossip.
+func addGossipMetrics(f promauto.Factory, s *Server) {
+	for name, help := range gossipHelp {
+		addCounter(f, "gossip_"+name+"_total", help, func() float64 { return s.gossipCounts()[name] })
 	}
-	r.MustRegister(&memberGauge{s, prometheus.NewDesc("steward_members", "Members in this steward's view, by role and state.", []string{"role", "state"}, nil)})
-	for name, of := range map[string]func(l *catalog.RegistrationLeases) int{"kept": func(l *catalog.RegistrationLeases) int { return l.Retained }, "waiting": func(l *catalog.RegistrationLeases) int { return l.Undecided }} {
-		f.NewGaugeFunc(prometheus.GaugeOpts{Name: "steward_leases_" + name, Help: "Servers whose leases are over and that stay: most see them (kept), or too little is known (waiting)."}, func() float64 {
+}
+
+// addLeaseMetrics adds the numbers of servers whose leases have expired and that stay listed.
+func addLeaseMetrics(f promauto.Factory, s *Server) {
+	for name, read := range map[string]func(l *catalog.RegistrationLeases) int{
+		"kept":    func(l *catalog.RegistrationLeases) int { return l.Retained },
+		"waiting": func(l *catalog.RegistrationLeases) int { return l.Undecided },
+	} {
+		addGauge(f, "leases_"+name, "Servers whose leases are over and that stay: most see them (kept), or too little is known (waiting).", func() float64 {
 			s.leaderMu.Lock()
 			defer s.leaderMu.Unlock()
 			if s.registrationLeases == nil {
 				return 0
 			}
-			return float64(of(s.registrationLeases))
+			return float64(read(s.registrationLeases))
 		})
 	}
-	return &metrics{registry: r,
-		memberChanges:   f.NewCounterVec(prometheus.CounterOpts{Name: "steward_member_changes_total", Help: "Changes of members' states in the view."}, []string{"role", "state"}),
-		nameConflicts:   f.NewCounter(prometheus.CounterOpts{Name: "steward_name_conflicts_total", Help: "Times that a second process of a name was heard."}),
-		voterSteps:      f.NewCounter(prometheus.CounterOpts{Name: "steward_voter_steps_total", Help: "Steps by which voters were replaced."}),
-		taskDecisions:   f.NewCounterVec(prometheus.CounterOpts{Name: "steward_duties_decided_total", Help: "What the leader decided on duties, by command."}, []string{"command"}),
-		savedCopies:     f.NewCounter(prometheus.CounterOpts{Name: "steward_copies_saved_total", Help: "Copies of the state that were kept."}),
-		audits:          f.NewCounter(prometheus.CounterOpts{Name: "steward_audits_total", Help: "Times that the list was compared with what servers say."}),
-		auditMismatches: f.NewGauge(prometheus.GaugeOpts{Name: "steward_audit_unlike", Help: "Servers that are listed as ready and did not say so at the last audit."}),
-		electionsWon:    f.NewCounter(prometheus.CounterOpts{Name: "steward_terms_led_total", Help: "Times that this steward began to lead."}),
-		watchesMigrated: f.NewCounter(prometheus.CounterOpts{Name: "steward_watches_moved_total", Help: "Watches that were sent to other stewards, a few at a time."}),
-		commitSeconds: f.NewHistogram(prometheus.HistogramOpts{Name: "steward_commit_seconds", Help: "From a proposal to its result.",
-			Buckets: prometheus.ExponentialBuckets(0.0005, 2, 14)}),
-		leaseDecisions: f.NewCounterVec(prometheus.CounterOpts{Name: "steward_decided_total", Help: "Servers that the leader decided on, by command."}, []string{"command"}),
-		calls:          f.NewCounterVec(prometheus.CounterOpts{Name: "steward_calls_total", Help: "Calls by kind and status."}, []string{"kind", "status"})}
-}
-
-var gossipHelp = map[string]string{"old": "News of an earlier life of a member, which changed nothing.",
-	"held": "Ends that were not believed at first: too many at once, or this process was slow.", "suspects": "Members that became suspect here.",
-	"wrongs": "Suspects that were present again without having ended.", "full": "Members that there was no room for.",
-	"strange": "Reports by somebody who is no steward.", "pauses": "Times that this process stood still.", "rubbish": "Messages that made no sense, or of a form that isn't read.",
-	"refused": "Words of members that the configuration doesn't name.", "conflicts": "Words of a second process of a name.",
-	"unknown": "Sends to names that the table doesn't have.", "dropped": "Messages that came while the queue was full.", "sent_bytes": "Bytes that gossip sent."}
-
-// memberGauge counts the view's members when it is asked.
-type memberGauge struct {
+}
+
+// memberCollector is a prometheus.Collector of the number of members by role and state.
+type memberCollector struct {
 	server *Server
 	desc   *prometheus.Desc
 }
 
-func (g *memberGauge) Describe(ch chan<- *prometheus.Desc) { ch <- g.desc }
+func newMemberCollector(s *Server) *memberCollector {
+	return &memberCollector{s, prometheus.NewDesc(metricPrefix+"members", "Members in this steward's view, by role and state.", []string{"role", "state"}, nil)}
+}
+
+// Describe implements prometheus.Collector.
+func (c *memberCollector) Describe(ch chan<- *prometheus.Desc) { ch <- c.desc }
 
-func (g *memberGauge) Collect(ch chan<- prometheus.Metric) {
-	if g.server.gossip == nil {
+// Collect implements prometheus.Collector.
+func (c *memberCollector) Collect(ch chan<- prometheus.Metric) {
+	if c.server.gossip == nil {
 		return
 	}
-	v := g.server.gossip.View()
-	count := map[[2]string]int{}
-	for i := range v.Members {
-		count[[2]string{string(v.Members[i].Role), string(v.Members[i].State)}]++
+	type roleState struct{ role, state string }
+	view := c.server.gossip.View()
+	counts := map[roleState]int{}
+	for i := range view.Members {
+		counts[roleState{string(view.Members[i].Role), string(view.Members[i].State)}]++
 	}
-	for key, c := range count {
-		ch <- prometheus.MustNewConstMetric(g.desc, prometheus.GaugeValue, float64(c), key[0], key[1])
+	for key, count := range counts {
+		ch <- prometheus.MustNewConstMetric(c.desc, prometheus.GaugeValue, float64(count), key.role, key.state)
 	}
 }
 
+// boolValue returns 1 for true and 0 for false.
 func boolValue(is bool) float64 {
 	if is {
 		return 1
