--- a/internal/control/call.go
+++ b/internal/control/call.go
@@ -11,7 +11,7 @@
 	"net/http"
 )
 
-// HTTPError is an answer of a server with a status other than 2xx.
+// HTTPError is an answer of a control-plane server with a status other than 2xx.
 type HTTPError struct {
 	Status     int
 	Text       string
@@ -54,6 +54,7 @@
 	return nil
 }
 
+// newRequest returns a request with a JSON body, or none if body is nil.
 func newRequest(ctx context.Context, method, url string, body any) (*http.Request, error) {
 	if body == nil {
 		return http.NewRequestWithContext(ctx, method, url, nil)
--- a/internal/control/failureobservations.go
+++ b/internal/control/failureobservations.go
@@ -148,7 +148,7 @@
 	if voter == s.config.Name {
 		return s.probeServers(ctx, refs)
 	}
-	p, known := (*s.peerTable.Load())[voter]
+	p, known := s.peer(voter)
 	if !known {
 		return nil
 	}
--- a/internal/control/forwarding.go
+++ b/internal/control/forwarding.go
@@ -69,7 +69,7 @@
 // with errNoLeader if the leader certainly didn't get the request, and with errUnknownOutcome if
 // the leader didn't answer.
 func (s *Server) forwardToLeader(w http.ResponseWriter, r *http.Request) {
-	leader, known := (*s.peerTable.Load())[s.leader()]
+	leader, known := s.peer(s.leader())
 	if !known || s.leader() == s.config.Name || r.Header.Get(forwardedByHeader) != "" {
 		writeError(w, errNoLeader)
 		return
--- a/internal/control/gossip.go
+++ b/internal/control/gossip.go
@@ -105,8 +105,8 @@
 	writeJSON(w, struct{}{})
 }
 
-// wasPaused reports whether this process was recently suspended or starved, so that what it
-// did not hear in time is no evidence against others.
+// wasPaused reports whether this process was recently suspended or starved, so that an answer that
+// it missed is no evidence against the server that was asked.
 func (s *Server) wasPaused() (is bool) {
 	if s.gossip != nil {
 		s.gossip.WithTracker(func(now time.Duration, t *member.Tracker) { is = t.SelfSuspect(now) })
@@ -114,8 +114,8 @@
 	return is
 }
 
-// absentProcesses returns the processes that gossip and aren't present in the membership view. Without
-// gossip it returns nil.
+// absentProcesses returns the names of the processes that gossip and aren't present in the
+// membership view. Without gossip it returns nil.
 func (s *Server) absentProcesses() map[string]bool {
 	if s.gossip == nil {
 		return nil
--- a/internal/control/incarnation.go
+++ b/internal/control/incarnation.go
@@ -12,14 +12,14 @@
 
 const (
 	incarnationInterval = 500 * time.Millisecond // between checks of this process's incarnation
-	// nameConflictTimeout is for how long a name may seem to belong to another process before
-	// this one gives up: after a quick restart with an empty data folder, the others need some
-	// time to notice that the earlier process is gone.
+	// nameConflictTimeout is for how long a name may seem to belong to another process before this
+	// one gives up: after a restart with an empty data folder, the peers need some time to notice
+	// that the earlier process has ended.
 	nameConflictTimeout = 10 * time.Second
 )
 
-// memberArrivalBody asks for the incarnation number of a start of a process: the identity of its data
-// folder, and that of the start.
+// memberArrivalBody requests the incarnation number of a start of a process: it has the identity of
+// the data folder and that of the start.
 type memberArrivalBody struct {
 	ID     string `json:"id"`
 	BootID string `json:"life"`
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// presentMember reports whether the membership view holds a process of this name to be presentMember, and
-// the identity of its data folder.
+// presentMember reports whether a process of this name is present in the membership view, and
+// returns the identity of its data folder.
 func (s *Server) presentMember(name string) (id string, is bool) {
 	if s.gossip == nil {
 		return "", false
@@ -93,8 +93,8 @@
 	return id, is
 }
 
-// checkNameConflict returns a rejectedError if a process other than the one with this identity is present
-// under the name.
+// checkNameConflict returns a rejectedError if a process other than the one with this data folder's
+// identity is present under the name.
 func (s *Server) checkNameConflict(name, id string) error {
 	if has, is := s.presentMember(name); is && id != "" && has != "" && has != id {
 		if s.logLimiter.Allow() {
@@ -106,15 +106,15 @@
 	return nil
 }
 
-// handleMemberArrival gives a process of the control plane its incarnation number. It rejects a name
-// that isn't in the table of peers or that another present process has.
+// handleMemberArrival gives a control-plane server its incarnation number. It rejects a name that
+// isn't in the peer table or that another present process has.
 func (s *Server) handleMemberArrival(w http.ResponseWriter, r *http.Request) error {
 	var b memberArrivalBody
 	if err := decodeBody(w, r, &b); err != nil {
 		return err
 	}
 	name := r.PathValue("name")
-	if _, known := (*s.peerTable.Load())[name]; !known && name != s.config.Name {
+	if _, known := s.peer(name); !known && name != s.config.Name {
 		return newBadRequest("name: %q is not in the leader's table of peers", name)
 	}
 	if err := s.checkNameConflict(name, b.ID); err != nil {
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -8,8 +8,8 @@
 	"knotrouter/internal/catalog"
 )
 
-// Handlers that show the replicated state to operators copy what they answer while the state
-// is locked, and encode the copy after it has been unlocked.
+// Handlers that show the replicated state to operators copy what they answer while the state is
+// locked, and encode the copy after it has been unlocked, so that commands don't wait for it.
 
 // stateTable selects one table of the replicated state.
 type stateTable[T any] func(*catalog.State) map[string]*T
@@ -28,8 +28,8 @@
 	return c
 }
 
-// copyAll returns copies of all values of a table in the order of their names. It is never
-// nil.
+// copyAll returns copies of all values of a table in the order of their names. It never returns
+// nil, which would be encoded as null.
 func copyAll[T any](f *fsm, table stateTable[T], clone func(*T) T) []T {
 	all := []T{}
 	f.read(func(state *catalog.State) {
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -12,6 +12,15 @@
 	"github.com/hashicorp/raft"
 )
 
+// startMode is what a server does when raft has started.
+type startMode int
+
+const (
+	resume           startMode = iota // go on with the state in the data folder
+	bootstrapCluster                  // write the first configuration of a new cluster
+	rejoinCluster                     // have itself added to the cluster that it was part of
+)
+
 const (
 	firstStartInterval = 100 * time.Millisecond // between rounds of status requests on an empty folder
 	admissionInterval  = 500 * time.Millisecond // between requests to be added to the configuration
@@ -39,21 +48,21 @@
 	if err != nil {
 		return fmt.Errorf("data: %w", err)
 	}
-	bootstrap, rejoin := false, false
+	mode := resume
 	if !has {
-		if bootstrap, rejoin, err = s.classifyEmptyFolder(ctx); err != nil {
+		if mode, err = s.classifyEmptyFolder(ctx); err != nil {
 			return err
 		}
 	}
 	if err := s.runRaft(rl); err != nil {
 		return err
 	}
-	if bootstrap {
+	if mode == bootstrapCluster {
 		if err := s.bootstrap(); err != nil {
 			return err
 		}
 	}
-	if rejoin {
+	if mode == rejoinCluster {
 		s.startGoroutine(s.requestAdmission)
 	}
 	return nil
@@ -90,12 +99,13 @@
 	rc.SnapshotThreshold, rc.SnapshotInterval = s.config.SnapshotEvery, s.config.SnapshotCheck
 	rc.TrailingLogs = s.config.SnapshotEvery
 	rc.NoSnapshotRestoreOnStart = false
-	rc.ShutdownOnRemove = false // a removed control-plane server serves its list until it is stopped
+	rc.ShutdownOnRemove = false // a removed server serves its list until it is stopped
 	return rc
 }
 
-// bootstrap writes the first configuration of a new cluster: all servers of the table, with
-// spares as non-voters. A spare does nothing; the voters replicate the configuration to it.
+// bootstrap writes the first raft configuration of a new cluster: all servers of the peer table,
+// each a voter or non-voter as the table says. A non-voter does nothing: the voters replicate the
+// configuration to it.
 func (s *Server) bootstrap() error {
 	if s.config.Peers[s.config.Name].NonVoter {
 		return nil
@@ -121,7 +131,7 @@
 	if name == s.config.Name {
 		return s.config.Raft, true
 	}
-	p, ok := (*s.peerTable.Load())[name]
+	p, ok := s.peer(name)
 	return p.Raft, ok
 }
 
@@ -130,29 +140,29 @@
 // this server was replaced or lost its data: it has itself removed from the voters, as it may
 // have voted, and is to rejoin. It returns an error if the context ends or if another process
 // goes by this server's name.
-func (s *Server) classifyEmptyFolder(ctx context.Context) (bootstrap, rejoin bool, err error) {
+func (s *Server) classifyEmptyFolder(ctx context.Context) (startMode, error) {
 	others := s.config.otherServers()
 	for first := true; ; first = false {
 		empty := 0
 		for _, name := range others {
-			st, err := s.statusOf(ctx, name)
+			status, err := s.statusOf(ctx, name)
 			switch {
 			case err != nil:
-			case st.HasState:
+			case status.HasState:
 				err := s.requestRemoval(ctx)
 				switch {
 				case err == nil:
 					s.log.Info("rejoining with an empty data folder", "reported_by", name)
-					return false, true, nil
+					return rejoinCluster, nil
 				case isConflict(err) && time.Since(s.startedAt) > nameConflictTimeout:
-					return false, false, fmt.Errorf("name: %w", err)
+					return resume, fmt.Errorf("name: %w", err)
 				}
 			default:
 				empty++
 			}
 		}
 		if empty == len(others) {
-			return true, false, nil
+			return bootstrapCluster, nil
 		}
 		if first {
 			s.log.Info("data folder is empty: waiting until all peers answer, or one that has a state", "peers", others)
@@ -160,7 +170,7 @@
 		select {
 		case <-time.After(firstStartInterval):
 		case <-ctx.Done():
-			return false, false, fmt.Errorf("first start: %w", ctx.Err())
+			return resume, fmt.Errorf("first start: %w", ctx.Err())
 		}
 	}
 }
@@ -176,7 +186,7 @@
 // or the server stops. It requires that raft listens.
 func (s *Server) requestAdmission() {
 	query := ""
-	if (*s.peerTable.Load())[s.config.Name].NonVoter {
+	if self, _ := s.peer(s.config.Name); self.NonVoter {
 		query = "?spare=1"
 	}
 	for {
@@ -200,7 +210,8 @@
 func (s *Server) tryPeers(ctx context.Context, do func(base string) error) error {
 	err := errors.New("no other steward in the table")
 	for _, name := range s.config.otherServers() {
-		err = do("http://" + (*s.peerTable.Load())[name].HTTP)
+		p, _ := s.peer(name)
+		err = do("http://" + p.HTTP)
 		if err == nil || ctx.Err() != nil || isConflict(err) {
 			return err
 		}
@@ -208,8 +219,8 @@
 	return err
 }
 
-// isConflict reports whether a server refused a request because another process has the name.
+// isConflict reports whether a server rejected a request because another process has the name.
 func isConflict(err error) bool {
-	var refused *HTTPError
-	return errors.As(err, &refused) && refused.Status == http.StatusConflict
+	var rejected *HTTPError
+	return errors.As(err, &rejected) && rejected.Status == http.StatusConflict
 }
--- a/internal/control/listrevision.go
+++ b/internal/control/listrevision.go
@@ -62,7 +62,7 @@
 		}
 		return
 	}
-	if p, ok := (*s.peerTable.Load())[s.leader()]; ok {
+	if p, ok := s.peer(s.leader()); ok {
 		if err := call(ctx, s.peerClient, http.MethodPost, "http://"+p.HTTP+"/v1/seen", revisionBody{revision}, nil); err != nil {
 			s.log.Debug("reporting a reader's list version to the leader failed", "list_version", revision, "err", err)
 		}
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -17,24 +17,30 @@
 	"knotrouter/internal/member"
 )
 
-// BuildRevision returns the revision that this program was built from, or "unknown".
+const (
+	revisionDigits = 12 // of a revision that are shown
+	maxDataIDBytes = 64
+)
+
+// BuildRevision returns the first digits of the revision that this program was built from, or
+// "unknown".
 func BuildRevision() string {
 	if b, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range b.Settings {
 			if s.Key == "vcs.revision" {
-				return s.Value[:min(len(s.Value), 12)]
+				return s.Value[:min(len(s.Value), revisionDigits)]
 			}
 		}
 	}
 	return "unknown"
 }
 
-// loadDataID returns the loadDataID of a data folder, which is drawn at random when the folder is
+// loadDataID returns the identity of a data folder, which is drawn at random when the folder is
 // first used. It distinguishes a restart of this process from another process with its name.
 func loadDataID(dir string) (string, error) {
 	path := filepath.Join(dir, "identity")
 	text, err := os.ReadFile(path)
-	if id := strings.TrimSpace(string(text)); err == nil && endpoints.IsToken(id, 64) {
+	if id := strings.TrimSpace(string(text)); err == nil && endpoints.IsToken(id, maxDataIDBytes) {
 		return id, nil
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -56,9 +62,9 @@
 	writeJSON(w, s.gossip.View())
 }
 
-// ReadMemberViews reads the membership views of the control-plane servers at the given
-// addresses, in the order of their names. It returns the addresses that
-// didn't answer within the timeout, or answered with an error, as silent.
+// ReadMemberViews reads the membership views of the control-plane servers at the given addresses,
+// and returns them in the order of the servers' names. It returns the addresses that didn't answer
+// within the timeout, or answered with an error, as silent.
 func ReadMemberViews(ctx context.Context, addrs []string, timeout time.Duration) (views []member.View, silent []string) {
 	for _, addr := range addrs {
 		var v member.View
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -67,10 +67,17 @@
 	return statuses
 }
 
+// peer returns the addresses of a control-plane server in the peer table. It returns false if the
+// table doesn't have it.
+func (s *Server) peer(name string) (Peer, bool) {
+	p, ok := (*s.peerTable.Load())[name]
+	return p, ok
+}
+
 // statusOf requests the status of one peer.
 func (s *Server) statusOf(ctx context.Context, name string) (Status, error) {
 	var st Status
-	p, ok := (*s.peerTable.Load())[name]
+	p, ok := s.peer(name)
 	if !ok {
 		return st, fmt.Errorf("steward %s: %w", name, errNotInPeerTable)
 	}
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -139,7 +139,7 @@
 	if _, in := leader.Peers[s.config.Name]; in || len(leader.Peers) == 0 {
 		return
 	}
-	p, known := (*s.peerTable.Load())[leader.Name]
+	p, known := s.peer(leader.Name)
 	if !known {
 		return
 	}
