--- a/cmd/controlplane/members.go
+++ b/cmd/controlplane/members.go
@@ -77,7 +77,7 @@
 		if !e.Role.Gossips() && !all && state == string(member.Present) {
 			continue
 		}
-		row := []string{e.Name, string(e.Role), state, e.Zone, fmt.Sprint(e.Incarnation), e.Program}
+		row := []string{e.Name, string(e.Role), state, e.Zone, fmt.Sprint(e.Incarnation), e.ProgramVersion}
 		if own {
 			row = append(row, since)
 		} else {
--- a/cmd/controlplane/notice_test.go
+++ b/cmd/controlplane/notice_test.go
@@ -56,7 +56,7 @@
 	for ctx.Err() == nil {
 		select {
 		case <-ask:
-			log.Info("counts", "sent", n.Counts().Sent)
+			log.Info("counts", "sent", n.Counts().SentBytes)
 		case <-ctx.Done():
 		}
 	}
--- a/internal/control/controltasks.go
+++ b/internal/control/controltasks.go
@@ -57,7 +57,7 @@
 		MaxTasks: maxControlTasks,
 		Service:  client,
 		Log:      s.log,
-		Kinds: map[string]leaderelection.Function{
+		Functions: map[string]leaderelection.Function{
 			sweepTask:     leaderCallFunction(client, "/v1/sweep", sweepInterval),
 			stateCopyTask: s.stateCopyFunction(client),
 			auditTask:     s.auditFunction(client),
--- a/internal/control/gossip.go
+++ b/internal/control/gossip.go
@@ -23,9 +23,9 @@
 		Name:            s.config.Name,
 		Role:            member.RoleControlPlane,
 		Zone:            s.config.Zone,
-		Program:         BuildRevision(),
+		ProgramVersion:  BuildRevision(),
 		Versions:        member.ProtocolVersions{Gossip: member.ProtocolVersion, Catalog: catalog.FormatVersion},
-		ID:              s.dataID,
+		InstanceID:      s.dataID,
 	}
 	g, err := gossip.Start(gossip.Config{
 		Self:       self,
@@ -83,7 +83,7 @@
 		return func() {}
 	}
 	bootID := r.Header.Get(endpoints.BootIDHeader)
-	info := member.Info{ProtocolVersion: member.ProtocolVersion, Name: name, Role: member.RoleAgent, ID: bootID[:min(len(bootID), maxBootIDBytes)]}
+	info := member.Info{ProtocolVersion: member.ProtocolVersion, Name: name, Role: member.RoleAgent, InstanceID: bootID[:min(len(bootID), maxBootIDBytes)]}
 	s.gossip.WithTracker(func(now time.Duration, t *member.Tracker) { t.SessionOpened(now, info) })
 	return func() {
 		s.gossip.WithTracker(func(now time.Duration, t *member.Tracker) { t.SessionClosed(now, name) })
@@ -96,7 +96,7 @@
 		http.Error(w, "gossip: off at this steward", http.StatusNotFound)
 		return
 	}
-	info := member.Info{ProtocolVersion: member.ProtocolVersion, Name: r.PathValue("name"), Role: member.RoleAgent, ID: r.Header.Get(endpoints.BootIDHeader)}
+	info := member.Info{ProtocolVersion: member.ProtocolVersion, Name: r.PathValue("name"), Role: member.RoleAgent, InstanceID: r.Header.Get(endpoints.BootIDHeader)}
 	if err := info.Validate(); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -140,10 +140,10 @@
 		"strange":    float64(c.UnknownSenders),
 		"pauses":     float64(c.Pauses),
 		"rubbish":    float64(c.Malformed),
-		"refused":    float64(c.Refused),
+		"refused":    float64(c.Rejected),
 		"conflicts":  float64(c.Conflicts),
-		"unknown":    float64(c.Unknown),
+		"unknown":    float64(c.UnknownPeers),
 		"dropped":    float64(c.Dropped),
-		"sent_bytes": float64(c.Sent),
+		"sent_bytes": float64(c.SentBytes),
 	}
 }
--- a/internal/control/incarnation.go
+++ b/internal/control/incarnation.go
@@ -89,7 +89,7 @@
 	if s.gossip == nil {
 		return "", false
 	}
-	s.gossip.WithTracker(func(_ time.Duration, t *member.Tracker) { id, is = t.DataID(name) })
+	s.gossip.WithTracker(func(_ time.Duration, t *member.Tracker) { id, is = t.InstanceID(name) })
 	return id, is
 }
 
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -186,16 +186,16 @@
 // Counts is what a process counted.
 type Counts struct {
 	member.Counts
-	Pauses, Malformed, Refused, Conflicts, Unknown, Dropped, Sent int64
-	Health, Queued                                                int
+	Pauses, Malformed, Rejected, Conflicts, UnknownPeers, Dropped, SentBytes int64
+	HealthScore, QueuedBroadcasts                                            int
 }
 
 // Counts tells what was counted.
 func (n *Node) Counts() (c Counts) {
 	n.WithTracker(func(_ time.Duration, t *member.Tracker) { c.Counts = t.Counts() })
-	c.Pauses, c.Malformed, c.Refused, c.Conflicts = n.pauses.Load(), n.rubbish.Load(), n.refused.Load(), n.conflict.Load()
-	c.Unknown, c.Dropped, c.Sent = n.trans.unknown.Load(), n.trans.dropped.Load(), n.trans.sent.Load()
-	c.Health, c.Queued = n.list.GetHealthScore(), n.queue.NumQueued()
+	c.Pauses, c.Malformed, c.Rejected, c.Conflicts = n.pauses.Load(), n.rubbish.Load(), n.refused.Load(), n.conflict.Load()
+	c.UnknownPeers, c.Dropped, c.SentBytes = n.trans.unknown.Load(), n.trans.dropped.Load(), n.trans.sent.Load()
+	c.HealthScore, c.QueuedBroadcasts = n.list.GetHealthScore(), n.queue.NumQueued()
 	return c
 }
 
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -17,8 +17,8 @@
 // TestMembersAreToldInKnownForm holds what a member says of itself with each of its messages,
 // and what it tells of all that it knows. The messages of members are held beside their types.
 func TestMembersAreToldInKnownForm(t *testing.T) {
-	self := member.Info{Name: "st-1", Role: member.RoleControlPlane, Zone: "zone-a", Program: "v1",
-		Versions: member.ProtocolVersions{Gossip: 1, Catalog: 1}, Incarnation: 7, ID: "folder"}
+	self := member.Info{Name: "st-1", Role: member.RoleControlPlane, Zone: "zone-a", ProgramVersion: "v1",
+		Versions: member.ProtocolVersions{Gossip: 1, Catalog: 1}, Incarnation: 7, InstanceID: "folder"}
 	n, err := Start(Config{Self: self, Listen: "127.0.0.1:0", Tracker: member.Defaults(self),
 		Peers: func() map[string]string { return map[string]string{"st-2": ""} }, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
--- a/internal/lab/worker/worker.go
+++ b/internal/lab/worker/worker.go
@@ -86,7 +86,7 @@
 	}
 	r := leaderelection.NewRunner(leaderelection.Config{Process: c.Name, Zone: c.Zone, MaxTasks: c.Cap, Service: control.NewClient(c.At, callWait),
 		Log: log, Clock: driftClock{time.Now(), c.Rate},
-		Kinds: map[string]leaderelection.Function{"work": work,
+		Functions: map[string]leaderelection.Function{"work": work,
 			"idle": func(ctx context.Context, _ string, _ int64) error { <-ctx.Done(); return nil },
 			"fail": func(context.Context, string, int64) error { return errors.New("it fails") },
 			"kill": func(context.Context, string, int64) error { os.Exit(3); return nil }}})
--- a/internal/leaderelection/runner.go
+++ b/internal/leaderelection/runner.go
@@ -63,7 +63,7 @@
 	Process      string // a name that no other process has
 	Zone         string
 	MaxTasks     int                 // duties at once
-	Kinds        map[string]Function // by the first part of duties' names, up to a dot
+	Functions    map[string]Function // by the first part of duties' names, up to a dot
 	Service      Service
 	Log          *slog.Logger
 	Clock        Clock                   // nil: the machine's
@@ -272,7 +272,7 @@
 		}
 	}()
 	kind, _, _ := strings.Cut(l.name, ".")
-	f := r.c.Kinds[kind]
+	f := r.c.Functions[kind]
 	if f == nil {
 		return errors.New("this process has no function for it")
 	}
@@ -333,7 +333,7 @@
 	clear(r.out)
 	r.mu.Unlock()
 	var kinds []string
-	for k := range r.c.Kinds {
+	for k := range r.c.Functions {
 		kinds = append(kinds, k)
 	}
 	retry := firstRetry
--- a/internal/leaderelection/runner_test.go
+++ b/internal/leaderelection/runner_test.go
@@ -56,7 +56,7 @@
 	for stood, over := range map[time.Duration]bool{ttl / 2: false, ttl - SafetyMargin(ttl) - 1: false, ttl - SafetyMargin(ttl): true, 3 * ttl: true} {
 		clock, held, look, saw := &halted{}, make(chan struct{}), make(chan struct{}), make(chan error, 1)
 		r := NewRunner(Config{Process: "p", MaxTasks: 1, Service: oneTask{ttl}, Clock: clock, Log: slog.New(slog.DiscardHandler),
-			Kinds: map[string]Function{"d": func(ctx context.Context, _ string, _ int64) error {
+			Functions: map[string]Function{"d": func(ctx context.Context, _ string, _ int64) error {
 				close(held)
 				<-look
 				saw <- ctx.Err()
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -63,13 +63,13 @@
 	Name            string           `json:"n"`
 	Role            Role             `json:"r"`
 	Zone            string           `json:"z,omitempty"`
-	Program         string           `json:"v,omitempty"` // its version
+	ProgramVersion  string           `json:"v,omitempty"` // its version
 	Versions        ProtocolVersions `json:"s"`
 	Incarnation     int64            `json:"i,omitempty"` // given by the catalog; 0: not yet
 	ShuttingDown    bool             `json:"l,omitempty"` // it is about to end as planned
-	// ID is of the folder that the process has its state in: another process of the name, which
+	// InstanceID is of the folder that the process has its state in: another process of the name, which
 	// is not the same one started again, has another.
-	ID string `json:"d,omitempty"`
+	InstanceID string `json:"d,omitempty"`
 }
 
 // Validate tells why a word for itself makes no sense.
@@ -81,7 +81,7 @@
 		return errors.New("name: must be a word")
 	case !i.Role.known():
 		return fmt.Errorf("role: unknown word %q", i.Role)
-	case i.Zone != "" && !endpoints.IsToken(i.Zone, endpoints.MaxLabel), len(i.Program) > 64, len(i.ID) > 64:
+	case i.Zone != "" && !endpoints.IsToken(i.Zone, endpoints.MaxLabel), len(i.ProgramVersion) > 64, len(i.InstanceID) > 64:
 		return errors.New("zone, program, id: must be words")
 	case i.Incarnation < 0:
 		return errors.New("incarnation: must be 0 or above")
--- a/internal/member/tracker.go
+++ b/internal/member/tracker.go
@@ -256,7 +256,7 @@
 
 // Leave is told by a member itself that it ends.
 func (t *Tracker) Leave(now time.Duration, i Info) {
-	if s := t.all[i.Name]; s != nil && s.info.ID != i.ID {
+	if s := t.all[i.Name]; s != nil && s.info.InstanceID != i.InstanceID {
 		t.counts.Stale++ // the word of a life before, which comes late
 		return
 	}
@@ -287,17 +287,17 @@
 // SelfSuspect tells whether this process was slow itself of late, so that it accuses nobody.
 func (t *Tracker) SelfSuspect(now time.Duration) bool { return now < t.calm }
 
-// DataID is the folder of the process that has a name, where the view has it as there.
-func (t *Tracker) DataID(name string) (id string, is bool) {
+// InstanceID is the folder of the process that has a name, where the view has it as there.
+func (t *Tracker) InstanceID(name string) (id string, is bool) {
 	if name == t.c.Self.Name {
-		return t.c.Self.ID, true
+		return t.c.Self.InstanceID, true
 	}
 	s := t.all[name]
 	if s == nil {
 		return "", false
 	}
 	st := t.combined(s)
-	return s.info.ID, st != Failed && st != Left // whoever is in doubt may be there
+	return s.info.InstanceID, st != Failed && st != Left // whoever is in doubt may be there
 }
 
 // AddAbsent adds those that gossip and are not there by the view.
--- a/internal/member/tracker_test.go
+++ b/internal/member/tracker_test.go
@@ -10,11 +10,11 @@
 )
 
 func steward(name string, incarnation int64) Info {
-	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleControlPlane, Incarnation: incarnation, ID: "f-" + name}
+	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleControlPlane, Incarnation: incarnation, InstanceID: "f-" + name}
 }
 
 func agentOf(name, life string) Info {
-	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleAgent, ID: life}
+	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleAgent, InstanceID: life}
 }
 
 // five is a steward that has four others as present, all heard just now.
@@ -138,10 +138,10 @@
 				1 * s: func(t *Tracker, now time.Duration) { t.Dead(now, "b") },
 				3 * s: func(t *Tracker, now time.Duration) {
 					i := steward("b", 0)
-					i.ID = "another folder"
+					i.InstanceID = "another folder"
 					t.Alive(now, i)
 					t.PeerAnswered(now, "b")
-					if id, is := t.DataID("b"); !is || id != i.ID {
+					if id, is := t.InstanceID("b"); !is || id != i.InstanceID {
 						panic("its folder is " + id)
 					}
 				}},
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -16,14 +16,14 @@
 
 // Entry is one member.
 type Entry struct {
-	Name        string           `json:"name"`
-	Role        Role             `json:"role"`
-	Zone        string           `json:"zone,omitempty"`
-	Program     string           `json:"program,omitempty"`
-	Versions    ProtocolVersions `json:"speaks,omitzero"`
-	Incarnation int64            `json:"incarnation"`
-	State       State            `json:"state"`
-	Observers   []Opinion        `json:"observers"` // this process's own first, if it has one
+	Name           string           `json:"name"`
+	Role           Role             `json:"role"`
+	Zone           string           `json:"zone,omitempty"`
+	ProgramVersion string           `json:"program,omitempty"`
+	Versions       ProtocolVersions `json:"speaks,omitzero"`
+	Incarnation    int64            `json:"incarnation"`
+	State          State            `json:"state"`
+	Observers      []Opinion        `json:"observers"` // this process's own first, if it has one
 }
 
 // Opinion is what one observer thinks of a member, and for how long.
@@ -97,14 +97,14 @@
 	case self.Incarnation == 0:
 		state = Joining
 	}
-	v.Members = append(v.Members, Entry{self.Name, self.Role, self.Zone, self.Program, self.Versions, self.Incarnation, state,
+	v.Members = append(v.Members, Entry{self.Name, self.Role, self.Zone, self.ProgramVersion, self.Versions, self.Incarnation, state,
 		[]Opinion{{self.Name, state, self.Incarnation, 0}}})
 	for name, s := range t.all {
 		st := t.combined(s)
 		if st == "" {
 			continue
 		}
-		e := Entry{name, s.info.Role, s.info.Zone, s.info.Program, s.info.Versions, s.info.Incarnation, st, []Opinion{}}
+		e := Entry{name, s.info.Role, s.info.Zone, s.info.ProgramVersion, s.info.Versions, s.info.Incarnation, st, []Opinion{}}
 		for from, o := range s.others {
 			if o.State == "" {
 				continue
