--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -14,23 +14,23 @@
 // transport takes the library's datagrams and streams to members by name, through this
 // process's own table: no address that somebody tells of is ever dialled.
 type transport struct {
-	lookup  func(name string) (string, bool)
-	udp     *net.UDPConn
-	tcp     net.Listener
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	ends    chan struct{}
-	owned   sync.WaitGroup
-	unknown atomic.Int64 // sends to names that the table doesn't have
-	dropped atomic.Int64 // datagrams that came while the queue was full
-	sent    atomic.Int64 // bytes of datagrams, and of streams that it made
+	lookup       func(name string) (string, bool)
+	udp          *net.UDPConn
+	tcp          net.Listener
+	packets      chan *memberlist.Packet
+	streams      chan net.Conn
+	closed       chan struct{}
+	goroutines   sync.WaitGroup
+	unknownPeers atomic.Int64 // sends to names that the table doesn't have
+	dropped      atomic.Int64 // datagrams that came while the queue was full
+	sentBytes    atomic.Int64 // bytes of datagrams, and of streams that it made
 
 }
 
 const (
-	mostPackets = 1024
-	mostStreams = 64
-	datagram    = 64 << 10
+	maxQueuedPackets = 1024
+	maxQueuedStreams = 64
+	maxDatagramBytes = 64 << 10
 )
 
 func newTransport(listen string, lookup func(string) (string, bool)) (*transport, error) {
@@ -44,17 +44,17 @@
 		tcp.Close()
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	t := &transport{lookup: lookup, udp: udp, tcp: tcp, packets: make(chan *memberlist.Packet, mostPackets),
-		streams: make(chan net.Conn, mostStreams), ends: make(chan struct{})}
-	t.owned.Add(2)
+	t := &transport{lookup: lookup, udp: udp, tcp: tcp, packets: make(chan *memberlist.Packet, maxQueuedPackets),
+		streams: make(chan net.Conn, maxQueuedStreams), closed: make(chan struct{})}
+	t.goroutines.Add(2)
 	go t.receive()
 	go t.accept()
 	return t, nil
 }
 
 func (t *transport) receive() {
-	defer t.owned.Done()
-	buf := make([]byte, datagram)
+	defer t.goroutines.Done()
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := t.udp.ReadFromUDP(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -76,7 +76,7 @@
 }
 
 func (t *transport) accept() {
-	defer t.owned.Done()
+	defer t.goroutines.Done()
 	for {
 		conn, err := t.tcp.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -86,7 +86,7 @@
 			select {
 			case <-time.After(50 * time.Millisecond): // out of descriptors, for instance
 				continue
-			case <-t.ends:
+			case <-t.closed:
 				return
 			}
 		}
@@ -108,34 +108,34 @@
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
 
-// errNoName is a send to an address alone.
-var errNoName = errors.New("gossip: no name to dial by")
+// errNoPeerName is a send to an address alone.
+var errNoPeerName = errors.New("gossip: no name to dial by")
 
 func (t *transport) WriteTo([]byte, string) (time.Time, error) {
-	t.unknown.Add(1)
-	return time.Time{}, errNoName
+	t.unknownPeers.Add(1)
+	return time.Time{}, errNoPeerName
 }
 
 func (t *transport) DialTimeout(string, time.Duration) (net.Conn, error) {
-	t.unknown.Add(1)
-	return nil, errNoName
+	t.unknownPeers.Add(1)
+	return nil, errNoPeerName
 }
 
-func (t *transport) find(name string) (string, error) {
+func (t *transport) address(name string) (string, error) {
 	if name == "" {
-		t.unknown.Add(1)
-		return "", errNoName
+		t.unknownPeers.Add(1)
+		return "", errNoPeerName
 	}
 	addr, known := t.lookup(name)
 	if !known {
-		t.unknown.Add(1)
+		t.unknownPeers.Add(1)
 		return "", fmt.Errorf("gossip: %s: not in the table of peers", name)
 	}
 	return addr, nil
 }
 
 func (t *transport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
-	addr, err := t.find(to.Name)
+	addr, err := t.address(to.Name)
 	if err != nil {
 		return time.Time{}, err
 	}
@@ -144,12 +144,12 @@
 		return time.Time{}, fmt.Errorf("gossip: %s: %w", to.Name, err)
 	}
 	n, err := t.udp.WriteTo(b, at)
-	t.sent.Add(int64(n))
+	t.sentBytes.Add(int64(n))
 	return time.Now(), err
 }
 
 func (t *transport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	addr, err := t.find(to.Name)
+	addr, err := t.address(to.Name)
 	if err != nil {
 		return nil, err
 	}
@@ -157,30 +157,30 @@
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{conn, &t.sent}, nil
+	return &countedConn{conn, &t.sentBytes}, nil
 }
 
 // countedConn counts what is written.
 type countedConn struct {
 	net.Conn
-	sent *atomic.Int64
+	sentBytes *atomic.Int64
 }
 
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.sent.Add(int64(n))
+	c.sentBytes.Add(int64(n))
 	return n, err
 }
 
 // Shutdown is called by the library as it ends.
 func (t *transport) Shutdown() error {
 	select {
-	case <-t.ends:
+	case <-t.closed:
 		return nil
 	default:
 	}
-	close(t.ends)
+	close(t.closed)
 	err := errors.Join(t.udp.Close(), t.tcp.Close())
-	t.owned.Wait()
+	t.goroutines.Wait()
 	return err
 }
--- a/internal/leaderelection/keeper.go
+++ b/internal/leaderelection/keeper.go
@@ -40,159 +40,161 @@
 // time less a margin. What the service says of the terms themselves may come by other ways
 // and late; it has a revision, and an older one than is known counts for nothing.
 type Participant struct {
-	sent   time.Duration // of the last renewal that was answered
-	some   bool          // whether there was any
-	rev    int64
-	tasks  []catalog.Assignment
-	terms  map[string]*term
-	ended  map[string]int64 // the highest fence of a duty that is over here
-	asked  map[string]int64 // the revision by which this process said that it is ready
-	margin func(time.Duration) time.Duration
+	lastRenewalSent   time.Duration // of the last renewal that was answered
+	renewed           bool          // whether there was any
+	revision          int64
+	assignments       []catalog.Assignment
+	terms             map[string]*term
+	endedFences       map[string]int64 // the highest fence of a duty that is over here
+	acceptedRevisions map[string]int64 // the revision by which this process said that it is ready
+	safetyMargin      func(time.Duration) time.Duration
 }
 
 type term struct {
 	catalog.Assignment
 	cancelled bool
-	why       string // of the end, when it was cancelled
+	endReason string // of the end, when it was cancelled
 }
 
 // NewParticipant makes a keeper for one session.
 func NewParticipant() *Participant {
-	return &Participant{terms: map[string]*term{}, ended: map[string]int64{}, asked: map[string]int64{}, margin: SafetyMargin}
+	return &Participant{terms: map[string]*term{}, endedFences: map[string]int64{}, acceptedRevisions: map[string]int64{}, safetyMargin: SafetyMargin}
 }
 
 // Renewed is told of an answer to the renewal that was sent then: the session is there, and
 // what it is to do, if that is newer than what is known (tasks is nil otherwise).
-func (k *Participant) Renewed(now, sent time.Duration, rev int64, tasks []catalog.Assignment) []Action {
-	if !k.some || sent > k.sent {
-		k.sent, k.some = sent, true
+func (p *Participant) Renewed(now, sent time.Duration, revision int64, assignments []catalog.Assignment) []Action {
+	if !p.renewed || sent > p.lastRenewalSent {
+		p.lastRenewalSent, p.renewed = sent, true
 	}
-	return k.Update(now, rev, tasks)
+	return p.Update(now, revision, assignments)
 }
 
 // Update is told what the session is to do, by whatever way.
-func (k *Participant) Update(now time.Duration, rev int64, tasks []catalog.Assignment) []Action {
-	if rev > k.rev && tasks != nil {
-		k.rev, k.tasks = rev, tasks
+func (p *Participant) Update(now time.Duration, revision int64, assignments []catalog.Assignment) []Action {
+	if revision > p.revision && assignments != nil {
+		p.revision, p.assignments = revision, assignments
 	}
-	return k.settle(now)
+	return p.reconcile(now)
 }
 
 // Revision is the revision that is known.
-func (k *Participant) Revision() int64 { return k.rev }
+func (p *Participant) Revision() int64 { return p.revision }
 
 // SessionExpired is told that the session is over: nothing is held any more.
-func (k *Participant) SessionExpired() (acts []Action) {
-	k.tasks = nil
-	for _, name := range k.names() {
-		acts = k.cancel(acts, k.terms[name], catalog.ReasonExpired)
+func (p *Participant) SessionExpired() (actions []Action) {
+	p.assignments = nil
+	for _, name := range p.termNames() {
+		actions = p.cancel(actions, p.terms[name], catalog.ReasonExpired)
 	}
-	return acts
+	return actions
 }
 
 // FunctionReturned is told that a function has returned.
-func (k *Participant) FunctionReturned(now time.Duration, name string, fence int64, failed bool) []Action {
-	t := k.terms[name]
+func (p *Participant) FunctionReturned(now time.Duration, name string, fence int64, failed bool) []Action {
+	t := p.terms[name]
 	if t == nil || t.Fence != fence {
 		return nil
 	}
-	why := catalog.ReasonCompleted
+	reason := catalog.ReasonCompleted
 	switch {
 	case t.cancelled:
-		why = t.why
+		reason = t.endReason
 	case failed:
-		why = catalog.ReasonFailed
+		reason = catalog.ReasonFailed
 	}
-	delete(k.terms, name)
-	k.ended[name] = max(k.ended[name], fence)
-	return append([]Action{{Release, name, fence, why}}, k.settle(now)...)
+	delete(p.terms, name)
+	p.endedFences[name] = max(p.endedFences[name], fence)
+	return append([]Action{{Release, name, fence, reason}}, p.reconcile(now)...)
 }
 
 // ValidUntil is when a term is over by this process's clock.
-func (k *Participant) ValidUntil(name string) time.Duration {
-	t := k.terms[name]
-	if t == nil || !k.some {
+func (p *Participant) ValidUntil(name string) time.Duration {
+	t := p.terms[name]
+	if t == nil || !p.renewed {
 		return 0
 	}
-	return k.until(t.TTL)
+	return p.validUntil(t.TTL)
 }
 
-func (k *Participant) until(ttl time.Duration) time.Duration { return k.sent + ttl - k.margin(ttl) }
+func (p *Participant) validUntil(ttl time.Duration) time.Duration {
+	return p.lastRenewalSent + ttl - p.safetyMargin(ttl)
+}
 
 // Tick is told the time. The second result is when it wants to be told again at the latest,
 // for as long as something is held.
-func (k *Participant) Tick(now time.Duration) (acts []Action, next time.Duration, some bool) {
-	acts = k.settle(now)
-	for _, t := range k.terms {
-		if at := k.until(t.TTL); !t.cancelled && (!some || at < next) {
+func (p *Participant) Tick(now time.Duration) (actions []Action, next time.Duration, some bool) {
+	actions = p.reconcile(now)
+	for _, t := range p.terms {
+		if at := p.validUntil(t.TTL); !t.cancelled && (!some || at < next) {
 			next, some = at, true
 		}
 	}
-	return acts, next, some
+	return actions, next, some
 }
 
 // RenewInterval is how often the session is to be renewed: well before the middle of the shortest
 // time that it holds.
-func (k *Participant) RenewInterval() time.Duration {
+func (p *Participant) RenewInterval() time.Duration {
 	every := 500 * time.Millisecond
-	for _, t := range k.tasks {
+	for _, t := range p.assignments {
 		every = min(every, t.TTL/3)
 	}
 	return every
 }
 
 // Active is how many functions run or have not returned yet.
-func (k *Participant) Active() int { return len(k.terms) }
+func (p *Participant) Active() int { return len(p.terms) }
 
-func (k *Participant) names() []string {
-	names := make([]string, 0, len(k.terms))
-	for name := range k.terms {
+func (p *Participant) termNames() []string {
+	names := make([]string, 0, len(p.terms))
+	for name := range p.terms {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-func (k *Participant) cancel(acts []Action, t *term, why string) []Action {
+func (p *Participant) cancel(actions []Action, t *term, reason string) []Action {
 	if t.cancelled {
-		return acts
+		return actions
 	}
-	t.cancelled, t.why = true, why
-	return append(acts, Action{Cancel, t.Name, t.Fence, why})
+	t.cancelled, t.endReason = true, reason
+	return append(actions, Action{Cancel, t.Name, t.Fence, reason})
 }
 
-// settle compares what is to be with what is, and takes the steps between.
-func (k *Participant) settle(now time.Duration) (acts []Action) {
+// reconcile compares what is to be with what is, and takes the steps between.
+func (p *Participant) reconcile(now time.Duration) (actions []Action) {
 	listed := map[string]catalog.Assignment{}
-	for _, task := range k.tasks {
+	for _, task := range p.assignments {
 		listed[task.Name] = task
 	}
-	for _, name := range k.names() {
-		t := k.terms[name]
-		task, is := listed[name]
+	for _, name := range p.termNames() {
+		t := p.terms[name]
+		task, assigned := listed[name]
 		switch {
-		case now >= k.until(t.TTL) || !is || task.Fence != t.Fence:
-			acts = k.cancel(acts, t, catalog.ReasonExpired)
+		case now >= p.validUntil(t.TTL) || !assigned || task.Fence != t.Fence:
+			actions = p.cancel(actions, t, catalog.ReasonExpired)
 		case task.Stop:
-			acts = k.cancel(acts, t, catalog.ReasonTransferred)
+			actions = p.cancel(actions, t, catalog.ReasonTransferred)
 		}
 	}
-	for _, task := range k.tasks {
+	for _, task := range p.assignments {
 		switch {
-		case k.terms[task.Name] != nil: // its function has to return first
+		case p.terms[task.Name] != nil: // its function has to return first
 		case task.Ready:
-			if k.asked[task.Name] != k.rev {
-				k.asked[task.Name] = k.rev
-				acts = append(acts, Action{Accept, task.Name, 0, ""})
+			if p.acceptedRevisions[task.Name] != p.revision {
+				p.acceptedRevisions[task.Name] = p.revision
+				actions = append(actions, Action{Accept, task.Name, 0, ""})
 			}
-		case task.Fence <= k.ended[task.Name], task.Stop:
+		case task.Fence <= p.endedFences[task.Name], task.Stop:
 			// It is over here, and the service doesn't know it yet.
-			k.ended[task.Name] = max(k.ended[task.Name], task.Fence)
-			acts = append(acts, Action{Release, task.Name, task.Fence, catalog.ReasonTransferred})
-		case k.some && now < k.until(task.TTL):
-			k.terms[task.Name] = &term{Assignment: task}
-			acts = append(acts, Action{Start, task.Name, task.Fence, ""})
+			p.endedFences[task.Name] = max(p.endedFences[task.Name], task.Fence)
+			actions = append(actions, Action{Release, task.Name, task.Fence, catalog.ReasonTransferred})
+		case p.renewed && now < p.validUntil(task.TTL):
+			p.terms[task.Name] = &term{Assignment: task}
+			actions = append(actions, Action{Start, task.Name, task.Fence, ""})
 		}
 	}
-	return acts
+	return actions
 }
--- a/internal/leaderelection/runner.go
+++ b/internal/leaderelection/runner.go
@@ -45,9 +45,9 @@
 	After(d time.Duration) (<-chan time.Time, func() bool)
 }
 
-type realClock struct{ began time.Time }
+type realClock struct{ startedAt time.Time }
 
-func (c realClock) Now() time.Duration { return time.Since(c.began) }
+func (c realClock) Now() time.Duration { return time.Since(c.startedAt) }
 
 func (c realClock) After(d time.Duration) (<-chan time.Time, func() bool) {
 	t := time.NewTimer(d)
@@ -72,44 +72,44 @@
 }
 
 const (
-	callWait    = 2 * time.Second // for an answer to a call
-	returnWait  = time.Second     // for a function to return
-	leaveWait   = 10 * time.Second
-	firstRetry  = 50 * time.Millisecond
-	longRetry   = time.Second
-	mostPerCall = 256
+	callTimeout       = 2 * time.Second // for an answer to a call
+	returnTimeout     = time.Second     // for a function to return
+	shutdownTimeout   = 10 * time.Second
+	minRetryDelay     = 50 * time.Millisecond
+	maxRetryDelay     = time.Second
+	maxTermsPerReport = 256
 )
 
 // Runner runs the functions of the duties that are this process's.
 type Runner struct {
-	c     Config
-	clock Clock
-	log   *slog.Logger
-
-	mu    sync.Mutex
-	id    string
-	keep  *Participant
-	live  map[string]*live
-	out   map[outKey][]catalog.TermRef // give-ups and acceptances to be told
-	poke  chan struct{}                // the keeper wants to be told the time
-	tell  chan struct{}                // there is something to be told
-	woken chan struct{}                // the session is to be renewed at once
-	owned sync.WaitGroup
-	over  atomic.Int64
+	config Config
+	clock  Clock
+	log    *slog.Logger
+
+	mu              sync.Mutex
+	sessionID       string
+	participant     *Participant
+	running         map[string]*runningTerm
+	pendingReports  map[reportKey][]catalog.TermRef // give-ups and acceptances to be told
+	deadlineChanged chan struct{}                   // the keeper wants to be told the time
+	reportQueued    chan struct{}                   // there is something to be told
+	renewNow        chan struct{}                   // the session is to be renewed at once
+	goroutines      sync.WaitGroup
+	overdueCount    atomic.Int64
 }
 
-type outKey struct {
-	kind catalog.Kind
-	why  string
+type reportKey struct {
+	kind   catalog.Kind
+	reason string
 }
 
-// live is one term whose function runs.
-type live struct {
-	name   string
-	fence  int64
-	cancel context.CancelFunc
-	until  atomic.Int64
-	clock  Clock
+// runningTerm is one term whose function runs.
+type runningTerm struct {
+	name       string
+	fence      int64
+	cancel     context.CancelFunc
+	validUntil atomic.Int64
+	clock      Clock
 }
 
 // NewRunner makes a runner.
@@ -117,33 +117,33 @@
 	if c.Clock == nil {
 		c.Clock = realClock{time.Now()}
 	}
-	return &Runner{c: c, clock: c.Clock, log: c.Log, live: map[string]*live{}, out: map[outKey][]catalog.TermRef{}, keep: NewParticipant(),
-		poke: make(chan struct{}, 1), tell: make(chan struct{}, 1), woken: make(chan struct{}, 1)}
+	return &Runner{config: c, clock: c.Clock, log: c.Log, running: map[string]*runningTerm{}, pendingReports: map[reportKey][]catalog.TermRef{}, participant: NewParticipant(),
+		deadlineChanged: make(chan struct{}, 1), reportQueued: make(chan struct{}, 1), renewNow: make(chan struct{}, 1)}
 }
 
 // Active is how many functions run.
 func (r *Runner) Active() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.keep.Active()
+	return r.participant.Active()
 }
 
 // Overdue is how many functions did not return in time.
-func (r *Runner) Overdue() int64 { return r.over.Load() }
+func (r *Runner) Overdue() int64 { return r.overdueCount.Load() }
 
 // termContext ends with its term, by the clock and not only once somebody has run who says
 // so: a process that stood still looks at the clock before it does anything.
 type termContext struct {
 	context.Context
-	l *live
+	term *runningTerm
 }
 
 func (c termContext) Err() error {
 	if err := c.Context.Err(); err != nil {
 		return err
 	}
-	if c.l.clock.Now() >= time.Duration(c.l.until.Load()) {
-		c.l.cancel()
+	if c.term.clock.Now() >= time.Duration(c.term.validUntil.Load()) {
+		c.term.cancel()
 		return context.DeadlineExceeded
 	}
 	return nil
@@ -154,30 +154,30 @@
 func (r *Runner) Run(ctx context.Context) {
 	calls, stop := context.WithCancel(context.Background())
 	defer stop()
-	r.own(func() { r.tick(calls) })
-	r.own(func() { r.send(calls) })
+	r.spawn(func() { r.enforceDeadlines(calls) })
+	r.spawn(func() { r.sendReports(calls) })
 	for ctx.Err() == nil {
-		if err := r.session(ctx); err != nil && ctx.Err() == nil {
+		if err := r.runSession(ctx); err != nil && ctx.Err() == nil {
 			r.log.Warn("the session of duties is over", "err", err)
 		}
 		if ctx.Err() != nil {
 			break // what is held is handed over
 		}
-		r.do(func(k *Participant) []Action { return k.SessionExpired() })
+		r.withParticipant(func(k *Participant) []Action { return k.SessionExpired() })
 		// Functions of the old session return first: a new one must not run beside them.
 		for r.Active() > 0 && ctx.Err() == nil {
-			r.sleep(ctx, firstRetry)
+			r.sleep(ctx, minRetryDelay)
 		}
 	}
-	r.leave()
+	r.shutDown()
 	stop()
-	r.owned.Wait()
+	r.goroutines.Wait()
 }
 
-func (r *Runner) own(f func()) {
-	r.owned.Add(1)
+func (r *Runner) spawn(f func()) {
+	r.goroutines.Add(1)
 	go func() {
-		defer r.owned.Done()
+		defer r.goroutines.Done()
 		f()
 	}()
 }
@@ -191,121 +191,121 @@
 	}
 }
 
-// do has the keeper decide, and carries out what it wants.
-func (r *Runner) do(decide func(k *Participant) []Action) {
+// withParticipant has the keeper decide, and carries out what it wants.
+func (r *Runner) withParticipant(decide func(k *Participant) []Action) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, a := range decide(r.keep) {
-		r.act(a)
+	for _, a := range decide(r.participant) {
+		r.perform(a)
 	}
-	for _, l := range r.live {
-		l.until.Store(int64(r.keep.ValidUntil(l.name)))
+	for _, l := range r.running {
+		l.validUntil.Store(int64(r.participant.ValidUntil(l.name)))
 	}
-	notify(r.poke)
+	signal(r.deadlineChanged)
 }
 
-func notify(c chan struct{}) {
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// act carries out one act. The caller holds the lock.
-func (r *Runner) act(a Action) {
-	tie := catalog.TermRef{Name: a.Name, Process: r.c.Process, Session: r.id, Fence: a.Fence}
+// perform carries out one perform. The caller holds the lock.
+func (r *Runner) perform(a Action) {
+	tie := catalog.TermRef{Name: a.Name, Process: r.config.Process, Session: r.sessionID, Fence: a.Fence}
 	switch a.Kind {
 	case Start:
-		r.start(a)
+		r.startTerm(a)
 	case Cancel:
-		if l := r.live[a.Name]; l != nil && l.fence == a.Fence {
+		if l := r.running[a.Name]; l != nil && l.fence == a.Fence {
 			l.cancel()
-			time.AfterFunc(returnWait, func() { r.overdue(l) })
+			time.AfterFunc(returnTimeout, func() { r.reportOverdue(l) })
 		}
 	case Release:
-		r.queue(outKey{catalog.ReleaseTerm, a.Reason}, tie)
+		r.queueReport(reportKey{catalog.ReleaseTerm, a.Reason}, tie)
 	case Accept:
-		r.queue(outKey{catalog.AcceptTransfer, ""}, tie)
+		r.queueReport(reportKey{catalog.AcceptTransfer, ""}, tie)
 	}
 }
 
-func (r *Runner) queue(key outKey, t catalog.TermRef) {
-	if len(r.out[key]) < catalog.MaxTasks { // the rest is asked for again by the keeper
-		r.out[key] = append(r.out[key], t)
+func (r *Runner) queueReport(key reportKey, t catalog.TermRef) {
+	if len(r.pendingReports[key]) < catalog.MaxTasks { // the rest is asked for again by the keeper
+		r.pendingReports[key] = append(r.pendingReports[key], t)
 	}
-	notify(r.tell)
+	signal(r.reportQueued)
 }
 
-func (r *Runner) start(a Action) {
+func (r *Runner) startTerm(a Action) {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &live{name: a.Name, fence: a.Fence, cancel: cancel, clock: r.clock}
-	l.until.Store(int64(r.keep.ValidUntil(a.Name)))
-	r.live[a.Name] = l
-	r.changed(a.Name, "held")
+	l := &runningTerm{name: a.Name, fence: a.Fence, cancel: cancel, clock: r.clock}
+	l.validUntil.Store(int64(r.participant.ValidUntil(a.Name)))
+	r.running[a.Name] = l
+	r.notifyTransition(a.Name, "held")
 	r.log.Info("duty held", "duty", a.Name, "fence", a.Fence)
-	r.own(func() {
+	r.spawn(func() {
 		defer cancel()
-		err := r.call(termContext{ctx, l}, l)
+		err := r.callFunction(termContext{ctx, l}, l)
 		lost := ctx.Err() != nil
-		r.do(func(k *Participant) []Action {
-			if r.live[l.name] == l {
-				delete(r.live, l.name)
+		r.withParticipant(func(k *Participant) []Action {
+			if r.running[l.name] == l {
+				delete(r.running, l.name)
 			}
 			return k.FunctionReturned(r.clock.Now(), l.name, l.fence, err != nil && !lost)
 		})
-		r.changed(l.name, "over")
+		r.notifyTransition(l.name, "over")
 		r.log.Info("duty over", "duty", l.name, "fence", l.fence, "taken_away", lost, "err", err)
 	})
 }
 
-func (r *Runner) changed(name, what string) {
-	if r.c.OnTransition != nil {
-		r.c.OnTransition(name, what)
+func (r *Runner) notifyTransition(name, what string) {
+	if r.config.OnTransition != nil {
+		r.config.OnTransition(name, what)
 	}
 }
 
-// call runs a function; one that panics has failed.
-func (r *Runner) call(ctx context.Context, l *live) (err error) {
+// callFunction runs a function; one that panics has failed.
+func (r *Runner) callFunction(ctx context.Context, l *runningTerm) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v", p)
 		}
 	}()
 	kind, _, _ := strings.Cut(l.name, ".")
-	f := r.c.Functions[kind]
+	f := r.config.Functions[kind]
 	if f == nil {
 		return errors.New("this process has no function for it")
 	}
 	return f(ctx, l.name, l.fence)
 }
 
-// overdue counts a function that has not returned though its context ended: its acts are
+// reportOverdue counts a function that has not returned though its context ended: its acts are
 // refused by their fence.
-func (r *Runner) overdue(l *live) {
+func (r *Runner) reportOverdue(l *runningTerm) {
 	r.mu.Lock()
-	still := r.live[l.name] == l
+	still := r.running[l.name] == l
 	r.mu.Unlock()
 	if !still {
 		return
 	}
-	r.over.Add(1)
+	r.overdueCount.Add(1)
 	r.log.Error("a duty's function does not return", "duty", l.name, "fence", l.fence)
-	if r.c.OnOverdue != nil {
-		r.c.OnOverdue(l.name)
+	if r.config.OnOverdue != nil {
+		r.config.OnOverdue(l.name)
 	}
 }
 
-// tick tells the keeper the time whenever a term may be over.
-func (r *Runner) tick(ctx context.Context) {
+// enforceDeadlines tells the keeper the time whenever a term may be over.
+func (r *Runner) enforceDeadlines(ctx context.Context) {
 	for {
 		var next time.Duration
 		some := false
-		r.do(func(k *Participant) (acts []Action) {
+		r.withParticipant(func(k *Participant) (acts []Action) {
 			acts, next, some = k.Tick(r.clock.Now())
 			return acts
 		})
 		select { // what it has just decided needs no second look
-		case <-r.poke:
+		case <-r.deadlineChanged:
 		default:
 		}
 		wait := time.Hour
@@ -316,7 +316,7 @@
 		t, stop := r.clock.After(wait)
 		select {
 		case <-t:
-		case <-r.poke:
+		case <-r.deadlineChanged:
 		case <-ctx.Done():
 			stop()
 			return
@@ -325,32 +325,32 @@
 	}
 }
 
-// session opens a session and keeps it until it is over.
-func (r *Runner) session(ctx context.Context) error {
+// runSession opens a runSession and keeps it until it is over.
+func (r *Runner) runSession(ctx context.Context) error {
 	id := rand.Text()
 	r.mu.Lock()
-	r.id, r.keep = id, NewParticipant()
-	clear(r.out)
+	r.sessionID, r.participant = id, NewParticipant()
+	clear(r.pendingReports)
 	r.mu.Unlock()
 	var kinds []string
-	for k := range r.c.Functions {
+	for k := range r.config.Functions {
 		kinds = append(kinds, k)
 	}
-	retry := firstRetry
+	retry := minRetryDelay
 	for {
-		err := r.timed(ctx, func(ctx context.Context) error {
-			return r.c.Service.OpenSession(ctx, catalog.Session{Process: r.c.Process, ID: id, Zone: r.c.Zone, MaxTasks: r.c.MaxTasks, TaskKinds: kinds})
+		err := r.callWithTimeout(ctx, func(ctx context.Context) error {
+			return r.config.Service.OpenSession(ctx, catalog.Session{Process: r.config.Process, ID: id, Zone: r.config.Zone, MaxTasks: r.config.MaxTasks, TaskKinds: kinds})
 		})
 		if err == nil {
 			break
 		}
-		if errors.Is(err, ErrNameTaken) && retry < longRetry {
-			r.log.Warn("another process is called so: waiting until its time is over", "process", r.c.Process)
+		if errors.Is(err, ErrNameTaken) && retry < maxRetryDelay {
+			r.log.Warn("another process is called so: waiting until its time is over", "process", r.config.Process)
 		}
 		if r.sleep(ctx, retry); ctx.Err() != nil {
 			return ctx.Err()
 		}
-		retry = min(2*retry, longRetry)
+		retry = min(2*retry, maxRetryDelay)
 	}
 	both, stop := context.WithCancel(ctx)
 	defer stop()
@@ -360,38 +360,38 @@
 	watching.Add(1)
 	go func() {
 		defer watching.Done()
-		r.watch(both, id)
+		r.watchSession(both, id)
 	}()
-	return r.renew(both, id)
+	return r.renewSession(both, id)
 }
 
-func (r *Runner) timed(ctx context.Context, call func(ctx context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, callWait)
+func (r *Runner) callWithTimeout(ctx context.Context, call func(ctx context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return call(ctx)
 }
 
-// renew renews the session until it is over.
-func (r *Runner) renew(ctx context.Context, id string) error {
-	retry := firstRetry
+// renewSession renews the session until it is over.
+func (r *Runner) renewSession(ctx context.Context, id string) error {
+	retry := minRetryDelay
 	for ctx.Err() == nil {
 		r.mu.Lock()
-		rev, every := r.keep.Revision(), r.keep.RenewInterval()
+		rev, every := r.participant.Revision(), r.participant.RenewInterval()
 		r.mu.Unlock()
 		sent := r.clock.Now()
 		var t AssignmentUpdate
-		err := r.timed(ctx, func(ctx context.Context) (err error) {
+		err := r.callWithTimeout(ctx, func(ctx context.Context) (err error) {
 			// An answer that comes so late is worth little: sooner another steward is asked.
 			ctx, cancel := context.WithTimeout(ctx, max(every, 100*time.Millisecond))
 			defer cancel()
-			t, err = r.c.Service.RenewSession(ctx, r.c.Process, id, rev)
+			t, err = r.config.Service.RenewSession(ctx, r.config.Process, id, rev)
 			return err
 		})
 		wait := every
 		switch {
 		case err == nil:
-			retry = firstRetry
-			r.do(func(k *Participant) []Action { return k.Renewed(r.clock.Now(), sent, t.Revision, t.Assignments) })
+			retry = minRetryDelay
+			r.withParticipant(func(k *Participant) []Action { return k.Renewed(r.clock.Now(), sent, t.Revision, t.Assignments) })
 		case errors.Is(err, ErrSessionExpired), errors.Is(err, ErrNameTaken):
 			return err
 		default:
@@ -400,7 +400,7 @@
 		t2, stop := r.clock.After(wait)
 		select {
 		case <-t2:
-		case <-r.woken:
+		case <-r.renewNow:
 		case <-ctx.Done():
 		}
 		stop()
@@ -408,101 +408,101 @@
 	return ctx.Err()
 }
 
-// watch hears at once what changes.
-func (r *Runner) watch(ctx context.Context, id string) {
-	retry := firstRetry
+// watchSession hears at once what changes.
+func (r *Runner) watchSession(ctx context.Context, id string) {
+	retry := minRetryDelay
 	for ctx.Err() == nil {
 		r.mu.Lock()
-		rev := r.keep.Revision()
+		rev := r.participant.Revision()
 		r.mu.Unlock()
-		t, err := r.c.Service.WatchSession(ctx, r.c.Process, id, rev)
+		t, err := r.config.Service.WatchSession(ctx, r.config.Process, id, rev)
 		if err != nil {
 			r.sleep(ctx, retry)
-			retry = min(2*retry, longRetry)
+			retry = min(2*retry, maxRetryDelay)
 			continue
 		}
-		retry = firstRetry
+		retry = minRetryDelay
 		fresh := false
-		r.do(func(k *Participant) []Action {
-			fresh = !k.some
+		r.withParticipant(func(k *Participant) []Action {
+			fresh = !k.renewed
 			return k.Update(r.clock.Now(), t.Revision, t.Assignments)
 		})
 		if fresh {
-			notify(r.woken)
+			signal(r.renewNow)
 		}
 	}
 }
 
-// send tells the service what is given up and accepted, all that waits in one call.
-func (r *Runner) send(ctx context.Context) {
+// sendReports tells the service what is given up and accepted, all that waits in one call.
+func (r *Runner) sendReports(ctx context.Context) {
 	for {
 		select {
-		case <-r.tell:
+		case <-r.reportQueued:
 		case <-ctx.Done():
 			return
 		}
-		for retry := firstRetry; ctx.Err() == nil; {
-			key, ties := r.batch()
+		for retry := minRetryDelay; ctx.Err() == nil; {
+			key, ties := r.nextReport()
 			if len(ties) == 0 {
 				break
 			}
-			err := r.timed(ctx, func(ctx context.Context) error { return r.c.Service.ReportTerms(ctx, key.kind, ties, key.why) })
+			err := r.callWithTimeout(ctx, func(ctx context.Context) error { return r.config.Service.ReportTerms(ctx, key.kind, ties, key.reason) })
 			if err != nil {
 				// What was not told is asked for again with the next answer to a renewal; a give-up
 				// is worth another try, as somebody may be waiting for it.
 				r.mu.Lock()
-				if key.kind == catalog.ReleaseTerm && len(r.out[key]) < catalog.MaxTasks {
-					r.out[key] = append(r.out[key], ties...)
+				if key.kind == catalog.ReleaseTerm && len(r.pendingReports[key]) < catalog.MaxTasks {
+					r.pendingReports[key] = append(r.pendingReports[key], ties...)
 				}
 				r.mu.Unlock()
 				r.sleep(ctx, retry)
-				retry = min(2*retry, longRetry)
+				retry = min(2*retry, maxRetryDelay)
 			}
 		}
 	}
 }
 
-func (r *Runner) batch() (outKey, []catalog.TermRef) {
+func (r *Runner) nextReport() (reportKey, []catalog.TermRef) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for key, ties := range r.out {
-		n := min(len(ties), mostPerCall)
+	for key, ties := range r.pendingReports {
+		n := min(len(ties), maxTermsPerReport)
 		part := ties[:n:n]
-		if r.out[key] = ties[n:]; n == len(ties) {
-			delete(r.out, key)
+		if r.pendingReports[key] = ties[n:]; n == len(ties) {
+			delete(r.pendingReports, key)
 		}
 		if n > 0 {
 			return key, part
 		}
 	}
-	return outKey{}, nil
+	return reportKey{}, nil
 }
 
-// leave hands over what is held and closes the session.
-func (r *Runner) leave() {
+// shutDown hands over what is held and closes the session.
+func (r *Runner) shutDown() {
 	r.mu.Lock()
-	id := r.id
+	id := r.sessionID
 	r.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), leaveWait)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if r.Active() > 0 && r.timed(ctx, func(ctx context.Context) error { return r.c.Service.EndSession(ctx, r.c.Process, id, true) }) == nil {
+	if r.Active() > 0 && r.callWithTimeout(ctx, func(ctx context.Context) error { return r.config.Service.EndSession(ctx, r.config.Process, id, true) }) == nil {
 		// The session goes on meanwhile: what is held is still held until each is handed over.
 		both, stop := context.WithCancel(ctx)
 		var beside sync.WaitGroup
 		beside.Add(2)
-		go func() { defer beside.Done(); _ = r.renew(both, id) }()
-		go func() { defer beside.Done(); r.watch(both, id) }()
-		for end := r.clock.Now() + leaveWait/2; r.Active() > 0 && r.clock.Now() < end; {
+		go func() { defer beside.Done(); _ = r.renewSession(both, id) }()
+		go func() { defer beside.Done(); r.watchSession(both, id) }()
+		for end := r.clock.Now() + shutdownTimeout/2; r.Active() > 0 && r.clock.Now() < end; {
 			r.sleep(ctx, 10*time.Millisecond)
 		}
 		stop()
 		beside.Wait()
 	}
-	r.do(func(k *Participant) []Action { return k.SessionExpired() })
+	r.withParticipant(func(k *Participant) []Action { return k.SessionExpired() })
 	for r.Active() > 0 && ctx.Err() == nil {
 		r.sleep(ctx, 10*time.Millisecond)
 	}
 	if r.Active() == 0 { // else its time has to run out: its functions have not returned
-		_ = r.timed(ctx, func(ctx context.Context) error { return r.c.Service.EndSession(ctx, r.c.Process, id, false) })
+		_ = r.callWithTimeout(ctx, func(ctx context.Context) error { return r.config.Service.EndSession(ctx, r.config.Process, id, false) })
 	}
 }
--- a/internal/member/judge.go
+++ b/internal/member/judge.go
@@ -34,14 +34,14 @@
 // quorum nothing is removed; one observer alone removes nothing; whom most see, stays; who
 // doesn't vote, or is cut off with a minority, doesn't count.
 func DecideExpiry(voters []string, quorum, lapsed bool, answers map[string]Answer) ExpiryDecision {
-	most := len(voters)/2 + 1
-	sees, against, refuses := 0, 0, 0
+	majority := len(voters)/2 + 1
+	alive, against, refused := 0, 0, 0
 	for _, v := range voters {
 		switch answers[v] {
 		case AnswerAlive:
-			sees++
+			alive++
 		case AnswerRefused:
-			refuses++
+			refused++
 			against++
 		case AnswerSilent, AnswerDefersToLease:
 			against++
@@ -50,11 +50,11 @@
 	switch {
 	case len(voters) == 0 || !quorum:
 		return DecisionPending
-	case sees >= most:
+	case alive >= majority:
 		return DecisionRetain
-	case lapsed && against >= most:
+	case lapsed && against >= majority:
 		return DecisionRemove
-	case !lapsed && sees == 0 && refuses >= most:
+	case !lapsed && alive == 0 && refused >= majority:
 		// It is late, and most hear from its machine that it is gone: no need to wait.
 		return DecisionRemove
 	}
@@ -82,42 +82,42 @@
 // NextReconfiguration tells the next step, if there is any, towards as many voters as are wanted, all of
 // them alive. It is one step at a time and always such that those that are there make a
 // quorum after it as before.
-func NextReconfiguration(f *VoterSet) (Reconfiguration, bool) {
-	if f.DesiredVoters <= 0 {
+func NextReconfiguration(set *VoterSet) (Reconfiguration, bool) {
+	if set.DesiredVoters <= 0 {
 		return Reconfiguration{}, false
 	}
-	there := 0
+	present := 0
 	failed := ""
-	for _, v := range slices.Sorted(slices.Values(f.Voters)) {
-		if f.Present[v] {
-			there++
+	for _, v := range slices.Sorted(slices.Values(set.Voters)) {
+		if set.Present[v] {
+			present++
 		}
-		if d, is := f.Failed[v]; is && d >= f.ReplaceAfter && (failed == "" || d > f.Failed[failed]) {
+		if d, is := set.Failed[v]; is && d >= set.ReplaceAfter && (failed == "" || d > set.Failed[failed]) {
 			failed = v
 		}
 	}
-	n := len(f.Voters)
-	if there < n/2+1 {
+	n := len(set.Voters)
+	if present < n/2+1 {
 		return Reconfiguration{}, false // no quorum: nothing is changed
 	}
-	spare := ""
-	for _, s := range slices.Sorted(slices.Values(f.NonVoters)) {
-		if f.Present[s] && !slices.Contains(f.Voters, s) {
-			spare = s
+	nonVoter := ""
+	for _, s := range slices.Sorted(slices.Values(set.NonVoters)) {
+		if set.Present[s] && !slices.Contains(set.Voters, s) {
+			nonVoter = s
 			break
 		}
 	}
 	switch {
-	case n > f.DesiredVoters && failed != "" && there >= (n-1)/2+1:
+	case n > set.DesiredVoters && failed != "" && present >= (n-1)/2+1:
 		return Reconfiguration{Remove: failed}, true
-	case n > f.DesiredVoters && there == n: // the one that was replaced has come back
-		for _, v := range slices.Backward(slices.Sorted(slices.Values(f.Voters))) {
-			if v != f.Leader {
+	case n > set.DesiredVoters && present == n: // the one that was replaced has come back
+		for _, v := range slices.Backward(slices.Sorted(slices.Values(set.Voters))) {
+			if v != set.Leader {
 				return Reconfiguration{Demote: v}, true
 			}
 		}
-	case (n < f.DesiredVoters || n == f.DesiredVoters && failed != "") && spare != "" && there+1 >= (n+1)/2+1:
-		return Reconfiguration{Add: spare}, true
+	case (n < set.DesiredVoters || n == set.DesiredVoters && failed != "") && nonVoter != "" && present+1 >= (n+1)/2+1:
+		return Reconfiguration{Add: nonVoter}, true
 	}
 	return Reconfiguration{}, false
 }
--- a/internal/member/judge_test.go
+++ b/internal/member/judge_test.go
@@ -12,44 +12,44 @@
 	"knotrouter/internal/endpoints"
 )
 
-// truth is how a server is.
-type truth int
+// serverCondition is how a server is.
+type serverCondition int
 
 const (
-	alive   truth = iota
-	ended         // its machine says that nobody is there
-	dark          // its machine is gone
-	turning       // it is just starting: one is answered, the others are told that nobody is there
+	conditionAlive        serverCondition = iota
+	conditionProcessEnded                 // its machine says that nobody is there
+	conditionMachineDown                  // its machine is gone
+	conditionStarting                     // it is just starting: one is answered, the others are told that nobody is there
 )
 
 // subject is a server in the exploration: how it is, who has a way to it, whether its lease
 // is over or only late.
-type explored struct {
-	is     truth
-	ways   [3]bool
-	lapsed bool
+type serverCase struct {
+	condition   serverCondition
+	reachableBy [3]bool
+	lapsed      bool
 }
 
 // world is three stewards that vote, of whom the first leads.
-type explorers struct {
-	reach [3]bool // whom the leader hears, and is heard by; itself always
-	slow  [3]bool
-	old   [3]bool // of a version that can't be asked
+type observerCase struct {
+	reachable  [3]bool // whom the leader hears, and is heard by; itself always
+	slow       [3]bool
+	noEvidence [3]bool // of a version that can't be asked
 	// What others answer may come though the leader has lost the quorum.
 	quorum bool
 }
 
-func (w *explorers) says(o int, s *explored) Answer {
+func (w *observerCase) answer(o int, s *serverCase) Answer {
 	switch {
-	case !w.reach[o]:
+	case !w.reachable[o]:
 		return AnswerNone
-	case w.old[o]:
+	case w.noEvidence[o]:
 		return AnswerDefersToLease
-	case s.is == alive && s.ways[o]:
+	case s.condition == conditionAlive && s.reachableBy[o]:
 		return AnswerAlive
-	case s.is == turning && s.ways[o] && o == 2:
+	case s.condition == conditionStarting && s.reachableBy[o] && o == 2:
 		return AnswerAlive
-	case (s.is == ended || s.is == turning) && s.ways[o]:
+	case (s.condition == conditionProcessEnded || s.condition == conditionStarting) && s.reachableBy[o]:
 		return AnswerRefused
 	case w.slow[o]:
 		return AnswerUnsure
@@ -60,22 +60,22 @@
 // Each state that three observers and two subjects can be in, with the guard and without:
 // whom most see stays, one observer alone removes nobody, without the quorum nothing
 // is removed, and who is gone, late only or over, goes where the rules promise it.
-func TestExploreJudge(t *testing.T) {
+func TestExpiryNeedsAMajorityOfVoters(t *testing.T) {
 	voters := []string{"a", "b", "c"}
 	bits := func(n, i int) bool { return n>>i&1 == 1 }
-	var worlds []explorers
+	var worlds []observerCase
 	for n := range 512 {
-		worlds = append(worlds, explorers{quorum: bits(n, 8), reach: [3]bool{true, bits(n, 0), bits(n, 1)}, slow: [3]bool{bits(n, 2), bits(n, 3), bits(n, 4)}, old: [3]bool{bits(n, 5), bits(n, 6), bits(n, 7)}})
+		worlds = append(worlds, observerCase{quorum: bits(n, 8), reachable: [3]bool{true, bits(n, 0), bits(n, 1)}, slow: [3]bool{bits(n, 2), bits(n, 3), bits(n, 4)}, noEvidence: [3]bool{bits(n, 5), bits(n, 6), bits(n, 7)}})
 	}
-	var subjects []explored
+	var subjects []serverCase
 	for n := range 16 {
-		for is := alive; is <= turning; is++ {
-			subjects = append(subjects, explored{is, [3]bool{bits(n, 0), bits(n, 1), bits(n, 2)}, bits(n, 3)})
+		for is := conditionAlive; is <= conditionStarting; is++ {
+			subjects = append(subjects, serverCase{is, [3]bool{bits(n, 0), bits(n, 1), bits(n, 2)}, bits(n, 3)})
 		}
 	}
 	const ttl = 6 * time.Second
 	plays, removed, kept := 0, 0, 0
-	broke := func(why string, w explorers, two [2]explored, others int, got []catalog.InstanceRef) {
+	broke := func(why string, w observerCase, two [2]serverCase, others int, got []catalog.InstanceRef) {
 		t.Fatalf("after %d plays: %s: %+v, %+v beside %d others: removed %v", plays, why, w, two, others, got)
 	}
 	for _, others := range []int{0, 4} { // with none beside them, both at once are a mass failure
@@ -85,16 +85,16 @@
 			st.Apply(&catalog.Command{FormatVersion: catalog.FormatVersion, Kind: catalog.Register, Endpoint: &h})
 		}
 		for _, w := range worlds {
-			if w.slow != [3]bool{} && w.old != [3]bool{} {
+			if w.slow != [3]bool{} && w.noEvidence != [3]bool{} {
 				continue // each of them with all else is enough
 			}
 			quorum := w.quorum
 			for _, a := range subjects {
 				for _, b := range subjects {
-					if (others == 0 || b.is == turning) && (w.slow != [3]bool{} || w.old != [3]bool{}) {
+					if (others == 0 || b.condition == conditionStarting) && (w.slow != [3]bool{} || w.noEvidence != [3]bool{}) {
 						continue // what they say is played above
 					}
-					two := [2]explored{a, b}
+					two := [2]serverCase{a, b}
 					plays++
 					l := catalog.NewRegistrationLeases(catalog.LeaseConfig{TTL: ttl, MassFailureShare: 0.5, MassFailureWindow: 10 * time.Second}, st, 0)
 					for i := range 2 + others {
@@ -109,7 +109,7 @@
 					answers := [2]map[string]Answer{{}, {}}
 					for i := range two {
 						for o, v := range voters {
-							answers[i][v] = w.says(o, &two[i])
+							answers[i][v] = w.answer(o, &two[i])
 						}
 					}
 					d := l.Decide(st, ttl, func(ref catalog.InstanceRef, over bool) catalog.FailureEvidence {
@@ -154,7 +154,7 @@
 							broke("removed by one observer alone", w, two, others, d.Expire)
 						case sees >= 2:
 							broke("removed though most see it", w, two, others, d.Expire)
-						case !s.lapsed && (plain < 2 || sees > 0 || s.is == alive):
+						case !s.lapsed && (plain < 2 || sees > 0 || s.condition == conditionAlive):
 							broke("removed before its time without a plain word", w, two, others, d.Expire)
 						case mass && gone[1-i]:
 							broke("all removed at once", w, two, others, d.Expire)
@@ -174,7 +174,7 @@
 // Whatever becomes of stewards, voters are replaced one step at a time, with a quorum of those
 // that are there before and after each; and once nothing happens any more, as many vote as
 // are wanted and all of them are there, if there are enough.
-func TestReplace(t *testing.T) {
+func TestReconfigurationKeepsTheQuorum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 9).Draw(t, "stewards")
 		wanted := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "wanted")
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -112,8 +112,8 @@
 
 // Bounds of what is taken from others.
 const (
-	MaxMembers = 4096
-	mostReport = 1 << 20 // bytes
+	MaxMembers     = 4096
+	maxReportBytes = 1 << 20 // bytes
 )
 
 // DecodeInfo reads a member's word for itself.
@@ -129,8 +129,8 @@
 
 // DecodeReport reads an observer's report, and refuses what this build doesn't read.
 func DecodeReport(text []byte) (r Report, err error) {
-	if len(text) > mostReport {
-		return r, fmt.Errorf("report: over %d bytes", mostReport)
+	if len(text) > maxReportBytes {
+		return r, fmt.Errorf("report: over %d bytes", maxReportBytes)
 	}
 	if err := json.Unmarshal(text, &r); err != nil {
 		return Report{}, fmt.Errorf("report: %w", err)
--- a/internal/member/tracker_test.go
+++ b/internal/member/tracker_test.go
@@ -9,26 +9,26 @@
 	"pgregory.net/rapid"
 )
 
-func steward(name string, incarnation int64) Info {
+func controlPlaneServer(name string, incarnation int64) Info {
 	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleControlPlane, Incarnation: incarnation, InstanceID: "f-" + name}
 }
 
-func agentOf(name, life string) Info {
+func agentInfo(name, life string) Info {
 	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleAgent, InstanceID: life}
 }
 
-// five is a steward that has four others as present, all heard just now.
-func five(now time.Duration) *Tracker {
-	t := NewTracker(Defaults(steward("a", 1)))
+// newTrackerOfFive is a steward that has four others as present, all heard just now.
+func newTrackerOfFive(now time.Duration) *Tracker {
+	t := NewTracker(Defaults(controlPlaneServer("a", 1)))
 	for _, name := range []string{"b", "c", "d", "e"} {
-		t.Alive(now, steward(name, 1))
+		t.MemberAlive(now, controlPlaneServer(name, 1))
 		t.ExpectPeer(now, name)
 	}
 	t.Tick(now)
 	return t
 }
 
-func says(from string, seq int64, state State, incarnation int64, names ...string) *Report {
+func newReportFrom(from string, seq int64, state State, incarnation int64, names ...string) *Report {
 	r := &Report{ProtocolVersion: ProtocolVersion, From: from, Incarnation: 1, Seq: seq, BootID: from}
 	for _, n := range names {
 		role := RoleControlPlane
@@ -41,7 +41,7 @@
 }
 
 // What one observer makes of what it hears, step by step.
-func TestTracker(t *testing.T) {
+func TestTrackerStates(t *testing.T) {
 	const s = time.Second
 	type want struct {
 		at    time.Duration
@@ -54,8 +54,11 @@
 	}{
 		"a death is believed once the dead was not heard for a while, and a return too": {
 			map[time.Duration]func(*Tracker, time.Duration){
-				1 * s:  func(t *Tracker, now time.Duration) { t.Dead(now, "b") },
-				10 * s: func(t *Tracker, now time.Duration) { t.Alive(now, steward("b", 2)); t.PeerAnswered(now, "b") }},
+				1 * s: func(t *Tracker, now time.Duration) { t.MemberDead(now, "b") },
+				10 * s: func(t *Tracker, now time.Duration) {
+					t.MemberAlive(now, controlPlaneServer("b", 2))
+					t.PeerAnswered(now, "b")
+				}},
 			[]want{{1 * s, "b", Suspect}, {2 * s, "b", Failed}, {9 * s, "b", Failed}, {10 * s, "b", Present}}},
 		"who doesn't answer this one itself is in doubt, and never dead by that alone": {
 			map[time.Duration]func(*Tracker, time.Duration){
@@ -69,48 +72,48 @@
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
 					for i, from := range []string{"c", "d", "e"} {
-						t.MergeReport(now, says(from, int64(i+1), Present, 1, "b"))
+						t.MergeReport(now, newReportFrom(from, int64(i+1), Present, 1, "b"))
 					}
 				}},
 			[]want{{3 * s, "b", Present}, {9 * s, "b", Present}}},
 		"most have it as failed": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
-					t.MergeReport(now, says("c", 1, Failed, 1, "b"))
-					t.MergeReport(now, says("d", 1, Failed, 1, "b"))
+					t.MergeReport(now, newReportFrom("c", 1, Failed, 1, "b"))
+					t.MergeReport(now, newReportFrom("d", 1, Failed, 1, "b"))
 				}},
 			[]want{{1 * s, "b", Failed}}},
 		"too many deaths at once are not believed, not even after long": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				4 * s: func(t *Tracker, now time.Duration) {
-					t.Dead(now, "b")
-					t.Dead(now, "c")
-					t.Dead(now, "d")
-					t.Dead(now, "e")
+					t.MemberDead(now, "b")
+					t.MemberDead(now, "c")
+					t.MemberDead(now, "d")
+					t.MemberDead(now, "e")
 				}},
 			[]want{{5 * s, "e", Suspect}, {60 * s, "e", Suspect}, {60 * s, "d", Suspect}}},
 		"unless most that are left say the same": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				4 * s: func(t *Tracker, now time.Duration) {
 					t.PeerAnswered(now, "e")
-					t.Dead(now, "b")
-					t.Dead(now, "c")
-					t.Dead(now, "d")
+					t.MemberDead(now, "b")
+					t.MemberDead(now, "c")
+					t.MemberDead(now, "d")
 				},
 				5 * s: func(t *Tracker, now time.Duration) {
 					t.PeerAnswered(now, "e")
-					t.MergeReport(now, says("e", 1, Suspect, 1, "b", "c", "d"))
+					t.MergeReport(now, newReportFrom("e", 1, Suspect, 1, "b", "c", "d"))
 				},
 				6 * s: func(t *Tracker, now time.Duration) {
 					t.PeerAnswered(now, "e")
-					t.MergeReport(now, says("e", 2, Failed, 1, "b", "c", "d"))
+					t.MergeReport(now, newReportFrom("e", 2, Failed, 1, "b", "c", "d"))
 				}},
 			[]want{{4 * s, "d", Suspect}, {5 * s, "d", Suspect}, {6 * s, "d", Failed}}},
 		"who stood still accuses nobody of silence": {
 			map[time.Duration]func(*Tracker, time.Duration){
-				10 * s: func(t *Tracker, now time.Duration) { t.Paused(now, 10*s); t.Dead(now, "b") },
+				10 * s: func(t *Tracker, now time.Duration) { t.Paused(now, 10*s); t.MemberDead(now, "b") },
 				11 * s: func(t *Tracker, now time.Duration) {
-					t.Alive(now, steward("b", 1))
+					t.MemberAlive(now, controlPlaneServer("b", 1))
 					for _, n := range []string{"b", "c", "d", "e"} {
 						t.PeerAnswered(now, n)
 					}
@@ -118,28 +121,32 @@
 			[]want{{10 * s, "b", Suspect}, {10 * s, "c", Present}, {12 * s, "b", Present}}},
 		"news of an earlier life changes nothing": {
 			map[time.Duration]func(*Tracker, time.Duration){
-				1 * s: func(t *Tracker, now time.Duration) { t.Alive(now, steward("b", 5)) },
+				1 * s: func(t *Tracker, now time.Duration) { t.MemberAlive(now, controlPlaneServer("b", 5)) },
 				2 * s: func(t *Tracker, now time.Duration) {
 					for i, from := range []string{"c", "d", "e"} {
-						t.MergeReport(now, says(from, int64(i+1), Left, 4, "b"))
+						t.MergeReport(now, newReportFrom(from, int64(i+1), Left, 4, "b"))
 					}
-					old := steward("b", 4)
+					old := controlPlaneServer("b", 4)
 					old.ShuttingDown = true
-					t.Alive(now, old)
+					t.MemberAlive(now, old)
 				}},
 			[]want{{2 * s, "b", Present}}},
 		"a planned leave": {
 			map[time.Duration]func(*Tracker, time.Duration){
-				1 * s: func(t *Tracker, now time.Duration) { i := steward("b", 1); i.ShuttingDown = true; t.Alive(now, i) },
-				2 * s: func(t *Tracker, now time.Duration) { t.Dead(now, "b") }},
+				1 * s: func(t *Tracker, now time.Duration) {
+					i := controlPlaneServer("b", 1)
+					i.ShuttingDown = true
+					t.MemberAlive(now, i)
+				},
+				2 * s: func(t *Tracker, now time.Duration) { t.MemberDead(now, "b") }},
 			[]want{{1 * s, "b", Present}, {2 * s, "b", Left}}},
 		"started again and without a number, it is there": {
 			map[time.Duration]func(*Tracker, time.Duration){
-				1 * s: func(t *Tracker, now time.Duration) { t.Dead(now, "b") },
+				1 * s: func(t *Tracker, now time.Duration) { t.MemberDead(now, "b") },
 				3 * s: func(t *Tracker, now time.Duration) {
-					i := steward("b", 0)
+					i := controlPlaneServer("b", 0)
 					i.InstanceID = "another folder"
-					t.Alive(now, i)
+					t.MemberAlive(now, i)
 					t.PeerAnswered(now, "b")
 					if id, is := t.InstanceID("b"); !is || id != i.InstanceID {
 						panic("its folder is " + id)
@@ -148,56 +155,56 @@
 			[]want{{2 * s, "b", Failed}, {3 * s, "b", Present}}},
 		"without a number it is joining": {
 			map[time.Duration]func(*Tracker, time.Duration){
-				1 * s: func(t *Tracker, now time.Duration) { t.Alive(now, steward("f", 0)) },
-				2 * s: func(t *Tracker, now time.Duration) { t.Alive(now, steward("f", 9)) }},
+				1 * s: func(t *Tracker, now time.Duration) { t.MemberAlive(now, controlPlaneServer("f", 0)) },
+				2 * s: func(t *Tracker, now time.Duration) { t.MemberAlive(now, controlPlaneServer("f", 9)) }},
 			[]want{{1 * s, "f", Joining}, {2 * s, "f", Present}}},
 		"a session that ends, and nobody has it": {
 			map[time.Duration]func(*Tracker, time.Duration){
-				1 * s: func(t *Tracker, now time.Duration) { t.SessionOpened(now, agentOf("n1", "x")) },
+				1 * s: func(t *Tracker, now time.Duration) { t.SessionOpened(now, agentInfo("n1", "x")) },
 				5 * s: func(t *Tracker, now time.Duration) { t.SessionClosed(now, "n1") }},
 			[]want{{4 * s, "n1", Present}, {6 * s, "n1", Present}, {7 * s, "n1", Suspect}, {8 * s, "n1", Failed}}},
 		"a session that moves": {
 			map[time.Duration]func(*Tracker, time.Duration){
-				1 * s: func(t *Tracker, now time.Duration) { t.SessionOpened(now, agentOf("n1", "x")) },
+				1 * s: func(t *Tracker, now time.Duration) { t.SessionOpened(now, agentInfo("n1", "x")) },
 				5 * s: func(t *Tracker, now time.Duration) { t.SessionClosed(now, "n1") },
-				6 * s: func(t *Tracker, now time.Duration) { t.MergeReport(now, says("c", 1, Present, 0, "n1")) }},
+				6 * s: func(t *Tracker, now time.Duration) { t.MergeReport(now, newReportFrom("c", 1, Present, 0, "n1")) }},
 			[]want{{6 * s, "n1", Present}, {8 * s, "n1", Present}, {21 * s, "n1", Present}, {23 * s, "n1", Suspect}}},
 		"an observer that dies, and what it alone saw": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
-					t.MergeReport(now, says("c", 1, Present, 0, "n1", "n2"))
+					t.MergeReport(now, newReportFrom("c", 1, Present, 0, "n1", "n2"))
 					for i, from := range []string{"d", "e"} {
-						t.MergeReport(now, says(from, int64(i+1), Failed, 1, "b"))
+						t.MergeReport(now, newReportFrom(from, int64(i+1), Failed, 1, "b"))
 					}
 				},
-				2 * s: func(t *Tracker, now time.Duration) { t.Dead(now, "c") },
-				4 * s: func(t *Tracker, now time.Duration) { t.MergeReport(now, says("d", 9, Present, 0, "n2")) }},
+				2 * s: func(t *Tracker, now time.Duration) { t.MemberDead(now, "c") },
+				4 * s: func(t *Tracker, now time.Duration) { t.MergeReport(now, newReportFrom("d", 9, Present, 0, "n2")) }},
 			[]want{{1 * s, "n1", Present}, {2 * s, "n1", Suspect}, {2 * s, "n2", Suspect}, {4 * s, "n2", Present}, {4 * s, "n1", Suspect}, {5 * s, "n1", Failed}, {9 * s, "n2", Present}}},
 		"an agent that leaves, and whose old word comes late": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
-					t.SessionOpened(now, agentOf("n1", "x"))
-					t.Leave(now, agentOf("n1", "x"))
+					t.SessionOpened(now, agentInfo("n1", "x"))
+					t.Leave(now, agentInfo("n1", "x"))
 				},
-				2 * s: func(t *Tracker, now time.Duration) { t.SessionOpened(now, agentOf("n1", "y")) },
-				3 * s: func(t *Tracker, now time.Duration) { t.Leave(now, agentOf("n1", "x")) }},
+				2 * s: func(t *Tracker, now time.Duration) { t.SessionOpened(now, agentInfo("n1", "y")) },
+				3 * s: func(t *Tracker, now time.Duration) { t.Leave(now, agentInfo("n1", "x")) }},
 			[]want{{1 * s, "n1", Left}, {2 * s, "n1", Present}, {4 * s, "n1", Present}}},
 		"a report of one that is no steward, one out of order, one of a life before": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
-					t.Alive(now, Info{ProtocolVersion: ProtocolVersion, Name: "w", Role: RoleWorker, Incarnation: 1})
-					t.MergeReport(now, says("w", 1, Present, 0, "n1"))
-					t.MergeReport(now, says("z", 1, Present, 0, "n1"))
-					t.MergeReport(now, says("c", 2, Failed, 0, "n2"))
-					t.MergeReport(now, says("c", 1, Present, 0, "n2"))
-					other := says("c", 9, Present, 0, "n2")
+					t.MemberAlive(now, Info{ProtocolVersion: ProtocolVersion, Name: "w", Role: RoleWorker, Incarnation: 1})
+					t.MergeReport(now, newReportFrom("w", 1, Present, 0, "n1"))
+					t.MergeReport(now, newReportFrom("z", 1, Present, 0, "n1"))
+					t.MergeReport(now, newReportFrom("c", 2, Failed, 0, "n2"))
+					t.MergeReport(now, newReportFrom("c", 1, Present, 0, "n2"))
+					other := newReportFrom("c", 9, Present, 0, "n2")
 					other.BootID = "another"
 					t.MergeReport(now, other)
 				}},
 			[]want{{1 * s, "n1", ""}, {1 * s, "n2", Failed}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tr := five(0)
+			tr := newTrackerOfFive(0)
 			for now := time.Duration(0); now <= 61*s; now += s {
 				if do := c.do[now]; do != nil {
 					do(tr, now)
@@ -221,10 +228,10 @@
 		names := []string{"a", "b", "c"}
 		all := map[string]*Tracker{}
 		for _, n := range names {
-			all[n] = NewTracker(Defaults(steward(n, 1)))
+			all[n] = NewTracker(Defaults(controlPlaneServer(n, 1)))
 			for _, o := range names {
 				if o != n {
-					all[n].Alive(0, steward(o, 1))
+					all[n].MemberAlive(0, controlPlaneServer(o, 1))
 				}
 			}
 		}
@@ -288,7 +295,7 @@
 				if was := open[who]; was != "" {
 					all[was].SessionClosed(now, who)
 				}
-				all[at].SessionOpened(now, agentOf(who, who))
+				all[at].SessionOpened(now, agentInfo(who, who))
 				open[who], ever[who] = at, true
 			case "close":
 				if was := open[who]; was != "" {
@@ -327,7 +334,7 @@
 }
 
 // What differs between views, since when, and who is alone.
-func TestCompare(t *testing.T) {
+func TestCompareViews(t *testing.T) {
 	view := func(from string, of map[string]State) View {
 		v := View{From: from}
 		for name, st := range of {
@@ -353,24 +360,24 @@
 	}
 }
 
-// FuzzDecode: what others send makes sense or is refused, and what is taken harms nobody.
-func FuzzDecode(f *testing.F) {
-	tr := five(0)
-	tr.SessionOpened(0, agentOf("n1", "x"))
+// FuzzDecodeMessages: what others send makes sense or is refused, and what is taken harms nobody.
+func FuzzDecodeMessages(f *testing.F) {
+	tr := newTrackerOfFive(0)
+	tr.SessionOpened(0, agentInfo("n1", "x"))
 	own, _ := json.Marshal(tr.FullReport(0))
-	info, _ := json.Marshal(steward("b", 3))
+	info, _ := json.Marshal(controlPlaneServer("b", 3))
 	for _, seed := range [][]byte{own, info, []byte("{}"), []byte(`{"f":2,"n":"b"}`), []byte(`{"f":1,"n":"b","o":[{"n":"c","r":"steward","s":"present","t":-1}]}`), nil} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		tr := five(0)
+		tr := newTrackerOfFive(0)
 		if i, err := DecodeInfo(text); err == nil {
-			tr.Alive(time.Second, i)
+			tr.MemberAlive(time.Second, i)
 		}
 		if r, err := DecodeReport(text); err == nil {
 			tr.MergeReport(time.Second, &r)
 		}
-		tr.Dead(2*time.Second, "b")
+		tr.MemberDead(2*time.Second, "b")
 		tr.Tick(5 * time.Second)
 		v := tr.View(5 * time.Second)
 		if v.State("a") != Present || len(v.Members) > MaxMembers+5 {
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -36,13 +36,13 @@
 
 func compareNames(a, b string) int { return strings.Compare(a, b) }
 
-// combined is what all opinions together come to; "" is nothing.
+// combinedState is what all opinions together come to; "" is nothing.
 //
 // Only those of the member's latest life count. It has left if it told anybody so. A session
 // is at one observer, so one that sees its owner is enough. Of those that gossip, what most
 // observers think counts, and of two halves the one that this process is of itself; where no
 // opinion has most, they are in doubt.
-func (t *Tracker) combined(s *subject) State {
+func (t *Tracker) combinedState(s *memberRecord) State {
 	latest := s.info.Incarnation
 	n := map[State]int{}
 	all := 0
@@ -52,11 +52,11 @@
 			all++
 		}
 	}
-	if s.own != "" {
-		add(s.own, s.info.Incarnation)
+	if s.ownState != "" {
+		add(s.ownState, s.info.Incarnation)
 	}
-	for from, o := range s.others {
-		if !t.ended(from) {
+	for from, o := range s.peerObservations {
+		if !t.observerEnded(from) {
 			add(o.State, o.Incarnation)
 		}
 	}
@@ -64,7 +64,7 @@
 		return ""
 	}
 	there := n[Present] + n[Joining]
-	if own := s.own == Present || s.own == Joining; own && 2*there == all {
+	if own := s.ownState == Present || s.ownState == Joining; own && 2*there == all {
 		all-- // half and half: what this process sees itself decides
 	}
 	switch {
@@ -88,7 +88,7 @@
 
 // View is what this process knows now, itself included.
 func (t *Tracker) View(now time.Duration) View {
-	self := t.c.Self
+	self := t.config.Self
 	v := View{From: self.Name, Version: t.version, Members: []Entry{}}
 	state := Present
 	switch {
@@ -99,21 +99,21 @@
 	}
 	v.Members = append(v.Members, Entry{self.Name, self.Role, self.Zone, self.ProgramVersion, self.Versions, self.Incarnation, state,
 		[]Opinion{{self.Name, state, self.Incarnation, 0}}})
-	for name, s := range t.all {
-		st := t.combined(s)
+	for name, s := range t.members {
+		st := t.combinedState(s)
 		if st == "" {
 			continue
 		}
 		e := Entry{name, s.info.Role, s.info.Zone, s.info.ProgramVersion, s.info.Versions, s.info.Incarnation, st, []Opinion{}}
-		for from, o := range s.others {
+		for from, o := range s.peerObservations {
 			if o.State == "" {
 				continue
 			}
-			e.Observers = append(e.Observers, Opinion{from, o.State, o.Incarnation, (now - o.at).Milliseconds()})
+			e.Observers = append(e.Observers, Opinion{from, o.State, o.Incarnation, (now - o.since).Milliseconds()})
 		}
 		slices.SortFunc(e.Observers, func(a, b Opinion) int { return compareNames(a.Observer, b.Observer) })
-		if s.own != "" {
-			e.Observers = slices.Insert(e.Observers, 0, Opinion{self.Name, s.own, s.info.Incarnation, (now - s.since).Milliseconds()})
+		if s.ownState != "" {
+			e.Observers = slices.Insert(e.Observers, 0, Opinion{self.Name, s.ownState, s.info.Incarnation, (now - s.ownStateSince).Milliseconds()})
 		}
 		v.Members = append(v.Members, e)
 	}
