--- /dev/null
+++ b/internal/leaderelection/service.go
@@ -0,0 +1,42 @@
+package leaderelection
+
+import (
+	"context"
+	"errors"
+
+	"knotrouter/internal/catalog"
+)
+
+// AssignmentUpdate is a session's list of assignments at a revision.
+type AssignmentUpdate struct {
+	Revision int64 `json:"rev"`
+	// Assignments is nil if nothing has changed since the revision that the caller knew.
+	Assignments []catalog.Assignment `json:"tasks"`
+}
+
+// Service is the part of the control plane's interface that a Runner uses.
+type Service interface {
+	// OpenSession opens a session for a process. It returns ErrNameTaken while another
+	// process holds a session under the same name.
+	OpenSession(ctx context.Context, s catalog.Session) error
+	// RenewSession extends the session and all of its terms. The answer comes from a server
+	// that has confirmed, after the call arrived, that it is the leader. It returns
+	// ErrSessionExpired or ErrNameTaken if the session is over.
+	RenewSession(ctx context.Context, process, id string, rev int64) (AssignmentUpdate, error)
+	// WatchSession is a long poll: it waits for a revision later than rev, for a time that
+	// the server chooses. It does not extend the session.
+	WatchSession(ctx context.Context, process, id string, rev int64) (AssignmentUpdate, error)
+	// EndSession closes the session. With drain, it asks the control plane to transfer the
+	// session's tasks to other processes first, and the session stays open meanwhile.
+	EndSession(ctx context.Context, process, id string, drain bool) error
+	// ReportTerms sends one command, ReleaseTerm or AcceptTransfer, for the terms given.
+	ReportTerms(ctx context.Context, kind catalog.Kind, terms []catalog.TermRef, reason string) error
+}
+
+// The errors of a Service after which a session is over.
+var (
+	// ErrSessionExpired means that the control plane does not know the session any more.
+	ErrSessionExpired = errors.New("the session is over")
+	// ErrNameTaken means that another process has a session under this process's name.
+	ErrNameTaken = errors.New("another process has the name")
+)
