--- /dev/null
+++ b/internal/member/compare.go
@@ -0,0 +1,114 @@
+package member
+
+import (
+	"slices"
+	"strings"
+)
+
+// Difference is a member about which the observers disagree.
+type Difference struct {
+	Name      string            `json:"name"`
+	Role      Role              `json:"role"`
+	States    map[string]string `json:"says"`             // by observer: the state of the member
+	ForMs     int64             `json:"for_ms"`           // since the last change of an observer's state
+	Dissenter string            `json:"alone,omitempty"`  // the only observer that disagrees with all others
+	Absent    []string          `json:"absent,omitempty"` // observers that do not know the member
+}
+
+// ownOpinion is an observer's own opinion of a member.
+type ownOpinion struct {
+	Opinion
+	role Role // of the member
+}
+
+// CompareViews returns the members about which the views of several processes differ, by
+// name. Only each process's own opinion counts: the other opinions in its view would count
+// twice.
+func CompareViews(views []View) (differences []Difference) {
+	for name, opinions := range ownOpinions(views) {
+		if d, differs := compareOpinions(views, name, opinions); differs {
+			differences = append(differences, d)
+		}
+	}
+	slices.SortFunc(differences, func(a, b Difference) int { return strings.Compare(a.Name, b.Name) })
+	return differences
+}
+
+// ownOpinions returns, by member and observer, the opinions that observers have of others.
+func ownOpinions(views []View) map[string]map[string]ownOpinion {
+	opinions := map[string]map[string]ownOpinion{}
+	for i := range views {
+		observer := views[i].From
+		for j := range views[i].Members {
+			e := &views[i].Members[j]
+			for _, o := range e.Observers {
+				if o.Observer != observer || e.Name == observer {
+					continue
+				}
+				if opinions[e.Name] == nil {
+					opinions[e.Name] = map[string]ownOpinion{}
+				}
+				opinions[e.Name][observer] = ownOpinion{o, e.Role}
+			}
+		}
+	}
+	return opinions
+}
+
+// compareOpinions compares the opinions of one member, by observer, and reports whether
+// they differ.
+func compareOpinions(views []View, name string, opinions map[string]ownOpinion) (Difference, bool) {
+	d := Difference{Name: name, States: map[string]string{}, ForMs: -1}
+	observers := map[State][]string{}
+	incarnations := map[int64]bool{}
+	for from, o := range opinions {
+		d.Role = o.role
+		incarnations[o.Incarnation] = true
+		observers[o.State] = append(observers[o.State], from)
+		if d.ForMs < 0 || o.ForMs < d.ForMs {
+			d.ForMs = o.ForMs
+		}
+		d.States[from] = string(o.State)
+	}
+	if d.Role.Gossips() {
+		d.Absent = observersWithout(views, name, opinions)
+	}
+	if len(observers) < 2 && len(incarnations) < 2 && len(d.Absent) == 0 {
+		return Difference{}, false
+	}
+	if !d.Role.Gossips() && len(observers[Present]) > 0 && len(incarnations) < 2 {
+		// The member's session has moved: an observer that has lost it does not contradict
+		// the one that has it.
+		return Difference{}, false
+	}
+	d.Dissenter = dissenter(observers, len(opinions), d.Absent)
+	return d, true
+}
+
+// observersWithout returns the processes that have no opinion of a member other than
+// themselves, in the order of the views.
+func observersWithout(views []View, name string, opinions map[string]ownOpinion) (absent []string) {
+	for i := range views {
+		from := views[i].From
+		if _, has := opinions[from]; from != name && !has {
+			absent = append(absent, from)
+		}
+	}
+	return absent
+}
+
+// dissenter returns the only observer that disagrees with all others, or "". observers are
+// those of each state, and total is their number.
+func dissenter(observers map[State][]string, total int, absent []string) string {
+	if len(observers) == 2 && total > 2 {
+		for _, names := range observers {
+			if len(names) == 1 {
+				return names[0]
+			}
+		}
+	}
+	if len(observers) == 1 && len(absent) == 1 && total > 1 {
+		return absent[0]
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/member/gossipevents.go
@@ -0,0 +1,146 @@
+package member
+
+import "time"
+
+// MemberAlive handles the gossip library's news that a member is alive or has changed its
+// Info.
+func (t *Tracker) MemberAlive(now time.Duration, info Info) {
+	if m := t.members[info.Name]; m != nil && info.Incarnation == 0 {
+		// The member has restarted and the catalog has not assigned its incarnation yet. The
+		// library orders its own messages, so this one is the latest.
+		info.Incarnation = m.info.Incarnation
+	}
+	m := t.upsert(now, info)
+	if m == nil {
+		return
+	}
+	m.reportedDead, m.deadline = false, 0
+	if m.lastHeard == 0 {
+		m.lastHeard = now
+	}
+	t.updateOwnState(now, m)
+}
+
+// MemberDead handles the gossip library's news that a member has failed or left.
+func (t *Tracker) MemberDead(now time.Duration, name string) {
+	m := t.members[name]
+	if m == nil || m.reportedDead {
+		return
+	}
+	m.reportedDead = true
+	if !m.info.ShuttingDown {
+		t.recentFailures = append(t.recentFailures, failureEvent{now, name})
+		if t.massFailure(now) || now < t.selfSuspectUntil {
+			t.counts.Deferred++
+			m.deadline = now + t.config.MassFailureDelay
+		}
+	}
+	t.updateOwnState(now, m)
+}
+
+// ExpectPeer notes that this process pings a member from now on, so that the member's
+// silence counts.
+func (t *Tracker) ExpectPeer(now time.Duration, name string) {
+	if m := t.members[name]; m != nil && !m.directPeer {
+		m.directPeer, m.lastHeard = true, now
+	}
+}
+
+// PeerAnswered handles a member's answer to a ping of this process.
+func (t *Tracker) PeerAnswered(now time.Duration, name string) {
+	if m := t.members[name]; m != nil {
+		m.lastHeard = max(m.lastHeard, now)
+		t.updateOwnState(now, m)
+	}
+}
+
+// Paused handles a pause of this process itself, which ended now: all deadlines move by its
+// duration, and for Config.MassFailureDelay nobody is suspected of silence.
+func (t *Tracker) Paused(now, duration time.Duration) {
+	t.selfSuspectUntil = max(t.selfSuspectUntil, now+t.config.MassFailureDelay)
+	for _, m := range t.members {
+		if m.lastHeard > 0 {
+			m.lastHeard = min(m.lastHeard+duration, now)
+		}
+		if m.deadline > 0 {
+			m.deadline += duration
+		}
+		for from, o := range m.peerObservations {
+			o.receivedAt = min(o.receivedAt+duration, now)
+			m.peerObservations[from] = o
+		}
+	}
+}
+
+// SelfSuspect reports whether this process was slow itself within Config.MassFailureDelay,
+// so that what it did not hear shows nothing about others.
+func (t *Tracker) SelfSuspect(now time.Duration) bool { return now < t.selfSuspectUntil }
+
+// massFailure reports whether more gossiping members failed within the window than may.
+func (t *Tracker) massFailure(now time.Duration) bool {
+	for len(t.recentFailures) > 0 && now-t.recentFailures[0].at > t.config.MassFailureWindow {
+		t.recentFailures = t.recentFailures[1:]
+	}
+	failed := map[string]bool{}
+	for _, failure := range t.recentFailures {
+		if m := t.members[failure.name]; m != nil && m.reportedDead {
+			failed[failure.name] = true
+		}
+	}
+	members := 1 // this process
+	for name, m := range t.members {
+		if m.info.Role.Gossips() && (failed[name] || m.ownState == Present || m.ownState == Suspect || m.ownState == Joining) {
+			members++
+		}
+	}
+	allowed := max(int(t.config.MassFailureShare*float64(members)), 1)
+	return len(failed) > allowed
+}
+
+// updateOwnState derives this process's observation of a gossiping member.
+func (t *Tracker) updateOwnState(now time.Duration, m *memberRecord) {
+	if m.info.Role.Gossips() {
+		t.setOwnState(now, m, t.gossipState(now, m))
+	}
+}
+
+// gossipState returns the state of a gossiping member by what is known of it, and clears a
+// deadline that is over.
+func (t *Tracker) gossipState(now time.Duration, m *memberRecord) State {
+	switch {
+	case m.info.ShuttingDown && m.reportedDead:
+		return Left
+	case m.reportedDead && m.directPeer && now-m.lastHeard < t.config.PeerTimeout/2:
+		// It has just answered a ping, so it may have been its earlier incarnation that died.
+		return Suspect
+	case m.reportedDead && m.deadline > 0 && !t.failureConfirmed(now, m):
+		return Suspect
+	case m.reportedDead:
+		m.deadline = 0
+		return Failed
+	case m.directPeer && now-m.lastHeard >= t.config.PeerTimeout && now >= t.selfSuspectUntil:
+		return Suspect
+	case m.info.Incarnation == 0:
+		return Joining
+	}
+	return Present
+}
+
+// failureConfirmed reports whether a deferred failure is believed: most of the observers
+// that are present, and at least two with this process, have to agree. Before the deadline
+// all of them have to.
+func (t *Tracker) failureConfirmed(now time.Duration, m *memberRecord) bool {
+	agreeing, observers := 1, 1 // this process
+	for name, observer := range t.members {
+		if observer == m || observer.info.Role != RoleControlPlane || observer.ownState != Present && observer.ownState != Joining {
+			continue
+		}
+		observers++
+		o, ok := m.peerObservations[name]
+		agrees := ok && o.Incarnation == m.info.Incarnation && (o.State == Failed || o.State == Suspect)
+		if agrees && now-o.receivedAt < t.config.ReportRetention {
+			agreeing++
+		}
+	}
+	return agreeing >= 2 && 2*agreeing > observers && (now >= m.deadline || agreeing == observers)
+}
--- /dev/null
+++ b/internal/member/info.go
@@ -0,0 +1,119 @@
+package member
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+
+	"knotrouter/internal/endpoints"
+)
+
+// ProtocolVersion is the version of the messages that members send each other.
+const ProtocolVersion = 1
+
+// MaxMembers bounds the members of a Tracker and of a Report.
+const MaxMembers = 4096
+
+// maxTextBytes bounds the fields of an Info that are not names.
+const maxTextBytes = 64
+
+// Role is the part that a member plays in the fleet. Its values stand on the wire.
+type Role string
+
+// The roles. Servers of the control plane and workers gossip; an agent or a server has a
+// session at a server of the control plane.
+const (
+	RoleControlPlane Role = "steward"
+	RoleWorker       Role = "worker"
+	RoleAgent        Role = "agent"
+	RoleServer       Role = "server"
+)
+
+// Gossips reports whether members of the role take part in gossip themselves.
+func (r Role) Gossips() bool { return r == RoleControlPlane || r == RoleWorker }
+
+func (r Role) known() bool {
+	return r == RoleControlPlane || r == RoleWorker || r == RoleAgent || r == RoleServer
+}
+
+// State is the state of a member as an observer sees it. Its values stand on the wire. The
+// empty state means that the observer has no observation of the member.
+type State string
+
+// The states.
+const (
+	Joining State = "joining" // alive, and without an incarnation from the catalog yet
+	Present State = "present"
+	Suspect State = "suspect" // not heard for a while, or observers disagree
+	Left    State = "left"    // it announced its shutdown
+	Failed  State = "failed"
+)
+
+func (s State) known() bool {
+	return s == Joining || s == Present || s == Suspect || s == Left || s == Failed
+}
+
+// ProtocolVersions holds the latest versions that a process reads: of the messages between
+// members and of the catalog's commands.
+type ProtocolVersions struct {
+	Gossip  int `json:"g"`
+	Catalog int `json:"c"`
+}
+
+// Info is what a member announces about itself.
+type Info struct {
+	ProtocolVersion int              `json:"f"`
+	Name            string           `json:"n"`
+	Role            Role             `json:"r"`
+	Zone            string           `json:"z,omitempty"`
+	ProgramVersion  string           `json:"v,omitempty"`
+	Versions        ProtocolVersions `json:"s"`
+	// Incarnation is a number from the catalog that grows with each start of the process.
+	// It is 0 until the catalog has assigned one.
+	Incarnation  int64 `json:"i,omitempty"`
+	ShuttingDown bool  `json:"l,omitempty"` // a planned shutdown has begun
+	// InstanceID tells processes of the same name apart. For a member that gossips it
+	// belongs to the folder with its state, and so survives a restart; for an agent it is
+	// that of its boot.
+	InstanceID string `json:"d,omitempty"`
+}
+
+// UnsupportedVersionError means that a message has a version that this build does not read.
+type UnsupportedVersionError struct{ Version int }
+
+// Error names both versions.
+func (e *UnsupportedVersionError) Error() string {
+	return fmt.Sprintf("form %d, this build reads form %d", e.Version, ProtocolVersion)
+}
+
+// Validate returns an error that names the first invalid field. The error is an
+// *UnsupportedVersionError if this build does not read the version.
+func (i *Info) Validate() error {
+	switch {
+	case i.ProtocolVersion != ProtocolVersion:
+		return &UnsupportedVersionError{i.ProtocolVersion}
+	case !endpoints.IsToken(i.Name, endpoints.MaxName):
+		return errors.New("name: must be a word")
+	case !i.Role.known():
+		return fmt.Errorf("role: unknown word %q", i.Role)
+	case i.Zone != "" && !endpoints.IsToken(i.Zone, endpoints.MaxLabel),
+		len(i.ProgramVersion) > maxTextBytes, len(i.InstanceID) > maxTextBytes:
+		return errors.New("zone, program, id: must be words")
+	case i.Incarnation < 0:
+		return errors.New("incarnation: must be 0 or above")
+	}
+	return nil
+}
+
+// DecodeInfo decodes and validates the JSON text of an Info. On failure it returns the zero
+// Info and an error.
+func DecodeInfo(text []byte) (Info, error) {
+	var i Info
+	if err := json.Unmarshal(text, &i); err != nil {
+		return Info{}, fmt.Errorf("member: %w", err)
+	}
+	if err := i.Validate(); err != nil {
+		return Info{}, fmt.Errorf("member: %w", err)
+	}
+	return i, nil
+}
--- /dev/null
+++ b/internal/member/merge.go
@@ -0,0 +1,163 @@
+package member
+
+import (
+	"slices"
+	"time"
+)
+
+// peerObservation is the last observation of a member that another observer reported.
+type peerObservation struct {
+	Observation
+	since      time.Duration // since when the observer has seen the state, by this process's clock
+	receivedAt time.Duration
+	// seq is that of the report. Partial reports arrive in any order, so each observation is
+	// compared with the last one about the same member.
+	seq int64
+}
+
+// observerProgress is the latest that was received of an observer's reports.
+type observerProgress struct {
+	incarnation int64
+	bootID      string
+	fullSeq     int64 // the sequence number of the last full report of this boot
+}
+
+// MergeReport stores the observations of another observer, and reports whether any of them
+// was new, so that the report is worth passing on. Reports of a sender that is not a known
+// server of the control plane, and stale ones, are counted and change nothing.
+func (t *Tracker) MergeReport(now time.Duration, r *Report) (changed bool) {
+	sender := t.members[r.From]
+	if sender == nil || sender.info.Role != RoleControlPlane {
+		t.counts.UnknownSenders++
+		return false
+	}
+	if !t.advanceObserver(r) {
+		t.counts.Stale++
+		return false
+	}
+	if r.Full {
+		t.dropOmitted(r)
+	}
+	for _, o := range r.Observations {
+		if t.mergeObservation(now, r, o) {
+			changed = true
+		}
+	}
+	return changed
+}
+
+// advanceObserver updates the progress of the report's observer. It returns false, and
+// changes nothing, if the report is of an earlier boot of the observer or older than the
+// observer's last full report.
+func (t *Tracker) advanceObserver(r *Report) bool {
+	progress := t.observers[r.From]
+	incarnation := r.Incarnation
+	if incarnation == 0 { // the observer has just started, and has none yet
+		incarnation = progress.incarnation
+	}
+	sameBoot := r.BootID == progress.bootID
+	switch {
+	case incarnation < progress.incarnation:
+		return false
+	case sameBoot && r.Seq <= progress.fullSeq:
+		return false
+	case incarnation == progress.incarnation && !sameBoot && progress.bootID != "" && !r.Full:
+		// Which of two boots with one incarnation is the later cannot be told. A full report
+		// comes from the observer itself, so its boot is the current one; a partial report is
+		// passed on by others and may be of the earlier boot.
+		return false
+	}
+	if !sameBoot {
+		progress.fullSeq = 0
+		t.resetSequence(r.From)
+	}
+	if r.Full {
+		progress.fullSeq = r.Seq
+	}
+	t.observers[r.From] = observerProgress{incarnation: incarnation, bootID: r.BootID, fullSeq: progress.fullSeq}
+	return true
+}
+
+// resetSequence has any report of the observer count as newer than its stored observations:
+// the sequence numbers of a new boot begin again.
+func (t *Tracker) resetSequence(observer string) {
+	for _, m := range t.members {
+		if o, ok := m.peerObservations[observer]; ok {
+			o.seq = 0
+			m.peerObservations[observer] = o
+		}
+	}
+}
+
+// dropOmitted removes the sender's earlier observations of members that its full report
+// does not contain.
+func (t *Tracker) dropOmitted(r *Report) {
+	for _, m := range t.members {
+		o, ok := m.peerObservations[r.From]
+		if !ok || o.seq >= r.Seq {
+			continue
+		}
+		if !slices.ContainsFunc(r.Observations, func(o Observation) bool { return o.Name == m.info.Name }) {
+			delete(m.peerObservations, r.From)
+			t.version++
+		}
+	}
+}
+
+// mergeObservation stores one observation of a report, and returns false if it is not newer
+// than the stored one or is about a member that is not tracked.
+func (t *Tracker) mergeObservation(now time.Duration, r *Report, o Observation) bool {
+	if o.Name == t.config.Self.Name || o.Name == r.From {
+		return false
+	}
+	m := t.observedRecord(now, o)
+	if m == nil {
+		return false
+	}
+	previous, known := m.peerObservations[r.From]
+	if known && previous.seq >= r.Seq {
+		return false
+	}
+	if !known || previous.State != o.State || previous.Incarnation != o.Incarnation {
+		t.version++
+	}
+	m.peerObservations[r.From] = peerObservation{
+		Observation: o,
+		since:       now - time.Duration(o.ForMs)*time.Millisecond,
+		receivedAt:  now,
+		seq:         r.Seq,
+	}
+	if o.Incarnation > m.info.Incarnation && !o.Role.Gossips() {
+		m.info.Incarnation = o.Incarnation
+	}
+	if m.ownState == Left && o.Incarnation > m.info.Incarnation {
+		m.ownState = ""
+	}
+	return true
+}
+
+// observedRecord returns the record of an observed member, created if it is new. It returns
+// nil for an unknown member that gossips, as only the gossip library adds those, and if
+// there are too many members.
+func (t *Tracker) observedRecord(now time.Duration, o Observation) *memberRecord {
+	if m := t.members[o.Name]; m != nil {
+		return m
+	}
+	if o.Role.Gossips() || len(t.members) >= MaxMembers {
+		return nil
+	}
+	return t.newRecord(now, Info{
+		ProtocolVersion: ProtocolVersion,
+		Name:            o.Name,
+		Role:            o.Role,
+		Zone:            o.Zone,
+		Incarnation:     o.Incarnation,
+	})
+}
+
+// observerEnded reports whether this process sees an observer as failed or left, so that
+// its last observations do not count any more.
+func (t *Tracker) observerEnded(observer string) bool {
+	m := t.members[observer]
+	return m != nil && (m.ownState == Failed || m.ownState == Left)
+}
--- /dev/null
+++ b/internal/member/report.go
@@ -0,0 +1,70 @@
+package member
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+
+	"knotrouter/internal/endpoints"
+)
+
+// maxReportBytes bounds the text of a Report.
+const maxReportBytes = 1 << 20
+
+// Observation is the state of a member as one observer sees it. An empty state withdraws
+// the observer's earlier observation.
+type Observation struct {
+	Name        string `json:"n"`
+	Role        Role   `json:"r"`
+	Zone        string `json:"z,omitempty"`
+	Incarnation int64  `json:"i,omitempty"`
+	State       State  `json:"s"`
+	ForMs       int64  `json:"t"` // for how long the observer has seen this state
+}
+
+func (o *Observation) valid() bool {
+	return endpoints.IsToken(o.Name, endpoints.MaxName) &&
+		o.Role.known() &&
+		(o.State == "" || o.State.known()) &&
+		o.ForMs >= 0 && o.Incarnation >= 0 &&
+		(o.Zone == "" || endpoints.IsToken(o.Zone, endpoints.MaxLabel))
+}
+
+// Report carries the observations of one observer to the others: all of them if Full is
+// set, and otherwise those that have changed.
+type Report struct {
+	ProtocolVersion int           `json:"f"`
+	From            string        `json:"n"` // name of the observer
+	Incarnation     int64         `json:"i,omitempty"`
+	Seq             int64         `json:"q"` // grows with each report of one boot of the observer
+	BootID          string        `json:"b"` // drawn at each start of the observer
+	Full            bool          `json:"w,omitempty"`
+	Observations    []Observation `json:"o,omitempty"`
+}
+
+// DecodeReport decodes and validates the JSON text of a Report. On failure it returns an
+// error and no observations; the error wraps an *UnsupportedVersionError if this build does
+// not read the version.
+func DecodeReport(text []byte) (Report, error) {
+	if len(text) > maxReportBytes {
+		return Report{}, fmt.Errorf("report: over %d bytes", maxReportBytes)
+	}
+	var r Report
+	if err := json.Unmarshal(text, &r); err != nil {
+		return Report{}, fmt.Errorf("report: %w", err)
+	}
+	switch {
+	case r.ProtocolVersion != ProtocolVersion:
+		return Report{}, fmt.Errorf("report: %w", &UnsupportedVersionError{r.ProtocolVersion})
+	case !endpoints.IsToken(r.From, endpoints.MaxName):
+		return Report{}, errors.New("report: from: must be a word")
+	case len(r.Observations) > MaxMembers:
+		return Report{}, fmt.Errorf("report: %d members of at most %d", len(r.Observations), MaxMembers)
+	}
+	for i := range r.Observations {
+		if !r.Observations[i].valid() {
+			return Report{}, fmt.Errorf("report: member %d makes no sense", i)
+		}
+	}
+	return r, nil
+}
--- /dev/null
+++ b/internal/member/sessionevents.go
@@ -0,0 +1,94 @@
+package member
+
+import (
+	"math"
+	"time"
+)
+
+// anyTime is before every time of the caller's clock.
+const anyTime = time.Duration(math.MinInt64)
+
+// SessionOpened handles the start of a member's session at this process, such as an agent's
+// watch.
+func (t *Tracker) SessionOpened(now time.Duration, info Info) {
+	if m := t.upsert(now, info); m != nil {
+		m.openSessions++
+		m.lastHeard, m.deadline = now, 0
+		t.setOwnState(now, m, Present)
+	}
+}
+
+// SessionClosed handles the end of a session that was open at this process. With the
+// member's last session its grace period begins.
+func (t *Tracker) SessionClosed(now time.Duration, name string) {
+	if m := t.members[name]; m != nil && m.openSessions > 0 {
+		if m.openSessions--; m.openSessions == 0 {
+			m.lastHeard = now
+			m.deadline = now + t.config.SessionGrace
+		}
+	}
+}
+
+// Heartbeat handles a sign of life of a member that has no session; it counts for validFor.
+func (t *Tracker) Heartbeat(now time.Duration, info Info, validFor time.Duration) {
+	if m := t.upsert(now, info); m != nil {
+		m.lastHeard, m.deadline = now, now+validFor
+		t.setOwnState(now, m, Present)
+	}
+}
+
+// Leave handles a member's own announcement that it shuts down.
+func (t *Tracker) Leave(now time.Duration, info Info) {
+	if m := t.members[info.Name]; m != nil && m.info.InstanceID != info.InstanceID {
+		t.counts.Stale++ // a late announcement of the instance before
+		return
+	}
+	if m := t.upsert(now, info); m != nil {
+		m.info.ShuttingDown, m.deadline, m.openSessions = true, 0, 0
+		t.setOwnState(now, m, Left)
+	}
+}
+
+// updateSession lets the state of a member without an open session advance with time.
+func (t *Tracker) updateSession(now time.Duration, m *memberRecord) {
+	switch {
+	case m.openSessions > 0:
+	case m.deadline > 0 && now >= m.deadline:
+		t.sessionDeadline(now, m)
+	case (m.ownState == Suspect || m.ownState == Failed || m.ownState == Left) && t.seenByOthers(m, m.ownStateSince):
+		t.dropOwnState(m) // its session has moved to another observer since
+	}
+}
+
+// sessionDeadline handles a deadline that is over: the member has moved to another observer,
+// or its state goes on from present to suspect, or from suspect to failed.
+func (t *Tracker) sessionDeadline(now time.Duration, m *memberRecord) {
+	if m.ownState != Present && m.ownState != Suspect {
+		return
+	}
+	if t.seenByOthers(m, anyTime) {
+		t.dropOwnState(m)
+		return
+	}
+	if m.ownState == Present {
+		t.setOwnState(now, m, Suspect)
+		m.deadline = now + t.config.FailTimeout
+		return
+	}
+	t.setOwnState(now, m, Failed)
+	m.deadline = 0
+}
+
+// seenByOthers reports whether another observer sees the member as present, in the known
+// incarnation since a time after the one given, or in a later incarnation.
+func (t *Tracker) seenByOthers(m *memberRecord, after time.Duration) bool {
+	for from, o := range m.peerObservations {
+		if t.observerEnded(from) || o.State != Present {
+			continue
+		}
+		if o.Incarnation > m.info.Incarnation || o.Incarnation == m.info.Incarnation && o.since > after {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/member/tick.go
@@ -0,0 +1,74 @@
+package member
+
+import (
+	"slices"
+	"strings"
+	"time"
+)
+
+// Change is a change of a member's state in the view.
+type Change struct {
+	Name     string
+	Role     Role
+	From, To State // From is empty for a member that is new in the view
+}
+
+// Tick lets time pass: it expires old observations, advances states whose deadline is over
+// and removes the records of members that ended long ago. It returns the members whose state
+// in the view has changed since the last Tick, by name. It has to be called a few times a
+// second.
+func (t *Tracker) Tick(now time.Duration) (changes []Change) {
+	for name, m := range t.members {
+		t.expireObservations(now, m)
+		if m.info.Role.Gossips() {
+			t.updateOwnState(now, m)
+		} else {
+			t.updateSession(now, m)
+		}
+		if t.tombstoneExpired(now, m) {
+			delete(t.members, name)
+			t.version++
+			continue
+		}
+		if change, ok := t.publish(now, m); ok {
+			changes = append(changes, change)
+		}
+	}
+	slices.SortFunc(changes, func(a, b Change) int { return strings.Compare(a.Name, b.Name) })
+	return changes
+}
+
+// expireObservations removes observations that their observers have not renewed in time.
+func (t *Tracker) expireObservations(now time.Duration, m *memberRecord) {
+	for from, o := range m.peerObservations {
+		if now-o.receivedAt >= t.config.ReportRetention {
+			delete(m.peerObservations, from)
+			t.version++
+		}
+	}
+}
+
+// tombstoneExpired reports whether a member ended so long ago that its record is removed.
+func (t *Tracker) tombstoneExpired(now time.Duration, m *memberRecord) bool {
+	ended := m.ownState == Failed || m.ownState == Left || m.ownState == ""
+	return ended && now-m.ownStateSince > t.config.TombstoneRetention && len(m.peerObservations) == 0
+}
+
+// publish compares a member's state in the view with that of the last Tick. It returns false
+// if the state is the same, or if the member has vanished from the view.
+func (t *Tracker) publish(now time.Duration, m *memberRecord) (Change, bool) {
+	if t.combinedState(m) == "" && m.lastPublished == Present && !m.info.Role.Gossips() {
+		// The only observer that saw the member has ended. The member has the grace period of
+		// a session that moves, and the time of a suspicion, to appear at another observer.
+		t.setOwnState(now, m, Suspect)
+		m.deadline = now + t.config.SessionGrace + t.config.FailTimeout
+	}
+	state := t.combinedState(m)
+	if state == m.lastPublished {
+		return Change{}, false
+	}
+	change := Change{Name: m.info.Name, Role: m.info.Role, From: m.lastPublished, To: state}
+	m.lastPublished = state
+	t.version++
+	return change, state != ""
+}
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// View is who a process takes to be there, and who says so.
+// View is the state of the whole fleet as one process sees it.
 type View struct {
-	From    string  `json:"from"`
-	Version int64   `json:"version"` // of this view: it grows with each change, within one life of the process
-	Members []Entry `json:"members"`
+	From    string  `json:"from"`    // the process
+	Version int64   `json:"version"` // grows with each change, and starts again with the process
+	Members []Entry `json:"members"` // by role and name
 }
 
-// Entry is one member.
+// Entry is one member in a View.
 type Entry struct {
 	Name           string           `json:"name"`
 	Role           Role             `json:"role"`
@@ -22,11 +22,12 @@
 	ProgramVersion string           `json:"program,omitempty"`
 	Versions       ProtocolVersions `json:"speaks,omitzero"`
 	Incarnation    int64            `json:"incarnation"`
-	State          State            `json:"state"`
-	Observers      []Opinion        `json:"observers"` // this process's own first, if it has one
+	State          State            `json:"state"`     // all opinions combined
+	Observers      []Opinion        `json:"observers"` // this process's own first, if it has one, then by name
 }
 
-// Opinion is what one observer thinks of a member, and for how long.
+// Opinion is the state of a member as one observer sees it, and for how long the observer
+// has seen it.
 type Opinion struct {
 	Observer    string `json:"observer"`
 	State       State  `json:"state"`
@@ -34,94 +35,131 @@
 	ForMs       int64  `json:"for_ms"`
 }
 
-func compareNames(a, b string) int { return strings.Compare(a, b) }
+// View returns the current view, with this process itself in it.
+func (t *Tracker) View(now time.Duration) View {
+	v := View{From: t.config.Self.Name, Version: t.version, Members: []Entry{t.selfEntry()}}
+	for _, m := range t.members {
+		if state := t.combinedState(m); state != "" {
+			v.Members = append(v.Members, t.entry(now, m, state))
+		}
+	}
+	slices.SortFunc(v.Members, func(a, b Entry) int {
+		return cmp.Or(cmp.Compare(a.Role, b.Role), strings.Compare(a.Name, b.Name))
+	})
+	return v
+}
+
+// newEntry returns the entry of a member without observers.
+func newEntry(info *Info, state State) Entry {
+	return Entry{
+		Name:           info.Name,
+		Role:           info.Role,
+		Zone:           info.Zone,
+		ProgramVersion: info.ProgramVersion,
+		Versions:       info.Versions,
+		Incarnation:    info.Incarnation,
+		State:          state,
+		Observers:      []Opinion{},
+	}
+}
+
+// selfEntry returns the entry of this process.
+func (t *Tracker) selfEntry() Entry {
+	self := t.config.Self
+	state := Present
+	switch {
+	case self.ShuttingDown:
+		state = Left
+	case self.Incarnation == 0:
+		state = Joining
+	}
+	e := newEntry(&self, state)
+	e.Observers = append(e.Observers, Opinion{Observer: self.Name, State: state, Incarnation: self.Incarnation})
+	return e
+}
 
-// combinedState is what all opinions together come to; "" is nothing.
-//
-// Only those of the member's latest life count. It has left if it told anybody so. A session
-// is at one observer, so one that sees its owner is enough. Of those that gossip, what most
-// observers think counts, and of two halves the one that this process is of itself; where no
-// opinion has most, they are in doubt.
-func (t *Tracker) combinedState(s *memberRecord) State {
-	latest := s.info.Incarnation
-	n := map[State]int{}
+// entry returns the entry of a member with all opinions.
+func (t *Tracker) entry(now time.Duration, m *memberRecord, state State) Entry {
+	e := newEntry(&m.info, state)
+	for from, o := range m.peerObservations {
+		if o.State == "" {
+			continue
+		}
+		e.Observers = append(e.Observers, Opinion{from, o.State, o.Incarnation, (now - o.since).Milliseconds()})
+	}
+	slices.SortFunc(e.Observers, func(a, b Opinion) int { return strings.Compare(a.Observer, b.Observer) })
+	if m.ownState != "" {
+		own := Opinion{t.config.Self.Name, m.ownState, m.info.Incarnation, (now - m.ownStateSince).Milliseconds()}
+		e.Observers = slices.Insert(e.Observers, 0, own)
+	}
+	return e
+}
+
+// combinedState returns a member's state by all observations of its latest incarnation, or
+// "" if there are none. Observers that have failed or left do not count.
+func (t *Tracker) combinedState(m *memberRecord) State {
+	latest := m.info.Incarnation
+	states := map[State]int{}
 	all := 0
-	add := func(st State, incarnation int64) {
-		if st != "" && incarnation >= latest {
-			n[st]++
+	count := func(state State, incarnation int64) {
+		if state != "" && incarnation >= latest {
+			states[state]++
 			all++
 		}
 	}
-	if s.ownState != "" {
-		add(s.ownState, s.info.Incarnation)
-	}
-	for from, o := range s.peerObservations {
+	count(m.ownState, m.info.Incarnation)
+	for from, o := range m.peerObservations {
 		if !t.observerEnded(from) {
-			add(o.State, o.Incarnation)
+			count(o.State, o.Incarnation)
 		}
 	}
-	if all == 0 {
+	switch {
+	case all == 0:
 		return ""
+	case m.info.Role.Gossips():
+		seenHere := m.ownState == Present || m.ownState == Joining
+		return combineGossipStates(states, all, seenHere)
 	}
-	there := n[Present] + n[Joining]
-	if own := s.ownState == Present || s.ownState == Joining; own && 2*there == all {
-		all-- // half and half: what this process sees itself decides
-	}
+	return combineSessionStates(states)
+}
+
+// combineSessionStates combines the observations of a member that has sessions. A session is
+// at one observer, so one that sees the member is enough.
+func combineSessionStates(states map[State]int) State {
 	switch {
-	case !s.info.Role.Gossips() && there > 0:
+	case states[Present]+states[Joining] > 0:
 		return Present
-	case n[Left] > 0:
+	case states[Left] > 0:
 		return Left
-	case !s.info.Role.Gossips() && n[Suspect] > 0:
+	case states[Suspect] > 0:
 		return Suspect
-	case !s.info.Role.Gossips():
-		return Failed
-	case 2*there > all && n[Present] == 0:
-		return Joining
-	case 2*there > all:
-		return Present
-	case 2*n[Failed] > all:
-		return Failed
 	}
-	return Suspect
+	return Failed
 }
 
-// View is what this process knows now, itself included.
-func (t *Tracker) View(now time.Duration) View {
-	self := t.config.Self
-	v := View{From: self.Name, Version: t.version, Members: []Entry{}}
-	state := Present
-	switch {
-	case self.ShuttingDown:
-		state = Left
-	case self.Incarnation == 0:
-		state = Joining
+// combineGossipStates combines the observations of a member that gossips, all of them in
+// number: it has left if it has told any observer so, and otherwise is what a majority sees.
+// If the observers are divided in halves, this process's own observation that the member is
+// alive, seenHere, decides. Without a majority the member is suspect.
+func combineGossipStates(states map[State]int, all int, seenHere bool) State {
+	alive := states[Present] + states[Joining]
+	if seenHere && 2*alive == all {
+		all--
 	}
-	v.Members = append(v.Members, Entry{self.Name, self.Role, self.Zone, self.ProgramVersion, self.Versions, self.Incarnation, state,
-		[]Opinion{{self.Name, state, self.Incarnation, 0}}})
-	for name, s := range t.members {
-		st := t.combinedState(s)
-		if st == "" {
-			continue
-		}
-		e := Entry{name, s.info.Role, s.info.Zone, s.info.ProgramVersion, s.info.Versions, s.info.Incarnation, st, []Opinion{}}
-		for from, o := range s.peerObservations {
-			if o.State == "" {
-				continue
-			}
-			e.Observers = append(e.Observers, Opinion{from, o.State, o.Incarnation, (now - o.since).Milliseconds()})
-		}
-		slices.SortFunc(e.Observers, func(a, b Opinion) int { return compareNames(a.Observer, b.Observer) })
-		if s.ownState != "" {
-			e.Observers = slices.Insert(e.Observers, 0, Opinion{self.Name, s.ownState, s.info.Incarnation, (now - s.ownStateSince).Milliseconds()})
-		}
-		v.Members = append(v.Members, e)
+	switch {
+	case states[Left] > 0:
+		return Left
+	case 2*alive > all && states[Present] == 0:
+		return Joining
+	case 2*alive > all:
+		return Present
+	case 2*states[Failed] > all:
+		return Failed
 	}
-	slices.SortFunc(v.Members, func(a, b Entry) int { return cmp.Or(cmp.Compare(a.Role, b.Role), compareNames(a.Name, b.Name)) })
-	return v
+	return Suspect
 }
 
-// State is how a member is in the view; "" is one that is not known.
+// State returns the state of a member, or "" if the view does not contain it.
 func (v *View) State(name string) State {
 	for i := range v.Members {
 		if v.Members[i].Name == name {
@@ -131,7 +169,7 @@
 	return ""
 }
 
-// Count is how many members of a role are in a state.
+// Count returns how many members of a role are in a state.
 func (v *View) Count(role Role, state State) (n int) {
 	for i := range v.Members {
 		if v.Members[i].Role == role && v.Members[i].State == state {
@@ -140,77 +178,3 @@
 	}
 	return n
 }
-
-// Difference is a member about which observers are of different minds.
-type Difference struct {
-	Name      string            `json:"name"`
-	Role      Role              `json:"role"`
-	States    map[string]string `json:"says"`            // by observer: the state, and the life it is about where they differ
-	ForMs     int64             `json:"for_ms"`          // since the last of them changed its mind
-	Dissenter string            `json:"alone,omitempty"` // who alone is of another mind than all others
-	Absent    []string          `json:"absent,omitempty"`
-}
-
-// CompareViews tells where the views of several processes differ. Each is taken by its own
-// opinion only: what it has from others would count twice. Sessions are at one observer at a
-// time, so of those only states count that deny each other.
-func CompareViews(views []View) (out []Difference) {
-	type said struct {
-		o    Opinion
-		role Role
-	}
-	by := map[string]map[string]said{}
-	for i := range views {
-		v := &views[i]
-		for j := range v.Members {
-			e := &v.Members[j]
-			for _, o := range e.Observers {
-				if o.Observer != v.From || e.Name == v.From {
-					continue
-				}
-				if by[e.Name] == nil {
-					by[e.Name] = map[string]said{}
-				}
-				by[e.Name][v.From] = said{o, e.Role}
-			}
-		}
-	}
-	for name, all := range by {
-		d := Difference{Name: name, States: map[string]string{}, ForMs: -1}
-		words := map[string][]string{}
-		lives := map[int64]bool{}
-		for from, s := range all {
-			d.Role = s.role
-			lives[s.o.Incarnation] = true
-			words[string(s.o.State)] = append(words[string(s.o.State)], from)
-			if d.ForMs < 0 || s.o.ForMs < d.ForMs {
-				d.ForMs = s.o.ForMs
-			}
-			d.States[from] = string(s.o.State)
-		}
-		if d.Role.Gossips() {
-			for i := range views {
-				if from := views[i].From; from != name && all[from].o.Observer == "" {
-					d.Absent = append(d.Absent, from)
-				}
-			}
-		}
-		if len(words) < 2 && len(lives) < 2 && len(d.Absent) == 0 {
-			continue
-		}
-		if !d.Role.Gossips() && len(words[string(Present)]) > 0 && len(lives) < 2 {
-			continue // it has moved: who has lost it has nothing against it
-		}
-		for _, who := range words {
-			if len(who) == 1 && len(all) > 2 && len(words) == 2 {
-				d.Dissenter = who[0]
-			}
-		}
-		if d.Dissenter == "" && len(words) == 1 && len(d.Absent) == 1 && len(all) > 1 {
-			d.Dissenter = d.Absent[0]
-		}
-		out = append(out, d)
-	}
-	slices.SortFunc(out, func(a, b Difference) int { return compareNames(a.Name, b.Name) })
-	return out
-}
