--- /dev/null
+++ b/internal/gossip/delegate.go
@@ -0,0 +1,111 @@
+package gossip
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"knotrouter/internal/member"
+)
+
+// unknownPeerError means that a name is not in this process's table of peers.
+type unknownPeerError struct{ name string }
+
+// Error names the peer.
+func (e *unknownPeerError) Error() string { return e.name + ": not in the table of peers" }
+
+// delegate handles the library's events and requests. The library calls it with its own lock
+// held, so its methods must not block and must not call the library's member list.
+type delegate struct{ node *Node }
+
+// NodeMeta returns the text of this process's Info, or nil if it is longer than limit.
+func (d *delegate) NodeMeta(limit int) []byte {
+	text, err := json.Marshal(d.node.Self())
+	if err != nil || len(text) > limit {
+		return nil
+	}
+	return text
+}
+
+// NotifyMsg handles a report that another member sent or broadcast.
+func (d *delegate) NotifyMsg(text []byte) { d.node.mergeReport(text) }
+
+// GetBroadcasts returns reports that fit into limit bytes, with overhead bytes for each.
+func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
+	return d.node.broadcasts.GetBroadcasts(overhead, limit)
+}
+
+// LocalState returns a full report for the library's exchange with one member, or nil if
+// this process is no observer.
+func (d *delegate) LocalState(bool) []byte {
+	if d.node.config.Self.Role != member.RoleControlPlane {
+		return nil
+	}
+	return d.node.fullReport()
+}
+
+// MergeRemoteState handles the full report of the other member of an exchange.
+func (d *delegate) MergeRemoteState(text []byte, _ bool) { d.node.mergeReport(text) }
+
+// NotifyAlive returns an error, with which the library ignores the member, if the member is
+// not in the table of peers or its Info is invalid.
+func (d *delegate) NotifyAlive(peer *memberlist.Node) error {
+	if _, known := d.node.config.Peers()[peer.Name]; !known && peer.Name != d.node.config.Self.Name {
+		d.node.rejected.Add(1)
+		return &unknownPeerError{peer.Name}
+	}
+	if _, err := decodeMeta(peer); err != nil {
+		d.node.malformed.Add(1)
+		return err
+	}
+	return nil
+}
+
+// NotifyJoin handles a member that is alive and was not before.
+func (d *delegate) NotifyJoin(peer *memberlist.Node) {
+	d.node.aliveNames.Store(peer.Name, true)
+	d.NotifyUpdate(peer)
+}
+
+// NotifyUpdate handles a member's new Info.
+func (d *delegate) NotifyUpdate(peer *memberlist.Node) {
+	info, err := decodeMeta(peer)
+	if err != nil {
+		return // NotifyAlive has counted it
+	}
+	d.node.WithTracker(func(now time.Duration, t *member.Tracker) { t.MemberAlive(now, info) })
+}
+
+// NotifyLeave handles a member that has failed or left.
+func (d *delegate) NotifyLeave(peer *memberlist.Node) {
+	d.node.aliveNames.Delete(peer.Name)
+	d.node.WithTracker(func(now time.Duration, t *member.Tracker) { t.MemberDead(now, peer.Name) })
+}
+
+// NotifyConflict handles a second process under the name of a member.
+func (d *delegate) NotifyConflict(existing, other *memberlist.Node) {
+	d.node.conflicts.Add(1)
+	if d.node.config.OnConflict != nil {
+		d.node.config.OnConflict(existing.Name, fmt.Sprintf("%s:%d", other.Addr, other.Port))
+	}
+}
+
+// AckPayload returns nothing: an answer to a ping carries no data.
+func (d *delegate) AckPayload() []byte { return nil }
+
+// NotifyPingComplete handles a member's answer to a probe or ping of this process.
+func (d *delegate) NotifyPingComplete(other *memberlist.Node, _ time.Duration, _ []byte) {
+	d.node.WithTracker(func(now time.Duration, t *member.Tracker) { t.PeerAnswered(now, other.Name) })
+}
+
+// decodeMeta returns a member's Info. It returns an error if the Info is invalid or has
+// another name than the member.
+func decodeMeta(peer *memberlist.Node) (member.Info, error) {
+	info, err := member.DecodeInfo(peer.Meta)
+	if err == nil && info.Name != peer.Name {
+		err = fmt.Errorf("it calls itself %s", info.Name)
+	}
+	return info, err
+}
--- /dev/null
+++ b/internal/gossip/librarylog.go
@@ -0,0 +1,31 @@
+package gossip
+
+import (
+	"io"
+	"log/slog"
+	"slices"
+
+	"golang.org/x/time/rate"
+)
+
+// The library's lines beyond this rate are dropped.
+const (
+	libraryLinesPerSecond = 5
+	libraryLinesBurst     = 20
+)
+
+// libraryLog writes the library's log lines to the process's log, at a limited rate.
+type libraryLog struct {
+	log   *slog.Logger
+	limit *rate.Limiter
+}
+
+var _ io.Writer = (*libraryLog)(nil)
+
+// Write logs one line without its newline.
+func (l *libraryLog) Write(line []byte) (int, error) {
+	if l.limit.Allow() {
+		l.log.Debug("gossip", "line", string(slices.Clone(line[:max(len(line)-1, 0)])))
+	}
+	return len(line), nil
+}
--- /dev/null
+++ b/internal/gossip/reports.go
@@ -0,0 +1,85 @@
+package gossip
+
+import (
+	"encoding/json"
+	"slices"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"knotrouter/internal/member"
+)
+
+// broadcast is a report in the library's queue. The library sends it to a bounded number of
+// members.
+type broadcast []byte
+
+// Invalidates reports that no broadcast replaces another: each carries other members.
+func (broadcast) Invalidates(memberlist.Broadcast) bool { return false }
+
+// Message returns the report.
+func (b broadcast) Message() []byte { return b }
+
+// Finished does nothing: nobody waits for a broadcast.
+func (broadcast) Finished() {}
+
+// queueBroadcast queues a report. If the queue is full, the oldest reports are dropped; the
+// observers' next full reports contain what they say.
+func (n *Node) queueBroadcast(report []byte) {
+	n.broadcasts.QueueBroadcast(broadcast(report))
+	n.broadcasts.Prune(maxQueuedBroadcasts)
+}
+
+// pendingReport returns the text of a partial report, or nil if nothing has changed. Only
+// servers of the control plane are observers: with all members, the number of observations
+// would grow with the square of the number of members.
+func (n *Node) pendingReport(now time.Duration, t *member.Tracker) []byte {
+	if n.config.Self.Role != member.RoleControlPlane {
+		return nil
+	}
+	r, pending := t.PendingReport(now, maxObservationsPerBroadcast)
+	if !pending {
+		return nil
+	}
+	return n.encode(&r)
+}
+
+// fullReport returns the text of a full report.
+func (n *Node) fullReport() []byte {
+	var r member.Report
+	n.WithTracker(func(now time.Duration, t *member.Tracker) { r = t.FullReport(now) })
+	return n.encode(&r)
+}
+
+// encode returns the text of a report of this process, or nil if it cannot be encoded.
+func (n *Node) encode(r *member.Report) []byte {
+	r.BootID = n.bootID
+	text, err := json.Marshal(r)
+	if err != nil {
+		return nil
+	}
+	return text
+}
+
+// mergeReport has the Tracker merge the text of a report that was received. A partial report
+// that was new is broadcast again: the library passes on its own messages only. Members that
+// have the report already do not pass it on, so it dies out.
+func (n *Node) mergeReport(text []byte) {
+	if len(text) == 0 {
+		return
+	}
+	r, err := member.DecodeReport(text)
+	if err != nil {
+		n.malformed.Add(1)
+		n.log.Debug("malformed gossip report ignored", "err", err)
+		return
+	}
+	if r.From == n.config.Self.Name {
+		return
+	}
+	changed := false
+	n.WithTracker(func(now time.Duration, t *member.Tracker) { changed = t.MergeReport(now, &r) })
+	if changed && !r.Full {
+		n.queueBroadcast(slices.Clone(text)) // the library reuses text
+	}
+}
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -11,72 +11,88 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport takes the library's datagrams and streams to members by name, through this
-// process's own table: no address that somebody tells of is ever dialled.
+const (
+	maxQueuedPackets = 1024
+	maxQueuedStreams = 64
+	maxDatagramBytes = 64 << 10
+	// acceptRetryDelay is the wait after a failed accept, such as one without free file
+	// descriptors.
+	acceptRetryDelay = 50 * time.Millisecond
+)
+
+// errNoPeerName is the failure of a send to an address without a member's name.
+var errNoPeerName = errors.New("gossip: no name to dial by")
+
+// transport carries the library's datagrams and streams. It sends to members by name,
+// through this process's own table of peers, and never dials an address that another process
+// announced. It implements memberlist.NodeAwareTransport.
 type transport struct {
-	lookup       func(name string) (string, bool)
+	lookup       func(name string) (addr string, known bool)
 	udp          *net.UDPConn
 	tcp          net.Listener
 	packets      chan *memberlist.Packet
 	streams      chan net.Conn
 	closed       chan struct{}
 	goroutines   sync.WaitGroup
-	unknownPeers atomic.Int64 // sends to names that the table doesn't have
-	dropped      atomic.Int64 // datagrams that came while the queue was full
-	sentBytes    atomic.Int64 // bytes of datagrams, and of streams that it made
-
+	unknownPeers atomic.Int64 // sends to names that are not in the table, or without a name
+	dropped      atomic.Int64 // datagrams and streams that arrived while the queue was full
+	sentBytes    atomic.Int64 // in datagrams, and in streams that this process opened
 }
 
-const (
-	maxQueuedPackets = 1024
-	maxQueuedStreams = 64
-	maxDatagramBytes = 64 << 10
-)
+var _ memberlist.NodeAwareTransport = (*transport)(nil)
 
-func newTransport(listen string, lookup func(string) (string, bool)) (*transport, error) {
+// newTransport listens on an address for TCP, and on the same port for UDP.
+func newTransport(listen string, lookup func(name string) (addr string, known bool)) (*transport, error) {
 	tcp, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	at := tcp.Addr().(*net.TCPAddr)
-	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: at.IP, Port: at.Port})
+	bound := tcp.Addr().(*net.TCPAddr)
+	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: bound.IP, Port: bound.Port})
 	if err != nil {
 		tcp.Close()
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	t := &transport{lookup: lookup, udp: udp, tcp: tcp, packets: make(chan *memberlist.Packet, maxQueuedPackets),
-		streams: make(chan net.Conn, maxQueuedStreams), closed: make(chan struct{})}
-	t.goroutines.Add(2)
-	go t.receive()
-	go t.accept()
+	t := &transport{
+		lookup:  lookup,
+		udp:     udp,
+		tcp:     tcp,
+		packets: make(chan *memberlist.Packet, maxQueuedPackets),
+		streams: make(chan net.Conn, maxQueuedStreams),
+		closed:  make(chan struct{}),
+	}
+	t.goroutines.Go(t.receive)
+	t.goroutines.Go(t.accept)
 	return t, nil
 }
 
+// receive queues datagrams until the socket is closed. It drops those for which the queue
+// has no space.
 func (t *transport) receive() {
-	defer t.goroutines.Done()
 	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := t.udp.ReadFromUDP(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // the answer to a datagram that nobody took
+		if err != nil { // an ICMP answer to a datagram that was sent to a closed port
 			continue
 		}
 		if n == 0 {
 			continue
 		}
-		p := &memberlist.Packet{Buf: append([]byte(nil), buf[:n]...), From: from, Timestamp: time.Now()}
+		packet := &memberlist.Packet{Buf: append([]byte(nil), buf[:n]...), From: from, Timestamp: time.Now()}
 		select {
-		case t.packets <- p:
+		case t.packets <- packet:
 		default:
 			t.dropped.Add(1)
 		}
 	}
 }
 
+// accept queues streams until the socket is closed. It closes those for which the queue has
+// no space.
 func (t *transport) accept() {
-	defer t.goroutines.Done()
 	for {
 		conn, err := t.tcp.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -84,7 +100,7 @@
 		}
 		if err != nil {
 			select {
-			case <-time.After(50 * time.Millisecond): // out of descriptors, for instance
+			case <-time.After(acceptRetryDelay):
 				continue
 			case <-t.closed:
 				return
@@ -99,55 +115,47 @@
 	}
 }
 
-// FinalAdvertiseAddr is what others are told; none of them dials it.
+// FinalAdvertiseAddr returns the address that the library announces to other members. None
+// of them dials it.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	at := t.tcp.Addr().(*net.TCPAddr)
-	return at.IP, at.Port, nil
+	bound := t.tcp.Addr().(*net.TCPAddr)
+	return bound.IP, bound.Port, nil
 }
 
+// PacketCh returns the queue of received datagrams.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
-func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
 
-// errNoPeerName is a send to an address alone.
-var errNoPeerName = errors.New("gossip: no name to dial by")
+// StreamCh returns the queue of accepted streams.
+func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
+// WriteTo fails with errNoPeerName: only WriteToAddress has the member's name.
 func (t *transport) WriteTo([]byte, string) (time.Time, error) {
 	t.unknownPeers.Add(1)
 	return time.Time{}, errNoPeerName
 }
 
+// DialTimeout fails with errNoPeerName: only DialAddressTimeout has the member's name.
 func (t *transport) DialTimeout(string, time.Duration) (net.Conn, error) {
 	t.unknownPeers.Add(1)
 	return nil, errNoPeerName
 }
 
-func (t *transport) address(name string) (string, error) {
-	if name == "" {
-		t.unknownPeers.Add(1)
-		return "", errNoPeerName
-	}
-	addr, known := t.lookup(name)
-	if !known {
-		t.unknownPeers.Add(1)
-		return "", fmt.Errorf("gossip: %s: not in the table of peers", name)
-	}
-	return addr, nil
-}
-
-func (t *transport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
+// WriteToAddress sends a datagram to a member by its name.
+func (t *transport) WriteToAddress(datagram []byte, to memberlist.Address) (time.Time, error) {
 	addr, err := t.address(to.Name)
 	if err != nil {
 		return time.Time{}, err
 	}
-	at, err := net.ResolveUDPAddr("udp", addr)
+	udpAddr, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
 		return time.Time{}, fmt.Errorf("gossip: %s: %w", to.Name, err)
 	}
-	n, err := t.udp.WriteTo(b, at)
+	n, err := t.udp.WriteTo(datagram, udpAddr)
 	t.sentBytes.Add(int64(n))
 	return time.Now(), err
 }
 
+// DialAddressTimeout opens a stream to a member by its name.
 func (t *transport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	addr, err := t.address(to.Name)
 	if err != nil {
@@ -160,19 +168,23 @@
 	return &countedConn{conn, &t.sentBytes}, nil
 }
 
-// countedConn counts what is written.
-type countedConn struct {
-	net.Conn
-	sentBytes *atomic.Int64
-}
-
-func (c *countedConn) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
-	c.sentBytes.Add(int64(n))
-	return n, err
+// address returns the address of a member from the table. It returns errNoPeerName without a
+// name, and an error that wraps an *unknownPeerError for a name that is not in the table.
+func (t *transport) address(name string) (string, error) {
+	if name == "" {
+		t.unknownPeers.Add(1)
+		return "", errNoPeerName
+	}
+	addr, known := t.lookup(name)
+	if !known {
+		t.unknownPeers.Add(1)
+		return "", fmt.Errorf("gossip: %w", &unknownPeerError{name})
+	}
+	return addr, nil
 }
 
-// Shutdown is called by the library as it ends.
+// Shutdown closes the sockets and waits for the transport's goroutines. The library calls
+// it; further calls do nothing.
 func (t *transport) Shutdown() error {
 	select {
 	case <-t.closed:
@@ -184,3 +196,16 @@
 	t.goroutines.Wait()
 	return err
 }
+
+// countedConn counts the bytes that are written to a stream.
+type countedConn struct {
+	net.Conn
+	sentBytes *atomic.Int64
+}
+
+// Write writes to the stream and counts what was written.
+func (c *countedConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	c.sentBytes.Add(int64(n))
+	return n, err
+}
