--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -27,7 +27,7 @@
 	t.Cleanup(n.Close)
 	d := &delegate{n}
 	d.NotifyUpdate(&memberlist.Node{Name: "st-2", Meta: []byte(`{"f":1,"n":"st-2","r":"steward","s":{"g":1,"c":1},"i":8}`)})
-	d.report([]byte(`{"f":1,"n":"st-2","i":8,"q":1,"b":"first","w":true,"o":[{"n":"s-1","r":"server","z":"zone-b","i":9,"s":"present","t":1}]}`))
+	d.NotifyMsg([]byte(`{"f":1,"n":"st-2","i":8,"q":1,"b":"first","w":true,"o":[{"n":"s-1","r":"server","z":"zone-b","i":9,"s":"present","t":1}]}`))
 	if v := n.View(); v.State("s-1") != member.Present {
 		t.Errorf("the recorded report was not taken: %+v", v.Members)
 	}
