--- a/cmd/agent/gone_test.go
+++ b/cmd/agent/clientconn_test.go
@@ -9,22 +9,22 @@
 
 // Whether a client is still there is asked of the system before an attempt begins. An error that ends
 // the connection means that it is not; one that passes says nothing.
-func TestClientIsAskedFor(t *testing.T) {
+func TestClientConnectionIsChecked(t *testing.T) {
 	for errno, served := range map[string]bool{"EINTR": true, "ENOMEM": true, "ENOBUFS": true,
 		"ETIMEDOUT": false, "EHOSTUNREACH": false} {
 		t.Run(errno, func(t *testing.T) {
 			t.Parallel()
-			addr, came := notingServer(t)
+			addr, received := recordingServer(t)
 			listen := freeAddr(t)
 			p := startFaulty(t, "recvfrom:"+errno, programConfig(listen, "127.0.0.1:1", addr, 1024), false)
-			waitReady(t, listen, p.out)
-			p.fail(true)
-			status, _ := askFor(listen, "u1", "1000m")
-			if n, _ := came.after(time.Time{}); (n == 1) != served || n > 1 || (status == http.StatusOK) != served {
-				t.Errorf("answered %d after %d attempts; it said %s", status, n, p.out)
+			waitReady(t, listen, p.stderr)
+			p.setFaults(true)
+			status, _ := postKey(listen, "u1", "1000m")
+			if n, _ := received.after(time.Time{}); (n == 1) != served || n > 1 || (status == http.StatusOK) != served {
+				t.Errorf("answered %d after %d attempts; it said %s", status, n, p.stderr)
 			}
-			p.running()
-			if text := p.out.String(); strings.Contains(text, "panic") {
+			p.requireRunning()
+			if text := p.stderr.String(); strings.Contains(text, "panic") {
 				t.Error(text)
 			}
 		})
--- a/cmd/agent/notified_test.go
+++ b/cmd/agent/notification_test.go
@@ -40,7 +40,7 @@
 	times []time.Time
 }
 
-func (a *arrivals) note() {
+func (a *arrivals) add() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.times = append(a.times, time.Now())
@@ -58,64 +58,64 @@
 	return n, last
 }
 
-// notingServer answers at once and notes each request.
-func notingServer(t *testing.T) (addr string, came *arrivals) {
+// recordingServer answers at once and notes each request.
+func recordingServer(t *testing.T) (addr string, received *arrivals) {
 	t.Helper()
-	came = &arrivals{}
+	received = &arrivals{}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		came.note()
+		received.add()
 		fmt.Fprint(w, "done")
 	}))
 	t.Cleanup(s.Close)
-	return s.Listener.Addr().String(), came
+	return s.Listener.Addr().String(), received
 }
 
 // drainRun is an agent under load with two servers, of which the first begins to drain.
 type drainRun struct {
-	until string // the change, as far as the end of the entry of the server that drains
-	text  string // the whole change, with the end of its line
+	partialChange string // the change, as far as the end of the entry of the server that drains
+	changeLine    string // the whole change, with the end of its line
 
-	opened chan struct{}  // closed when the first watch is open
-	change chan struct{}  // closed when the change is made
-	marked chan time.Time // the moment from which the test counts
-	came   *arrivals      // at the server that drains
-	out    *output        // of the agent
+	watchOpened chan struct{}  // closed when the first watch is open
+	changeMade  chan struct{}  // closed when the change is made
+	markedAt    chan time.Time // the moment from which the test counts
+	arrivals    *arrivals      // at the server that drains
+	stderr      *stderrBuffer  // of the agent
 
-	cmd       *exec.Cmd
-	config    string // the path of the configuration
-	discovery string // its address
+	cmd           *exec.Cmd
+	configPath    string // the path of the configuration
+	discoveryAddr string // its address
 }
 
-// open answers a watch with an empty change of the version that the agent has, and waits until the
+// openWatch answers a watch with an empty change of the version that the agent has, and waits until the
 // change is made. It returns the moment.
-func (d *drainRun) open(c net.Conn) time.Time {
+func (d *drainRun) openWatch(c net.Conn) time.Time {
 	fmt.Fprint(c, watchHead+chunk(`{"seq":1,"whole":false,"hosts":[]}`+"\n"))
-	close(d.opened)
-	<-d.change
+	close(d.watchOpened)
+	<-d.changeMade
 	return time.Now()
 }
 
 // startDrainRun starts the agent with four clients. Its discovery answers the n-th call with serve.
 func startDrainRun(t *testing.T, serve func(d *drainRun, c net.Conn, n int)) *drainRun {
 	t.Helper()
-	d := &drainRun{opened: make(chan struct{}), change: make(chan struct{}), marked: make(chan time.Time, 1)}
-	drains, came := notingServer(t)
-	d.came = came
-	stays, _ := notingServer(t)
+	d := &drainRun{watchOpened: make(chan struct{}), changeMade: make(chan struct{}), markedAt: make(chan time.Time, 1)}
+	drains, received := recordingServer(t)
+	d.arrivals = received
+	stays, _ := recordingServer(t)
 	entry := func(host, dial, health string) string {
 		return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"k","block":0,"health":%q,"share":1.0,"born_ms":0}`, host, dial, health)
 	}
-	d.until = `{"seq":2,"whole":false,"hosts":[` + entry("s-1", drains, "draining")
-	d.text = d.until + "," + entry("s-2", stays, "ready") + "]}\n"
-	d.discovery = rawDiscovery(t, func(c net.Conn, n int) { serve(d, c, n) })
+	d.partialChange = `{"seq":2,"whole":false,"hosts":[` + entry("s-1", drains, "draining")
+	d.changeLine = d.partialChange + "," + entry("s-2", stays, "ready") + "]}\n"
+	d.discoveryAddr = rawDiscovery(t, func(c net.Conn, n int) { serve(d, c, n) })
 	listen := freeAddr(t)
 	settings := strings.Replace(settings, `"drainGraceMs":250`, fmt.Sprintf(`"drainGraceMs":%d`, drainGrace.Milliseconds()), 1)
-	d.config = filepath.Join(t.TempDir(), "config.json")
-	d.cmd, d.out = childAt(t, d.config, fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f",
+	d.configPath = filepath.Join(t.TempDir(), "config.json")
+	d.cmd, d.stderr = startProgramAt(t, d.configPath, fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f",
  "limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s,"known":{"seq":1,"whole":true,"hosts":[%s,%s]}}`,
-		listen, d.discovery, settings, entry("s-1", drains, "ready"), entry("s-2", stays, "ready")))
-	waitReady(t, listen, d.out)
-	<-d.opened
+		listen, d.discoveryAddr, settings, entry("s-1", drains, "ready"), entry("s-2", stays, "ready")))
+	waitReady(t, listen, d.stderr)
+	<-d.watchOpened
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for client := range 4 {
@@ -128,7 +128,7 @@
 					return
 				case <-time.After(10 * time.Millisecond):
 				}
-				_, _ = askFor(listen, fmt.Sprintf("u%d-%d", client, i), "900m")
+				_, _ = postKey(listen, fmt.Sprintf("u%d-%d", client, i), "900m")
 			}
 		}()
 	}
@@ -137,21 +137,21 @@
 		clients.Wait()
 	})
 	time.Sleep(500 * time.Millisecond)
-	if n, _ := came.after(time.Time{}); n == 0 {
-		t.Fatalf("nothing was sent to the server before it drains; it said %s", d.out)
+	if n, _ := received.after(time.Time{}); n == 0 {
+		t.Fatalf("nothing was sent to the server before it drains; it said %s", d.stderr)
 	}
 	return d
 }
 
 // check makes the change, plays for a time after the marked moment, and reports what came at the
 // server that drains later than the grace after it was notified.
-func (d *drainRun) check(t *testing.T, play, notifiedAfter time.Duration) {
+func (d *drainRun) check(t *testing.T, runTime, notifiedAfter time.Duration) {
 	t.Helper()
-	close(d.change)
-	marked := <-d.marked
-	time.Sleep(play)
-	if n, last := d.came.after(marked.Add(notifiedAfter + drainGrace + graceSlack)); n > 0 {
-		t.Errorf("%d requests came after the grace, the last %v after it; it said %s", n, last, d.out)
+	close(d.changeMade)
+	markedAt := <-d.markedAt
+	time.Sleep(runTime)
+	if n, last := d.arrivals.after(markedAt.Add(notifiedAfter + drainGrace + graceSlack)); n > 0 {
+		t.Errorf("%d requests came after the grace, the last %v after it; it said %s", n, last, d.stderr)
 	}
 }
 
@@ -164,31 +164,31 @@
 		next  time.Duration                 // how long discovery holds the calls after it
 	}{
 		"cut behind the entry": {func(d *drainRun, c net.Conn) {
-			fmt.Fprint(c, chunk(d.until))
+			fmt.Fprint(c, chunk(d.partialChange))
 		}, rest},
 		"reset behind the entry": {func(d *drainRun, c net.Conn) {
-			fmt.Fprint(c, chunk(d.until))
+			fmt.Fprint(c, chunk(d.partialChange))
 			time.Sleep(20 * time.Millisecond)
 			_ = c.(*net.TCPConn).SetLinger(0)
 		}, rest},
 		"the rest comes late": {func(d *drainRun, c net.Conn) {
-			fmt.Fprint(c, chunk(d.until))
+			fmt.Fprint(c, chunk(d.partialChange))
 			time.Sleep(rest)
-			fmt.Fprint(c, chunk(strings.TrimPrefix(d.text, d.until)))
+			fmt.Fprint(c, chunk(strings.TrimPrefix(d.changeLine, d.partialChange)))
 		}, rest},
 		"the line ends late": {func(d *drainRun, c net.Conn) {
-			fmt.Fprint(c, chunk(strings.TrimSuffix(d.text, "\n")))
+			fmt.Fprint(c, chunk(strings.TrimSuffix(d.changeLine, "\n")))
 			time.Sleep(rest)
 			fmt.Fprint(c, chunk("\n"))
 		}, rest},
 		"cut before the entry, the next call is served": {func(d *drainRun, c net.Conn) {
-			fmt.Fprint(c, chunk(d.text[:20]))
+			fmt.Fprint(c, chunk(d.changeLine[:20]))
 		}, 0},
 		"cut before the entry, the next call is held": {func(d *drainRun, c net.Conn) {
-			fmt.Fprint(c, chunk(d.text[:20]))
+			fmt.Fprint(c, chunk(d.changeLine[:20]))
 		}, rest},
 		"stalled before the entry": {func(d *drainRun, c net.Conn) {
-			fmt.Fprint(c, chunk(d.text[:20]))
+			fmt.Fprint(c, chunk(d.changeLine[:20]))
 			time.Sleep(rest)
 		}, rest},
 	} {
@@ -196,12 +196,12 @@
 			t.Parallel()
 			d := startDrainRun(t, func(d *drainRun, c net.Conn, n int) {
 				if n == 0 {
-					d.marked <- d.open(c)
+					d.markedAt <- d.openWatch(c)
 					answer.first(d, c)
 					return
 				}
 				time.Sleep(answer.next)
-				fmt.Fprint(c, watchHead+chunk(d.text))
+				fmt.Fprint(c, watchHead+chunk(d.changeLine))
 				time.Sleep(rest)
 			})
 			d.check(t, 2*time.Second, 0)
@@ -209,13 +209,13 @@
 	}
 }
 
-// missedAfter is when a change that a watch ended instead of telling counts as notified, from the
+// missedChangeNotifiedAfter is when a change that a watch ended instead of telling counts as notified, from the
 // watch's end on: measured in replays of issue 26 (2.0 s), and the 2 s that STANDING gives a long poll.
-const missedAfter = 2 * time.Second
+const missedChangeNotifiedAfter = 2 * time.Second
 
 // A watch that ends instead of telling a change is asked again at once: the change counts as
 // notified two seconds later, and discovery, which takes calls in turn, may need most of them.
-func TestEndedWatchIsAskedAgainAtOnce(t *testing.T) {
+func TestEndedWatchIsReopenedAtOnce(t *testing.T) {
 	const inTurn = 1850 * time.Millisecond // how long discovery holds a call
 	for name, end := range map[string]func(c *net.TCPConn){
 		"closed":               func(c *net.TCPConn) {},
@@ -227,48 +227,48 @@
 			t.Parallel()
 			d := startDrainRun(t, func(d *drainRun, c net.Conn, n int) {
 				if n == 0 {
-					d.marked <- d.open(c)
+					d.markedAt <- d.openWatch(c)
 					end(c.(*net.TCPConn))
 					return
 				}
 				time.Sleep(inTurn)
-				fmt.Fprint(c, watchHead+chunk(d.text))
+				fmt.Fprint(c, watchHead+chunk(d.changeLine))
 				time.Sleep(10 * time.Second)
 			})
-			d.check(t, 4*time.Second, missedAfter)
+			d.check(t, 4*time.Second, missedChangeNotifiedAfter)
 		})
 	}
 }
 
 // What discovery writes at its address of before, until it closes the watch there, is heard also
 // while the call at the new one waits for its turn.
-func TestMovedWatchIsHeardOut(t *testing.T) {
+func TestPreviousWatchIsReadToItsEnd(t *testing.T) {
 	for name, wrote := range map[string]func(d *drainRun, c net.Conn){
-		"whole":    func(d *drainRun, c net.Conn) { fmt.Fprint(c, chunk(d.text)) },
-		"the part": func(d *drainRun, c net.Conn) { fmt.Fprint(c, chunk(d.until)) },
+		"whole":    func(d *drainRun, c net.Conn) { fmt.Fprint(c, chunk(d.changeLine)) },
+		"the part": func(d *drainRun, c net.Conn) { fmt.Fprint(c, chunk(d.partialChange)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			moved := make(chan struct{}, 10)
 			d := startDrainRun(t, func(d *drainRun, c net.Conn, n int) {
-				d.open(c)
+				d.openWatch(c)
 				<-moved
 				time.Sleep(50 * time.Millisecond)
-				d.marked <- time.Now()
+				d.markedAt <- time.Now()
 				wrote(d, c)
 				time.Sleep(1400 * time.Millisecond)
 			})
 			next := rawDiscovery(t, func(c net.Conn, n int) {
 				moved <- struct{}{}
 				time.Sleep(3 * time.Second)
-				fmt.Fprint(c, watchHead+chunk(d.text))
+				fmt.Fprint(c, watchHead+chunk(d.changeLine))
 				time.Sleep(3 * time.Second)
 			})
-			config, err := os.ReadFile(d.config)
+			config, err := os.ReadFile(d.configPath)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(d.config, bytes.ReplaceAll(config, []byte(d.discovery), []byte(next)), 0o600); err != nil {
+			if err := os.WriteFile(d.configPath, bytes.ReplaceAll(config, []byte(d.discoveryAddr), []byte(next)), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			if err := d.cmd.Process.Signal(syscall.SIGHUP); err != nil {
--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -14,22 +14,22 @@
 	for _, fault := range []string{"openat:ENFILE", "openat:EIO", "half a file"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			asked := make(chan struct{}, 10)
+			requests := make(chan struct{}, 10)
 			discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				asked <- struct{}{}
+				requests <- struct{}{}
 				<-r.Context().Done()
 			}))
 			t.Cleanup(func() { discovery.CloseClientConnections(); discovery.Close() })
-			listen, server := freeAddr(t), doneServer(t)
+			listen, server := freeAddr(t), okServer(t)
 			injected := fault
 			if fault == "half a file" {
 				injected = "openat:EIO"
 			}
 			p := startFaulty(t, injected, programConfig(listen, "127.0.0.1:1", server, 1024), false)
-			waitReady(t, listen, p.out)
+			waitReady(t, listen, p.stderr)
 			next := programConfig(listen, discovery.Listener.Addr().String(), server, 1024)
 			write := func(text string) {
-				if err := os.WriteFile(p.config, []byte(text), 0o600); err != nil {
+				if err := os.WriteFile(p.configPath, []byte(text), 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -37,20 +37,20 @@
 				write(next[:len(next)/2])
 			} else {
 				write(next)
-				p.fail(true)
+				p.setFaults(true)
 			}
 			if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(500 * time.Millisecond)
-			p.fail(false)
+			p.setFaults(false)
 			write(next)
 			select {
-			case <-asked:
+			case <-requests:
 			case <-time.After(2 * time.Second):
-				t.Errorf("the new address of discovery was not asked; it said %s", p.out)
+				t.Errorf("the new address of discovery was not asked; it said %s", p.stderr)
 			}
-			p.running()
+			p.requireRunning()
 		})
 	}
 }
--- a/cmd/agent/answers_test.go
+++ b/cmd/agent/response_test.go
@@ -47,8 +47,8 @@
 	})
 }
 
-// askBody sends one request and returns its answer's status and body.
-func askBody(listen, timeout string) (int, string, error) {
+// postForBody sends one request and returns its answer's status and body.
+func postForBody(listen, timeout string) (int, string, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+listen+"/order/u1", strings.NewReader("x"))
 	if err != nil {
 		return 0, "", err
@@ -66,7 +66,7 @@
 
 // An answer without a length ends with the connection: it is whole when the server closes, and
 // never when the connection is reset or stays open.
-func TestAnswerEndsWithItsConnection(t *testing.T) {
+func TestResponseEndsWithItsConnection(t *testing.T) {
 	long := strings.Repeat("x", 64<<10)
 	const head = "HTTP/1.1 200 OK\r\n"
 	write := func(texts ...string) func(c *net.TCPConn, r *http.Request) {
@@ -110,13 +110,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			listen := freeAddr(t)
-			_, out := child(t, programConfig(listen, "127.0.0.1:1", rawServer(t, c.serve), 1024))
-			waitReady(t, listen, out)
-			began := time.Now()
-			status, body, err := askBody(listen, "1500m")
-			took := time.Since(began)
+			_, stderr := startProgram(t, programConfig(listen, "127.0.0.1:1", rawServer(t, c.serve), 1024))
+			waitReady(t, listen, stderr)
+			startedAt := time.Now()
+			status, body, err := postForBody(listen, "1500m")
+			took := time.Since(startedAt)
 			if got := status == http.StatusOK; got != (c.served != "") || got && (err != nil || body != c.served) {
-				t.Errorf("answered %d with %d bytes, %v, after %v; it said %s", status, len(body), err, took, out)
+				t.Errorf("answered %d with %d bytes, %v, after %v; it said %s", status, len(body), err, took, stderr)
 			}
 			if err != nil || took > 1600*time.Millisecond {
 				t.Errorf("no final answer in time: %v after %v", err, took)
@@ -127,17 +127,17 @@
 
 // A server that turns a request away without a length and keeps the connection open holds up
 // neither the request nor its next attempt.
-func TestRefusalWithoutALength(t *testing.T) {
+func TestRejectionWithoutALength(t *testing.T) {
 	turnsAway := rawServer(t, func(c *net.TCPConn, _ *http.Request) {
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\n\r\n")
 		time.Sleep(3 * time.Second)
 	})
 	listen := freeAddr(t)
-	_, out := child(t, programConfig(listen, "127.0.0.1:1", turnsAway, 1024))
-	waitReady(t, listen, out)
-	began := time.Now()
-	status, err := askFor(listen, "u1", "2000m")
-	if took := time.Since(began); err != nil || status != http.StatusServiceUnavailable || took > time.Second {
-		t.Errorf("answered %d, %v, after %v; it said %s", status, err, took, fmt.Sprint(out))
+	_, stderr := startProgram(t, programConfig(listen, "127.0.0.1:1", turnsAway, 1024))
+	waitReady(t, listen, stderr)
+	startedAt := time.Now()
+	status, err := postKey(listen, "u1", "2000m")
+	if took := time.Since(startedAt); err != nil || status != http.StatusServiceUnavailable || took > time.Second {
+		t.Errorf("answered %d, %v, after %v; it said %s", status, err, took, fmt.Sprint(stderr))
 	}
 }
--- a/cmd/agent/services_test.go
+++ b/cmd/agent/services_test.go
@@ -18,17 +18,17 @@
 	"knotrouter/internal/endpoints"
 )
 
-// scopedSteward is a list service that knows services. What it is asked for is heard, and answered
+// scopedControlPlane is a list service that knows services. What it is asked for is heard, and answered
 // once the hold on it is over.
-type scopedSteward struct {
-	addr  string
-	asked chan string
-	hold  chan struct{}
-	hosts []endpoints.Endpoint
+type scopedControlPlane struct {
+	addr    string
+	queries chan string
+	hold    chan struct{}
+	hosts   []endpoints.Endpoint
 }
 
-func startScopedSteward(t *testing.T, hosts []endpoints.Endpoint) *scopedSteward {
-	s := &scopedSteward{asked: make(chan string, 100), hold: make(chan struct{}), hosts: hosts}
+func startScopedControlPlane(t *testing.T, hosts []endpoints.Endpoint) *scopedControlPlane {
+	s := &scopedControlPlane{queries: make(chan string, 100), hold: make(chan struct{}), hosts: hosts}
 	server := httptest.NewServer(s)
 	t.Cleanup(server.Close)
 	t.Cleanup(server.CloseClientConnections)
@@ -36,9 +36,9 @@
 	return s
 }
 
-func (s *scopedSteward) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *scopedControlPlane) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	s.asked <- r.URL.RawQuery
+	s.queries <- r.URL.RawQuery
 	services := q[endpoints.ServiceParam]
 	if !slices.Contains(services, "a") {
 		<-s.hold
@@ -51,12 +51,12 @@
 		}
 	}
 	_ = json.NewEncoder(w).Encode(l)
-	beat := time.NewTicker(time.Second)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(time.Second)
+	defer heartbeat.Stop()
 	for q.Get("follow") != "" {
 		w.(http.Flusher).Flush()
 		select {
-		case <-beat.C:
+		case <-heartbeat.C:
 			fmt.Fprintln(w)
 		case <-r.Context().Done():
 			return
@@ -64,12 +64,12 @@
 	}
 }
 
-// hears waits for a call that asks for exactly this.
-func (s *scopedSteward) hears(t *testing.T, want string) {
+// awaitQuery waits for a call that asks for exactly this.
+func (s *scopedControlPlane) awaitQuery(t *testing.T, want string) {
 	t.Helper()
 	for limit := time.After(30 * time.Second); ; {
 		select {
-		case got := <-s.asked:
+		case got := <-s.queries:
 			if got == want {
 				return
 			}
@@ -92,8 +92,8 @@
 		Weight: 1, Service: service}, count
 }
 
-// waitMore waits until so many more requests came.
-func waitMore(t *testing.T, what string, count *atomic.Int64, more int64) {
+// waitForMore waits until so many more requests came.
+func waitForMore(t *testing.T, what string, count *atomic.Int64, more int64) {
 	t.Helper()
 	want := count.Load() + more
 	for limit := time.Now().Add(30 * time.Second); count.Load() < want; time.Sleep(5 * time.Millisecond) {
@@ -110,15 +110,15 @@
 	b, ofB := countingServer(t, "s-b", "b")
 	x, ofX := countingServer(t, "s-x", "x")
 	hosts := []endpoints.Endpoint{a, b, x}
-	first, second := startScopedSteward(t, hosts), startScopedSteward(t, hosts)
+	first, second := startScopedControlPlane(t, hosts), startScopedControlPlane(t, hosts)
 	listen, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
 	// On a busy machine one server for four clients is overloaded by the times of these settings.
 	patient := strings.Replace(settings, `"aimMs":500,"giveUpMs":1000`, `"aimMs":20000,"giveUpMs":30000`, 1)
-	config := func(steward *scopedSteward, services string) string {
+	config := func(controlPlane *scopedControlPlane, services string) string {
 		return fmt.Sprintf(`{"name":"n0","listen":%q,"stewards":[%q],"services":%s,"seed":"1f",
- "limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s}`, listen, steward.addr, services, patient)
+ "limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s}`, listen, controlPlane.addr, services, patient)
 	}
-	cmd, out := childAt(t, path, config(first, `["a"]`))
+	cmd, stderr := startProgramAt(t, path, config(first, `["a"]`))
 	reload := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -128,10 +128,10 @@
 			t.Fatal(err)
 		}
 	}
-	waitReady(t, listen, out)
+	waitReady(t, listen, stderr)
 
 	var load sync.WaitGroup
-	var asked, failed atomic.Int64
+	var requests, failed atomic.Int64
 	end := make(chan struct{})
 	for range 4 {
 		load.Go(func() {
@@ -142,7 +142,7 @@
 				default:
 				}
 				// The policy sends the requests of one key to one server while it has room.
-				if status, err := askFor(listen, fmt.Sprint("u", asked.Add(1)), "30000m"); status != http.StatusOK {
+				if status, err := postKey(listen, fmt.Sprint("u", requests.Add(1)), "30000m"); status != http.StatusOK {
 					failed.Add(1)
 					t.Errorf("answered %d, %v", status, err)
 				}
@@ -154,33 +154,33 @@
 		load.Wait()
 	})
 	defer endLoad() // before the agent is killed, also where the test fails
-	waitMore(t, "service a", ofA, 20)
+	waitForMore(t, "service a", ofA, 20)
 	reload(config(first, `["b"]`))
-	first.hears(t, "follow=1&since=0&service=b")
-	waitMore(t, "service a, while the list of b is not there", ofA, 50)
+	first.awaitQuery(t, "follow=1&since=0&service=b")
+	waitForMore(t, "service a, while the list of b is not there", ofA, 50)
 	if ofB.Load() > 0 {
 		t.Error("service b is asked before its list came")
 	}
 	close(first.hold)
-	waitMore(t, "service b", ofB, 50)
+	waitForMore(t, "service b", ofB, 50)
 	before := ofA.Load()
-	waitMore(t, "service b", ofB, 50)
+	waitForMore(t, "service b", ofB, 50)
 	if ofA.Load() > before {
 		t.Errorf("service a is asked %d times after it was left", ofA.Load()-before)
 	}
 	reload(config(second, `["b", "a"]`))
-	second.hears(t, "follow=1&since=0&service=a&service=b")
-	waitMore(t, "service a again", ofA, 20)
-	waitMore(t, "service b still", ofB, 20)
+	second.awaitQuery(t, "follow=1&since=0&service=a&service=b")
+	waitForMore(t, "service a again", ofA, 20)
+	waitForMore(t, "service b still", ofB, 20)
 	endLoad()
 	close(second.hold)
 	if failed.Load() > 0 || ofX.Load() > 0 {
-		t.Errorf("%d of %d requests failed, %d reached a service that is not subscribed to", failed.Load(), asked.Load(), ofX.Load())
+		t.Errorf("%d of %d requests failed, %d reached a service that is not subscribed to", failed.Load(), requests.Load(), ofX.Load())
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Fatalf("after SIGTERM: %v; it said %s", err, out)
+		t.Fatalf("after SIGTERM: %v; it said %s", err, stderr)
 	}
 }
--- a/cmd/agent/syscalls_test.go
+++ b/cmd/agent/syscallfault_test.go
@@ -18,37 +18,37 @@
 
 // faultyProgram is the program with system calls that fail while fails is in force.
 type faultyProgram struct {
-	t      *testing.T
-	faults string // as syscallfault has them, or noDescriptors
-	while  string // the file that stands for it
-	config string // the path of the configuration
-	cmd    *exec.Cmd
-	out    *output
-	ended  chan error
+	t          *testing.T
+	faults     string // as syscallfault has them, or noDescriptors
+	faultFile  string // the file that stands for it
+	configPath string // the path of the configuration
+	cmd        *exec.Cmd
+	stderr     *stderrBuffer
+	ended      chan error
 }
 
 // startFaulty starts the program; its calls fail from its first moment on if failing is set.
 func startFaulty(t *testing.T, faults, config string, failing bool) *faultyProgram {
 	t.Helper()
 	dir := t.TempDir()
-	p := &faultyProgram{t: t, faults: faults, while: filepath.Join(dir, "failing"), config: filepath.Join(dir, "config.json"),
-		out: &output{}, ended: make(chan error, 1)}
-	if err := os.WriteFile(p.config, []byte(config), 0o600); err != nil {
+	p := &faultyProgram{t: t, faults: faults, faultFile: filepath.Join(dir, "failing"), configPath: filepath.Join(dir, "config.json"),
+		stderr: &stderrBuffer{}, ended: make(chan error, 1)}
+	if err := os.WriteFile(p.configPath, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if failing {
-		p.fail(true)
+		p.setFaults(true)
 	}
 	exe, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.cmd = exec.Command(exe)
-	p.cmd.Env = append(os.Environ(), "MOLEPADDLE_CHILD=1", "EDGE_CONFIG="+p.config)
+	p.cmd.Env = append(os.Environ(), "AGENT_TEST_CHILD=1", "EDGE_CONFIG="+p.configPath)
 	if faults != noDescriptors {
-		p.cmd.Env = append(p.cmd.Env, syscallfault.FaultsVariable+"="+faults, syscallfault.WhileVariable+"="+p.while)
+		p.cmd.Env = append(p.cmd.Env, syscallfault.FaultsVariable+"="+faults, syscallfault.WhileVariable+"="+p.faultFile)
 	}
-	p.cmd.Stderr = p.out
+	p.cmd.Stderr = p.stderr
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -72,8 +72,8 @@
 	}
 }
 
-// fail has the calls fail from now on, or no more.
-func (p *faultyProgram) fail(on bool) {
+// setFaults has the calls setFaults from now on, or no more.
+func (p *faultyProgram) setFaults(on bool) {
 	p.t.Helper()
 	if p.faults == noDescriptors {
 		p.limitDescriptors(on)
@@ -81,8 +81,8 @@
 	}
 	var err error
 	if on {
-		err = os.WriteFile(p.while, nil, 0o600)
-	} else if err = os.Remove(p.while); os.IsNotExist(err) {
+		err = os.WriteFile(p.faultFile, nil, 0o600)
+	} else if err = os.Remove(p.faultFile); os.IsNotExist(err) {
 		err = nil
 	}
 	if err != nil {
@@ -90,17 +90,17 @@
 	}
 }
 
-// running reports an end of the program.
-func (p *faultyProgram) running() {
+// requireRunning reports an end of the program.
+func (p *faultyProgram) requireRunning() {
 	p.t.Helper()
 	select {
 	case err := <-p.ended:
-		p.t.Fatalf("ended: %v; it said %s", err, p.out)
+		p.t.Fatalf("ended: %v; it said %s", err, p.stderr)
 	default:
 	}
 }
 
-func doneServer(t *testing.T) string {
+func okServer(t *testing.T) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "done") }))
 	t.Cleanup(s.Close)
@@ -109,55 +109,55 @@
 
 // A connection that can't be accepted for a moment, for whatever reason that accept(2) names, is
 // accepted right after, and its request is answered in time.
-func TestAcceptFailsForAMoment(t *testing.T) {
+func TestAcceptFailsTemporarily(t *testing.T) {
 	for _, errno := range []string{"ECONNABORTED", "EINTR", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPROTO", "EPERM",
 		"ENETDOWN", "EHOSTUNREACH", "ENETUNREACH", "ETIMEDOUT"} {
 		t.Run(errno, func(t *testing.T) {
 			t.Parallel()
 			listen := freeAddr(t)
-			p := startFaulty(t, "accept4:"+errno, programConfig(listen, "127.0.0.1:1", doneServer(t), 1024), false)
-			waitReady(t, listen, p.out)
-			p.fail(true)
+			p := startFaulty(t, "accept4:"+errno, programConfig(listen, "127.0.0.1:1", okServer(t), 1024), false)
+			waitReady(t, listen, p.stderr)
+			p.setFaults(true)
 			const lasts = 1200 * time.Millisecond
 			statuses := make(chan string, 4)
 			for i := range 4 {
 				go func() {
-					status, err := askFor(listen, fmt.Sprint("u", i), "3000m")
+					status, err := postKey(listen, fmt.Sprint("u", i), "3000m")
 					statuses <- fmt.Sprint(status, err)
 				}()
 			}
 			time.Sleep(lasts)
-			p.fail(false)
+			p.setFaults(false)
 			back := time.Now()
 			for range 4 {
 				if got := <-statuses; got != "200 <nil>" {
-					t.Errorf("answered %s; it said %s", got, p.out)
+					t.Errorf("answered %s; it said %s", got, p.stderr)
 				}
 			}
 			if took := time.Since(back); took > 250*time.Millisecond {
 				t.Errorf("the requests that waited were answered %v after the calls went well again", took)
 			}
-			p.running()
+			p.requireRunning()
 		})
 	}
 }
 
 // A request whose connection could not be accepted at first is passed on with the time that is left.
 func TestDeadlineOfAQueuedRequest(t *testing.T) {
-	told := make(chan string, 1)
+	observed := make(chan string, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		told <- r.Header.Get("Request-Timeout")
+		observed <- r.Header.Get("Request-Timeout")
 	}))
 	t.Cleanup(s.Close)
 	listen := freeAddr(t)
 	p := startFaulty(t, "accept4:ENFILE", programConfig(listen, "127.0.0.1:1", s.Listener.Addr().String(), 1024), false)
-	waitReady(t, listen, p.out)
-	p.fail(true)
-	go func() { _, _ = askFor(listen, "u1", "3000m") }()
+	waitReady(t, listen, p.stderr)
+	p.setFaults(true)
+	go func() { _, _ = postKey(listen, "u1", "3000m") }()
 	const queued = 600 * time.Millisecond
 	time.Sleep(queued)
-	p.fail(false)
-	text := <-told
+	p.setFaults(false)
+	text := <-observed
 	var ms int
 	if _, err := fmt.Sscanf(text, "%dm", &ms); err != nil {
 		t.Fatalf("told %q: %v", text, err)
@@ -169,40 +169,40 @@
 
 // Connections to servers that can't be made for a moment cost no request its final answer, and the
 // servers are sent to again once they can be made: the fault is none of theirs.
-func TestConnectFailsForAMoment(t *testing.T) {
+func TestConnectFailsTemporarily(t *testing.T) {
 	for _, fault := range []string{noDescriptors, "connect:EADDRNOTAVAIL", "connect:ENETUNREACH", "connect:EHOSTUNREACH",
 		"connect:ENOBUFS", "connect:ENOMEM"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			listen := freeAddr(t)
-			p := startFaulty(t, fault, programConfig(listen, "127.0.0.1:1", doneServer(t), 1024), false)
-			waitReady(t, listen, p.out)
-			p.fail(true)
-			var asked sync.WaitGroup
+			p := startFaulty(t, fault, programConfig(listen, "127.0.0.1:1", okServer(t), 1024), false)
+			waitReady(t, listen, p.stderr)
+			p.setFaults(true)
+			var requests sync.WaitGroup
 			for i := range 20 {
-				asked.Add(1)
+				requests.Add(1)
 				go func() {
-					defer asked.Done()
-					began := time.Now()
-					status, err := askFor(listen, fmt.Sprint("u", i), "800m")
-					if took := time.Since(began); err != nil || took > 850*time.Millisecond ||
+					defer requests.Done()
+					startedAt := time.Now()
+					status, err := postKey(listen, fmt.Sprint("u", i), "800m")
+					if took := time.Since(startedAt); err != nil || took > 850*time.Millisecond ||
 						status != http.StatusOK && status != http.StatusServiceUnavailable {
 						t.Errorf("request %d: %d, %v, after %v", i, status, err, took)
 					}
 				}()
 				time.Sleep(20 * time.Millisecond)
 			}
-			p.fail(false)
+			p.setFaults(false)
 			back := time.Now()
-			asked.Wait()
+			requests.Wait()
 			status, err := 0, error(nil)
 			for status != http.StatusOK && time.Since(back) < 5*time.Second {
-				status, err = askFor(listen, "after", "300m")
+				status, err = postKey(listen, "after", "300m")
 			}
 			if took := time.Since(back); took > 700*time.Millisecond {
-				t.Errorf("served %v after the calls went well again: %d, %v; it said %s", took, status, err, p.out)
+				t.Errorf("served %v after the calls went well again: %d, %v; it said %s", took, status, err, p.stderr)
 			}
-			p.running()
+			p.requireRunning()
 		})
 	}
 }
@@ -213,13 +213,13 @@
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			listen := freeAddr(t)
-			p := startFaulty(t, fault, programConfig(listen, "127.0.0.1:1", doneServer(t), 1024), true)
+			p := startFaulty(t, fault, programConfig(listen, "127.0.0.1:1", okServer(t), 1024), true)
 			time.Sleep(700 * time.Millisecond)
-			p.running()
-			p.fail(false)
-			waitReady(t, listen, p.out)
-			if status, err := askOnce(listen); status != http.StatusOK {
-				t.Errorf("answered %d, %v; it said %s", status, err, p.out)
+			p.requireRunning()
+			p.setFaults(false)
+			waitReady(t, listen, p.stderr)
+			if status, err := post(listen); status != http.StatusOK {
+				t.Errorf("answered %d, %v; it said %s", status, err, p.stderr)
 			}
 		})
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -19,11 +19,11 @@
 	"knotrouter/policy"
 )
 
-// config is a whole configuration; backends are listed as s-0, s-1, ...
-func config(discovery string, backends ...string) map[string]any {
+// testConfig is a whole configuration; backends are listed as s-0, s-1, ...
+func testConfig(discovery string, backends ...string) map[string]any {
 	hosts := []any{}
 	for i, dial := range backends {
-		hosts = append(hosts, host(i, dial, "ready"))
+		hosts = append(hosts, hostEntry(i, dial, "ready"))
 	}
 	class := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "aimMs": 20000, "giveUpMs": 30000, "credit": 1,
@@ -45,14 +45,14 @@
 	}
 }
 
-func host(i int, dial, health string) map[string]any {
+func hostEntry(i int, dial, health string) map[string]any {
 	return map[string]any{"host": fmt.Sprint("s-", i), "dial": dial, "site": "a", "class": "k",
 		"block": 1, "health": health, "share": 1.0, "born_ms": 0}
 }
 
-func parse(t *testing.T, conf map[string]any) *Config {
+func parseConfig(t *testing.T, config map[string]any) *Config {
 	t.Helper()
-	text, err := json.Marshal(conf)
+	text, err := json.Marshal(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,10 +63,10 @@
 	return c
 }
 
-// start serves an agent until the test ends; stop is its SIGTERM.
-func start(t *testing.T, conf map[string]any) (a *Agent, base string, stop func(), ended chan error) {
+// startAgent serves an agent until the test ends; stop is its SIGTERM.
+func startAgent(t *testing.T, config map[string]any) (a *Agent, baseURL string, stop func(), done chan error) {
 	t.Helper()
-	a, err := New(parse(t, conf), slog.New(slog.DiscardHandler))
+	a, err := New(parseConfig(t, config), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,18 +75,18 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	ended = make(chan error, 1)
-	go func() { ended <- a.Serve(ctx, ln) }()
+	done = make(chan error, 1)
+	go func() { done <- a.Serve(ctx, ln) }()
 	t.Cleanup(func() {
 		stop()
 		a.server.Close()
 		a.stop()
 	})
-	return a, "http://" + ln.Addr().String(), stop, ended
+	return a, "http://" + ln.Addr().String(), stop, done
 }
 
-// call is a request of the class, well-formed until it is changed.
-func call(base, class string) *http.Request {
+// newCall is a request of the class, well-formed until it is changed.
+func newCall(base, class string) *http.Request {
 	method := http.MethodPost
 	if class == "look" {
 		method = http.MethodGet
@@ -106,7 +106,7 @@
 	return req
 }
 
-func do(t *testing.T, req *http.Request) (int, string, http.Header) {
+func send(t *testing.T, req *http.Request) (int, string, http.Header) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(req.Context(), time.Minute)
 	defer cancel()
@@ -122,11 +122,11 @@
 	return resp.StatusCode, string(body), resp.Header
 }
 
-// counted is a backend that answers all it gets with status and counts it.
-func counted(t *testing.T, status int, notStarted bool) (addr string, came chan string) {
-	came = make(chan string, 100)
+// countingBackend is a backend that answers all it gets with status and counts it.
+func countingBackend(t *testing.T, status int, notStarted bool) (addr string, received chan string) {
+	received = make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		came <- r.Header.Get("Request-Id")
+		received <- r.Header.Get("Request-Id")
 		if notStarted {
 			w.Header().Set("Not-Started", "1")
 		}
@@ -134,29 +134,29 @@
 		fmt.Fprint(w, "done")
 	}))
 	t.Cleanup(s.Close)
-	return s.Listener.Addr().String(), came
+	return s.Listener.Addr().String(), received
 }
 
-// nowhere is a discovery that is never asked: lists are pushed in these settings.
-const nowhere = "127.0.0.1:1"
+// unreachableAddr is a discovery that is never asked: lists are pushed in these settings.
+const unreachableAddr = "127.0.0.1:1"
 
-func TestServed(t *testing.T) {
-	addr, _ := counted(t, 200, false)
-	_, base, _, _ := start(t, config(nowhere, addr))
+func TestAgentServesEachClass(t *testing.T) {
+	addr, _ := countingBackend(t, 200, false)
+	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 	for _, class := range []string{"look", "send", "order"} {
-		if status, body, _ := do(t, call(base, class)); status != 200 || body != "done" {
+		if status, body, _ := send(t, newCall(base, class)); status != 200 || body != "done" {
 			t.Fatalf("%s: got %d %q", class, status, body)
 		}
 	}
 	ready, _ := http.NewRequest(http.MethodGet, base+"/ready", nil)
-	if status, _, _ := do(t, ready); status != 200 {
+	if status, _, _ := send(t, ready); status != 200 {
 		t.Fatalf("/ready: %d", status)
 	}
 }
 
 // What may have run is sent once more only where its class allows; what was turned
 // away may go on to another backend in any class.
-func TestRetries(t *testing.T) {
+func TestRetriesFollowTheEffectOfTheClass(t *testing.T) {
 	for _, c := range []struct {
 		class      string
 		status     int
@@ -172,13 +172,13 @@
 	} {
 		t.Run(fmt.Sprint(c.class, c.status, c.notStarted), func(t *testing.T) {
 			var addrs []string
-			var came []chan string
+			var received []chan string
 			for range 5 {
-				addr, ids := counted(t, c.status, c.notStarted)
-				addrs, came = append(addrs, addr), append(came, ids)
+				addr, ids := countingBackend(t, c.status, c.notStarted)
+				addrs, received = append(addrs, addr), append(received, ids)
 			}
-			_, base, _, _ := start(t, config(nowhere, addrs...))
-			status, _, head := do(t, call(base, c.class))
+			_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addrs...))
+			status, _, head := send(t, newCall(base, c.class))
 			if status != c.answer {
 				t.Errorf("answered %d, want %d", status, c.answer)
 			}
@@ -186,7 +186,7 @@
 				t.Errorf("Retry-After %q with %d", head.Get("Retry-After"), status)
 			}
 			attempts := 0
-			for _, ids := range came {
+			for _, ids := range received {
 				attempts += len(ids) // each was counted before it was answered
 			}
 			if attempts != c.attempts {
@@ -197,22 +197,22 @@
 }
 
 // A backend's answer that breaks off is not passed on, whole or in part.
-func TestBrokenAnswerFails(t *testing.T) {
+func TestTruncatedResponseIsNotForwarded(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := readRequest(r); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone")
 		}
 	})
-	_, base, _, _ := start(t, config(nowhere, addr))
-	if status, body, _ := do(t, call(base, "order")); status != http.StatusBadGateway || body != "" {
+	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
+	if status, body, _ := send(t, newCall(base, "order")); status != http.StatusBadGateway || body != "" {
 		t.Fatalf("got %d %q", status, body)
 	}
 }
 
 // Bad input gets a 4xx that promises nothing of a retry, and reaches no backend.
-func TestBadInput(t *testing.T) {
-	addr, came := counted(t, 200, false)
-	_, base, _, _ := start(t, config(nowhere, addr))
+func TestInvalidRequestsAreAnswered4xx(t *testing.T) {
+	addr, received := countingBackend(t, 200, false)
+	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 	for name, change := range map[string]func(r *http.Request){
 		"unknown class":    func(r *http.Request) { r.URL.Path = "/nothing/u1" },
 		"root":             func(r *http.Request) { r.URL.Path = "/" },
@@ -224,67 +224,67 @@
 		"huge timeout":     func(r *http.Request) { r.Header.Set("Request-Timeout", "99999999999999m") },
 		"no key":           func(r *http.Request) { r.Header.Del("Idempotency-Key") },
 		"long body": func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBody+1))), maxBody+1
+			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBodyBytes+1))), maxBodyBytes+1
 		},
 	} {
-		req := call(base, "send")
+		req := newCall(base, "send")
 		change(req)
-		if status, _, _ := do(t, req); status < 400 || status > 499 || status == 429 {
+		if status, _, _ := send(t, req); status < 400 || status > 499 || status == 429 {
 			t.Errorf("%s: answered %d", name, status)
 		}
 	}
-	look := call(base, "look")
+	look := newCall(base, "look")
 	look.Body, look.ContentLength = io.NopCloser(strings.NewReader("body")), 4
-	if status, _, _ := do(t, look); status != http.StatusBadRequest {
+	if status, _, _ := send(t, look); status != http.StatusBadRequest {
 		t.Errorf("GET with a body: answered %d", status)
 	}
-	longest := call(base, "send")
-	longest.Body, longest.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBody))), maxBody
+	longest := newCall(base, "send")
+	longest.Body, longest.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBodyBytes))), maxBodyBytes
 	longest.Header.Set("Request-Id", "longest")
-	if status, _, _ := do(t, longest); status != 200 {
+	if status, _, _ := send(t, longest); status != 200 {
 		t.Errorf("a body of 64 KiB: answered %d", status)
 	}
-	if id := <-came; id != "longest" || len(came) > 0 {
+	if id := <-received; id != "longest" || len(received) > 0 {
 		t.Errorf("bad input reached the backend")
 	}
 }
 
 // The last guard answers should the loop never do.
-func TestGuard(t *testing.T) {
-	conf := parse(t, config(nowhere))
-	a, err := New(conf, slog.New(slog.DiscardHandler))
+func TestGuardAnswersWhenTheLoopIsStopped(t *testing.T) {
+	config := parseConfig(t, testConfig(unreachableAddr))
+	a, err := New(config, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer a.stop() // the loop does not run
 	a.loop.unwatched()
-	req := call("", "order")
+	req := newCall("", "order")
 	req.Header.Set("Request-Timeout", "20m")
 	rec := httptest.NewRecorder()
 	a.ServeHTTP(rec, req)
 	if rec.Code != http.StatusGatewayTimeout {
 		t.Fatalf("answered %d", rec.Code)
 	}
-	if first, second := <-a.loop.in, <-a.loop.in; first.kind != inRequest || second.kind != inDropped {
+	if first, second := <-a.loop.events, <-a.loop.events; first.kind != eventRequest || second.kind != eventClientCanceled {
 		t.Fatalf("the loop was told %d, %d", first.kind, second.kind)
 	}
 }
 
-// explodes panics when the handler reads it.
-type explodes struct{}
+// panicReader panics when the handler reads it.
+type panicReader struct{}
 
-func (explodes) Read([]byte) (int, error) { panic("boom") }
-func (explodes) Close() error             { return nil }
+func (panicReader) Read([]byte) (int, error) { panic("boom") }
+func (panicReader) Close() error             { return nil }
 
 // A panic in one handler must not leave its request without an answer.
-func TestHandlerPanic(t *testing.T) {
-	a, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
+func TestHandlerPanicIsAnswered500(t *testing.T) {
+	a, err := New(parseConfig(t, testConfig(unreachableAddr)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer a.stop()
-	req := call("", "order")
-	req.Body = explodes{}
+	req := newCall("", "order")
+	req.Body = panicReader{}
 	rec := httptest.NewRecorder()
 	a.ServeHTTP(rec, req)
 	if rec.Code != http.StatusInternalServerError {
@@ -293,34 +293,34 @@
 }
 
 // A panic in the loop costs its one input.
-func TestLoopPanic(t *testing.T) {
-	addr, _ := counted(t, 200, false)
-	a, base, _, _ := start(t, config(nowhere, addr))
-	a.loop.post(input{kind: inRequest, req: nil})
-	if status, _, _ := do(t, call(base, "order")); status != 200 {
+func TestLoopSurvivesPanic(t *testing.T) {
+	addr, _ := countingBackend(t, 200, false)
+	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
+	a.loop.post(event{kind: eventRequest, req: nil})
+	if status, _, _ := send(t, newCall(base, "order")); status != 200 {
 		t.Fatalf("answered %d after a panic", status)
 	}
 }
 
 // With few places left for clients' connections each is closed after its answer:
 // idle ones must not keep out a client whose time runs.
-func TestFewPlacesLeft(t *testing.T) {
-	addr, _ := counted(t, 200, false)
-	conf := config(nowhere, addr)
-	conf["limits"].(map[string]any)["sockets"] = minSockets
-	a, base, _, _ := start(t, conf)
-	ask := func() *http.Response {
-		resp, err := new(http.Transport).RoundTrip(call(base, "order"))
+func TestConnectionsCloseWhenNearlyFull(t *testing.T) {
+	addr, _ := countingBackend(t, 200, false)
+	config := testConfig(unreachableAddr, addr)
+	config["limits"].(map[string]any)["sockets"] = minSockets
+	a, base, _, _ := startAgent(t, config)
+	request := func() *http.Response {
+		resp, err := new(http.Transport).RoundTrip(newCall(base, "order"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		resp.Body.Close()
 		return resp
 	}
-	if ask().Close {
+	if request().Close {
 		t.Fatal("closed though there is room")
 	}
-	for !a.clients.few() {
+	for !a.clients.nearlyFull() {
 		n := a.clients.count()
 		c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 		if err != nil {
@@ -331,14 +331,14 @@
 			time.Sleep(time.Millisecond) // until it is accepted
 		}
 	}
-	if !ask().Close {
+	if !request().Close {
 		t.Fatal("kept open with few places left")
 	}
 }
 
 // With more requests than places for clients those over it are refused at once; left
 // to wait for a place they would be lost.
-func TestMoreRequestsThanPlaces(t *testing.T) {
+func TestRequestsBeyondCapacityAreRejected(t *testing.T) {
 	release := make(chan struct{})
 	open := sync.OnceFunc(func() { close(release) })
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -347,18 +347,18 @@
 	}))
 	t.Cleanup(s.Close)
 	t.Cleanup(open) // before the backend closes, also when the test fails
-	conf := config(nowhere, s.Listener.Addr().String())
-	conf["limits"].(map[string]any)["sockets"] = minSockets
-	_, base, _, _ := start(t, conf)
+	config := testConfig(unreachableAddr, s.Listener.Addr().String())
+	config["limits"].(map[string]any)["sockets"] = minSockets
+	_, base, _, _ := startAgent(t, config)
 	const over = 20
-	asked := openRequests(minSockets) + over
-	if asked <= clientSockets(minSockets) {
+	requests := maxOpenRequests(minSockets) + over
+	if requests <= clientSockets(minSockets) {
 		t.Fatal("these fit into the places")
 	}
-	answers := make(chan int, asked)
-	for range asked {
+	answers := make(chan int, requests)
+	for range requests {
 		go func() {
-			resp, err := new(http.Transport).RoundTrip(call(base, "order"))
+			resp, err := new(http.Transport).RoundTrip(newCall(base, "order"))
 			if err != nil {
 				t.Error(err)
 				answers <- 0
@@ -380,7 +380,7 @@
 		}
 	}
 	open()
-	for range asked - over {
+	for range requests - over {
 		if status := <-answers; status != 200 {
 			t.Errorf("answered %d, want 200", status)
 		}
@@ -388,7 +388,7 @@
 }
 
 // An attempt of a client that has gone is given up.
-func TestClientGone(t *testing.T) {
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	got, ended := make(chan struct{}), make(chan struct{})
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := readRequest(r); err != nil {
@@ -398,9 +398,9 @@
 		r.ReadByte()
 		close(ended)
 	})
-	_, base, _, _ := start(t, config(nowhere, addr))
+	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 	ctx, cancel := context.WithCancel(context.Background())
-	go http.DefaultTransport.RoundTrip(call(base, "order").WithContext(ctx))
+	go http.DefaultTransport.RoundTrip(newCall(base, "order").WithContext(ctx))
 	<-got
 	cancel()
 	<-ended
@@ -408,7 +408,7 @@
 
 // After SIGTERM new connections are still answered, what is held is finished, and
 // the agent ends without an error.
-func TestLeave(t *testing.T) {
+func TestGracefulShutdownAnswersRequests(t *testing.T) {
 	got, release := make(chan struct{}, 2), make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got <- struct{}{}
@@ -416,22 +416,22 @@
 		fmt.Fprint(w, "done")
 	}))
 	t.Cleanup(s.Close)
-	a, base, stop, ended := start(t, config(nowhere, s.Listener.Addr().String()))
+	a, base, stop, ended := startAgent(t, testConfig(unreachableAddr, s.Listener.Addr().String()))
 	answers := make(chan *http.Response, 2)
-	ask := func() {
-		resp, err := http.DefaultTransport.RoundTrip(call(base, "look"))
+	request := func() {
+		resp, err := http.DefaultTransport.RoundTrip(newCall(base, "look"))
 		if err != nil {
 			t.Error(err)
 		}
 		answers <- resp
 	}
-	go ask()
+	go request()
 	<-got
 	stop()
-	for !a.leaving.Load() {
+	for !a.draining.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	go ask() // on a new connection: the first is busy
+	go request() // on a new connection: the first is busy
 	<-got
 	close(release)
 	for range 2 {
@@ -446,52 +446,52 @@
 
 // A backend that drains while the connection to it still comes up is sent nothing,
 // and the request goes on to another.
-func TestDrainWhileDialling(t *testing.T) {
-	good, came := counted(t, 200, false)
-	a, base, _, _ := start(t, config(nowhere, "127.0.0.1:1"))
-	dialling := make(chan struct{})
-	plain := a.loop.dialer.connect
+func TestDrainDuringConnectForwardsElsewhere(t *testing.T) {
+	good, received := countingBackend(t, 200, false)
+	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, "127.0.0.1:1"))
+	dialing := make(chan struct{})
+	connect := a.loop.dialer.connect
 	a.loop.dialer.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr == good {
-			return plain(ctx, network, addr)
+			return connect(ctx, network, addr)
 		}
-		close(dialling)
+		close(dialing)
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	answered := make(chan int, 1)
 	go func() {
-		resp, err := http.DefaultTransport.RoundTrip(call(base, "order"))
+		resp, err := http.DefaultTransport.RoundTrip(newCall(base, "order"))
 		if err != nil {
 			t.Error(err)
 			return
 		}
 		answered <- resp.StatusCode
 	}()
-	<-dialling
-	text, _ := json.Marshal(map[string]any{"seq": 2, "hosts": []any{host(0, "127.0.0.1:1", "draining"), host(1, good, "ready")}})
+	<-dialing
+	text, _ := json.Marshal(map[string]any{"seq": 2, "hosts": []any{hostEntry(0, "127.0.0.1:1", "draining"), hostEntry(1, good, "ready")}})
 	change, err := endpoints.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.loop.post(input{kind: inWatched, list: change})
+	a.loop.post(event{kind: eventListChanged, list: change})
 	if status := <-answered; status != 200 {
 		t.Fatalf("answered %d", status)
 	}
-	<-came
+	<-received
 }
 
-// quietLoop is a loop that a test drives by hand.
-func quietLoop(t *testing.T, backends ...string) *loop {
+// offlineLoop is a loop that a test drives by hand.
+func offlineLoop(t *testing.T, backends ...string) *loop {
 	t.Helper()
-	return quietLoopOf(t, config(nowhere, backends...))
+	return offlineLoopOf(t, testConfig(unreachableAddr, backends...))
 }
 
-func quietLoopOf(t *testing.T, conf map[string]any) *loop {
+func offlineLoopOf(t *testing.T, config map[string]any) *loop {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	l, err := newLoop(ctx, parse(t, conf), slog.New(slog.DiscardHandler))
+	l, err := newLoop(ctx, parseConfig(t, config), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -503,42 +503,42 @@
 // that it is told.
 func (l *loop) unwatched() {
 	if l.watching {
-		l.leaveOff()
-		<-l.in
+		l.cancelDiscovery()
+		<-l.events
 	}
 }
 
-// pass lets time pass for a loop that a test drives by hand.
-func (l *loop) pass(d time.Duration) { l.base = l.base.Add(-d) }
+// advanceClock lets time advanceClock for a loop that a test drives by hand.
+func (l *loop) advanceClock(d time.Duration) { l.startedAt = l.startedAt.Add(-d) }
 
-func list(seq int64, whole bool, hosts ...endpoints.Endpoint) endpoints.List {
-	return endpoints.List{Seq: seq, Full: whole, Endpoints: hosts}
+func listOf(seq int64, full bool, hosts ...endpoints.Endpoint) endpoints.List {
+	return endpoints.List{Seq: seq, Full: full, Endpoints: hosts}
 }
 
 // Lists apply in the order of their versions, whichever way they come.
 func TestListOrder(t *testing.T) {
-	l := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2")
+	l := offlineLoop(t, "127.0.0.1:1", "127.0.0.1:2")
 	h := endpoints.Endpoint{Name: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
-	usable := func(name string) bool { b := l.backends[addrOf(name)]; return b != nil && b.usable }
-	l.handle(input{kind: inWatched, list: list(5, false, h)})
+	usable := func(name string) bool { b := l.backends[policyAddr(name)]; return b != nil && b.usable }
+	l.handle(event{kind: eventListChanged, list: listOf(5, false, h)})
 	if usable("s-0") || !usable("s-1") {
 		t.Fatal("the change of version 5 was not applied")
 	}
 	h.Health = "ready"
-	l.handle(input{kind: inWatched, list: list(4, false, h)})
-	l.handle(input{kind: inFetched, list: list(3, true, h)})
+	l.handle(event{kind: eventListChanged, list: listOf(4, false, h)})
+	l.handle(event{kind: eventListFetched, list: listOf(3, true, h)})
 	if usable("s-0") || !usable("s-1") {
 		t.Fatal("an older version was applied")
 	}
-	l.handle(input{kind: inFetched, list: list(6, true, h)})
-	if !usable("s-0") || usable("s-1") || l.seq != 6 {
+	l.handle(event{kind: eventListFetched, list: listOf(6, true, h)})
+	if !usable("s-0") || usable("s-1") || l.listVersion != 6 {
 		t.Fatal("the whole list of version 6 was not applied")
 	}
 	if len(l.backends) != 1 {
 		t.Fatalf("%d backends kept, one is listed", len(l.backends))
 	}
-	l.handle(input{kind: inWatched, list: list(7, false, endpoints.Endpoint{Name: "s-0", Health: "gone"})})
-	if len(l.backends) != 0 || l.ready.Load() {
+	l.handle(event{kind: eventListChanged, list: listOf(7, false, endpoints.Endpoint{Name: "s-0", Health: "gone"})})
+	if len(l.backends) != 0 || l.hasUsableBackend.Load() {
 		t.Fatal("the backend that is gone was kept")
 	}
 }
@@ -546,7 +546,7 @@
 // A whole list that was overtaken by a newer one, while both calls were open, is not taken: what it
 // says was written before. One that is older than what its own call named is: discovery has begun to
 // count anew.
-func TestOvertakenListIsNotTaken(t *testing.T) {
+func TestOutdatedFullListIsIgnored(t *testing.T) {
 	ready := endpoints.Endpoint{Name: "s-0", Dial: "127.0.0.1:1", Health: "ready"}
 	drains := ready
 	drains.Health = "draining"
@@ -561,10 +561,10 @@
 		{"of the same version", 12, 15, true},
 		{"newer", 12, 16, true},
 	} {
-		l := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2")
-		l.handle(input{kind: inFetched, list: list(15, true, drains)})
-		l.handle(input{kind: inWatched, since: c.since, list: list(c.came, true, ready)})
-		if b := l.backends[addrOf("s-0")]; (b != nil && b.usable) != c.taken {
+		l := offlineLoop(t, "127.0.0.1:1", "127.0.0.1:2")
+		l.handle(event{kind: eventListFetched, list: listOf(15, true, drains)})
+		l.handle(event{kind: eventListChanged, since: c.since, list: listOf(c.came, true, ready)})
+		if b := l.backends[policyAddr("s-0")]; (b != nil && b.usable) != c.taken {
 			t.Errorf("%s: taken: %v", c.name, !c.taken)
 		}
 	}
@@ -572,20 +572,20 @@
 
 // A watch that answers that nothing has changed has not failed: the next failure is the
 // first again, and the watch begins anew as soon as after one.
-func TestUnchangedListIsAnAnswer(t *testing.T) {
-	conf := config(nowhere, "127.0.0.1:1")
-	conf["settings"].(map[string]any)["membershipMode"] = "on_request"
+func TestUnchangedListResetsBackoff(t *testing.T) {
+	config := testConfig(unreachableAddr, "127.0.0.1:1")
+	config["settings"].(map[string]any)["membershipMode"] = "on_request"
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l, err := newLoop(ctx, parse(t, conf), slog.New(slog.DiscardHandler))
+	l, err := newLoop(ctx, parseConfig(t, config), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	const followToken = 2     // of the module's time to ask again: one is set at a time
 	ended := func() float64 { // and the wait until the next watch
-		l.pass(10 * time.Second)
-		l.handle(input{kind: inTimer, token: followToken})
-		l.handle(input{kind: inWatchEnded, err: io.EOF})
+		l.advanceClock(10 * time.Second)
+		l.handle(event{kind: eventTimer, token: followToken})
+		l.handle(event{kind: eventWatchEnded, err: io.EOF})
 		for _, act := range l.actions {
 			if act.Kind == policy.ActTimer && act.Token == followToken {
 				return act.Ms
@@ -598,22 +598,22 @@
 	for range 5 {
 		ended()
 	}
-	l.handle(input{kind: inWatched, list: list(1, false)})
+	l.handle(event{kind: eventListChanged, list: listOf(1, false)})
 	if again := ended(); again >= 1000 { // the first wait is 500 to 1000 ms, the second 1000 to 2000
 		t.Fatalf("asks again after %.0f ms, as after a second failure", again)
 	}
 }
 
-// lineCount counts the lines of a log.
-type lineCount struct {
+// logCounter counts the lines of a log.
+type logCounter struct {
 	slog.Handler
 	lines int
 	last  string
 }
 
-func (c *lineCount) Enabled(context.Context, slog.Level) bool { return true }
+func (c *logCounter) Enabled(context.Context, slog.Level) bool { return true }
 
-func (c *lineCount) Handle(_ context.Context, r slog.Record) error {
+func (c *logCounter) Handle(_ context.Context, r slog.Record) error {
 	c.lines++
 	c.last = ""
 	r.Attrs(func(a slog.Attr) bool { c.last += a.String() + " "; return true })
@@ -621,51 +621,51 @@
 }
 
 // However often discovery fails, the lines on it are few, and say how many were left out.
-func TestFewLines(t *testing.T) {
-	l := quietLoop(t, "127.0.0.1:1")
-	c := &lineCount{}
+func TestDiscoveryLogIsRateLimited(t *testing.T) {
+	l := offlineLoop(t, "127.0.0.1:1")
+	c := &logCounter{}
 	l.log = slog.New(c)
 	for range 2000 {
-		l.handle(input{kind: inFailover, addr: "127.0.0.1:2", err: io.EOF})
+		l.handle(event{kind: eventFailover, addr: "127.0.0.1:2", err: io.EOF})
 	}
 	if c.lines < 10 || c.lines > 30 {
 		t.Errorf("%d lines of 2000 failures", c.lines)
 	}
-	l.quiet = endpoints.TokenBucket{Burst: 10}
-	l.handle(input{kind: inFailover, addr: "127.0.0.1:2", err: io.EOF})
+	l.logLimiter = endpoints.TokenBucket{Burst: 10}
+	l.handle(event{kind: eventFailover, addr: "127.0.0.1:2", err: io.EOF})
 	if !strings.Contains(c.last, "lines_left_out=") {
 		t.Errorf("said %q", c.last)
 	}
 }
 
 // A new process or address gets new connections; the backend stays the same.
-func TestNewProcessNewConnections(t *testing.T) {
-	l := quietLoop(t, "127.0.0.1:1")
-	b := l.backends[addrOf("s-0")]
+func TestNewProcessGetsNewConnections(t *testing.T) {
+	l := offlineLoop(t, "127.0.0.1:1")
+	b := l.backends[policyAddr("s-0")]
 	before := b.transport
 	h := endpoints.Endpoint{Name: "s-0", Dial: "127.0.0.1:1", Health: "ready", Weight: 1}
-	l.handle(input{kind: inWatched, list: list(2, false, h)})
+	l.handle(event{kind: eventListChanged, list: listOf(2, false, h)})
 	if b.transport != before {
 		t.Fatal("connections thrown away though nothing changed")
 	}
-	waits := newAttempt(before, "127.0.0.1:1", http.MethodPost, never)
+	waits := newAttempt(before, "127.0.0.1:1", http.MethodPost, noTimeout)
 	b.attempts[waits] = struct{}{}
 	for i, change := range []func(){func() { h.Dial = "127.0.0.1:2" }, func() { h.StartedMs = 7 }} {
 		change()
-		l.handle(input{kind: inWatched, list: list(int64(3+i), false, h)})
-		if l.backends[addrOf("s-0")] != b || b.transport == before || b.dial != h.Dial {
+		l.handle(event{kind: eventListChanged, list: listOf(int64(3+i), false, h)})
+		if l.backends[policyAddr("s-0")] != b || b.transport == before || b.dialAddr != h.Dial {
 			t.Fatal("the old connections were kept")
 		}
 		before = b.transport
 	}
-	if context.Cause(waits.ctx) != errDrained || waits.begin(waits.conn.Load()) {
+	if context.Cause(waits.ctx) != errBackendDrained || waits.allowWrite(waits.conn.Load()) {
 		t.Fatal("an attempt that had not begun may still go to the old address")
 	}
 }
 
 // A machine that vanished is silent on all its connections: after a time-out none
 // that stands idle is used again.
-func TestTimeoutDropsIdle(t *testing.T) {
+func TestTimeoutClosesIdleConnections(t *testing.T) {
 	closed := make(chan struct{})
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := readRequest(r); err == nil {
@@ -674,33 +674,33 @@
 			close(closed)
 		}
 	})
-	l := quietLoop(t, addr)
-	b := l.backends[addrOf("s-0")]
-	b.transport.IdleConnTimeout = never
-	a := newAttempt(b.transport, addr, http.MethodPost, never)
+	l := offlineLoop(t, addr)
+	b := l.backends[policyAddr("s-0")]
+	b.transport.IdleConnTimeout = noTimeout
+	a := newAttempt(b.transport, addr, http.MethodPost, noTimeout)
 	a.backend = b
 	if res := a.run(); res.status != policy.OK {
 		t.Fatalf("ended %d", res.status)
 	}
-	late := newAttempt(b.transport, addr, http.MethodPost, never)
+	late := newAttempt(b.transport, addr, http.MethodPost, noTimeout)
 	late.backend = b
 	late.req.answers = make(chan answer, 1)
-	l.handle(input{kind: inOutcome, att: late, res: result{status: policy.Timeout}})
+	l.handle(event{kind: eventOutcome, attempt: late, result: result{status: policy.Timeout}})
 	<-closed
 }
 
-func TestAddresses(t *testing.T) {
-	first, again, other := addrOf("s-1"), addrOf("s-1"), addrOf("s-2")
+func TestPolicyAddressFollowsFromName(t *testing.T) {
+	first, again, other := policyAddr("s-1"), policyAddr("s-1"), policyAddr("s-2")
 	if first != again || first == other {
 		t.Fatal("an address must follow from the name alone")
 	}
-	if keyOf("u1") == keyOf("u2") || keyOf("") == 0 {
+	if affinityKey("u1") == affinityKey("u2") || affinityKey("") == 0 {
 		t.Fatal("keys must differ, and none be 0")
 	}
 }
 
 // Errors of a configuration name the key.
-func TestConfigErrors(t *testing.T) {
+func TestConfigErrorsNameTheKey(t *testing.T) {
 	for key, change := range map[string]func(c map[string]any){
 		"name":             func(c map[string]any) { delete(c, "name") },
 		"listen":           func(c map[string]any) { c["listen"] = "here" },
@@ -720,7 +720,7 @@
 		"membershipMode":  func(c map[string]any) { c["settings"].(map[string]any)["membershipMode"] = "?" },
 		"contract.coldMs": func(c map[string]any) { c["settings"].(map[string]any)["contract"].(map[string]any)["coldMs"] = -1 },
 	} {
-		c := config(nowhere)
+		c := testConfig(unreachableAddr)
 		change(c)
 		text, _ := json.Marshal(c)
 		if _, err := ParseConfig(text); err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
@@ -733,8 +733,8 @@
 }
 
 // What makes no sense of the list at hand is left out and named; the agent starts without it.
-func TestMalformedKnown(t *testing.T) {
-	good := host(1, "127.0.0.1:1", "ready")
+func TestMalformedCachedListIsSkipped(t *testing.T) {
+	good := hostEntry(1, "127.0.0.1:1", "ready")
 	for _, c := range []struct {
 		known any
 		hosts int
@@ -743,24 +743,24 @@
 		{nil, 0, ""},
 		{map[string]any{}, 0, ""},
 		{map[string]any{"seq": 3, "hosts": []any{good}}, 1, ""},
-		{map[string]any{"hosts": []any{host(0, "x", "ready"), good}}, 1, "known: hosts[0].dial"},
-		{map[string]any{"hosts": []any{good, host(0, "127.0.0.1:1", "well"), 7, "x"}}, 1, "known: hosts[1].health: unknown word \"well\", and 2 more"},
+		{map[string]any{"hosts": []any{hostEntry(0, "x", "ready"), good}}, 1, "known: hosts[0].dial"},
+		{map[string]any{"hosts": []any{good, hostEntry(0, "127.0.0.1:1", "well"), 7, "x"}}, 1, "known: hosts[1].health: unknown word \"well\", and 2 more"},
 		{map[string]any{"hosts": "none"}, 0, "known: "},
 		{"a list", 0, "known: "},
 		{[]any{good}, 0, "known: "},
 	} {
-		conf := config(nowhere)
-		conf["known"] = c.known
-		got := parse(t, conf)
-		said := ""
-		if got.KnownErr != nil {
-			said = got.KnownErr.Error()
+		config := testConfig(unreachableAddr)
+		config["known"] = c.known
+		got := parseConfig(t, config)
+		message := ""
+		if got.CachedListErr != nil {
+			message = got.CachedListErr.Error()
 		}
-		if whole := c.says == "" && c.hosts > 0; (got.Known.Seq != 0) != whole {
-			t.Errorf("%v: asks for what came after version %d", c.known, got.Known.Seq)
+		if full := c.says == "" && c.hosts > 0; (got.CachedList.Seq != 0) != full {
+			t.Errorf("%v: asks for what came after version %d", c.known, got.CachedList.Seq)
 		}
-		if len(got.Known.Endpoints) != c.hosts || !strings.Contains(said, c.says) || (said == "") != (c.says == "") {
-			t.Errorf("%v: took %+v and said %q", c.known, got.Known.Endpoints, said)
+		if len(got.CachedList.Endpoints) != c.hosts || !strings.Contains(message, c.says) || (message == "") != (c.says == "") {
+			t.Errorf("%v: took %+v and said %q", c.known, got.CachedList.Endpoints, message)
 		}
 	}
 }
@@ -771,34 +771,34 @@
 	for name, hang := range map[string]bool{"refused": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			disco := nowhere
+			disco := unreachableAddr
 			if hang {
 				disco = rawBackend(t, func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) })
 			}
-			conf := config(disco)
-			conf["known"] = "nothing that makes sense"
-			began := time.Now()
-			_, base, _, _ := start(t, conf)
+			config := testConfig(disco)
+			config["known"] = "nothing that makes sense"
+			startedAt := time.Now()
+			_, base, _, _ := startAgent(t, config)
 			ready := func() bool {
 				req, _ := http.NewRequest(http.MethodGet, base+"/ready", nil)
-				status, _, _ := do(t, req)
+				status, _, _ := send(t, req)
 				return status == http.StatusOK
 			}
-			if ready() && time.Since(began) < readyWithin/2 {
+			if ready() && time.Since(startedAt) < readyDeadline/2 {
 				t.Fatal("ready at once with nothing to send to")
 			}
-			until(t, "ready", ready)
-			req := call(base, "order")
+			waitUntil(t, "ready", ready)
+			req := newCall(base, "order")
 			req.Header.Set("Request-Timeout", "200m")
-			if status, _, _ := do(t, req); status != http.StatusServiceUnavailable {
+			if status, _, _ := send(t, req); status != http.StatusServiceUnavailable {
 				t.Fatalf("answered %d without a backend", status)
 			}
 		})
 	}
 }
 
-// scripted is a discovery whose watch writes lines and then stays open or ends.
-func scripted(t *testing.T, silence time.Duration, stay bool, lines ...string) (*discovery, chan input) {
+// scriptedDiscovery is a discovery whose watch writes lines and then stays open or ends.
+func scriptedDiscovery(t *testing.T, silence time.Duration, stay bool, lines ...string) (*discovery, chan event) {
 	release := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for _, line := range lines {
@@ -813,71 +813,71 @@
 		}
 	}))
 	t.Cleanup(func() { close(release); s.Close() })
-	told := make(chan input, 100)
+	events := make(chan event, 100)
 	return newDiscovery(endpoints.ClientConfig{Addresses: []string{s.Listener.Addr().String()}, SilenceTimeout: silence},
-		func(in input) { told <- in }), told
+		func(e event) { events <- e }), events
 }
 
-const change = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
+const changeLine = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
 
 // A watch ends at a line that makes no sense, having told those before.
-func TestMalformedLine(t *testing.T) {
-	d, told := scripted(t, never, true, "", change, `{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`)
+func TestMalformedLineEndsWatch(t *testing.T) {
+	d, observed := scriptedDiscovery(t, noTimeout, true, "", changeLine, `{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`)
 	d.watch(context.Background(), 1)
-	if in := <-told; in.kind != inWatched || in.list.Seq != 2 || in.list.Endpoints[0].Health != "draining" {
-		t.Fatalf("told %+v", in)
+	if e := <-observed; e.kind != eventListChanged || e.list.Seq != 2 || e.list.Endpoints[0].Health != "draining" {
+		t.Fatalf("told %+v", e)
 	}
-	if in := <-told; in.kind != inWatchEnded || in.err == nil {
-		t.Fatalf("told %+v", in)
+	if e := <-observed; e.kind != eventWatchEnded || e.err == nil {
+		t.Fatalf("told %+v", e)
 	}
 }
 
 // A watch on which nothing comes is dead and ends.
-func TestSilentWatch(t *testing.T) {
-	d, told := scripted(t, time.Millisecond, true)
+func TestUnresponsiveWatchEnds(t *testing.T) {
+	d, observed := scriptedDiscovery(t, time.Millisecond, true)
 	d.watch(context.Background(), 1)
-	if in := <-told; in.kind != inWatchEnded || in.err == nil {
-		t.Fatalf("told %+v", in)
+	if e := <-observed; e.kind != eventWatchEnded || e.err == nil {
+		t.Fatalf("told %+v", e)
 	}
 }
 
-func TestFetch(t *testing.T) {
-	d, told := scripted(t, never, false, strings.Replace(change, "false", "true", 1))
+func TestFetchReportsListOrError(t *testing.T) {
+	d, observed := scriptedDiscovery(t, noTimeout, false, strings.Replace(changeLine, "false", "true", 1))
 	d.fetch(context.Background(), 0)
-	if in := <-told; in.kind != inFetched || in.err != nil || !in.list.Full || in.list.Seq != 2 {
-		t.Fatalf("told %+v", in)
+	if e := <-observed; e.kind != eventListFetched || e.err != nil || !e.list.Full || e.list.Seq != 2 {
+		t.Fatalf("told %+v", e)
 	}
-	d, told = scripted(t, never, false, "no list")
+	d, observed = scriptedDiscovery(t, noTimeout, false, "no list")
 	d.fetch(context.Background(), 0)
-	if in := <-told; in.kind != inFetched || in.err == nil {
-		t.Fatalf("told %+v", in)
+	if e := <-observed; e.kind != eventListFetched || e.err == nil {
+		t.Fatalf("told %+v", e)
 	}
 }
 
 // The module hears that a watch ended, and its next call goes out.
-func TestWatchIsAskedAgain(t *testing.T) {
-	asked := make(chan string, 10)
+func TestEndedWatchIsReopened(t *testing.T) {
+	requests := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.RawQuery
-		fmt.Fprintln(w, change)
+		requests <- r.URL.RawQuery
+		fmt.Fprintln(w, changeLine)
 	}))
 	t.Cleanup(s.Close)
-	conf := config(s.Listener.Addr().String(), "127.0.0.1:1")
-	set := conf["settings"].(map[string]any)
+	config := testConfig(s.Listener.Addr().String(), "127.0.0.1:1")
+	set := config["settings"].(map[string]any)
 	set["membershipMode"] = "on_request"
 	set["contract"].(map[string]any)["askWithinMs"] = 10
-	start(t, conf)
-	if q := <-asked; q != "follow=1&since=1" {
+	startAgent(t, config)
+	if q := <-requests; q != "follow=1&since=1" {
 		t.Fatalf("asked %q", q)
 	}
-	if q := <-asked; q != "follow=1&since=2" {
+	if q := <-requests; q != "follow=1&since=2" {
 		t.Fatalf("asked again %q", q)
 	}
 }
 
 // A server that failed is asked how it is in the background, and what it says reaches the
 // module: it is sent to again, and is not asked twice at once.
-func TestProbe(t *testing.T) {
+func TestProbeResultReachesBalancer(t *testing.T) {
 	for _, c := range []struct {
 		how, path string
 		status    int
@@ -888,27 +888,27 @@
 		{"off", "/health", 503, policy.Error},
 	} {
 		t.Run(fmt.Sprint(c.path, c.status), func(t *testing.T) {
-			asked := make(chan *http.Request, 10)
+			requests := make(chan *http.Request, 10)
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				asked <- r
+				requests <- r
 				w.WriteHeader(c.status)
 				fmt.Fprint(w, "TEXT util=0.5")
 			}))
 			t.Cleanup(s.Close)
-			l := quietLoop(t, s.Listener.Addr().String())
-			l.set.Report = policy.Report{How: c.how, Names: []string{"util"}}
-			b := l.backends[addrOf("s-0")]
+			l := offlineLoop(t, s.Listener.Addr().String())
+			l.settings.Report = policy.Report{How: c.how, Names: []string{"util"}}
+			b := l.backends[policyAddr("s-0")]
 			l.actions = []policy.Action{{Kind: policy.ActProbe, Server: b.addr}}
-			l.act()
-			r := <-asked
+			l.executeActions()
+			r := <-requests
 			if r.Method != http.MethodGet || r.URL.Path != c.path || r.Header.Get("Request-Id") != "" {
 				t.Fatalf("asked %s %s %v", r.Method, r.URL.Path, r.Header)
 			}
-			in := <-l.in
-			if in.kind != inProbed || in.res.status != c.want || in.att.backend != b {
-				t.Fatalf("told %+v", in)
+			e := <-l.events
+			if e.kind != eventProbeResult || e.result.status != c.want || e.attempt.backend != b {
+				t.Fatalf("told %+v", e)
 			}
-			l.handle(in)
+			l.handle(e)
 			if len(b.attempts) > 0 {
 				t.Fatal("the probe is still out")
 			}
@@ -917,12 +917,12 @@
 }
 
 // A probe of what is not listed any more ends too: the module waits for its end.
-func TestProbeOfUnlisted(t *testing.T) {
-	l := quietLoop(t)
-	l.actions = []policy.Action{{Kind: policy.ActProbe, Server: addrOf("s-0")}}
-	l.act()
-	if len(l.todo) != 1 || l.todo[0].kind != inProbed {
-		t.Fatalf("told %+v", l.todo)
-	}
-	l.handle(l.todo[0])
+func TestProbeOfUnlistedBackendEnds(t *testing.T) {
+	l := offlineLoop(t)
+	l.actions = []policy.Action{{Kind: policy.ActProbe, Server: policyAddr("s-0")}}
+	l.executeActions()
+	if len(l.deferredEvents) != 1 || l.deferredEvents[0].kind != eventProbeResult {
+		t.Fatalf("told %+v", l.deferredEvents)
+	}
+	l.handle(l.deferredEvents[0])
 }
--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -16,7 +16,7 @@
 	"knotrouter/policy"
 )
 
-const never = time.Hour // for what a test does not let run out
+const noTimeout = time.Hour // for what a test does not let run out
 
 // rawBackend hands each connection to serve; it ends with the test.
 func rawBackend(t *testing.T, serve func(c net.Conn, r *bufio.Reader)) string {
@@ -53,7 +53,7 @@
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
 func newDialer() *dialer {
-	return &dialer{connect: (&net.Dialer{}).DialContext, timeout: never, idle: never, perHost: 4, most: 100}
+	return &dialer{connect: (&net.Dialer{}).DialContext, connectTimeout: noTimeout, idleTimeout: noTimeout, maxIdlePerBackend: 4, maxOpen: 100}
 }
 
 // newAttempt makes an attempt as the loop does.
@@ -62,7 +62,7 @@
 	if method == http.MethodPost {
 		r.body = []byte("body")
 	}
-	a := &attempt{req: r, transport: tr, dial: dial, started: time.Now()}
+	a := &attempt{req: r, transport: tr, dialAddr: dial, started: time.Now()}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	var stop context.CancelFunc
 	a.ctx, stop = context.WithTimeout(ctx, timeout)
@@ -77,13 +77,13 @@
 		{"safe", http.MethodGet, ""}, {"keyed", http.MethodPost, "k1"}, {"unsafe", http.MethodPost, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var came atomic.Int32
+			var received atomic.Int32
 			addr := rawBackend(t, func(conn net.Conn, r *bufio.Reader) {
 				for {
 					if _, err := readRequest(r); err != nil {
 						return
 					}
-					if came.Add(1) > 1 {
+					if received.Add(1) > 1 {
 						return // breaks the kept connection under the second request
 					}
 					io.WriteString(conn, okAnswer)
@@ -92,13 +92,13 @@
 			tr := newDialer().newTransport()
 			defer tr.CloseIdleConnections()
 			for i, want := range []policy.Status{policy.OK, policy.Reset} {
-				a := newAttempt(tr, addr, c.method, never)
-				a.req.idempotency = c.key
+				a := newAttempt(tr, addr, c.method, noTimeout)
+				a.req.idempotencyKey = c.key
 				if got := a.run().status; got != want {
 					t.Fatalf("attempt %d ended %d, want %d", i, got, want)
 				}
 			}
-			if n := came.Load(); n != 2 {
+			if n := received.Load(); n != 2 {
 				t.Fatalf("the backend got %d requests of 2 attempts", n)
 			}
 		})
@@ -107,16 +107,16 @@
 
 // The connection itself stops a second copy, whatever the library above it does.
 func TestOneConnectionPerAttempt(t *testing.T) {
-	a := newAttempt(nil, "", http.MethodPost, never)
+	a := newAttempt(nil, "", http.MethodPost, noTimeout)
 	defer a.cancel(nil)
-	first, second := &conn{}, &conn{}
+	first, second := &backendConn{}, &backendConn{}
 	a.conn.Store(first)
-	begun := a.begin(first)
-	begunAgain := a.begin(first)
+	begun := a.allowWrite(first)
+	begunAgain := a.allowWrite(first)
 	if !begun || !begunAgain {
 		t.Fatal("the attempt's own connection was refused")
 	}
-	if a.begin(second) {
+	if a.allowWrite(second) {
 		t.Fatal("the attempt went out on a second connection")
 	}
 	if a.withdraw() {
@@ -125,7 +125,7 @@
 }
 
 // How an attempt ended tells whether it has run; in doubt it may have.
-func TestEndings(t *testing.T) {
+func TestAttemptStatuses(t *testing.T) {
 	answer := func(text string) func(net.Conn, *bufio.Reader) {
 		return func(c net.Conn, r *bufio.Reader) {
 			if _, err := readRequest(r); err == nil {
@@ -165,7 +165,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			tr := newDialer().newTransport()
 			defer tr.CloseIdleConnections()
-			res := newAttempt(tr, rawBackend(t, c.serve), http.MethodPost, never).run()
+			res := newAttempt(tr, rawBackend(t, c.serve), http.MethodPost, noTimeout).run()
 			if res.status != c.want {
 				t.Fatalf("ended %d, want %d", res.status, c.want)
 			}
@@ -177,7 +177,7 @@
 }
 
 // An answer's head without an end is given up soon: the agent's memory is small.
-func TestEndlessHead(t *testing.T) {
+func TestEndlessResponseHeadIsAbandoned(t *testing.T) {
 	const buffer, line = 64 << 10, "X-Line: nothing that anybody wants to know\r\n"
 	sent := make(chan int, 1)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
@@ -196,15 +196,15 @@
 		}
 	})
 	d := newDialer()
-	plain := d.connect
+	connect := d.connect
 	d.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		c, err := plain(ctx, network, addr)
+		c, err := connect(ctx, network, addr)
 		if err == nil {
 			c.(*net.TCPConn).SetReadBuffer(buffer) // so that what was sent tells what was read
 		}
 		return c, err
 	}
-	if res := newAttempt(d.newTransport(), addr, http.MethodPost, never).run(); res.status != policy.Reset {
+	if res := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout).run(); res.status != policy.Reset {
 		t.Fatalf("ended %d, want reset", res.status)
 	}
 	if n := <-sent; n > 4<<20 {
@@ -213,7 +213,7 @@
 }
 
 // What a backend sends behind an answer is never the answer to the next request.
-func TestSurplusIsNoAnswer(t *testing.T) {
+func TestTrailingBytesAreNoResponse(t *testing.T) {
 	const stray = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for n := 0; ; n++ {
@@ -228,7 +228,7 @@
 	defer tr.CloseIdleConnections()
 	ends := map[policy.Status]int{}
 	for i := range 50 {
-		res := newAttempt(tr, addr, http.MethodPost, never).run()
+		res := newAttempt(tr, addr, http.MethodPost, noTimeout).run()
 		if res.status == policy.OK && string(res.body) != "done" {
 			t.Fatalf("attempt %d was answered %q", i, res.body)
 		}
@@ -240,7 +240,7 @@
 	}
 }
 
-func TestRefusedConnection(t *testing.T) {
+func TestRefusedConnectIsConnectFailed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -248,7 +248,7 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	d := newDialer()
-	if got := newAttempt(d.newTransport(), addr, http.MethodPost, never).run().status; got != policy.ConnectFailed {
+	if got := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout).run().status; got != policy.ConnectFailed {
 		t.Fatalf("ended %d, want could-not-connect", got)
 	}
 	if n := d.open.Load(); n != 0 {
@@ -262,15 +262,15 @@
 func (brokenConn) Write(p []byte) (int, error) { return len(p) / 2, errors.New("broken") }
 
 // What breaks before the last byte was written never ran.
-func TestCutWrite(t *testing.T) {
+func TestFailedWriteIsNotExecuted(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) })
 	d := newDialer()
-	plain := d.connect
+	connect := d.connect
 	d.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		c, err := plain(ctx, network, addr)
+		c, err := connect(ctx, network, addr)
 		return brokenConn{c}, err
 	}
-	if got := newAttempt(d.newTransport(), addr, http.MethodPost, never).run().status; got != policy.ConnectFailed {
+	if got := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout).run().status; got != policy.ConnectFailed {
 		t.Fatalf("ended %d, want could-not-connect", got)
 	}
 }
@@ -289,7 +289,7 @@
 		closed <- err
 	})
 	d := newDialer()
-	a := newAttempt(d.newTransport(), addr, http.MethodPost, never)
+	a := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout)
 	done := make(chan result)
 	go func() { done <- a.run() }()
 	<-got
@@ -314,21 +314,21 @@
 		want  policy.Status
 	}{
 		{"time-out", context.DeadlineExceeded, policy.ConnectFailed},
-		{"drain", errDrained, policy.Full},
+		{"drain", errBackendDrained, policy.Full},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			dialling, ended := make(chan struct{}), make(chan struct{})
+			dialing, ended := make(chan struct{}), make(chan struct{})
 			d := newDialer()
 			d.connect = func(ctx context.Context, _, _ string) (net.Conn, error) {
-				close(dialling)
+				close(dialing)
 				<-ctx.Done()
 				close(ended)
 				return nil, ctx.Err()
 			}
-			a := newAttempt(d.newTransport(), "127.0.0.1:1", http.MethodPost, never)
+			a := newAttempt(d.newTransport(), "127.0.0.1:1", http.MethodPost, noTimeout)
 			done := make(chan result)
 			go func() { done <- a.run() }()
-			<-dialling
+			<-dialing
 			a.cancel(c.cause)
 			if res := <-done; res.status != c.want {
 				t.Fatalf("ended %d, want %d", res.status, c.want)
@@ -339,7 +339,7 @@
 }
 
 // An attempt withdrawn while its connection comes up sends nothing on it.
-func TestWithdrawnSendsNothing(t *testing.T) {
+func TestWithdrawnAttemptSendsNothing(t *testing.T) {
 	read := make(chan int64, 1)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		n, _ := io.Copy(io.Discard, r)
@@ -347,15 +347,15 @@
 	})
 	d := newDialer()
 	var a *attempt
-	plain := d.connect
+	connect := d.connect
 	d.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		c, err := plain(ctx, network, addr)
+		c, err := connect(ctx, network, addr)
 		if !a.withdraw() {
 			t.Error("could not be withdrawn before its first byte")
 		}
 		return c, err
 	}
-	a = newAttempt(d.newTransport(), addr, http.MethodPost, never)
+	a = newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout)
 	if got := a.run().status; !got.NotExecuted() {
 		t.Fatalf("ended %d, which may have run", got)
 	}
@@ -365,16 +365,16 @@
 }
 
 // Without a socket left the attempt never ran, and its backend is not to blame.
-func TestNoSocketLeft(t *testing.T) {
+func TestNoSocketLeftIsNotTheBackendsFault(t *testing.T) {
 	d := newDialer()
-	d.most = 0
-	if got := newAttempt(d.newTransport(), "127.0.0.1:1", http.MethodPost, never).run().status; got != policy.Full {
+	d.maxOpen = 0
+	if got := newAttempt(d.newTransport(), "127.0.0.1:1", http.MethodPost, noTimeout).run().status; got != policy.Full {
 		t.Fatalf("ended %d, want turned away", got)
 	}
 }
 
 // The request goes on unchanged.
-func TestOutgoing(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
@@ -386,9 +386,9 @@
 		got <- req
 		io.WriteString(c, okAnswer)
 	})
-	a := newAttempt(newDialer().newTransport(), addr, http.MethodPost, never)
+	a := newAttempt(newDialer().newTransport(), addr, http.MethodPost, noTimeout)
 	a.req.url, _ = url.ParseRequestURI("/order/a%2Fb%20c?x=1&y=%2f")
-	a.req.idempotency = "k1"
+	a.req.idempotencyKey = "k1"
 	if res := a.run(); res.status != policy.OK {
 		t.Fatalf("ended %d", res.status)
 	}
@@ -403,13 +403,13 @@
 	}
 }
 
-func TestReport(t *testing.T) {
-	got := report("TEXT util=0.61, qps=7", []string{"qps", "util", "eps"})
+func TestParseLoadReport(t *testing.T) {
+	got := parseLoadReport("TEXT util=0.61, qps=7", []string{"qps", "util", "eps"})
 	if len(got) != 3 || got[0] != 7 || got[1] != 0.61 || got[2] != 0 {
 		t.Fatalf("got %v", got)
 	}
 	for _, bad := range []string{"", "JSON {}", "TEXT qps=much"} {
-		if got := report(bad, []string{"qps"}); got != nil {
+		if got := parseLoadReport(bad, []string{"qps"}); got != nil {
 			t.Fatalf("%q gave %v", bad, got)
 		}
 	}
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -27,15 +27,15 @@
 
 // Config is all that an agent is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Limits    Limits
-	Settings  policy.Settings
-	Names     names
-	Known     endpoints.List
-	KnownErr  error // what of the list made no sense and was left out; nil: nothing
+	Name          string
+	Listen        string
+	Discovery     string
+	Seed          uint64
+	Limits        Limits
+	Settings      policy.Settings
+	Names         nameIndex
+	CachedList    endpoints.List
+	CachedListErr error // what of the list made no sense and was left out; nil: nothing
 
 	// What the platform doesn't know; it is off unless a configuration of our own has it.
 	ControlPlane []string // the list service's addresses, in place of Discovery
@@ -51,9 +51,9 @@
 	return []string{c.Discovery}
 }
 
-// names maps the words of discovery and of clients to the module's numbers.
-type names struct {
-	sites, kinds, classes, tenants map[string]int
+// nameIndex maps the words of discovery and of clients to the module's numbers.
+type nameIndex struct {
+	zones, kinds, classes, tenants map[string]int
 }
 
 // LoadConfig reads and validates the file at path. Its error names the key
@@ -101,8 +101,8 @@
 	if err := checkAddress(raw.Discovery); err != nil && (raw.Discovery != "" || len(raw.Stewards) == 0) {
 		return nil, fmt.Errorf("config: discovery: %w", err)
 	}
-	if len(raw.Stewards) > mostStewards {
-		return nil, fmt.Errorf("config: stewards: %d addresses of at most %d", len(raw.Stewards), mostStewards)
+	if len(raw.Stewards) > maxControlPlaneAddresses {
+		return nil, fmt.Errorf("config: stewards: %d addresses of at most %d", len(raw.Stewards), maxControlPlaneAddresses)
 	}
 	for i, addr := range raw.Stewards {
 		if err := checkAddress(addr); err != nil {
@@ -134,18 +134,18 @@
 	if c.Settings, err = simwire.ParseSettings(raw.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	var words struct {
+	var vocabulary struct {
 		Sites []string `json:"failureDomains"`
 		Kinds []string `json:"shapes"`
 	}
-	if err := json.Unmarshal(raw.Settings, &words); err != nil {
+	if err := json.Unmarshal(raw.Settings, &vocabulary); err != nil {
 		return nil, fmt.Errorf("config: settings: failureDomains or shapes: %w", err)
 	}
 	// The module validates its settings itself; one made here tells at once.
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c.Names = names{sites: index(words.Sites), kinds: index(words.Kinds),
+	c.Names = nameIndex{zones: indexNames(vocabulary.Sites), kinds: indexNames(vocabulary.Kinds),
 		classes: map[string]int{}, tenants: map[string]int{}}
 	for i, class := range c.Settings.Classes {
 		if class.Name == "" {
@@ -156,14 +156,14 @@
 	for i, tenant := range c.Settings.Tenants {
 		c.Names.tenants[tenant.Name] = i
 	}
-	c.Known, c.KnownErr = readKnown(raw.Known)
+	c.CachedList, c.CachedListErr = parseCachedList(raw.Known)
 	return c, nil
 }
 
-// readKnown reads the list that the agent had last. It is a help and no more: what makes no
+// parseCachedList reads the list that the agent had last. It is a help and no more: what makes no
 // sense of it is left out, and told by the error, as discovery has the list in any case and an
 // agent that doesn't start serves nobody.
-func readKnown(text json.RawMessage) (l endpoints.List, bad error) {
+func parseCachedList(text json.RawMessage) (l endpoints.List, firstErr error) {
 	if len(text) == 0 {
 		return l, nil
 	}
@@ -176,7 +176,7 @@
 		return l, fmt.Errorf("config: known: %w", err)
 	}
 	l.Seq, l.Full = raw.Seq, raw.Whole
-	left := 0
+	skipped := 0
 	for i, host := range raw.Hosts {
 		var h endpoints.Endpoint
 		err := json.Unmarshal(host, &h)
@@ -184,32 +184,32 @@
 			err = h.Readable()
 		}
 		if err != nil {
-			if left++; bad == nil {
-				bad = fmt.Errorf("config: known: hosts[%d].%w", i, err)
+			if skipped++; firstErr == nil {
+				firstErr = fmt.Errorf("config: known: hosts[%d].%w", i, err)
 			}
 			continue
 		}
 		l.Endpoints = append(l.Endpoints, h)
 	}
-	if bad != nil || len(l.Endpoints) == 0 {
+	if firstErr != nil || len(l.Endpoints) == 0 {
 		l.Seq = 0 // what is missing comes with the whole list only, not with changes
 	}
-	if left > 1 {
-		bad = fmt.Errorf("%w, and %d more", bad, left-1)
+	if skipped > 1 {
+		firstErr = fmt.Errorf("%w, and %d more", firstErr, skipped-1)
 	}
-	return l, bad
+	return l, firstErr
 }
 
-// mostStewards bounds the addresses of the list service; it has five processes at most,
+// maxControlPlaneAddresses bounds the addresses of the list service; it has five processes at most,
 // and as many more while they are replaced.
-const mostStewards = 16
+const maxControlPlaneAddresses = 16
 
 // checkServices tells whether the services make sense; without the key there are none.
-func checkServices(services, stewards []string) error {
+func checkServices(services, controlPlane []string) error {
 	if services == nil {
 		return nil
 	}
-	if len(stewards) == 0 {
+	if len(controlPlane) == 0 {
 		return errors.New("services: only with stewards, which are not set")
 	}
 	return endpoints.CheckServices(services)
@@ -226,9 +226,9 @@
 	return nil
 }
 
-func index(words []string) map[string]int {
-	m := make(map[string]int, len(words))
-	for i, w := range words {
+func indexNames(names []string) map[string]int {
+	m := make(map[string]int, len(names))
+	for i, w := range names {
 		m[w] = i
 	}
 	return m
--- a/internal/agent/cost_test.go
+++ b/internal/agent/cost_test.go
@@ -48,34 +48,34 @@
 func benchmarkCalls(b *testing.B, servers int) {
 	var fleet *cost.Fleet
 	var err error
-	labelled(func() { fleet, err = cost.NewFleet(servers) })
+	withLabLabel(func() { fleet, err = cost.NewFleet(servers) })
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer fleet.Close()
-	base := startFrom(b, fleet)
+	base := startCostAgent(b, fleet)
 	for fleet.Counters.OpenWatches.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	labelled(func() { callRepeatedly(b, base) })
+	withLabLabel(func() { callRepeatedly(b, base) })
 }
 
-// labelled marks what f does, and the goroutines that it starts, as the lab's own work.
-func labelled(f func()) {
+// withLabLabel marks what f does, and the goroutines that it starts, as the lab's own work.
+func withLabLabel(f func()) {
 	pprof.Do(context.Background(), pprof.Labels(cost.LabLabel, cost.LabValue), func(context.Context) { f() })
 }
 
-// startFrom serves an agent with the configuration of the cost measurement.
-func startFrom(b *testing.B, fleet *cost.Fleet) (base string) {
+// startCostAgent serves an agent with the configuration of the cost measurement.
+func startCostAgent(b *testing.B, fleet *cost.Fleet) (base string) {
 	text, err := fleet.AgentConfig("127.0.0.1:0", 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	conf, err := ParseConfig(text)
+	config, err := ParseConfig(text)
 	if err != nil {
 		b.Fatal(err)
 	}
-	a, err := New(conf, slog.New(slog.DiscardHandler))
+	a, err := New(config, slog.New(slog.DiscardHandler))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/agent/formats_test.go
+++ b/internal/agent/formats_test.go
@@ -47,9 +47,9 @@
 			{Name: "look", TargetMs: 100, DeadlineMs: 500, Effect: policy.Idempotent, Credit: 1},
 			{Name: "order", TargetMs: 100, DeadlineMs: 500, Effect: policy.NonIdempotent, Credit: 1}},
 			Tenants: []policy.Tenant{{Name: "t0"}, {Name: "t1"}}, Membership: "on_request"},
-		Names: names{sites: map[string]int{"z0": 0, "z1": 1}, kinds: map[string]int{"k0": 0, "k1": 1, "k2": 2},
+		Names: nameIndex{zones: map[string]int{"z0": 0, "z1": 1}, kinds: map[string]int{"k0": 0, "k1": 1, "k2": 2},
 			classes: map[string]int{"look": 0, "order": 1}, tenants: map[string]int{"t0": 0, "t1": 1}},
-		Known: endpoints.List{Seq: 7, Full: true, Endpoints: []endpoints.Endpoint{{Name: "s-0", Dial: "127.0.0.1:3", Site: "z1",
+		CachedList: endpoints.List{Seq: 7, Full: true, Endpoints: []endpoints.Endpoint{{Name: "s-0", Dial: "127.0.0.1:3", Site: "z1",
 			Class: "k1", Block: 4, Health: "ready", Weight: 1.25, StartedMs: 1700000000000, Service: "s"}}},
 		ControlPlane: []string{"127.0.0.1:4", "127.0.0.1:5"}, Services: []string{"s", "u"}, LogLevel: slog.LevelWarn,
 	}
@@ -98,10 +98,10 @@
 
 // All agents, of whatever version, give a server and a key the same numbers.
 func TestNumbersOfServersAndKeys(t *testing.T) {
-	if got := fmt.Sprintf("%x", addrOf("s-0")); got != "5a655c3fc0d7" {
+	if got := fmt.Sprintf("%x", policyAddr("s-0")); got != "5a655c3fc0d7" {
 		t.Errorf("server s-0 is %s", got)
 	}
-	if got := fmt.Sprintf("%x", keyOf("u1")); got != "8c47b07b56747f3" {
+	if got := fmt.Sprintf("%x", affinityKey("u1")); got != "8c47b07b56747f3" {
 		t.Errorf("key u1 is %s", got)
 	}
 }
@@ -183,7 +183,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			addr, came := rawServer(t, c.answer)
-			_, base, _, _ := start(t, config(nowhere, addr))
+			_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 			if got := exchange(t, strings.TrimPrefix(base, "http://"), c.request); got != c.toClient {
 				t.Errorf("to the client: %q", got)
 			}
@@ -229,10 +229,10 @@
 		addrs = append(addrs, ln.Addr().String())
 		go func() { _ = server.Serve(ln) }()
 	}
-	conf := config(nowhere)
+	conf := testConfig(unreachableAddr)
 	conf["stewards"], conf["services"] = addrs, []string{"u", "s"}
 	conf["settings"].(map[string]any)["membershipMode"] = "on_request"
-	_, _, stop, ended := start(t, conf)
+	_, _, stop, ended := startAgent(t, conf)
 	next := func() string {
 		select {
 		case s := <-came:
--- a/internal/agent/listener_test.go
+++ b/internal/agent/listener_test.go
@@ -7,7 +7,7 @@
 
 // A connection that is accepted behind a queue which stood still may have waited in it, but for no
 // longer than that was, and once it is worked off the queue doesn't matter any more.
-func TestQueue(t *testing.T) {
+func TestAcceptQueueArrivalTime(t *testing.T) {
 	begin := time.Now()
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
 	for _, c := range []struct {
@@ -25,14 +25,14 @@
 		{"twice in a row", [][2]int{{100, 600}, {650, 900}}, false, 900, 100},
 		{"twice, far apart", [][2]int{{100, 600}, {2000, 2100}}, false, 2100, 2000},
 	} {
-		var q queue
+		var q acceptQueue
 		for _, s := range c.stood {
-			q.stood(at(s[0]), at(s[1]))
+			q.noteStall(at(s[0]), at(s[1]))
 		}
 		if c.emptied {
-			q.empty()
+			q.noteEmpty()
 		}
-		if got := q.since(at(c.accepted)); !got.Equal(at(c.since)) {
+		if got := q.earliestArrival(at(c.accepted)); !got.Equal(at(c.since)) {
 			t.Errorf("%s: since %v, want %d ms", c.name, got.Sub(begin), c.since)
 		}
 	}
--- a/internal/agent/peer_test.go
+++ b/internal/agent/misbehavingclient_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// peer connects to the agent as anyone may.
-func peer(t *testing.T, base string) (net.Conn, *bufio.Reader) {
+// dialAgent connects to the agent as anyone may.
+func dialAgent(t *testing.T, base string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err != nil {
@@ -46,9 +46,9 @@
 		"after a request": "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, came := counted(t, 200, false)
-			_, base, _, _ := start(t, config(nowhere, addr))
-			c, r := peer(t, base)
+			addr, received := countingBackend(t, 200, false)
+			_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
+			c, r := dialAgent(t, base)
 			if name == "after a request" {
 				io.WriteString(c, text)
 				if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 {
@@ -66,8 +66,8 @@
 			if more, err := http.ReadResponse(r, nil); err == nil {
 				t.Fatalf("the body was answered: %v", more)
 			}
-			if len(came) > 0 {
-				t.Fatalf("%q reached a backend", <-came)
+			if len(received) > 0 {
+				t.Fatalf("%q reached a backend", <-received)
 			}
 		})
 	}
@@ -75,18 +75,18 @@
 
 // A body in chunks is as good as one of a stated length.
 func TestChunkedRequest(t *testing.T) {
-	addr, came := counted(t, 200, false)
-	_, base, _, _ := start(t, config(nowhere, addr))
-	req := call(base, "send")
+	addr, received := countingBackend(t, 200, false)
+	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
+	req := newCall(base, "send")
 	req.ContentLength = -1
-	if status, body, _ := do(t, req); status != 200 || body != "done" || len(came) != 1 {
-		t.Fatalf("got %d %q, %d requests at the backend", status, body, len(came))
+	if status, body, _ := send(t, req); status != 200 || body != "done" || len(received) != 1 {
+		t.Fatalf("got %d %q, %d requests at the backend", status, body, len(received))
 	}
 }
 
 // A peer that sends no proper request, or stops in the middle of one, is soon rid of and
 // gives its place back.
-func TestSilentPeer(t *testing.T) {
+func TestUnresponsivePeerIsClosed(t *testing.T) {
 	const post = "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: id1\r\nRequest-Timeout: 30000m\r\n"
 	for name, text := range map[string]string{
 		"nothing":              "",
@@ -100,15 +100,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, came := counted(t, 200, false)
-			a, base, _, _ := start(t, config(nowhere, addr))
-			c, r := peer(t, base)
+			addr, received := countingBackend(t, 200, false)
+			a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
+			c, r := dialAgent(t, base)
 			c.SetReadDeadline(time.Now().Add(20 * time.Second)) // the client's time is 30 s
 			io.WriteString(c, text)
 			if _, err := io.Copy(io.Discard, r); err != nil {
 				t.Fatalf("not closed: %v", err)
 			}
-			if len(came) > 0 {
+			if len(received) > 0 {
 				t.Fatal("reached a backend")
 			}
 			for a.clients.count() > 0 {
@@ -120,14 +120,14 @@
 
 // Connections that stand idle give their places to others: none is left to take a request
 // on while each waits for a next one that need not come.
-func TestIdleGiveWay(t *testing.T) {
-	addr, _ := counted(t, 200, false)
-	conf := config(nowhere, addr)
-	conf["limits"].(map[string]any)["sockets"] = minSockets
-	a, base, _, _ := start(t, conf)
+func TestConnectionsAreClosedWhenNearlyFull(t *testing.T) {
+	addr, _ := countingBackend(t, 200, false)
+	config := testConfig(unreachableAddr, addr)
+	config["limits"].(map[string]any)["sockets"] = minSockets
+	a, base, _, _ := startAgent(t, config)
 	closed := 0
-	for range a.clients.most {
-		c, r := peer(t, base)
+	for range a.clients.capacity {
+		c, r := dialAgent(t, base)
 		io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil || resp.StatusCode != 200 {
@@ -137,11 +137,11 @@
 			closed++
 		}
 	}
-	if closed == 0 || closed == a.clients.most {
-		t.Fatalf("%d of %d were told to close, want those that found few places left", closed, a.clients.most)
+	if closed == 0 || closed == a.clients.capacity {
+		t.Fatalf("%d of %d were told to close, want those that found few places left", closed, a.clients.capacity)
 	}
-	until(t, "idle connections give their places back", func() bool { return a.clients.count() == 0 })
-	if status, _, _ := do(t, call(base, "order")); status != 200 {
+	waitUntil(t, "idle connections give their places back", func() bool { return a.clients.count() == 0 })
+	if status, _, _ := send(t, newCall(base, "order")); status != 200 {
 		t.Fatalf("answered %d", status)
 	}
 }
@@ -149,15 +149,15 @@
 // A flood of bad clients, silent, slow, huge, with too much at once and gone in the midst of
 // it: each is rid of within 3 s, a good one among them is served, and what they took is given
 // back.
-func TestFloodOfBadClients(t *testing.T) {
-	addr, _ := counted(t, 200, false)
-	conf := config(nowhere, addr)
-	conf["limits"].(map[string]any)["sockets"] = 256
-	conf["settings"].(map[string]any)["membershipMode"] = "on_request"
-	a, base, _, _ := start(t, conf)
-	do(t, call(base, "order"))
+func TestMisbehavingClientsAreContained(t *testing.T) {
+	addr, _ := countingBackend(t, 200, false)
+	config := testConfig(unreachableAddr, addr)
+	config["limits"].(map[string]any)["sockets"] = 256
+	config["settings"].(map[string]any)["membershipMode"] = "on_request"
+	a, base, _, _ := startAgent(t, config)
+	send(t, newCall(base, "order"))
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-	until(t, "it is at rest", func() bool { return a.clients.count() == 0 })
+	waitUntil(t, "it is at rest", func() bool { return a.clients.count() == 0 })
 	runtime.GC()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -177,13 +177,13 @@
 		},
 		func(c net.Conn) { // much at once
 			for range 200 {
-				if _, err := io.WriteString(c, asBytes("many")); err != nil {
+				if _, err := io.WriteString(c, requestText("many")); err != nil {
 					return
 				}
 			}
 		},
 		func(c net.Conn) { // gone in the midst of it
-			io.WriteString(c, asBytes("gone")+asBytes("gone")[:40])
+			io.WriteString(c, requestText("gone")+requestText("gone")[:40])
 			c.Close()
 		},
 		func(c net.Conn) { // slow
@@ -203,34 +203,34 @@
 				return
 			}
 			defer c.Close()
-			began := time.Now()
+			startedAt := time.Now()
 			go bad[i%len(bad)](c)
-			c.SetReadDeadline(began.Add(soon))
+			c.SetReadDeadline(startedAt.Add(testTimeout))
 			// Its own time in the kernel's queue counts: others wait before it here.
 			if _, err := io.Copy(io.Discard, c); err != nil && os.IsTimeout(err) {
-				t.Errorf("kind %d: neither an error nor a close within %v", i%len(bad), soon)
-			} else if took := time.Since(began); took > 6*time.Second {
+				t.Errorf("kind %d: neither an error nor a close within %v", i%len(bad), testTimeout)
+			} else if took := time.Since(startedAt); took > 6*time.Second {
 				t.Errorf("kind %d: rid of after %v", i%len(bad), took)
 			}
 		})
 	}
 	for range 20 {
-		began := time.Now()
-		req := call(base, "order")
+		startedAt := time.Now()
+		req := newCall(base, "order")
 		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("a good client among them: %v, %v", resp, err)
 		}
 		resp.Body.Close()
-		if took := time.Since(began); took > 3*time.Second {
+		if took := time.Since(startedAt); took > 3*time.Second {
 			t.Errorf("a good client waited %v", took)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	all.Wait()
-	until(t, "their places are given back", func() bool { return a.clients.count() == 0 })
+	waitUntil(t, "their places are given back", func() bool { return a.clients.count() == 0 })
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-	until(t, "their goroutines have ended", func() bool { return runtime.NumGoroutine() <= goroutines+5 })
+	waitUntil(t, "their goroutines have ended", func() bool { return runtime.NumGoroutine() <= goroutines+5 })
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grew := int64(after.HeapAlloc) - int64(before.HeapAlloc); grew > 4<<20 {
@@ -240,21 +240,21 @@
 
 // A client in the midst of its request that has to give its place to another one is told so: what it
 // sent until then, perhaps all of it, was not for nothing and may be sent again.
-func TestSlowClientIsRefusedWhenItGivesWay(t *testing.T) {
-	addr, _ := counted(t, 200, false)
-	conf := config(nowhere, addr)
-	conf["limits"].(map[string]any)["sockets"] = minSockets
-	a, base, _, _ := start(t, conf)
-	text := asBytes("slow")
+func TestEvictedSlowClientIsRejected(t *testing.T) {
+	addr, _ := countingBackend(t, 200, false)
+	config := testConfig(unreachableAddr, addr)
+	config["limits"].(map[string]any)["sockets"] = minSockets
+	a, base, _, _ := startAgent(t, config)
+	text := requestText("slow")
 	var slow []*bufio.Reader
-	for range a.clients.most {
-		c, r := peer(t, base)
+	for range a.clients.capacity {
+		c, r := dialAgent(t, base)
 		slow = append(slow, r)
 		io.WriteString(c, text[:len(text)-1])
 	}
-	until(t, "all are in their request", func() bool { return a.clients.at(reading) == a.clients.most })
-	time.Sleep(slowFor)
-	if status, _, _ := do(t, call(base, "order")); status != 200 {
+	waitUntil(t, "all are in their request", func() bool { return a.clients.countAt(connReading) == a.clients.capacity })
+	time.Sleep(minReadingBeforeEviction)
+	if status, _, _ := send(t, newCall(base, "order")); status != 200 {
 		t.Fatalf("answered %d", status)
 	}
 	for i, r := range slow {
--- a/internal/agent/told_test.go
+++ b/internal/agent/notification_test.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// lists is a discovery that notes what it is asked and leaves the rest to serve.
-func lists(t *testing.T, serve http.HandlerFunc) (addr string, asked chan string) {
-	asked = make(chan string, 100)
+// discoveryServer is a discovery that notes what it is asked and leaves the rest to serve.
+func discoveryServer(t *testing.T, serve http.HandlerFunc) (addr string, requests chan string) {
+	requests = make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.RawQuery
+		requests <- r.URL.RawQuery
 		serve(w, r)
 	}))
 	t.Cleanup(s.Close)
 	t.Cleanup(s.CloseClientConnections)
-	return s.Listener.Addr().String(), asked
+	return s.Listener.Addr().String(), requests
 }
 
-// open writes a whole list and keeps the watch open.
-func open(seq int, hosts ...any) http.HandlerFunc {
+// serveList writes a whole list and keeps the watch serveList.
+func serveList(seq int, hosts ...any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		text, _ := json.MarshalIndent(map[string]any{"seq": seq, "whole": true, "hosts": hosts}, "", "  ")
 		fmt.Fprintln(w, string(text))
@@ -38,46 +38,46 @@
 // Over HTTP a list that is pushed comes on a watch too: without one the agent would never
 // hear of a drain.
 func TestPushedListIsWatched(t *testing.T) {
-	old, _ := counted(t, 200, false)
-	good, came := counted(t, 200, false)
-	disco, asked := lists(t, open(2, host(0, old, "draining"), host(1, good, "ready")))
-	conf := config(disco, old)
-	set := conf["settings"].(map[string]any)
+	old, _ := countingBackend(t, 200, false)
+	good, received := countingBackend(t, 200, false)
+	disco, requests := discoveryServer(t, serveList(2, hostEntry(0, old, "draining"), hostEntry(1, good, "ready")))
+	config := testConfig(disco, old)
+	set := config["settings"].(map[string]any)
 	set["contract"].(map[string]any)["askWithinMs"], set["replicasOfMe"] = 0, 300
-	began := time.Now()
-	_, base, _, _ := start(t, conf)
+	startedAt := time.Now()
+	_, base, _, _ := startAgent(t, config)
 	select {
-	case q := <-asked:
+	case q := <-requests:
 		if q != "follow=1&since=1" {
 			t.Fatalf("asked %q", q)
 		}
 	case <-time.After(20 * time.Second):
 		t.Fatal("not asked")
 	}
-	if took := time.Since(began); took > 200*time.Millisecond {
+	if took := time.Since(startedAt); took > 200*time.Millisecond {
 		t.Fatalf("asked after %v, where it counts as told from the first moment", took)
 	}
-	for end := time.Now().Add(20 * time.Second); len(came) == 0; { // until the list is taken
-		if do(t, call(base, "order")); time.Now().After(end) {
+	for end := time.Now().Add(20 * time.Second); len(received) == 0; { // until the list is taken
+		if send(t, newCall(base, "order")); time.Now().After(end) {
 			t.Fatal("never told of the drain")
 		}
 	}
 	for range 5 {
-		if status, _, _ := do(t, call(base, "order")); status != 200 {
+		if status, _, _ := send(t, newCall(base, "order")); status != 200 {
 			t.Fatalf("answered %d", status)
 		}
 	}
-	if len(came) != 6 {
-		t.Fatalf("%d of 6 requests reached the one that stays", len(came))
+	if len(received) != 6 {
+		t.Fatalf("%d of 6 requests reached the one that stays", len(received))
 	}
 }
 
 // A new address of discovery is asked at once, and again soon where that fails, however
 // long the waits had become at the one before.
-func TestMovedDiscoveryIsAskedSoon(t *testing.T) {
-	conf := config(nowhere, "127.0.0.1:1")
-	conf["settings"].(map[string]any)["membershipMode"] = "on_request"
-	l := quietLoopOf(t, conf)
+func TestChangedDiscoveryIsPolledSoon(t *testing.T) {
+	config := testConfig(unreachableAddr, "127.0.0.1:1")
+	config["settings"].(map[string]any)["membershipMode"] = "on_request"
+	l := offlineLoopOf(t, config)
 	const followToken = 2
 	waits := func() (ms float64) {
 		for _, act := range l.actions {
@@ -88,9 +88,9 @@
 		return ms
 	}
 	fail := func() float64 {
-		l.pass(10 * time.Second)
-		l.handle(input{kind: inTimer, token: followToken})
-		l.handle(input{kind: inWatchEnded, from: l.disc, err: errSurplus})
+		l.advanceClock(10 * time.Second)
+		l.handle(event{kind: eventTimer, token: followToken})
+		l.handle(event{kind: eventWatchEnded, source: l.discovery, err: errTrailingBytes})
 		return waits()
 	}
 	for range 6 {
@@ -99,13 +99,13 @@
 	if before := fail(); before < 1200 {
 		t.Fatalf("asks again after %.0f ms though many calls failed", before)
 	}
-	l.pass(10 * time.Second)
-	l.handle(input{kind: inTimer, token: followToken})
-	l.handle(input{kind: inMoved, addrs: []string{"127.0.0.1:2"}})
+	l.advanceClock(10 * time.Second)
+	l.handle(event{kind: eventTimer, token: followToken})
+	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{"127.0.0.1:2"}})
 	if !l.watching {
 		t.Fatal("the new address is not asked")
 	}
-	l.handle(input{kind: inWatchEnded, from: l.disc, err: errSurplus})
+	l.handle(event{kind: eventWatchEnded, source: l.discovery, err: errTrailingBytes})
 	if after := waits(); after <= 0 || after > 1000 {
 		t.Fatalf("asks the new address again after %.0f ms", after)
 	}
@@ -114,7 +114,7 @@
 // Whatever ended the calls before, what discovery has to tell is heard within 6 s of the moment
 // from which it answers well again: with refusals, resets, silence at every place, answers that
 // trickle or never end, and a new configuration in the midst of it.
-func TestToldWithinSixSeconds(t *testing.T) {
+func TestNotifiedWithinSixSeconds(t *testing.T) {
 	silent := func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	write := func(w http.ResponseWriter, text string) {
 		fmt.Fprint(w, text)
@@ -157,21 +157,21 @@
 				serve := func(w http.ResponseWriter, r *http.Request) {
 					if well.Load() {
 						written <- time.Now()
-						open(2, host(0, "127.0.0.1:1", "ready"))(w, r)
+						serveList(2, hostEntry(0, "127.0.0.1:1", "ready"))(w, r)
 					} else {
 						fault(w, r)
 					}
 				}
-				addr, _ := lists(t, serve)
-				other, _ := lists(t, serve)
-				conf := config(addr, "127.0.0.1:1")
-				set := conf["settings"].(map[string]any)
+				addr, _ := discoveryServer(t, serve)
+				other, _ := discoveryServer(t, serve)
+				config := testConfig(addr, "127.0.0.1:1")
+				set := config["settings"].(map[string]any)
 				set["membershipMode"], set["replicasOfMe"] = "on_request", 300
-				a, _, _, _ := start(t, conf)
+				a, _, _, _ := startAgent(t, config)
 				time.Sleep(9 * time.Second) // some calls have failed
 				if moved {
-					conf["discovery"] = other
-					a.Reconfigure(parse(t, conf))
+					config["discovery"] = other
+					a.Reconfigure(parseConfig(t, config))
 					time.Sleep(time.Second)
 				}
 				well.Store(true)
@@ -183,7 +183,7 @@
 					if took := at.Sub(healed); took > 5*time.Second {
 						t.Errorf("%s, moved %v: told after %v", name, moved, took)
 					}
-				case <-time.After(soon):
+				case <-time.After(testTimeout):
 					t.Errorf("%s, moved %v: never told", name, moved)
 				}
 			})
--- a/internal/agent/crossing_test.go
+++ b/internal/agent/race_test.go
@@ -19,37 +19,37 @@
 // Tests of what ends in the very moment in which something is still owed. Each crossing is
 // forced: by a loop that does not run yet, a connect that is held, an answer kept back.
 
-// soon bounds the waits of these tests.
-const soon = 20 * time.Second
+// testTimeout bounds the waits of these tests.
+const testTimeout = 20 * time.Second
 
-func wait[T any](t *testing.T, what string, c <-chan T) (v T) {
+func receive[T any](t *testing.T, what string, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(soon):
-		t.Fatalf("%s: nothing within %v", what, soon)
+	case <-time.After(testTimeout):
+		t.Fatalf("%s: nothing within %v", what, testTimeout)
 	}
 	return v
 }
 
-func until(t *testing.T, what string, done func() bool) {
+func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(soon); !done(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, soon)
+			t.Fatalf("%s: not within %v", what, testTimeout)
 		}
 	}
 }
 
-// asBytes is a request on the wire.
-func asBytes(id string) string {
+// requestText is a request on the wire.
+func requestText(id string) string {
 	return "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nRequest-Timeout: 30000m\r\nContent-Length: 4\r\n\r\nbody"
 }
 
-// halted serves an agent whose loop runs only once run is called.
-func halted(t *testing.T, conf map[string]any) (a *Agent, base string, run func()) {
+// agentWithStoppedLoop serves an agent whose loop runs only once run is called.
+func agentWithStoppedLoop(t *testing.T, config map[string]any) (a *Agent, baseURL string, run func()) {
 	t.Helper()
-	a, err := New(parse(t, conf), slog.New(slog.DiscardHandler))
+	a, err := New(parseConfig(t, config), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,16 +67,16 @@
 	return a, "http://" + ln.Addr().String(), func() { go a.loop.run() }
 }
 
-// kept is a backend that answers only when it is told to, and counts what comes.
-func kept(t *testing.T) (addr string, came chan string, answer chan string, cut chan struct{}) {
-	came, answer, cut = make(chan string, 100), make(chan string, 100), make(chan struct{}, 100)
+// scriptedBackend is a backend that answers only when it is told to, and counts what comes.
+func scriptedBackend(t *testing.T) (addr string, received chan string, answer chan string, closed chan struct{}) {
+	received, answer, closed = make(chan string, 100), make(chan string, 100), make(chan struct{}, 100)
 	addr = rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			req, err := readRequest(r)
 			if err != nil {
 				return
 			}
-			came <- req.Header.Get("Request-Id")
+			received <- req.Header.Get("Request-Id")
 			ended := make(chan struct{})
 			go func() {
 				r.Peek(1)
@@ -87,34 +87,36 @@
 				io.WriteString(c, text)
 				<-ended // the next request begins, or the end
 			case <-ended:
-				cut <- struct{}{}
+				closed <- struct{}{}
 				return
-			case <-time.After(soon):
+			case <-time.After(testTimeout):
 				return
 			}
 		}
 	})
-	return addr, came, answer, cut
+	return addr, received, answer, closed
 }
 
-// stalled is a log that keeps who writes a line on a failover waiting: so the loop can be made
+// stallingLog is a log that keeps who writes a line on a failover waiting: so the loop can be made
 // to stand, as often as stall is called.
-type stalled struct{ held, release chan struct{} }
+type stallingLog struct{ stalled, release chan struct{} }
 
-func newStalled(a *Agent) stalled {
-	s := stalled{held: make(chan struct{}, 10), release: make(chan struct{}, 10)}
+func newStallingLog(a *Agent) stallingLog {
+	s := stallingLog{stalled: make(chan struct{}, 10), release: make(chan struct{}, 10)}
 	a.loop.log = slog.New(s)
 	return s
 }
 
-func (s stalled) stall(a *Agent) { a.loop.post(input{kind: inFailover, from: a.loop.disc}) }
+func (s stallingLog) stall(a *Agent) {
+	a.loop.post(event{kind: eventFailover, source: a.loop.discovery})
+}
 
-func (s stalled) Enabled(context.Context, slog.Level) bool { return true }
-func (s stalled) WithAttrs([]slog.Attr) slog.Handler       { return s }
-func (s stalled) WithGroup(string) slog.Handler            { return s }
-func (s stalled) Handle(_ context.Context, r slog.Record) error {
+func (s stallingLog) Enabled(context.Context, slog.Level) bool { return true }
+func (s stallingLog) WithAttrs([]slog.Attr) slog.Handler       { return s }
+func (s stallingLog) WithGroup(string) slog.Handler            { return s }
+func (s stallingLog) Handle(_ context.Context, r slog.Record) error {
 	if strings.HasPrefix(r.Message, "discovery: asked elsewhere") {
-		s.held <- struct{}{}
+		s.stalled <- struct{}{}
 		<-s.release
 	}
 	return nil
@@ -122,75 +124,75 @@
 
 // A client that left while its request waited is sent nowhere, however much the agent is
 // behind: many leave at once here, before the loop has looked at any of them.
-func TestGoneBeforeTheLoopLooked(t *testing.T) {
+func TestCanceledBeforeLoopRuns(t *testing.T) {
 	var addrs []string
-	came := make(chan string, 1000)
+	received := make(chan string, 1000)
 	for range 20 {
 		addrs = append(addrs, rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 			if req, err := readRequest(r); err == nil {
-				came <- req.Header.Get("Request-Id")
+				received <- req.Header.Get("Request-Id")
 				io.WriteString(c, okAnswer)
 			}
 		}))
 	}
-	a, base, run := halted(t, config(nowhere, addrs...))
-	s := newStalled(a)
+	a, base, run := agentWithStoppedLoop(t, testConfig(unreachableAddr, addrs...))
+	s := newStallingLog(a)
 	const many = 20
 	conns := []net.Conn{}
 	for i := range many {
-		c, _ := peer(t, base)
-		io.WriteString(c, asBytes(fmt.Sprint("gone", i)))
+		c, _ := dialAgent(t, base)
+		io.WriteString(c, requestText(fmt.Sprint("gone", i)))
 		conns = append(conns, c)
 	}
-	until(t, "all wait for the loop", func() bool { return len(a.loop.in) == many })
+	waitUntil(t, "all wait for the loop", func() bool { return len(a.loop.events) == many })
 	s.stall(a) // behind the requests, and before what is told of their clients
 	for _, c := range conns {
 		c.Close()
 	}
-	until(t, "their ends wait", func() bool { return len(a.loop.in) > many+1 })
+	waitUntil(t, "their ends wait", func() bool { return len(a.loop.events) > many+1 })
 	run()
-	wait(t, "the loop stands", s.held)
+	receive(t, "the loop stands", s.stalled)
 	time.Sleep(100 * time.Millisecond) // in which what it sent on would arrive
 	s.release <- struct{}{}
-	if status, _, _ := do(t, call(base, "order")); status != 200 {
+	if status, _, _ := send(t, newCall(base, "order")); status != 200 {
 		t.Fatalf("answered %d", status)
 	}
-	if id := wait(t, "the one that stayed", came); id != "id1" || len(came) > 0 {
-		t.Fatalf("%q and %d more were sent on", id, len(came))
+	if id := receive(t, "the one that stayed", received); id != "id1" || len(received) > 0 {
+		t.Fatalf("%q and %d more were sent on", id, len(received))
 	}
-	until(t, "their places are given back", func() bool { return a.clients.count() <= 1 })
+	waitUntil(t, "their places are given back", func() bool { return a.clients.count() <= 1 })
 }
 
 // A client that leaves while the connection to its backend comes up is not sent on, though
 // nobody has told the loop yet.
-func TestGoneWhileDialling(t *testing.T) {
+func TestCanceledDuringConnect(t *testing.T) {
 	read := make(chan int64, 1)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		n, _ := io.Copy(io.Discard, r)
 		read <- n
 	})
-	a, base, run := halted(t, config(nowhere, addr))
-	plain := a.loop.dialer.connect
-	dialling, proceed := make(chan struct{}), make(chan struct{})
+	a, base, run := agentWithStoppedLoop(t, testConfig(unreachableAddr, addr))
+	connect := a.loop.dialer.connect
+	dialing, proceed := make(chan struct{}), make(chan struct{})
 	a.loop.dialer.connect = func(_ context.Context, network, addr string) (net.Conn, error) {
-		close(dialling)
+		close(dialing)
 		<-proceed
-		return plain(context.Background(), network, addr) // it came up in spite of its end
+		return connect(context.Background(), network, addr) // it came up in spite of its end
 	}
 	run()
-	c, _ := peer(t, base)
-	io.WriteString(c, asBytes("gone"))
-	wait(t, "the dial", dialling)
+	c, _ := dialAgent(t, base)
+	io.WriteString(c, requestText("gone"))
+	receive(t, "the dial", dialing)
 	c.Close()
 	close(proceed)
-	if n := wait(t, "the backend's connection ends", read); n != 0 {
+	if n := receive(t, "the backend's connection ends", read); n != 0 {
 		t.Fatalf("the backend got %d bytes for a client that had gone", n)
 	}
 }
 
 // The very first byte asks whether the client is there: between the checkout of a kept
 // connection and that byte, too, and where its end stands behind the request unseen.
-func TestGoneBeforeTheFirstByte(t *testing.T) {
+func TestCanceledBeforeTheFirstByte(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			if _, err := readRequest(r); err != nil {
@@ -201,14 +203,14 @@
 	})
 	tr := newDialer().newTransport()
 	defer tr.CloseIdleConnections()
-	if res := newAttempt(tr, addr, http.MethodPost, never).run(); res.status != policy.OK {
+	if res := newAttempt(tr, addr, http.MethodPost, noTimeout).run(); res.status != policy.OK {
 		t.Fatalf("ended %d", res.status)
 	}
-	near, far := pair(t)
-	a := newAttempt(tr, addr, http.MethodPost, never)
-	a.req.client = newClients(1).add(near, nil)
+	near, far := connPair(t)
+	a := newAttempt(tr, addr, http.MethodPost, noTimeout)
+	a.req.client = newClientConns(1).admit(near, nil)
 	far.Close()
-	until(t, "its end is there", a.req.client.gone)
+	waitUntil(t, "its end is there", a.req.client.disconnected)
 	if res := a.run(); res.status != policy.Withdrawn {
 		t.Fatalf("ended %d, want as never begun and nobody to blame", res.status)
 	}
@@ -217,8 +219,8 @@
 	}
 }
 
-// pair is the two ends of a connection.
-func pair(t *testing.T) (near, far net.Conn) {
+// connPair is the two ends of a connection.
+func connPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -237,37 +239,37 @@
 
 // A client that leaves with a part of a next request sent behind is seen to go all the same,
 // whether that came before its request was taken or after, and however much it was.
-func TestGoneBehindAPipelinedRequest(t *testing.T) {
-	for _, size := range []int{1, 50, aheadMost + 1, 200 << 10} {
+func TestCanceledBehindAPipelinedRequest(t *testing.T) {
+	for _, size := range []int{1, 50, maxReadAheadBuf + 1, 200 << 10} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			addr, came, _, cut := kept(t)
-			a, base, _, _ := start(t, config(nowhere, addr))
-			c, _ := peer(t, base)
+			addr, received, _, cut := scriptedBackend(t)
+			a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
+			c, _ := dialAgent(t, base)
 			behind := "POST /order/u2 HTTP/1.1\r\nX: " + strings.Repeat("x", size)
-			io.WriteString(c, asBytes("first")+behind[:1])
-			wait(t, "the request", came)
+			io.WriteString(c, requestText("first")+behind[:1])
+			receive(t, "the request", received)
 			io.WriteString(c, behind[1:][:size-1])
 			c.Close()
-			wait(t, "the attempt is given up", cut)
-			until(t, "its place is given back", func() bool { return a.clients.count() == 0 })
+			receive(t, "the attempt is given up", cut)
+			waitUntil(t, "its place is given back", func() bool { return a.clients.count() == 0 })
 		})
 	}
 }
 
 // The same with several requests behind each other, of which the client leaves in the second.
-func TestGoneBehindPipelinedRequests(t *testing.T) {
-	addr, came, answer, cut := kept(t)
-	a, base, _, _ := start(t, config(nowhere, addr))
-	c, r := peer(t, base)
-	io.WriteString(c, asBytes("first")+"P")
-	wait(t, "the first", came)
-	rest := (asBytes("second") + asBytes("third"))[1:]
+func TestCanceledBehindPipelinedRequests(t *testing.T) {
+	addr, received, answer, cut := scriptedBackend(t)
+	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
+	c, r := dialAgent(t, base)
+	io.WriteString(c, requestText("first")+"P")
+	receive(t, "the first", received)
+	rest := (requestText("second") + requestText("third"))[1:]
 	io.WriteString(c, rest[:len(rest)-10])
-	until(t, "it is read ahead", func() bool {
+	waitUntil(t, "it is read ahead", func() bool {
 		a.clients.mu.Lock()
 		defer a.clients.mu.Unlock()
 		for c := range a.clients.conns {
-			return len(c.ahead) >= len(rest)-11 // one may have come with the first
+			return len(c.readAheadBuf) >= len(rest)-11 // one may have come with the first
 		}
 		return false
 	})
@@ -275,20 +277,20 @@
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 {
 		t.Fatalf("got %v, %v", resp, err)
 	}
-	wait(t, "the second", came)
+	receive(t, "the second", received)
 	c.Close()
-	wait(t, "the attempt is given up", cut)
-	until(t, "its place is given back", func() bool { return a.clients.count() == 0 })
+	receive(t, "the attempt is given up", cut)
+	waitUntil(t, "its place is given back", func() bool { return a.clients.count() == 0 })
 }
 
 // What is read behind a request is not lost to the next one.
 func TestPipelinedRequestIsAnswered(t *testing.T) {
-	addr, came, answer, _ := kept(t)
-	_, base, _, _ := start(t, config(nowhere, addr))
-	c, r := peer(t, base)
-	second := asBytes("second")
-	io.WriteString(c, asBytes("first")+second[:1])
-	wait(t, "the first", came)
+	addr, received, answer, _ := scriptedBackend(t)
+	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
+	c, r := dialAgent(t, base)
+	second := requestText("second")
+	io.WriteString(c, requestText("first")+second[:1])
+	receive(t, "the first", received)
 	io.WriteString(c, second[1:20])
 	time.Sleep(5 * time.Millisecond) // some of it is read ahead, whatever part
 	io.WriteString(c, second[20:])
@@ -300,43 +302,43 @@
 		}
 		io.Copy(io.Discard, resp.Body)
 	}
-	if id := wait(t, "the second", came); id != "second" {
+	if id := receive(t, "the second", received); id != "second" {
 		t.Fatalf("got %q", id)
 	}
 }
 
 // A client that leaves between an attempt that failed and the next: no further one begins.
-func TestGoneBeforeTheRetry(t *testing.T) {
+func TestCanceledBeforeTheRetry(t *testing.T) {
 	var addrs []string
 	var all []chan string
 	turnedAway := "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 	answers := make([]chan string, 3)
 	for i := range answers {
-		addr, came, answer, _ := kept(t)
-		addrs, all, answers[i] = append(addrs, addr), append(all, came), answer
+		addr, received, answer, _ := scriptedBackend(t)
+		addrs, all, answers[i] = append(addrs, addr), append(all, received), answer
 	}
-	a, base, run := halted(t, config(nowhere, addrs...))
-	s := newStalled(a)
+	a, base, run := agentWithStoppedLoop(t, testConfig(unreachableAddr, addrs...))
+	s := newStallingLog(a)
 	run()
-	c, _ := peer(t, base)
-	io.WriteString(c, asBytes("gone"))
-	until(t, "the first attempt", func() bool { return len(all[0])+len(all[1])+len(all[2]) == 1 })
+	c, _ := dialAgent(t, base)
+	io.WriteString(c, requestText("gone"))
+	waitUntil(t, "the first attempt", func() bool { return len(all[0])+len(all[1])+len(all[2]) == 1 })
 	// The loop stands still while the attempt is turned away, and again once it has heard of
 	// that, before it hears of the client.
 	s.stall(a)
-	wait(t, "the loop stands", s.held)
+	receive(t, "the loop stands", s.stalled)
 	for i := range answers {
 		answers[i] <- turnedAway
 	}
-	until(t, "the outcome waits", func() bool { return len(a.loop.in) > 0 })
+	waitUntil(t, "the outcome waits", func() bool { return len(a.loop.events) > 0 })
 	s.stall(a)
 	c.Close()
-	until(t, "the client's end waits", func() bool { return len(a.loop.in) > 2 })
+	waitUntil(t, "the client's end waits", func() bool { return len(a.loop.events) > 2 })
 	s.release <- struct{}{}
-	wait(t, "the loop stands again", s.held)
+	receive(t, "the loop stands again", s.stalled)
 	time.Sleep(100 * time.Millisecond) // in which a second attempt would arrive
 	s.release <- struct{}{}
-	until(t, "the place is given back", func() bool { return a.clients.count() == 0 })
+	waitUntil(t, "the place is given back", func() bool { return a.clients.count() == 0 })
 	if n := len(all[0]) + len(all[1]) + len(all[2]); n != 1 {
 		t.Fatalf("%d attempts of a client that had gone", n)
 	}
@@ -344,38 +346,38 @@
 
 // One that ends only its sending has gone as well, and must not read an answer that nobody
 // made.
-func TestHalfClosedClientIsAnsweredNothing(t *testing.T) {
-	addr, came, _, cut := kept(t)
-	_, base, _, _ := start(t, config(nowhere, addr))
-	c, r := peer(t, base)
-	io.WriteString(c, asBytes("half"))
-	wait(t, "the request", came)
+func TestHalfClosedClientGetsNoResponse(t *testing.T) {
+	addr, received, _, cut := scriptedBackend(t)
+	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
+	c, r := dialAgent(t, base)
+	io.WriteString(c, requestText("half"))
+	receive(t, "the request", received)
 	c.(*net.TCPConn).CloseWrite()
 	if text, err := io.ReadAll(r); err != nil || len(text) > 0 {
 		t.Fatalf("read %q, %v", text, err)
 	}
-	wait(t, "the attempt is given up", cut)
+	receive(t, "the attempt is given up", cut)
 }
 
 // A request whose bytes come as its connection is closed is never sent on, and the answer
 // before it is read whole, with an end and no reset behind it.
-func TestRequestCrossesTheClose(t *testing.T) {
+func TestRequestDuringCloseIsNotForwarded(t *testing.T) {
 	for name, kind := range map[string]func(a *Agent, stop func()){
 		"shutdown": func(a *Agent, stop func()) { stop() },
 		"drain":    func(a *Agent, stop func()) { a.clients.drain() },
 	} {
-		for _, size := range []int{10, len(asBytes("late")), 1 << 20} {
+		for _, size := range []int{10, len(requestText("late")), 1 << 20} {
 			t.Run(fmt.Sprint(name, size), func(t *testing.T) {
-				addr, came := counted(t, 200, false)
-				a, base, stop, ended := start(t, config(nowhere, addr))
-				c, r := peer(t, base)
-				io.WriteString(c, asBytes("first"))
-				wait(t, "the first", came)
-				until(t, "it rests", func() bool { return a.clients.at(resting) == 1 })
+				addr, received := countingBackend(t, 200, false)
+				a, base, stop, ended := startAgent(t, testConfig(unreachableAddr, addr))
+				c, r := dialAgent(t, base)
+				io.WriteString(c, requestText("first"))
+				receive(t, "the first", received)
+				waitUntil(t, "it rests", func() bool { return a.clients.countAt(connIdle) == 1 })
 				kind(a, stop)
-				until(t, "the close has begun", func() bool { return a.clients.at(closing) == 1 })
-				late := asBytes("late") + strings.Repeat("x", 1<<20)
-				c.SetWriteDeadline(time.Now().Add(soon))
+				waitUntil(t, "the close has begun", func() bool { return a.clients.countAt(connClosing) == 1 })
+				late := requestText("late") + strings.Repeat("x", 1<<20)
+				c.SetWriteDeadline(time.Now().Add(testTimeout))
 				go io.WriteString(c, late[:size])
 				resp, err := http.ReadResponse(r, nil)
 				if err != nil || resp.StatusCode != 200 {
@@ -385,16 +387,16 @@
 					t.Fatalf("the answer before: %q, %v", body, err)
 				}
 				// More than is lingered for may be cut off by a reset.
-				if rest, err := io.ReadAll(r); len(rest) > 0 || err != nil && size < lingerBytes {
+				if rest, err := io.ReadAll(r); len(rest) > 0 || err != nil && size < maxLingerBytes {
 					t.Fatalf("behind it: %q, %v", rest, err)
 				}
 				// The client stays: else it had gone before its request could be sent on.
-				until(t, "its place is given back", func() bool { return a.clients.count() == 0 })
-				if len(came) > 0 {
-					t.Fatalf("%q was sent on", <-came)
+				waitUntil(t, "its place is given back", func() bool { return a.clients.count() == 0 })
+				if len(received) > 0 {
+					t.Fatalf("%q was sent on", <-received)
 				}
 				if name == "shutdown" {
-					if err := wait(t, "the end", ended); err != nil {
+					if err := receive(t, "the end", ended); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -403,8 +405,8 @@
 	}
 }
 
-// at is how many connections are at a stage.
-func (cs *clients) at(s stage) (n int) {
+// countAt is how many connections are countAt a stage.
+func (cs *clientConns) countAt(s connStage) (n int) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for c := range cs.conns {
@@ -417,12 +419,12 @@
 
 // A request that was read whole in the instant in which its connection began to be closed is
 // not taken; one that was taken first is answered, and only then closed.
-func TestTakenOrClosed(t *testing.T) {
-	addr, came, answer, _ := kept(t)
-	a, base, _, _ := start(t, config(nowhere, addr))
-	c, r := peer(t, base)
-	io.WriteString(c, asBytes("first"))
-	wait(t, "it is sent on", came)
+func TestRequestIsAcceptedOrConnectionClosed(t *testing.T) {
+	addr, received, answer, _ := scriptedBackend(t)
+	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
+	c, r := dialAgent(t, base)
+	io.WriteString(c, requestText("first"))
+	receive(t, "it is sent on", received)
 	a.clients.drain() // while it is out
 	answer <- okAnswer
 	resp, err := http.ReadResponse(r, nil)
@@ -435,24 +437,24 @@
 	}
 
 	// The other order: the bytes have been read by the server, the handler comes next.
-	c2, r2 := peer(t, base)
+	c2, r2 := dialAgent(t, base)
 	a.clients.mu.Lock()
-	io.WriteString(c2, asBytes("second"))
+	io.WriteString(c2, requestText("second"))
 	a.clients.mu.Unlock()
-	wait(t, "it is sent on", came)
+	receive(t, "it is sent on", received)
 	answer <- okAnswer
 	if resp, err := http.ReadResponse(r2, nil); err != nil || resp.StatusCode != 200 {
 		t.Fatalf("answered %v, %v", resp, err)
 	}
-	near, far := pair(t)
-	cc := a.clients.add(near, nil)
+	near, far := connPair(t)
+	cc := a.clients.admit(near, nil)
 	a.clients.mu.Lock()
 	cc.halfClose()
 	a.clients.mu.Unlock()
-	if cc.take() {
+	if cc.acceptRequest() {
 		t.Fatal("a request is taken on a connection that is being closed")
 	}
-	io.WriteString(far, asBytes("third"))
+	io.WriteString(far, requestText("third"))
 	far.Close()
 	if n, err := cc.Read(make([]byte, 100)); n != 0 || err == nil {
 		t.Fatalf("%d bytes were read behind the close, %v", n, err)
@@ -463,9 +465,9 @@
 // An answer with the connection's end behind it arrives whole though its client, slow to read
 // it, sends something more: a close before that came would reset the connection, and the part
 // that the system still holds would be gone.
-func TestNoResetBehindAnAnswer(t *testing.T) {
-	addr, came, answer, _ := kept(t)
-	a, base, _, _ := start(t, config(nowhere, addr))
+func TestNoResetAfterResponse(t *testing.T) {
+	addr, received, answer, _ := scriptedBackend(t)
+	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
@@ -474,18 +476,18 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetReadDeadline(time.Now().Add(soon))
-	io.WriteString(c, asBytes("first"))
-	wait(t, "it is sent on", came)
-	a.leaving.Store(true) // its answer says that the connection ends
-	body := strings.Repeat("y", maxBody)
+	c.SetReadDeadline(time.Now().Add(testTimeout))
+	io.WriteString(c, requestText("first"))
+	receive(t, "it is sent on", received)
+	a.draining.Store(true) // its answer says that the connection ends
+	body := strings.Repeat("y", maxBodyBytes)
 	answer <- fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	r := bufio.NewReaderSize(c, 16)
 	if _, err := r.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "it is closed", func() bool { return a.clients.at(taken) == 0 })
-	io.WriteString(c, asBytes("behind"))
+	waitUntil(t, "it is closed", func() bool { return a.clients.countAt(connActive) == 0 })
+	io.WriteString(c, requestText("behind"))
 	time.Sleep(20 * time.Millisecond)
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
@@ -494,56 +496,56 @@
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != body {
 		t.Fatalf("read %d bytes of the answer, %v", len(got), err)
 	}
-	if len(came) > 0 {
-		t.Fatalf("%q was sent on", <-came)
+	if len(received) > 0 {
+		t.Fatalf("%q was sent on", <-received)
 	}
 }
 
 // What came behind a request before it was taken is read ahead from then on.
-func TestAheadOfTheTaking(t *testing.T) {
-	near, far := pair(t)
-	c := newClients(1).add(near, nil)
+func TestReadAheadOfEarlierBytes(t *testing.T) {
+	near, far := connPair(t)
+	c := newClientConns(1).admit(near, nil)
 	io.WriteString(far, "xy")
 	if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil { // as the HTTP server does beside a request
 		t.Fatal(n, err)
 	}
-	if !c.take() {
+	if !c.acceptRequest() {
 		t.Fatal("not taken")
 	}
 	far.Close()
-	wait(t, "the client is seen to go", c.left)
+	receive(t, "the client is seen to go", c.canceled)
 	c.Close()
 }
 
 // Idle clients that hold all places give way to one with a request at once, whether they have
 // asked something before or never did.
-func TestIdleClientsGiveWay(t *testing.T) {
-	for _, asked := range []bool{true, false} {
-		t.Run(fmt.Sprint(asked), func(t *testing.T) {
-			addr, came := counted(t, 200, false)
-			conf := config(nowhere, addr)
-			conf["limits"].(map[string]any)["sockets"] = minSockets
-			a, base, _, _ := start(t, conf)
-			for range a.clients.most { // nobody reads from these: they don't end by themselves
-				near, _ := pair(t)
-				c := a.clients.add(near, nil)
+func TestIdleClientsAreEvicted(t *testing.T) {
+	for _, requests := range []bool{true, false} {
+		t.Run(fmt.Sprint(requests), func(t *testing.T) {
+			addr, received := countingBackend(t, 200, false)
+			config := testConfig(unreachableAddr, addr)
+			config["limits"].(map[string]any)["sockets"] = minSockets
+			a, base, _, _ := startAgent(t, config)
+			for range a.clients.capacity { // nobody reads from these: they don't end by themselves
+				near, _ := connPair(t)
+				c := a.clients.admit(near, nil)
 				a.clients.mu.Lock()
-				c.answered, c.since = asked, time.Now().Add(-freshFor)
+				c.answered, c.stageSince = requests, time.Now().Add(-minUnusedBeforeEviction)
 				a.clients.mu.Unlock()
 			}
-			began := time.Now()
-			for i := range 2 * a.clients.most {
-				if status, _, _ := do(t, call(base, "order")); status != 200 {
+			startedAt := time.Now()
+			for i := range 2 * a.clients.capacity {
+				if status, _, _ := send(t, newCall(base, "order")); status != 200 {
 					t.Fatalf("request %d: answered %d", i, status)
 				}
-				wait(t, "the request", came)
+				receive(t, "the request", received)
 				http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 			}
-			if took := time.Since(began); took > soon/2 {
+			if took := time.Since(startedAt); took > testTimeout/2 {
 				t.Fatalf("took %v", took)
 			}
-			if n := a.clients.count(); n > a.clients.most {
-				t.Fatalf("%d connections, %d places", n, a.clients.most)
+			if n := a.clients.count(); n > a.clients.capacity {
+				t.Fatalf("%d connections, %d places", n, a.clients.capacity)
 			}
 		})
 	}
--- a/internal/agent/window_test.go
+++ b/internal/agent/retrywindow_test.go
@@ -17,9 +17,9 @@
 
 // A repeat whose connection comes up only when the window of its first attempt is over is not
 // sent: it would be taken for a new request. It is answered then, not at its deadline.
-func TestRepeatNeverArrivesAfterItsWindow(t *testing.T) {
+func TestRetryIsNotSentAfterItsWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
-	came, ended := make(chan string, 10), make(chan struct{}, 10)
+	received, ended := make(chan string, 10), make(chan struct{}, 10)
 	fails := func(c net.Conn, r *bufio.Reader) {
 		defer func() { ended <- struct{}{} }()
 		for {
@@ -27,31 +27,31 @@
 			if err != nil {
 				return
 			}
-			came <- req.Header.Get("Request-Id")
+			received <- req.Header.Get("Request-Id")
 			io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 		}
 	}
-	conf := config(nowhere, rawBackend(t, fails), rawBackend(t, fails))
-	for _, class := range conf["settings"].(map[string]any)["classes"].([]any) {
+	config := testConfig(unreachableAddr, rawBackend(t, fails), rawBackend(t, fails))
+	for _, class := range config["settings"].(map[string]any)["classes"].([]any) {
 		class.(map[string]any)["keyTtlMs"] = window.Milliseconds()
 	}
-	a, base, run := halted(t, conf)
-	plain := a.loop.dialer.connect
-	dials, held := make(chan int32, 10), make(chan struct{})
+	a, base, run := agentWithStoppedLoop(t, config)
+	connect := a.loop.dialer.connect
+	dials, release := make(chan int32, 10), make(chan struct{})
 	var n atomic.Int32
 	a.loop.dialer.connect = func(_ context.Context, network, addr string) (net.Conn, error) {
 		i := n.Add(1)
 		dials <- i
 		if i > 1 {
-			<-held // comes up late, in spite of its end
+			<-release // comes up late, in spite of its end
 		}
-		return plain(context.Background(), network, addr)
+		return connect(context.Background(), network, addr)
 	}
 	run()
-	began := time.Now()
+	startedAt := time.Now()
 	answered := make(chan int, 1)
 	go func() {
-		resp, err := http.DefaultTransport.RoundTrip(call(base, "send"))
+		resp, err := http.DefaultTransport.RoundTrip(newCall(base, "send"))
 		if err != nil {
 			t.Error(err)
 			answered <- 0
@@ -60,16 +60,16 @@
 		resp.Body.Close()
 		answered <- resp.StatusCode
 	}()
-	wait(t, "the first attempt", dials)
-	wait(t, "the repeat", dials)
-	status := wait(t, "the answer", answered)
-	if took := time.Since(began); status != http.StatusServiceUnavailable || took > 10*time.Second {
+	receive(t, "the first attempt", dials)
+	receive(t, "the repeat", dials)
+	status := receive(t, "the answer", answered)
+	if took := time.Since(startedAt); status != http.StatusServiceUnavailable || took > 10*time.Second {
 		t.Errorf("answered %d after %v", status, took)
 	}
-	close(held)
-	wait(t, "the late connection ends", ended)
-	if len(came) != 1 {
-		t.Fatalf("%d attempts arrived, the repeat after its window", len(came))
+	close(release)
+	receive(t, "the late connection ends", ended)
+	if len(received) != 1 {
+		t.Fatalf("%d attempts arrived, the repeat after its window", len(received))
 	}
 }
 
@@ -77,17 +77,17 @@
 // that heeds the deadline for it, as the system's does when its peer does not read.
 type slowWrites struct {
 	net.Conn
-	until chan time.Time
+	deadlines chan time.Time
 }
 
 func (c slowWrites) SetWriteDeadline(t time.Time) error {
-	c.until <- t
+	c.deadlines <- t
 	return c.Conn.SetWriteDeadline(t)
 }
 
 // The last byte of a repeat is out by the end of the window, or never: the write is bounded, and
 // the connection serves a request without a window afterwards.
-func TestRepeatIsWrittenWithinItsWindow(t *testing.T) {
+func TestRetryIsWrittenWithinItsWindow(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			if _, err := readRequest(r); err != nil {
@@ -97,17 +97,17 @@
 		}
 	})
 	d := newDialer()
-	plain, bounds := d.connect, make(chan time.Time, 10)
+	connect, bounds := d.connect, make(chan time.Time, 10)
 	d.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		c, err := plain(ctx, network, addr)
+		c, err := connect(ctx, network, addr)
 		return slowWrites{c, bounds}, err
 	}
 	tr := d.newTransport()
 	defer tr.CloseIdleConnections()
-	by := time.Now().Add(never)
+	by := time.Now().Add(noTimeout)
 	for _, want := range []time.Time{by, {}} {
-		a := newAttempt(tr, addr, http.MethodPost, never)
-		a.by = want
+		a := newAttempt(tr, addr, http.MethodPost, noTimeout)
+		a.sendBy = want
 		if res := a.run(); res.status != policy.OK {
 			t.Fatalf("ended %d", res.status)
 		}
@@ -124,7 +124,7 @@
 
 // What a backend sends behind an answer is told from the next one's also where
 // the answer's end is in its chunks.
-func TestLateSurplusIsNoAnswer(t *testing.T) {
+func TestTrailingBytesAfterChunksAreNoResponse(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\ndo\r\n2\r\nne\r\n0\r\nX: y\r\n\r\n"
 	stray := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 	for name, first := range map[string]string{"length": okAnswer, "chunks": chunked} {
@@ -151,7 +151,7 @@
 				tr := newDialer().newTransport()
 				defer tr.CloseIdleConnections()
 				for i := range 10 {
-					res := newAttempt(tr, addr, http.MethodPost, never).run()
+					res := newAttempt(tr, addr, http.MethodPost, noTimeout).run()
 					if res.status == policy.OK && string(res.body) != "done" {
 						t.Fatalf("attempt %d was answered %q", i, res.body)
 					}
@@ -162,33 +162,33 @@
 }
 
 // A connection with an answer in chunks is kept, and its bytes counted right in any pieces.
-func TestChunksInPieces(t *testing.T) {
+func TestChunkedFramingInPieces(t *testing.T) {
 	text := "HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\n0123456789\r\n1\r\nx\r\n0\r\n\r\n"
 	for size := 1; size <= len(text); size++ {
-		var f framing
-		f.begin()
+		var f responseFraming
+		f.beginResponse()
 		for rest := text + "S"; len(rest) > 0; {
 			n := min(size, len(rest))
 			took := f.scan([]byte(rest[:n]))
-			if rest = rest[n:]; took < n != (len(rest) == 0) || f.over != (len(rest) == 0) {
-				t.Fatalf("pieces of %d: took %d of %d, over %v, %d left", size, took, n, f.over, len(rest))
+			if rest = rest[n:]; took < n != (len(rest) == 0) || f.violated != (len(rest) == 0) {
+				t.Fatalf("pieces of %d: took %d of %d, over %v, %d left", size, took, n, f.violated, len(rest))
 			}
 		}
 	}
-	var f framing
-	f.begin()
+	var f responseFraming
+	f.beginResponse()
 	f.scan([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"))
-	if !f.surplus() {
+	if !f.hasTrailingBytes() {
 		t.Fatal("a chunk without a size has an end")
 	}
 }
 
-// dialled counts the connections that a dialer made.
-func dialled(d *dialer) *int {
-	n, plain := new(int), d.connect
+// countDials counts the connections that a dialer made.
+func countDials(d *dialer) *int {
+	n, connect := new(int), d.connect
 	d.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		*n++
-		return plain(ctx, network, addr)
+		return connect(ctx, network, addr)
 	}
 	return n
 }
@@ -203,11 +203,11 @@
 		}
 	})
 	d := newDialer()
-	n := dialled(d)
+	n := countDials(d)
 	tr := d.newTransport()
 	defer tr.CloseIdleConnections()
 	for range 3 {
-		if res := newAttempt(tr, addr, http.MethodPost, never).run(); res.status != policy.OK || !strings.HasPrefix(string(res.body), "done") {
+		if res := newAttempt(tr, addr, http.MethodPost, noTimeout).run(); res.status != policy.OK || !strings.HasPrefix(string(res.body), "done") {
 			t.Fatalf("ended %d %q", res.status, res.body)
 		}
 	}
@@ -216,22 +216,22 @@
 	}
 }
 
-// heldWrites is a connection on which only the first write goes through.
-type heldWrites struct {
+// blockedWrites is a connection on which only the first write goes through.
+type blockedWrites struct {
 	net.Conn
-	wrote  *atomic.Bool
-	closed chan struct{}
+	written *atomic.Bool
+	closed  chan struct{}
 }
 
-func (c heldWrites) Write(p []byte) (int, error) {
-	if !c.wrote.Swap(true) {
+func (c blockedWrites) Write(p []byte) (int, error) {
+	if !c.written.Swap(true) {
 		return c.Conn.Write(p)
 	}
 	<-c.closed
 	return 0, net.ErrClosed
 }
 
-func (c heldWrites) Close() error {
+func (c blockedWrites) Close() error {
 	select {
 	case <-c.closed:
 	default:
@@ -241,7 +241,7 @@
 }
 
 // An answer to a request of which a part has not gone out yet is not that request's.
-func TestAnswerBeforeTheRequestIsWhole(t *testing.T) {
+func TestResponseBeforeRequestIsSent(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil { // its head
 			io.WriteString(c, okAnswer)
@@ -249,13 +249,13 @@
 		}
 	})
 	d := newDialer()
-	plain := d.connect
+	connect := d.connect
 	d.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		c, err := plain(ctx, network, addr)
-		return heldWrites{c, new(atomic.Bool), make(chan struct{})}, err
+		c, err := connect(ctx, network, addr)
+		return blockedWrites{c, new(atomic.Bool), make(chan struct{})}, err
 	}
-	a := newAttempt(d.newTransport(), addr, http.MethodPost, never)
-	a.req.body = []byte(strings.Repeat("x", maxBody))
+	a := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout)
+	a.req.body = []byte(strings.Repeat("x", maxBodyBytes))
 	if res := a.run(); res.status == policy.OK {
 		t.Fatalf("taken for its answer: %q", res.body)
 	}
--- a/internal/agent/scope.go
+++ b/internal/agent/scope.go
@@ -9,14 +9,14 @@
 // scope is the services whose servers the agent asks for. Its zero value is no scope: all
 // that discovery lists is taken as it comes.
 type scope struct {
-	services []string
-	number   uint64                  // of the subscription
-	table    *endpoints.ServiceTable // nil: no scope
+	services     []string
+	subscription uint64                  // of the subscription
+	table        *endpoints.ServiceTable // nil: no scope
 }
 
-// set changes the services, nil for no scope; number is that of the client's subscription.
-func (s *scope) set(services []string, number uint64) {
-	s.services, s.number = services, number
+// update changes the services, nil for no scope; number is that of the client's subscription.
+func (s *scope) update(services []string, number uint64) {
+	s.services, s.subscription = services, number
 	switch {
 	case services == nil:
 		s.table = nil
@@ -27,8 +27,8 @@
 	}
 }
 
-// is tells whether these are the services.
-func (s *scope) is(services []string) bool {
+// equals tells whether these are the services.
+func (s *scope) equals(services []string) bool {
 	if (s.services == nil) != (services == nil) {
 		return false
 	}
@@ -43,16 +43,16 @@
 	return s.table.Seed(list)
 }
 
-// apply is what a list says of the services.
-func (s *scope) apply(list endpoints.List) (endpoints.List, []endpoints.ServiceEvent) {
+// filter is what a list says of the services.
+func (s *scope) filter(list endpoints.List) (endpoints.List, []endpoints.ServiceEvent) {
 	if s.table == nil {
 		return list, nil
 	}
 	return s.table.Apply(list)
 }
 
-// lacks tells whether a list that is left out, as it is older than another one, may have what
+// needsFullList tells whether a list that is left out, as it is older than another one, may have what
 // that other one could not tell.
-func (s *scope) lacks(list *endpoints.List) bool {
-	return s.table != nil && list.Subscription == s.number && list.Scoped && !s.table.Synced()
+func (s *scope) needsFullList(list *endpoints.List) bool {
+	return s.table != nil && list.Subscription == s.subscription && list.Scoped && !s.table.Synced()
 }
--- a/internal/agent/services_test.go
+++ b/internal/agent/services_test.go
@@ -17,50 +17,50 @@
 // scopedConfig is a configuration of an agent that subscribes to services at one steward; it
 // knows one server of service a and one of service b.
 func scopedConfig(services ...string) map[string]any {
-	a, b := host(1, "127.0.0.1:1", "ready"), host(2, "127.0.0.1:2", "ready")
+	a, b := hostEntry(1, "127.0.0.1:1", "ready"), hostEntry(2, "127.0.0.1:2", "ready")
 	a["service"], b["service"] = "a", "b"
-	conf := config("")
-	conf["known"].(map[string]any)["hosts"] = []any{a, b}
-	conf["settings"].(map[string]any)["membershipMode"] = "on_request"
-	conf["stewards"] = []string{nowhere}
+	config := testConfig("")
+	config["known"].(map[string]any)["hosts"] = []any{a, b}
+	config["settings"].(map[string]any)["membershipMode"] = "on_request"
+	config["stewards"] = []string{unreachableAddr}
 	if services != nil {
-		conf["services"] = services
+		config["services"] = services
 	}
-	return conf
+	return config
 }
 
 // scopedLoop is a loop that a test drives by hand, and what it logs.
-func scopedLoop(t *testing.T, conf map[string]any) (*loop, *bytes.Buffer) {
+func scopedLoop(t *testing.T, config map[string]any) (*loop, *bytes.Buffer) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	log := &bytes.Buffer{}
-	l, err := newLoop(ctx, parse(t, conf), slog.New(slog.NewTextHandler(log, nil)))
+	l, err := newLoop(ctx, parseConfig(t, config), slog.New(slog.NewTextHandler(log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return l, log
 }
 
-// usable is the names of the servers that the loop may send to.
-func (l *loop) usable() string {
+// usableBackends is the names of the servers that the loop may send to.
+func (l *loop) usableBackends() string {
 	var names []string
 	for i := range 10 {
 		name := fmt.Sprint("s-", i)
-		if b := l.backends[addrOf(name)]; b != nil && b.usable {
+		if b := l.backends[policyAddr(name)]; b != nil && b.usable {
 			names = append(names, name)
 		}
 	}
 	return strings.Join(names, " ")
 }
 
-// hears hands the loop a list of a subscription.
-func (l *loop) hears(kind inKind, subscription uint64, scoped bool, lst endpoints.List) {
+// deliver hands the loop a list of a subscription.
+func (l *loop) deliver(kind eventKind, subscription uint64, scoped bool, lst endpoints.List) {
 	lst.Subscription, lst.Scoped = subscription, scoped
-	l.handle(input{kind: kind, list: lst, from: l.disc})
+	l.handle(event{kind: kind, list: lst, source: l.discovery})
 }
 
-func of(i int, service, health string) endpoints.Endpoint {
+func serviceEndpoint(i int, service, health string) endpoints.Endpoint {
 	return endpoints.Endpoint{Name: fmt.Sprint("s-", i), Dial: fmt.Sprint("127.0.0.1:", i), Service: service, Health: health}
 }
 
@@ -84,12 +84,12 @@
 		{true, "a", "config: services: cannot be a string"},
 		{true, []any{"a", 2}, "config: services: cannot be a number"},
 	} {
-		conf := config(nowhere)
+		config := testConfig(unreachableAddr)
 		if c.stewards {
-			conf["stewards"] = []string{nowhere}
+			config["stewards"] = []string{unreachableAddr}
 		}
-		conf["services"] = c.services
-		text, err := json.Marshal(conf)
+		config["services"] = c.services
+		text, err := json.Marshal(config)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -106,129 +106,129 @@
 // Without the key the lists of stewards are taken as they come, whatever service an entry names.
 func TestNoServicesNoScope(t *testing.T) {
 	l, _ := scopedLoop(t, scopedConfig())
-	if l.scope.table != nil || l.usable() != "s-1 s-2" {
-		t.Fatalf("usable: %q", l.usable())
+	if l.scope.table != nil || l.usableBackends() != "s-1 s-2" {
+		t.Fatalf("usable: %q", l.usableBackends())
 	}
-	l.hears(inWatched, 0, false, list(5, true, of(1, "x", "ready"), of(3, "", "ready")))
-	l.hears(inWatched, 0, false, list(6, false, of(3, "y", "gone")))
-	if l.usable() != "s-1" {
-		t.Fatalf("usable: %q", l.usable())
+	l.deliver(eventListChanged, 0, false, listOf(5, true, serviceEndpoint(1, "x", "ready"), serviceEndpoint(3, "", "ready")))
+	l.deliver(eventListChanged, 0, false, listOf(6, false, serviceEndpoint(3, "y", "gone")))
+	if l.usableBackends() != "s-1" {
+		t.Fatalf("usable: %q", l.usableBackends())
 	}
-	l.hears(inFetched, 0, false, list(7, false))
-	if l.usable() != "" {
-		t.Fatalf("usable: %q", l.usable())
+	l.deliver(eventListFetched, 0, false, listOf(7, false))
+	if l.usableBackends() != "" {
+		t.Fatalf("usable: %q", l.usableBackends())
 	}
 }
 
 // The agent takes its services' servers alone, also from what it knows at its start, and says
 // what becomes of a service.
-func TestServicesAlone(t *testing.T) {
+func TestOnlySubscribedServicesAreUsed(t *testing.T) {
 	l, log := scopedLoop(t, scopedConfig("a", "c"))
-	if l.usable() != "s-1" {
-		t.Fatalf("usable: %q", l.usable())
+	if l.usableBackends() != "s-1" {
+		t.Fatalf("usable: %q", l.usableBackends())
 	}
-	l.hears(inWatched, 0, true, list(5, true, of(4, "b", "ready")))
-	if l.usable() != "s-1" || l.seq != 5 {
-		t.Errorf("usable: %q", l.usable())
+	l.deliver(eventListChanged, 0, true, listOf(5, true, serviceEndpoint(4, "b", "ready")))
+	if l.usableBackends() != "s-1" || l.listVersion != 5 {
+		t.Errorf("usable: %q", l.usableBackends())
 	}
 	for _, want := range []string{`"discovery: service emptied" service=a kept=1 scoped=true`, `"discovery: service unknown" service=c kept=0 scoped=true`} {
 		if strings.Count(log.String(), want) != 1 {
 			t.Errorf("not said once: %s; said %s", want, log)
 		}
 	}
-	l.hears(inFetched, 0, true, list(6, true, of(3, "a", "ready"), of(5, "c", "draining")))
-	if l.usable() != "s-3" || strings.Count(log.String(), `"discovery: service back"`) != 2 {
-		t.Errorf("usable: %q; said %s", l.usable(), log)
+	l.deliver(eventListFetched, 0, true, listOf(6, true, serviceEndpoint(3, "a", "ready"), serviceEndpoint(5, "c", "draining")))
+	if l.usableBackends() != "s-3" || strings.Count(log.String(), `"discovery: service back"`) != 2 {
+		t.Errorf("usable: %q; said %s", l.usableBackends(), log)
 	}
-	l.hears(inWatched, 0, true, list(7, false, of(3, "x", "gone"), of(6, "b", "ready"), of(5, "c", "ready")))
-	if l.usable() != "s-3 s-5" {
-		t.Errorf("usable: %q", l.usable())
+	l.deliver(eventListChanged, 0, true, listOf(7, false, serviceEndpoint(3, "x", "gone"), serviceEndpoint(6, "b", "ready"), serviceEndpoint(5, "c", "ready")))
+	if l.usableBackends() != "s-3 s-5" {
+		t.Errorf("usable: %q", l.usableBackends())
 	}
 }
 
 // A new subscription leaves what is held in use until its whole list comes; lists of the one
 // before that are still under way change nothing.
-func TestResubscribed(t *testing.T) {
+func TestListsOfOldSubscriptionAreIgnored(t *testing.T) {
 	l, log := scopedLoop(t, scopedConfig("a"))
-	l.hears(inWatched, 0, true, list(5, true, of(1, "a", "ready"), of(3, "a", "ready")))
+	l.deliver(eventListChanged, 0, true, listOf(5, true, serviceEndpoint(1, "a", "ready"), serviceEndpoint(3, "a", "ready")))
 	l.fetching = true
-	l.handle(input{kind: inMoved, addrs: []string{nowhere}, names: []string{"b"}})
-	if l.scope.number != 1 || !l.watching || l.usable() != "s-1 s-3" {
-		t.Fatalf("subscription %d, watching %v, usable %q", l.scope.number, l.watching, l.usable())
-	}
-	l.hears(inWatched, 0, true, list(6, false, of(1, "a", "gone")))
-	l.hears(inFetched, 0, true, list(7, true))
-	if l.usable() != "s-1 s-3" || l.seq != 5 || l.fetching {
-		t.Errorf("took a list of the services before: usable %q, version %d", l.usable(), l.seq)
-	}
-	l.hears(inWatched, 1, true, list(5, true, of(2, "b", "ready"))) // of the same version
-	if l.usable() != "s-2" {
-		t.Errorf("usable: %q", l.usable())
-	}
-	l.handle(input{kind: inMoved, addrs: []string{nowhere}, names: []string{"b"}})
-	l.handle(input{kind: inMoved, addrs: []string{"127.0.0.1:2"}, names: []string{"b"}})
-	if l.scope.number != 1 {
+	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{unreachableAddr}, services: []string{"b"}})
+	if l.scope.subscription != 1 || !l.watching || l.usableBackends() != "s-1 s-3" {
+		t.Fatalf("subscription %d, watching %v, usable %q", l.scope.subscription, l.watching, l.usableBackends())
+	}
+	l.deliver(eventListChanged, 0, true, listOf(6, false, serviceEndpoint(1, "a", "gone")))
+	l.deliver(eventListFetched, 0, true, listOf(7, true))
+	if l.usableBackends() != "s-1 s-3" || l.listVersion != 5 || l.fetching {
+		t.Errorf("took a list of the services before: usable %q, version %d", l.usableBackends(), l.listVersion)
+	}
+	l.deliver(eventListChanged, 1, true, listOf(5, true, serviceEndpoint(2, "b", "ready"))) // of the same version
+	if l.usableBackends() != "s-2" {
+		t.Errorf("usable: %q", l.usableBackends())
+	}
+	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{unreachableAddr}, services: []string{"b"}})
+	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{"127.0.0.1:2"}, services: []string{"b"}})
+	if l.scope.subscription != 1 {
 		t.Error("subscribed anew to the same services")
 	}
-	l.handle(input{kind: inMoved, addrs: []string{nowhere}, names: []string{"no word"}})
-	if l.scope.number != 1 || !strings.Contains(log.String(), "services[0]") {
+	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{unreachableAddr}, services: []string{"no word"}})
+	if l.scope.subscription != 1 || !strings.Contains(log.String(), "services[0]") {
 		t.Errorf("subscribed to no word; said %s", log)
 	}
-	l.handle(input{kind: inMoved, addrs: []string{nowhere}}) // the key is gone
-	l.hears(inWatched, 1, true, list(8, true))
-	l.hears(inWatched, 2, false, list(8, true, of(7, "x", "ready")))
-	if l.scope.number != 2 || l.usable() != "s-7" {
-		t.Errorf("subscription %d, usable %q", l.scope.number, l.usable())
+	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{unreachableAddr}}) // the key is gone
+	l.deliver(eventListChanged, 1, true, listOf(8, true))
+	l.deliver(eventListChanged, 2, false, listOf(8, true, serviceEndpoint(7, "x", "ready")))
+	if l.scope.subscription != 2 || l.usableBackends() != "s-7" {
+		t.Errorf("subscription %d, usable %q", l.scope.subscription, l.usableBackends())
 	}
-	l.handle(input{kind: inMoved, addrs: []string{nowhere}, names: []string{"a"}}) // and here again
-	l.hears(inWatched, 3, true, list(9, true, of(1, "a", "ready")))
-	if l.usable() != "s-1" {
-		t.Errorf("usable: %q", l.usable())
+	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{unreachableAddr}, services: []string{"a"}}) // and here again
+	l.deliver(eventListChanged, 3, true, listOf(9, true, serviceEndpoint(1, "a", "ready")))
+	if l.usableBackends() != "s-1" {
+		t.Errorf("usable: %q", l.usableBackends())
 	}
 }
 
 // Where an unscoped list made the reader's version later than a scoped one that comes after it,
 // the scoped one is left out, and asked for anew: the unscoped one may lack servers.
-func TestOlderScopedListIsAskedForAgain(t *testing.T) {
+func TestOlderScopedListIsRequestedAgain(t *testing.T) {
 	l, _ := scopedLoop(t, scopedConfig("a"))
-	l.hears(inFetched, 0, false, list(9, true, of(1, "", "ready"), of(3, "", "ready")))
-	if l.usable() != "s-1" {
-		t.Fatalf("usable: %q", l.usable())
+	l.deliver(eventListFetched, 0, false, listOf(9, true, serviceEndpoint(1, "", "ready"), serviceEndpoint(3, "", "ready")))
+	if l.usableBackends() != "s-1" {
+		t.Fatalf("usable: %q", l.usableBackends())
 	}
-	l.hears(inWatched, 0, true, list(8, true, of(1, "a", "ready"), of(3, "a", "ready")))
-	if l.usable() != "s-1" || l.scope.number != 1 {
-		t.Fatalf("usable: %q, subscription %d", l.usable(), l.scope.number)
+	l.deliver(eventListChanged, 0, true, listOf(8, true, serviceEndpoint(1, "a", "ready"), serviceEndpoint(3, "a", "ready")))
+	if l.usableBackends() != "s-1" || l.scope.subscription != 1 {
+		t.Fatalf("usable: %q, subscription %d", l.usableBackends(), l.scope.subscription)
 	}
-	l.hears(inWatched, 1, true, list(9, true, of(1, "a", "ready"), of(3, "a", "ready")))
-	if l.usable() != "s-1 s-3" || l.scope.number != 1 {
-		t.Errorf("usable: %q, subscription %d", l.usable(), l.scope.number)
+	l.deliver(eventListChanged, 1, true, listOf(9, true, serviceEndpoint(1, "a", "ready"), serviceEndpoint(3, "a", "ready")))
+	if l.usableBackends() != "s-1 s-3" || l.scope.subscription != 1 {
+		t.Errorf("usable: %q, subscription %d", l.usableBackends(), l.scope.subscription)
 	}
-	l.hears(inWatched, 1, true, list(8, true, of(1, "a", "ready")))
-	if l.usable() != "s-1 s-3" || l.scope.number != 1 {
-		t.Errorf("an older list: usable %q, subscription %d", l.usable(), l.scope.number)
+	l.deliver(eventListChanged, 1, true, listOf(8, true, serviceEndpoint(1, "a", "ready")))
+	if l.usableBackends() != "s-1 s-3" || l.scope.subscription != 1 {
+		t.Errorf("an older list: usable %q, subscription %d", l.usableBackends(), l.scope.subscription)
 	}
 }
 
 // An agent that began without stewards asks for no services.
-func TestServicesWithoutStewards(t *testing.T) {
-	conf := config(nowhere, "127.0.0.1:1")
-	l, log := scopedLoop(t, conf)
-	l.handle(input{kind: inMoved, addrs: []string{"127.0.0.1:2"}, names: []string{"a"}})
-	l.hears(inWatched, 0, false, list(5, true, of(3, "", "ready")))
-	if l.usable() != "s-3" || l.scope.table != nil || !strings.Contains(log.String(), "began with stewards") {
-		t.Errorf("usable: %q; said %s", l.usable(), log)
+func TestServicesRequireControlPlane(t *testing.T) {
+	config := testConfig(unreachableAddr, "127.0.0.1:1")
+	l, log := scopedLoop(t, config)
+	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{"127.0.0.1:2"}, services: []string{"a"}})
+	l.deliver(eventListChanged, 0, false, listOf(5, true, serviceEndpoint(3, "", "ready")))
+	if l.usableBackends() != "s-3" || l.scope.table != nil || !strings.Contains(log.String(), "began with stewards") {
+		t.Errorf("usable: %q; said %s", l.usableBackends(), log)
 	}
 }
 
 // The module hears of the union of the services' servers as one list.
-func TestModuleHearsUnion(t *testing.T) {
+func TestBalancerGetsUnionOfServices(t *testing.T) {
 	l, _ := scopedLoop(t, scopedConfig("a", "b"))
-	l.hears(inWatched, 0, true, list(5, true, of(1, "a", "ready"), of(2, "b", "ready"), of(3, "x", "ready")))
-	var held []policy.Addr
+	l.deliver(eventListChanged, 0, true, listOf(5, true, serviceEndpoint(1, "a", "ready"), serviceEndpoint(2, "b", "ready"), serviceEndpoint(3, "x", "ready")))
+	var backends []policy.Addr
 	for addr := range l.backends {
-		held = append(held, addr)
+		backends = append(backends, addr)
 	}
-	if len(held) != 2 || !slices.Contains(held, addrOf("s-1")) || !slices.Contains(held, addrOf("s-2")) {
-		t.Errorf("holds %v", held)
+	if len(backends) != 2 || !slices.Contains(backends, policyAddr("s-1")) || !slices.Contains(backends, policyAddr("s-2")) {
+		t.Errorf("holds %v", backends)
 	}
 }
--- a/internal/agent/startclock_test.go
+++ b/internal/agent/startclock_test.go
@@ -13,20 +13,20 @@
 	const coldMs = 8000
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 20 * time.Second, -20 * time.Second} {
 		t.Run(step.String(), func(t *testing.T) {
-			l := quietLoop(t, "127.0.0.1:1")
-			l.baseMs += float64(step.Milliseconds()) // of the process's clock, which alone is off
-			realMs := func() float64 { return l.clock() - float64(step.Milliseconds()) }
-			l.pass(20 * time.Second)
-			l.handle(input{kind: inWatched, list: list(2, false)})
-			l.pass(10 * time.Second)
+			l := offlineLoop(t, "127.0.0.1:1")
+			l.startedAtMs += float64(step.Milliseconds()) // of the process's clock, which alone is off
+			realMs := func() float64 { return l.nowMs() - float64(step.Milliseconds()) }
+			l.advanceClock(20 * time.Second)
+			l.handle(event{kind: eventListChanged, list: listOf(2, false)})
+			l.advanceClock(10 * time.Second)
 			// It started 2 s ago; another one long ago, and was not listed for some time.
 			started := realMs() - 2000
 			hosts := []endpoints.Endpoint{
 				{Name: "s-8", Dial: "127.0.0.1:8", Health: "ready", StartedMs: started - 500_000},
 				{Name: "s-9", Dial: "127.0.0.1:9", Health: "ready", StartedMs: started}}
-			l.handle(input{kind: inWatched, list: list(3, false, hosts[1])})
-			l.handle(input{kind: inWatched, list: list(4, false, hosts[0])})
-			age := func(i int) float64 { return l.clock() - l.startOf(&hosts[i]) }
+			l.handle(event{kind: eventListChanged, list: listOf(3, false, hosts[1])})
+			l.handle(event{kind: eventListChanged, list: listOf(4, false, hosts[0])})
+			age := func(i int) float64 { return l.nowMs() - l.startOnLoopClock(&hosts[i]) }
 			if got := age(1); got < 0 || got > coldMs*3/2 || step < 0 && got > 3000 {
 				t.Errorf("the new server counts as %.0f ms old, is 2000", got)
 			}
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -156,11 +156,11 @@
 		t.Fatal(err)
 	}
 	names, addresses := map[string]bool{}, map[string]bool{}
-	for _, host := range conf.Known.Endpoints {
+	for _, host := range conf.CachedList.Endpoints {
 		names[host.Name], addresses[host.Dial] = true, true
 	}
-	if conf.KnownErr != nil || len(names) != 100 || len(addresses) != listeners {
-		t.Errorf("%d names at %d addresses, left out: %v", len(names), len(addresses), conf.KnownErr)
+	if conf.CachedListErr != nil || len(names) != 100 || len(addresses) != listeners {
+		t.Errorf("%d names at %d addresses, left out: %v", len(names), len(addresses), conf.CachedListErr)
 	}
 	if conf.Limits.MemoryMB != 256 || conf.Limits.Sockets != 1024 {
 		t.Errorf("limits are %+v", conf.Limits)
