--- /dev/null
+++ b/internal/agent/clientclose.go
@@ -0,0 +1,102 @@
+package agent
+
+import (
+	"io"
+	"net"
+	"syscall"
+	"time"
+)
+
+// rejectionResponse is what a client is told whose request can't be taken for want of a place.
+const rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+
+// reject answers a request that is being read and is given up, and takes what has come of it from the
+// system: a close over unread bytes would reset the connection and the answer with it.
+func (c *clientConn) reject() {
+	_ = c.Conn.SetWriteDeadline(time.Now().Add(rejectTimeout))
+	_, _ = io.WriteString(c.Conn, rejectionResponse)
+	sc, ok := c.Conn.(syscall.Conn)
+	if !ok {
+		return
+	}
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return
+	}
+	_ = raw.Control(func(fd uintptr) {
+		buf := make([]byte, 4<<10)
+		for read := 0; read < maxLingerBytes; {
+			n, _, err := syscall.Recvfrom(int(fd), buf, syscall.MSG_DONTWAIT)
+			if n <= 0 || err != nil {
+				return
+			}
+			read += n
+		}
+	})
+}
+
+// halfClose ends the agent's side of a connection at rest; who reads from it lingers.
+func (c *clientConn) halfClose() {
+	if c.stage == connIdle {
+		c.owner.logClosed(c, reasonShutdown)
+		c.stage = connClosing
+		c.shutdownWrite()
+	}
+}
+
+// shutdownWrite sends the end and bounds the time in which the client's is waited for.
+func (c *clientConn) shutdownWrite() {
+	if !c.lingerUntil.IsZero() {
+		return
+	}
+	c.lingerUntil = time.Now().Add(lingerTimeout)
+	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		_ = half.CloseWrite()
+	}
+	_ = c.Conn.SetReadDeadline(c.lingerUntil)
+}
+
+// linger reads on until the client has closed too, or was given enough time and bytes.
+func (c *clientConn) linger() error {
+	buf := make([]byte, 4<<10)
+	for {
+		c.owner.mu.Lock()
+		finished := c.closed || c.peerEnded || c.lingeredBytes >= maxLingerBytes
+		c.owner.mu.Unlock()
+		if finished {
+			return net.ErrClosed
+		}
+		n, err := c.Conn.Read(buf)
+		c.owner.mu.Lock()
+		c.lingeredBytes += n
+		c.peerEnded = c.peerEnded || err != nil
+		c.owner.mu.Unlock()
+	}
+}
+
+// Close closes the connection in order and gives its place back.
+func (c *clientConn) Close() error {
+	c.stopReadAhead()
+	c.owner.mu.Lock()
+	_, here := c.owner.conns[c]
+	if c.closed || !here { // or another has its place, and it is closed
+		c.closed = true
+		c.owner.mu.Unlock()
+		return c.Conn.Close()
+	}
+	c.stage = connClosing
+	if !c.peerEnded {
+		c.shutdownWrite()
+	}
+	c.owner.mu.Unlock()
+	_ = c.linger()
+	c.owner.mu.Lock()
+	defer c.owner.mu.Unlock()
+	c.closed = true
+	delete(c.owner.conns, c)
+	select {
+	case c.owner.slotFreed <- struct{}{}:
+	default:
+	}
+	return c.Conn.Close()
+}
--- a/internal/agent/log.go
+++ b/internal/agent/log.go
@@ -62,6 +62,22 @@
 	return reasonFailed
 }
 
+// warnDiscovery writes a line on discovery, as long as there is room for one.
+func (l *loop) warnDiscovery(text string, args ...any) {
+	if !l.logLimiter.Take(time.Since(l.startedAt)) {
+		l.suppressedLines++
+		return
+	}
+	if l.suppressedLines > 0 {
+		args = append(args, "lines_left_out", l.suppressedLines)
+	}
+	if deferredCalls := l.discovery.client.BudgetExhausted(); deferredCalls > 0 {
+		args = append(args, "calls_held_back", deferredCalls)
+	}
+	l.suppressedLines = 0
+	l.log.Warn(text, args...)
+}
+
 // debugEnabled tells whether the lines that come per request are written.
 func (l *loop) debugEnabled() bool { return l.log.Enabled(l.ctx, slog.LevelDebug) }
 
