--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,5 +1,5 @@
-// Command agent is one load-balancing agent on real sockets. Its file of
-// settings is named by EDGE_CONFIG.
+// Command agent runs one load-balancing agent on real sockets. EDGE_CONFIG names its configuration
+// file; on SIGHUP the agent reads it again, on SIGTERM or SIGINT it shuts down gracefully.
 package main
 
 import (
@@ -19,8 +19,8 @@
 	"knotrouter/internal/transient"
 )
 
-// startTimeout is how long the calls of a start may go on failing: an agent has to be ready within
-// 10 s, and one that can't start has to say so.
+// startTimeout is how long system calls of the start are retried: an agent has to be ready within
+// 10 s, or to report why it can't start.
 const startTimeout = 5 * time.Second
 
 func main() {
@@ -30,6 +30,7 @@
 	}
 }
 
+// run starts the agent and serves until a signal ends it.
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -65,7 +66,7 @@
 	}
 	go reload(ctx, path, reloads, log, a)
 	if config.CachedListErr != nil {
-		log.Warn("a part of the list at hand was left out", "err", config.CachedListErr)
+		log.Warn("cached list: invalid entries skipped", "err", config.CachedListErr)
 	}
 	log.Info("started", "listen", config.Listen, "backends", len(config.CachedList.Endpoints))
 	if err := a.Serve(ctx, ln); err != nil {
--- a/cmd/agent/reload.go
+++ b/cmd/agent/reload.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// reloadTimeout is how long a configuration that can't be read is tried again after its signal:
-	// what the new discovery has to tell counts as told 4 s after it (TERMS).
+	// reloadTimeout is how long reading an invalid or unreadable configuration is retried after the
+	// signal: changes at the new discovery address count as notified 4 s after it (TERMS).
 	reloadTimeout       = 3 * time.Second
 	reloadRetryInterval = 50 * time.Millisecond
 )
 
-// reload reads the configuration at each signal and hands it to the agent, until the context ends. A
-// file that is missing, half written or can't be read for a moment is read again; the next signal
-// begins anew.
+// reload reads the configuration at each signal and applies it to the agent, until ctx ends. If the
+// file is missing, incomplete or temporarily unreadable, reload retries within reloadTimeout; the next
+// signal starts over.
 func reload(ctx context.Context, path string, signals <-chan os.Signal, log *slog.Logger, a *agent.Agent) {
-	var retryUntil time.Time // a file is to be read until then; zero: none is
+	var retryUntil time.Time // deadline of the retries; zero: no reload is pending
 	retry := time.NewTicker(reloadRetryInterval)
 	defer retry.Stop()
 	for {
@@ -38,11 +38,11 @@
 		config, err := agent.LoadConfig(path)
 		switch {
 		case err == nil:
-			log.Info("SIGHUP: configuration read again", "discovery", config.Discovery, "stewards", config.ControlPlane)
+			log.Info("configuration reloaded", "discovery", config.Discovery, "control_plane", config.ControlPlane)
 			a.Reconfigure(config)
 			retryUntil = time.Time{}
 		case time.Now().After(retryUntil):
-			log.Error("SIGHUP: the configuration stays as it was", "err", err)
+			log.Error("configuration reload failed, the old one stays", "err", err)
 			retryUntil = time.Time{}
 		}
 	}
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -10,7 +10,7 @@
 	"knotrouter/policy"
 )
 
-// executeActions carries out the module's actions in their order.
+// executeActions executes the balancer's actions in order.
 func (l *loop) executeActions() {
 	for i := range l.actions {
 		action := &l.actions[i]
@@ -60,7 +60,7 @@
 	}
 }
 
-// startAttempt starts an attempt.
+// startAttempt sends r to the server that the action names.
 func (l *loop) startAttempt(r *request, action *policy.Action) {
 	b := l.backends[action.Server]
 	if b == nil {
@@ -74,7 +74,7 @@
 	r.attempts = append(r.attempts, a)
 	r.openAttempts++
 	if !b.usable || r.answered || r.abandoned.Load() {
-		// The module sends to what is listed as ready only; should it not, nothing goes out.
+		// The balancer sends only to servers that are listed as ready; if it ever does not, nothing is written.
 		a.cancel(nil)
 		l.deferredEvents = append(l.deferredEvents, event{kind: eventOutcome, attempt: a, result: result{status: policy.Withdrawn}})
 		return
@@ -83,7 +83,7 @@
 	go func() { l.post(event{kind: eventOutcome, attempt: a, result: a.run()}) }()
 }
 
-// newAttempt makes an newAttempt that ends by itself after a time.
+// newAttempt returns an attempt of r at b that is cancelled after timeout.
 func (l *loop) newAttempt(r *request, b *backend, timeout time.Duration) *attempt {
 	a := &attempt{req: r, backend: b, transport: b.transport, dialAddr: b.dialAddr, started: time.Now()}
 	ctx, cancel := context.WithCancelCause(l.ctx)
@@ -96,7 +96,8 @@
 	return a
 }
 
-// startProbe asks a backend how it is. Each startProbe has one end, which the module waits for.
+// startProbe sends a health check to a server. Each health check yields exactly one result, which
+// the balancer waits for.
 func (l *loop) startProbe(addr policy.Addr) {
 	b := l.backends[addr]
 	if b == nil || !b.usable {
@@ -110,12 +111,13 @@
 	if l.settings.Report.How == "off" {
 		path = "/health"
 	}
-	// It is answered beside the queue: what takes longer than two connects is no answer.
+	// A health check bypasses the server's queue: without a response within two connect timeouts it has failed.
 	a := l.newAttempt(&request{method: http.MethodGet, url: &url.URL{Path: path}}, b, 2*l.dialer.connectTimeout)
 	b.attempts[a] = struct{}{}
 	go func() { l.post(event{kind: eventProbeResult, attempt: a, result: a.run()}) }()
 }
 
+// handleOutcome processes the end of an attempt.
 func (l *loop) handleOutcome(a *attempt, res *result) {
 	r, b := a.req, a.backend
 	l.releaseAttempt(a)
@@ -125,7 +127,7 @@
 		l.answerRequest(r, answer{status: policy.OK, body: res.body, contentType: res.contentType})
 	}
 	if res.status == policy.Timeout {
-		// The machine may have vanished; its other connections would be as silent.
+		// The machine may be down; its other connections would be as unresponsive.
 		b.transport.CloseIdleConnections()
 	}
 	l.dispatch(&policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: a.index, Server: b.addr,
@@ -134,6 +136,7 @@
 	l.removeIfDone(r)
 }
 
+// handleProbeResult processes the end of a health check.
 func (l *loop) handleProbeResult(a *attempt, res *result) {
 	l.releaseAttempt(a)
 	text := res.loadReport
@@ -145,12 +148,12 @@
 		Report:    parseLoadReport(strings.TrimSpace(text), l.settings.Report.Names)})
 }
 
-// releaseAttempt takes an attempt that has ended from its backend.
+// releaseAttempt removes an attempt that has ended from its backend.
 func (l *loop) releaseAttempt(a *attempt) {
 	b := a.backend
 	delete(b.attempts, a)
 	l.removeUnused(b)
 	if a.transport != b.transport {
-		a.transport.CloseIdleConnections() // to the address or the process before
+		a.transport.CloseIdleConnections() // to the previous address or process
 	}
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -633,7 +633,7 @@
 	}
 	l.logLimiter = endpoints.TokenBucket{Burst: 10}
 	l.handle(event{kind: eventFailover, addr: "127.0.0.1:2", err: io.EOF})
-	if !strings.Contains(c.last, "lines_left_out=") {
+	if !strings.Contains(c.last, "suppressed_lines=") {
 		t.Errorf("said %q", c.last)
 	}
 }
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -15,7 +15,7 @@
 	"knotrouter/policy"
 )
 
-const maxBodyBytes = 64 << 10 // of a request and of an answer
+const maxBodyBytes = 64 << 10 // of a request and of a response
 
 var (
 	errAttemptWithdrawn      = errors.New("attempt withdrawn before its first byte")
@@ -29,40 +29,43 @@
 	errUnboundedBody         = errors.New("a body that ends with the connection was not waited for")
 )
 
+// attemptKey is the context key of the attempt that a dial serves.
 type attemptKey struct{}
 
 // The stages of an attempt.
 const (
 	attemptWaiting   int32 = iota // no byte was written
 	attemptSending                // a byte may have been written
-	attemptWithdrawn              // withdrawn before a byte was written: none will be
+	attemptWithdrawn              // withdrawn before a byte was written; none will be
 )
 
-// attempt is one send of a request to a backend. A probe is one too, of a request that
-// has no id and that no client waits for.
+// attempt is one request sent to one backend. A health check is an attempt too, with a request that
+// has no identifier and no client.
 type attempt struct {
 	req     *request
 	index   int
 	backend *backend
 	started time.Time
-	sendBy  time.Time // when its last byte has to be written; zero: whenever
+	sendBy  time.Time // the latest time for its last byte; zero: no limit
 
-	transport *http.Transport // the backend's, and its address, when the attempt began
+	transport *http.Transport // the backend's when the attempt began, like dialAddr
 	dialAddr  string
 
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	stage        atomic.Int32
-	header       http.Header                 // of the request as the backend gets it
-	conn         atomic.Pointer[backendConn] // the one that it may be written to
-	writeFailed  atomic.Bool                 // a write failed: the request did not go out whole
-	bodyConsumed atomic.Bool                 // its body was taken to the last byte
-	// firstByte is how long after its start its first byte was let out, in ns; 0: none was.
+	header       http.Header                 // of the outgoing request
+	conn         atomic.Pointer[backendConn] // the only one that it may be written to
+	writeFailed  atomic.Bool                 // a write failed: the request was not sent completely
+	bodyConsumed atomic.Bool                 // the transport has read the last byte of the body
+	// firstByte is the time in ns from the start until the first byte was allowed; 0: it was not.
 	firstByte atomic.Int64
 }
 
-// allowWrite is asked before each write. It lets an attempt out on one connection only,
-// which also stops a second copy that a library might send by itself.
+// allowWrite reports whether the attempt may write on c. It is called before each write. An attempt
+// writes on one connection only, which also stops a resend by net/http itself. Before the first
+// byte, allowWrite checks that the client is still connected and that the deduplication window is
+// open.
 func (a *attempt) allowWrite(c *backendConn) bool {
 	if a.conn.Load() != c {
 		return false
@@ -84,39 +87,41 @@
 	return true
 }
 
-// sendWindowExpired tells whether the time is over in which it may go out.
+// sendWindowExpired reports whether the time limit for the last byte has passed.
 func (a *attempt) sendWindowExpired() bool { return !a.sendBy.IsZero() && !time.Now().Before(a.sendBy) }
 
-// withdraw stops an attempt of which no byte went out, and reports whether it is so.
+// withdraw stops an attempt before its first byte. It returns true if no byte was or will be
+// written.
 func (a *attempt) withdraw() bool {
 	return a.stage.CompareAndSwap(attemptWaiting, attemptWithdrawn) || a.stage.Load() == attemptWithdrawn
 }
 
-// gotConn binds the attempt to its connection; to the first one only.
+// gotConn binds the attempt to the first connection that the transport chose for it.
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
 	if c, ok := info.Conn.(*backendConn); ok && a.conn.CompareAndSwap(nil, c) {
 		c.attempt.Store(a)
-		a.setTimeoutHeader() // now, and not before a connect that takes long: the transport writes it next
+		a.setTimeoutHeader() // now, and not before a slow connect: the transport writes it next
 	}
 }
 
+// deadline returns the end of the attempt's timeout.
 func (a *attempt) deadline() time.Time {
 	t, _ := a.ctx.Deadline()
 	return t
 }
 
-// result is how an attempt ended.
+// result is the outcome of an attempt.
 type result struct {
 	status      policy.Status
 	latency     time.Duration
 	body        []byte
-	contentType string // the answer's Content-Type
-	loadReport  string // the answer's load report
-	err         error  // why no whole answer came; nil: one did
+	contentType string // the response's Content-Type
+	loadReport  string // the response's load report
+	err         error  // why no complete response arrived; nil: one did
 }
 
-// run sends the attempt and waits for its end. When it returns, the connection is
-// closed or free for the next, and no further byte of the attempt goes out.
+// run sends the attempt and waits for its end. When it returns, the connection is closed or idle,
+// and no further byte of the attempt will be written.
 func (a *attempt) run() result {
 	if !a.sendBy.IsZero() {
 		defer time.AfterFunc(time.Until(a.sendBy), func() {
@@ -137,7 +142,8 @@
 	return res
 }
 
-// roundTrip returns an error where no whole answer came.
+// roundTrip sends the request and reads the response. It returns an error if no complete response
+// arrived.
 func (a *attempt) roundTrip() (res result, err error) {
 	ctx := context.WithValue(a.ctx, attemptKey{}, a)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: a.gotConn})
@@ -164,7 +170,7 @@
 		resp.Header.Get("Not-Started") == "1":
 		res.status = policy.Full
 	default:
-		res.status = policy.Error // it may have run
+		res.status = policy.Error // it may have been executed
 	}
 	if err != nil || len(body) > maxBodyBytes {
 		a.conn.Load().Close()
@@ -172,13 +178,14 @@
 	return res, nil
 }
 
-// failureStatus tells how an attempt ended that got no whole answer. In doubt it may have run.
+// failureStatus returns the status of an attempt that failed with err. If it is unknown whether the
+// backend executed the request, the status is one that counts as executed.
 func (a *attempt) failureStatus(err error) policy.Status {
 	notSent := a.withdraw()
 	cause := context.Cause(a.ctx)
 	switch {
 	case notSent && (a.req.abandoned.Load() || a.sendWindowExpired()):
-		return policy.Withdrawn // the backend is not to blame
+		return policy.Withdrawn // not the backend's fault
 	case notSent && (errors.Is(err, errNoSockets) || errors.Is(cause, errBackendDrained)):
 		return policy.Full
 	case errors.Is(cause, errAttemptCanceled):
@@ -191,10 +198,10 @@
 	return policy.Reset
 }
 
-// readResponseBody reads an answer's body, one byte more than there may be at the most. A body without a
-// length ends with the connection: a server that closes it has sent all, and a reset is an error
-// (PROTOCOL, "Agents to programme servers"). Of an answer that is not passed on such a body is not
-// waited for.
+// readResponseBody reads at most one byte more than maxBodyBytes. A body without a length ends with
+// the connection: a close means that the body is complete, a reset is an error (PROTOCOL, "Agents
+// to programme servers"). For a response that will not be forwarded, such a body is not read, and
+// the error is errUnboundedBody.
 func readResponseBody(resp *http.Response) ([]byte, error) {
 	untilClose := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 	if untilClose && resp.StatusCode != http.StatusOK {
@@ -203,8 +210,9 @@
 	return io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes+1))
 }
 
-// parseLoadReport reads the values that the settings name from a load parseLoadReport of the form
-// 'TEXT name=value, name=value'.
+// parseLoadReport returns the values of names from a load report of the form 'TEXT name=value,
+// name=value'. It returns nil if the text has another form or a value is not a number; a name that
+// is missing has the value 0.
 func parseLoadReport(text string, names []string) []float32 {
 	text, found := strings.CutPrefix(text, "TEXT ")
 	if !found || len(names) == 0 {
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -6,20 +6,21 @@
 	"knotrouter/policy"
 )
 
-// backend is one listed server and the connections to it. The loop owns it; the
-// transport is shared with the attempts.
+// backend is one listed server and the connections to it. The loop owns it; the attempts share its
+// transport.
 type backend struct {
 	addr          policy.Addr
 	dialAddr      string
-	listedStartMs float64 // start of its process, by discovery's clock
-	loopStartMs   float64 // the same by the loop's
+	listedStartMs float64 // start of its process in ms of discovery's clock
+	loopStartMs   float64 // the same in ms of the loop's clock
 	usable        bool
 	transport     *http.Transport
-	attempts      map[*attempt]struct{} // out now
+	attempts      map[*attempt]struct{} // in flight
 }
 
-// withdrawAttempts stops the attempts of which no byte has gone out, and closes the connections
-// that stand idle: a backend that drains, is gone or is another now gets nothing more.
+// withdrawAttempts withdraws the attempts that have not written a byte yet and closes the idle
+// connections. It is called when the server drains, is removed, or was replaced by another process
+// or address.
 func (b *backend) withdrawAttempts() {
 	for a := range b.attempts {
 		if a.withdraw() {
@@ -29,7 +30,7 @@
 	b.transport.CloseIdleConnections()
 }
 
-// removeUnused forgets a backend that is not to be sent to and has no attempt out.
+// removeUnused removes b from the loop if b is not usable and has no attempt in flight.
 func (l *loop) removeUnused(b *backend) {
 	if !b.usable && len(b.attempts) == 0 {
 		b.transport.CloseIdleConnections()
--- a/internal/agent/backendrequest.go
+++ b/internal/agent/backendrequest.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// outgoingRequest is the request as the backend gets it. The transport sends a request
-// again by itself, unasked, if it has no body or can get it anew; so it always has
-// a body here, one that can't be had twice.
+// outgoingRequest returns the request that is sent to the backend. net/http sends a request a
+// second time on its own if the request has no body or can get the body again (GetBody); therefore
+// this request always has a body, and no GetBody.
 func (a *attempt) outgoingRequest() *http.Request {
 	r := a.req
 	u := *r.url
@@ -33,19 +33,20 @@
 		Body: &requestBody{reader: bytes.NewReader(r.body), consumed: &a.bodyConsumed}, ContentLength: int64(len(r.body))}
 }
 
-// setTimeoutHeader sets what the backend is told of the time that the agent will wait.
+// setTimeoutHeader sets Request-Timeout to the time for which the agent will still wait.
 func (a *attempt) setTimeoutHeader() {
 	left := max(time.Until(a.deadline()).Milliseconds(), 1)
 	a.header["Request-Timeout"] = []string{strconv.FormatInt(left, 10) + "m"}
 }
 
-// requestBody is a request's body on its way out. It notes when it was taken to its last byte, which
-// the transport sends on before it comes for more.
+// requestBody is the body of an outgoing request. It records when the transport has consumed the
+// last byte; the transport writes that byte before it reads again.
 type requestBody struct {
 	reader   *bytes.Reader
 	consumed *atomic.Bool
 }
 
+// Read reads the next bytes of the body.
 func (b *requestBody) Read(p []byte) (int, error) {
 	n, err := b.reader.Read(p)
 	if b.reader.Len() == 0 {
@@ -54,4 +55,5 @@
 	return n, err
 }
 
+// Close does nothing: the body is in memory.
 func (b *requestBody) Close() error { return nil }
--- a/internal/agent/clientclose.go
+++ b/internal/agent/clientclose.go
@@ -7,11 +7,13 @@
 	"time"
 )
 
-// rejectionResponse is what a client is told whose request can't be taken for want of a place.
+// rejectionResponse is sent to a client whose connection is closed to make room while its request
+// is being read.
 const rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// reject answers a request that is being read and is given up, and takes what has come of it from the
-// system: a close over unread bytes would reset the connection and the answer with it.
+// reject answers a request that is still being read with rejectionResponse, and discards the
+// received bytes: a close with unread bytes would reset the connection, and the client would lose
+// the response.
 func (c *clientConn) reject() {
 	_ = c.Conn.SetWriteDeadline(time.Now().Add(rejectTimeout))
 	_, _ = io.WriteString(c.Conn, rejectionResponse)
@@ -35,7 +37,8 @@
 	})
 }
 
-// halfClose ends the agent's side of a connection at rest; who reads from it lingers.
+// halfClose ends the agent's side of an idle connection; the reader of the connection then lingers.
+// The lock must be held.
 func (c *clientConn) halfClose() {
 	if c.stage == connIdle {
 		c.owner.logClosed(c, reasonShutdown)
@@ -44,7 +47,8 @@
 	}
 }
 
-// shutdownWrite sends the end and bounds the time in which the client's is waited for.
+// shutdownWrite sends the end of the stream and limits the time for which the client's end is
+// awaited. The lock must be held.
 func (c *clientConn) shutdownWrite() {
 	if !c.lingerUntil.IsZero() {
 		return
@@ -56,7 +60,8 @@
 	_ = c.Conn.SetReadDeadline(c.lingerUntil)
 }
 
-// linger reads on until the client has closed too, or was given enough time and bytes.
+// linger reads until the client has closed its side, or until maxLingerBytes or the lingering
+// deadline is reached. It returns net.ErrClosed.
 func (c *clientConn) linger() error {
 	buf := make([]byte, 4<<10)
 	for {
@@ -74,12 +79,12 @@
 	}
 }
 
-// Close closes the connection in order and gives its place back.
+// Close performs a lingering close and releases the connection's place.
 func (c *clientConn) Close() error {
 	c.stopReadAhead()
 	c.owner.mu.Lock()
 	_, here := c.owner.conns[c]
-	if c.closed || !here { // or another has its place, and it is closed
+	if c.closed || !here { // or it was evicted or aborted, and is closed
 		c.closed = true
 		c.owner.mu.Unlock()
 		return c.Conn.Close()
--- a/internal/agent/clientconn.go
+++ b/internal/agent/clientconn.go
@@ -9,35 +9,36 @@
 	"knotrouter/internal/transient"
 )
 
-// clientConn is a client's connection as the HTTP server sees it. What its clients hold of
-// it is under their lock.
+// clientConn is a client's connection as net/http sees it. The fields after head are guarded by
+// owner.mu.
 type clientConn struct {
 	net.Conn
 	owner *clientConns
 	head  requestHead
 
 	stage            connStage
-	stageSince       time.Time // of the stage
-	answered         bool      // a request was answered on it
+	stageSince       time.Time // start of the current stage
+	answered         bool      // at least one request was answered
 	closed           bool
-	lingerUntil      time.Time // the end of lingering, once the agent's side has ended
+	lingerUntil      time.Time // deadline of lingering, set when the agent's side has ended
 	lingeredBytes    int
-	peerEnded        bool      // the client's side has ended
-	connectedAt      time.Time // when the connection came at the earliest: it may have waited to be accepted
-	requestArrivedAt time.Time // when the request at hand came at the earliest
-	nextArrivedAt    time.Time // the same of the next one, of which something came behind it; zero: nothing did
-	pipelined        bool      // something came behind the request at hand
-	readAheadBuf     []byte    // of that, what was read beyond the first byte
+	peerEnded        bool      // the client's side has ended, or failed
+	connectedAt      time.Time // earliest arrival of the connection, which may have been queued in the kernel
+	requestArrivedAt time.Time // earliest arrival of the current request
+	nextArrivedAt    time.Time // arrival of the first pipelined byte; zero: none has arrived
+	pipelined        bool      // a byte arrived behind the current request
+	readAheadBuf     []byte    // what readAhead has read behind that byte
 	readAheadErr     error
-	flooded          bool          // more came there than is kept
-	readAheadDone    chan struct{} // closed when reading ahead has ended; nil: it does not run
+	flooded          bool          // more was read ahead than is kept; nothing acts on it
+	readAheadDone    chan struct{} // closed when readAhead ends; nil: it does not run
 
-	canceled chan struct{} // closed when the client is seen to have gone in the midst of a request
+	canceled chan struct{} // closed when readAhead detects a disconnect
 }
 
-// Read reads what the client sends. Nothing of what comes after a close has begun is
-// returned. Beside a request the HTTP server reads a single byte, to see the client go; where
-// there is one, it would see no more, and the rest is read ahead here for the same reason.
+// Read reads what the client sends. It returns nothing that arrives after the close has begun.
+// While a request is handled, net/http reads a single byte in order to detect a disconnect; once
+// that byte has arrived, net/http would detect nothing more, and the connection is read ahead here
+// for the same purpose.
 func (c *clientConn) Read(p []byte) (int, error) {
 	c.owner.mu.Lock()
 	if c.stage == connClosing {
@@ -79,7 +80,8 @@
 	return n, err
 }
 
-// SetReadDeadline is the HTTP server's; how long is lingered is decided here.
+// SetReadDeadline sets the read deadline for net/http. It does nothing once the close has begun,
+// because the lingering close sets its own.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -89,8 +91,9 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// beginRequest notes that the first bytes of a request were read after a wait, and when they came at the
-// earliest. Where none are read, as they came with the request before, its time stands for both.
+// beginRequest records that the first bytes of a request were read after a wait, and when they
+// arrived at the earliest. A pipelined request counts from the arrival of its first byte. The lock
+// must be held.
 func (c *clientConn) beginRequest(waited time.Duration) {
 	c.setStage(connReading)
 	now := time.Now()
@@ -98,15 +101,15 @@
 	case !c.nextArrivedAt.IsZero():
 		c.requestArrivedAt = c.nextArrivedAt
 	case !c.answered && !c.connectedAt.IsZero() && waited < minBlockingWait:
-		c.requestArrivedAt = c.connectedAt // it may have come with the connection
+		c.requestArrivedAt = c.connectedAt // it may have arrived with the connection
 	default:
 		c.requestArrivedAt = now
 	}
 	c.nextArrivedAt = time.Time{}
 }
 
-// arrivalTime is when the request that was read came at the earliest, or now where that isn't known:
-// its time runs from then on.
+// arrivalTime returns the earliest time at which the current request may have arrived, from which
+// its timeout counts, or now if that time is unknown.
 func (c *clientConn) arrivalTime(now time.Time) time.Time {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -116,14 +119,15 @@
 	return c.requestArrivedAt
 }
 
+// setStage changes the stage and records the time of the change. The lock must be held.
 func (c *clientConn) setStage(s connStage) {
 	if c.stage != s {
 		c.stage, c.stageSince = s, time.Now()
 	}
 }
 
-// acceptRequest takes the request that was read, which is owed an answer from now on. It fails where
-// the connection is being closed.
+// acceptRequest accepts the request that was read; from then on the client is owed a response. It
+// returns false if the connection is being closed.
 func (c *clientConn) acceptRequest() bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -135,7 +139,7 @@
 	return true
 }
 
-// finishRequest is told that a request is answered and the next may come.
+// finishRequest is called when a request has been answered and the next one may arrive.
 func (c *clientConn) finishRequest() {
 	c.stopReadAhead()
 	c.head.reset()
@@ -151,8 +155,8 @@
 	}
 }
 
-// disconnected tells whether the client has closed its connection, as far as the system knows: the
-// request at hand may have waited there for long, with its client's end behind it.
+// disconnected reports whether the client has closed its connection. It asks the operating system,
+// because the request may have been queued there for long with the client's end behind it.
 func (c *clientConn) disconnected() bool {
 	select {
 	case <-c.canceled:
@@ -177,7 +181,7 @@
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		// An error that doesn't pass has ended the connection.
+		// A permanent error means that the connection has failed.
 		disconnected = n == 0 && err == nil || err != nil && !transient.IsTemporary(err)
 	})
 	return disconnected || err != nil
--- a/internal/agent/clientconns.go
+++ b/internal/agent/clientconns.go
@@ -8,59 +8,62 @@
 )
 
 const (
-	// lingerTimeout and maxLingerBytes bound what is read of a client after the agent has ended its
-	// side of the connection. A close over unread bytes resets the connection, and with it
-	// goes what the client has not read of its last answer.
+	// lingerTimeout and maxLingerBytes limit what is read from a client after the agent has ended
+	// its side of the connection. A close with unread bytes resets the connection, and the client
+	// loses what it has not read of its last response.
 	lingerTimeout  = 300 * time.Millisecond
 	maxLingerBytes = 256 << 10
-	// rejectTimeout bounds the write of a refusal, which finds room in the system's buffer.
+	// rejectTimeout limits the write of a rejection, which fits into the kernel's buffer.
 	rejectTimeout = 5 * time.Millisecond
-	// A connection gives its place to another that waits for one after so long at rest, so
-	// long since it was made without a byte, or so long within a request's head or body.
+	// A connection is evicted for a waiting one after minIdleBeforeEviction between requests,
+	// minUnusedBeforeEviction without any request, or minReadingBeforeEviction within a head or body.
 	minIdleBeforeEviction, minUnusedBeforeEviction, minReadingBeforeEviction = 100 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond
-	// maxReadAheadBuf is how much is kept of what a client sends behind its request, and
-	// maxReadAheadBytes how much is read of it at all, to see whether the client has gone.
+	// maxReadAheadBuf is how many bytes behind the current request are kept, and
+	// maxReadAheadBytes how many are read in order to detect a disconnect.
 	maxReadAheadBuf, maxReadAheadBytes = 4 << 10, 1 << 20
 )
 
-// connStage is how far a client's connection is with its next request.
+// connStage is the state of a client's connection between and within requests.
 type connStage uint8
 
 const (
-	connIdle    connStage = iota // no byte of it has come
-	connReading                  // some have, and the request is not taken
-	connActive                   // it is taken: the client is owed its answer
+	connIdle    connStage = iota // no byte of the next request has arrived
+	connReading                  // some bytes have arrived, and the request is not accepted
+	connActive                   // the request is accepted: the client is owed a response
 	connClosing                  // nothing is read as a request any more
 )
 
-// clientConns owns the connections of clientConns and their places. Whether a connection takes a
-// request or is closed is decided here, under one lock: what comes in the instant of a close
-// is either taken and answered, or never taken, and the client may send it again.
+// clientConns owns the client connections and limits their number. Whether a connection accepts a
+// request or is closed is decided under its lock: a request that arrives while its connection is
+// being closed is either accepted and answered, or never accepted, so that the client may send it
+// again.
 type clientConns struct {
 	mu        sync.Mutex
 	capacity  int
 	conns     map[*clientConn]struct{}
-	slotFreed chan struct{} // told of a place; holds one word
+	slotFreed chan struct{} // notified when a connection is released; buffer of one
 	draining  bool
-	log       *slog.Logger // nil: none
+	log       *slog.Logger // nil: no logging
 }
 
+// newClientConns returns an empty set for at most capacity connections.
 func newClientConns(most int) *clientConns {
 	return &clientConns{capacity: most, conns: map[*clientConn]struct{}{}, slotFreed: make(chan struct{}, 1)}
 }
 
-// count is how many connections there are.
+// count returns the number of connections.
 func (cs *clientConns) count() int {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	return len(cs.conns)
 }
 
-// nearlyFull tells whether nearlyFull places are left.
+// nearlyFull reports whether at least 7/8 of the capacity is in use.
 func (cs *clientConns) nearlyFull() bool { return cs.count() >= cs.capacity*7/8 }
 
-// admit gives a new connection a place, which it takes from one that stands idle or is slow
-// if there is no other. It waits as long as there is neither, until the end is closed.
+// admit adds a new connection. If the set is full, admit evicts an idle or slow connection, or
+// waits until one can be evicted or is closed. If done is closed meanwhile, admit closes raw and
+// returns nil.
 func (cs *clientConns) admit(raw net.Conn, done <-chan struct{}) *clientConn {
 	c := &clientConn{Conn: raw, owner: cs, stageSince: time.Now(), canceled: make(chan struct{})}
 	for {
@@ -76,7 +79,7 @@
 		cs.mu.Unlock()
 		select {
 		case <-cs.slotFreed:
-		case <-time.After(minIdleBeforeEviction / 4): // some may be at rest for long enough
+		case <-time.After(minIdleBeforeEviction / 4): // some may have been idle for long enough
 		case <-done:
 			raw.Close()
 			return nil
@@ -84,7 +87,7 @@
 	}
 }
 
-// logClosed writes a line on a connection that the agent closes.
+// logClosed logs that the agent closes c. The lock must be held.
 func (cs *clientConns) logClosed(c *clientConn, closeReason reason) {
 	if cs.log != nil {
 		cs.log.Debug("client connection closed", "connection", c.RemoteAddr(), "reason", closeReason,
@@ -92,8 +95,8 @@
 	}
 }
 
-// evictOne closes the connection that has stood idle for longest, or else the slowest one. It
-// owes no answer, and the client has long read its last one.
+// evictOne closes the connection that has been idle for longest or, if none is idle, the slowest
+// one. Neither has a response outstanding. The lock must be held.
 func (cs *clientConns) evictOne(now time.Time) {
 	var victim *clientConn
 	for c := range cs.conns {
@@ -118,8 +121,9 @@
 	}
 }
 
-// drain closes the connections at rest, now and from now on. One on which no request has
-// come yet keeps its place for a time: the client has only just connected.
+// drain closes the idle connections, and each other one after its current response. A connection
+// that has not carried a request yet stays open for a while, because its client has only just
+// connected.
 func (cs *clientConns) drain() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -131,8 +135,8 @@
 	}
 }
 
-// closeUnused closes those that came so long ago and sent nothing, and returns how many
-// connections are left.
+// closeUnused closes the connections that have been idle for at least age, and returns the number
+// of connections left.
 func (cs *clientConns) closeUnused(age time.Duration) int {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -144,7 +148,7 @@
 	return len(cs.conns)
 }
 
-// abort closes all that is left.
+// abort closes all connections. A client whose request is being read is rejected first.
 func (cs *clientConns) abort() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -1,6 +1,6 @@
-// Package agent is the real agent round the decision module: it turns what
-// happens on sockets into the module's events and carries out its actions. It
-// decides nothing about where, when or whether a request is sent.
+// Package agent runs the policy module on real sockets: it converts what happens there into the
+// balancer's events and executes its actions. It does not decide where, when or whether a request is
+// sent.
 package agent
 
 import (
@@ -18,14 +18,14 @@
 	"knotrouter/policy"
 )
 
-// Limits is what the machine allows the process.
+// Limits is the resources that the process may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Config is all that an agent is told at its start.
+// Config is the configuration of an agent.
 type Config struct {
 	Name          string
 	Listen        string
@@ -35,15 +35,15 @@
 	Settings      policy.Settings
 	Names         nameIndex
 	CachedList    endpoints.List
-	CachedListErr error // what of the list made no sense and was left out; nil: nothing
+	CachedListErr error // the first invalid entry of the cached list, all of which are skipped; nil: none
 
-	// What the platform doesn't know; it is off unless a configuration of our own has it.
-	ControlPlane []string // the list service's addresses, in place of Discovery
-	Services     []string // the services whose servers the agent asks the Stewards for; nil: all
+	// Extensions that the platform doesn't know; off unless the configuration has them.
+	ControlPlane []string // addresses of the control-plane servers, in place of Discovery
+	Services     []string // the services to subscribe to at the control plane; nil: all
 	LogLevel     slog.Level
 }
 
-// addresses is where the list is asked for.
+// addresses returns the addresses of the service that lists the backends.
 func (c *Config) addresses() []string {
 	if len(c.ControlPlane) > 0 {
 		return c.ControlPlane
@@ -51,13 +51,12 @@
 	return []string{c.Discovery}
 }
 
-// nameIndex maps the words of discovery and of clients to the module's numbers.
+// nameIndex maps names of zones, kinds, classes and tenants to the balancer's numbers.
 type nameIndex struct {
 	zones, kinds, classes, tenants map[string]int
 }
 
-// LoadConfig reads and validates the file at path. Its error names the key
-// that makes no sense.
+// LoadConfig reads and validates the file at path. The error names the invalid key.
 func LoadConfig(path string) (*Config, error) {
 	if path == "" {
 		return nil, errors.New("EDGE_CONFIG: not set")
@@ -69,7 +68,7 @@
 	return ParseConfig(text)
 }
 
-// ParseConfig reads and validates the text of a configuration.
+// ParseConfig parses and validates a configuration. The error names the invalid key.
 func ParseConfig(text []byte) (*Config, error) {
 	var raw struct {
 		Name      string          `json:"name"`
@@ -141,7 +140,7 @@
 	if err := json.Unmarshal(raw.Settings, &vocabulary); err != nil {
 		return nil, fmt.Errorf("config: settings: failureDomains or shapes: %w", err)
 	}
-	// The module validates its settings itself; one made here tells at once.
+	// The balancer validates its settings itself; creating one reports errors now.
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
@@ -160,9 +159,9 @@
 	return c, nil
 }
 
-// parseCachedList reads the list that the agent had last. It is a help and no more: what makes no
-// sense of it is left out, and told by the error, as discovery has the list in any case and an
-// agent that doesn't start serves nobody.
+// parseCachedList parses the list that the agent had last. It only speeds up the start: invalid
+// entries are skipped and named by the error, since discovery has the list in any case and an agent
+// that does not start serves nobody.
 func parseCachedList(text json.RawMessage) (l endpoints.List, firstErr error) {
 	if len(text) == 0 {
 		return l, nil
@@ -192,7 +191,7 @@
 		l.Endpoints = append(l.Endpoints, h)
 	}
 	if firstErr != nil || len(l.Endpoints) == 0 {
-		l.Seq = 0 // what is missing comes with the whole list only, not with changes
+		l.Seq = 0 // skipped entries come with the full list only, not with changes
 	}
 	if skipped > 1 {
 		firstErr = fmt.Errorf("%w, and %d more", firstErr, skipped-1)
@@ -200,11 +199,11 @@
 	return l, firstErr
 }
 
-// maxControlPlaneAddresses bounds the addresses of the list service; it has five processes at most,
+// maxControlPlaneAddresses limits the addresses of the control plane. It has at most five servers,
 // and as many more while they are replaced.
 const maxControlPlaneAddresses = 16
 
-// checkServices tells whether the services make sense; without the key there are none.
+// checkServices validates the services; nil, without the key, is valid.
 func checkServices(services, controlPlane []string) error {
 	if services == nil {
 		return nil
@@ -215,6 +214,7 @@
 	return endpoints.CheckServices(services)
 }
 
+// checkAddress returns an error unless addr has the form host:port with a numeric port.
 func checkAddress(addr string) error {
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -226,6 +226,7 @@
 	return nil
 }
 
+// indexNames returns the index of each name.
 func indexNames(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for i, w := range names {
--- a/internal/agent/dialer.go
+++ b/internal/agent/dialer.go
@@ -12,7 +12,7 @@
 	"knotrouter/internal/transient"
 )
 
-// dialer opens connections to backends within the process's share of descriptors.
+// dialer opens connections to backends within the process's limit of file descriptors for them.
 type dialer struct {
 	connect           func(ctx context.Context, network, addr string) (net.Conn, error)
 	connectTimeout    time.Duration
@@ -22,22 +22,23 @@
 	maxOpen           int64
 }
 
-// newTransport makes the connections of one backend. Each backend has its own, so
-// that its idle connections can be closed alone.
+// newTransport returns a transport for one backend. Each backend has its own, so that its idle
+// connections can be closed without touching those of others.
 func (d *dialer) newTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:         d.dialForAttempt,
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: d.maxIdlePerBackend,
 		IdleConnTimeout:     d.idleTimeout,
-		// What a head without an end may take of the memory, once for each attempt out.
+		// Bounds the memory that an endless head can take for each attempt in flight.
 		MaxResponseHeaderBytes: maxBodyBytes,
 	}
 }
 
-// dialForAttempt opens a connection for the attempt in ctx. The transport detaches its dials
-// from the request, to keep the connection for a later one; here a dialForAttempt ends with
-// its attempt, so that none is left running to a backend that was given up.
+// dialForAttempt opens a connection for the attempt in ctx. http.Transport detaches its dials from
+// the request and keeps the connection for a later request; here the dial ends with its attempt, so
+// that none goes on to a backend that was given up. It returns errNoSockets if the limit of open
+// connections is reached.
 func (d *dialer) dialForAttempt(ctx context.Context, network, addr string) (net.Conn, error) {
 	a, _ := ctx.Value(attemptKey{}).(*attempt)
 	if a == nil {
@@ -50,7 +51,7 @@
 	ctx, cancel := context.WithTimeout(a.ctx, d.connectTimeout)
 	defer cancel()
 	c, err := connectWithRetry(ctx, func(ctx context.Context) (net.Conn, error) { return d.connect(ctx, network, addr) })
-	if err == nil && a.ctx.Err() != nil { // it came up in the moment in which it was given up
+	if err == nil && a.ctx.Err() != nil { // established in the moment in which it was cancelled
 		c.Close()
 		err = a.ctx.Err()
 	}
@@ -61,9 +62,9 @@
 	return &backendConn{Conn: c, dialer: d, framing: responseFraming{framingState: framingState{complete: true}}}, nil
 }
 
-// connectWithRetry connects again while a connect fails for want of something on this machine or of a
-// way through the network, as long as the context lets it. What is left then is wrapped in errNoSockets
-// where this machine is to blame.
+// connectWithRetry calls connect again while it fails for lack of a local resource or of a network
+// route, with a backoff, until ctx ends. The last error is joined with errNoSockets if a local
+// resource was missing.
 func connectWithRetry(ctx context.Context, connect func(ctx context.Context) (net.Conn, error)) (net.Conn, error) {
 	for retries := 0; ; retries++ {
 		c, err := connect(ctx)
@@ -77,8 +78,8 @@
 	}
 }
 
-// backendConn is a connection to a backend. It knows the attempt that it carries and asks
-// it before a byte goes out.
+// backendConn is a connection to a backend. Each write needs the permission of the attempt that the
+// connection carries.
 type backendConn struct {
 	net.Conn
 	dialer  *dialer
@@ -87,6 +88,8 @@
 	closed  sync.Once
 }
 
+// Read reads the response to the current attempt. It returns errTrailingBytes once the backend has
+// sent bytes after the end of the response.
 func (c *backendConn) Read(p []byte) (int, error) {
 	if c.framing.hasTrailingBytes() {
 		return 0, errTrailingBytes
@@ -98,6 +101,8 @@
 	return n, err
 }
 
+// Write writes request bytes if the current attempt allows it; otherwise it returns
+// errAttemptWithdrawn.
 func (c *backendConn) Write(p []byte) (int, error) {
 	a := c.attempt.Load()
 	if a == nil || !a.allowWrite(c) {
@@ -108,11 +113,12 @@
 	}
 	n, err := c.Conn.Write(p)
 	if err != nil && n < len(p) {
-		a.writeFailed.Store(true) // the last byte can no longer follow
+		a.writeFailed.Store(true) // the last byte can no longer be sent
 	}
 	return n, err
 }
 
+// Close closes the connection and releases its place in the dialer's limit, once.
 func (c *backendConn) Close() error {
 	c.closed.Do(func() { c.dialer.open.Add(-1) })
 	return c.Conn.Close()
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -6,14 +6,15 @@
 	"knotrouter/internal/endpoints"
 )
 
-// discovery asks the service that lists the backends. Its methods block; the loop
-// runs each in a goroutine of its own, and hears of the result by post.
+// discovery calls the service that lists the backends. Its methods block; the loop runs each in its
+// own goroutine and receives the result as an event.
 type discovery struct {
 	addrs  []string
 	client *endpoints.Client
 	post   func(event)
 }
 
+// newDiscovery returns a client of the discovery service that delivers its events to post.
 func newDiscovery(c endpoints.ClientConfig, post func(event)) *discovery {
 	d := &discovery{addrs: c.Addresses}
 	d.post = func(e event) {
@@ -26,13 +27,13 @@
 	return d
 }
 
-// fetch asks for the whole list once.
+// fetch requests the full list once, of at least the version minVersion.
 func (d *discovery) fetch(ctx context.Context, minVersion int64) {
 	l, err := d.client.Fetch(ctx, minVersion)
 	d.post(event{kind: eventListFetched, list: l, err: err})
 }
 
-// leave says that the agent ends as planned, to whoever counts it as present.
+// leave notifies the control plane that this agent shuts down as planned.
 func (d *discovery) leave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, shutdownAcceptPeriod)
 	defer cancel()
@@ -41,7 +42,7 @@
 	}
 }
 
-// watch follows the changes after version since until no address leads on.
+// watch reads the changes after version since until no address is left to try.
 func (d *discovery) watch(ctx context.Context, since int64) {
 	reported := since
 	err := d.client.Watch(ctx, since, func(l endpoints.List) {
--- a/internal/agent/discoverychange.go
+++ b/internal/agent/discoverychange.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// previousDiscoveryTimeout is how long a discovery that was left is heard out: it closes its watches 1.5 s after
-	// the signal (TERMS).
+	// previousDiscoveryTimeout is how long the calls to a replaced discovery service are read: it
+	// closes its watches 1.5 s after the signal (TERMS).
 	previousDiscoveryTimeout = 2 * time.Second
-	// maxPreviousDiscoveries bounds how many are heard out at once, where configurations follow on each other.
+	// maxPreviousDiscoveries limits how many of them are read at once, after reloads in a row.
 	maxPreviousDiscoveries = 4
 )
 
-// previousDiscovery is a discovery that the agent has left and still hears.
+// previousDiscovery is a discovery service that a reload has replaced and whose open calls are
+// still read.
 type previousDiscovery struct {
 	discovery *discovery
-	cancel    context.CancelFunc // ends the calls to it
+	cancel    context.CancelFunc // cancels the calls to it
 }
 
-// connectDiscovery makes these the addresses of the discovery that is asked from now on.
+// connectDiscovery makes addrs the addresses of the discovery service from now on.
 func (l *loop) connectDiscovery(addrs []string) {
 	var c endpoints.ClientConfig
 	if l.controlPlane != nil {
@@ -34,14 +35,14 @@
 	l.discoveryCtx, l.cancelDiscovery = context.WithCancel(l.ctx)
 }
 
-// changeDiscovery takes the calls under way to discovery's new address. To the module they are the
-// ones it made. The watch begins there also where the module waits to ask again: that
-// wait is for the address before, and the new one's changes count as told in 4 s. Of
-// several addresses a watch leaves only one that is no longer among them, or all for the sake
-// of other services.
+// changeDiscovery moves the calls in flight to new addresses or services; the balancer regards them
+// as its own calls. The watch is opened at once even if the balancer is in a backoff: that backoff
+// was for the old address, and changes at the new one count as notified after 4 s. With several
+// addresses, only a watch at an address that is not configured any more ends, or every watch if the
+// services change.
 func (l *loop) changeDiscovery(addrs, services []string) {
 	if l.controlPlane == nil && services != nil {
-		l.log.Warn("services are asked for only by an agent that began with stewards", "services", len(services))
+		l.log.Warn("services ignored: the agent started without stewards", "services", len(services))
 	}
 	rescoped := l.controlPlane != nil && !l.scope.equals(services)
 	if slices.Equal(addrs, l.discovery.addrs) && !rescoped {
@@ -62,13 +63,14 @@
 			go l.discovery.fetch(l.discoveryCtx, l.listVersion)
 		}
 	}
-	// Nothing failed there yet: calls that fail from now on are repeated as the first ones.
+	// No call has failed there yet, so the backoff starts from its shortest wait.
 	l.dispatch(&policy.Event{Kind: policy.EvList, List: policy.ListSourceChanged})
 	l.openWatch()
 }
 
-// retireDiscovery leaves the discovery of now, and keeps its calls for a time: what it writes on them until
-// it closes them counts as told, and the first answer of the next one may be long in coming.
+// retireDiscovery replaces the current discovery service but keeps reading its open calls for a
+// while: what it writes until it closes them counts as notified, and the new one's first response
+// may take long.
 func (l *loop) retireDiscovery() {
 	l.previousDiscoveries = append(l.previousDiscoveries, previousDiscovery{l.discovery, l.cancelDiscovery})
 	time.AfterFunc(previousDiscoveryTimeout, l.cancelDiscovery)
@@ -78,8 +80,8 @@
 	}
 }
 
-// handlePreviousDiscovery takes what a discovery tells that was left, if it is newer than what is known. How its
-// calls end is of no interest.
+// handlePreviousDiscovery applies a list of a previous discovery service if it is newer than the
+// current one. How its calls end does not matter.
 func (l *loop) handlePreviousDiscovery(e *event) {
 	known := slices.ContainsFunc(l.previousDiscoveries, func(f previousDiscovery) bool { return f.discovery == e.source })
 	if !known || e.list.Seq <= l.listVersion {
@@ -95,17 +97,17 @@
 	}
 }
 
-// changeServices changes the services that are asked for, at the addresses that are the discovery's
-// now. What is held stays in use until the whole list of the new ones comes.
+// changeServices changes the subscribed services, at the current addresses. The known servers stay
+// in use until the full list of the new services arrives.
 func (l *loop) changeServices(services []string) {
 	number, err := l.discovery.client.Reconfigure(l.discovery.addrs, services, l.listVersion)
 	if err != nil {
-		l.log.Error("the services stay as they were", "err", err)
+		l.log.Error("discovery: subscription failed, the services stay", "err", err)
 		return
 	}
 	l.scope.update(services, number)
 	l.log.Info("discovery: subscribed", "services", len(services), "subscription", number)
 }
 
-// resubscribe asks for the whole list of the same services again.
+// resubscribe requests the full list of the same services again.
 func (l *loop) resubscribe() { l.changeServices(l.scope.services) }
--- a/internal/agent/endpointlist.go
+++ b/internal/agent/endpointlist.go
@@ -7,10 +7,11 @@
 	"knotrouter/policy"
 )
 
-// receiveList learns what a list says of the services that are asked for.
+// receiveList applies what a list says about the subscribed services. A list of an earlier
+// subscription is ignored.
 func (l *loop) receiveList(kind policy.ListKind, list *endpoints.List) {
 	if list.Subscription != l.scope.subscription {
-		return // of the services before
+		return // of an earlier subscription
 	}
 	list.Full = kind == policy.ListFull
 	scoped, events := l.scope.filter(*list)
@@ -20,11 +21,11 @@
 	l.applyList(kind, &scoped)
 }
 
-// receivePartialList takes what has come of a list that isn't whole: the entries of servers that are known.
-// A new server has time until the list is whole.
+// receivePartialList applies the received entries of an incomplete list to known servers. New
+// servers wait for the complete list.
 func (l *loop) receivePartialList(list *endpoints.List) {
 	if list.Subscription != l.scope.subscription || list.Seq != 0 && list.Seq <= l.listVersion {
-		return // of the services before, or nothing new
+		return // of an earlier subscription, or nothing new
 	}
 	knownEntries := endpoints.List{Seq: l.listVersion}
 	for _, h := range list.Endpoints {
@@ -32,11 +33,12 @@
 			knownEntries.Endpoints = append(knownEntries.Endpoints, h)
 		}
 	}
-	l.warnDiscovery("discovery: part of a list", "reason", reasonListIncomplete, "list_version", list.Seq, "entries", len(list.Endpoints), "age", list.Age)
+	l.warnDiscovery("discovery: incomplete list", "reason", reasonListIncomplete,
+		"list_version", list.Seq, "entries", len(list.Endpoints), "age", list.Age)
 	l.applyPartialList(&knownEntries, list.Age)
 }
 
-// openWatch opens the watch, if there is none.
+// openWatch opens the watch unless it is open.
 func (l *loop) openWatch() {
 	if !l.watching {
 		l.watching, l.watchStats = true, watchStats{openedAt: time.Now()}
@@ -44,20 +46,20 @@
 	}
 }
 
-// applyList applies a list: to the connections first, then the module is told.
+// applyList applies a list and its version: to the connections first, then to the balancer.
 func (l *loop) applyList(kind policy.ListKind, list *endpoints.List) {
 	l.listVersion = list.Seq
 	l.log.Debug("list taken", "version", list.Seq, "entries", len(list.Endpoints))
 	l.applyEntries(&policy.Event{Kind: policy.EvList, List: kind}, list)
 }
 
-// applyPartialList applies the entries that came of a list which isn't whole, and whose first byte came
-// so long ago. The version stays as it is: the next call asks for all of it again.
+// applyPartialList applies the received entries of an incomplete list whose first byte arrived age
+// ago. The version stays, so that the next call requests the whole change again.
 func (l *loop) applyPartialList(list *endpoints.List, age time.Duration) {
 	l.applyEntries(&policy.Event{Kind: policy.EvList, List: policy.ListPartial, AgeMs: float64(age) / float64(time.Millisecond)}, list)
 }
 
-// applyEntries takes a list's entries over into the connections and hands them on with the event.
+// applyEntries applies the entries of a list to the backends and dispatches them with ev.
 func (l *loop) applyEntries(ev *policy.Event, list *endpoints.List) {
 	l.observeStarts(ev.List, list)
 	ev.Entries = make([]policy.Entry, len(list.Endpoints))
@@ -86,7 +88,7 @@
 	l.hasUsableBackend.Store(usable)
 }
 
-// applyEntry takes one entry over into its backend and the connections to it.
+// applyEntry applies one entry to its backend and the connections to it.
 func (l *loop) applyEntry(h *endpoints.Endpoint, entry *policy.Entry, version int64) {
 	b := l.backends[entry.Server]
 	added := b == nil
@@ -98,8 +100,8 @@
 		l.backends[entry.Server] = b
 	}
 	if entry.Health != policy.Gone && (b.transport == nil || b.dialAddr != h.Dial || b.listedStartMs != h.StartedMs) {
-		// Connections to another address or to the process before are of no use, and
-		// what has not begun there must not.
+		// Connections to another address or to the previous process are useless, and
+		// attempts that have not begun there must not begin.
 		if b.transport != nil {
 			b.withdrawAttempts()
 		}
--- a/internal/agent/event.go
+++ b/internal/agent/event.go
@@ -4,26 +4,28 @@
 	"knotrouter/internal/endpoints"
 )
 
-// eventKind tells what happened.
+// eventKind is the kind of an event.
 type eventKind uint8
 
-// What may come in to the loop.
+// The kinds of events, with the fields of event that each kind sets.
 const (
 	eventRequest          eventKind = iota // req
-	eventClientCanceled                    // req: its handler answers or waits no longer
-	eventOutcome                           // att, res
-	eventProbeResult                       // att, res
+	eventClientCanceled                    // req: its handler has answered it or stopped waiting
+	eventOutcome                           // attempt, result
+	eventProbeResult                       // attempt, result
 	eventTimer                             // token
 	eventListFetched                       // list or err
 	eventListChanged                       // list
 	eventWatchEnded                        // err
-	eventDiscoveryChanged                  // addrs: where discovery is from now on, names: the services asked for
-	eventShutdown                          // the agent is about to end
-	eventFailover                          // addr: where it is not asked any more, err
-	eventListPartial                       // list: what has come of one that is not whole
+	eventDiscoveryChanged                  // addrs: the new ones of discovery; services: the new ones to subscribe to
+	eventShutdown                          // the agent shuts down
+	eventFailover                          // addr: the one that is not called any more; err
+	eventListPartial                       // list: the received entries of an incomplete list
 )
 
-// event is one thing that happened, on its way to the loop.
+// event is one message to the loop. Which fields are set depends on the kind. It is one struct
+// passed by value, and not a type for each kind, because a value in an interface would cost an
+// allocation per request.
 type event struct {
 	kind     eventKind
 	req      *request
@@ -31,10 +33,10 @@
 	result   result
 	token    uint32
 	list     endpoints.List
-	since    int64 // the version that the watch named, or told before this list
+	since    int64 // the version that the watch began with, or that of its list before this one
 	err      error
-	source   *discovery // who told
+	source   *discovery // the discovery that sent it; nil: not from discovery
 	addr     string
 	addrs    []string
-	services []string // of services
+	services []string // nil: no scope
 }
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -12,21 +12,21 @@
 	"knotrouter/policy"
 )
 
-// clientConnKey finds the clientConn in a request's context.
+// clientConnKey is the context key of a request's clientConn.
 type clientConnKey struct{}
 
-// requestError is why a request is not taken.
+// requestError is the response to an invalid request.
 type requestError struct {
 	status int
 	text   string
 }
 
-// ServeHTTP takes one request and gives it one answer.
+// ServeHTTP answers one request of a client.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, httpRequest *http.Request) {
 	arrivedAt := time.Now()
 	control := http.NewResponseController(w)
 	if httpRequest.ContentLength != 0 {
-		// Also where it is not read here: net/http reads on to the next request.
+		// Also if the body is not read here: net/http reads up to the next request.
 		_ = control.SetReadDeadline(arrivedAt.Add(bodyTimeout))
 	}
 	client, _ := httpRequest.Context().Value(clientConnKey{}).(*clientConn)
@@ -39,8 +39,8 @@
 		return
 	}
 	if len(httpRequest.TransferEncoding) > 0 {
-		// Should its head have been read with the request before and so gone unseen, what
-		// another reader would take for a part of its body is still not read as a request.
+		// If the head was read together with the previous request, requestHead has not seen it. Closing
+		// the connection still prevents that a part of the body is read as a request.
 		w.Header().Set("Connection", "close")
 	}
 	if httpRequest.URL.Path == "/ready" {
@@ -49,11 +49,11 @@
 	}
 	var r *request
 	answered := false
-	// A panic must not leave the request without an answer, nor the module with it.
+	// A panic must neither leave the request unanswered nor its state in the balancer.
 	defer func() {
 		if p := recover(); p != nil {
 			if p == http.ErrAbortHandler {
-				panic(p) // ends the connection without an answer, as it should be
+				panic(p) // closes the connection without a response, as intended
 			}
 			a.log.Error("panic in a handler", "panic", p, "stack", string(debug.Stack()))
 			if r != nil {
@@ -67,7 +67,7 @@
 	r, problem := a.readRequest(w, httpRequest, arrivedAt)
 	if problem != nil {
 		answered = true
-		w.Header().Set("Connection", "close") // the place is for who sends proper requests
+		w.Header().Set("Connection", "close") // the place is for clients that send valid requests
 		a.writeResponse(w, problem.status, "text/plain", []byte(problem.text+"\n"))
 		return
 	}
@@ -75,7 +75,7 @@
 	var canceled chan struct{}
 	if r.client = client; client != nil {
 		if !client.acceptRequest() {
-			panic(http.ErrAbortHandler) // it is being closed: the client may send this again
+			panic(http.ErrAbortHandler) // it is being closed: the client may send the request again
 		}
 		canceled = client.canceled
 	}
@@ -97,14 +97,15 @@
 		a.loop.post(event{kind: eventClientCanceled, req: r})
 		return
 	}
-	// The client has gone. Whatever is written now could still be read as an answer by one
-	// that has only ended its sending.
+	// The client has disconnected. A client that has only ended its sending could still read
+	// whatever is written now as a response.
 	r.abandoned.Store(true)
-	a.log.Debug("request dropped", "request_id", r.wireID, "reason", reasonClientCanceled)
+	a.log.Debug("request canceled", "request_id", r.wireID, "reason", reasonClientCanceled)
 	a.loop.post(event{kind: eventClientCanceled, req: r})
 	panic(http.ErrAbortHandler)
 }
 
+// serveReady answers the readiness probe.
 func (a *Agent) serveReady(w http.ResponseWriter) {
 	late := time.Since(a.loop.startedAt) >= readyDeadline
 	if a.draining.Load() || !a.loop.hasUsableBackend.Load() && !late {
@@ -114,7 +115,8 @@
 	a.writeResponse(w, http.StatusOK, "", nil)
 }
 
-// readRequest makes a request of what the client sent, its body included.
+// readRequest reads a client's request with its body. It returns a requestError if the request is
+// invalid.
 func (a *Agent) readRequest(w http.ResponseWriter, httpRequest *http.Request, arrivedAt time.Time) (*request, *requestError) {
 	r := &request{method: httpRequest.Method, url: httpRequest.URL, host: httpRequest.Host, wireID: httpRequest.Header.Get("Request-Id"),
 		idempotencyKey: httpRequest.Header.Get("Idempotency-Key"), contentType: httpRequest.Header.Get("Content-Type"),
@@ -166,7 +168,8 @@
 	return r, nil
 }
 
-// parseTimeout reads a number and a unit, m for milliseconds or u for microseconds.
+// parseTimeout parses a number with a unit, m for milliseconds or u for microseconds. The result is
+// above 0 and at most maxRequestTimeout.
 func parseTimeout(text string) (time.Duration, error) {
 	unit := time.Duration(0)
 	switch {
@@ -184,7 +187,7 @@
 	return time.Duration(n) * unit, nil
 }
 
-// writeAnswer words a final writeAnswer.
+// writeAnswer writes the response for a final answer.
 func (a *Agent) writeAnswer(w http.ResponseWriter, r *request, result answer) {
 	switch result.status {
 	case policy.OK:
@@ -199,8 +202,9 @@
 	}
 }
 
-// writeResponse sends an answer. While few places are left connections are closed after it, so that
-// idle ones don't keep others waiting, and while the agent leaves.
+// writeResponse writes a response. The connection is closed after it if the agent shuts down, or if
+// the client connections are nearly full, so that idle connections don't keep other clients
+// waiting.
 func (a *Agent) writeResponse(w http.ResponseWriter, status int, contentType string, body []byte) {
 	h := w.Header()
 	if a.draining.Load() || a.clients.nearlyFull() {
@@ -209,11 +213,11 @@
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	h["Date"] = nil
 	if contentType == "" {
-		h["Content-Type"] = nil // not to be guessed
+		h["Content-Type"] = nil // net/http must not guess it
 	} else {
 		h.Set("Content-Type", contentType)
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // an error means that the client has gone
+	_, _ = w.Write(body) // an error means that the client has disconnected
 }
--- a/internal/agent/listener.go
+++ b/internal/agent/listener.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// acceptLogInterval is the time between two lines on an accept that fails.
+	// acceptLogInterval is the shortest time between two log lines about failed accepts.
 	acceptLogInterval = time.Second
-	// minBlockingWait is how long an accept takes at the least that found no connection waiting, and a
+	// minBlockingWait is the shortest duration of an accept that found the queue empty, and of a
 	// first read that found no request.
 	minBlockingWait = 2 * time.Millisecond
-	// queueDrainTime is how long a queue that stood still may take to be worked off.
+	// queueDrainTime is how long the queue takes to drain after a stall, at most.
 	queueDrainTime = time.Second
 )
 
-// listener gives each client a place before it is served, and accepts connections whatever accept(2)
-// says, but for errors that last.
+// listener gives each client a place in clients before it is served. It retries temporary errors of
+// accept.
 type listener struct {
 	net.Listener
 	clients *clientConns
 	done    <-chan struct{}
-	ctx     context.Context // ends the waits between tries
+	ctx     context.Context // ends the backoff between retries
 	log     *slog.Logger
 
 	queue         acceptQueue
 	lastLogged    time.Time
-	failedAccepts int // accepts that failed since a line was logged
+	failedAccepts int // since lastLogged
 }
 
-// Accept waits for a connection. Its error is net.ErrClosed, or one that lasts.
+// Accept waits for a connection. Its error is net.ErrClosed or a permanent one.
 func (l *listener) Accept() (net.Conn, error) {
 	raw, err := l.accept()
 	if err != nil {
@@ -52,7 +52,7 @@
 	return c, nil
 }
 
-// accept accepts a connection.
+// accept waits for a connection and records how long connections may have been queued.
 func (l *listener) accept() (net.Conn, error) {
 	startedAt, minBlocked := time.Now(), minBlockingWait
 	accepting := transient.Listener{Listener: l.Listener, Context: l.ctx, OnError: func(err error, since time.Time) {
@@ -67,21 +67,21 @@
 	return raw, err
 }
 
-// logFailure logs accepts that fail, not each of them.
+// logFailure logs failed accepts, at most one line per acceptLogInterval.
 func (l *listener) logFailure(err error) {
 	if l.failedAccepts++; time.Since(l.lastLogged) >= acceptLogInterval {
-		l.log.Warn("accept failed", "err", err, "failed", l.failedAccepts)
+		l.log.Warn("accept failed", "err", err, "failures", l.failedAccepts)
 		l.lastLogged, l.failedAccepts = time.Now(), 0
 	}
 }
 
-// acceptQueue is how long connections may have waited in the system's acceptQueue. It stands still while none is
-// accepted, and is worked off within queueDrainTime after that.
+// acceptQueue estimates how long connections have waited in the kernel's accept queue. The queue
+// stalls while none is accepted, and is drained within queueDrainTime after that.
 type acceptQueue struct {
-	stalledFrom, stalledUntil time.Time // when it stood still last; zero: it doesn't matter any more
+	stalledFrom, stalledUntil time.Time // the last stall; zero: none that still matters
 }
 
-// noteStall notes that nothing was accepted from one moment to another.
+// noteStall records that no connection was accepted between from and to.
 func (q *acceptQueue) noteStall(from, to time.Time) {
 	if q.stalledFrom.IsZero() || from.Sub(q.stalledUntil) > queueDrainTime {
 		q.stalledFrom = from
@@ -89,11 +89,11 @@
 	q.stalledUntil = to
 }
 
-// noteEmpty notes that no connection waited.
+// noteEmpty records that no connection was queued.
 func (q *acceptQueue) noteEmpty() { q.stalledFrom, q.stalledUntil = time.Time{}, time.Time{} }
 
-// earliestArrival is when a connection that was accepted now came at the earliest: no longer ago than the queue
-// stood still, and not before that.
+// earliestArrival returns the earliest time at which a connection that is accepted now may have
+// arrived: not before the stall, and no longer ago than the stall lasted.
 func (q *acceptQueue) earliestArrival(now time.Time) time.Time {
 	if q.stalledFrom.IsZero() || now.Sub(q.stalledUntil) > queueDrainTime {
 		return now
--- a/internal/agent/log.go
+++ b/internal/agent/log.go
@@ -10,31 +10,32 @@
 	"knotrouter/policy"
 )
 
-// reason is why something ended: a closed connection, an attempt, a request's answer, a watch.
-// It is the one vocabulary of the log for that.
+// reason says why a connection was closed or why an attempt, a request or a watch ended. It is the
+// log's only vocabulary for that; the values are fixed.
 type reason string
 
 // The reasons that are logged.
 const (
 	reasonClientCanceled        reason = "client_left"
-	reasonIdleEvicted           reason = "idle_evicted"    // the place was needed for another client
-	reasonSlowEvicted           reason = "slow_evicted"    // the same, of one within a request's head or body
-	reasonShutdown              reason = "shutdown"        // the agent ends
-	reasonDeadline              reason = "deadline"        // the client's time was up
-	reasonServed                reason = "served"          // a server's whole answer
-	reasonRejected              reason = "refused"         // the module refused: a retry is harmless
-	reasonFailed                reason = "failed"          // the module gave up, or the answer failed
-	reasonCancelled             reason = "cancelled"       // the module gave the attempt up
-	reasonDrained               reason = "drained"         // the server drains or is gone
-	reasonDedupWindowExpired    reason = "window_over"     // too late for a repeat to be known as one
-	reasonNoSocket              reason = "no_socket"       // no descriptor left
-	reasonTrailingBytes         reason = "surplus"         // bytes behind an answer
-	reasonResponseBeforeRequest reason = "early_answer"    // an answer to a request that was not out whole
-	reasonTransportError        reason = "transport_error" // anything that a socket said
-	reasonListIncomplete        reason = "list_incomplete" // an answer ended in the midst of a list
+	reasonIdleEvicted           reason = "idle_evicted"    // its place was needed for another client
+	reasonSlowEvicted           reason = "slow_evicted"    // the same, within a request's head or body
+	reasonShutdown              reason = "shutdown"        // the agent shuts down
+	reasonDeadline              reason = "deadline"        // the client's timeout expired
+	reasonServed                reason = "served"          // a server's complete response
+	reasonRejected              reason = "refused"         // the balancer rejected it: a retry is safe
+	reasonFailed                reason = "failed"          // the balancer gave up, or the response failed
+	reasonCancelled             reason = "cancelled"       // the balancer cancelled the attempt
+	reasonDrained               reason = "drained"         // the server drains or was removed
+	reasonDedupWindowExpired    reason = "window_over"     // too late for a retry to be deduplicated
+	reasonNoSocket              reason = "no_socket"       // no file descriptor left
+	reasonTrailingBytes         reason = "surplus"         // bytes after the response
+	reasonResponseBeforeRequest reason = "early_answer"    // a response before the request was sent completely
+	reasonTransportError        reason = "transport_error" // any error of a socket
+	reasonListIncomplete        reason = "list_incomplete" // a response ended within a list
 )
 
-// attemptReason is why an attempt got no whole answer.
+// attemptReason returns why an attempt got no complete response, from its context's cause and its
+// error.
 func attemptReason(cause, err error) reason {
 	for _, known := range []struct {
 		err error
@@ -51,7 +52,7 @@
 	return reasonTransportError
 }
 
-// answerReason words a final answer.
+// answerReason returns the reason of a final response.
 func answerReason(status policy.Status) reason {
 	switch status {
 	case policy.OK:
@@ -62,26 +63,27 @@
 	return reasonFailed
 }
 
-// warnDiscovery writes a line on discovery, as long as there is room for one.
+// warnDiscovery logs a warning about discovery unless the rate limit is reached; then the line is
+// counted and the next line reports the count.
 func (l *loop) warnDiscovery(text string, args ...any) {
 	if !l.logLimiter.Take(time.Since(l.startedAt)) {
 		l.suppressedLines++
 		return
 	}
 	if l.suppressedLines > 0 {
-		args = append(args, "lines_left_out", l.suppressedLines)
+		args = append(args, "suppressed_lines", l.suppressedLines)
 	}
 	if deferredCalls := l.discovery.client.BudgetExhausted(); deferredCalls > 0 {
-		args = append(args, "calls_held_back", deferredCalls)
+		args = append(args, "deferred_calls", deferredCalls)
 	}
 	l.suppressedLines = 0
 	l.log.Warn(text, args...)
 }
 
-// debugEnabled tells whether the lines that come per request are written.
+// debugEnabled reports whether the lines for each request are logged.
 func (l *loop) debugEnabled() bool { return l.log.Enabled(l.ctx, slog.LevelDebug) }
 
-// logAttempt writes one line on an attempt that has ended.
+// logAttempt logs the end of an attempt at debug level.
 func (l *loop) logAttempt(a *attempt, res *result) {
 	if !l.debugEnabled() {
 		return
@@ -97,7 +99,7 @@
 	l.log.Debug("attempt ended", args...)
 }
 
-// logAnswer writes one line on a request's final answer.
+// logAnswer logs the final response to a request at debug level.
 func (l *loop) logAnswer(r *request, status policy.Status) {
 	if l.debugEnabled() {
 		l.log.Debug("request answered", "request_id", r.wireID, "reason", answerReason(status),
@@ -105,21 +107,21 @@
 	}
 }
 
-// logHealthChange writes one line on a server whose health or process changed, in the room that
-// there is for lines on discovery.
+// logHealthChange logs that a server's health or process changed, within the rate limit of the
+// lines about discovery.
 func (l *loop) logHealthChange(host *endpoints.Endpoint, version int64) {
 	if l.log.Enabled(l.ctx, slog.LevelInfo) && l.logLimiter.Take(time.Since(l.startedAt)) {
 		l.log.Info("backend changed", "backend", host.Name, "health", host.Health, "list_version", version)
 	}
 }
 
-// watchStats is what is logged of a watch when it ends.
+// watchStats is what is logged when a watch ends.
 type watchStats struct {
 	openedAt time.Time
 	lists    int
 }
 
-// endAttrs gives the log's attributes of a watch that endAttrs with err.
+// endAttrs returns the log attributes of a watch that ended with err.
 func (w *watchStats) endAttrs(err error, version int64) []any {
 	args := []any{"err", err, "list_version", version, "lists", w.lists, "open", time.Since(w.openedAt)}
 	if cut := new(endpoints.IncompleteError); errors.As(err, &cut) {
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -12,32 +12,31 @@
 	"knotrouter/policy"
 )
 
-// The ways in which the settings have lists come, and the time to ask within where they
-// give none, in ms.
+// The values of membershipMode, and the poll interval in ms for settings that give none.
 const (
 	membershipPushed, membershipOnRequest = "pushed", "on_request"
 	defaultPollWithinMs                   = 10000
 )
 
-// loop owns the Balancer: one goroutine hands it what happens, in order, and
-// carries out what it decides. Nothing in it blocks.
+// loop owns the Balancer: one goroutine passes events to it in order and executes its decisions.
+// Nothing in the loop blocks. All fields but events and hasUsableBackend belong to that goroutine.
 type loop struct {
 	balancer            *policy.Balancer
 	settings            *policy.Settings
 	names               *nameIndex
 	log                 *slog.Logger
 	events              chan event
-	deferredEvents      []event // what the loop itself gave rise to, to be handled next
+	deferredEvents      []event // events of the loop itself, handled next
 	startedAt           time.Time
 	startedAtMs         float64
 	dialer              *dialer
 	discovery           *discovery
-	controlPlane        *endpoints.ClientConfig // of what several stewards list; nil: one discovery does
-	scope               scope                   // the services whose servers are asked for
-	logLimiter          endpoints.TokenBucket   // for lines on discovery
-	suppressedLines     int                     // lines since the last that there was no room for
-	cancelDiscovery     context.CancelFunc      // ends the calls to disc
-	previousDiscoveries []previousDiscovery     // those before, which are heard out
+	controlPlane        *endpoints.ClientConfig // configuration of the control plane's client; nil: discovery has a single address
+	scope               scope                   // the subscribed services
+	logLimiter          endpoints.TokenBucket   // for the lines about discovery
+	suppressedLines     int                     // since the last line that was logged
+	cancelDiscovery     context.CancelFunc      // cancels the calls to discovery
+	previousDiscoveries []previousDiscovery     // replaced ones that are still read
 	discoveryCtx        context.Context
 	requests            map[policy.RequestID]*request
 	backends            map[policy.Addr]*backend
@@ -48,10 +47,12 @@
 	startClock          startClock
 	fetching            bool
 	actions             []policy.Action
-	hasUsableBackend    atomic.Bool // a backend can be sent to
+	hasUsableBackend    atomic.Bool // at least one backend is usable
 	ctx                 context.Context
 }
 
+// newLoop returns a loop with the list of the configuration applied. The watch and the first poll
+// of discovery may already be started; run must be called for anything else to happen.
 func newLoop(ctx context.Context, c *Config, log *slog.Logger) (*loop, error) {
 	settings := c.Settings
 	if maxOpen := maxOpenRequests(c.Limits.Sockets); settings.Limits.OpenCap <= 0 || settings.Limits.OpenCap > maxOpen {
@@ -59,8 +60,8 @@
 	}
 	pushed := settings.Membership == membershipPushed
 	if pushed {
-		// Over HTTP what is pushed comes on a watch as well, and one that breaks has to be
-		// opened anew: to the module the list is one that it asks for.
+		// Over HTTP a pushed list arrives on a watch too, and a broken watch has to be reopened.
+		// The balancer therefore treats the list as one that it polls.
 		settings.Membership = membershipOnRequest
 		if settings.Contract.ListPollWithinMs <= 0 {
 			settings.Contract.ListPollWithinMs = defaultPollWithinMs
@@ -70,13 +71,13 @@
 	if err != nil {
 		return nil, err
 	}
-	// The module's clock is the Unix time of the start, then monotonic: born_ms needs
-	// no translation, and steps of the system's clock don't show.
+	// The balancer's clock is the Unix time of the start, then monotonic: born_ms needs
+	// no conversion, and steps of the system's clock have no effect.
 	startedAt := time.Now()
 	budget := backendSockets(c.Limits.Sockets)
 	l := &loop{balancer: balancer, settings: &settings, names: &c.Names, log: log, ctx: ctx,
-		// Room for all that can be under way at once: a handler must not wait here
-		// while its guard is not yet set.
+		// Buffers all events that can be pending at once: a handler must not wait here
+		// before its guard timer is set.
 		events: make(chan event, 4*c.Limits.Sockets), startedAt: startedAt, startedAtMs: float64(startedAt.UnixMicro()) / 1000,
 		requests: map[policy.RequestID]*request{}, backends: map[policy.Addr]*backend{},
 		dialer: &dialer{connect: (&net.Dialer{KeepAlive: -1}).DialContext, connectTimeout: milliseconds(c.Settings.Limits.ConnectTimeoutMs),
@@ -84,7 +85,7 @@
 	if l.dialer.connectTimeout <= 0 {
 		l.dialer.connectTimeout = time.Second
 	}
-	// A fault of discovery is one that all agents see: they share the room for its lines.
+	// All agents see the same fault of discovery, so the rate of lines is for all of them together.
 	l.logLimiter = endpoints.TokenBucket{Burst: 10, Rate: min(1, 20/float64(max(settings.Replicas, 1)))}
 	if len(c.ControlPlane) > 0 {
 		l.controlPlane = &endpoints.ClientConfig{Order: c.Seed, Fleet: settings.Replicas, RejectOlder: true, Services: c.Services}
@@ -98,20 +99,22 @@
 	l.executeActions()
 	known := l.scope.seed(c.CachedList)
 	l.applyList(policy.ListCached, &known)
-	if pushed { // what is pushed counts as told from the first moment of a process
+	if pushed { // a pushed list counts as notified from the start of a process
 		l.openWatch()
 	}
 	return l, nil
 }
 
+// milliseconds returns the duration of x ms.
 func milliseconds(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
+// nowMs returns the time of the balancer's clock in ms.
 func (l *loop) nowMs() float64 {
 	return l.startedAtMs + float64(time.Since(l.startedAt))/float64(time.Millisecond)
 }
 
-// post hands the loop something that happened. It waits while the queue is full and
-// returns at once when the loop has ended.
+// post sends an event to the loop. It waits while the queue is full and returns at once when the
+// loop has ended.
 func (l *loop) post(e event) {
 	select {
 	case l.events <- e:
@@ -119,7 +122,7 @@
 	}
 }
 
-// run handles what comes in until the context ends.
+// run handles events until the loop's context ends.
 func (l *loop) run() {
 	for {
 		select {
@@ -135,12 +138,12 @@
 	}
 }
 
-// handle takes one input. A panic costs the request at hand its decision, and its
-// guard answers it: one bad event must not take down all that the agent holds.
+// handle processes one event. A panic loses the decision on this event only, and the handler's
+// guard timer answers the request: one bad event must not stop the agent.
 func (l *loop) handle(e event) {
 	defer func() {
 		if p := recover(); p != nil {
-			l.log.Error("panic in the loop", "input", e.kind, "panic", p, "stack", string(debug.Stack()))
+			l.log.Error("panic in the loop", "event", e.kind, "panic", p, "stack", string(debug.Stack()))
 		}
 	}()
 	if e.source != nil && e.source != l.discovery {
@@ -172,21 +175,21 @@
 		switch {
 		case e.err != nil:
 			l.warnDiscovery("discovery: fetch failed", "err", e.err)
-			if !l.watching { // a watch that is open tells as much, and its end is told by itself
+			if !l.watching { // an open watch delivers the same, and its end is an event of its own
 				l.dispatch(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
 			}
-		case e.list.Seq >= l.listVersion: // the watch may have told more meanwhile
+		case e.list.Seq >= l.listVersion: // the watch may have delivered a newer list meanwhile
 			l.receiveList(policy.ListFull, &e.list)
 		}
 	case eventListChanged:
 		l.watchStats.lists++
-		// A whole list was overtaken if another call told a newer one while its call was open. One
-		// that is older than what its own call named is of a discovery that counts anew.
+		// A full list is outdated if another call delivered a newer one while its call was open. A
+		// list that is older than what its own call named is of a discovery whose versions restarted.
 		overtaken := e.list.Seq < l.listVersion && (l.controlPlane != nil || e.list.Seq >= e.since)
 		switch {
 		case e.list.Full && !overtaken:
 			l.receiveList(policy.ListFull, &e.list)
-		case e.list.Seq >= l.listVersion: // of the same version: nothing changed, but the call was answered
+		case e.list.Seq >= l.listVersion: // the same version: nothing changed, but the call was answered
 			l.receiveList(policy.ListChange, &e.list)
 		case l.scope.needsFullList(&e.list):
 			l.resubscribe()
@@ -198,7 +201,7 @@
 		l.warnDiscovery("discovery: watch ended", l.watchStats.endAttrs(e.err, l.listVersion)...)
 		l.dispatch(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
 	case eventFailover:
-		l.warnDiscovery("discovery: asked elsewhere", "left", e.addr, "err", e.err)
+		l.warnDiscovery("discovery: failed over", "address", e.addr, "err", e.err)
 	case eventDiscoveryChanged:
 		l.changeDiscovery(e.addrs, e.services)
 	case eventShutdown:
@@ -208,7 +211,7 @@
 	}
 }
 
-// dispatch hands the module one event and carries out what it decides.
+// dispatch passes an event to the balancer and executes the actions that it returns.
 func (l *loop) dispatch(ev *policy.Event) {
 	l.actions = l.balancer.Handle(l.nowMs(), ev, l.actions[:0])
 	l.executeActions()
--- a/internal/agent/policyentry.go
+++ b/internal/agent/policyentry.go
@@ -8,12 +8,13 @@
 	"knotrouter/policy"
 )
 
+// policyHealth maps the health of a listed server to the balancer's.
 var policyHealth = map[string]policy.Health{
 	endpoints.Ready: policy.Ready, endpoints.Draining: policy.Draining, endpoints.Removed: policy.Gone,
 }
 
-// policyEntry translates a host for the module. A site or class that the settings don't
-// name is nobody's own: it gets a number that no settings give.
+// policyEntry converts a listed server for the balancer. A zone or kind that the settings don't
+// name becomes -1, a number that no configured one has.
 func (n *nameIndex) policyEntry(h *endpoints.Endpoint) policy.Entry {
 	at := func(m map[string]int, name string) int {
 		if i, ok := m[name]; ok {
@@ -25,8 +26,8 @@
 		Kind: at(n.kinds, h.Class), StartedMs: h.StartedMs, Health: policyHealth[h.Health], Weight: h.Weight}
 }
 
-// policyAddr gives a backend its address in the module: from its name alone, so that
-// it is the same at every agent and stays when the address to dial changes.
+// policyAddr returns the address that stands for a server in the balancer. It is derived from the
+// name alone, so that it is the same at every agent and does not change with the address to dial.
 func policyAddr(host string) policy.Addr {
 	h := fnv.New64a()
 	io.WriteString(h, host)
@@ -37,7 +38,8 @@
 	return policy.Addr(sum[2:])
 }
 
-// affinityKey gives what a request is about its number, the same at every agent; 0 is none.
+// affinityKey hashes the last segment of a request's path, with the same result at every agent. It
+// is never 0, which means no key.
 func affinityKey(text string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, text)
--- a/internal/agent/race_test.go
+++ b/internal/agent/race_test.go
@@ -115,7 +115,7 @@
 func (s stallingLog) WithAttrs([]slog.Attr) slog.Handler       { return s }
 func (s stallingLog) WithGroup(string) slog.Handler            { return s }
 func (s stallingLog) Handle(_ context.Context, r slog.Record) error {
-	if strings.HasPrefix(r.Message, "discovery: asked elsewhere") {
+	if strings.HasPrefix(r.Message, "discovery: failed over") {
 		s.stalled <- struct{}{}
 		<-s.release
 	}
--- a/internal/agent/readahead.go
+++ b/internal/agent/readahead.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// noteRead is told how much a read got of how much there was room for: the HTTP server's read
-// noteRead a request has room for one byte.
+// noteRead is called after each read with the number of bytes read and the size of the buffer.
+// net/http reads with a buffer of one byte only while a request is handled, so such a byte belongs
+// to a pipelined request. The lock must be held.
 func (c *clientConn) noteRead(n, capacity int) {
 	if n == 1 && capacity == 1 {
 		c.pipelined = true
@@ -17,7 +18,8 @@
 	}
 }
 
-// startReadAhead reads ahead if something came behind the request that is taken.
+// startReadAhead starts readAhead if a byte of a pipelined request has arrived behind the accepted
+// one. The lock must be held.
 func (c *clientConn) startReadAhead() {
 	if c.stage == connActive && c.pipelined && c.readAheadDone == nil && c.readAheadErr == nil {
 		c.readAheadDone = make(chan struct{})
@@ -25,7 +27,8 @@
 	}
 }
 
-// readAhead reads what the client sends behind a request until that is answered.
+// readAhead reads what the client sends behind the current request until that request is answered,
+// in order to detect a disconnect. It closes finished on return.
 func (c *clientConn) readAhead(finished chan struct{}) {
 	defer close(finished)
 	buf := make([]byte, 512)
@@ -48,7 +51,7 @@
 	}
 }
 
-// stopReadAhead ends the reading ahead.
+// stopReadAhead stops readAhead and waits for its end.
 func (c *clientConn) stopReadAhead() {
 	c.owner.mu.Lock()
 	done := c.readAheadDone
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -8,11 +8,11 @@
 	"knotrouter/policy"
 )
 
-// request is what a client asked. The handler fills it in; what stands below
-// answers belongs to the loop.
+// request is a client's request. The handler fills it in; the fields after answers belong to the
+// loop.
 type request struct {
-	client         *clientConn // nil: none waits
-	abandoned      atomic.Bool // by its handler, which waits no longer: no attempt may begin
+	client         *clientConn // nil: no client waits
+	abandoned      atomic.Bool // set by the handler when it stops waiting: no attempt may begin
 	class          int
 	tenant         int
 	affinityKey    uint64
@@ -27,7 +27,7 @@
 	idempotencyKey string
 	contentType    string
 	body           []byte
-	answers        chan answer // room for the one that is sent
+	answers        chan answer // buffer of one
 
 	id           policy.RequestID
 	answered     bool
@@ -35,8 +35,9 @@
 	openAttempts int
 }
 
-// isAbandoned tells whether nobody waits for the answer any more. It is asked last of all before an
-// attempt begins: the client may have gone while the request waited, or a connection came up.
+// isAbandoned reports whether no client waits for the response any more. It is checked last before
+// an attempt begins, because the client may disconnect while the request is queued or a connection
+// is established.
 func (r *request) isAbandoned() bool {
 	if !r.abandoned.Load() && r.client != nil && r.client.disconnected() {
 		r.abandoned.Store(true)
@@ -44,14 +45,15 @@
 	return r.abandoned.Load()
 }
 
-// answer is the final answer to a request.
+// answer is the final response to a request.
 type answer struct {
-	status      policy.Status // OK: served; Full: refused; Error: failed
+	status      policy.Status // OK: served; Full: rejected; Error: failed
 	body        []byte
 	contentType string
 	retryAfter  time.Duration
 }
 
+// handleRequest registers a new request and dispatches it to the balancer.
 func (l *loop) handleRequest(r *request) {
 	l.nextID++
 	if l.nextID == 0 {
@@ -64,7 +66,7 @@
 		HintMs: r.hintMs, HasHint: r.hasHint, Retry: r.retry})
 }
 
-// answerRequest gives a request its final answerRequest, unless it has one.
+// answerRequest sends the final response to the handler, unless the request has one.
 func (l *loop) answerRequest(r *request, a answer) {
 	if !r.answered {
 		r.answered = true
@@ -73,7 +75,7 @@
 	}
 }
 
-// removeIfDone drops a request that is answered and has no attempt out.
+// removeIfDone removes a request that is answered and has no attempt in flight.
 func (l *loop) removeIfDone(r *request) {
 	if r.answered && r.openAttempts == 0 {
 		delete(l.requests, r.id)
--- a/internal/agent/requesthead.go
+++ b/internal/agent/requesthead.go
@@ -6,20 +6,21 @@
 	"sync"
 )
 
-// maxFieldName is how much of a line is kept to know its field by.
+// maxFieldName is how many bytes of a header line are kept: enough to recognize the fields of
+// interest.
 const maxFieldName = len("transfer-encoding:")
 
-// requestHead notes which of the fields that tell a body's length stand in the requestHead of the
-// request at hand. Where there are two, net/http goes by one and hides the other, and
-// what it takes for the next request another reader takes for a part of the body.
+// requestHead detects which header fields that define the body's length occur in the current
+// request. If both occur, net/http uses one and hides the other, and another reader could take what
+// net/http reads as the next request for a part of the body (request smuggling).
 type requestHead struct {
-	mu                                    sync.Mutex // net/http may read on while the handler runs
-	line                                  []byte     // the start of the line at hand
+	mu                                    sync.Mutex // net/http may read while the handler runs
+	line                                  []byte     // the prefix of the current line
 	ended                                 bool
-	hasContentLength, hasTransferEncoding bool // Content-Length, Transfer-Encoding
+	hasContentLength, hasTransferEncoding bool // the fields that were seen
 }
 
-// scan takes the bytes that the connection reads next; those behind the head pass.
+// scan reads the next bytes of the connection; bytes after the head are ignored.
 func (h *requestHead) scan(p []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -37,15 +38,15 @@
 	}
 }
 
-// ambiguous tells whether the body's end can be read in two ways: by its length and by
-// its coding, or by a coding that a version before 1.1 does not know.
+// ambiguous reports whether the end of the body can be read in two ways: both length and transfer
+// coding are set, or a coding is used with a version before HTTP/1.1.
 func (h *requestHead) ambiguous(http11 bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.hasTransferEncoding && (h.hasContentLength || !http11)
 }
 
-// reset makes ready for the next request's head.
+// reset prepares for the head of the next request.
 func (h *requestHead) reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/agent/responseframing.go
+++ b/internal/agent/responseframing.go
@@ -7,34 +7,35 @@
 	"sync"
 )
 
-// maxLinePrefix is how much of a line of an answer's head is kept: enough for what is read of it.
+// maxLinePrefix is how many bytes of a line of a response's head are kept: enough for what is
+// parsed.
 const maxLinePrefix = 64
 
-// responseFraming follows where the answer on a backend's connection ends, to notice bytes behind
-// it. net/http leaves those in its buffer, and where the next request is quick they are
-// taken for its answer.
+// responseFraming tracks where the response on a backend's connection ends, in order to detect
+// bytes after it. net/http leaves such bytes in its buffer and, if the next request follows
+// quickly, takes them for its response.
 type responseFraming struct {
 	mu sync.Mutex
 	framingState
-	violated bool // bytes came behind the end, or before there was a request
+	violated bool // bytes arrived after the end or before a request, or the end is ambiguous
 }
 
-// framingState is how far an answer has come.
+// framingState is the parser's progress in a response.
 type framingState struct {
-	line       []byte  // of the head or between chunks, as far as it has come
-	section    section // of the answer that the line belongs to
-	statusSeen bool    // the status line has come
-	interim    bool    // the head is of a 1xx answer: another follows
+	line       []byte  // the received prefix of the current line
+	section    section // which the line belongs to
+	statusSeen bool    // the status line was parsed
+	interim    bool    // the head is of a 1xx response: another head follows
 	bodyless   bool    // the status allows no body
-	hasLength  bool    // the head tells the body's length,
-	length     int     // which is this,
-	chunked    bool    // and that the body tells it
+	hasLength  bool    // the head has a Content-Length
+	length     int     // the value of Content-Length
+	chunked    bool    // the head has a Transfer-Encoding
 	complete   bool    // no line follows
-	untilClose bool    // the end is the connection's
-	remaining  int     // bytes of the body or the chunk to come
+	untilClose bool    // the body ends with the connection
+	remaining  int     // bytes of the body or chunk still to come
 }
 
-// section is what the lines of an answer may belong to.
+// section is the part of a response that a line belongs to.
 type section uint8
 
 const (
@@ -43,7 +44,8 @@
 	sectionTrailer
 )
 
-// beginResponse makes ready for the answer to the next request; not if bytes came unasked.
+// beginResponse prepares for the response to the next request. It returns false if bytes arrived
+// without a request.
 func (f *responseFraming) beginResponse() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,7 +53,7 @@
 	return !f.violated
 }
 
-// scan takes the bytes that the connection reads next, and returns how many are the answer's.
+// scan reads the next bytes of the connection and returns how many of them belong to the response.
 func (f *responseFraming) scan(p []byte) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -79,7 +81,7 @@
 	return total
 }
 
-// acceptLine takes one line of the answer. What makes no sense net/http refuses.
+// acceptLine parses one line of the response. net/http rejects what is malformed.
 func (f *responseFraming) acceptLine(line string) {
 	switch f.section {
 	case sectionHead:
@@ -100,7 +102,7 @@
 	}
 }
 
-// acceptHeadLine takes one line of the acceptHeadLine. What makes no sense net/http refuses.
+// acceptHeadLine parses one line of the head. net/http rejects what is malformed.
 func (f *responseFraming) acceptHeadLine(line string) {
 	name, value, _ := strings.Cut(line, ":")
 	switch {
@@ -111,7 +113,7 @@
 	case line == "" && f.interim:
 		f.framingState = framingState{}
 	case line == "":
-		f.violated = f.violated || f.hasLength && f.chunked // its end can be read in two ways
+		f.violated = f.violated || f.hasLength && f.chunked // the end can be read in two ways
 		if f.chunked && !f.bodyless {
 			f.section = sectionChunkSize
 			return
@@ -129,7 +131,7 @@
 	}
 }
 
-// hasTrailingBytes tells whether more came than the answer, or its end is in doubt.
+// hasTrailingBytes reports whether bytes arrived after the response, or its end is ambiguous.
 func (f *responseFraming) hasTrailingBytes() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/agent/scope.go
+++ b/internal/agent/scope.go
@@ -6,15 +6,16 @@
 	"knotrouter/internal/endpoints"
 )
 
-// scope is the services whose servers the agent asks for. Its zero value is no scope: all
-// that discovery lists is taken as it comes.
+// scope is the services that the agent subscribes to. The zero value is no scope: every listed
+// server is used.
 type scope struct {
 	services     []string
-	subscription uint64                  // of the subscription
+	subscription uint64                  // number of the current subscription
 	table        *endpoints.ServiceTable // nil: no scope
 }
 
-// update changes the services, nil for no scope; number is that of the client's subscription.
+// update changes the services, nil for no scope; subscription is the number of the client's
+// subscription.
 func (s *scope) update(services []string, number uint64) {
 	s.services, s.subscription = services, number
 	switch {
@@ -27,7 +28,7 @@
 	}
 }
 
-// equals tells whether these are the services.
+// equals reports whether the scope has these services, in any order.
 func (s *scope) equals(services []string) bool {
 	if (s.services == nil) != (services == nil) {
 		return false
@@ -35,7 +36,7 @@
 	return slices.Equal(slices.Sorted(slices.Values(s.services)), slices.Sorted(slices.Values(services)))
 }
 
-// seed is what of a list from before belongs to the services.
+// seed returns the servers of a cached list that belong to the services.
 func (s *scope) seed(list endpoints.List) endpoints.List {
 	if s.table == nil {
 		return list
@@ -43,7 +44,7 @@
 	return s.table.Seed(list)
 }
 
-// filter is what a list says of the services.
+// filter returns what a list says about the services, and the changes of the services themselves.
 func (s *scope) filter(list endpoints.List) (endpoints.List, []endpoints.ServiceEvent) {
 	if s.table == nil {
 		return list, nil
@@ -51,8 +52,8 @@
 	return s.table.Apply(list)
 }
 
-// needsFullList tells whether a list that is left out, as it is older than another one, may have what
-// that other one could not tell.
+// needsFullList reports whether a list that is skipped, because it is older than another one, may
+// have servers that the other one could not contain.
 func (s *scope) needsFullList(list *endpoints.List) bool {
 	return s.table != nil && list.Subscription == s.subscription && list.Scoped && !s.table.Synced()
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -11,46 +11,47 @@
 )
 
 const (
-	// minSockets is the least that an agent can work with; reservedSockets are kept for
+	// minSockets is the smallest limit that an agent can work with; reservedSockets are for
 	// discovery, the listener and the runtime.
 	minSockets, reservedSockets = 64, 16
-	// guardMargin is how long before the client's time is up the last guard answers:
-	// later than the module's own last word.
+	// guardMargin is how long before the client's deadline the guard timer answers: later than
+	// the balancer's own last decision.
 	guardMargin = 2 * time.Millisecond
-	// shutdownAcceptPeriod is how long connections are taken after SIGTERM: they go on coming for
-	// up to 0.4 s.
+	// shutdownAcceptPeriod is how long connections are accepted after SIGTERM: clients go on
+	// connecting for up to 0.4 s.
 	shutdownAcceptPeriod = 450 * time.Millisecond
-	// headTimeout is how long a request's head may take to come, the first from the connect
-	// on, and bodyTimeout how long its body: a peer that sends no proper request is owed an
-	// error or a close within 3 s of connecting, and holds a client's place until then.
+	// headTimeout is how long a request's head may take to arrive, the first one counted from the
+	// connect, and bodyTimeout how long its body may: a peer that sends no valid request is owed an
+	// error or a close within 3 s of connecting, and occupies a client's place until then.
 	headTimeout, bodyTimeout = 1500 * time.Millisecond, time.Second
-	// idleTimeout is how long a connection without a request keeps its place: no shorter than
-	// clients may rely on, as no place is left for others while idle ones hold them all.
+	// idleTimeout is how long a connection without a request stays open: as long as clients may
+	// rely on and no longer, because idle connections occupy the places of others.
 	idleTimeout = 2100 * time.Millisecond
-	// readyDeadline is when a new process says that it is ready at the latest: one that knows no
-	// backend refuses at once, which tells its clients more than waiting for discovery does.
+	// readyDeadline is when a new process reports that it is ready at the latest: without a known
+	// backend it rejects requests at once, which tells clients more than a wait for discovery.
 	readyDeadline = 2 * time.Second
-	// writeTimeout is how long a client may take to read its answer.
+	// writeTimeout is how long a client may take to read its response.
 	writeTimeout = 2 * time.Second
-	// maxRequestTimeout is the longest deadline there is, with room to spare.
+	// maxRequestTimeout is the longest timeout that a client may request, with a margin.
 	maxRequestTimeout = time.Minute
 )
 
-// backendSockets is the part of the descriptors for connections to backends;
-// clientSockets that for clients'.
+// backendSockets returns how many of the process's sockets are for connections to backends.
 func backendSockets(all int) int { return (all - reservedSockets) / 2 }
 
+// clientSockets returns how many of the process's sockets are for connections of clients.
 func clientSockets(all int) int { return all - reservedSockets - backendSockets(all) }
 
-// maxOpenRequests is how many requests may be held at once, told to the module, which
-// refuses what is over it. The places left take the next clients: one that finds none
-// waits in the kernel's queue, where its request counts as taken and nobody answers.
+// maxOpenRequests returns how many requests the balancer may hold at once; it rejects the others.
+// The remaining client connections are kept for the next clients: a client without one waits in the
+// kernel's queue, where its timeout runs and nobody answers it.
 func maxOpenRequests(all int) int {
 	places := clientSockets(all)
 	return places - max(places/8, 8)
 }
 
-// Agent is one agent: the loop with the decisions and the server for the clients.
+// Agent is one load-balancing agent: the loop with the decisions, and the HTTP server for the
+// clients.
 type Agent struct {
 	loop     *loop
 	server   *http.Server
@@ -61,7 +62,8 @@
 	stop     context.CancelFunc
 }
 
-// New makes an agent, which is told the list of its configuration.
+// New returns an agent that knows the list of its configuration. It returns an error if the
+// settings are invalid.
 func New(c *Config, log *slog.Logger) (*Agent, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	l, err := newLoop(ctx, c, log)
@@ -90,7 +92,8 @@
 	return a, nil
 }
 
-// Serve answers on the listener until the context ends, then finishes what it holds.
+// Serve answers requests on ln until ctx ends, then shuts down gracefully. It returns an error if
+// the HTTP server fails before that.
 func (a *Agent) Serve(ctx context.Context, ln net.Listener) error {
 	defer a.stop()
 	go a.loop.run()
@@ -115,15 +118,15 @@
 	return nil
 }
 
-// Reconfigure takes over what may change while the agent runs: discovery's addresses and the
-// services that are asked for.
+// Reconfigure applies what may change while the agent runs: the addresses of discovery and the
+// subscribed services.
 func (a *Agent) Reconfigure(c *Config) {
 	a.loop.post(event{kind: eventDiscoveryChanged, addrs: c.addresses(), services: c.Services})
 }
 
-// shutdown ends the agent in order: clients go on coming for a while after the signal, so
-// connections at rest are closed first, while what crosses that can still come on a new one;
-// then no more are accepted; then all that is held is answered.
+// shutdown shuts the agent down gracefully. Clients go on connecting for a while after the signal,
+// so idle connections are closed first, and a request that crosses that close can still come on a
+// new connection; then stopAccepting is called; then all requests in flight are answered.
 func (a *Agent) shutdown(stopAccepting func()) {
 	a.draining.Store(true)
 	a.loop.post(event{kind: eventShutdown})
@@ -139,5 +142,5 @@
 	for deadline := time.Now().Add(milliseconds(longestMs) + 100*time.Millisecond); a.clients.closeUnused(minUnusedBeforeEviction) > 0 && time.Now().Before(deadline); {
 		<-ticker.C
 	}
-	a.clients.abort() // what is left is over its deadline, or never sent a request
+	a.clients.abort() // the rest is past its deadline or never sent a request
 }
--- a/internal/agent/services_test.go
+++ b/internal/agent/services_test.go
@@ -215,7 +215,7 @@
 	l, log := scopedLoop(t, config)
 	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{"127.0.0.1:2"}, services: []string{"a"}})
 	l.deliver(eventListChanged, 0, false, listOf(5, true, serviceEndpoint(3, "", "ready")))
-	if l.usableBackends() != "s-3" || l.scope.table != nil || !strings.Contains(log.String(), "began with stewards") {
+	if l.usableBackends() != "s-3" || l.scope.table != nil || !strings.Contains(log.String(), "services ignored: the agent started without stewards") {
 		t.Errorf("usable: %q; said %s", l.usableBackends(), log)
 	}
 }
