--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -76,7 +76,8 @@
 	if !b.usable || r.answered || r.abandoned.Load() {
 		// The balancer sends only to servers that are listed as ready; if it ever does not, nothing is written.
 		a.cancel(nil)
-		l.deferredEvents = append(l.deferredEvents, event{kind: eventOutcome, attempt: a, result: result{status: policy.Withdrawn}})
+		l.deferredEvents = append(l.deferredEvents,
+			event{kind: eventOutcome, attempt: a, result: result{status: policy.Withdrawn}})
 		return
 	}
 	b.attempts[a] = struct{}{}
@@ -104,7 +105,9 @@
 		if b == nil {
 			b = &backend{addr: addr, transport: l.dialer.newTransport()}
 		}
-		l.deferredEvents = append(l.deferredEvents, event{kind: eventProbeResult, attempt: l.newAttempt(nil, b, 0), result: result{status: policy.Withdrawn}})
+		a := l.newAttempt(nil, b, 0)
+		l.deferredEvents = append(l.deferredEvents,
+			event{kind: eventProbeResult, attempt: a, result: result{status: policy.Withdrawn}})
 		return
 	}
 	path := "/status/load"
--- a/internal/agent/clientconns.go
+++ b/internal/agent/clientconns.go
@@ -17,7 +17,9 @@
 	rejectTimeout = 5 * time.Millisecond
 	// A connection is evicted for a waiting one after minIdleBeforeEviction between requests,
 	// minUnusedBeforeEviction without any request, or minReadingBeforeEviction within a head or body.
-	minIdleBeforeEviction, minUnusedBeforeEviction, minReadingBeforeEviction = 100 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond
+	minIdleBeforeEviction    = 100 * time.Millisecond
+	minUnusedBeforeEviction  = 250 * time.Millisecond
+	minReadingBeforeEviction = 500 * time.Millisecond
 	// maxReadAheadBuf is how many bytes behind the current request are kept, and
 	// maxReadAheadBytes how many are read in order to detect a disconnect.
 	maxReadAheadBuf, maxReadAheadBytes = 4 << 10, 1 << 20
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -68,20 +68,23 @@
 	return ParseConfig(text)
 }
 
+// rawConfig is the text of a configuration before its validation.
+type rawConfig struct {
+	Name      string          `json:"name"`
+	Listen    string          `json:"listen"`
+	Discovery string          `json:"discovery"`
+	Seed      string          `json:"seed"`
+	Limits    Limits          `json:"limits"`
+	Known     json.RawMessage `json:"known"`
+	Settings  json.RawMessage `json:"settings"`
+	Stewards  []string        `json:"stewards"`
+	Services  []string        `json:"services"`
+	LogLevel  string          `json:"log_level"`
+}
+
 // ParseConfig parses and validates a configuration. The error names the invalid key.
 func ParseConfig(text []byte) (*Config, error) {
-	var raw struct {
-		Name      string          `json:"name"`
-		Listen    string          `json:"listen"`
-		Discovery string          `json:"discovery"`
-		Seed      string          `json:"seed"`
-		Limits    Limits          `json:"limits"`
-		Known     json.RawMessage `json:"known"`
-		Settings  json.RawMessage `json:"settings"`
-		Stewards  []string        `json:"stewards"`
-		Services  []string        `json:"services"`
-		LogLevel  string          `json:"log_level"`
-	}
+	var raw rawConfig
 	if err := json.Unmarshal(text, &raw); err != nil {
 		var bad *json.UnmarshalTypeError
 		if errors.As(err, &bad) {
@@ -94,69 +97,95 @@
 	if err := c.LogLevel.UnmarshalText([]byte(raw.LogLevel)); err != nil && raw.LogLevel != "" {
 		return nil, fmt.Errorf("config: log_level: must be debug, info, warn or error, is %q", raw.LogLevel)
 	}
+	if err := raw.checkAddresses(); err != nil {
+		return nil, err
+	}
+	if err := checkServices(raw.Services, raw.Stewards); err != nil {
+		return nil, fmt.Errorf("config: %w", err)
+	}
+	var err error
+	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
+		return nil, fmt.Errorf("config: seed: not 64 bits in hexadecimal: %q", raw.Seed)
+	}
+	if err := raw.checkLimits(); err != nil {
+		return nil, err
+	}
+	if err := c.applySettings(raw.Settings); err != nil {
+		return nil, err
+	}
+	c.CachedList, c.CachedListErr = parseCachedList(raw.Known)
+	return c, nil
+}
+
+// checkAddresses validates the addresses of the agent, of discovery and of the control plane.
+func (raw *rawConfig) checkAddresses() error {
 	if err := checkAddress(raw.Listen); err != nil {
-		return nil, fmt.Errorf("config: listen: %w", err)
+		return fmt.Errorf("config: listen: %w", err)
 	}
 	if err := checkAddress(raw.Discovery); err != nil && (raw.Discovery != "" || len(raw.Stewards) == 0) {
-		return nil, fmt.Errorf("config: discovery: %w", err)
+		return fmt.Errorf("config: discovery: %w", err)
 	}
 	if len(raw.Stewards) > maxControlPlaneAddresses {
-		return nil, fmt.Errorf("config: stewards: %d addresses of at most %d", len(raw.Stewards), maxControlPlaneAddresses)
+		return fmt.Errorf("config: stewards: %d addresses of at most %d", len(raw.Stewards), maxControlPlaneAddresses)
 	}
 	for i, addr := range raw.Stewards {
 		if err := checkAddress(addr); err != nil {
-			return nil, fmt.Errorf("config: stewards[%d]: %w", i, err)
+			return fmt.Errorf("config: stewards[%d]: %w", i, err)
 		}
 		if slices.Contains(raw.Stewards[:i], addr) {
-			return nil, fmt.Errorf("config: stewards[%d]: named twice: %q", i, addr)
+			return fmt.Errorf("config: stewards[%d]: named twice: %q", i, addr)
 		}
 	}
-	if err := checkServices(raw.Services, raw.Stewards); err != nil {
-		return nil, fmt.Errorf("config: %w", err)
-	}
-	var err error
-	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("config: seed: not 64 bits in hexadecimal: %q", raw.Seed)
-	}
+	return nil
+}
+
+// checkLimits validates the limits, and that a name and settings are given.
+func (raw *rawConfig) checkLimits() error {
 	switch l := raw.Limits; {
 	case raw.Name == "":
-		return nil, errors.New("config: name: missing")
+		return errors.New("config: name: missing")
 	case !(l.Cores > 0) || l.Cores > 1024:
-		return nil, fmt.Errorf("config: limits.cores: must be above 0 and at most 1024, is %v", l.Cores)
+		return fmt.Errorf("config: limits.cores: must be above 0 and at most 1024, is %v", l.Cores)
 	case !(l.MemoryMB >= 16) || l.MemoryMB > 1<<24:
-		return nil, fmt.Errorf("config: limits.memory_mb: must be 16 or above, is %v", l.MemoryMB)
+		return fmt.Errorf("config: limits.memory_mb: must be 16 or above, is %v", l.MemoryMB)
 	case l.Sockets < minSockets:
-		return nil, fmt.Errorf("config: limits.sockets: must be %d or above, is %d", minSockets, l.Sockets)
+		return fmt.Errorf("config: limits.sockets: must be %d or above, is %d", minSockets, l.Sockets)
 	case len(raw.Settings) == 0:
-		return nil, errors.New("config: settings: missing")
+		return errors.New("config: settings: missing")
 	}
-	if c.Settings, err = simwire.ParseSettings(raw.Settings); err != nil {
-		return nil, fmt.Errorf("config: %w", err)
+	return nil
+}
+
+// applySettings parses and validates the balancer's settings, and indexes the names in them.
+func (c *Config) applySettings(text json.RawMessage) error {
+	var err error
+	if c.Settings, err = simwire.ParseSettings(text); err != nil {
+		return fmt.Errorf("config: %w", err)
 	}
+	// Anonymous, because encoding/json would write a type's name into its errors.
 	var vocabulary struct {
-		Sites []string `json:"failureDomains"`
+		Zones []string `json:"failureDomains"`
 		Kinds []string `json:"shapes"`
 	}
-	if err := json.Unmarshal(raw.Settings, &vocabulary); err != nil {
-		return nil, fmt.Errorf("config: settings: failureDomains or shapes: %w", err)
+	if err := json.Unmarshal(text, &vocabulary); err != nil {
+		return fmt.Errorf("config: settings: failureDomains or shapes: %w", err)
 	}
 	// The balancer validates its settings itself; creating one reports errors now.
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
-		return nil, fmt.Errorf("config: %w", err)
+		return fmt.Errorf("config: %w", err)
 	}
-	c.Names = nameIndex{zones: indexNames(vocabulary.Sites), kinds: indexNames(vocabulary.Kinds),
+	c.Names = nameIndex{zones: indexNames(vocabulary.Zones), kinds: indexNames(vocabulary.Kinds),
 		classes: map[string]int{}, tenants: map[string]int{}}
 	for i, class := range c.Settings.Classes {
 		if class.Name == "" {
-			return nil, fmt.Errorf("config: settings: classes[%d].name: missing", i)
+			return fmt.Errorf("config: settings: classes[%d].name: missing", i)
 		}
 		c.Names.classes[class.Name] = i
 	}
 	for i, tenant := range c.Settings.Tenants {
 		c.Names.tenants[tenant.Name] = i
 	}
-	c.CachedList, c.CachedListErr = parseCachedList(raw.Known)
-	return c, nil
+	return nil
 }
 
 // parseCachedList parses the list that the agent had last. It only speeds up the start: invalid
--- a/internal/agent/dialer.go
+++ b/internal/agent/dialer.go
@@ -22,6 +22,22 @@
 	maxOpen           int64
 }
 
+// newBackendDialer returns the dialer of an agent with this configuration.
+func newBackendDialer(c *Config) *dialer {
+	sockets := backendSockets(c.Limits.Sockets)
+	d := &dialer{
+		connect:           (&net.Dialer{KeepAlive: -1}).DialContext,
+		connectTimeout:    milliseconds(c.Settings.Limits.ConnectTimeoutMs),
+		idleTimeout:       milliseconds(c.Settings.Limits.KeepaliveMs / 2),
+		maxOpen:           int64(sockets),
+		maxIdlePerBackend: max(sockets/32, 2),
+	}
+	if d.connectTimeout <= 0 {
+		d.connectTimeout = time.Second
+	}
+	return d
+}
+
 // newTransport returns a transport for one backend. Each backend has its own, so that its idle
 // connections can be closed without touching those of others.
 func (d *dialer) newTransport() *http.Transport {
--- a/internal/agent/endpointlist.go
+++ b/internal/agent/endpointlist.go
@@ -7,6 +7,36 @@
 	"knotrouter/policy"
 )
 
+// handleListFetched processes the result of a fetch.
+func (l *loop) handleListFetched(e *event) {
+	l.fetching = false
+	switch {
+	case e.err != nil:
+		l.warnDiscovery("discovery: fetch failed", "err", e.err)
+		if !l.watching { // an open watch delivers the same, and its end is an event of its own
+			l.dispatch(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
+		}
+	case e.list.Seq >= l.listVersion: // the watch may have delivered a newer list meanwhile
+		l.receiveList(policy.ListFull, &e.list)
+	}
+}
+
+// handleListChanged processes a list that the watch delivered.
+func (l *loop) handleListChanged(e *event) {
+	l.watchStats.lists++
+	// A full list is outdated if another call delivered a newer one while its call was open. A
+	// list that is older than what its own call named is of a discovery whose versions restarted.
+	outdated := e.list.Seq < l.listVersion && (l.controlPlane != nil || e.list.Seq >= e.since)
+	switch {
+	case e.list.Full && !outdated:
+		l.receiveList(policy.ListFull, &e.list)
+	case e.list.Seq >= l.listVersion: // the same version: nothing changed, but the call was answered
+		l.receiveList(policy.ListChange, &e.list)
+	case l.scope.needsFullList(&e.list):
+		l.resubscribe()
+	}
+}
+
 // receiveList applies what a list says about the subscribed services. A list of an earlier
 // subscription is ignored.
 func (l *loop) receiveList(kind policy.ListKind, list *endpoints.List) {
@@ -56,7 +86,8 @@
 // applyPartialList applies the received entries of an incomplete list whose first byte arrived age
 // ago. The version stays, so that the next call requests the whole change again.
 func (l *loop) applyPartialList(list *endpoints.List, age time.Duration) {
-	l.applyEntries(&policy.Event{Kind: policy.EvList, List: policy.ListPartial, AgeMs: float64(age) / float64(time.Millisecond)}, list)
+	ageMs := float64(age) / float64(time.Millisecond)
+	l.applyEntries(&policy.Event{Kind: policy.EvList, List: policy.ListPartial, AgeMs: ageMs}, list)
 }
 
 // applyEntries applies the entries of a list to the backends and dispatches them with ev.
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -24,10 +24,9 @@
 // ServeHTTP answers one request of a client.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, httpRequest *http.Request) {
 	arrivedAt := time.Now()
-	control := http.NewResponseController(w)
 	if httpRequest.ContentLength != 0 {
 		// Also if the body is not read here: net/http reads up to the next request.
-		_ = control.SetReadDeadline(arrivedAt.Add(bodyTimeout))
+		_ = http.NewResponseController(w).SetReadDeadline(arrivedAt.Add(bodyTimeout))
 	}
 	client, _ := httpRequest.Context().Value(clientConnKey{}).(*clientConn)
 	if client != nil {
@@ -47,21 +46,17 @@
 		a.serveReady(w)
 		return
 	}
+	a.serveRequest(w, httpRequest, client, arrivedAt)
+}
+
+// serveRequest reads a request and answers it with the balancer's decision, at the deadline at the
+// latest. It aborts the connection without a response if the client has disconnected.
+func (a *Agent) serveRequest(w http.ResponseWriter, httpRequest *http.Request, client *clientConn, arrivedAt time.Time) {
 	var r *request
 	answered := false
-	// A panic must neither leave the request unanswered nor its state in the balancer.
 	defer func() {
 		if p := recover(); p != nil {
-			if p == http.ErrAbortHandler {
-				panic(p) // closes the connection without a response, as intended
-			}
-			a.log.Error("panic in a handler", "panic", p, "stack", string(debug.Stack()))
-			if r != nil {
-				a.loop.post(event{kind: eventClientCanceled, req: r})
-			}
-			if !answered {
-				a.writeResponse(w, http.StatusInternalServerError, "", nil)
-			}
+			a.handlePanic(w, p, r, answered)
 		}
 	}()
 	r, problem := a.readRequest(w, httpRequest, arrivedAt)
@@ -71,7 +66,7 @@
 		a.writeResponse(w, problem.status, "text/plain", []byte(problem.text+"\n"))
 		return
 	}
-	_ = control.SetReadDeadline(time.Time{})
+	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	var canceled chan struct{}
 	if r.client = client; client != nil {
 		if !client.acceptRequest() {
@@ -105,6 +100,21 @@
 	panic(http.ErrAbortHandler)
 }
 
+// handlePanic is called with the value of a recovered panic. The panic must neither leave the request
+// unanswered nor its state in the balancer.
+func (a *Agent) handlePanic(w http.ResponseWriter, p any, r *request, answered bool) {
+	if p == http.ErrAbortHandler {
+		panic(p) // closes the connection without a response, as intended
+	}
+	a.log.Error("panic in a handler", "panic", p, "stack", string(debug.Stack()))
+	if r != nil {
+		a.loop.post(event{kind: eventClientCanceled, req: r})
+	}
+	if !answered {
+		a.writeResponse(w, http.StatusInternalServerError, "", nil)
+	}
+}
+
 // serveReady answers the readiness probe.
 func (a *Agent) serveReady(w http.ResponseWriter) {
 	late := time.Since(a.loop.startedAt) >= readyDeadline
@@ -118,9 +128,16 @@
 // readRequest reads a client's request with its body. It returns a requestError if the request is
 // invalid.
 func (a *Agent) readRequest(w http.ResponseWriter, httpRequest *http.Request, arrivedAt time.Time) (*request, *requestError) {
-	r := &request{method: httpRequest.Method, url: httpRequest.URL, host: httpRequest.Host, wireID: httpRequest.Header.Get("Request-Id"),
-		idempotencyKey: httpRequest.Header.Get("Idempotency-Key"), contentType: httpRequest.Header.Get("Content-Type"),
-		retry: httpRequest.Header.Get("Client-Retry") == "1", answers: make(chan answer, 1)}
+	r := &request{
+		method:         httpRequest.Method,
+		url:            httpRequest.URL,
+		host:           httpRequest.Host,
+		wireID:         httpRequest.Header.Get("Request-Id"),
+		idempotencyKey: httpRequest.Header.Get("Idempotency-Key"),
+		contentType:    httpRequest.Header.Get("Content-Type"),
+		retry:          httpRequest.Header.Get("Client-Retry") == "1",
+		answers:        make(chan answer, 1),
+	}
 	parts := strings.Split(strings.Trim(httpRequest.URL.Path, "/"), "/")
 	class, known := a.config.Names.classes[parts[0]]
 	if !known {
--- a/internal/agent/log.go
+++ b/internal/agent/log.go
@@ -41,9 +41,14 @@
 		err error
 		why reason
 	}{
-		{errClientCanceled, reasonClientCanceled}, {errAttemptCanceled, reasonCancelled}, {errBackendDrained, reasonDrained},
-		{errDedupWindowExpired, reasonDedupWindowExpired}, {errNoSockets, reasonNoSocket},
-		{errTrailingBytes, reasonTrailingBytes}, {errResponseBeforeRequest, reasonResponseBeforeRequest}, {context.DeadlineExceeded, reasonDeadline},
+		{errClientCanceled, reasonClientCanceled},
+		{errAttemptCanceled, reasonCancelled},
+		{errBackendDrained, reasonDrained},
+		{errDedupWindowExpired, reasonDedupWindowExpired},
+		{errNoSockets, reasonNoSocket},
+		{errTrailingBytes, reasonTrailingBytes},
+		{errResponseBeforeRequest, reasonResponseBeforeRequest},
+		{context.DeadlineExceeded, reasonDeadline},
 	} {
 		if errors.Is(cause, known.err) || errors.Is(err, known.err) {
 			return known.why
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"log/slog"
-	"net"
 	"runtime/debug"
 	"sync/atomic"
 	"time"
@@ -31,7 +30,7 @@
 	startedAtMs         float64
 	dialer              *dialer
 	discovery           *discovery
-	controlPlane        *endpoints.ClientConfig // configuration of the control plane's client; nil: discovery has a single address
+	controlPlane        *endpoints.ClientConfig // of the control plane's client; nil: one discovery address
 	scope               scope                   // the subscribed services
 	logLimiter          endpoints.TokenBucket   // for the lines about discovery
 	suppressedLines     int                     // since the last line that was logged
@@ -74,16 +73,20 @@
 	// The balancer's clock is the Unix time of the start, then monotonic: born_ms needs
 	// no conversion, and steps of the system's clock have no effect.
 	startedAt := time.Now()
-	budget := backendSockets(c.Limits.Sockets)
-	l := &loop{balancer: balancer, settings: &settings, names: &c.Names, log: log, ctx: ctx,
+	l := &loop{
+		balancer: balancer,
+		settings: &settings,
+		names:    &c.Names,
+		log:      log,
+		ctx:      ctx,
 		// Buffers all events that can be pending at once: a handler must not wait here
 		// before its guard timer is set.
-		events: make(chan event, 4*c.Limits.Sockets), startedAt: startedAt, startedAtMs: float64(startedAt.UnixMicro()) / 1000,
-		requests: map[policy.RequestID]*request{}, backends: map[policy.Addr]*backend{},
-		dialer: &dialer{connect: (&net.Dialer{KeepAlive: -1}).DialContext, connectTimeout: milliseconds(c.Settings.Limits.ConnectTimeoutMs),
-			idleTimeout: milliseconds(c.Settings.Limits.KeepaliveMs / 2), maxOpen: int64(budget), maxIdlePerBackend: max(budget/32, 2)}}
-	if l.dialer.connectTimeout <= 0 {
-		l.dialer.connectTimeout = time.Second
+		events:      make(chan event, 4*c.Limits.Sockets),
+		startedAt:   startedAt,
+		startedAtMs: float64(startedAt.UnixMicro()) / 1000,
+		requests:    map[policy.RequestID]*request{},
+		backends:    map[policy.Addr]*backend{},
+		dialer:      newBackendDialer(c),
 	}
 	// All agents see the same fault of discovery, so the rate of lines is for all of them together.
 	l.logLimiter = endpoints.TokenBucket{Burst: 10, Rate: min(1, 20/float64(max(settings.Replicas, 1)))}
@@ -154,16 +157,7 @@
 	case eventRequest:
 		l.handleRequest(e.req)
 	case eventClientCanceled:
-		if r := e.req; r.id != 0 && !r.answered {
-			r.answered = true
-			for _, a := range r.attempts {
-				if a.withdraw() {
-					a.cancel(errClientCanceled)
-				}
-			}
-			l.dispatch(&policy.Event{Kind: policy.EvClientCanceled, Request: r.id})
-			l.removeIfDone(r)
-		}
+		l.handleClientCanceled(e.req)
 	case eventOutcome:
 		l.handleOutcome(e.attempt, &e.result)
 	case eventProbeResult:
@@ -171,29 +165,9 @@
 	case eventTimer:
 		l.dispatch(&policy.Event{Kind: policy.EvTimer, Token: e.token})
 	case eventListFetched:
-		l.fetching = false
-		switch {
-		case e.err != nil:
-			l.warnDiscovery("discovery: fetch failed", "err", e.err)
-			if !l.watching { // an open watch delivers the same, and its end is an event of its own
-				l.dispatch(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
-			}
-		case e.list.Seq >= l.listVersion: // the watch may have delivered a newer list meanwhile
-			l.receiveList(policy.ListFull, &e.list)
-		}
+		l.handleListFetched(&e)
 	case eventListChanged:
-		l.watchStats.lists++
-		// A full list is outdated if another call delivered a newer one while its call was open. A
-		// list that is older than what its own call named is of a discovery whose versions restarted.
-		overtaken := e.list.Seq < l.listVersion && (l.controlPlane != nil || e.list.Seq >= e.since)
-		switch {
-		case e.list.Full && !overtaken:
-			l.receiveList(policy.ListFull, &e.list)
-		case e.list.Seq >= l.listVersion: // the same version: nothing changed, but the call was answered
-			l.receiveList(policy.ListChange, &e.list)
-		case l.scope.needsFullList(&e.list):
-			l.resubscribe()
-		}
+		l.handleListChanged(&e)
 	case eventListPartial:
 		l.receivePartialList(&e.list)
 	case eventWatchEnded:
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -66,6 +66,21 @@
 		HintMs: r.hintMs, HasHint: r.hasHint, Retry: r.retry})
 }
 
+// handleClientCanceled withdraws the attempts of a request for which its handler waits no longer.
+func (l *loop) handleClientCanceled(r *request) {
+	if r.id == 0 || r.answered {
+		return
+	}
+	r.answered = true
+	for _, a := range r.attempts {
+		if a.withdraw() {
+			a.cancel(errClientCanceled)
+		}
+	}
+	l.dispatch(&policy.Event{Kind: policy.EvClientCanceled, Request: r.id})
+	l.removeIfDone(r)
+}
+
 // answerRequest sends the final response to the handler, unless the request has one.
 func (l *loop) answerRequest(r *request, a answer) {
 	if !r.answered {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -139,7 +139,8 @@
 	}
 	ticker := time.NewTicker(10 * time.Millisecond)
 	defer ticker.Stop()
-	for deadline := time.Now().Add(milliseconds(longestMs) + 100*time.Millisecond); a.clients.closeUnused(minUnusedBeforeEviction) > 0 && time.Now().Before(deadline); {
+	deadline := time.Now().Add(milliseconds(longestMs) + 100*time.Millisecond)
+	for a.clients.closeUnused(minUnusedBeforeEviction) > 0 && time.Now().Before(deadline) {
 		<-ticker.C
 	}
 	a.clients.abort() // the rest is past its deadline or never sent a request
