--- a/cmd/agent/clientconn_test.go
+++ b/cmd/agent/clientconn_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Whether a client is still there is asked of the system before an attempt begins. An error that ends
-// the connection means that it is not; one that passes says nothing.
+// The operating system is asked whether the client is still connected before an attempt begins. A
+// permanent error means that it is not; a temporary one says nothing.
 func TestClientConnectionIsChecked(t *testing.T) {
 	for errno, served := range map[string]bool{"EINTR": true, "ENOMEM": true, "ENOBUFS": true,
 		"ETIMEDOUT": false, "EHOSTUNREACH": false} {
@@ -21,7 +21,7 @@
 			p.setFaults(true)
 			status, _ := postKey(listen, "u1", "1000m")
 			if n, _ := received.after(time.Time{}); (n == 1) != served || n > 1 || (status == http.StatusOK) != served {
-				t.Errorf("answered %d after %d attempts; it said %s", status, n, p.stderr)
+				t.Errorf("answered %d after %d attempts; stderr: %s", status, n, p.stderr)
 			}
 			p.requireRunning()
 			if text := p.stderr.String(); strings.Contains(text, "panic") {
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -18,7 +18,7 @@
 	"knotrouter/internal/lab/syscallfault"
 )
 
-// TestMain makes the test binary the program itself when it is started as a child.
+// TestMain runs the program itself if the test binary was started by startProgram.
 func TestMain(m *testing.M) {
 	if os.Getenv("AGENT_TEST_CHILD") == "1" {
 		if err := syscallfault.FromEnvironment(); err != nil {
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// stderrBuffer is what a child says. It can be read while the child runs.
+// stderrBuffer is the standard error of a program. It can be read while the program runs.
 type stderrBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -53,11 +53,13 @@
  "contract":{"answerSlackMs":20,"askWithinMs":10000,"coldFrom":0.3,"coldMs":8000,"drainGraceMs":250,"fallMultiple":2.5,"tipAfterMs":1000},
  "replicasOfMe":1,"roundMs":5,"weights":"nominal","failureDomains":["a"],"shapes":["k"]}`
 
+// startProgram starts the program with a configuration.
 func startProgram(t *testing.T, config string) (*exec.Cmd, *stderrBuffer) {
 	t.Helper()
 	return startProgramAt(t, filepath.Join(t.TempDir(), "config.json"), config)
 }
 
+// startProgramAt starts the program with a configuration that it writes to path.
 func startProgramAt(t *testing.T, path, config string) (*exec.Cmd, *stderrBuffer) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -77,6 +79,7 @@
 	return cmd, stderr
 }
 
+// freeAddr returns an address that nothing listens on.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,7 +90,7 @@
 	return free.Addr().String()
 }
 
-// waitReady waits until the program can serve.
+// waitReady waits until the program is ready.
 func waitReady(t *testing.T, listen string, stderr *stderrBuffer) {
 	t.Helper()
 	for attempts := 0; ; attempts++ {
@@ -99,7 +102,7 @@
 			}
 		}
 		if attempts > 3000 {
-			t.Fatalf("not ready: %v; it said %s", err, stderr)
+			t.Fatalf("not ready: %v; stderr: %s", err, stderr)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -123,11 +126,11 @@
 		req.Header.Set("Request-Timeout", "30000m")
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
-			t.Fatalf("%v; it said %s", err, stderr)
+			t.Fatalf("%v; stderr: %s", err, stderr)
 		}
 		resp.Body.Close()
 		if resp.StatusCode != http.StatusOK {
-			t.Fatalf("status %d; it said %s", resp.StatusCode, stderr)
+			t.Fatalf("status %d; stderr: %s", resp.StatusCode, stderr)
 		}
 		return resp
 	}
@@ -136,22 +139,23 @@
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Fatalf("after SIGTERM: %v; it said %s", err, stderr)
+		t.Fatalf("after SIGTERM: %v; stderr: %s", err, stderr)
 	}
 }
 
+// An invalid configuration ends the program with one line that names the key.
 func TestInvalidConfigStopsTheProgram(t *testing.T) {
 	cmd, stderr := startProgram(t, `{"name":"n0","listen":"127.0.0.1"}`)
 	if err := cmd.Wait(); err == nil {
 		t.Fatal("started with a bad configuration")
 	}
 	if got := stderr.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "config: listen:") {
-		t.Fatalf("said %q, want one line that names listen", got)
+		t.Fatalf("stderr %q, want one line that names listen", got)
 	}
 }
 
-// On SIGHUP the program asks discovery at the address that its configuration names now,
-// and goes on.
+// On SIGHUP the program calls discovery at the address that its configuration names now, and keeps
+// serving.
 func TestSIGHUPChangesDiscovery(t *testing.T) {
 	watched := func() (string, chan string) {
 		requests := make(chan string, 100)
@@ -186,19 +190,19 @@
 		waitReady(t, listen, stderr)
 	}
 	if q := <-requestsAfter; q != "follow=1&since=1" {
-		t.Fatalf("asked %q", q)
+		t.Fatalf("query %q", q)
 	}
 	waitReady(t, listen, stderr)
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Fatalf("after SIGTERM: %v; it said %s", err, stderr)
+		t.Fatalf("after SIGTERM: %v; stderr: %s", err, stderr)
 	}
 }
 
-// What may come in any order: two SIGTERMs, SIGHUP and SIGTERM, SIGTERM before the program is
-// ready and while a request is out. It ends in order each time, and the request is answered.
+// Signals in any order, during a request: two SIGTERMs, SIGHUP and SIGTERM. The program shuts down
+// gracefully each time, and the request is answered.
 func TestConcurrentSignalsShutDownGracefully(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
 		"twice":           {syscall.SIGTERM, syscall.SIGTERM},
@@ -232,16 +236,16 @@
 			time.Sleep(100 * time.Millisecond) // both are taken, and the request is still out
 			close(release)
 			if got := <-answered; got != "200 <nil>" {
-				t.Errorf("answered %s; it said %s", got, stderr)
+				t.Errorf("answered %s; stderr: %s", got, stderr)
 			}
 			if err := cmd.Wait(); err != nil {
-				t.Errorf("ended with %v; it said %s", err, stderr)
+				t.Errorf("ended with %v; stderr: %s", err, stderr)
 			}
 		})
 	}
 }
 
-// A SIGTERM that comes before the program can be ready ends it in order.
+// A SIGTERM before the program can be ready ends it gracefully.
 func TestSignalBeforeReady(t *testing.T) {
 	listen := freeAddr(t)
 	cmd, stderr := startProgram(t, programConfig(listen, "127.0.0.1:1", "", 1024))
@@ -252,7 +256,7 @@
 			break
 		}
 		if attempts > 3000 {
-			t.Fatalf("does not listen; it said %s", stderr)
+			t.Fatalf("does not listen; stderr: %s", stderr)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -260,12 +264,12 @@
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Fatalf("ended with %v; it said %s", err, stderr)
+		t.Fatalf("ended with %v; stderr: %s", err, stderr)
 	}
 }
 
-// Idle clients fill all descriptors that the program may have while discovery is away: it gets
-// ready, serves who asks, hears of discovery's return and connects to the servers listed then.
+// Idle clients use up all file descriptors while discovery is unavailable: the program gets ready,
+// serves requests, is notified when discovery returns, and connects to the servers listed then.
 func TestDescriptorExhaustion(t *testing.T) {
 	const files = 64
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "done") }))
@@ -325,17 +329,17 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("6 s after discovery's return: %d, %v; it said %s", status, err, stderr)
+			t.Fatalf("6 s after discovery's return: %d, %v; stderr: %s", status, err, stderr)
 		}
 	}
 	for i := range 100 {
 		if status, err := post(listen); status != http.StatusOK {
-			t.Fatalf("request %d: %d, %v; it said %s", i, status, err, stderr)
+			t.Fatalf("request %d: %d, %v; stderr: %s", i, status, err, stderr)
 		}
 	}
 }
 
-// programConfig is a whole configuration, with one backend in the list at hand or none.
+// programConfig returns a complete configuration, with one backend in the cached list or none.
 func programConfig(listen, discovery, backend string, sockets int) string {
 	hosts := ""
 	if backend != "" {
@@ -345,10 +349,10 @@
  "settings":%s,"known":{"seq":1,"whole":true,"hosts":[%s]}}`, listen, discovery, sockets, settings, hosts)
 }
 
-// post sends one request on a connection of its own.
+// post sends one request on its own connection.
 func post(listen string) (int, error) { return postKey(listen, "u1", "3000m") }
 
-// postKey is post for a key, with a time for the answer.
+// postKey sends one request for a key, with a timeout, on its own connection.
 func postKey(listen, key, timeout string) (int, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+listen+"/order/"+key, strings.NewReader("x"))
 	if err != nil {
--- a/cmd/agent/notification_test.go
+++ b/cmd/agent/notification_test.go
@@ -22,31 +22,32 @@
 	graceSlack = 50 * time.Millisecond
 )
 
-// rawDiscovery answers the n-th call, from 0, with what serve writes. Its connections are closed
-// when serve returns.
+// rawDiscovery answers the n-th call, from 0, with what serve writes. A connection is closed when
+// serve returns.
 func rawDiscovery(t *testing.T, serve func(c net.Conn, n int)) string {
 	t.Helper()
 	return rawListener(t, func(c *net.TCPConn, n int, _ *http.Request) { serve(c, n) })
 }
 
-// chunk is one piece of a chunked answer.
+// chunk returns one chunk of a chunked response.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// arrivals notes when requests reach a server.
+// arrivals records when requests arrive at a server.
 type arrivals struct {
 	mu    sync.Mutex
 	times []time.Time
 }
 
+// add records an arrival now.
 func (a *arrivals) add() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.times = append(a.times, time.Now())
 }
 
-// after counts the arrivals after a moment, and returns how long after it the last one came.
+// after returns the number of arrivals after a moment, and how long after it the last one was.
 func (a *arrivals) after(moment time.Time) (n int, last time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -58,7 +59,7 @@
 	return n, last
 }
 
-// recordingServer answers at once and notes each request.
+// recordingServer answers at once and records each request.
 func recordingServer(t *testing.T) (addr string, received *arrivals) {
 	t.Helper()
 	received = &arrivals{}
@@ -86,8 +87,8 @@
 	discoveryAddr string // its address
 }
 
-// openWatch answers a watch with an empty change of the version that the agent has, and waits until the
-// change is made. It returns the moment.
+// openWatch answers a watch with an empty change of the version that the agent has, and waits until
+// the change is made. It returns that moment.
 func (d *drainRun) openWatch(c net.Conn) time.Time {
 	fmt.Fprint(c, watchHead+chunk(`{"seq":1,"whole":false,"hosts":[]}`+"\n"))
 	close(d.watchOpened)
@@ -138,25 +139,25 @@
 	})
 	time.Sleep(500 * time.Millisecond)
 	if n, _ := received.after(time.Time{}); n == 0 {
-		t.Fatalf("nothing was sent to the server before it drains; it said %s", d.stderr)
+		t.Fatalf("nothing was sent to the server before it drains; stderr: %s", d.stderr)
 	}
 	return d
 }
 
-// check makes the change, plays for a time after the marked moment, and reports what came at the
-// server that drains later than the grace after it was notified.
+// check makes the change, runs for a time after the marked moment, and reports requests that
+// arrived at the draining server later than the grace after notifiedAfter.
 func (d *drainRun) check(t *testing.T, runTime, notifiedAfter time.Duration) {
 	t.Helper()
 	close(d.changeMade)
 	markedAt := <-d.markedAt
 	time.Sleep(runTime)
 	if n, last := d.arrivals.after(markedAt.Add(notifiedAfter + drainGrace + graceSlack)); n > 0 {
-		t.Errorf("%d requests came after the grace, the last %v after it; it said %s", n, last, d.stderr)
+		t.Errorf("%d requests came after the grace, the last %v after it; stderr: %s", n, last, d.stderr)
 	}
 }
 
-// A server that drains gets nothing new once the grace is over, counted from the moment in which
-// discovery wrote the change, however much of the answer arrives and when.
+// A draining server gets nothing new once the grace is over, counted from the moment in which
+// discovery wrote the change, however much of the response arrives and when.
 func TestNotifiedByPieces(t *testing.T) {
 	const rest = 3 * time.Second // after the grace, within the test
 	for name, answer := range map[string]struct {
@@ -209,12 +210,13 @@
 	}
 }
 
-// missedChangeNotifiedAfter is when a change that a watch ended instead of telling counts as notified, from the
-// watch's end on: measured in replays of issue 26 (2.0 s), and the 2 s that STANDING gives a long poll.
+// missedChangeNotifiedAfter is when a change counts as notified that a watch ended instead of
+// delivering, from the end of the watch: measured in replays of issue 26 (2.0 s), and the 2 s that
+// STANDING allows for a long poll.
 const missedChangeNotifiedAfter = 2 * time.Second
 
-// A watch that ends instead of telling a change is asked again at once: the change counts as
-// notified two seconds later, and discovery, which takes calls in turn, may need most of them.
+// A watch that ends instead of delivering a change is reopened at once: the change counts as
+// notified two seconds later, and a discovery that serves calls in turn may need most of them.
 func TestEndedWatchIsReopenedAtOnce(t *testing.T) {
 	const inTurn = 1850 * time.Millisecond // how long discovery holds a call
 	for name, end := range map[string]func(c *net.TCPConn){
@@ -240,8 +242,8 @@
 	}
 }
 
-// What discovery writes at its address of before, until it closes the watch there, is heard also
-// while the call at the new one waits for its turn.
+// What discovery writes at its previous address, until it closes the watch there, is applied also
+// while the call at the new address waits for its turn.
 func TestPreviousWatchIsReadToItsEnd(t *testing.T) {
 	for name, wrote := range map[string]func(d *drainRun, c net.Conn){
 		"whole":    func(d *drainRun, c net.Conn) { fmt.Fprint(c, chunk(d.changeLine)) },
--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// A configuration that can't be read, or isn't whole, when the signal comes is read when it can be.
+// A configuration that is unreadable or incomplete when the signal arrives is read again until it
+// is valid.
 func TestReconfigureWhileReadsFail(t *testing.T) {
 	for _, fault := range []string{"openat:ENFILE", "openat:EIO", "half a file"} {
 		t.Run(fault, func(t *testing.T) {
@@ -48,7 +49,7 @@
 			select {
 			case <-requests:
 			case <-time.After(2 * time.Second):
-				t.Errorf("the new address of discovery was not asked; it said %s", p.stderr)
+				t.Errorf("the new address of discovery was not asked; stderr: %s", p.stderr)
 			}
 			p.requireRunning()
 		})
--- a/cmd/agent/response_test.go
+++ b/cmd/agent/response_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// rawListener hands the head of the first request on each connection to serve, with the number of the
-// connection, which is closed when serve returns.
+// rawListener passes the head of the first request on each connection to serve, with the number of
+// the connection. The connection is closed when serve returns.
 func rawListener(t *testing.T, serve func(c *net.TCPConn, n int, r *http.Request)) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,7 +37,7 @@
 	return ln.Addr().String()
 }
 
-// rawServer hands each request to serve once it has come whole.
+// rawServer passes each complete request to serve.
 func rawServer(t *testing.T, serve func(c *net.TCPConn, r *http.Request)) string {
 	t.Helper()
 	return rawListener(t, func(c *net.TCPConn, _ int, r *http.Request) {
@@ -47,7 +47,7 @@
 	})
 }
 
-// postForBody sends one request and returns its answer's status and body.
+// postForBody sends one request and returns the response's status and body.
 func postForBody(listen, timeout string) (int, string, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+listen+"/order/u1", strings.NewReader("x"))
 	if err != nil {
@@ -64,7 +64,7 @@
 	return resp.StatusCode, string(body), err
 }
 
-// An answer without a length ends with the connection: it is whole when the server closes, and
+// A response without a length ends with the connection: it is complete when the server closes, and
 // never when the connection is reset or stays open.
 func TestResponseEndsWithItsConnection(t *testing.T) {
 	long := strings.Repeat("x", 64<<10)
@@ -116,7 +116,7 @@
 			status, body, err := postForBody(listen, "1500m")
 			took := time.Since(startedAt)
 			if got := status == http.StatusOK; got != (c.served != "") || got && (err != nil || body != c.served) {
-				t.Errorf("answered %d with %d bytes, %v, after %v; it said %s", status, len(body), err, took, stderr)
+				t.Errorf("answered %d with %d bytes, %v, after %v; stderr: %s", status, len(body), err, took, stderr)
 			}
 			if err != nil || took > 1600*time.Millisecond {
 				t.Errorf("no final answer in time: %v after %v", err, took)
@@ -125,8 +125,8 @@
 	}
 }
 
-// A server that turns a request away without a length and keeps the connection open holds up
-// neither the request nor its next attempt.
+// A server that rejects a request without a length and keeps the connection open delays neither the
+// request nor its next attempt.
 func TestRejectionWithoutALength(t *testing.T) {
 	turnsAway := rawServer(t, func(c *net.TCPConn, _ *http.Request) {
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\n\r\n")
@@ -138,6 +138,6 @@
 	startedAt := time.Now()
 	status, err := postKey(listen, "u1", "2000m")
 	if took := time.Since(startedAt); err != nil || status != http.StatusServiceUnavailable || took > time.Second {
-		t.Errorf("answered %d, %v, after %v; it said %s", status, err, took, fmt.Sprint(stderr))
+		t.Errorf("answered %d, %v, after %v; stderr: %s", status, err, took, fmt.Sprint(stderr))
 	}
 }
--- a/cmd/agent/services_test.go
+++ b/cmd/agent/services_test.go
@@ -18,8 +18,8 @@
 	"knotrouter/internal/endpoints"
 )
 
-// scopedControlPlane is a list service that knows services. What it is asked for is heard, and answered
-// once the hold on it is over.
+// scopedControlPlane is a control-plane server that knows services. It reports the queries that it
+// receives, and answers those without service a once hold is closed.
 type scopedControlPlane struct {
 	addr    string
 	queries chan string
@@ -27,7 +27,9 @@
 	hosts   []endpoints.Endpoint
 }
 
+// startScopedControlPlane starts a control-plane server that lists hosts.
 func startScopedControlPlane(t *testing.T, hosts []endpoints.Endpoint) *scopedControlPlane {
+	t.Helper()
 	s := &scopedControlPlane{queries: make(chan string, 100), hold: make(chan struct{}), hosts: hosts}
 	server := httptest.NewServer(s)
 	t.Cleanup(server.Close)
@@ -64,7 +66,7 @@
 	}
 }
 
-// awaitQuery waits for a call that asks for exactly this.
+// awaitQuery waits for a call with exactly this query.
 func (s *scopedControlPlane) awaitQuery(t *testing.T, want string) {
 	t.Helper()
 	for limit := time.After(30 * time.Second); ; {
@@ -79,8 +81,9 @@
 	}
 }
 
-// countingServer is a programme server that counts what it gets.
+// countingServer returns a backend that counts its requests.
 func countingServer(t *testing.T, name, service string) (endpoints.Endpoint, *atomic.Int64) {
+	t.Helper()
 	count := &atomic.Int64{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		count.Add(1)
@@ -92,7 +95,7 @@
 		Weight: 1, Service: service}, count
 }
 
-// waitForMore waits until so many more requests came.
+// waitForMore waits until count has grown by more.
 func waitForMore(t *testing.T, what string, count *atomic.Int64, more int64) {
 	t.Helper()
 	want := count.Load() + more
@@ -103,8 +106,8 @@
 	}
 }
 
-// SIGHUP changes the services under load: the servers that are held go on serving until the list
-// of the new ones comes, and no request fails; also where the address changes at the same time.
+// SIGHUP changes the services under load: the known servers keep serving until the list of the new
+// services arrives, and no request fails, also if the address changes at the same time.
 func TestServicesChangeUnderLoad(t *testing.T) {
 	a, ofA := countingServer(t, "s-a", "a")
 	b, ofB := countingServer(t, "s-b", "b")
@@ -181,6 +184,6 @@
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Fatalf("after SIGTERM: %v; it said %s", err, stderr)
+		t.Fatalf("after SIGTERM: %v; stderr: %s", err, stderr)
 	}
 }
--- a/cmd/agent/syscallfault_test.go
+++ b/cmd/agent/syscallfault_test.go
@@ -16,7 +16,7 @@
 	"knotrouter/internal/lab/syscallfault"
 )
 
-// faultyProgram is the program with system calls that fail while fails is in force.
+// faultyProgram is the program with system calls that fail while setFaults(true) is in force.
 type faultyProgram struct {
 	t          *testing.T
 	faults     string // as syscallfault has them, or noDescriptors
@@ -27,7 +27,7 @@
 	ended      chan error
 }
 
-// startFaulty starts the program; its calls fail from its first moment on if failing is set.
+// startFaulty starts the program; its calls fail from the start if failing is set.
 func startFaulty(t *testing.T, faults, config string, failing bool) *faultyProgram {
 	t.Helper()
 	dir := t.TempDir()
@@ -57,10 +57,10 @@
 	return p
 }
 
-// noDescriptors stands for a process that may open no further descriptor (EMFILE), by its limit.
+// noDescriptors stands for a process that can open no further descriptor (EMFILE), by its limit.
 const noDescriptors = "no descriptors"
 
-// limitDescriptors bounds the program's descriptors to those that it has, or to a thousand.
+// limitDescriptors limits the program's descriptors to those in use, or to a thousand.
 func (p *faultyProgram) limitDescriptors(on bool) {
 	p.t.Helper()
 	limit := unix.Rlimit{Cur: 1000, Max: 1000}
@@ -72,7 +72,7 @@
 	}
 }
 
-// setFaults has the calls setFaults from now on, or no more.
+// setFaults switches the faults on or off.
 func (p *faultyProgram) setFaults(on bool) {
 	p.t.Helper()
 	if p.faults == noDescriptors {
@@ -90,16 +90,17 @@
 	}
 }
 
-// requireRunning reports an end of the program.
+// requireRunning fails the test if the program has ended.
 func (p *faultyProgram) requireRunning() {
 	p.t.Helper()
 	select {
 	case err := <-p.ended:
-		p.t.Fatalf("ended: %v; it said %s", err, p.stderr)
+		p.t.Fatalf("ended: %v; stderr: %s", err, p.stderr)
 	default:
 	}
 }
 
+// okServer returns a backend that answers at once.
 func okServer(t *testing.T) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "done") }))
@@ -107,8 +108,8 @@
 	return s.Listener.Addr().String()
 }
 
-// A connection that can't be accepted for a moment, for whatever reason that accept(2) names, is
-// accepted right after, and its request is answered in time.
+// If accept fails temporarily, with any error that accept(2) names, the connection is accepted
+// right after and its request is answered in time.
 func TestAcceptFailsTemporarily(t *testing.T) {
 	for _, errno := range []string{"ECONNABORTED", "EINTR", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPROTO", "EPERM",
 		"ENETDOWN", "EHOSTUNREACH", "ENETUNREACH", "ETIMEDOUT"} {
@@ -131,7 +132,7 @@
 			back := time.Now()
 			for range 4 {
 				if got := <-statuses; got != "200 <nil>" {
-					t.Errorf("answered %s; it said %s", got, p.stderr)
+					t.Errorf("answered %s; stderr: %s", got, p.stderr)
 				}
 			}
 			if took := time.Since(back); took > 250*time.Millisecond {
@@ -142,7 +143,8 @@
 	}
 }
 
-// A request whose connection could not be accepted at first is passed on with the time that is left.
+// A request whose connection could not be accepted at first is forwarded with the time that is
+// left.
 func TestDeadlineOfAQueuedRequest(t *testing.T) {
 	observed := make(chan string, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -160,15 +162,15 @@
 	text := <-observed
 	var ms int
 	if _, err := fmt.Sscanf(text, "%dm", &ms); err != nil {
-		t.Fatalf("told %q: %v", text, err)
+		t.Fatalf("received timeout %q: %v", text, err)
 	}
 	if left := 3*time.Second - queued; time.Duration(ms)*time.Millisecond > left+graceSlack {
 		t.Errorf("the server was told %s, the client had %v left", text, left)
 	}
 }
 
-// Connections to servers that can't be made for a moment cost no request its final answer, and the
-// servers are sent to again once they can be made: the fault is none of theirs.
+// If connects to servers fail temporarily, every request still gets a final response, and the
+// servers are used again once connects succeed: they are not at fault.
 func TestConnectFailsTemporarily(t *testing.T) {
 	for _, fault := range []string{noDescriptors, "connect:EADDRNOTAVAIL", "connect:ENETUNREACH", "connect:EHOSTUNREACH",
 		"connect:ENOBUFS", "connect:ENOMEM"} {
@@ -200,14 +202,14 @@
 				status, err = postKey(listen, "after", "300m")
 			}
 			if took := time.Since(back); took > 700*time.Millisecond {
-				t.Errorf("served %v after the calls went well again: %d, %v; it said %s", took, status, err, p.stderr)
+				t.Errorf("served %v after the calls went well again: %d, %v; stderr: %s", took, status, err, p.stderr)
 			}
 			p.requireRunning()
 		})
 	}
 }
 
-// A start in which calls fail for a moment is a late start, not a crash.
+// Temporary failures of system calls delay the start and do not end the program.
 func TestStartWhileCallsFail(t *testing.T) {
 	for _, fault := range []string{"bind:EADDRINUSE", "bind:EADDRNOTAVAIL", "bind:ENOMEM", "listen:ENOBUFS", "openat:ENFILE", "openat:EIO"} {
 		t.Run(fault, func(t *testing.T) {
@@ -219,7 +221,7 @@
 			p.setFaults(false)
 			waitReady(t, listen, p.stderr)
 			if status, err := post(listen); status != http.StatusOK {
-				t.Errorf("answered %d, %v; it said %s", status, err, p.stderr)
+				t.Errorf("answered %d, %v; stderr: %s", status, err, p.stderr)
 			}
 		})
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -19,7 +19,7 @@
 	"knotrouter/policy"
 )
 
-// testConfig is a whole configuration; backends are listed as s-0, s-1, ...
+// testConfig returns a complete configuration; backends are listed as s-0, s-1, ...
 func testConfig(discovery string, backends ...string) map[string]any {
 	hosts := []any{}
 	for i, dial := range backends {
@@ -45,11 +45,13 @@
 	}
 }
 
+// hostEntry returns the entry of server s-i in a list.
 func hostEntry(i int, dial, health string) map[string]any {
 	return map[string]any{"host": fmt.Sprint("s-", i), "dial": dial, "site": "a", "class": "k",
 		"block": 1, "health": health, "share": 1.0, "born_ms": 0}
 }
 
+// parseConfig parses a configuration that must be valid.
 func parseConfig(t *testing.T, config map[string]any) *Config {
 	t.Helper()
 	text, err := json.Marshal(config)
@@ -63,7 +65,8 @@
 	return c
 }
 
-// startAgent serves an agent until the test ends; stop is its SIGTERM.
+// startAgent serves an agent until the test ends. stop has the effect of SIGTERM; done receives the
+// result of Serve.
 func startAgent(t *testing.T, config map[string]any) (a *Agent, baseURL string, stop func(), done chan error) {
 	t.Helper()
 	a, err := New(parseConfig(t, config), slog.New(slog.DiscardHandler))
@@ -85,7 +88,7 @@
 	return a, "http://" + ln.Addr().String(), stop, done
 }
 
-// newCall is a request of the class, well-formed until it is changed.
+// newCall returns a valid request of the class.
 func newCall(base, class string) *http.Request {
 	method := http.MethodPost
 	if class == "look" {
@@ -106,6 +109,7 @@
 	return req
 }
 
+// send sends a request and returns the response's status, body and header.
 func send(t *testing.T, req *http.Request) (int, string, http.Header) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(req.Context(), time.Minute)
@@ -122,8 +126,10 @@
 	return resp.StatusCode, string(body), resp.Header
 }
 
-// countingBackend is a backend that answers all it gets with status and counts it.
+// countingBackend returns a backend that answers every request with status, and the identifiers of
+// the requests that it received.
 func countingBackend(t *testing.T, status int, notStarted bool) (addr string, received chan string) {
+	t.Helper()
 	received = make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		received <- r.Header.Get("Request-Id")
@@ -137,9 +143,10 @@
 	return s.Listener.Addr().String(), received
 }
 
-// unreachableAddr is a discovery that is never asked: lists are pushed in these settings.
+// unreachableAddr is a discovery address that is never called: lists are pushed in these settings.
 const unreachableAddr = "127.0.0.1:1"
 
+// The agent serves each class and reports that it is ready.
 func TestAgentServesEachClass(t *testing.T) {
 	addr, _ := countingBackend(t, 200, false)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -154,8 +161,8 @@
 	}
 }
 
-// What may have run is sent once more only where its class allows; what was turned
-// away may go on to another backend in any class.
+// A request that may have been executed is retried only if its class allows it; a rejected one may
+// be forwarded to another backend in any class.
 func TestRetriesFollowTheEffectOfTheClass(t *testing.T) {
 	for _, c := range []struct {
 		class      string
@@ -196,7 +203,7 @@
 	}
 }
 
-// A backend's answer that breaks off is not passed on, whole or in part.
+// A truncated response of a backend is not forwarded, neither completely nor in part.
 func TestTruncatedResponseIsNotForwarded(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := readRequest(r); err == nil {
@@ -209,7 +216,7 @@
 	}
 }
 
-// Bad input gets a 4xx that promises nothing of a retry, and reaches no backend.
+// An invalid request gets a 4xx that does not invite a retry, and reaches no backend.
 func TestInvalidRequestsAreAnswered4xx(t *testing.T) {
 	addr, received := countingBackend(t, 200, false)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -249,7 +256,7 @@
 	}
 }
 
-// The last guard answers should the loop never do.
+// The guard timer answers if the loop never does.
 func TestGuardAnswersWhenTheLoopIsStopped(t *testing.T) {
 	config := parseConfig(t, testConfig(unreachableAddr))
 	a, err := New(config, slog.New(slog.DiscardHandler))
@@ -266,7 +273,7 @@
 		t.Fatalf("answered %d", rec.Code)
 	}
 	if first, second := <-a.loop.events, <-a.loop.events; first.kind != eventRequest || second.kind != eventClientCanceled {
-		t.Fatalf("the loop was told %d, %d", first.kind, second.kind)
+		t.Fatalf("the loop got events %d, %d", first.kind, second.kind)
 	}
 }
 
@@ -276,7 +283,7 @@
 func (panicReader) Read([]byte) (int, error) { panic("boom") }
 func (panicReader) Close() error             { return nil }
 
-// A panic in one handler must not leave its request without an answer.
+// A panic in a handler does not leave its request unanswered.
 func TestHandlerPanicIsAnswered500(t *testing.T) {
 	a, err := New(parseConfig(t, testConfig(unreachableAddr)), slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -292,7 +299,7 @@
 	}
 }
 
-// A panic in the loop costs its one input.
+// A panic in the loop loses only the event that caused it.
 func TestLoopSurvivesPanic(t *testing.T) {
 	addr, _ := countingBackend(t, 200, false)
 	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -302,8 +309,8 @@
 	}
 }
 
-// With few places left for clients' connections each is closed after its answer:
-// idle ones must not keep out a client whose time runs.
+// If the client connections are nearly full, each is closed after its response: idle ones must not
+// keep out a client whose timeout runs.
 func TestConnectionsCloseWhenNearlyFull(t *testing.T) {
 	addr, _ := countingBackend(t, 200, false)
 	config := testConfig(unreachableAddr, addr)
@@ -336,8 +343,8 @@
 	}
 }
 
-// With more requests than places for clients those over it are refused at once; left
-// to wait for a place they would be lost.
+// Requests beyond the number of client connections are rejected at once; waiting for a connection
+// they would be lost.
 func TestRequestsBeyondCapacityAreRejected(t *testing.T) {
 	release := make(chan struct{})
 	open := sync.OnceFunc(func() { close(release) })
@@ -387,7 +394,7 @@
 	}
 }
 
-// An attempt of a client that has gone is given up.
+// The attempt of a client that has disconnected is cancelled.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	got, ended := make(chan struct{}), make(chan struct{})
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
@@ -406,8 +413,8 @@
 	<-ended
 }
 
-// After SIGTERM new connections are still answered, what is held is finished, and
-// the agent ends without an error.
+// After SIGTERM new connections are still served, requests in flight are answered, and the agent
+// ends without an error.
 func TestGracefulShutdownAnswersRequests(t *testing.T) {
 	got, release := make(chan struct{}, 2), make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -444,8 +451,8 @@
 	}
 }
 
-// A backend that drains while the connection to it still comes up is sent nothing,
-// and the request goes on to another.
+// A backend that begins to drain while the connection to it is established gets nothing, and the
+// request is forwarded to another one.
 func TestDrainDuringConnectForwardsElsewhere(t *testing.T) {
 	good, received := countingBackend(t, 200, false)
 	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, "127.0.0.1:1"))
@@ -481,17 +488,16 @@
 	<-received
 }
 
-// offlineLoop is a loop that a test drives by hand.
+// offlineLoop returns a loop that the test drives by itself, with the backends listed.
 func offlineLoop(t *testing.T, backends ...string) *loop {
 	t.Helper()
 	return offlineLoopOf(t, testConfig(unreachableAddr, backends...))
 }
 
+// offlineLoopOf returns a loop that the test drives by itself.
 func offlineLoopOf(t *testing.T, config map[string]any) *loop {
 	t.Helper()
-	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(cancel)
-	l, err := newLoop(ctx, parseConfig(t, config), slog.New(slog.DiscardHandler))
+	l, err := newLoop(t.Context(), parseConfig(t, config), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -499,8 +505,7 @@
 	return l
 }
 
-// unwatched takes away the watch of a loop that does not run yet, for tests that look at all
-// that it is told.
+// unwatched ends the watch that newLoop may have opened, and discards its event.
 func (l *loop) unwatched() {
 	if l.watching {
 		l.cancelDiscovery()
@@ -508,14 +513,15 @@
 	}
 }
 
-// advanceClock lets time advanceClock for a loop that a test drives by hand.
+// advanceClock moves the loop's clock forward by d.
 func (l *loop) advanceClock(d time.Duration) { l.startedAt = l.startedAt.Add(-d) }
 
+// listOf returns a list of the entries.
 func listOf(seq int64, full bool, hosts ...endpoints.Endpoint) endpoints.List {
 	return endpoints.List{Seq: seq, Full: full, Endpoints: hosts}
 }
 
-// Lists apply in the order of their versions, whichever way they come.
+// Lists are applied in the order of their versions.
 func TestListOrder(t *testing.T) {
 	l := offlineLoop(t, "127.0.0.1:1", "127.0.0.1:2")
 	h := endpoints.Endpoint{Name: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
@@ -543,9 +549,8 @@
 	}
 }
 
-// A whole list that was overtaken by a newer one, while both calls were open, is not taken: what it
-// says was written before. One that is older than what its own call named is: discovery has begun to
-// count anew.
+// A full list is ignored if another call delivered a newer one while its call was open. A list that
+// is older than what its own call named is applied: discovery's versions have restarted.
 func TestOutdatedFullListIsIgnored(t *testing.T) {
 	ready := endpoints.Endpoint{Name: "s-0", Dial: "127.0.0.1:1", Health: "ready"}
 	drains := ready
@@ -570,8 +575,8 @@
 	}
 }
 
-// A watch that answers that nothing has changed has not failed: the next failure is the
-// first again, and the watch begins anew as soon as after one.
+// A watch that answers that nothing has changed has not failed: the next failure is the first
+// again, with the shortest backoff.
 func TestUnchangedListResetsBackoff(t *testing.T) {
 	config := testConfig(unreachableAddr, "127.0.0.1:1")
 	config["settings"].(map[string]any)["membershipMode"] = "on_request"
@@ -604,7 +609,7 @@
 	}
 }
 
-// logCounter counts the lines of a log.
+// logCounter counts the lines of a log and keeps the attributes of the last one.
 type logCounter struct {
 	slog.Handler
 	lines int
@@ -620,7 +625,8 @@
 	return nil
 }
 
-// However often discovery fails, the lines on it are few, and say how many were left out.
+// However often discovery fails, few lines are logged about it, and they report how many were
+// suppressed.
 func TestDiscoveryLogIsRateLimited(t *testing.T) {
 	l := offlineLoop(t, "127.0.0.1:1")
 	c := &logCounter{}
@@ -634,7 +640,7 @@
 	l.logLimiter = endpoints.TokenBucket{Burst: 10}
 	l.handle(event{kind: eventFailover, addr: "127.0.0.1:2", err: io.EOF})
 	if !strings.Contains(c.last, "suppressed_lines=") {
-		t.Errorf("said %q", c.last)
+		t.Errorf("logged %q", c.last)
 	}
 }
 
@@ -663,8 +669,8 @@
 	}
 }
 
-// A machine that vanished is silent on all its connections: after a time-out none
-// that stands idle is used again.
+// A machine that is down is unresponsive on all its connections: after a timeout no idle one is
+// used again.
 func TestTimeoutClosesIdleConnections(t *testing.T) {
 	closed := make(chan struct{})
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
@@ -689,6 +695,7 @@
 	<-closed
 }
 
+// A backend's address in the balancer follows from its name alone.
 func TestPolicyAddressFollowsFromName(t *testing.T) {
 	first, again, other := policyAddr("s-1"), policyAddr("s-1"), policyAddr("s-2")
 	if first != again || first == other {
@@ -724,7 +731,7 @@
 		change(c)
 		text, _ := json.Marshal(c)
 		if _, err := ParseConfig(text); err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: said %v", key, err)
+			t.Errorf("%s: error %v", key, err)
 		}
 	}
 	if _, err := ParseConfig([]byte("{")); err == nil {
@@ -732,7 +739,7 @@
 	}
 }
 
-// What makes no sense of the list at hand is left out and named; the agent starts without it.
+// Invalid entries of the cached list are skipped and named; the agent starts without them.
 func TestMalformedCachedListIsSkipped(t *testing.T) {
 	good := hostEntry(1, "127.0.0.1:1", "ready")
 	for _, c := range []struct {
@@ -760,13 +767,13 @@
 			t.Errorf("%v: asks for what came after version %d", c.known, got.CachedList.Seq)
 		}
 		if len(got.CachedList.Endpoints) != c.hosts || !strings.Contains(message, c.says) || (message == "") != (c.says == "") {
-			t.Errorf("%v: took %+v and said %q", c.known, got.CachedList.Endpoints, message)
+			t.Errorf("%v: took %+v and reported %q", c.known, got.CachedList.Endpoints, message)
 		}
 	}
 }
 
-// A new process is ready with a list, and after a while without one: discovery may be away,
-// and clients that are refused know more than clients that wait.
+// A new process is ready with a list, and after a while without one: discovery may be unavailable,
+// and a rejection tells clients more than a wait.
 func TestReadyWithoutAList(t *testing.T) {
 	for name, hang := range map[string]bool{"refused": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
@@ -797,8 +804,10 @@
 	}
 }
 
-// scriptedDiscovery is a discovery whose watch writes lines and then stays open or ends.
+// scriptedDiscovery returns a discovery whose watch writes lines and then stays open or ends, and
+// the events that it posts.
 func scriptedDiscovery(t *testing.T, silence time.Duration, stay bool, lines ...string) (*discovery, chan event) {
+	t.Helper()
 	release := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for _, line := range lines {
@@ -818,43 +827,45 @@
 		func(e event) { events <- e }), events
 }
 
+// changeLine is a change in which server s-0 drains.
 const changeLine = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
 
-// A watch ends at a line that makes no sense, having told those before.
+// A watch ends at a malformed line, after delivering the lines before it.
 func TestMalformedLineEndsWatch(t *testing.T) {
 	d, observed := scriptedDiscovery(t, noTimeout, true, "", changeLine, `{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`)
 	d.watch(context.Background(), 1)
 	if e := <-observed; e.kind != eventListChanged || e.list.Seq != 2 || e.list.Endpoints[0].Health != "draining" {
-		t.Fatalf("told %+v", e)
+		t.Fatalf("got event %+v", e)
 	}
 	if e := <-observed; e.kind != eventWatchEnded || e.err == nil {
-		t.Fatalf("told %+v", e)
+		t.Fatalf("got event %+v", e)
 	}
 }
 
-// A watch on which nothing comes is dead and ends.
+// A watch on which nothing arrives ends.
 func TestUnresponsiveWatchEnds(t *testing.T) {
 	d, observed := scriptedDiscovery(t, time.Millisecond, true)
 	d.watch(context.Background(), 1)
 	if e := <-observed; e.kind != eventWatchEnded || e.err == nil {
-		t.Fatalf("told %+v", e)
+		t.Fatalf("got event %+v", e)
 	}
 }
 
+// A fetch reports the full list or an error.
 func TestFetchReportsListOrError(t *testing.T) {
 	d, observed := scriptedDiscovery(t, noTimeout, false, strings.Replace(changeLine, "false", "true", 1))
 	d.fetch(context.Background(), 0)
 	if e := <-observed; e.kind != eventListFetched || e.err != nil || !e.list.Full || e.list.Seq != 2 {
-		t.Fatalf("told %+v", e)
+		t.Fatalf("got event %+v", e)
 	}
 	d, observed = scriptedDiscovery(t, noTimeout, false, "no list")
 	d.fetch(context.Background(), 0)
 	if e := <-observed; e.kind != eventListFetched || e.err == nil {
-		t.Fatalf("told %+v", e)
+		t.Fatalf("got event %+v", e)
 	}
 }
 
-// The module hears that a watch ended, and its next call goes out.
+// After the end of a watch the balancer opens the next one.
 func TestEndedWatchIsReopened(t *testing.T) {
 	requests := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -868,15 +879,15 @@
 	set["contract"].(map[string]any)["askWithinMs"] = 10
 	startAgent(t, config)
 	if q := <-requests; q != "follow=1&since=1" {
-		t.Fatalf("asked %q", q)
+		t.Fatalf("query %q", q)
 	}
 	if q := <-requests; q != "follow=1&since=2" {
-		t.Fatalf("asked again %q", q)
+		t.Fatalf("second query %q", q)
 	}
 }
 
-// A server that failed is asked how it is in the background, and what it says reaches the
-// module: it is sent to again, and is not asked twice at once.
+// A failed server gets a health check in the background, and the result reaches the balancer: the
+// server is used again, and no second check runs at the same time.
 func TestProbeResultReachesBalancer(t *testing.T) {
 	for _, c := range []struct {
 		how, path string
@@ -906,7 +917,7 @@
 			}
 			e := <-l.events
 			if e.kind != eventProbeResult || e.result.status != c.want || e.attempt.backend != b {
-				t.Fatalf("told %+v", e)
+				t.Fatalf("got event %+v", e)
 			}
 			l.handle(e)
 			if len(b.attempts) > 0 {
@@ -916,13 +927,14 @@
 	}
 }
 
-// A probe of what is not listed any more ends too: the module waits for its end.
+// A health check of a server that is not listed any more ends too: the balancer waits for its
+// result.
 func TestProbeOfUnlistedBackendEnds(t *testing.T) {
 	l := offlineLoop(t)
 	l.actions = []policy.Action{{Kind: policy.ActProbe, Server: policyAddr("s-0")}}
 	l.executeActions()
 	if len(l.deferredEvents) != 1 || l.deferredEvents[0].kind != eventProbeResult {
-		t.Fatalf("told %+v", l.deferredEvents)
+		t.Fatalf("got event %+v", l.deferredEvents)
 	}
 	l.handle(l.deferredEvents[0])
 }
--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -16,9 +16,11 @@
 	"knotrouter/policy"
 )
 
+// noTimeout is a timeout that no test reaches.
 const noTimeout = time.Hour // for what a test does not let run out
 
-// rawBackend hands each connection to serve; it ends with the test.
+// rawBackend returns the address of a backend that passes each connection to serve; it ends with
+// the test.
 func rawBackend(t *testing.T, serve func(c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,7 +43,7 @@
 	return ln.Addr().String()
 }
 
-// readRequest reads one whole request.
+// readRequest reads one complete request.
 func readRequest(r *bufio.Reader) (*http.Request, error) {
 	req, err := http.ReadRequest(r)
 	if err == nil {
@@ -50,13 +52,15 @@
 	return req, err
 }
 
+// okAnswer is a complete response with status 200.
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
+// newDialer returns a dialer without effective limits.
 func newDialer() *dialer {
 	return &dialer{connect: (&net.Dialer{}).DialContext, connectTimeout: noTimeout, idleTimeout: noTimeout, maxIdlePerBackend: 4, maxOpen: 100}
 }
 
-// newAttempt makes an attempt as the loop does.
+// newAttempt returns an attempt like the loop does.
 func newAttempt(tr *http.Transport, dial, method string, timeout time.Duration) *attempt {
 	r := &request{method: method, url: &url.URL{Path: "/order/u1"}, host: "backend.local", wireID: "id1"}
 	if method == http.MethodPost {
@@ -70,8 +74,8 @@
 	return a
 }
 
-// A library must not send a request again by itself when a kept connection breaks:
-// that would be a second attempt that nobody decided.
+// net/http must not send a request again when a kept connection breaks: that would be a second
+// attempt that nobody decided.
 func TestNoHiddenResend(t *testing.T) {
 	for _, c := range []struct{ name, method, key string }{
 		{"safe", http.MethodGet, ""}, {"keyed", http.MethodPost, "k1"}, {"unsafe", http.MethodPost, ""},
@@ -105,7 +109,7 @@
 	}
 }
 
-// The connection itself stops a second copy, whatever the library above it does.
+// The connection itself prevents a second copy of a request, whatever net/http does.
 func TestOneConnectionPerAttempt(t *testing.T) {
 	a := newAttempt(nil, "", http.MethodPost, noTimeout)
 	defer a.cancel(nil)
@@ -124,7 +128,8 @@
 	}
 }
 
-// How an attempt ended tells whether it has run; in doubt it may have.
+// An attempt's status says whether the backend executed the request; if that is unknown, it counts
+// as executed.
 func TestAttemptStatuses(t *testing.T) {
 	answer := func(text string) func(net.Conn, *bufio.Reader) {
 		return func(c net.Conn, r *bufio.Reader) {
@@ -176,7 +181,7 @@
 	}
 }
 
-// An answer's head without an end is given up soon: the agent's memory is small.
+// A response's head without an end is abandoned soon: the agent's memory is small.
 func TestEndlessResponseHeadIsAbandoned(t *testing.T) {
 	const buffer, line = 64 << 10, "X-Line: nothing that anybody wants to know\r\n"
 	sent := make(chan int, 1)
@@ -212,7 +217,7 @@
 	}
 }
 
-// What a backend sends behind an answer is never the answer to the next request.
+// What a backend sends after a response is never the response to the next request.
 func TestTrailingBytesAreNoResponse(t *testing.T) {
 	const stray = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
@@ -240,6 +245,7 @@
 	}
 }
 
+// An attempt whose connect is refused ends with ConnectFailed and holds no socket.
 func TestRefusedConnectIsConnectFailed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -256,12 +262,12 @@
 	}
 }
 
-// brokenConn takes a part of each write and fails.
+// brokenConn writes a part of each write and fails.
 type brokenConn struct{ net.Conn }
 
 func (brokenConn) Write(p []byte) (int, error) { return len(p) / 2, errors.New("broken") }
 
-// What breaks before the last byte was written never ran.
+// A request whose write fails before the last byte was not executed.
 func TestFailedWriteIsNotExecuted(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) })
 	d := newDialer()
@@ -275,8 +281,8 @@
 	}
 }
 
-// Giving an attempt up closes its connection before the outcome is known, so that
-// the next attempt is never a second copy beside it.
+// Cancelling an attempt closes its connection before the outcome is reported, so that the next
+// attempt never runs beside it.
 func TestTimeoutClosesConnection(t *testing.T) {
 	closed := make(chan error, 1)
 	got := make(chan struct{})
@@ -305,8 +311,8 @@
 	}
 }
 
-// A dial ends with its attempt: the transport would let it go on and keep what
-// comes of it, a connection to a backend that was given up or drains.
+// A dial ends with its attempt: http.Transport would let it finish and keep the connection, to a
+// backend that was given up or drains.
 func TestDialEndsWithAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -338,7 +344,7 @@
 	}
 }
 
-// An attempt withdrawn while its connection comes up sends nothing on it.
+// An attempt that is withdrawn while its connection is established writes nothing.
 func TestWithdrawnAttemptSendsNothing(t *testing.T) {
 	read := make(chan int64, 1)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
@@ -364,7 +370,7 @@
 	}
 }
 
-// Without a socket left the attempt never ran, and its backend is not to blame.
+// Without a free socket the attempt was not executed, and the backend is not at fault.
 func TestNoSocketLeftIsNotTheBackendsFault(t *testing.T) {
 	d := newDialer()
 	d.maxOpen = 0
@@ -373,7 +379,7 @@
 	}
 }
 
-// The request goes on unchanged.
+// The request is forwarded unchanged.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
@@ -403,6 +409,7 @@
 	}
 }
 
+// Load reports are parsed by name, and malformed ones are ignored.
 func TestParseLoadReport(t *testing.T) {
 	got := parseLoadReport("TEXT util=0.61, qps=7", []string{"qps", "util", "eps"})
 	if len(got) != 3 || got[0] != 7 || got[1] != 0.61 || got[2] != 0 {
--- a/internal/agent/cost_test.go
+++ b/internal/agent/cost_test.go
@@ -19,6 +19,7 @@
 
 // profiledServers are the numbers of known servers; AGENT_SERVERS names others.
 func profiledServers(b *testing.B) []int {
+	b.Helper()
 	text := os.Getenv("AGENT_SERVERS")
 	if text == "" {
 		return []int{20, 200, 2000, 10000, 39000}
@@ -46,6 +47,7 @@
 }
 
 func benchmarkCalls(b *testing.B, servers int) {
+	b.Helper()
 	var fleet *cost.Fleet
 	var err error
 	withLabLabel(func() { fleet, err = cost.NewFleet(servers) })
@@ -67,6 +69,7 @@
 
 // startCostAgent serves an agent with the configuration of the cost measurement.
 func startCostAgent(b *testing.B, fleet *cost.Fleet) (base string) {
+	b.Helper()
 	text, err := fleet.AgentConfig("127.0.0.1:0", 1)
 	if err != nil {
 		b.Fatal(err)
@@ -97,6 +100,7 @@
 }
 
 func callRepeatedly(b *testing.B, base string) {
+	b.Helper()
 	transport := &http.Transport{DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	served := 0
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -12,18 +12,18 @@
 	"time"
 )
 
-// deadlineSlack is by how much the time that a server is told may exceed what the client has left; of
-// it 0.15 s are for a process that is held up (STANDING), which no test here does.
+// deadlineSlack is by how much the timeout that a server receives may exceed what the client has
+// left. STANDING allows 0.15 s more for a process that is held up, which no test here is.
 const deadlineSlack = 50 * time.Millisecond
 
-// observedTimeout is what an attempt told its server, and when it came there.
+// observedTimeout is the timeout that a server received with a request, and when.
 type observedTimeout struct {
 	id        string
 	arrivedAt time.Time
 	timeout   time.Duration
 }
 
-// timeoutBackend answers each request after a time and notes what it was told.
+// timeoutBackend answers each request after a time and reports the timeout that it received.
 func timeoutBackend(t *testing.T, status int, after time.Duration) (addr string, observed chan observedTimeout) {
 	t.Helper()
 	observed = make(chan observedTimeout, 100)
@@ -41,8 +41,8 @@
 	return s.Listener.Addr().String(), observed
 }
 
-// check compares what the server was told with what the client, which sent its request then with this
-// time-out, had left.
+// check compares the received timeout with what was left for the client, which sent its request at
+// sent.
 func (o observedTimeout) check(t *testing.T, sent time.Time, timeout time.Duration) {
 	t.Helper()
 	if left := timeout - o.arrivedAt.Sub(sent); o.timeout > left+deadlineSlack {
@@ -50,15 +50,15 @@
 	}
 }
 
-// timedRequest is a request on the wire with a time-out of two seconds.
+// timedRequest returns the bytes of a request with a timeout of timedRequestTimeout.
 func timedRequest(id string) string {
 	return strings.Replace(requestText(id), "30000m", "2000m", 1)
 }
 
 const timedRequestTimeout = 2 * time.Second // of timedRequest
 
-// Connections that come up late take their part of the time: what the server is told is counted when
-// the request goes out, of a first attempt and of the next one.
+// A slow connect takes its part of the timeout: what the server receives is computed when the
+// request is written, for the first attempt and the next.
 func TestDeadlineAfterSlowConnect(t *testing.T) {
 	refuses, first := timeoutBackend(t, http.StatusInternalServerError, 0)
 	serves, second := timeoutBackend(t, http.StatusInternalServerError, 0)
@@ -84,13 +84,14 @@
 	}
 }
 
-// The time of a request runs while it waits: behind another one on its connection, or for a place.
+// The timeout of a request runs while it waits behind another one on its connection, or for a
+// place.
 func TestDeadlineOfWaitingRequests(t *testing.T) {
 	t.Run("behind another one", testPipelinedRequestDeadline)
 	t.Run("for its place", testQueuedConnectionDeadline)
 }
 
-// testPipelinedRequestDeadline sends two requests at once, or in pieces.
+// testPipelinedRequestDeadline sends two requests at once or in pieces.
 func testPipelinedRequestDeadline(t *testing.T) {
 	const turn = 600 * time.Millisecond
 	both := timedRequest("first") + timedRequest("second")
@@ -123,7 +124,7 @@
 	}
 }
 
-// testQueuedConnectionDeadline sends a request while idle connections hold all places.
+// testQueuedConnectionDeadline sends a request while idle connections occupy all places.
 func testQueuedConnectionDeadline(t *testing.T) {
 	addr, observed := timeoutBackend(t, http.StatusOK, 0)
 	config := testConfig(unreachableAddr, addr)
@@ -143,7 +144,8 @@
 	tt.check(t, sent, timedRequestTimeout)
 }
 
-// A request on a connection that rested counts from when it came, and not from when the connection did.
+// The timeout of a request on an idle connection runs from the request's arrival and not from the
+// connection's.
 func TestDeadlineAfterIdleTime(t *testing.T) {
 	addr, observed := timeoutBackend(t, http.StatusOK, 0)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
--- a/internal/agent/listener_test.go
+++ b/internal/agent/listener_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A connection that is accepted behind a queue which stood still may have waited in it, but for no
-// longer than that was, and once it is worked off the queue doesn't matter any more.
+// A connection that is accepted after a stall of the queue may have waited as long as the stall;
+// once the queue is drained the stall does not matter any more.
 func TestAcceptQueueArrivalTime(t *testing.T) {
 	begin := time.Now()
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
--- a/internal/agent/misbehavingclient_test.go
+++ b/internal/agent/misbehavingclient_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// dialAgent connects to the agent as anyone may.
+// dialAgent connects to the agent without net/http.
 func dialAgent(t *testing.T, base string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
@@ -27,8 +27,8 @@
 	return c, bufio.NewReader(c)
 }
 
-// A request of which two readers could see different ends is answered with an error, and
-// what it carried in its body is never taken for a request.
+// A request whose end two readers could see differently is answered with an error, and no part of
+// its body is taken for a request.
 func TestAmbiguousLength(t *testing.T) {
 	inner := "GET /look/u2 HTTP/1.1\r\nHost: x\r\nRequest-Id: inner\r\nRequest-Timeout: 30000m\r\n\r\n"
 	start1 := "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: outer\r\nRequest-Timeout: 30000m\r\n"
@@ -73,7 +73,7 @@
 	}
 }
 
-// A body in chunks is as good as one of a stated length.
+// A body in chunks is accepted like one with a length.
 func TestChunkedRequest(t *testing.T) {
 	addr, received := countingBackend(t, 200, false)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -84,8 +84,8 @@
 	}
 }
 
-// A peer that sends no proper request, or stops in the middle of one, is soon rid of and
-// gives its place back.
+// A peer that sends no valid request, or stops in the middle of one, is soon disconnected and its
+// place is released.
 func TestUnresponsivePeerIsClosed(t *testing.T) {
 	const post = "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: id1\r\nRequest-Timeout: 30000m\r\n"
 	for name, text := range map[string]string{
@@ -118,8 +118,8 @@
 	}
 }
 
-// Connections that stand idle give their places to others: none is left to take a request
-// on while each waits for a next one that need not come.
+// Idle connections are closed when the client connections are nearly full, so that places remain
+// for requests.
 func TestConnectionsAreClosedWhenNearlyFull(t *testing.T) {
 	addr, _ := countingBackend(t, 200, false)
 	config := testConfig(unreachableAddr, addr)
@@ -146,9 +146,8 @@
 	}
 }
 
-// A flood of bad clients, silent, slow, huge, with too much at once and gone in the midst of
-// it: each is rid of within 3 s, a good one among them is served, and what they took is given
-// back.
+// Among many bad clients (silent, slow, huge, sending too much at once, or disconnecting early)
+// each bad one is disconnected within 3 s, a good one is served, and all resources are released.
 func TestMisbehavingClientsAreContained(t *testing.T) {
 	addr, _ := countingBackend(t, 200, false)
 	config := testConfig(unreachableAddr, addr)
@@ -238,8 +237,8 @@
 	}
 }
 
-// A client in the midst of its request that has to give its place to another one is told so: what it
-// sent until then, perhaps all of it, was not for nothing and may be sent again.
+// A client that is evicted within its request is sent a rejection: the agent did not execute what
+// it received, and the client may send it again.
 func TestEvictedSlowClientIsRejected(t *testing.T) {
 	addr, _ := countingBackend(t, 200, false)
 	config := testConfig(unreachableAddr, addr)
--- a/internal/agent/notification_test.go
+++ b/internal/agent/notification_test.go
@@ -11,8 +11,10 @@
 	"time"
 )
 
-// discoveryServer is a discovery that notes what it is asked and leaves the rest to serve.
+// discoveryServer returns a discovery service that reports the queries of its calls and answers
+// with serve.
 func discoveryServer(t *testing.T, serve http.HandlerFunc) (addr string, requests chan string) {
+	t.Helper()
 	requests = make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requests <- r.URL.RawQuery
@@ -23,7 +25,7 @@
 	return s.Listener.Addr().String(), requests
 }
 
-// serveList writes a whole list and keeps the watch serveList.
+// serveList writes a full list and keeps the watch open.
 func serveList(seq int, hosts ...any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		text, _ := json.MarshalIndent(map[string]any{"seq": seq, "whole": true, "hosts": hosts}, "", "  ")
@@ -35,8 +37,8 @@
 	}
 }
 
-// Over HTTP a list that is pushed comes on a watch too: without one the agent would never
-// hear of a drain.
+// Over HTTP a pushed list arrives on a watch too: without a watch the agent would never be notified
+// of a drain.
 func TestPushedListIsWatched(t *testing.T) {
 	old, _ := countingBackend(t, 200, false)
 	good, received := countingBackend(t, 200, false)
@@ -49,7 +51,7 @@
 	select {
 	case q := <-requests:
 		if q != "follow=1&since=1" {
-			t.Fatalf("asked %q", q)
+			t.Fatalf("query %q", q)
 		}
 	case <-time.After(20 * time.Second):
 		t.Fatal("not asked")
@@ -72,8 +74,8 @@
 	}
 }
 
-// A new address of discovery is asked at once, and again soon where that fails, however
-// long the waits had become at the one before.
+// A new address of discovery is polled at once, and soon again if that fails, however long the
+// backoff had become at the previous one.
 func TestChangedDiscoveryIsPolledSoon(t *testing.T) {
 	config := testConfig(unreachableAddr, "127.0.0.1:1")
 	config["settings"].(map[string]any)["membershipMode"] = "on_request"
@@ -111,9 +113,9 @@
 	}
 }
 
-// Whatever ended the calls before, what discovery has to tell is heard within 6 s of the moment
-// from which it answers well again: with refusals, resets, silence at every place, answers that
-// trickle or never end, and a new configuration in the midst of it.
+// Whatever ended the calls before, the agent is notified within 6 s of the moment from which
+// discovery answers correctly again: after rejections, resets, silence at any point, responses that
+// trickle or never end, and with a reload in between.
 func TestNotifiedWithinSixSeconds(t *testing.T) {
 	silent := func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	write := func(w http.ResponseWriter, text string) {
--- a/internal/agent/race_test.go
+++ b/internal/agent/race_test.go
@@ -19,9 +19,10 @@
 // Tests of what ends in the very moment in which something is still owed. Each crossing is
 // forced: by a loop that does not run yet, a connect that is held, an answer kept back.
 
-// testTimeout bounds the waits of these tests.
+// testTimeout limits the waits of these tests.
 const testTimeout = 20 * time.Second
 
+// receive returns the next value of c, which must arrive within testTimeout.
 func receive[T any](t *testing.T, what string, c <-chan T) (v T) {
 	t.Helper()
 	select {
@@ -32,6 +33,7 @@
 	return v
 }
 
+// waitUntil polls until done, for testTimeout at most.
 func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !done(); time.Sleep(time.Millisecond) {
@@ -41,12 +43,12 @@
 	}
 }
 
-// requestText is a request on the wire.
+// requestText returns a request as the bytes on the wire.
 func requestText(id string) string {
 	return "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nRequest-Timeout: 30000m\r\nContent-Length: 4\r\n\r\nbody"
 }
 
-// agentWithStoppedLoop serves an agent whose loop runs only once run is called.
+// agentWithStoppedLoop serves an agent whose loop starts when run is called.
 func agentWithStoppedLoop(t *testing.T, config map[string]any) (a *Agent, baseURL string, run func()) {
 	t.Helper()
 	a, err := New(parseConfig(t, config), slog.New(slog.DiscardHandler))
@@ -67,8 +69,10 @@
 	return a, "http://" + ln.Addr().String(), func() { go a.loop.run() }
 }
 
-// scriptedBackend is a backend that answers only when it is told to, and counts what comes.
+// scriptedBackend returns a backend that writes a response only when it is given one. It reports
+// the requests that it receives, and connections that close without a response.
 func scriptedBackend(t *testing.T) (addr string, received chan string, answer chan string, closed chan struct{}) {
+	t.Helper()
 	received, answer, closed = make(chan string, 100), make(chan string, 100), make(chan struct{}, 100)
 	addr = rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -97,8 +101,8 @@
 	return addr, received, answer, closed
 }
 
-// stallingLog is a log that keeps who writes a line on a failover waiting: so the loop can be made
-// to stand, as often as stall is called.
+// stallingLog is a log that blocks whoever logs a failover, which stops the loop as often as stall
+// is called.
 type stallingLog struct{ stalled, release chan struct{} }
 
 func newStallingLog(a *Agent) stallingLog {
@@ -122,8 +126,8 @@
 	return nil
 }
 
-// A client that left while its request waited is sent nowhere, however much the agent is
-// behind: many leave at once here, before the loop has looked at any of them.
+// The request of a client that disconnected while it was queued is not forwarded, however far the
+// loop is behind: many clients disconnect here before the loop has handled any of their requests.
 func TestCanceledBeforeLoopRuns(t *testing.T) {
 	var addrs []string
 	received := make(chan string, 1000)
@@ -163,8 +167,8 @@
 	waitUntil(t, "their places are given back", func() bool { return a.clients.count() <= 1 })
 }
 
-// A client that leaves while the connection to its backend comes up is not sent on, though
-// nobody has told the loop yet.
+// The request of a client that disconnects during the connect to its backend is not forwarded, even
+// though the loop has not been notified.
 func TestCanceledDuringConnect(t *testing.T) {
 	read := make(chan int64, 1)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
@@ -190,8 +194,8 @@
 	}
 }
 
-// The very first byte asks whether the client is there: between the checkout of a kept
-// connection and that byte, too, and where its end stands behind the request unseen.
+// The client's connection is checked right before the first byte, also between the checkout of a
+// kept connection and that byte, and also if its end is queued unread behind the request.
 func TestCanceledBeforeTheFirstByte(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -219,7 +223,7 @@
 	}
 }
 
-// connPair is the two ends of a connection.
+// connPair returns the two ends of a connection.
 func connPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -237,8 +241,8 @@
 	return near, far
 }
 
-// A client that leaves with a part of a next request sent behind is seen to go all the same,
-// whether that came before its request was taken or after, and however much it was.
+// The disconnect of a client that has sent a part of a next request is detected, whether that part
+// arrived before or after its request was accepted, and however long it is.
 func TestCanceledBehindAPipelinedRequest(t *testing.T) {
 	for _, size := range []int{1, 50, maxReadAheadBuf + 1, 200 << 10} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -256,7 +260,7 @@
 	}
 }
 
-// The same with several requests behind each other, of which the client leaves in the second.
+// The same with several pipelined requests, of which the client disconnects during the second.
 func TestCanceledBehindPipelinedRequests(t *testing.T) {
 	addr, received, answer, cut := scriptedBackend(t)
 	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -283,7 +287,7 @@
 	waitUntil(t, "its place is given back", func() bool { return a.clients.count() == 0 })
 }
 
-// What is read behind a request is not lost to the next one.
+// What is read ahead behind a request is not lost to the next one.
 func TestPipelinedRequestIsAnswered(t *testing.T) {
 	addr, received, answer, _ := scriptedBackend(t)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -307,7 +311,7 @@
 	}
 }
 
-// A client that leaves between an attempt that failed and the next: no further one begins.
+// If a client disconnects between a failed attempt and the next, no further attempt begins.
 func TestCanceledBeforeTheRetry(t *testing.T) {
 	var addrs []string
 	var all []chan string
@@ -344,8 +348,8 @@
 	}
 }
 
-// One that ends only its sending has gone as well, and must not read an answer that nobody
-// made.
+// A client that ends only its sending counts as disconnected too, and must not read a response that
+// no backend sent.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	addr, received, _, cut := scriptedBackend(t)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -359,8 +363,8 @@
 	receive(t, "the attempt is given up", cut)
 }
 
-// A request whose bytes come as its connection is closed is never sent on, and the answer
-// before it is read whole, with an end and no reset behind it.
+// A request that arrives while its connection is closed is never forwarded, and the previous
+// response is read completely, followed by an end and not by a reset.
 func TestRequestDuringCloseIsNotForwarded(t *testing.T) {
 	for name, kind := range map[string]func(a *Agent, stop func()){
 		"shutdown": func(a *Agent, stop func()) { stop() },
@@ -405,7 +409,7 @@
 	}
 }
 
-// countAt is how many connections are countAt a stage.
+// countAt returns the number of connections at a stage.
 func (cs *clientConns) countAt(s connStage) (n int) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -417,8 +421,8 @@
 	return n
 }
 
-// A request that was read whole in the instant in which its connection began to be closed is
-// not taken; one that was taken first is answered, and only then closed.
+// A request that was read in the instant in which the close of its connection began is not
+// accepted; a request that was accepted first is answered before the close.
 func TestRequestIsAcceptedOrConnectionClosed(t *testing.T) {
 	addr, received, answer, _ := scriptedBackend(t)
 	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -462,9 +466,9 @@
 	cc.Close()
 }
 
-// An answer with the connection's end behind it arrives whole though its client, slow to read
-// it, sends something more: a close before that came would reset the connection, and the part
-// that the system still holds would be gone.
+// A response followed by a close arrives completely even if its client reads slowly and sends more:
+// closing before those bytes arrive would reset the connection and lose what the kernel still
+// holds.
 func TestNoResetAfterResponse(t *testing.T) {
 	addr, received, answer, _ := scriptedBackend(t)
 	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -501,7 +505,7 @@
 	}
 }
 
-// What came behind a request before it was taken is read ahead from then on.
+// Bytes that arrived behind a request before it was accepted start the read-ahead too.
 func TestReadAheadOfEarlierBytes(t *testing.T) {
 	near, far := connPair(t)
 	c := newClientConns(1).admit(near, nil)
@@ -517,8 +521,8 @@
 	c.Close()
 }
 
-// Idle clients that hold all places give way to one with a request at once, whether they have
-// asked something before or never did.
+// Idle clients that occupy all places are evicted at once for one with a request, whether they have
+// sent a request before or not.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	for _, requests := range []bool{true, false} {
 		t.Run(fmt.Sprint(requests), func(t *testing.T) {
--- a/internal/agent/retrywindow_test.go
+++ b/internal/agent/retrywindow_test.go
@@ -15,8 +15,8 @@
 	"knotrouter/policy"
 )
 
-// A repeat whose connection comes up only when the window of its first attempt is over is not
-// sent: it would be taken for a new request. It is answered then, not at its deadline.
+// A retry whose connection is established only after the deduplication window of its first attempt
+// is not sent: it would count as a new request. The client is answered then, not at its deadline.
 func TestRetryIsNotSentAfterItsWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	received, ended := make(chan string, 10), make(chan struct{}, 10)
@@ -73,8 +73,7 @@
 	}
 }
 
-// slowWrites is a connection to which a part of a request goes, and the rest only after a wait
-// that heeds the deadline for it, as the system's does when its peer does not read.
+// slowWrites is a connection that records the deadlines of its writes.
 type slowWrites struct {
 	net.Conn
 	deadlines chan time.Time
@@ -85,8 +84,8 @@
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// The last byte of a repeat is out by the end of the window, or never: the write is bounded, and
-// the connection serves a request without a window afterwards.
+// The last byte of a retry is written within the deduplication window or never: the write has that
+// deadline, and the connection then serves a request without a window.
 func TestRetryIsWrittenWithinItsWindow(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -122,8 +121,8 @@
 	}
 }
 
-// What a backend sends behind an answer is told from the next one's also where
-// the answer's end is in its chunks.
+// What a backend sends after a response is not taken for the next response, also if the end of the
+// response is in its chunks.
 func TestTrailingBytesAfterChunksAreNoResponse(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\ndo\r\n2\r\nne\r\n0\r\nX: y\r\n\r\n"
 	stray := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
@@ -161,7 +160,8 @@
 	}
 }
 
-// A connection with an answer in chunks is kept, and its bytes counted right in any pieces.
+// A connection with a chunked response is kept, and its bytes are counted correctly in pieces of
+// any size.
 func TestChunkedFramingInPieces(t *testing.T) {
 	text := "HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\n0123456789\r\n1\r\nx\r\n0\r\n\r\n"
 	for size := 1; size <= len(text); size++ {
@@ -183,7 +183,7 @@
 	}
 }
 
-// countDials counts the connections that a dialer made.
+// countDials counts the connections that a dialer opened.
 func countDials(d *dialer) *int {
 	n, connect := new(int), d.connect
 	d.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -193,6 +193,7 @@
 	return n
 }
 
+// A chunked response leaves its connection usable for the next request.
 func TestChunkedAnswerKeepsItsConnection(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -216,7 +217,8 @@
 	}
 }
 
-// blockedWrites is a connection on which only the first write goes through.
+// blockedWrites is a connection on which only the first write succeeds; the next blocks until the
+// close.
 type blockedWrites struct {
 	net.Conn
 	written *atomic.Bool
@@ -240,7 +242,7 @@
 	return c.Conn.Close()
 }
 
-// An answer to a request of which a part has not gone out yet is not that request's.
+// A response that arrives before the request was sent completely is not that request's.
 func TestResponseBeforeRequestIsSent(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil { // its head
--- a/internal/agent/services_test.go
+++ b/internal/agent/services_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/json"
 	"fmt"
 	"log/slog"
@@ -14,8 +13,8 @@
 	"knotrouter/policy"
 )
 
-// scopedConfig is a configuration of an agent that subscribes to services at one steward; it
-// knows one server of service a and one of service b.
+// scopedConfig returns the configuration of an agent that subscribes to services at one
+// control-plane server and knows one server of service a and one of service b.
 func scopedConfig(services ...string) map[string]any {
 	a, b := hostEntry(1, "127.0.0.1:1", "ready"), hostEntry(2, "127.0.0.1:2", "ready")
 	a["service"], b["service"] = "a", "b"
@@ -29,20 +28,18 @@
 	return config
 }
 
-// scopedLoop is a loop that a test drives by hand, and what it logs.
+// scopedLoop returns a loop that the test drives by itself, and its log.
 func scopedLoop(t *testing.T, config map[string]any) (*loop, *bytes.Buffer) {
 	t.Helper()
-	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(cancel)
 	log := &bytes.Buffer{}
-	l, err := newLoop(ctx, parseConfig(t, config), slog.New(slog.NewTextHandler(log, nil)))
+	l, err := newLoop(t.Context(), parseConfig(t, config), slog.New(slog.NewTextHandler(log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return l, log
 }
 
-// usableBackends is the names of the servers that the loop may send to.
+// usableBackends returns the names of the servers that the loop may send to.
 func (l *loop) usableBackends() string {
 	var names []string
 	for i := range 10 {
@@ -54,16 +51,18 @@
 	return strings.Join(names, " ")
 }
 
-// deliver hands the loop a list of a subscription.
+// deliver passes the loop a list of a subscription.
 func (l *loop) deliver(kind eventKind, subscription uint64, scoped bool, lst endpoints.List) {
 	lst.Subscription, lst.Scoped = subscription, scoped
 	l.handle(event{kind: kind, list: lst, source: l.discovery})
 }
 
+// serviceEndpoint returns the entry of server s-i of a service.
 func serviceEndpoint(i int, service, health string) endpoints.Endpoint {
 	return endpoints.Endpoint{Name: fmt.Sprint("s-", i), Dial: fmt.Sprint("127.0.0.1:", i), Service: service, Health: health}
 }
 
+// Errors in the configured services name the key.
 func TestServicesConfig(t *testing.T) {
 	many := []string{}
 	for i := range endpoints.MaxServices + 1 {
@@ -103,7 +102,7 @@
 	}
 }
 
-// Without the key the lists of stewards are taken as they come, whatever service an entry names.
+// Without the key every listed server is used, whatever service its entry names.
 func TestNoServicesNoScope(t *testing.T) {
 	l, _ := scopedLoop(t, scopedConfig())
 	if l.scope.table != nil || l.usableBackends() != "s-1 s-2" {
@@ -120,8 +119,8 @@
 	}
 }
 
-// The agent takes its services' servers alone, also from what it knows at its start, and says
-// what becomes of a service.
+// The agent uses only the servers of its services, also from the cached list, and logs what becomes
+// of a service.
 func TestOnlySubscribedServicesAreUsed(t *testing.T) {
 	l, log := scopedLoop(t, scopedConfig("a", "c"))
 	if l.usableBackends() != "s-1" {
@@ -133,12 +132,12 @@
 	}
 	for _, want := range []string{`"discovery: service emptied" service=a kept=1 scoped=true`, `"discovery: service unknown" service=c kept=0 scoped=true`} {
 		if strings.Count(log.String(), want) != 1 {
-			t.Errorf("not said once: %s; said %s", want, log)
+			t.Errorf("not logged once: %s; log: %s", want, log)
 		}
 	}
 	l.deliver(eventListFetched, 0, true, listOf(6, true, serviceEndpoint(3, "a", "ready"), serviceEndpoint(5, "c", "draining")))
 	if l.usableBackends() != "s-3" || strings.Count(log.String(), `"discovery: service back"`) != 2 {
-		t.Errorf("usable: %q; said %s", l.usableBackends(), log)
+		t.Errorf("usable: %q; log: %s", l.usableBackends(), log)
 	}
 	l.deliver(eventListChanged, 0, true, listOf(7, false, serviceEndpoint(3, "x", "gone"), serviceEndpoint(6, "b", "ready"), serviceEndpoint(5, "c", "ready")))
 	if l.usableBackends() != "s-3 s-5" {
@@ -146,8 +145,8 @@
 	}
 }
 
-// A new subscription leaves what is held in use until its whole list comes; lists of the one
-// before that are still under way change nothing.
+// After a new subscription the known servers stay in use until its full list arrives; lists of the
+// earlier subscription are ignored.
 func TestListsOfOldSubscriptionAreIgnored(t *testing.T) {
 	l, log := scopedLoop(t, scopedConfig("a"))
 	l.deliver(eventListChanged, 0, true, listOf(5, true, serviceEndpoint(1, "a", "ready"), serviceEndpoint(3, "a", "ready")))
@@ -172,7 +171,7 @@
 	}
 	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{unreachableAddr}, services: []string{"no word"}})
 	if l.scope.subscription != 1 || !strings.Contains(log.String(), "services[0]") {
-		t.Errorf("subscribed to no word; said %s", log)
+		t.Errorf("subscribed to no word; log: %s", log)
 	}
 	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{unreachableAddr}}) // the key is gone
 	l.deliver(eventListChanged, 1, true, listOf(8, true))
@@ -187,8 +186,8 @@
 	}
 }
 
-// Where an unscoped list made the reader's version later than a scoped one that comes after it,
-// the scoped one is left out, and asked for anew: the unscoped one may lack servers.
+// If an unscoped list made the version later than that of a scoped list which arrives after it, the
+// scoped one is skipped and requested again: the unscoped one may lack servers.
 func TestOlderScopedListIsRequestedAgain(t *testing.T) {
 	l, _ := scopedLoop(t, scopedConfig("a"))
 	l.deliver(eventListFetched, 0, false, listOf(9, true, serviceEndpoint(1, "", "ready"), serviceEndpoint(3, "", "ready")))
@@ -209,18 +208,18 @@
 	}
 }
 
-// An agent that began without stewards asks for no services.
+// An agent that started without a control plane ignores services.
 func TestServicesRequireControlPlane(t *testing.T) {
 	config := testConfig(unreachableAddr, "127.0.0.1:1")
 	l, log := scopedLoop(t, config)
 	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{"127.0.0.1:2"}, services: []string{"a"}})
 	l.deliver(eventListChanged, 0, false, listOf(5, true, serviceEndpoint(3, "", "ready")))
 	if l.usableBackends() != "s-3" || l.scope.table != nil || !strings.Contains(log.String(), "services ignored: the agent started without stewards") {
-		t.Errorf("usable: %q; said %s", l.usableBackends(), log)
+		t.Errorf("usable: %q; log: %s", l.usableBackends(), log)
 	}
 }
 
-// The module hears of the union of the services' servers as one list.
+// The balancer gets the servers of all services as one list.
 func TestBalancerGetsUnionOfServices(t *testing.T) {
 	l, _ := scopedLoop(t, scopedConfig("a", "b"))
 	l.deliver(eventListChanged, 0, true, listOf(5, true, serviceEndpoint(1, "a", "ready"), serviceEndpoint(2, "b", "ready"), serviceEndpoint(3, "x", "ready")))
--- a/internal/agent/startclock_test.go
+++ b/internal/agent/startclock_test.go
@@ -7,8 +7,8 @@
 	"knotrouter/internal/endpoints"
 )
 
-// A process whose wall clock was stepped before it began knows all the same how long a server has
-// run that starts later: cold ones aren't taken for warm, nor for cold longer than they are.
+// A process whose wall clock was stepped before its start still knows the age of servers that start
+// later: a server that warms up counts neither as warm nor as younger than it is.
 func TestSteppedClockAtTheStart(t *testing.T) {
 	const coldMs = 8000
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 20 * time.Second, -20 * time.Second} {
