--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -556,21 +556,22 @@
 	drains := ready
 	drains.Health = "draining"
 	for _, c := range []struct {
-		name        string
-		since, came int64 // the version that the watch named or told last, and that of its list
-		taken       bool
+		name    string
+		since   int64 // the version that the watch began with, or that of its last list
+		version int64 // of its list
+		applied bool
 	}{
-		{"overtaken", 12, 14, false},
-		{"overtaken, nothing new", 14, 14, false},
-		{"counted anew", 12, 3, true},
+		{"outdated", 12, 14, false},
+		{"outdated, nothing new", 14, 14, false},
+		{"versions restarted", 12, 3, true},
 		{"of the same version", 12, 15, true},
 		{"newer", 12, 16, true},
 	} {
 		l := offlineLoop(t, "127.0.0.1:1", "127.0.0.1:2")
 		l.handle(event{kind: eventListFetched, list: listOf(15, true, drains)})
-		l.handle(event{kind: eventListChanged, since: c.since, list: listOf(c.came, true, ready)})
-		if b := l.backends[policyAddr("s-0")]; (b != nil && b.usable) != c.taken {
-			t.Errorf("%s: taken: %v", c.name, !c.taken)
+		l.handle(event{kind: eventListChanged, since: c.since, list: listOf(c.version, true, ready)})
+		if b := l.backends[policyAddr("s-0")]; (b != nil && b.usable) != c.applied {
+			t.Errorf("%s: applied: %v", c.name, !c.applied)
 		}
 	}
 }
--- a/internal/agent/clientconn.go
+++ b/internal/agent/clientconn.go
@@ -16,21 +16,21 @@
 	owner *clientConns
 	head  requestHead
 
-	stage            connStage
-	stageSince       time.Time // start of the current stage
-	answered         bool      // at least one request was answered
-	closed           bool
-	lingerUntil      time.Time // deadline of lingering, set when the agent's side has ended
-	lingeredBytes    int
-	peerEnded        bool      // the client's side has ended, or failed
-	connectedAt      time.Time // earliest arrival of the connection, which may have been queued in the kernel
-	requestArrivedAt time.Time // earliest arrival of the current request
-	nextArrivedAt    time.Time // arrival of the first pipelined byte; zero: none has arrived
-	pipelined        bool      // a byte arrived behind the current request
-	readAheadBuf     []byte    // what readAhead has read behind that byte
-	readAheadErr     error
-	flooded          bool          // more was read ahead than is kept; nothing acts on it
-	readAheadDone    chan struct{} // closed when readAhead ends; nil: it does not run
+	stage              connStage
+	stageSince         time.Time // start of the current stage
+	answered           bool      // at least one request was answered
+	closed             bool
+	lingerUntil        time.Time // deadline of lingering, set when the agent's side has ended
+	lingeredBytes      int
+	peerEnded          bool      // the client's side has ended, or failed
+	connectedAt        time.Time // earliest arrival of the connection, which may have been queued in the kernel
+	requestArrivedAt   time.Time // earliest arrival of the current request
+	nextArrivedAt      time.Time // arrival of the first pipelined byte; zero: none has arrived
+	pipelined          bool      // a byte arrived behind the current request
+	readAheadBuf       []byte    // what readAhead has read behind that byte
+	readAheadErr       error
+	readAheadTruncated bool          // more was read ahead than is kept; nothing acts on it
+	readAheadDone      chan struct{} // closed when readAhead ends; nil: it does not run
 
 	canceled chan struct{} // closed when readAhead detects a disconnect
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -70,16 +70,16 @@
 
 // rawConfig is the text of a configuration before its validation.
 type rawConfig struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"`
-	Limits    Limits          `json:"limits"`
-	Known     json.RawMessage `json:"known"`
-	Settings  json.RawMessage `json:"settings"`
-	Stewards  []string        `json:"stewards"`
-	Services  []string        `json:"services"`
-	LogLevel  string          `json:"log_level"`
+	Name         string          `json:"name"`
+	Listen       string          `json:"listen"`
+	Discovery    string          `json:"discovery"`
+	Seed         string          `json:"seed"`
+	Limits       Limits          `json:"limits"`
+	CachedList   json.RawMessage `json:"known"`
+	Settings     json.RawMessage `json:"settings"`
+	ControlPlane []string        `json:"stewards"`
+	Services     []string        `json:"services"`
+	LogLevel     string          `json:"log_level"`
 }
 
 // ParseConfig parses and validates a configuration. The error names the invalid key.
@@ -93,14 +93,14 @@
 		return nil, fmt.Errorf("config: no JSON: %w", err)
 	}
 	c := &Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Limits: raw.Limits,
-		ControlPlane: raw.Stewards, Services: raw.Services}
+		ControlPlane: raw.ControlPlane, Services: raw.Services}
 	if err := c.LogLevel.UnmarshalText([]byte(raw.LogLevel)); err != nil && raw.LogLevel != "" {
 		return nil, fmt.Errorf("config: log_level: must be debug, info, warn or error, is %q", raw.LogLevel)
 	}
 	if err := raw.checkAddresses(); err != nil {
 		return nil, err
 	}
-	if err := checkServices(raw.Services, raw.Stewards); err != nil {
+	if err := checkServices(raw.Services, raw.ControlPlane); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	var err error
@@ -113,7 +113,7 @@
 	if err := c.applySettings(raw.Settings); err != nil {
 		return nil, err
 	}
-	c.CachedList, c.CachedListErr = parseCachedList(raw.Known)
+	c.CachedList, c.CachedListErr = parseCachedList(raw.CachedList)
 	return c, nil
 }
 
@@ -122,17 +122,17 @@
 	if err := checkAddress(raw.Listen); err != nil {
 		return fmt.Errorf("config: listen: %w", err)
 	}
-	if err := checkAddress(raw.Discovery); err != nil && (raw.Discovery != "" || len(raw.Stewards) == 0) {
+	if err := checkAddress(raw.Discovery); err != nil && (raw.Discovery != "" || len(raw.ControlPlane) == 0) {
 		return fmt.Errorf("config: discovery: %w", err)
 	}
-	if len(raw.Stewards) > maxControlPlaneAddresses {
-		return fmt.Errorf("config: stewards: %d addresses of at most %d", len(raw.Stewards), maxControlPlaneAddresses)
+	if len(raw.ControlPlane) > maxControlPlaneAddresses {
+		return fmt.Errorf("config: stewards: %d addresses of at most %d", len(raw.ControlPlane), maxControlPlaneAddresses)
 	}
-	for i, addr := range raw.Stewards {
+	for i, addr := range raw.ControlPlane {
 		if err := checkAddress(addr); err != nil {
 			return fmt.Errorf("config: stewards[%d]: %w", i, err)
 		}
-		if slices.Contains(raw.Stewards[:i], addr) {
+		if slices.Contains(raw.ControlPlane[:i], addr) {
 			return fmt.Errorf("config: stewards[%d]: named twice: %q", i, addr)
 		}
 	}
@@ -197,13 +197,13 @@
 	}
 	var raw struct {
 		Seq   int64             `json:"seq"`
-		Whole bool              `json:"whole"`
+		Full  bool              `json:"whole"`
 		Hosts []json.RawMessage `json:"hosts"`
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return l, fmt.Errorf("config: known: %w", err)
 	}
-	l.Seq, l.Full = raw.Seq, raw.Whole
+	l.Seq, l.Full = raw.Seq, raw.Full
 	skipped := 0
 	for i, host := range raw.Hosts {
 		var h endpoints.Endpoint
--- a/internal/agent/discoverychange.go
+++ b/internal/agent/discoverychange.go
@@ -42,7 +42,7 @@
 // services change.
 func (l *loop) changeDiscovery(addrs, services []string) {
 	if l.controlPlane == nil && services != nil {
-		l.log.Warn("services ignored: the agent started without stewards", "services", len(services))
+		l.log.Warn("services ignored: the agent started without a control plane", "services", len(services))
 	}
 	rescoped := l.controlPlane != nil && !l.scope.equals(services)
 	if slices.Equal(addrs, l.discovery.addrs) && !rescoped {
--- a/internal/agent/formats_test.go
+++ b/internal/agent/formats_test.go
@@ -19,12 +19,12 @@
 	"knotrouter/policy"
 )
 
-// The tests of this file hold what an agent shares with others: its configuration's keys, and the bytes
-// of the requests and answers that it writes. Go identifiers may be renamed freely.
+// The tests of this file fix what an agent shares with other programs: its configuration's keys, and
+// the bytes of the requests and responses that it writes. Go identifiers may be renamed freely.
 
-// wholeConfig has every key of a configuration that the agent reads, but for the rest of the settings,
-// whose keys internal/wire holds.
-const wholeConfig = `{
+// fullConfig has every key of a configuration that the agent reads, except for the other settings,
+// whose keys internal/simwire fixes.
+const fullConfig = `{
 	"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c1f30d27a5be964",
 	"limits": {"cores": 1.5, "memory_mb": 192, "sockets": 1024},
 	"known": {"seq": 7, "whole": true, "hosts": [{"host": "s-0", "dial": "127.0.0.1:3", "site": "z1", "class": "k1",
@@ -36,7 +36,7 @@
 	"stewards": ["127.0.0.1:4", "127.0.0.1:5"], "services": ["s", "u"], "log_level": "warn"}`
 
 func TestEveryKeyOfAConfigurationIsRead(t *testing.T) {
-	got, err := ParseConfig([]byte(wholeConfig))
+	got, err := ParseConfig([]byte(fullConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,8 +64,8 @@
 	}
 }
 
-// A complaint names the key, or the variable of the environment that names the file.
-func TestComplaintsNameTheKey(t *testing.T) {
+// An error names the key, or the environment variable that names the file.
+func TestErrorsNameTheKey(t *testing.T) {
 	if _, err := LoadConfig(""); err == nil || err.Error() != "EDGE_CONFIG: not set" {
 		t.Errorf("without a file: %v", err)
 	}
@@ -89,14 +89,14 @@
 		{`"settings"`, `"setting"`, `config: settings: missing`},
 		{`"on_request"`, `"x"`, `config: settings: membershipMode: unknown mode "x"`},
 	} {
-		text := strings.Replace(wholeConfig, c.from, c.to, 1)
+		text := strings.Replace(fullConfig, c.from, c.to, 1)
 		if _, err := ParseConfig([]byte(text)); fmt.Sprint(err) != c.want {
 			t.Errorf("%s for %s: %v, want %s", c.to, c.from, err, c.want)
 		}
 	}
 }
 
-// All agents, of whatever version, give a server and a key the same numbers.
+// All agents, of any version, derive the same numbers for a server and a key.
 func TestNumbersOfServersAndKeys(t *testing.T) {
 	if got := fmt.Sprintf("%x", policyAddr("s-0")); got != "5a655c3fc0d7" {
 		t.Errorf("server s-0 is %s", got)
@@ -106,15 +106,15 @@
 	}
 }
 
-// rawServer answers each connection's first request with the given bytes and hands out the request's.
-func rawServer(t *testing.T, answer string) (addr string, came chan string) {
+// rawServer answers each connection's first request with the given bytes and reports the request's.
+func rawServer(t *testing.T, answer string) (addr string, received chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	came = make(chan string, 10)
+	received = make(chan string, 10)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -130,15 +130,15 @@
 					return
 				}
 				_, _ = io.Copy(io.Discard, req.Body)
-				came <- head.String()
+				received <- head.String()
 				_, _ = io.WriteString(c, answer)
 			}()
 		}
 	}()
-	return ln.Addr().String(), came
+	return ln.Addr().String(), received
 }
 
-// exchange sends the bytes and returns all that comes back until the close.
+// exchange sends the bytes and returns everything received until the close.
 func exchange(t *testing.T, addr, request string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -182,7 +182,7 @@
 		{"ready", "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", full, "", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			addr, came := rawServer(t, c.answer)
+			addr, received := rawServer(t, c.answer)
 			_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 			if got := exchange(t, strings.TrimPrefix(base, "http://"), c.request); got != c.toClient {
 				t.Errorf("to the client: %q", got)
@@ -191,7 +191,7 @@
 				return
 			}
 			select {
-			case got := <-came:
+			case got := <-received:
 				if got = timeout.ReplaceAllString(got, "Request-Timeout: TIME"); got != c.toServer {
 					t.Errorf("to the server: %q", got)
 				}
@@ -202,17 +202,17 @@
 	}
 }
 
-// A discovery sees these requests: a watch, and that the agent leaves.
+// Discovery receives these requests: a watch, and the notification of a shutdown.
 func TestRequestsToDiscovery(t *testing.T) {
-	came := make(chan string, 100)
+	received := make(chan string, 100)
 	list := `{"seq":7,"whole":true,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","site":"a","class":"k","block":1,"health":"ready","share":1,"born_ms":0}]}`
-	life := regexp.MustCompile(`Member-Life: [A-Z2-7]{26}`)
+	incarnation := regexp.MustCompile(`Member-Life: [A-Z2-7]{26}`)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		words := []string{r.Method + " " + r.URL.String()}
+		fields := []string{r.Method + " " + r.URL.String()}
 		for _, key := range slices.Sorted(maps.Keys(r.Header)) {
-			words = append(words, key+": "+r.Header.Get(key))
+			fields = append(fields, key+": "+r.Header.Get(key))
 		}
-		came <- life.ReplaceAllString(strings.Join(words, "; "), "Member-Life: LIFE")
+		received <- incarnation.ReplaceAllString(strings.Join(fields, "; "), "Member-Life: LIFE")
 		_, _ = io.WriteString(w, list+"\n")
 		w.(http.Flusher).Flush()
 		if r.Method == http.MethodGet {
@@ -229,13 +229,13 @@
 		addrs = append(addrs, ln.Addr().String())
 		go func() { _ = server.Serve(ln) }()
 	}
-	conf := testConfig(unreachableAddr)
-	conf["stewards"], conf["services"] = addrs, []string{"u", "s"}
-	conf["settings"].(map[string]any)["membershipMode"] = "on_request"
-	_, _, stop, ended := startAgent(t, conf)
+	config := testConfig(unreachableAddr)
+	config["stewards"], config["services"] = addrs, []string{"u", "s"}
+	config["settings"].(map[string]any)["membershipMode"] = "on_request"
+	_, _, stop, ended := startAgent(t, config)
 	next := func() string {
 		select {
-		case s := <-came:
+		case s := <-received:
 			return s
 		case <-time.After(20 * time.Second):
 			return "nothing"
--- a/internal/agent/readahead.go
+++ b/internal/agent/readahead.go
@@ -38,7 +38,7 @@
 		c.owner.mu.Lock()
 		keep := min(n, maxReadAheadBuf-len(c.readAheadBuf))
 		c.readAheadBuf = append(c.readAheadBuf, buf[:keep]...)
-		c.flooded = c.flooded || keep < n
+		c.readAheadTruncated = c.readAheadTruncated || keep < n
 		if err != nil {
 			if !os.IsTimeout(err) {
 				c.peerEnded, c.readAheadErr = true, err
--- a/internal/agent/services_test.go
+++ b/internal/agent/services_test.go
@@ -69,9 +69,9 @@
 		many = append(many, fmt.Sprint("s", i))
 	}
 	for _, c := range []struct {
-		stewards bool
-		services any
-		want     string
+		controlPlane bool
+		services     any
+		want         string
 	}{
 		{true, []string{"", "a"}, ""},
 		{true, many[1:], ""},
@@ -84,7 +84,7 @@
 		{true, []any{"a", 2}, "config: services: cannot be a number"},
 	} {
 		config := testConfig(unreachableAddr)
-		if c.stewards {
+		if c.controlPlane {
 			config["stewards"] = []string{unreachableAddr}
 		}
 		config["services"] = c.services
@@ -214,7 +214,7 @@
 	l, log := scopedLoop(t, config)
 	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{"127.0.0.1:2"}, services: []string{"a"}})
 	l.deliver(eventListChanged, 0, false, listOf(5, true, serviceEndpoint(3, "", "ready")))
-	if l.usableBackends() != "s-3" || l.scope.table != nil || !strings.Contains(log.String(), "services ignored: the agent started without stewards") {
+	if l.usableBackends() != "s-3" || l.scope.table != nil || !strings.Contains(log.String(), "services ignored: the agent started without a control plane") {
 		t.Errorf("usable: %q; log: %s", l.usableBackends(), log)
 	}
 }
