--- a/policy/state.go
+++ b/policy/state.go
@@ -112,6 +112,10 @@
 	first float64
 }
 
+// machineKind is what the agent has learned of one kind of machine: the mean answer time, as a part
+// of the target latency, and the resulting weight.
+type machineKind struct{ lat, weight float64 }
+
 // Balancer makes the decisions of one agent. It is not safe for concurrent use.
 type Balancer struct {
 	set        Settings
@@ -166,7 +170,7 @@
 	homeLat    float64
 	awayLat    float64
 	allLat     float64
-	kinds      [256]struct{ lat, weight float64 } // mean answer time and weight of each kind of machine
+	kinds      [256]machineKind
 	triedAt    float64
 	began      float64
 	seen       float64 // requests since
