--- a/policy/crowd_test.go
+++ b/policy/crowd_test.go
@@ -40,7 +40,7 @@
 			r.tick(500) // what was not sent can't be in time any more
 			return n
 		}
-		for range learnFor + 10 {
+		for range baselineSamples + 10 {
 			r.serve(20)
 		}
 		for range 20 {
@@ -53,7 +53,7 @@
 		}
 		calm += sent()
 	}
-	if most := 2 * standing * servers; float64(slow) > most || slow < servers {
+	if most := 2 * maxServerConcurrency * servers; float64(slow) > most || slow < servers {
 		t.Errorf("%d attempts out at %d crowded servers, want %d to %v", slow, servers, servers, most)
 	}
 	if calm <= slow {
@@ -67,7 +67,7 @@
 	id, s := r.sent(0, 7)
 	r.now += rtt
 	r.outcome(id, 0, s, OK, rtt)
-	return r.b.byAddr[s]
+	return r.b.serversByAddr[s]
 }
 
 // An agent that meets a server once in a few seconds looks how it is after one answer
@@ -80,14 +80,14 @@
 		r := newRig(t, manySettings(), 4)
 		srv := r.lateAt(200)
 		_, actions := r.ask(0, 7)
-		if a := find(actions, ActProbe); a == nil || a.Server != srv.id {
+		if a := find(actions, ActProbe); a == nil || a.Server != srv.addr {
 			t.Fatalf("the server was not looked at: %+v", actions)
 		}
-		if a := find(actions, ActSend); a == nil || a.Server == srv.id {
+		if a := find(actions, ActSend); a == nil || a.Server == srv.addr {
 			t.Fatalf("the request waited for the probe or went to the server in doubt: %+v", actions)
 		}
 		r.now += 2
-		r.do(Event{Kind: EvProbeResult, Server: srv.id, Status: OK, Report: []float32{1, c.inflight}})
+		r.do(Event{Kind: EvProbeResult, Server: srv.addr, Status: OK, Report: []float32{1, c.inflight}})
 		if srv.state != c.want {
 			t.Errorf("state %d after a report of %v in flight, want %d", srv.state, c.inflight, c.want)
 		}
@@ -132,12 +132,12 @@
 	r := newRig(t, manySettings(), 4)
 	srv := r.lateAt(200)
 	r.ask(0, 8)
-	r.do(Event{Kind: EvProbeResult, Server: srv.id, Status: OK, Report: []float32{1, 12}})
+	r.do(Event{Kind: EvProbeResult, Server: srv.addr, Status: OK, Report: []float32{1, 12}})
 	looked := func(until float64) bool {
 		for ; r.now < until; r.now += 50 {
 			id, actions := r.ask(0, 0)
 			for _, a := range actions {
-				if a.Server == srv.id && (a.Kind == ActProbe || a.Kind == ActSend) {
+				if a.Server == srv.addr && (a.Kind == ActProbe || a.Kind == ActSend) {
 					return true
 				}
 			}
@@ -147,10 +147,10 @@
 		}
 		return false
 	}
-	if from := r.now; looked(from + 7*r.b.aimMin) {
+	if from := r.now; looked(from + 7*r.b.minTarget) {
 		t.Errorf("not left alone for 7 aims: again after %v ms", r.now-from)
 	}
-	if from := r.now; !looked(from + 10*r.b.aimMin) {
+	if from := r.now; !looked(from + 10*r.b.minTarget) {
 		t.Error("not looked at again after 17 aims")
 	}
 }
@@ -165,26 +165,26 @@
 		for ; !srv.probing; r.now += 100 {
 			if id, actions := r.ask(0, 8); find(actions, ActSend) != nil {
 				s := find(actions, ActSend).Server
-				if s == srv.id {
+				if s == srv.addr {
 					t.Fatal("sent to the crowded server")
 				}
 				r.outcome(id, 0, s, OK, 20)
 			}
 		}
-		r.do(Event{Kind: EvProbeResult, Server: srv.id, Status: OK, Report: []float32{1, inflight}})
+		r.do(Event{Kind: EvProbeResult, Server: srv.addr, Status: OK, Report: []float32{1, inflight}})
 	}
 	report(12)
-	report(standing - 1)
+	report(maxServerConcurrency - 1)
 	if srv.state != Unhealthy {
-		t.Errorf("state %d with %v in flight after the rest, want %d", srv.state, standing-1, Unhealthy)
+		t.Errorf("state %d with %v in flight after the rest, want %d", srv.state, maxServerConcurrency-1, Unhealthy)
 	}
 	report(1)
 	if srv.state != Connected {
 		t.Errorf("state %d once idle, want %d", srv.state, Connected)
 	}
 	srv = r.lateAt(200) // a healthy one may hold a few
-	report(standing - 1)
+	report(maxServerConcurrency - 1)
 	if srv.state != Connected {
-		t.Errorf("state %d of a server with %v in flight, want %d", srv.state, standing-1, Connected)
+		t.Errorf("state %d of a server with %v in flight, want %d", srv.state, maxServerConcurrency-1, Connected)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -96,7 +96,7 @@
 	set.Replicas = 0 // the key stays whole
 	r := newRig(t, set, 4)
 	id, s := r.sent(0, 7)
-	srv := r.b.byAddr[s]
+	srv := r.b.serversByAddr[s]
 	if srv.state != Unknown {
 		t.Fatalf("a listed server starts in state %d, want Unknown", srv.state)
 	}
@@ -124,7 +124,7 @@
 	if _, s3 := r.sent(0, 7); s3 == s {
 		t.Error("an Unhealthy server was chosen before the better tier")
 	}
-	r.now += r.b.holdFor(srv) + 1
+	r.now += r.b.ejectionTime(srv) + 1
 	id, s4 := r.sent(0, 7)
 	if srv.state != UnhealthyPending || s4 != s {
 		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", srv.state, s4)
@@ -140,7 +140,7 @@
 	r := newRig(t, testSettings(), 3)
 	id, s := r.sent(1, 7)
 	actions := r.outcome(id, 0, s, Full, 1)
-	if got := r.b.byAddr[s].state; got == Unhealthy {
+	if got := r.b.serversByAddr[s].state; got == Unhealthy {
 		t.Error("full demoted the server")
 	}
 	if a := find(actions, ActSend); a == nil || a.Server == s {
@@ -154,7 +154,7 @@
 	r := newRig(t, set, 3)
 	id, s := r.sent(0, 7)
 	r.outcome(id, 0, s, Error, 5)
-	r.now += 2 * r.b.holdFor(r.b.byAddr[s])
+	r.now += 2 * r.b.ejectionTime(r.b.serversByAddr[s])
 	_, actions := r.ask(0, 7)
 	if p := find(actions, ActProbe); p == nil || p.Server != s {
 		t.Fatalf("no probe of the pending server: %+v", actions)
@@ -163,13 +163,13 @@
 		t.Error("a request went to a pending server before its probe")
 	}
 	r.do(Event{Kind: EvProbeResult, Server: s, Status: Timeout, LatencyMs: 100})
-	if r.b.byAddr[s].state != Unhealthy {
+	if r.b.serversByAddr[s].state != Unhealthy {
 		t.Error("a failed probe did not demote")
 	}
-	r.now += 10 * r.b.holdFor(r.b.byAddr[s])
+	r.now += 10 * r.b.ejectionTime(r.b.serversByAddr[s])
 	r.ask(0, 8)
 	r.do(Event{Kind: EvProbeResult, Server: s, Status: OK, LatencyMs: 5})
-	if r.b.byAddr[s].state != Connected {
+	if r.b.serversByAddr[s].state != Connected {
 		t.Error("a good probe did not set Connected")
 	}
 }
@@ -181,14 +181,14 @@
 		set := testSettings()
 		set.Limits.Probing = true
 		r := newRig(t, set, 4)
-		bad := r.b.byAddr[addr(0)]
+		bad := r.b.serversByAddr[addr(0)]
 		for range 3 {
-			r.b.enter(bad, Connected)
-			r.b.demote(bad, false)
+			r.b.setState(bad, Connected)
+			r.b.eject(bad, false)
 		}
-		r.now += r.b.holdFor(bad)
+		r.now += r.b.ejectionTime(bad)
 		r.ask(0, 0) // sends the probe
-		r.do(Event{Kind: EvProbeResult, Server: bad.id, Status: status, LatencyMs: 5})
+		r.do(Event{Kind: EvProbeResult, Server: bad.addr, Status: status, LatencyMs: 5})
 		if bad.state != Unhealthy {
 			t.Fatalf("a probe that ended %d did not demote", status)
 		}
@@ -235,12 +235,12 @@
 	id, s := r.sent(2, 5)
 	actions := r.outcome(id, 0, s, Error, 20)
 	a := find(actions, ActSend)
-	if a == nil || r.b.byAddr[a.Server].cell != r.b.byAddr[s].cell {
+	if a == nil || r.b.serversByAddr[a.Server].cell != r.b.serversByAddr[s].cell {
 		t.Fatalf("a guarded repeat did not stay in its cell: %+v", actions)
 	}
 	r.now += 346 // just inside the 500 ms less the margins
 	actions = r.outcome(id, 1, a.Server, Error, 20)
-	if find(actions, ActSend) != nil || find(actions, ActFail) == nil && len(r.b.held) == 0 {
+	if find(actions, ActSend) != nil || find(actions, ActFail) == nil && len(r.b.queued) == 0 {
 		t.Errorf("a guarded repeat went out after its time: %+v", actions)
 	}
 }
@@ -281,13 +281,13 @@
 	r = newRig(t, set, 6)
 	id, actions = r.ask(2, 5)
 	first = find(actions, ActSend)
-	cell := r.b.byAddr[first.Server].cell
+	cell := r.b.serversByAddr[first.Server].cell
 	for i := range 6 {
 		if i%2 == cell {
 			r.list(ListChange, Entry{Server: addr(i), Health: Draining, Weight: 1, Cell: cell, Zone: cell})
 		}
 	}
-	if actions = r.outcome(id, 0, first.Server, Error, 20); find(actions, ActSend) != nil || len(r.b.held) != 1 {
+	if actions = r.outcome(id, 0, first.Server, Error, 20); find(actions, ActSend) != nil || len(r.b.queued) != 1 {
 		t.Fatalf("not held: %+v", actions)
 	}
 	if find(r.tick(89), ActFail) != nil {
@@ -357,13 +357,13 @@
 func TestTurnedAwayAttemptsEarnNoColdCredit(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	r.list(ListChange, Entry{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now})
-	cold := r.b.byAddr[addr(4)]
+	cold := r.b.serversByAddr[addr(4)]
 	for _, st := range []Status{Full, OK} {
-		cold.credit = -1
+		cold.slowStartBudget = -1
 		id, s := r.sent(1, 7)
 		r.outcome(id, 0, s, st, 20)
-		if earned := cold.credit > -1; earned != (st == OK) {
-			t.Errorf("ending %d: cold credit went from -1 to %.3f", st, cold.credit)
+		if earned := cold.slowStartBudget > -1; earned != (st == OK) {
+			t.Errorf("ending %d: cold credit went from -1 to %.3f", st, cold.slowStartBudget)
 		}
 	}
 }
@@ -371,11 +371,11 @@
 // i299663: 69 requests hinted as ten mean ones pushed a cold server over.
 func TestColdServerIsChargedForCostlyRequests(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
-	r.b.meanHint = 50
-	if c := r.b.cost(&request{hint: 1}); c != 1 {
+	r.b.meanCostHint = 50
+	if c := r.b.cost(&request{costHint: 1}); c != 1 {
 		t.Errorf("a request hinted small costs %.2f mean ones, want 1", c)
 	}
-	if c := r.b.cost(&request{hint: 200}); c != 4 {
+	if c := r.b.cost(&request{costHint: 200}); c != 4 {
 		t.Errorf("a request hinted at four times the mean costs %.2f, want 4", c)
 	}
 }
@@ -405,7 +405,7 @@
 		}
 	}
 	c := testSettings().Contract
-	share := float64(agents*each) / 9 * c.SlowStartFrom * c.FallMultiple / coldMargin
+	share := float64(agents*each) / 9 * c.SlowStartFrom * c.FallMultiple / slowStartMargin
 	if float64(got) > share*1.3 || float64(got) < share*0.2 {
 		t.Errorf("%d agents sent a cold server %d requests, want up to about %.0f", agents, got, share)
 	}
@@ -428,7 +428,7 @@
 			r.now += 10
 			id, actions := r.ask(0, 0)
 			if a := find(actions, ActSend); a != nil {
-				cold := r.b.ramp(r.b.byAddr[a.Server])
+				cold := r.b.slowStartFactor(r.b.serversByAddr[a.Server])
 				if cold < 1 {
 					sends[1]++
 					ramp += cold
@@ -462,8 +462,8 @@
 			r.now += rtt
 			r.outcome(id, 0, s, OK, rtt)
 		}
-		if grown := r.b.calmLat > 0.15; grown != (agents == 1) {
-			t.Errorf("%d agents: after 2400 answers in 0.2 of the aim, one at a time, calm is %.3f", agents, r.b.calmLat)
+		if grown := r.b.baselineLatency > 0.15; grown != (agents == 1) {
+			t.Errorf("%d agents: after 2400 answers in 0.2 of the aim, one at a time, calm is %.3f", agents, r.b.baselineLatency)
 		}
 	}
 }
@@ -475,19 +475,19 @@
 		set := testSettings()
 		set.Replicas = agents
 		r := newRig(t, set, 1)
-		r.b.calmLat = calm
-		return r.b.limit(r.b.byAddr[addr(0)])
+		r.b.baselineLatency = calm
+		return r.b.overloadThreshold(r.b.serversByAddr[addr(0)])
 	}
 	if one, many := limit(1, 0.01), limit(20, 0.01); one < 0.3 || many > 0.1 {
 		t.Errorf("least limits: %.2f for one agent, want about a third; %.2f for twenty, want little", one, many)
 	}
-	if l := limit(1, 0.9); l != crowdShare {
-		t.Errorf("limit %.2f with a high calm, want %.2f", l, crowdShare)
+	if l := limit(1, 0.9); l != overloadLatencyShare {
+		t.Errorf("limit %.2f with a high calm, want %.2f", l, overloadLatencyShare)
 	}
 	r := newRig(t, testSettings(), 1)
 	r.list(ListChange, Entry{Server: addr(1), Health: Ready, Weight: 1, StartedMs: r.now})
-	r.b.calmLat = 0.2
-	if cold, warm := r.b.limit(r.b.byAddr[addr(1)]), r.b.limit(r.b.byAddr[addr(0)]); cold < 2*warm {
+	r.b.baselineLatency = 0.2
+	if cold, warm := r.b.overloadThreshold(r.b.serversByAddr[addr(1)]), r.b.overloadThreshold(r.b.serversByAddr[addr(0)]); cold < 2*warm {
 		t.Errorf("limit %.2f of a cold server, %.2f of a warm one", cold, warm)
 	}
 }
@@ -495,13 +495,13 @@
 // id08146: agents restarted one by one while the fleet was crowded.
 func TestACrowdAtTheStartIsNotTakenForCalm(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	for range learnFor {
+	for range baselineSamples {
 		id, s := r.sent(0, uint64(r.b.rng.Int64()))
 		r.now += 270
 		r.outcome(id, 0, s, OK, 270)
 	}
-	if r.b.calmLat > crowdShare/2 {
-		t.Errorf("answers in 0.9 of the aim were taken for calm: %.2f", r.b.calmLat)
+	if r.b.baselineLatency > overloadLatencyShare/2 {
+		t.Errorf("answers in 0.9 of the aim were taken for calm: %.2f", r.b.baselineLatency)
 	}
 }
 
@@ -514,9 +514,9 @@
 		r.outcome(id, 0, s, OK, 20)
 	}
 	r.list(ListChange, Entry{Server: addr(2), Health: Ready, Weight: 1, StartedMs: r.now})
-	r.b.byAddr[addr(2)].sentAt = 0
+	r.b.serversByAddr[addr(2)].lastSentAt = 0
 	for i := range 2 {
-		r.b.demote(r.b.byAddr[addr(i)], true)
+		r.b.eject(r.b.serversByAddr[addr(i)], true)
 	}
 	if _, s := r.sent(0, 9); s != addr(2) {
 		t.Errorf("sent to %v, want the cold server", s)
@@ -545,14 +545,14 @@
 			set := testSettings()
 			set.Limits.Probing = c.probes
 			r := newRig(t, set, 3)
-			srv := r.b.byAddr[addr(0)]
+			srv := r.b.serversByAddr[addr(0)]
 			began := r.now
 			for _, at := range c.at {
 				r.now = began + at
 				if c.probes {
 					srv.state, srv.probing = UnhealthyPending, true
-					r.b.probes++
-					r.do(Event{Kind: EvProbeResult, Server: srv.id, Status: ConnectFailed})
+					r.b.activeProbes++
+					r.do(Event{Kind: EvProbeResult, Server: srv.addr, Status: ConnectFailed})
 					continue
 				}
 				id, s := r.sentTo(srv)
@@ -562,7 +562,7 @@
 			id, s := r.sentTo(srv)
 			r.now += 20
 			r.outcome(id, 0, s, OK, 20)
-			if ramp := r.b.ramp(srv); (ramp < 0.5) != c.cold {
+			if ramp := r.b.slowStartFactor(srv); (ramp < 0.5) != c.cold {
 				t.Errorf("back from silence, with ramp %.2f", ramp)
 			}
 		})
@@ -572,14 +572,14 @@
 // sentTo sends a request to the server: all others are taken to be full.
 func (r *rig) sentTo(s *server) (RequestID, Addr) {
 	r.t.Helper()
-	r.b.failing = 0
+	r.b.retryDebt = 0
 	for _, o := range r.b.servers {
-		o.usable = o == s
+		o.ready = o == s
 	}
 	s.state = Unknown
 	id, to := r.sent(0, 0)
 	for _, o := range r.b.servers {
-		o.usable = true
+		o.ready = true
 	}
 	return id, to
 }
@@ -594,7 +594,7 @@
 	}
 	_, s := r.sent(0, 9)
 	for range 30 {
-		if r.tick(10); r.b.byAddr[s].state == Unhealthy {
+		if r.tick(10); r.b.serversByAddr[s].state == Unhealthy {
 			return
 		}
 	}
@@ -611,7 +611,7 @@
 	}
 	_, s := r.sent(0, 9)
 	for range 5 {
-		if r.tick(10); r.b.byAddr[s].state == Unhealthy {
+		if r.tick(10); r.b.serversByAddr[s].state == Unhealthy {
 			t.Fatal("a sixth of the aim was taken for silence")
 		}
 	}
@@ -622,17 +622,17 @@
 func TestFailingServerIsTriedAgainWhileOthersAreFull(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		r := newRig(t, testSettings(), 4)
-		bad := r.b.byAddr[addr(0)]
+		bad := r.b.serversByAddr[addr(0)]
 		for range 3 {
-			r.b.enter(bad, Connected)
-			r.b.demote(bad, false)
+			r.b.setState(bad, Connected)
+			r.b.eject(bad, false)
 		}
 		if full {
 			for range 40 { // more than the other windows hold
 				r.ask(0, 0)
 			}
 		}
-		r.now += r.b.aimMin + 1
+		r.now += r.b.minTarget + 1
 		r.ask(0, 0)
 		if tried := bad.state == UnhealthyPending; tried != full {
 			t.Errorf("others full: %v; failing server tried after one aim: %v", full, tried)
@@ -644,18 +644,18 @@
 // server that is only being checked.
 func TestSingleShotDoesNotCheckAServer(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	bad := r.b.byAddr[addr(0)]
-	r.b.enter(bad, UnhealthyPending)
+	bad := r.b.serversByAddr[addr(0)]
+	r.b.setState(bad, UnhealthyPending)
 	free, once := 0, 0
 	for range 200 {
 		r.now += 10
 		for class, n := range []*int{&free, &once} {
 			id, s := r.sent(class, uint64(r.b.rng.Int64()))
-			if s == bad.id {
+			if s == bad.addr {
 				*n++
 			}
 			r.outcome(id, 0, s, OK, 5)
-			r.b.enter(bad, UnhealthyPending)
+			r.b.setState(bad, UnhealthyPending)
 		}
 	}
 	if free == 0 || once > 0 {
@@ -670,7 +670,7 @@
 	for range 30 {
 		r.ask(0, 42) // one key: fills its two servers, the rest are held
 	}
-	if len(r.b.held) == 0 {
+	if len(r.b.queued) == 0 {
 		t.Fatal("nothing is held; the test does not test what it says")
 	}
 	free := 0
@@ -694,20 +694,20 @@
 		r.now += 20
 		r.outcome(id, 0, s, OK, 20)
 	}
-	grown := srv.window
+	grown := srv.concurrencyLimit
 	for range 200 {
 		if id, actions := r.ask(0, 1); find(actions, ActSend) != nil {
 			r.now += 140
-			r.outcome(id, 0, srv.id, OK, 140)
+			r.outcome(id, 0, srv.addr, OK, 140)
 		}
 		r.now += 10
 	}
-	if srv.window >= grown {
-		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, srv.window)
+	if srv.concurrencyLimit >= grown {
+		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, srv.concurrencyLimit)
 	}
 	// ie9df20: with many agents one attempt of each keeps a tipped server busy.
-	if srv.window >= 1 {
-		t.Errorf("a tipped server is not left to rest: window %.2f", srv.window)
+	if srv.concurrencyLimit >= 1 {
+		t.Errorf("a tipped server is not left to rest: window %.2f", srv.concurrencyLimit)
 	}
 }
 
@@ -741,8 +741,8 @@
 		for range 20 {
 			r.ask(0, 0)
 		}
-		want := max(int(standing)/agents, 1)
-		if got := len(r.b.byAddr[addr(0)].out); got != want {
+		want := max(int(maxServerConcurrency)/agents, 1)
+		if got := len(r.b.serversByAddr[addr(0)].inFlight); got != want {
 			t.Errorf("%d agents: the server holds %d of one, want %d", agents, got, want)
 		}
 	}
@@ -757,7 +757,7 @@
 	r.outcome(id, 0, s, Cancelled, 200)
 	r.id++
 	r.do(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: 5, RemainingMs: 600, Retry: true})
-	if q := r.b.requests[r.id]; q == nil || q.aimAt-r.now > 101 {
+	if q := r.b.requests[r.id]; q == nil || q.targetAt-r.now > 101 {
 		t.Error("a retry was given the whole aim again")
 	}
 }
@@ -802,14 +802,14 @@
 	set.Membership = "on_request"
 	r := newRig(t, set, 1)
 	r.now += 10000
-	r.do(Event{Kind: EvTimer, Token: followToken})
+	r.do(Event{Kind: EvTimer, Token: watchToken})
 	for range 20 {
 		again := find(r.list(ListFailed), ActTimer)
-		if again == nil || again.Token != followToken || again.Ms > set.Contract.ListPollWithinMs/5 {
+		if again == nil || again.Token != watchToken || again.Ms > set.Contract.ListPollWithinMs/5 {
 			t.Fatalf("asked again too late: %+v", again)
 		}
 		r.now += again.Ms
-		r.do(Event{Kind: EvTimer, Token: followToken})
+		r.do(Event{Kind: EvTimer, Token: watchToken})
 	}
 }
 
@@ -845,7 +845,7 @@
 				continue
 			}
 			due[i] = math.Inf(1)
-			if find(b.Handle(now, &Event{Kind: EvTimer, Token: followToken}, nil), ActWatchList) == nil {
+			if find(b.Handle(now, &Event{Kind: EvTimer, Token: watchToken}, nil), ActWatchList) == nil {
 				t.Fatalf("agent %d did not subscribe", i)
 			}
 			calls[int(now/1000)]++
@@ -890,8 +890,8 @@
 	}{
 		{0, 500, 1000}, // never served twice within half a second
 		{300, 200, 700},
-		{1000, 0, servedWait},
-		{60000, 0, servedWait},
+		{1000, 0, servedWatchBackoff},
+		{60000, 0, servedWatchBackoff},
 	} {
 		for seed := range uint64(50) {
 			set := testSettings()
@@ -901,7 +901,7 @@
 				t.Fatal(err)
 			}
 			now := find(b.Start(0, nil), ActTimer).Ms
-			if find(b.Handle(now, &Event{Kind: EvTimer, Token: followToken}, nil), ActWatchList) == nil {
+			if find(b.Handle(now, &Event{Kind: EvTimer, Token: watchToken}, nil), ActWatchList) == nil {
 				t.Fatal("did not ask")
 			}
 			b.Handle(now, &Event{Kind: EvList, List: ListChange}, nil)
@@ -926,19 +926,19 @@
 				t.Fatal(err)
 			}
 			now := find(b.Start(0, nil), ActTimer).Ms
-			b.Handle(now, &Event{Kind: EvTimer, Token: followToken}, nil)
+			b.Handle(now, &Event{Kind: EvTimer, Token: watchToken}, nil)
 			b.Handle(now, &Event{Kind: EvList, List: ListChange}, nil)
 			ended := now + 3000
 			now = ended
 			for range 2 {
 				now += find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer).Ms
-				b.Handle(now, &Event{Kind: EvTimer, Token: followToken}, nil)
+				b.Handle(now, &Event{Kind: EvTimer, Token: watchToken}, nil)
 			}
-			if took := now - ended; took > servedWait+1000 {
+			if took := now - ended; took > servedWatchBackoff+1000 {
 				t.Fatalf("%d agents, seed %d: the second call came %.0f ms after the end", agents, seed, took)
 			}
 			third := find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer).Ms
-			if least := min(2000*float64(agents)/fewAgents, askAgain) / 2; agents >= 40 && third < least {
+			if least := min(2000*float64(agents)/frequentWatchers, maxWatchInterval) / 2; agents >= 40 && third < least {
 				t.Fatalf("%d agents: the third call comes after %.0f ms, at least %.0f", agents, third, least)
 			}
 		}
@@ -965,7 +965,7 @@
 				rng := rand.New(rand.NewPCG(uint64(i), 7))
 				at := find(b.Start(0, nil), ActTimer).Ms
 				for last := 0.0; at < seconds*1000; {
-					if find(b.Handle(at, &Event{Kind: EvTimer, Token: followToken}, nil), ActWatchList) == nil {
+					if find(b.Handle(at, &Event{Kind: EvTimer, Token: watchToken}, nil), ActWatchList) == nil {
 						t.Fatalf("agent %d did not ask", i)
 					}
 					if at-last > 4000 {
@@ -1046,12 +1046,12 @@
 	set := testSettings()
 	set.Replicas = 1 // more agents have no more than the first window each
 	r := newRig(t, set, 2)
-	for range learnFor - 1 {
+	for range baselineSamples - 1 {
 		id, s := r.sent(0, r.b.rng.Uint64())
 		r.now += 20
 		r.outcome(id, 0, s, OK, 20)
-		if w := r.b.byAddr[s].window; w > firstWindow {
-			t.Fatalf("window %.2f after %.0f answers", w, r.b.answers)
+		if w := r.b.serversByAddr[s].concurrencyLimit; w > initialConcurrencyLimit {
+			t.Fatalf("window %.2f after %.0f answers", w, r.b.latencySamples)
 		}
 	}
 	var ids []RequestID
@@ -1068,7 +1068,7 @@
 			r.outcome(ids[i], 0, tos[i], OK, 20)
 		}
 	}
-	if w := max(r.b.servers[0].window, r.b.servers[1].window); w <= firstWindow {
+	if w := max(r.b.servers[0].concurrencyLimit, r.b.servers[1].concurrencyLimit); w <= initialConcurrencyLimit {
 		t.Errorf("no window grew once calm was known: %.2f", w)
 	}
 }
@@ -1078,14 +1078,14 @@
 	set := testSettings()
 	set.Objective = Objective{Overall: 0.5, WorstClass: 0.5}
 	r := newRig(t, set, 2)
-	once, free := &request{class: 1, aimAt: r.now + 500}, &request{class: 0, aimAt: r.now + 500}
+	once, free := &request{class: 1, targetAt: r.now + 500}, &request{class: 0, targetAt: r.now + 500}
 	for range 500 { // of class 1 all are served, of class 0 none
-		r.b.tally(0)
-		r.b.tally(1)
-		r.b.won[1] += 1 - fade
+		r.b.countClass(0)
+		r.b.countClass(1)
+		r.b.classSuccess[1] += 1 - shareDecay
 	}
 	with := r.b.value(free) / r.b.value(once)
-	r.b.worst = 1
+	r.b.worstClass = 1
 	if without := r.b.value(free) / r.b.value(once); with <= without {
 		t.Errorf("the starved class weighs %.2f, when served well %.2f", with, without)
 	}
@@ -1097,10 +1097,10 @@
 	r := newRig(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
 	own, used, all := 0, map[Addr]bool{}, 600
 	for key := range uint64(all) {
-		id, s := r.sent(0, mix(key+1))
+		id, s := r.sent(0, splitMix64(key+1))
 		r.outcome(id, 0, s, OK, 20)
 		used[s] = true
-		if r.b.byAddr[s].zone == 0 {
+		if r.b.serversByAddr[s].zone == 0 {
 			own++
 		}
 	}
@@ -1152,7 +1152,7 @@
 				key = 7
 			}
 			id, s := r.sent(0, key)
-			if key == 7 && i > keyMemory {
+			if key == 7 && i > keyHistory {
 				used[s] = true
 			}
 			r.outcome(id, 0, s, OK, 20)
@@ -1220,8 +1220,8 @@
 				r.do(Event{Kind: EvClientCanceled, Request: s.id})
 				r.outcome(s.id, 0, s.to, c.status, 1)
 			}
-			if r.b.mayTry() != c.open {
-				t.Fatalf("failing %.1f", r.b.failing)
+			if r.b.allowRetry() != c.open {
+				t.Fatalf("failing %.1f", r.b.retryDebt)
 			}
 		})
 	}
@@ -1261,21 +1261,21 @@
 	for _, c := range []struct {
 		gap         float64 // ms between requests
 		least, most int
-	}{{400, leastServers, 16}, {4, 50, 60}} {
+	}{{400, minSubsetSize, 16}, {4, 50, 60}} {
 		all := map[Addr]int{}
 		for index := range 30 {
 			set := testSettings()
 			set.Limits.KeepaliveMs, set.Replicas, set.Index = 10000, 1000, index
 			set.Prices.Handshake = 0.1
 			r := newRig(t, set, 60)
-			r.b.demote(r.b.servers[0], true)
+			r.b.eject(r.b.servers[0], true)
 			used := map[Addr]bool{}
 			for range 300 {
 				r.now += c.gap
-				r.b.servers[0].since = r.now // stays Unhealthy
+				r.b.servers[0].stateSince = r.now // stays Unhealthy
 				id, s := r.sent(0, r.b.rng.Uint64())
 				r.outcome(id, 0, s, OK, 3)
-				if used[s] = true; s == r.b.servers[0].id {
+				if used[s] = true; s == r.b.servers[0].addr {
 					t.Fatal("an Unhealthy server of the subset was not replaced")
 				}
 			}
@@ -1349,8 +1349,8 @@
 			id, s = r.sent(0, r.b.rng.Uint64())
 			r.outcome(id, 0, s, OK, 20)
 		}
-		r.b.demote(r.b.byAddr[s], true)
-		if hold := r.b.holdFor(r.b.byAddr[s]); probing != (hold < 1000) {
+		r.b.eject(r.b.serversByAddr[s], true)
+		if hold := r.b.ejectionTime(r.b.serversByAddr[s]); probing != (hold < 1000) {
 			t.Errorf("probing %v: held for %.0f ms, two requests a second over 20 servers", probing, hold)
 		}
 	}
@@ -1368,7 +1368,7 @@
 			r.now += 50
 			id, s := r.sent(0, r.b.rng.Uint64())
 			rtt := 20.0
-			if r.b.byAddr[s].zone == 0 {
+			if r.b.serversByAddr[s].zone == 0 {
 				own++
 				rtt = homeMs
 			}
@@ -1403,7 +1403,7 @@
 			r.now += 50
 			id, s := r.sent(0, r.b.rng.Uint64())
 			rtt := 20.0
-			if r.b.byAddr[s].kind == 1 {
+			if r.b.serversByAddr[s].kind == 1 {
 				rtt = 50
 				if i >= 600 {
 					slow++
@@ -1450,9 +1450,9 @@
 		r.now += 10
 		count(r.do(Event{Kind: EvTimer, Token: tickToken}))
 		for id := RequestID(1); id <= r.id; id++ { // what went out again ends too
-			if q := r.b.requests[id]; q != nil && q.open > 0 {
+			if q := r.b.requests[id]; q != nil && q.openAttempts > 0 {
 				a := q.attempts[len(q.attempts)-1]
-				count(r.outcome(id, a.index, a.s.id, Timeout, 10))
+				count(r.outcome(id, a.index, a.server.addr, Timeout, 10))
 			}
 		}
 	}
@@ -1461,7 +1461,7 @@
 			t.Errorf("request %d has %d final answers", id, final[id])
 		}
 	}
-	if x := r.b.fleetLat + r.b.meanHint + r.b.hintMean + r.b.calmLat + r.b.expect[0]; math.IsNaN(x) || math.IsInf(x, 0) {
+	if x := r.b.fleetLatency + r.b.meanCostHint + r.b.hintMeanCost + r.b.baselineLatency + r.b.classLatency[0]; math.IsNaN(x) || math.IsInf(x, 0) {
 		t.Errorf("odd values poisoned the means: %v", x)
 	}
 }
@@ -1489,10 +1489,10 @@
 		set.Limits.KeepaliveMs, set.Prices.Handshake = keepalive, 0.1
 		r := newRig(t, set, 64)
 		r.list(ListChange, Entry{Server: addr(99), Health: Ready, Weight: 1, StartedMs: r.now})
-		cold := r.b.byAddr[addr(99)]
-		cold.credit = 0
-		r.b.earn(r.b.byAddr[addr(0)], 1)
-		return cold.credit
+		cold := r.b.serversByAddr[addr(99)]
+		cold.slowStartBudget = 0
+		r.b.refillSlowStartBudgets(r.b.serversByAddr[addr(0)], 1)
+		return cold.slowStartBudget
 	}
 	if whole, part := earned(0), earned(10000); part < 3.5*whole || whole <= 0 {
 		t.Errorf("credit earned: %.5f sending to 65 servers, %.5f to 16 of them; want four times", whole, part)
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -239,16 +239,16 @@
 			w.handle(Event{Kind: EvList, List: ListFailed})
 		}
 	}
-	if n := len(w.b.requests); n != 0 || len(w.b.held) != 0 || w.b.inflight != 0 {
-		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.b.held), w.b.inflight)
+	if n := len(w.b.requests); n != 0 || len(w.b.queued) != 0 || w.b.inFlight != 0 {
+		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.b.queued), w.b.inFlight)
 	}
 	for _, s := range w.b.servers {
-		if len(s.out) != 0 {
-			t.Errorf("seed %d: server %v keeps %d attempts", seed, s.id, len(s.out))
+		if len(s.inFlight) != 0 {
+			t.Errorf("seed %d: server %v keeps %d attempts", seed, s.addr, len(s.inFlight))
 		}
 	}
-	if len(w.b.pasts) > maxHeld {
-		t.Errorf("seed %d: %d past requests remembered", seed, len(w.b.pasts))
+	if len(w.b.recentUnserved) > maxQueued {
+		t.Errorf("seed %d: %d past requests remembered", seed, len(w.b.recentUnserved))
 	}
 	return w.history
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -11,312 +11,312 @@
 
 // server is what the agent knows of one listed server.
 type server struct {
-	id        Addr
-	hash      uint64
-	zone      int
-	cell      int
-	kind      int
-	weight    float64
-	listedAt  float64 // start of its process by the list
-	startedAt float64 // the same, or later where a restart is assumed
-	usable    bool    // listed as ready
-	confirmed bool    // named as ready in the part of an answer that has come
-	state     State
-	since     float64 // when the state was entered
-	choked    bool    // found crowded, and not at rest since
-	silent    bool    // demoted for silence, not for an answer
-	lost      int     // connects that failed since it last answered
-	lostAt    float64 // the first of them
-	lostFor   float64 // from that to the last
-	strikes   int     // how often it failed of late; sets the hold
-	good      int     // served since the last change of strikes
-	probing   bool
-	out       []*attempt // attempts out, oldest first
-	heard     float64    // when it last answered anything
-	lat       float64    // mean answer time as a part of the aim
-	samples   int
-	window    float64 // attempts it may hold of this agent
-	cutAt     float64
-	sentAt    float64 // last attempt
-	gap       float64 // mean time between attempts; 0: unknown
-	rtt       float64 // mean answer time
-	credit    float64 // work a cold server may still be sent
-	score     float64 // place in a request's order; lower is nearer
+	addr                 Addr
+	hash                 uint64
+	zone                 int
+	cell                 int
+	kind                 int
+	weight               float64
+	listedAt             float64 // start of its process by the list
+	startedAt            float64 // the same, or later where a restart is assumed
+	ready                bool    // listed as ready
+	confirmed            bool    // named as ready in the part of an answer that has come
+	state                State
+	stateSince           float64 // when the state was entered
+	overloaded           bool    // found crowded, and not at rest since
+	unresponsive         bool    // demoted for silence, not for an answer
+	connectFailures      int     // connects that failed since it last answered
+	firstConnectFailure  float64 // the first of them
+	connectFailureSpan   float64 // from that to the last
+	recentEjections      int     // how often it failed of late; sets the hold
+	consecutiveSuccesses int     // served since the last change of strikes
+	probing              bool
+	inFlight             []*attempt // attempts out, oldest first
+	lastResponse         float64    // when it last answered anything
+	latency              float64    // mean answer time as a part of the aim
+	latencySamples       int
+	concurrencyLimit     float64 // attempts it may hold of this agent
+	limitReducedAt       float64
+	lastSentAt           float64 // last attempt
+	sendInterval         float64 // mean time between attempts; 0: unknown
+	latencyMs            float64 // mean answer time
+	slowStartBudget      float64 // work a cold server may still be sent
+	score                float64 // place in a request's order; lower is nearer
 }
 
 // attempt is one send of a request.
 type attempt struct {
-	r       *request
-	s       *server
-	index   int
-	sentAt  float64
-	alone   bool // no other of this agent was out on its server
-	cost    float64
-	checked bool // its server was looked at as it did not answer
-	done    bool
+	request      *request
+	server       *server
+	index        int
+	sentAt       float64
+	soleInFlight bool // no other of this agent was out on its server
+	cost         float64
+	suspected    bool // its server was looked at as it did not answer
+	done         bool
 }
 
 // request is one try of a client, kept until it is answered and no attempt is out.
 type request struct {
-	id         RequestID
-	class      int
-	tenant     int
-	key        uint64
-	hash       uint64 // what orders the servers for it
-	hint       float64
-	first      float64 // when the client's first try came, as far as known
-	arrived    float64
-	aimAt      float64
-	deadline   float64 // margin already taken off
-	attempts   []*attempt
-	open       int // attempts out
-	risky      int // attempts that may have run
-	ranAt      float64
-	ranOn      *server
-	near       [keyServers]*server // nearest its key, as of epoch
-	epoch      uint64
-	tierWeight float64 // of the tier at its last pick
-	value      float64
-	closed     bool
-	started    bool // a streamed answer belongs to the client now
+	id                RequestID
+	class             int
+	tenant            int
+	key               uint64
+	hash              uint64 // what orders the servers for it
+	costHint          float64
+	firstArrivedAt    float64 // when the client's first try came, as far as known
+	arrivedAt         float64
+	targetAt          float64
+	deadline          float64 // margin already taken off
+	attempts          []*attempt
+	openAttempts      int // attempts out
+	ambiguousAttempts int // attempts that may have run
+	executedAt        float64
+	executedOn        *server
+	affinity          [affinityServers]*server // nearest its key, as of epoch
+	affinityEpoch     uint64
+	tierWeight        float64 // of the tier at its last pick
+	value             float64
+	closed            bool
+	responseStarted   bool // a streamed answer belongs to the client now
 }
 
-// keyCounter counts how often each key came among the last keyMemory requests.
+// keyCounter counts how often each key came among the last keyHistory requests.
 type keyCounter struct {
-	last  [keyMemory]uint64
-	next  int
-	total int
-	count map[uint64]int
+	recent [keyHistory]uint64
+	next   int
+	total  int
+	counts map[uint64]int
 }
 
 // add counts one more request for the key and returns the key's share.
 func (k *keyCounter) add(key uint64) float64 {
-	if k.total == keyMemory {
-		old := k.last[k.next]
-		if k.count[old]--; k.count[old] == 0 {
-			delete(k.count, old)
+	if k.total == keyHistory {
+		old := k.recent[k.next]
+		if k.counts[old]--; k.counts[old] == 0 {
+			delete(k.counts, old)
 		}
 	} else {
 		k.total++
 	}
-	k.last[k.next] = key
-	k.next = (k.next + 1) % keyMemory
-	k.count[key]++
-	return float64(k.count[key]) / float64(k.total)
+	k.recent[k.next] = key
+	k.next = (k.next + 1) % keyHistory
+	k.counts[key]++
+	return float64(k.counts[key]) / float64(k.total)
 }
 
-// past is what is remembered of an unserved request, to know its retry.
-type past struct {
-	class int
-	key   uint64
-	first float64
+// unservedRequest is what is remembered of an unserved request, to know its retry.
+type unservedRequest struct {
+	class          int
+	key            uint64
+	firstArrivedAt float64
 }
 
 // machineKind is what the agent has learned of one kind of machine: the mean answer time, as a part
 // of the target latency, and the resulting weight.
-type machineKind struct{ lat, weight float64 }
+type machineKind struct{ latency, weight float64 }
 
 // Balancer makes the decisions of one agent. It is not safe for concurrent use.
 type Balancer struct {
-	set        Settings
-	rng        *rand.Rand
-	now        float64
-	out        []Action
-	servers    []*server // by address
-	byAddr     map[Addr]*server
-	requests   map[RequestID]*request
-	held       []*request
-	tier       []*server // scratch of pick
-	pasts      []past
-	recentKeys keyCounter
-	warm       float64 // weight of warm servers, at warmAt and warmEpoch
-	warmAt     float64
-	warmEpoch  uint64
-	epoch      uint64 // counts changes of tiers and list
-	inflight   int
-	probes     int
-	expect     []float64 // per class: mean answer time
-	meanHint   float64
-	hints      float64 // answers to hinted requests, and their means and spread
-	hintMean   float64
-	hintTime   float64
-	hintVar    float64
-	hintCov    float64
-	answers    float64   // served so far
-	fleetLat   float64   // mean answer time as a part of the aim, all servers
-	calmLat    float64   // the same when nothing is crowded
-	usage      []float64 // tenants' shares of requests
-	asked      []float64 // classes' shares of requests
-	won        []float64 // and of those served in time
-	worst      int       // the class served worst
-	credit     float64   // mean worth of a request
-	aimMin     float64
-	lookedAt   float64 // last fetch of the list
-	follows    int     // failed calls in a row
-	following  bool    // a time is set to ask for the subscription
-	followDue  float64 // which is then
-	followed   bool    // and was granted since it was last asked for,
-	followAt   float64 // which was then
-	atOnce     bool    // the failed calls began with one right behind a subscription that was served
-	partAt     float64 // when the answer began of which a part has come; 0: none is unfinished
-	partEnded  bool    // its call has ended
-	flow       float64 // work sent to a warm server of weight one, fading over the cold time
-	flowAt     float64
-	failing    float64 // attempts that ended of late, less what the earned ones allow; as of triedAt
-	recent     float64 // requests of late, over the keepalive time, as of recentAt
-	recentAt   float64
-	zones      uint64  // of the servers in the first list
-	home       float64 // weight of the own zone's servers, and mean answer times there and elsewhere
-	homeLat    float64
-	awayLat    float64
-	allLat     float64
-	kinds      [256]machineKind
-	triedAt    float64
-	began      float64
-	seen       float64 // requests since
-	pace       float64 // mean logarithm of answer times as parts of the aim
-	calmPace   float64 // the same when nothing is crowded
-	paced      float64 // answers in them
-	room       float64 // attempts that the agent may have out, as of refilledAt
-	refilledAt float64
-	sentAt     float64 // last attempt
-	ticking    bool
-	scarce     bool // requests that would take any server find no room
+	settings           Settings
+	rng                *rand.Rand
+	now                float64
+	actions            []Action
+	servers            []*server // by address
+	serversByAddr      map[Addr]*server
+	requests           map[RequestID]*request
+	queued             []*request
+	tierScratch        []*server // scratch of pick
+	recentUnserved     []unservedRequest
+	recentKeys         keyCounter
+	warmTotal          float64 // weight of warm servers, at warmTotalAt and warmTotalEpoch
+	warmTotalAt        float64
+	warmTotalEpoch     uint64
+	epoch              uint64 // counts changes of tiers and list
+	inFlight           int
+	activeProbes       int
+	classLatency       []float64 // per class: mean answer time
+	meanCostHint       float64
+	hintSamples        float64 // answers to hinted requests, and their means and spread
+	hintMeanCost       float64
+	hintMeanLatency    float64
+	hintVariance       float64
+	hintCovariance     float64
+	latencySamples     float64   // served so far
+	fleetLatency       float64   // mean answer time as a part of the aim, all servers
+	baselineLatency    float64   // the same when nothing is crowded
+	tenantShare        []float64 // tenants' shares of requests
+	classShare         []float64 // classes' shares of requests
+	classSuccess       []float64 // and of those served in time
+	worstClass         int       // the class served worst
+	meanCredit         float64   // mean worth of a request
+	minTarget          float64
+	lastFetchAt        float64 // last fetch of the list
+	watchFailures      int     // failed calls in a row
+	watchScheduled     bool    // a time is set to ask for the subscription
+	watchDueAt         float64 // which is then
+	watchGranted       bool    // and was granted since it was last asked for,
+	watchRequestedAt   float64 // which was then
+	retriedAtOnce      bool    // the failed calls began with one right behind a subscription that was served
+	partialSince       float64 // when the answer began of which a part has come; 0: none is unfinished
+	partialCallEnded   bool    // its call has ended
+	warmWork           float64 // work sent to a warm server of weight one, fading over the cold time
+	warmWorkAt         float64
+	retryDebt          float64 // attempts that ended of late, less what the earned ones allow; as of retryDebtAt
+	recentRequests     float64 // requests of late, over the keepalive time, as of recentRequestsAt
+	recentRequestsAt   float64
+	zoneCount          uint64  // of the servers in the first list
+	localZoneWeight    float64 // weight of the own zone's servers, and mean answer times there and elsewhere
+	localZoneLatency   float64
+	otherZoneLatency   float64
+	overallLatency     float64
+	kinds              [256]machineKind
+	retryDebtAt        float64
+	startedAt          float64
+	requestCount       float64 // requests since
+	logLatency         float64 // mean logarithm of answer times as parts of the aim
+	baselineLogLatency float64 // the same when nothing is crowded
+	logLatencySamples  float64 // answers in them
+	agentLimit         float64 // attempts that the agent may have out, as of agentLimitAt
+	agentLimitAt       float64
+	lastSentAt         float64 // last attempt
+	tickScheduled      bool
+	capacityExhausted  bool // requests that would take any server find no room
 }
 
-// tally keeps the classes' shares of requests and of those served in time.
-func (b *Balancer) tally(class int) {
-	b.credit = 0
-	for i, c := range b.set.Classes {
-		b.asked[i] *= fade
-		b.won[i] *= fade
+// countClass keeps the classes' shares of requests and of those served in time.
+func (b *Balancer) countClass(class int) {
+	b.meanCredit = 0
+	for i, c := range b.settings.Classes {
+		b.classShare[i] *= shareDecay
+		b.classSuccess[i] *= shareDecay
 		if i == class {
-			b.asked[i] += 1 - fade
+			b.classShare[i] += 1 - shareDecay
 		}
-		b.credit += b.asked[i] * c.Credit
-		if b.won[i]*b.asked[b.worst] < b.won[b.worst]*b.asked[i] {
-			b.worst = i
+		b.meanCredit += b.classShare[i] * c.Credit
+		if b.classSuccess[i]*b.classShare[b.worstClass] < b.classSuccess[b.worstClass]*b.classShare[i] {
+			b.worstClass = i
 		}
 	}
 }
 
-// count keeps the tenants' shares of this agent's requests.
-func (b *Balancer) count(tenant int) {
-	if tenant < 0 || tenant >= len(b.usage) {
+// countTenant keeps the tenants' shares of this agent's requests.
+func (b *Balancer) countTenant(tenant int) {
+	if tenant < 0 || tenant >= len(b.tenantShare) {
 		return
 	}
-	for i := range b.usage {
-		b.usage[i] *= fade
+	for i := range b.tenantShare {
+		b.tenantShare[i] *= shareDecay
 	}
-	b.usage[tenant] += 1 - fade
+	b.tenantShare[tenant] += 1 - shareDecay
 }
 
-// enter notes a server's new state and its time; tiers have changed.
-func (b *Balancer) enter(s *server, to State) {
+// setState notes a server's new state and its time; tiers have changed.
+func (b *Balancer) setState(s *server, to State) {
 	if s.state > Unknown || to > Unknown {
 		b.epoch++
 	}
-	s.state, s.since = to, b.now
+	s.state, s.stateSince = to, b.now
 }
 
-// learnHint keeps the straight line of answer time over hinted work: the network's
+// recordHintedLatency keeps the straight line of answer time over hinted work: the network's
 // share does not grow with the work.
-func (b *Balancer) learnHint(r *request, rtt float64) {
-	if r.hint <= 0 {
+func (b *Balancer) recordHintedLatency(r *request, rtt float64) {
+	if r.costHint <= 0 {
 		return
 	}
-	b.hints++
-	w := max(slowSmooth, 1/b.hints)
-	dh, dt := r.hint-b.hintMean, rtt-b.hintTime
-	b.hintMean += w * dh
-	b.hintTime += w * dt
-	b.hintVar += w * (dh*dh*(1-w) - b.hintVar)
-	b.hintCov += w * (dh*dt*(1-w) - b.hintCov)
+	b.hintSamples++
+	w := max(fleetSmoothing, 1/b.hintSamples)
+	dh, dt := r.costHint-b.hintMeanCost, rtt-b.hintMeanLatency
+	b.hintMeanCost += w * dh
+	b.hintMeanLatency += w * dt
+	b.hintVariance += w * (dh*dh*(1-w) - b.hintVariance)
+	b.hintCovariance += w * (dh*dt*(1-w) - b.hintCovariance)
 }
 
-// hintedTime is what the line says for the request; 0 while little is known.
-func (b *Balancer) hintedTime(r *request) float64 {
-	if r.hint <= 0 || b.hints < 1/(4*slowSmooth) || b.hintVar <= 0 {
+// hintedLatency is what the line says for the request; 0 while little is known.
+func (b *Balancer) hintedLatency(r *request) float64 {
+	if r.costHint <= 0 || b.hintSamples < 1/(4*fleetSmoothing) || b.hintVariance <= 0 {
 		return 0
 	}
-	return max(b.hintTime+b.hintCov/b.hintVar*(r.hint-b.hintMean), 0)
+	return max(b.hintMeanLatency+b.hintCovariance/b.hintVariance*(r.costHint-b.hintMeanCost), 0)
 }
 
-// partOfAim is an answer time as a part of the aim. Where hints tell the work a costly
+// relativeLatency is an answer time as a part of the aim. Where hints tell the work a costly
 // request counts as one of mean work; a small one's time is mostly the network's.
-func (b *Balancer) partOfAim(r *request, rtt float64) float64 {
-	x := rtt / b.set.Classes[r.class].TargetMs
-	if r.hint > 0 {
-		x *= min(b.meanHint/r.hint, 1)
+func (b *Balancer) relativeLatency(r *request, rtt float64) float64 {
+	x := rtt / b.settings.Classes[r.class].TargetMs
+	if r.costHint > 0 {
+		x *= min(b.meanCostHint/r.costHint, 1)
 	}
 	return min(x, 2)
 }
 
-// tooMany tells whether more requests are held than the agent can bear: past the
+// queueOverflows tells whether more requests are held than the agent can bear: past the
 // requests it may have open, clients would wait for a connection with nobody to answer.
-func (b *Balancer) tooMany() bool {
-	most := b.set.Limits.OpenCap
-	return len(b.held) > maxHeld || len(b.held) > 0 && most > 0 && len(b.held)+b.inflight > most
+func (b *Balancer) queueOverflows() bool {
+	most := b.settings.Limits.OpenCap
+	return len(b.queued) > maxQueued || len(b.queued) > 0 && most > 0 && len(b.queued)+b.inFlight > most
 }
 
-// remember keeps when an unserved request first came, so that its retry is
+// rememberUnserved keeps when an unserved request first came, so that its retry is
 // judged by the time that has passed for the client.
-func (b *Balancer) remember(r *request) {
-	if !b.set.Clients.MarksRetry {
+func (b *Balancer) rememberUnserved(r *request) {
+	if !b.settings.Clients.MarksRetry {
 		return
 	}
-	b.pasts = slices.DeleteFunc(b.pasts, func(p past) bool {
-		return b.now-p.first > b.set.Classes[p.class].DeadlineMs
+	b.recentUnserved = slices.DeleteFunc(b.recentUnserved, func(p unservedRequest) bool {
+		return b.now-p.firstArrivedAt > b.settings.Classes[p.class].DeadlineMs
 	})
-	if len(b.pasts) < maxHeld {
-		b.pasts = append(b.pasts, past{r.class, r.key, r.first})
+	if len(b.recentUnserved) < maxQueued {
+		b.recentUnserved = append(b.recentUnserved, unservedRequest{r.class, r.key, r.firstArrivedAt})
 	}
 }
 
-func (b *Balancer) recall(r *request) float64 {
-	i := slices.IndexFunc(b.pasts, func(p past) bool { return p.class == r.class && p.key == r.key })
+func (b *Balancer) recallFirstArrival(r *request) float64 {
+	i := slices.IndexFunc(b.recentUnserved, func(p unservedRequest) bool { return p.class == r.class && p.key == r.key })
 	if i < 0 {
-		return r.arrived
+		return r.arrivedAt
 	}
-	first := b.pasts[i].first
-	b.pasts = slices.Delete(b.pasts, i, i+1)
+	first := b.recentUnserved[i].firstArrivedAt
+	b.recentUnserved = slices.Delete(b.recentUnserved, i, i+1)
 	return first
 }
 
 // warmWeight is the weight of the servers of the top tier that are not cold, counted
 // once for all decisions of a moment.
 func (b *Balancer) warmWeight() float64 {
-	if b.warmAt == b.now && b.warmEpoch == b.epoch {
-		return b.warm
+	if b.warmTotalAt == b.now && b.warmTotalEpoch == b.epoch {
+		return b.warmTotal
 	}
-	b.warm, b.warmAt, b.warmEpoch = 0, b.now, b.epoch
+	b.warmTotal, b.warmTotalAt, b.warmTotalEpoch = 0, b.now, b.epoch
 	for _, s := range b.servers {
-		if s.usable && s.state <= Unknown && b.ramp(s) == 1 {
-			b.warm += s.weight
+		if s.ready && s.state <= Unknown && b.slowStartFactor(s) == 1 {
+			b.warmTotal += s.weight
 		}
 	}
-	return b.warm
+	return b.warmTotal
 }
 
-// nudge moves a weight a step down or up within its bounds.
-func nudge(w float64, down bool, least, most float64) float64 {
+// stepWeight moves a weight a step down or up within its bounds.
+func stepWeight(w float64, down bool, least, most float64) float64 {
 	if down {
-		return max(w/(1+weighStep), least)
+		return max(w/(1+weightStep), least)
 	}
-	return min(w*(1+weighStep), most)
+	return min(w*(1+weightStep), most)
 }
 
-// finite makes what came from outside safe to calculate with: not a number and negative
+// sanitize makes what came from outside safe to calculate with: not a number and negative
 // become 0, infinite and huge the largest number that leaves room for sums and squares.
-func finite(x float64) float64 {
+func sanitize(x float64) float64 {
 	if !(x > 0) {
 		return 0
 	}
 	return min(x, 1e15)
 }
 
-// mean moves a running mean towards x; the first value is taken whole.
-func mean(old, x, weight float64) float64 {
+// movingAverage moves a running movingAverage towards x; the first value is taken whole.
+func movingAverage(old, x, weight float64) float64 {
 	if old == 0 {
 		return x
 	}
@@ -331,18 +331,18 @@
 	return h
 }
 
-// mix is the finalizer of splitmix64.
-func mix(x uint64) uint64 {
+// splitMix64 is the finalizer of splitmix64.
+func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// overShare tells whether a tenant sends more than its portion of what comes.
-func (b *Balancer) overShare(tenant int) bool {
-	if tenant < 0 || tenant >= len(b.usage) {
+// overQuota tells whether a tenant sends more than its portion of what comes.
+func (b *Balancer) overQuota(tenant int) bool {
+	if tenant < 0 || tenant >= len(b.tenantShare) {
 		return false
 	}
-	return b.usage[tenant] > 1.1*b.set.Tenants[tenant].QuotaFraction
+	return b.tenantShare[tenant] > 1.1*b.settings.Tenants[tenant].QuotaFraction
 }
--- a/policy/unconfirmed.go
+++ b/policy/unconfirmed.go
@@ -13,60 +13,62 @@
 	maxUnconfirmed = 10000.0
 )
 
-// onPart takes the part of an answer that has arrived. Its entries hold, and those that are ready
+// onPartialList takes the part of an answer that has arrived. Its entries hold, and those that are ready
 // are confirmed; all other servers are unconfirmed until a whole answer comes.
-func (b *Balancer) onPart(ev *Event) {
-	if !b.inDoubt() {
-		b.partAt = b.now - finite(ev.AgeMs)
-		b.partEnded = false
-		b.do(Action{Kind: ActTimer, Ms: max(b.holdBackAt()-b.now, 0), Token: partToken})
+func (b *Balancer) onPartialList(ev *Event) {
+	if !b.listIncomplete() {
+		b.partialSince = b.now - sanitize(ev.AgeMs)
+		b.partialCallEnded = false
+		b.emit(Action{Kind: ActTimer, Ms: max(b.confirmationDueAt()-b.now, 0), Token: confirmationToken})
 	}
 	b.epoch++
 	for _, s := range b.servers {
 		s.confirmed = false
 	}
 	for i := range ev.Entries {
-		if s := b.byAddr[ev.Entries[i].Server]; s != nil {
-			b.update(&ev.Entries[i])
-			s.confirmed = s.usable
+		if s := b.serversByAddr[ev.Entries[i].Server]; s != nil {
+			b.updateServer(&ev.Entries[i])
+			s.confirmed = s.ready
 		}
 	}
 }
 
-// inDoubt tells whether a part of an answer came and no whole one since.
-func (b *Balancer) inDoubt() bool { return b.partAt > 0 && b.now < b.partAt+maxUnconfirmed }
+// listIncomplete tells whether a part of an answer came and no whole one since.
+func (b *Balancer) listIncomplete() bool {
+	return b.partialSince > 0 && b.now < b.partialSince+maxUnconfirmed
+}
 
-// holdBackAt is from when on servers that are not confirmed get nothing.
-func (b *Balancer) holdBackAt() float64 {
-	return b.partAt + unconfirmedGrace*b.set.Contract.DrainGraceMs
+// confirmationDueAt is from when on servers that are not confirmed get nothing.
+func (b *Balancer) confirmationDueAt() float64 {
+	return b.partialSince + unconfirmedGrace*b.settings.Contract.DrainGraceMs
 }
 
-// heldBack tells whether the server gets nothing as it isn't confirmed.
-func (b *Balancer) heldBack(s *server) bool {
-	return b.inDoubt() && !s.confirmed && b.now >= b.holdBackAt()
+// confirmationOverdue tells whether the server gets nothing as it isn't confirmed.
+func (b *Balancer) confirmationOverdue(s *server) bool {
+	return b.listIncomplete() && !s.confirmed && b.now >= b.confirmationDueAt()
 }
 
-// confirm ends the doubt: a whole answer has come.
-func (b *Balancer) confirm() {
-	if b.partAt > 0 {
-		b.partAt = 0
+// markListComplete ends the doubt: a whole answer has come.
+func (b *Balancer) markListComplete() {
+	if b.partialSince > 0 {
+		b.partialSince = 0
 		b.epoch++
 	}
 }
 
-// holdBack withdraws what was decided for servers that are not confirmed and has not gone out. An
+// withdrawUnconfirmed withdraws what was decided for servers that are not confirmed and has not gone out. An
 // answer that is still not whole is asked for anew, beside a subscription that may have stalled.
-func (b *Balancer) holdBack() {
-	if !b.inDoubt() || b.now < b.holdBackAt()-1 {
+func (b *Balancer) withdrawUnconfirmed() {
+	if !b.listIncomplete() || b.now < b.confirmationDueAt()-1 {
 		return
 	}
 	b.epoch++
 	for _, s := range b.servers {
-		if s.usable && !s.confirmed {
-			b.do(Action{Kind: ActWithdraw, Server: s.id})
+		if s.ready && !s.confirmed {
+			b.emit(Action{Kind: ActWithdraw, Server: s.addr})
 		}
 	}
-	if !b.partEnded {
-		b.do(Action{Kind: ActFetchList})
+	if !b.partialCallEnded {
+		b.emit(Action{Kind: ActFetchList})
 	}
 }
--- a/policy/unconfirmed_test.go
+++ b/policy/unconfirmed_test.go
@@ -43,8 +43,8 @@
 			}
 			request := &request{class: 0, deadline: r.b.now + 1000}
 			for _, s := range r.b.servers {
-				if got := r.b.maySend(request, s); got != want[s.id] {
-					t.Errorf("may send to %v: %v", s.id[0], got)
+				if got := r.b.maySend(request, s); got != want[s.addr] {
+					t.Errorf("may send to %v: %v", s.addr[0], got)
 				}
 			}
 		})
@@ -61,16 +61,16 @@
 		a, b := Entry{Server: Addr{1}, Health: Ready, Weight: 1}, Entry{Server: Addr{2}, Health: Ready, Weight: 1}
 		r.list(ListFull, a, b)
 		timer := find(r.do(Event{Kind: EvList, List: ListPartial, Entries: []Entry{a}, AgeMs: 100}), ActTimer)
-		if timer == nil || timer.Token != partToken || timer.Ms != 150 {
+		if timer == nil || timer.Token != confirmationToken || timer.Ms != 150 {
 			t.Fatalf("timer %+v, want one in 150 ms", timer)
 		}
 		if ended {
-			if again := find(r.list(ListFailed), ActTimer); again == nil || again.Ms > servedWait {
+			if again := find(r.list(ListFailed), ActTimer); again == nil || again.Ms > servedWatchBackoff {
 				t.Fatalf("asked again by %+v", again)
 			}
 		}
 		r.now += 150
-		actions := r.do(Event{Kind: EvTimer, Token: partToken})
+		actions := r.do(Event{Kind: EvTimer, Token: confirmationToken})
 		withdrawn := find(actions, ActWithdraw)
 		if withdrawn == nil || withdrawn.Server != b.Server {
 			t.Errorf("withdrew %+v, want from the server that isn't confirmed", withdrawn)
