--- a/policy/list.go
+++ b/policy/list.go
@@ -1,115 +1,12 @@
-// This file holds the decisions on the list of servers: when discovery is asked, and what
-// an agent makes of the answer.
+// This file holds what an agent makes of the lists of servers that discovery sends.
 
 package policy
 
 import (
 	"cmp"
-	"math"
 	"slices"
 )
 
-// frequentWatchers is how many agents may call discovery as often as one: it is one service for
-// all, which takes calls in turn and works on those too that have waited too long. Once
-// the callers of 2 s are more than it can serve in 2 s, and ask again as soon, none is
-// served any more.
-const frequentWatchers = 20.0
-
-const (
-	// maxWatchInterval is the most from the begin of a call that failed to that of the next, in ms,
-	// for any number of agents: whatever failed before, what discovery has to tell counts as
-	// told 6 s after it could be reached, and the call has to wait its turn there, too.
-	maxWatchInterval = 4000.0
-	// minWatchBackoff keeps some time between calls that take long to fail.
-	minWatchBackoff = 200.0
-	// servedWatchBackoff bounds the wait after a subscription that was served ended, in ms: what it
-	// ended instead of telling counts as told 2 s later, and discovery may hold the next call
-	// for nearly all of that (issue 26).
-	servedWatchBackoff = 200.0
-	// maxQuickRetries is how many calls in a row follow so soon on an answer of which a part came.
-	maxQuickRetries = 2
-	// maxFirstWatchDelay bounds the time until a new process asks for the first time: its list may
-	// be old.
-	maxFirstWatchDelay = 3500.0
-)
-
-// discoveryLoadFactor is how many times as many agents there are as may ask often.
-func (b *Balancer) discoveryLoadFactor() float64 {
-	return max(float64(b.settings.Replicas)/frequentWatchers, 1)
-}
-
-// scheduleWatch lets the subscription be asked for after a wait. There is one such time, however
-// many calls fail.
-func (b *Balancer) scheduleWatch(wait float64) {
-	if !b.watchScheduled {
-		b.watchScheduled, b.watchDueAt = true, b.now+wait
-		b.emit(Action{Kind: ActTimer, Ms: wait, Token: watchToken})
-	}
-}
-
-// requestWatch asks for the subscription when its time has come; one that was set before and taken
-// back finds it still to come, or over.
-func (b *Balancer) requestWatch() {
-	if b.watchScheduled && b.now >= b.watchDueAt-1 {
-		b.watchScheduled, b.watchGranted, b.watchRequestedAt = false, false, b.now
-		b.emit(Action{Kind: ActWatchList})
-	}
-}
-
-// scheduleFirstWatch spreads the first calls over a part of the contract's time: agents that
-// start together must not all call at once.
-func (b *Balancer) scheduleFirstWatch() {
-	spread := b.settings.Contract.ListPollWithinMs / 8 * min(b.discoveryLoadFactor(), 4)
-	b.scheduleWatch(b.rng.Float64() * min(spread, maxFirstWatchDelay))
-}
-
-// rescheduleWatch sets the time for the next call after one failed, or a subscription ended.
-// A call that was given up late is repeated the sooner, and one that had been served at once.
-func (b *Balancer) rescheduleWatch() {
-	b.watchFailures++
-	if b.watchFailures == 1 {
-		b.watchScheduled = false // the time of the first call is of no use any more
-	}
-	ask, u := b.settings.Contract.ListPollWithinMs/5, b.rng.Float64()
-	if b.listIncomplete() && b.watchFailures <= maxQuickRetries {
-		b.scheduleWatch(min(servedWatchBackoff, ask) * u) // an answer is owed
-		return
-	}
-	if b.watchGranted && b.watchFailures == 1 {
-		apart := min(1000, ask)*(1+u)/2 - (b.now - b.watchRequestedAt) // from call to call
-		b.scheduleWatch(max(apart, min(servedWatchBackoff, ask)*u))
-		b.retriedAtOnce = true
-		return
-	}
-	failures := b.watchFailures
-	if b.retriedAtOnce { // one that is refused for coming at once is the first that failed
-		failures--
-	}
-	wait := min(1000, ask) * (1 + u) / 2
-	if failures > 1 { // the first may have been the agent's own bad luck
-		ask *= min(b.discoveryLoadFactor(), 5)
-		backoff := 500 * math.Pow(2, float64(failures)) * b.discoveryLoadFactor()
-		wait = min(backoff, ask, maxWatchInterval) * (3 + u) / 4
-	}
-	if !b.watchGranted {
-		wait = min(wait, maxWatchInterval*(3+u)/4-(b.now-b.watchRequestedAt))
-	}
-	b.scheduleWatch(max(wait, minWatchBackoff*(1+u)))
-}
-
-// fetchList asks for the whole list, seldom: every call loads discovery, by the line. Where
-// many share it, all that saw one server fail would ask in step and be in the way of the
-// subscriptions, which cost only the lines that changed and tell as much.
-func (b *Balancer) fetchList() {
-	if b.settings.Membership == "on_request" && b.discoveryLoadFactor() > 1 {
-		return
-	}
-	if b.now-b.lastFetchAt >= max(b.settings.Contract.ListPollWithinMs, 1000) {
-		b.lastFetchAt = b.now
-		b.emit(Action{Kind: ActFetchList})
-	}
-}
-
 func (b *Balancer) onList(ev *Event) {
 	switch ev.List {
 	case ListFailed:
--- a/policy/crowd.go
+++ b/policy/overload.go
@@ -1,6 +1,6 @@
-// This file holds the decisions on how much an agent sends, and on how it knows a crowded
-// server, where so many share the servers that no window of its own can bound what all of
-// them have out at one.
+// This file holds the decisions on overload in a large fleet, where so many agents share the servers
+// that no concurrency limit of one agent can bound what all of them have in flight at one server: how
+// much the agent has in flight altogether, and how it finds an overloaded server.
 
 package policy
 
@@ -10,29 +10,29 @@
 )
 
 const (
-	// logLatencyWeight is the weight of an answer in the pace, the mean logarithm of answer times
-	// as parts of the aim: an agent that sees twenty answers a second knows within one that
-	// they take twice as long, which a mean of the times themselves would not tell.
+	// logLatencyWeight is the weight of a response in logLatency, the mean logarithm of latencies as
+	// parts of the target: an agent that sees twenty responses a second knows within one second that
+	// they take twice as long, which a mean of the latencies themselves would not show.
 	logLatencyWeight = 0.1
-	// baselineRise and baselineFall are how fast the calm pace follows the pace up and down.
+	// baselineRise and baselineFall are how fast the baseline follows logLatency up and down.
 	baselineRise, baselineFall = 0.001, 0.05
-	// overloadFactor is how many times the calm answer time shows that servers are crowded.
+	// overloadFactor is how many times the baseline latency shows that servers are overloaded.
 	overloadFactor = 2.5
-	// maxOutlierFactor is how many times the calm answer time an answer counts for at the most: one
-	// bad server's are no crowd.
+	// maxOutlierFactor is how many times the baseline latency a response counts for at the most: one
+	// outlier is no overload of the fleet.
 	maxOutlierFactor = 6.0
-	// logLatencyDecayMs is how long the pace takes to be forgotten where nothing is answered, and
-	// agentLimitGrowthMs in how long the agent's room grows e-fold where answers are calm, in ms.
+	// logLatencyDecayMs is how long logLatency takes to return to the baseline where nothing is
+	// answered. The agent's limit grows e-fold in agentLimitGrowthMs without overload.
 	logLatencyDecayMs, agentLimitGrowthMs = 3000.0, 1500.0
-	// maxAgentLimitFactor is how many times its even share of what all servers may hold an agent may
-	// have out where they are calm: some agents have much more to send than most.
+	// maxAgentLimitFactor is how many times its even share an agent may have in flight without
+	// overload: some agents have much more to send than most.
 	maxAgentLimitFactor = 1.5
-	// minOverloadRest is for how many aims at the least a server that was found crowded or silent
-	// gets nothing: one that choked is well again only when it has been idle for as long,
-	// and eighty agents that each look sooner and send one request keep it busy.
+	// minOverloadRest is for how many target latencies at the least a server that was found
+	// overloaded or unresponsive gets nothing: an overloaded server recovers only when it has been
+	// idle for as long, and eighty agents that each check sooner with one request keep it busy.
 	minOverloadRest = 8.0
-	// idleInFlight is how many requests a server that was found crowded may report to hold when it
-	// is sent to again: one, as reports are a little noisy. With a few it is still busy all
+	// idleInFlight is how many requests a server that was found overloaded may report to be in flight
+	// when it is sent to again: one, as reports are a little noisy. With a few it is still busy all
 	// the time, and stays as slow as it is.
 	idleInFlight = 1.5
 )
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -1,5 +1,5 @@
-// This file holds the decisions on which server gets a request: tiers by health, then the capped hash
-// of its key, and what a cold server may be sent.
+// This file holds the decisions on which server gets a request: tiers by health, then weighted
+// rendezvous hashing of the request's key with bounded loads.
 
 package policy
 
@@ -7,6 +7,21 @@
 	"math"
 )
 
+const (
+	// boundedLoadFactor is how far above its even share of the agent's attempts a server may go
+	// before a key's request moves on to the next server in hash order.
+	boundedLoadFactor = 3.0
+	// affinityWait is the part of its target latency that a request may wait for one of the
+	// affinityServers first in its hash order: going on at once would lose the warm key just when
+	// time is short.
+	affinityWait, affinityServers = 0.25, 2
+	// keyHistory is over how many requests keys are counted. A key with the load of a server's even
+	// share is split into keySplitFactor parts.
+	keyHistory, keySplitFactor = 128, 4.0
+	// minSubsetSize is the smallest subset of the fleet that an agent sends to.
+	minSubsetSize = 16
+)
+
 // healthTier is the server's tier for the request.
 func (b *Balancer) healthTier(s *server, r *request) int {
 	switch s.state {
@@ -139,31 +154,3 @@
 		b.warmWeight() == 0 && (b.now-s.lastSentAt)*b.warmWork*s.weight*b.slowStartShare(s) >=
 			b.cost(r)*b.settings.Contract.SlowStartMs
 }
-
-// slowStartFactor is the part of its capacity that a started server has by the contract.
-func (b *Balancer) slowStartFactor(s *server) float64 {
-	c := &b.settings.Contract
-	age := b.now - s.startedAt
-	if s.startedAt <= 0 || age >= c.SlowStartMs || s.startedAt != s.listedAt && age > c.ListPollWithinMs {
-		return 1 // long past, or assumed and not borne out by the list in its time
-	}
-	return c.SlowStartFrom + (1-c.SlowStartFrom)*max(age, 0)/c.SlowStartMs
-}
-
-// slowStartShare is the part of an even share that a server may be sent: of a cold one what
-// keeps the contract, so that its keys move to it as it warms up.
-func (b *Balancer) slowStartShare(s *server) float64 {
-	if k := b.slowStartFactor(s); k < 1 {
-		return k * b.settings.Contract.FallMultiple / slowStartMargin
-	}
-	return 1
-}
-
-// cost is the work of a request in units of the mean one, and never less: hints are
-// rough, and a cold server would be sent the small ones that are not (i299663).
-func (b *Balancer) cost(r *request) float64 {
-	if r.costHint > b.meanCostHint {
-		return r.costHint / b.meanCostHint
-	}
-	return 1
-}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -5,6 +5,121 @@
 	"math"
 )
 
+// Effect tells whether a request of a class may run more than once.
+type Effect string
+
+// The effects a class may have.
+const (
+	Idempotent    Effect = "free"        // safe to repeat
+	Deduplicated  Effect = "guarded"     // repeats are dropped within a group of servers, for a time
+	NonIdempotent Effect = "single_shot" // must never run twice
+)
+
+// Group tells which servers drop repeats of a guarded request.
+type Group string
+
+// The groups a guarded class may have.
+const (
+	GroupAll  Group = "all"
+	GroupZone Group = "zone"
+	GroupCell Group = "cell"
+)
+
+// Class is one class of requests.
+type Class struct {
+	Name          string  `json:"name"`
+	TargetMs      float64 `json:"aimMs"`
+	TargetStretch float64 `json:"aimStretch"`
+	DeadlineMs    float64 `json:"giveUpMs"`
+	Effect        Effect  `json:"effect"`
+	Group         Group   `json:"group"`
+	DedupWindowMs float64 `json:"keyTtlMs"`
+	Credit        float64 `json:"credit"`
+	LateShare     float64 `json:"lateShare"`
+	Streamed      bool    `json:"streamed"`
+}
+
+// Tenant is a customer with a share of what the servers can do.
+type Tenant struct {
+	Name          string  `json:"name"`
+	QuotaPerS     float64 `json:"quotaPerS"`
+	QuotaFraction float64 `json:"portion"`
+}
+
+// Limits is what a deployment permits an agent.
+type Limits struct {
+	Cancelling       bool    `json:"cancelling"`
+	ConnectTimeoutMs float64 `json:"connectTimeoutMs"`
+	KeepaliveMs      float64 `json:"keepaliveMs"`
+	MaxAttempts      int     `json:"maxAttempts"`
+	MaxRetryAfterMs  float64 `json:"maxRetryAfterMs"`
+	ParallelAttempts bool    `json:"parallelTries"`
+	Probing          bool    `json:"probing"`
+	RetryAfter       bool    `json:"retryAfter"`
+	OpenCap          int     `json:"openCap"`
+}
+
+// Contract holds the figures of the four rules.
+type Contract struct {
+	AnswerSlackMs    float64 `json:"answerSlackMs"`
+	ListPollWithinMs float64 `json:"askWithinMs"`
+	SlowStartFrom    float64 `json:"coldFrom"`
+	SlowStartMs      float64 `json:"coldMs"`
+	DrainGraceMs     float64 `json:"drainGraceMs"`
+	FallMultiple     float64 `json:"fallMultiple"`
+	TipAfterMs       float64 `json:"tipAfterMs"`
+}
+
+// Prices are points taken off the result, each times its share or rate.
+type Prices struct {
+	CrossZone  float64 `json:"crossZone"`
+	Handshake  float64 `json:"handshake"`
+	Connection float64 `json:"connection"`
+	LateFail   float64 `json:"lateFail"`
+	Probe      float64 `json:"probe"`
+	Waste      float64 `json:"waste"`
+	List       float64 `json:"membershipMode"`
+}
+
+// Objective holds the weights of the result's components.
+type Objective struct {
+	Overall     float64 `json:"whole"`
+	WorstWindow float64 `json:"worstWindow"`
+	WorstClass  float64 `json:"worstClass"`
+	WorstTenant float64 `json:"worstTenant"`
+}
+
+// Report names the values of the servers' load reports.
+type Report struct {
+	How   string   `json:"how"`
+	Names []string `json:"names"`
+}
+
+// Settings is what an agent is told at its start.
+type Settings struct {
+	Classes    []Class   `json:"classes"`
+	Tenants    []Tenant  `json:"tenants"`
+	Limits     Limits    `json:"limits"`
+	Contract   Contract  `json:"contract"`
+	Prices     Prices    `json:"prices"`
+	Objective  Objective `json:"objectiveMix"`
+	Report     Report    `json:"report"`
+	Membership string    `json:"membershipMode"` // "pushed" or "on_request"
+	Clients    struct {
+		MarksRetry bool `json:"marksRetry"`
+	} `json:"clients"`
+	FamilyInfo struct {
+		WarmKeys bool `json:"warmKeys"`
+	} `json:"familyInfo"`
+	Index           int     `json:"index"`
+	Replicas        int     `json:"replicasOfMe"`
+	OverQuotaWeight float64 `json:"overShareWorth"`
+	RoundMs         float64 `json:"roundMs"`
+	Weights         string  `json:"weights"` // "off", "nominal", "rough" or "live"
+	WeightBy        string  `json:"worthBy"` // "request" or "work"
+	Zone            int     `json:"zone"`
+}
+
 // validate reports the first setting that makes no sense, by its key.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
--- a/policy/state.go
+++ b/policy/state.go
@@ -1,13 +1,17 @@
+// This file holds what a Balancer remembers, and plain arithmetic on it; the decisions are in the other
+// files.
+
 package policy
 
-import (
-	"math/rand/v2"
-	"slices"
-)
+import "math/rand/v2"
 
-// This file holds what a Balancer remembers and plain arithmetic on it; the
-// decisions are in policy.go, pick.go, health.go, list.go, unconfirmed.go
-// and crowd.go.
+const (
+	// serverSmoothing is the weight of a response in a server's mean, fleetSmoothing in one of the
+	// whole fleet.
+	serverSmoothing, fleetSmoothing = 0.2, 0.005
+	// shareDecay lets requests count less for shares with age, over about 500 requests.
+	shareDecay = 0.998
+)
 
 // server is what the agent knows of one listed server.
 type server struct {
@@ -252,52 +256,6 @@
 	return min(x, 2)
 }
 
-// queueOverflows tells whether more requests are held than the agent can bear: past the
-// requests it may have open, clients would wait for a connection with nobody to answer.
-func (b *Balancer) queueOverflows() bool {
-	most := b.settings.Limits.OpenCap
-	return len(b.queued) > maxQueued || len(b.queued) > 0 && most > 0 && len(b.queued)+b.inFlight > most
-}
-
-// rememberUnserved keeps when an unserved request first came, so that its retry is
-// judged by the time that has passed for the client.
-func (b *Balancer) rememberUnserved(r *request) {
-	if !b.settings.Clients.MarksRetry {
-		return
-	}
-	b.recentUnserved = slices.DeleteFunc(b.recentUnserved, func(p unservedRequest) bool {
-		return b.now-p.firstArrivedAt > b.settings.Classes[p.class].DeadlineMs
-	})
-	if len(b.recentUnserved) < maxQueued {
-		b.recentUnserved = append(b.recentUnserved, unservedRequest{r.class, r.key, r.firstArrivedAt})
-	}
-}
-
-func (b *Balancer) recallFirstArrival(r *request) float64 {
-	i := slices.IndexFunc(b.recentUnserved, func(p unservedRequest) bool { return p.class == r.class && p.key == r.key })
-	if i < 0 {
-		return r.arrivedAt
-	}
-	first := b.recentUnserved[i].firstArrivedAt
-	b.recentUnserved = slices.Delete(b.recentUnserved, i, i+1)
-	return first
-}
-
-// warmWeight is the weight of the servers of the top tier that are not cold, counted
-// once for all decisions of a moment.
-func (b *Balancer) warmWeight() float64 {
-	if b.warmTotalAt == b.now && b.warmTotalEpoch == b.epoch {
-		return b.warmTotal
-	}
-	b.warmTotal, b.warmTotalAt, b.warmTotalEpoch = 0, b.now, b.epoch
-	for _, s := range b.servers {
-		if s.ready && s.state <= Unknown && b.slowStartFactor(s) == 1 {
-			b.warmTotal += s.weight
-		}
-	}
-	return b.warmTotal
-}
-
 // stepWeight moves a weight a step down or up within its bounds.
 func stepWeight(w float64, down bool, least, most float64) float64 {
 	if down {
