--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -12,8 +12,8 @@
 // not arrive late is due so much earlier (STANDING, "What production adds").
 const maxWriteDelayMs = 150.0
 
-// maySend is the guard of all attempts: rules 2, 3 and the limits. Rule 4 is in
-// hasCapacity, whose credit every attempt is charged in send.
+// maySend is the guard of all attempts: it holds rules 2 and 3 and the limits. Rule 4 is held by
+// hasCapacity; send charges the server's slow-start budget for each attempt.
 func (b *Balancer) maySend(r *request, s *server) bool {
 	if !s.ready || b.confirmationOverdue(s) || r.closed || r.responseStarted || r.openAttempts > 0 ||
 		b.now >= r.deadline || len(r.attempts) >= b.settings.Limits.MaxAttempts {
@@ -21,9 +21,15 @@
 	}
 	for _, a := range r.attempts {
 		if a.server == s && len(b.servers) > len(r.attempts) {
-			return false // further attempts go elsewhere
+			return false // a retry goes to another server
 		}
 	}
+	return b.effectAllows(r, s)
+}
+
+// effectAllows reports whether the class of the request permits one more attempt at the server,
+// although earlier attempts may have been executed.
+func (b *Balancer) effectAllows(r *request, s *server) bool {
 	if r.ambiguousAttempts == 0 {
 		return true
 	}
@@ -32,15 +38,21 @@
 	case Idempotent:
 		return true
 	case Deduplicated:
-		same := c.Group == GroupAll || c.Group == GroupZone && s.zone == r.executedOn.zone ||
+		sameGroup := c.Group == GroupAll || c.Group == GroupZone && s.zone == r.executedOn.zone ||
 			c.Group == GroupCell && s.cell == r.executedOn.cell
-		return same && b.dedupWindowLeft(r) > 0
+		return sameGroup && b.dedupWindowLeft(r) > 0
 	}
 	return false
 }
 
-// dedupWindowLeft is the time in which a repeat of a keyed request has to arrive to be dropped, or
-// without bound where it is no repeat.
+// repeatableAnywhere reports whether a request of the class may be sent again to any server, whatever
+// became of earlier attempts.
+func (c *Class) repeatableAnywhere() bool {
+	return c.Effect == Idempotent || c.Effect == Deduplicated && c.Group == GroupAll
+}
+
+// dedupWindowLeft is the time in ms in which a repeat of a request with an idempotency key has to
+// arrive to be deduplicated. It is infinite where no attempt is a repeat, or repeats are harmless.
 func (b *Balancer) dedupWindowLeft(r *request) float64 {
 	c := &b.settings.Classes[r.class]
 	if r.ambiguousAttempts == 0 || c.Effect != Deduplicated {
@@ -49,6 +61,7 @@
 	return r.executedAt + c.DedupWindowMs - maxWriteDelayMs - 2*b.settings.RoundMs - b.now
 }
 
+// send sends the request to the server. It returns false, and does nothing, where maySend forbids it.
 func (b *Balancer) send(r *request, s *server) bool {
 	if !b.maySend(r, s) {
 		return false
@@ -85,58 +98,76 @@
 		return
 	}
 	a := r.attempts[ev.Attempt]
-	s := a.server
+	b.endAttempt(a, ev.Status)
+	b.closeIdle(a.server)
+	b.chargeRetryBudget(r, ev.Status)
+	b.recordOutcome(a, ev.Status, sanitize(ev.LatencyMs))
+	if r.closed || r.responseStarted || ev.Final || ev.Status == OK {
+		b.closeRequest(r)
+	} else {
+		b.scheduleRetry(r, ev.Status)
+	}
+}
+
+// endAttempt takes an attempt that ended out of those in flight.
+func (b *Balancer) endAttempt(a *attempt, status Status) {
+	r, s := a.request, a.server
 	a.done = true
 	r.openAttempts--
 	b.inFlight--
 	if i := slices.Index(s.inFlight, a); i >= 0 {
 		s.inFlight = slices.Delete(s.inFlight, i, i+1)
 	}
-	if ev.Status.NotExecuted() {
+	if status.NotExecuted() {
 		r.ambiguousAttempts--
 	}
-	b.closeIdle(s)
-	worth := 0.0
-	if ev.Status == OK && b.now <= r.targetAt {
-		worth = 1
-	} else if ev.Status == OK {
-		worth = b.settings.Classes[r.class].LateShare
-	}
-	b.retryDebt = b.retryDebt * math.Exp((b.retryDebtAt-b.now)/(retryBudgetWindow*b.minTarget))
-	b.retryDebtAt = b.now
-	// What never began for want of a client, or whose client left in good time, tells nothing
-	// of the servers: clients that leave in a burst must not close the throttle for the others.
-	if left := r.closed && ev.Status == Cancelled && b.now < r.targetAt; ev.Status != Withdrawn && !left {
-		b.retryDebt += 1 - retryBudgetRatio*worth
-	}
-	b.recordOutcome(a, ev.Status, sanitize(ev.LatencyMs))
-	if r.closed || r.responseStarted || ev.Final || ev.Status == OK {
-		b.closeRequest(r)
-	} else {
-		b.scheduleRetry(r, ev.Status)
+}
+
+// chargeRetryBudget charges the retry budget for an attempt that ended, and refills it for one that
+// succeeded.
+func (b *Balancer) chargeRetryBudget(r *request, status Status) {
+	earned := 0.0
+	if status == OK && b.now <= r.targetAt {
+		earned = 1
+	} else if status == OK {
+		earned = b.settings.Classes[r.class].LateShare
+	}
+	b.retryDebt, b.retryDebtAt = b.currentRetryDebt(), b.now
+	// An attempt that never began because its client had left, and one whose client left before the
+	// target, show nothing of the servers: clients that leave in a burst must not use up the retry
+	// budget of the others.
+	leftEarly := r.closed && status == Cancelled && b.now < r.targetAt
+	if status != Withdrawn && !leftEarly {
+		b.retryDebt += 1 - retryBudgetRatio*earned
 	}
 }
 
-// closeIdle closes a server's idle connections where keeping them costs more than opening
-// one again, when this agent comes back to the server as seldom as its last sends say.
-// All agents' requests are taken for this one's times their number. A thousand agents
-// that each met every server kept 400 connections a server open (i5db14f).
+// currentRetryDebt is the retry debt as of now. It decays with time.
+func (b *Balancer) currentRetryDebt() float64 {
+	return b.retryDebt * math.Exp((b.retryDebtAt-b.now)/(retryBudgetWindow*b.minTarget))
+}
+
+// closeIdle closes a server's idle connections where keeping them costs more than opening one again,
+// when this agent comes back to the server as seldom as its last sends show. The requests of all
+// agents are estimated as those of this agent times the number of agents. A thousand agents that each
+// met every server kept 400 connections a server open (i5db14f).
 func (b *Balancer) closeIdle(s *server) {
 	p := &b.settings.Prices
-	all := b.requestCount / max(b.now-b.startedAt, 1) * float64(b.settings.Replicas) // requests a ms
-	if p.Connection > 0 && len(s.inFlight) == 0 &&
-		(s.sendInterval == 0 || s.sendInterval*all*p.Connection > 100*float64(len(b.servers))*p.Handshake) {
+	// Requests of all agents in a ms.
+	fleetRate := b.requestCount / max(b.now-b.startedAt, 1) * float64(b.settings.Replicas)
+	if p.Connection > 0 && len(s.inFlight) == 0 && (s.sendInterval == 0 ||
+		s.sendInterval*fleetRate*p.Connection > 100*float64(len(b.servers))*p.Handshake) {
 		b.emit(Action{Kind: ActClose, Server: s.addr})
 	}
 }
 
-// scheduleRetry holds an unanswered request for another server where class and time allow, or
-// ends it. It competes with first tries, so that trouble does not multiply the load.
-func (b *Balancer) scheduleRetry(r *request, why Status) {
+// scheduleRetry queues an unanswered request for another server where class and time allow, and
+// finishes it otherwise. It competes with first attempts, so that failures do not multiply the load.
+func (b *Balancer) scheduleRetry(r *request, lastStatus Status) {
 	c := &b.settings.Classes[r.class]
-	able := r.ambiguousAttempts == 0 || c.Effect == Idempotent || c.Effect == Deduplicated
-	if !able || len(r.attempts) >= b.settings.Limits.MaxAttempts || why == Withdrawn || b.now >= r.deadline ||
-		b.dedupWindowLeft(r) <= 0 {
+	repeatable := r.ambiguousAttempts == 0 || c.Effect == Idempotent || c.Effect == Deduplicated
+	if !repeatable || len(r.attempts) >= b.settings.Limits.MaxAttempts || lastStatus == Withdrawn ||
+		b.now >= r.deadline || b.dedupWindowLeft(r) <= 0 {
 		b.finish(r)
 		return
 	}
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -26,13 +26,13 @@
 	maxFirstWatchDelay = 3500.0
 )
 
-// discoveryLoadFactor is how many times as many agents there are as may ask often.
+// discoveryLoadFactor is how many times as many agents there are as may call often, and at least 1.
 func (b *Balancer) discoveryLoadFactor() float64 {
 	return max(float64(b.settings.Replicas)/frequentWatchers, 1)
 }
 
-// scheduleWatch lets the subscription be asked for after a wait. There is one such time, however
-// many calls fail.
+// scheduleWatch has the subscription requested after a wait in ms. Only one request is scheduled at a
+// time, however many calls fail.
 func (b *Balancer) scheduleWatch(wait float64) {
 	if !b.watchScheduled {
 		b.watchScheduled, b.watchDueAt = true, b.now+wait
@@ -40,8 +40,8 @@
 	}
 }
 
-// requestWatch asks for the subscription when its time has come; one that was set before and taken
-// back finds it still to come, or over.
+// requestWatch requests the subscription when it is due. The timer of a schedule that was dropped finds
+// the next one not yet due, or none.
 func (b *Balancer) requestWatch() {
 	if b.watchScheduled && b.now >= b.watchDueAt-1 {
 		b.watchScheduled, b.watchGranted, b.watchRequestedAt = false, false, b.now
@@ -49,52 +49,61 @@
 	}
 }
 
-// scheduleFirstWatch spreads the first calls over a part of the contract's time: agents that
-// start together must not all call at once.
+// scheduleFirstWatch spreads the first calls over a part of the contract's time: agents that start
+// together must not all call at once.
 func (b *Balancer) scheduleFirstWatch() {
 	spread := b.settings.Contract.ListPollWithinMs / 8 * min(b.discoveryLoadFactor(), 4)
 	b.scheduleWatch(b.rng.Float64() * min(spread, maxFirstWatchDelay))
 }
 
-// rescheduleWatch sets the time for the next call after one failed, or a subscription ended.
-// A call that was given up late is repeated the sooner, and one that had been served at once.
+// rescheduleWatch schedules the next call after one failed, or a subscription ended. The longer a
+// failed call took the shorter is the wait, and a subscription that had been served is requested again
+// at once.
 func (b *Balancer) rescheduleWatch() {
 	b.watchFailures++
 	if b.watchFailures == 1 {
-		b.watchScheduled = false // the time of the first call is of no use any more
+		b.watchScheduled = false // the schedule of the first call is of no use any more
 	}
-	ask, u := b.settings.Contract.ListPollWithinMs/5, b.rng.Float64()
+	pollWithin, jitter := b.settings.Contract.ListPollWithinMs/5, b.rng.Float64()
+	quickWait := min(servedWatchBackoff, pollWithin) * jitter
 	if b.listIncomplete() && b.watchFailures <= maxQuickRetries {
-		b.scheduleWatch(min(servedWatchBackoff, ask) * u) // an answer is owed
+		b.scheduleWatch(quickWait) // the rest of an answer is owed
 		return
 	}
 	if b.watchGranted && b.watchFailures == 1 {
-		apart := min(1000, ask)*(1+u)/2 - (b.now - b.watchRequestedAt) // from call to call
-		b.scheduleWatch(max(apart, min(servedWatchBackoff, ask)*u))
+		// Calls stay apart, from the begin of one to that of the next.
+		apart := min(1000, pollWithin)*(1+jitter)/2 - (b.now - b.watchRequestedAt)
+		b.scheduleWatch(max(apart, quickWait))
 		b.retriedAtOnce = true
 		return
 	}
+	b.scheduleWatch(b.watchBackoff(pollWithin, jitter))
+}
+
+// watchBackoff is the wait in ms before the next call after one that failed. It doubles with each
+// failure up to pollWithin, longer where many agents share discovery. The jitter is from 0 up to 1.
+func (b *Balancer) watchBackoff(pollWithin, jitter float64) float64 {
 	failures := b.watchFailures
-	if b.retriedAtOnce { // one that is refused for coming at once is the first that failed
+	if b.retriedAtOnce { // a call that is rejected for coming at once is the first that failed
 		failures--
 	}
-	wait := min(1000, ask) * (1 + u) / 2
-	if failures > 1 { // the first may have been the agent's own bad luck
-		ask *= min(b.discoveryLoadFactor(), 5)
+	wait := min(1000, pollWithin) * (1 + jitter) / 2
+	if failures > 1 { // the first may have failed by chance
+		pollWithin *= min(b.discoveryLoadFactor(), 5)
 		backoff := 500 * math.Pow(2, float64(failures)) * b.discoveryLoadFactor()
-		wait = min(backoff, ask, maxWatchInterval) * (3 + u) / 4
+		wait = min(backoff, pollWithin, maxWatchInterval) * (3 + jitter) / 4
 	}
 	if !b.watchGranted {
-		wait = min(wait, maxWatchInterval*(3+u)/4-(b.now-b.watchRequestedAt))
+		wait = min(wait, maxWatchInterval*(3+jitter)/4-(b.now-b.watchRequestedAt))
 	}
-	b.scheduleWatch(max(wait, minWatchBackoff*(1+u)))
+	return max(wait, minWatchBackoff*(1+jitter))
 }
 
-// fetchList asks for the whole list, seldom: every call loads discovery, by the line. Where
-// many share it, all that saw one server fail would ask in step and be in the way of the
-// subscriptions, which cost only the lines that changed and tell as much.
+// fetchList fetches the full list, seldom: every call loads discovery, by the entry. Where many agents
+// share discovery, all that saw one server fail would fetch in step and delay the subscriptions, which
+// cost only the entries that changed and carry as much.
 func (b *Balancer) fetchList() {
-	if b.settings.Membership == "on_request" && b.discoveryLoadFactor() > 1 {
+	if b.settings.Membership == membershipOnRequest && b.discoveryLoadFactor() > 1 {
 		return
 	}
 	if b.now-b.lastFetchAt >= max(b.settings.Contract.ListPollWithinMs, 1000) {
--- a/policy/health.go
+++ b/policy/health.go
@@ -12,12 +12,12 @@
 )
 
 // recordOutcome takes what an attempt's end says about its server.
-func (b *Balancer) recordOutcome(a *attempt, st Status, rtt float64) {
+func (b *Balancer) recordOutcome(a *attempt, status Status, latencyMs float64) {
 	s := a.server
-	switch st {
+	switch status {
 	case OK:
 		b.refillSlowStartBudgets(s, a.cost)
-		b.recordSuccess(a, rtt)
+		b.recordSuccess(a, latencyMs)
 	case Error, Reset:
 		s.lastResponse = b.now
 		b.eject(s, false)
@@ -25,21 +25,25 @@
 		b.recordConnectFailure(s)
 		b.eject(s, true)
 	case Timeout:
-		// A server that answered others meanwhile is not to blame for a costly
-		// request; it counts as slow.
-		if s.lastResponse > a.sentAt {
-			b.recordHintedLatency(a.request, rtt)
-			b.recordLatency(s, b.relativeLatency(a.request, rtt))
-		} else {
-			b.eject(s, true)
-		}
+		b.recordTimeout(a, latencyMs)
 	case Full:
 		s.lastResponse = b.now
 		b.reduceLimit(s, rejectionBackoff, 1)
 	}
 }
 
-// recordConnectFailure notes a connect that failed.
+// recordTimeout ejects the server of an attempt that timed out. A server that answered other attempts
+// meanwhile is not to blame for a costly request: it counts as slow.
+func (b *Balancer) recordTimeout(a *attempt, latencyMs float64) {
+	if a.server.lastResponse > a.sentAt {
+		b.recordHintedLatency(a.request, latencyMs)
+		b.recordLatency(a.server, b.relativeLatency(a.request, latencyMs))
+	} else {
+		b.eject(a.server, true)
+	}
+}
+
+// recordConnectFailure counts a connect that failed.
 func (b *Balancer) recordConnectFailure(s *server) {
 	if s.connectFailures == 0 {
 		s.firstConnectFailure = b.now
@@ -48,10 +52,10 @@
 	s.connectFailureSpan = b.now - s.firstConnectFailure
 }
 
-// recordResponse notes an answer. A server that no connect reached for long may be a new
-// process, cold and not yet listed: it is ramped as if it had started now. Time-outs
-// alone don't tell: crowded servers would be left to idle (i228a10). Nor does a connect or
-// two: where one in three comes up late, all servers would be taken for cold by turns.
+// recordResponse notes a response. A server that no connect reached for long may be a new process,
+// cold and not yet listed: its slow start begins as if it had started now. Timeouts alone are no
+// evidence: overloaded servers would be left idle (i228a10). Nor are one or two failed connects: where
+// one server in three starts late, all servers would be taken for cold by turns.
 func (b *Balancer) recordResponse(s *server) {
 	if s.connectFailures >= restartConnectFailures && s.connectFailureSpan > b.settings.Contract.TipAfterMs {
 		s.startedAt, s.concurrencyLimit, s.slowStartBudget = b.now, 1, b.rng.Float64()
@@ -59,62 +63,65 @@
 	s.lastResponse, s.connectFailures = b.now, 0
 }
 
-// eject makes a server Unhealthy; failures of one moment count as one strike.
-func (b *Balancer) eject(s *server, silent bool) {
+// eject makes a server Unhealthy and has the list fetched; failures of one moment count as one
+// ejection. The server is unresponsive where it gave no answer at all, not even an error.
+func (b *Balancer) eject(s *server, unresponsive bool) {
 	if s.state != Unhealthy {
 		s.recentEjections = min(s.recentEjections+1, maxRecentEjections)
 		b.setState(s, Unhealthy)
-		s.unresponsive = silent
+		s.unresponsive = unresponsive
 		s.consecutiveSuccesses, s.latency, s.latencySamples = 0, 0, 0
 		s.concurrencyLimit = max(s.concurrencyLimit/2, 1)
 	}
 	b.fetchList()
 }
 
-// ejectionTime is how long a server stays Unhealthy before it is validated again: one aim for
-// a stray failure, or the time in which the agent comes by each server if that is longer
-// and a check costs a request (quiet agents lost a third of theirs in checking slow
-// servers again and again, id753de), doubled with each further strike. While the others have
-// no room there is none: a server that fails some requests is better than refusing
-// them all. One that answers nothing is not.
+// ejectionTime is how long in ms a server stays Unhealthy before it is validated again. For a stray
+// failure it is one target latency, or the time in which the agent comes by each server if that is
+// longer and a validation costs a request (agents with few requests lost a third of theirs in
+// validating slow servers again and again, id753de). It doubles with each further ejection. While the
+// other servers have no capacity it is 0: a server that fails some requests is better than rejecting
+// them all. An unresponsive server is not.
 func (b *Balancer) ejectionTime(s *server) float64 {
 	if b.capacityExhausted && !s.unresponsive {
 		return 0
 	}
-	hold := b.minTarget
+	base := b.minTarget
 	if !b.settings.Limits.Probing {
-		hold = max(hold, b.settings.Limits.KeepaliveMs*float64(b.subsetSize())/max(b.recentRequests, 1))
+		base = max(base, b.settings.Limits.KeepaliveMs*float64(b.subsetSize())/max(b.recentRequests, 1))
 	}
+	doubling := float64(int(1) << max(s.recentEjections-1, 0))
 	if b.largeFleet() && s.unresponsive {
-		return hold * min(minOverloadRest*float64(int(1)<<max(s.recentEjections-1, 0)), 2*minOverloadRest)
+		return base * min(minOverloadRest*doubling, 2*minOverloadRest)
 	}
-	return hold * float64(int(1)<<max(s.recentEjections-1, 0))
+	return base * doubling
 }
 
-// ejectUnresponsive demotes servers that took attempts and have answered nothing for
-// several answer times: hung or gone silent, they would stay Connected.
+// ejectUnresponsive ejects servers that took attempts and have answered nothing for several expected
+// latencies: servers that hang would stay Connected otherwise.
 func (b *Balancer) ejectUnresponsive() {
 	for _, s := range b.servers {
 		if len(s.inFlight) == 0 || s.state == Unhealthy {
 			continue
 		}
-		a := s.inFlight[0]
-		waited := (b.now - a.sentAt) / b.settings.Classes[a.request.class].TargetMs
-		if !a.suspected && s.state <= Unknown && b.suspiciouslySlow(waited) {
-			a.suspected = true
+		oldest := s.inFlight[0]
+		waited := (b.now - oldest.sentAt) / b.settings.Classes[oldest.request.class].TargetMs
+		if !oldest.suspected && s.state <= Unknown && b.suspiciouslySlow(waited) {
+			oldest.suspected = true
 			b.setState(s, UnhealthyPending)
 			continue
 		}
-		// Where answers take a hundredth of the aim, eight of them are one costly request.
-		patience := max(b.expectedLatency(a.request)*8/float64(min(len(s.inFlight), 3)), b.minTarget/4)
-		if b.now-max(s.lastResponse, a.sentAt) >= patience {
+		// Where responses take a hundredth of the target, eight of them are one costly request.
+		expected := b.expectedLatency(oldest.request)
+		patience := max(expected*8/float64(min(len(s.inFlight), 3)), b.minTarget/4)
+		if b.now-max(s.lastResponse, oldest.sentAt) >= patience {
 			b.eject(s, true)
 		}
 	}
 }
 
-// revalidate, on each request, refreshes servers that were Unhealthy long enough to
-// pending, to be validated in the background.
+// revalidate, on each request, makes servers pending that were Unhealthy for their ejection time, and
+// probes pending servers in the background where probes are allowed.
 func (b *Balancer) revalidate() {
 	for _, s := range b.servers {
 		if s.state == Unhealthy && s.ready && len(s.inFlight) == 0 &&
@@ -149,7 +156,7 @@
 		b.recordResponse(s)
 		b.setState(s, Connected)
 	case ev.Status == Error || ev.Status == Reset:
-		// As with an attempt: what answers so, or breaks off, is there.
+		// As with an attempt: a server that answers with an error, or breaks off, is there.
 		s.lastResponse = b.now
 		b.eject(s, false)
 	case ev.Status != Full:
--- a/policy/list.go
+++ b/policy/list.go
@@ -11,7 +11,7 @@
 	switch ev.List {
 	case ListFailed:
 		b.partialCallEnded = true
-		if b.settings.Membership == "on_request" {
+		if b.settings.Membership == membershipOnRequest {
 			b.rescheduleWatch()
 		}
 		return
@@ -19,60 +19,69 @@
 		b.onPartialList(ev)
 		return
 	case ListSourceChanged:
-		b.watchFailures, b.watchGranted, b.retriedAtOnce = 0, true, false
+		b.watchSucceeded()
 		return
 	}
-	b.watchFailures, b.watchGranted, b.retriedAtOnce = 0, true, false
+	b.watchSucceeded()
 	b.markListComplete()
 	b.epoch++
-	if b.zoneCount == 0 {
-		zones := map[int]bool{}
-		for i := range ev.Entries {
-			zones[ev.Entries[i].Zone] = true
-		}
-		b.zoneCount = uint64(len(zones))
-	}
-	named := map[Addr]bool{}
+	b.countZones(ev.Entries)
 	for i := range ev.Entries {
-		named[ev.Entries[i].Server] = true
 		b.updateServer(&ev.Entries[i])
 	}
 	if ev.List != ListChange {
-		for _, s := range b.servers {
-			s.ready = s.ready && named[s.addr]
-		}
+		b.disableUnlisted(ev.Entries)
+	}
+	b.removeUnused()
+}
+
+// watchSucceeded ends the backoff of the subscription.
+func (b *Balancer) watchSucceeded() {
+	b.watchFailures, b.watchGranted, b.retriedAtOnce = 0, true, false
+}
+
+// countZones counts the zones of the servers in the first list.
+func (b *Balancer) countZones(entries []Entry) {
+	if b.zoneCount > 0 {
+		return
+	}
+	zones := map[int]bool{}
+	for i := range entries {
+		zones[entries[i].Zone] = true
 	}
+	b.zoneCount = uint64(len(zones))
+}
+
+// disableUnlisted stops sending to servers that a full list does not name.
+func (b *Balancer) disableUnlisted(entries []Entry) {
+	listed := map[Addr]bool{}
+	for i := range entries {
+		listed[entries[i].Server] = true
+	}
+	for _, s := range b.servers {
+		s.ready = s.ready && listed[s.addr]
+	}
+}
+
+// removeUnused removes servers that get no requests any more, once nothing is in flight at them.
+func (b *Balancer) removeUnused() {
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
-		forget := !s.ready && len(s.inFlight) == 0 && !s.probing
-		if forget {
+		unused := !s.ready && len(s.inFlight) == 0 && !s.probing
+		if unused {
 			delete(b.serversByAddr, s.addr)
 		}
-		return forget
+		return unused
 	})
 }
 
+// updateServer takes an entry of the list into the server that it names.
 func (b *Balancer) updateServer(e *Entry) {
-	s, since := b.serversByAddr[e.Server], sanitize(e.StartedMs)
+	s, startedAt := b.serversByAddr[e.Server], sanitize(e.StartedMs)
 	if s == nil {
-		s = &server{addr: e.Server, hash: splitMix64(hashAddr(e.Server)), state: Unknown, stateSince: b.now,
-			concurrencyLimit: min(initialConcurrencyLimit, b.maxConcurrencyLimit()),
-			startedAt:        since, listedAt: since,
-			slowStartBudget: b.rng.Float64()}
-		b.serversByAddr[s.addr] = s
-		s.zone = e.Zone
-		i, _ := slices.BinarySearchFunc(b.servers, s, func(x, y *server) int {
-			return cmp.Compare(b.subsetOrder(x), b.subsetOrder(y))
-		})
-		b.servers = slices.Insert(b.servers, i, s)
+		s = b.addServer(e, startedAt)
 	}
-	if since > s.listedAt {
-		// A new process: nothing known of the old one holds, and it is cold. Its credit
-		// starts at random: of many agents that each earn it a part of one request, as
-		// many send one as the parts add up to; from 0 none would before it is warm.
-		s.listedAt = since
-		s.startedAt, s.state, s.stateSince, s.unresponsive, s.overloaded = since, Unknown, b.now, false, false
-		s.recentEjections, s.consecutiveSuccesses, s.latency, s.latencySamples = 0, 0, 0, 0
-		s.concurrencyLimit, s.slowStartBudget = 1, b.rng.Float64()
+	if startedAt > s.listedAt {
+		b.restartServer(s, startedAt)
 	}
 	s.zone, s.cell, s.kind, s.ready = e.Zone, e.Cell, e.Kind, e.Health == Ready
 	s.weight = 1
@@ -81,12 +90,46 @@
 	}
 }
 
-// subsetOrder is a server's place in the agent's own order, whose first ones are its subset.
-// Where crossing has a price about half of them are of the agent's own zone.
+// addServer adds a server that was not known, at its place in the agent's order.
+func (b *Balancer) addServer(e *Entry, startedAt float64) *server {
+	s := &server{
+		addr:             e.Server,
+		hash:             splitMix64(hashAddr(e.Server)),
+		zone:             e.Zone,
+		state:            Unknown,
+		stateSince:       b.now,
+		startedAt:        startedAt,
+		listedAt:         startedAt,
+		concurrencyLimit: min(initialConcurrencyLimit, b.maxConcurrencyLimit()),
+		slowStartBudget:  b.rng.Float64(),
+	}
+	b.serversByAddr[s.addr] = s
+	i, _ := slices.BinarySearchFunc(b.servers, s, func(x, y *server) int {
+		return cmp.Compare(b.subsetOrder(x), b.subsetOrder(y))
+	})
+	b.servers = slices.Insert(b.servers, i, s)
+	return s
+}
+
+// restartServer resets a server of which the list names a new process: nothing known of the old one
+// holds, and the new one is cold. Its slow-start budget begins at random: of many agents that each
+// refill a part of one request, as many send one as the parts add up to; from 0 none would send one
+// before the server is warm.
+func (b *Balancer) restartServer(s *server, startedAt float64) {
+	s.listedAt, s.startedAt = startedAt, startedAt
+	s.state, s.stateSince = Unknown, b.now
+	s.unresponsive, s.overloaded = false, false
+	s.recentEjections, s.consecutiveSuccesses = 0, 0
+	s.latency, s.latencySamples = 0, 0
+	s.concurrencyLimit, s.slowStartBudget = 1, b.rng.Float64()
+}
+
+// subsetOrder is a server's place in the agent's own order, whose first servers are its subset. Where
+// crossing zones has a price about half of them are of the agent's own zone.
 func (b *Balancer) subsetOrder(s *server) uint64 {
-	d := splitMix64(s.hash ^ splitMix64(uint64(b.settings.Index)+1))
+	order := splitMix64(s.hash ^ splitMix64(uint64(b.settings.Index)+1))
 	if s.zone == b.settings.Zone && b.settings.Prices.CrossZone > 0 {
-		d /= max(b.zoneCount, 1)
+		order /= max(b.zoneCount, 1)
 	}
-	return d
+	return order
 }
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -37,44 +37,51 @@
 	idleInFlight = 1.5
 )
 
-// largeFleet tells whether a window of one attempt an agent is more than a server should hold.
+// largeFleet reports whether a concurrency limit of one attempt an agent is more than a server should
+// have in flight.
 func (b *Balancer) largeFleet() bool { return float64(b.settings.Replicas) > 2*maxServerConcurrency }
 
-// recordLogLatency takes the time of an answer, as a part of its aim.
-func (b *Balancer) recordLogLatency(x float64) {
+// recordLogLatency takes the latency of a response, as a part of its target, into logLatency and its
+// baseline, and lowers the agent's limit where these show overload.
+func (b *Balancer) recordLogLatency(latency float64) {
 	if !b.largeFleet() {
 		return
 	}
-	x = math.Log(max(x, 1e-4))
+	x := math.Log(max(latency, 1e-4))
 	b.updateAgentLimit()
 	b.logLatencySamples++
 	if b.logLatencySamples > baselineSamples {
 		x = min(x, b.baselineLogLatency+math.Log(maxOutlierFactor))
 	}
 	b.logLatency += (x - b.logLatency) * max(logLatencyWeight, 1/b.logLatencySamples)
-	switch {
-	case b.logLatencySamples <= baselineSamples:
-		b.baselineLogLatency += (x - b.baselineLogLatency) / b.logLatencySamples
-		if b.logLatencySamples == baselineSamples { // a crowd at the start is not taken for calm
-			b.baselineLogLatency = min(b.baselineLogLatency, math.Log(overloadLatencyShare/4))
-		}
+	if b.logLatencySamples <= baselineSamples {
+		b.learnLogBaseline(x)
 		return
-	case b.logLatency < b.baselineLogLatency:
-		b.baselineLogLatency += (b.logLatency - b.baselineLogLatency) * baselineFall
-	default:
-		b.baselineLogLatency += (b.logLatency - b.baselineLogLatency) * baselineRise
 	}
+	rate := baselineRise
+	if b.logLatency < b.baselineLogLatency {
+		rate = baselineFall
+	}
+	b.baselineLogLatency += (b.logLatency - b.baselineLogLatency) * rate
 	if b.overloadExcess() > 0 {
 		b.agentLimit = min(b.agentLimit, b.evenShare())
 	}
 }
 
-// overloadExcess is how far the pace is above what may still be calm.
+// learnLogBaseline takes one of the first responses into the baseline of logLatency.
+func (b *Balancer) learnLogBaseline(x float64) {
+	b.baselineLogLatency += (x - b.baselineLogLatency) / b.logLatencySamples
+	if b.logLatencySamples == baselineSamples { // an overload at the start must not set the baseline
+		b.baselineLogLatency = min(b.baselineLogLatency, math.Log(overloadLatencyShare/4))
+	}
+}
+
+// overloadExcess is how far logLatency is above what needs no explanation by overload.
 func (b *Balancer) overloadExcess() float64 {
 	return b.logLatency - b.baselineLogLatency - math.Log(overloadFactor)
 }
 
-// updateAgentLimit brings what depends on time up to now: the pace and the room.
+// updateAgentLimit brings what depends on time up to now: logLatency and the agent's limit.
 func (b *Balancer) updateAgentLimit() {
 	passed := b.now - b.agentLimitAt
 	b.agentLimitAt = b.now
@@ -86,7 +93,7 @@
 	b.agentLimit = min(b.agentLimit, max(maxAgentLimitFactor*b.evenShare(), 1))
 }
 
-// evenShare is the agent's even share of what all servers that can be sent to may hold.
+// evenShare is the agent's even share of what all servers that can be sent to may have in flight.
 func (b *Balancer) evenShare() float64 {
 	n := 0.0
 	for _, s := range b.servers {
@@ -97,8 +104,9 @@
 	return maxServerConcurrency * n / float64(b.settings.Replicas)
 }
 
-// withinAgentLimit tells whether the agent has room for one more attempt. What has been out for
-// an aim counts no more: it waits on a bad server, or in a queue that others drain.
+// withinAgentLimit reports whether the agent may have one more attempt in flight. An attempt that has
+// been in flight for a target latency counts no more: it waits at an outlier, or in a queue that others
+// drain.
 func (b *Balancer) withinAgentLimit() bool {
 	if !b.largeFleet() || b.logLatencySamples <= baselineSamples {
 		return true
@@ -112,20 +120,20 @@
 			}
 		}
 	}
-	// Room for less than one is kept by pausing.
+	// A rest of less than one attempt is kept by pausing.
 	return left >= 1 || left > 0 && b.now-b.lastSentAt >= math.Exp(b.logLatency)*b.minTarget/left
 }
 
-// suspiciouslySlow tells whether an answer, or the time without one, as a part of the aim, is a
-// reason to look how a server is. By its answers alone an agent that meets a server every
-// few seconds would send it a dozen requests before it knew that it is choked.
-func (b *Balancer) suspiciouslySlow(x float64) bool {
-	return b.largeFleet() && b.settings.Limits.Probing && x > overloadLatencyShare
+// suspiciouslySlow reports whether a latency, or the time without a response, as a part of the target,
+// is a reason to validate a server. By latency alone an agent that meets a server every few seconds
+// would send it a dozen requests before it knew that the server is overloaded.
+func (b *Balancer) suspiciouslySlow(latency float64) bool {
+	return b.largeFleet() && b.settings.Limits.Probing && latency > overloadLatencyShare
 }
 
-// reportsOverload tells whether a server reports more requests than all agents may have out at it,
-// or, once it was found so, that it is not yet at rest. Its probes are answered beside the
-// queue, and say nothing of that otherwise.
+// reportsOverload reports whether a server's load report names more requests in flight than all agents
+// may have at it, or, once it was found overloaded, that it is not yet idle. Its probes are answered
+// without queueing, and show nothing of that otherwise.
 func (b *Balancer) reportsOverload(s *server, report []float32) bool {
 	i := slices.Index(b.settings.Report.Names, "inflight")
 	most := float32(maxServerConcurrency)
@@ -135,7 +143,7 @@
 	return b.largeFleet() && i >= 0 && i < len(report) && report[i] > most
 }
 
-// pendingTimeout is how long a server waits for its validation before it counts as healthy again.
+// pendingTimeout is how long in ms a server waits for its validation before it counts as healthy again.
 func (b *Balancer) pendingTimeout() float64 {
 	if b.largeFleet() {
 		return 10 * b.minTarget
@@ -151,17 +159,16 @@
 	return minProbes
 }
 
-// cancelInFlight gives up what is out at a server that was found crowded or silent, to be sent
-// elsewhere while there is time: what waits there is late, and keeps the server choked.
+// cancelInFlight cancels the attempts at a server that was found overloaded or unresponsive, to be
+// retried elsewhere while there is time: what waits there is late, and keeps the server overloaded.
 func (b *Balancer) cancelInFlight(s *server) {
 	if !b.largeFleet() || !b.settings.Limits.Cancelling {
 		return
 	}
 	for _, a := range s.inFlight {
-		c := &b.settings.Classes[a.request.class]
-		repeatable := c.Effect == Idempotent || c.Effect == Deduplicated && c.Group == GroupAll
-		if !a.request.closed && !a.request.responseStarted && repeatable {
-			b.emit(Action{Kind: ActCancel, Request: a.request.id, Attempt: a.index})
+		r := a.request
+		if !r.closed && !r.responseStarted && b.settings.Classes[r.class].repeatableAnywhere() {
+			b.emit(Action{Kind: ActCancel, Request: r.id, Attempt: a.index})
 		}
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -17,41 +17,49 @@
 	confirmationToken = 3 // see onPartialList
 )
 
-// New returns the balancer of one agent, or an error that names the setting
-// that makes no sense. All its randomness comes from the seed.
-func New(set Settings, seed uint64) (*Balancer, error) {
-	if err := set.validate(); err != nil {
+// New returns the balancer of one agent, or a *SettingError that names the first setting that makes no
+// sense. All its randomness comes from the seed.
+func New(settings Settings, seed uint64) (*Balancer, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{settings: set, rng: rand.New(rand.NewPCG(seed, splitMix64(seed))),
-		serversByAddr: map[Addr]*server{},
-		requests:      map[RequestID]*request{}, tenantShare: make([]float64, len(set.Tenants)),
-		localZoneWeight: minLocalZoneWeight, minTarget: math.Inf(1), agentLimit: math.Inf(1),
-		lastFetchAt: math.Inf(-1),
-		recentKeys:  keyCounter{counts: map[uint64]int{}}}
+	b := &Balancer{
+		settings:        settings,
+		rng:             rand.New(rand.NewPCG(seed, splitMix64(seed))),
+		serversByAddr:   map[Addr]*server{},
+		requests:        map[RequestID]*request{},
+		recentKeys:      keyCounter{counts: map[uint64]int{}},
+		tenantShare:     make([]float64, len(settings.Tenants)),
+		localZoneWeight: minLocalZoneWeight,
+		minTarget:       math.Inf(1),
+		agentLimit:      math.Inf(1),
+		lastFetchAt:     math.Inf(-1),
+	}
 	for i := range b.kinds {
 		b.kinds[i].weight = 1
 	}
-	for _, c := range set.Classes {
+	for _, c := range settings.Classes {
 		b.classLatency = append(b.classLatency, c.TargetMs*overloadLatencyShare/2)
 		b.minTarget = min(b.minTarget, c.TargetMs)
-		b.classShare, b.classSuccess = append(b.classShare, 1), append(b.classSuccess, 1)
+		b.classShare = append(b.classShare, 1)
+		b.classSuccess = append(b.classSuccess, 1)
 	}
 	return b, nil
 }
 
-// Start gives the first actions of a new agent and appends them to out.
+// Start appends the first actions of a new agent to out and returns it. The clock now is in ms, as in
+// Handle; only its differences count.
 func (b *Balancer) Start(now float64, out []Action) []Action {
 	b.now, b.actions, b.startedAt = now, out, now
 	b.retryDebtAt, b.recentRequestsAt, b.warmWorkAt, b.agentLimitAt = now, now, now, now
-	if b.settings.Membership == "on_request" {
+	if b.settings.Membership == membershipOnRequest {
 		b.scheduleFirstWatch()
 	}
 	return b.actions
 }
 
-// Handle takes one event and appends the actions it calls for to out. Events
-// for what is finished or unknown are ignored.
+// Handle takes one event, appends the actions that it calls for to out and returns it. Events for
+// requests and attempts that are finished or unknown are ignored.
 func (b *Balancer) Handle(now float64, ev *Event, out []Action) []Action {
 	b.now, b.actions = now, out
 	switch ev.Kind {
@@ -60,17 +68,9 @@
 	case EvOutcome:
 		b.onOutcome(ev)
 	case EvResponseStarted:
-		if r := b.requests[ev.Request]; r != nil && !r.closed {
-			r.responseStarted = true
-			if ev.Attempt >= 0 && ev.Attempt < len(r.attempts) {
-				r.attempts[ev.Attempt].server.lastResponse = now
-			}
-		}
+		b.onResponseStarted(ev)
 	case EvClientCanceled:
-		if r := b.requests[ev.Request]; r != nil && !r.closed {
-			b.rememberUnserved(r)
-			b.closeRequest(r)
-		}
+		b.onClientCanceled(ev)
 	case EvList:
 		b.onList(ev)
 	case EvProbeResult:
@@ -83,9 +83,10 @@
 	return b.actions
 }
 
+// emit appends an action to those of the event at hand.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// scheduleTick keeps one timer running while there is something to watch.
+// scheduleTick keeps one timer running while requests are queued or attempts in flight.
 func (b *Balancer) scheduleTick() {
 	if !b.tickScheduled && (len(b.queued) > 0 || b.inFlight > 0) {
 		b.tickScheduled = true
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -1461,7 +1461,7 @@
 			t.Errorf("request %d has %d final answers", id, final[id])
 		}
 	}
-	if x := r.b.fleetLatency + r.b.meanCostHint + r.b.hintMeanCost + r.b.baselineLatency + r.b.classLatency[0]; math.IsNaN(x) || math.IsInf(x, 0) {
+	if x := r.b.fleetLatency + r.b.meanCostHint + r.b.hintedLatencies.meanX + r.b.baselineLatency + r.b.classLatency[0]; math.IsNaN(x) || math.IsInf(x, 0) {
 		t.Errorf("odd values poisoned the means: %v", x)
 	}
 }
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -27,7 +27,7 @@
 		return
 	}
 	if ev.Class < 0 || ev.Class >= len(b.settings.Classes) {
-		b.finish(&request{id: ev.Request}) // still owed an answer; nothing of it ran
+		b.finish(&request{id: ev.Request}) // the client is still owed an answer; nothing was executed
 		return
 	}
 	c := &b.settings.Classes[ev.Class]
@@ -38,31 +38,56 @@
 	} else if r.costHint > 0 {
 		b.meanCostHint = movingAverage(b.meanCostHint, r.costHint, fleetSmoothing)
 	}
-	left := sanitize(ev.RemainingMs)
-	r.deadline = b.now + left - min(b.settings.RoundMs, left/4)
+	remaining := sanitize(ev.RemainingMs)
+	r.deadline = b.now + remaining - min(b.settings.RoundMs, remaining/4)
 	if ev.Retry {
 		r.firstArrivedAt = b.recallFirstArrival(r)
 	}
 	r.targetAt = min(r.firstArrivedAt+c.TargetMs+c.TargetStretch*r.costHint, r.deadline)
 	r.hash = b.affinityHash(r.key)
 	b.requests[r.id] = r
+	b.countRequest(r)
+	b.revalidate()
+	b.queued = append(b.queued, r)
+	// A request whose expected work cannot fit its target anywhere would only keep others waiting:
+	// these are the few costly ones of a heavy tail.
+	if r.costHint > 0 && c.LateShare == 0 && minUsefulTimeShare*b.hintedLatency(r) > r.targetAt-b.now {
+		b.finish(r)
+	}
+}
+
+// countRequest takes a new request into the agent's rates and shares.
+func (b *Balancer) countRequest(r *request) {
 	b.requestCount++
 	window := max(b.settings.Limits.KeepaliveMs, 1)
 	b.recentRequests = b.recentRequests*math.Exp((b.recentRequestsAt-b.now)/window) + 1
 	b.recentRequestsAt = b.now
 	b.countTenant(r.tenant)
 	b.countClass(r.class)
-	b.revalidate()
-	b.queued = append(b.queued, r)
-	// A request whose hinted work cannot fit the aim anywhere would only keep
-	// others waiting: the costly few of a heavy tail.
-	if r.costHint > 0 && c.LateShare == 0 && minUsefulTimeShare*b.hintedLatency(r) > r.targetAt-b.now {
-		b.finish(r)
+}
+
+// onClientCanceled drops the request of a client that has left.
+func (b *Balancer) onClientCanceled(ev *Event) {
+	if r := b.requests[ev.Request]; r != nil && !r.closed {
+		b.rememberUnserved(r)
+		b.closeRequest(r)
+	}
+}
+
+// onResponseStarted notes that a streamed response has begun: from now on it belongs to the client.
+func (b *Balancer) onResponseStarted(ev *Event) {
+	r := b.requests[ev.Request]
+	if r == nil || r.closed {
+		return
+	}
+	r.responseStarted = true
+	if ev.Attempt >= 0 && ev.Attempt < len(r.attempts) {
+		r.attempts[ev.Attempt].server.lastResponse = b.now
 	}
 }
 
-// value is the worth that a unit of server time spent on the request earns, by
-// the objective: a part of the whole, and all of the worst class if it is of it.
+// value is what a unit of server time spent on the request earns by the objective: a part of the
+// overall result, and all of the worst class's result if the request is of that class.
 func (b *Balancer) value(r *request) float64 {
 	c := &b.settings.Classes[r.class]
 	o := &b.settings.Objective
@@ -82,23 +107,17 @@
 	return v
 }
 
-// dispatch sends what is held as far as there is room: the most valuable first,
-// of equals the newest, as under overload the oldest would only end late.
+// dispatch sends queued requests as far as there is capacity: the most valuable first, of equal ones
+// the newest, as under overload the oldest would only end late.
 func (b *Balancer) dispatch() {
-	for _, r := range b.queued {
-		r.value = b.value(r)
-	}
-	slices.SortFunc(b.queued, func(x, y *request) int {
-		return cmp.Or(cmp.Compare(y.value, x.value), cmp.Compare(y.arrivedAt, x.arrivedAt),
-			cmp.Compare(x.id, y.id))
-	})
-	// One that waits for its key's servers is passed over; of others a few failures tell.
+	b.sortQueue()
+	// A request that waits for its key's servers is passed over. Of the others a few that find no
+	// server show that there is no capacity.
 	b.capacityExhausted = false
 	for i, failures := 0, 0; i < len(b.queued) && failures < maxDispatchFailures &&
 		b.allowRetry() && b.withinAgentLimit(); {
 		r := b.queued[i]
-		if near := r.affinity; b.awaitsAffinity(r) && near[0] != nil && r.affinityEpoch == b.epoch &&
-			!b.accepts(near[0], r) && !b.accepts(near[1], r) {
+		if b.affinityBusy(r) {
 			i++
 			continue
 		}
@@ -117,15 +136,32 @@
 	}
 }
 
-// allowRetry is the agent's own throttle (adaptive throttling, with a retry budget in it):
-// attempts that fail or come late leave less to send. With a request or two out at each
-// of a thousand agents no server's window holds back the crowd they are together; each
-// full answer went on to the next server, until requests went out nine times (i86bcad).
-func (b *Balancer) allowRetry() bool {
-	return b.retryDebt*math.Exp((b.retryDebtAt-b.now)/(retryBudgetWindow*b.minTarget)) < retryBudgetBurst
+// sortQueue orders the queued requests by value, and those of equal value from the newest.
+func (b *Balancer) sortQueue() {
+	for _, r := range b.queued {
+		r.value = b.value(r)
+	}
+	slices.SortFunc(b.queued, func(x, y *request) int {
+		return cmp.Or(cmp.Compare(y.value, x.value), cmp.Compare(y.arrivedAt, x.arrivedAt),
+			cmp.Compare(x.id, y.id))
+	})
+}
+
+// affinityBusy reports whether the request waits for its key's servers, these are known from its last
+// pick, and none of them accepts it.
+func (b *Balancer) affinityBusy(r *request) bool {
+	first := r.affinity
+	return b.awaitsAffinity(r) && first[0] != nil && r.affinityEpoch == b.epoch &&
+		!b.accepts(first[0], r) && !b.accepts(first[1], r)
 }
 
-// expireQueued ends held requests that can no longer earn anything, before they cost work.
+// allowRetry is the agent's adaptive throttling with a retry budget: attempts that fail or come late
+// leave less to send, first attempts included. With a request or two in flight at each of a thousand
+// agents no concurrency limit of a server holds back all of them together; each rejected attempt went
+// on to the next server, until requests were sent nine times (i86bcad).
+func (b *Balancer) allowRetry() bool { return b.currentRetryDebt() < retryBudgetBurst }
+
+// expireQueued ends queued requests that can no longer earn anything, before they cost work.
 func (b *Balancer) expireQueued() {
 	for i := 0; i < len(b.queued); {
 		r := b.queued[i]
@@ -141,41 +177,40 @@
 	}
 }
 
-// expectedLatency is how long an answer to the request takes, on the mean.
+// expectedLatency is the mean time in ms until such a request is answered.
 func (b *Balancer) expectedLatency(r *request) float64 {
-	e := b.classLatency[r.class]
-	if t := b.hintedLatency(r); t > 0 {
-		e = max(t, e/4)
+	expected := b.classLatency[r.class]
+	if hinted := b.hintedLatency(r); hinted > 0 {
+		expected = max(hinted, expected/4)
 	}
-	return e
+	return expected
 }
 
-// queueOverflows tells whether more requests are held than the agent can bear: past the
-// requests it may have open, clients would wait for a connection with nobody to answer.
+// queueOverflows reports whether more requests are queued than the agent can bear: beyond the requests
+// that it may have open, clients would wait for a connection that nobody accepts.
 func (b *Balancer) queueOverflows() bool {
-	most := b.settings.Limits.OpenCap
-	return len(b.queued) > maxQueued || len(b.queued) > 0 && most > 0 && len(b.queued)+b.inFlight > most
+	openCap := b.settings.Limits.OpenCap
+	return len(b.queued) > maxQueued ||
+		len(b.queued) > 0 && openCap > 0 && len(b.queued)+b.inFlight > openCap
 }
 
-// finish is the guard of all final answers but served ones: a refusal where the class
-// allows the claim that a retry is harmless, else a failure.
+// finish is the guard of all final answers except responses: it rejects the request where its class
+// allows the claim that a retry is harmless, and fails it otherwise.
 func (b *Balancer) finish(r *request) {
 	if r.closed || r.responseStarted {
 		return
 	}
 	b.rememberUnserved(r)
-	c := &b.settings.Classes[r.class]
-	harmless := r.ambiguousAttempts == 0 || c.Effect == Idempotent ||
-		c.Effect == Deduplicated && c.Group == GroupAll
+	retryIsHarmless := r.ambiguousAttempts == 0 || b.settings.Classes[r.class].repeatableAnywhere()
 	b.closeRequest(r)
-	if harmless {
+	if retryIsHarmless {
 		b.emit(Action{Kind: ActReject, Request: r.id, Ms: b.settings.Limits.MaxRetryAfterMs})
 	} else {
 		b.emit(Action{Kind: ActFail, Request: r.id})
 	}
 }
 
-// closeRequest forgets a finished request as soon as no attempt of it is out.
+// closeRequest drops a finished request as soon as none of its attempts is in flight.
 func (b *Balancer) closeRequest(r *request) {
 	r.closed = true
 	if i := slices.Index(b.queued, r); i >= 0 {
@@ -191,23 +226,25 @@
 	}
 }
 
-// rememberUnserved keeps when an unserved request first came, so that its retry is
+// rememberUnserved keeps when an unserved request first arrived, so that its retry by the client is
 // judged by the time that has passed for the client.
 func (b *Balancer) rememberUnserved(r *request) {
 	if !b.settings.Clients.MarksRetry {
 		return
 	}
-	b.recentUnserved = slices.DeleteFunc(b.recentUnserved, func(p unservedRequest) bool {
-		return b.now-p.firstArrivedAt > b.settings.Classes[p.class].DeadlineMs
+	b.recentUnserved = slices.DeleteFunc(b.recentUnserved, func(u unservedRequest) bool {
+		return b.now-u.firstArrivedAt > b.settings.Classes[u.class].DeadlineMs
 	})
 	if len(b.recentUnserved) < maxQueued {
 		b.recentUnserved = append(b.recentUnserved, unservedRequest{r.class, r.key, r.firstArrivedAt})
 	}
 }
 
+// recallFirstArrival returns when the client's first try of a retried request arrived, or the retry's
+// own arrival where none is remembered. A remembered try counts for one retry.
 func (b *Balancer) recallFirstArrival(r *request) float64 {
-	i := slices.IndexFunc(b.recentUnserved, func(p unservedRequest) bool {
-		return p.class == r.class && p.key == r.key
+	i := slices.IndexFunc(b.recentUnserved, func(u unservedRequest) bool {
+		return u.class == r.class && u.key == r.key
 	})
 	if i < 0 {
 		return r.arrivedAt
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -5,83 +5,88 @@
 	"math"
 )
 
-// Effect tells whether a request of a class may run more than once.
+// Effect tells whether a request of a class may be executed more than once. Its values, and those of
+// Group, are the platform's words; the constants say what they mean.
 type Effect string
 
 // The effects a class may have.
 const (
 	Idempotent    Effect = "free"        // safe to repeat
-	Deduplicated  Effect = "guarded"     // repeats are dropped within a group of servers, for a time
-	NonIdempotent Effect = "single_shot" // must never run twice
+	Deduplicated  Effect = "guarded"     // with an idempotency key: a group of servers drops repeats, for a time
+	NonIdempotent Effect = "single_shot" // must never be executed twice
 )
 
-// Group tells which servers drop repeats of a guarded request.
+// Group tells which servers drop repeats of a request of a Deduplicated class.
 type Group string
 
-// The groups a guarded class may have.
+// The groups that a Deduplicated class may have.
 const (
 	GroupAll  Group = "all"
-	GroupZone Group = "zone"
-	GroupCell Group = "cell"
+	GroupZone Group = "zone" // those in the zone of the first server
+	GroupCell Group = "cell" // those in the cell of the first server
 )
 
-// Class is one class of requests.
+// Class is one class of requests. Its platform words: "aim" is the target latency, "give up" the
+// client's deadline, "key TTL" the deduplication window, "credit" the worth of one request.
 type Class struct {
 	Name          string  `json:"name"`
-	TargetMs      float64 `json:"aimMs"`
-	TargetStretch float64 `json:"aimStretch"`
-	DeadlineMs    float64 `json:"giveUpMs"`
+	TargetMs      float64 `json:"aimMs"`      // a response within this time earns the full credit
+	TargetStretch float64 `json:"aimStretch"` // times the request's cost hint is added to the target
+	DeadlineMs    float64 `json:"giveUpMs"`   // how long a client waits, over all its tries
 	Effect        Effect  `json:"effect"`
 	Group         Group   `json:"group"`
-	DedupWindowMs float64 `json:"keyTtlMs"`
+	DedupWindowMs float64 `json:"keyTtlMs"` // from the send of the first attempt that may have been executed
 	Credit        float64 `json:"credit"`
-	LateShare     float64 `json:"lateShare"`
+	LateShare     float64 `json:"lateShare"` // part of the credit for a response between target and deadline
 	Streamed      bool    `json:"streamed"`
 }
 
-// Tenant is a customer with a share of what the servers can do.
+// Tenant is a customer with a quota. Its platform word "portion" is the tenant's part of the service.
 type Tenant struct {
 	Name          string  `json:"name"`
-	QuotaPerS     float64 `json:"quotaPerS"`
+	QuotaPerS     float64 `json:"quotaPerS"` // requests a second over all agents
 	QuotaFraction float64 `json:"portion"`
 }
 
-// Limits is what a deployment permits an agent.
+// Limits is what a deployment permits an agent. Its platform word "tries" are attempts.
 type Limits struct {
 	Cancelling       bool    `json:"cancelling"`
 	ConnectTimeoutMs float64 `json:"connectTimeoutMs"`
-	KeepaliveMs      float64 `json:"keepaliveMs"`
-	MaxAttempts      int     `json:"maxAttempts"`
+	KeepaliveMs      float64 `json:"keepaliveMs"` // after which an idle connection is closed
+	MaxAttempts      int     `json:"maxAttempts"` // of one request
 	MaxRetryAfterMs  float64 `json:"maxRetryAfterMs"`
-	ParallelAttempts bool    `json:"parallelTries"`
+	ParallelAttempts bool    `json:"parallelTries"` // hedged requests
 	Probing          bool    `json:"probing"`
-	RetryAfter       bool    `json:"retryAfter"`
-	OpenCap          int     `json:"openCap"`
+	RetryAfter       bool    `json:"retryAfter"` // clients honour Retry-After
+	OpenCap          int     `json:"openCap"`    // requests that an agent may have open; 0: no limit
 }
 
-// Contract holds the figures of the four rules.
+// Contract holds the figures of the four rules. Its platform words: "ask" is a poll of the list,
+// "cold" is a server in slow start, and one that "tips" collapses under load.
 type Contract struct {
-	AnswerSlackMs    float64 `json:"answerSlackMs"`
-	ListPollWithinMs float64 `json:"askWithinMs"`
-	SlowStartFrom    float64 `json:"coldFrom"`
-	SlowStartMs      float64 `json:"coldMs"`
-	DrainGraceMs     float64 `json:"drainGraceMs"`
-	FallMultiple     float64 `json:"fallMultiple"`
-	TipAfterMs       float64 `json:"tipAfterMs"`
+	AnswerSlackMs    float64 `json:"answerSlackMs"` // for the final answer, after the client's deadline
+	ListPollWithinMs float64 `json:"askWithinMs"`   // an agent without a subscription must poll so often
+	SlowStartFrom    float64 `json:"coldFrom"`      // part of its capacity that a server starts with
+	SlowStartMs      float64 `json:"coldMs"`        // until it has its full capacity
+	DrainGraceMs     float64 `json:"drainGraceMs"`  // for ending sends to a draining or removed server
+	FallMultiple     float64 `json:"fallMultiple"`  // of its present capacity collapses a cold server
+	TipAfterMs       float64 `json:"tipAfterMs"`    // when it is sent for so long
 }
 
-// Prices are points taken off the result, each times its share or rate.
+// Prices are points taken off the result, each times its share or rate. The platform's price
+// "membershipMode" is that of list entries sent.
 type Prices struct {
 	CrossZone  float64 `json:"crossZone"`
 	Handshake  float64 `json:"handshake"`
 	Connection float64 `json:"connection"`
-	LateFail   float64 `json:"lateFail"`
+	LateFail   float64 `json:"lateFail"` // of credit that is not served after its target has passed
 	Probe      float64 `json:"probe"`
-	Waste      float64 `json:"waste"`
+	Waste      float64 `json:"waste"` // of servers' work without a response that was used
 	List       float64 `json:"membershipMode"`
 }
 
-// Objective holds the weights of the result's components.
+// Objective holds the weights of the result's components. Its platform word "whole" is the result over
+// the full time and all classes.
 type Objective struct {
 	Overall     float64 `json:"whole"`
 	WorstWindow float64 `json:"worstWindow"`
@@ -89,13 +94,18 @@
 	WorstTenant float64 `json:"worstTenant"`
 }
 
-// Report names the values of the servers' load reports.
+// Report describes the servers' load reports.
 type Report struct {
-	How   string   `json:"how"`
+	How   string   `json:"how"` // "inline", "on_probe" or "off"
 	Names []string `json:"names"`
 }
 
-// Settings is what an agent is told at its start.
+// membershipOnRequest is the Settings.Membership in which an agent must subscribe to the list.
+const membershipOnRequest = "on_request"
+
+// Settings is the configuration of an agent. Its JSON keys are those of the platform. Where these are
+// plain words the fields have the field's terms: "replicas of me" are the agents of this tier, "share"
+// is a tenant's quota, and "worth" the weight of a request.
 type Settings struct {
 	Classes    []Class   `json:"classes"`
 	Tenants    []Tenant  `json:"tenants"`
@@ -109,42 +119,67 @@
 		MarksRetry bool `json:"marksRetry"`
 	} `json:"clients"`
 	FamilyInfo struct {
-		WarmKeys bool `json:"warmKeys"`
+		WarmKeys bool `json:"warmKeys"` // a server answers a key that it knows with less work
 	} `json:"familyInfo"`
-	Index           int     `json:"index"`
+	Index           int     `json:"index"` // of this agent, from 0
 	Replicas        int     `json:"replicasOfMe"`
-	OverQuotaWeight float64 `json:"overShareWorth"`
-	RoundMs         float64 `json:"roundMs"`
-	Weights         string  `json:"weights"` // "off", "nominal", "rough" or "live"
-	WeightBy        string  `json:"worthBy"` // "request" or "work"
-	Zone            int     `json:"zone"`
+	OverQuotaWeight float64 `json:"overShareWorth"` // of a request beyond its tenant's quota
+	RoundMs         float64 `json:"roundMs"`        // the shortest time between two events
+	Weights         string  `json:"weights"`        // "off", "nominal", "rough" or "live"
+	WeightBy        string  `json:"worthBy"`        // credit is paid by "request" or by "work"
+	Zone            int     `json:"zone"`           // of this agent
+}
+
+// A SettingError names a setting that makes no sense.
+type SettingError struct {
+	Key    string // JSON path, such as classes[0].aimMs
+	Reason string
 }
 
-// validate reports the first setting that makes no sense, by its key.
+// Error returns the key and the reason in one line.
+func (e *SettingError) Error() string { return "settings: " + e.Key + ": " + e.Reason }
+
+// validate returns a *SettingError for the first setting that makes no sense.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("settings: classes: none given")
+		return &SettingError{Key: "classes", Reason: "none given"}
 	}
-	for i, c := range s.Classes {
-		at := func(key string) string { return fmt.Sprintf("settings: classes[%d].%s", i, key) }
-		switch {
-		case !(c.TargetMs > 0) || math.IsInf(c.TargetMs, 0):
-			return fmt.Errorf("%s: must be above 0 and finite, is %v", at("aimMs"), c.TargetMs)
-		case !(c.DeadlineMs > 0) || math.IsInf(c.DeadlineMs, 0):
-			return fmt.Errorf("%s: must be above 0 and finite, is %v", at("giveUpMs"), c.DeadlineMs)
-		case !(c.Credit >= 0):
-			return fmt.Errorf("%s: must be 0 or above, is %v", at("credit"), c.Credit)
-		case c.Effect != Idempotent && c.Effect != Deduplicated && c.Effect != NonIdempotent:
-			return fmt.Errorf("%s: unknown effect %q", at("effect"), c.Effect)
-		case c.Effect == Deduplicated && c.Group != GroupAll && c.Group != GroupZone && c.Group != GroupCell:
-			return fmt.Errorf("%s: unknown group %q", at("group"), c.Group)
-		case c.Effect == Deduplicated && !(c.DedupWindowMs >= 0):
-			return fmt.Errorf("%s: must be 0 or above, is %v", at("keyTtlMs"), c.DedupWindowMs)
+	for i := range s.Classes {
+		if err := s.Classes[i].validate(i); err != nil {
+			return err
 		}
 	}
-	if s.Membership != "pushed" && s.Membership != "on_request" {
-		return fmt.Errorf("settings: membershipMode: unknown mode %q", s.Membership)
+	if s.Membership != "pushed" && s.Membership != membershipOnRequest {
+		return &SettingError{Key: "membershipMode", Reason: fmt.Sprintf("unknown mode %q", s.Membership)}
 	}
+	return s.validateNumbers()
+}
+
+// validate returns a *SettingError for the first setting of class i that makes no sense.
+func (c *Class) validate(i int) error {
+	invalid := func(key, format string, value any) error {
+		return &SettingError{Key: fmt.Sprintf("classes[%d].%s", i, key), Reason: fmt.Sprintf(format, value)}
+	}
+	deduplicated := c.Effect == Deduplicated
+	switch {
+	case !(c.TargetMs > 0) || math.IsInf(c.TargetMs, 0):
+		return invalid("aimMs", "must be above 0 and finite, is %v", c.TargetMs)
+	case !(c.DeadlineMs > 0) || math.IsInf(c.DeadlineMs, 0):
+		return invalid("giveUpMs", "must be above 0 and finite, is %v", c.DeadlineMs)
+	case !(c.Credit >= 0):
+		return invalid("credit", "must be 0 or above, is %v", c.Credit)
+	case c.Effect != Idempotent && !deduplicated && c.Effect != NonIdempotent:
+		return invalid("effect", "unknown effect %q", c.Effect)
+	case deduplicated && c.Group != GroupAll && c.Group != GroupZone && c.Group != GroupCell:
+		return invalid("group", "unknown group %q", c.Group)
+	case deduplicated && !(c.DedupWindowMs >= 0):
+		return invalid("keyTtlMs", "must be 0 or above, is %v", c.DedupWindowMs)
+	}
+	return nil
+}
+
+// validateNumbers returns a *SettingError for the first number that is negative or not finite.
+func (s *Settings) validateNumbers() error {
 	for _, f := range []struct {
 		key   string
 		value float64
@@ -166,7 +201,7 @@
 		{"roundMs", s.RoundMs},
 	} {
 		if !(f.value >= 0) || math.IsInf(f.value, 0) {
-			return fmt.Errorf("settings: %s: must be 0 or above, is %v", f.key, f.value)
+			return &SettingError{Key: f.key, Reason: fmt.Sprintf("must be 0 or above, is %v", f.value)}
 		}
 	}
 	return nil
--- a/policy/state.go
+++ b/policy/state.go
@@ -13,76 +13,84 @@
 	shareDecay = 0.998
 )
 
-// server is what the agent knows of one listed server.
+// server is what the agent knows of one listed server. All times are in ms of the agent's clock.
 type server struct {
-	addr                 Addr
-	hash                 uint64
-	zone                 int
-	cell                 int
-	kind                 int
-	weight               float64
-	listedAt             float64 // start of its process by the list
-	startedAt            float64 // the same, or later where a restart is assumed
-	ready                bool    // listed as ready
-	confirmed            bool    // named as ready in the part of an answer that has come
+	// What the list says.
+	addr      Addr
+	hash      uint64 // of addr
+	zone      int
+	cell      int
+	kind      int // of machine
+	weight    float64
+	listedAt  float64 // start of its process by the list
+	startedAt float64 // the same, or later where a restart is assumed
+	ready     bool    // listed as ready
+	confirmed bool    // named as ready in the part of an answer that has arrived
+
+	// Its health.
 	state                State
 	stateSince           float64 // when the state was entered
-	overloaded           bool    // found crowded, and not at rest since
-	unresponsive         bool    // demoted for silence, not for an answer
-	connectFailures      int     // connects that failed since it last answered
-	firstConnectFailure  float64 // the first of them
-	connectFailureSpan   float64 // from that to the last
-	recentEjections      int     // how often it failed of late; sets the hold
-	consecutiveSuccesses int     // served since the last change of strikes
-	probing              bool
-	inFlight             []*attempt // attempts out, oldest first
-	lastResponse         float64    // when it last answered anything
-	latency              float64    // mean answer time as a part of the aim
-	latencySamples       int
-	concurrencyLimit     float64 // attempts it may hold of this agent
-	limitReducedAt       float64
-	lastSentAt           float64 // last attempt
-	sendInterval         float64 // mean time between attempts; 0: unknown
-	latencyMs            float64 // mean answer time
-	slowStartBudget      float64 // work a cold server may still be sent
-	score                float64 // place in a request's order; lower is nearer
+	overloaded           bool    // a probe's report showed overload, and none since that it is idle
+	unresponsive         bool    // ejected without any answer, not for an error
+	connectFailures      int     // failed connects since its last response
+	firstConnectFailure  float64 // when the first of them failed
+	connectFailureSpan   float64 // from the first to the last of them
+	recentEjections      int     // ejections, less those made up for by successes; sets the ejection time
+	consecutiveSuccesses int     // since recentEjections last changed
+	lastResponse         float64 // when it last answered anything
+	probing              bool    // a probe is under way
+
+	// What the agent sends to it.
+	inFlight         []*attempt // oldest first
+	latency          float64    // mean latency as a part of the target
+	latencySamples   int        // responses in it
+	latencyMs        float64    // mean latency
+	concurrencyLimit float64    // attempts of this agent that may be in flight; below 1 by pausing
+	limitReducedAt   float64
+	lastSentAt       float64 // when the last attempt was sent
+	sendInterval     float64 // mean time between attempts; 0: unknown
+	slowStartBudget  float64 // work that it may still be sent while it is cold
+	score            float64 // in the hash order of the request that is picked for; the lowest is first
 }
 
 // attempt is one send of a request.
 type attempt struct {
 	request      *request
 	server       *server
-	index        int
+	index        int // among the request's attempts
 	sentAt       float64
-	soleInFlight bool // no other of this agent was out on its server
-	cost         float64
-	suspected    bool // its server was looked at as it did not answer
+	soleInFlight bool    // no other attempt of this agent was in flight at the server
+	cost         float64 // see Balancer.cost
+	suspected    bool    // the server was sent to validation because the attempt took too long
 	done         bool
 }
 
-// request is one try of a client, kept until it is answered and no attempt is out.
+// request is one try of a client, kept until it is answered and none of its attempts is in flight.
 type request struct {
-	id                RequestID
-	class             int
-	tenant            int
-	key               uint64
-	hash              uint64 // what orders the servers for it
-	costHint          float64
-	firstArrivedAt    float64 // when the client's first try came, as far as known
-	arrivedAt         float64
-	targetAt          float64
-	deadline          float64 // margin already taken off
-	attempts          []*attempt
-	openAttempts      int // attempts out
-	ambiguousAttempts int // attempts that may have run
+	id             RequestID
+	class          int
+	tenant         int
+	key            uint64 // 0: none
+	hash           uint64 // orders the servers for it
+	costHint       float64
+	firstArrivedAt float64 // when the client's first try arrived, as far as known
+	arrivedAt      float64
+	targetAt       float64 // until then a response earns the full credit
+	deadline       float64 // the client's, less a margin
+	attempts       []*attempt
+	openAttempts   int // in flight
+
+	// Attempts that may have been executed, and the time and server of the first of them.
+	ambiguousAttempts int
 	executedAt        float64
 	executedOn        *server
-	affinity          [affinityServers]*server // nearest its key, as of epoch
-	affinityEpoch     uint64
-	tierWeight        float64 // of the tier at its last pick
-	value             float64
-	closed            bool
-	responseStarted   bool // a streamed answer belongs to the client now
+
+	affinity        [affinityServers]*server // first in hash order, as of affinityEpoch
+	affinityEpoch   uint64
+	tierWeight      float64 // weight of the tier at its last pick
+	value           float64 // as of the last dispatch
+	closed          bool    // answered, or its client has left
+	responseStarted bool    // a streamed response has begun, and belongs to the client
 }
 
 // keyCounter counts how often each key came among the last keyHistory requests.
@@ -109,86 +117,117 @@
 	return float64(k.counts[key]) / float64(k.total)
 }
 
-// unservedRequest is what is remembered of an unserved request, to know its retry.
+// unservedRequest is what is remembered of an unserved request, to recognize its retry.
 type unservedRequest struct {
 	class          int
 	key            uint64
 	firstArrivedAt float64
 }
 
-// machineKind is what the agent has learned of one kind of machine: the mean answer time, as a part
-// of the target latency, and the resulting weight.
+// machineKind is what the agent has learned of one kind of machine: the mean latency, as a part of the
+// target, and the resulting weight.
 type machineKind struct{ latency, weight float64 }
 
+// linearFit is a straight line through points, of which newer ones count more.
+type linearFit struct{ samples, meanX, meanY, variance, covariance float64 }
+
+func (f *linearFit) add(x, y float64) {
+	f.samples++
+	w := max(fleetSmoothing, 1/f.samples)
+	dx, dy := x-f.meanX, y-f.meanY
+	f.meanX += w * dx
+	f.meanY += w * dy
+	f.variance += w * (dx*dx*(1-w) - f.variance)
+	f.covariance += w * (dx*dy*(1-w) - f.covariance)
+}
+
+// at returns the line's value at x, at least 0; and 0 while too few or too similar points are known.
+func (f *linearFit) at(x float64) float64 {
+	if f.samples < 1/(4*fleetSmoothing) || f.variance <= 0 {
+		return 0
+	}
+	return max(f.meanY+f.covariance/f.variance*(x-f.meanX), 0)
+}
+
 // Balancer makes the decisions of one agent. It is not safe for concurrent use.
 type Balancer struct {
-	settings           Settings
-	rng                *rand.Rand
-	now                float64
-	actions            []Action
-	servers            []*server // by address
-	serversByAddr      map[Addr]*server
-	requests           map[RequestID]*request
-	queued             []*request
-	tierScratch        []*server // scratch of pick
-	recentUnserved     []unservedRequest
-	recentKeys         keyCounter
-	warmTotal          float64 // weight of warm servers, at warmTotalAt and warmTotalEpoch
-	warmTotalAt        float64
-	warmTotalEpoch     uint64
-	epoch              uint64 // counts changes of tiers and list
-	inFlight           int
-	activeProbes       int
-	classLatency       []float64 // per class: mean answer time
+	settings  Settings
+	rng       *rand.Rand
+	now       float64  // of the event at hand
+	actions   []Action // of the event at hand
+	startedAt float64
+	minTarget float64 // the shortest target latency of any class
+
+	// Requests.
+	requests         map[RequestID]*request
+	queued           []*request
+	recentUnserved   []unservedRequest
+	recentKeys       keyCounter
+	requestCount     float64 // since startedAt
+	recentRequests   float64 // in about the last keepalive time, as of recentRequestsAt
+	recentRequestsAt float64
+	tickScheduled    bool
+
+	// Attempts.
+	inFlight          int
+	lastSentAt        float64 // when the last attempt was sent
+	retryDebt         float64 // attempts that ended, less those that the budget allows, as of retryDebtAt
+	retryDebtAt       float64
+	capacityExhausted bool // queued requests that would take any server find none with capacity
+
+	// What requests are worth.
+	tenantShare  []float64 // by tenant: its part of the requests
+	classShare   []float64 // by class: its part of the requests
+	classSuccess []float64 // by class: the requests served in time, in the same measure
+	worstClass   int       // the class served worst
+	meanCredit   float64   // of a request
+
+	// Servers.
+	servers       []*server // by subsetOrder
+	serversByAddr map[Addr]*server
+	epoch         uint64    // counts changes of health tiers and of the list
+	tierScratch   []*server // memory of scoreTier
+	activeProbes  int
+
+	// The list of servers.
+	zoneCount        uint64  // zones of the servers in the first list
+	lastFetchAt      float64 // when the full list was last fetched
+	watchFailures    int     // failed calls for the subscription in a row
+	watchScheduled   bool    // the next call is due at watchDueAt
+	watchDueAt       float64
+	watchGranted     bool // the subscription was granted since it was requested at watchRequestedAt
+	watchRequestedAt float64
+	retriedAtOnce    bool    // the failed calls began with one right behind a subscription that was served
+	partialSince     float64 // when an answer began that has arrived in part; 0: none is incomplete
+	partialCallEnded bool    // the call of that answer has ended
+
+	// Latency. Without a unit in its name, a latency is a part of the request's target.
+	classLatency       []float64 // by class: mean latency in ms
 	meanCostHint       float64
-	hintSamples        float64 // answers to hinted requests, and their means and spread
-	hintMeanCost       float64
-	hintMeanLatency    float64
-	hintVariance       float64
-	hintCovariance     float64
-	latencySamples     float64   // served so far
-	fleetLatency       float64   // mean answer time as a part of the aim, all servers
-	baselineLatency    float64   // the same when nothing is crowded
-	tenantShare        []float64 // tenants' shares of requests
-	classShare         []float64 // classes' shares of requests
-	classSuccess       []float64 // and of those served in time
-	worstClass         int       // the class served worst
-	meanCredit         float64   // mean worth of a request
-	minTarget          float64
-	lastFetchAt        float64 // last fetch of the list
-	watchFailures      int     // failed calls in a row
-	watchScheduled     bool    // a time is set to ask for the subscription
-	watchDueAt         float64 // which is then
-	watchGranted       bool    // and was granted since it was last asked for,
-	watchRequestedAt   float64 // which was then
-	retriedAtOnce      bool    // the failed calls began with one right behind a subscription that was served
-	partialSince       float64 // when the answer began of which a part has come; 0: none is unfinished
-	partialCallEnded   bool    // its call has ended
-	warmWork           float64 // work sent to a warm server of weight one, fading over the cold time
-	warmWorkAt         float64
-	retryDebt          float64 // attempts that ended of late, less what the earned ones allow; as of retryDebtAt
-	recentRequests     float64 // requests of late, over the keepalive time, as of recentRequestsAt
-	recentRequestsAt   float64
-	zoneCount          uint64  // of the servers in the first list
-	localZoneWeight    float64 // weight of the own zone's servers, and mean answer times there and elsewhere
-	localZoneLatency   float64
-	otherZoneLatency   float64
-	overallLatency     float64
+	hintedLatencies    linearFit // latency in ms by cost hint
+	fleetLatency       float64   // mean of all servers
+	baselineLatency    float64   // the same without overload
+	latencySamples     float64   // responses in them
+	localZoneWeight    float64   // weight of the servers of the agent's own zone
+	localZoneLatency   float64   // mean there
+	otherZoneLatency   float64   // mean elsewhere
+	overallLatency     float64   // mean of all, for the kinds' weights
 	kinds              [256]machineKind
-	retryDebtAt        float64
-	startedAt          float64
-	requestCount       float64 // requests since
-	logLatency         float64 // mean logarithm of answer times as parts of the aim
-	baselineLogLatency float64 // the same when nothing is crowded
-	logLatencySamples  float64 // answers in them
-	agentLimit         float64 // attempts that the agent may have out, as of agentLimitAt
+	logLatency         float64 // mean logarithm of latency, in large fleets
+	baselineLogLatency float64 // the same without overload
+	logLatencySamples  float64 // responses in them
+	agentLimit         float64 // attempts that the agent may have in flight, as of agentLimitAt
 	agentLimitAt       float64
-	lastSentAt         float64 // last attempt
-	tickScheduled      bool
-	capacityExhausted  bool // requests that would take any server find no room
+
+	// Slow start.
+	warmTotal      float64 // weight of warm servers, cached at warmTotalAt and warmTotalEpoch
+	warmTotalAt    float64
+	warmTotalEpoch uint64
+	warmWork       float64 // work answered by a warm server of weight one, fading, as of warmWorkAt
+	warmWorkAt     float64
 }
 
-// countClass keeps the classes' shares of requests and of those served in time.
+// countClass updates the classes' shares of requests and of those served in time.
 func (b *Balancer) countClass(class int) {
 	b.meanCredit = 0
 	for i, c := range b.settings.Classes {
@@ -204,7 +243,7 @@
 	}
 }
 
-// countTenant keeps the tenants' shares of this agent's requests.
+// countTenant updates the tenants' shares of this agent's requests.
 func (b *Balancer) countTenant(tenant int) {
 	if tenant < 0 || tenant >= len(b.tenantShare) {
 		return
@@ -215,7 +254,7 @@
 	b.tenantShare[tenant] += 1 - shareDecay
 }
 
-// setState notes a server's new state and its time; tiers have changed.
+// setState enters a state of a server; where this changes its tier the epoch changes.
 func (b *Balancer) setState(s *server, to State) {
 	if s.state > Unknown || to > Unknown {
 		b.epoch++
@@ -223,39 +262,40 @@
 	s.state, s.stateSince = to, b.now
 }
 
-// recordHintedLatency keeps the straight line of answer time over hinted work: the network's
-// share does not grow with the work.
-func (b *Balancer) recordHintedLatency(r *request, rtt float64) {
-	if r.costHint <= 0 {
-		return
+// recordHintedLatency takes the latency of a request with a cost hint into the line of latency over
+// hinted cost: the network's share does not grow with the cost.
+func (b *Balancer) recordHintedLatency(r *request, latencyMs float64) {
+	if r.costHint > 0 {
+		b.hintedLatencies.add(r.costHint, latencyMs)
 	}
-	b.hintSamples++
-	w := max(fleetSmoothing, 1/b.hintSamples)
-	dh, dt := r.costHint-b.hintMeanCost, rtt-b.hintMeanLatency
-	b.hintMeanCost += w * dh
-	b.hintMeanLatency += w * dt
-	b.hintVariance += w * (dh*dh*(1-w) - b.hintVariance)
-	b.hintCovariance += w * (dh*dt*(1-w) - b.hintCovariance)
 }
 
-// hintedLatency is what the line says for the request; 0 while little is known.
+// hintedLatency is the latency in ms that the request's cost hint predicts; 0 while little is known.
 func (b *Balancer) hintedLatency(r *request) float64 {
-	if r.costHint <= 0 || b.hintSamples < 1/(4*fleetSmoothing) || b.hintVariance <= 0 {
+	if r.costHint <= 0 {
 		return 0
 	}
-	return max(b.hintMeanLatency+b.hintCovariance/b.hintVariance*(r.costHint-b.hintMeanCost), 0)
+	return b.hintedLatencies.at(r.costHint)
 }
 
-// relativeLatency is an answer time as a part of the aim. Where hints tell the work a costly
-// request counts as one of mean work; a small one's time is mostly the network's.
-func (b *Balancer) relativeLatency(r *request, rtt float64) float64 {
-	x := rtt / b.settings.Classes[r.class].TargetMs
+// relativeLatency is a latency as a part of the request's target. Where hints give the cost a costly
+// request counts as one of mean cost; a small one's latency is mostly the network's.
+func (b *Balancer) relativeLatency(r *request, latencyMs float64) float64 {
+	x := latencyMs / b.settings.Classes[r.class].TargetMs
 	if r.costHint > 0 {
 		x *= min(b.meanCostHint/r.costHint, 1)
 	}
 	return min(x, 2)
 }
 
+// overQuota reports whether a tenant sends more than its part of the requests.
+func (b *Balancer) overQuota(tenant int) bool {
+	if tenant < 0 || tenant >= len(b.tenantShare) {
+		return false
+	}
+	return b.tenantShare[tenant] > 1.1*b.settings.Tenants[tenant].QuotaFraction
+}
+
 // stepWeight moves a weight a step down or up within its bounds.
 func stepWeight(w float64, down bool, least, most float64) float64 {
 	if down {
@@ -264,8 +304,8 @@
 	return min(w*(1+weightStep), most)
 }
 
-// sanitize makes what came from outside safe to calculate with: not a number and negative
-// become 0, infinite and huge the largest number that leaves room for sums and squares.
+// sanitize makes an input safe to calculate with: NaN and negative values become 0, infinite and huge
+// ones the largest number that leaves room for sums and squares.
 func sanitize(x float64) float64 {
 	if !(x > 0) {
 		return 0
@@ -273,12 +313,12 @@
 	return min(x, 1e15)
 }
 
-// movingAverage moves a running movingAverage towards x; the first value is taken whole.
-func movingAverage(old, x, weight float64) float64 {
-	if old == 0 {
+// movingAverage moves an exponentially weighted average towards x. The first value is taken as it is.
+func movingAverage(average, x, weight float64) float64 {
+	if average == 0 {
 		return x
 	}
-	return old + weight*(x-old)
+	return average + weight*(x-average)
 }
 
 func hashAddr(a Addr) uint64 {
@@ -289,18 +329,10 @@
 	return h
 }
 
-// splitMix64 is the finalizer of splitmix64.
+// splitMix64 is the finalizer of the random number generator of that name.
 func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
-
-// overQuota tells whether a tenant sends more than its portion of what comes.
-func (b *Balancer) overQuota(tenant int) bool {
-	if tenant < 0 || tenant >= len(b.tenantShare) {
-		return false
-	}
-	return b.tenantShare[tenant] > 1.1*b.settings.Tenants[tenant].QuotaFraction
-}
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,94 +1,95 @@
-// Package policy decides, for one agent (a sidecar balancer), where each
-// request of its client goes: which server, when, for how long, whether again,
-// and when to give up. It is a state machine without I/O: the caller hands in
-// events with a clock and carries out the actions that come back, in order.
+// Package policy decides, for one agent (a sidecar load balancer), where each request of its client is
+// sent: to which server, when, until when, whether it is retried, and when it is rejected. It is a state
+// machine without I/O: the caller hands in events with a clock and carries out the actions that are
+// returned, in order.
 //
-// The decisions are in policy.go, pick.go, health.go, list.go, unconfirmed.go and crowd.go; this file holds the interface only.
+// This file holds the interface: events and actions. The settings are in settings.go, the decisions in
+// the files that policy.go lists, and the state that they keep in state.go.
 package policy
 
 // Addr names a server: four bytes of address and a port. It has no meaning
 // beyond equality and is sent back exactly as it came.
 type Addr [6]byte
 
-// RequestID names one try of a client; an id is never used twice.
+// RequestID names one try of a client; no ID is used twice.
 type RequestID uint32
 
-// State is what an agent holds a listed server to be.
+// State is the health of a listed server as one agent sees it.
 type State uint8
 
 // The four states, best first.
 const (
-	Connected State = iota
-	Unknown
-	UnhealthyPending
-	Unhealthy
+	Connected        State = iota // it answers
+	Unknown                       // nothing is known of it yet
+	UnhealthyPending              // to be validated by a probe or a request
+	Unhealthy                     // ejected
 )
 
-// Health is what the list says of a server.
+// Health is the lifecycle state of a server by the list. Its values are those of the simulator's wire.
 type Health uint8
 
-// The list's words.
+// The values of Health. On the wire they are 0, 1 and 2; discovery's texts write the last one "gone".
 const (
-	Draining Health = iota
+	Draining Health = iota // it finishes what it has, and must not be sent anything new
 	Ready
-	Gone
+	Gone // it is removed
 )
 
-// Entry is one line of the list of servers.
+// Entry is one server's entry in the list.
 type Entry struct {
 	Server    Addr
 	Zone      int
 	Cell      int
-	Kind      int
+	Kind      int     // of machine
 	StartedMs float64 // clock time of the latest start; 0: long past
 	Health    Health
 	Weight    float64
 }
 
-// ListKind tells how a list event changes the list at hand.
+// ListKind is how a list event changes the list that the agent holds.
 type ListKind uint8
 
 // The kinds of list events.
 const (
-	ListChange ListKind = iota
-	ListFull
-	ListCached
-	ListFailed
-	ListPartial       // what arrived of an answer whose rest didn't, or not yet; AgeMs since its begin
-	ListSourceChanged // discovery is elsewhere: what failed before doesn't count
+	ListChange        ListKind = iota // the entries that changed
+	ListFull                          // all entries; a server without one is removed
+	ListCached                        // all entries as the agent last held them, perhaps stale
+	ListFailed                        // a call failed or the subscription ended; no entries
+	ListPartial                       // the part that arrived of an answer that began AgeMs ago
+	ListSourceChanged                 // discovery moved: earlier failures don't count any more
 )
 
 // Status is how an attempt or a probe ended.
 type Status uint16
 
-// The endings.
+// The values of Status are those of the simulator's wire, where it is called ending.
 const (
 	OK            Status = 100
-	Error         Status = 301
-	Full          Status = 302
+	Error         Status = 301 // the server answered with an error
+	Full          Status = 302 // the server rejected the attempt for want of capacity
 	Timeout       Status = 303
 	ConnectFailed Status = 304
-	Reset         Status = 305
-	Cancelled     Status = 306
-	Withdrawn     Status = 307
+	Reset         Status = 305 // the connection was closed before the response
+	Cancelled     Status = 306 // by the agent or the client
+	Withdrawn     Status = 307 // before a byte of it was written
 )
 
-// NotExecuted tells whether the ending proves that the attempt did not run.
+// NotExecuted reports whether the status proves that the attempt was not executed.
 func (s Status) NotExecuted() bool { return s == Full || s == ConnectFailed || s == Withdrawn }
 
-// EventKind tells which fields of an Event count.
+// EventKind is what an Event reports, and so which of its fields are set.
 type EventKind uint8
 
-// The events.
+// The kinds of events, with the fields that are set.
 const (
 	EvRequest         EventKind = iota + 1 // Request, Class, Tenant, Key, RemainingMs, HintMs, HasHint, Retry
 	EvOutcome                              // Request, Attempt, Server, Status, LatencyMs, Final, Report
-	EvResponseStarted                      // Request, Attempt, Server, LatencyMs: a streamed answer began
-	EvClientCanceled                       // Request: the client left
+	EvResponseStarted                      // Request, Attempt, Server, LatencyMs: a streamed response began
+	EvClientCanceled                       // Request: its client gave up
 	EvList                                 // List, Entries, AgeMs
 	EvProbeResult                          // Server, Status, LatencyMs, Report
 	EvTimer                                // Token
-	EvPeer                                 // a message of another agent; carries nothing that is used
+	EvPeer                                 // a message of another agent; ignored
 )
 
 // Event is something that happened to one agent.
@@ -99,47 +100,47 @@
 	Tenant      int
 	Key         uint64 // 0: none
 	RemainingMs float64
-	HintMs      float64
+	HintMs      float64 // expected work, valid if HasHint
 	HasHint     bool
-	Retry       bool
-	Attempt     int
+	Retry       bool // the client says that it is a retry
+	Attempt     int  // index among the request's attempts, in the order of sends
 	Server      Addr
 	Status      Status
 	LatencyMs   float64
-	Final       bool // the request is finished
-	Report      []float32
+	Final       bool      // the request is finished
+	Report      []float32 // load report; its values are named by Settings.Report
 	List        ListKind
-	AgeMs       float64
+	AgeMs       float64 // of a partial list: time since the answer began
 	Entries     []Entry // not changed and not kept by the Balancer
 	Token       uint32
 }
 
-// ActionKind tells which fields of an Action count.
+// ActionKind is what an Action asks for, and so which of its fields are set.
 type ActionKind uint8
 
-// The actions.
+// The kinds of actions, with the fields that are set.
 const (
-	ActSend      ActionKind = iota + 1 // Request, Server, Ms: time-out, SendByMs
+	ActSend      ActionKind = iota + 1 // Request, Server, Ms: timeout, SendByMs
 	ActCancel                          // Request, Attempt
-	ActReject                          // Request, Ms: advice
-	ActFail                            // Request
+	ActReject                          // Request, Ms: Retry-After
+	ActFail                            // Request: answer that it failed
 	ActProbe                           // Server
 	ActTimer                           // Ms, Token
 	ActWatchList                       // subscribe to the list
-	ActFetchList                       // ask for the whole list once
+	ActFetchList                       // fetch the full list once
 	ActLog                             // Text
 	ActClose                           // Server: close idle connections to it
-	ActWithdraw                        // Server: end its attempts of which no byte has gone out, as those of a server that drains
+	ActWithdraw                        // Server: end its attempts of which no byte has been written
 )
 
-// Action is something the agent is to do, in the order given.
+// Action is something that the agent must do, in the order of the actions.
 type Action struct {
 	Kind     ActionKind
 	Request  RequestID
 	Server   Addr
 	Attempt  int
 	Ms       float64
-	SendByMs float64 // until its last byte must be out, else it must not go; 0: whenever
+	SendByMs float64 // the last byte must be written in this time, or the attempt dropped; 0: no limit
 	Token    uint32
 	Text     string
 }
--- a/policy/unconfirmed.go
+++ b/policy/unconfirmed.go
@@ -1,20 +1,20 @@
-// This file holds the decisions on servers that an agent doesn't know to be ready although it may
-// have been told otherwise: discovery has written an answer of which only a part arrived. What was
-// written counts as told (PROTOCOL, "The rules on sockets"), and a drain may stand in the rest.
+// This file holds the decisions on unconfirmed servers: discovery has written an answer of which only a
+// part arrived. What was written counts as notified (PROTOCOL, "The rules on sockets"), and a server
+// may be draining by the rest of the answer.
 
 package policy
 
 const (
-	// unconfirmedGrace is the part of the contract's grace after which a server that isn't
-	// confirmed gets nothing more. The other part is for what holds up a send that was decided.
+	// unconfirmedGrace is the part of the contract's grace after which an unconfirmed server gets
+	// nothing more. The other part is for delays between the decision to send and the writing.
 	unconfirmedGrace = 0.5
-	// maxUnconfirmed bounds in ms how long servers are held back: a discovery that can't be
-	// reached must not stop the agent for good.
+	// maxUnconfirmed bounds how long, in ms, unconfirmed servers get nothing: a discovery that can't
+	// be reached must not stop the agent for good.
 	maxUnconfirmed = 10000.0
 )
 
 // onPartialList takes the part of an answer that has arrived. Its entries hold, and those that are ready
-// are confirmed; all other servers are unconfirmed until a whole answer comes.
+// are confirmed; all other servers are unconfirmed until a complete answer arrives.
 func (b *Balancer) onPartialList(ev *Event) {
 	if !b.listIncomplete() {
 		b.partialSince = b.now - sanitize(ev.AgeMs)
@@ -33,22 +33,22 @@
 	}
 }
 
-// listIncomplete tells whether a part of an answer came and no whole one since.
+// listIncomplete reports whether an answer has arrived in part and no complete one since.
 func (b *Balancer) listIncomplete() bool {
 	return b.partialSince > 0 && b.now < b.partialSince+maxUnconfirmed
 }
 
-// confirmationDueAt is from when on servers that are not confirmed get nothing.
+// confirmationDueAt is when unconfirmed servers stop getting requests.
 func (b *Balancer) confirmationDueAt() float64 {
 	return b.partialSince + unconfirmedGrace*b.settings.Contract.DrainGraceMs
 }
 
-// confirmationOverdue tells whether the server gets nothing as it isn't confirmed.
+// confirmationOverdue reports whether the server gets nothing because it has not been confirmed in time.
 func (b *Balancer) confirmationOverdue(s *server) bool {
 	return b.listIncomplete() && !s.confirmed && b.now >= b.confirmationDueAt()
 }
 
-// markListComplete ends the doubt: a whole answer has come.
+// markListComplete notes that a complete answer has arrived: no server is unconfirmed any more.
 func (b *Balancer) markListComplete() {
 	if b.partialSince > 0 {
 		b.partialSince = 0
@@ -56,8 +56,8 @@
 	}
 }
 
-// withdrawUnconfirmed withdraws what was decided for servers that are not confirmed and has not gone out. An
-// answer that is still not whole is asked for anew, beside a subscription that may have stalled.
+// withdrawUnconfirmed withdraws the attempts at unconfirmed servers that have not been written yet. It
+// fetches an answer that is still incomplete anew, beside a subscription that may have stalled.
 func (b *Balancer) withdrawUnconfirmed() {
 	if !b.listIncomplete() || b.now < b.confirmationDueAt()-1 {
 		return
