--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -32,7 +32,7 @@
 	return be.AppendUint32(r, uint32(textLen))
 }
 
-func ask(who, id uint32) []byte {
+func requestRecord(who, id uint32) []byte {
 	be := binary.BigEndian
 	r := be.AppendUint32([]byte{17}, who)
 	r = be.AppendUint32(r, id)
@@ -40,11 +40,11 @@
 	return be.AppendUint64(r, math.Float64bits(400))
 }
 
-func killed(who uint32) []byte { return binary.BigEndian.AppendUint32([]byte{21}, who) }
+func killedRecord(who uint32) []byte { return binary.BigEndian.AppendUint32([]byte{21}, who) }
 
 func TestKillAndBootInOneBatch(t *testing.T) {
-	in := batch(1000, settings, bootRecord(3, len(settings)), ask(3, 9))
-	in = append(in, batch(1005, settings, killed(3), ask(3, 10), bootRecord(3, len(settings)), ask(3, 11))...)
+	in := batch(1000, settings, bootRecord(3, len(settings)), requestRecord(3, 9))
+	in = append(in, batch(1005, settings, killedRecord(3), requestRecord(3, 10), bootRecord(3, len(settings)), requestRecord(3, 11))...)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 }
 
 func TestTruncatedInputIsAnError(t *testing.T) {
-	in := batch(1000, "", killed(1))
+	in := batch(1000, "", killedRecord(1))
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in[:len(in)-1]), &out); err == nil || strings.Contains(err.Error(), "\n") {
 		t.Errorf("error %v, want one line", err)
@@ -96,11 +96,11 @@
 	pool := append([]byte{19, 0, 0, 0, 0}, 0, 0, 0, 0, 0, 0, 0, 1)
 	verdict := append(binary.BigEndian.AppendUint32([]byte{18, 0, 0, 0, 3}, 9), 0, 0, 10, 0, 0, 1, 0x13, 0x8b, 0, 100)
 	for _, x := range []float64{0, -1, math.NaN(), math.Inf(1), 1e300} {
-		odd := binary.BigEndian.AppendUint64(ask(3, 9)[:23], math.Float64bits(x))
+		odd := binary.BigEndian.AppendUint64(requestRecord(3, 9)[:23], math.Float64bits(x))
 		late := binary.BigEndian.AppendUint64(verdict[:19:19], math.Float64bits(x))
 		in := batch(1000, settings, bootRecord(3, len(settings)))
-		in = append(in, batch(1000, string(list(x, x)), pool, targets(3), odd, ask(3, 10))...)
-		f.Add(append(in, batch(1010, "", late, killed(3))...))
+		in = append(in, batch(1000, string(list(x, x)), pool, targets(3), odd, requestRecord(3, 10))...)
+		f.Add(append(in, batch(1010, "", late, killedRecord(3))...))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if err := run(bytes.NewReader(data), io.Discard); err != nil && strings.Contains(err.Error(), "\n") {
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestEventsAgainstWorkedOutBytes(t *testing.T) {
+func TestDecodeEvents(t *testing.T) {
 	data := frame(t, `00000003 00000098 40c06e2000000000
 		11 00000003 5d3a91c4 0000 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 01`+zeros(8)+`
 		1a 00000003 0000004d`+zeros(39)+`
@@ -82,7 +82,7 @@
 }
 
 // A list number may be used again within a batch: each event means the list of its moment.
-func TestPoolNumbersAreReusedInOrder(t *testing.T) {
+func TestServerListNumbersAreReusedInOrder(t *testing.T) {
 	entry := func(port string) string {
 		return "0001 40b7d40000000000 01 0a9011f2" + port + "3fc00000 0002 01"
 	}
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestReplyAgainstWorkedOutBytes(t *testing.T) {
+func TestEncodeActions(t *testing.T) {
 	var e Encoder
 	s := policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}
 	for _, a := range []policy.Action{
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestMalformedFramesNameTheField(t *testing.T) {
+func TestMalformedFrameErrorNamesTheField(t *testing.T) {
 	for name, c := range map[string]struct{ text, field string }{
 		"short header":   {"000000", "batch header"},
 		"short length":   {"00000000 00000004 00000000", "length"},
--- /dev/null
+++ b/policy/discovery_test.go
@@ -0,0 +1,233 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"testing"
+)
+
+func TestWatchIsRequestedAgainAfterFailures(t *testing.T) {
+	set := testSettings()
+	set.Membership = "on_request"
+	b, err := New(set, 3)
+	if err != nil {
+		t.Fatal(err)
+	}
+	first := find(b.Start(0, nil), ActTimer)
+	if first == nil || first.Ms > set.Contract.ListPollWithinMs {
+		t.Fatalf("no subscription within the contract's time: %+v", first)
+	}
+	if find(b.Handle(first.Ms, &Event{Kind: EvTimer, Token: first.Token}, nil), ActWatchList) == nil {
+		t.Fatal("the timer did not subscribe")
+	}
+	now := first.Ms
+	for range 8 {
+		again := find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer)
+		if again == nil || again.Ms > set.Contract.ListPollWithinMs {
+			t.Fatalf("a failed call was not repeated in the contract's time: %+v", again)
+		}
+		if second := find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer); second != nil {
+			t.Fatalf("two times are set to ask again: %+v, %+v", again, second)
+		}
+		now += again.Ms // its time has come, and not before
+		if find(b.Handle(now-2, &Event{Kind: EvTimer, Token: again.Token}, nil), ActWatchList) != nil {
+			t.Fatal("subscribed before its time")
+		}
+		if find(b.Handle(now, &Event{Kind: EvTimer, Token: again.Token}, nil), ActWatchList) == nil {
+			t.Fatal("the timer did not subscribe again")
+		}
+	}
+}
+
+// Discovery that was away for long is asked again soon after it is back: what it has to
+// tell counts as told whether the agent waits or not.
+func TestWatchIsRequestedSoonAfterManyFailures(t *testing.T) {
+	set := testSettings()
+	set.Membership = "on_request"
+	r := newRig(t, set, 1)
+	r.now += 10000
+	r.handle(Event{Kind: EvTimer, Token: watchToken})
+	for range 20 {
+		again := find(r.list(ListFailed), ActTimer)
+		if again == nil || again.Token != watchToken || again.Ms > set.Contract.ListPollWithinMs/5 {
+			t.Fatalf("asked again too late: %+v", again)
+		}
+		r.now += again.Ms
+		r.handle(Event{Kind: EvTimer, Token: watchToken})
+	}
+}
+
+// Eighty agents that start together, and whose calls all fail, ask a discovery that all
+// share seldom enough for it to work off what waits.
+func TestManyAgentsSpreadTheirCallsToDiscovery(t *testing.T) {
+	const agents, step, seconds = 80, 10, 60
+	set := testSettings()
+	set.Membership, set.Replicas = "on_request", agents
+	set.Contract.ListPollWithinMs = 10000
+	bals, due := make([]*Balancer, agents), make([]float64, agents)
+	after := func(i int, now float64, actions []Action) {
+		if a := find(actions, ActTimer); a != nil {
+			due[i] = now + a.Ms
+		}
+	}
+	for i := range bals {
+		set.Index = i
+		b, err := New(set, uint64(i+1))
+		if err != nil {
+			t.Fatal(err)
+		}
+		bals[i] = b
+		after(i, 0, b.Start(0, nil))
+		b.Handle(0, &Event{Kind: EvList, List: ListCached, Entries: []Entry{
+			{Server: addr(0), Health: Ready, Weight: 1}, {Server: addr(1), Health: Ready, Weight: 1}}}, nil)
+	}
+	var calls [seconds]int
+	fetches := 0
+	for now := 0.0; now < seconds*1000; now += step {
+		for i, b := range bals {
+			if now < due[i] {
+				continue
+			}
+			due[i] = math.Inf(1)
+			if find(b.Handle(now, &Event{Kind: EvTimer, Token: watchToken}, nil), ActWatchList) == nil {
+				t.Fatalf("agent %d did not subscribe", i)
+			}
+			calls[int(now/1000)]++
+			after(i, now, b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil))
+		}
+		if now == 4000 { // a server fails all of them at once
+			for _, b := range bals {
+				send := find(b.Handle(now, &Event{Kind: EvRequest, Request: 1, RemainingMs: 600}, nil), ActSend)
+				for _, a := range b.Handle(now, &Event{Kind: EvOutcome, Request: 1, Server: send.Server, Status: Error}, nil) {
+					if a.Kind == ActFetchList {
+						fetches++
+					}
+				}
+			}
+		}
+	}
+	if fetches > 0 {
+		t.Errorf("%d agents fetched the whole list at one failure", fetches)
+	}
+	// One call each 4 s is what a change that counts as told 6 s after discovery's return
+	// asks of every agent: 20 a second. Half as many more may fall into one second, but not
+	// into all of them.
+	late := 0
+	for s, n := range calls {
+		if n > 60 || s >= 10 && n > 36 {
+			t.Errorf("second %d: %d calls to discovery", s, n)
+		}
+		if s >= 10 {
+			late += n
+		}
+	}
+	if mean := float64(late) / (seconds - 10); mean > 25 {
+		t.Errorf("%.1f calls a second to discovery that is away", mean)
+	}
+}
+
+// A subscription that was served and ended is asked for again within 200 ms, as what it missed
+// counts as told 2 s later, unless it was asked for less than half a second ago.
+func TestServedWatchIsRequestedAgainAtOnce(t *testing.T) {
+	for _, c := range []struct {
+		lasted, least, most float64 // ms
+	}{
+		{0, 500, 1000}, // never served twice within half a second
+		{300, 200, 700},
+		{1000, 0, servedWatchBackoff},
+		{60000, 0, servedWatchBackoff},
+	} {
+		for seed := range uint64(50) {
+			set := testSettings()
+			set.Membership, set.Contract.ListPollWithinMs = "on_request", 10000
+			b, err := New(set, seed)
+			if err != nil {
+				t.Fatal(err)
+			}
+			now := find(b.Start(0, nil), ActTimer).Ms
+			if find(b.Handle(now, &Event{Kind: EvTimer, Token: watchToken}, nil), ActWatchList) == nil {
+				t.Fatal("did not ask")
+			}
+			b.Handle(now, &Event{Kind: EvList, List: ListChange}, nil)
+			now += c.lasted
+			wait := find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer).Ms
+			if wait < c.least || wait > c.most {
+				t.Fatalf("seed %d: served for %.0f ms, asked again after %.0f, want %.0f to %.0f", seed, c.lasted, wait, c.least, c.most)
+			}
+		}
+	}
+}
+
+// A call that comes at once behind a served subscription, and is refused, leaves the agent no later
+// than one that had waited first: the next comes within a second, in fleets of any size.
+func TestRejectedCallAfterAServedWatch(t *testing.T) {
+	for _, agents := range []int{1, 40, 300} {
+		for seed := range uint64(50) {
+			set := testSettings()
+			set.Membership, set.Contract.ListPollWithinMs, set.Replicas = "on_request", 10000, agents
+			b, err := New(set, seed)
+			if err != nil {
+				t.Fatal(err)
+			}
+			now := find(b.Start(0, nil), ActTimer).Ms
+			b.Handle(now, &Event{Kind: EvTimer, Token: watchToken}, nil)
+			b.Handle(now, &Event{Kind: EvList, List: ListChange}, nil)
+			ended := now + 3000
+			now = ended
+			for range 2 {
+				now += find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer).Ms
+				b.Handle(now, &Event{Kind: EvTimer, Token: watchToken}, nil)
+			}
+			if took := now - ended; took > servedWatchBackoff+1000 {
+				t.Fatalf("%d agents, seed %d: the second call came %.0f ms after the end", agents, seed, took)
+			}
+			third := find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer).Ms
+			if least := min(2000*float64(agents)/frequentWatchers, maxWatchInterval) / 2; agents >= 40 && third < least {
+				t.Fatalf("%d agents: the third call comes after %.0f ms, at least %.0f", agents, third, least)
+			}
+		}
+	}
+}
+
+// Whatever calls failed before, and however long each took to fail, the next one begins
+// within 4 s of the last one's begin: what discovery has to tell counts as told 6 s after
+// it could be reached. All agents' calls together stay few.
+func TestEachCallIsRepeatedInTime(t *testing.T) {
+	for _, agents := range []int{1, 5, 20, 80, 300} {
+		t.Run(fmt.Sprint(agents), func(t *testing.T) {
+			const seconds = 120
+			set := testSettings()
+			set.Membership, set.Replicas = "on_request", agents
+			set.Contract.ListPollWithinMs = 10000
+			var calls [seconds + 10]int
+			for i := range agents {
+				set.Index = i
+				b, err := New(set, uint64(i+1))
+				if err != nil {
+					t.Fatal(err)
+				}
+				rng := rand.New(rand.NewPCG(uint64(i), 7))
+				at := find(b.Start(0, nil), ActTimer).Ms
+				for last := 0.0; at < seconds*1000; {
+					if find(b.Handle(at, &Event{Kind: EvTimer, Token: watchToken}, nil), ActWatchList) == nil {
+						t.Fatalf("agent %d did not ask", i)
+					}
+					if at-last > 4000 {
+						t.Fatalf("agent %d asked at %.0f and then at %.0f ms", i, last, at)
+					}
+					calls[int(at/1000)]++
+					last = at
+					// Refused at once, turned away after its turn, or silent and given up.
+					at += []float64{0, 1000, 2000, 3500}[rng.IntN(4)]
+					at += find(b.Handle(at, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer).Ms
+				}
+			}
+			for s, n := range calls[:seconds] {
+				if most := 0.75*float64(agents) + 3; s >= 10 && float64(n) > most {
+					t.Errorf("second %d: %d calls of %d agents", s, n, agents)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/health_test.go
@@ -0,0 +1,191 @@
+package policy
+
+import "testing"
+
+func TestStateTransitions(t *testing.T) {
+	set := testSettings()
+	set.Replicas = 0 // the key stays whole
+	r := newRig(t, set, 4)
+	id, s := r.sent(0, 7)
+	srv := r.b.serversByAddr[s]
+	if srv.state != Unknown {
+		t.Fatalf("a listed server starts in state %d, want Unknown", srv.state)
+	}
+	r.now += 50
+	r.outcome(id, 0, s, OK, 50)
+	if srv.state != Connected {
+		t.Fatalf("served: state %d, want Connected", srv.state)
+	}
+	id, s2 := r.sent(0, 7)
+	if s2 != s {
+		t.Fatalf("key moved from %v to %v without a cause", s, s2)
+	}
+	actions := r.outcome(id, 0, s, Error, 5)
+	if srv.state != Unhealthy {
+		t.Fatalf("error: state %d, want Unhealthy", srv.state)
+	}
+	if find(actions, ActFetchList) == nil {
+		t.Error("an ejection did not fetch the list")
+	}
+	if a := find(actions, ActSend); a == nil || a.Server == s {
+		t.Errorf("the free request did not go on to another server: %+v", actions)
+	}
+	// While it is Unhealthy its key goes elsewhere; after its hold the next
+	// request makes it pending, and a served answer Connected.
+	if _, s3 := r.sent(0, 7); s3 == s {
+		t.Error("an Unhealthy server was chosen before the better tier")
+	}
+	r.now += r.b.ejectionTime(srv) + 1
+	id, s4 := r.sent(0, 7)
+	if srv.state != UnhealthyPending || s4 != s {
+		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", srv.state, s4)
+	}
+	r.now += 50
+	r.outcome(id, 0, s, OK, 50)
+	if srv.state != Connected {
+		t.Fatalf("validated: state %d, want Connected", srv.state)
+	}
+}
+
+func TestRejectionEjectsNoServer(t *testing.T) {
+	r := newRig(t, testSettings(), 3)
+	id, s := r.sent(1, 7)
+	actions := r.outcome(id, 0, s, Full, 1)
+	if got := r.b.serversByAddr[s].state; got == Unhealthy {
+		t.Error("a rejection ejected the server")
+	}
+	if a := find(actions, ActSend); a == nil || a.Server == s {
+		t.Errorf("a rejected request was not sent elsewhere: %+v", actions)
+	}
+}
+
+func TestProbesValidateWhereAllowed(t *testing.T) {
+	set := testSettings()
+	set.Limits.Probing = true
+	r := newRig(t, set, 3)
+	id, s := r.sent(0, 7)
+	r.outcome(id, 0, s, Error, 5)
+	r.now += 2 * r.b.ejectionTime(r.b.serversByAddr[s])
+	_, actions := r.request(0, 7)
+	if p := find(actions, ActProbe); p == nil || p.Server != s {
+		t.Fatalf("no probe of the pending server: %+v", actions)
+	}
+	if a := find(actions, ActSend); a == nil || a.Server == s {
+		t.Error("a request went to a pending server before its probe")
+	}
+	r.handle(Event{Kind: EvProbeResult, Server: s, Status: Timeout, LatencyMs: 100})
+	if r.b.serversByAddr[s].state != Unhealthy {
+		t.Error("a failed probe did not eject")
+	}
+	r.now += 10 * r.b.ejectionTime(r.b.serversByAddr[s])
+	r.request(0, 8)
+	r.handle(Event{Kind: EvProbeResult, Server: s, Status: OK, LatencyMs: 5})
+	if r.b.serversByAddr[s].state != Connected {
+		t.Error("a good probe did not set Connected")
+	}
+}
+
+// A probe that broke off tells no more of its server than an attempt that did: it is there,
+// and is tried again at once while the others are full. One that answers nothing is not.
+func TestProbeResetIsNotUnresponsive(t *testing.T) {
+	for status, tried := range map[Status]bool{Reset: true, Error: true, Timeout: false, ConnectFailed: false} {
+		set := testSettings()
+		set.Limits.Probing = true
+		r := newRig(t, set, 4)
+		bad := r.b.serversByAddr[addr(0)]
+		for range 3 {
+			r.b.setState(bad, Connected)
+			r.b.eject(bad, false)
+		}
+		r.now += r.b.ejectionTime(bad)
+		r.request(0, 0) // sends the probe
+		r.handle(Event{Kind: EvProbeResult, Server: bad.addr, Status: status, LatencyMs: 5})
+		if bad.state != Unhealthy {
+			t.Fatalf("a probe that ended %d did not eject", status)
+		}
+		for range 40 { // more than the other windows hold
+			r.request(0, 0)
+		}
+		r.now++
+		r.request(0, 0)
+		if got := bad.state == UnhealthyPending; got != tried {
+			t.Errorf("a probe ended %d; the server tried at once while others are full: %v, want %v", status, got, tried)
+		}
+	}
+}
+
+// Hung servers stay Connected in the source's scheme; here a lack of responses ejects them.
+func TestHungServerIsEjected(t *testing.T) {
+	r := newRig(t, testSettings(), 4)
+	for range 200 { // learn what an answer takes
+		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		r.now += 10
+		r.outcome(id, 0, s, OK, 10)
+	}
+	_, s := r.sent(0, 9)
+	for range 30 {
+		if r.tick(10); r.b.serversByAddr[s].state == Unhealthy {
+			return
+		}
+	}
+	t.Error("a server that answers nothing for 300 ms was not ejected")
+}
+
+// A costly request among very quick ones does not make its server unresponsive.
+func TestCostlyRequestIsNotUnresponsive(t *testing.T) {
+	r := newRig(t, testSettings(), 4)
+	for range 200 {
+		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		r.now += 2
+		r.outcome(id, 0, s, OK, 2)
+	}
+	_, s := r.sent(0, 9)
+	for range 5 {
+		if r.tick(10); r.b.serversByAddr[s].state == Unhealthy {
+			t.Fatal("after a sixth of the target the server was taken for unresponsive")
+		}
+	}
+}
+
+// South's rough days: a server that failed often rests long while others can take
+// its requests, but is tried again at once while they are full.
+func TestEjectedServerIsRetriedWhileOthersAreFull(t *testing.T) {
+	for _, full := range []bool{false, true} {
+		r := newRig(t, testSettings(), 4)
+		bad := r.b.serversByAddr[addr(0)]
+		for range 3 {
+			r.b.setState(bad, Connected)
+			r.b.eject(bad, false)
+		}
+		if full {
+			for range 40 { // more than the other windows hold
+				r.request(0, 0)
+			}
+		}
+		r.now += r.b.minTarget + 1
+		r.request(0, 0)
+		if tried := bad.state == UnhealthyPending; tried != full {
+			t.Errorf("others full: %v; failing server attempted after one target latency: %v", full, tried)
+		}
+	}
+}
+
+// id753de: an agent with few requests validated each slow server again after one target latency, with a request.
+func TestAgentWithFewRequestsEjectsLonger(t *testing.T) {
+	for _, probing := range []bool{false, true} {
+		set := testSettings()
+		set.Limits.KeepaliveMs, set.Limits.Probing = 10000, probing
+		r := newRig(t, set, 20)
+		var s Addr
+		for range 60 {
+			r.now += 500
+			var id RequestID
+			id, s = r.sent(0, r.b.rng.Uint64())
+			r.outcome(id, 0, s, OK, 20)
+		}
+		r.b.eject(r.b.serversByAddr[s], true)
+		if hold := r.b.ejectionTime(r.b.serversByAddr[s]); probing != (hold < 1000) {
+			t.Errorf("probing %v: ejected for %.0f ms, two requests a second over 20 servers", probing, hold)
+		}
+	}
+}
--- /dev/null
+++ b/policy/latency_test.go
@@ -0,0 +1,220 @@
+package policy
+
+import "testing"
+
+// A day with one agent and four servers: the first answers were quick (a few hot
+// keys), and what came after counted as overloaded at one attempt a server, for good.
+func TestLoneAgentRaisesItsBaseline(t *testing.T) {
+	for _, agents := range []int{1, 5} {
+		set := testSettings()
+		set.Replicas = agents
+		r := newRig(t, set, 4)
+		for i := range 2500 {
+			rtt := 20.0
+			if i > 100 {
+				rtt = 60
+			}
+			id, s := r.sent(0, uint64(r.b.rng.Int64()))
+			r.now += rtt
+			r.outcome(id, 0, s, OK, rtt)
+		}
+		if grown := r.b.baselineLatency > 0.15; grown != (agents == 1) {
+			t.Errorf("%d agents: after 2400 responses in 0.2 of the target, one at a time, the baseline is %.3f", agents, r.b.baselineLatency)
+		}
+	}
+}
+
+// Few agents see most of the load: a server that answers well within the target is not overloaded,
+// however low the baseline was taken. Cold servers are slower before they are overloaded.
+func TestMinOverloadThresholdFallsWithReplicas(t *testing.T) {
+	limit := func(agents int, baseline float64) float64 {
+		set := testSettings()
+		set.Replicas = agents
+		r := newRig(t, set, 1)
+		r.b.baselineLatency = baseline
+		return r.b.overloadThreshold(r.b.serversByAddr[addr(0)])
+	}
+	if one, many := limit(1, 0.01), limit(20, 0.01); one < 0.3 || many > 0.1 {
+		t.Errorf("least limits: %.2f for one agent, want about a third; %.2f for twenty, want little", one, many)
+	}
+	if l := limit(1, 0.9); l != overloadLatencyShare {
+		t.Errorf("limit %.2f with a high baseline, want %.2f", l, overloadLatencyShare)
+	}
+	r := newRig(t, testSettings(), 1)
+	r.list(ListChange, Entry{Server: addr(1), Health: Ready, Weight: 1, StartedMs: r.now})
+	r.b.baselineLatency = 0.2
+	if cold, warm := r.b.overloadThreshold(r.b.serversByAddr[addr(1)]), r.b.overloadThreshold(r.b.serversByAddr[addr(0)]); cold < 2*warm {
+		t.Errorf("limit %.2f of a cold server, %.2f of a warm one", cold, warm)
+	}
+}
+
+// id08146: agents restarted one by one while the fleet was overloaded.
+func TestOverloadAtTheStartDoesNotSetTheBaseline(t *testing.T) {
+	r := newRig(t, testSettings(), 4)
+	for range baselineSamples {
+		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		r.now += 270
+		r.outcome(id, 0, s, OK, 270)
+	}
+	if r.b.baselineLatency > overloadLatencyShare/2 {
+		t.Errorf("responses in 0.9 of the target set the baseline: %.2f", r.b.baselineLatency)
+	}
+}
+
+func TestOverloadReducesConcurrencyLimit(t *testing.T) {
+	set := testSettings()
+	set.Replicas = 20 // many, as on ie9df20: each sees little of the load
+	r := newRig(t, set, 1)
+	srv := r.b.servers[0]
+	for range 300 { // long enough to know the baseline latency
+		id, s := r.sent(0, 1)
+		r.now += 20
+		r.outcome(id, 0, s, OK, 20)
+	}
+	grown := srv.concurrencyLimit
+	for range 200 {
+		if id, actions := r.request(0, 1); find(actions, ActSend) != nil {
+			r.now += 140
+			r.outcome(id, 0, srv.addr, OK, 140)
+		}
+		r.now += 10
+	}
+	if srv.concurrencyLimit >= grown {
+		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, srv.concurrencyLimit)
+	}
+	// ie9df20: with many agents one attempt of each keeps a tipped server busy.
+	if srv.concurrencyLimit >= 1 {
+		t.Errorf("a tipped server is not left to rest: window %.2f", srv.concurrencyLimit)
+	}
+}
+
+// case5409: concurrency limits grown under low load let a burst overload the servers until they were
+// several times slower, for good. All agents' windows together stay under that.
+func TestConcurrencyLimitsOfAllAgentsAreBounded(t *testing.T) {
+	for _, agents := range []int{1, 2, 8} {
+		set := testSettings()
+		set.Replicas = agents
+		r := newRig(t, set, 1)
+		var out []RequestID
+		note := func(actions []Action) {
+			for _, a := range actions {
+				if a.Kind == ActSend {
+					out = append(out, a.Request)
+				}
+			}
+		}
+		for range 300 { // quick answers to as many as go out
+			for range 5 {
+				_, actions := r.request(0, 0)
+				note(actions)
+			}
+			for len(out) > 0 {
+				r.now += 2
+				id := out[0]
+				out = out[1:]
+				note(r.outcome(id, 0, addr(0), OK, 10))
+			}
+		}
+		for range 20 {
+			r.request(0, 0)
+		}
+		want := max(int(maxServerConcurrency)/agents, 1)
+		if got := len(r.b.serversByAddr[addr(0)].inFlight); got != want {
+			t.Errorf("%d agents: the server holds %d of one, want %d", agents, got, want)
+		}
+	}
+}
+
+// i452d3e: concurrency limits that grew before the baseline was known overloaded the
+// servers, and the latency under overload became the baseline.
+func TestNoConcurrencyLimitGrowsBeforeTheBaseline(t *testing.T) {
+	set := testSettings()
+	set.Replicas = 1 // more agents have no more than the first window each
+	r := newRig(t, set, 2)
+	for range baselineSamples - 1 {
+		id, s := r.sent(0, r.b.rng.Uint64())
+		r.now += 20
+		r.outcome(id, 0, s, OK, 20)
+		if w := r.b.serversByAddr[s].concurrencyLimit; w > initialConcurrencyLimit {
+			t.Fatalf("window %.2f after %.0f answers", w, r.b.latencySamples)
+		}
+	}
+	var ids []RequestID
+	var tos []Addr
+	for range 40 {
+		ids, tos = ids[:0], tos[:0]
+		for range 3 {
+			if id, actions := r.request(0, r.b.rng.Uint64()); find(actions, ActSend) != nil {
+				ids, tos = append(ids, id), append(tos, find(actions, ActSend).Server)
+			}
+		}
+		r.now += 20
+		for i := range ids {
+			r.outcome(ids[i], 0, tos[i], OK, 20)
+		}
+	}
+	if w := max(r.b.servers[0].concurrencyLimit, r.b.servers[1].concurrencyLimit); w <= initialConcurrencyLimit {
+		t.Errorf("no concurrency limit grew once the baseline was known: %.2f", w)
+	}
+}
+
+// Olive's quiet day: with a price on crossing, the own zone was given half of what it
+// could serve. It gets more while it answers as fast as the rest, and gives it back.
+func TestLocalZoneGetsMoreWhileItIsQuick(t *testing.T) {
+	set := testSettings()
+	set.Prices.CrossZone = 0.08
+	r := newRig(t, set, 6)
+	play := func(homeMs float64) float64 {
+		own := 0
+		for range 400 {
+			r.now += 50
+			id, s := r.sent(0, r.b.rng.Uint64())
+			rtt := 20.0
+			if r.b.serversByAddr[s].zone == 0 {
+				own++
+				rtt = homeMs
+			}
+			r.outcome(id, 0, s, OK, rtt)
+		}
+		return float64(own) / 400
+	}
+	play(20)
+	if quick := play(20); quick < 0.8 {
+		t.Errorf("the own zone is as fast as the rest and got %.2f", quick)
+	}
+	play(40)
+	if slow := play(40); slow > 0.7 {
+		t.Errorf("the own zone is twice as slow as the rest and got %.2f", slow)
+	}
+}
+
+// i5db14f: machines 2.5 times apart got equal shares, and the small ones were overloaded. Where
+// the list tells no weights a kind's answer times do.
+func TestSlowKindOfMachineGetsLess(t *testing.T) {
+	for _, weights := range []string{"off", "nominal"} {
+		set := testSettings()
+		set.Weights = weights
+		r := newRig(t, set, 0)
+		var entries []Entry
+		for i := range 8 {
+			entries = append(entries, Entry{Server: addr(i), Health: Ready, Weight: 1, Kind: i % 2})
+		}
+		r.list(ListFull, entries...)
+		slow := 0
+		for i := range 1200 {
+			r.now += 50
+			id, s := r.sent(0, r.b.rng.Uint64())
+			rtt := 20.0
+			if r.b.serversByAddr[s].kind == 1 {
+				rtt = 50
+				if i >= 600 {
+					slow++
+				}
+			}
+			r.outcome(id, 0, s, OK, rtt)
+		}
+		if even := slow > 250; even != (weights == "nominal") {
+			t.Errorf("weights %q: the slow half of the fleet got %d of 600 requests", weights, slow)
+		}
+	}
+}
--- a/policy/crowd_test.go
+++ b/policy/overload_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// manySettings are those of a large fleet, whose servers report what they hold when probed.
-func manySettings() Settings {
+// largeFleetSettings are those of a large fleet, whose servers report what they hold when probed.
+func largeFleetSettings() Settings {
 	set := testSettings()
 	set.Replicas, set.Limits.Probing = 80, true
 	set.Report = Report{How: "on_probe", Names: []string{"util", "inflight"}}
@@ -11,9 +11,9 @@
 	return set
 }
 
-// serve lets a request come and be answered after rtt, if it is sent.
-func (r *rig) serve(rtt float64) {
-	_, actions := r.ask(0, 0)
+// serveRequest lets a request come and be answered after rtt, if it is sent.
+func (r *rig) serveRequest(rtt float64) {
+	_, actions := r.request(0, 0)
 	r.now += rtt
 	if a := find(actions, ActSend); a != nil {
 		r.outcome(a.Request, 0, a.Server, OK, rtt)
@@ -21,17 +21,17 @@
 }
 
 // Eighty agents that see answers get slow have no more out together than the servers may
-// hold, whatever comes; and more once answers are calm again.
-func TestSlowAnswersBoundWhatManyAgentsHaveOut(t *testing.T) {
+// hold, whatever comes; and more once latency is at the baseline again.
+func TestOverloadBoundsAttemptsOfLargeFleet(t *testing.T) {
 	const servers, burst = 60, 20
-	slow, calm := 0, 0
+	slow, healthy := 0, 0
 	for i := range 80 {
-		set := manySettings()
+		set := largeFleetSettings()
 		set.Index = i
 		r := newRig(t, set, servers)
 		sent := func() (n int) {
 			for range burst {
-				if _, actions := r.ask(0, 0); find(actions, ActSend) != nil {
+				if _, actions := r.request(0, 0); find(actions, ActSend) != nil {
 					a := find(actions, ActSend)
 					defer r.outcome(a.Request, 0, a.Server, OK, 20)
 					n++
@@ -41,28 +41,28 @@
 			return n
 		}
 		for range baselineSamples + 10 {
-			r.serve(20)
+			r.serveRequest(20)
 		}
 		for range 20 {
-			r.serve(140)
+			r.serveRequest(140)
 		}
 		slow += sent()
 		for range 200 {
 			r.now += 20
-			r.serve(20)
+			r.serveRequest(20)
 		}
-		calm += sent()
+		healthy += sent()
 	}
 	if most := 2 * maxServerConcurrency * servers; float64(slow) > most || slow < servers {
-		t.Errorf("%d attempts out at %d crowded servers, want %d to %v", slow, servers, servers, most)
+		t.Errorf("%d attempts in flight at %d overloaded servers, want %d to %v", slow, servers, servers, most)
 	}
-	if calm <= slow {
-		t.Errorf("%d attempts out at calm servers, %d at crowded ones", calm, slow)
+	if healthy <= slow {
+		t.Errorf("%d attempts in flight at healthy servers, %d at overloaded ones", healthy, slow)
 	}
 }
 
-// lateAt lets a server answer one request late, and returns it.
-func (r *rig) lateAt(rtt float64) *server {
+// respondLate lets a server answer one request late, and returns it.
+func (r *rig) respondLate(rtt float64) *server {
 	r.t.Helper()
 	id, s := r.sent(0, 7)
 	r.now += rtt
@@ -71,23 +71,23 @@
 }
 
 // An agent that meets a server once in a few seconds looks how it is after one answer
-// that took half the aim, and sends it nothing while it reports to hold too much.
-func TestLateAnswerIsLookedInto(t *testing.T) {
+// that took half the target, and sends it nothing while it reports too much in flight.
+func TestLateResponseStartsValidation(t *testing.T) {
 	for _, c := range []struct {
 		inflight float32
 		want     State
 	}{{2, Connected}, {12, Unhealthy}} {
-		r := newRig(t, manySettings(), 4)
-		srv := r.lateAt(200)
-		_, actions := r.ask(0, 7)
+		r := newRig(t, largeFleetSettings(), 4)
+		srv := r.respondLate(200)
+		_, actions := r.request(0, 7)
 		if a := find(actions, ActProbe); a == nil || a.Server != srv.addr {
-			t.Fatalf("the server was not looked at: %+v", actions)
+			t.Fatalf("the server was not validated: %+v", actions)
 		}
 		if a := find(actions, ActSend); a == nil || a.Server == srv.addr {
 			t.Fatalf("the request waited for the probe or went to the server in doubt: %+v", actions)
 		}
 		r.now += 2
-		r.do(Event{Kind: EvProbeResult, Server: srv.addr, Status: OK, Report: []float32{1, c.inflight}})
+		r.handle(Event{Kind: EvProbeResult, Server: srv.addr, Status: OK, Report: []float32{1, c.inflight}})
 		if srv.state != c.want {
 			t.Errorf("state %d after a report of %v in flight, want %d", srv.state, c.inflight, c.want)
 		}
@@ -95,27 +95,27 @@
 }
 
 // The same where no answer comes: the request does not have to end first.
-func TestNoAnswerIsLookedInto(t *testing.T) {
-	r := newRig(t, manySettings(), 4)
+func TestMissingResponseStartsValidation(t *testing.T) {
+	r := newRig(t, largeFleetSettings(), 4)
 	_, s := r.sent(0, 7)
 	r.tick(160)
-	if _, actions := r.ask(0, 8); find(actions, ActProbe) == nil || find(actions, ActProbe).Server != s {
-		t.Errorf("half an aim without an answer and no probe: %+v", actions)
+	if _, actions := r.request(0, 8); find(actions, ActProbe) == nil || find(actions, ActProbe).Server != s {
+		t.Errorf("half a target latency without a response and no probe: %+v", actions)
 	}
 }
 
-// Requests that wait at a server found crowded are given up there and go elsewhere, but
+// Attempts that wait at a server found overloaded are cancelled and retried elsewhere, but
 // those that must not run twice.
-func TestCrowdedServersRequestsAreTakenBack(t *testing.T) {
+func TestOverloadedServersAttemptsAreCancelled(t *testing.T) {
 	for class, back := range []bool{true, false, true} {
-		r := newRig(t, manySettings(), 4)
+		r := newRig(t, largeFleetSettings(), 4)
 		id, s := r.sent(class, 7)
 		r.tick(160)
-		r.ask(0, 8)
-		actions := r.do(Event{Kind: EvProbeResult, Server: s, Status: OK, Report: []float32{1, 12}})
+		r.request(0, 8)
+		actions := r.handle(Event{Kind: EvProbeResult, Server: s, Status: OK, Report: []float32{1, 12}})
 		a := find(actions, ActCancel)
 		if back != (a != nil && a.Request == id) {
-			t.Fatalf("class %d: taken back: %v, want %v: %+v", class, a != nil, back, actions)
+			t.Fatalf("class %d: cancelled: %v, want %v: %+v", class, a != nil, back, actions)
 		}
 		if !back {
 			continue
@@ -127,15 +127,15 @@
 	}
 }
 
-// A server found crowded rests until it can be well again, however often requests come.
-func TestCrowdedServerRests(t *testing.T) {
-	r := newRig(t, manySettings(), 4)
-	srv := r.lateAt(200)
-	r.ask(0, 8)
-	r.do(Event{Kind: EvProbeResult, Server: srv.addr, Status: OK, Report: []float32{1, 12}})
+// A server found overloaded rests until it can have recovered, however often requests come.
+func TestOverloadedServerGetsNothingWhileItRests(t *testing.T) {
+	r := newRig(t, largeFleetSettings(), 4)
+	srv := r.respondLate(200)
+	r.request(0, 8)
+	r.handle(Event{Kind: EvProbeResult, Server: srv.addr, Status: OK, Report: []float32{1, 12}})
 	looked := func(until float64) bool {
 		for ; r.now < until; r.now += 50 {
-			id, actions := r.ask(0, 0)
+			id, actions := r.request(0, 0)
 			for _, a := range actions {
 				if a.Server == srv.addr && (a.Kind == ActProbe || a.Kind == ActSend) {
 					return true
@@ -148,30 +148,30 @@
 		return false
 	}
 	if from := r.now; looked(from + 7*r.b.minTarget) {
-		t.Errorf("not left alone for 7 aims: again after %v ms", r.now-from)
+		t.Errorf("did not rest for 7 target latencies: sent to again after %v ms", r.now-from)
 	}
 	if from := r.now; !looked(from + 10*r.b.minTarget) {
-		t.Error("not looked at again after 17 aims")
+		t.Error("not validated again after 17 target latencies")
 	}
 }
 
-// A server that choked stays slow until it has been idle. What reports to hold a few
+// An overloaded server stays slow until it has been idle. What reports to hold a few
 // requests still, after its rest, is left again; what reports hardly any is sent to.
-func TestCrowdedServerIsLeftUntilItIsIdle(t *testing.T) {
-	r := newRig(t, manySettings(), 4)
-	srv := r.lateAt(200)
+func TestOverloadedServerIsEjectedUntilItIsIdle(t *testing.T) {
+	r := newRig(t, largeFleetSettings(), 4)
+	srv := r.respondLate(200)
 	report := func(inflight float32) {
 		t.Helper()
 		for ; !srv.probing; r.now += 100 {
-			if id, actions := r.ask(0, 8); find(actions, ActSend) != nil {
+			if id, actions := r.request(0, 8); find(actions, ActSend) != nil {
 				s := find(actions, ActSend).Server
 				if s == srv.addr {
-					t.Fatal("sent to the crowded server")
+					t.Fatal("sent to the overloaded server")
 				}
 				r.outcome(id, 0, s, OK, 20)
 			}
 		}
-		r.do(Event{Kind: EvProbeResult, Server: srv.addr, Status: OK, Report: []float32{1, inflight}})
+		r.handle(Event{Kind: EvProbeResult, Server: srv.addr, Status: OK, Report: []float32{1, inflight}})
 	}
 	report(12)
 	report(maxServerConcurrency - 1)
@@ -182,7 +182,7 @@
 	if srv.state != Connected {
 		t.Errorf("state %d once idle, want %d", srv.state, Connected)
 	}
-	srv = r.lateAt(200) // a healthy one may hold a few
+	srv = r.respondLate(200) // a healthy one may hold a few
 	report(maxServerConcurrency - 1)
 	if srv.state != Connected {
 		t.Errorf("state %d of a server with %v in flight, want %d", srv.state, maxServerConcurrency-1, Connected)
--- /dev/null
+++ b/policy/pick_test.go
@@ -0,0 +1,207 @@
+package policy
+
+import "testing"
+
+func TestEmptyTopTierPassesDown(t *testing.T) {
+	r := newRig(t, testSettings(), 2)
+	for range 2 {
+		id, s := r.sent(1, 3)
+		r.outcome(id, 0, s, Error, 5)
+	}
+	if _, s := r.sent(0, 3); s == (Addr{}) {
+		t.Error("nothing was sent though Unhealthy servers are the only ones")
+	}
+}
+
+// i8d4be0, ifafc7b: queued requests that wait for their key's servers must not
+// keep others from servers that have room.
+func TestWaitForAffinityBlocksNoOtherRequest(t *testing.T) {
+	r := newRig(t, testSettings(), 6)
+	for range 30 {
+		r.request(0, 42) // one key: fills its two servers, the rest are queued
+	}
+	if len(r.b.queued) == 0 {
+		t.Fatal("nothing is queued; the test does not test what it says")
+	}
+	free := 0
+	for key := uint64(100); key < 140; key++ {
+		if _, actions := r.request(0, key); find(actions, ActSend) != nil {
+			free++
+		}
+	}
+	if free == 0 {
+		t.Error("requests for idle servers were queued behind a popular key")
+	}
+}
+
+// Crossing zones costs time and a price: of many keys more stay in the own zone
+// than its servers' part, and still most other servers are used.
+func TestLocalZoneIsPreferredByKey(t *testing.T) {
+	r := newRig(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
+	own, used, all := 0, map[Addr]bool{}, 600
+	for key := range uint64(all) {
+		id, s := r.sent(0, splitMix64(key+1))
+		r.outcome(id, 0, s, OK, 20)
+		used[s] = true
+		if r.b.serversByAddr[s].zone == 0 {
+			own++
+		}
+	}
+	if share := float64(own) / float64(all); share < 0.53 || share > 0.68 || len(used) != 6 {
+		t.Errorf("own zone got %.2f of the keys over %d servers, want about 0.6 over 6", share, len(used))
+	}
+}
+
+// id753de: with many agents, each with one request out, a popular key put twenty times
+// the mean on one server. Few agents leave it to the cap; a rare key stays whole.
+func TestPopularKeyIsSplitWhereTheCapIsBlind(t *testing.T) {
+	for _, c := range []struct {
+		agents, every int
+		least, most   int
+	}{
+		{1000, 4, 5, 40},  // a quarter of the traffic, many agents: spread
+		{2, 4, 1, 1},      // the same, two agents: the cap sees enough
+		{1000, 150, 1, 1}, // rare: its server keeps it warm
+	} {
+		set := testSettings()
+		set.Replicas = c.agents
+		r := newRig(t, set, 40)
+		used := map[Addr]bool{}
+		for i := range 1200 {
+			r.now += 20
+			key := uint64(1000 + i)
+			if i%c.every == 0 {
+				key = 7
+			}
+			id, s := r.sent(0, key)
+			if key == 7 && i > keyHistory {
+				used[s] = true
+			}
+			r.outcome(id, 0, s, OK, 20)
+		}
+		if len(used) < c.least || len(used) > c.most {
+			t.Errorf("%d agents, one request in %d: the key used %d servers, want %d to %d",
+				c.agents, c.every, len(used), c.least, c.most)
+		}
+	}
+}
+
+// id753de: an agent with few requests met each of hundreds of servers once a minute. It keeps
+// to a subset it meets often; agents' subsets differ, so that each server has its share;
+// a busy agent uses the whole fleet, and what is down in the subset is replaced.
+func TestAgentsWithFewRequestsKeepToASubset(t *testing.T) {
+	for _, c := range []struct {
+		gap         float64 // ms between requests
+		least, most int
+	}{{400, minSubsetSize, 16}, {4, 50, 60}} {
+		all := map[Addr]int{}
+		for index := range 30 {
+			set := testSettings()
+			set.Limits.KeepaliveMs, set.Replicas, set.Index = 10000, 1000, index
+			set.Prices.Handshake = 0.1
+			r := newRig(t, set, 60)
+			r.b.eject(r.b.servers[0], true)
+			used := map[Addr]bool{}
+			for range 300 {
+				r.now += c.gap
+				r.b.servers[0].stateSince = r.now // stays Unhealthy
+				id, s := r.sent(0, r.b.rng.Uint64())
+				r.outcome(id, 0, s, OK, 3)
+				if used[s] = true; s == r.b.servers[0].addr {
+					t.Fatal("an Unhealthy server of the subset was not replaced")
+				}
+			}
+			if len(used) < c.least || len(used) > c.most {
+				t.Fatalf("a request each %.0f ms used %d servers, want %d to %d", c.gap, len(used), c.least, c.most)
+			}
+			for s := range used {
+				all[s]++
+			}
+		}
+		if len(all) < 58 {
+			t.Errorf("30 agents used %d of 60 servers together", len(all))
+		}
+	}
+}
+
+// Where crossing has a price, about half of a subset is of the agent's own zone, however
+// many zones there are, and most requests stay in it; all agents use all servers even so.
+func TestSubsetPrefersTheLocalZone(t *testing.T) {
+	for _, c := range []struct {
+		zones int
+		price float64
+		least float64 // part of the requests that stay in their zone, and the most
+		most  float64
+	}{{1, 0.1, 1, 1}, {2, 0.1, 0.7, 1}, {6, 0.1, 0.6, 0.95}, {6, 0, 0.1, 0.4}} {
+		const agents, servers, each = 60, 120, 100
+		own, all := 0, map[Addr]bool{}
+		for i := range agents {
+			set := largeFleetSettings()
+			set.Index, set.Replicas, set.Zone = i, agents, i%c.zones
+			set.Limits.KeepaliveMs, set.Prices.Handshake, set.Prices.CrossZone = 10000, 0.1, c.price
+			b, err := New(set, uint64(i))
+			if err != nil {
+				t.Fatal(err)
+			}
+			r, zone := &rig{t: t, b: b, now: 1e6}, map[Addr]int{}
+			entries := make([]Entry, servers)
+			for s := range entries {
+				entries[s] = Entry{Server: addr(s), Health: Ready, Weight: 1, Zone: s % c.zones}
+				zone[addr(s)] = s % c.zones
+			}
+			r.list(ListCached, entries...)
+			for range each {
+				r.now += 100
+				id, s := r.sent(0, b.rng.Uint64())
+				r.outcome(id, 0, s, OK, 20)
+				if all[s] = true; zone[s] == set.Zone {
+					own++
+				}
+			}
+		}
+		if share := float64(own) / agents / each; share < c.least || share > c.most {
+			t.Errorf("%d zones, price %v: %.2f stayed in their zone, want %v to %v", c.zones, c.price, share, c.least, c.most)
+		}
+		if len(all) < servers*9/10 {
+			t.Errorf("%d zones, price %v: %d of %d servers used", c.zones, c.price, len(all), servers)
+		}
+	}
+}
+
+// Found by the fuzzer: a keyed request ahead of the first list crashed the agent.
+func TestKeyedRequestBeforeTheFirstList(t *testing.T) {
+	b, err := New(testSettings(), 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b.Start(0, nil)
+	b.Handle(1, &Event{Kind: EvRequest, Request: 1, Class: 0, Key: 5, RemainingMs: 600}, nil)
+	b.Handle(2, &Event{Kind: EvTimer, Token: tickToken}, nil)
+	list := []Entry{{Server: addr(1), Health: Ready, Weight: 1}}
+	if a := find(b.Handle(3, &Event{Kind: EvList, List: ListFull, Entries: list}, nil), ActSend); a == nil || a.Request != 1 {
+		t.Error("the request was not sent once there was a list")
+	}
+}
+
+// Kyushu's and south's failing servers: what must not run twice would be lost on a
+// server that is only being checked.
+func TestNonIdempotentRequestDoesNotValidateAServer(t *testing.T) {
+	r := newRig(t, testSettings(), 4)
+	bad := r.b.serversByAddr[addr(0)]
+	r.b.setState(bad, UnhealthyPending)
+	free, once := 0, 0
+	for range 200 {
+		r.now += 10
+		for class, n := range []*int{&free, &once} {
+			id, s := r.sent(class, uint64(r.b.rng.Int64()))
+			if s == bad.addr {
+				*n++
+			}
+			r.outcome(id, 0, s, OK, 5)
+			r.b.setState(bad, UnhealthyPending)
+		}
+	}
+	if free == 0 || once > 0 {
+		t.Errorf("a pending server was validated by %d idempotent and %d non-idempotent requests; want some and none", free, once)
+	}
+}
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -8,23 +8,23 @@
 	"testing"
 )
 
-// world plays random clients, servers and lists against one Balancer and
+// simulation plays random clients, servers and lists against one Balancer and
 // checks the rules from outside, on the actions alone.
-type world struct {
+type simulation struct {
 	t        *testing.T
 	rng      *rand.Rand
 	set      Settings
 	b        *Balancer
 	now      float64
 	next     RequestID
-	reqs     map[RequestID]*worldReq
-	timers   []worldTimer
+	reqs     map[RequestID]*simulatedRequest
+	timers   []simulatedTimer
 	list     map[Addr]Entry
-	badSince map[Addr]float64 // told that it drains or is gone
+	badSince map[Addr]float64 // the agent was notified that it drains or is removed
 	history  []Action
 }
 
-type worldTry struct {
+type simulatedAttempt struct {
 	server Addr
 	sentAt float64
 	endsAt float64
@@ -32,14 +32,14 @@
 	ended  bool
 }
 
-type worldReq struct {
+type simulatedRequest struct {
 	class    int
 	deadline float64
-	tries    []*worldTry
+	tries    []*simulatedAttempt
 	final    int
 }
 
-type worldTimer struct {
+type simulatedTimer struct {
 	at    float64
 	token uint32
 }
@@ -67,7 +67,7 @@
 	return s
 }
 
-func (w *world) apply(actions []Action) {
+func (w *simulation) apply(actions []Action) {
 	w.history = append(w.history, actions...)
 	for _, a := range actions {
 		r := w.reqs[a.Request]
@@ -79,7 +79,7 @@
 			if st == Timeout {
 				ends = w.now + a.Ms
 			}
-			r.tries = append(r.tries, &worldTry{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.Ms), status: st})
+			r.tries = append(r.tries, &simulatedAttempt{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.Ms), status: st})
 		case ActReject, ActFail:
 			if r.final++; r.final > 1 {
 				w.t.Fatalf("request %d: a second final answer", a.Request)
@@ -103,16 +103,16 @@
 				w.t.Fatal("probed where it is not allowed")
 			}
 		case ActTimer:
-			w.timers = append(w.timers, worldTimer{w.now + a.Ms, a.Token})
+			w.timers = append(w.timers, simulatedTimer{w.now + a.Ms, a.Token})
 		}
 	}
 }
 
-func (r *worldReq) mayHaveRun() bool {
-	return slices.ContainsFunc(r.tries, func(t *worldTry) bool { return !t.ended || !t.status.NotExecuted() })
+func (r *simulatedRequest) mayHaveRun() bool {
+	return slices.ContainsFunc(r.tries, func(t *simulatedAttempt) bool { return !t.ended || !t.status.NotExecuted() })
 }
 
-func (w *world) checkSend(r *worldReq, a *Action) {
+func (w *simulation) checkSend(r *simulatedRequest, a *Action) {
 	c := w.set.Classes[r.class]
 	if r.final > 0 || w.now > r.deadline {
 		w.t.Fatalf("request %d sent after its end", a.Request)
@@ -121,7 +121,7 @@
 		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.tries)+1, w.set.Limits.MaxAttempts)
 	}
 	if since, bad := w.badSince[a.Server]; bad && w.now-since > w.set.Contract.DrainGraceMs {
-		w.t.Fatalf("sent to %v %.0f ms after it was told to drain", a.Server, w.now-since)
+		w.t.Fatalf("sent to %v %.0f ms after its drain was notified", a.Server, w.now-since)
 	}
 	for _, t := range r.tries {
 		if !t.ended && !w.set.Limits.ParallelAttempts {
@@ -144,9 +144,9 @@
 	}
 }
 
-func (w *world) handle(ev Event) { w.apply(w.b.Handle(w.now, &ev, nil)) }
+func (w *simulation) handle(ev Event) { w.apply(w.b.Handle(w.now, &ev, nil)) }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now += w.set.RoundMs
 	for i := 0; i < len(w.timers); i++ {
 		if t := w.timers[i]; t.at <= w.now {
@@ -186,7 +186,7 @@
 	}
 }
 
-func (w *world) changeList() {
+func (w *simulation) changeList() {
 	s := addr(w.rng.IntN(8))
 	e := Entry{Server: s, Zone: int(s[3]) % 2, Cell: int(s[3]) % 3, Weight: 1 + w.rng.Float64(),
 		Health: []Health{Ready, Ready, Draining, Gone}[w.rng.IntN(4)]}
@@ -202,9 +202,9 @@
 	w.handle(Event{Kind: EvList, List: ListChange, Entries: []Entry{e}})
 }
 
-func play(t *testing.T, seed uint64) []Action {
+func runRandomDay(t *testing.T, seed uint64) []Action {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	w := &world{t: t, rng: rng, set: randomSettings(rng), now: 5000, reqs: map[RequestID]*worldReq{},
+	w := &simulation{t: t, rng: rng, set: randomSettings(rng), now: 5000, reqs: map[RequestID]*simulatedRequest{},
 		list: map[Addr]Entry{}, badSince: map[Addr]float64{}}
 	var err error
 	if w.b, err = New(w.set, seed); err != nil {
@@ -220,7 +220,7 @@
 			w.next++
 			left := 20 + 800*rng.Float64()
 			class := rng.IntN(len(w.set.Classes))
-			w.reqs[w.next] = &worldReq{class: class, deadline: w.now + left}
+			w.reqs[w.next] = &simulatedRequest{class: class, deadline: w.now + left}
 			w.handle(Event{Kind: EvRequest, Request: w.next, Class: class, Tenant: rng.IntN(2), Key: uint64(rng.IntN(30)),
 				RemainingMs: left, HasHint: rng.IntN(2) == 0, HintMs: 100 * rng.Float64(), Retry: rng.IntN(5) == 0})
 		}
@@ -240,7 +240,7 @@
 		}
 	}
 	if n := len(w.b.requests); n != 0 || len(w.b.queued) != 0 || w.b.inFlight != 0 {
-		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.b.queued), w.b.inFlight)
+		t.Errorf("seed %d: %d requests, %d queued, %d in flight left at the end", seed, n, len(w.b.queued), w.b.inFlight)
 	}
 	for _, s := range w.b.servers {
 		if len(s.inFlight) != 0 {
@@ -255,13 +255,13 @@
 
 func TestRulesHoldOnRandomDays(t *testing.T) {
 	for seed := range uint64(60) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { play(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomDay(t, seed) })
 	}
 }
 
 func TestEqualInputsGiveEqualActions(t *testing.T) {
 	for seed := range uint64(5) {
-		if !reflect.DeepEqual(play(t, seed), play(t, seed)) {
+		if !reflect.DeepEqual(runRandomDay(t, seed), runRandomDay(t, seed)) {
 			t.Errorf("seed %d: two runs differ", seed)
 		}
 	}
--- /dev/null
+++ b/policy/rig_test.go
@@ -0,0 +1,111 @@
+package policy
+
+import "testing"
+
+// rig drives one Balancer by hand.
+type rig struct {
+	t   *testing.T
+	b   *Balancer
+	now float64
+	id  RequestID
+}
+
+func addr(i int) Addr { return Addr{10, 0, byte(i >> 8), byte(i), 0x13, 0x8b} }
+
+func testSettings() Settings {
+	s := Settings{
+		Classes: []Class{
+			{Name: "free", TargetMs: 300, DeadlineMs: 1000, Effect: Idempotent, Credit: 1},
+			{Name: "once", TargetMs: 300, DeadlineMs: 1000, Effect: NonIdempotent, Credit: 4},
+			{Name: "keyed", TargetMs: 300, DeadlineMs: 1000, Effect: Deduplicated, Group: GroupCell, DedupWindowMs: 500, Credit: 2},
+		},
+		Limits: Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 500, ParallelAttempts: true,
+			ConnectTimeoutMs: 100},
+		Contract: Contract{AnswerSlackMs: 20, ListPollWithinMs: 8000, SlowStartFrom: 0.2, SlowStartMs: 10000, DrainGraceMs: 500,
+			FallMultiple: 3, TipAfterMs: 1000},
+		Membership: "pushed", Replicas: 3, RoundMs: 5, WeightBy: "request", Weights: "nominal",
+	}
+	s.Clients.MarksRetry = true
+	return s
+}
+
+func newRig(t *testing.T, s Settings, servers int) *rig {
+	t.Helper()
+	b, err := New(s, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &rig{t: t, b: b, now: 1e6}
+	b.Start(r.now, nil)
+	entries := make([]Entry, servers)
+	for i := range entries {
+		entries[i] = Entry{Server: addr(i), Health: Ready, Weight: 1, Cell: i % 2, Zone: i % 2}
+	}
+	r.list(ListCached, entries...)
+	return r
+}
+
+func (r *rig) handle(ev Event) []Action { return r.b.Handle(r.now, &ev, nil) }
+
+func (r *rig) list(kind ListKind, entries ...Entry) []Action {
+	return r.handle(Event{Kind: EvList, List: kind, Entries: entries})
+}
+
+func (r *rig) request(class int, key uint64) (RequestID, []Action) {
+	r.id++
+	return r.id, r.handle(Event{Kind: EvRequest, Request: r.id, Class: class, Key: key, RemainingMs: 600})
+}
+
+func (r *rig) outcome(id RequestID, try int, s Addr, st Status, rtt float64) []Action {
+	return r.handle(Event{Kind: EvOutcome, Request: id, Attempt: try, Server: s, Status: st, LatencyMs: rtt, Final: st == OK})
+}
+
+func find(actions []Action, kind ActionKind) *Action {
+	for i := range actions {
+		if actions[i].Kind == kind {
+			return &actions[i]
+		}
+	}
+	return nil
+}
+
+// sent asks once and returns where the request went.
+func (r *rig) sent(class int, key uint64) (RequestID, Addr) {
+	r.t.Helper()
+	id, actions := r.request(class, key)
+	a := find(actions, ActSend)
+	if a == nil {
+		r.t.Fatalf("request %d of class %d was not sent: %+v", id, class, actions)
+	}
+	return id, a.Server
+}
+
+// tick fires the running timer after ms.
+func (r *rig) tick(ms float64) []Action {
+	r.now += ms
+	return r.handle(Event{Kind: EvTimer, Token: tickToken})
+}
+
+// sentTo sends a request to the server: all others are taken to be full.
+func (r *rig) sentTo(s *server) (RequestID, Addr) {
+	r.t.Helper()
+	r.b.retryDebt = 0
+	for _, o := range r.b.servers {
+		o.ready = o == s
+	}
+	s.state = Unknown
+	id, to := r.sent(0, 0)
+	for _, o := range r.b.servers {
+		o.ready = true
+	}
+	return id, to
+}
+
+func contains(s, part string) bool {
+	for i := 0; i+len(part) <= len(s); i++ {
+		if s[i:i+len(part)] == part {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/policy/slowstart_test.go
@@ -0,0 +1,198 @@
+package policy
+
+import "testing"
+
+// A cold server gets no more than its slow-start share, even after a time of low load.
+func TestSlowStartBudget(t *testing.T) {
+	r := newRig(t, testSettings(), 5)
+	r.list(ListChange, Entry{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now - 10})
+	got, all := 0, 2000
+	for range all {
+		r.now++
+		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		if s == addr(4) {
+			got++
+		}
+		r.outcome(id, 0, s, OK, 20)
+	}
+	even := float64(all) / 4
+	if limit := even * 0.36 * 0.5 * 1.2; float64(got) > limit || got == 0 {
+		t.Errorf("a cold server got %d of %d sends; want some, and at most %.0f", got, all, limit)
+	}
+}
+
+// i86bcad: attempts that warm servers rejected were counted as what they take, and
+// a storm of them let the agents push cold servers over.
+func TestRejectedAttemptsRefillNoSlowStartBudget(t *testing.T) {
+	r := newRig(t, testSettings(), 4)
+	r.list(ListChange, Entry{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now})
+	cold := r.b.serversByAddr[addr(4)]
+	for _, st := range []Status{Full, OK} {
+		cold.slowStartBudget = -1
+		id, s := r.sent(1, 7)
+		r.outcome(id, 0, s, st, 20)
+		if earned := cold.slowStartBudget > -1; earned != (st == OK) {
+			t.Errorf("status %d: the slow-start budget went from -1 to %.3f", st, cold.slowStartBudget)
+		}
+	}
+}
+
+// i299663: 69 requests hinted as ten mean ones pushed a cold server over.
+func TestSlowStartBudgetIsChargedByCost(t *testing.T) {
+	r := newRig(t, testSettings(), 3)
+	r.b.meanCostHint = 50
+	if c := r.b.cost(&request{costHint: 1}); c != 1 {
+		t.Errorf("a request hinted small costs %.2f mean ones, want 1", c)
+	}
+	if c := r.b.cost(&request{costHint: 200}); c != 4 {
+		t.Errorf("a request hinted at four times the mean costs %.2f, want 4", c)
+	}
+}
+
+// Many agents with few requests: each refills a cold server's budget by a small part of one request. Together
+// they are to send it what the parts add up to: neither nothing nor one each.
+func TestManyAgentsShareAColdServersBudget(t *testing.T) {
+	got, agents, each := 0, 400, 20
+	for seed := range agents {
+		b, err := New(testSettings(), uint64(seed))
+		if err != nil {
+			t.Fatal(err)
+		}
+		r := &rig{t: t, b: b, now: 1e6}
+		entries := make([]Entry, 10)
+		for i := range entries {
+			entries[i] = Entry{Server: addr(i), Health: Ready, Weight: 1}
+		}
+		entries[0].StartedMs = r.now
+		r.list(ListFull, entries...)
+		for range each {
+			id, s := r.sent(0, b.rng.Uint64())
+			if s == addr(0) {
+				got++
+			}
+			r.outcome(id, 0, s, OK, 20)
+		}
+	}
+	c := testSettings().Contract
+	share := float64(agents*each) / 9 * c.SlowStartFrom * c.FallMultiple / slowStartMargin
+	if float64(got) > share*1.3 || float64(got) < share*0.2 {
+		t.Errorf("%d agents sent a cold server %d requests, want up to about %.0f", agents, got, share)
+	}
+}
+
+// Where half of the servers are new, the agents of a large fleet together send a cold one
+// half or more of what it can do in its slow start, of which a warm one answers all, and no more.
+func TestLargeFleetUsesColdServers(t *testing.T) {
+	set := largeFleetSettings()
+	set.Replicas, set.Contract.FallMultiple = 300, 4
+	const servers, each = 24, 200
+	sends, capacity := [2]float64{}, 0.0 // to warm and to cold servers
+	for i := range set.Replicas {
+		set.Index = i
+		r := newRig(t, set, servers/2)
+		for s := range servers / 2 {
+			r.list(ListChange, Entry{Server: addr(servers/2 + s), Health: Ready, Weight: 1, StartedMs: r.now - set.Contract.SlowStartMs/4})
+		}
+		for range each {
+			r.now += 10
+			id, actions := r.request(0, 0)
+			if a := find(actions, ActSend); a != nil {
+				cold := r.b.slowStartFactor(r.b.serversByAddr[a.Server])
+				if cold < 1 {
+					sends[1]++
+					capacity += cold
+				} else {
+					sends[0]++
+				}
+				r.now += 20
+				r.outcome(id, 0, a.Server, OK, 20)
+			}
+		}
+	}
+	share := sends[1] / sends[0] / (capacity / sends[1])
+	if share < 0.45 || share > 1 {
+		t.Errorf("a cold server got %.2f of its slow-start part of what a warm one got, want half of it to all", share)
+	}
+}
+
+// i5d0607: a zone was lost and only cold servers were left.
+func TestColdServersServeWhenTheWarmOnesFailed(t *testing.T) {
+	r := newRig(t, testSettings(), 2)
+	for range 200 {
+		r.now += 10
+		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		r.outcome(id, 0, s, OK, 20)
+	}
+	r.list(ListChange, Entry{Server: addr(2), Health: Ready, Weight: 1, StartedMs: r.now})
+	r.b.serversByAddr[addr(2)].lastSentAt = 0
+	for i := range 2 {
+		r.b.eject(r.b.serversByAddr[addr(i)], true)
+	}
+	if _, s := r.sent(0, 9); s != addr(2) {
+		t.Errorf("sent to %v, want the cold server", s)
+	}
+}
+
+// i958eff: servers that had been unreachable came back cold, before the list named them. Connects that fail in a
+// row for long tell that, by requests or by probes. One or two don't, nor do more at once: a
+// connect that comes up late is no restart, and each such server stood idle for its slow start.
+func TestReturnFromConnectFailuresStartsSlowStart(t *testing.T) {
+	tip := testSettings().Contract.TipAfterMs
+	for _, c := range []struct {
+		name   string
+		at     []float64 // when connects failed
+		probes bool
+		cold   bool
+	}{
+		{"in a row for long", []float64{0, 600, tip + 200}, false, true},
+		{"probes in a row for long", []float64{0, 600, tip + 200}, true, true},
+		{"one", []float64{0}, false, false},
+		{"one by a probe", []float64{0}, true, false},
+		{"two", []float64{0, tip + 200}, false, false},
+		{"three at once", []float64{0, 10, 20}, false, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			set := testSettings()
+			set.Limits.Probing = c.probes
+			r := newRig(t, set, 3)
+			srv := r.b.serversByAddr[addr(0)]
+			began := r.now
+			for _, at := range c.at {
+				r.now = began + at
+				if c.probes {
+					srv.state, srv.probing = UnhealthyPending, true
+					r.b.activeProbes++
+					r.handle(Event{Kind: EvProbeResult, Server: srv.addr, Status: ConnectFailed})
+					continue
+				}
+				id, s := r.sentTo(srv)
+				r.outcome(id, 0, s, ConnectFailed, 100)
+			}
+			r.now = began + tip + 1000
+			id, s := r.sentTo(srv)
+			r.now += 20
+			r.outcome(id, 0, s, OK, 20)
+			if factor := r.b.slowStartFactor(srv); (factor < 0.5) != c.cold {
+				t.Errorf("reachable again, with slow-start factor %.2f", factor)
+			}
+		})
+	}
+}
+
+// ifa5a01: the fleet doubled, and agents with few requests, each sending to a subset, refilled the
+// new servers' budgets by a share of the full fleet: they idled while the old ones were overloaded.
+func TestSlowStartBudgetCountsTheSubset(t *testing.T) {
+	earned := func(keepalive float64) float64 {
+		set := testSettings()
+		set.Limits.KeepaliveMs, set.Prices.Handshake = keepalive, 0.1
+		r := newRig(t, set, 64)
+		r.list(ListChange, Entry{Server: addr(99), Health: Ready, Weight: 1, StartedMs: r.now})
+		cold := r.b.serversByAddr[addr(99)]
+		cold.slowStartBudget = 0
+		r.b.refillSlowStartBudgets(r.b.serversByAddr[addr(0)], 1)
+		return cold.slowStartBudget
+	}
+	if whole, part := earned(0), earned(10000); part < 3.5*whole || whole <= 0 {
+		t.Errorf("credit earned: %.5f sending to 65 servers, %.5f to 16 of them; want four times", whole, part)
+	}
+}
--- a/policy/unconfirmed_test.go
+++ b/policy/unconfirmed_test.go
@@ -51,16 +51,16 @@
 	}
 }
 
-// At half the grace what was decided for servers that are not confirmed and has not gone out is
+// At half the grace what was decided for unconfirmed servers and has not been written is
 // withdrawn, and the whole list is asked for where the call that stalls is still open.
-func TestHoldBackWithdraws(t *testing.T) {
+func TestAttemptsAtUnconfirmedServersAreWithdrawn(t *testing.T) {
 	for _, ended := range []bool{false, true} {
 		set := testSettings()
 		set.Membership, set.Contract.DrainGraceMs = "on_request", 500
 		r := newRig(t, set, 1)
 		a, b := Entry{Server: Addr{1}, Health: Ready, Weight: 1}, Entry{Server: Addr{2}, Health: Ready, Weight: 1}
 		r.list(ListFull, a, b)
-		timer := find(r.do(Event{Kind: EvList, List: ListPartial, Entries: []Entry{a}, AgeMs: 100}), ActTimer)
+		timer := find(r.handle(Event{Kind: EvList, List: ListPartial, Entries: []Entry{a}, AgeMs: 100}), ActTimer)
 		if timer == nil || timer.Token != confirmationToken || timer.Ms != 150 {
 			t.Fatalf("timer %+v, want one in 150 ms", timer)
 		}
@@ -70,7 +70,7 @@
 			}
 		}
 		r.now += 150
-		actions := r.do(Event{Kind: EvTimer, Token: confirmationToken})
+		actions := r.handle(Event{Kind: EvTimer, Token: confirmationToken})
 		withdrawn := find(actions, ActWithdraw)
 		if withdrawn == nil || withdrawn.Server != b.Server {
 			t.Errorf("withdrew %+v, want from the server that isn't confirmed", withdrawn)
