--- /dev/null
+++ b/internal/catalog/leasedtask_test.go
@@ -0,0 +1,238 @@
+package catalog
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// TestTaskHasOneHolder holds that a task is not granted while another process holds it, that a
+// retry of the grant gets the same fencing token, and that only the holder's term releases it.
+func TestTaskHasOneHolder(t *testing.T) {
+	s := New()
+	for _, process := range []string{"p", "q"} {
+		apply(s, 0, Command{Kind: OpenSession, Session: &Session{Process: process, ID: process + "-1", MaxTasks: 1}})
+	}
+	apply(s, 0, Command{Kind: DefineTask, LeasedTask: &LeasedTask{Name: "task", TTL: time.Second}})
+	grant := func(process string) Result {
+		return apply(s, s.Clock, Command{Kind: GrantTerm, Terms: []TermRef{{Name: "task", Process: process, Session: process + "-1"}}})
+	}
+	first := grant("p")
+	if first.Code != Done || first.Fence == 0 {
+		t.Fatalf("granted: %+v", first)
+	}
+	if other := grant("q"); other.Code != Taken || s.LeasedTasks["task"].Holder != "p" {
+		t.Errorf("granted to another process: %+v, held by %s", other, s.LeasedTasks["task"].Holder)
+	}
+	if retry := grant("p"); retry != first {
+		t.Errorf("granted again: %+v, want %+v", retry, first)
+	}
+	release := Command{Kind: ReleaseTerm, Terms: []TermRef{{Name: "task", Fence: first.Fence + 1}}}
+	if r := apply(s, s.Clock, release); r.Code != Fenced || s.LeasedTasks["task"].Holder != "p" {
+		t.Errorf("released under another fencing token: %+v", r)
+	}
+	release.Terms[0].Fence = first.Fence
+	if r := apply(s, s.Clock, release); r.Code != Done || s.LeasedTasks["task"].Holder != "" {
+		t.Errorf("released: %+v", r)
+	}
+	if second := grant("q"); second.Code != Done || second.Fence <= first.Fence {
+		t.Errorf("granted after the release: %+v, first %+v", second, first)
+	}
+}
+
+// TestTaskLogs holds for any log of commands on sessions and tasks: a task has one holder, with
+// an open session; fencing tokens grow and no two terms share one; a term ends only by a
+// command on that term or on its session; a command under a stale term is rejected and changes
+// nothing; assignments change only with the session's revision; and a replay of the log, or of
+// a snapshot and the rest of the log, gives the same state.
+func TestTaskLogs(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s, replayed := New(), New()
+		apply(s, 0, Command{Kind: Register, Endpoint: endpoint("s", 1)})
+		apply(replayed, 0, Command{Kind: Register, Endpoint: endpoint("s", 1)})
+		checker := taskLogChecker{terms: map[int64]string{}, assignments: map[string]string{}}
+		snapshotAt := rapid.IntRange(0, 60).Draw(t, "snapshot at")
+		for i := range rapid.IntRange(1, 120).Draw(t, "commands") {
+			if i == snapshotAt {
+				text, err := s.Encode()
+				if err != nil {
+					t.Fatal(err)
+				}
+				if replayed, err = Decode(text); err != nil {
+					t.Fatal(err)
+				}
+			}
+			c := drawTaskCommand(t, s, time.Duration(i*rapid.IntRange(0, 2000).Draw(t, "ms"))*time.Millisecond)
+			text, _ := json.Marshal(c)
+			var stored Command
+			if err := json.Unmarshal(text, &stored); err != nil {
+				t.Fatal(err)
+			}
+			before := copyOfTasks(s)
+			seq := s.Seq
+			r := s.Apply(&c)
+			if again := replayed.Apply(&stored); again != r {
+				t.Fatalf("%s: %+v, and replayed %+v", c.Kind, r, again)
+			}
+			checkCommand(t, s, c, r, seq)
+			checker.checkTerms(t, s, c, before)
+			checker.checkAssignments(t, s)
+		}
+		a, _ := s.Encode()
+		b, _ := replayed.Encode()
+		if !bytes.Equal(a, b) {
+			t.Fatalf("replayed:\n%s\n%s", a, b)
+		}
+		if _, err := Decode(a); err != nil {
+			t.Fatalf("can't decode its own snapshot: %v", err)
+		}
+	})
+}
+
+// copyOfTasks returns the tasks of a state as they are now.
+func copyOfTasks(s *State) map[string]LeasedTask {
+	tasks := map[string]LeasedTask{}
+	for name, task := range s.LeasedTasks {
+		tasks[name] = *task
+	}
+	return tasks
+}
+
+// checkCommand checks one command's result against the state after it: a session that was
+// opened has the name, and a command under a term was applied only if the term is current. seq
+// is the list's revision before the command.
+func checkCommand(t *rapid.T, s *State, c Command, r Result, seq int64) {
+	t.Helper()
+	if c.Kind == OpenSession && r.Code == Done && s.Sessions[c.Session.Process].ID != c.Session.ID {
+		t.Fatalf("%s is answered that it has the name that %s has", c.Session.ID, s.Sessions[c.Session.Process].ID)
+	}
+	if c.UnderTask == "" {
+		return
+	}
+	task := s.LeasedTasks[c.UnderTask]
+	current := task != nil && task.Holder != "" && task.Fence == c.Fence
+	if current != (r.Code == Done) || !current && s.Seq != seq {
+		t.Fatalf("a command under fence %d of %+v: %+v", c.Fence, task, r)
+	}
+}
+
+// taskLogChecker checks the tasks and sessions after each command of one log.
+type taskLogChecker struct {
+	terms       map[int64]string  // task and session of each term, by fencing token
+	minFence    int64             // each new term's token is above it
+	assignments map[string]string // by session and revision
+}
+
+// checkTerms checks all tasks after a command. before has the tasks before it.
+func (k *taskLogChecker) checkTerms(t *rapid.T, s *State, c Command, before map[string]LeasedTask) {
+	t.Helper()
+	if c.Kind == RaiseRevision {
+		k.minFence = max(k.minFence, c.Seq)
+	}
+	highest := k.minFence
+	for name, task := range s.LeasedTasks {
+		previous, known := before[name]
+		if task.Holder != "" && (previous.Holder == "" || previous.Fence != task.Fence) {
+			if task.Fence <= k.minFence {
+				t.Fatalf("%s is granted under fence %d, there was %d", name, task.Fence, k.minFence)
+			}
+			highest = max(highest, task.Fence)
+		}
+		if known && task.Fence < previous.Fence {
+			t.Fatalf("%s: fence %d after %d", name, task.Fence, previous.Fence)
+		}
+		if task.Holder != "" {
+			k.checkHolder(t, s, task)
+		}
+		if task.SuspendReason != "" && task.Holder != "" && task.Fence != previous.Fence {
+			t.Fatalf("%s is suspended and was granted: %+v", name, task)
+		}
+		if known && previous.Holder != "" && (task.Holder != previous.Holder || task.Fence != previous.Fence) && !endsTerm(c, &previous) {
+			t.Fatalf("%s took %s from %s", c.Kind, name, previous.Holder)
+		}
+	}
+	k.minFence = highest
+}
+
+// checkHolder checks that a task is held in an open session, under a fencing token of its own.
+func (k *taskLogChecker) checkHolder(t *rapid.T, s *State, task *LeasedTask) {
+	t.Helper()
+	term := task.Name + task.Session
+	switch {
+	case s.Sessions[task.Holder] == nil || s.Sessions[task.Holder].ID != task.Session:
+		t.Fatalf("%s is held by %s, %s, which is not open", task.Name, task.Holder, task.Session)
+	case k.terms[task.Fence] == "":
+		k.terms[task.Fence] = term
+	case k.terms[task.Fence] != term:
+		t.Fatalf("fence %d is %s's and %s's", task.Fence, k.terms[task.Fence], term)
+	}
+}
+
+// endsTerm reports whether a command may end the current term of a task.
+func endsTerm(c Command, task *LeasedTask) bool {
+	if c.Kind == CloseSession {
+		return c.Session.Process == task.Holder && c.Session.ID == task.Session
+	}
+	return (c.Kind == ExpireTerm || c.Kind == ReleaseTerm) &&
+		slices.ContainsFunc(c.Terms, func(term TermRef) bool { return term.Name == task.Name && term.Fence == task.Fence })
+}
+
+// checkAssignments checks that the assignments of a session change only with its revision.
+func (k *taskLogChecker) checkAssignments(t *rapid.T, s *State) {
+	t.Helper()
+	for _, process := range s.ProcessNames() {
+		session := s.Sessions[process]
+		tasks, revision, _ := s.Assignments(process, session.ID)
+		key, now := fmt.Sprint(session.ID, revision), fmt.Sprint(tasks)
+		if previous, found := k.assignments[key]; found && previous != now {
+			t.Fatalf("at revision %d %s is to do %s, and was to do %s", revision, process, now, previous)
+		}
+		k.assignments[key] = now
+	}
+}
+
+// TestTasksThatEndTheirHoldersAreSuspended holds that a task that fails is backed off, longer
+// each time, and that one whose holders die of it is suspended. A task that was held beside it
+// is not.
+func TestTasksThatEndTheirHoldersAreSuspended(t *testing.T) {
+	s := New()
+	apply(s, 0, Command{Kind: OpenSession, Session: &Session{Process: "p", ID: "i", MaxTasks: 9}})
+	apply(s, 0, Command{Kind: DefineTask, LeasedTask: &LeasedTask{Name: "f", TTL: time.Second}})
+	var backoffs []time.Duration
+	for range 4 {
+		task := s.LeasedTasks["f"]
+		apply(s, max(task.NotBefore, s.Clock), Command{Kind: GrantTerm, Terms: []TermRef{{Name: "f", Process: "p", Session: "i"}}})
+		apply(s, s.Clock, Command{Kind: ReleaseTerm, Reason: ReasonFailed, Terms: []TermRef{{Name: "f", Session: "i", Fence: task.Fence}}})
+		backoffs = append(backoffs, task.NotBefore-s.Clock)
+	}
+	if fmt.Sprint(backoffs) != "[1s 2s 4s 8s]" {
+		t.Errorf("backoffs %v", backoffs)
+	}
+	now := s.Clock
+	leases := NewTaskLeases(now)
+	for _, name := range []string{"innocent", "killer"} {
+		apply(s, now, Command{Kind: DefineTask, LeasedTask: &LeasedTask{Name: name, TTL: time.Second}})
+	}
+	for incarnation := range 4 {
+		id := fmt.Sprint("k-", incarnation)
+		apply(s, now, Command{Kind: OpenSession, Session: &Session{Process: "q", ID: id, MaxTasks: 9}})
+		apply(s, now, Command{Kind: GrantTerm, Terms: []TermRef{{Name: "innocent", Process: "q", Session: id}}})
+		apply(s, now, Command{Kind: GrantTerm, Terms: []TermRef{{Name: "killer", Process: "q", Session: id}}})
+		for range 60 { // the process is not heard again
+			now += 100 * time.Millisecond
+			for _, c := range leases.Decide(s, now) {
+				if c.Kind != GrantTerm {
+					apply(s, now, c)
+				}
+			}
+		}
+	}
+	if s.LeasedTasks["killer"].SuspendReason == "" || s.LeasedTasks["innocent"].SuspendReason != "" {
+		t.Errorf("the task that kills: %+v; the task beside it: %+v", s.LeasedTasks["killer"], s.LeasedTasks["innocent"])
+	}
+}
--- /dev/null
+++ b/internal/catalog/taskleases_test.go
@@ -0,0 +1,180 @@
+package catalog
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// TestTaskLeases holds for processes that open sessions, fall silent, drain and close: no term
+// expires before its TTL since the holder was heard is over, counted by a new leader from its
+// own beginning; no process has more tasks than its MaxTasks; and in the end all tasks that
+// can be held are, and none changes hands any more.
+func TestTaskLeases(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		f := newTaskFleet(t, time.Duration(rapid.IntRange(0, 100).Draw(t, "from"))*time.Hour)
+		tasks := rapid.IntRange(1, 40).Draw(t, "tasks")
+		for i := range tasks {
+			apply(f.s, f.now, Command{Kind: DefineTask, LeasedTask: &LeasedTask{Name: fmt.Sprintf("d-%02d", i), TTL: time.Duration(1+i%3) * time.Second,
+				PreferredZone: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "zone")}})
+		}
+		for range rapid.IntRange(0, 25).Draw(t, "changes") {
+			f.change()
+			for range rapid.IntRange(1, 20).Draw(t, "steps") {
+				f.step()
+			}
+		}
+		for range 400 { // until all backoffs are over and the load is even
+			f.step()
+		}
+		capacity := 0
+		for process := range f.sessions {
+			if session := f.s.Sessions[process]; session != nil && !session.Draining {
+				capacity += session.MaxTasks
+			}
+		}
+		settled := 0
+		for _, task := range f.s.LeasedTasks {
+			if task.Holder != "" || task.SuspendReason != "" {
+				settled++
+			}
+		}
+		if settled < min(tasks, capacity) {
+			t.Fatalf("%d of %d tasks are held, with a capacity of %d", settled, tasks, capacity)
+		}
+		for range 50 {
+			if changes := f.step(); changes > 0 {
+				t.Fatalf("%d tasks change hands though nothing happens", changes)
+			}
+		}
+	})
+}
+
+// taskFleet is a leader, and processes that renew their sessions and do as they are assigned.
+type taskFleet struct {
+	t           *rapid.T
+	s           *State
+	leases      *TaskLeases
+	now         time.Duration
+	leaderSince time.Duration
+	sessions    map[string]string        // IDs of the processes that run
+	lastHeard   map[string]time.Duration // by session ID
+	starts      int                      // of processes
+}
+
+func newTaskFleet(t *rapid.T, now time.Duration) *taskFleet {
+	return &taskFleet{t: t, s: New(), leases: NewTaskLeases(now), now: now, leaderSince: now,
+		sessions: map[string]string{}, lastHeard: map[string]time.Duration{}}
+}
+
+// change has one process start, die, drain or shut down, or another leader take over.
+func (f *taskFleet) change() {
+	process := fmt.Sprint("p-", rapid.IntRange(0, 4).Draw(f.t, "process"))
+	session := &Session{Process: process, ID: f.sessions[process]}
+	switch rapid.SampledFrom([]string{"open", "open", "die", "drain", "close", "leader"}).Draw(f.t, "change") {
+	case "open":
+		f.starts++
+		id := fmt.Sprint(process, "-", f.starts)
+		if r := apply(f.s, f.now, Command{Kind: OpenSession, Session: &Session{Process: process, ID: id, MaxTasks: rapid.IntRange(1, 30).Draw(f.t, "cap"),
+			Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(f.t, "zone")}}); r.Code == Done {
+			f.sessions[process], f.lastHeard[id] = id, f.now
+		}
+	case "die":
+		delete(f.sessions, process)
+	case "drain":
+		apply(f.s, f.now, Command{Kind: DrainSession, Session: session})
+	case "close":
+		apply(f.s, f.now, Command{Kind: CloseSession, Session: session})
+		delete(f.sessions, process)
+	case "leader":
+		f.now += time.Duration(rapid.IntRange(0, 3000).Draw(f.t, "without")) * time.Millisecond
+		f.leases, f.leaderSince = NewTaskLeases(f.now), f.now
+	}
+}
+
+// step renews all sessions, decides, carries out what was decided, and checks it. It returns
+// how many tasks change hands.
+func (f *taskFleet) step() (changes int) {
+	for process, id := range f.sessions {
+		if code := f.leases.Renew(f.s, process, id, f.now); code == Done {
+			f.lastHeard[id] = f.now
+		}
+	}
+	for _, c := range f.leases.Decide(f.s, f.now) {
+		f.checkTerms(c)
+		if c.Kind == GrantTerm || c.Kind == TransferTask && len(c.Terms) > 0 && c.Terms[0].Process != "" {
+			changes += len(c.Terms)
+		}
+		apply(f.s, f.now, c)
+	}
+	f.transfer()
+	f.checkLoad()
+	f.now += 100 * time.Millisecond
+	return changes
+}
+
+// checkTerms checks that no term expires early, and that no silent process is granted one.
+func (f *taskFleet) checkTerms(c Command) {
+	for _, term := range c.Terms {
+		if task := f.s.LeasedTasks[term.Name]; c.Kind == ExpireTerm {
+			if last := max(f.lastHeard[task.Session], f.leaderSince); f.now < last+task.TTL {
+				f.t.Fatalf("%s expires %v after %s was heard, its TTL is %v", term.Name, f.now-last, task.Holder, task.TTL)
+			}
+		}
+		if last := max(f.lastHeard[term.Session], f.leaderSince); c.Kind == GrantTerm && f.now >= last+maxGrantSilence {
+			f.t.Fatalf("%s is granted to %s, which was heard %v ago", term.Name, term.Process, f.now-last)
+		}
+	}
+}
+
+// transfer has each successor accept and each holder then release its term at once.
+func (f *taskFleet) transfer() {
+	for _, task := range f.s.LeasedTasks {
+		if task.Successor != "" {
+			session := f.s.Sessions[task.Successor]
+			apply(f.s, f.now, Command{Kind: AcceptTransfer, Terms: []TermRef{{Name: task.Name, Process: task.Successor, Session: session.ID}}})
+			apply(f.s, f.now, Command{Kind: ReleaseTerm, Terms: []TermRef{{Name: task.Name, Fence: task.Fence}}})
+		}
+	}
+}
+
+// checkLoad checks that no process holds more tasks than it may.
+func (f *taskFleet) checkLoad() {
+	load := map[string]int{}
+	for _, task := range f.s.LeasedTasks {
+		if task.Holder != "" {
+			load[task.Holder]++
+		}
+	}
+	for process, tasks := range load {
+		if session := f.s.Sessions[process]; tasks > session.MaxTasks {
+			f.t.Fatalf("%s holds %d tasks of at most %d", process, tasks, session.MaxTasks)
+		}
+	}
+}
+
+// TestAbsentProcessesAreChosenLast holds that a process which is not in the membership view
+// is granted a task only if no other process has the capacity.
+func TestAbsentProcessesAreChosenLast(t *testing.T) {
+	s := New()
+	for _, process := range []string{"a", "b"} {
+		apply(s, 0, Command{Kind: OpenSession, Session: &Session{Process: process, ID: process, MaxTasks: 2}})
+	}
+	for i := range 3 {
+		apply(s, 0, Command{Kind: DefineTask, LeasedTask: &LeasedTask{Name: fmt.Sprint("d-", i), TTL: time.Second, PreferredProcess: "a"}})
+	}
+	leases := NewTaskLeases(0)
+	leases.Absent = map[string]bool{"a": true}
+	for _, c := range leases.Decide(s, 0) {
+		apply(s, 0, c)
+	}
+	load := map[string]int{}
+	for _, task := range s.LeasedTasks {
+		load[task.Holder]++
+	}
+	if load["b"] != 2 || load["a"] != 1 {
+		t.Errorf("tasks by process: %v", load)
+	}
+}
