--- a/internal/catalog/command.go
+++ b/internal/catalog/command.go
@@ -27,11 +27,11 @@
 	// ExpireRegistration removes the instances Refs, whose leases are over.
 	ExpireRegistration Kind = "lapse"
 	// Quarantine keeps the instances Refs listed though their leases are over, because too many
-	// are at once. If Reason is QuarantineByService, the failure is of their service alone.
+	// would expire at once. If Reason is QuarantineByService, the failure is of their service alone.
 	Quarantine Kind = "hold"
 	// Recover ends the quarantine of the instances Refs, which were heard again.
 	Recover Kind = "seen"
-	// ConfirmRemoval removes all quarantined instances: an operator confirms that they are gone.
+	// ConfirmRemoval removes all quarantined instances: an operator confirms that they failed.
 	ConfirmRemoval Kind = "confirm"
 	// EndDamping lists the instances Refs whose damping is over.
 	EndDamping Kind = "admit"
@@ -80,8 +80,8 @@
 const (
 	// RegisterMember gives the process Member its incarnation.
 	RegisterMember Kind = "arrive"
-	// CheckTerm changes nothing. Like any command it is rejected if the term UnderTask and Fence
-	// is not the current one, which is what its proposer wants to know.
+	// CheckTerm changes nothing. Like any command it is rejected if the term of UnderTask and Fence
+	// is over, and that is what its proposer wants to know.
 	CheckTerm Kind = "check"
 )
 
@@ -94,8 +94,8 @@
 	StartedMs float64 `json:"born_ms"` // Unix time in milliseconds
 }
 
-// Command is one change of the state, as it is stored in the log. Which fields a command
-// reads, its Kind says; FormatVersion, At, UnderTask and Fence are read of every command.
+// Command is one change of the state, as it is stored in the log. The comments of the Kinds say
+// which fields each of them reads; FormatVersion, At, UnderTask and Fence are read of all.
 type Command struct {
 	FormatVersion int                 `json:"form"`
 	Kind          Kind                `json:"kind"`
--- a/internal/catalog/leasedtask.go
+++ b/internal/catalog/leasedtask.go
@@ -14,7 +14,8 @@
 	MaxTTL = 10 * time.Minute
 )
 
-// LeasedTask is work that at most one process runs at a time: its holder, under a lease.
+// LeasedTask is work that at most one process runs at a time: its holder, under a lease. Each
+// time of a holder is a term with a fencing token of its own.
 type LeasedTask struct {
 	Name string `json:"name"`
 	// TTL is how long a holder that is not heard keeps the task.
@@ -142,7 +143,7 @@
 	return s.done()
 }
 
-// requestStop has the holder of a task told to stop.
+// requestStop has the assignments of a task's holder ask it to stop.
 func (s *State) requestStop(task *LeasedTask) {
 	task.StopRequested = true
 	s.bumpSessionRevision(task.Holder)
--- a/internal/catalog/massfailure.go
+++ b/internal/catalog/massfailure.go
@@ -5,9 +5,9 @@
 // When many servers fall silent at once, the leader or the network is more likely at fault
 // than the servers. RegistrationLeases then quarantines the servers: they stay listed.
 
-// MinGuardedService is how many servers a service must have listed for a mass failure to be
-// told by the service's own share. Those of a smaller service are judged by the fleet's share
-// only, so that the last server of a small service can expire.
+// MinGuardedService is how many servers a service must have listed for LeaseConfig's share to
+// apply to the service. For a smaller service only the fleet's share counts, so that its last
+// server can expire.
 const MinGuardedService = 5
 
 // expiryWindow has the expiries within LeaseConfig.MassFailureWindow, in order of time.
@@ -37,8 +37,8 @@
 	return max(int(c.MassFailureShare*float64(listed)), 1)
 }
 
-// isMassFailure reports whether too many servers of the fleet are silent at once. While any is
-// quarantined, the leader's view stays in doubt.
+// isMassFailure reports whether too many servers of the fleet are silent at once. While any of
+// them is quarantined, the mass failure is not over.
 func (l *RegistrationLeases) isMassFailure(scan *leaseScan) bool {
 	silent := len(scan.expired) + len(scan.failedEarly) + scan.inconclusive
 	allowed := l.config.maxExpiries(max(l.expiries.listedAtStart, scan.listed))
--- a/internal/catalog/session.go
+++ b/internal/catalog/session.go
@@ -18,21 +18,21 @@
 // closes it or the leader does.
 type Session struct {
 	Process string `json:"process"`
-	ID      string `json:"id"` // drawn by the process: one that is started again has another
+	ID      string `json:"id"` // drawn by the process at its start
 	Zone    string `json:"zone,omitempty"`
 	// TaskKinds are the kinds of tasks that the process can run: the parts of their names up to
 	// the first dot. None means that it can run all tasks.
 	TaskKinds []string      `json:"kinds,omitempty"`
-	MaxTasks  int           `json:"cap"`               // that the process runs at once
-	Draining  bool          `json:"resting,omitempty"` // its tasks are transferred to others
+	MaxTasks  int           `json:"cap"`               // bound of the tasks that the process holds
+	Draining  bool          `json:"resting,omitempty"` // its tasks are to be transferred
 	Opened    time.Duration `json:"opened,omitempty"`
 	Revision  int64         `json:"rev"` // changes whenever the session's Assignments do
 }
 
 // CanRun reports whether the process can run the task of that name.
-func (o *Session) CanRun(task string) bool {
+func (session *Session) CanRun(task string) bool {
 	kind, _, _ := strings.Cut(task, ".")
-	return len(o.TaskKinds) == 0 || slices.Contains(o.TaskKinds, kind)
+	return len(session.TaskKinds) == 0 || slices.Contains(session.TaskKinds, kind)
 }
 
 // ProcessNames returns the processes of all open sessions in order.
--- a/internal/catalog/taskleases.go
+++ b/internal/catalog/taskleases.go
@@ -9,11 +9,12 @@
 	// maxGrantSilence is how long ago a process may have been heard to be given a task.
 	maxGrantSilence = time.Second
 	// maxTermsPerCommand bounds the terms of one command, so that an entry of the log stays small:
-	// a process that held a thousand tasks is worked off by several decisions.
+	// the terms of a process that held a thousand tasks expire by several decisions.
 	maxTermsPerCommand = 256
 	// acceptTimeout is how long a successor may take to accept a transfer.
 	acceptTimeout = 2 * time.Second
-	// deathAttributionWindow is how soon after its grant a task kills its holder, if it does.
+	// deathAttributionWindow is how soon after a grant the holder must have died for the task to be
+	// counted as the cause.
 	deathAttributionWindow = 2 * time.Second
 )
 
@@ -50,7 +51,7 @@
 
 // Renew extends the leases of a session, by its process and ID. It returns Unknown if the
 // process has no session, Taken if its session has another ID, and Conflict while the end of
-// the session or of one of its terms is decided but not applied; the process asks again then.
+// the session or of one of its terms is decided but not yet applied; the process then retries.
 func (t *TaskLeases) Renew(s *State, process, id string, now time.Duration) Code {
 	session := s.Sessions[process]
 	switch {
--- a/internal/catalog/term.go
+++ b/internal/catalog/term.go
@@ -43,10 +43,10 @@
 	Reason  string        `json:"why"`
 }
 
-// TermRef refers to the term of a task. GrantTerm, TransferTask and AcceptTransfer read
-// Process, and but for TransferTask also Session: who is to hold the task. ExpireTerm and
-// ReleaseTerm read Fence: the term is skipped if it is not the current one, or if Session is
-// given and is not its session.
+// TermRef refers to a term of a task that is to begin, or to the current one. GrantTerm and
+// AcceptTransfer read Process and Session, and TransferTask reads Process: who is to hold the
+// task. ExpireTerm and ReleaseTerm read Fence and, unless it is "", Session: both have to be
+// those of the current term.
 type TermRef struct {
 	Name       string `json:"name"` // of the task
 	Process    string `json:"process,omitempty"`
@@ -123,9 +123,9 @@
 	return s.doneWithNumber(task.Fence)
 }
 
-// transferTask names the process that is to take over a task. That process gets ready and
-// accepts, then the holder is told to stop, and when it releases its term, the task is granted
-// to the successor. Process "" cancels the transfer.
+// transferTask names the process that is to take over a task, its successor. The successor gets
+// ready and accepts the transfer; then the holder is asked to stop; and when the holder has
+// released its term, the task is granted to the successor. Process "" cancels the transfer.
 func (s *State) transferTask(task *LeasedTask, process string) Result {
 	if process == "" {
 		s.cancelTransfer(task)
@@ -148,8 +148,8 @@
 	return s.done()
 }
 
-// acceptTransfer records that the successor of a task is ready, so that the holder is told to
-// stop.
+// acceptTransfer records that the successor of a task is ready, so that the holder is asked to
+// stop. The revision of the successor's own session stays, though its assignments change too.
 func (s *State) acceptTransfer(task *LeasedTask, process, sessionID string) Result {
 	session := s.Sessions[process]
 	if task.Successor != process || session == nil || session.ID != sessionID {
@@ -172,8 +172,8 @@
 	task.Successor, task.SuccessorSince, task.SuccessorReady = "", 0, false
 }
 
-// endTerm ends the current term of a task. If the task has a successor that is ready, and did
-// not fail, it is granted to the successor at once.
+// endTerm ends the current term of a task for a reason. If the task has a successor that is
+// ready, and the reason is not ReasonFailed, it is granted to the successor at once.
 func (s *State) endTerm(task *LeasedTask, reason string) {
 	if task.StopRequested && reason == ReasonCompleted {
 		reason = ReasonRevoked
