--- a/internal/catalog/leasedtask.go
+++ b/internal/catalog/leasedtask.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"slices"
 	"time"
 )
 
@@ -59,14 +58,7 @@
 }
 
 // TaskNames returns the names of all tasks in order.
-func (s *State) TaskNames() []string {
-	names := make([]string, 0, len(s.LeasedTasks))
-	for name := range s.LeasedTasks {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
-}
+func (s *State) TaskNames() []string { return sortedKeys(s.LeasedTasks) }
 
 // Assignments returns what a session's process is to do, in order of task names, and the
 // session's revision. It returns false if the process has no open session of that ID.
--- a/internal/catalog/list.go
+++ b/internal/catalog/list.go
@@ -18,14 +18,7 @@
 }
 
 // EntryNames returns the names of all entries in order, including recently removed ones.
-func (s *State) EntryNames() []string {
-	names := make([]string, 0, len(s.Entries))
-	for name := range s.Entries {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	return names
-}
+func (s *State) EntryNames() []string { return sortedKeys(s.Entries) }
 
 // List returns the full list, or the entries that changed after the revision since. It
 // returns the full list also if the changes after since are no longer known, or if since is
--- a/internal/catalog/session.go
+++ b/internal/catalog/session.go
@@ -36,14 +36,7 @@
 }
 
 // ProcessNames returns the processes of all open sessions in order.
-func (s *State) ProcessNames() []string {
-	var names []string
-	for name := range s.Sessions {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
-}
+func (s *State) ProcessNames() []string { return sortedKeys(s.Sessions) }
 
 // openSession opens a session, or updates the one that is open with the same ID. A process
 // name belongs to one session until that is closed: another ID is rejected as Taken.
--- a/internal/catalog/state.go
+++ b/internal/catalog/state.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"time"
 
 	"knotrouter/internal/endpoints"
@@ -160,3 +161,13 @@
 
 // isServiceName reports whether text can be the name of a service; "" is the default service.
 func isServiceName(text string) bool { return text == "" || isLabel(text) }
+
+// sortedKeys returns the keys of a table in order, which is the order of all decisions.
+func sortedKeys[V any](table map[string]V) []string {
+	keys := make([]string, 0, len(table))
+	for key := range table {
+		keys = append(keys, key)
+	}
+	slices.Sort(keys)
+	return keys
+}
