--- a/internal/leaderelection/exclusion_test.go
+++ b/internal/leaderelection/exclusion_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"os"
 	"runtime"
+	"slices"
 	"strconv"
 	"sync"
 	"testing"
@@ -12,65 +13,73 @@
 	"knotrouter/internal/catalog"
 )
 
-// simulation is two claimants of one duty, a leader, and a resource, in steps of model time. It
-// has one pause, one message that is lost or late, one change of leaders and clocks of
-// different rates; each of them anywhere, over all plays together.
+// simulation has two processes that compete for one task, a leader, and a resource that the
+// holder writes to, in steps of model time. One run has at most one pause, one renewal
+// message that is lost or late, one change of leaders, and clocks of different rates.
 type simulation struct {
 	faults
 	disabled
 	state           *catalog.State
-	leader          *leader
-	deposedLeader   *leader // deposed, and doesn't know it
-	deposedEndsAt   int
+	leader          *leader // nil between two leaders
+	deposedLeader   *leader // does not know that it was deposed
+	deposedEndsAt   int     // step at which the deposed leader ends
 	holders         [2]*holder
 	inFlight        []message
-	renewalMessages int // messages of renewals so far
-	highestFence    int64
+	renewalMessages int   // sent so far, renewals and their answers
+	highestFence    int64 // that the resource has seen
 	violation       string
-	termsStarted    int // terms that began
+	termsStarted    int
 }
 
+// faults are the faults of one run. Times are steps; -1 means that the fault does not occur.
 type faults struct {
-	pausedHolder, pauseAt, pauseSteps int // -1: none
-	faultyMessage, messageDelay       int // which renewal message, and by how much it is late; -1: lost
-	leaderChangeAt                    int // -1: none
-	rateA, rateB, rateLeader          float64
-	writeDelay                        int  // by how much each act of the first holder comes late
-	transferAt                        int  // when an operator moves the duty; -1: never
-	noWatch                           bool // the first holder hears of its tasks by renewals only
-	lag                               int  // steps that a message takes, and a decision until it is in the log
+	pausedHolder, pauseAt, pauseSteps int
+	faultyMessage                     int // which renewal message is lost or late
+	messageDelay                      int // by how much it is late; -1: lost
+	leaderChangeAt                    int
+	rateA, rateB, rateLeader          float64 // of the clocks
+	writeDelay                        int     // of each write of the first holder
+	transferAt                        int     // when an operator transfers the task
+	noWatch                           bool    // the first holder learns its assignments by renewals only
+	lag                               int     // of each message, and of a command from its decision to the log
 }
 
-// disabled take the mechanisms out, one at a time.
+// disabled names the safety mechanisms that a run goes without.
 type disabled struct {
 	safetyMargin, fencing, newLeaderWait, leadershipCheck bool
 }
 
 const (
-	step         = 50 * time.Millisecond
-	modelTTL     = 2 * time.Second
-	horizon      = 130 // steps
-	coarseStride = 10
+	step           = 50 * time.Millisecond
+	modelTTL       = 2 * time.Second
+	horizon        = 130 // steps of a run
+	coarseStride   = 10
+	deposedFor     = 50 // steps that a deposed leader goes on
+	electionSteps  = 3
+	taskName       = "d"
+	runsPerPackage = 200 // of a worker
 )
 
+// leader is a leader of the control plane, with its own clock.
 type leader struct {
 	leases        *catalog.TaskLeases
-	base          time.Duration
+	base          time.Duration // of the clock at startedAtStep
 	startedAtStep int
 	rate          float64
-	decided       []catalog.Command // decided, and not in the log yet
+	decided       []catalog.Command // not in the log yet
 }
 
 func (l *leader) now(at int) time.Duration {
 	return l.base + time.Duration(float64(at-l.startedAtStep)*float64(step)*l.rate)
 }
 
+// holder is a process that competes for the task, with its own clock.
 type holder struct {
 	name, id     string
 	participant  *Participant
 	rate         float64
-	nextRenewal  time.Duration // of renewals
-	runningFence int64         // fence; 0: none
+	nextRenewal  time.Duration
+	runningFence int64 // of the function that runs; 0: none
 	inbox        []message
 }
 
@@ -78,10 +87,23 @@
 	return time.Duration(float64(at) * float64(step) * h.rate)
 }
 
+// The recipients of messages beside the holders, which are 0 and 1.
+const (
+	toLeader = iota + 2
+	toDeposedLeader
+	toResource
+)
+
+// The kinds of messages beside those of catalog's commands.
+const (
+	renewalRequest = "renew"
+	renewalAnswer  = "renewed"
+	watchEvent     = "watch event"
+)
+
 type message struct {
-	due         int
-	to          int // 0, 1: a holder; 2: the leader, 3: a leader that was deposed, 4: the resource
-	from        int
+	due         int // step of its delivery
+	to, from    int
 	kind        string
 	sent        time.Duration
 	revision    int64
@@ -90,314 +112,389 @@
 	reason      string
 }
 
-func newSimulation(f faults, k disabled) *simulation {
-	w := &simulation{faults: f, disabled: k, state: catalog.New(), deposedEndsAt: -1}
-	w.leader = &leader{rate: f.rateLeader}
-	w.apply(0, catalog.Command{Kind: catalog.DefineTask, LeasedTask: &catalog.LeasedTask{Name: "d", TTL: modelTTL}})
-	for i := range w.holders {
+// newSimulation returns a simulation whose sessions are an hour old.
+func newSimulation(f faults, without disabled) *simulation {
+	s := &simulation{faults: f, disabled: without, state: catalog.New(), deposedEndsAt: -1}
+	s.leader = &leader{rate: f.rateLeader}
+	s.apply(0, catalog.Command{Kind: catalog.DefineTask, LeasedTask: &catalog.LeasedTask{Name: taskName, TTL: modelTTL}})
+	for i := range s.holders {
 		h := &holder{name: string(rune('a' + i)), id: fmt.Sprint("id-", i), participant: NewParticipant(), rate: []float64{f.rateA, f.rateB}[i]}
-		if k.safetyMargin {
+		if without.safetyMargin {
 			h.participant.safetyMargin = func(time.Duration) time.Duration { return 0 }
 		}
-		w.holders[i] = h
-		w.apply(0, catalog.Command{Kind: catalog.OpenSession, Session: &catalog.Session{Process: h.name, ID: h.id, MaxTasks: 1}})
+		s.holders[i] = h
+		s.apply(0, catalog.Command{Kind: catalog.OpenSession, Session: &catalog.Session{Process: h.name, ID: h.id, MaxTasks: 1}})
 	}
-	// The sessions are an hour old when the play begins.
-	w.leader.base = time.Hour
-	w.leader.leases = catalog.NewTaskLeases(w.leader.base)
-	w.apply(0, catalog.Command{Kind: catalog.RaiseRevision})
-	return w
+	s.leader.base = time.Hour
+	s.leader.leases = catalog.NewTaskLeases(s.leader.base)
+	s.apply(0, catalog.Command{Kind: catalog.RaiseRevision})
+	return s
 }
 
-func (w *simulation) apply(at int, c catalog.Command) {
-	c.FormatVersion, c.At = catalog.FormatVersion, w.leader.now(at)
-	w.state.Apply(&c)
+// apply applies a command to the replicated state.
+func (s *simulation) apply(at int, c catalog.Command) {
+	c.FormatVersion, c.At = catalog.FormatVersion, s.leader.now(at)
+	s.state.Apply(&c)
 }
 
-func (w *simulation) post(m message) { w.inFlight = append(w.inFlight, m) }
+// post sends a message.
+func (s *simulation) post(m message) { s.inFlight = append(s.inFlight, m) }
 
-// run runs the world to its end and tells what was broken.
-func (w *simulation) run() string {
-	for at := 0; at < horizon && w.violation == ""; at++ {
-		w.stepLeader(at)
-		for i := 0; i < len(w.inFlight); i++ { // in the order of their sending
-			if m := w.inFlight[i]; m.due <= at {
-				w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
-				i--
-				w.deliver(at, m)
+// run runs the simulation to its end, and returns the violation of a promise, or "".
+func (s *simulation) run() string {
+	for at := 0; at < horizon && s.violation == ""; at++ {
+		s.stepLeader(at)
+		s.deliverDue(at)
+		for i := range s.holders {
+			paused := i == s.pausedHolder && at >= s.pauseAt && at < s.pauseAt+s.pauseSteps
+			if !paused {
+				s.stepHolder(at, i)
 			}
 		}
-		for i, h := range w.holders {
-			if i == w.pausedHolder && at >= w.pauseAt && at < w.pauseAt+w.pauseSteps {
-				continue
-			}
-			for _, m := range h.inbox {
-				w.receive(at, i, m)
-			}
-			h.inbox = nil
-			if list, rev, ok := w.state.Assignments(h.name, h.id); ok && rev > h.participant.Revision() && (i > 0 || !w.noWatch) { // by the watch of its tasks
-				w.post(message{due: at + w.lag, to: i, kind: "told", revision: rev, assignments: list})
-			}
-			acts, _, _ := h.participant.Tick(h.now(at))
-			w.perform(at, i, acts)
-			if now := h.now(at); now >= h.nextRenewal {
-				h.nextRenewal = now + h.participant.RenewInterval()
-				w.sendRenewal(at, i)
-			}
+		s.checkExclusive(at)
+	}
+	return s.violation
+}
+
+// deliverDue delivers the messages that are due, in the order of their sending.
+func (s *simulation) deliverDue(at int) {
+	for i := 0; i < len(s.inFlight); i++ {
+		if m := s.inFlight[i]; m.due <= at {
+			s.inFlight = append(s.inFlight[:i:i], s.inFlight[i+1:]...)
+			i--
+			s.deliver(at, m)
 		}
-		w.checkExclusive(at)
 	}
-	return w.violation
 }
 
-func (w *simulation) stepLeader(at int) {
-	if at == w.leaderChangeAt {
-		w.deposedLeader, w.deposedEndsAt = w.leader, at+50
-		w.leader = nil
+// stepHolder has a holder receive its messages, watch its assignments and renew its session.
+func (s *simulation) stepHolder(at, i int) {
+	h := s.holders[i]
+	for _, m := range h.inbox {
+		s.receive(at, i, m)
 	}
-	if w.leaderChangeAt >= 0 && at == w.leaderChangeAt+3 {
-		w.leader = &leader{base: w.state.Clock, startedAtStep: at, rate: w.rateLeader}
-		began := w.state.Clock
-		if w.newLeaderWait {
-			began -= modelTTL + 100*time.Millisecond
-		}
-		w.leader.leases = catalog.NewTaskLeases(began)
+	h.inbox = nil
+	assignments, revision, ok := s.state.Assignments(h.name, h.id)
+	if ok && revision > h.participant.Revision() && (i > 0 || !s.noWatch) {
+		s.post(message{due: at + s.lag, to: i, kind: watchEvent, revision: revision, assignments: assignments})
 	}
-	if at == w.deposedEndsAt {
-		w.deposedLeader = nil
+	actions, _, _ := h.participant.Tick(h.now(at))
+	s.perform(at, i, actions)
+	if now := h.now(at); now >= h.nextRenewal {
+		h.nextRenewal = now + h.participant.RenewInterval()
+		s.sendRenewal(at, i)
 	}
-	if w.leader == nil {
+}
+
+// stepLeader changes the leader if it is time, and has the leader decide.
+func (s *simulation) stepLeader(at int) {
+	s.changeLeader(at)
+	if s.leader == nil {
 		return
 	}
-	due := w.leader.decided
-	w.leader.decided = nil
-	for _, c := range due { // what was decided a step ago is in the log now
-		w.apply(at, c)
+	// The commands that were decided a step ago are in the log now.
+	decided := s.leader.decided
+	s.leader.decided = nil
+	for _, c := range decided {
+		s.apply(at, c)
 	}
 	if at%8 == 0 {
-		w.apply(at, catalog.Command{Kind: catalog.RaiseRevision}) // other commands carry the time too
+		// Commands of other parts of the control plane carry the time too.
+		s.apply(at, catalog.Command{Kind: catalog.RaiseRevision})
 	}
-	if at == w.transferAt {
-		for _, h := range w.holders {
-			if d := w.state.LeasedTasks["d"]; d.Holder != "" && d.Holder != h.name {
-				w.apply(at, catalog.Command{Kind: catalog.TransferTask, Terms: []catalog.TermRef{{Name: "d", Process: h.name}}})
-				break
-			}
+	if at == s.transferAt {
+		s.transferTask(at)
+	}
+	s.leader.decided = s.leader.leases.Decide(s.state, s.leader.now(at))
+	if s.lag == 0 {
+		for _, c := range s.leader.decided {
+			s.apply(at, c)
 		}
+		s.leader.decided = nil
 	}
-	w.leader.decided = w.leader.leases.Decide(w.state, w.leader.now(at))
-	if w.lag == 0 {
-		for _, c := range w.leader.decided {
-			w.apply(at, c)
+}
+
+// changeLeader deposes the leader, elects the next one, or ends the deposed one.
+func (s *simulation) changeLeader(at int) {
+	if at == s.leaderChangeAt {
+		s.deposedLeader, s.deposedEndsAt = s.leader, at+deposedFor
+		s.leader = nil
+	}
+	if s.leaderChangeAt >= 0 && at == s.leaderChangeAt+electionSteps {
+		s.leader = &leader{base: s.state.Clock, startedAtStep: at, rate: s.rateLeader}
+		leasesFrom := s.state.Clock
+		if s.newLeaderWait {
+			leasesFrom -= modelTTL + 100*time.Millisecond
+		}
+		s.leader.leases = catalog.NewTaskLeases(leasesFrom)
+	}
+	if at == s.deposedEndsAt {
+		s.deposedLeader = nil
+	}
+}
+
+// transferTask has an operator transfer the task to the process that does not hold it.
+func (s *simulation) transferTask(at int) {
+	for _, h := range s.holders {
+		if d := s.state.LeasedTasks[taskName]; d.Holder != "" && d.Holder != h.name {
+			s.apply(at, catalog.Command{Kind: catalog.TransferTask, Terms: []catalog.TermRef{{Name: taskName, Process: h.name}}})
+			break
 		}
-		w.leader.decided = nil
 	}
 }
 
-// sendRenewal sends a renewal; the spoilt one is lost or late, on its way there.
-func (w *simulation) sendRenewal(at, i int) {
-	m := message{due: at + w.lag, to: 2, from: i, kind: "renew", sent: w.holders[i].now(at), revision: w.holders[i].participant.Revision()}
-	if w.deposedLeader != nil && i == 0 {
-		m.to = 3 // the first still speaks to the one that was deposed
+// sendRenewal sends a renewal to the leader that the holder knows.
+func (s *simulation) sendRenewal(at, i int) {
+	m := message{due: at + s.lag, to: toLeader, from: i, kind: renewalRequest, sent: s.holders[i].now(at), revision: s.holders[i].participant.Revision()}
+	if s.deposedLeader != nil && i == 0 {
+		m.to = toDeposedLeader // the first holder does not know of the change yet
 	}
-	w.postRenewal(m)
+	s.postRenewal(m)
 }
 
-func (w *simulation) postRenewal(m message) {
-	w.renewalMessages++
-	if w.renewalMessages == w.faultyMessage {
-		if w.messageDelay < 0 {
+// postRenewal sends a renewal or its answer; the faulty message is lost or late.
+func (s *simulation) postRenewal(m message) {
+	s.renewalMessages++
+	if s.renewalMessages == s.faultyMessage {
+		if s.messageDelay < 0 {
 			return
 		}
-		m.due += w.messageDelay
+		m.due += s.messageDelay
 	}
-	w.post(m)
+	s.post(m)
 }
 
-func (w *simulation) deliver(at int, m message) {
+// deliver delivers a message to its recipient.
+func (s *simulation) deliver(at int, m message) {
 	switch m.to {
-	case 0, 1:
-		w.holders[m.to].inbox = append(w.holders[m.to].inbox, m)
-	case 4:
-		fence := m.revision
-		if fence < w.highestFence && !w.fencing {
-			return // refused
-		}
-		if fence < w.highestFence {
-			w.violation = fmt.Sprintf("step %d: the resource took an act under fence %d after one under %d", at, fence, w.highestFence)
+	case toResource:
+		s.write(at, m.revision)
+	case toLeader:
+		s.deliverToLeader(at, m, s.leader)
+	case toDeposedLeader:
+		// A deposed leader cannot confirm that it leads, so it answers no renewal.
+		if s.leadershipCheck {
+			s.deliverToLeader(at, m, s.deposedLeader)
 		}
-		w.highestFence = max(w.highestFence, fence)
 	default:
-		l := w.leader
-		if m.to == 3 {
-			if l = w.deposedLeader; !w.leadershipCheck {
-				return // it can't show that it leads, so it promises nothing
-			}
-		}
-		if l == nil {
-			return
-		}
-		h := w.holders[m.from]
-		if m.kind != "renew" {
-			if m.to == 2 {
-				w.apply(at, catalog.Command{Kind: catalog.Kind(m.kind), Terms: m.terms, Reason: m.reason})
-			}
-			return
-		}
-		if l.leases.Renew(w.state, h.name, h.id, l.now(at)) != catalog.Done {
-			return
+		s.holders[m.to].inbox = append(s.holders[m.to].inbox, m)
+	}
+}
+
+// write is a write to the resource, which rejects a fencing token lower than the highest.
+func (s *simulation) write(at int, fence int64) {
+	if fence < s.highestFence && !s.fencing {
+		return
+	}
+	if fence < s.highestFence {
+		s.violation = fmt.Sprintf("step %d: the resource accepted a write under fence %d after one under %d", at, fence, s.highestFence)
+	}
+	s.highestFence = max(s.highestFence, fence)
+}
+
+// deliverToLeader has a leader answer a renewal, or propose the command of a report.
+func (s *simulation) deliverToLeader(at int, m message, l *leader) {
+	if l == nil {
+		return
+	}
+	h := s.holders[m.from]
+	if m.kind != renewalRequest {
+		if m.to == toLeader {
+			s.apply(at, catalog.Command{Kind: catalog.Kind(m.kind), Terms: m.terms, Reason: m.reason})
 		}
-		list, rev, _ := w.state.Assignments(h.name, h.id)
-		w.postRenewal(message{due: at + w.lag, to: m.from, kind: "renewed", sent: m.sent, revision: rev, assignments: list})
+		return
+	}
+	if l.leases.Renew(s.state, h.name, h.id, l.now(at)) != catalog.Done {
+		return
 	}
+	assignments, revision, _ := s.state.Assignments(h.name, h.id)
+	s.postRenewal(message{due: at + s.lag, to: m.from, kind: renewalAnswer, sent: m.sent, revision: revision, assignments: assignments})
 }
 
-func (w *simulation) receive(at, i int, m message) {
-	h := w.holders[i]
-	if m.kind == "told" {
-		w.perform(at, i, h.participant.Update(h.now(at), m.revision, m.assignments))
+// receive has a holder handle a message.
+func (s *simulation) receive(at, i int, m message) {
+	h := s.holders[i]
+	if m.kind == watchEvent {
+		s.perform(at, i, h.participant.Update(h.now(at), m.revision, m.assignments))
 		return
 	}
-	w.perform(at, i, h.participant.Renewed(h.now(at), m.sent, m.revision, m.assignments))
+	s.perform(at, i, h.participant.Renewed(h.now(at), m.sent, m.revision, m.assignments))
 }
 
-func (w *simulation) perform(at, i int, acts []Action) {
-	h := w.holders[i]
-	for _, a := range acts {
-		tie := catalog.TermRef{Name: a.Name, Process: h.name, Session: h.id, Fence: a.Fence}
+// perform performs the actions of a holder. A cancelled function returns at once.
+func (s *simulation) perform(at, i int, actions []Action) {
+	h := s.holders[i]
+	for _, a := range actions {
+		ref := catalog.TermRef{Name: a.Name, Process: h.name, Session: h.id, Fence: a.Fence}
 		switch a.Kind {
 		case Start:
 			h.runningFence = a.Fence
-			w.termsStarted++
+			s.termsStarted++
 		case Cancel:
 			if h.runningFence == a.Fence {
 				h.runningFence = 0
-				w.perform(at, i, h.participant.FunctionReturned(h.now(at), a.Name, a.Fence, false))
+				s.perform(at, i, h.participant.FunctionReturned(h.now(at), a.Name, a.Fence, false))
 			}
 		case Release:
-			w.post(message{due: at + w.lag, to: 2, from: i, kind: string(catalog.ReleaseTerm), terms: []catalog.TermRef{tie}, reason: a.Reason})
+			s.post(message{due: at + s.lag, to: toLeader, from: i, kind: string(catalog.ReleaseTerm), terms: []catalog.TermRef{ref}, reason: a.Reason})
 		case Accept:
-			w.post(message{due: at + w.lag, to: 2, from: i, kind: string(catalog.AcceptTransfer), terms: []catalog.TermRef{tie}})
+			s.post(message{due: at + s.lag, to: toLeader, from: i, kind: string(catalog.AcceptTransfer), terms: []catalog.TermRef{ref}})
 		}
 	}
 }
 
-// checkExclusive looks who believes to hold the duty, within its own time; each of them acts.
-func (w *simulation) checkExclusive(at int) {
+// checkExclusive checks that at most one process believes, by its own clock, that it holds
+// the task. Each that does writes to the resource.
+func (s *simulation) checkExclusive(at int) {
 	believers := 0
-	for i, h := range w.holders {
-		if h.runningFence == 0 || h.now(at) >= h.participant.ValidUntil("d") {
+	for i, h := range s.holders {
+		if h.runningFence == 0 || h.now(at) >= h.participant.ValidUntil(taskName) {
 			continue
 		}
 		believers++
-		due := at + w.lag
+		due := at + s.lag
 		if i == 0 {
-			due += w.writeDelay
+			due += s.writeDelay
 		}
-		w.post(message{due: due, to: 4, revision: h.runningFence})
+		s.post(message{due: due, to: toResource, revision: h.runningFence})
 	}
 	if believers > 1 {
-		w.violation = fmt.Sprintf("step %d: two believe to hold it, under fences %d and %d", at, w.holders[0].runningFence, w.holders[1].runningFence)
+		s.violation = fmt.Sprintf("step %d: two processes believe that they hold the task, under fences %d and %d", at, s.holders[0].runningFence, s.holders[1].runningFence)
 	}
 }
 
-// runAllCombinations plays all combinations, and returns the first that breaks something.
-func runAllCombinations(k disabled, stride int) (plays, terms int, broke string) {
-	var all []faults
+// combinations returns the faults of all runs. stride is the number of steps between the
+// times at which a fault is tried.
+func combinations(stride int) (all []faults) {
 	none := faults{pausedHolder: -1, faultyMessage: -1, leaderChangeAt: -1, transferAt: -1, rateA: 1, rateB: 1, rateLeader: 1}
 	clocks := [][3]float64{{0.95, 1, 1.05}, {1, 1, 1}, {1, 0.95, 1.05}, {1.05, 0.95, 0.95}}
 	if stride == coarseStride {
 		clocks = clocks[:2]
 	}
+	pauses, changes, losses := pauseFaults(none, stride), leaderFaults(none, stride), messageFaults(none, stride)
 	for _, rates := range clocks {
-		var pauses, changes, losses []faults
-		pauses = append(pauses, none)
-		for who := range 2 {
-			for at := 2; at < 60; at += stride {
-				for _, length := range []int{8, 38, 46, 90} {
-					f := none
-					f.pausedHolder, f.pauseAt, f.pauseSteps = who, at, length
-					pauses = append(pauses, f)
+		for _, pause := range pauses {
+			for _, change := range changes {
+				for _, loss := range losses {
+					all = append(all, combine(pause, change, loss, rates))
 				}
 			}
 		}
-		changes = append(changes, none)
-		for at := 4; at < 46; at += stride {
-			f := none
-			f.leaderChangeAt = at
-			changes = append(changes, f)
-		}
-		losses = append(losses, none)
-		for n := 3; n < 40; n += stride {
-			for _, by := range []int{-1, 6, 36} {
+	}
+	return all
+}
+
+// combine returns the faults of one run, with further ones that vary from run to run.
+func combine(pause, change, loss faults, rates [3]float64) faults {
+	f := pause
+	f.leaderChangeAt, f.faultyMessage, f.messageDelay = change.leaderChangeAt, loss.faultyMessage, loss.messageDelay
+	f.rateA, f.rateB, f.rateLeader = rates[0], rates[1], rates[2]
+	f.writeDelay = 45
+	f.noWatch = (f.pauseAt/2+f.faultyMessage)%2 == 0
+	f.lag = (f.pauseAt + f.leaderChangeAt/2 + f.messageDelay) & 1
+	if (f.pauseAt+f.leaderChangeAt+f.faultyMessage)%2 == 0 {
+		f.transferAt = 40
+	}
+	return f
+}
+
+func pauseFaults(none faults, stride int) []faults {
+	all := []faults{none}
+	for holder := range 2 {
+		for at := 2; at < 60; at += stride {
+			for _, length := range []int{8, 38, 46, 90} {
 				f := none
-				f.faultyMessage, f.messageDelay = n, by
-				losses = append(losses, f)
+				f.pausedHolder, f.pauseAt, f.pauseSteps = holder, at, length
+				all = append(all, f)
 			}
 		}
-		for _, p := range pauses {
-			for _, c := range changes {
-				for _, l := range losses {
-					f := p
-					f.leaderChangeAt, f.faultyMessage, f.messageDelay = c.leaderChangeAt, l.faultyMessage, l.messageDelay
-					f.rateA, f.rateB, f.rateLeader = rates[0], rates[1], rates[2]
-					f.writeDelay = 45
-					f.noWatch = (f.pauseAt/2+f.faultyMessage)%2 == 0
-					f.lag = (f.pauseAt + f.leaderChangeAt/2 + f.messageDelay) & 1
-					if (f.pauseAt+f.leaderChangeAt+f.faultyMessage)%2 == 0 {
-						f.transferAt = 40
-					}
-					all = append(all, f)
-				}
-			}
+	}
+	return all
+}
+
+func leaderFaults(none faults, stride int) []faults {
+	all := []faults{none}
+	for at := 4; at < 46; at += stride {
+		f := none
+		f.leaderChangeAt = at
+		all = append(all, f)
+	}
+	return all
+}
+
+func messageFaults(none faults, stride int) []faults {
+	all := []faults{none}
+	for n := 3; n < 40; n += stride {
+		for _, delay := range []int{-1, 6, 36} {
+			f := none
+			f.faultyMessage, f.messageDelay = n, delay
+			all = append(all, f)
 		}
 	}
-	var mu sync.Mutex
-	var wait sync.WaitGroup
-	next := make(chan []faults, 64)
+	return all
+}
+
+// outcome sums up the runs of all combinations.
+type outcome struct {
+	mu        sync.Mutex
+	runs      int
+	terms     int    // that were started in all runs
+	violation string // the first one
+}
+
+// add counts one run, and reports whether a violation is known, so that no further run is
+// needed.
+func (o *outcome) add(w *simulation, violation string, f faults) (stop bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.runs, o.terms = o.runs+1, o.terms+w.termsStarted
+	if violation != "" && o.violation == "" {
+		o.violation = fmt.Sprintf("%s, with %+v", violation, f)
+	}
+	return o.violation != ""
+}
+
+func (o *outcome) violated() bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.violation != ""
+}
+
+// runAllCombinations runs all combinations without some mechanisms, until one violates a
+// promise.
+func runAllCombinations(without disabled, stride int) *outcome {
+	var result outcome
+	var workers sync.WaitGroup
+	packages := make(chan []faults, 64)
 	for range runtime.GOMAXPROCS(0) {
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
-			for part := range next {
-				for _, f := range part {
-					w := newSimulation(f, k)
-					said := w.run()
-					mu.Lock()
-					plays, terms = plays+1, terms+w.termsStarted
-					if said != "" && broke == "" {
-						broke = fmt.Sprintf("%s, with %+v", said, f)
-					}
-					stop := broke != ""
-					mu.Unlock()
-					if stop {
+		workers.Go(func() {
+			for runs := range packages {
+				for _, f := range runs {
+					w := newSimulation(f, without)
+					if result.add(w, w.run(), f) {
 						break
 					}
 				}
 			}
-		}()
-	}
-	for len(all) > 0 {
-		n := min(len(all), 200)
-		next <- all[:n]
-		all = all[n:]
-		mu.Lock()
-		stop := broke != ""
-		mu.Unlock()
-		if stop {
+		})
+	}
+	for runs := range slices.Chunk(combinations(stride), runsPerPackage) {
+		packages <- runs
+		if result.violated() {
 			break
 		}
 	}
-	close(next)
-	wait.Wait()
-	return plays, terms, broke
+	close(packages)
+	workers.Wait()
+	return &result
 }
 
-// However a pause, a loss, a delay, a change of leaders and clocks that are 5 % off fall
-// together, no two claimants believe to hold a duty within their own time, and a resource
-// that keeps the highest fence takes no act of an older term. Without the margin, the
-// fence, the new leader's wait or the proof of leadership, one at a time, they do. EXPLORE
-// is how many steps lie between the times that are tried.
+// TestLeasesExcludeTwoHoldersUnderFaults shows that, for each combination of a pause, a lost
+// or late message, a change of leaders and clocks that are 5 % off, no two processes believe
+// that they hold the task, each by its own clock, and that a resource which keeps the highest
+// fencing token accepts no write of an older term. Without the safety margin, the fencing,
+// the new leader's wait or the check of leadership, one at a time, that is violated. The
+// environment variable EXPLORE sets the steps between the times that are tried.
 func TestLeasesExcludeTwoHoldersUnderFaults(t *testing.T) {
 	stride := coarseStride
 	if text := os.Getenv("EXPLORE"); text != "" {
@@ -406,21 +503,25 @@
 			t.Fatalf("EXPLORE: no number of steps: %q", text)
 		}
 	}
-	plays, terms, broke := runAllCombinations(disabled{}, stride)
-	if broke != "" {
-		t.Fatalf("after %d plays: %s", plays, broke)
+	result := runAllCombinations(disabled{}, stride)
+	if result.violation != "" {
+		t.Fatalf("after %d runs: %s", result.runs, result.violation)
 	}
-	if 4*terms < 5*plays {
-		t.Errorf("%d terms in %d plays: nothing changes hands", terms, plays)
+	if 4*result.terms < 5*result.runs {
+		t.Errorf("%d terms in %d runs: the task is hardly ever transferred", result.terms, result.runs)
 	}
-	t.Logf("%d plays, %d terms", plays, terms)
-	for what, k := range map[string]disabled{"margin": {safetyMargin: true}, "fence": {fencing: true}, "new leader's wait": {newLeaderWait: true},
-		"proof of leadership": {leadershipCheck: true}} {
-		plays, _, broke := runAllCombinations(k, stride)
-		if broke == "" {
-			t.Errorf("without the %s nothing broke in %d plays", what, plays)
+	t.Logf("%d runs, %d terms", result.runs, result.terms)
+	for mechanism, without := range map[string]disabled{
+		"safety margin":       {safetyMargin: true},
+		"fencing":             {fencing: true},
+		"new leader's wait":   {newLeaderWait: true},
+		"check of leadership": {leadershipCheck: true},
+	} {
+		result := runAllCombinations(without, stride)
+		if result.violation == "" {
+			t.Errorf("without the %s nothing was violated in %d runs", mechanism, result.runs)
 		} else {
-			t.Logf("without the %s, after %d plays: %s", what, plays, broke)
+			t.Logf("without the %s, after %d runs: %s", mechanism, result.runs, result.violation)
 		}
 	}
 }
