--- a/internal/member/expiry_test.go
+++ b/internal/member/expiry_test.go
@@ -2,267 +2,232 @@
 
 import (
 	"fmt"
-	"slices"
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"knotrouter/internal/catalog"
 	"knotrouter/internal/endpoints"
 )
 
-// serverCondition is how a server is.
+// serverCondition is the true condition of a server.
 type serverCondition int
 
 const (
 	conditionAlive        serverCondition = iota
-	conditionProcessEnded                 // its machine says that nobody is there
-	conditionMachineDown                  // its machine is gone
-	conditionStarting                     // it is just starting: one is answered, the others are told that nobody is there
+	conditionProcessEnded                 // its machine refuses connections
+	conditionMachineDown                  // nobody answers
+	conditionStarting                     // one observer gets an answer, the others are refused
 )
 
-// subject is a server in the exploration: how it is, who has a way to it, whether its lease
-// is over or only late.
+// serverCase is a server: its condition, which observers have a network path to it, and
+// whether its lease has expired or its renewal is only late.
 type serverCase struct {
 	condition   serverCondition
 	reachableBy [3]bool
 	lapsed      bool
 }
 
-// world is three stewards that vote, of whom the first leads.
+// observerCase is the three voters, of which the first leads.
 type observerCase struct {
-	reachable  [3]bool // whom the leader hears, and is heard by; itself always
+	reachable  [3]bool // the leader exchanges messages with the voter; always true of itself
 	slow       [3]bool
-	noEvidence [3]bool // of a version that can't be asked
-	// What others answer may come though the leader has lost the quorum.
+	noEvidence [3]bool // of a version that cannot check servers
+	// quorum may be false though the others' answers arrive: the leader has lost it meanwhile.
 	quorum bool
 }
 
-func (w *observerCase) answer(o int, s *serverCase) Answer {
+// answer returns a voter's answer about a server.
+func (c *observerCase) answer(voter int, s *serverCase) Answer {
 	switch {
-	case !w.reachable[o]:
+	case !c.reachable[voter]:
 		return AnswerNone
-	case w.noEvidence[o]:
+	case c.noEvidence[voter]:
 		return AnswerDefersToLease
-	case s.condition == conditionAlive && s.reachableBy[o]:
+	case s.condition == conditionAlive && s.reachableBy[voter]:
 		return AnswerAlive
-	case s.condition == conditionStarting && s.reachableBy[o] && o == 2:
+	case s.condition == conditionStarting && s.reachableBy[voter] && voter == 2:
 		return AnswerAlive
-	case (s.condition == conditionProcessEnded || s.condition == conditionStarting) && s.reachableBy[o]:
+	case (s.condition == conditionProcessEnded || s.condition == conditionStarting) && s.reachableBy[voter]:
 		return AnswerRefused
-	case w.slow[o]:
+	case c.slow[voter]:
 		return AnswerUnsure
 	}
 	return AnswerSilent
 }
 
-// Each state that three observers and two subjects can be in, with the guard and without:
-// whom most see stays, one observer alone removes nobody, without the quorum nothing
-// is removed, and who is gone, late only or over, goes where the rules promise it.
-func TestExpiryNeedsAMajorityOfVoters(t *testing.T) {
-	voters := []string{"a", "b", "c"}
-	bits := func(n, i int) bool { return n>>i&1 == 1 }
-	var worlds []observerCase
+// restricted reports whether a voter is slow or of a version that cannot check.
+func (c *observerCase) restricted() bool { return c.slow != [3]bool{} || c.noEvidence != [3]bool{} }
+
+func bit(n, i int) bool { return n>>i&1 == 1 }
+
+func threeBits(n, first int) [3]bool {
+	return [3]bool{bit(n, first), bit(n, first+1), bit(n, first+2)}
+}
+
+// allObserverCases returns all cases of the voters, without those in which some are slow and
+// some cannot check.
+func allObserverCases() (all []observerCase) {
 	for n := range 512 {
-		worlds = append(worlds, observerCase{quorum: bits(n, 8), reachable: [3]bool{true, bits(n, 0), bits(n, 1)}, slow: [3]bool{bits(n, 2), bits(n, 3), bits(n, 4)}, noEvidence: [3]bool{bits(n, 5), bits(n, 6), bits(n, 7)}})
+		c := observerCase{reachable: [3]bool{true, bit(n, 0), bit(n, 1)}, slow: threeBits(n, 2), noEvidence: threeBits(n, 5), quorum: bit(n, 8)}
+		if c.slow == [3]bool{} || c.noEvidence == [3]bool{} {
+			all = append(all, c)
+		}
 	}
-	var subjects []serverCase
+	return all
+}
+
+func allServerCases() (all []serverCase) {
 	for n := range 16 {
-		for is := conditionAlive; is <= conditionStarting; is++ {
-			subjects = append(subjects, serverCase{is, [3]bool{bits(n, 0), bits(n, 1), bits(n, 2)}, bits(n, 3)})
+		for condition := conditionAlive; condition <= conditionStarting; condition++ {
+			all = append(all, serverCase{condition, threeBits(n, 0), bit(n, 3)})
 		}
 	}
-	const ttl = 6 * time.Second
-	plays, removed, kept := 0, 0, 0
-	broke := func(why string, w observerCase, two [2]serverCase, others int, got []catalog.InstanceRef) {
-		t.Fatalf("after %d plays: %s: %+v, %+v beside %d others: removed %v", plays, why, w, two, others, got)
+	return all
+}
+
+const expiryTTL = 6 * time.Second
+
+var threeVoters = []string{"a", "b", "c"}
+
+// expiryCase is one decision about two servers, beside others that are alive.
+type expiryCase struct {
+	observers observerCase
+	servers   [2]serverCase
+	others    int
+}
+
+// serverName returns the name of the server with an index below 10, and serverIndex the index.
+func serverName(i int) string          { return fmt.Sprint("s-", i) }
+func serverIndex(name string) int      { return int(name[2] - '0') }
+func (c *expiryCase) serverCount() int { return len(c.servers) + c.others }
+
+// answers returns the answers of all voters about each of the two servers.
+func (c *expiryCase) answers() (answers [2]map[string]Answer) {
+	for i := range c.servers {
+		answers[i] = map[string]Answer{}
+		for voter, name := range threeVoters {
+			answers[i][name] = c.observers.answer(voter, &c.servers[i])
+		}
 	}
-	for _, others := range []int{0, 4} { // with none beside them, both at once are a mass failure
-		st := catalog.New()
-		for i := range 2 + others {
-			h := endpoints.Endpoint{Name: fmt.Sprint("s-", i), Dial: "127.0.0.1:9", Health: endpoints.Ready, Weight: 1, StartedMs: 1}
-			st.Apply(&catalog.Command{FormatVersion: catalog.FormatVersion, Kind: catalog.Register, Endpoint: &h})
+	return answers
+}
+
+// decide returns the servers that the leader removes when the lease of a server that never
+// renewed expires.
+func (c *expiryCase) decide(state *catalog.State, answers [2]map[string]Answer) []catalog.InstanceRef {
+	config := catalog.LeaseConfig{TTL: expiryTTL, MassFailureShare: 0.5, MassFailureWindow: 10 * time.Second}
+	leases := catalog.NewRegistrationLeases(config, state, 0)
+	for i := range c.serverCount() {
+		switch {
+		case i >= len(c.servers):
+			leases.Renew(state, catalog.InstanceRef{Name: serverName(i), StartedMs: 1}, expiryTTL)
+		case !c.servers[i].lapsed: // late when the first lease expires
+			leases.Renew(state, catalog.InstanceRef{Name: serverName(i), StartedMs: 1}, expiryTTL/4)
 		}
-		for _, w := range worlds {
-			if w.slow != [3]bool{} && w.noEvidence != [3]bool{} {
-				continue // each of them with all else is enough
-			}
-			quorum := w.quorum
-			for _, a := range subjects {
-				for _, b := range subjects {
-					if (others == 0 || b.condition == conditionStarting) && (w.slow != [3]bool{} || w.noEvidence != [3]bool{}) {
-						continue // what they say is played above
-					}
-					two := [2]serverCase{a, b}
-					plays++
-					l := catalog.NewRegistrationLeases(catalog.LeaseConfig{TTL: ttl, MassFailureShare: 0.5, MassFailureWindow: 10 * time.Second}, st, 0)
-					for i := range 2 + others {
-						if i >= 2 || !two[i].lapsed {
-							at := ttl / 4 // late by the end of a lease from the beginning on
-							if i >= 2 {
-								at = ttl
-							}
-							l.Renew(st, catalog.InstanceRef{Name: fmt.Sprint("s-", i), StartedMs: 1}, at)
-						}
-					}
-					answers := [2]map[string]Answer{{}, {}}
-					for i := range two {
-						for o, v := range voters {
-							answers[i][v] = w.answer(o, &two[i])
-						}
-					}
-					d := l.Decide(st, ttl, func(ref catalog.InstanceRef, over bool) catalog.FailureEvidence {
-						i := int(ref.Name[2] - '0')
-						switch DecideExpiry(voters, quorum, over, answers[i]) {
-						case DecisionRetain:
-							return catalog.Alive
-						case DecisionRemove:
-							return catalog.Failed
-						}
-						return catalog.Inconclusive
-					})
-					gone := [2]bool{}
-					for _, ref := range d.Expire {
-						gone[ref.Name[2]-'0'] = true
-					}
-					mass := others == 0 // two of two
-					for i, s := range two {
-						sees, says, plain := 0, 0, 0
-						for _, v := range voters {
-							switch answers[i][v] {
-							case AnswerAlive:
-								sees++
-							case AnswerSilent, AnswerDefersToLease:
-								says++
-							case AnswerRefused:
-								says++
-								plain++
-							}
-						}
-						promised := quorum && sees == 0 && (s.lapsed && says >= 2 || plain >= 2)
-						switch {
-						case !gone[i]:
-							kept++
-							if promised && !mass {
-								broke("one that is gone stays", w, two, others, d.Expire)
-							}
-							continue
-						case !quorum:
-							broke("removed without the quorum", w, two, others, d.Expire)
-						case says < 2:
-							broke("removed by one observer alone", w, two, others, d.Expire)
-						case sees >= 2:
-							broke("removed though most see it", w, two, others, d.Expire)
-						case !s.lapsed && (plain < 2 || sees > 0 || s.condition == conditionAlive):
-							broke("removed before its time without a plain word", w, two, others, d.Expire)
-						case mass && gone[1-i]:
-							broke("all removed at once", w, two, others, d.Expire)
-						}
-						removed++
-					}
-				}
-			}
+	}
+	decision := leases.Decide(state, expiryTTL, func(ref catalog.InstanceRef, lapsed bool) catalog.FailureEvidence {
+		switch DecideExpiry(threeVoters, c.observers.quorum, lapsed, answers[serverIndex(ref.Name)]) {
+		case DecisionRetain:
+			return catalog.Alive
+		case DecisionRemove:
+			return catalog.Failed
+		}
+		return catalog.Inconclusive
+	})
+	return decision.Expire
+}
+
+// violation returns which promise a decision about one server breaks, or "".
+func (c *expiryCase) violation(i int, answers map[string]Answer, removed [2]bool) string {
+	s := c.servers[i]
+	alive, against, refused := 0, 0, 0
+	for _, answer := range answers {
+		switch answer {
+		case AnswerAlive:
+			alive++
+		case AnswerSilent, AnswerDefersToLease:
+			against++
+		case AnswerRefused:
+			against++
+			refused++
 		}
 	}
-	if plays < 300_000 || removed < 10_000 || kept < 10_000 {
-		t.Errorf("%d plays, %d removed, %d kept: that shows little", plays, removed, kept)
+	massFailure := c.others == 0 // two of two servers
+	promised := c.observers.quorum && alive == 0 && (s.lapsed && against >= 2 || refused >= 2)
+	switch {
+	case !removed[i] && promised && !massFailure:
+		return "a server that has failed stays"
+	case !removed[i]:
+		return ""
+	case !c.observers.quorum:
+		return "removed without the quorum"
+	case against < 2:
+		return "removed by one observer alone"
+	case alive >= 2:
+		return "removed though most see it"
+	case !s.lapsed && (refused < 2 || alive > 0 || s.condition == conditionAlive):
+		return "removed before its lease expired, and not refused by most"
+	case massFailure && removed[1-i]:
+		return "all removed at once"
 	}
-	t.Logf("%d plays, %d removed, %d kept", plays, removed, kept)
+	return ""
 }
 
-// Whatever becomes of stewards, voters are replaced one step at a time, with a quorum of those
-// that are there before and after each; and once nothing happens any more, as many vote as
-// are wanted and all of them are there, if there are enough.
-func TestReconfigurationKeepsTheQuorum(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(3, 9).Draw(t, "stewards")
-		wanted := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "wanted")
-		f := VoterSet{DesiredVoters: wanted, ReplaceAfter: 30 * time.Second, Failed: map[string]time.Duration{}, Present: map[string]bool{}}
-		for i := range n {
-			name := fmt.Sprint("st-", i)
-			f.Present[name] = true
-			if i < min(wanted, n) {
-				f.Voters = append(f.Voters, name)
-			} else {
-				f.NonVoters = append(f.NonVoters, name)
-			}
-		}
-		f.Leader = rapid.SampledFrom(f.Voters).Draw(t, "leader")
-		alive := func() (there int) {
-			for _, v := range f.Voters {
-				if f.Present[v] {
-					there++
+// newRegistrations returns a state with that many registered servers.
+func newRegistrations(n int) *catalog.State {
+	state := catalog.New()
+	for i := range n {
+		e := endpoints.Endpoint{Name: serverName(i), Dial: "127.0.0.1:9", Health: endpoints.Ready, Weight: 1, StartedMs: 1}
+		state.Apply(&catalog.Command{FormatVersion: catalog.FormatVersion, Kind: catalog.Register, Endpoint: &e})
+	}
+	return state
+}
+
+// allExpiryCases yields all cases of two servers beside that many others.
+func allExpiryCases(others int, yield func(c *expiryCase)) {
+	servers := allServerCases()
+	for _, observers := range allObserverCases() {
+		for _, a := range servers {
+			for _, b := range servers {
+				if (others == 0 || b.condition == conditionStarting) && observers.restricted() {
+					continue // the other conditions beside others show what restricted voters do
 				}
+				yield(&expiryCase{observers, [2]serverCase{a, b}, others})
 			}
-			return there
 		}
-		step := func() bool {
-			before := alive() >= len(f.Voters)/2+1
-			s, some := NextReconfiguration(&f)
-			if !some {
-				return false
-			}
-			switch {
-			case !before:
-				t.Fatalf("%+v without a quorum: %+v", s, f)
-			case len(slices.DeleteFunc([]string{s.Add, s.Remove, s.Demote}, func(x string) bool { return x == "" })) != 1:
-				t.Fatalf("not one step: %+v", s)
-			case s.Demote != "" && (alive() < len(f.Voters) || s.Demote == f.Leader):
-				t.Fatalf("demoted %s: %+v", s.Demote, f)
-			case s.Add != "" && (!f.Present[s.Add] || slices.Contains(f.Voters, s.Add)):
-				t.Fatalf("added %s: %+v", s.Add, f)
-			case s.Remove != "" && (f.Present[s.Remove] || f.Failed[s.Remove] < f.ReplaceAfter || !slices.Contains(f.Voters, s.Remove)):
-				t.Fatalf("removed %s: %+v", s.Remove, f)
-			}
-			if s.Add != "" {
-				f.Voters = append(f.Voters, s.Add)
-				f.NonVoters = slices.DeleteFunc(f.NonVoters, func(x string) bool { return x == s.Add })
-			} else {
-				f.Voters = slices.DeleteFunc(f.Voters, func(x string) bool { return x == s.Remove || x == s.Demote })
-			}
-			if s.Demote != "" {
-				f.NonVoters = append(f.NonVoters, s.Demote)
-			}
-			if alive() < len(f.Voters)/2+1 {
-				t.Fatalf("no quorum after %+v: %+v", s, f)
-			}
-			if len(f.Voters) > wanted+1 || len(f.Voters) < min(wanted, n) {
-				t.Fatalf("%d vote, %d are wanted", len(f.Voters), wanted)
+	}
+}
+
+// TestExpiryNeedsAMajorityOfVoters decides for each state of three observers and two servers,
+// with the guard against mass failures and without: a server that most see stays, one
+// observer alone removes none, without the quorum none is removed, and a server that has
+// failed is removed where that is promised, with its lease expired or its renewal late.
+func TestExpiryNeedsAMajorityOfVoters(t *testing.T) {
+	cases, removals, retained := 0, 0, 0
+	for _, others := range []int{0, 4} { // without others, both servers at once are a mass failure
+		state := newRegistrations(2 + others)
+		allExpiryCases(others, func(c *expiryCase) {
+			cases++
+			answers := c.answers()
+			expired := c.decide(state, answers)
+			var removed [2]bool
+			for _, ref := range expired {
+				removed[serverIndex(ref.Name)] = true
 			}
-			return true
-		}
-		for range rapid.IntRange(1, 12).Draw(t, "events") {
-			name := fmt.Sprint("st-", rapid.IntRange(0, n-1).Draw(t, "who"))
-			if f.Present[name] = !f.Present[name]; f.Present[name] {
-				delete(f.Failed, name)
-				if !slices.Contains(f.Voters, name) && !slices.Contains(f.NonVoters, name) {
-					f.NonVoters = append(f.NonVoters, name) // replaced while away
+			for i := range c.servers {
+				if violation := c.violation(i, answers[i], removed); violation != "" {
+					t.Fatalf("after %d cases: %s: %+v: removed %v", cases, violation, *c, expired)
 				}
-			} else {
-				f.Failed[name] = 0
-			}
-			for range rapid.IntRange(0, 3).Draw(t, "steps") {
-				for who := range f.Failed {
-					f.Failed[who] += 20 * time.Second
+				if removed[i] {
+					removals++
+				} else {
+					retained++
 				}
-				step()
 			}
-		}
-		for who := range f.Failed {
-			f.Failed[who] += time.Hour
-		}
-		for range 20 {
-			step()
-		}
-		there := 0
-		for _, is := range f.Present {
-			if is {
-				there++
-			}
-		}
-		if alive() >= len(f.Voters)/2+1 && there > wanted && (len(f.Voters) != wanted || alive() != wanted) {
-			t.Fatalf("in the end %v vote, there are %v, %d wanted", f.Voters, f.Present, wanted)
-		}
-	})
+		})
+	}
+	if cases < 300_000 || removals < 10_000 || retained < 10_000 {
+		t.Errorf("%d cases, %d removed, %d retained: that shows little", cases, removals, retained)
+	}
+	t.Logf("%d cases, %d removed, %d retained", cases, removals, retained)
 }
--- /dev/null
+++ b/internal/member/reconfiguration_test.go
@@ -0,0 +1,149 @@
+package member
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// voterFleet is a control plane whose servers fail and come back.
+type voterFleet struct {
+	VoterSet
+	size int
+}
+
+// newVoterFleet draws a fleet of present servers.
+func newVoterFleet(t *rapid.T) *voterFleet {
+	size := rapid.IntRange(3, 9).Draw(t, "servers")
+	desired := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "desired voters")
+	f := &voterFleet{size: size, VoterSet: VoterSet{
+		DesiredVoters: desired,
+		ReplaceAfter:  30 * time.Second,
+		Failed:        map[string]time.Duration{},
+		Present:       map[string]bool{},
+	}}
+	for i := range size {
+		name := fmt.Sprint("st-", i)
+		f.Present[name] = true
+		if i < min(desired, size) {
+			f.Voters = append(f.Voters, name)
+		} else {
+			f.NonVoters = append(f.NonVoters, name)
+		}
+	}
+	f.Leader = rapid.SampledFrom(f.Voters).Draw(t, "leader")
+	return f
+}
+
+// presentVoters returns the number of voters that are present.
+func (f *voterFleet) presentVoters() (present int) {
+	for _, voter := range f.Voters {
+		if f.Present[voter] {
+			present++
+		}
+	}
+	return present
+}
+
+func (f *voterFleet) hasQuorum() bool { return f.presentVoters() >= len(f.Voters)/2+1 }
+
+// toggle has a server fail, or come back if it has failed.
+func (f *voterFleet) toggle(name string) {
+	f.Present[name] = !f.Present[name]
+	if !f.Present[name] {
+		f.Failed[name] = 0
+		return
+	}
+	delete(f.Failed, name)
+	if !slices.Contains(f.Voters, name) && !slices.Contains(f.NonVoters, name) {
+		f.NonVoters = append(f.NonVoters, name) // it was replaced while it was away
+	}
+}
+
+// pass lets time pass for the failed servers.
+func (f *voterFleet) pass(d time.Duration) {
+	for name := range f.Failed {
+		f.Failed[name] += d
+	}
+}
+
+// step carries out the next reconfiguration, if there is one, and checks it.
+func (f *voterFleet) step(t *rapid.T) {
+	hadQuorum := f.hasQuorum()
+	r, ok := NextReconfiguration(&f.VoterSet)
+	if !ok {
+		return
+	}
+	if !hadQuorum {
+		t.Fatalf("%+v without a quorum: %+v", r, f)
+	}
+	f.check(t, r)
+	f.apply(r)
+	if !f.hasQuorum() {
+		t.Fatalf("no quorum after %+v: %+v", r, f)
+	}
+	if len(f.Voters) > f.DesiredVoters+1 || len(f.Voters) < min(f.DesiredVoters, f.size) {
+		t.Fatalf("%d voters, %d are desired", len(f.Voters), f.DesiredVoters)
+	}
+}
+
+// check fails if a reconfiguration is more than one change, or one that is not allowed.
+func (f *voterFleet) check(t *rapid.T, r Reconfiguration) {
+	changes := slices.DeleteFunc([]string{r.Add, r.Remove, r.Demote}, func(name string) bool { return name == "" })
+	switch {
+	case len(changes) != 1:
+		t.Fatalf("not one change: %+v", r)
+	case r.Demote != "" && (f.presentVoters() < len(f.Voters) || r.Demote == f.Leader):
+		t.Fatalf("demoted %s: %+v", r.Demote, f)
+	case r.Add != "" && (!f.Present[r.Add] || slices.Contains(f.Voters, r.Add)):
+		t.Fatalf("added %s: %+v", r.Add, f)
+	case r.Remove != "" && (f.Present[r.Remove] || f.Failed[r.Remove] < f.ReplaceAfter || !slices.Contains(f.Voters, r.Remove)):
+		t.Fatalf("removed %s: %+v", r.Remove, f)
+	}
+}
+
+func (f *voterFleet) apply(r Reconfiguration) {
+	if r.Add != "" {
+		f.Voters = append(f.Voters, r.Add)
+		f.NonVoters = slices.DeleteFunc(f.NonVoters, func(name string) bool { return name == r.Add })
+	} else {
+		f.Voters = slices.DeleteFunc(f.Voters, func(name string) bool { return name == r.Remove || name == r.Demote })
+	}
+	if r.Demote != "" {
+		f.NonVoters = append(f.NonVoters, r.Demote)
+	}
+}
+
+// TestReconfigurationKeepsTheQuorum shows that, however servers fail and come back, voters
+// are changed one at a time, with a quorum of present ones before and after each change; and
+// that, once nothing fails any more, as many servers vote as are desired and all of them are
+// present, if there are enough.
+func TestReconfigurationKeepsTheQuorum(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		f := newVoterFleet(t)
+		for range rapid.IntRange(1, 12).Draw(t, "events") {
+			f.toggle(fmt.Sprint("st-", rapid.IntRange(0, f.size-1).Draw(t, "server")))
+			for range rapid.IntRange(0, 3).Draw(t, "steps") {
+				f.pass(20 * time.Second)
+				f.step(t)
+			}
+		}
+		f.pass(time.Hour)
+		for range 20 {
+			f.step(t)
+		}
+		present := 0
+		for _, isPresent := range f.Present {
+			if isPresent {
+				present++
+			}
+		}
+		settled := len(f.Voters) == f.DesiredVoters && f.presentVoters() == f.DesiredVoters
+		if f.hasQuorum() && present > f.DesiredVoters && !settled {
+			t.Fatalf("in the end %v vote, present are %v, %d desired", f.Voters, f.Present, f.DesiredVoters)
+		}
+	})
+}
--- a/internal/member/tracker_test.go
+++ b/internal/member/tracker_test.go
@@ -1,23 +1,20 @@
 package member
 
 import (
-	"encoding/json"
-	"fmt"
 	"testing"
 	"time"
-
-	"pgregory.net/rapid"
 )
 
 func controlPlaneServer(name string, incarnation int64) Info {
 	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleControlPlane, Incarnation: incarnation, InstanceID: "f-" + name}
 }
 
-func agentInfo(name, life string) Info {
-	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleAgent, InstanceID: life}
+func agentInfo(name, bootID string) Info {
+	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleAgent, InstanceID: bootID}
 }
 
-// newTrackerOfFive is a steward that has four others as present, all heard just now.
+// newTrackerOfFive returns the Tracker of the server a, to which four others are present and
+// were heard just now.
 func newTrackerOfFive(now time.Duration) *Tracker {
 	t := NewTracker(Defaults(controlPlaneServer("a", 1)))
 	for _, name := range []string{"b", "c", "d", "e"} {
@@ -28,19 +25,21 @@
 	return t
 }
 
-func newReportFrom(from string, seq int64, state State, incarnation int64, names ...string) *Report {
-	r := &Report{ProtocolVersion: ProtocolVersion, From: from, Incarnation: 1, Seq: seq, BootID: from}
-	for _, n := range names {
+// newReportFrom returns a partial report in which an observer sees each member in one state.
+// Members whose name begins with n are agents, the others servers of the control plane.
+func newReportFrom(observer string, seq int64, state State, incarnation int64, members ...string) *Report {
+	r := &Report{ProtocolVersion: ProtocolVersion, From: observer, Incarnation: 1, Seq: seq, BootID: observer}
+	for _, name := range members {
 		role := RoleControlPlane
-		if n[0] == 'n' {
+		if name[0] == 'n' {
 			role = RoleAgent
 		}
-		r.Observations = append(r.Observations, Observation{Name: n, Role: role, State: state, Incarnation: incarnation})
+		r.Observations = append(r.Observations, Observation{Name: name, Role: role, State: state, Incarnation: incarnation})
 	}
 	return r
 }
 
-// What one observer makes of what it hears, step by step.
+// TestTrackerStates shows the states that one observer derives from a sequence of events.
 func TestTrackerStates(t *testing.T) {
 	const s = time.Second
 	type want struct {
@@ -52,7 +51,7 @@
 		do   map[time.Duration]func(t *Tracker, now time.Duration)
 		want []want
 	}{
-		"a death is believed once the dead was not heard for a while, and a return too": {
+		"a failure is believed once the member was silent for a while, and a return at once": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) { t.MemberDead(now, "b") },
 				10 * s: func(t *Tracker, now time.Duration) {
@@ -60,7 +59,7 @@
 					t.PeerAnswered(now, "b")
 				}},
 			[]want{{1 * s, "b", Suspect}, {2 * s, "b", Failed}, {9 * s, "b", Failed}, {10 * s, "b", Present}}},
-		"who doesn't answer this one itself is in doubt, and never dead by that alone": {
+		"a member that does not answer pings is suspect, and not failed by that alone": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
 					t.PeerAnswered(now, "c")
@@ -68,7 +67,7 @@
 					t.PeerAnswered(now, "e")
 				}},
 			[]want{{2 * s, "b", Present}, {3 * s, "b", Suspect}, {3 * s, "c", Present}, {30 * s, "b", Suspect}}},
-		"one of four observers has its doubts: it is present": {
+		"suspected by one of four observers, it is present": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
 					for i, from := range []string{"c", "d", "e"} {
@@ -76,14 +75,14 @@
 					}
 				}},
 			[]want{{3 * s, "b", Present}, {9 * s, "b", Present}}},
-		"most have it as failed": {
+		"failed for most observers": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
 					t.MergeReport(now, newReportFrom("c", 1, Failed, 1, "b"))
 					t.MergeReport(now, newReportFrom("d", 1, Failed, 1, "b"))
 				}},
 			[]want{{1 * s, "b", Failed}}},
-		"too many deaths at once are not believed, not even after long": {
+		"a mass failure is not believed, however long it lasts": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				4 * s: func(t *Tracker, now time.Duration) {
 					t.MemberDead(now, "b")
@@ -92,7 +91,7 @@
 					t.MemberDead(now, "e")
 				}},
 			[]want{{5 * s, "e", Suspect}, {60 * s, "e", Suspect}, {60 * s, "d", Suspect}}},
-		"unless most that are left say the same": {
+		"a mass failure is believed once most remaining observers agree": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				4 * s: func(t *Tracker, now time.Duration) {
 					t.PeerAnswered(now, "e")
@@ -109,7 +108,7 @@
 					t.MergeReport(now, newReportFrom("e", 2, Failed, 1, "b", "c", "d"))
 				}},
 			[]want{{4 * s, "d", Suspect}, {5 * s, "d", Suspect}, {6 * s, "d", Failed}}},
-		"who stood still accuses nobody of silence": {
+		"after a pause of this process no member is suspected of silence": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				10 * s: func(t *Tracker, now time.Duration) { t.Paused(now, 10*s); t.MemberDead(now, "b") },
 				11 * s: func(t *Tracker, now time.Duration) {
@@ -119,7 +118,7 @@
 					}
 				}},
 			[]want{{10 * s, "b", Suspect}, {10 * s, "c", Present}, {12 * s, "b", Present}}},
-		"news of an earlier life changes nothing": {
+		"reports about an earlier incarnation change nothing": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) { t.MemberAlive(now, controlPlaneServer("b", 5)) },
 				2 * s: func(t *Tracker, now time.Duration) {
@@ -131,7 +130,7 @@
 					t.MemberAlive(now, old)
 				}},
 			[]want{{2 * s, "b", Present}}},
-		"a planned leave": {
+		"a planned shutdown": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
 					i := controlPlaneServer("b", 1)
@@ -140,25 +139,25 @@
 				},
 				2 * s: func(t *Tracker, now time.Duration) { t.MemberDead(now, "b") }},
 			[]want{{1 * s, "b", Present}, {2 * s, "b", Left}}},
-		"started again and without a number, it is there": {
+		"restarted and without an incarnation, it is present": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) { t.MemberDead(now, "b") },
 				3 * s: func(t *Tracker, now time.Duration) {
-					i := controlPlaneServer("b", 0)
-					i.InstanceID = "another folder"
-					t.MemberAlive(now, i)
+					restarted := controlPlaneServer("b", 0)
+					restarted.InstanceID = "another instance"
+					t.MemberAlive(now, restarted)
 					t.PeerAnswered(now, "b")
-					if id, is := t.InstanceID("b"); !is || id != i.InstanceID {
-						panic("its folder is " + id)
+					if id, mayBeAlive := t.InstanceID("b"); !mayBeAlive || id != restarted.InstanceID {
+						panic("its instance ID is " + id)
 					}
 				}},
 			[]want{{2 * s, "b", Failed}, {3 * s, "b", Present}}},
-		"without a number it is joining": {
+		"a new member without an incarnation is joining": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) { t.MemberAlive(now, controlPlaneServer("f", 0)) },
 				2 * s: func(t *Tracker, now time.Duration) { t.MemberAlive(now, controlPlaneServer("f", 9)) }},
 			[]want{{1 * s, "f", Joining}, {2 * s, "f", Present}}},
-		"a session that ends, and nobody has it": {
+		"a session that ends and is not opened elsewhere": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) { t.SessionOpened(now, agentInfo("n1", "x")) },
 				5 * s: func(t *Tracker, now time.Duration) { t.SessionClosed(now, "n1") }},
@@ -169,7 +168,7 @@
 				5 * s: func(t *Tracker, now time.Duration) { t.SessionClosed(now, "n1") },
 				6 * s: func(t *Tracker, now time.Duration) { t.MergeReport(now, newReportFrom("c", 1, Present, 0, "n1")) }},
 			[]want{{6 * s, "n1", Present}, {8 * s, "n1", Present}, {21 * s, "n1", Present}, {23 * s, "n1", Suspect}}},
-		"an observer that dies, and what it alone saw": {
+		"members that only a failed observer saw are suspect, then failed": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
 					t.MergeReport(now, newReportFrom("c", 1, Present, 0, "n1", "n2"))
@@ -180,7 +179,7 @@
 				2 * s: func(t *Tracker, now time.Duration) { t.MemberDead(now, "c") },
 				4 * s: func(t *Tracker, now time.Duration) { t.MergeReport(now, newReportFrom("d", 9, Present, 0, "n2")) }},
 			[]want{{1 * s, "n1", Present}, {2 * s, "n1", Suspect}, {2 * s, "n2", Suspect}, {4 * s, "n2", Present}, {4 * s, "n1", Suspect}, {5 * s, "n1", Failed}, {9 * s, "n2", Present}}},
-		"an agent that leaves, and whose old word comes late": {
+		"a late announcement of an earlier shutdown changes nothing": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
 					t.SessionOpened(now, agentInfo("n1", "x"))
@@ -189,7 +188,7 @@
 				2 * s: func(t *Tracker, now time.Duration) { t.SessionOpened(now, agentInfo("n1", "y")) },
 				3 * s: func(t *Tracker, now time.Duration) { t.Leave(now, agentInfo("n1", "x")) }},
 			[]want{{1 * s, "n1", Left}, {2 * s, "n1", Present}, {4 * s, "n1", Present}}},
-		"a report of one that is no steward, one out of order, one of a life before": {
+		"reports of a worker, out of order, and of an earlier boot change nothing": {
 			map[time.Duration]func(*Tracker, time.Duration){
 				1 * s: func(t *Tracker, now time.Duration) {
 					t.MemberAlive(now, Info{ProtocolVersion: ProtocolVersion, Name: "w", Role: RoleWorker, Incarnation: 1})
@@ -219,169 +218,3 @@
 		})
 	}
 }
-
-// Three observers between whom sessions move, whose news is lost and comes late: a session that
-// is open anywhere is present everywhere within moments, however it went; a life never goes
-// back; and once nothing happens any more all views are equal, and say how it is.
-func TestObserversAgree(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		names := []string{"a", "b", "c"}
-		all := map[string]*Tracker{}
-		for _, n := range names {
-			all[n] = NewTracker(Defaults(controlPlaneServer(n, 1)))
-			for _, o := range names {
-				if o != n {
-					all[n].MemberAlive(0, controlPlaneServer(o, 1))
-				}
-			}
-		}
-		type note struct {
-			due  time.Duration
-			to   string
-			text []byte
-		}
-		var notes []note
-		open := map[string]string{} // at which observer
-		ever := map[string]bool{}
-		lives := map[string]int64{}
-		now := time.Duration(0)
-		pass := func(lossy bool) {
-			now += 100 * time.Millisecond
-			for _, n := range names {
-				r, some := all[n].PendingReport(now, 4)
-				if now%time.Second == 0 {
-					r, some = all[n].FullReport(now), true
-				}
-				r.BootID = n
-				text, _ := json.Marshal(r)
-				for _, o := range names {
-					if o == n || !some || lossy && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
-						continue
-					}
-					late := time.Duration(0)
-					if lossy {
-						late = time.Duration(rapid.IntRange(0, 3).Draw(t, "late")) * 100 * time.Millisecond
-					}
-					notes = append(notes, note{now + late, o, text})
-				}
-			}
-			var rest []note
-			for _, x := range notes {
-				if x.due > now {
-					rest = append(rest, x)
-					continue
-				}
-				if r, err := DecodeReport(x.text); err != nil {
-					t.Fatal(err)
-				} else {
-					all[x.to].MergeReport(now, &r)
-				}
-			}
-			notes = rest
-			for _, n := range names {
-				all[n].Tick(now)
-				for _, e := range func() []Entry { v := all[n].View(now); return v.Members }() {
-					if e.Role != RoleControlPlane && e.Incarnation < lives[n+e.Name] {
-						t.Fatalf("%s: %s is of life %d, and was of %d", n, e.Name, e.Incarnation, lives[n+e.Name])
-					}
-					lives[n+e.Name] = e.Incarnation
-				}
-			}
-		}
-		for range rapid.IntRange(0, 30).Draw(t, "events") {
-			who, at := fmt.Sprint("n", rapid.IntRange(0, 2).Draw(t, "agent")), rapid.SampledFrom(names).Draw(t, "at")
-			switch rapid.SampledFrom([]string{"open", "move", "close", "server"}).Draw(t, "event") {
-			case "open", "move":
-				if was := open[who]; was != "" {
-					all[was].SessionClosed(now, who)
-				}
-				all[at].SessionOpened(now, agentInfo(who, who))
-				open[who], ever[who] = at, true
-			case "close":
-				if was := open[who]; was != "" {
-					all[was].SessionClosed(now, who)
-					delete(open, who)
-				}
-			case "server":
-				born := int64(rapid.IntRange(1, 5).Draw(t, "born"))
-				all[at].Heartbeat(now, Info{ProtocolVersion: ProtocolVersion, Name: "s", Role: RoleServer, Incarnation: born}, 2*time.Second)
-			}
-			for range rapid.IntRange(0, 20).Draw(t, "passes") {
-				pass(true)
-			}
-			for who, at := range open {
-				if v := all[at].View(now); v.State(who) != Present {
-					t.Fatalf("%s watches at %s, which has it as %q", who, at, v.State(who))
-				}
-			}
-		}
-		for range 200 {
-			pass(false)
-		}
-		for _, n := range names {
-			v := all[n].View(now)
-			for i := range 3 {
-				who := fmt.Sprint("n", i)
-				if st := v.State(who); (open[who] != "") != (st == Present) || ever[who] && open[who] == "" && st != Failed {
-					t.Fatalf("in the end %s is open at %q, %s has it as %q: %+v", who, open[who], n, st, v.Members)
-				}
-			}
-			if w := all["a"].View(now); w.State("s") != v.State("s") {
-				t.Fatalf("in the end s is %q and %q", w.State("s"), v.State("s"))
-			}
-		}
-	})
-}
-
-// What differs between views, since when, and who is alone.
-func TestCompareViews(t *testing.T) {
-	view := func(from string, of map[string]State) View {
-		v := View{From: from}
-		for name, st := range of {
-			role := RoleControlPlane
-			if name[0] == 'n' {
-				role = RoleAgent
-			}
-			v.Members = append(v.Members, Entry{Name: name, Role: role, State: st, Observers: []Opinion{{from, st, 1, int64(from[0]-'a'+1) * 1000}, {"x", Failed, 1, 1}}})
-		}
-		return v
-	}
-	got := CompareViews([]View{view("a", map[string]State{"b": Present, "c": Suspect, "d": Present, "n1": Present}), view("b", map[string]State{"a": Present, "c": Present, "d": Present, "n1": Failed}),
-		view("c", map[string]State{"a": Present, "b": Present, "d": Present}), view("d", map[string]State{"a": Present, "b": Present, "c": Present, "n1": Suspect})})
-	if len(got) != 1 || got[0].Name != "c" || got[0].Dissenter != "a" || got[0].ForMs != 1000 || got[0].States["b"] != "present" {
-		t.Errorf("%+v", got)
-	}
-	if got := CompareViews([]View{view("a", map[string]State{"b": Present}), view("b", map[string]State{"a": Present})}); len(got) != 0 {
-		t.Errorf("of one mind: %+v", got)
-	}
-	if got := CompareViews([]View{view("a", map[string]State{"b": Present, "c": Present}), view("b", map[string]State{"a": Present}), view("c", map[string]State{"a": Present, "b": Present})}); len(got) != 1 ||
-		got[0].Name != "c" || len(got[0].Absent) != 1 || got[0].Absent[0] != "b" {
-		t.Errorf("one that is not known to all: %+v", got)
-	}
-}
-
-// FuzzDecodeMessages: what others send makes sense or is refused, and what is taken harms nobody.
-func FuzzDecodeMessages(f *testing.F) {
-	tr := newTrackerOfFive(0)
-	tr.SessionOpened(0, agentInfo("n1", "x"))
-	own, _ := json.Marshal(tr.FullReport(0))
-	info, _ := json.Marshal(controlPlaneServer("b", 3))
-	for _, seed := range [][]byte{own, info, []byte("{}"), []byte(`{"f":2,"n":"b"}`), []byte(`{"f":1,"n":"b","o":[{"n":"c","r":"steward","s":"present","t":-1}]}`), nil} {
-		f.Add(seed)
-	}
-	f.Fuzz(func(t *testing.T, text []byte) {
-		tr := newTrackerOfFive(0)
-		if i, err := DecodeInfo(text); err == nil {
-			tr.MemberAlive(time.Second, i)
-		}
-		if r, err := DecodeReport(text); err == nil {
-			tr.MergeReport(time.Second, &r)
-		}
-		tr.MemberDead(2*time.Second, "b")
-		tr.Tick(5 * time.Second)
-		v := tr.View(5 * time.Second)
-		if v.State("a") != Present || len(v.Members) > MaxMembers+5 {
-			t.Errorf("%+v", v)
-		}
-	})
-}
