--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -11,12 +11,12 @@
 	"knotrouter/internal/member"
 )
 
-// The file in testdata is what the program of commit d25b370 sent to other members, which may be
-// of another build: a name in Go may change, this may not.
+// The file in testdata was sent by the program of commit d25b370 to other members, which may be
+// of another build: a name in Go may change, this file may not.
 
-// TestMembersAreToldInKnownForm holds what a member says of itself with each of its messages,
-// and what it tells of all that it knows. The messages of members are held beside their types.
-func TestMembersAreToldInKnownForm(t *testing.T) {
+// TestAnnouncementsKeepTheirForm holds the text of the Info that a member announces and of its
+// full report. Package member holds the other messages.
+func TestAnnouncementsKeepTheirForm(t *testing.T) {
 	self := member.Info{Name: "st-1", Role: member.RoleControlPlane, Zone: "zone-a", ProgramVersion: "v1",
 		Versions: member.ProtocolVersions{Gossip: 1, Catalog: 1}, Incarnation: 7, InstanceID: "folder"}
 	n, err := Start(Config{Self: self, Listen: "127.0.0.1:0", Tracker: member.Defaults(self),
@@ -29,9 +29,9 @@
 	d.NotifyUpdate(&memberlist.Node{Name: "st-2", Meta: []byte(`{"f":1,"n":"st-2","r":"steward","s":{"g":1,"c":1},"i":8}`)})
 	d.NotifyMsg([]byte(`{"f":1,"n":"st-2","i":8,"q":1,"b":"first","w":true,"o":[{"n":"s-1","r":"server","z":"zone-b","i":9,"s":"present","t":1}]}`))
 	if v := n.View(); v.State("s-1") != member.Present {
-		t.Errorf("the recorded report was not taken: %+v", v.Members)
+		t.Errorf("the recorded report was not merged: %+v", v.Members)
 	}
-	varies := regexp.MustCompile(`"(b|q|t)":("[A-Z2-7]{26}"|\d+)`) // drawn, counted, timed
+	varies := regexp.MustCompile(`"(b|q|t)":("[A-Z2-7]{26}"|\d+)`) // random, a counter, a time
 	golden.Lines(t, "told.txt", []string{
 		string(d.NodeMeta(512)),
 		varies.ReplaceAllString(string(d.LocalState(true)), `"$1":(varies)`),
--- a/internal/leaderelection/wire_test.go
+++ b/internal/leaderelection/wire_test.go
@@ -6,8 +6,8 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// TestMessagesKeepTheirKeys holds the JSON form of what a session is told to do, with every
-// field, as the program of commit d25b370 wrote it.
+// TestMessagesKeepTheirKeys holds the JSON form of a session's assignments, with every field,
+// as the program of commit d25b370 wrote it.
 func TestMessagesKeepTheirKeys(t *testing.T) {
 	golden.Messages(t, "messages.txt", []golden.Message{golden.Of[AssignmentUpdate]("tasks")})
 }
--- a/internal/member/gossipevents.go
+++ b/internal/member/gossipevents.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// MemberAlive handles the gossip library's news that a member is alive or has changed its
-// Info.
+// MemberAlive handles the gossip library's notification that a member is alive or has
+// changed its Info.
 func (t *Tracker) MemberAlive(now time.Duration, info Info) {
 	if m := t.members[info.Name]; m != nil && info.Incarnation == 0 {
 		// The member has restarted and the catalog has not assigned its incarnation yet. The
@@ -21,7 +21,7 @@
 	t.updateOwnState(now, m)
 }
 
-// MemberDead handles the gossip library's news that a member has failed or left.
+// MemberDead handles the gossip library's notification that a member has failed or left.
 func (t *Tracker) MemberDead(now time.Duration, name string) {
 	m := t.members[name]
 	if m == nil || m.reportedDead {
--- a/internal/member/info.go
+++ b/internal/member/info.go
@@ -72,7 +72,7 @@
 	// It is 0 until the catalog has assigned one.
 	Incarnation  int64 `json:"i,omitempty"`
 	ShuttingDown bool  `json:"l,omitempty"` // a planned shutdown has begun
-	// InstanceID tells processes of the same name apart. For a member that gossips it
+	// InstanceID distinguishes processes of the same name. For a member that gossips it
 	// belongs to the folder with its state, and so survives a restart; for an agent it is
 	// that of its boot.
 	InstanceID string `json:"d,omitempty"`
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -62,7 +62,7 @@
 	case sameBoot && r.Seq <= progress.fullSeq:
 		return false
 	case incarnation == progress.incarnation && !sameBoot && progress.bootID != "" && !r.Full:
-		// Which of two boots with one incarnation is the later cannot be told. A full report
+		// The order of two boots with one incarnation is not known. A full report
 		// comes from the observer itself, so its boot is the current one; a partial report is
 		// passed on by others and may be of the earlier boot.
 		return false
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// View is the state of the whole fleet as one process sees it.
+// View is the state of all members as one process sees them.
 type View struct {
 	From    string  `json:"from"`    // the process
 	Version int64   `json:"version"` // grows with each change, and starts again with the process
@@ -138,7 +138,7 @@
 }
 
 // combineGossipStates combines the observations of a member that gossips, all of them in
-// number: it has left if it has told any observer so, and otherwise is what a majority sees.
+// number: it has left if any observer has its announcement, and otherwise is what a majority sees.
 // If the observers are divided in halves, this process's own observation that the member is
 // alive, seenHere, decides. Without a majority the member is suspect.
 func combineGossipStates(states map[State]int, all int, seenHere bool) State {
--- a/internal/member/wire_test.go
+++ b/internal/member/wire_test.go
@@ -9,11 +9,11 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// The files in testdata are what the program of commit d25b370 wrote. They stand for what members
-// of other builds send and read: a name in Go may change, these may not.
+// The files in testdata were written by the program of commit d25b370. They stand for members of
+// other builds, which send and read them: a name in Go may change, these files may not.
 
-// TestMessagesKeepTheirKeys holds the JSON form of what members tell each other and operators,
-// with every field.
+// TestMessagesKeepTheirKeys holds the JSON form of members' messages and of the views that
+// operators read, with every field.
 func TestMessagesKeepTheirKeys(t *testing.T) {
 	golden.Messages(t, "messages.txt", []golden.Message{
 		golden.Of[Info]("info"),
@@ -27,8 +27,8 @@
 	})
 }
 
-// TestConstantsKeepTheirValues holds the words of roles, of states, and of what observers and
-// those that decide by them say.
+// TestConstantsKeepTheirValues holds the values of roles and states, of observers' answers and of
+// the decisions.
 func TestConstantsKeepTheirValues(t *testing.T) {
 	var quoted []string
 	for _, value := range golden.StringConstants(t, ".") {
@@ -37,16 +37,16 @@
 	golden.Includes(t, "constants.txt", quoted)
 }
 
-// TestRecordedMessagesAreRead reads a member's word for itself and an observer's report as they
-// were sent, and writes them again as they were.
+// TestRecordedMessagesAreRead decodes a member's Info and an observer's report that were recorded,
+// and encodes them to the same text.
 func TestRecordedMessagesAreRead(t *testing.T) {
-	same := func(file string, read func(text []byte) (any, error)) {
+	same := func(file string, decode func(text []byte) (any, error)) {
 		t.Helper()
 		text, err := os.ReadFile(golden.Path(file))
 		if err != nil {
 			t.Fatal(err)
 		}
-		v, err := read(text)
+		v, err := decode(text)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 		if string(again) != string(text) {
-			t.Errorf("%s is written again as\n%s, and was\n%s", file, again, text)
+			t.Errorf("%s is encoded as\n%s, and was\n%s", file, again, text)
 		}
 	}
 	same("info.json", func(text []byte) (any, error) { return DecodeInfo(text) })
