--- a/cmd/controlplane/cli_test.go
+++ b/cmd/controlplane/cli_test.go
@@ -22,7 +22,7 @@
 		for _, name := range append([]string{c.Name()}, c.Aliases...) {
 			path := parent + " " + name
 			got = append(got, strings.TrimSpace(path+" "+args))
-			c.LocalNonPersistentFlags().VisitAll(func(f *pflag.Flag) { got = append(got, path+flag(f)) })
+			c.LocalNonPersistentFlags().VisitAll(func(flag *pflag.Flag) { got = append(got, path+describeFlag(flag)) })
 			for _, sub := range c.Commands() {
 				walk(path, sub)
 			}
@@ -33,14 +33,15 @@
 	for _, c := range root.Commands() {
 		walk("PROGRAM", c)
 	}
-	root.PersistentFlags().VisitAll(func(f *pflag.Flag) { got = append(got, "PROGRAM"+flag(f)) })
+	root.PersistentFlags().VisitAll(func(flag *pflag.Flag) { got = append(got, "PROGRAM"+describeFlag(flag)) })
 	golden.Includes(t, "commands.txt", got)
 }
 
-func flag(f *pflag.Flag) string {
+// describeFlag returns a flag's name, type and default as the golden file has them.
+func describeFlag(flag *pflag.Flag) string {
 	short := ""
-	if f.Shorthand != "" {
-		short = " -" + f.Shorthand
+	if flag.Shorthand != "" {
+		short = " -" + flag.Shorthand
 	}
-	return fmt.Sprintf(" --%s%s %s, default %q", f.Name, short, f.Value.Type(), f.DefValue)
+	return fmt.Sprintf(" --%s%s %s, default %q", flag.Name, short, flag.Value.Type(), flag.DefValue)
 }
--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -54,15 +54,15 @@
 		Example: "  controlplane serve --data /var/lib/steward\n  controlplane serve --config steward.toml"}
 	flags := cmd.Flags()
 	flags.StringVar(&config, "config", "", "TOML file")
-	for _, f := range [][2]string{{"name", "name of this steward"}, {"data", "folder of the log and the snapshots"},
+	for _, option := range [][2]string{{"name", "name of this steward"}, {"data", "folder of the log and the snapshots"},
 		{"listen", "HTTP address"}, {"raft", "address that the other stewards replicate to"}, {"log_level", "debug, info, warn or error"}} {
-		flags.String(f[0], "", f[1])
+		flags.String(option[0], "", option[1])
 	}
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		set := map[string]any{}
 		for _, key := range []string{"name", "data", "listen", "raft", "log_level"} {
-			if f := flags.Lookup(key); f.Changed {
-				set[key] = f.Value.String()
+			if flag := flags.Lookup(key); flag.Changed {
+				set[key] = flag.Value.String()
 			}
 		}
 		return serve(cmd.Context(), config, set)
