--- a/cmd/controlplane/bench_test.go
+++ b/cmd/controlplane/bench_test.go
@@ -18,8 +18,8 @@
 	"knotrouter/internal/endpoints"
 )
 
-// report gives the figures of some durations.
-func report(b *testing.B, what string, all []time.Duration) {
+// reportPercentiles gives the figures of some durations.
+func reportPercentiles(b *testing.B, what string, all []time.Duration) {
 	slices.Sort(all)
 	b.ReportMetric(float64(all[len(all)/2].Milliseconds()), what+"-p50-ms")
 	b.ReportMetric(float64(all[min(len(all)*99/100, len(all)-1)].Milliseconds()), what+"-p99-ms")
@@ -27,27 +27,27 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkLeaderDeath kills the leader and measures the time to the first write that is
+// BenchmarkLeaderFailover kills the leader and measures the time to the first write that is
 // acknowledged after it, at the settings that stewards have by default.
-func BenchmarkLeaderDeath(b *testing.B) {
-	f := newFleet(b, 3)
+func BenchmarkLeaderFailover(b *testing.B) {
+	f := newCluster(b, 3)
 	for _, name := range f.names {
 		f.kill(name)
 	}
-	f.extra = ""
+	f.extraConfig = ""
 	for _, name := range f.names {
 		f.configure(name, f.names)
 		f.start(name)
 	}
 	var gaps []time.Duration
 	for i := range b.N {
-		old := f.leader()
+		old := f.waitForLeader()
 		rest := control.NewClient(f.client(f.others(old)...).Addrs, 300*time.Millisecond)
 		f.kill(old)
 		began := time.Now()
 		for {
 			ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
-			_, err := rest.Register(ctx, entry("s", float64(i+1)))
+			_, err := rest.Register(ctx, newEndpoint("s", float64(i+1)))
 			cancel()
 			if err == nil {
 				break
@@ -56,28 +56,28 @@
 		}
 		gaps = append(gaps, time.Since(began))
 		f.start(old)
-		f.until("all three are well", func() bool {
+		f.waitUntil("all three are well", func() bool {
 			st, err := f.status(old)
-			lead, lerr := f.status(f.leader())
+			lead, lerr := f.status(f.waitForLeader())
 			return err == nil && lerr == nil && st.Seq == lead.Seq
 		})
 	}
-	report(b, "gap", gaps)
+	reportPercentiles(b, "gap", gaps)
 }
 
 // usage is the processor time and the memory that a steward tells of itself.
-func (f *fleet) usage(name string) (cpu time.Duration, rssMB float64) {
-	use, _, _ := f.all[name].proc.Look()
+func (f *testCluster) usage(name string) (cpu time.Duration, rssMB float64) {
+	use, _, _ := f.servers[name].proc.Look()
 	return use.CPU, use.RSSMB
 }
 
-// counting counts the calls that go out.
-type counting struct {
+// countingTransport counts the calls that go out.
+type countingTransport struct {
 	http.RoundTripper
 	calls *atomic.Int64
 }
 
-func (c counting) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	c.calls.Add(1)
 	return c.RoundTripper.RoundTrip(r)
 }
@@ -88,7 +88,7 @@
 func BenchmarkWatches(b *testing.B) {
 	for _, n := range []int{100, 300, 1000, 2000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			f := newFleet(b, 3)
+			f := newCluster(b, 3)
 			for i := range 200 {
 				f.register(fmt.Sprint("s-", i), 1)
 			}
@@ -107,7 +107,7 @@
 						first, back := true, false
 						var seq int64
 						c := endpoints.NewClient(endpoints.ClientConfig{Addresses: f.client(f.names...).Addrs, Order: uint64(i),
-							Fleet: n, RejectOlder: true, Transport: counting{&http.Transport{DisableKeepAlives: true}, &calls}})
+							Fleet: n, RejectOlder: true, Transport: countingTransport{&http.Transport{DisableKeepAlives: true}, &calls}})
 						for ctx.Err() == nil { // each round is one that the policy of an agent begins
 							_ = c.Watch(ctx, seq, func(l endpoints.List) {
 								seq = l.Seq
@@ -125,13 +125,13 @@
 						}
 					}()
 				}
-				f.until("all are served", func() bool { mu.Lock(); defer mu.Unlock(); return len(firsts) == n })
+				f.waitUntil("all are served", func() bool { mu.Lock(); defer mu.Unlock(); return len(firsts) == n })
 				mu.Lock()
-				report(b, "first", slices.Clone(firsts))
+				reportPercentiles(b, "first", slices.Clone(firsts))
 				b.ReportMetric(float64(calls.Load())/float64(n), "calls/watch")
 				before := got
 				mu.Unlock()
-				lead := f.leader()
+				lead := f.waitForLeader()
 				from, _ := f.usage(lead)
 				const changes, every = 100, 50 * time.Millisecond
 				for i := range changes {
@@ -139,7 +139,7 @@
 					f.register(fmt.Sprint("s-", i%200), float64(i+2), lead)
 					time.Sleep(time.Until(next))
 				}
-				f.until("all were told of the last", func() bool { mu.Lock(); defer mu.Unlock(); return got >= before+n*changes*9/10 })
+				f.waitUntil("all were told of the last", func() bool { mu.Lock(); defer mu.Unlock(); return got >= before+n*changes*9/10 })
 				to, rss := f.usage(lead)
 				b.ReportMetric(float64(to-from)/float64(changes*every), "cores-of-the-leader")
 				b.ReportMetric(rss, "MB-of-the-leader")
@@ -153,7 +153,7 @@
 					f.start(name)
 				}
 				f.register("back", 1)
-				f.until("all are back", func() bool { mu.Lock(); defer mu.Unlock(); return backAgain == n })
+				f.waitUntil("all are back", func() bool { mu.Lock(); defer mu.Unlock(); return backAgain == n })
 				b.ReportMetric(time.Since(died).Seconds(), "s-until-all-are-back")
 				b.ReportMetric(float64(calls.Load()-made)/float64(n), "calls/watch-to-come-back")
 				cancel()
@@ -166,7 +166,7 @@
 // BenchmarkRestart restarts a steward that holds ten thousand entries, and measures the
 // time until it serves all of them.
 func BenchmarkRestart(b *testing.B) {
-	f := newFleet(b, 1)
+	f := newCluster(b, 1)
 	name := f.names[0]
 	var writers sync.WaitGroup
 	for part := range 16 {
@@ -184,8 +184,8 @@
 		f.kill(name)
 		f.start(name)
 		began := time.Now()
-		f.until("all are served", func() bool {
-			resp, err := http.Get("http://" + f.all[name].http + endpoints.Path)
+		f.waitUntil("all are served", func() bool {
+			resp, err := http.Get("http://" + f.servers[name].http + endpoints.Path)
 			if err != nil {
 				return false
 			}
@@ -195,60 +195,60 @@
 		})
 		took = append(took, time.Since(began))
 	}
-	report(b, "ready", took)
-	if text, err := os.ReadFile(f.all[name].proc.Log); err == nil && strings.Contains(string(text), "ERROR") {
+	reportPercentiles(b, "ready", took)
+	if text, err := os.ReadFile(f.servers[name].proc.Log); err == nil && strings.Contains(string(text), "ERROR") {
 		b.Errorf("it complains: %s", text[max(0, len(text)-500):])
 	}
 }
 
-// BenchmarkHandOver kills the holder of a duty with a lease of 3 s again and again, and
+// BenchmarkTaskHandover kills the holder of a duty with a lease of 3 s again and again, and
 // measures the time until another acts under it; then it moves it as planned, and measures
 // the gap between the two holders' acts.
-func BenchmarkHandOver(b *testing.B) {
-	f := newFleet(b, 3)
-	c := f.crew(6, 10)
+func BenchmarkTaskHandover(b *testing.B) {
+	f := newCluster(b, 3)
+	c := f.startWorkers(6, 10)
 	const kills, moves = 100, 100
-	c.define("work.a", 3*time.Second)
-	a := c.acted("work.a", "", 0)
+	c.defineTask("work.a", 3*time.Second)
+	a := c.waitForOperation("work.a", "", 0)
 	var took []time.Duration
 	for range kills {
 		c.kill(a.Process)
-		died := c.acts.Last("work.a").Mono
-		next := c.acted("work.a", a.Process, 0)
+		died := c.operations.Last("work.a").Mono
+		next := c.waitForOperation("work.a", a.Process, 0)
 		took = append(took, next.Mono-died)
 		c.start(a.Process)
 		a = next
 		time.Sleep(2500 * time.Millisecond) // or its next end would be blamed on the duty
 	}
-	report(b, "after-kill", took)
-	before := len(c.acts.Judge().Gaps)
+	reportPercentiles(b, "after-kill", took)
+	before := len(c.operations.Judge().Gaps)
 	for range moves {
-		if err := c.order("work.a", "move", ""); err == nil {
-			a = c.acted("work.a", a.Process, 0)
+		if err := c.commandTask("work.a", "move", ""); err == nil {
+			a = c.waitForOperation("work.a", a.Process, 0)
 		}
 	}
-	v := c.acts.Judge()
-	report(b, "planned-gap", v.Gaps[before:])
+	v := c.operations.Judge()
+	reportPercentiles(b, "planned-gap", v.Gaps[before:])
 	if len(v.Broke) > 0 {
 		b.Errorf("%d overlaps: %s", len(v.Broke), v.Broke[0])
 	}
 }
 
-// BenchmarkDuties defines many duties for nine processes and measures, once all are held,
+// BenchmarkLeasedTasks defines many duties for nine processes and measures, once all are held,
 // what the leader writes and uses while nothing happens, and how long it takes until all
 // are held again after a death.
-func BenchmarkDuties(b *testing.B) {
+func BenchmarkLeasedTasks(b *testing.B) {
 	for _, n := range []int{1000, 5000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			f := newFleet(b, 3)
-			c := f.crew(9, 2000)
+			f := newCluster(b, 3)
+			c := f.startWorkers(9, 2000)
 			var all sync.WaitGroup
 			for part := range 16 {
 				all.Add(1)
 				go func() {
 					defer all.Done()
 					for i := part; i < n; i += 16 {
-						c.define(fmt.Sprint("idle.", i), 3*time.Second)
+						c.defineTask(fmt.Sprint("idle.", i), 3*time.Second)
 					}
 				}()
 			}
@@ -256,7 +256,7 @@
 			free := func() int {
 				ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 				defer cancel()
-				ds, err := f.client(f.leader()).Tasks(ctx)
+				ds, err := f.client(f.waitForLeader()).Tasks(ctx)
 				if err != nil {
 					return n
 				}
@@ -268,9 +268,9 @@
 				}
 				return count
 			}
-			f.until("all are held", func() bool { return free() == 0 })
+			f.waitUntil("all are held", func() bool { return free() == 0 })
 			time.Sleep(15 * time.Second) // evened out
-			lead := f.leader()
+			lead := f.waitForLeader()
 			st, _ := f.status(lead)
 			cpu, _ := f.usage(lead)
 			const rest = 10 * time.Second
@@ -282,28 +282,28 @@
 			b.ReportMetric(rss, "MB-of-the-leader")
 			began := time.Now()
 			c.kill("w-1")
-			f.until("its duties are free", func() bool { return free() > 0 })
-			f.until("all are held again", func() bool { return free() == 0 })
+			f.waitUntil("its duties are free", func() bool { return free() > 0 })
+			f.waitUntil("all are held again", func() bool { return free() == 0 })
 			b.ReportMetric(time.Since(began).Seconds(), "s-until-all-are-held")
 		})
 	}
 }
 
-// BenchmarkUnheld plays a fault every ten seconds for ten minutes, at a lease of 3 s, and
+// BenchmarkTimeWithoutHolder plays a fault every ten seconds for ten minutes, at a lease of 3 s, and
 // measures for what share of the time a duty had nobody who acted.
-func BenchmarkUnheld(b *testing.B) {
-	f := newFleet(b, 3)
-	c := f.crew(4, 10, 0.95, 1, 1.05)
+func BenchmarkTimeWithoutHolder(b *testing.B) {
+	f := newCluster(b, 3)
+	c := f.startWorkers(4, 10, 0.95, 1, 1.05)
 	for i := range 4 {
-		c.define(fmt.Sprint("work.", i), 3*time.Second)
+		c.defineTask(fmt.Sprint("work.", i), 3*time.Second)
 	}
 	rng := rand.New(rand.NewPCG(77, 1))
 	for end := time.Now().Add(10 * time.Minute); time.Now().Before(end); {
 		next := time.Now().Add(10 * time.Second)
-		c.fault(rng)
+		c.injectFault(rng)
 		time.Sleep(time.Until(next))
 	}
-	v := c.acts.Judge()
+	v := c.operations.Judge()
 	b.ReportMetric(100*float64(v.Idle)/float64(v.All), "percent-unheld")
 	b.ReportMetric(float64(v.Terms), "terms")
 	b.ReportMetric(float64(v.Refused), "acts-refused")
--- a/cmd/controlplane/cli_test.go
+++ b/cmd/controlplane/cli_test.go
@@ -29,7 +29,7 @@
 		}
 	}
 	// The program's own name is not held: it is called by the path to its file.
-	root := command(io.Discard)
+	root := newRootCommand(io.Discard)
 	for _, c := range root.Commands() {
 		walk("PROGRAM", c)
 	}
--- a/cmd/controlplane/duties.go
+++ b/cmd/controlplane/duties.go
@@ -12,7 +12,7 @@
 	"knotrouter/internal/table"
 )
 
-func dutiesCommand(out io.Writer, client func() *control.Client) *cobra.Command {
+func tasksCommand(out io.Writer, client func() *control.Client) *cobra.Command {
 	list := func(cmd *cobra.Command, _ []string) error {
 		all, err := client().Tasks(cmd.Context())
 		if err != nil {
@@ -21,7 +21,7 @@
 		var rows [][]string
 		for i := range all {
 			d := &all[i]
-			rows = append(rows, []string{d.Name, d.Holder, fmt.Sprint(d.Fence), d.TTL.String(), d.Successor, standing(d)})
+			rows = append(rows, []string{d.Name, d.Holder, fmt.Sprint(d.Fence), d.TTL.String(), d.Successor, taskState(d)})
 		}
 		return table.Terminal(out, false, []string{"duty", "holder", "fence", "time", "next", "state"}, rows)
 	}
@@ -36,7 +36,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(out, "%s: %s, fence %d, for %v a time\n", d.Name, standing(&d), d.Fence, d.TTL)
+				fmt.Fprintf(out, "%s: %s, fence %d, for %v a time\n", d.Name, taskState(&d), d.Fence, d.TTL)
 				var rows [][]string
 				for _, t := range d.History {
 					rows = append(rows, []string{t.Process, fmt.Sprint(t.Fence), (t.To - t.From).Round(time.Millisecond).String(), t.Reason})
@@ -76,8 +76,8 @@
 	return cmd
 }
 
-// standing words how a duty stands.
-func standing(d *catalog.LeasedTask) string {
+// taskState words how a duty stands.
+func taskState(d *catalog.LeasedTask) string {
 	switch {
 	case d.SuspendReason != "" && d.Holder == "":
 		return "parked: " + d.SuspendReason
--- a/cmd/controlplane/faults_test.go
+++ b/cmd/controlplane/faults_test.go
@@ -20,10 +20,10 @@
 	"knotrouter/internal/lab/link"
 )
 
-// follow starts a reader, which begins at the first named.
-func (f *fleet) follow(at ...string) *reader {
+// startReader starts a reader, which begins at the first named.
+func (f *testCluster) startReader(at ...string) *watchReader {
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &reader{hosts: map[string]endpoints.Endpoint{}, stop: cancel, done: make(chan struct{})}
+	r := &watchReader{listed: map[string]endpoints.Endpoint{}, stop: cancel, done: make(chan struct{})}
 	addrs := f.client(at...).Addrs
 	order := uint64(0)
 	for first := ""; first != addrs[0]; order++ {
@@ -37,9 +37,9 @@
 		defer close(r.done)
 		for ctx.Err() == nil {
 			r.mu.Lock()
-			seq := r.seq
+			seq := r.version
 			r.mu.Unlock()
-			_ = c.Watch(ctx, seq, func(l endpoints.List) { r.take(&l) })
+			_ = c.Watch(ctx, seq, func(l endpoints.List) { r.apply(&l) })
 			time.Sleep(10 * time.Millisecond)
 		}
 	}()
@@ -49,14 +49,14 @@
 
 // A leader that is killed, stopped, or no longer heard is replaced; writes go on, nothing
 // that was acknowledged is lost, no version goes back, and it catches up when it is well.
-func TestLeaderFails(t *testing.T) {
+func TestWritesContinueAfterLeaderFault(t *testing.T) {
 	for _, fault := range []string{"killed", "stopped", "not heard", "hears nothing", "cut off"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, 3)
-			w, r := f.write("s"), f.follow(f.names...)
-			f.until("writes", func() bool { return w.count() > 20 })
-			old := f.leader()
+			f := newCluster(t, 3)
+			w, r := f.startWriter("s"), f.startReader(f.names...)
+			f.waitUntil("writes", func() bool { return w.count() > 20 })
+			old := f.waitForLeader()
 			cut := func(out, in bool) {
 				for _, other := range f.others(old) {
 					if err := f.links[[2]string{old, other}].Set(link.Shape{Cut: out}, link.Shape{Cut: in}); err != nil {
@@ -73,10 +73,10 @@
 				f.kill(old)
 				heal = func() { f.start(old) }
 			case "stopped":
-				if err := f.all[old].proc.Signal(syscall.SIGSTOP); err != nil {
+				if err := f.servers[old].proc.Signal(syscall.SIGSTOP); err != nil {
 					t.Fatal(err)
 				}
-				heal = func() { _ = f.all[old].proc.Signal(syscall.SIGCONT) }
+				heal = func() { _ = f.servers[old].proc.Signal(syscall.SIGCONT) }
 			case "not heard":
 				cut(true, false)
 				heal = func() { cut(false, false) }
@@ -87,7 +87,7 @@
 				cut(true, true)
 				heal = func() { cut(false, false) }
 			}
-			f.until("another leader", func() bool {
+			f.waitUntil("another leader", func() bool {
 				for _, n := range f.others(old) {
 					if st, err := f.status(n); err == nil && st.State == "leader" {
 						return true
@@ -96,28 +96,28 @@
 				return false
 			})
 			f.register("during", 1, f.others(old)...)
-			f.until("read while the fault lasts", func() bool { _, ok := r.has("during"); return ok })
+			f.waitUntil("read while the fault lasts", func() bool { _, ok := r.lookup("during"); return ok })
 			heal()
-			f.until("caught up", func() bool {
-				e, err := f.all[old].client.Server(context.Background(), "during", false)
+			f.waitUntil("caught up", func() bool {
+				e, err := f.servers[old].client.Server(context.Background(), "during", false)
 				return err == nil && e.Endpoint.Name == "during"
 			})
 			before := w.count()
-			f.until("more writes", func() bool { return w.count() > before+20 })
-			w.end(f, f.names...)
-			r.end(t)
+			f.waitUntil("more writes", func() bool { return w.count() > before+20 })
+			w.stopAndVerify(f, f.names...)
+			r.stopAndVerify(t)
 		})
 	}
 }
 
 // Whatever is killed, however often, under writes: each that was acknowledged is there.
-func TestKillsInALoop(t *testing.T) {
-	f := newFleet(t, 3)
-	rng := seeded(t, 4)
-	w, r := f.write("s"), f.follow(f.names...)
+func TestAcknowledgedWritesSurviveRepeatedKills(t *testing.T) {
+	f := newCluster(t, 3)
+	rng := newSeededRand(t, 4)
+	w, r := f.startWriter("s"), f.startReader(f.names...)
 	for range 12 {
 		before := w.count()
-		f.until("writes", func() bool { return w.count() > before+15 })
+		f.waitUntil("writes", func() bool { return w.count() > before+15 })
 		victims := []string{f.names[rng.IntN(3)]}
 		if rng.IntN(4) == 0 { // all at once
 			victims = f.names
@@ -129,49 +129,49 @@
 			f.start(name)
 		}
 	}
-	w.end(f, f.names...)
-	r.end(t)
+	w.stopAndVerify(f, f.names...)
+	r.stopAndVerify(t)
 }
 
 // With two of three gone nothing is written and nothing is lost; what is there is served
 // on; with one of them back writes go on.
-func TestQuorumLost(t *testing.T) {
-	f := newFleet(t, 3)
+func TestQuorumLossRejectsWrites(t *testing.T) {
+	f := newCluster(t, 3)
 	f.register("before", 1)
 	left := f.names[1]
-	r := f.follow(left)
-	f.until("read", func() bool { _, ok := r.has("before"); return ok })
+	r := f.startReader(left)
+	f.waitUntil("read", func() bool { _, ok := r.lookup("before"); return ok })
 	for _, name := range f.others(left) {
 		f.kill(name)
 	}
-	f.until("stale", func() bool { st, err := f.status(left); return err == nil && st.Stale })
+	f.waitUntil("stale", func() bool { st, err := f.status(left); return err == nil && st.Stale })
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if _, err := f.all[left].client.Register(ctx, entry("never", 1)); err == nil {
+	if _, err := f.servers[left].client.Register(ctx, newEndpoint("never", 1)); err == nil {
 		t.Error("a write was acknowledged without the quorum")
 	}
-	if l, err := f.all[left].client.List(ctx); err != nil || len(l.Endpoints) != 1 {
+	if l, err := f.servers[left].client.List(ctx); err != nil || len(l.Endpoints) != 1 {
 		t.Errorf("a steward without a better one doesn't serve its list: %v %v", l, err)
 	}
-	if _, err := f.all[left].client.Server(ctx, "before", true); err == nil {
+	if _, err := f.servers[left].client.Server(ctx, "before", true); err == nil {
 		t.Error("a read as of now was answered without the quorum")
 	}
 	f.start(f.others(left)[0])
 	f.register("after", 1)
-	f.until("read on", func() bool { _, ok := r.has("after"); return ok })
-	if _, ok := r.has("never"); ok {
+	f.waitUntil("read on", func() bool { _, ok := r.lookup("after"); return ok })
+	if _, ok := r.lookup("never"); ok {
 		t.Error("a write that was refused is there")
 	}
-	r.end(t)
+	r.stopAndVerify(t)
 }
 
 // A steward that has lost the quorum sends its watches to those that have it.
-func TestStaleSendsAway(t *testing.T) {
-	f := newFleet(t, 3)
+func TestStaleServerEndsItsWatches(t *testing.T) {
+	f := newCluster(t, 3)
 	f.register("s", 1)
-	cutOff := f.others(f.leader())[0]
-	r := f.follow(append([]string{cutOff}, f.others(cutOff)...)...)
-	f.until("read", func() bool { _, ok := r.has("s"); return ok })
+	cutOff := f.others(f.waitForLeader())[0]
+	r := f.startReader(append([]string{cutOff}, f.others(cutOff)...)...)
+	f.waitUntil("read", func() bool { _, ok := r.lookup("s"); return ok })
 	for _, other := range f.others(cutOff) {
 		for _, key := range [][2]string{{cutOff, other}, {other, cutOff}} {
 			if err := f.links[key].Set(link.Shape{Cut: true}, link.Shape{Cut: true}); err != nil {
@@ -180,8 +180,8 @@
 		}
 	}
 	f.register("news", 1, f.others(cutOff)...)
-	f.until("told by a better one", func() bool { _, ok := r.has("news"); return ok })
-	resp, err := http.Get("http://" + f.all[cutOff].http + endpoints.Path)
+	f.waitUntil("told by a better one", func() bool { _, ok := r.lookup("news"); return ok })
+	resp, err := http.Get("http://" + f.servers[cutOff].http + endpoints.Path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,52 +189,52 @@
 	if resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("a stale steward answers %s though better ones are there", resp.Status)
 	}
-	r.end(t)
+	r.stopAndVerify(t)
 }
 
 // A steward whose folder is gone joins anew, without a vote until the others took it in:
 // even where it comes back while another is gone, what was acknowledged stays.
-func TestFolderGone(t *testing.T) {
-	f := newFleet(t, 3)
-	w := f.write("s")
-	f.until("writes", func() bool { return w.count() > 100 })
-	victim := f.others(f.leader())[0]
+func TestServerRejoinsWithoutItsData(t *testing.T) {
+	f := newCluster(t, 3)
+	w := f.startWriter("s")
+	f.waitUntil("writes", func() bool { return w.count() > 100 })
+	victim := f.others(f.waitForLeader())[0]
 	f.kill(victim)
-	if err := os.RemoveAll(f.data(victim)); err != nil {
+	if err := os.RemoveAll(f.dataDir(victim)); err != nil {
 		t.Fatal(err)
 	}
 	f.start(victim)
-	f.until("a voter again", func() bool {
+	f.waitUntil("a voter again", func() bool {
 		// It replays the log, and meanwhile says of the voters what was so before its loss:
 		// the leader's word counts, from when its raft runs, which took its being off them.
 		if st, err := f.status(victim); err != nil || st.Applied == 0 {
 			return false
 		}
-		st, err := f.status(f.leader())
+		st, err := f.status(f.waitForLeader())
 		return err == nil && slices.Contains(st.Voters, victim) && len(st.Voters) == 3
 	})
-	w.end(f, f.names...)
+	w.stopAndVerify(f, f.names...)
 	// All the others' knowledge is its own now: with the old leader gone it makes a quorum.
-	f.kill(f.leader())
+	f.kill(f.waitForLeader())
 	f.register("after", 1)
 }
 
 // A steward that lost its folder may have promised what it forgot, so it doesn't vote: with
 // the one gone that knows what was acknowledged, the two others wait for it.
-func TestForgetfulDoesNotVote(t *testing.T) {
-	f := newFleet(t, 3)
-	knows := f.leader()
+func TestServerWithoutItsDataDoesNotVote(t *testing.T) {
+	f := newCluster(t, 3)
+	knows := f.waitForLeader()
 	forgets, lags := f.others(knows)[0], f.others(knows)[1]
 	f.kill(lags)
 	f.register("acknowledged", 1, knows)
 	f.kill(forgets)
 	f.kill(knows)
-	if err := os.RemoveAll(f.data(forgets)); err != nil {
+	if err := os.RemoveAll(f.dataDir(forgets)); err != nil {
 		t.Fatal(err)
 	}
 	f.start(forgets)
 	f.start(lags)
-	f.until("both run", func() bool {
+	f.waitUntil("both run", func() bool {
 		for _, name := range []string{forgets, lags} {
 			if _, err := f.status(name); err != nil {
 				return false
@@ -250,41 +250,41 @@
 		}
 	}
 	f.start(knows)
-	f.until("what was acknowledged is there", func() bool {
+	f.waitUntil("what was acknowledged is there", func() bool {
 		e, err := f.client(f.names...).Server(context.Background(), "acknowledged", true)
 		return err == nil && e.Endpoint.StartedMs == 1
 	})
 }
 
 // Far behind, a steward is brought up by a snapshot.
-func TestSnapshotInstalled(t *testing.T) {
-	f := newFleet(t, 3)
-	behind := f.others(f.leader())[0]
+func TestLaggingServerInstallsSnapshot(t *testing.T) {
+	f := newCluster(t, 3)
+	behind := f.others(f.waitForLeader())[0]
 	f.kill(behind)
 	f.register("once", 7) // no later entry of the log tells of it
 	for i := range 300 {  // several times what a log keeps
 		f.register(fmt.Sprint("s-", i%20), float64(i))
 	}
-	f.until("snapshots", func() bool {
-		found, _ := filepath.Glob(filepath.Join(f.data(f.leader()), "snapshots", "*", "state.bin"))
+	f.waitUntil("snapshots", func() bool {
+		found, _ := filepath.Glob(filepath.Join(f.dataDir(f.waitForLeader()), "snapshots", "*", "state.bin"))
 		return len(found) > 0
 	})
 	f.start(behind)
-	f.until("caught up", func() bool {
-		e, err := f.all[behind].client.Server(context.Background(), "s-19", false)
+	f.waitUntil("caught up", func() bool {
+		e, err := f.servers[behind].client.Server(context.Background(), "s-19", false)
 		return err == nil && e.Endpoint.StartedMs == 299
 	})
-	if e, err := f.all[behind].client.Server(context.Background(), "once", false); err != nil || e.Endpoint.StartedMs != 7 {
+	if e, err := f.servers[behind].client.Server(context.Background(), "once", false); err != nil || e.Endpoint.StartedMs != 7 {
 		t.Errorf("what only the snapshot tells of: %+v, %v", e.Endpoint, err)
 	}
-	if text, err := os.ReadFile(f.all[behind].proc.Log); err != nil || !strings.Contains(string(text), "Installed remote snapshot") {
+	if text, err := os.ReadFile(f.servers[behind].proc.Log); err != nil || !strings.Contains(string(text), "Installed remote snapshot") {
 		t.Errorf("no snapshot was installed: %v", err)
 	}
 }
 
 // All stewards are replaced by others, one by one, under writes.
-func TestAllReplaced(t *testing.T) {
-	f := newFleet(t, 3)
+func TestReplacingAllServersKeepsWrites(t *testing.T) {
+	f := newCluster(t, 3)
 	olds := slices.Clone(f.names)
 	for i := range 3 {
 		f.add(fmt.Sprint("st-", i+4))
@@ -293,19 +293,19 @@
 		f.configure(name, f.names)
 	}
 	for _, name := range olds { // they learn of the new ones without an end
-		if err := f.all[name].proc.Signal(syscall.SIGHUP); err != nil {
+		if err := f.servers[name].proc.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 	}
-	w, r := f.write("s"), f.follow(f.names...)
+	w, r := f.startWriter("s"), f.startReader(f.names...)
 	for i, old := range olds {
 		next := fmt.Sprint("st-", i+4)
 		f.start(next) // its folder is empty: it asks to be taken in
-		f.until(next+" votes", func() bool {
+		f.waitUntil(next+" votes", func() bool {
 			st, err := f.status(next)
 			return err == nil && slices.Contains(st.Voters, next)
 		})
-		f.until(old+" is off the voters", func() bool {
+		f.waitUntil(old+" is off the voters", func() bool {
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
 			_, err := f.client(f.names...).ChangePeer(ctx, old, false)
@@ -314,22 +314,22 @@
 		})
 		f.kill(old)
 		before := w.count()
-		f.until("writes go on", func() bool { return w.count() > before+20 })
+		f.waitUntil("writes go on", func() bool { return w.count() > before+20 })
 	}
 	st, err := f.status("st-5")
 	if err != nil || len(st.Voters) != 3 || slices.Contains(st.Voters, "st-1") {
 		t.Errorf("voters %v, %v", st.Voters, err)
 	}
-	w.end(f, "st-4", "st-5", "st-6")
-	r.end(t)
+	w.stopAndVerify(f, "st-4", "st-5", "st-6")
+	r.stopAndVerify(t)
 }
 
 // Versions never go back: not after an old snapshot was put in place of the state, and not
 // with a fresh fleet at the same addresses. A reader that stayed up learns all that follows.
-func TestVersionsNeverGoBack(t *testing.T) {
-	f := newFleet(t, 1)
+func TestVersionsNeverDecrease(t *testing.T) {
+	f := newCluster(t, 1)
 	name := f.names[0]
-	c := f.all[name].client
+	c := f.servers[name].client
 	ctx := context.Background()
 	f.register("old", 1)
 	saved, err := c.Snapshot(ctx)
@@ -337,36 +337,36 @@
 		t.Fatal(err)
 	}
 	f.register("undone", 1)
-	r := f.follow(name)
-	f.until("read", func() bool { _, ok := r.has("undone"); return ok })
+	r := f.startReader(name)
+	f.waitUntil("read", func() bool { _, ok := r.lookup("undone"); return ok })
 	if _, err := c.Restore(ctx, saved); err != nil {
 		t.Fatal(err)
 	}
-	f.until("undone", func() bool { _, ok := r.has("undone"); return !ok })
-	if _, ok := r.has("old"); !ok {
+	f.waitUntil("undone", func() bool { _, ok := r.lookup("undone"); return !ok })
+	if _, ok := r.lookup("old"); !ok {
 		t.Error("the snapshot's servers are not listed")
 	}
 	f.register("new", 1)
-	f.until("read after the restore", func() bool { _, ok := r.has("new"); return ok })
+	f.waitUntil("read after the restore", func() bool { _, ok := r.lookup("new"); return ok })
 
 	f.kill(name)
-	if err := os.RemoveAll(f.data(name)); err != nil {
+	if err := os.RemoveAll(f.dataDir(name)); err != nil {
 		t.Fatal(err)
 	}
 	f.start(name)
-	f.leader()
+	f.waitForLeader()
 	f.register("fresh", 1)
-	f.until("read of a fresh fleet", func() bool { _, ok := r.has("fresh"); return ok })
-	if _, ok := r.has("new"); ok {
+	f.waitUntil("read of a fresh fleet", func() bool { _, ok := r.lookup("fresh"); return ok })
+	if _, ok := r.lookup("new"); ok {
 		t.Error("a fresh fleet lists what another did")
 	}
-	r.end(t)
+	r.stopAndVerify(t)
 }
 
 // A damaged log is refused in one line that says so, and so is a folder that can't be
 // written or that another process uses; nothing in it changes.
-func TestDamagedFolder(t *testing.T) {
-	f := newFleet(t, 1)
+func TestDamagedDataIsRejected(t *testing.T) {
+	f := newCluster(t, 1)
 	name := f.names[0]
 	for i := range 30 {
 		f.register(fmt.Sprint("damaged-record-", i), 1)
@@ -374,15 +374,15 @@
 	refused := func(what, data, says string) {
 		t.Helper()
 		exe, _ := os.Executable()
-		p := f.sup.Add(f.all[name].proc.Spec)
+		p := f.supervisor.Add(f.servers[name].proc.Spec)
 		p.Path, p.Log = exe, filepath.Join(f.dir, what+".log")
-		p.Args = []string{"serve", "--config", f.file(name), "--data", data, "--listen", "127.0.0.1:0", "--raft", "127.0.0.1:0"}
+		p.Args = []string{"serve", "--config", f.configPath(name), "--data", data, "--listen", "127.0.0.1:0", "--raft", "127.0.0.1:0"}
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
 		select {
 		case <-p.Ended():
-		case <-time.After(soon):
+		case <-time.After(waitTimeout):
 			t.Fatalf("%s: it runs", what)
 		}
 		text, _ := os.ReadFile(p.Log)
@@ -390,13 +390,13 @@
 			t.Errorf("%s: said %q, want one line with %q", what, text, says)
 		}
 	}
-	refused("in use", f.data(name), "another process uses")
+	refused("in use", f.dataDir(name), "another process uses")
 	f.kill(name)
-	refused("no folder", f.file(name), "data: ")
-	if text := readOnly(t, f.data(name)); strings.Count(text, "\n") != 1 || !strings.Contains(text, "data: ") || !strings.Contains(text, "permission denied") || strings.Contains(text, "damaged") {
+	refused("no folder", f.configPath(name), "data: ")
+	if text := runOverReadOnlyFolder(t, f.dataDir(name)); strings.Count(text, "\n") != 1 || !strings.Contains(text, "data: ") || !strings.Contains(text, "permission denied") || strings.Contains(text, "damaged") {
 		t.Errorf("a folder that may not be written: said %q", text)
 	}
-	path := filepath.Join(f.data(name), "raft.db")
+	path := filepath.Join(f.dataDir(name), "raft.db")
 	good, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -415,20 +415,20 @@
 		if err := os.WriteFile(path, spoil(slices.Clone(good)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		refused(what, f.data(name), "the log in "+f.data(name))
+		refused(what, f.dataDir(name), "the log in "+f.dataDir(name))
 	}
 	if err := os.WriteFile(path, good, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	f.start(name)
-	f.until("it is itself again", func() bool {
-		e, err := f.all[name].client.Server(context.Background(), "damaged-record-29", true)
+	f.waitUntil("it is itself again", func() bool {
+		e, err := f.servers[name].client.Server(context.Background(), "damaged-record-29", true)
 		return err == nil && e.Endpoint.StartedMs == 1
 	})
 }
 
-// readOnly starts a steward over a folder that it may only read, and returns what it says.
-func readOnly(t *testing.T, data string) string {
+// runOverReadOnlyFolder starts a steward over a folder that it may only read, and returns what it says.
+func runOverReadOnlyFolder(t *testing.T, data string) string {
 	t.Helper()
 	exe, _ := os.Executable()
 	text, err := os.ReadFile(exe)
@@ -441,7 +441,7 @@
 		t.Fatal(err)
 	}
 	defer os.Chmod(data, 0o755)
-	ctx, cancel := context.WithTimeout(context.Background(), soon)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, own, "serve", "--data", data, "--listen", "127.0.0.1:0", "--raft", "127.0.0.1:0")
 	cmd.Env, cmd.Dir = []string{"STEWARD_CHILD=1"}, dir
@@ -458,19 +458,19 @@
 // Where the disk takes no more, a steward refuses what it can't keep, or ends with a line
 // that says so; what it acknowledged is there when there is room again. Of three, the two
 // others go on.
-func TestDiskFull(t *testing.T) {
+func TestFullDiskKeepsAcknowledgedWrites(t *testing.T) {
 	for _, n := range []int{1, 3} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, n)
-			victim := f.leader()
+			f := newCluster(t, n)
+			victim := f.waitForLeader()
 			f.kill(victim)
-			roomy := f.all[victim].proc
-			tight := f.sup.Add(roomy.Spec)
+			roomy := f.servers[victim].proc
+			tight := f.supervisor.Add(roomy.Spec)
 			// The log's file may grow to 256 KiB; to a program that is a disk that is full.
 			tight.Path, tight.Args = "/bin/sh", []string{"-c", "ulimit -f 512; exec \"$0\" \"$@\"", roomy.Path}
 			tight.Args = append(tight.Args, roomy.Args...)
-			f.all[victim].proc = tight
+			f.servers[victim].proc = tight
 			f.start(victim)
 			acked := map[string]float64{}
 			ended := tight.Ended()
@@ -491,7 +491,7 @@
 				}
 				name := fmt.Sprintf("%s-%d", big, i%200)
 				ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-				if _, err := f.client(f.names...).Register(ctx, entry(name, float64(i))); err == nil {
+				if _, err := f.client(f.names...).Register(ctx, newEndpoint(name, float64(i))); err == nil {
 					acked[name] = float64(i)
 					refused = 0
 				}
@@ -510,9 +510,9 @@
 				}
 			}
 			f.kill(victim)
-			f.all[victim].proc = roomy
+			f.servers[victim].proc = roomy
 			f.start(victim)
-			f.holds(acked)
+			f.requireAcknowledged(acked)
 			f.register("after", 1)
 			if len(acked) < 100 {
 				t.Errorf("only %d names were taken", len(acked))
@@ -523,9 +523,9 @@
 
 // Leases end for servers that are not heard, by the leader's clock; a new leader gives
 // each its full time again; a mass failure is held until it is confirmed.
-func TestLeases(t *testing.T) {
-	f := newFleet(t, 3)
-	f.extra = strings.Replace(f.extra, "10m", "3s", 1)
+func TestLeaseExpiryAndMassFailureGuard(t *testing.T) {
+	f := newCluster(t, 3)
+	f.extraConfig = strings.Replace(f.extraConfig, "10m", "3s", 1)
 	for _, name := range f.names {
 		f.kill(name)
 		f.configure(name, f.names)
@@ -548,7 +548,7 @@
 				return
 			case <-t.C:
 			}
-			refs := renewals(heard)
+			refs := instanceRefs(heard)
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 			_, _ = c.Renew(ctx, refs)
 			cancel()
@@ -559,37 +559,37 @@
 		f.register(fmt.Sprint("s-", i), 1)
 	}
 	listed := func() int {
-		st, err := f.status(f.leader())
+		st, err := f.status(f.waitForLeader())
 		if err != nil {
 			return -1
 		}
 		return st.Listed
 	}
-	f.until("all listed", func() bool { return listed() == n })
-	f.kill(f.leader())
-	f.until("another leader lists all", func() bool { return listed() == n })
+	f.waitUntil("all listed", func() bool { return listed() == n })
+	f.kill(f.waitForLeader())
+	f.waitUntil("another leader lists all", func() bool { return listed() == n })
 	renew <- 8 // two of ten fall silent: that may well be so
-	f.until("two lapsed", func() bool { return listed() == 8 })
+	f.waitUntil("two lapsed", func() bool { return listed() == 8 })
 	renew <- 1 // all but one: that is more likely a fault of the observer
-	f.until("the rest held", func() bool {
-		st, err := f.status(f.leader())
+	f.waitUntil("the rest held", func() bool {
+		st, err := f.status(f.waitForLeader())
 		return err == nil && st.Quarantined >= 6 && st.Listed == 8
 	})
 	renew <- 3
-	f.until("two of them were heard again", func() bool {
-		st, err := f.status(f.leader())
+	f.waitUntil("two of them were heard again", func() bool {
+		st, err := f.status(f.waitForLeader())
 		return err == nil && st.Quarantined == 5 && st.Listed == 8
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), soon)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	f.until("confirmed", func() bool { return f.client(f.names...).ConfirmRemovals(ctx) == nil })
-	f.until("they are off the list", func() bool { return listed() == 3 })
+	f.waitUntil("confirmed", func() bool { return f.client(f.names...).ConfirmRemovals(ctx) == nil })
+	f.waitUntil("they are off the list", func() bool { return listed() == 3 })
 }
 
 // Bad input is one line with a 4xx and changes nothing.
-func TestBadInput(t *testing.T) {
-	f := newFleet(t, 1)
-	at := "http://" + f.all[f.names[0]].http
+func TestInvalidRequestsAreRejected(t *testing.T) {
+	f := newCluster(t, 1)
+	at := "http://" + f.servers[f.names[0]].http
 	f.register("s", 5)
 	before, _ := f.status(f.names[0])
 	good := `{"host":"x","dial":"127.0.0.1:9","site":"a","class":"k","block":0,"health":"ready","share":1,"born_ms":5}`
@@ -654,16 +654,16 @@
 	}
 }
 
-// heldBack makes calls to a steward that stands still, and returns once all have been sent.
+// sendWhileStopped makes calls to a steward that stands still, and returns once all have been sent.
 // What each came to arrives once it goes on.
-func (f *fleet) heldBack(name string, calls int, do func(ctx context.Context, c *control.Client) bool) <-chan bool {
+func (f *testCluster) sendWhileStopped(name string, calls int, do func(ctx context.Context, c *control.Client) bool) <-chan bool {
 	out, sent := make(chan bool, calls), make(chan struct{}, calls)
 	for range calls {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), soon)
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
 			ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) { sent <- struct{}{} }})
-			out <- do(ctx, control.NewClient([]string{f.all[name].http}, soon))
+			out <- do(ctx, control.NewClient([]string{f.servers[name].http}, waitTimeout))
 		}()
 	}
 	for range calls {
@@ -674,18 +674,18 @@
 
 // A leader that was stopped and wakes finds reads as of now that came after a write at the
 // next leader, and may think that it still leads: it answers none with what was so before.
-func TestWakesToReads(t *testing.T) {
-	f := newFleet(t, 3)
+func TestResumedLeaderAnswersNoStaleRead(t *testing.T) {
+	f := newCluster(t, 3)
 	f.register("s", 1)
 	for round := range 4 {
-		old := f.leader()
-		if err := f.all[old].proc.Signal(syscall.SIGSTOP); err != nil {
+		old := f.waitForLeader()
+		if err := f.servers[old].proc.Signal(syscall.SIGSTOP); err != nil {
 			t.Fatal(err)
 		}
 		f.register("s", float64(round+2), f.others(old)...)
 		const reads = 40
 		born := make(chan float64, reads)
-		read := f.heldBack(old, reads, func(ctx context.Context, c *control.Client) bool {
+		read := f.sendWhileStopped(old, reads, func(ctx context.Context, c *control.Client) bool {
 			e, err := c.Server(ctx, "s", true)
 			if err != nil {
 				e.Endpoint.StartedMs = -1
@@ -693,7 +693,7 @@
 			born <- e.Endpoint.StartedMs
 			return true
 		})
-		if err := f.all[old].proc.Signal(syscall.SIGCONT); err != nil {
+		if err := f.servers[old].proc.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
 		for range reads {
--- a/cmd/controlplane/fleet_test.go
+++ b/cmd/controlplane/fleet_test.go
@@ -31,7 +31,7 @@
 		if err := syscallfault.FromEnvironment(); err != nil {
 			panic(err)
 		}
-		adjust = unlike
+		adjustConfig = applyTestMachine
 		main()
 		os.Exit(0)
 	}
@@ -50,23 +50,23 @@
 	os.Exit(m.Run())
 }
 
-// unlike gives a steward the machine that its environment tells of: a clock that is set
+// applyTestMachine gives a steward the machine that its environment tells of: a clock that is set
 // apart, and a disk that takes nothing while a file is there.
-func unlike(c *control.Config) {
+func applyTestMachine(c *control.Config) {
 	if apart, err := time.ParseDuration(os.Getenv("TEST_CLOCK")); err == nil {
 		c.Now = func() time.Time { return time.Now().Add(apart) }
 	}
 	if file := os.Getenv("TEST_DISK"); file != "" {
-		c.WrapLogStore = func(s raft.LogStore) raft.LogStore { return slowDisk{s, file} }
+		c.WrapLogStore = func(s raft.LogStore) raft.LogStore { return blockingLogStore{s, file} }
 	}
 }
 
-type slowDisk struct {
+type blockingLogStore struct {
 	raft.LogStore
 	file string
 }
 
-func (d slowDisk) StoreLogs(logs []*raft.Log) error {
+func (d blockingLogStore) StoreLogs(logs []*raft.Log) error {
 	for {
 		if _, err := os.Stat(d.file); err != nil {
 			return d.LogStore.StoreLogs(logs)
@@ -75,52 +75,52 @@
 	}
 }
 
-// soon bounds what is waited for on a busy machine.
-const soon = time.Minute
-
-// fleet is some stewards as processes, with a link from each to each that replicates.
-type fleet struct {
-	t     testing.TB
-	dir   string
-	addrs *loopback.Net
-	sup   *process.Supervisor
-	all   map[string]*steward
-	names []string
-	links map[[2]string]*link.Link // from, to
-	extra string                   // of each configuration
-	mesh  *mesh                    // how they gossip; nil: they don't
+// waitTimeout bounds what is waited for on a busy machine.
+const waitTimeout = time.Minute
+
+// testCluster is some stewards as processes, with a link from each to each that replicates.
+type testCluster struct {
+	t           testing.TB
+	dir         string
+	addrs       *loopback.Net
+	supervisor  *process.Supervisor
+	servers     map[string]*serverProcess
+	names       []string
+	links       map[[2]string]*link.Link // from, to
+	extraConfig string                   // of each configuration
+	mesh        *gossipMesh              // how they gossip; nil: they don't
 }
 
-type steward struct {
+type serverProcess struct {
 	name, http, raft, gossip string
 	proc                     *process.Process
 	client                   *control.Client
 }
 
-func newFleet(t testing.TB, n int) *fleet {
+func newCluster(t testing.TB, n int) *testCluster {
 	t.Helper()
-	f := emptyFleet(t, n)
+	f := newUnstartedCluster(t, n)
 	for _, name := range f.names {
 		f.configure(name, f.names)
 		f.start(name)
 	}
-	f.leader()
+	f.waitForLeader()
 	return f
 }
 
-// emptyFleet is one whose stewards are neither configured nor started.
-func emptyFleet(t testing.TB, n int) *fleet {
+// newUnstartedCluster is one whose stewards are neither configured nor started.
+func newUnstartedCluster(t testing.TB, n int) *testCluster {
 	t.Helper()
 	addrs, err := loopback.Claim()
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{t: t, dir: t.TempDir(), addrs: addrs, all: map[string]*steward{}, links: map[[2]string]*link.Link{},
+	f := &testCluster{t: t, dir: t.TempDir(), addrs: addrs, servers: map[string]*serverProcess{}, links: map[[2]string]*link.Link{},
 		// Wide of what a busy machine makes of a heartbeat, and leases that last a test.
-		extra: "heartbeat = \"300ms\"\nlease_ttl = \"10m\"\nsnapshot_every = 64\nsnapshot_check = \"500ms\"\n"}
-	f.sup = process.New(nil)
+		extraConfig: "heartbeat = \"300ms\"\nlease_ttl = \"10m\"\nsnapshot_every = 64\nsnapshot_check = \"500ms\"\n"}
+	f.supervisor = process.New(nil)
 	t.Cleanup(func() {
-		f.sup.Close()
+		f.supervisor.Close()
 		for _, l := range f.links {
 			l.Close()
 		}
@@ -129,7 +129,7 @@
 		}
 		addrs.Close()
 		if t.Failed() {
-			for _, s := range f.all {
+			for _, s := range f.servers {
 				text, _ := os.ReadFile(s.proc.Log)
 				t.Logf("%s:\n%s", s.name, text[max(0, len(text)-2500):])
 			}
@@ -142,9 +142,9 @@
 }
 
 // add makes a steward that is not configured yet.
-func (f *fleet) add(name string) *steward {
+func (f *testCluster) add(name string) *serverProcess {
 	f.t.Helper()
-	s := &steward{name: name}
+	s := &serverProcess{name: name}
 	for _, addr := range []*string{&s.http, &s.raft, &s.gossip} {
 		var err error
 		if *addr, err = f.addrs.FreePort(); err != nil {
@@ -156,20 +156,20 @@
 		f.t.Fatal(err)
 	}
 	s.client = control.NewClient([]string{s.http}, 6*time.Second)
-	s.proc = f.sup.Add(process.Spec{Name: name, Path: exe, Args: []string{"serve", "--config", f.file(name)}, Env: []string{"STEWARD_CHILD=1"},
+	s.proc = f.supervisor.Add(process.Spec{Name: name, Path: exe, Args: []string{"serve", "--config", f.configPath(name)}, Env: []string{"STEWARD_CHILD=1"},
 		Log: filepath.Join(f.dir, name+".log")})
-	f.all[name], f.names = s, append(f.names, name)
+	f.servers[name], f.names = s, append(f.names, name)
 	return s
 }
 
-func (f *fleet) file(name string) string { return filepath.Join(f.dir, name+".toml") }
-func (f *fleet) data(name string) string { return filepath.Join(f.dir, name+".data") }
+func (f *testCluster) configPath(name string) string { return filepath.Join(f.dir, name+".toml") }
+func (f *testCluster) dataDir(name string) string    { return filepath.Join(f.dir, name+".data") }
 
 // configure writes a steward's configuration: its own table leads over its own links.
-func (f *fleet) configure(name string, peers []string) {
+func (f *testCluster) configure(name string, peers []string) {
 	f.t.Helper()
-	s := f.all[name]
-	text := fmt.Sprintf("name = %q\ndata = %q\nlisten = %q\nraft = %q\n%s", name, f.data(name), s.http, s.raft, f.extra)
+	s := f.servers[name]
+	text := fmt.Sprintf("name = %q\ndata = %q\nlisten = %q\nraft = %q\n%s", name, f.dataDir(name), s.http, s.raft, f.extraConfig)
 	if f.mesh != nil {
 		text += fmt.Sprintf("gossip = %q\n", s.gossip)
 	}
@@ -178,7 +178,7 @@
 		if to != name {
 			key := [2]string{name, to}
 			if f.links[key] == nil {
-				l, err := link.New(f.addrs.IP()+":0", f.all[to].raft, 1)
+				l, err := link.New(f.addrs.IP()+":0", f.servers[to].raft, 1)
 				if err != nil {
 					f.t.Fatal(err)
 				}
@@ -186,55 +186,55 @@
 			}
 			raft = f.links[key].Addr()
 		}
-		http := f.all[to].http
+		http := f.servers[to].http
 		if f.mesh != nil && to != name {
-			http = f.mesh.stream(name, to, http)
+			http = f.mesh.streamAddr(name, to, http)
 		}
 		text += fmt.Sprintf("[peers.%s]\nhttp = %q\nraft = %q\n", to, http, raft)
 		if f.mesh != nil {
-			text += f.mesh.entry(name, to)
+			text += f.mesh.peerConfig(name, to)
 		}
 	}
-	if err := os.WriteFile(f.file(name), []byte(text), 0o644); err != nil {
+	if err := os.WriteFile(f.configPath(name), []byte(text), 0o644); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-func (f *fleet) start(name string) {
+func (f *testCluster) start(name string) {
 	f.t.Helper()
-	if err := f.all[name].proc.Start(); err != nil {
+	if err := f.servers[name].proc.Start(); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
 // kill is SIGKILL; it returns once the process has gone.
-func (f *fleet) kill(name string) {
+func (f *testCluster) kill(name string) {
 	f.t.Helper()
-	ended := f.all[name].proc.Ended()
-	f.all[name].proc.Kill()
+	ended := f.servers[name].proc.Ended()
+	f.servers[name].proc.Kill()
 	<-ended
 }
 
-// until waits for something to be so.
-func (f *fleet) until(what string, is func() bool) {
+// waitUntil waits for something to be so.
+func (f *testCluster) waitUntil(what string, is func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(soon); !is(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !is(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			f.t.Fatalf("never %s", what)
 		}
 	}
 }
 
-func (f *fleet) status(name string) (control.Status, error) {
+func (f *testCluster) status(name string) (control.Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	return f.all[name].client.Status(ctx)
+	return f.servers[name].client.Status(ctx)
 }
 
-// leader waits until one steward leads and takes writes.
-func (f *fleet) leader() (name string) {
+// waitForLeader waits until one steward leads and takes writes.
+func (f *testCluster) waitForLeader() (name string) {
 	f.t.Helper()
-	f.until("a leader", func() bool {
+	f.waitUntil("a leader", func() bool {
 		for _, n := range f.names {
 			if st, err := f.status(n); err == nil && st.State == "leader" && st.Seq > 0 {
 				name = n
@@ -247,7 +247,7 @@
 }
 
 // others are all stewards but one.
-func (f *fleet) others(name string) (out []string) {
+func (f *testCluster) others(name string) (out []string) {
 	for _, n := range f.names {
 		if n != name {
 			out = append(out, n)
@@ -257,23 +257,23 @@
 }
 
 // client asks the stewards named, in this order.
-func (f *fleet) client(names ...string) *control.Client {
+func (f *testCluster) client(names ...string) *control.Client {
 	var addrs []string
 	for _, n := range names {
-		addrs = append(addrs, f.all[n].http)
+		addrs = append(addrs, f.servers[n].http)
 	}
 	return control.NewClient(addrs, 6*time.Second)
 }
 
-func entry(name string, born float64) endpoints.Endpoint {
+func newEndpoint(name string, born float64) endpoints.Endpoint {
 	return endpoints.Endpoint{Name: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Health: endpoints.Ready, Weight: 1, StartedMs: born}
 }
 
-// holds waits until a consistent read is answered, and reports servers whose start is older in it than
+// requireAcknowledged waits until a consistent read is answered, and reports servers whose start is older in it than
 // what was acknowledged.
-func (f *fleet) holds(acked map[string]float64) {
+func (f *testCluster) requireAcknowledged(acked map[string]float64) {
 	f.t.Helper()
-	f.until("a consistent read", func() bool {
+	f.waitUntil("a consistent read", func() bool {
 		all, err := f.client(f.names...).Servers(context.Background(), true)
 		if err != nil {
 			return false
@@ -292,16 +292,16 @@
 }
 
 // register writes until it is acknowledged, at whichever steward takes it.
-func (f *fleet) register(name string, born float64, at ...string) catalog.Result {
+func (f *testCluster) register(name string, born float64, at ...string) catalog.Result {
 	f.t.Helper()
 	if len(at) == 0 {
 		at = f.names
 	}
 	var r catalog.Result
 	var err error
-	for end := time.Now().Add(soon); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
-		r, err = f.client(at...).Register(ctx, entry(name, born))
+		r, err = f.client(at...).Register(ctx, newEndpoint(name, born))
 		cancel()
 		if err == nil {
 			return r
@@ -321,7 +321,7 @@
 	done  chan struct{}
 }
 
-func (f *fleet) write(prefix string) *writer {
+func (f *testCluster) startWriter(prefix string) *writer {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &writer{acked: map[string]float64{}, stop: cancel, done: make(chan struct{}), last: time.Now()}
 	// Impatient, as a server is that renews: it goes on to the next steward.
@@ -333,7 +333,7 @@
 			name := fmt.Sprintf("%s-%d", prefix, i%3000)
 			c.Addrs = append(c.Addrs[1:], c.Addrs[0])
 			call, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
-			_, err := c.Register(call, entry(name, float64(i)))
+			_, err := c.Register(call, newEndpoint(name, float64(i)))
 			cancel()
 			var refused *control.HTTPError
 			if err != nil {
@@ -358,18 +358,18 @@
 	return len(w.gaps)
 }
 
-// end stops the writer and holds that all it was told is there, at each steward named.
-func (w *writer) end(f *fleet, at ...string) {
+// stopAndVerify stops the writer and holds that all it was told is there, at each steward named.
+func (w *writer) stopAndVerify(f *testCluster, at ...string) {
 	f.t.Helper()
 	w.stop()
 	<-w.done
 	for _, name := range at {
 		var all []catalog.Entry
-		f.until(name+" reads", func() bool {
+		f.waitUntil(name+" reads", func() bool {
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
 			var err error
-			all, err = f.all[name].client.Servers(ctx, true)
+			all, err = f.servers[name].client.Servers(ctx, true)
 			return err == nil
 		})
 		have := map[string]float64{}
@@ -388,72 +388,72 @@
 	}
 }
 
-// reader follows the list as an agent does, from steward to steward, and notes when a
+// watchReader follows the list as an agent does, from steward to steward, and notes when a
 // version goes back.
-type reader struct {
-	mu    sync.Mutex
-	seq   int64
-	back  []string
-	hosts map[string]endpoints.Endpoint
-	ever  map[string]bool // that were listed at any time
-	gone  []string        // that were taken off while it followed
-	whole int
-	stop  context.CancelFunc
-	done  chan struct{}
+type watchReader struct {
+	mu          sync.Mutex
+	version     int64
+	regressions []string
+	listed      map[string]endpoints.Endpoint
+	everListed  map[string]bool // that were listed at any time
+	removed     []string        // that were taken off while it followed
+	fullLists   int
+	stop        context.CancelFunc
+	done        chan struct{}
 }
 
-func (r *reader) has(name string) (endpoints.Endpoint, bool) {
+func (r *watchReader) lookup(name string) (endpoints.Endpoint, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h, ok := r.hosts[name]
+	h, ok := r.listed[name]
 	return h, ok
 }
 
-func (r *reader) take(l *endpoints.List) {
+func (r *watchReader) apply(l *endpoints.List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if l.Seq < r.seq {
-		r.back = append(r.back, fmt.Sprintf("%d after %d", l.Seq, r.seq))
+	if l.Seq < r.version {
+		r.regressions = append(r.regressions, fmt.Sprintf("%d after %d", l.Seq, r.version))
 	}
-	r.seq = l.Seq
+	r.version = l.Seq
 	if l.Full {
-		r.whole++
+		r.fullLists++
 	}
-	if r.ever == nil {
-		r.ever = map[string]bool{}
+	if r.everListed == nil {
+		r.everListed = map[string]bool{}
 	}
 	if l.Full {
-		had := r.hosts
-		r.hosts = map[string]endpoints.Endpoint{}
+		had := r.listed
+		r.listed = map[string]endpoints.Endpoint{}
 		for name := range had {
 			if !slices.ContainsFunc(l.Endpoints, func(h endpoints.Endpoint) bool { return h.Name == name }) {
-				r.gone = append(r.gone, name)
+				r.removed = append(r.removed, name)
 			}
 		}
 	}
 	for _, h := range l.Endpoints {
-		r.ever[h.Name] = true
+		r.everListed[h.Name] = true
 		if h.Health == endpoints.Removed {
-			r.gone = append(r.gone, h.Name)
+			r.removed = append(r.removed, h.Name)
 		}
-		if r.hosts[h.Name] = h; h.Health == endpoints.Removed {
-			delete(r.hosts, h.Name)
+		if r.listed[h.Name] = h; h.Health == endpoints.Removed {
+			delete(r.listed, h.Name)
 		}
 	}
 }
 
-// end stops the reader; its versions never went back.
-func (r *reader) end(t *testing.T) {
+// stopAndVerify stops the reader; its versions never went back.
+func (r *watchReader) stopAndVerify(t *testing.T) {
 	t.Helper()
 	r.stop()
 	<-r.done
-	if len(r.back) > 0 {
-		t.Errorf("versions went back: %s", strings.Join(r.back, ", "))
+	if len(r.regressions) > 0 {
+		t.Errorf("versions went back: %s", strings.Join(r.regressions, ", "))
 	}
 }
 
-// seeded draws for a test, and says from what when it fails.
-func seeded(t *testing.T, seed uint64) *rand.Rand {
+// newSeededRand draws for a test, and says from what when it fails.
+func newSeededRand(t *testing.T, seed uint64) *rand.Rand {
 	t.Cleanup(func() {
 		if t.Failed() {
 			t.Logf("seed %d", seed)
@@ -462,7 +462,7 @@
 	return rand.New(rand.NewPCG(seed, 1))
 }
 
-func renewals(n int) (refs []catalog.InstanceRef) {
+func instanceRefs(n int) (refs []catalog.InstanceRef) {
 	for i := range n {
 		refs = append(refs, catalog.InstanceRef{Name: fmt.Sprint("s-", i), StartedMs: 1})
 	}
--- a/cmd/controlplane/linear_test.go
+++ b/cmd/controlplane/linear_test.go
@@ -22,31 +22,31 @@
 
 // An operation on one server's share: a read, a write, or a write on the condition that
 // the entry has a version.
-type input struct {
-	key   string
-	kind  string // "read", "write" or "cas"
-	share float64
-	if_   int64
+type overrideInput struct {
+	key       string
+	kind      string // "read", "write" or "cas"
+	weight    float64
+	ifVersion int64
 }
 
-type output struct {
-	share   float64
-	version int64 // 0: unknown, the answer was lost
-	refused bool  // of a cas: the entry has another version
-	doubt   bool  // of a refused one: it may be for a write whose answer was lost and that nobody saw
+type overrideOutput struct {
+	weight                float64
+	version               int64 // 0: unknown, the answer was lost
+	rejected              bool  // of a cas: the entry has another version
+	rejectedByUnseenWrite bool  // of a refused one: it may be for a write whose answer was lost and that nobody saw
 }
 
-// register is a share with the version that it was written under; 0 is not known yet.
-type register struct {
-	share   float64
+// overrideState is a share with the version that it was written under; 0 is not known yet.
+type overrideState struct {
+	weight  float64
 	version int64
 }
 
-var model = porcupine.Model{
+var overrideModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
 		for _, op := range history {
-			key := op.Input.(input).key
+			key := op.Input.(overrideInput).key
 			by[key] = append(by[key], op)
 		}
 		var out [][]porcupine.Operation
@@ -55,104 +55,104 @@
 		}
 		return out
 	},
-	Init: func() any { return register{share: 1} },
+	Init: func() any { return overrideState{weight: 1} },
 	Step: func(state, in, out any) (bool, any) {
-		s, i, o := state.(register), in.(input), out.(output)
+		s, i, o := state.(overrideState), in.(overrideInput), out.(overrideOutput)
 		same := s.version == 0 || s.version == o.version
 		switch i.kind {
 		case "read":
-			return o.share == s.share && same, register{s.share, o.version}
+			return o.weight == s.weight && same, overrideState{s.weight, o.version}
 		case "cas":
-			fits := s.version == 0 || s.version == i.if_
+			fits := s.version == 0 || s.version == i.ifVersion
 			switch {
 			case o.version == 0: // it may have been carried out, if the version fitted
 				if fits {
-					return true, register{i.share, 0}
+					return true, overrideState{i.weight, 0}
 				}
 				return true, s
-			case o.refused:
-				return s.version != i.if_ || s.version == 0 || o.doubt, s
+			case o.rejected:
+				return s.version != i.ifVersion || s.version == 0 || o.rejectedByUnseenWrite, s
 			}
-			return fits && o.version > s.version, register{i.share, o.version}
+			return fits && o.version > s.version, overrideState{i.weight, o.version}
 		}
-		return o.version == 0 || o.version > s.version, register{i.share, o.version}
+		return o.version == 0 || o.version > s.version, overrideState{i.weight, o.version}
 	},
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%+v -> %+v", in, out) },
 }
 
-// settle says of each operation whose answer was lost what is known of it. Shares are
+// resolveUnknownOutcomes says of each operation whose answer was lost what is known of it. Shares are
 // unique: one that a read saw was carried out, under the version that the read tells. One
 // that no read saw matters to nobody but to a cas that was refused for it; it is left out,
 // or a search would have to try it at every place.
-func settle(ops []porcupine.Operation) (out []porcupine.Operation) {
+func resolveUnknownOutcomes(ops []porcupine.Operation) (out []porcupine.Operation) {
 	saw := map[float64]int64{}
 	for _, op := range ops {
-		if op.Input.(input).kind == "read" {
-			saw[op.Output.(output).share] = op.Output.(output).version
+		if op.Input.(overrideInput).kind == "read" {
+			saw[op.Output.(overrideOutput).weight] = op.Output.(overrideOutput).version
 		}
 	}
 	lost := map[string]int64{} // the first unseen one, by key
 	for _, op := range ops {
-		i, o := op.Input.(input), op.Output.(output)
-		if o.version == 0 && saw[i.share] == 0 {
+		i, o := op.Input.(overrideInput), op.Output.(overrideOutput)
+		if o.version == 0 && saw[i.weight] == 0 {
 			if at, known := lost[i.key]; !known || op.Call < at {
 				lost[i.key] = op.Call
 			}
 		}
 	}
 	for _, op := range ops {
-		i, o := op.Input.(input), op.Output.(output)
+		i, o := op.Input.(overrideInput), op.Output.(overrideOutput)
 		if o.version == 0 {
-			if o.version = saw[i.share]; o.version == 0 {
+			if o.version = saw[i.weight]; o.version == 0 {
 				continue
 			}
 		}
 		at, some := lost[i.key]
-		o.doubt = o.refused && some && at < op.Return
+		o.rejectedByUnseenWrite = o.rejected && some && at < op.Return
 		op.Output = o
 		out = append(out, op)
 	}
 	return out
 }
 
-// recorder gathers the history of all clients.
-type recorder struct {
-	mu    sync.Mutex
-	began time.Time
-	ops   []porcupine.Operation
-	kinds map[string]int
+// historyRecorder gathers the history of all clients.
+type historyRecorder struct {
+	mu         sync.Mutex
+	began      time.Time
+	operations []porcupine.Operation
+	kinds      map[string]int
 }
 
-func (r *recorder) add(client int, i input, o output, call, ret time.Duration) {
+func (r *historyRecorder) add(client int, i overrideInput, o overrideOutput, call, ret time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ops = append(r.ops, porcupine.Operation{ClientId: client, Input: i, Output: o, Call: int64(call), Return: int64(ret)})
+	r.operations = append(r.operations, porcupine.Operation{ClientId: client, Input: i, Output: o, Call: int64(call), Return: int64(ret)})
 	r.kinds[i.kind]++
 }
 
-// play makes operations, each at a steward drawn anew, until the context ends.
-func (r *recorder) play(ctx context.Context, f *fleet, client int, rng *rand.Rand) {
+// runOperations makes operations, each at a steward drawn anew, until the context ends.
+func (r *historyRecorder) runOperations(ctx context.Context, f *testCluster, client int, rng *rand.Rand) {
 	versions := map[string]int64{}
 	for n := 0; ctx.Err() == nil; n++ {
-		at := f.all[f.names[rng.IntN(len(f.names))]]
+		at := f.servers[f.names[rng.IntN(len(f.names))]]
 		c := control.NewClient([]string{at.http}, 1500*time.Millisecond)
-		i := input{key: fmt.Sprint("k-", rng.IntN(3)), kind: []string{"read", "write", "cas"}[rng.IntN(3)], share: float64(client*100_000 + n)}
+		i := overrideInput{key: fmt.Sprint("k-", rng.IntN(3)), kind: []string{"read", "write", "cas"}[rng.IntN(3)], weight: float64(client*100_000 + n)}
 		if i.kind == "cas" {
-			if i.if_ = versions[i.key]; i.if_ == 0 {
+			if i.ifVersion = versions[i.key]; i.ifVersion == 0 {
 				continue
 			}
 		}
 		call, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 		began := time.Since(r.began)
-		var o output
+		var o overrideOutput
 		var err error
 		if i.kind == "read" {
 			e, rerr := c.Server(call, i.key, true)
 			if err = rerr; err == nil {
-				o = output{version: e.Version, share: e.Listed().Weight}
+				o = overrideOutput{version: e.Version, weight: e.Listed().Weight}
 			}
 		} else {
-			res, werr := c.SetOverride(call, i.key, control.ServerOverride{Weight: &i.share, IfVersion: i.if_})
+			res, werr := c.SetOverride(call, i.key, control.ServerOverride{Weight: &i.weight, IfVersion: i.ifVersion})
 			err, o.version = werr, res.Seq
 		}
 		ended := time.Since(r.began)
@@ -164,11 +164,11 @@
 			r.add(client, i, o, began, ended)
 		case i.kind == "read":
 		case errors.As(err, &refused) && refused.Status == http.StatusPreconditionFailed:
-			r.add(client, i, output{version: 1, refused: true}, began, ended)
+			r.add(client, i, overrideOutput{version: 1, rejected: true}, began, ended)
 		case errors.As(err, &refused) && refused.NotApplied:
 			time.Sleep(5 * time.Millisecond)
 		default: // it may be carried out at any time from its call on
-			r.add(client, i, output{}, began, math.MaxInt64)
+			r.add(client, i, overrideOutput{}, began, math.MaxInt64)
 		}
 		if err != nil && !errors.As(err, &refused) {
 			time.Sleep(2 * time.Millisecond)
@@ -179,7 +179,7 @@
 // Whatever is killed, stopped and cut meanwhile, the history of writes and of reads as of
 // now is one that a single register a key could have had. LINEAR_SEEDS is how many
 // histories are played.
-func TestLinearizable(t *testing.T) {
+func TestOverridesLinearizable(t *testing.T) {
 	seeds := 10
 	if text := os.Getenv("LINEAR_SEEDS"); text != "" {
 		var err error
@@ -190,43 +190,43 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			linear(t, uint64(seed))
+			checkOverrideHistory(t, uint64(seed))
 		})
 	}
 }
 
-func linear(t *testing.T, seed uint64) {
-	rng := seeded(t, seed)
-	f := newFleet(t, 3)
+func checkOverrideHistory(t *testing.T, seed uint64) {
+	rng := newSeededRand(t, seed)
+	f := newCluster(t, 3)
 	for i := range 3 {
 		f.register(fmt.Sprint("k-", i), 1)
 	}
-	r := &recorder{began: time.Now(), kinds: map[string]int{}}
+	r := &historyRecorder{began: time.Now(), kinds: map[string]int{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
 	for c := range 4 {
 		clients.Add(1)
-		go func() { defer clients.Done(); r.play(ctx, f, c+1, rand.New(rand.NewPCG(seed, uint64(c)))) }()
+		go func() { defer clients.Done(); r.runOperations(ctx, f, c+1, rand.New(rand.NewPCG(seed, uint64(c)))) }()
 	}
 	for range 7 {
 		time.Sleep(time.Duration(150+rng.IntN(400)) * time.Millisecond)
-		fault(t, f, rng)
+		injectServerFault(t, f, rng)
 	}
 	cancel()
 	clients.Wait()
 	if r.kinds["read"] < 20 || r.kinds["write"] < 20 || r.kinds["cas"] < 5 {
 		t.Errorf("too little was done to tell: %v", r.kinds)
 	}
-	switch res, _ := porcupine.CheckOperationsVerbose(model, settle(r.ops), soon); res {
+	switch res, _ := porcupine.CheckOperationsVerbose(overrideModel, resolveUnknownOutcomes(r.operations), waitTimeout); res {
 	case porcupine.Illegal:
-		t.Errorf("seed %d: %d operations that no register could have answered so", seed, len(r.ops))
+		t.Errorf("seed %d: %d operations that no register could have answered so", seed, len(r.operations))
 	case porcupine.Unknown:
-		t.Errorf("seed %d: %d operations were not judged in time", seed, len(r.ops))
+		t.Errorf("seed %d: %d operations were not judged in time", seed, len(r.operations))
 	}
 }
 
-// fault does one thing to one steward, mostly to the one that leads, and ends it.
-func fault(t testing.TB, f *fleet, rng *rand.Rand) {
+// injectServerFault does one thing to one steward, mostly to the one that leads, and ends it.
+func injectServerFault(t testing.TB, f *testCluster, rng *rand.Rand) {
 	name := f.names[rng.IntN(3)]
 	if rng.IntN(3) > 0 {
 		for _, n := range f.names {
@@ -242,11 +242,11 @@
 		time.Sleep(lasts / 4)
 		f.start(name)
 	case 1:
-		if err := f.all[name].proc.Signal(syscall.SIGSTOP); err != nil {
+		if err := f.servers[name].proc.Signal(syscall.SIGSTOP); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(lasts)
-		_ = f.all[name].proc.Signal(syscall.SIGCONT)
+		_ = f.servers[name].proc.Signal(syscall.SIGCONT)
 	default:
 		out, in := link.Shape{Cut: rng.IntN(2) == 0}, link.Shape{Cut: true}
 		if rng.IntN(2) == 0 {
--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -20,12 +20,12 @@
 	"knotrouter/internal/table"
 )
 
-// callWait is how long the command line waits for a steward.
-const callWait = 40 * time.Second
+// callTimeout is how long the command line waits for a steward.
+const callTimeout = 40 * time.Second
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	err := command(os.Stdout).ExecuteContext(ctx)
+	err := newRootCommand(os.Stdout).ExecuteContext(ctx)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "controlplane:", strings.ReplaceAll(err.Error(), "\n", " "))
@@ -33,15 +33,15 @@
 	}
 }
 
-func command(out io.Writer) *cobra.Command {
+func newRootCommand(out io.Writer) *cobra.Command {
 	root := &cobra.Command{Use: "controlplane", Short: "The fleet's list service, and the command line to it",
 		SilenceUsage: true, SilenceErrors: true}
 	root.SetOut(out)
 	var at []string
 	root.PersistentFlags().StringSliceVar(&at, "at", []string{"127.0.0.1:8500"}, "HTTP addresses of stewards, the first that answers is asked")
-	client := func() *control.Client { return control.NewClient(at, callWait) }
+	client := func() *control.Client { return control.NewClient(at, callTimeout) }
 	root.AddCommand(serveCommand(), statusCommand(out, client), serversCommand(out, client), snapshotCommand(out, client),
-		peerCommand(out, client), confirmCommand(out, client), dutiesCommand(out, client), membersCommand(out, client))
+		peerCommand(out, client), confirmCommand(out, client), tasksCommand(out, client), membersCommand(out, client))
 	return root
 }
 
@@ -70,15 +70,15 @@
 	return cmd
 }
 
-// adjust changes what no configuration can: the clock and the disk, in tests.
-var adjust = func(*control.Config) {}
+// adjustConfig changes what no configuration can: the clock and the disk, in tests.
+var adjustConfig = func(*control.Config) {}
 
 func serve(ctx context.Context, path string, set map[string]any) error {
 	c, err := control.LoadConfig(path, set)
 	if err != nil {
 		return err
 	}
-	adjust(c)
+	adjustConfig(c)
 	var level slog.Level
 	_ = level.UnmarshalText([]byte(c.LogLevel)) // checked with the configuration
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("steward", c.Name)
@@ -125,7 +125,7 @@
 			var notes []string
 			answered := false
 			for _, addr := range c.Addrs {
-				st, err := control.NewClient([]string{addr}, callWait).Status(cmd.Context())
+				st, err := control.NewClient([]string{addr}, callTimeout).Status(cmd.Context())
 				if err != nil {
 					rows = append(rows, []string{addr, "", "no answer", "", "", "", "", ""})
 					continue
--- a/cmd/controlplane/members.go
+++ b/cmd/controlplane/members.go
@@ -33,15 +33,15 @@
 			}
 			switch {
 			case compare:
-				return differences(out, views)
+				return printDifferences(out, views)
 			case from != "":
 				i := slices.IndexFunc(views, func(v member.View) bool { return v.From == from })
 				if i < 0 {
 					return fmt.Errorf("--from: %s is none of the stewards that answer", from)
 				}
-				return view(out, &views[i], true, all)
+				return printView(out, &views[i], true, all)
 			}
-			return view(out, &views[0], false, all)
+			return printView(out, &views[0], false, all)
 		}}
 	cmd.Flags().StringVar(&from, "from", "", "the steward whose own opinions are shown")
 	cmd.Flags().BoolVar(&compare, "compare", false, "show where the stewards' opinions differ")
@@ -49,12 +49,12 @@
 	return cmd
 }
 
-func ago(ms int64) string {
+func formatAge(ms int64) string {
 	return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
-// view shows one view, or one process's own opinions.
-func view(out io.Writer, v *member.View, own, all bool) error {
+// printView shows one printView, or one process's own opinions.
+func printView(out io.Writer, v *member.View, own, all bool) error {
 	var rows [][]string
 	count := map[string]int{}
 	for i := range v.Members {
@@ -63,7 +63,7 @@
 		var says []string
 		for _, o := range e.Observers {
 			if o.Observer == v.From {
-				since = ago(o.ForMs)
+				since = formatAge(o.ForMs)
 				if own {
 					state = string(o.State)
 				}
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func differences(out io.Writer, views []member.View) error {
+func printDifferences(out io.Writer, views []member.View) error {
 	diffs := member.CompareViews(views)
 	if len(diffs) == 0 {
 		fmt.Fprintf(out, "the %d stewards that answer are of one mind\n", len(views))
@@ -118,7 +118,7 @@
 			says = append(says, who+": doesn't know it")
 		}
 		slices.Sort(says)
-		rows = append(rows, []string{d.Name, string(d.Role), strings.Join(says, ", "), ago(d.ForMs), d.Dissenter})
+		rows = append(rows, []string{d.Name, string(d.Role), strings.Join(says, ", "), formatAge(d.ForMs), d.Dissenter})
 	}
 	return table.Terminal(out, false, []string{"member", "role", "opinions", "for", "alone"}, rows)
 }
--- a/cmd/controlplane/mesh_test.go
+++ b/cmd/controlplane/mesh_test.go
@@ -16,90 +16,90 @@
 	"knotrouter/internal/member"
 )
 
-// mesh is the links over which the stewards of a fleet gossip and call each other, beside
+// gossipMesh is the links over which the stewards of a fleet gossip and call each other, beside
 // those over which they replicate: one of each sort for each ordered pair.
-type mesh struct {
-	f       *fleet
-	streams map[[2]string]map[string]*link.Link // by what they lead to
-	packets map[[2]string]*link.UDP
-	shapes  map[[2]string]link.Shape
-	spares  map[string]bool
+type gossipMesh struct {
+	cluster   *testCluster
+	streams   map[[2]string]map[string]*link.Link // by what they lead to
+	datagrams map[[2]string]*link.UDP
+	shapes    map[[2]string]link.Shape
+	nonVoters map[string]bool
 }
 
-// gossiping is a fleet whose stewards gossip, all of them links between.
-func gossiping(t testing.TB, n int, extra string, spares ...string) *fleet {
+// newGossipCluster is a fleet whose stewards gossip, all of them links between.
+func newGossipCluster(t testing.TB, n int, extra string, spares ...string) *testCluster {
 	t.Helper()
-	f := emptyFleet(t, n)
-	f.mesh = &mesh{f: f, streams: map[[2]string]map[string]*link.Link{}, packets: map[[2]string]*link.UDP{}, shapes: map[[2]string]link.Shape{}, spares: map[string]bool{}}
+	f := newUnstartedCluster(t, n)
+	f.mesh = &gossipMesh{cluster: f, streams: map[[2]string]map[string]*link.Link{}, datagrams: map[[2]string]*link.UDP{}, shapes: map[[2]string]link.Shape{}, nonVoters: map[string]bool{}}
 	for _, s := range spares {
-		f.mesh.spares[s] = true
+		f.mesh.nonVoters[s] = true
 	}
-	f.extra = "heartbeat = \"500ms\"\nlease_ttl = \"3s\"\nsnapshot_every = 64\nsnapshot_check = \"500ms\"\n" + extra
+	f.extraConfig = "heartbeat = \"500ms\"\nlease_ttl = \"3s\"\nsnapshot_every = 64\nsnapshot_check = \"500ms\"\n" + extra
 	for _, name := range f.names {
 		f.configure(name, f.names)
 	}
 	return f
 }
 
-func (f *fleet) startAll() {
+func (f *testCluster) startAll() {
 	for _, name := range f.names {
 		f.start(name)
 	}
-	f.leader()
-	f.agree(f.names...)
+	f.waitForLeader()
+	f.waitForEqualViews(f.names...)
 }
 
-func (m *mesh) close() {
+func (m *gossipMesh) close() {
 	for _, by := range m.streams {
 		for _, l := range by {
 			l.Close()
 		}
 	}
-	for _, u := range m.packets {
+	for _, u := range m.datagrams {
 		u.Close()
 	}
 }
 
-// stream is where one dials what another listens at.
-func (m *mesh) stream(from, to, target string) string {
+// streamAddr is where one dials what another listens at.
+func (m *gossipMesh) streamAddr(from, to, target string) string {
 	key := [2]string{from, to}
 	if m.streams[key] == nil {
 		m.streams[key] = map[string]*link.Link{}
 	}
 	if m.streams[key][target] == nil {
-		l, err := link.New(m.f.addrs.IP()+":0", target, 1)
+		l, err := link.New(m.cluster.addrs.IP()+":0", target, 1)
 		if err != nil {
-			m.f.t.Fatal(err)
+			m.cluster.t.Fatal(err)
 		}
 		m.streams[key][target] = l
 	}
 	return m.streams[key][target].Addr()
 }
 
-func (m *mesh) entry(from, to string) string {
-	addr := m.f.all[to].gossip
+func (m *gossipMesh) peerConfig(from, to string) string {
+	addr := m.cluster.servers[to].gossip
 	if from != to {
-		addr = m.stream(from, to, addr)
-		if key := [2]string{from, to}; m.packets[key] == nil {
-			u, err := link.NewUDP(addr, m.f.all[to].gossip, uint64(len(m.packets)))
+		addr = m.streamAddr(from, to, addr)
+		if key := [2]string{from, to}; m.datagrams[key] == nil {
+			u, err := link.NewUDP(addr, m.cluster.servers[to].gossip, uint64(len(m.datagrams)))
 			if err != nil {
-				m.f.t.Fatal(err)
+				m.cluster.t.Fatal(err)
 			}
-			m.packets[key] = u
+			m.datagrams[key] = u
 		}
 	}
 	text := fmt.Sprintf("gossip = %q\n", addr)
-	if m.spares[to] {
+	if m.nonVoters[to] {
 		text += "spare = true\n"
 	}
 	return text
 }
 
-// shape has what goes from one to another go so: over connections that either has made.
-func (m *mesh) shape(from, to string, s link.Shape) { m.set(s, [2]string{from, to}) }
+// shapeOneWay has what goes from one to another go so: over connections that either has made.
+func (m *gossipMesh) shapeOneWay(from, to string, s link.Shape) { m.applyShape(s, [2]string{from, to}) }
 
-// among has all that goes between some stewards and others go so.
-func (m *mesh) among(some, others []string, s link.Shape) {
+// shapeBetween has all that goes between some stewards and others go so.
+func (m *gossipMesh) shapeBetween(some, others []string, s link.Shape) {
 	var pairs [][2]string
 	for _, a := range some {
 		for _, b := range others {
@@ -108,11 +108,11 @@
 			}
 		}
 	}
-	m.set(s, pairs...)
+	m.applyShape(s, pairs...)
 }
 
-func (m *mesh) set(s link.Shape, pairs ...[2]string) {
-	m.f.t.Helper()
+func (m *gossipMesh) applyShape(s link.Shape, pairs ...[2]string) {
+	m.cluster.t.Helper()
 	keys := map[[2]string]bool{}
 	for _, p := range pairs {
 		m.shapes[p] = s
@@ -121,8 +121,8 @@
 	var all sync.WaitGroup // together: a link that is cut has a queue to fill first
 	for key := range keys {
 		out, back := m.shapes[key], m.shapes[[2]string{key[1], key[0]}]
-		m.packets[key].Set(out, back)
-		streams := []*link.Link{m.f.links[key]}
+		m.datagrams[key].Set(out, back)
+		streams := []*link.Link{m.cluster.links[key]}
 		for _, l := range m.streams[key] {
 			streams = append(streams, l)
 		}
@@ -131,7 +131,7 @@
 			go func() {
 				defer all.Done()
 				if err := l.Set(out, back); err != nil {
-					m.f.t.Error(err)
+					m.cluster.t.Error(err)
 				}
 			}()
 		}
@@ -139,22 +139,22 @@
 	all.Wait()
 }
 
-func (f *fleet) view(name string) (v member.View, ok bool) {
+func (f *testCluster) view(name string) (v member.View, ok bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	views, _ := control.ReadMemberViews(ctx, []string{f.all[name].http}, 2*time.Second)
+	views, _ := control.ReadMemberViews(ctx, []string{f.servers[name].http}, 2*time.Second)
 	if len(views) != 1 {
 		return v, false
 	}
 	return views[0], true
 }
 
-// sees waits until a steward has members in a state, and tells how long that took.
-func (f *fleet) sees(at string, state member.State, names ...string) time.Duration {
+// waitForState waits until a steward has members in a state, and tells how long that took.
+func (f *testCluster) waitForState(at string, state member.State, names ...string) time.Duration {
 	f.t.Helper()
 	began := time.Now()
 	var v member.View
-	f.until(fmt.Sprintf("%s has %v as %s", at, names, state), func() bool {
+	f.waitUntil(fmt.Sprintf("%s has %v as %s", at, names, state), func() bool {
 		var ok bool
 		v, ok = f.view(at)
 		for _, n := range names {
@@ -165,9 +165,9 @@
 	return time.Since(began)
 }
 
-// agree waits until the views of stewards are equal: all of them present, nobody of another
+// waitForEqualViews waits until the views of stewards are equal: all of them present, nobody of another
 // mind; and tells how long that took.
-func (f *fleet) agree(names ...string) time.Duration {
+func (f *testCluster) waitForEqualViews(names ...string) time.Duration {
 	f.t.Helper()
 	began := time.Now()
 	last := ""
@@ -176,7 +176,7 @@
 			f.t.Log(last)
 		}
 	}()
-	f.until("equal views", func() bool {
+	f.waitUntil("equal views", func() bool {
 		var views []member.View
 		for _, n := range names {
 			v, ok := f.view(n)
@@ -199,17 +199,17 @@
 	return time.Since(began)
 }
 
-// watchful looks at views all the while, and remembers in which states members were.
-type watchful struct {
+// stateWatcher looks at views all the while, and remembers in which states members were.
+type stateWatcher struct {
 	mu   sync.Mutex
 	seen map[[2]string]map[member.State]bool // by observer and member
 	stop context.CancelFunc
 	done sync.WaitGroup
 }
 
-func (f *fleet) watchful(names ...string) *watchful {
+func (f *testCluster) watchStates(names ...string) *stateWatcher {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &watchful{seen: map[[2]string]map[member.State]bool{}, stop: cancel}
+	w := &stateWatcher{seen: map[[2]string]map[member.State]bool{}, stop: cancel}
 	for _, name := range names {
 		w.done.Add(1)
 		go func() {
@@ -230,17 +230,17 @@
 			}
 		}()
 	}
-	f.t.Cleanup(w.end)
+	f.t.Cleanup(w.stopWatching)
 	return w
 }
 
-func (w *watchful) end() {
+func (w *stateWatcher) stopWatching() {
 	w.stop()
 	w.done.Wait()
 }
 
-// never holds that no observer had a member in a state.
-func (w *watchful) never(t *testing.T, state member.State, names ...string) {
+// requireNever holds that no observer had a member in a state.
+func (w *stateWatcher) requireNever(t *testing.T, state member.State, names ...string) {
 	t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -251,25 +251,25 @@
 	}
 }
 
-// herd is programme servers that answer when they are asked how they are, and renew at the
+// backendGroup is programme servers that answer when they are asked how they are, and renew at the
 // stewards named, in turn. A reader watches whether any is ever off the list.
-type herd struct {
-	f     *fleet
-	names []string
-	r     *reader
-	mu    sync.Mutex
-	quiet bool
-	at    []string
-	apart []string // where the first two renew; nil: where all do
-	stop  context.CancelFunc
-	done  sync.WaitGroup
-	lns   []net.Listener
+type backendGroup struct {
+	cluster         *testCluster
+	names           []string
+	reader          *watchReader
+	mu              sync.Mutex
+	renewalsPaused  bool
+	renewAt         []string
+	firstTwoRenewAt []string // where the first two renew; nil: where all do
+	stop            context.CancelFunc
+	done            sync.WaitGroup
+	listeners       []net.Listener
 }
 
-func (f *fleet) herd(n int, reader string, at ...string) *herd {
+func (f *testCluster) startBackends(n int, reader string, at ...string) *backendGroup {
 	f.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	h := &herd{f: f, at: at, stop: cancel}
+	h := &backendGroup{cluster: f, renewAt: at, stop: cancel}
 	var servers []*http.Server
 	f.t.Cleanup(func() {
 		cancel()
@@ -283,15 +283,15 @@
 		if err != nil {
 			f.t.Fatal(err)
 		}
-		h.lns = append(h.lns, ln)
+		h.listeners = append(h.listeners, ln)
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {}), ReadHeaderTimeout: time.Second}
 		h.done.Add(1)
 		go func() { defer h.done.Done(); _ = server.Serve(ln) }()
 		servers = append(servers, server)
 		name := fmt.Sprint("s-", i)
-		e := entry(name, 1)
+		e := newEndpoint(name, 1)
 		e.Dial = ln.Addr().String()
-		f.until(name+" is taken", func() bool {
+		f.waitUntil(name+" is taken", func() bool {
 			c, done := context.WithTimeout(context.Background(), 5*time.Second)
 			defer done()
 			_, err := f.client(f.names...).Register(c, e)
@@ -299,10 +299,10 @@
 		})
 		h.names = append(h.names, name)
 	}
-	h.r = f.follow(reader)
-	f.until("all are listed", func() bool {
+	h.reader = f.startReader(reader)
+	f.waitUntil("all are listed", func() bool {
 		for _, n := range h.names {
-			if _, ok := h.r.has(n); !ok {
+			if _, ok := h.reader.lookup(n); !ok {
 				return false
 			}
 		}
@@ -313,14 +313,14 @@
 		defer h.done.Done()
 		for i := 0; ctx.Err() == nil; i++ {
 			h.mu.Lock()
-			quiet, at, apart := h.quiet, h.at, h.apart
+			quiet, at, apart := h.renewalsPaused, h.renewAt, h.firstTwoRenewAt
 			h.mu.Unlock()
 			say := func(at []string, refs []catalog.InstanceRef) {
 				c, done := context.WithTimeout(ctx, 700*time.Millisecond)
-				_, _ = f.all[at[i%len(at)]].client.Renew(c, refs)
+				_, _ = f.servers[at[i%len(at)]].client.Renew(c, refs)
 				done()
 			}
-			all := renewals(n)
+			all := instanceRefs(n)
 			switch {
 			case quiet:
 			case apart != nil:
@@ -335,22 +335,22 @@
 	return h
 }
 
-// silence has the servers renew no more; they still answer when they are asked.
-func (h *herd) silence() {
+// pauseRenewals has the servers renew no more; they still answer when they are asked.
+func (h *backendGroup) pauseRenewals() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.quiet = true
+	h.renewalsPaused = true
 }
 
-// whole holds that no server was ever taken off the list.
-func (h *herd) whole() {
-	h.f.t.Helper()
-	h.r.mu.Lock()
-	defer h.r.mu.Unlock()
-	if len(h.r.gone) > 0 {
-		h.f.t.Errorf("taken off the list though they are there: %v", h.r.gone)
+// requireAllListed holds that no server was ever taken off the list.
+func (h *backendGroup) requireAllListed() {
+	h.cluster.t.Helper()
+	h.reader.mu.Lock()
+	defer h.reader.mu.Unlock()
+	if len(h.reader.removed) > 0 {
+		h.cluster.t.Errorf("taken off the list though they are there: %v", h.reader.removed)
 	}
-	if len(h.r.hosts) < len(h.names) {
-		h.f.t.Errorf("%d of %d are listed", len(h.r.hosts), len(h.names))
+	if len(h.reader.listed) < len(h.names) {
+		h.cluster.t.Errorf("%d of %d are listed", len(h.reader.listed), len(h.names))
 	}
 }
--- a/cmd/controlplane/mixed_test.go
+++ b/cmd/controlplane/mixed_test.go
@@ -39,68 +39,68 @@
 	return old, present
 }
 
-// stop ends a server in order: it hands over what it leads and holds.
-func (f *fleet) stop(name string) {
+// shutDown ends a server in order: it hands over what it leads and holds.
+func (f *testCluster) shutDown(name string) {
 	f.t.Helper()
-	ended := f.all[name].proc.Ended()
-	if err := f.all[name].proc.Signal(syscall.SIGTERM); err != nil {
+	ended := f.servers[name].proc.Ended()
+	if err := f.servers[name].proc.Signal(syscall.SIGTERM); err != nil {
 		f.t.Fatal(err)
 	}
 	select {
 	case <-ended:
-	case <-time.After(soon):
+	case <-time.After(waitTimeout):
 		f.t.Fatalf("%s did not end", name)
 	}
 }
 
-// startAs starts a server that doesn't run with the program of a build.
-func (f *fleet) startAs(name string, b build) {
+// startBuild starts a server that doesn't run with the program of a build.
+func (f *testCluster) startBuild(name string, b build) {
 	f.t.Helper()
-	p := f.all[name].proc
+	p := f.servers[name].proc
 	p.Path, p.Env = b.path, b.env
 	f.start(name)
-	f.until(name+" follows or leads", func() bool {
+	f.waitUntil(name+" follows or leads", func() bool {
 		st, err := f.status(name)
 		return err == nil && st.Leader != "" && st.Seq > 0 && !st.Stale
 	})
 }
 
-// mixed is a quorum of servers of two builds, and what was written to it.
-type mixed struct {
-	*fleet
-	runs  map[string]build
-	acked map[string]float64
-	fence int64 // of the leased task
-	rev   int64 // that the session was last told
+// mixedCluster is a quorum of servers of two builds, and what was written to it.
+type mixedCluster struct {
+	*testCluster
+	builds   map[string]build
+	acked    map[string]float64
+	fence    int64 // of the leased task
+	revision int64 // that the session was last told
 }
 
-// leads has one of the servers named lead, by stopping and starting another that does.
-func (m *mixed) leads(names ...string) {
+// electOneOf has one of the servers named lead, by stopping and starting another that does.
+func (m *mixedCluster) electOneOf(names ...string) {
 	m.t.Helper()
-	m.until(fmt.Sprintf("%v lead", names), func() bool {
-		leader := m.leader()
+	m.waitUntil(fmt.Sprintf("%v lead", names), func() bool {
+		leader := m.waitForLeader()
 		if slices.Contains(names, leader) {
 			return true
 		}
-		m.stop(leader)
-		m.startAs(leader, m.runs[leader])
+		m.shutDown(leader)
+		m.startBuild(leader, m.builds[leader])
 		return false
 	})
 }
 
-// through calls the server named until it does what is asked.
-func (m *mixed) through(name, what string, do func(ctx context.Context, c *control.Client) error) {
+// retryThrough calls the server named until it does what is asked.
+func (m *mixedCluster) retryThrough(name, what string, do func(ctx context.Context, c *control.Client) error) {
 	m.t.Helper()
 	var err error
 	defer func() {
 		if m.t.Failed() {
-			m.t.Logf("%s through %s (%s build): %v", what, name, m.runs[name].name, err)
+			m.t.Logf("%s through %s (%s build): %v", what, name, m.builds[name].name, err)
 		}
 	}()
-	m.until(what+" through "+name, func() bool {
+	m.waitUntil(what+" through "+name, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 		defer cancel()
-		err = do(ctx, m.all[name].client)
+		err = do(ctx, m.servers[name].client)
 		return err == nil
 	})
 }
@@ -112,8 +112,8 @@
 	mixedTTL     = 10 * time.Minute
 )
 
-// writes writes through every server: servers come, change and end, and the session is renewed.
-func (m *mixed) writes(phase string) {
+// writeThroughAll writeThroughAll through every server: servers come, change and end, and the session is renewed.
+func (m *mixedCluster) writeThroughAll(phase string) {
 	m.t.Helper()
 	for i, name := range m.names {
 		for j := range 4 {
@@ -122,34 +122,34 @@
 			m.acked[server] = 1000
 		}
 		first := fmt.Sprintf("%s-%d-0", phase, i)
-		m.through(name, "override", func(ctx context.Context, c *control.Client) error {
+		m.retryThrough(name, "override", func(ctx context.Context, c *control.Client) error {
 			health, share := "draining", 0.5
 			_, err := c.SetOverride(ctx, first, control.ServerOverride{Health: &health, Weight: &share})
 			return err
 		})
-		m.through(name, "renewal of leases", func(ctx context.Context, c *control.Client) error {
+		m.retryThrough(name, "renewal of leases", func(ctx context.Context, c *control.Client) error {
 			r, err := c.Renew(ctx, []catalog.InstanceRef{{Name: first, StartedMs: 1000}, {Name: "nobody", StartedMs: 1}})
 			if err == nil && !slices.Equal(r.Codes, []catalog.Code{catalog.Done, catalog.Unknown}) {
 				m.t.Fatalf("a renewal through %s is answered with %q", name, r.Codes)
 			}
 			return err
 		})
-		m.through(name, "renewal of the session", func(ctx context.Context, c *control.Client) error {
-			_, err := c.RenewSession(ctx, mixedWorker, mixedSession, m.rev)
+		m.retryThrough(name, "renewal of the session", func(ctx context.Context, c *control.Client) error {
+			_, err := c.RenewSession(ctx, mixedWorker, mixedSession, m.revision)
 			return err
 		})
-		m.through(name, "definition of a task", func(ctx context.Context, c *control.Client) error {
+		m.retryThrough(name, "definition of a task", func(ctx context.Context, c *control.Client) error {
 			return c.DefineTask(ctx, fmt.Sprintf("other.%s.%d", phase, i), control.TaskDefinition{TTLMs: 1000})
 		})
 	}
 }
 
-// reads holds that all that was written is there, at every server.
-func (m *mixed) reads() {
+// verifyReads holds that all that was written is there, at every server.
+func (m *mixedCluster) verifyReads() {
 	m.t.Helper()
-	m.holds(m.acked)
+	m.requireAcknowledged(m.acked)
 	for _, name := range m.names {
-		m.through(name, "list", func(ctx context.Context, c *control.Client) error {
+		m.retryThrough(name, "list", func(ctx context.Context, c *control.Client) error {
 			l, err := c.List(ctx)
 			if err != nil {
 				return err
@@ -165,14 +165,14 @@
 			}
 			return nil
 		})
-		m.through(name, "leased task", func(ctx context.Context, c *control.Client) error {
+		m.retryThrough(name, "leased task", func(ctx context.Context, c *control.Client) error {
 			d, err := c.Task(ctx, mixedTask)
 			if err == nil && (d.Holder != mixedWorker || d.Session != mixedSession || d.Fence != m.fence) {
 				m.t.Fatalf("%s has the task as %+v, it was granted with fence %d", name, d, m.fence)
 			}
 			return err
 		})
-		m.through(name, "tasks of the session", func(ctx context.Context, c *control.Client) error {
+		m.retryThrough(name, "tasks of the session", func(ctx context.Context, c *control.Client) error {
 			tasks, err := c.WatchSession(ctx, mixedWorker, mixedSession, 0)
 			if err == nil && (len(tasks.Assignments) != 1 || tasks.Assignments[0].Name != mixedTask || tasks.Assignments[0].Fence != m.fence) {
 				m.t.Fatalf("%s tells the session %+v", name, tasks)
@@ -181,21 +181,21 @@
 		})
 	}
 	// The control plane's own tasks are held by its servers, of whichever build.
-	m.through(m.names[0], "sweep", func(ctx context.Context, c *control.Client) error {
+	m.retryThrough(m.names[0], "sweep", func(ctx context.Context, c *control.Client) error {
 		d, err := c.Task(ctx, "sweep")
-		if err == nil && m.all[d.Holder] == nil {
+		if err == nil && m.servers[d.Holder] == nil {
 			err = fmt.Errorf("held by %q", d.Holder)
 		}
 		return err
 	})
-	m.same()
+	m.waitForEqualStates()
 }
 
-// same waits until the states of all servers are equal, byte for byte. They change while the
+// waitForEqualStates waits until the states of all servers are equal, byte for byte. They change while the
 // control plane's own tasks are handed over.
-func (m *mixed) same() {
+func (m *mixedCluster) waitForEqualStates() {
 	m.t.Helper()
-	m.until("equal states", func() bool {
+	m.waitUntil("equal states", func() bool {
 		var texts [][]byte
 		for _, name := range m.names {
 			status, _, text := m.get(name, "/v1/snapshot")
@@ -214,52 +214,52 @@
 // leased task with its fence and the versions that a watch sees stay.
 func TestMixedQuorum(t *testing.T) {
 	old, present := builds(t)
-	f := gossiping(t, 3, "")
-	f.extra = "heartbeat = \"300ms\"\nlease_ttl = \"10m\"\nsnapshot_every = 16\nsnapshot_check = \"200ms\"\n"
-	m := &mixed{fleet: f, runs: map[string]build{"st-1": old, "st-2": old, "st-3": present}, acked: map[string]float64{}}
+	f := newGossipCluster(t, 3, "")
+	f.extraConfig = "heartbeat = \"300ms\"\nlease_ttl = \"10m\"\nsnapshot_every = 16\nsnapshot_check = \"200ms\"\n"
+	m := &mixedCluster{testCluster: f, builds: map[string]build{"st-1": old, "st-2": old, "st-3": present}, acked: map[string]float64{}}
 	for _, name := range f.names {
 		f.configure(name, f.names)
-		p := f.all[name].proc
-		p.Path, p.Env = m.runs[name].path, m.runs[name].env
+		p := f.servers[name].proc
+		p.Path, p.Env = m.builds[name].path, m.builds[name].env
 		f.start(name)
 	}
-	m.leads("st-1", "st-2")
-	f.agree(f.names...)
-	watch := f.follow(f.names...)
+	m.electOneOf("st-1", "st-2")
+	f.waitForEqualViews(f.names...)
+	watch := f.startReader(f.names...)
 
-	m.through("st-3", "session", func(ctx context.Context, c *control.Client) error {
+	m.retryThrough("st-3", "session", func(ctx context.Context, c *control.Client) error {
 		return c.OpenSession(ctx, catalog.Session{Process: mixedWorker, ID: mixedSession, TaskKinds: []string{"job"}, MaxTasks: 1})
 	})
-	m.through("st-3", "task", func(ctx context.Context, c *control.Client) error {
+	m.retryThrough("st-3", "task", func(ctx context.Context, c *control.Client) error {
 		return c.DefineTask(ctx, mixedTask, control.TaskDefinition{TTLMs: mixedTTL.Milliseconds()})
 	})
-	m.through("st-3", "claim", func(ctx context.Context, c *control.Client) error {
+	m.retryThrough("st-3", "claim", func(ctx context.Context, c *control.Client) error {
 		r, err := c.ClaimTask(ctx, mixedTask, mixedWorker, mixedSession)
 		m.fence = r.Fence
 		return err
 	})
-	m.writes("one")
-	m.reads()
+	m.writeThroughAll("one")
+	m.verifyReads()
 
 	swapped := map[string]build{"st-1": present, "st-2": present, "st-3": old}
 	for _, name := range slices.Sorted(maps.Keys(swapped)) {
-		f.stop(name)
+		f.shutDown(name)
 		m.register("while-"+name+"-is-away", 1000, f.others(name)...)
 		m.acked["while-"+name+"-is-away"] = 1000
-		m.runs[name] = swapped[name]
-		f.startAs(name, m.runs[name])
+		m.builds[name] = swapped[name]
+		f.startBuild(name, m.builds[name])
 	}
-	m.leads("st-1", "st-2")
-	f.agree(f.names...)
-	m.reads()
-	m.writes("two")
-	m.reads()
+	m.electOneOf("st-1", "st-2")
+	f.waitForEqualViews(f.names...)
+	m.verifyReads()
+	m.writeThroughAll("two")
+	m.verifyReads()
 
 	for server := range m.acked {
-		f.until("the watch has "+server, func() bool { return watch.knew(server) })
+		f.waitUntil("the watch has "+server, func() bool { return watch.wasListed(server) })
 	}
-	watch.end(t)
-	for _, name := range watch.gone {
+	watch.stopAndVerify(t)
+	for _, name := range watch.removed {
 		t.Errorf("%s was taken off the list", name)
 	}
 }
--- a/cmd/controlplane/notice_test.go
+++ b/cmd/controlplane/notice_test.go
@@ -63,47 +63,47 @@
 	n.Close()
 }
 
-var sent = regexp.MustCompile(`(?m)msg=counts sent=(\d+)$`)
+var sentCountPattern = regexp.MustCompile(`(?m)msg=counts sent=(\d+)$`)
 
-// bytes is what all of them have sent.
-func (t *troop) bytes() (sum int64) {
+// bytesSent is what all of them have sent.
+func (t *gossipGroup) bytesSent() (sum int64) {
 	for _, name := range t.names {
-		p := t.procs[name]
+		p := t.processes[name]
 		before, _ := os.ReadFile(p.Log)
 		if err := p.Signal(syscall.SIGHUP); err != nil {
-			t.b.Fatal(err)
+			t.testing.Fatal(err)
 		}
-		for end := time.Now().Add(soon); ; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 			text, _ := os.ReadFile(p.Log)
-			if m := sent.FindSubmatch(text[len(before):]); m != nil {
+			if m := sentCountPattern.FindSubmatch(text[len(before):]); m != nil {
 				x, _ := strconv.ParseInt(string(m[1]), 10, 64)
 				sum += x
 				break
 			}
 			if time.Now().After(end) {
-				t.b.Fatalf("%s tells no counts", name)
+				t.testing.Fatalf("%s tells no counts", name)
 			}
 		}
 	}
 	return sum
 }
 
-// troop is processes that gossip, five of them observers.
-type troop struct {
-	b     testing.TB
-	names []string
-	procs map[string]*process.Process
-	lives map[string]int64
-	links []*link.UDP
+// gossipGroup is processes that gossip, five of them observers.
+type gossipGroup struct {
+	testing      testing.TB
+	names        []string
+	processes    map[string]*process.Process
+	incarnations map[string]int64
+	links        []*link.UDP
 }
 
-func newTroop(b testing.TB, n int, loss float64) *troop {
+func newGossipGroup(b testing.TB, n int, loss float64) *gossipGroup {
 	addrs, err := loopback.Claim()
 	if err != nil {
 		b.Fatal(err)
 	}
 	dir := b.TempDir()
-	t := &troop{b: b, procs: map[string]*process.Process{}, lives: map[string]int64{}}
+	t := &gossipGroup{testing: b, processes: map[string]*process.Process{}, incarnations: map[string]int64{}}
 	sup := process.New(nil)
 	b.Cleanup(func() {
 		sup.Close()
@@ -153,33 +153,33 @@
 		if i < 5 {
 			role = member.RoleControlPlane
 		}
-		t.procs[name] = sup.Add(process.Spec{Name: name, Path: exe, Log: filepath.Join(dir, name+".log"), Env: []string{"MEMBER_CHILD=1", "MEMBER_NAME=" + name,
+		t.processes[name] = sup.Add(process.Spec{Name: name, Path: exe, Log: filepath.Join(dir, name+".log"), Env: []string{"MEMBER_CHILD=1", "MEMBER_NAME=" + name,
 			"MEMBER_ROLE=" + string(role), "MEMBER_LISTEN=" + at[name], "MEMBER_PEERS=" + file}})
 		t.start(name)
 	}
 	return t
 }
 
-func (t *troop) start(name string) {
-	t.lives[name]++
-	p := t.procs[name]
-	p.Env = append(p.Env[:5:5], fmt.Sprint("MEMBER_LIFE=", t.lives[name]))
+func (t *gossipGroup) start(name string) {
+	t.incarnations[name]++
+	p := t.processes[name]
+	p.Env = append(p.Env[:5:5], fmt.Sprint("MEMBER_LIFE=", t.incarnations[name]))
 	if err := p.Start(); err != nil {
-		t.b.Fatal(err)
+		t.testing.Fatal(err)
 	}
 }
 
-var noticed = regexp.MustCompile(`(?m)^time=(\S+) level=INFO msg=member name=(\S+) to=(\S+)$`)
+var stateChangePattern = regexp.MustCompile(`(?m)^time=(\S+) level=INFO msg=member name=(\S+) to=(\S+)$`)
 
-// when tells, by observer, at which times it came to have a member in a state.
-func (t *troop) when(state member.State) map[string]map[string][]time.Time {
+// stateTimes tells, by observer, at which times it came to have a member in a state.
+func (t *gossipGroup) stateTimes(state member.State) map[string]map[string][]time.Time {
 	out := map[string]map[string][]time.Time{}
 	for _, o := range t.names {
-		text, err := os.ReadFile(t.procs[o].Log)
+		text, err := os.ReadFile(t.processes[o].Log)
 		if err != nil {
-			t.b.Fatal(err)
+			t.testing.Fatal(err)
 		}
-		for _, m := range noticed.FindAllSubmatch(text, -1) {
+		for _, m := range stateChangePattern.FindAllSubmatch(text, -1) {
 			if at, err := time.Parse(time.RFC3339Nano, string(m[1])); err == nil && string(m[3]) == string(state) {
 				if out[o] == nil {
 					out[o] = map[string][]time.Time{}
@@ -191,23 +191,23 @@
 	return out
 }
 
-// BenchmarkNotice kills members that gossip, one each second, and measures by their logs when
+// BenchmarkFailureDetection kills members that gossip, one each second, and measures by their logs when
 // the first and the last of the others have each as failed; and what a process uses at rest.
-func BenchmarkNotice(b *testing.B) {
+func BenchmarkFailureDetection(b *testing.B) {
 	for _, n := range []int{5, 20, 50, 100} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			t := newTroop(b, n, 0)
+			t := newGossipGroup(b, n, 0)
 			time.Sleep(8 * time.Second)
 			sum := func() (cpu time.Duration) {
-				for _, p := range t.procs {
+				for _, p := range t.processes {
 					use, _, _ := p.Look()
 					cpu += use.CPU
 				}
 				return cpu
 			}
-			before, from, began := sum(), t.bytes(), time.Now()
+			before, from, began := sum(), t.bytesSent(), time.Now()
 			time.Sleep(10 * time.Second)
-			b.ReportMetric(float64(t.bytes()-from)/float64(n)/time.Since(began).Seconds(), "bytes/s/process")
+			b.ReportMetric(float64(t.bytesSent()-from)/float64(n)/time.Since(began).Seconds(), "bytes/s/process")
 			b.ReportMetric(float64(sum()-before)/float64(n)/float64(10*time.Second)*1000, "millicores/process")
 			kills := map[string]time.Time{}
 			type end struct {
@@ -226,7 +226,7 @@
 				}
 				kills[name] = time.Now()
 				mu.Unlock()
-				t.procs[name].Kill()
+				t.processes[name].Kill()
 				ends = append(ends, end{name, kills[name]})
 				back.Add(1)
 				go func() {
@@ -240,7 +240,7 @@
 				time.Sleep(time.Duration(max(1000, 24000/n)) * time.Millisecond)
 			}
 			back.Wait()
-			failed := t.when(member.Failed)
+			failed := t.stateTimes(member.Failed)
 			var first, spread []time.Duration
 			missed := 0
 			for _, e := range ends {
@@ -258,27 +258,27 @@
 				}
 				first, spread = append(first, lo), append(spread, hi-lo)
 			}
-			report(b, "first", first)
-			report(b, "spread", spread)
+			reportPercentiles(b, "first", first)
+			reportPercentiles(b, "spread", spread)
 			b.ReportMetric(float64(missed), "missed")
 		})
 	}
 }
 
-// BenchmarkWrong has fifty members gossip over a network that loses a fifth of the datagrams,
+// BenchmarkFalseFailures has fifty members gossip over a network that loses a fifth of the datagrams,
 // a random one of them standing still for up to 5 s now and then, and counts for how many of
 // a member's hours another that was there was taken for failed or suspected. WRONG_FOR is how
 // long it goes on.
-func BenchmarkWrong(b *testing.B) {
+func BenchmarkFalseFailures(b *testing.B) {
 	lasts, err := time.ParseDuration(os.Getenv("WRONG_FOR"))
 	if err != nil {
 		lasts = 2 * time.Minute
 	}
-	t := newTroop(b, 50, 0.2)
+	t := newGossipGroup(b, 50, 0.2)
 	time.Sleep(8 * time.Second)
 	base := 0
 	count := func() (n int) {
-		for _, by := range t.when(member.Failed) {
+		for _, by := range t.stateTimes(member.Failed) {
 			for _, at := range by {
 				n += len(at)
 			}
@@ -289,7 +289,7 @@
 	rng := rand.New(rand.NewPCG(10, 1))
 	stops := 0
 	for end := time.Now().Add(lasts); time.Now().Before(end); stops++ {
-		p := t.procs[t.names[rng.IntN(50)]]
+		p := t.processes[t.names[rng.IntN(50)]]
 		if err := p.Signal(syscall.SIGSTOP); err != nil {
 			b.Fatal(err)
 		}
@@ -304,14 +304,14 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// states tells how an observer has the others, by the last that its log says.
-func (t *troop) states(observer string) map[string]member.State {
+// lastStates tells how an observer has the others, by the last that its log says.
+func (t *gossipGroup) lastStates(observer string) map[string]member.State {
 	out := map[string]member.State{}
-	text, err := os.ReadFile(t.procs[observer].Log)
+	text, err := os.ReadFile(t.processes[observer].Log)
 	if err != nil {
-		t.b.Fatal(err)
+		t.testing.Fatal(err)
 	}
-	for _, m := range noticed.FindAllSubmatch(text, -1) {
+	for _, m := range stateChangePattern.FindAllSubmatch(text, -1) {
 		out[string(m[2])] = member.State(m[3])
 	}
 	return out
@@ -319,18 +319,18 @@
 
 // Many start at once, one of the table never does; then half of them end at once: too many to
 // be believed by one alone, and believed by all that are left once they say the same.
-func TestHalfKilled(t *testing.T) {
+func TestMassFailureNeedsMajority(t *testing.T) {
 	const n = 24
-	tr := newTroop(t, n, 0)
+	tr := newGossipGroup(t, n, 0)
 	dead := tr.names[n-1]
-	tr.procs[dead].Kill() // as soon as it was started
+	tr.processes[dead].Kill() // as soon as it was started
 	await := func(what string, who, whom []string, state member.State) {
 		t.Helper()
 		missing := ""
-		for end := time.Now().Add(soon); ; time.Sleep(100 * time.Millisecond) {
+		for end := time.Now().Add(waitTimeout); ; time.Sleep(100 * time.Millisecond) {
 			missing = ""
 			for _, o := range who {
-				states := tr.states(o)
+				states := tr.lastStates(o)
 				for _, m := range whom {
 					if m != o && states[m] != state {
 						missing = fmt.Sprintf("%s has %s as %q", o, m, states[m])
@@ -350,10 +350,10 @@
 	victims := append(append([]string{}, tr.names[:2]...), tr.names[12:n-1]...)
 	left := tr.names[2:12]
 	for _, name := range victims {
-		tr.procs[name].Kill()
+		tr.processes[name].Kill()
 	}
 	await("half end", left, victims, member.Failed)
-	for o, by := range tr.when(member.Failed) {
+	for o, by := range tr.stateTimes(member.Failed) {
 		for _, name := range left {
 			if len(by[name]) > 0 && slices.Contains(left, o) {
 				t.Errorf("%s had %s as failed, which is there", o, name)
--- a/cmd/controlplane/readers_test.go
+++ b/cmd/controlplane/readers_test.go
@@ -24,33 +24,33 @@
 	"knotrouter/internal/lab/process"
 )
 
-// crowd is many readers, each with an order of its own, as agents have.
-type crowd struct {
-	f     *fleet
-	all   []*reader
-	calls atomic.Int64
-	mu    sync.Mutex
-	times []time.Time // of the calls
-	stop  context.CancelFunc
-	done  sync.WaitGroup
+// readerGroup is many readers, each with an order of its own, as agents have.
+type readerGroup struct {
+	cluster   *testCluster
+	readers   []*watchReader
+	calls     atomic.Int64
+	mu        sync.Mutex
+	callTimes []time.Time // of the calls
+	stop      context.CancelFunc
+	done      sync.WaitGroup
 }
 
-func (c *crowd) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c *readerGroup) RoundTrip(r *http.Request) (*http.Response, error) {
 	c.calls.Add(1)
 	c.mu.Lock()
-	c.times = append(c.times, time.Now())
+	c.callTimes = append(c.callTimes, time.Now())
 	c.mu.Unlock()
 	return c.transport().RoundTrip(r)
 }
 
-func (c *crowd) transport() *http.Transport { return &http.Transport{DisableKeepAlives: true} }
+func (c *readerGroup) transport() *http.Transport { return &http.Transport{DisableKeepAlives: true} }
 
-func (f *fleet) crowd(n int) *crowd {
+func (f *testCluster) startReaders(n int) *readerGroup {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &crowd{f: f, stop: cancel}
+	c := &readerGroup{cluster: f, stop: cancel}
 	for i := range n {
-		r := &reader{hosts: map[string]endpoints.Endpoint{}}
-		c.all = append(c.all, r)
+		r := &watchReader{listed: map[string]endpoints.Endpoint{}}
+		c.readers = append(c.readers, r)
 		client := endpoints.NewClient(endpoints.ClientConfig{Addresses: f.client(f.names...).Addrs, Order: uint64(i), Fleet: n,
 			RejectOlder: true, Transport: c})
 		c.done.Add(1)
@@ -58,28 +58,28 @@
 			defer c.done.Done()
 			for ctx.Err() == nil {
 				r.mu.Lock()
-				seq := r.seq
+				seq := r.version
 				r.mu.Unlock()
-				_ = client.Watch(ctx, seq, func(l endpoints.List) { r.take(&l) })
+				_ = client.Watch(ctx, seq, func(l endpoints.List) { r.apply(&l) })
 				time.Sleep(time.Duration(500+i%500) * time.Millisecond)
 			}
 		}()
 	}
-	f.t.Cleanup(c.end)
+	f.t.Cleanup(c.stopReading)
 	return c
 }
 
-func (c *crowd) end() {
+func (c *readerGroup) stopReading() {
 	c.stop()
 	c.done.Wait()
 }
 
-// most is how many calls there were in the fullest window of so long.
-func (c *crowd) most(window time.Duration) (most int) {
+// maxCallsWithin is how many calls there were in the fullest window of so long.
+func (c *readerGroup) maxCallsWithin(window time.Duration) (most int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i, j := 0, 0; j < len(c.times); j++ {
-		for c.times[j].Sub(c.times[i]) > window {
+	for i, j := 0, 0; j < len(c.callTimes); j++ {
+		for c.callTimes[j].Sub(c.callTimes[i]) > window {
 			i++
 		}
 		most = max(most, j-i+1)
@@ -87,18 +87,18 @@
 	return most
 }
 
-func (c *crowd) forget() {
+func (c *readerGroup) resetCallTimes() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.times = nil
+	c.callTimes = nil
 }
 
-// know waits until all have a server.
-func (c *crowd) know(name string) {
-	c.f.t.Helper()
-	c.f.until("all know "+name, func() bool {
-		for _, r := range c.all {
-			if _, ok := r.has(name); !ok {
+// waitUntilAllHave waits until all have a server.
+func (c *readerGroup) waitUntilAllHave(name string) {
+	c.cluster.t.Helper()
+	c.cluster.waitUntil("all know "+name, func() bool {
+		for _, r := range c.readers {
+			if _, ok := r.lookup(name); !ok {
 				return false
 			}
 		}
@@ -106,7 +106,7 @@
 	})
 }
 
-func (f *fleet) watches() (at []int, sum int) {
+func (f *testCluster) watchCounts() (at []int, sum int) {
 	for _, name := range f.names {
 		st, err := f.status(name)
 		if err != nil {
@@ -119,14 +119,14 @@
 
 // Watches spread over the stewards. One that ends in order sends its own away in small
 // steps before; one that joins gets its part in small steps; nobody misses a change.
-func TestWatchesMove(t *testing.T) {
+func TestWatchesAreRebalanced(t *testing.T) {
 	const n = 90
-	f := newFleet(t, 3)
+	f := newCluster(t, 3)
 	f.register("before", 1)
-	c := f.crowd(n)
+	c := f.startReaders(n)
 	spread := func(stewards int) func() bool {
 		return func() bool {
-			at, sum := f.watches()
+			at, sum := f.watchCounts()
 			for _, w := range at {
 				if w > n/stewards+n/stewards/10+2 {
 					return false
@@ -135,43 +135,43 @@
 			return sum == n
 		}
 	}
-	c.know("before")
-	f.until("they are spread over three", spread(3))
-	victim := f.others(f.leader())[0]
-	c.forget()
-	ended := f.all[victim].proc.Ended()
-	if err := f.all[victim].proc.Signal(syscall.SIGTERM); err != nil {
+	c.waitUntilAllHave("before")
+	f.waitUntil("they are spread over three", spread(3))
+	victim := f.others(f.waitForLeader())[0]
+	c.resetCallTimes()
+	ended := f.servers[victim].proc.Ended()
+	if err := f.servers[victim].proc.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	<-ended
-	f.until("they are spread over two", spread(2))
+	f.waitUntil("they are spread over two", spread(2))
 	f.register("between", 1)
-	c.know("between")
+	c.waitUntilAllHave("between")
 	// Of thirty within two seconds, a tenth of a second's part is two or three.
-	if got := c.most(100 * time.Millisecond); got > n/3/2 {
+	if got := c.maxCallsWithin(100 * time.Millisecond); got > n/3/2 {
 		t.Errorf("%d of the %d readers of a steward that ends went elsewhere within 100 ms", got, n/3)
 	}
-	text, _ := os.ReadFile(f.all[victim].proc.Log)
+	text, _ := os.ReadFile(f.servers[victim].proc.Log)
 	if !strings.Contains(string(text), "msg=drained") || !strings.Contains(string(text), "remaining=0") {
 		t.Errorf("it ended with watches left: %s", text[max(0, len(text)-400):])
 	}
-	c.forget()
+	c.resetCallTimes()
 	f.start(victim)
-	f.until("they are spread over three again", spread(3))
-	if got := c.most(time.Second); got > 3*n/20+3 {
+	f.waitUntil("they are spread over three again", spread(3))
+	if got := c.maxCallsWithin(time.Second); got > 3*n/20+3 {
 		t.Errorf("%d calls within a second to a steward that joins, of %d readers", got, n)
 	}
 	f.register("after", 1)
-	c.know("after")
-	for _, r := range c.all {
-		if len(r.back) > 0 {
-			t.Errorf("versions went back: %v", r.back)
+	c.waitUntilAllHave("after")
+	for _, r := range c.readers {
+		if len(r.regressions) > 0 {
+			t.Errorf("versions went back: %v", r.regressions)
 		}
 	}
 }
 
-// lagFor is for how long a steward lags in TestLags; longer where it is asked for.
-func lagFor(t *testing.T) time.Duration {
+// lagDuration is for how long a steward lags in TestLaggingServerLosesItsWatches; longer where it is asked for.
+func lagDuration(t *testing.T) time.Duration {
 	d, err := time.ParseDuration(os.Getenv("LAG_FOR"))
 	if err != nil {
 		return 4 * time.Second
@@ -183,59 +183,59 @@
 // A steward that lags, because its disk is slow, because what it is sent comes late, or
 // because it stood still, loses its readers to others while it does; it serves them nothing
 // old, and takes them again once it has caught up.
-func TestLags(t *testing.T) {
+func TestLaggingServerLosesItsWatches(t *testing.T) {
 	for _, why := range []string{"slow disk", "late link", "stood still"} {
 		t.Run(why, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, 3)
-			f.extra += "stale_after = \"1s\"\n"
+			f := newCluster(t, 3)
+			f.extraConfig += "stale_after = \"1s\"\n"
 			file := filepath.Join(f.dir, "slow")
 			for _, name := range f.names {
 				f.kill(name)
 				f.configure(name, f.names)
-				f.all[name].proc.Env = append(f.all[name].proc.Env, "TEST_DISK="+file+"-"+name)
+				f.servers[name].proc.Env = append(f.servers[name].proc.Env, "TEST_DISK="+file+"-"+name)
 			}
 			for _, name := range f.names {
 				f.start(name)
 			}
-			lead := f.leader()
+			lead := f.waitForLeader()
 			slow := f.others(lead)[0]
 			f.register("before", 1)
-			c := f.crowd(30)
-			c.know("before")
+			c := f.startReaders(30)
+			c.waitUntilAllHave("before")
 			switch why {
 			case "slow disk":
 				if err := os.WriteFile(file+"-"+slow, nil, 0o600); err != nil {
 					t.Fatal(err)
 				}
 			case "late link":
-				if err := f.links[[2]string{lead, slow}].Set(link.Shape{Delay: lagFor(t)}, link.Shape{}); err != nil {
+				if err := f.links[[2]string{lead, slow}].Set(link.Shape{Delay: lagDuration(t)}, link.Shape{}); err != nil {
 					t.Fatal(err)
 				}
 			case "stood still":
-				if err := f.all[slow].proc.Signal(syscall.SIGSTOP); err != nil {
+				if err := f.servers[slow].proc.Signal(syscall.SIGSTOP); err != nil {
 					t.Fatal(err)
 				}
 			}
 			began := time.Now()
 			f.register("while", 1, lead)
-			c.know("while")
+			c.waitUntilAllHave("while")
 			if took := time.Since(began); took > 20*time.Second {
 				t.Errorf("all readers knew after %v", took)
 			}
 			if why != "stood still" {
-				f.until("it knows that it lags", func() bool { st, err := f.status(slow); return err == nil && st.Stale && st.Watches == 0 })
+				f.waitUntil("it knows that it lags", func() bool { st, err := f.status(slow); return err == nil && st.Stale && st.Watches == 0 })
 				if why == "slow disk" {
 					if st, err := f.status(slow); err != nil || st.SinceLeaderContactMs > 1000 || st.LagMs < 1000 {
 						t.Errorf("it hears the leader and lags: %+v, %v", st, err)
 					}
 				}
 				// A reader that knows nothing yet is sent on too.
-				if l, err := f.all[slow].client.List(context.Background()); err == nil {
+				if l, err := f.servers[slow].client.List(context.Background()); err == nil {
 					t.Errorf("it serves version %d while it lags and another doesn't", l.Seq)
 				}
 			}
-			if left := lagFor(t) - time.Since(began); left > 0 {
+			if left := lagDuration(t) - time.Since(began); left > 0 {
 				time.Sleep(left)
 			}
 			for i := range 50 {
@@ -251,17 +251,17 @@
 					t.Fatal(err)
 				}
 			case "stood still":
-				if err := f.all[slow].proc.Signal(syscall.SIGCONT); err != nil {
+				if err := f.servers[slow].proc.Signal(syscall.SIGCONT); err != nil {
 					t.Fatal(err)
 				}
 			}
-			f.until("it has its part again", func() bool {
+			f.waitUntil("it has its part again", func() bool {
 				st, err := f.status(slow)
 				return err == nil && !st.Stale && st.Watches >= 5
 			})
 			f.register("after", 1)
-			c.know("after")
-			c.know("later-49")
+			c.waitUntilAllHave("after")
+			c.waitUntilAllHave("later-49")
 		})
 	}
 }
@@ -269,19 +269,19 @@
 // Stewards' clocks are half a day apart, and it shows nowhere: leases end by the leader's
 // time, no server lapses when another leads, versions never go back, not even with a fresh
 // fleet whose leader's clock is behind.
-func TestClocksApart(t *testing.T) {
-	f := newFleet(t, 3)
+func TestClockSkewHasNoEffect(t *testing.T) {
+	f := newCluster(t, 3)
 	// The guard against mass failure is not what is played, and seven of twelve end here.
-	f.extra = strings.Replace(f.extra, "10m", "3s", 1) + "guard_share = 1\n"
+	f.extraConfig = strings.Replace(f.extraConfig, "10m", "3s", 1) + "guard_share = 1\n"
 	for i, name := range f.names {
 		f.kill(name)
 		f.configure(name, f.names)
-		f.all[name].proc.Env = append(f.all[name].proc.Env, fmt.Sprint("TEST_CLOCK=", []string{"11h", "-11h", "0s"}[i]))
+		f.servers[name].proc.Env = append(f.servers[name].proc.Env, fmt.Sprint("TEST_CLOCK=", []string{"11h", "-11h", "0s"}[i]))
 	}
 	for _, name := range f.names {
 		f.start(name)
 	}
-	f.leader()
+	f.waitForLeader()
 	const n = 8
 	var quiet atomic.Int64 // servers that renew no more, from the last on
 	ctx, cancel := context.WithCancel(context.Background())
@@ -297,43 +297,43 @@
 		c := f.client(f.names...)
 		for ctx.Err() == nil {
 			call, cancel := context.WithTimeout(ctx, 2*time.Second)
-			_, _ = c.Renew(call, renewals(n-int(quiet.Load())))
+			_, _ = c.Renew(call, instanceRefs(n-int(quiet.Load())))
 			cancel()
 			time.Sleep(100 * time.Millisecond)
 		}
 	}()
-	r := f.follow(f.names...)
+	r := f.startReader(f.names...)
 	for round := range 3 {
-		old := f.leader()
+		old := f.waitForLeader()
 		f.kill(old)
 		quiet.Add(1)
 		gone := fmt.Sprint("s-", n-1-round)
 		f.register(fmt.Sprint("round-", round), 1)
-		f.until("read", func() bool { _, ok := r.has(fmt.Sprint("round-", round)); return ok })
+		f.waitUntil("read", func() bool { _, ok := r.lookup(fmt.Sprint("round-", round)); return ok })
 		f.start(old)
 		time.Sleep(1500 * time.Millisecond) // half a lease
-		f.until(gone+" lapses, which renews no more since another leads", func() bool { _, ok := r.has(gone); return !ok })
+		f.waitUntil(gone+" lapses, which renews no more since another leads", func() bool { _, ok := r.lookup(gone); return !ok })
 		for i := range n - 1 - round {
-			if _, ok := r.has(fmt.Sprint("s-", i)); !ok {
+			if _, ok := r.lookup(fmt.Sprint("s-", i)); !ok {
 				t.Errorf("round %d: s-%d lapsed though it renewed", round, i)
 			}
 		}
 	}
 	f.register("silent", 1)
-	f.until("one that isn't heard lapses", func() bool { _, ok := r.has("silent"); return !ok && r.knew("silent") })
+	f.waitUntil("one that isn't heard lapses", func() bool { _, ok := r.lookup("silent"); return !ok && r.wasListed("silent") })
 	for _, name := range f.names {
 		f.kill(name)
-		if err := os.RemoveAll(f.data(name)); err != nil {
+		if err := os.RemoveAll(f.dataDir(name)); err != nil {
 			t.Fatal(err)
 		}
-		f.all[name].proc.Env = append(f.all[name].proc.Env, "TEST_CLOCK=-11h") // whoever leads
+		f.servers[name].proc.Env = append(f.servers[name].proc.Env, "TEST_CLOCK=-11h") // whoever leads
 	}
 	for _, name := range f.names {
 		f.start(name)
 	}
 	f.register("fresh", 1)
-	f.until("read of a fresh fleet", func() bool { _, ok := r.has("fresh"); return ok })
-	r.end(t)
+	f.waitUntil("read of a fresh fleet", func() bool { _, ok := r.lookup("fresh"); return ok })
+	r.stopAndVerify(t)
 }
 
 // agentMain is a real agent, as cmd/agent starts one.
@@ -352,8 +352,8 @@
 	os.Exit(1)
 }
 
-// agents starts agents that know all stewards, and returns where they listen.
-func (f *fleet) agents(n int) (at []string, procs []*process.Process) {
+// startAgents starts startAgents that know all stewards, and returns where they listen.
+func (f *testCluster) startAgents(n int) (at []string, procs []*process.Process) {
 	f.t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
@@ -380,7 +380,7 @@
 		if err := os.WriteFile(path, conf, 0o600); err != nil {
 			f.t.Fatal(err)
 		}
-		p := f.sup.Add(process.Spec{Name: name, Path: exe, Env: []string{"AGENT_CHILD=1", "EDGE_CONFIG=" + path},
+		p := f.supervisor.Add(process.Spec{Name: name, Path: exe, Env: []string{"AGENT_CHILD=1", "EDGE_CONFIG=" + path},
 			Log: filepath.Join(f.dir, name+".log"), ReadyURL: "http://" + addr + "/ready"})
 		if err := p.Start(); err != nil {
 			f.t.Fatal(err)
@@ -398,19 +398,19 @@
 	return at, procs
 }
 
-// program is a programme server that says its name.
-func (f *fleet) program(name string) endpoints.Endpoint {
+// startBackend is a programme server that says its name.
+func (f *testCluster) startBackend(name string) endpoints.Endpoint {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, name) }))
 	f.t.Cleanup(s.Close)
 	return endpoints.Endpoint{Name: name, Dial: s.Listener.Addr().String(), Site: "a", Class: "k", Health: endpoints.Ready, Weight: 1,
 		StartedMs: float64(time.Now().UnixMilli())}
 }
 
-func (f *fleet) list(h endpoints.Endpoint) {
+func (f *testCluster) registerEndpoint(h endpoints.Endpoint) {
 	f.t.Helper()
 	c := f.client(f.names...)
 	c.HTTP.Timeout = 2 * time.Second
-	f.until(h.Name+" is listed", func() bool {
+	f.waitUntil(h.Name+" is listed", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 		defer cancel()
 		_, err := c.Register(ctx, h)
@@ -421,14 +421,14 @@
 // Agents that stay up serve through every failure of the list service: the leader killed,
 // a steward stopped, all gone while servers are replaced, a state put back, a fresh fleet at
 // the same addresses. They learn what follows each, and no request of theirs fails.
-func TestAgentsSurvive(t *testing.T) {
-	f := newFleet(t, 3)
-	f.list(f.program("p-0"))
-	f.list(f.program("p-1"))
+func TestAgentsServeThroughControlPlaneFaults(t *testing.T) {
+	f := newCluster(t, 3)
+	f.registerEndpoint(f.startBackend("p-0"))
+	f.registerEndpoint(f.startBackend("p-1"))
 	const n = 3
-	at, procs := f.agents(n)
+	at, procs := f.startAgents(n)
 	for _, p := range procs {
-		ctx, cancel := context.WithTimeout(context.Background(), soon)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		if err := p.WaitReady(ctx); err != nil {
 			t.Fatal(err)
 		}
@@ -489,7 +489,7 @@
 			by[i][name] = 0
 		}
 		mu.Unlock()
-		f.until("all agents send to "+name, func() bool {
+		f.waitUntil("all agents send to "+name, func() bool {
 			mu.Lock()
 			defer mu.Unlock()
 			for i := range by {
@@ -506,21 +506,21 @@
 		t.Fatal(err)
 	}
 
-	f.kill(f.leader())
-	f.list(f.program("p-2"))
+	f.kill(f.waitForLeader())
+	f.registerEndpoint(f.startBackend("p-2"))
 	reach("p-2")
 	for _, name := range f.names {
-		if !f.all[name].proc.Runs() {
+		if !f.servers[name].proc.Runs() {
 			f.start(name)
 		}
 	}
-	still := f.leader()
-	if err := f.all[still].proc.Signal(syscall.SIGSTOP); err != nil {
+	still := f.waitForLeader()
+	if err := f.servers[still].proc.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	f.list(f.program("p-3"))
+	f.registerEndpoint(f.startBackend("p-3"))
 	reach("p-3")
-	if err := f.all[still].proc.Signal(syscall.SIGCONT); err != nil {
+	if err := f.servers[still].proc.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
 
@@ -528,34 +528,34 @@
 	for _, name := range f.names {
 		f.kill(name)
 	}
-	next := f.program("p-1")
+	next := f.startBackend("p-1")
 	before := served.Load()
-	f.until("served without any steward", func() bool { return served.Load() > before+200 })
+	f.waitUntil("served without any steward", func() bool { return served.Load() > before+200 })
 	for _, name := range f.names {
 		f.start(name)
 	}
-	f.list(next)
-	f.list(f.program("p-4"))
+	f.registerEndpoint(next)
+	f.registerEndpoint(f.startBackend("p-4"))
 	reach("p-4")
 
 	// A state that is put in place of the present one knows neither p-2 nor what came after it.
-	if _, err := f.client(f.leader()).Restore(ctx, saved); err != nil {
+	if _, err := f.client(f.waitForLeader()).Restore(ctx, saved); err != nil {
 		t.Fatal(err)
 	}
-	f.list(f.program("p-5"))
+	f.registerEndpoint(f.startBackend("p-5"))
 	reach("p-5")
 
 	// A fresh fleet at the same addresses knows nothing: the servers register anew.
 	for _, name := range f.names {
 		f.kill(name)
-		if err := os.RemoveAll(f.data(name)); err != nil {
+		if err := os.RemoveAll(f.dataDir(name)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, name := range f.names {
 		f.start(name)
 	}
-	f.list(f.program("p-6"))
+	f.registerEndpoint(f.startBackend("p-6"))
 	reach("p-6")
 	cancel()
 	asking.Wait()
@@ -570,9 +570,9 @@
 	}
 }
 
-// knew tells whether a server was listed before.
-func (r *reader) knew(name string) bool {
+// wasListed tells whether a server was listed before.
+func (r *watchReader) wasListed(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ever[name]
+	return r.everListed[name]
 }
--- a/cmd/controlplane/scope_test.go
+++ b/cmd/controlplane/scope_test.go
@@ -21,42 +21,42 @@
 	"knotrouter/internal/endpoints"
 )
 
-// scopeQuery is the part of a call that names services.
-func scopeQuery(services []string) string { return url.Values{"service": services}.Encode() }
+// serviceQuery is the part of a call that names services.
+func serviceQuery(services []string) string { return url.Values{"service": services}.Encode() }
 
-// scopedWatch reads the wire of a watch of services, from steward to steward, and applies
+// serviceWatch reads the wire of a watch of services, from steward to steward, and applies
 // its lines in the contract's way.
-type scopedWatch struct {
+type serviceWatch struct {
 	services []string
 	stop     context.CancelFunc
 	done     chan struct{}
 
-	mu     sync.Mutex
-	seq    int64
-	have   map[string]endpoints.Endpoint
-	lists  []endpoints.List
-	bytes  int // of the lists
-	faults []string
+	mu         sync.Mutex
+	version    int64
+	entries    map[string]endpoints.Endpoint
+	lists      []endpoints.List
+	bytes      int // of the lists
+	violations []string
 }
 
-// subscribe starts a watch that begins at the first steward named.
-func (f *fleet) subscribe(services []string, at ...string) *scopedWatch {
-	return f.subscribeFrom(0, services, at...)
+// watchServices starts a watch that begins at the first steward named.
+func (f *testCluster) watchServices(services []string, at ...string) *serviceWatch {
+	return f.watchServicesFrom(0, services, at...)
 }
 
-// subscribeFrom starts a watch whose reader has a version already.
-func (f *fleet) subscribeFrom(since int64, services []string, at ...string) *scopedWatch {
+// watchServicesFrom starts a watch whose reader has a version already.
+func (f *testCluster) watchServicesFrom(since int64, services []string, at ...string) *serviceWatch {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &scopedWatch{services: services, stop: cancel, done: make(chan struct{}), seq: since, have: map[string]endpoints.Endpoint{}}
+	w := &serviceWatch{services: services, stop: cancel, done: make(chan struct{}), version: since, entries: map[string]endpoints.Endpoint{}}
 	var addrs []string
 	for _, name := range at {
-		addrs = append(addrs, f.all[name].http)
+		addrs = append(addrs, f.servers[name].http)
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	go func() {
 		defer close(w.done)
 		for i := 0; ctx.Err() == nil; i++ {
-			w.follow(ctx, client, addrs[i%len(addrs)])
+			w.readFrom(ctx, client, addrs[i%len(addrs)])
 			select {
 			case <-time.After(10 * time.Millisecond):
 			case <-ctx.Done():
@@ -70,11 +70,11 @@
 	return w
 }
 
-func (w *scopedWatch) follow(ctx context.Context, client *http.Client, addr string) {
+func (w *serviceWatch) readFrom(ctx context.Context, client *http.Client, addr string) {
 	w.mu.Lock()
-	since := w.seq
+	since := w.version
 	w.mu.Unlock()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s%s?follow=1&since=%d&%s", addr, endpoints.Path, since, scopeQuery(w.services)), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s%s?follow=1&since=%d&%s", addr, endpoints.Path, since, serviceQuery(w.services)), nil)
 	if err != nil {
 		return
 	}
@@ -87,7 +87,7 @@
 		return
 	}
 	if got := resp.Header.Get("Service-Scope"); got != strconv.Itoa(len(w.services)) {
-		w.fault("Service-Scope: %q", got)
+		w.recordViolation("Service-Scope: %q", got)
 	}
 	lines := bufio.NewReaderSize(resp.Body, 1<<16)
 	for first := true; ; first = false {
@@ -95,108 +95,108 @@
 		if err != nil {
 			return
 		}
-		if len(line) > 1 && !w.take(line, first) {
+		if len(line) > 1 && !w.apply(line, first) {
 			return
 		}
 	}
 }
 
-func (w *scopedWatch) fault(format string, args ...any) {
+func (w *serviceWatch) recordViolation(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// take applies a line. Stewards without the quorum, none of which is better than the other,
+// apply applies a line. Stewards without the quorum, none of which is better than the other,
 // serve what they have, and the reader's part is to leave one whose first list is older than
 // its own. Later lines of a watch must never go back.
-func (w *scopedWatch) take(line []byte, first bool) (goesOn bool) {
+func (w *serviceWatch) apply(line []byte, first bool) (goesOn bool) {
 	l, err := endpoints.Parse(line)
 	if err != nil {
-		w.fault("%.200q: %v", line, err)
+		w.recordViolation("%.200q: %v", line, err)
 		return false
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if l.Seq < w.seq && first {
+	if l.Seq < w.version && first {
 		return false
 	}
-	if l.Seq < w.seq {
-		w.faults = append(w.faults, fmt.Sprintf("version %d after %d", l.Seq, w.seq))
+	if l.Seq < w.version {
+		w.violations = append(w.violations, fmt.Sprintf("version %d after %d", l.Seq, w.version))
 	}
-	w.seq, w.bytes, w.lists = l.Seq, w.bytes+len(line), append(w.lists, l)
+	w.version, w.bytes, w.lists = l.Seq, w.bytes+len(line), append(w.lists, l)
 	if l.Full {
-		clear(w.have)
+		clear(w.entries)
 	}
 	for _, h := range l.Endpoints {
 		switch {
 		case !slices.Contains(w.services, h.Service):
-			w.faults = append(w.faults, fmt.Sprintf("was sent %+v", h))
+			w.violations = append(w.violations, fmt.Sprintf("was sent %+v", h))
 		case h.Health != endpoints.Removed:
-			w.have[h.Name] = h
-		case w.have[h.Name].Service == h.Service:
-			delete(w.have, h.Name)
+			w.entries[h.Name] = h
+		case w.entries[h.Name].Service == h.Service:
+			delete(w.entries, h.Name)
 		}
 	}
 	return true
 }
 
 // names is what the watch has, as name@service, in order.
-func (w *scopedWatch) names() string {
+func (w *serviceWatch) names() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	out := make([]string, 0, len(w.have))
-	for _, h := range w.have {
+	out := make([]string, 0, len(w.entries))
+	for _, h := range w.entries {
 		out = append(out, h.Name+"@"+h.Service)
 	}
 	slices.Sort(out)
 	return strings.Join(out, " ")
 }
 
-// sent is how many lists and bytes the watch was sent, and its version.
-func (w *scopedWatch) sent() (lists, bytes int, seq int64) {
+// received is how many lists and bytes the watch was received, and its version.
+func (w *serviceWatch) received() (lists, bytes int, seq int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.lists), w.bytes, w.seq
+	return len(w.lists), w.bytes, w.version
 }
 
-// end stops the watch; it was sent its services only, and no version went back.
-func (w *scopedWatch) end(t *testing.T) {
+// stopAndVerify stops the watch; it was sent its services only, and no version went back.
+func (w *serviceWatch) stopAndVerify(t *testing.T) {
 	t.Helper()
 	w.stop()
 	<-w.done
-	if len(w.faults) > 0 {
-		t.Errorf("a watch of %q: %s", w.services, strings.Join(w.faults, "; "))
+	if len(w.violations) > 0 {
+		t.Errorf("a watch of %q: %s", w.services, strings.Join(w.violations, "; "))
 	}
 }
 
-func entryOf(service, name string, born float64) endpoints.Endpoint {
-	h := entry(name, born)
+func newServiceEndpoint(service, name string, born float64) endpoints.Endpoint {
+	h := newEndpoint(name, born)
 	h.Service = service
 	return h
 }
 
-// registerIn writes until it is acknowledged, at whichever steward takes it.
-func (f *fleet) registerIn(service, name string, born float64, at ...string) catalog.Result {
+// registerInService writes until it is acknowledged, at whichever steward takes it.
+func (f *testCluster) registerInService(service, name string, born float64, at ...string) catalog.Result {
 	f.t.Helper()
 	if len(at) == 0 {
 		at = f.names
 	}
 	var r catalog.Result
-	f.until(name+" is taken", func() bool {
+	f.waitUntil(name+" is taken", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 		defer cancel()
 		var err error
-		r, err = f.client(at...).Register(ctx, entryOf(service, name, born))
+		r, err = f.client(at...).Register(ctx, newServiceEndpoint(service, name, born))
 		return err == nil
 	})
 	return r
 }
 
 // get makes one call and reads its answer.
-func (f *fleet) get(at, path string) (status int, header http.Header, text []byte) {
+func (f *testCluster) get(at, path string) (status int, header http.Header, text []byte) {
 	f.t.Helper()
-	resp, err := http.Get("http://" + f.all[at].http + path)
+	resp, err := http.Get("http://" + f.servers[at].http + path)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -207,11 +207,11 @@
 	return resp.StatusCode, resp.Header, text
 }
 
-// wholeOf is the whole list of some services at a steward.
-func (f *fleet) wholeOf(at, query string) endpoints.List {
+// fullList is the whole list of some services at a steward.
+func (f *testCluster) fullList(at, query string) endpoints.List {
 	f.t.Helper()
 	var l endpoints.List
-	f.until("a list at "+at, func() bool {
+	f.waitUntil("a list at "+at, func() bool {
 		status, header, text := f.get(at, endpoints.Path+"?"+query)
 		if status != http.StatusOK {
 			return false
@@ -230,26 +230,26 @@
 
 // A call names services, is told how many were understood and gets their entries only; one
 // that names none gets the list as it was before there were services.
-func TestScopeWire(t *testing.T) {
-	f := newFleet(t, 3)
-	f.registerIn("billing", "only", 1)
-	f.registerIn("search", "s-1", 1)
-	last := f.registerIn("search", "s-2", 1)
+func TestServiceScopedLists(t *testing.T) {
+	f := newCluster(t, 3)
+	f.registerInService("billing", "only", 1)
+	f.registerInService("search", "s-1", 1)
+	last := f.registerInService("search", "s-2", 1)
 	f.register("plain", 1)
-	follower := f.others(f.leader())[0]
-	f.until("the follower has all", func() bool {
+	follower := f.others(f.waitForLeader())[0]
+	f.waitUntil("the follower has all", func() bool {
 		st, err := f.status(follower)
 		return err == nil && st.Seq > last.Seq
 	})
 	for query, want := range map[string]string{
-		"service=billing":                                "1: only billing",
-		"service=billing&service=billing":                "1: only billing",
-		"service=search&service=billing":                 "2: only billing, s-1 search, s-2 search",
-		"service=":                                       "1: plain ",
-		"service=none":                                   "1: ",
-		"service=none&service=":                          "2: plain ",
-		"service=search&consistent=1":                    "1: s-1 search, s-2 search",
-		scopeQuery([]string{"billing"}) + "&ignored=yes": "1: only billing",
+		"service=billing":                                  "1: only billing",
+		"service=billing&service=billing":                  "1: only billing",
+		"service=search&service=billing":                   "2: only billing, s-1 search, s-2 search",
+		"service=":                                         "1: plain ",
+		"service=none":                                     "1: ",
+		"service=none&service=":                            "2: plain ",
+		"service=search&consistent=1":                      "1: s-1 search, s-2 search",
+		serviceQuery([]string{"billing"}) + "&ignored=yes": "1: only billing",
 	} {
 		status, header, text := f.get(follower, endpoints.Path+"?"+query)
 		l, err := endpoints.Parse(text)
@@ -270,7 +270,7 @@
 	for i := range many {
 		many[i] = fmt.Sprint("s-", i)
 	}
-	for _, query := range []string{"service=a%20b", "service=a/b", "service=" + strings.Repeat("x", 65), "service=a&service=%0a", "service=%zz", scopeQuery(many)} {
+	for _, query := range []string{"service=a%20b", "service=a/b", "service=" + strings.Repeat("x", 65), "service=a&service=%0a", "service=%zz", serviceQuery(many)} {
 		for _, how := range []string{"", "follow=1&since=0&", "consistent=1&"} {
 			status, _, text := f.get(follower, endpoints.Path+"?"+how+query)
 			if status != http.StatusBadRequest || !bytes.HasPrefix(text, []byte("service: ")) || bytes.Count(text, []byte("\n")) != 1 {
@@ -279,20 +279,20 @@
 		}
 	}
 	many[0] = "search"
-	if l := f.wholeOf(follower, scopeQuery(many[:256])); len(l.Endpoints) != 2 {
+	if l := f.fullList(follower, serviceQuery(many[:256])); len(l.Endpoints) != 2 {
 		t.Errorf("256 services: %+v", l.Endpoints)
 	}
 }
 
 // A service of one server, whose server ends, is replaced and changes: each is one line of
 // one entry, and watches of other services get none.
-func TestScopeOfOne(t *testing.T) {
-	f := newFleet(t, 1)
-	f.registerIn("one", "s", 1)
-	f.registerIn("other", "o", 1)
-	one, other := f.subscribe([]string{"one"}, f.names...), f.subscribe([]string{"other"}, f.names...)
-	f.until("both begin", func() bool { return one.names() == "s@one" && other.names() == "o@other" })
-	ctx, cancel := context.WithTimeout(context.Background(), soon)
+func TestWatchOfServiceWithOneServer(t *testing.T) {
+	f := newCluster(t, 1)
+	f.registerInService("one", "s", 1)
+	f.registerInService("other", "o", 1)
+	one, other := f.watchServices([]string{"one"}, f.names...), f.watchServices([]string{"other"}, f.names...)
+	f.waitUntil("both begin", func() bool { return one.names() == "s@one" && other.names() == "o@other" })
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	client := f.client(f.names...)
 	share := 0.5
@@ -305,17 +305,17 @@
 			_, err := client.SetOverride(ctx, "s", control.ServerOverride{Weight: &share})
 			return err
 		}, "s@one"},
-		{"it is replaced", func() error { _, err := client.Register(ctx, entryOf("one", "s", 2)); return err }, "s@one"},
-		{"it ends", func() error { return f.leave("s", 2) }, ""},
-		{"another comes", func() error { _, err := client.Register(ctx, entryOf("one", "next", 1)); return err }, "next@one"},
+		{"it is replaced", func() error { _, err := client.Register(ctx, newServiceEndpoint("one", "s", 2)); return err }, "s@one"},
+		{"it ends", func() error { return f.unregister("s", 2) }, ""},
+		{"another comes", func() error { _, err := client.Register(ctx, newServiceEndpoint("one", "next", 1)); return err }, "next@one"},
 	}
-	_, otherBytes, _ := other.sent()
+	_, otherBytes, _ := other.received()
 	for _, step := range steps {
-		before, _, _ := one.sent()
+		before, _, _ := one.received()
 		if err := step.do(); err != nil {
 			t.Fatalf("%s: %v", step.what, err)
 		}
-		f.until(step.what, func() bool { n, _, _ := one.sent(); return n == before+1 })
+		f.waitUntil(step.what, func() bool { n, _, _ := one.received(); return n == before+1 })
 		one.mu.Lock()
 		last := one.lists[len(one.lists)-1]
 		one.mu.Unlock()
@@ -323,16 +323,16 @@
 			t.Errorf("%s: %+v, and the watch has %q", step.what, last, one.names())
 		}
 	}
-	if n, bytes, _ := other.sent(); n != 1 || bytes != otherBytes {
+	if n, bytes, _ := other.received(); n != 1 || bytes != otherBytes {
 		t.Errorf("the other watch was sent %d lists and %d bytes more", n, bytes-otherBytes)
 	}
-	one.end(t)
-	other.end(t)
+	one.stopAndVerify(t)
+	other.stopAndVerify(t)
 }
 
-// leave takes a server off the list.
-func (f *fleet) leave(name string, born float64) error {
-	req, err := http.NewRequest(http.MethodDelete, fmt.Sprintf("http://%s/v1/servers/%s?born_ms=%.0f", f.all[f.leader()].http, name, born), nil)
+// unregister takes a server off the list.
+func (f *testCluster) unregister(name string, born float64) error {
+	req, err := http.NewRequest(http.MethodDelete, fmt.Sprintf("http://%s/v1/servers/%s?born_ms=%.0f", f.servers[f.waitForLeader()].http, name, born), nil)
 	if err != nil {
 		return err
 	}
@@ -347,13 +347,13 @@
 	return nil
 }
 
-// restoreFleet puts a state with these services and their numbers of servers in place.
-func (f *fleet) restoreFleet(sizes map[string]int) {
+// restoreServers puts a state with these services and their numbers of servers in place.
+func (f *testCluster) restoreServers(sizes map[string]int) {
 	f.t.Helper()
 	s := catalog.New()
 	for service, size := range sizes {
 		for i := range size {
-			h := entryOf(service, fmt.Sprintf("%s-%d", service, i), 1)
+			h := newServiceEndpoint(service, fmt.Sprintf("%s-%d", service, i), 1)
 			if r := s.Apply(&catalog.Command{FormatVersion: catalog.FormatVersion, Kind: catalog.Register, Endpoint: &h}); r.Code != catalog.Done {
 				f.t.Fatalf("%+v", r)
 			}
@@ -363,104 +363,104 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), soon)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	if _, err := f.client(f.leader()).Restore(ctx, text); err != nil {
+	if _, err := f.client(f.waitForLeader()).Restore(ctx, text); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
 // Two watches with different services, one of 5,000 servers and one of 20, get only theirs:
 // the lines and bytes of each follow its own services.
-func TestScopeTwoWatches(t *testing.T) {
-	f := newFleet(t, 1)
+func TestWatchesReceiveOnlyTheirServices(t *testing.T) {
+	f := newCluster(t, 1)
 	const large, small, changes = 5000, 20, 40
-	f.restoreFleet(map[string]int{"large": large, "small": small, "": 10})
-	if l := f.wholeOf(f.names[0], "service=large"); len(l.Endpoints) != large {
+	f.restoreServers(map[string]int{"large": large, "small": small, "": 10})
+	if l := f.fullList(f.names[0], "service=large"); len(l.Endpoints) != large {
 		t.Fatalf("%d servers of the large service", len(l.Endpoints))
 	}
-	big, little := f.subscribe([]string{"large"}, f.names...), f.subscribe([]string{"small"}, f.names...)
-	count := func(w *scopedWatch) int {
+	big, little := f.watchServices([]string{"large"}, f.names...), f.watchServices([]string{"small"}, f.names...)
+	count := func(w *serviceWatch) int {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return len(w.have)
+		return len(w.entries)
 	}
-	f.until("both have their lists", func() bool { return count(big) == large && count(little) == small })
-	_, bigFirst, _ := big.sent()
-	_, littleFirst, _ := little.sent()
+	f.waitUntil("both have their lists", func() bool { return count(big) == large && count(little) == small })
+	_, bigFirst, _ := big.received()
+	_, littleFirst, _ := little.received()
 	if littleFirst > 200*small || bigFirst < 100*large {
 		t.Errorf("the first lists were of %d and %d bytes", bigFirst, littleFirst)
 	}
 	var seq int64
 	for i := range changes {
-		seq = f.registerIn("large", fmt.Sprint("large-", i), 2).Seq
+		seq = f.registerInService("large", fmt.Sprint("large-", i), 2).Seq
 	}
-	f.until("the changes came", func() bool { _, _, at := big.sent(); return at >= seq })
-	lists, bytes, _ := big.sent()
+	f.waitUntil("the changes came", func() bool { _, _, at := big.received(); return at >= seq })
+	lists, bytes, _ := big.received()
 	if lists > 1+changes || bytes-bigFirst > 250*changes {
 		t.Errorf("%d changes were %d lists and %d bytes", changes, lists-1, bytes-bigFirst)
 	}
-	if lists, bytes, _ := little.sent(); lists != 1 || bytes != littleFirst {
+	if lists, bytes, _ := little.received(); lists != 1 || bytes != littleFirst {
 		t.Errorf("the watch of the small service was sent %d lists and %d bytes more", lists-1, bytes-littleFirst)
 	}
 	// A watch that nothing concerned goes on from where it was, however far the version is.
-	_, _, at := little.sent()
-	again := f.subscribeFrom(at, []string{"small"}, f.names...)
-	f.until("it goes on", func() bool { n, _, _ := again.sent(); return n > 0 })
+	_, _, at := little.received()
+	again := f.watchServicesFrom(at, []string{"small"}, f.names...)
+	f.waitUntil("it goes on", func() bool { n, _, _ := again.received(); return n > 0 })
 	again.mu.Lock()
 	first := again.lists[0]
 	again.mu.Unlock()
 	if first.Full || len(first.Endpoints) != 0 || first.Seq < seq {
 		t.Errorf("it was sent %+v", first)
 	}
-	big.end(t)
-	little.end(t)
-	again.end(t)
+	big.stopAndVerify(t)
+	little.stopAndVerify(t)
+	again.stopAndVerify(t)
 }
 
 // A server changes its service under one name: readers of the old service are told that it
 // is gone, those of the new one get it, those of both end with the new one.
-func TestScopeServerMoves(t *testing.T) {
-	f := newFleet(t, 3)
-	f.registerIn("old", "s", 1)
-	f.registerIn("old", "stays", 1)
-	watches := map[string]*scopedWatch{"old": f.subscribe([]string{"old"}, f.names...), "new": f.subscribe([]string{"new"}, f.names...),
-		"both": f.subscribe([]string{"new", "old"}, f.names...)}
+func TestServerChangesItsService(t *testing.T) {
+	f := newCluster(t, 3)
+	f.registerInService("old", "s", 1)
+	f.registerInService("old", "stays", 1)
+	watches := map[string]*serviceWatch{"old": f.watchServices([]string{"old"}, f.names...), "new": f.watchServices([]string{"new"}, f.names...),
+		"both": f.watchServices([]string{"new", "old"}, f.names...)}
 	has := func(old, new, both string) func() bool {
 		return func() bool {
 			return watches["old"].names() == old && watches["new"].names() == new && watches["both"].names() == both
 		}
 	}
-	f.until("all begin", has("s@old stays@old", "", "s@old stays@old"))
-	f.registerIn("new", "s", 1)
-	f.until("it has moved", has("stays@old", "s@new", "s@new stays@old"))
-	late := f.subscribe([]string{"old"}, f.names...)
-	f.until("a later one has it", func() bool { return late.names() == "stays@old" })
-	f.registerIn("old", "s", 2)
-	f.until("it has come back as a new process", has("s@old stays@old", "", "s@old stays@old"))
+	f.waitUntil("all begin", has("s@old stays@old", "", "s@old stays@old"))
+	f.registerInService("new", "s", 1)
+	f.waitUntil("it has moved", has("stays@old", "s@new", "s@new stays@old"))
+	late := f.watchServices([]string{"old"}, f.names...)
+	f.waitUntil("a later one has it", func() bool { return late.names() == "stays@old" })
+	f.registerInService("old", "s", 2)
+	f.waitUntil("it has come back as a new process", has("s@old stays@old", "", "s@old stays@old"))
 	for i := range 20 { // to and fro, faster than lines are written
-		f.registerIn([]string{"new", "old"}[i%2], "s", float64(3+i/16))
+		f.registerInService([]string{"new", "old"}[i%2], "s", float64(3+i/16))
 	}
-	f.registerIn("new", "s", 3+20/16) // three ends, which is too few to be damped
-	f.until("it has moved for good", has("stays@old", "s@new", "s@new stays@old"))
+	f.registerInService("new", "s", 3+20/16) // three ends, which is too few to be damped
+	f.waitUntil("it has moved for good", has("stays@old", "s@new", "s@new stays@old"))
 	for _, w := range watches {
-		w.end(t)
+		w.stopAndVerify(t)
 	}
-	late.end(t)
+	late.stopAndVerify(t)
 }
 
 // The leader is killed while subscriptions begin and servers register: each watch ends with
 // exactly what its services have, no version goes back and none is left out.
-func TestScopeLeaderKilled(t *testing.T) {
-	f := newFleet(t, 3)
+func TestServiceWatchesSurviveLeaderKill(t *testing.T) {
+	f := newCluster(t, 3)
 	const services, watches, seed = 6, 40, 5
-	rng := seeded(t, seed)
+	rng := newSeededRand(t, seed)
 	t.Logf("seed %d", seed)
 	for i := range 30 {
-		f.registerIn(fmt.Sprint("service-", i%services), fmt.Sprint("s-", i), 1)
+		f.registerInService(fmt.Sprint("service-", i%services), fmt.Sprint("s-", i), 1)
 	}
-	old := f.leader()
-	var all []*scopedWatch
+	old := f.waitForLeader()
+	var all []*serviceWatch
 	for i := range watches {
 		if i == watches/2 {
 			f.kill(old)
@@ -469,13 +469,13 @@
 		slices.Sort(scope)
 		at := slices.Clone(f.names)
 		rng.Shuffle(len(at), func(i, j int) { at[i], at[j] = at[j], at[i] })
-		all = append(all, f.subscribe(slices.Compact(scope), at...))
+		all = append(all, f.watchServices(slices.Compact(scope), at...))
 	}
 	left := f.others(old)
 	for i := range 12 {
-		f.registerIn(fmt.Sprint("service-", (i+1)%services), fmt.Sprint("s-", i), 2, left...) // to another service
+		f.registerInService(fmt.Sprint("service-", (i+1)%services), fmt.Sprint("s-", i), 2, left...) // to another service
 	}
-	want := func(w *scopedWatch) string {
+	want := func(w *serviceWatch) string {
 		var out []string
 		for i := range 30 {
 			service := fmt.Sprint("service-", i%services)
@@ -490,69 +490,69 @@
 		return strings.Join(out, " ")
 	}
 	for i, w := range all {
-		f.until(fmt.Sprintf("watch %d of %q has all: %q, want %q", i, w.services, w.names(), want(w)), func() bool { return w.names() == want(w) })
+		f.waitUntil(fmt.Sprintf("watch %d of %q has all: %q, want %q", i, w.services, w.names(), want(w)), func() bool { return w.names() == want(w) })
 	}
 	f.start(old)
-	f.until("it has caught up", func() bool {
-		e, err := f.all[old].client.Server(context.Background(), "s-11", false)
+	f.waitUntil("it has caught up", func() bool {
+		e, err := f.servers[old].client.Server(context.Background(), "s-11", false)
 		return err == nil && e.Endpoint.StartedMs == 2
 	})
-	l := f.wholeOf(old, "service=service-0")
+	l := f.fullList(old, "service=service-0")
 	if len(l.Endpoints) == 0 {
 		t.Error("the one that came back has no servers of a service")
 	}
 	for _, w := range all {
-		w.end(t)
+		w.stopAndVerify(t)
 	}
 }
 
 // A snapshot from before there were services is restored while watches of services stand:
 // its servers are of the default service, and watches get whole lists under later versions.
-func TestScopeSnapshotFromBefore(t *testing.T) {
-	f := newFleet(t, 3)
-	f.registerIn("a", "s", 1)
-	f.registerIn("a", "only", 1)
-	a, none := f.subscribe([]string{"a"}, f.names...), f.subscribe([]string{""}, f.names...)
-	f.until("they begin", func() bool {
-		n, _, _ := none.sent()
+func TestRestoreOfSnapshotWithoutServices(t *testing.T) {
+	f := newCluster(t, 3)
+	f.registerInService("a", "s", 1)
+	f.registerInService("a", "only", 1)
+	a, none := f.watchServices([]string{"a"}, f.names...), f.watchServices([]string{""}, f.names...)
+	f.waitUntil("they begin", func() bool {
+		n, _, _ := none.received()
 		return a.names() == "only@a s@a" && n > 0
 	})
-	_, _, before := a.sent()
-	host := entry("s", 1)
+	_, _, before := a.received()
+	host := newEndpoint("s", 1)
 	text, err := json.Marshal(map[string]any{"form": 1, "seq": before + 1000, "clock": 1, "entries": map[string]any{"s": map[string]any{"host": host, "version": before + 1000}},
 		"history": []any{map[string]any{"seq": before + 1000, "name": "s"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), soon)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	if _, err := f.client(f.leader()).Restore(ctx, text); err != nil {
+	if _, err := f.client(f.waitForLeader()).Restore(ctx, text); err != nil {
 		t.Fatal(err)
 	}
-	f.until("they have what was restored", func() bool { return a.names() == "" && none.names() == "s@" })
-	f.registerIn("a", "s", 2)
-	f.until("it is registered with its service again", func() bool { return a.names() == "s@a" && none.names() == "" })
+	f.waitUntil("they have what was restored", func() bool { return a.names() == "" && none.names() == "s@" })
+	f.registerInService("a", "s", 2)
+	f.waitUntil("it is registered with its service again", func() bool { return a.names() == "s@a" && none.names() == "" })
 	// All were told of it by whole lists, and a steward that starts again reads what it keeps.
 	for _, name := range f.names {
 		f.kill(name)
 		f.start(name)
 	}
-	f.leader()
+	f.waitForLeader()
 	for _, name := range f.names {
-		f.until(name+" has it", func() bool {
-			l := f.wholeOf(name, "service=a")
+		f.waitUntil(name+" has it", func() bool {
+			l := f.fullList(name, "service=a")
 			return len(l.Endpoints) == 1 && l.Endpoints[0].StartedMs == 2
 		})
 	}
-	a.end(t)
-	none.end(t)
+	a.stopAndVerify(t)
+	none.stopAndVerify(t)
 }
 
 // Of a service that falls silent as a whole, while all others stand, the servers stay listed
 // until an operator confirms; single servers of others and services of one end meanwhile.
-func TestScopeMassFailure(t *testing.T) {
-	f := newFleet(t, 3)
-	f.extra = strings.Replace(f.extra, "10m", "3s", 1)
+func TestMassFailureGuardPerService(t *testing.T) {
+	f := newCluster(t, 3)
+	f.extraConfig = strings.Replace(f.extraConfig, "10m", "3s", 1)
 	for _, name := range f.names {
 		f.kill(name)
 		f.configure(name, f.names)
@@ -598,42 +598,42 @@
 	defer func() { cancel(); <-done }()
 	for service, size := range sizes {
 		for i := range size {
-			f.registerIn(service, fmt.Sprintf("%s-%d", service, i), 1)
+			f.registerInService(service, fmt.Sprintf("%s-%d", service, i), 1)
 		}
 	}
-	watch := f.subscribe([]string{"fails"}, f.names...)
-	count := func(service string) int { return len(f.wholeOf(f.leader(), "service="+service).Endpoints) }
-	f.until("all are listed", func() bool { return count("fails") == 8 && count("stands") == 30 && count("one") == 1 })
+	watch := f.watchServices([]string{"fails"}, f.names...)
+	count := func(service string) int { return len(f.fullList(f.waitForLeader(), "service="+service).Endpoints) }
+	f.waitUntil("all are listed", func() bool { return count("fails") == 8 && count("stands") == 30 && count("one") == 1 })
 	for i := range 8 {
 		fall(fmt.Sprint("fails-", i))
 	}
-	f.until("they are held", func() bool {
-		st, err := f.status(f.leader())
+	f.waitUntil("they are held", func() bool {
+		st, err := f.status(f.waitForLeader())
 		return err == nil && st.Quarantined == 8
 	})
 	fall("stands-3", "one-0")
-	f.until("others end while they are held", func() bool { return count("stands") == 29 && count("one") == 0 })
+	f.waitUntil("others end while they are held", func() bool { return count("stands") == 29 && count("one") == 0 })
 	if n := count("fails"); n != 8 {
 		t.Errorf("%d of the service's 8 servers are listed", n)
 	}
 	// A leader that is elected meanwhile gives them their full time, and holds them again.
-	f.until("they are off the list once that is confirmed while they are held", func() bool {
-		if st, err := f.status(f.leader()); err == nil && st.Quarantined > 0 {
+	f.waitUntil("they are off the list once that is confirmed while they are held", func() bool {
+		if st, err := f.status(f.waitForLeader()); err == nil && st.Quarantined > 0 {
 			call, end := context.WithTimeout(context.Background(), 5*time.Second)
 			defer end()
 			_ = f.client(f.names...).ConfirmRemovals(call)
 		}
 		return watch.names() == "" && count("fails") == 0
 	})
-	watch.end(t)
+	watch.stopAndVerify(t)
 }
 
-// BenchmarkScopeAhead registers 39,000 servers in 1,900 services with a steward, which is
+// BenchmarkServicesAtScale registers 39,000 servers in 1,900 services with a steward, which is
 // then killed and started again; and what readers of 20 of them get.
-func BenchmarkScopeAhead(b *testing.B) {
+func BenchmarkServicesAtScale(b *testing.B) {
 	const servers, services, writers = 39_000, 1900, 32
 	for range b.N {
-		f := newFleet(b, 1)
+		f := newCluster(b, 1)
 		name := f.names[0]
 		began := time.Now()
 		var writing sync.WaitGroup
@@ -643,7 +643,7 @@
 				for i := range next {
 					for {
 						ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
-						_, err := f.all[name].client.Register(ctx, entryOf(fmt.Sprint("service-", i%services), fmt.Sprintf("server-%05d", i), 1))
+						_, err := f.servers[name].client.Register(ctx, newServiceEndpoint(fmt.Sprint("service-", i%services), fmt.Sprintf("server-%05d", i), 1))
 						cancel()
 						if err == nil {
 							break
@@ -664,14 +664,14 @@
 		for i := range 20 {
 			twenty = append(twenty, fmt.Sprint("service-", i))
 		}
-		_, _, text = f.get(name, endpoints.Path+"?"+scopeQuery(twenty))
+		_, _, text = f.get(name, endpoints.Path+"?"+serviceQuery(twenty))
 		b.ReportMetric(float64(len(text)), "B/list-of-20")
 		_, _, text = f.get(name, endpoints.Path)
 		b.ReportMetric(float64(len(text)), "B/list")
 		f.kill(name)
 		began = time.Now()
 		f.start(name)
-		f.until("all are listed again", func() bool {
+		f.waitUntil("all are listed again", func() bool {
 			st, err := f.status(name)
 			return err == nil && st.Listed == servers
 		})
--- a/cmd/controlplane/silent_test.go
+++ b/cmd/controlplane/silent_test.go
@@ -13,8 +13,8 @@
 	"knotrouter/internal/endpoints"
 )
 
-// silentAddress returns an address that takes connections and answers none of them.
-func silentAddress(t *testing.T) string {
+// unresponsiveAddress returns an address that takes connections and answers none of them.
+func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,10 +49,10 @@
 
 // A lost zone has more silent servers than a steward probes in one question's time if it probes
 // a few at a time. All of them have to be settled by a quorum of the stewards all the same.
-func TestSilentZoneLapses(t *testing.T) {
+func TestUnresponsiveZoneExpires(t *testing.T) {
 	const total, silent = 600, 120 // a fifth: the guard against mass failure holds at two fifths
-	f := newFleet(t, 3)
-	f.extra = "heartbeat = \"300ms\"\nlease_ttl = \"3s\"\n"
+	f := newCluster(t, 3)
+	f.extraConfig = "heartbeat = \"300ms\"\nlease_ttl = \"3s\"\n"
 	for _, name := range f.names {
 		f.kill(name)
 		f.configure(name, f.names)
@@ -60,20 +60,20 @@
 	for _, name := range f.names {
 		f.start(name)
 	}
-	f.leader()
+	f.waitForLeader()
 	stop := renewRepeatedly(f, total-silent)
 	defer stop()
-	dial := silentAddress(t)
+	dial := unresponsiveAddress(t)
 	registerAll(f, total, dial)
 	listed := func() int {
-		status, err := f.status(f.leader())
+		status, err := f.status(f.waitForLeader())
 		if err != nil {
 			return -1
 		}
 		return status.Listed
 	}
 	began := time.Now()
-	f.until("the silent zone is off the list, and nobody else", func() bool { return listed() == total-silent })
+	f.waitUntil("the silent zone is off the list, and nobody else", func() bool { return listed() == total-silent })
 	t.Logf("%d silent servers of %d were off the list after %v", silent, total, time.Since(began).Round(100*time.Millisecond))
 	if n := listed(); n != total-silent {
 		t.Errorf("%d servers are listed, want %d", n, total-silent)
@@ -81,7 +81,7 @@
 }
 
 // renewRepeatedly renews the leases of the first servers until the returned function is called.
-func renewRepeatedly(f *fleet, servers int) (stop func()) {
+func renewRepeatedly(f *testCluster, servers int) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -96,7 +96,7 @@
 				return
 			}
 			call, cancelCall := context.WithTimeout(ctx, 2*time.Second)
-			_, _ = client.Renew(call, renewals(servers))
+			_, _ = client.Renew(call, instanceRefs(servers))
 			cancelCall()
 		}
 	}()
@@ -104,7 +104,7 @@
 }
 
 // registerAll registers servers at one address, several at a time.
-func registerAll(f *fleet, servers int, dial string) {
+func registerAll(f *testCluster, servers int, dial string) {
 	f.t.Helper()
 	const workers = 16
 	work := make(chan int)
@@ -139,10 +139,10 @@
 
 // registerAt registers one server and tries again until it is taken or too much time is over.
 func registerAt(register registerFunc, name, dial string) error {
-	host := entry(name, 1)
+	host := newEndpoint(name, 1)
 	host.Dial = dial
 	var err error
-	for end := time.Now().Add(soon); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 		_, err = register(ctx, host)
 		cancel()
--- a/cmd/controlplane/syscalls_test.go
+++ b/cmd/controlplane/syscalls_test.go
@@ -15,33 +15,33 @@
 	"knotrouter/internal/lab/syscallfault"
 )
 
-// diskFault is the leader of some stewards with system calls, of its disk above all, that fail while a
+// faultyCluster is the leader of some stewards with system calls, of its disk above all, that fail while a
 // file is there.
-type diskFault struct {
-	*fleet
-	victim string
-	while  string
+type faultyCluster struct {
+	*testCluster
+	victim    string
+	faultFile string
 }
 
-func newDiskFault(t *testing.T, n int, faults string) *diskFault {
+func newFaultyCluster(t *testing.T, n int, faults string) *faultyCluster {
 	t.Helper()
-	f := emptyFleet(t, n)
-	d := &diskFault{fleet: f, while: filepath.Join(f.dir, "failing")}
+	f := newUnstartedCluster(t, n)
+	d := &faultyCluster{testCluster: f, faultFile: filepath.Join(f.dir, "failing")}
 	for _, name := range f.names {
 		f.configure(name, f.names)
-		p := f.all[name].proc
-		p.Env = append(p.Env, syscallfault.FaultsVariable+"="+faults, syscallfault.WhileVariable+"="+d.while+"-"+name)
+		p := f.servers[name].proc
+		p.Env = append(p.Env, syscallfault.FaultsVariable+"="+faults, syscallfault.WhileVariable+"="+d.faultFile+"-"+name)
 		f.start(name)
 	}
-	d.victim = f.leader()
+	d.victim = f.waitForLeader()
 	return d
 }
 
-// fail has the victim's disk fail from now on, or no more.
-func (d *diskFault) fail(on bool) {
+// setFault has the victim's disk setFault from now on, or no more.
+func (d *faultyCluster) setFault(on bool) {
 	d.t.Helper()
 	var err error
-	if file := d.while + "-" + d.victim; on {
+	if file := d.faultFile + "-" + d.victim; on {
 		err = os.WriteFile(file, nil, 0o600)
 	} else {
 		err = os.Remove(file)
@@ -54,19 +54,19 @@
 // A disk whose writes or syncs fail for a while, and a kill in the midst of it, cost nothing that was
 // acknowledged, and writes are taken again once it is well. A steward that ended is started anew, as
 // its platform would; it has said why in one line.
-func TestDiskFailsForAWhile(t *testing.T) {
+func TestDiskErrorsKeepAcknowledgedWrites(t *testing.T) {
 	for _, faults := range []string{"fdatasync:EIO", "pwrite64:ENOSPC", "pwrite64:EIO,fdatasync:EIO"} {
 		for _, n := range []int{1, 3} {
 			for _, killed := range []bool{false, true} {
 				t.Run(fmt.Sprint(faults, n, killed), func(t *testing.T) {
 					t.Parallel()
-					d := newDiskFault(t, n, faults)
+					d := newFaultyCluster(t, n, faults)
 					acked := map[string]float64{}
 					write := func(span time.Duration, from int) {
 						for i, end := from, time.Now().Add(span); time.Now().Before(end); i++ {
 							name := fmt.Sprint("server-", i%50)
 							ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-							if _, err := d.client(d.names...).Register(ctx, entry(name, float64(i))); err == nil {
+							if _, err := d.client(d.names...).Register(ctx, newEndpoint(name, float64(i))); err == nil {
 								acked[name] = float64(i)
 							} else {
 								time.Sleep(10 * time.Millisecond)
@@ -76,13 +76,13 @@
 					}
 					write(time.Second, 1)
 					before := len(acked)
-					d.fail(true)
+					d.setFault(true)
 					write(2*time.Second, 100_000)
-					proc := d.all[d.victim].proc
+					proc := d.servers[d.victim].proc
 					if killed {
 						d.kill(d.victim)
 					}
-					d.fail(false)
+					d.setFault(false)
 					select {
 					case <-proc.Ended():
 						d.start(d.victim)
@@ -93,7 +93,7 @@
 					if before == 0 {
 						t.Fatal("nothing was taken before")
 					}
-					d.holds(acked)
+					d.requireAcknowledged(acked)
 					text, _ := os.ReadFile(proc.Log)
 					if !strings.Contains(string(text), "input/output error") && !strings.Contains(string(text), "no space left on device") {
 						t.Error("its disk never failed")
@@ -113,19 +113,19 @@
 	for _, errno := range []string{"ECONNABORTED", "ENFILE", "ENOBUFS", "EPROTO", "ENETDOWN", "EPERM", "EHOSTUNREACH"} {
 		t.Run(errno, func(t *testing.T) {
 			t.Parallel()
-			d := newDiskFault(t, 1, "accept4:"+errno)
+			d := newFaultyCluster(t, 1, "accept4:"+errno)
 			d.register("before", 1)
-			d.fail(true)
+			d.setFault(true)
 			for range 3 { // a connection that waits has the calls fail
-				if c, err := net.DialTimeout("tcp", d.all[d.victim].http, time.Second); err == nil {
+				if c, err := net.DialTimeout("tcp", d.servers[d.victim].http, time.Second); err == nil {
 					defer c.Close()
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
-			d.fail(false)
+			d.setFault(false)
 			fresh := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 			for end := time.Now().Add(3 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-				resp, err := fresh.Get("http://" + d.all[d.victim].http + endpoints.Path)
+				resp, err := fresh.Get("http://" + d.servers[d.victim].http + endpoints.Path)
 				if err == nil {
 					resp.Body.Close()
 					break
