--- a/cmd/controlplane/bench_test.go
+++ b/cmd/controlplane/bench_test.go
@@ -30,24 +30,24 @@
 // BenchmarkLeaderFailover kills the leader and measures the time to the first write that is
 // acknowledged after it, at the settings that stewards have by default.
 func BenchmarkLeaderFailover(b *testing.B) {
-	f := newCluster(b, 3)
-	for _, name := range f.names {
-		f.kill(name)
+	cluster := newCluster(b, 3)
+	for _, name := range cluster.names {
+		cluster.kill(name)
 	}
-	f.extraConfig = ""
-	for _, name := range f.names {
-		f.configure(name, f.names)
-		f.start(name)
+	cluster.extraConfig = ""
+	for _, name := range cluster.names {
+		cluster.configure(name, cluster.names)
+		cluster.start(name)
 	}
 	var gaps []time.Duration
 	for i := range b.N {
-		old := f.waitForLeader()
-		rest := control.NewClient(f.client(f.others(old)...).Addrs, 300*time.Millisecond)
-		f.kill(old)
+		oldLeader := cluster.waitForLeader()
+		others := control.NewClient(cluster.client(cluster.others(oldLeader)...).Addrs, 300*time.Millisecond)
+		cluster.kill(oldLeader)
 		began := time.Now()
 		for {
 			ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
-			_, err := rest.Register(ctx, newEndpoint("s", float64(i+1)))
+			_, err := others.Register(ctx, newEndpoint("s", float64(i+1)))
 			cancel()
 			if err == nil {
 				break
@@ -55,19 +55,19 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		gaps = append(gaps, time.Since(began))
-		f.start(old)
-		f.waitUntil("all three are well", func() bool {
-			st, err := f.status(old)
-			lead, lerr := f.status(f.waitForLeader())
-			return err == nil && lerr == nil && st.Seq == lead.Seq
+		cluster.start(oldLeader)
+		cluster.waitUntil("all three are well", func() bool {
+			status, err := cluster.status(oldLeader)
+			leader, leaderErr := cluster.status(cluster.waitForLeader())
+			return err == nil && leaderErr == nil && status.Seq == leader.Seq
 		})
 	}
 	reportPercentiles(b, "gap", gaps)
 }
 
 // usage is the processor time and the memory that a steward tells of itself.
-func (f *testCluster) usage(name string) (cpu time.Duration, rssMB float64) {
-	use, _, _ := f.servers[name].proc.Look()
+func (cluster *testCluster) usage(name string) (cpu time.Duration, rssMB float64) {
+	use, _, _ := cluster.servers[name].proc.Look()
 	return use.CPU, use.RSSMB
 }
 
@@ -88,9 +88,9 @@
 func BenchmarkWatches(b *testing.B) {
 	for _, n := range []int{100, 300, 1000, 2000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			f := newCluster(b, 3)
+			cluster := newCluster(b, 3)
 			for i := range 200 {
-				f.register(fmt.Sprint("s-", i), 1)
+				cluster.register(fmt.Sprint("s-", i), 1)
 			}
 			for range b.N {
 				ctx, cancel := context.WithCancel(context.Background())
@@ -106,7 +106,7 @@
 						defer all.Done()
 						first, back := true, false
 						var seq int64
-						c := endpoints.NewClient(endpoints.ClientConfig{Addresses: f.client(f.names...).Addrs, Order: uint64(i),
+						c := endpoints.NewClient(endpoints.ClientConfig{Addresses: cluster.client(cluster.names...).Addrs, Order: uint64(i),
 							Fleet: n, RejectOlder: true, Transport: countingTransport{&http.Transport{DisableKeepAlives: true}, &calls}})
 						for ctx.Err() == nil { // each round is one that the policy of an agent begins
 							_ = c.Watch(ctx, seq, func(l endpoints.List) {
@@ -125,35 +125,35 @@
 						}
 					}()
 				}
-				f.waitUntil("all are served", func() bool { mu.Lock(); defer mu.Unlock(); return len(firsts) == n })
+				cluster.waitUntil("all are served", func() bool { mu.Lock(); defer mu.Unlock(); return len(firsts) == n })
 				mu.Lock()
 				reportPercentiles(b, "first", slices.Clone(firsts))
 				b.ReportMetric(float64(calls.Load())/float64(n), "calls/watch")
 				before := got
 				mu.Unlock()
-				lead := f.waitForLeader()
-				from, _ := f.usage(lead)
+				lead := cluster.waitForLeader()
+				from, _ := cluster.usage(lead)
 				const changes, every = 100, 50 * time.Millisecond
 				for i := range changes {
 					next := time.Now().Add(every)
-					f.register(fmt.Sprint("s-", i%200), float64(i+2), lead)
+					cluster.register(fmt.Sprint("s-", i%200), float64(i+2), lead)
 					time.Sleep(time.Until(next))
 				}
-				f.waitUntil("all were told of the last", func() bool { mu.Lock(); defer mu.Unlock(); return got >= before+n*changes*9/10 })
-				to, rss := f.usage(lead)
+				cluster.waitUntil("all were told of the last", func() bool { mu.Lock(); defer mu.Unlock(); return got >= before+n*changes*9/10 })
+				to, rss := cluster.usage(lead)
 				b.ReportMetric(float64(to-from)/float64(changes*every), "cores-of-the-leader")
 				b.ReportMetric(rss, "MB-of-the-leader")
 				// All stewards end and start at once: each reader has to come back, by itself.
 				made := calls.Load()
-				for _, name := range f.names {
-					f.kill(name)
+				for _, name := range cluster.names {
+					cluster.kill(name)
 				}
 				died := time.Now()
-				for _, name := range f.names {
-					f.start(name)
+				for _, name := range cluster.names {
+					cluster.start(name)
 				}
-				f.register("back", 1)
-				f.waitUntil("all are back", func() bool { mu.Lock(); defer mu.Unlock(); return backAgain == n })
+				cluster.register("back", 1)
+				cluster.waitUntil("all are back", func() bool { mu.Lock(); defer mu.Unlock(); return backAgain == n })
 				b.ReportMetric(time.Since(died).Seconds(), "s-until-all-are-back")
 				b.ReportMetric(float64(calls.Load()-made)/float64(n), "calls/watch-to-come-back")
 				cancel()
@@ -166,37 +166,37 @@
 // BenchmarkRestart restarts a steward that holds ten thousand entries, and measures the
 // time until it serves all of them.
 func BenchmarkRestart(b *testing.B) {
-	f := newCluster(b, 1)
-	name := f.names[0]
+	cluster := newCluster(b, 1)
+	name := cluster.names[0]
 	var writers sync.WaitGroup
 	for part := range 16 {
 		writers.Add(1)
 		go func() {
 			defer writers.Done()
 			for i := part; i < 10_000; i += 16 {
-				f.register(fmt.Sprint("s-", i), 1)
+				cluster.register(fmt.Sprint("s-", i), 1)
 			}
 		}()
 	}
 	writers.Wait()
 	var took []time.Duration
 	for range b.N {
-		f.kill(name)
-		f.start(name)
+		cluster.kill(name)
+		cluster.start(name)
 		began := time.Now()
-		f.waitUntil("all are served", func() bool {
-			resp, err := http.Get("http://" + f.servers[name].http + endpoints.Path)
+		cluster.waitUntil("all are served", func() bool {
+			resp, err := http.Get("http://" + cluster.servers[name].http + endpoints.Path)
 			if err != nil {
 				return false
 			}
 			defer resp.Body.Close()
-			st, err := f.status(name)
-			return resp.StatusCode == http.StatusOK && err == nil && st.Listed == 10_000
+			status, err := cluster.status(name)
+			return resp.StatusCode == http.StatusOK && err == nil && status.Listed == 10_000
 		})
 		took = append(took, time.Since(began))
 	}
 	reportPercentiles(b, "ready", took)
-	if text, err := os.ReadFile(f.servers[name].proc.Log); err == nil && strings.Contains(string(text), "ERROR") {
+	if text, err := os.ReadFile(cluster.servers[name].proc.Log); err == nil && strings.Contains(string(text), "ERROR") {
 		b.Errorf("it complains: %s", text[max(0, len(text)-500):])
 	}
 }
@@ -205,32 +205,32 @@
 // measures the time until another acts under it; then it moves it as planned, and measures
 // the gap between the two holders' acts.
 func BenchmarkTaskHandover(b *testing.B) {
-	f := newCluster(b, 3)
-	c := f.startWorkers(6, 10)
+	cluster := newCluster(b, 3)
+	workers := cluster.startWorkers(6, 10)
 	const kills, moves = 100, 100
-	c.defineTask("work.a", 3*time.Second)
-	a := c.waitForOperation("work.a", "", 0)
+	workers.defineTask("work.a", 3*time.Second)
+	operation := workers.waitForOperation("work.a", "", 0)
 	var took []time.Duration
 	for range kills {
-		c.kill(a.Process)
-		died := c.operations.Last("work.a").Mono
-		next := c.waitForOperation("work.a", a.Process, 0)
+		workers.kill(operation.Process)
+		died := workers.operations.Last("work.a").Mono
+		next := workers.waitForOperation("work.a", operation.Process, 0)
 		took = append(took, next.Mono-died)
-		c.start(a.Process)
-		a = next
+		workers.start(operation.Process)
+		operation = next
 		time.Sleep(2500 * time.Millisecond) // or its next end would be blamed on the duty
 	}
 	reportPercentiles(b, "after-kill", took)
-	before := len(c.operations.Judge().Gaps)
+	before := len(workers.operations.Judge().Gaps)
 	for range moves {
-		if err := c.commandTask("work.a", "move", ""); err == nil {
-			a = c.waitForOperation("work.a", a.Process, 0)
+		if err := workers.commandTask("work.a", "move", ""); err == nil {
+			operation = workers.waitForOperation("work.a", operation.Process, 0)
 		}
 	}
-	v := c.operations.Judge()
-	reportPercentiles(b, "planned-gap", v.Gaps[before:])
-	if len(v.Broke) > 0 {
-		b.Errorf("%d overlaps: %s", len(v.Broke), v.Broke[0])
+	result := workers.operations.Judge()
+	reportPercentiles(b, "planned-gap", result.Gaps[before:])
+	if len(result.Broke) > 0 {
+		b.Errorf("%d overlaps: %s", len(result.Broke), result.Broke[0])
 	}
 }
 
@@ -240,15 +240,15 @@
 func BenchmarkLeasedTasks(b *testing.B) {
 	for _, n := range []int{1000, 5000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			f := newCluster(b, 3)
-			c := f.startWorkers(9, 2000)
+			cluster := newCluster(b, 3)
+			workers := cluster.startWorkers(9, 2000)
 			var all sync.WaitGroup
 			for part := range 16 {
 				all.Add(1)
 				go func() {
 					defer all.Done()
 					for i := part; i < n; i += 16 {
-						c.defineTask(fmt.Sprint("idle.", i), 3*time.Second)
+						workers.defineTask(fmt.Sprint("idle.", i), 3*time.Second)
 					}
 				}()
 			}
@@ -256,7 +256,7 @@
 			free := func() int {
 				ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 				defer cancel()
-				ds, err := f.client(f.waitForLeader()).Tasks(ctx)
+				ds, err := cluster.client(cluster.waitForLeader()).Tasks(ctx)
 				if err != nil {
 					return n
 				}
@@ -268,22 +268,22 @@
 				}
 				return count
 			}
-			f.waitUntil("all are held", func() bool { return free() == 0 })
+			cluster.waitUntil("all are held", func() bool { return free() == 0 })
 			time.Sleep(15 * time.Second) // evened out
-			lead := f.waitForLeader()
-			st, _ := f.status(lead)
-			cpu, _ := f.usage(lead)
+			lead := cluster.waitForLeader()
+			status, _ := cluster.status(lead)
+			cpu, _ := cluster.usage(lead)
 			const rest = 10 * time.Second
 			time.Sleep(rest)
-			after, _ := f.status(lead)
-			to, rss := f.usage(lead)
-			b.ReportMetric(float64(after.Applied-st.Applied)/rest.Seconds(), "log-entries/s")
+			after, _ := cluster.status(lead)
+			to, rss := cluster.usage(lead)
+			b.ReportMetric(float64(after.Applied-status.Applied)/rest.Seconds(), "log-entries/s")
 			b.ReportMetric(float64(to-cpu)/float64(rest), "cores-of-the-leader")
 			b.ReportMetric(rss, "MB-of-the-leader")
 			began := time.Now()
-			c.kill("w-1")
-			f.waitUntil("its duties are free", func() bool { return free() > 0 })
-			f.waitUntil("all are held again", func() bool { return free() == 0 })
+			workers.kill("w-1")
+			cluster.waitUntil("its duties are free", func() bool { return free() > 0 })
+			cluster.waitUntil("all are held again", func() bool { return free() == 0 })
 			b.ReportMetric(time.Since(began).Seconds(), "s-until-all-are-held")
 		})
 	}
@@ -292,23 +292,23 @@
 // BenchmarkTimeWithoutHolder plays a fault every ten seconds for ten minutes, at a lease of 3 s, and
 // measures for what share of the time a duty had nobody who acted.
 func BenchmarkTimeWithoutHolder(b *testing.B) {
-	f := newCluster(b, 3)
-	c := f.startWorkers(4, 10, 0.95, 1, 1.05)
+	cluster := newCluster(b, 3)
+	workers := cluster.startWorkers(4, 10, 0.95, 1, 1.05)
 	for i := range 4 {
-		c.defineTask(fmt.Sprint("work.", i), 3*time.Second)
+		workers.defineTask(fmt.Sprint("work.", i), 3*time.Second)
 	}
 	rng := rand.New(rand.NewPCG(77, 1))
 	for end := time.Now().Add(10 * time.Minute); time.Now().Before(end); {
 		next := time.Now().Add(10 * time.Second)
-		c.injectFault(rng)
+		workers.injectFault(rng)
 		time.Sleep(time.Until(next))
 	}
-	v := c.operations.Judge()
-	b.ReportMetric(100*float64(v.Idle)/float64(v.All), "percent-unheld")
-	b.ReportMetric(float64(v.Terms), "terms")
-	b.ReportMetric(float64(v.Refused), "acts-refused")
+	result := workers.operations.Judge()
+	b.ReportMetric(100*float64(result.Idle)/float64(result.All), "percent-unheld")
+	b.ReportMetric(float64(result.Terms), "terms")
+	b.ReportMetric(float64(result.Refused), "acts-refused")
 	b.ReportMetric(0, "ns/op")
-	if len(v.Broke) > 0 {
-		b.Errorf("%d overlaps: %s", len(v.Broke), v.Broke[0])
+	if len(result.Broke) > 0 {
+		b.Errorf("%d overlaps: %s", len(result.Broke), result.Broke[0])
 	}
 }
--- a/cmd/controlplane/fleet_test.go
+++ b/cmd/controlplane/cluster_test.go
@@ -99,13 +99,13 @@
 
 func newCluster(t testing.TB, n int) *testCluster {
 	t.Helper()
-	f := newUnstartedCluster(t, n)
-	for _, name := range f.names {
-		f.configure(name, f.names)
-		f.start(name)
+	cluster := newUnstartedCluster(t, n)
+	for _, name := range cluster.names {
+		cluster.configure(name, cluster.names)
+		cluster.start(name)
 	}
-	f.waitForLeader()
-	return f
+	cluster.waitForLeader()
+	return cluster
 }
 
 // newUnstartedCluster is one whose stewards are neither configured nor started.
@@ -115,128 +115,132 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &testCluster{t: t, dir: t.TempDir(), addrs: addrs, servers: map[string]*serverProcess{}, links: map[[2]string]*link.Link{},
+	cluster := &testCluster{t: t, dir: t.TempDir(), addrs: addrs, servers: map[string]*serverProcess{}, links: map[[2]string]*link.Link{},
 		// Wide of what a busy machine makes of a heartbeat, and leases that last a test.
 		extraConfig: "heartbeat = \"300ms\"\nlease_ttl = \"10m\"\nsnapshot_every = 64\nsnapshot_check = \"500ms\"\n"}
-	f.supervisor = process.New(nil)
+	cluster.supervisor = process.New(nil)
 	t.Cleanup(func() {
-		f.supervisor.Close()
-		for _, l := range f.links {
+		cluster.supervisor.Close()
+		for _, l := range cluster.links {
 			l.Close()
 		}
-		if f.mesh != nil {
-			f.mesh.close()
+		if cluster.mesh != nil {
+			cluster.mesh.close()
 		}
 		addrs.Close()
 		if t.Failed() {
-			for _, s := range f.servers {
+			for _, s := range cluster.servers {
 				text, _ := os.ReadFile(s.proc.Log)
 				t.Logf("%s:\n%s", s.name, text[max(0, len(text)-2500):])
 			}
 		}
 	})
 	for i := range n {
-		f.add(fmt.Sprint("st-", i+1))
+		cluster.add(fmt.Sprint("st-", i+1))
 	}
-	return f
+	return cluster
 }
 
 // add makes a steward that is not configured yet.
-func (f *testCluster) add(name string) *serverProcess {
-	f.t.Helper()
+func (cluster *testCluster) add(name string) *serverProcess {
+	cluster.t.Helper()
 	s := &serverProcess{name: name}
 	for _, addr := range []*string{&s.http, &s.raft, &s.gossip} {
 		var err error
-		if *addr, err = f.addrs.FreePort(); err != nil {
-			f.t.Fatal(err)
+		if *addr, err = cluster.addrs.FreePort(); err != nil {
+			cluster.t.Fatal(err)
 		}
 	}
 	exe, err := os.Executable()
 	if err != nil {
-		f.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	s.client = control.NewClient([]string{s.http}, 6*time.Second)
-	s.proc = f.supervisor.Add(process.Spec{Name: name, Path: exe, Args: []string{"serve", "--config", f.configPath(name)}, Env: []string{"STEWARD_CHILD=1"},
-		Log: filepath.Join(f.dir, name+".log")})
-	f.servers[name], f.names = s, append(f.names, name)
+	s.proc = cluster.supervisor.Add(process.Spec{Name: name, Path: exe, Args: []string{"serve", "--config", cluster.configPath(name)}, Env: []string{"STEWARD_CHILD=1"},
+		Log: filepath.Join(cluster.dir, name+".log")})
+	cluster.servers[name], cluster.names = s, append(cluster.names, name)
 	return s
 }
 
-func (f *testCluster) configPath(name string) string { return filepath.Join(f.dir, name+".toml") }
-func (f *testCluster) dataDir(name string) string    { return filepath.Join(f.dir, name+".data") }
+func (cluster *testCluster) configPath(name string) string {
+	return filepath.Join(cluster.dir, name+".toml")
+}
+func (cluster *testCluster) dataDir(name string) string {
+	return filepath.Join(cluster.dir, name+".data")
+}
 
 // configure writes a steward's configuration: its own table leads over its own links.
-func (f *testCluster) configure(name string, peers []string) {
-	f.t.Helper()
-	s := f.servers[name]
-	text := fmt.Sprintf("name = %q\ndata = %q\nlisten = %q\nraft = %q\n%s", name, f.dataDir(name), s.http, s.raft, f.extraConfig)
-	if f.mesh != nil {
+func (cluster *testCluster) configure(name string, peers []string) {
+	cluster.t.Helper()
+	s := cluster.servers[name]
+	text := fmt.Sprintf("name = %q\ndata = %q\nlisten = %q\nraft = %q\n%s", name, cluster.dataDir(name), s.http, s.raft, cluster.extraConfig)
+	if cluster.mesh != nil {
 		text += fmt.Sprintf("gossip = %q\n", s.gossip)
 	}
 	for _, to := range peers {
 		raft := s.raft
 		if to != name {
 			key := [2]string{name, to}
-			if f.links[key] == nil {
-				l, err := link.New(f.addrs.IP()+":0", f.servers[to].raft, 1)
+			if cluster.links[key] == nil {
+				l, err := link.New(cluster.addrs.IP()+":0", cluster.servers[to].raft, 1)
 				if err != nil {
-					f.t.Fatal(err)
+					cluster.t.Fatal(err)
 				}
-				f.links[key] = l
+				cluster.links[key] = l
 			}
-			raft = f.links[key].Addr()
+			raft = cluster.links[key].Addr()
 		}
-		http := f.servers[to].http
-		if f.mesh != nil && to != name {
-			http = f.mesh.streamAddr(name, to, http)
+		http := cluster.servers[to].http
+		if cluster.mesh != nil && to != name {
+			http = cluster.mesh.streamAddr(name, to, http)
 		}
 		text += fmt.Sprintf("[peers.%s]\nhttp = %q\nraft = %q\n", to, http, raft)
-		if f.mesh != nil {
-			text += f.mesh.peerConfig(name, to)
+		if cluster.mesh != nil {
+			text += cluster.mesh.peerConfig(name, to)
 		}
 	}
-	if err := os.WriteFile(f.configPath(name), []byte(text), 0o644); err != nil {
-		f.t.Fatal(err)
+	if err := os.WriteFile(cluster.configPath(name), []byte(text), 0o644); err != nil {
+		cluster.t.Fatal(err)
 	}
 }
 
-func (f *testCluster) start(name string) {
-	f.t.Helper()
-	if err := f.servers[name].proc.Start(); err != nil {
-		f.t.Fatal(err)
+func (cluster *testCluster) start(name string) {
+	cluster.t.Helper()
+	if err := cluster.servers[name].proc.Start(); err != nil {
+		cluster.t.Fatal(err)
 	}
 }
 
 // kill is SIGKILL; it returns once the process has gone.
-func (f *testCluster) kill(name string) {
-	f.t.Helper()
-	ended := f.servers[name].proc.Ended()
-	f.servers[name].proc.Kill()
+func (cluster *testCluster) kill(name string) {
+	cluster.t.Helper()
+	ended := cluster.servers[name].proc.Ended()
+	cluster.servers[name].proc.Kill()
 	<-ended
 }
 
 // waitUntil waits for something to be so.
-func (f *testCluster) waitUntil(what string, is func() bool) {
-	f.t.Helper()
-	for end := time.Now().Add(waitTimeout); !is(); time.Sleep(10 * time.Millisecond) {
+func (cluster *testCluster) waitUntil(what string, condition func() bool) {
+	cluster.t.Helper()
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			f.t.Fatalf("never %s", what)
+			cluster.t.Fatalf("never %s", what)
 		}
 	}
 }
 
-func (f *testCluster) status(name string) (control.Status, error) {
+func (cluster *testCluster) status(name string) (control.Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	return f.servers[name].client.Status(ctx)
+	return cluster.servers[name].client.Status(ctx)
 }
 
 // waitForLeader waits until one steward leads and takes writes.
-func (f *testCluster) waitForLeader() (name string) {
-	f.t.Helper()
-	f.waitUntil("a leader", func() bool {
-		for _, n := range f.names {
-			if st, err := f.status(n); err == nil && st.State == "leader" && st.Seq > 0 {
+func (cluster *testCluster) waitForLeader() (name string) {
+	cluster.t.Helper()
+	cluster.waitUntil("a leader", func() bool {
+		for _, n := range cluster.names {
+			if status, err := cluster.status(n); err == nil && status.State == "leader" && status.Seq > 0 {
 				name = n
 				return true
 			}
@@ -247,8 +251,8 @@
 }
 
 // others are all stewards but one.
-func (f *testCluster) others(name string) (out []string) {
-	for _, n := range f.names {
+func (cluster *testCluster) others(name string) (out []string) {
+	for _, n := range cluster.names {
 		if n != name {
 			out = append(out, n)
 		}
@@ -257,24 +261,24 @@
 }
 
 // client asks the stewards named, in this order.
-func (f *testCluster) client(names ...string) *control.Client {
+func (cluster *testCluster) client(names ...string) *control.Client {
 	var addrs []string
 	for _, n := range names {
-		addrs = append(addrs, f.servers[n].http)
+		addrs = append(addrs, cluster.servers[n].http)
 	}
 	return control.NewClient(addrs, 6*time.Second)
 }
 
-func newEndpoint(name string, born float64) endpoints.Endpoint {
-	return endpoints.Endpoint{Name: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Health: endpoints.Ready, Weight: 1, StartedMs: born}
+func newEndpoint(name string, startedMs float64) endpoints.Endpoint {
+	return endpoints.Endpoint{Name: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Health: endpoints.Ready, Weight: 1, StartedMs: startedMs}
 }
 
 // requireAcknowledged waits until a consistent read is answered, and reports servers whose start is older in it than
 // what was acknowledged.
-func (f *testCluster) requireAcknowledged(acked map[string]float64) {
-	f.t.Helper()
-	f.waitUntil("a consistent read", func() bool {
-		all, err := f.client(f.names...).Servers(context.Background(), true)
+func (cluster *testCluster) requireAcknowledged(acknowledged map[string]float64) {
+	cluster.t.Helper()
+	cluster.waitUntil("a consistent read", func() bool {
+		all, err := cluster.client(cluster.names...).Servers(context.Background(), true)
 		if err != nil {
 			return false
 		}
@@ -282,9 +286,9 @@
 		for _, e := range all {
 			have[e.Endpoint.Name] = e.Endpoint.StartedMs
 		}
-		for name, born := range acked {
-			if have[name] < born {
-				f.t.Fatalf("%s was acknowledged with %v, there is %v", name, born, have[name])
+		for name, startedMs := range acknowledged {
+			if have[name] < startedMs {
+				cluster.t.Fatalf("%s was acknowledged with %v, there is %v", name, startedMs, have[name])
 			}
 		}
 		return true
@@ -292,40 +296,40 @@
 }
 
 // register writes until it is acknowledged, at whichever steward takes it.
-func (f *testCluster) register(name string, born float64, at ...string) catalog.Result {
-	f.t.Helper()
+func (cluster *testCluster) register(name string, startedMs float64, at ...string) catalog.Result {
+	cluster.t.Helper()
 	if len(at) == 0 {
-		at = f.names
+		at = cluster.names
 	}
 	var r catalog.Result
 	var err error
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
-		r, err = f.client(at...).Register(ctx, newEndpoint(name, born))
+		r, err = cluster.client(at...).Register(ctx, newEndpoint(name, startedMs))
 		cancel()
 		if err == nil {
 			return r
 		}
 	}
-	f.t.Fatalf("%s was never taken: %v", name, err)
+	cluster.t.Fatalf("%s was never taken: %v", name, err)
 	return r
 }
 
 // writer registers one server after the other, and remembers what was acknowledged.
 type writer struct {
-	mu    sync.Mutex
-	acked map[string]float64
-	gaps  []time.Duration // between two acknowledgements
-	last  time.Time
-	stop  context.CancelFunc
-	done  chan struct{}
+	mu           sync.Mutex
+	acknowledged map[string]float64
+	gaps         []time.Duration // between two acknowledgements
+	last         time.Time
+	stop         context.CancelFunc
+	done         chan struct{}
 }
 
-func (f *testCluster) startWriter(prefix string) *writer {
+func (cluster *testCluster) startWriter(prefix string) *writer {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &writer{acked: map[string]float64{}, stop: cancel, done: make(chan struct{}), last: time.Now()}
+	w := &writer{acknowledged: map[string]float64{}, stop: cancel, done: make(chan struct{}), last: time.Now()}
 	// Impatient, as a server is that renews: it goes on to the next steward.
-	c := control.NewClient(f.client(f.names...).Addrs, time.Second)
+	c := control.NewClient(cluster.client(cluster.names...).Addrs, time.Second)
 	go func() {
 		defer close(w.done)
 		for i := 0; ctx.Err() == nil; i++ {
@@ -343,7 +347,7 @@
 				continue
 			}
 			w.mu.Lock()
-			w.acked[name] = float64(i)
+			w.acknowledged[name] = float64(i)
 			w.gaps = append(w.gaps, time.Since(w.last))
 			w.last = time.Now()
 			w.mu.Unlock()
@@ -359,32 +363,32 @@
 }
 
 // stopAndVerify stops the writer and holds that all it was told is there, at each steward named.
-func (w *writer) stopAndVerify(f *testCluster, at ...string) {
-	f.t.Helper()
+func (w *writer) stopAndVerify(cluster *testCluster, at ...string) {
+	cluster.t.Helper()
 	w.stop()
 	<-w.done
 	for _, name := range at {
 		var all []catalog.Entry
-		f.waitUntil(name+" reads", func() bool {
+		cluster.waitUntil(name+" reads", func() bool {
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
 			var err error
-			all, err = f.servers[name].client.Servers(ctx, true)
+			all, err = cluster.servers[name].client.Servers(ctx, true)
 			return err == nil
 		})
 		have := map[string]float64{}
 		for _, e := range all {
 			have[e.Endpoint.Name] = e.Endpoint.StartedMs
 		}
-		for server, born := range w.acked {
+		for server, startedMs := range w.acknowledged {
 			// A later write whose answer was lost may be there too, never an earlier one.
-			if got, ok := have[server]; !ok || got < born {
-				f.t.Errorf("%s: %s was acknowledged with born_ms %v, there is %v (%v)", name, server, born, got, ok)
+			if got, ok := have[server]; !ok || got < startedMs {
+				cluster.t.Errorf("%s: %s was acknowledged with born_ms %v, there is %v (%v)", name, server, startedMs, got, ok)
 			}
 		}
 	}
-	if len(w.acked) == 0 {
-		f.t.Error("nothing was acknowledged at all")
+	if len(w.acknowledged) == 0 {
+		cluster.t.Error("nothing was acknowledged at all")
 	}
 }
 
--- a/cmd/controlplane/notice_test.go
+++ b/cmd/controlplane/failuredetection_test.go
@@ -51,12 +51,12 @@
 		log.Error("gossip", "err", err)
 		os.Exit(1)
 	}
-	ask := make(chan os.Signal, 1)
-	signal.Notify(ask, syscall.SIGHUP)
+	dumpCounts := make(chan os.Signal, 1)
+	signal.Notify(dumpCounts, syscall.SIGHUP)
 	for ctx.Err() == nil {
 		select {
-		case <-ask:
-			log.Info("counts", "sent", n.Counts().SentBytes)
+		case <-dumpCounts:
+			log.Info("counts", "sent", n.Counts().Sent)
 		case <-ctx.Done():
 		}
 	}
@@ -66,12 +66,12 @@
 var sentCountPattern = regexp.MustCompile(`(?m)msg=counts sent=(\d+)$`)
 
 // bytesSent is what all of them have sent.
-func (t *gossipGroup) bytesSent() (sum int64) {
-	for _, name := range t.names {
-		p := t.processes[name]
+func (group *gossipGroup) bytesSent() (sum int64) {
+	for _, name := range group.names {
+		p := group.processes[name]
 		before, _ := os.ReadFile(p.Log)
 		if err := p.Signal(syscall.SIGHUP); err != nil {
-			t.testing.Fatal(err)
+			group.tb.Fatal(err)
 		}
 		for end := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 			text, _ := os.ReadFile(p.Log)
@@ -81,7 +81,7 @@
 				break
 			}
 			if time.Now().After(end) {
-				t.testing.Fatalf("%s tells no counts", name)
+				group.tb.Fatalf("%s tells no counts", name)
 			}
 		}
 	}
@@ -90,24 +90,24 @@
 
 // gossipGroup is processes that gossip, five of them observers.
 type gossipGroup struct {
-	testing      testing.TB
+	tb           testing.TB
 	names        []string
 	processes    map[string]*process.Process
 	incarnations map[string]int64
 	links        []*link.UDP
 }
 
-func newGossipGroup(b testing.TB, n int, loss float64) *gossipGroup {
+func newGossipGroup(tb testing.TB, n int, loss float64) *gossipGroup {
 	addrs, err := loopback.Claim()
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
-	dir := b.TempDir()
-	t := &gossipGroup{testing: b, processes: map[string]*process.Process{}, incarnations: map[string]int64{}}
-	sup := process.New(nil)
-	b.Cleanup(func() {
-		sup.Close()
-		for _, l := range t.links {
+	dir := tb.TempDir()
+	group := &gossipGroup{tb: tb, processes: map[string]*process.Process{}, incarnations: map[string]int64{}}
+	supervisor := process.New(nil)
+	tb.Cleanup(func() {
+		supervisor.Close()
+		for _, l := range group.links {
 			l.Close()
 		}
 		addrs.Close()
@@ -116,68 +116,68 @@
 	for i := range n {
 		name := fmt.Sprintf("m-%03d", i)
 		if at[name], err = addrs.FreePort(); err != nil {
-			b.Fatal(err)
+			tb.Fatal(err)
 		}
-		t.names = append(t.names, name)
+		group.names = append(group.names, name)
 	}
 	exe, err := os.Executable()
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
-	table := map[string]string{}
-	for i, name := range t.names {
-		table[name] = at[name]
+	peers := map[string]string{}
+	for i, name := range group.names {
+		peers[name] = at[name]
 		if loss > 0 { // what comes to it over datagrams; streams come as they are
 			ip := fmt.Sprintf("%s:0", addrs.IP())
 			tcp, err := link.New(ip, at[name], 1)
 			if err != nil {
-				b.Fatal(err)
+				tb.Fatal(err)
 			}
 			u, err := link.NewUDP(tcp.Addr(), at[name], uint64(i))
 			if err != nil {
-				b.Fatal(err)
+				tb.Fatal(err)
 			}
 			u.Set(link.Shape{Loss: loss, Jitter: 20 * time.Millisecond}, link.Shape{})
-			b.Cleanup(tcp.Close)
-			t.links = append(t.links, u)
-			table[name] = tcp.Addr()
+			tb.Cleanup(tcp.Close)
+			group.links = append(group.links, u)
+			peers[name] = tcp.Addr()
 		}
 	}
-	text, _ := json.Marshal(table)
+	text, _ := json.Marshal(peers)
 	file := filepath.Join(dir, "peers.json")
 	if err := os.WriteFile(file, text, 0o600); err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
-	for i, name := range t.names {
+	for i, name := range group.names {
 		role := member.RoleWorker
 		if i < 5 {
 			role = member.RoleControlPlane
 		}
-		t.processes[name] = sup.Add(process.Spec{Name: name, Path: exe, Log: filepath.Join(dir, name+".log"), Env: []string{"MEMBER_CHILD=1", "MEMBER_NAME=" + name,
+		group.processes[name] = supervisor.Add(process.Spec{Name: name, Path: exe, Log: filepath.Join(dir, name+".log"), Env: []string{"MEMBER_CHILD=1", "MEMBER_NAME=" + name,
 			"MEMBER_ROLE=" + string(role), "MEMBER_LISTEN=" + at[name], "MEMBER_PEERS=" + file}})
-		t.start(name)
+		group.start(name)
 	}
-	return t
+	return group
 }
 
-func (t *gossipGroup) start(name string) {
-	t.incarnations[name]++
-	p := t.processes[name]
-	p.Env = append(p.Env[:5:5], fmt.Sprint("MEMBER_LIFE=", t.incarnations[name]))
+func (group *gossipGroup) start(name string) {
+	group.incarnations[name]++
+	p := group.processes[name]
+	p.Env = append(p.Env[:5:5], fmt.Sprint("MEMBER_LIFE=", group.incarnations[name]))
 	if err := p.Start(); err != nil {
-		t.testing.Fatal(err)
+		group.tb.Fatal(err)
 	}
 }
 
 var stateChangePattern = regexp.MustCompile(`(?m)^time=(\S+) level=INFO msg=member name=(\S+) to=(\S+)$`)
 
 // stateTimes tells, by observer, at which times it came to have a member in a state.
-func (t *gossipGroup) stateTimes(state member.State) map[string]map[string][]time.Time {
+func (group *gossipGroup) stateTimes(state member.State) map[string]map[string][]time.Time {
 	out := map[string]map[string][]time.Time{}
-	for _, o := range t.names {
-		text, err := os.ReadFile(t.processes[o].Log)
+	for _, o := range group.names {
+		text, err := os.ReadFile(group.processes[o].Log)
 		if err != nil {
-			t.testing.Fatal(err)
+			group.tb.Fatal(err)
 		}
 		for _, m := range stateChangePattern.FindAllSubmatch(text, -1) {
 			if at, err := time.Parse(time.RFC3339Nano, string(m[1])); err == nil && string(m[3]) == string(state) {
@@ -196,18 +196,18 @@
 func BenchmarkFailureDetection(b *testing.B) {
 	for _, n := range []int{5, 20, 50, 100} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			t := newGossipGroup(b, n, 0)
+			group := newGossipGroup(b, n, 0)
 			time.Sleep(8 * time.Second)
 			sum := func() (cpu time.Duration) {
-				for _, p := range t.processes {
+				for _, p := range group.processes {
 					use, _, _ := p.Look()
 					cpu += use.CPU
 				}
 				return cpu
 			}
-			before, from, began := sum(), t.bytesSent(), time.Now()
+			before, from, began := sum(), group.bytesSent(), time.Now()
 			time.Sleep(10 * time.Second)
-			b.ReportMetric(float64(t.bytesSent()-from)/float64(n)/time.Since(began).Seconds(), "bytes/s/process")
+			b.ReportMetric(float64(group.bytesSent()-from)/float64(n)/time.Since(began).Seconds(), "bytes/s/process")
 			b.ReportMetric(float64(sum()-before)/float64(n)/float64(10*time.Second)*1000, "millicores/process")
 			kills := map[string]time.Time{}
 			type end struct {
@@ -220,13 +220,13 @@
 			var mu sync.Mutex
 			for range 100 {
 				mu.Lock()
-				name := t.names[rng.IntN(n)]
+				name := group.names[rng.IntN(n)]
 				for !kills[name].IsZero() {
-					name = t.names[rng.IntN(n)]
+					name = group.names[rng.IntN(n)]
 				}
 				kills[name] = time.Now()
 				mu.Unlock()
-				t.processes[name].Kill()
+				group.processes[name].Kill()
 				ends = append(ends, end{name, kills[name]})
 				back.Add(1)
 				go func() {
@@ -234,18 +234,18 @@
 					time.Sleep(6 * time.Second)
 					mu.Lock()
 					defer mu.Unlock()
-					t.start(name)
+					group.start(name)
 					time.AfterFunc(4*time.Second, func() { mu.Lock(); delete(kills, name); mu.Unlock() })
 				}()
 				time.Sleep(time.Duration(max(1000, 24000/n)) * time.Millisecond)
 			}
 			back.Wait()
-			failed := t.stateTimes(member.Failed)
+			failed := group.stateTimes(member.Failed)
 			var first, spread []time.Duration
 			missed := 0
 			for _, e := range ends {
 				lo, hi := time.Duration(1<<62), time.Duration(0)
-				for _, o := range t.names {
+				for _, o := range group.names {
 					for _, at := range failed[o][e.name] {
 						if d := at.Sub(e.at); d > 0 && d < 6*time.Second {
 							lo, hi = min(lo, d), max(hi, d)
@@ -270,15 +270,15 @@
 // a member's hours another that was there was taken for failed or suspected. WRONG_FOR is how
 // long it goes on.
 func BenchmarkFalseFailures(b *testing.B) {
-	lasts, err := time.ParseDuration(os.Getenv("WRONG_FOR"))
+	duration, err := time.ParseDuration(os.Getenv("WRONG_FOR"))
 	if err != nil {
-		lasts = 2 * time.Minute
+		duration = 2 * time.Minute
 	}
-	t := newGossipGroup(b, 50, 0.2)
+	group := newGossipGroup(b, 50, 0.2)
 	time.Sleep(8 * time.Second)
 	base := 0
 	count := func() (n int) {
-		for _, by := range t.stateTimes(member.Failed) {
+		for _, by := range group.stateTimes(member.Failed) {
 			for _, at := range by {
 				n += len(at)
 			}
@@ -288,8 +288,8 @@
 	base = count()
 	rng := rand.New(rand.NewPCG(10, 1))
 	stops := 0
-	for end := time.Now().Add(lasts); time.Now().Before(end); stops++ {
-		p := t.processes[t.names[rng.IntN(50)]]
+	for end := time.Now().Add(duration); time.Now().Before(end); stops++ {
+		p := group.processes[group.names[rng.IntN(50)]]
 		if err := p.Signal(syscall.SIGSTOP); err != nil {
 			b.Fatal(err)
 		}
@@ -299,17 +299,17 @@
 		}
 		time.Sleep(3 * time.Second)
 	}
-	b.ReportMetric(float64(count()-base)/lasts.Hours(), "failed/h-over-50-views")
+	b.ReportMetric(float64(count()-base)/duration.Hours(), "failed/h-over-50-views")
 	b.ReportMetric(float64(stops), "pauses")
 	b.ReportMetric(0, "ns/op")
 }
 
 // lastStates tells how an observer has the others, by the last that its log says.
-func (t *gossipGroup) lastStates(observer string) map[string]member.State {
+func (group *gossipGroup) lastStates(observer string) map[string]member.State {
 	out := map[string]member.State{}
-	text, err := os.ReadFile(t.processes[observer].Log)
+	text, err := os.ReadFile(group.processes[observer].Log)
 	if err != nil {
-		t.testing.Fatal(err)
+		group.tb.Fatal(err)
 	}
 	for _, m := range stateChangePattern.FindAllSubmatch(text, -1) {
 		out[string(m[2])] = member.State(m[3])
@@ -321,17 +321,17 @@
 // be believed by one alone, and believed by all that are left once they say the same.
 func TestMassFailureNeedsMajority(t *testing.T) {
 	const n = 24
-	tr := newGossipGroup(t, n, 0)
-	dead := tr.names[n-1]
-	tr.processes[dead].Kill() // as soon as it was started
-	await := func(what string, who, whom []string, state member.State) {
+	group := newGossipGroup(t, n, 0)
+	dead := group.names[n-1]
+	group.processes[dead].Kill() // as soon as it was started
+	await := func(what string, observers, members []string, state member.State) {
 		t.Helper()
 		missing := ""
 		for end := time.Now().Add(waitTimeout); ; time.Sleep(100 * time.Millisecond) {
 			missing = ""
-			for _, o := range who {
-				states := tr.lastStates(o)
-				for _, m := range whom {
+			for _, o := range observers {
+				states := group.lastStates(o)
+				for _, m := range members {
 					if m != o && states[m] != state {
 						missing = fmt.Sprintf("%s has %s as %q", o, m, states[m])
 					}
@@ -345,23 +345,23 @@
 			}
 		}
 	}
-	await("all start", tr.names[:n-1], tr.names[:n-1], member.Present)
+	await("all start", group.names[:n-1], group.names[:n-1], member.Present)
 	// Two of the five observers among them.
-	victims := append(append([]string{}, tr.names[:2]...), tr.names[12:n-1]...)
-	left := tr.names[2:12]
+	victims := append(append([]string{}, group.names[:2]...), group.names[12:n-1]...)
+	survivors := group.names[2:12]
 	for _, name := range victims {
-		tr.processes[name].Kill()
+		group.processes[name].Kill()
 	}
-	await("half end", left, victims, member.Failed)
-	for o, by := range tr.stateTimes(member.Failed) {
-		for _, name := range left {
-			if len(by[name]) > 0 && slices.Contains(left, o) {
+	await("half end", survivors, victims, member.Failed)
+	for o, by := range group.stateTimes(member.Failed) {
+		for _, name := range survivors {
+			if len(by[name]) > 0 && slices.Contains(survivors, o) {
 				t.Errorf("%s had %s as failed, which is there", o, name)
 			}
 		}
 	}
 	for _, name := range victims {
-		tr.start(name)
+		group.start(name)
 	}
-	await("all are back", left, victims, member.Present)
+	await("all are back", survivors, victims, member.Present)
 }
--- a/cmd/controlplane/mesh_test.go
+++ b/cmd/controlplane/gossipmesh_test.go
@@ -29,24 +29,24 @@
 // newGossipCluster is a fleet whose stewards gossip, all of them links between.
 func newGossipCluster(t testing.TB, n int, extra string, spares ...string) *testCluster {
 	t.Helper()
-	f := newUnstartedCluster(t, n)
-	f.mesh = &gossipMesh{cluster: f, streams: map[[2]string]map[string]*link.Link{}, datagrams: map[[2]string]*link.UDP{}, shapes: map[[2]string]link.Shape{}, nonVoters: map[string]bool{}}
+	cluster := newUnstartedCluster(t, n)
+	cluster.mesh = &gossipMesh{cluster: cluster, streams: map[[2]string]map[string]*link.Link{}, datagrams: map[[2]string]*link.UDP{}, shapes: map[[2]string]link.Shape{}, nonVoters: map[string]bool{}}
 	for _, s := range spares {
-		f.mesh.nonVoters[s] = true
+		cluster.mesh.nonVoters[s] = true
 	}
-	f.extraConfig = "heartbeat = \"500ms\"\nlease_ttl = \"3s\"\nsnapshot_every = 64\nsnapshot_check = \"500ms\"\n" + extra
-	for _, name := range f.names {
-		f.configure(name, f.names)
+	cluster.extraConfig = "heartbeat = \"500ms\"\nlease_ttl = \"3s\"\nsnapshot_every = 64\nsnapshot_check = \"500ms\"\n" + extra
+	for _, name := range cluster.names {
+		cluster.configure(name, cluster.names)
 	}
-	return f
+	return cluster
 }
 
-func (f *testCluster) startAll() {
-	for _, name := range f.names {
-		f.start(name)
+func (cluster *testCluster) startAll() {
+	for _, name := range cluster.names {
+		cluster.start(name)
 	}
-	f.waitForLeader()
-	f.waitForEqualViews(f.names...)
+	cluster.waitForLeader()
+	cluster.waitForEqualViews(cluster.names...)
 }
 
 func (m *gossipMesh) close() {
@@ -139,10 +139,10 @@
 	all.Wait()
 }
 
-func (f *testCluster) view(name string) (v member.View, ok bool) {
+func (cluster *testCluster) view(name string) (v member.View, ok bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	views, _ := control.ReadMemberViews(ctx, []string{f.servers[name].http}, 2*time.Second)
+	views, _ := control.ReadMemberViews(ctx, []string{cluster.servers[name].http}, 2*time.Second)
 	if len(views) != 1 {
 		return v, false
 	}
@@ -150,13 +150,13 @@
 }
 
 // waitForState waits until a steward has members in a state, and tells how long that took.
-func (f *testCluster) waitForState(at string, state member.State, names ...string) time.Duration {
-	f.t.Helper()
+func (cluster *testCluster) waitForState(at string, state member.State, names ...string) time.Duration {
+	cluster.t.Helper()
 	began := time.Now()
 	var v member.View
-	f.waitUntil(fmt.Sprintf("%s has %v as %s", at, names, state), func() bool {
+	cluster.waitUntil(fmt.Sprintf("%s has %v as %s", at, names, state), func() bool {
 		var ok bool
-		v, ok = f.view(at)
+		v, ok = cluster.view(at)
 		for _, n := range names {
 			ok = ok && v.State(n) == state
 		}
@@ -167,26 +167,26 @@
 
 // waitForEqualViews waits until the views of stewards are equal: all of them present, nobody of another
 // mind; and tells how long that took.
-func (f *testCluster) waitForEqualViews(names ...string) time.Duration {
-	f.t.Helper()
+func (cluster *testCluster) waitForEqualViews(names ...string) time.Duration {
+	cluster.t.Helper()
 	began := time.Now()
 	last := ""
 	defer func() {
-		if f.t.Failed() {
-			f.t.Log(last)
+		if cluster.t.Failed() {
+			cluster.t.Log(last)
 		}
 	}()
-	f.waitUntil("equal views", func() bool {
+	cluster.waitUntil("equal views", func() bool {
 		var views []member.View
 		for _, n := range names {
-			v, ok := f.view(n)
+			v, ok := cluster.view(n)
 			if !ok {
 				last = n + " doesn't answer"
 				return false
 			}
 			for _, o := range names {
-				if st := v.State(o); st != member.Present {
-					last = fmt.Sprintf("%s has %s as %q", n, o, st)
+				if status := v.State(o); status != member.Present {
+					last = fmt.Sprintf("%s has %s as %q", n, o, status)
 					return false
 				}
 			}
@@ -207,44 +207,44 @@
 	done sync.WaitGroup
 }
 
-func (f *testCluster) watchStates(names ...string) *stateWatcher {
+func (cluster *testCluster) watchStates(names ...string) *stateWatcher {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &stateWatcher{seen: map[[2]string]map[member.State]bool{}, stop: cancel}
+	watcher := &stateWatcher{seen: map[[2]string]map[member.State]bool{}, stop: cancel}
 	for _, name := range names {
-		w.done.Add(1)
+		watcher.done.Add(1)
 		go func() {
-			defer w.done.Done()
+			defer watcher.done.Done()
 			for ctx.Err() == nil {
-				if v, ok := f.view(name); ok {
-					w.mu.Lock()
+				if v, ok := cluster.view(name); ok {
+					watcher.mu.Lock()
 					for i := range v.Members {
 						key := [2]string{name, v.Members[i].Name}
-						if w.seen[key] == nil {
-							w.seen[key] = map[member.State]bool{}
+						if watcher.seen[key] == nil {
+							watcher.seen[key] = map[member.State]bool{}
 						}
-						w.seen[key][v.Members[i].State] = true
+						watcher.seen[key][v.Members[i].State] = true
 					}
-					w.mu.Unlock()
+					watcher.mu.Unlock()
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
 		}()
 	}
-	f.t.Cleanup(w.stopWatching)
-	return w
+	cluster.t.Cleanup(watcher.stopWatching)
+	return watcher
 }
 
-func (w *stateWatcher) stopWatching() {
-	w.stop()
-	w.done.Wait()
+func (watcher *stateWatcher) stopWatching() {
+	watcher.stop()
+	watcher.done.Wait()
 }
 
 // requireNever holds that no observer had a member in a state.
-func (w *stateWatcher) requireNever(t *testing.T, state member.State, names ...string) {
+func (watcher *stateWatcher) requireNever(t *testing.T, state member.State, names ...string) {
 	t.Helper()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for key, states := range w.seen {
+	watcher.mu.Lock()
+	defer watcher.mu.Unlock()
+	for key, states := range watcher.seen {
 		if states[state] && slices.Contains(names, key[1]) {
 			t.Errorf("%s had %s as %s", key[0], key[1], state)
 		}
@@ -266,91 +266,91 @@
 	listeners       []net.Listener
 }
 
-func (f *testCluster) startBackends(n int, reader string, at ...string) *backendGroup {
-	f.t.Helper()
+func (cluster *testCluster) startBackends(n int, reader string, renewAt ...string) *backendGroup {
+	cluster.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	h := &backendGroup{cluster: f, renewAt: at, stop: cancel}
+	backends := &backendGroup{cluster: cluster, renewAt: renewAt, stop: cancel}
 	var servers []*http.Server
-	f.t.Cleanup(func() {
+	cluster.t.Cleanup(func() {
 		cancel()
 		for _, s := range servers {
 			s.Close()
 		}
-		h.done.Wait()
+		backends.done.Wait()
 	})
 	for i := range n {
-		ln, err := net.Listen("tcp", f.addrs.IP()+":0")
+		ln, err := net.Listen("tcp", cluster.addrs.IP()+":0")
 		if err != nil {
-			f.t.Fatal(err)
+			cluster.t.Fatal(err)
 		}
-		h.listeners = append(h.listeners, ln)
+		backends.listeners = append(backends.listeners, ln)
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {}), ReadHeaderTimeout: time.Second}
-		h.done.Add(1)
-		go func() { defer h.done.Done(); _ = server.Serve(ln) }()
+		backends.done.Add(1)
+		go func() { defer backends.done.Done(); _ = server.Serve(ln) }()
 		servers = append(servers, server)
 		name := fmt.Sprint("s-", i)
 		e := newEndpoint(name, 1)
 		e.Dial = ln.Addr().String()
-		f.waitUntil(name+" is taken", func() bool {
+		cluster.waitUntil(name+" is taken", func() bool {
 			c, done := context.WithTimeout(context.Background(), 5*time.Second)
 			defer done()
-			_, err := f.client(f.names...).Register(c, e)
+			_, err := cluster.client(cluster.names...).Register(c, e)
 			return err == nil
 		})
-		h.names = append(h.names, name)
+		backends.names = append(backends.names, name)
 	}
-	h.reader = f.startReader(reader)
-	f.waitUntil("all are listed", func() bool {
-		for _, n := range h.names {
-			if _, ok := h.reader.lookup(n); !ok {
+	backends.reader = cluster.startReader(reader)
+	cluster.waitUntil("all are listed", func() bool {
+		for _, n := range backends.names {
+			if _, ok := backends.reader.lookup(n); !ok {
 				return false
 			}
 		}
 		return true
 	})
-	h.done.Add(1)
+	backends.done.Add(1)
 	go func() {
-		defer h.done.Done()
+		defer backends.done.Done()
 		for i := 0; ctx.Err() == nil; i++ {
-			h.mu.Lock()
-			quiet, at, apart := h.renewalsPaused, h.renewAt, h.firstTwoRenewAt
-			h.mu.Unlock()
-			say := func(at []string, refs []catalog.InstanceRef) {
+			backends.mu.Lock()
+			paused, renewAt, firstTwoRenewAt := backends.renewalsPaused, backends.renewAt, backends.firstTwoRenewAt
+			backends.mu.Unlock()
+			renew := func(renewAt []string, refs []catalog.InstanceRef) {
 				c, done := context.WithTimeout(ctx, 700*time.Millisecond)
-				_, _ = f.servers[at[i%len(at)]].client.Renew(c, refs)
+				_, _ = cluster.servers[renewAt[i%len(renewAt)]].client.Renew(c, refs)
 				done()
 			}
 			all := instanceRefs(n)
 			switch {
-			case quiet:
-			case apart != nil:
-				say(apart, all[:2])
-				say(at, all[2:])
+			case paused:
+			case firstTwoRenewAt != nil:
+				renew(firstTwoRenewAt, all[:2])
+				renew(renewAt, all[2:])
 			default:
-				say(at, all)
+				renew(renewAt, all)
 			}
 			time.Sleep(300 * time.Millisecond)
 		}
 	}()
-	return h
+	return backends
 }
 
 // pauseRenewals has the servers renew no more; they still answer when they are asked.
-func (h *backendGroup) pauseRenewals() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.renewalsPaused = true
+func (backends *backendGroup) pauseRenewals() {
+	backends.mu.Lock()
+	defer backends.mu.Unlock()
+	backends.renewalsPaused = true
 }
 
 // requireAllListed holds that no server was ever taken off the list.
-func (h *backendGroup) requireAllListed() {
-	h.cluster.t.Helper()
-	h.reader.mu.Lock()
-	defer h.reader.mu.Unlock()
-	if len(h.reader.removed) > 0 {
-		h.cluster.t.Errorf("taken off the list though they are there: %v", h.reader.removed)
+func (backends *backendGroup) requireAllListed() {
+	backends.cluster.t.Helper()
+	backends.reader.mu.Lock()
+	defer backends.reader.mu.Unlock()
+	if len(backends.reader.removed) > 0 {
+		backends.cluster.t.Errorf("taken off the list though they are there: %v", backends.reader.removed)
 	}
-	if len(h.reader.listed) < len(h.names) {
-		h.cluster.t.Errorf("%d of %d are listed", len(h.reader.listed), len(h.names))
+	if len(backends.reader.listed) < len(backends.names) {
+		backends.cluster.t.Errorf("%d of %d are listed", len(backends.reader.listed), len(backends.names))
 	}
 }
--- a/cmd/controlplane/linear_test.go
+++ b/cmd/controlplane/linearizability_test.go
@@ -85,29 +85,29 @@
 // that no read saw matters to nobody but to a cas that was refused for it; it is left out,
 // or a search would have to try it at every place.
 func resolveUnknownOutcomes(ops []porcupine.Operation) (out []porcupine.Operation) {
-	saw := map[float64]int64{}
+	seenVersions := map[float64]int64{}
 	for _, op := range ops {
 		if op.Input.(overrideInput).kind == "read" {
-			saw[op.Output.(overrideOutput).weight] = op.Output.(overrideOutput).version
+			seenVersions[op.Output.(overrideOutput).weight] = op.Output.(overrideOutput).version
 		}
 	}
-	lost := map[string]int64{} // the first unseen one, by key
+	firstUnseen := map[string]int64{} // the first unseen one, by key
 	for _, op := range ops {
 		i, o := op.Input.(overrideInput), op.Output.(overrideOutput)
-		if o.version == 0 && saw[i.weight] == 0 {
-			if at, known := lost[i.key]; !known || op.Call < at {
-				lost[i.key] = op.Call
+		if o.version == 0 && seenVersions[i.weight] == 0 {
+			if at, known := firstUnseen[i.key]; !known || op.Call < at {
+				firstUnseen[i.key] = op.Call
 			}
 		}
 	}
 	for _, op := range ops {
 		i, o := op.Input.(overrideInput), op.Output.(overrideOutput)
 		if o.version == 0 {
-			if o.version = saw[i.weight]; o.version == 0 {
+			if o.version = seenVersions[i.weight]; o.version == 0 {
 				continue
 			}
 		}
-		at, some := lost[i.key]
+		at, some := firstUnseen[i.key]
 		o.rejectedByUnseenWrite = o.rejected && some && at < op.Return
 		op.Output = o
 		out = append(out, op)
@@ -123,19 +123,19 @@
 	kinds      map[string]int
 }
 
-func (r *historyRecorder) add(client int, i overrideInput, o overrideOutput, call, ret time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.operations = append(r.operations, porcupine.Operation{ClientId: client, Input: i, Output: o, Call: int64(call), Return: int64(ret)})
-	r.kinds[i.kind]++
+func (history *historyRecorder) add(client int, i overrideInput, o overrideOutput, call, ret time.Duration) {
+	history.mu.Lock()
+	defer history.mu.Unlock()
+	history.operations = append(history.operations, porcupine.Operation{ClientId: client, Input: i, Output: o, Call: int64(call), Return: int64(ret)})
+	history.kinds[i.kind]++
 }
 
 // runOperations makes operations, each at a steward drawn anew, until the context ends.
-func (r *historyRecorder) runOperations(ctx context.Context, f *testCluster, client int, rng *rand.Rand) {
+func (history *historyRecorder) runOperations(ctx context.Context, cluster *testCluster, client int, rng *rand.Rand) {
 	versions := map[string]int64{}
 	for n := 0; ctx.Err() == nil; n++ {
-		at := f.servers[f.names[rng.IntN(len(f.names))]]
-		c := control.NewClient([]string{at.http}, 1500*time.Millisecond)
+		at := cluster.servers[cluster.names[rng.IntN(len(cluster.names))]]
+		connection := control.NewClient([]string{at.http}, 1500*time.Millisecond)
 		i := overrideInput{key: fmt.Sprint("k-", rng.IntN(3)), kind: []string{"read", "write", "cas"}[rng.IntN(3)], weight: float64(client*100_000 + n)}
 		if i.kind == "cas" {
 			if i.ifVersion = versions[i.key]; i.ifVersion == 0 {
@@ -143,32 +143,32 @@
 			}
 		}
 		call, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
-		began := time.Since(r.began)
+		began := time.Since(history.began)
 		var o overrideOutput
 		var err error
 		if i.kind == "read" {
-			e, rerr := c.Server(call, i.key, true)
-			if err = rerr; err == nil {
+			e, readErr := connection.Server(call, i.key, true)
+			if err = readErr; err == nil {
 				o = overrideOutput{version: e.Version, weight: e.Listed().Weight}
 			}
 		} else {
-			res, werr := c.SetOverride(call, i.key, control.ServerOverride{Weight: &i.weight, IfVersion: i.ifVersion})
-			err, o.version = werr, res.Seq
+			res, writeErr := connection.SetOverride(call, i.key, control.ServerOverride{Weight: &i.weight, IfVersion: i.ifVersion})
+			err, o.version = writeErr, res.Seq
 		}
-		ended := time.Since(r.began)
+		ended := time.Since(history.began)
 		cancel()
 		var refused *control.HTTPError
 		switch {
 		case err == nil:
 			versions[i.key] = o.version
-			r.add(client, i, o, began, ended)
+			history.add(client, i, o, began, ended)
 		case i.kind == "read":
 		case errors.As(err, &refused) && refused.Status == http.StatusPreconditionFailed:
-			r.add(client, i, overrideOutput{version: 1, rejected: true}, began, ended)
+			history.add(client, i, overrideOutput{version: 1, rejected: true}, began, ended)
 		case errors.As(err, &refused) && refused.NotApplied:
 			time.Sleep(5 * time.Millisecond)
 		default: // it may be carried out at any time from its call on
-			r.add(client, i, overrideOutput{}, began, math.MaxInt64)
+			history.add(client, i, overrideOutput{}, began, math.MaxInt64)
 		}
 		if err != nil && !errors.As(err, &refused) {
 			time.Sleep(2 * time.Millisecond)
@@ -181,9 +181,9 @@
 // histories are played.
 func TestOverridesLinearizable(t *testing.T) {
 	seeds := 10
-	if text := os.Getenv("LINEAR_SEEDS"); text != "" {
+	if value := os.Getenv("LINEAR_SEEDS"); value != "" {
 		var err error
-		if seeds, err = strconv.Atoi(text); err != nil {
+		if seeds, err = strconv.Atoi(value); err != nil {
 			t.Fatalf("LINEAR_SEEDS: %v", err)
 		}
 	}
@@ -197,73 +197,76 @@
 
 func checkOverrideHistory(t *testing.T, seed uint64) {
 	rng := newSeededRand(t, seed)
-	f := newCluster(t, 3)
+	cluster := newCluster(t, 3)
 	for i := range 3 {
-		f.register(fmt.Sprint("k-", i), 1)
+		cluster.register(fmt.Sprint("k-", i), 1)
 	}
-	r := &historyRecorder{began: time.Now(), kinds: map[string]int{}}
+	history := &historyRecorder{began: time.Now(), kinds: map[string]int{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
-	for c := range 4 {
+	for client := range 4 {
 		clients.Add(1)
-		go func() { defer clients.Done(); r.runOperations(ctx, f, c+1, rand.New(rand.NewPCG(seed, uint64(c)))) }()
+		go func() {
+			defer clients.Done()
+			history.runOperations(ctx, cluster, client+1, rand.New(rand.NewPCG(seed, uint64(client))))
+		}()
 	}
 	for range 7 {
 		time.Sleep(time.Duration(150+rng.IntN(400)) * time.Millisecond)
-		injectServerFault(t, f, rng)
+		injectServerFault(t, cluster, rng)
 	}
 	cancel()
 	clients.Wait()
-	if r.kinds["read"] < 20 || r.kinds["write"] < 20 || r.kinds["cas"] < 5 {
-		t.Errorf("too little was done to tell: %v", r.kinds)
+	if history.kinds["read"] < 20 || history.kinds["write"] < 20 || history.kinds["cas"] < 5 {
+		t.Errorf("too little was done to tell: %v", history.kinds)
 	}
-	switch res, _ := porcupine.CheckOperationsVerbose(overrideModel, resolveUnknownOutcomes(r.operations), waitTimeout); res {
+	switch res, _ := porcupine.CheckOperationsVerbose(overrideModel, resolveUnknownOutcomes(history.operations), waitTimeout); res {
 	case porcupine.Illegal:
-		t.Errorf("seed %d: %d operations that no register could have answered so", seed, len(r.operations))
+		t.Errorf("seed %d: %d operations that no register could have answered so", seed, len(history.operations))
 	case porcupine.Unknown:
-		t.Errorf("seed %d: %d operations were not judged in time", seed, len(r.operations))
+		t.Errorf("seed %d: %d operations were not judged in time", seed, len(history.operations))
 	}
 }
 
 // injectServerFault does one thing to one steward, mostly to the one that leads, and ends it.
-func injectServerFault(t testing.TB, f *testCluster, rng *rand.Rand) {
-	name := f.names[rng.IntN(3)]
+func injectServerFault(t testing.TB, cluster *testCluster, rng *rand.Rand) {
+	name := cluster.names[rng.IntN(3)]
 	if rng.IntN(3) > 0 {
-		for _, n := range f.names {
-			if st, err := f.status(n); err == nil && st.State == "leader" {
+		for _, n := range cluster.names {
+			if status, err := cluster.status(n); err == nil && status.State == "leader" {
 				name = n
 			}
 		}
 	}
-	lasts := time.Duration(200+rng.IntN(1200)) * time.Millisecond
+	duration := time.Duration(200+rng.IntN(1200)) * time.Millisecond
 	switch rng.IntN(5) {
 	case 0:
-		f.kill(name)
-		time.Sleep(lasts / 4)
-		f.start(name)
+		cluster.kill(name)
+		time.Sleep(duration / 4)
+		cluster.start(name)
 	case 1:
-		if err := f.servers[name].proc.Signal(syscall.SIGSTOP); err != nil {
+		if err := cluster.servers[name].proc.Signal(syscall.SIGSTOP); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(lasts)
-		_ = f.servers[name].proc.Signal(syscall.SIGCONT)
+		time.Sleep(duration)
+		_ = cluster.servers[name].proc.Signal(syscall.SIGCONT)
 	default:
 		out, in := link.Shape{Cut: rng.IntN(2) == 0}, link.Shape{Cut: true}
 		if rng.IntN(2) == 0 {
 			out, in = in, out
 		}
 		set := func(out, in link.Shape) {
-			for _, other := range f.others(name) {
-				if err := f.links[[2]string{name, other}].Set(out, in); err != nil {
+			for _, other := range cluster.others(name) {
+				if err := cluster.links[[2]string{name, other}].Set(out, in); err != nil {
 					t.Fatal(err)
 				}
-				if err := f.links[[2]string{other, name}].Set(in, out); err != nil {
+				if err := cluster.links[[2]string{other, name}].Set(in, out); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
 		set(out, in)
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		set(link.Shape{}, link.Shape{})
 	}
 }
--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -125,24 +125,24 @@
 			var notes []string
 			answered := false
 			for _, addr := range c.Addrs {
-				st, err := control.NewClient([]string{addr}, callTimeout).Status(cmd.Context())
+				status, err := control.NewClient([]string{addr}, callTimeout).Status(cmd.Context())
 				if err != nil {
 					rows = append(rows, []string{addr, "", "no answer", "", "", "", "", ""})
 					continue
 				}
 				answered = true
-				state := st.State
-				if st.Stale {
+				state := status.State
+				if status.Stale {
 					state += ", stale"
 				}
-				if st.Draining {
+				if status.Draining {
 					state += ", draining"
 				}
-				rows = append(rows, []string{addr, st.Name, state, st.Leader, fmt.Sprint(st.Seq), fmt.Sprint(st.Listed),
-					fmt.Sprint(st.Watches), strings.Join(st.Voters, " ")})
-				if st.Quarantined > 0 {
+				rows = append(rows, []string{addr, status.Name, state, status.Leader, fmt.Sprint(status.Seq), fmt.Sprint(status.Listed),
+					fmt.Sprint(status.Watches), strings.Join(status.Voters, " ")})
+				if status.Quarantined > 0 {
 					notes = append(notes, fmt.Sprintf("%s: %d servers would have lapsed at once and stay listed, for %v now; 'controlplane confirm' says that they are gone",
-						st.Name, st.Quarantined, (time.Duration(st.QuarantinedForMs)*time.Millisecond).Round(time.Second)))
+						status.Name, status.Quarantined, (time.Duration(status.QuarantinedForMs)*time.Millisecond).Round(time.Second)))
 				}
 			}
 			if err := table.Terminal(out, false, []string{"address", "name", "state", "leader", "version", "listed", "watches", "voters"}, rows); err != nil {
@@ -231,11 +231,11 @@
 			if err != nil {
 				return fmt.Errorf("snapshot: %w", err)
 			}
-			st, err := client().Restore(cmd.Context(), text)
+			status, err := client().Restore(cmd.Context(), text)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "%d servers listed, version %d\n", st.Listed, st.Seq)
+			fmt.Fprintf(out, "%d servers listed, version %d\n", status.Listed, status.Seq)
 			return nil
 		}})
 	return cmd
@@ -251,11 +251,11 @@
 		}
 		cmd.AddCommand(&cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				st, err := client().ChangePeer(cmd.Context(), args[0], add)
+				status, err := client().ChangePeer(cmd.Context(), args[0], add)
 				if err != nil {
 					return err
 				}
-				fmt.Fprintln(out, "voters:", strings.Join(st.Voters, " "))
+				fmt.Fprintln(out, "voters:", strings.Join(status.Voters, " "))
 				return nil
 			}})
 	}
--- a/cmd/controlplane/mixed_test.go
+++ b/cmd/controlplane/mixedversions_test.go
@@ -40,38 +40,38 @@
 }
 
 // shutDown ends a server in order: it hands over what it leads and holds.
-func (f *testCluster) shutDown(name string) {
-	f.t.Helper()
-	ended := f.servers[name].proc.Ended()
-	if err := f.servers[name].proc.Signal(syscall.SIGTERM); err != nil {
-		f.t.Fatal(err)
+func (cluster *testCluster) shutDown(name string) {
+	cluster.t.Helper()
+	ended := cluster.servers[name].proc.Ended()
+	if err := cluster.servers[name].proc.Signal(syscall.SIGTERM); err != nil {
+		cluster.t.Fatal(err)
 	}
 	select {
 	case <-ended:
 	case <-time.After(waitTimeout):
-		f.t.Fatalf("%s did not end", name)
+		cluster.t.Fatalf("%s did not end", name)
 	}
 }
 
 // startBuild starts a server that doesn't run with the program of a build.
-func (f *testCluster) startBuild(name string, b build) {
-	f.t.Helper()
-	p := f.servers[name].proc
+func (cluster *testCluster) startBuild(name string, b build) {
+	cluster.t.Helper()
+	p := cluster.servers[name].proc
 	p.Path, p.Env = b.path, b.env
-	f.start(name)
-	f.waitUntil(name+" follows or leads", func() bool {
-		st, err := f.status(name)
-		return err == nil && st.Leader != "" && st.Seq > 0 && !st.Stale
+	cluster.start(name)
+	cluster.waitUntil(name+" follows or leads", func() bool {
+		status, err := cluster.status(name)
+		return err == nil && status.Leader != "" && status.Seq > 0 && !status.Stale
 	})
 }
 
 // mixedCluster is a quorum of servers of two builds, and what was written to it.
 type mixedCluster struct {
 	*testCluster
-	builds   map[string]build
-	acked    map[string]float64
-	fence    int64 // of the leased task
-	revision int64 // that the session was last told
+	builds       map[string]build
+	acknowledged map[string]float64
+	fence        int64 // of the leased task
+	revision     int64 // that the session was last told
 }
 
 // electOneOf has one of the servers named lead, by stopping and starting another that does.
@@ -119,7 +119,7 @@
 		for j := range 4 {
 			server := fmt.Sprintf("%s-%d-%d", phase, i, j)
 			m.register(server, 1000, name)
-			m.acked[server] = 1000
+			m.acknowledged[server] = 1000
 		}
 		first := fmt.Sprintf("%s-%d-0", phase, i)
 		m.retryThrough(name, "override", func(ctx context.Context, c *control.Client) error {
@@ -147,7 +147,7 @@
 // verifyReads holds that all that was written is there, at every server.
 func (m *mixedCluster) verifyReads() {
 	m.t.Helper()
-	m.requireAcknowledged(m.acked)
+	m.requireAcknowledged(m.acknowledged)
 	for _, name := range m.names {
 		m.retryThrough(name, "list", func(ctx context.Context, c *control.Client) error {
 			l, err := c.List(ctx)
@@ -158,7 +158,7 @@
 			for _, h := range l.Endpoints {
 				listed[h.Name] = true
 			}
-			for server := range m.acked {
+			for server := range m.acknowledged {
 				if !listed[server] {
 					return fmt.Errorf("%s is not on the list", server)
 				}
@@ -214,18 +214,18 @@
 // leased task with its fence and the versions that a watch sees stay.
 func TestMixedQuorum(t *testing.T) {
 	old, present := builds(t)
-	f := newGossipCluster(t, 3, "")
-	f.extraConfig = "heartbeat = \"300ms\"\nlease_ttl = \"10m\"\nsnapshot_every = 16\nsnapshot_check = \"200ms\"\n"
-	m := &mixedCluster{testCluster: f, builds: map[string]build{"st-1": old, "st-2": old, "st-3": present}, acked: map[string]float64{}}
-	for _, name := range f.names {
-		f.configure(name, f.names)
-		p := f.servers[name].proc
+	cluster := newGossipCluster(t, 3, "")
+	cluster.extraConfig = "heartbeat = \"300ms\"\nlease_ttl = \"10m\"\nsnapshot_every = 16\nsnapshot_check = \"200ms\"\n"
+	m := &mixedCluster{testCluster: cluster, builds: map[string]build{"st-1": old, "st-2": old, "st-3": present}, acknowledged: map[string]float64{}}
+	for _, name := range cluster.names {
+		cluster.configure(name, cluster.names)
+		p := cluster.servers[name].proc
 		p.Path, p.Env = m.builds[name].path, m.builds[name].env
-		f.start(name)
+		cluster.start(name)
 	}
 	m.electOneOf("st-1", "st-2")
-	f.waitForEqualViews(f.names...)
-	watch := f.startReader(f.names...)
+	cluster.waitForEqualViews(cluster.names...)
+	watch := cluster.startReader(cluster.names...)
 
 	m.retryThrough("st-3", "session", func(ctx context.Context, c *control.Client) error {
 		return c.OpenSession(ctx, catalog.Session{Process: mixedWorker, ID: mixedSession, TaskKinds: []string{"job"}, MaxTasks: 1})
@@ -243,20 +243,20 @@
 
 	swapped := map[string]build{"st-1": present, "st-2": present, "st-3": old}
 	for _, name := range slices.Sorted(maps.Keys(swapped)) {
-		f.shutDown(name)
-		m.register("while-"+name+"-is-away", 1000, f.others(name)...)
-		m.acked["while-"+name+"-is-away"] = 1000
+		cluster.shutDown(name)
+		m.register("while-"+name+"-is-away", 1000, cluster.others(name)...)
+		m.acknowledged["while-"+name+"-is-away"] = 1000
 		m.builds[name] = swapped[name]
-		f.startBuild(name, m.builds[name])
+		cluster.startBuild(name, m.builds[name])
 	}
 	m.electOneOf("st-1", "st-2")
-	f.waitForEqualViews(f.names...)
+	cluster.waitForEqualViews(cluster.names...)
 	m.verifyReads()
 	m.writeThroughAll("two")
 	m.verifyReads()
 
-	for server := range m.acked {
-		f.waitUntil("the watch has "+server, func() bool { return watch.wasListed(server) })
+	for server := range m.acknowledged {
+		cluster.waitUntil("the watch has "+server, func() bool { return watch.wasListed(server) })
 	}
 	watch.stopAndVerify(t)
 	for _, name := range watch.removed {
--- a/cmd/controlplane/scope_test.go
+++ b/cmd/controlplane/services_test.go
@@ -40,17 +40,17 @@
 }
 
 // watchServices starts a watch that begins at the first steward named.
-func (f *testCluster) watchServices(services []string, at ...string) *serviceWatch {
-	return f.watchServicesFrom(0, services, at...)
+func (cluster *testCluster) watchServices(services []string, at ...string) *serviceWatch {
+	return cluster.watchServicesFrom(0, services, at...)
 }
 
 // watchServicesFrom starts a watch whose reader has a version already.
-func (f *testCluster) watchServicesFrom(since int64, services []string, at ...string) *serviceWatch {
+func (cluster *testCluster) watchServicesFrom(since int64, services []string, at ...string) *serviceWatch {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &serviceWatch{services: services, stop: cancel, done: make(chan struct{}), version: since, entries: map[string]endpoints.Endpoint{}}
 	var addrs []string
 	for _, name := range at {
-		addrs = append(addrs, f.servers[name].http)
+		addrs = append(addrs, cluster.servers[name].http)
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	go func() {
@@ -63,7 +63,7 @@
 			}
 		}
 	}()
-	f.t.Cleanup(func() {
+	cluster.t.Cleanup(func() {
 		cancel()
 		<-w.done
 	})
@@ -170,58 +170,58 @@
 	}
 }
 
-func newServiceEndpoint(service, name string, born float64) endpoints.Endpoint {
-	h := newEndpoint(name, born)
+func newServiceEndpoint(service, name string, startedMs float64) endpoints.Endpoint {
+	h := newEndpoint(name, startedMs)
 	h.Service = service
 	return h
 }
 
 // registerInService writes until it is acknowledged, at whichever steward takes it.
-func (f *testCluster) registerInService(service, name string, born float64, at ...string) catalog.Result {
-	f.t.Helper()
+func (cluster *testCluster) registerInService(service, name string, startedMs float64, at ...string) catalog.Result {
+	cluster.t.Helper()
 	if len(at) == 0 {
-		at = f.names
+		at = cluster.names
 	}
 	var r catalog.Result
-	f.waitUntil(name+" is taken", func() bool {
+	cluster.waitUntil(name+" is taken", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 		defer cancel()
 		var err error
-		r, err = f.client(at...).Register(ctx, newServiceEndpoint(service, name, born))
+		r, err = cluster.client(at...).Register(ctx, newServiceEndpoint(service, name, startedMs))
 		return err == nil
 	})
 	return r
 }
 
 // get makes one call and reads its answer.
-func (f *testCluster) get(at, path string) (status int, header http.Header, text []byte) {
-	f.t.Helper()
-	resp, err := http.Get("http://" + f.servers[at].http + path)
+func (cluster *testCluster) get(at, path string) (status int, header http.Header, text []byte) {
+	cluster.t.Helper()
+	resp, err := http.Get("http://" + cluster.servers[at].http + path)
 	if err != nil {
-		f.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	defer resp.Body.Close()
 	if text, err = io.ReadAll(resp.Body); err != nil {
-		f.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	return resp.StatusCode, resp.Header, text
 }
 
 // fullList is the whole list of some services at a steward.
-func (f *testCluster) fullList(at, query string) endpoints.List {
-	f.t.Helper()
+func (cluster *testCluster) fullList(at, query string) endpoints.List {
+	cluster.t.Helper()
 	var l endpoints.List
-	f.waitUntil("a list at "+at, func() bool {
-		status, header, text := f.get(at, endpoints.Path+"?"+query)
+	cluster.waitUntil("a list at "+at, func() bool {
+		status, header, text := cluster.get(at, endpoints.Path+"?"+query)
 		if status != http.StatusOK {
 			return false
 		}
 		if header.Get("Service-Scope") == "" {
-			f.t.Fatalf("%s: no Service-Scope", query)
+			cluster.t.Fatalf("%s: no Service-Scope", query)
 		}
 		var err error
 		if l, err = endpoints.Parse(text); err != nil || !l.Full {
-			f.t.Fatalf("%s: %.200s: %v", query, text, err)
+			cluster.t.Fatalf("%s: %.200s: %v", query, text, err)
 		}
 		return true
 	})
@@ -231,15 +231,15 @@
 // A call names services, is told how many were understood and gets their entries only; one
 // that names none gets the list as it was before there were services.
 func TestServiceScopedLists(t *testing.T) {
-	f := newCluster(t, 3)
-	f.registerInService("billing", "only", 1)
-	f.registerInService("search", "s-1", 1)
-	last := f.registerInService("search", "s-2", 1)
-	f.register("plain", 1)
-	follower := f.others(f.waitForLeader())[0]
-	f.waitUntil("the follower has all", func() bool {
-		st, err := f.status(follower)
-		return err == nil && st.Seq > last.Seq
+	cluster := newCluster(t, 3)
+	cluster.registerInService("billing", "only", 1)
+	cluster.registerInService("search", "s-1", 1)
+	last := cluster.registerInService("search", "s-2", 1)
+	cluster.register("plain", 1)
+	follower := cluster.others(cluster.waitForLeader())[0]
+	cluster.waitUntil("the follower has all", func() bool {
+		status, err := cluster.status(follower)
+		return err == nil && status.Seq > last.Seq
 	})
 	for query, want := range map[string]string{
 		"service=billing":                                  "1: only billing",
@@ -251,18 +251,18 @@
 		"service=search&consistent=1":                      "1: s-1 search, s-2 search",
 		serviceQuery([]string{"billing"}) + "&ignored=yes": "1: only billing",
 	} {
-		status, header, text := f.get(follower, endpoints.Path+"?"+query)
+		status, header, text := cluster.get(follower, endpoints.Path+"?"+query)
 		l, err := endpoints.Parse(text)
 		var got []string
 		for _, h := range l.Endpoints {
 			got = append(got, h.Name+" "+h.Service)
 		}
 		slices.Sort(got)
-		if said := header.Get("Service-Scope") + ": " + strings.Join(got, ", "); status != http.StatusOK || err != nil || !l.Full || said != want || l.Seq <= last.Seq {
-			t.Errorf("%s: %d %q at version %d, want %q (%v)", query, status, said, l.Seq, want, err)
+		if answer := header.Get("Service-Scope") + ": " + strings.Join(got, ", "); status != http.StatusOK || err != nil || !l.Full || answer != want || l.Seq <= last.Seq {
+			t.Errorf("%s: %d %q at version %d, want %q (%v)", query, status, answer, l.Seq, want, err)
 		}
 	}
-	status, header, text := f.get(follower, endpoints.Path)
+	status, header, text := cluster.get(follower, endpoints.Path)
 	if status != http.StatusOK || header.Get("Service-Scope") != "" || bytes.Contains(text, []byte("service")) || bytes.Count(text, []byte(`"host"`)) != 4 {
 		t.Errorf("without services: %d %q %s", status, header.Get("Service-Scope"), text)
 	}
@@ -272,14 +272,14 @@
 	}
 	for _, query := range []string{"service=a%20b", "service=a/b", "service=" + strings.Repeat("x", 65), "service=a&service=%0a", "service=%zz", serviceQuery(many)} {
 		for _, how := range []string{"", "follow=1&since=0&", "consistent=1&"} {
-			status, _, text := f.get(follower, endpoints.Path+"?"+how+query)
+			status, _, text := cluster.get(follower, endpoints.Path+"?"+how+query)
 			if status != http.StatusBadRequest || !bytes.HasPrefix(text, []byte("service: ")) || bytes.Count(text, []byte("\n")) != 1 {
 				t.Errorf("%s%.80s: %d %q", how, query, status, text)
 			}
 		}
 	}
 	many[0] = "search"
-	if l := f.fullList(follower, serviceQuery(many[:256])); len(l.Endpoints) != 2 {
+	if l := cluster.fullList(follower, serviceQuery(many[:256])); len(l.Endpoints) != 2 {
 		t.Errorf("256 services: %+v", l.Endpoints)
 	}
 }
@@ -287,14 +287,14 @@
 // A service of one server, whose server ends, is replaced and changes: each is one line of
 // one entry, and watches of other services get none.
 func TestWatchOfServiceWithOneServer(t *testing.T) {
-	f := newCluster(t, 1)
-	f.registerInService("one", "s", 1)
-	f.registerInService("other", "o", 1)
-	one, other := f.watchServices([]string{"one"}, f.names...), f.watchServices([]string{"other"}, f.names...)
-	f.waitUntil("both begin", func() bool { return one.names() == "s@one" && other.names() == "o@other" })
+	cluster := newCluster(t, 1)
+	cluster.registerInService("one", "s", 1)
+	cluster.registerInService("other", "o", 1)
+	one, other := cluster.watchServices([]string{"one"}, cluster.names...), cluster.watchServices([]string{"other"}, cluster.names...)
+	cluster.waitUntil("both begin", func() bool { return one.names() == "s@one" && other.names() == "o@other" })
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	client := f.client(f.names...)
+	client := cluster.client(cluster.names...)
 	share := 0.5
 	steps := []struct {
 		what string
@@ -306,7 +306,7 @@
 			return err
 		}, "s@one"},
 		{"it is replaced", func() error { _, err := client.Register(ctx, newServiceEndpoint("one", "s", 2)); return err }, "s@one"},
-		{"it ends", func() error { return f.unregister("s", 2) }, ""},
+		{"it ends", func() error { return cluster.unregister("s", 2) }, ""},
 		{"another comes", func() error { _, err := client.Register(ctx, newServiceEndpoint("one", "next", 1)); return err }, "next@one"},
 	}
 	_, otherBytes, _ := other.received()
@@ -315,7 +315,7 @@
 		if err := step.do(); err != nil {
 			t.Fatalf("%s: %v", step.what, err)
 		}
-		f.waitUntil(step.what, func() bool { n, _, _ := one.received(); return n == before+1 })
+		cluster.waitUntil(step.what, func() bool { n, _, _ := one.received(); return n == before+1 })
 		one.mu.Lock()
 		last := one.lists[len(one.lists)-1]
 		one.mu.Unlock()
@@ -331,8 +331,8 @@
 }
 
 // unregister takes a server off the list.
-func (f *testCluster) unregister(name string, born float64) error {
-	req, err := http.NewRequest(http.MethodDelete, fmt.Sprintf("http://%s/v1/servers/%s?born_ms=%.0f", f.servers[f.waitForLeader()].http, name, born), nil)
+func (cluster *testCluster) unregister(name string, startedMs float64) error {
+	req, err := http.NewRequest(http.MethodDelete, fmt.Sprintf("http://%s/v1/servers/%s?born_ms=%.0f", cluster.servers[cluster.waitForLeader()].http, name, startedMs), nil)
 	if err != nil {
 		return err
 	}
@@ -348,44 +348,44 @@
 }
 
 // restoreServers puts a state with these services and their numbers of servers in place.
-func (f *testCluster) restoreServers(sizes map[string]int) {
-	f.t.Helper()
+func (cluster *testCluster) restoreServers(sizes map[string]int) {
+	cluster.t.Helper()
 	s := catalog.New()
 	for service, size := range sizes {
 		for i := range size {
 			h := newServiceEndpoint(service, fmt.Sprintf("%s-%d", service, i), 1)
 			if r := s.Apply(&catalog.Command{FormatVersion: catalog.FormatVersion, Kind: catalog.Register, Endpoint: &h}); r.Code != catalog.Done {
-				f.t.Fatalf("%+v", r)
+				cluster.t.Fatalf("%+v", r)
 			}
 		}
 	}
 	text, err := s.Encode()
 	if err != nil {
-		f.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	if _, err := f.client(f.waitForLeader()).Restore(ctx, text); err != nil {
-		f.t.Fatal(err)
+	if _, err := cluster.client(cluster.waitForLeader()).Restore(ctx, text); err != nil {
+		cluster.t.Fatal(err)
 	}
 }
 
 // Two watches with different services, one of 5,000 servers and one of 20, get only theirs:
 // the lines and bytes of each follow its own services.
 func TestWatchesReceiveOnlyTheirServices(t *testing.T) {
-	f := newCluster(t, 1)
+	cluster := newCluster(t, 1)
 	const large, small, changes = 5000, 20, 40
-	f.restoreServers(map[string]int{"large": large, "small": small, "": 10})
-	if l := f.fullList(f.names[0], "service=large"); len(l.Endpoints) != large {
+	cluster.restoreServers(map[string]int{"large": large, "small": small, "": 10})
+	if l := cluster.fullList(cluster.names[0], "service=large"); len(l.Endpoints) != large {
 		t.Fatalf("%d servers of the large service", len(l.Endpoints))
 	}
-	big, little := f.watchServices([]string{"large"}, f.names...), f.watchServices([]string{"small"}, f.names...)
+	big, little := cluster.watchServices([]string{"large"}, cluster.names...), cluster.watchServices([]string{"small"}, cluster.names...)
 	count := func(w *serviceWatch) int {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return len(w.entries)
 	}
-	f.waitUntil("both have their lists", func() bool { return count(big) == large && count(little) == small })
+	cluster.waitUntil("both have their lists", func() bool { return count(big) == large && count(little) == small })
 	_, bigFirst, _ := big.received()
 	_, littleFirst, _ := little.received()
 	if littleFirst > 200*small || bigFirst < 100*large {
@@ -393,9 +393,9 @@
 	}
 	var seq int64
 	for i := range changes {
-		seq = f.registerInService("large", fmt.Sprint("large-", i), 2).Seq
+		seq = cluster.registerInService("large", fmt.Sprint("large-", i), 2).Seq
 	}
-	f.waitUntil("the changes came", func() bool { _, _, at := big.received(); return at >= seq })
+	cluster.waitUntil("the changes came", func() bool { _, _, at := big.received(); return at >= seq })
 	lists, bytes, _ := big.received()
 	if lists > 1+changes || bytes-bigFirst > 250*changes {
 		t.Errorf("%d changes were %d lists and %d bytes", changes, lists-1, bytes-bigFirst)
@@ -405,8 +405,8 @@
 	}
 	// A watch that nothing concerned goes on from where it was, however far the version is.
 	_, _, at := little.received()
-	again := f.watchServicesFrom(at, []string{"small"}, f.names...)
-	f.waitUntil("it goes on", func() bool { n, _, _ := again.received(); return n > 0 })
+	again := cluster.watchServicesFrom(at, []string{"small"}, cluster.names...)
+	cluster.waitUntil("it goes on", func() bool { n, _, _ := again.received(); return n > 0 })
 	again.mu.Lock()
 	first := again.lists[0]
 	again.mu.Unlock()
@@ -421,59 +421,59 @@
 // A server changes its service under one name: readers of the old service are told that it
 // is gone, those of the new one get it, those of both end with the new one.
 func TestServerChangesItsService(t *testing.T) {
-	f := newCluster(t, 3)
-	f.registerInService("old", "s", 1)
-	f.registerInService("old", "stays", 1)
-	watches := map[string]*serviceWatch{"old": f.watchServices([]string{"old"}, f.names...), "new": f.watchServices([]string{"new"}, f.names...),
-		"both": f.watchServices([]string{"new", "old"}, f.names...)}
+	cluster := newCluster(t, 3)
+	cluster.registerInService("old", "s", 1)
+	cluster.registerInService("old", "stays", 1)
+	watches := map[string]*serviceWatch{"old": cluster.watchServices([]string{"old"}, cluster.names...), "new": cluster.watchServices([]string{"new"}, cluster.names...),
+		"both": cluster.watchServices([]string{"new", "old"}, cluster.names...)}
 	has := func(old, new, both string) func() bool {
 		return func() bool {
 			return watches["old"].names() == old && watches["new"].names() == new && watches["both"].names() == both
 		}
 	}
-	f.waitUntil("all begin", has("s@old stays@old", "", "s@old stays@old"))
-	f.registerInService("new", "s", 1)
-	f.waitUntil("it has moved", has("stays@old", "s@new", "s@new stays@old"))
-	late := f.watchServices([]string{"old"}, f.names...)
-	f.waitUntil("a later one has it", func() bool { return late.names() == "stays@old" })
-	f.registerInService("old", "s", 2)
-	f.waitUntil("it has come back as a new process", has("s@old stays@old", "", "s@old stays@old"))
+	cluster.waitUntil("all begin", has("s@old stays@old", "", "s@old stays@old"))
+	cluster.registerInService("new", "s", 1)
+	cluster.waitUntil("it has moved", has("stays@old", "s@new", "s@new stays@old"))
+	lateWatch := cluster.watchServices([]string{"old"}, cluster.names...)
+	cluster.waitUntil("a later one has it", func() bool { return lateWatch.names() == "stays@old" })
+	cluster.registerInService("old", "s", 2)
+	cluster.waitUntil("it has come back as a new process", has("s@old stays@old", "", "s@old stays@old"))
 	for i := range 20 { // to and fro, faster than lines are written
-		f.registerInService([]string{"new", "old"}[i%2], "s", float64(3+i/16))
+		cluster.registerInService([]string{"new", "old"}[i%2], "s", float64(3+i/16))
 	}
-	f.registerInService("new", "s", 3+20/16) // three ends, which is too few to be damped
-	f.waitUntil("it has moved for good", has("stays@old", "s@new", "s@new stays@old"))
+	cluster.registerInService("new", "s", 3+20/16) // three ends, which is too few to be damped
+	cluster.waitUntil("it has moved for good", has("stays@old", "s@new", "s@new stays@old"))
 	for _, w := range watches {
 		w.stopAndVerify(t)
 	}
-	late.stopAndVerify(t)
+	lateWatch.stopAndVerify(t)
 }
 
 // The leader is killed while subscriptions begin and servers register: each watch ends with
 // exactly what its services have, no version goes back and none is left out.
 func TestServiceWatchesSurviveLeaderKill(t *testing.T) {
-	f := newCluster(t, 3)
+	cluster := newCluster(t, 3)
 	const services, watches, seed = 6, 40, 5
 	rng := newSeededRand(t, seed)
 	t.Logf("seed %d", seed)
 	for i := range 30 {
-		f.registerInService(fmt.Sprint("service-", i%services), fmt.Sprint("s-", i), 1)
+		cluster.registerInService(fmt.Sprint("service-", i%services), fmt.Sprint("s-", i), 1)
 	}
-	old := f.waitForLeader()
+	oldLeader := cluster.waitForLeader()
 	var all []*serviceWatch
 	for i := range watches {
 		if i == watches/2 {
-			f.kill(old)
+			cluster.kill(oldLeader)
 		}
 		scope := []string{fmt.Sprint("service-", rng.IntN(services)), fmt.Sprint("service-", rng.IntN(services))}
 		slices.Sort(scope)
-		at := slices.Clone(f.names)
+		at := slices.Clone(cluster.names)
 		rng.Shuffle(len(at), func(i, j int) { at[i], at[j] = at[j], at[i] })
-		all = append(all, f.watchServices(slices.Compact(scope), at...))
+		all = append(all, cluster.watchServices(slices.Compact(scope), at...))
 	}
-	left := f.others(old)
+	survivors := cluster.others(oldLeader)
 	for i := range 12 {
-		f.registerInService(fmt.Sprint("service-", (i+1)%services), fmt.Sprint("s-", i), 2, left...) // to another service
+		cluster.registerInService(fmt.Sprint("service-", (i+1)%services), fmt.Sprint("s-", i), 2, survivors...) // to another service
 	}
 	want := func(w *serviceWatch) string {
 		var out []string
@@ -490,14 +490,14 @@
 		return strings.Join(out, " ")
 	}
 	for i, w := range all {
-		f.waitUntil(fmt.Sprintf("watch %d of %q has all: %q, want %q", i, w.services, w.names(), want(w)), func() bool { return w.names() == want(w) })
+		cluster.waitUntil(fmt.Sprintf("watch %d of %q has all: %q, want %q", i, w.services, w.names(), want(w)), func() bool { return w.names() == want(w) })
 	}
-	f.start(old)
-	f.waitUntil("it has caught up", func() bool {
-		e, err := f.servers[old].client.Server(context.Background(), "s-11", false)
+	cluster.start(oldLeader)
+	cluster.waitUntil("it has caught up", func() bool {
+		e, err := cluster.servers[oldLeader].client.Server(context.Background(), "s-11", false)
 		return err == nil && e.Endpoint.StartedMs == 2
 	})
-	l := f.fullList(old, "service=service-0")
+	l := cluster.fullList(oldLeader, "service=service-0")
 	if len(l.Endpoints) == 0 {
 		t.Error("the one that came back has no servers of a service")
 	}
@@ -509,11 +509,11 @@
 // A snapshot from before there were services is restored while watches of services stand:
 // its servers are of the default service, and watches get whole lists under later versions.
 func TestRestoreOfSnapshotWithoutServices(t *testing.T) {
-	f := newCluster(t, 3)
-	f.registerInService("a", "s", 1)
-	f.registerInService("a", "only", 1)
-	a, none := f.watchServices([]string{"a"}, f.names...), f.watchServices([]string{""}, f.names...)
-	f.waitUntil("they begin", func() bool {
+	cluster := newCluster(t, 3)
+	cluster.registerInService("a", "s", 1)
+	cluster.registerInService("a", "only", 1)
+	a, none := cluster.watchServices([]string{"a"}, cluster.names...), cluster.watchServices([]string{""}, cluster.names...)
+	cluster.waitUntil("they begin", func() bool {
 		n, _, _ := none.received()
 		return a.names() == "only@a s@a" && n > 0
 	})
@@ -526,21 +526,21 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	if _, err := f.client(f.waitForLeader()).Restore(ctx, text); err != nil {
+	if _, err := cluster.client(cluster.waitForLeader()).Restore(ctx, text); err != nil {
 		t.Fatal(err)
 	}
-	f.waitUntil("they have what was restored", func() bool { return a.names() == "" && none.names() == "s@" })
-	f.registerInService("a", "s", 2)
-	f.waitUntil("it is registered with its service again", func() bool { return a.names() == "s@a" && none.names() == "" })
+	cluster.waitUntil("they have what was restored", func() bool { return a.names() == "" && none.names() == "s@" })
+	cluster.registerInService("a", "s", 2)
+	cluster.waitUntil("it is registered with its service again", func() bool { return a.names() == "s@a" && none.names() == "" })
 	// All were told of it by whole lists, and a steward that starts again reads what it keeps.
-	for _, name := range f.names {
-		f.kill(name)
-		f.start(name)
-	}
-	f.waitForLeader()
-	for _, name := range f.names {
-		f.waitUntil(name+" has it", func() bool {
-			l := f.fullList(name, "service=a")
+	for _, name := range cluster.names {
+		cluster.kill(name)
+		cluster.start(name)
+	}
+	cluster.waitForLeader()
+	for _, name := range cluster.names {
+		cluster.waitUntil(name+" has it", func() bool {
+			l := cluster.fullList(name, "service=a")
 			return len(l.Endpoints) == 1 && l.Endpoints[0].StartedMs == 2
 		})
 	}
@@ -551,19 +551,19 @@
 // Of a service that falls silent as a whole, while all others stand, the servers stay listed
 // until an operator confirms; single servers of others and services of one end meanwhile.
 func TestMassFailureGuardPerService(t *testing.T) {
-	f := newCluster(t, 3)
-	f.extraConfig = strings.Replace(f.extraConfig, "10m", "3s", 1)
-	for _, name := range f.names {
-		f.kill(name)
-		f.configure(name, f.names)
+	cluster := newCluster(t, 3)
+	cluster.extraConfig = strings.Replace(cluster.extraConfig, "10m", "3s", 1)
+	for _, name := range cluster.names {
+		cluster.kill(name)
+		cluster.configure(name, cluster.names)
 	}
-	for _, name := range f.names {
-		f.start(name)
+	for _, name := range cluster.names {
+		cluster.start(name)
 	}
 	sizes := map[string]int{"fails": 8, "stands": 30, "one": 1}
 	var mu sync.Mutex
 	silent := map[string]bool{}
-	fall := func(names ...string) {
+	stopRenewing := func(names ...string) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, name := range names {
@@ -574,7 +574,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c := f.client(f.names...)
+		c := cluster.client(cluster.names...)
 		for ctx.Err() == nil {
 			var refs []catalog.InstanceRef
 			mu.Lock()
@@ -598,30 +598,32 @@
 	defer func() { cancel(); <-done }()
 	for service, size := range sizes {
 		for i := range size {
-			f.registerInService(service, fmt.Sprintf("%s-%d", service, i), 1)
+			cluster.registerInService(service, fmt.Sprintf("%s-%d", service, i), 1)
 		}
 	}
-	watch := f.watchServices([]string{"fails"}, f.names...)
-	count := func(service string) int { return len(f.fullList(f.waitForLeader(), "service="+service).Endpoints) }
-	f.waitUntil("all are listed", func() bool { return count("fails") == 8 && count("stands") == 30 && count("one") == 1 })
+	watch := cluster.watchServices([]string{"fails"}, cluster.names...)
+	count := func(service string) int {
+		return len(cluster.fullList(cluster.waitForLeader(), "service="+service).Endpoints)
+	}
+	cluster.waitUntil("all are listed", func() bool { return count("fails") == 8 && count("stands") == 30 && count("one") == 1 })
 	for i := range 8 {
-		fall(fmt.Sprint("fails-", i))
+		stopRenewing(fmt.Sprint("fails-", i))
 	}
-	f.waitUntil("they are held", func() bool {
-		st, err := f.status(f.waitForLeader())
-		return err == nil && st.Quarantined == 8
+	cluster.waitUntil("they are held", func() bool {
+		status, err := cluster.status(cluster.waitForLeader())
+		return err == nil && status.Quarantined == 8
 	})
-	fall("stands-3", "one-0")
-	f.waitUntil("others end while they are held", func() bool { return count("stands") == 29 && count("one") == 0 })
+	stopRenewing("stands-3", "one-0")
+	cluster.waitUntil("others end while they are held", func() bool { return count("stands") == 29 && count("one") == 0 })
 	if n := count("fails"); n != 8 {
 		t.Errorf("%d of the service's 8 servers are listed", n)
 	}
 	// A leader that is elected meanwhile gives them their full time, and holds them again.
-	f.waitUntil("they are off the list once that is confirmed while they are held", func() bool {
-		if st, err := f.status(f.waitForLeader()); err == nil && st.Quarantined > 0 {
+	cluster.waitUntil("they are off the list once that is confirmed while they are held", func() bool {
+		if status, err := cluster.status(cluster.waitForLeader()); err == nil && status.Quarantined > 0 {
 			call, end := context.WithTimeout(context.Background(), 5*time.Second)
 			defer end()
-			_ = f.client(f.names...).ConfirmRemovals(call)
+			_ = cluster.client(cluster.names...).ConfirmRemovals(call)
 		}
 		return watch.names() == "" && count("fails") == 0
 	})
@@ -633,8 +635,8 @@
 func BenchmarkServicesAtScale(b *testing.B) {
 	const servers, services, writers = 39_000, 1900, 32
 	for range b.N {
-		f := newCluster(b, 1)
-		name := f.names[0]
+		cluster := newCluster(b, 1)
+		name := cluster.names[0]
 		began := time.Now()
 		var writing sync.WaitGroup
 		next := make(chan int)
@@ -643,7 +645,7 @@
 				for i := range next {
 					for {
 						ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
-						_, err := f.servers[name].client.Register(ctx, newServiceEndpoint(fmt.Sprint("service-", i%services), fmt.Sprintf("server-%05d", i), 1))
+						_, err := cluster.servers[name].client.Register(ctx, newServiceEndpoint(fmt.Sprint("service-", i%services), fmt.Sprintf("server-%05d", i), 1))
 						cancel()
 						if err == nil {
 							break
@@ -658,22 +660,22 @@
 		close(next)
 		writing.Wait()
 		b.ReportMetric(time.Since(began).Seconds(), "s/register")
-		_, _, text := f.get(name, "/v1/snapshot")
+		_, _, text := cluster.get(name, "/v1/snapshot")
 		b.ReportMetric(float64(len(text)), "B/snapshot")
 		var twenty []string
 		for i := range 20 {
 			twenty = append(twenty, fmt.Sprint("service-", i))
 		}
-		_, _, text = f.get(name, endpoints.Path+"?"+serviceQuery(twenty))
+		_, _, text = cluster.get(name, endpoints.Path+"?"+serviceQuery(twenty))
 		b.ReportMetric(float64(len(text)), "B/list-of-20")
-		_, _, text = f.get(name, endpoints.Path)
+		_, _, text = cluster.get(name, endpoints.Path)
 		b.ReportMetric(float64(len(text)), "B/list")
-		f.kill(name)
+		cluster.kill(name)
 		began = time.Now()
-		f.start(name)
-		f.waitUntil("all are listed again", func() bool {
-			st, err := f.status(name)
-			return err == nil && st.Listed == servers
+		cluster.start(name)
+		cluster.waitUntil("all are listed again", func() bool {
+			status, err := cluster.status(name)
+			return err == nil && status.Listed == servers
 		})
 		b.ReportMetric(time.Since(began).Seconds(), "s/start")
 	}
--- a/cmd/controlplane/syscalls_test.go
+++ b/cmd/controlplane/syscallfaults_test.go
@@ -25,29 +25,29 @@
 
 func newFaultyCluster(t *testing.T, n int, faults string) *faultyCluster {
 	t.Helper()
-	f := newUnstartedCluster(t, n)
-	d := &faultyCluster{testCluster: f, faultFile: filepath.Join(f.dir, "failing")}
-	for _, name := range f.names {
-		f.configure(name, f.names)
-		p := f.servers[name].proc
-		p.Env = append(p.Env, syscallfault.FaultsVariable+"="+faults, syscallfault.WhileVariable+"="+d.faultFile+"-"+name)
-		f.start(name)
+	cluster := newUnstartedCluster(t, n)
+	faulty := &faultyCluster{testCluster: cluster, faultFile: filepath.Join(cluster.dir, "failing")}
+	for _, name := range cluster.names {
+		cluster.configure(name, cluster.names)
+		p := cluster.servers[name].proc
+		p.Env = append(p.Env, syscallfault.FaultsVariable+"="+faults, syscallfault.WhileVariable+"="+faulty.faultFile+"-"+name)
+		cluster.start(name)
 	}
-	d.victim = f.waitForLeader()
-	return d
+	faulty.victim = cluster.waitForLeader()
+	return faulty
 }
 
 // setFault has the victim's disk setFault from now on, or no more.
-func (d *faultyCluster) setFault(on bool) {
-	d.t.Helper()
+func (faulty *faultyCluster) setFault(on bool) {
+	faulty.t.Helper()
 	var err error
-	if file := d.faultFile + "-" + d.victim; on {
+	if file := faulty.faultFile + "-" + faulty.victim; on {
 		err = os.WriteFile(file, nil, 0o600)
 	} else {
 		err = os.Remove(file)
 	}
 	if err != nil {
-		d.t.Fatal(err)
+		faulty.t.Fatal(err)
 	}
 }
 
@@ -60,14 +60,14 @@
 			for _, killed := range []bool{false, true} {
 				t.Run(fmt.Sprint(faults, n, killed), func(t *testing.T) {
 					t.Parallel()
-					d := newFaultyCluster(t, n, faults)
-					acked := map[string]float64{}
+					cluster := newFaultyCluster(t, n, faults)
+					acknowledged := map[string]float64{}
 					write := func(span time.Duration, from int) {
 						for i, end := from, time.Now().Add(span); time.Now().Before(end); i++ {
 							name := fmt.Sprint("server-", i%50)
 							ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-							if _, err := d.client(d.names...).Register(ctx, newEndpoint(name, float64(i))); err == nil {
-								acked[name] = float64(i)
+							if _, err := cluster.client(cluster.names...).Register(ctx, newEndpoint(name, float64(i))); err == nil {
+								acknowledged[name] = float64(i)
 							} else {
 								time.Sleep(10 * time.Millisecond)
 							}
@@ -75,25 +75,25 @@
 						}
 					}
 					write(time.Second, 1)
-					before := len(acked)
-					d.setFault(true)
+					before := len(acknowledged)
+					cluster.setFault(true)
 					write(2*time.Second, 100_000)
-					proc := d.servers[d.victim].proc
+					proc := cluster.servers[cluster.victim].proc
 					if killed {
-						d.kill(d.victim)
+						cluster.kill(cluster.victim)
 					}
-					d.setFault(false)
+					cluster.setFault(false)
 					select {
 					case <-proc.Ended():
-						d.start(d.victim)
+						cluster.start(cluster.victim)
 					default:
 					}
 					write(time.Second, 200_000)
-					d.register("after", 1)
+					cluster.register("after", 1)
 					if before == 0 {
 						t.Fatal("nothing was taken before")
 					}
-					d.requireAcknowledged(acked)
+					cluster.requireAcknowledged(acknowledged)
 					text, _ := os.ReadFile(proc.Log)
 					if !strings.Contains(string(text), "input/output error") && !strings.Contains(string(text), "no space left on device") {
 						t.Error("its disk never failed")
@@ -113,19 +113,19 @@
 	for _, errno := range []string{"ECONNABORTED", "ENFILE", "ENOBUFS", "EPROTO", "ENETDOWN", "EPERM", "EHOSTUNREACH"} {
 		t.Run(errno, func(t *testing.T) {
 			t.Parallel()
-			d := newFaultyCluster(t, 1, "accept4:"+errno)
-			d.register("before", 1)
-			d.setFault(true)
+			cluster := newFaultyCluster(t, 1, "accept4:"+errno)
+			cluster.register("before", 1)
+			cluster.setFault(true)
 			for range 3 { // a connection that waits has the calls fail
-				if c, err := net.DialTimeout("tcp", d.servers[d.victim].http, time.Second); err == nil {
+				if c, err := net.DialTimeout("tcp", cluster.servers[cluster.victim].http, time.Second); err == nil {
 					defer c.Close()
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
-			d.setFault(false)
+			cluster.setFault(false)
 			fresh := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 			for end := time.Now().Add(3 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-				resp, err := fresh.Get("http://" + d.servers[d.victim].http + endpoints.Path)
+				resp, err := fresh.Get("http://" + cluster.servers[cluster.victim].http + endpoints.Path)
 				if err == nil {
 					resp.Body.Close()
 					break
--- a/cmd/controlplane/duties_test.go
+++ b/cmd/controlplane/tasks_test.go
@@ -59,119 +59,119 @@
 	links          map[string][]*link.Link
 }
 
-func (f *testCluster) startWorkers(n int, most int, rates ...float64) *workerGroup {
-	f.t.Helper()
-	acts := check.NewActs()
-	place := httptest.NewServer(acts)
-	f.t.Cleanup(place.Close)
-	c := &workerGroup{cluster: f, operations: acts, operationsAddr: place.Listener.Addr().String(), processes: map[string]*process.Process{}, links: map[string][]*link.Link{}}
+func (cluster *testCluster) startWorkers(n int, maxTasks int, rates ...float64) *workerGroup {
+	cluster.t.Helper()
+	operations := check.NewActs()
+	recorder := httptest.NewServer(operations)
+	cluster.t.Cleanup(recorder.Close)
+	workers := &workerGroup{cluster: cluster, operations: operations, operationsAddr: recorder.Listener.Addr().String(), processes: map[string]*process.Process{}, links: map[string][]*link.Link{}}
 	for i := range n {
 		rate := 1.0
 		if len(rates) > 0 {
 			rate = rates[i%len(rates)]
 		}
-		c.add(fmt.Sprint("w-", i+1), most, rate)
+		workers.add(fmt.Sprint("w-", i+1), maxTasks, rate)
 	}
-	f.t.Cleanup(func() {
-		for _, links := range c.links {
+	cluster.t.Cleanup(func() {
+		for _, links := range workers.links {
 			for _, l := range links {
 				l.Close()
 			}
 		}
-		for _, name := range c.names {
-			if f.t.Failed() {
-				text, _ := os.ReadFile(c.processes[name].Log)
-				f.t.Logf("%s:\n%s", name, text[max(0, len(text)-5000):])
+		for _, name := range workers.names {
+			if cluster.t.Failed() {
+				text, _ := os.ReadFile(workers.processes[name].Log)
+				cluster.t.Logf("%s:\n%s", name, text[max(0, len(text)-5000):])
 			}
 		}
 	})
-	return c
+	return workers
 }
 
-func (c *workerGroup) add(name string, most int, rate float64) {
-	c.cluster.t.Helper()
+func (workers *workerGroup) add(name string, maxTasks int, rate float64) {
+	workers.cluster.t.Helper()
 	var at []string
-	for _, st := range c.cluster.names {
-		l, err := link.New(c.cluster.addrs.IP()+":0", c.cluster.servers[st].http, 1)
+	for _, status := range workers.cluster.names {
+		l, err := link.New(workers.cluster.addrs.IP()+":0", workers.cluster.servers[status].http, 1)
 		if err != nil {
-			c.cluster.t.Fatal(err)
+			workers.cluster.t.Fatal(err)
 		}
-		c.links[name] = append(c.links[name], l)
+		workers.links[name] = append(workers.links[name], l)
 		at = append(at, l.Addr())
 	}
 	exe, err := os.Executable()
 	if err != nil {
-		c.cluster.t.Fatal(err)
+		workers.cluster.t.Fatal(err)
 	}
-	c.names = append(c.names, name)
-	c.processes[name] = c.cluster.supervisor.Add(process.Spec{Name: name, Path: exe, Log: filepath.Join(c.cluster.dir, name+".log"),
-		Env: []string{"WORKER_CHILD=1", "WORKER_NAME=" + name, "WORKER_AT=" + strings.Join(at, ","), fmt.Sprint("WORKER_CAP=", most),
-			fmt.Sprint("WORKER_RATE=", rate), "WORKER_RESOURCE=" + c.operationsAddr}})
-	c.start(name)
+	workers.names = append(workers.names, name)
+	workers.processes[name] = workers.cluster.supervisor.Add(process.Spec{Name: name, Path: exe, Log: filepath.Join(workers.cluster.dir, name+".log"),
+		Env: []string{"WORKER_CHILD=1", "WORKER_NAME=" + name, "WORKER_AT=" + strings.Join(at, ","), fmt.Sprint("WORKER_CAP=", maxTasks),
+			fmt.Sprint("WORKER_RATE=", rate), "WORKER_RESOURCE=" + workers.operationsAddr}})
+	workers.start(name)
 }
 
-func (c *workerGroup) start(name string) {
-	c.cluster.t.Helper()
-	if err := c.processes[name].Start(); err != nil {
-		c.cluster.t.Fatal(err)
+func (workers *workerGroup) start(name string) {
+	workers.cluster.t.Helper()
+	if err := workers.processes[name].Start(); err != nil {
+		workers.cluster.t.Fatal(err)
 	}
 }
 
-func (c *workerGroup) kill(name string) {
-	ended := c.processes[name].Ended()
-	c.processes[name].Kill()
+func (workers *workerGroup) kill(name string) {
+	ended := workers.processes[name].Ended()
+	workers.processes[name].Kill()
 	<-ended
 }
 
-func (c *workerGroup) signal(name string, sig syscall.Signal) {
-	c.cluster.t.Helper()
-	if err := c.processes[name].Signal(sig); err != nil {
-		c.cluster.t.Fatal(err)
+func (workers *workerGroup) signal(name string, sig syscall.Signal) {
+	workers.cluster.t.Helper()
+	if err := workers.processes[name].Signal(sig); err != nil {
+		workers.cluster.t.Fatal(err)
 	}
 }
 
 // cutLinks shapes the links of a worker to all stewards.
-func (c *workerGroup) cutLinks(name string, out, in bool) {
-	c.cluster.t.Helper()
-	for _, l := range c.links[name] {
+func (workers *workerGroup) cutLinks(name string, out, in bool) {
+	workers.cluster.t.Helper()
+	for _, l := range workers.links[name] {
 		if err := l.Set(link.Shape{Cut: out}, link.Shape{Cut: in}); err != nil {
-			c.cluster.t.Fatal(err)
+			workers.cluster.t.Fatal(err)
 		}
 	}
 }
 
-func (c *workerGroup) defineTask(name string, ttl time.Duration) {
-	c.cluster.t.Helper()
-	c.cluster.waitUntil(name+" is defined", func() bool {
+func (workers *workerGroup) defineTask(name string, ttl time.Duration) {
+	workers.cluster.t.Helper()
+	workers.cluster.waitUntil(name+" is defined", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 		defer cancel()
-		return c.cluster.client(c.cluster.names...).DefineTask(ctx, name, control.TaskDefinition{TTLMs: ttl.Milliseconds()}) == nil
+		return workers.cluster.client(workers.cluster.names...).DefineTask(ctx, name, control.TaskDefinition{TTLMs: ttl.Milliseconds()}) == nil
 	})
 }
 
 // waitForOperation waits until somebody but one acts under a duty, later than the time given.
-func (c *workerGroup) waitForOperation(name, not string, after time.Duration) check.Act {
-	c.cluster.t.Helper()
-	var a check.Act
-	c.cluster.waitUntil(fmt.Sprintf("%s is done by another than %q", name, not), func() bool {
-		a = c.operations.Last(name)
-		return a.Process != "" && a.Process != not && a.Mono > after
+func (workers *workerGroup) waitForOperation(name, exceptProcess string, after time.Duration) check.Act {
+	workers.cluster.t.Helper()
+	var operation check.Act
+	workers.cluster.waitUntil(fmt.Sprintf("%s is done by another than %q", name, exceptProcess), func() bool {
+		operation = workers.operations.Last(name)
+		return operation.Process != "" && operation.Process != exceptProcess && operation.Mono > after
 	})
-	return a
+	return operation
 }
 
 // requireNoOverlap holds that nothing overlapped.
-func (c *workerGroup) requireNoOverlap() {
-	c.cluster.t.Helper()
-	if broke := c.operations.Judge().Broke; len(broke) > 0 {
-		c.cluster.t.Errorf("%d overlaps: %s", len(broke), strings.Join(broke[:min(len(broke), 3)], "; "))
+func (workers *workerGroup) requireNoOverlap() {
+	workers.cluster.t.Helper()
+	if overlaps := workers.operations.Judge().Broke; len(overlaps) > 0 {
+		workers.cluster.t.Errorf("%d overlaps: %s", len(overlaps), strings.Join(overlaps[:min(len(overlaps), 3)], "; "))
 	}
 }
 
-func (c *workerGroup) commandTask(name, word, to string) error {
+func (workers *workerGroup) commandTask(name, command, to string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 	defer cancel()
-	return c.cluster.client(c.cluster.names...).CommandTask(ctx, name, word, to, "")
+	return workers.cluster.client(workers.cluster.names...).CommandTask(ctx, name, command, to, "")
 }
 
 const taskTTL = 1500 * time.Millisecond
@@ -181,96 +181,112 @@
 // stewards but not from where it acts, cut one way, ended in order, moved, revoked; and
 // whatever happens to the stewards meanwhile. Clocks are 5 % off.
 func TestTaskFailsOverUnderEachFault(t *testing.T) {
-	f := newCluster(t, 3)
-	c := f.startWorkers(3, 10, 0.95, 1, 1.05)
-	c.defineTask("work.a", taskTTL)
-	holder := func() string {
+	cluster := newCluster(t, 3)
+	workers := cluster.startWorkers(3, 10, 0.95, 1, 1.05)
+	workers.defineTask("work.a", taskTTL)
+	stableHolder := func() string {
 		// Long enough with one holder for its end not to be blamed on the duty.
 		since := map[int64]time.Duration{}
-		var a check.Act
-		f.waitUntil("a holder stays", func() bool {
-			a = c.operations.Last("work.a")
-			if since[a.Fence] == 0 {
-				since[a.Fence] = a.Mono
+		var operation check.Act
+		cluster.waitUntil("a holder stays", func() bool {
+			operation = workers.operations.Last("work.a")
+			if since[operation.Fence] == 0 {
+				since[operation.Fence] = operation.Mono
 			}
-			return a.Mono-since[a.Fence] > 2500*time.Millisecond
+			return operation.Mono-since[operation.Fence] > 2500*time.Millisecond
 		})
-		return a.Process
+		return operation.Process
 	}
 	for _, round := range []struct {
 		what string
 		do   func(w string) (undo func())
 		same bool // it may stay where it is
 	}{
-		{"killed", func(w string) func() { c.kill(w); return func() { c.start(w) } }, false},
+		{"killed", func(w string) func() { workers.kill(w); return func() { workers.start(w) } }, false},
 		{"stopped for half its time", func(w string) func() {
-			c.signal(w, syscall.SIGSTOP)
+			workers.signal(w, syscall.SIGSTOP)
 			time.Sleep(taskTTL / 2)
-			c.signal(w, syscall.SIGCONT)
+			workers.signal(w, syscall.SIGCONT)
 			return func() {}
 		}, true},
 		{"stopped for its time", func(w string) func() {
-			c.signal(w, syscall.SIGSTOP)
+			workers.signal(w, syscall.SIGSTOP)
 			time.Sleep(taskTTL)
-			c.signal(w, syscall.SIGCONT)
+			workers.signal(w, syscall.SIGCONT)
 			return func() {}
 		}, true},
 		{"stopped for three times its time", func(w string) func() {
-			c.signal(w, syscall.SIGSTOP)
+			workers.signal(w, syscall.SIGSTOP)
 			time.Sleep(3 * taskTTL)
-			c.signal(w, syscall.SIGCONT)
+			workers.signal(w, syscall.SIGCONT)
 			return func() {}
 		}, false},
-		{"cut off from the stewards", func(w string) func() { c.cutLinks(w, true, true); return func() { c.cutLinks(w, false, false) } }, false},
-		{"heard, and hears nothing", func(w string) func() { c.cutLinks(w, false, true); return func() { c.cutLinks(w, false, false) } }, true},
-		{"hears, and isn't heard", func(w string) func() { c.cutLinks(w, true, false); return func() { c.cutLinks(w, false, false) } }, false},
+		{"cut off from the stewards", func(w string) func() {
+			workers.cutLinks(w, true, true)
+			return func() { workers.cutLinks(w, false, false) }
+		}, false},
+		{"heard, and hears nothing", func(w string) func() {
+			workers.cutLinks(w, false, true)
+			return func() { workers.cutLinks(w, false, false) }
+		}, true},
+		{"hears, and isn't heard", func(w string) func() {
+			workers.cutLinks(w, true, false)
+			return func() { workers.cutLinks(w, false, false) }
+		}, false},
 		{"ended in order", func(w string) func() {
-			ended := c.processes[w].Ended()
-			c.signal(w, syscall.SIGTERM)
+			ended := workers.processes[w].Ended()
+			workers.signal(w, syscall.SIGTERM)
 			<-ended
-			return func() { c.start(w) }
+			return func() { workers.start(w) }
 		}, false},
-		{"the leader killed", func(string) func() { lead := f.waitForLeader(); f.kill(lead); return func() { f.start(lead) } }, true},
+		{"the leader killed", func(string) func() {
+			lead := cluster.waitForLeader()
+			cluster.kill(lead)
+			return func() { cluster.start(lead) }
+		}, true},
 		{"all stewards restarted", func(string) func() {
-			for _, name := range f.names {
-				f.kill(name)
+			for _, name := range cluster.names {
+				cluster.kill(name)
 			}
-			for _, name := range f.names {
-				f.start(name)
+			for _, name := range cluster.names {
+				cluster.start(name)
 			}
-			f.waitForLeader()
+			cluster.waitForLeader()
 			return func() {}
 		}, true},
-		{"revoked", func(string) func() { _ = c.commandTask("work.a", "revoke", ""); return func() {} }, true},
+		{"revoked", func(string) func() { _ = workers.commandTask("work.a", "revoke", ""); return func() {} }, true},
 		{"moved", func(string) func() {
-			f.waitUntil("it is to be moved", func() bool { return c.commandTask("work.a", "move", "") == nil })
+			cluster.waitUntil("it is to be moved", func() bool { return workers.commandTask("work.a", "move", "") == nil })
 			return func() {}
 		}, false},
 		{"the holder's steward gone, another near", func(w string) func() {
-			_ = c.links[w][0].Refuse()
-			return func() { _ = c.links[w][0].Set(link.Shape{}, link.Shape{}); _ = c.links[w][0].Target(link.Open) }
+			_ = workers.links[w][0].Refuse()
+			return func() {
+				_ = workers.links[w][0].Set(link.Shape{}, link.Shape{})
+				_ = workers.links[w][0].Target(link.Open)
+			}
 		}, true},
 	} {
-		w := holder()
+		w := stableHolder()
 		began := monotonicNow()
-		refused := c.operations.Judge().Refused
+		refused := workers.operations.Judge().Refused
 		undo := round.do(w)
-		not := w
+		exceptProcess := w
 		if round.same {
-			not = ""
+			exceptProcess = ""
 		}
-		a := c.waitForOperation("work.a", not, max(monotonicNow(), began))
-		t.Logf("%s: %s, then %s under %d after %v", round.what, w, a.Process, a.Fence, (a.Mono - began).Round(time.Millisecond))
+		operation := workers.waitForOperation("work.a", exceptProcess, max(monotonicNow(), began))
+		t.Logf("%s: %s, then %s under %d after %v", round.what, w, operation.Process, operation.Fence, (operation.Mono - began).Round(time.Millisecond))
 		// The one before has time to act, if it still would.
-		c.waitForOperation("work.a", not, a.Mono+300*time.Millisecond)
+		workers.waitForOperation("work.a", exceptProcess, operation.Mono+300*time.Millisecond)
 		// Only one that stood still may have acted too late, once: what runs stops by its own clock.
-		if n := c.operations.Judge().Refused - refused; n > 0 && !strings.HasPrefix(round.what, "stopped") {
+		if n := workers.operations.Judge().Refused - refused; n > 0 && !strings.HasPrefix(round.what, "stopped") {
 			t.Errorf("%s: %d acts were refused by their fence: it went on beyond its time", round.what, n)
 		}
 		undo()
-		c.requireNoOverlap()
+		workers.requireNoOverlap()
 	}
-	d, err := f.client(f.names...).Task(context.Background(), "work.a")
+	d, err := cluster.client(cluster.names...).Task(context.Background(), "work.a")
 	if err != nil || len(d.History) < 5 || d.History[len(d.History)-1].Reason == "" {
 		t.Errorf("its past: %+v, %v", d.History, err)
 	}
@@ -280,104 +296,104 @@
 // process which doesn't answer stays where it is; two processes of one name are told so; a
 // duty that fails is backed off, and one that kills its holders is parked.
 func TestTaskMovesBackoffAndSuspension(t *testing.T) {
-	f := newCluster(t, 3)
-	c := f.startWorkers(3, 10)
-	c.defineTask("work.a", taskTTL)
-	a := c.waitForOperation("work.a", "", 0)
+	cluster := newCluster(t, 3)
+	workers := cluster.startWorkers(3, 10)
+	workers.defineTask("work.a", taskTTL)
+	operation := workers.waitForOperation("work.a", "", 0)
 	for i := range 10 {
 		var to string
-		for _, name := range c.names {
-			if name != a.Process && (i%2 == 0 || to == "") {
+		for _, name := range workers.names {
+			if name != operation.Process && (i%2 == 0 || to == "") {
 				to = name
 			}
 		}
-		from := a.Process
-		if err := c.commandTask("work.a", "move", to); err != nil {
+		from := operation.Process
+		if err := workers.commandTask("work.a", "move", to); err != nil {
 			t.Fatal(err)
 		}
-		next := c.waitForOperation("work.a", from, 0)
+		next := workers.waitForOperation("work.a", from, 0)
 		if next.Process != to {
 			t.Errorf("it was to go to %s and went to %s", to, next.Process)
 		}
-		a = next
+		operation = next
 	}
-	t.Logf("gaps of planned moves: %v", c.operations.Judge().Gaps)
-	c.requireNoOverlap()
+	t.Logf("gaps of planned moves: %v", workers.operations.Judge().Gaps)
+	workers.requireNoOverlap()
 
 	// One that stands still, or has just died, is not ready: what is moved to it stays.
-	deaf := c.names[0]
-	if deaf == a.Process {
-		deaf = c.names[1]
+	unready := workers.names[0]
+	if unready == operation.Process {
+		unready = workers.names[1]
 	}
-	for _, does := range []struct{ begin, end func() }{
-		{func() { c.signal(deaf, syscall.SIGSTOP) }, func() { c.signal(deaf, syscall.SIGCONT) }},
-		{func() { c.kill(deaf) }, func() { c.start(deaf) }},
+	for _, fault := range []struct{ begin, end func() }{
+		{func() { workers.signal(unready, syscall.SIGSTOP) }, func() { workers.signal(unready, syscall.SIGCONT) }},
+		{func() { workers.kill(unready) }, func() { workers.start(unready) }},
 	} {
-		does.begin()
-		if err := c.commandTask("work.a", "move", deaf); err != nil {
+		fault.begin()
+		if err := workers.commandTask("work.a", "move", unready); err != nil {
 			t.Fatal(err)
 		}
-		f.waitUntil("the move is given up", func() bool {
-			d, err := f.client(f.names...).Task(context.Background(), "work.a")
-			return err == nil && d.Successor == "" && d.Holder == a.Process
+		cluster.waitUntil("the move is given up", func() bool {
+			d, err := cluster.client(cluster.names...).Task(context.Background(), "work.a")
+			return err == nil && d.Successor == "" && d.Holder == operation.Process
 		})
-		if still := c.waitForOperation("work.a", "", monotonicNow()); still.Process != a.Process || still.Fence != a.Fence {
-			t.Errorf("held by %s under %d, then by %s under %d", a.Process, a.Fence, still.Process, still.Fence)
+		if still := workers.waitForOperation("work.a", "", monotonicNow()); still.Process != operation.Process || still.Fence != operation.Fence {
+			t.Errorf("held by %s under %d, then by %s under %d", operation.Process, operation.Fence, still.Process, still.Fence)
 		}
-		does.end()
+		fault.end()
 	}
 
 	// A second process of a name waits until the first has gone.
-	twin := f.supervisor.Add(c.processes[a.Process].Spec)
-	twin.Log = filepath.Join(f.dir, "twin.log")
+	twin := cluster.supervisor.Add(workers.processes[operation.Process].Spec)
+	twin.Log = filepath.Join(cluster.dir, "twin.log")
 	if err := twin.Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.waitUntil("the second of the name is told so", func() bool {
+	cluster.waitUntil("the second of the name is told so", func() bool {
 		text, _ := os.ReadFile(twin.Log)
 		return strings.Contains(string(text), "another process is called so")
 	})
-	c.kill(a.Process)
+	workers.kill(operation.Process)
 	twin.Kill()
-	c.waitForOperation("work.a", a.Process, monotonicNow())
-	c.start(a.Process)
+	workers.waitForOperation("work.a", operation.Process, monotonicNow())
+	workers.start(operation.Process)
 
-	c.defineTask("fail.a", taskTTL)
-	f.waitUntil("it failed at several processes and waits", func() bool {
-		d, err := f.client(f.names...).Task(context.Background(), "fail.a")
+	workers.defineTask("fail.a", taskTTL)
+	cluster.waitUntil("it failed at several processes and waits", func() bool {
+		d, err := cluster.client(cluster.names...).Task(context.Background(), "fail.a")
 		where := map[string]bool{}
 		for _, p := range d.History {
 			where[p.Process] = p.Reason == catalog.ReasonFailed
 		}
 		return err == nil && d.Failures >= 3 && d.NotBefore > 0 && len(where) >= 2
 	})
-	c.defineTask("kill.a", taskTTL)
-	f.waitUntil("it is parked", func() bool {
-		for _, name := range c.names { // somebody starts what has ended
-			if !c.processes[name].Runs() {
-				_ = c.processes[name].Start()
+	workers.defineTask("kill.a", taskTTL)
+	cluster.waitUntil("it is parked", func() bool {
+		for _, name := range workers.names { // somebody starts what has ended
+			if !workers.processes[name].Runs() {
+				_ = workers.processes[name].Start()
 			}
 		}
-		d, err := f.client(f.names...).Task(context.Background(), "kill.a")
+		d, err := cluster.client(cluster.names...).Task(context.Background(), "kill.a")
 		return err == nil && d.SuspendReason != "" && d.Holder == ""
 	})
-	c.waitForOperation("work.a", "", monotonicNow()) // what was held beside it goes on
-	c.requireNoOverlap()
+	workers.waitForOperation("work.a", "", monotonicNow()) // what was held beside it goes on
+	workers.requireNoOverlap()
 }
 
 // Many duties are spread evenly, and again when a process comes or goes.
 func TestTasksAreBalanced(t *testing.T) {
 	const n = 300
-	f := newCluster(t, 3)
-	c := f.startWorkers(3, 1000)
+	cluster := newCluster(t, 3)
+	workers := cluster.startWorkers(3, 1000)
 	for i := range n {
-		c.defineTask(fmt.Sprint("idle.", i), 3*time.Second)
+		workers.defineTask(fmt.Sprint("idle.", i), 3*time.Second)
 	}
 	counts := func() (by map[string]int, free int) {
 		by = map[string]int{}
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		all, err := f.client(f.names...).Tasks(ctx)
+		all, err := cluster.client(cluster.names...).Tasks(ctx)
 		if err != nil {
 			return by, n
 		}
@@ -403,17 +419,17 @@
 			return free == 0 && len(by) == processes
 		}
 	}
-	f.waitUntil("spread over three", even(3))
+	cluster.waitUntil("spread over three", even(3))
 	began := time.Now()
-	c.kill("w-2")
-	f.waitUntil("spread over two", even(2))
+	workers.kill("w-2")
+	cluster.waitUntil("spread over two", even(2))
 	took := time.Since(began)
-	before, err := f.client(f.names...).Tasks(context.Background())
+	before, err := cluster.client(cluster.names...).Tasks(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(3 * time.Second) // at rest, nothing changes hands
-	after, err := f.client(f.names...).Tasks(context.Background())
+	after, err := cluster.client(cluster.names...).Tasks(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -422,14 +438,14 @@
 			t.Errorf("%s changed hands for nothing", after[i].Name)
 		}
 	}
-	c.add("w-4", 1000, 1)
+	workers.add("w-4", 1000, 1)
 	t.Cleanup(func() {
 		if t.Failed() {
 			by, free := counts()
 			t.Logf("held by %v, %d free", by, free)
 		}
 	})
-	f.waitUntil("spread over three again", even(3))
+	cluster.waitUntil("spread over three again", even(3))
 	t.Logf("spread again %v after the death of a holder of a third", took)
 }
 
@@ -458,63 +474,63 @@
 }
 
 // injectFault does one thing to one worker or steward, and ends it.
-func (c *workerGroup) injectFault(rng *rand.Rand) {
-	w := c.names[rng.IntN(len(c.names))]
-	lasts := time.Duration(300+rng.IntN(2200)) * time.Millisecond
+func (workers *workerGroup) injectFault(rng *rand.Rand) {
+	worker := workers.names[rng.IntN(len(workers.names))]
+	duration := time.Duration(300+rng.IntN(2200)) * time.Millisecond
 	switch rng.IntN(8) {
 	case 0, 1:
-		injectServerFault(c.cluster.t, c.cluster, rng)
+		injectServerFault(workers.cluster.t, workers.cluster, rng)
 	case 2:
-		c.kill(w)
-		time.Sleep(lasts / 3)
-		c.start(w)
+		workers.kill(worker)
+		time.Sleep(duration / 3)
+		workers.start(worker)
 	case 3, 4:
-		c.signal(w, syscall.SIGSTOP)
-		time.Sleep(lasts)
-		c.signal(w, syscall.SIGCONT)
+		workers.signal(worker, syscall.SIGSTOP)
+		time.Sleep(duration)
+		workers.signal(worker, syscall.SIGCONT)
 	case 5:
-		c.cutLinks(w, rng.IntN(2) == 0, true)
-		time.Sleep(lasts)
-		c.cutLinks(w, false, false)
+		workers.cutLinks(worker, rng.IntN(2) == 0, true)
+		time.Sleep(duration)
+		workers.cutLinks(worker, false, false)
 	case 6:
-		_ = c.commandTask(fmt.Sprint("work.", rng.IntN(4)), []string{"move", "revoke"}[rng.IntN(2)], "")
+		_ = workers.commandTask(fmt.Sprint("work.", rng.IntN(4)), []string{"move", "revoke"}[rng.IntN(2)], "")
 	case 7:
-		ended := c.processes[w].Ended()
-		c.signal(w, syscall.SIGTERM)
+		ended := workers.processes[worker].Ended()
+		workers.signal(worker, syscall.SIGTERM)
 		<-ended
-		c.start(w)
+		workers.start(worker)
 	}
 }
 
-func runFaultSchedules(t *testing.T, seeds int, played func(check.Verdict)) {
+func runFaultSchedules(t *testing.T, seeds int, collect func(check.Verdict)) {
 	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			rng := newSeededRand(t, uint64(seed)+1000)
-			f := newCluster(t, 3)
-			c := f.startWorkers(3, 10, 0.95, 1.05, 1)
+			cluster := newCluster(t, 3)
+			workers := cluster.startWorkers(3, 10, 0.95, 1.05, 1)
 			for i := range 4 {
-				c.defineTask(fmt.Sprint("work.", i), time.Second)
+				workers.defineTask(fmt.Sprint("work.", i), time.Second)
 			}
 			for i := range 4 {
-				c.waitForOperation(fmt.Sprint("work.", i), "", 0)
+				workers.waitForOperation(fmt.Sprint("work.", i), "", 0)
 			}
 			for range 8 {
-				c.injectFault(rng)
+				workers.injectFault(rng)
 				time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
 			}
 			for i := range 4 { // one of them may have been blamed for the ends of its holders
 				name := fmt.Sprint("work.", i)
-				f.waitUntil(name+" is not parked", func() bool { return c.commandTask(name, "unpark", "") == nil })
+				cluster.waitUntil(name+" is not parked", func() bool { return workers.commandTask(name, "unpark", "") == nil })
 			}
 			now := monotonicNow()
 			for i := range 4 {
-				c.waitForOperation(fmt.Sprint("work.", i), "", now)
+				workers.waitForOperation(fmt.Sprint("work.", i), "", now)
 			}
-			c.requireNoOverlap()
-			v := c.operations.Judge()
-			played(v)
-			t.Logf("%d terms, %d acts refused by their fence, nobody for %.0f %% of the time", v.Terms, v.Refused, 100*float64(v.Idle)/float64(v.All))
+			workers.requireNoOverlap()
+			result := workers.operations.Judge()
+			collect(result)
+			t.Logf("%d terms, %d acts refused by their fence, nobody for %.0f %% of the time", result.Terms, result.Refused, 100*float64(result.Idle)/float64(result.All))
 		})
 	}
 }
@@ -522,26 +538,26 @@
 // A leader that was stopped and wakes finds renewals that came meanwhile, and may think that
 // it still leads: it answers none for a session that is over by the next leader's word.
 func TestResumedLeaderAnswersNoRenewalOfEndedSession(t *testing.T) {
-	f := newCluster(t, 3)
+	cluster := newCluster(t, 3)
 	for round := range 4 {
 		name, id := fmt.Sprint("p-", round), fmt.Sprint("id-", round)
 		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
-		if err := f.client(f.names...).OpenSession(ctx, catalog.Session{Process: name, ID: id}); err != nil {
+		if err := cluster.client(cluster.names...).OpenSession(ctx, catalog.Session{Process: name, ID: id}); err != nil {
 			t.Fatal(err)
 		}
-		old := f.waitForLeader()
-		if err := f.servers[old].proc.Signal(syscall.SIGSTOP); err != nil {
+		oldLeader := cluster.waitForLeader()
+		if err := cluster.servers[oldLeader].proc.Signal(syscall.SIGSTOP); err != nil {
 			t.Fatal(err)
 		}
-		f.waitUntil("the session is over", func() bool {
-			err := f.client(f.others(old)...).EndSession(ctx, name, id, false)
+		cluster.waitUntil("the session is over", func() bool {
+			err := cluster.client(cluster.others(oldLeader)...).EndSession(ctx, name, id, false)
 			return err == nil || errors.Is(err, leaderelection.ErrSessionExpired)
 		})
-		answers := f.sendWhileStopped(old, 40, func(ctx context.Context, c *control.Client) bool {
+		answers := cluster.sendWhileStopped(oldLeader, 40, func(ctx context.Context, c *control.Client) bool {
 			_, err := c.RenewSession(ctx, name, id, 0)
 			return err == nil
 		})
-		if err := f.servers[old].proc.Signal(syscall.SIGCONT); err != nil {
+		if err := cluster.servers[oldLeader].proc.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
 		for range 40 {
@@ -640,10 +656,10 @@
 
 // renewSession renews a session at each steward until the context ends. A steward that hangs
 // delays only its own renewals; one that fails is made up for by the next.
-func (f *testCluster) renewSession(ctx context.Context, process, id string) (wait func()) {
+func (cluster *testCluster) renewSession(ctx context.Context, process, id string) (wait func()) {
 	var renewers sync.WaitGroup
-	for _, name := range f.names {
-		client := control.NewClient([]string{f.servers[name].http}, renewTimeout)
+	for _, name := range cluster.names {
+		client := control.NewClient([]string{cluster.servers[name].http}, renewTimeout)
 		renewers.Add(1)
 		go func() {
 			defer renewers.Done()
@@ -671,35 +687,35 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			rng := newSeededRand(t, uint64(seed)+2000)
-			f := newCluster(t, 3)
-			all := f.client(f.names...)
+			cluster := newCluster(t, 3)
+			all := cluster.client(cluster.names...)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			names := []string{"claim.a", "claim.b", "claim.c", "claim.d", "claim.e", "claim.f"}
 			for _, name := range names {
-				f.waitUntil(name+" is defined", func() bool { return all.DefineTask(ctx, name, control.TaskDefinition{TTLMs: 600_000}) == nil })
+				cluster.waitUntil(name+" is defined", func() bool { return all.DefineTask(ctx, name, control.TaskDefinition{TTLMs: 600_000}) == nil })
 			}
 			renewing, stopRenewing := context.WithCancel(context.Background())
 			defer stopRenewing()
 			processes, ids := []string{"p-0", "p-1", "p-2"}, []string{"id-0", "id-1", "id-2"}
 			for n, process := range processes {
 				// It has no room, so that nothing is granted to it but what it claims.
-				f.waitUntil(process+" has a session", func() bool {
+				cluster.waitUntil(process+" has a session", func() bool {
 					return all.OpenSession(ctx, catalog.Session{Process: process, ID: ids[n]}) == nil
 				})
-				waitRenewers := f.renewSession(renewing, process, ids[n])
+				waitRenewers := cluster.renewSession(renewing, process, ids[n])
 				defer waitRenewers()
 				defer stopRenewing()
 			}
 			time.Sleep(sessionExpiryWait) // whatever is not renewed has been closed by now
-			f.waitUntil("there is a leader, as at the set-up", func() bool {
+			cluster.waitUntil("there is a leader, as at the set-up", func() bool {
 				_, err := all.Task(ctx, names[0])
 				return err == nil
 			})
 			var mu sync.Mutex
 			var history []porcupine.Operation
 			kinds := map[string]int{}
-			sessionsOver := 0 // calls that were refused as their session was over
+			endedSessions := 0 // calls that were refused as their session was over
 			began := time.Now()
 			var clients sync.WaitGroup
 			for n, process := range processes {
@@ -707,14 +723,14 @@
 				rng := rand.New(rand.NewPCG(uint64(seed), uint64(n)))
 				// again has one call in four come a second time, at another steward and behind or
 				// before what was said since: like one whose answer was lost, it may count or not.
-				again := func(in claimInput, at time.Duration, call func(*control.Client, context.Context)) {
+				repeatCall := func(in claimInput, at time.Duration, call func(*control.Client, context.Context)) {
 					mu.Lock()
 					enough := kinds["again"] >= 10 // each is one that the judge has to try both ways
 					mu.Unlock()
 					if enough || rng.IntN(4) > 0 {
 						return
 					}
-					c, late := control.NewClient([]string{f.servers[f.names[rng.IntN(3)]].http}, 1500*time.Millisecond), time.Duration(rng.IntN(150))*time.Millisecond
+					c, delay := control.NewClient([]string{cluster.servers[cluster.names[rng.IntN(3)]].http}, 1500*time.Millisecond), time.Duration(rng.IntN(150))*time.Millisecond
 					mu.Lock()
 					history = append(history, porcupine.Operation{ClientId: n, Input: in, Output: claimOutput{unknownOutcome: true}, Call: int64(at), Return: math.MaxInt64})
 					kinds["again"]++
@@ -722,7 +738,7 @@
 					clients.Add(1)
 					go func() {
 						defer clients.Done()
-						time.Sleep(late)
+						time.Sleep(delay)
 						call(c, context.Background())
 					}()
 				}
@@ -731,7 +747,7 @@
 					defer clients.Done()
 					fences := map[string]int64{}
 					for ctx.Err() == nil {
-						c := control.NewClient([]string{f.servers[f.names[rng.IntN(3)]].http}, 1500*time.Millisecond)
+						c := control.NewClient([]string{cluster.servers[cluster.names[rng.IntN(3)]].http}, 1500*time.Millisecond)
 						in := claimInput{task: names[rng.IntN(len(names))], kind: []string{"claim", "give up", "read"}[rng.IntN(3)], session: id}
 						in.fence = fences[in.task]
 						if in.kind == "give up" && in.fence == 0 {
@@ -743,16 +759,16 @@
 						var err error
 						switch in.kind {
 						case "claim":
-							again(in, at, func(c *control.Client, ctx context.Context) { _, _ = c.ClaimTask(ctx, in.task, process, id) })
+							repeatCall(in, at, func(c *control.Client, ctx context.Context) { _, _ = c.ClaimTask(ctx, in.task, process, id) })
 							var r catalog.Result
 							if r, err = c.ClaimTask(call, in.task, process, id); err == nil {
 								out = claimOutput{ok: true, fence: r.Fence}
 								fences[in.task] = r.Fence
 							}
 						case "give up":
-							tie := catalog.TermRef{Name: in.task, Process: process, Session: id, Fence: in.fence}
-							again(in, at, func(c *control.Client, ctx context.Context) { _ = c.ReleaseTerm(ctx, tie) })
-							if err = c.ReleaseTerm(call, tie); err == nil {
+							term := catalog.TermRef{Name: in.task, Process: process, Session: id, Fence: in.fence}
+							repeatCall(in, at, func(c *control.Client, ctx context.Context) { _ = c.ReleaseTerm(ctx, term) })
+							if err = c.ReleaseTerm(call, term); err == nil {
 								out.ok = true
 							}
 						default:
@@ -777,7 +793,7 @@
 						history = append(history, porcupine.Operation{ClientId: n, Input: in, Output: out, Call: int64(at), Return: ret})
 						kinds[fmt.Sprint(in.kind, out.ok)]++
 						if refused != nil && refused.Status == http.StatusNotFound {
-							sessionsOver++
+							endedSessions++
 						}
 						mu.Unlock()
 						time.Sleep(time.Duration(5+rng.IntN(10)) * time.Millisecond)
@@ -786,15 +802,15 @@
 			}
 			for range 4 {
 				time.Sleep(time.Duration(150+rng.IntN(300)) * time.Millisecond)
-				injectServerFault(t, f, rng)
+				injectServerFault(t, cluster, rng)
 			}
 			cancel()
 			clients.Wait()
 			if kinds["claimtrue"] < 10 || kinds["claimfalse"] < 10 || kinds["give uptrue"] < 5 || kinds["readtrue"] < 10 || kinds["again"] < 5 {
 				t.Errorf("too little was done to tell: %v", kinds)
 			}
-			if sessionsOver > 0 {
-				t.Errorf("%d calls were refused as their session was over, though it was renewed", sessionsOver)
+			if endedSessions > 0 {
+				t.Errorf("%d calls were refused as their session was over, though it was renewed", endedSessions)
 			}
 			sort.SliceStable(history, func(i, j int) bool { return history[i].Call < history[j].Call })
 			switch res, _ := porcupine.CheckOperationsVerbose(claimModel.ToModel(), history, waitTimeout); res {
--- a/cmd/controlplane/silent_test.go
+++ b/cmd/controlplane/unresponsive_test.go
@@ -51,29 +51,29 @@
 // a few at a time. All of them have to be settled by a quorum of the stewards all the same.
 func TestUnresponsiveZoneExpires(t *testing.T) {
 	const total, silent = 600, 120 // a fifth: the guard against mass failure holds at two fifths
-	f := newCluster(t, 3)
-	f.extraConfig = "heartbeat = \"300ms\"\nlease_ttl = \"3s\"\n"
-	for _, name := range f.names {
-		f.kill(name)
-		f.configure(name, f.names)
+	cluster := newCluster(t, 3)
+	cluster.extraConfig = "heartbeat = \"300ms\"\nlease_ttl = \"3s\"\n"
+	for _, name := range cluster.names {
+		cluster.kill(name)
+		cluster.configure(name, cluster.names)
 	}
-	for _, name := range f.names {
-		f.start(name)
+	for _, name := range cluster.names {
+		cluster.start(name)
 	}
-	f.waitForLeader()
-	stop := renewRepeatedly(f, total-silent)
+	cluster.waitForLeader()
+	stop := renewRepeatedly(cluster, total-silent)
 	defer stop()
 	dial := unresponsiveAddress(t)
-	registerAll(f, total, dial)
+	registerAll(cluster, total, dial)
 	listed := func() int {
-		status, err := f.status(f.waitForLeader())
+		status, err := cluster.status(cluster.waitForLeader())
 		if err != nil {
 			return -1
 		}
 		return status.Listed
 	}
 	began := time.Now()
-	f.waitUntil("the silent zone is off the list, and nobody else", func() bool { return listed() == total-silent })
+	cluster.waitUntil("the silent zone is off the list, and nobody else", func() bool { return listed() == total-silent })
 	t.Logf("%d silent servers of %d were off the list after %v", silent, total, time.Since(began).Round(100*time.Millisecond))
 	if n := listed(); n != total-silent {
 		t.Errorf("%d servers are listed, want %d", n, total-silent)
@@ -81,12 +81,12 @@
 }
 
 // renewRepeatedly renews the leases of the first servers until the returned function is called.
-func renewRepeatedly(f *testCluster, servers int) (stop func()) {
+func renewRepeatedly(cluster *testCluster, servers int) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		client := f.client(f.names...)
+		client := cluster.client(cluster.names...)
 		ticker := time.NewTicker(300 * time.Millisecond)
 		defer ticker.Stop()
 		for {
@@ -104,8 +104,8 @@
 }
 
 // registerAll registers servers at one address, several at a time.
-func registerAll(f *testCluster, servers int, dial string) {
-	f.t.Helper()
+func registerAll(cluster *testCluster, servers int, dial string) {
+	cluster.t.Helper()
 	const workers = 16
 	work := make(chan int)
 	failed := make(chan error, workers)
@@ -114,7 +114,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			client := f.client(f.names...)
+			client := cluster.client(cluster.names...)
 			for i := range work {
 				if err := registerAt(client.Register, fmt.Sprint("s-", i), dial); err != nil {
 					select {
@@ -132,7 +132,7 @@
 	all.Wait()
 	select {
 	case err := <-failed:
-		f.t.Fatal(err)
+		cluster.t.Fatal(err)
 	default:
 	}
 }
