--- a/cmd/controlplane/members.go
+++ b/cmd/controlplane/members.go
@@ -15,110 +15,172 @@
 	"knotrouter/internal/table"
 )
 
-func membersCommand(out io.Writer, client func() *control.Client) *cobra.Command {
-	var from string
-	var compare, all bool
-	cmd := &cobra.Command{Use: "members", Short: "Show who is present, and where views differ", Args: cobra.NoArgs,
+// viewTimeout is how long `members` waits for each server's view.
+const viewTimeout = 5 * time.Second
+
+// errNoView is the failure of `members` if no server that gossips answered.
+var errNoView = errors.New("no steward answers that gossips")
+
+// memberOptions is what `members` is to show.
+type memberOptions struct {
+	from    string // the server whose own observations are shown; empty: the combined view
+	compare bool   // where the servers' observations differ, in place of a view
+	all     bool   // each agent and server, not only their numbers
+}
+
+func newMembersCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
+	var options memberOptions
+	cmd := &cobra.Command{
+		Use:   "members",
+		Short: "Show who is present, and where views differ",
+		Args:  cobra.NoArgs,
 		Long: "members shows what the first steward of --at that answers knows: its own opinions and what others\n" +
 			"report. --from shows one process's own opinions only; --compare asks all of --at and shows where they\n" +
 			"differ, since when, and who is alone with its opinion.",
 		Example: "  controlplane members\n  controlplane members --from st-2 --at 127.0.0.1:8500,127.0.0.1:8510\n  controlplane members --compare --at 127.0.0.1:8500,127.0.0.1:8510,127.0.0.1:8520",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			views, silent := control.ReadMemberViews(cmd.Context(), client().Addrs, 5*time.Second)
-			if len(views) == 0 {
-				return errors.New("no steward answers that gossips")
-			}
-			for _, addr := range silent {
-				fmt.Fprintf(out, "%s: no answer\n", addr)
-			}
-			switch {
-			case compare:
-				return printDifferences(out, views)
-			case from != "":
-				i := slices.IndexFunc(views, func(v member.View) bool { return v.From == from })
-				if i < 0 {
-					return fmt.Errorf("--from: %s is none of the stewards that answer", from)
-				}
-				return printView(out, &views[i], true, all)
-			}
-			return printView(out, &views[0], false, all)
-		}}
-	cmd.Flags().StringVar(&from, "from", "", "the steward whose own opinions are shown")
-	cmd.Flags().BoolVar(&compare, "compare", false, "show where the stewards' opinions differ")
-	cmd.Flags().BoolVar(&all, "all", false, "show each agent and server, not only their numbers")
+			views, unanswered := control.ReadMemberViews(cmd.Context(), newClient().Addrs, viewTimeout)
+			return printMembers(out, views, unanswered, options)
+		},
+	}
+	cmd.Flags().StringVar(&options.from, "from", "", "the steward whose own opinions are shown")
+	cmd.Flags().BoolVar(&options.compare, "compare", false, "show where the stewards' opinions differ")
+	cmd.Flags().BoolVar(&options.all, "all", false, "show each agent and server, not only their numbers")
 	return cmd
 }
 
-func formatAge(ms int64) string {
-	return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond).String()
+// printMembers prints what the options ask for of the views that servers answered with, and first
+// the addresses that did not answer.
+func printMembers(out io.Writer, views []member.View, unanswered []string, options memberOptions) error {
+	if len(views) == 0 {
+		return errNoView
+	}
+	for _, addr := range unanswered {
+		fmt.Fprintf(out, "%s: no answer\n", addr)
+	}
+	switch {
+	case options.compare:
+		return printDifferences(out, views)
+	case options.from != "":
+		i := slices.IndexFunc(views, func(view member.View) bool { return view.From == options.from })
+		if i < 0 {
+			return fmt.Errorf("--from: %s is none of the stewards that answer", options.from)
+		}
+		return printOwnView(out, &views[i], options.all)
+	}
+	return printCombinedView(out, &views[0], options.all)
 }
 
-// printView shows one printView, or one process's own opinions.
-func printView(out io.Writer, v *member.View, own, all bool) error {
+// printCombinedView prints the state of each member by the observations of all servers, and who
+// observes what.
+func printCombinedView(out io.Writer, view *member.View, all bool) error {
 	var rows [][]string
-	count := map[string]int{}
-	for i := range v.Members {
-		e := &v.Members[i]
-		state, since := string(e.State), ""
-		var says []string
-		for _, o := range e.Observers {
-			if o.Observer == v.From {
-				since = formatAge(o.ForMs)
-				if own {
-					state = string(o.State)
-				}
-			}
-			says = append(says, fmt.Sprintf("%s: %s", o.Observer, o.State))
-		}
-		if own && since == "" {
+	counts := memberCounts{}
+	for i := range view.Members {
+		entry := &view.Members[i]
+		counts.add(entry.Role, entry.State)
+		if !isShown(entry.Role, entry.State, all) {
 			continue
 		}
-		count[fmt.Sprintf("%ss %s", e.Role, state)]++
-		if !e.Role.Gossips() && !all && state == string(member.Present) {
+		var observations []string
+		for _, o := range entry.Observers {
+			observations = append(observations, fmt.Sprintf("%s: %s", o.Observer, o.State))
+		}
+		rows = append(rows, memberRow(entry, entry.State, strings.Join(observations, ", ")))
+	}
+	return printMemberTable(out, view, "observers", rows, counts)
+}
+
+// printOwnView prints the members that the view's own server observes, each in the state that this
+// server has it in, and for how long.
+func printOwnView(out io.Writer, view *member.View, all bool) error {
+	var rows [][]string
+	counts := memberCounts{}
+	for i := range view.Members {
+		entry := &view.Members[i]
+		state, forMs, observed := observationBy(view.From, entry)
+		if !observed {
 			continue
 		}
-		row := []string{e.Name, string(e.Role), state, e.Zone, fmt.Sprint(e.Incarnation), e.ProgramVersion}
-		if own {
-			row = append(row, since)
-		} else {
-			row = append(row, strings.Join(says, ", "))
+		counts.add(entry.Role, state)
+		if isShown(entry.Role, state, all) {
+			rows = append(rows, memberRow(entry, state, formatAge(forMs)))
 		}
-		rows = append(rows, row)
-	}
-	last := "observers"
-	if own {
-		last = "for"
 	}
-	if err := table.Terminal(out, false, []string{"member", "role", "state", "zone", "life", "program", last}, rows); err != nil {
-		return err
+	return printMemberTable(out, view, "for", rows, counts)
+}
+
+// observationBy returns the state that an observer has a member in, and for how long.
+func observationBy(observer string, entry *member.Entry) (state member.State, forMs int64, observed bool) {
+	for _, o := range entry.Observers {
+		if o.Observer == observer {
+			state, forMs, observed = o.State, o.ForMs, true
+		}
 	}
+	return state, forMs, observed
+}
+
+// isShown reports whether a member gets a row: those that don't gossip are many, and present ones
+// among them are only counted unless all are asked for.
+func isShown(role member.Role, state member.State, all bool) bool {
+	return role.Gossips() || all || state != member.Present
+}
+
+func memberRow(entry *member.Entry, state member.State, last string) []string {
+	return []string{entry.Name, string(entry.Role), string(state), entry.Zone, fmt.Sprint(entry.Incarnation), entry.Program, last}
+}
+
+// memberCounts is how many members there are, by role and state as they are printed.
+type memberCounts map[string]int
+
+func (c memberCounts) add(role member.Role, state member.State) {
+	c[fmt.Sprintf("%ss %s", role, state)]++
+}
+
+func (c memberCounts) String() string {
 	var sums []string
-	for what, n := range count {
+	for what, n := range c {
 		sums = append(sums, fmt.Sprintf("%d %s", n, what))
 	}
 	slices.Sort(sums)
-	fmt.Fprintf(out, "by %s, version %d: %s\n", v.From, v.Version, strings.Join(sums, ", "))
+	return strings.Join(sums, ", ")
+}
+
+// printMemberTable prints a view's rows, whose last column depends on the kind of the view, and the
+// counts of all its members.
+func printMemberTable(out io.Writer, view *member.View, lastColumn string, rows [][]string, counts memberCounts) error {
+	columns := []string{"member", "role", "state", "zone", "life", "program", lastColumn}
+	if err := table.Terminal(out, false, columns, rows); err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "by %s, version %d: %s\n", view.From, view.Version, counts)
 	return nil
 }
 
+// printDifferences prints the members of which the servers' views differ.
 func printDifferences(out io.Writer, views []member.View) error {
-	diffs := member.CompareViews(views)
-	if len(diffs) == 0 {
+	differences := member.CompareViews(views)
+	if len(differences) == 0 {
 		fmt.Fprintf(out, "the %d stewards that answer are of one mind\n", len(views))
 		return nil
 	}
 	var rows [][]string
-	for i := range diffs {
-		d := &diffs[i]
-		var says []string
-		for who, what := range d.States {
-			says = append(says, who+": "+what)
+	for i := range differences {
+		difference := &differences[i]
+		var states []string
+		for observer, state := range difference.States {
+			states = append(states, observer+": "+state)
 		}
-		for _, who := range d.Absent {
-			says = append(says, who+": doesn't know it")
+		for _, observer := range difference.Absent {
+			states = append(states, observer+": doesn't know it")
 		}
-		slices.Sort(says)
-		rows = append(rows, []string{d.Name, string(d.Role), strings.Join(says, ", "), formatAge(d.ForMs), d.Dissenter})
+		slices.Sort(states)
+		rows = append(rows, []string{difference.Name, string(difference.Role), strings.Join(states, ", "), formatAge(difference.ForMs), difference.Dissenter})
 	}
 	return table.Terminal(out, false, []string{"member", "role", "opinions", "for", "alone"}, rows)
 }
+
+// formatAge formats milliseconds as a duration, to a tenth of a second.
+func formatAge(ms int64) string {
+	return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond).String()
+}
