--- a/cmd/controlplane/bench_test.go
+++ b/cmd/controlplane/bench_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"math/rand/v2"
 	"net/http"
-	"os"
 	"slices"
 	"strconv"
 	"strings"
@@ -18,35 +17,32 @@
 	"knotrouter/internal/endpoints"
 )
 
-// reportPercentiles gives the figures of some durations.
-func reportPercentiles(b *testing.B, what string, all []time.Duration) {
-	slices.Sort(all)
-	b.ReportMetric(float64(all[len(all)/2].Milliseconds()), what+"-p50-ms")
-	b.ReportMetric(float64(all[min(len(all)*99/100, len(all)-1)].Milliseconds()), what+"-p99-ms")
-	b.ReportMetric(float64(all[len(all)-1].Milliseconds()), what+"-max-ms")
+// reportPercentiles reports the median, the 99th percentile and the maximum of durations, in ms.
+func reportPercentiles(b *testing.B, what string, durations []time.Duration) {
+	b.Helper()
+	slices.Sort(durations)
+	last := len(durations) - 1
+	b.ReportMetric(float64(durations[len(durations)/2].Milliseconds()), what+"-p50-ms")
+	b.ReportMetric(float64(durations[min(len(durations)*99/100, last)].Milliseconds()), what+"-p99-ms")
+	b.ReportMetric(float64(durations[last].Milliseconds()), what+"-max-ms")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkLeaderFailover kills the leader and measures the time to the first write that is
-// acknowledged after it, at the settings that stewards have by default.
+// BenchmarkLeaderFailover kills the leader and measures the time to the next acknowledged write, at the
+// default settings of servers.
 func BenchmarkLeaderFailover(b *testing.B) {
+	const callTimeout = 300 * time.Millisecond
 	cluster := newCluster(b, 3)
-	for _, name := range cluster.names {
-		cluster.kill(name)
-	}
 	cluster.extraConfig = ""
-	for _, name := range cluster.names {
-		cluster.configure(name, cluster.names)
-		cluster.start(name)
-	}
+	cluster.restartAll(nil)
 	var gaps []time.Duration
 	for i := range b.N {
 		oldLeader := cluster.waitForLeader()
-		others := control.NewClient(cluster.client(cluster.others(oldLeader)...).Addrs, 300*time.Millisecond)
+		others := control.NewClient(cluster.client(cluster.others(oldLeader)...).Addrs, callTimeout)
 		cluster.kill(oldLeader)
 		began := time.Now()
 		for {
-			ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
+			ctx, cancel := context.WithTimeout(b.Context(), callTimeout)
 			_, err := others.Register(ctx, newEndpoint("s", float64(i+1)))
 			cancel()
 			if err == nil {
@@ -56,7 +52,7 @@
 		}
 		gaps = append(gaps, time.Since(began))
 		cluster.start(oldLeader)
-		cluster.waitUntil("all three are well", func() bool {
+		cluster.waitUntil("the former leader has caught up", func() bool {
 			status, err := cluster.status(oldLeader)
 			leader, leaderErr := cluster.status(cluster.waitForLeader())
 			return err == nil && leaderErr == nil && status.Seq == leader.Seq
@@ -65,13 +61,13 @@
 	reportPercentiles(b, "gap", gaps)
 }
 
-// usage is the processor time and the memory that a steward tells of itself.
+// usage returns the processor time and the memory that a server has used.
 func (cluster *testCluster) usage(name string) (cpu time.Duration, rssMB float64) {
 	use, _, _ := cluster.servers[name].proc.Look()
 	return use.CPU, use.RSSMB
 }
 
-// countingTransport counts the calls that go out.
+// countingTransport counts the calls that it makes.
 type countingTransport struct {
 	http.RoundTripper
 	calls *atomic.Int64
@@ -82,9 +78,75 @@
 	return c.RoundTripper.RoundTrip(r)
 }
 
-// BenchmarkWatches opens many watches in one second's time at three stewards and measures
-// the time to the last first line; then it makes twenty changes a second for five seconds
-// and measures what a steward uses.
+// watchLoad is many watches, as agents have them.
+type watchLoad struct {
+	cluster *testCluster
+	began   time.Time
+	calls   atomic.Int64
+	stop    context.CancelFunc
+	done    sync.WaitGroup
+
+	mu         sync.Mutex
+	firstLists []time.Duration // of each watch, since the start of all
+	lists      int             // that all watches have received
+	haveMarker int             // watches that have received the server named marker
+}
+
+// watchLoadMarker is a server whose arrival at each watch a watchLoad counts.
+const watchLoadMarker = "back"
+
+func (cluster *testCluster) startWatchLoad(n int) *watchLoad {
+	ctx, cancel := context.WithCancel(cluster.t.Context())
+	load := &watchLoad{cluster: cluster, began: time.Now(), stop: cancel}
+	for i := range n {
+		load.done.Go(func() { load.watch(ctx, i, n) })
+	}
+	return load
+}
+
+// watch makes the calls of one watch until the context ends, with pauses between as an agent makes.
+func (load *watchLoad) watch(ctx context.Context, number, n int) {
+	hasList, hasMarker := false, false
+	var version int64
+	client := endpoints.NewClient(endpoints.ClientConfig{
+		Addresses:   load.cluster.client(load.cluster.names...).Addrs,
+		Order:       uint64(number),
+		Fleet:       n,
+		RejectOlder: true,
+		Transport:   countingTransport{&http.Transport{DisableKeepAlives: true}, &load.calls},
+	})
+	for ctx.Err() == nil {
+		_ = client.Watch(ctx, version, func(list endpoints.List) {
+			version = list.Seq
+			load.mu.Lock()
+			defer load.mu.Unlock()
+			if !hasMarker && slices.ContainsFunc(list.Endpoints, func(e endpoints.Endpoint) bool { return e.Name == watchLoadMarker }) {
+				hasMarker = true
+				load.haveMarker++
+			}
+			load.lists++
+			if !hasList {
+				hasList = true
+				load.firstLists = append(load.firstLists, time.Since(load.began))
+			}
+		})
+		time.Sleep(time.Duration(500+(number*37)%500) * time.Millisecond)
+	}
+}
+
+// waitUntil waits until a condition on the counts holds.
+func (load *watchLoad) waitUntil(what string, condition func() bool) {
+	load.cluster.t.Helper()
+	load.cluster.waitUntil(what, func() bool {
+		load.mu.Lock()
+		defer load.mu.Unlock()
+		return condition()
+	})
+}
+
+// BenchmarkWatches opens many watches at three servers and measures the time to the first list of the
+// last. Then it makes twenty changes a second for five seconds and measures what the leader uses. Last it
+// kills all servers, starts them, and measures the time until all watches are back.
 func BenchmarkWatches(b *testing.B) {
 	for _, n := range []int{100, 300, 1000, 2000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -93,132 +155,121 @@
 				cluster.register(fmt.Sprint("s-", i), 1)
 			}
 			for range b.N {
-				ctx, cancel := context.WithCancel(context.Background())
-				var mu sync.Mutex
-				var firsts []time.Duration
-				var got, backAgain int
-				var calls atomic.Int64
-				began := time.Now()
-				var all sync.WaitGroup
-				for i := range n {
-					all.Add(1)
-					go func() {
-						defer all.Done()
-						first, back := true, false
-						var seq int64
-						c := endpoints.NewClient(endpoints.ClientConfig{Addresses: cluster.client(cluster.names...).Addrs, Order: uint64(i),
-							Fleet: n, RejectOlder: true, Transport: countingTransport{&http.Transport{DisableKeepAlives: true}, &calls}})
-						for ctx.Err() == nil { // each round is one that the policy of an agent begins
-							_ = c.Watch(ctx, seq, func(l endpoints.List) {
-								seq = l.Seq
-								mu.Lock()
-								defer mu.Unlock()
-								if !back && slices.ContainsFunc(l.Endpoints, func(h endpoints.Endpoint) bool { return h.Name == "back" }) {
-									back = true
-									backAgain++
-								}
-								if got++; first {
-									first, firsts = false, append(firsts, time.Since(began))
-								}
-							})
-							time.Sleep(time.Duration(500+(i*37)%500) * time.Millisecond)
-						}
-					}()
-				}
-				cluster.waitUntil("all are served", func() bool { mu.Lock(); defer mu.Unlock(); return len(firsts) == n })
-				mu.Lock()
-				reportPercentiles(b, "first", slices.Clone(firsts))
-				b.ReportMetric(float64(calls.Load())/float64(n), "calls/watch")
-				before := got
-				mu.Unlock()
-				lead := cluster.waitForLeader()
-				from, _ := cluster.usage(lead)
-				const changes, every = 100, 50 * time.Millisecond
-				for i := range changes {
-					next := time.Now().Add(every)
-					cluster.register(fmt.Sprint("s-", i%200), float64(i+2), lead)
-					time.Sleep(time.Until(next))
-				}
-				cluster.waitUntil("all were told of the last", func() bool { mu.Lock(); defer mu.Unlock(); return got >= before+n*changes*9/10 })
-				to, rss := cluster.usage(lead)
-				b.ReportMetric(float64(to-from)/float64(changes*every), "cores-of-the-leader")
-				b.ReportMetric(rss, "MB-of-the-leader")
-				// All stewards end and start at once: each reader has to come back, by itself.
-				made := calls.Load()
-				for _, name := range cluster.names {
-					cluster.kill(name)
-				}
-				died := time.Now()
-				for _, name := range cluster.names {
-					cluster.start(name)
-				}
-				cluster.register("back", 1)
-				cluster.waitUntil("all are back", func() bool { mu.Lock(); defer mu.Unlock(); return backAgain == n })
-				b.ReportMetric(time.Since(died).Seconds(), "s-until-all-are-back")
-				b.ReportMetric(float64(calls.Load()-made)/float64(n), "calls/watch-to-come-back")
-				cancel()
-				all.Wait()
+				load := cluster.startWatchLoad(n)
+				load.waitUntil("all watches have a list", func() bool { return len(load.firstLists) == n })
+				load.mu.Lock()
+				reportPercentiles(b, "first", slices.Clone(load.firstLists))
+				load.mu.Unlock()
+				b.ReportMetric(float64(load.calls.Load())/float64(n), "calls/watch")
+				reportChanges(b, load, n)
+				reportReturn(b, load, n)
+				load.stop()
+				load.done.Wait()
+			}
+		})
+	}
+}
+
+// reportChanges makes changes at the leader and reports what it uses.
+func reportChanges(b *testing.B, load *watchLoad, n int) {
+	b.Helper()
+	const changes, interval = 100, 50 * time.Millisecond
+	cluster := load.cluster
+	load.mu.Lock()
+	before := load.lists
+	load.mu.Unlock()
+	leader := cluster.waitForLeader()
+	cpuBefore, _ := cluster.usage(leader)
+	for i := range changes {
+		next := time.Now().Add(interval)
+		cluster.register(fmt.Sprint("s-", i%200), float64(i+2), leader)
+		time.Sleep(time.Until(next))
+	}
+	load.waitUntil("the watches have received nine tenths of the changes", func() bool { return load.lists >= before+n*changes*9/10 })
+	cpuAfter, rss := cluster.usage(leader)
+	b.ReportMetric(float64(cpuAfter-cpuBefore)/float64(changes*interval), "cores-of-the-leader")
+	b.ReportMetric(rss, "MB-of-the-leader")
+}
+
+// reportReturn kills and starts all servers at once and reports how the watches come back.
+func reportReturn(b *testing.B, load *watchLoad, n int) {
+	b.Helper()
+	cluster := load.cluster
+	callsBefore := load.calls.Load()
+	for _, name := range cluster.names {
+		cluster.kill(name)
+	}
+	killed := time.Now()
+	for _, name := range cluster.names {
+		cluster.start(name)
+	}
+	cluster.register(watchLoadMarker, 1)
+	load.waitUntil("all watches are back", func() bool { return load.haveMarker == n })
+	b.ReportMetric(time.Since(killed).Seconds(), "s-until-all-are-back")
+	b.ReportMetric(float64(load.calls.Load()-callsBefore)/float64(n), "calls/watch-to-come-back")
+}
+
+// inParallel calls do with 0 to n-1, in 16 goroutines.
+func inParallel(n int, do func(i int)) {
+	const workers = 16
+	var working sync.WaitGroup
+	for part := range workers {
+		working.Go(func() {
+			for i := part; i < n; i += workers {
+				do(i)
 			}
 		})
 	}
+	working.Wait()
 }
 
-// BenchmarkRestart restarts a steward that holds ten thousand entries, and measures the
-// time until it serves all of them.
+// BenchmarkRestart restarts a server with ten thousand entries and measures the time until it serves all
+// of them.
 func BenchmarkRestart(b *testing.B) {
+	const entries = 10_000
 	cluster := newCluster(b, 1)
 	name := cluster.names[0]
-	var writers sync.WaitGroup
-	for part := range 16 {
-		writers.Add(1)
-		go func() {
-			defer writers.Done()
-			for i := part; i < 10_000; i += 16 {
-				cluster.register(fmt.Sprint("s-", i), 1)
-			}
-		}()
-	}
-	writers.Wait()
+	inParallel(entries, func(i int) { cluster.register(fmt.Sprint("s-", i), 1) })
 	var took []time.Duration
 	for range b.N {
 		cluster.kill(name)
 		cluster.start(name)
 		began := time.Now()
-		cluster.waitUntil("all are served", func() bool {
+		cluster.waitUntil("all entries are served", func() bool {
 			resp, err := http.Get("http://" + cluster.servers[name].http + endpoints.Path)
 			if err != nil {
 				return false
 			}
 			defer resp.Body.Close()
 			status, err := cluster.status(name)
-			return resp.StatusCode == http.StatusOK && err == nil && status.Listed == 10_000
+			return resp.StatusCode == http.StatusOK && err == nil && status.Listed == entries
 		})
 		took = append(took, time.Since(began))
 	}
 	reportPercentiles(b, "ready", took)
-	if text, err := os.ReadFile(cluster.servers[name].proc.Log); err == nil && strings.Contains(string(text), "ERROR") {
-		b.Errorf("it complains: %s", text[max(0, len(text)-500):])
+	if log := processLog(cluster.servers[name].proc); strings.Contains(log, "ERROR") {
+		b.Errorf("the server logged an error: %s", tail(log, 500))
 	}
 }
 
-// BenchmarkTaskHandover kills the holder of a duty with a lease of 3 s again and again, and
-// measures the time until another acts under it; then it moves it as planned, and measures
-// the gap between the two holders' acts.
+// BenchmarkTaskHandover kills the holder of a task with a TTL of 3 s again and again, and measures the
+// time until another acts under it. Then it moves the task as planned, and measures the gap between the
+// two holders' operations.
 func BenchmarkTaskHandover(b *testing.B) {
+	const kills, moves = 100, 100
 	cluster := newCluster(b, 3)
 	workers := cluster.startWorkers(6, 10)
-	const kills, moves = 100, 100
 	workers.defineTask("work.a", 3*time.Second)
 	operation := workers.waitForOperation("work.a", "", 0)
 	var took []time.Duration
 	for range kills {
 		workers.kill(operation.Process)
-		died := workers.operations.Last("work.a").Mono
+		last := workers.operations.Last("work.a").Mono
 		next := workers.waitForOperation("work.a", operation.Process, 0)
-		took = append(took, next.Mono-died)
+		took = append(took, next.Mono-last)
 		workers.start(operation.Process)
 		operation = next
-		time.Sleep(2500 * time.Millisecond) // or its next end would be blamed on the duty
+		time.Sleep(stableTerm) // or the next end would be blamed on the task
 	}
 	reportPercentiles(b, "after-kill", took)
 	before := len(workers.operations.Judge().Gaps)
@@ -230,76 +281,74 @@
 	result := workers.operations.Judge()
 	reportPercentiles(b, "planned-gap", result.Gaps[before:])
 	if len(result.Broke) > 0 {
-		b.Errorf("%d overlaps: %s", len(result.Broke), result.Broke[0])
+		b.Errorf("%d overlaps of terms: %s", len(result.Broke), result.Broke[0])
 	}
 }
 
-// BenchmarkLeasedTasks defines many duties for nine processes and measures, once all are held,
-// what the leader writes and uses while nothing happens, and how long it takes until all
-// are held again after a death.
+// BenchmarkLeasedTasks defines many tasks for nine processes and measures, once all are held, what the
+// leader writes and uses at rest, and how long it takes until all are held again after a kill.
 func BenchmarkLeasedTasks(b *testing.B) {
+	const (
+		balancing = 15 * time.Second // the tasks are spread evenly afterwards
+		rest      = 10 * time.Second
+	)
 	for _, n := range []int{1000, 5000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			cluster := newCluster(b, 3)
 			workers := cluster.startWorkers(9, 2000)
-			var all sync.WaitGroup
-			for part := range 16 {
-				all.Add(1)
-				go func() {
-					defer all.Done()
-					for i := part; i < n; i += 16 {
-						workers.defineTask(fmt.Sprint("idle.", i), 3*time.Second)
-					}
-				}()
-			}
-			all.Wait()
-			free := func() int {
-				ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-				defer cancel()
-				ds, err := cluster.client(cluster.waitForLeader()).Tasks(ctx)
-				if err != nil {
-					return n
-				}
-				count := 0
-				for i := range ds {
-					if ds[i].Holder == "" {
-						count++
-					}
-				}
-				return count
-			}
-			cluster.waitUntil("all are held", func() bool { return free() == 0 })
-			time.Sleep(15 * time.Second) // evened out
-			lead := cluster.waitForLeader()
-			status, _ := cluster.status(lead)
-			cpu, _ := cluster.usage(lead)
-			const rest = 10 * time.Second
+			inParallel(n, func(i int) { workers.defineTask(fmt.Sprint("idle.", i), 3*time.Second) })
+			free := func() int { return countFreeTasks(cluster, n) }
+			cluster.waitUntil("all tasks are held", func() bool { return free() == 0 })
+			time.Sleep(balancing)
+			leader := cluster.waitForLeader()
+			before, _ := cluster.status(leader)
+			cpuBefore, _ := cluster.usage(leader)
 			time.Sleep(rest)
-			after, _ := cluster.status(lead)
-			to, rss := cluster.usage(lead)
-			b.ReportMetric(float64(after.Applied-status.Applied)/rest.Seconds(), "log-entries/s")
-			b.ReportMetric(float64(to-cpu)/float64(rest), "cores-of-the-leader")
+			after, _ := cluster.status(leader)
+			cpuAfter, rss := cluster.usage(leader)
+			b.ReportMetric(float64(after.Applied-before.Applied)/rest.Seconds(), "log-entries/s")
+			b.ReportMetric(float64(cpuAfter-cpuBefore)/float64(rest), "cores-of-the-leader")
 			b.ReportMetric(rss, "MB-of-the-leader")
 			began := time.Now()
 			workers.kill("w-1")
-			cluster.waitUntil("its duties are free", func() bool { return free() > 0 })
-			cluster.waitUntil("all are held again", func() bool { return free() == 0 })
+			cluster.waitUntil("the killed process's tasks are free", func() bool { return free() > 0 })
+			cluster.waitUntil("all tasks are held again", func() bool { return free() == 0 })
 			b.ReportMetric(time.Since(began).Seconds(), "s-until-all-are-held")
 		})
 	}
 }
 
-// BenchmarkTimeWithoutHolder plays a fault every ten seconds for ten minutes, at a lease of 3 s, and
-// measures for what share of the time a duty had nobody who acted.
+// countFreeTasks returns how many tasks nobody holds, n if the leader doesn't answer.
+func countFreeTasks(cluster *testCluster, n int) (free int) {
+	ctx, cancel := context.WithTimeout(cluster.t.Context(), readTimeout)
+	defer cancel()
+	tasks, err := cluster.client(cluster.waitForLeader()).Tasks(ctx)
+	if err != nil {
+		return n
+	}
+	for i := range tasks {
+		if tasks[i].Holder == "" {
+			free++
+		}
+	}
+	return free
+}
+
+// BenchmarkTimeWithoutHolder injects a fault every ten seconds for ten minutes, at a TTL of 3 s, and
+// measures for what share of the time a task had no holder that acted.
 func BenchmarkTimeWithoutHolder(b *testing.B) {
+	const (
+		duration = 10 * time.Minute
+		interval = 10 * time.Second
+	)
 	cluster := newCluster(b, 3)
 	workers := cluster.startWorkers(4, 10, 0.95, 1, 1.05)
-	for i := range 4 {
-		workers.defineTask(fmt.Sprint("work.", i), 3*time.Second)
+	for i := range scheduledTasks {
+		workers.defineTask(scheduledTask(i), 3*time.Second)
 	}
 	rng := rand.New(rand.NewPCG(77, 1))
-	for end := time.Now().Add(10 * time.Minute); time.Now().Before(end); {
-		next := time.Now().Add(10 * time.Second)
+	for end := time.Now().Add(duration); time.Now().Before(end); {
+		next := time.Now().Add(interval)
 		workers.injectFault(rng)
 		time.Sleep(time.Until(next))
 	}
@@ -309,6 +358,6 @@
 	b.ReportMetric(float64(result.Refused), "acts-refused")
 	b.ReportMetric(0, "ns/op")
 	if len(result.Broke) > 0 {
-		b.Errorf("%d overlaps: %s", len(result.Broke), result.Broke[0])
+		b.Errorf("%d overlaps of terms: %s", len(result.Broke), result.Broke[0])
 	}
 }
--- a/cmd/controlplane/cli_test.go
+++ b/cmd/controlplane/cli_test.go
@@ -12,7 +12,7 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// TestCommandLineKeepsCommandsAndFlags holds each command with its arguments and flags, under its
+// TestCommandLineKeepsCommandsAndFlags requires each command with its arguments and flags, under its
 // name or an alias. Others may come beside them: the golden file has what scripts and operators use.
 func TestCommandLineKeepsCommandsAndFlags(t *testing.T) {
 	var got []string
@@ -28,7 +28,7 @@
 			}
 		}
 	}
-	// The program's own name is not held: it is called by the path to its file.
+	// The program's own name is not checked: it is called by the path to its file.
 	root := newRootCommand(io.Discard)
 	for _, c := range root.Commands() {
 		walk("PROGRAM", c)
--- a/cmd/controlplane/failuredetection_test.go
+++ b/cmd/controlplane/failuredetection_test.go
@@ -1,15 +1,9 @@
 package main
 
 import (
-	"context"
-	"encoding/json"
 	"fmt"
-	"log/slog"
 	"math/rand/v2"
 	"os"
-	"os/signal"
-	"path/filepath"
-	"regexp"
 	"slices"
 	"strconv"
 	"sync"
@@ -17,246 +11,42 @@
 	"testing"
 	"time"
 
-	"knotrouter/internal/gossip"
-	"knotrouter/internal/lab/link"
-	"knotrouter/internal/lab/loopback"
-	"knotrouter/internal/lab/process"
 	"knotrouter/internal/member"
 )
 
-// memberMain is a process that gossips and does nothing else. Its log tells what it notices.
-func memberMain() {
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
-	defer stop()
-	var peers map[string]string
-	text, err := os.ReadFile(os.Getenv("MEMBER_PEERS"))
-	if err == nil {
-		err = json.Unmarshal(text, &peers)
-	}
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	if err != nil {
-		log.Error("peers", "err", err)
-		os.Exit(1)
-	}
-	self := member.Info{ProtocolVersion: member.ProtocolVersion, Name: os.Getenv("MEMBER_NAME"), Role: member.Role(os.Getenv("MEMBER_ROLE"))}
-	self.Incarnation, _ = strconv.ParseInt(os.Getenv("MEMBER_LIFE"), 10, 64)
-	n, err := gossip.Start(gossip.Config{Self: self, Listen: os.Getenv("MEMBER_LISTEN"), Log: log, Tracker: member.Defaults(self),
-		Peers: func() map[string]string { return peers },
-		OnChange: func(changes []member.Change) {
-			for _, c := range changes {
-				log.Info("member", "name", c.Name, "to", c.To)
-			}
-		}})
-	if err != nil {
-		log.Error("gossip", "err", err)
-		os.Exit(1)
-	}
-	dumpCounts := make(chan os.Signal, 1)
-	signal.Notify(dumpCounts, syscall.SIGHUP)
-	for ctx.Err() == nil {
-		select {
-		case <-dumpCounts:
-			log.Info("counts", "sent", n.Counts().Sent)
-		case <-ctx.Done():
-		}
-	}
-	n.Close()
-}
-
-var sentCountPattern = regexp.MustCompile(`(?m)msg=counts sent=(\d+)$`)
-
-// bytesSent is what all of them have sent.
-func (group *gossipGroup) bytesSent() (sum int64) {
-	for _, name := range group.names {
-		p := group.processes[name]
-		before, _ := os.ReadFile(p.Log)
-		if err := p.Signal(syscall.SIGHUP); err != nil {
-			group.tb.Fatal(err)
-		}
-		for end := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
-			text, _ := os.ReadFile(p.Log)
-			if m := sentCountPattern.FindSubmatch(text[len(before):]); m != nil {
-				x, _ := strconv.ParseInt(string(m[1]), 10, 64)
-				sum += x
-				break
-			}
-			if time.Now().After(end) {
-				group.tb.Fatalf("%s tells no counts", name)
-			}
-		}
-	}
-	return sum
-}
-
-// gossipGroup is processes that gossip, five of them observers.
-type gossipGroup struct {
-	tb           testing.TB
-	names        []string
-	processes    map[string]*process.Process
-	incarnations map[string]int64
-	links        []*link.UDP
-}
-
-func newGossipGroup(tb testing.TB, n int, loss float64) *gossipGroup {
-	addrs, err := loopback.Claim()
-	if err != nil {
-		tb.Fatal(err)
-	}
-	dir := tb.TempDir()
-	group := &gossipGroup{tb: tb, processes: map[string]*process.Process{}, incarnations: map[string]int64{}}
-	supervisor := process.New(nil)
-	tb.Cleanup(func() {
-		supervisor.Close()
-		for _, l := range group.links {
-			l.Close()
-		}
-		addrs.Close()
-	})
-	at := map[string]string{}
-	for i := range n {
-		name := fmt.Sprintf("m-%03d", i)
-		if at[name], err = addrs.FreePort(); err != nil {
-			tb.Fatal(err)
-		}
-		group.names = append(group.names, name)
-	}
-	exe, err := os.Executable()
-	if err != nil {
-		tb.Fatal(err)
-	}
-	peers := map[string]string{}
-	for i, name := range group.names {
-		peers[name] = at[name]
-		if loss > 0 { // what comes to it over datagrams; streams come as they are
-			ip := fmt.Sprintf("%s:0", addrs.IP())
-			tcp, err := link.New(ip, at[name], 1)
-			if err != nil {
-				tb.Fatal(err)
-			}
-			u, err := link.NewUDP(tcp.Addr(), at[name], uint64(i))
-			if err != nil {
-				tb.Fatal(err)
-			}
-			u.Set(link.Shape{Loss: loss, Jitter: 20 * time.Millisecond}, link.Shape{})
-			tb.Cleanup(tcp.Close)
-			group.links = append(group.links, u)
-			peers[name] = tcp.Addr()
-		}
-	}
-	text, _ := json.Marshal(peers)
-	file := filepath.Join(dir, "peers.json")
-	if err := os.WriteFile(file, text, 0o600); err != nil {
-		tb.Fatal(err)
-	}
-	for i, name := range group.names {
-		role := member.RoleWorker
-		if i < 5 {
-			role = member.RoleControlPlane
-		}
-		group.processes[name] = supervisor.Add(process.Spec{Name: name, Path: exe, Log: filepath.Join(dir, name+".log"), Env: []string{"MEMBER_CHILD=1", "MEMBER_NAME=" + name,
-			"MEMBER_ROLE=" + string(role), "MEMBER_LISTEN=" + at[name], "MEMBER_PEERS=" + file}})
-		group.start(name)
-	}
-	return group
-}
-
-func (group *gossipGroup) start(name string) {
-	group.incarnations[name]++
-	p := group.processes[name]
-	p.Env = append(p.Env[:5:5], fmt.Sprint("MEMBER_LIFE=", group.incarnations[name]))
-	if err := p.Start(); err != nil {
-		group.tb.Fatal(err)
-	}
-}
-
-var stateChangePattern = regexp.MustCompile(`(?m)^time=(\S+) level=INFO msg=member name=(\S+) to=(\S+)$`)
+const (
+	// gossipSettleTime is how long a gossipGroup gets to start before a benchmark measures.
+	gossipSettleTime = 8 * time.Second
+	// detectionWindow is how long after a kill its detection counts, and when the process starts again.
+	detectionWindow = 6 * time.Second
+)
 
-// stateTimes tells, by observer, at which times it came to have a member in a state.
-func (group *gossipGroup) stateTimes(state member.State) map[string]map[string][]time.Time {
-	out := map[string]map[string][]time.Time{}
-	for _, o := range group.names {
-		text, err := os.ReadFile(group.processes[o].Log)
-		if err != nil {
-			group.tb.Fatal(err)
-		}
-		for _, m := range stateChangePattern.FindAllSubmatch(text, -1) {
-			if at, err := time.Parse(time.RFC3339Nano, string(m[1])); err == nil && string(m[3]) == string(state) {
-				if out[o] == nil {
-					out[o] = map[string][]time.Time{}
-				}
-				out[o][string(m[2])] = append(out[o][string(m[2])], at)
-			}
-		}
-	}
-	return out
+// gossipKill is the kill of a process.
+type gossipKill struct {
+	name string
+	at   time.Time
 }
 
-// BenchmarkFailureDetection kills members that gossip, one each second, and measures by their logs when
-// the first and the last of the others have each as failed; and what a process uses at rest.
+// BenchmarkFailureDetection kills processes that gossip, one after the other, and measures by their logs
+// when the first and the last of the others have each as failed. It also measures what a process uses at
+// rest.
 func BenchmarkFailureDetection(b *testing.B) {
 	for _, n := range []int{5, 20, 50, 100} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			group := newGossipGroup(b, n, 0)
-			time.Sleep(8 * time.Second)
-			sum := func() (cpu time.Duration) {
-				for _, p := range group.processes {
-					use, _, _ := p.Look()
-					cpu += use.CPU
-				}
-				return cpu
-			}
-			before, from, began := sum(), group.bytesSent(), time.Now()
-			time.Sleep(10 * time.Second)
-			b.ReportMetric(float64(group.bytesSent()-from)/float64(n)/time.Since(began).Seconds(), "bytes/s/process")
-			b.ReportMetric(float64(sum()-before)/float64(n)/float64(10*time.Second)*1000, "millicores/process")
-			kills := map[string]time.Time{}
-			type end struct {
-				name string
-				at   time.Time
-			}
-			var ends []end
-			var back sync.WaitGroup
-			rng := rand.New(rand.NewPCG(9, uint64(n)))
-			var mu sync.Mutex
-			for range 100 {
-				mu.Lock()
-				name := group.names[rng.IntN(n)]
-				for !kills[name].IsZero() {
-					name = group.names[rng.IntN(n)]
-				}
-				kills[name] = time.Now()
-				mu.Unlock()
-				group.processes[name].Kill()
-				ends = append(ends, end{name, kills[name]})
-				back.Add(1)
-				go func() {
-					defer back.Done()
-					time.Sleep(6 * time.Second)
-					mu.Lock()
-					defer mu.Unlock()
-					group.start(name)
-					time.AfterFunc(4*time.Second, func() { mu.Lock(); delete(kills, name); mu.Unlock() })
-				}()
-				time.Sleep(time.Duration(max(1000, 24000/n)) * time.Millisecond)
-			}
-			back.Wait()
+			time.Sleep(gossipSettleTime)
+			reportRestUsage(b, group)
+			kills := killAndRestart(group, 100)
 			failed := group.stateTimes(member.Failed)
 			var first, spread []time.Duration
 			missed := 0
-			for _, e := range ends {
-				lo, hi := time.Duration(1<<62), time.Duration(0)
-				for _, o := range group.names {
-					for _, at := range failed[o][e.name] {
-						if d := at.Sub(e.at); d > 0 && d < 6*time.Second {
-							lo, hi = min(lo, d), max(hi, d)
-						}
-					}
-				}
-				if hi == 0 {
+			for _, kill := range kills {
+				earliest, latest := detectionTimes(failed, kill)
+				if latest == 0 {
 					missed++
 					continue
 				}
-				first, spread = append(first, lo), append(spread, hi-lo)
+				first, spread = append(first, earliest), append(spread, latest-earliest)
 			}
 			reportPercentiles(b, "first", first)
 			reportPercentiles(b, "spread", spread)
@@ -265,103 +55,156 @@
 	}
 }
 
+// reportRestUsage reports what each process sends and uses while nothing happens.
+func reportRestUsage(b *testing.B, group *gossipGroup) {
+	b.Helper()
+	const rest = 10 * time.Second
+	totalCPU := func() (cpu time.Duration) {
+		for _, p := range group.processes {
+			use, _, _ := p.Look()
+			cpu += use.CPU
+		}
+		return cpu
+	}
+	n := float64(len(group.names))
+	cpuBefore, bytesBefore, began := totalCPU(), group.bytesSent(), time.Now()
+	time.Sleep(rest)
+	b.ReportMetric(float64(group.bytesSent()-bytesBefore)/n/time.Since(began).Seconds(), "bytes/s/process")
+	b.ReportMetric(float64(totalCPU()-cpuBefore)/n/float64(rest)*1000, "millicores/process")
+}
+
+// killAndRestart kills random processes, each of which starts again after detectionWindow and is not
+// killed for some time then.
+func killAndRestart(group *gossipGroup, count int) (kills []gossipKill) {
+	n := len(group.names)
+	var restarting sync.WaitGroup
+	rng := rand.New(rand.NewPCG(9, uint64(n)))
+	var mu sync.Mutex
+	recent := map[string]bool{} // killed a short time ago
+	for range count {
+		mu.Lock()
+		name := group.names[rng.IntN(n)]
+		for recent[name] {
+			name = group.names[rng.IntN(n)]
+		}
+		recent[name] = true
+		kill := gossipKill{name, time.Now()}
+		mu.Unlock()
+		group.processes[name].Kill()
+		kills = append(kills, kill)
+		restarting.Go(func() {
+			time.Sleep(detectionWindow)
+			mu.Lock()
+			defer mu.Unlock()
+			group.start(name)
+			time.AfterFunc(4*time.Second, func() { mu.Lock(); delete(recent, name); mu.Unlock() })
+		})
+		time.Sleep(time.Duration(max(1000, 24000/n)) * time.Millisecond)
+	}
+	restarting.Wait()
+	return kills
+}
+
+// detectionTimes returns how long after a kill the first and the last observer had the process as failed,
+// or zero for the last if none had.
+func detectionTimes(failed map[string]map[string][]time.Time, kill gossipKill) (earliest, latest time.Duration) {
+	earliest = detectionWindow
+	for _, byMember := range failed {
+		for _, at := range byMember[kill.name] {
+			if took := at.Sub(kill.at); took > 0 && took < detectionWindow {
+				earliest, latest = min(earliest, took), max(latest, took)
+			}
+		}
+	}
+	return earliest, latest
+}
+
 // BenchmarkFalseFailures has fifty members gossip over a network that loses a fifth of the datagrams,
-// a random one of them standing still for up to 5 s now and then, and counts for how many of
-// a member's hours another that was there was taken for failed or suspected. WRONG_FOR is how
-// long it goes on.
+// while random ones stand still for up to 5 s. It counts how often an observer had a running member as
+// failed. WRONG_FOR is the duration.
 func BenchmarkFalseFailures(b *testing.B) {
+	const n = 50
 	duration, err := time.ParseDuration(os.Getenv("WRONG_FOR"))
 	if err != nil {
 		duration = 2 * time.Minute
 	}
-	group := newGossipGroup(b, 50, 0.2)
-	time.Sleep(8 * time.Second)
-	base := 0
-	count := func() (n int) {
-		for _, by := range group.stateTimes(member.Failed) {
-			for _, at := range by {
-				n += len(at)
+	group := newGossipGroup(b, n, 0.2)
+	time.Sleep(gossipSettleTime)
+	failures := func() (count int) {
+		for _, byMember := range group.stateTimes(member.Failed) {
+			for _, times := range byMember {
+				count += len(times)
 			}
 		}
-		return n
+		return count
 	}
-	base = count()
+	before := failures()
 	rng := rand.New(rand.NewPCG(10, 1))
-	stops := 0
-	for end := time.Now().Add(duration); time.Now().Before(end); stops++ {
-		p := group.processes[group.names[rng.IntN(50)]]
-		if err := p.Signal(syscall.SIGSTOP); err != nil {
-			b.Fatal(err)
-		}
+	pauses := 0
+	for end := time.Now().Add(duration); time.Now().Before(end); pauses++ {
+		p := group.processes[group.names[rng.IntN(n)]]
+		signalProcess(b, p, syscall.SIGSTOP)
 		time.Sleep(time.Duration(rng.IntN(5000)) * time.Millisecond)
-		if err := p.Signal(syscall.SIGCONT); err != nil {
-			b.Fatal(err)
-		}
+		signalProcess(b, p, syscall.SIGCONT)
 		time.Sleep(3 * time.Second)
 	}
-	b.ReportMetric(float64(count()-base)/duration.Hours(), "failed/h-over-50-views")
-	b.ReportMetric(float64(stops), "pauses")
+	b.ReportMetric(float64(failures()-before)/duration.Hours(), "failed/h-over-50-views")
+	b.ReportMetric(float64(pauses), "pauses")
 	b.ReportMetric(0, "ns/op")
 }
 
-// lastStates tells how an observer has the others, by the last that its log says.
-func (group *gossipGroup) lastStates(observer string) map[string]member.State {
-	out := map[string]member.State{}
-	text, err := os.ReadFile(group.processes[observer].Log)
-	if err != nil {
-		group.tb.Fatal(err)
+// waitForStates waits until each observer has logged each other member as in a state.
+func (group *gossipGroup) waitForStates(what string, observers, members []string, state member.State) {
+	group.t.Helper()
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(100 * time.Millisecond) {
+		missing := group.missingState(observers, members, state)
+		if missing == "" {
+			return
+		}
+		if time.Now().After(deadline) {
+			group.t.Fatalf("not within %v: %s: %s", waitTimeout, what, missing)
+		}
 	}
-	for _, m := range stateChangePattern.FindAllSubmatch(text, -1) {
-		out[string(m[2])] = member.State(m[3])
+}
+
+// missingState describes an observer that doesn't have a member in a state. It is empty if all have all.
+func (group *gossipGroup) missingState(observers, members []string, state member.State) (missing string) {
+	group.t.Helper()
+	for _, observer := range observers {
+		states := group.lastStates(observer)
+		for _, name := range members {
+			if name != observer && states[name] != state {
+				missing = fmt.Sprintf("%s has %s as %q", observer, name, states[name])
+			}
+		}
 	}
-	return out
+	return missing
 }
 
-// Many start at once, one of the table never does; then half of them end at once: too many to
-// be believed by one alone, and believed by all that are left once they say the same.
+// Many members start at once, and one of the table never does. Then half of them end at once, which are
+// too many for one observer to believe, until most of those that are left report the same.
 func TestMassFailureNeedsMajority(t *testing.T) {
 	const n = 24
 	group := newGossipGroup(t, n, 0)
-	dead := group.names[n-1]
-	group.processes[dead].Kill() // as soon as it was started
-	await := func(what string, observers, members []string, state member.State) {
-		t.Helper()
-		missing := ""
-		for end := time.Now().Add(waitTimeout); ; time.Sleep(100 * time.Millisecond) {
-			missing = ""
-			for _, o := range observers {
-				states := group.lastStates(o)
-				for _, m := range members {
-					if m != o && states[m] != state {
-						missing = fmt.Sprintf("%s has %s as %q", o, m, states[m])
-					}
-				}
-			}
-			if missing == "" {
-				return
-			}
-			if time.Now().After(end) {
-				t.Fatalf("%s: %s", what, missing)
-			}
-		}
-	}
-	await("all start", group.names[:n-1], group.names[:n-1], member.Present)
-	// Two of the five observers among them.
-	victims := append(append([]string{}, group.names[:2]...), group.names[12:n-1]...)
+	group.processes[group.names[n-1]].Kill() // before it gossips
+	running := group.names[:n-1]
+	group.waitForStates("all start", running, running, member.Present)
+	// Two of the five observers are among the victims.
+	victims := append(slices.Clone(group.names[:2]), group.names[12:n-1]...)
 	survivors := group.names[2:12]
 	for _, name := range victims {
 		group.processes[name].Kill()
 	}
-	await("half end", survivors, victims, member.Failed)
-	for o, by := range group.stateTimes(member.Failed) {
+	group.waitForStates("half end", survivors, victims, member.Failed)
+	for observer, byMember := range group.stateTimes(member.Failed) {
 		for _, name := range survivors {
-			if len(by[name]) > 0 && slices.Contains(survivors, o) {
-				t.Errorf("%s had %s as failed, which is there", o, name)
+			if len(byMember[name]) > 0 && slices.Contains(survivors, observer) {
+				t.Errorf("%s had %s, which runs, as failed", observer, name)
 			}
 		}
 	}
 	for _, name := range victims {
 		group.start(name)
 	}
-	await("all are back", survivors, victims, member.Present)
+	group.waitForStates("all are back", survivors, victims, member.Present)
 }
--- a/cmd/controlplane/linearizability_test.go
+++ b/cmd/controlplane/linearizability_test.go
@@ -7,187 +7,204 @@
 	"math"
 	"math/rand/v2"
 	"net/http"
-	"os"
-	"strconv"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 
 	"github.com/anishathalye/porcupine"
 
 	"knotrouter/internal/control"
-	"knotrouter/internal/lab/link"
 )
 
-// An operation on one server's share: a read, a write, or a write on the condition that
-// the entry has a version.
+// Kinds of operations on a server's weight, beside reads.
+const (
+	writeOperation         = "write"
+	compareAndSetOperation = "cas" // a write if the entry has a version
+)
+
+const (
+	overrideHistoryFaults   = 7
+	overrideHistoryClients  = 4
+	overrideHistoryKeys     = 3
+	pauseAfterRejection     = 5 * time.Millisecond
+	pauseAfterUnknownResult = 2 * time.Millisecond
+)
+
+// overrideInput is an operation on the weight of one server.
 type overrideInput struct {
 	key       string
-	kind      string // "read", "write" or "cas"
+	kind      string
 	weight    float64
 	ifVersion int64
 }
 
 type overrideOutput struct {
-	weight                float64
-	version               int64 // 0: unknown, the answer was lost
-	rejected              bool  // of a cas: the entry has another version
-	rejectedByUnseenWrite bool  // of a refused one: it may be for a write whose answer was lost and that nobody saw
+	weight   float64
+	version  int64 // 0: unknown, the answer was lost
+	rejected bool  // of a compare-and-set: the entry has another version
+	// rejectedByUnseenWrite is set if the entry may have the version of a write whose answer was lost and
+	// that no read saw.
+	rejectedByUnseenWrite bool
 }
 
-// overrideState is a share with the version that it was written under; 0 is not known yet.
+// overrideState is a weight with the version that it was written under, which is 0 if it is not known
+// yet.
 type overrideState struct {
 	weight  float64
 	version int64
 }
 
+// overrideModel is one register for each server.
 var overrideModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
-		by := map[string][]porcupine.Operation{}
-		for _, op := range history {
-			key := op.Input.(overrideInput).key
-			by[key] = append(by[key], op)
-		}
-		var out [][]porcupine.Operation
-		for _, ops := range by {
-			out = append(out, ops)
-		}
-		return out
+		return partition(history, func(input any) string { return input.(overrideInput).key })
 	},
 	Init: func() any { return overrideState{weight: 1} },
-	Step: func(state, in, out any) (bool, any) {
-		s, i, o := state.(overrideState), in.(overrideInput), out.(overrideOutput)
-		same := s.version == 0 || s.version == o.version
-		switch i.kind {
-		case "read":
-			return o.weight == s.weight && same, overrideState{s.weight, o.version}
-		case "cas":
-			fits := s.version == 0 || s.version == i.ifVersion
-			switch {
-			case o.version == 0: // it may have been carried out, if the version fitted
-				if fits {
-					return true, overrideState{i.weight, 0}
-				}
-				return true, s
-			case o.rejected:
-				return s.version != i.ifVersion || s.version == 0 || o.rejectedByUnseenWrite, s
-			}
-			return fits && o.version > s.version, overrideState{i.weight, o.version}
-		}
-		return o.version == 0 || o.version > s.version, overrideState{i.weight, o.version}
+	Step: func(state, input, output any) (bool, any) {
+		return stepOverride(state.(overrideState), input.(overrideInput), output.(overrideOutput))
 	},
-	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%+v -> %+v", in, out) },
+	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
 }
 
-// resolveUnknownOutcomes says of each operation whose answer was lost what is known of it. Shares are
-// unique: one that a read saw was carried out, under the version that the read tells. One
-// that no read saw matters to nobody but to a cas that was refused for it; it is left out,
-// or a search would have to try it at every place.
-func resolveUnknownOutcomes(ops []porcupine.Operation) (out []porcupine.Operation) {
-	seenVersions := map[float64]int64{}
-	for _, op := range ops {
-		if op.Input.(overrideInput).kind == "read" {
-			seenVersions[op.Output.(overrideOutput).weight] = op.Output.(overrideOutput).version
+// stepOverride reports whether an operation's output can be, and returns the state after it.
+func stepOverride(s overrideState, in overrideInput, out overrideOutput) (bool, any) {
+	switch in.kind {
+	case readOperation:
+		sameVersion := s.version == 0 || s.version == out.version
+		return out.weight == s.weight && sameVersion, overrideState{s.weight, out.version}
+	case compareAndSetOperation:
+		fits := s.version == 0 || s.version == in.ifVersion
+		switch {
+		case out.version == 0 && fits: // it may have taken effect
+			return true, overrideState{in.weight, 0}
+		case out.version == 0:
+			return true, s
+		case out.rejected:
+			return s.version != in.ifVersion || s.version == 0 || out.rejectedByUnseenWrite, s
 		}
+		return fits && out.version > s.version, overrideState{in.weight, out.version}
 	}
-	firstUnseen := map[string]int64{} // the first unseen one, by key
-	for _, op := range ops {
-		i, o := op.Input.(overrideInput), op.Output.(overrideOutput)
-		if o.version == 0 && seenVersions[i.weight] == 0 {
-			if at, known := firstUnseen[i.key]; !known || op.Call < at {
-				firstUnseen[i.key] = op.Call
+	return out.version == 0 || out.version > s.version, overrideState{in.weight, out.version}
+}
+
+// resolveUnknownOutcomes completes the operations whose answers were lost with what is known of them.
+// Weights are unique: a write whose weight a read saw took effect, under the version of the read. A write
+// that no read saw concerns nobody but a compare-and-set that was rejected for it. It is left out, as the
+// checker would have to try it at every place.
+func resolveUnknownOutcomes(operations []porcupine.Operation) (resolved []porcupine.Operation) {
+	seenVersions := map[float64]int64{} // by weight
+	for _, operation := range operations {
+		if operation.Input.(overrideInput).kind == readOperation {
+			output := operation.Output.(overrideOutput)
+			seenVersions[output.weight] = output.version
+		}
+	}
+	firstUnseen := map[string]int64{} // by key, when the first write was called that no read saw
+	for _, operation := range operations {
+		input, output := operation.Input.(overrideInput), operation.Output.(overrideOutput)
+		if output.version == 0 && seenVersions[input.weight] == 0 {
+			if called, known := firstUnseen[input.key]; !known || operation.Call < called {
+				firstUnseen[input.key] = operation.Call
 			}
 		}
 	}
-	for _, op := range ops {
-		i, o := op.Input.(overrideInput), op.Output.(overrideOutput)
-		if o.version == 0 {
-			if o.version = seenVersions[i.weight]; o.version == 0 {
+	for _, operation := range operations {
+		input, output := operation.Input.(overrideInput), operation.Output.(overrideOutput)
+		if output.version == 0 {
+			if output.version = seenVersions[input.weight]; output.version == 0 {
 				continue
 			}
 		}
-		at, some := firstUnseen[i.key]
-		o.rejectedByUnseenWrite = o.rejected && some && at < op.Return
-		op.Output = o
-		out = append(out, op)
+		called, known := firstUnseen[input.key]
+		output.rejectedByUnseenWrite = output.rejected && known && called < operation.Return
+		operation.Output = output
+		resolved = append(resolved, operation)
 	}
-	return out
+	return resolved
 }
 
-// historyRecorder gathers the history of all clients.
-type historyRecorder struct {
+// overrideHistory records the operations of all clients.
+type overrideHistory struct {
+	began time.Time
+
 	mu         sync.Mutex
-	began      time.Time
 	operations []porcupine.Operation
-	kinds      map[string]int
+	counts     map[string]int // by kind
 }
 
-func (history *historyRecorder) add(client int, i overrideInput, o overrideOutput, call, ret time.Duration) {
-	history.mu.Lock()
-	defer history.mu.Unlock()
-	history.operations = append(history.operations, porcupine.Operation{ClientId: client, Input: i, Output: o, Call: int64(call), Return: int64(ret)})
-	history.kinds[i.kind]++
+func (h *overrideHistory) add(client int, input overrideInput, output overrideOutput, called, returned time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: input, Output: output, Call: int64(called), Return: int64(returned)})
+	h.counts[input.kind]++
 }
 
-// runOperations makes operations, each at a steward drawn anew, until the context ends.
-func (history *historyRecorder) runOperations(ctx context.Context, cluster *testCluster, client int, rng *rand.Rand) {
-	versions := map[string]int64{}
+// run makes random operations, each at a random server, until the context ends. A call that was begun is
+// ended, so that its outcome is known.
+func (h *overrideHistory) run(ctx context.Context, cluster *testCluster, client int, rng *rand.Rand) {
+	versions := map[string]int64{} // by key, that the client saw last
 	for n := 0; ctx.Err() == nil; n++ {
-		at := cluster.servers[cluster.names[rng.IntN(len(cluster.names))]]
-		connection := control.NewClient([]string{at.http}, 1500*time.Millisecond)
-		i := overrideInput{key: fmt.Sprint("k-", rng.IntN(3)), kind: []string{"read", "write", "cas"}[rng.IntN(3)], weight: float64(client*100_000 + n)}
-		if i.kind == "cas" {
-			if i.ifVersion = versions[i.key]; i.ifVersion == 0 {
-				continue
-			}
+		server := cluster.servers[cluster.names[rng.IntN(len(cluster.names))]]
+		input := overrideInput{
+			key:    fmt.Sprint("k-", rng.IntN(overrideHistoryKeys)),
+			kind:   []string{readOperation, writeOperation, compareAndSetOperation}[rng.IntN(3)],
+			weight: float64(client*100_000 + n),
 		}
-		call, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
-		began := time.Since(history.began)
-		var o overrideOutput
-		var err error
-		if i.kind == "read" {
-			e, readErr := connection.Server(call, i.key, true)
-			if err = readErr; err == nil {
-				o = overrideOutput{version: e.Version, weight: e.Listed().Weight}
+		if input.kind == compareAndSetOperation {
+			if input.ifVersion = versions[input.key]; input.ifVersion == 0 {
+				continue
 			}
-		} else {
-			res, writeErr := connection.SetOverride(call, i.key, control.ServerOverride{Weight: &i.weight, IfVersion: i.ifVersion})
-			err, o.version = writeErr, res.Seq
-		}
-		ended := time.Since(history.began)
-		cancel()
-		var refused *control.HTTPError
-		switch {
-		case err == nil:
-			versions[i.key] = o.version
-			history.add(client, i, o, began, ended)
-		case i.kind == "read":
-		case errors.As(err, &refused) && refused.Status == http.StatusPreconditionFailed:
-			history.add(client, i, overrideOutput{version: 1, rejected: true}, began, ended)
-		case errors.As(err, &refused) && refused.NotApplied:
-			time.Sleep(5 * time.Millisecond)
-		default: // it may be carried out at any time from its call on
-			history.add(client, i, overrideOutput{}, began, math.MaxInt64)
 		}
-		if err != nil && !errors.As(err, &refused) {
-			time.Sleep(2 * time.Millisecond)
+		called := time.Since(h.began)
+		output, err := operateOverride(server.http, input)
+		returned := time.Since(h.began)
+		if err == nil {
+			versions[input.key] = output.version
+			h.add(client, input, output, called, returned)
+			continue
 		}
+		h.recordFailure(client, input, err, called, returned)
 	}
 }
 
-// Whatever is killed, stopped and cut meanwhile, the history of writes and of reads as of
-// now is one that a single register a key could have had. LINEAR_SEEDS is how many
-// histories are played.
-func TestOverridesLinearizable(t *testing.T) {
-	seeds := 10
-	if value := os.Getenv("LINEAR_SEEDS"); value != "" {
-		var err error
-		if seeds, err = strconv.Atoi(value); err != nil {
-			t.Fatalf("LINEAR_SEEDS: %v", err)
+// operateOverride makes one operation at a server.
+func operateOverride(addr string, input overrideInput) (overrideOutput, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), historyCallTimeout)
+	defer cancel()
+	client := control.NewClient([]string{addr}, historyCallTimeout)
+	if input.kind == readOperation {
+		entry, err := client.Server(ctx, input.key, true)
+		if err != nil {
+			return overrideOutput{}, err
 		}
+		return overrideOutput{version: entry.Version, weight: entry.Listed().Weight}, nil
+	}
+	result, err := client.SetOverride(ctx, input.key, control.ServerOverride{Weight: &input.weight, IfVersion: input.ifVersion})
+	return overrideOutput{version: result.Seq}, err
+}
+
+// recordFailure adds a failed operation unless it certainly had no effect, and makes a pause.
+func (h *overrideHistory) recordFailure(client int, input overrideInput, err error, called, returned time.Duration) {
+	var rejected *control.HTTPError
+	isRejected := errors.As(err, &rejected)
+	switch {
+	case input.kind == readOperation:
+	case isRejected && rejected.Status == http.StatusPreconditionFailed:
+		h.add(client, input, overrideOutput{version: 1, rejected: true}, called, returned)
+	case isRejected && rejected.NotApplied:
+		time.Sleep(pauseAfterRejection)
+	default: // it may take effect at any time after its call
+		h.add(client, input, overrideOutput{}, called, math.MaxInt64)
+	}
+	if !isRejected {
+		time.Sleep(pauseAfterUnknownResult)
 	}
-	for seed := range seeds {
+}
+
+// Under random faults of the servers the history of writes and consistent reads of weights is one that
+// one register for each server could have had. LINEAR_SEEDS is the number of histories.
+func TestOverridesLinearizable(t *testing.T) {
+	for seed := range countFromEnvironment(t, "LINEAR_SEEDS", 10) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			checkOverrideHistory(t, uint64(seed))
@@ -196,77 +213,34 @@
 }
 
 func checkOverrideHistory(t *testing.T, seed uint64) {
+	t.Helper()
 	rng := newSeededRand(t, seed)
 	cluster := newCluster(t, 3)
-	for i := range 3 {
+	for i := range overrideHistoryKeys {
 		cluster.register(fmt.Sprint("k-", i), 1)
 	}
-	history := &historyRecorder{began: time.Now(), kinds: map[string]int{}}
-	ctx, cancel := context.WithCancel(context.Background())
+	history := &overrideHistory{began: time.Now(), counts: map[string]int{}}
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
 	var clients sync.WaitGroup
-	for client := range 4 {
-		clients.Add(1)
-		go func() {
-			defer clients.Done()
-			history.runOperations(ctx, cluster, client+1, rand.New(rand.NewPCG(seed, uint64(client))))
-		}()
+	for client := range overrideHistoryClients {
+		clients.Go(func() {
+			history.run(ctx, cluster, client+1, rand.New(rand.NewPCG(seed, uint64(client))))
+		})
 	}
-	for range 7 {
+	for range overrideHistoryFaults {
 		time.Sleep(time.Duration(150+rng.IntN(400)) * time.Millisecond)
-		injectServerFault(t, cluster, rng)
+		cluster.injectFault(rng)
 	}
 	cancel()
 	clients.Wait()
-	if history.kinds["read"] < 20 || history.kinds["write"] < 20 || history.kinds["cas"] < 5 {
-		t.Errorf("too little was done to tell: %v", history.kinds)
+	if history.counts[readOperation] < 20 || history.counts[writeOperation] < 20 || history.counts[compareAndSetOperation] < 5 {
+		t.Errorf("too few operations for a verdict: %v", history.counts)
 	}
-	switch res, _ := porcupine.CheckOperationsVerbose(overrideModel, resolveUnknownOutcomes(history.operations), waitTimeout); res {
+	switch result, _ := porcupine.CheckOperationsVerbose(overrideModel, resolveUnknownOutcomes(history.operations), waitTimeout); result {
 	case porcupine.Illegal:
-		t.Errorf("seed %d: %d operations that no register could have answered so", seed, len(history.operations))
+		t.Errorf("seed %d: %d operations are not linearizable: no register answers so", seed, len(history.operations))
 	case porcupine.Unknown:
-		t.Errorf("seed %d: %d operations were not judged in time", seed, len(history.operations))
-	}
-}
-
-// injectServerFault does one thing to one steward, mostly to the one that leads, and ends it.
-func injectServerFault(t testing.TB, cluster *testCluster, rng *rand.Rand) {
-	name := cluster.names[rng.IntN(3)]
-	if rng.IntN(3) > 0 {
-		for _, n := range cluster.names {
-			if status, err := cluster.status(n); err == nil && status.State == "leader" {
-				name = n
-			}
-		}
-	}
-	duration := time.Duration(200+rng.IntN(1200)) * time.Millisecond
-	switch rng.IntN(5) {
-	case 0:
-		cluster.kill(name)
-		time.Sleep(duration / 4)
-		cluster.start(name)
-	case 1:
-		if err := cluster.servers[name].proc.Signal(syscall.SIGSTOP); err != nil {
-			t.Fatal(err)
-		}
-		time.Sleep(duration)
-		_ = cluster.servers[name].proc.Signal(syscall.SIGCONT)
-	default:
-		out, in := link.Shape{Cut: rng.IntN(2) == 0}, link.Shape{Cut: true}
-		if rng.IntN(2) == 0 {
-			out, in = in, out
-		}
-		set := func(out, in link.Shape) {
-			for _, other := range cluster.others(name) {
-				if err := cluster.links[[2]string{name, other}].Set(out, in); err != nil {
-					t.Fatal(err)
-				}
-				if err := cluster.links[[2]string{other, name}].Set(in, out); err != nil {
-					t.Fatal(err)
-				}
-			}
-		}
-		set(out, in)
-		time.Sleep(duration)
-		set(link.Shape{}, link.Shape{})
+		t.Errorf("seed %d: the check of %d operations did not end within %v", seed, len(history.operations), waitTimeout)
 	}
 }
--- /dev/null
+++ b/cmd/controlplane/main_test.go
@@ -0,0 +1,80 @@
+package main
+
+import (
+	"os"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"knotrouter/internal/control"
+	"knotrouter/internal/lab/syscallfault"
+)
+
+// Environment variables with which tests start the test binary again as another program.
+const (
+	serverChild = "STEWARD_CHILD"
+	workerChild = "WORKER_CHILD"
+	memberChild = "MEMBER_CHILD"
+	agentChild  = "AGENT_CHILD"
+)
+
+// Environment variables of the machine that a server of the control plane finds in a test.
+const (
+	clockOffsetVariable = "TEST_CLOCK" // added to its clock, as a duration
+	diskBlockVariable   = "TEST_DISK"  // its log store takes nothing while this file exists
+)
+
+// diskPollInterval is how often a blocked log store looks whether it may go on.
+const diskPollInterval = 20 * time.Millisecond
+
+// TestMain runs the tests, or the program that the environment names.
+func TestMain(m *testing.M) {
+	switch {
+	case isChild(serverChild):
+		os.Unsetenv(serverChild)
+		if err := syscallfault.FromEnvironment(); err != nil {
+			panic(err)
+		}
+		adjustConfig = applyTestMachine
+		main()
+		os.Exit(0)
+	case isChild(workerChild):
+		workerMain()
+		os.Exit(0)
+	case isChild(memberChild):
+		memberMain()
+		os.Exit(0)
+	case isChild(agentChild):
+		agentMain()
+		os.Exit(0)
+	}
+	os.Exit(m.Run())
+}
+
+func isChild(variable string) bool { return os.Getenv(variable) == "1" }
+
+// applyTestMachine gives a server the clock and the log store that its environment asks for.
+func applyTestMachine(config *control.Config) {
+	if offset, err := time.ParseDuration(os.Getenv(clockOffsetVariable)); err == nil {
+		config.Now = func() time.Time { return time.Now().Add(offset) }
+	}
+	if file := os.Getenv(diskBlockVariable); file != "" {
+		config.WrapLogStore = func(store raft.LogStore) raft.LogStore { return blockingLogStore{store, file} }
+	}
+}
+
+// blockingLogStore writes nothing while a file exists.
+type blockingLogStore struct {
+	raft.LogStore
+	file string
+}
+
+func (s blockingLogStore) StoreLogs(logs []*raft.Log) error {
+	for {
+		if _, err := os.Stat(s.file); err != nil {
+			return s.LogStore.StoreLogs(logs)
+		}
+		time.Sleep(diskPollInterval)
+	}
+}
--- a/cmd/controlplane/members.go
+++ b/cmd/controlplane/members.go
@@ -79,7 +79,7 @@
 	for i := range view.Members {
 		entry := &view.Members[i]
 		counts.add(entry.Role, entry.State)
-		if !isShown(entry.Role, entry.State, all) {
+		if !hasRow(entry.Role, entry.State, all) {
 			continue
 		}
 		var observations []string
@@ -103,7 +103,7 @@
 			continue
 		}
 		counts.add(entry.Role, state)
-		if isShown(entry.Role, state, all) {
+		if hasRow(entry.Role, state, all) {
 			rows = append(rows, memberRow(entry, state, formatAge(forMs)))
 		}
 	}
@@ -120,9 +120,9 @@
 	return state, forMs, observed
 }
 
-// isShown reports whether a member gets a row: those that don't gossip are many, and present ones
-// among them are only counted unless all are asked for.
-func isShown(role member.Role, state member.State, all bool) bool {
+// hasRow reports whether a member gets a row. Members that don't gossip are many: those of them that are
+// present are only counted, unless all are asked for.
+func hasRow(role member.Role, state member.State, all bool) bool {
 	return role.Gossips() || all || state != member.Present
 }
 
@@ -137,6 +137,7 @@
 	c[fmt.Sprintf("%ss %s", role, state)]++
 }
 
+// String returns the counts in the order of their roles and states, with commas between.
 func (c memberCounts) String() string {
 	var sums []string
 	for what, n := range c {
--- /dev/null
+++ b/cmd/controlplane/membershipfaults_test.go
@@ -0,0 +1,251 @@
+package main
+
+import (
+	"os"
+	"syscall"
+	"testing"
+	"time"
+
+	"knotrouter/internal/lab/link"
+	"knotrouter/internal/member"
+)
+
+const (
+	// mostFailureDetection bounds the time from a kill to the first view that has the member as failed.
+	mostFailureDetection = 10 * time.Second
+	// mostConvergence bounds the time from the end of a fault until all views are equal.
+	mostConvergence = 15 * time.Second
+)
+
+// faultDuration returns how long a fault lasts: d, or what the environment variable MEMBER_FOR says, for
+// runs outside CI.
+func faultDuration(t *testing.T, d time.Duration) time.Duration {
+	t.Helper()
+	text := os.Getenv("MEMBER_FOR")
+	if text == "" {
+		return d
+	}
+	duration, err := time.ParseDuration(text)
+	if err != nil {
+		t.Fatalf("MEMBER_FOR: %v", err)
+	}
+	return duration
+}
+
+// membershipEnvironment is five servers that gossip, six backends, and a watcher of the servers' views.
+type membershipEnvironment struct {
+	*testCluster
+	backends *backendGroup
+	watcher  *stateWatcher
+}
+
+// requireNeverFailed requires that no server had any of those named as failed since the start.
+func (e *membershipEnvironment) requireNeverFailed(t *testing.T, names ...string) {
+	t.Helper()
+	e.watcher.stopWatching()
+	e.watcher.requireNever(t, member.Failed, names...)
+}
+
+// shapeAll shapes all links.
+func (e *membershipEnvironment) shapeAll(shape link.Shape) {
+	e.t.Helper()
+	e.mesh.shapeBetween(e.names, e.names, shape)
+}
+
+// membershipFaults are what the network or a process does to the servers, by the name of the subtest.
+var membershipFaults = map[string]func(t *testing.T, e *membershipEnvironment){
+	"cut one way between two":                      cutOneWayBetweenTwo,
+	"two of five cut off":                          cutOffMinority,
+	"a fifth of the datagrams lost, all late":      loseAndDelayDatagrams,
+	"two fifths lost, later":                       loseManyDatagrams,
+	"datagrams twice and out of order":             duplicateDatagrams,
+	"news ten seconds late":                        delayOneServer,
+	"one sees the next only":                       connectNeighborsOnly,
+	"a link that flaps":                            flapLink,
+	"one stands still for a second, then for five": suspendOneServer,
+	"all restarted, one after the other":           restartOneByOne,
+	"killed, its folder gone, and back at once":    restartWithoutData,
+	"killed, and back before it was missed":        restartBeforeDetection,
+}
+
+// Whatever the network or a process does between five servers, no healthy backend is ever taken off the
+// list, no running server is seen as failed but by those that can't reach it, and after the fault all
+// views become equal.
+func TestMembershipUnderFaults(t *testing.T) {
+	for name, injectFault := range membershipFaults {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			cluster := newGossipCluster(t, 5, "")
+			cluster.startAll()
+			e := &membershipEnvironment{
+				testCluster: cluster,
+				backends:    cluster.startBackends(6, cluster.names[2], cluster.names...),
+				watcher:     cluster.watchStates(cluster.names...),
+			}
+			injectFault(t, e)
+			if took := cluster.waitForEqualViews(cluster.names...); took > mostConvergence {
+				t.Errorf("views were equal %v after the end of the fault, want at most %v", took, mostConvergence)
+			}
+			e.backends.requireAllListed()
+		})
+	}
+}
+
+func cutOneWayBetweenTwo(t *testing.T, e *membershipEnvironment) {
+	e.mesh.shapeOneWay("st-1", "st-2", cutShape)
+	e.waitUntil("only st-1 suspects st-2", func() bool {
+		first, firstOK := e.view("st-1")
+		third, thirdOK := e.view("st-3")
+		differences := member.CompareViews([]member.View{first, third, e.viewOrEmpty("st-4"), e.viewOrEmpty("st-5")})
+		return firstOK && thirdOK && len(differences) > 0 &&
+			differences[0].Name == "st-2" && differences[0].Dissenter == "st-1" &&
+			ownObservation(&first, "st-2") == member.Suspect && first.State("st-2") == member.Present
+	})
+	time.Sleep(faultDuration(t, 4*time.Second))
+	e.mesh.shapeOneWay("st-1", "st-2", link.Shape{})
+	e.requireNeverFailed(t, e.names...)
+}
+
+func cutOffMinority(t *testing.T, e *membershipEnvironment) {
+	minority, majority := e.names[:2], e.names[2:]
+	// The leader will be among the majority, and not receive the renewals of the first two.
+	e.backends.splitRenewals(minority, majority)
+	e.mesh.shapeBetween(minority, majority, cutShape)
+	e.waitForLeaderAmong(majority)
+	for _, observer := range majority {
+		e.waitForState(observer, member.Failed, minority...)
+	}
+	time.Sleep(faultDuration(t, 5*time.Second)) // longer than a lease
+	e.mesh.shapeBetween(minority, majority, link.Shape{})
+}
+
+func loseAndDelayDatagrams(t *testing.T, e *membershipEnvironment) {
+	e.shapeAll(link.Shape{Loss: 0.2, Delay: 5 * time.Millisecond, Jitter: 100 * time.Millisecond})
+	time.Sleep(faultDuration(t, 8*time.Second))
+	e.shapeAll(link.Shape{})
+	e.requireNeverFailed(t, e.names...)
+}
+
+func loseManyDatagrams(t *testing.T, e *membershipEnvironment) {
+	e.shapeAll(link.Shape{Loss: 0.4, Jitter: 200 * time.Millisecond})
+	time.Sleep(faultDuration(t, 8*time.Second))
+	e.shapeAll(link.Shape{})
+}
+
+func duplicateDatagrams(t *testing.T, e *membershipEnvironment) {
+	e.shapeAll(link.Shape{Twice: 0.5, Jitter: 60 * time.Millisecond})
+	time.Sleep(faultDuration(t, 6*time.Second))
+	e.shapeAll(link.Shape{})
+	e.requireNeverFailed(t, e.names...)
+}
+
+func delayOneServer(t *testing.T, e *membershipEnvironment) {
+	delayed, others := e.names[4:], e.names[:4]
+	e.mesh.shapeBetween(delayed, others, link.Shape{Delay: 10 * time.Second})
+	e.waitForState("st-1", member.Failed, delayed...)
+	time.Sleep(faultDuration(t, 2*time.Second))
+	e.mesh.shapeBetween(delayed, others, link.Shape{})
+	e.requireNeverFailed(t, e.names[1:4]...)
+}
+
+func connectNeighborsOnly(t *testing.T, e *membershipEnvironment) {
+	for _, pair := range []serverPair{{"st-1", "st-3"}, {"st-1", "st-4"}, {"st-2", "st-4"}, {"st-1", "st-5"}, {"st-2", "st-5"}, {"st-3", "st-5"}} {
+		e.mesh.shapeBetween(pair[:1], pair[1:], cutShape)
+	}
+	e.waitUntil("st-1 observes st-2, and not st-5, as present", func() bool {
+		view, ok := e.view("st-1")
+		return ok && ownObservation(&view, "st-5") != member.Present && ownObservation(&view, "st-2") == member.Present
+	})
+	time.Sleep(faultDuration(t, 3*time.Second))
+	e.shapeAll(link.Shape{})
+}
+
+func flapLink(t *testing.T, e *membershipEnvironment) {
+	first, second := []string{"st-1"}, []string{"st-2"}
+	for end := time.Now().Add(faultDuration(t, 9*time.Second)); time.Now().Before(end); {
+		e.mesh.shapeBetween(first, second, cutShape)
+		time.Sleep(time.Second)
+		e.mesh.shapeBetween(first, second, link.Shape{})
+		time.Sleep(time.Second)
+	}
+	e.requireNeverFailed(t, e.names...)
+}
+
+func suspendOneServer(t *testing.T, e *membershipEnvironment) {
+	suspended := e.others(e.waitForLeader())[0]
+	for _, duration := range []time.Duration{time.Second, faultDuration(t, 5*time.Second)} {
+		e.suspend(suspended)
+		time.Sleep(duration)
+		if duration == time.Second {
+			e.watcher.requireNever(t, member.Failed, e.names...)
+		}
+		e.resume(suspended)
+		e.requireNoSuspicionBy(t, suspended, duration)
+		e.waitForEqualViews(e.names...)
+	}
+	e.requireNeverFailed(t, e.others(suspended)...)
+}
+
+// requireNoSuspicionBy requires that a server which has just been resumed has all others as present, for
+// a second: that it received nothing meanwhile was its own fault.
+func (e *membershipEnvironment) requireNoSuspicionBy(t *testing.T, resumed string, after time.Duration) {
+	t.Helper()
+	for range 20 {
+		if view, ok := e.view(resumed); ok {
+			for _, other := range e.others(resumed) {
+				if state := ownObservation(&view, other); state != member.Present {
+					t.Errorf("%s, resumed after %v, has %s as %s", resumed, after, other, state)
+				}
+			}
+		}
+		time.Sleep(viewPollInterval)
+	}
+}
+
+func restartOneByOne(t *testing.T, e *membershipEnvironment) {
+	for _, name := range e.names {
+		observer := e.others(name)[0]
+		before, _ := e.view(observer)
+		proc := e.servers[name].proc
+		ended := proc.Ended()
+		signalProcess(t, proc, syscall.SIGTERM)
+		e.waitForState(observer, member.Left, name)
+		waitForEnd(t, proc, ended)
+		e.start(name)
+		e.waitForState(observer, member.Present, name)
+		e.waitUntil(name+" is present in a later incarnation", func() bool {
+			view, ok := e.view(observer)
+			return ok && incarnation(&view, name) > incarnation(&before, name)
+		})
+	}
+	e.requireNeverFailed(t, e.names...)
+}
+
+func restartWithoutData(t *testing.T, e *membershipEnvironment) {
+	name := e.others(e.waitForLeader())[0]
+	e.kill(name)
+	e.eraseData(name)
+	e.start(name)
+	e.waitUntil(name+" votes again", func() bool {
+		status, err := e.status(name)
+		leader, leaderErr := e.status(e.waitForLeader())
+		return err == nil && leaderErr == nil && status.Applied > 0 && len(leader.Voters) == len(e.names)
+	})
+}
+
+func restartBeforeDetection(t *testing.T, e *membershipEnvironment) {
+	name := e.others(e.waitForLeader())[0]
+	observer := e.others(name)[0]
+	before, _ := e.view(observer)
+	e.kill(name)
+	e.start(name)
+	e.waitUntil(name+" is present in a later incarnation", func() bool {
+		view, ok := e.view(observer)
+		return ok && view.State(name) == member.Present && incarnation(&view, name) > incarnation(&before, name)
+	})
+	e.kill(name)
+	if took := e.waitForState(observer, member.Failed, name); took > mostFailureDetection {
+		t.Errorf("the kill was noticed after %v, want at most %v", took, mostFailureDetection)
+	}
+	e.start(name)
+}
--- /dev/null
+++ b/cmd/controlplane/memberviews_test.go
@@ -0,0 +1,169 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"knotrouter/internal/control"
+	"knotrouter/internal/member"
+)
+
+// viewPollInterval is how often a stateWatcher reads a view.
+const viewPollInterval = 50 * time.Millisecond
+
+// view returns the view of the members that a server answers with; ok is false if it doesn't answer.
+func (cluster *testCluster) view(name string) (view member.View, ok bool) {
+	ctx, cancel := context.WithTimeout(cluster.t.Context(), statusTimeout)
+	defer cancel()
+	views, _ := control.ReadMemberViews(ctx, []string{cluster.servers[name].http}, statusTimeout)
+	if len(views) != 1 {
+		return view, false
+	}
+	return views[0], true
+}
+
+// viewOrEmpty returns a server's view, or an empty one if it doesn't answer.
+func (cluster *testCluster) viewOrEmpty(name string) member.View {
+	view, _ := cluster.view(name)
+	return view
+}
+
+// waitForState waits until a server has all members named in a state, and returns how long that took.
+func (cluster *testCluster) waitForState(at string, state member.State, names ...string) time.Duration {
+	cluster.t.Helper()
+	began := time.Now()
+	cluster.waitUntil(fmt.Sprintf("%s has %v as %s", at, names, state), func() bool {
+		view, ok := cluster.view(at)
+		for _, name := range names {
+			ok = ok && view.State(name) == state
+		}
+		return ok
+	})
+	return time.Since(began)
+}
+
+// waitForEqualViews waits until the views of the servers named are equal, and each has all of these
+// servers as present. It returns how long that took.
+func (cluster *testCluster) waitForEqualViews(names ...string) time.Duration {
+	cluster.t.Helper()
+	began := time.Now()
+	difference := ""
+	defer func() {
+		if cluster.t.Failed() {
+			cluster.t.Log(difference)
+		}
+	}()
+	cluster.waitUntil("equal views", func() bool {
+		difference = cluster.viewDifference(names)
+		return difference == ""
+	})
+	return time.Since(began)
+}
+
+// viewDifference describes how the views of the servers named differ, or which of these servers one of
+// them doesn't have as present. It is empty if they agree.
+func (cluster *testCluster) viewDifference(names []string) string {
+	var views []member.View
+	for _, observer := range names {
+		view, ok := cluster.view(observer)
+		if !ok {
+			return observer + " doesn't answer"
+		}
+		for _, name := range names {
+			if state := view.State(name); state != member.Present {
+				return fmt.Sprintf("%s has %s as %q", observer, name, state)
+			}
+		}
+		views = append(views, view)
+	}
+	if differences := member.CompareViews(views); len(differences) > 0 {
+		return fmt.Sprintf("%+v", differences)
+	}
+	return ""
+}
+
+// ownObservation returns the state that a view's own server observes a member in, or an empty one.
+func ownObservation(view *member.View, name string) member.State {
+	for i := range view.Members {
+		if view.Members[i].Name != name {
+			continue
+		}
+		if state, _, observed := observationBy(view.From, &view.Members[i]); observed {
+			return state
+		}
+	}
+	return ""
+}
+
+func incarnation(view *member.View, name string) int64 {
+	for i := range view.Members {
+		if view.Members[i].Name == name {
+			return view.Members[i].Incarnation
+		}
+	}
+	return 0
+}
+
+// stateWatcher reads the views of servers again and again, and remembers in which states they had each
+// member.
+type stateWatcher struct {
+	stop context.CancelFunc
+	done sync.WaitGroup
+
+	mu   sync.Mutex
+	seen map[observedMember]map[member.State]bool
+}
+
+type observedMember struct {
+	observer, name string
+}
+
+func (cluster *testCluster) watchStates(observers ...string) *stateWatcher {
+	ctx, cancel := context.WithCancel(cluster.t.Context())
+	watcher := &stateWatcher{seen: map[observedMember]map[member.State]bool{}, stop: cancel}
+	for _, observer := range observers {
+		watcher.done.Go(func() {
+			for ctx.Err() == nil {
+				if view, ok := cluster.view(observer); ok {
+					watcher.record(observer, &view)
+				}
+				time.Sleep(viewPollInterval)
+			}
+		})
+	}
+	cluster.t.Cleanup(watcher.stopWatching)
+	return watcher
+}
+
+func (watcher *stateWatcher) record(observer string, view *member.View) {
+	watcher.mu.Lock()
+	defer watcher.mu.Unlock()
+	for i := range view.Members {
+		key := observedMember{observer, view.Members[i].Name}
+		if watcher.seen[key] == nil {
+			watcher.seen[key] = map[member.State]bool{}
+		}
+		watcher.seen[key][view.Members[i].State] = true
+	}
+}
+
+func (watcher *stateWatcher) stopWatching() {
+	watcher.stop()
+	watcher.done.Wait()
+}
+
+// requireNever requires that no observer had any of the members named in a state.
+func (watcher *stateWatcher) requireNever(t *testing.T, state member.State, names ...string) {
+	t.Helper()
+	watcher.mu.Lock()
+	defer watcher.mu.Unlock()
+	for key, states := range watcher.seen {
+		if states[state] && slices.Contains(names, key.name) {
+			t.Errorf("%s had %s as %s", key.observer, key.name, state)
+		}
+	}
+}
--- /dev/null
+++ b/cmd/controlplane/misconfiguration_test.go
@@ -0,0 +1,144 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"knotrouter/internal/control"
+	"knotrouter/internal/lab/process"
+	"knotrouter/internal/member"
+)
+
+// A second process of a name, a process with an unknown name, a table of peers that has one server at
+// the address of another, a peer that never runs, and clocks an hour apart are each reported or
+// rejected, and the others work on.
+func TestMisconfiguredMembersAreRejected(t *testing.T) {
+	cluster := newGossipCluster(t, 3, "")
+	for i, name := range cluster.names {
+		cluster.setenv(name, clockOffsetVariable, []string{"1h", "-1h", "0s"}[i])
+	}
+	names := slices.Clone(cluster.names)
+	cluster.add("st-4")
+	for _, name := range cluster.names {
+		cluster.configure(name, cluster.names)
+	}
+	// A cluster begins only once all peers answer, so st-4 runs until then.
+	cluster.startAll()
+	cluster.kill("st-4")
+	cluster.misdirectPeer("st-1", "st-3", "st-2")
+	cluster.kill("st-1")
+	cluster.start("st-1")
+	cluster.waitForState("st-2", member.Present, "st-1", "st-3")
+	cluster.waitForState("st-2", member.Failed, "st-4")
+	for i := range 10 {
+		cluster.register(fmt.Sprint("s-", i), 1, "st-2", "st-3")
+	}
+	cluster.waitUntil("st-1 doesn't reach st-3 at the address in its table", func() bool {
+		view, ok := cluster.view("st-1")
+		return ok && ownObservation(&view, "st-3") != member.Present
+	})
+	cluster.waitUntil("calls for another server are rejected", func() bool {
+		status, err := cluster.status("st-1")
+		return err == nil && (status.State != "leader" || strings.Contains(processLog(cluster.servers["st-2"].proc), "the call was for another steward"))
+	})
+
+	requireTwinEnds(t, cluster, names)
+
+	stranger := cluster.startTwin("st-3", "stranger", func(text string) string { return strings.Replace(text, `name = "st-3"`, `name = "st-9"`, 1) })
+	cluster.waitUntil("gossip of an unknown name is rejected", func() bool { return cluster.metric("st-2", "steward_gossip_refused_total") > 0 })
+	if view, ok := cluster.view("st-2"); !ok || view.State("st-9") != "" {
+		t.Errorf("st-9, which no table names, is %q", view.State("st-9"))
+	}
+	stranger.Kill()
+	cluster.waitForState("st-2", member.Present, "st-3")
+	entry, err := cluster.client("st-2").Server(t.Context(), "s-9", true)
+	var rejected *control.HTTPError
+	if err != nil || entry.Endpoint.StartedMs != 1 || errors.As(err, &rejected) {
+		t.Errorf("a consistent read of s-9: %+v, %v", entry, err)
+	}
+}
+
+// requireTwinEnds starts a second process with the name st-3, another data folder and other addresses.
+// It requires that the second process ends and that the first is reported to and stays a voter.
+func requireTwinEnds(t *testing.T, cluster *testCluster, names []string) {
+	t.Helper()
+	twin := cluster.startTwin("st-3", "twin", nil)
+	select {
+	case <-twin.Ended():
+	case <-time.After(waitTimeout):
+		t.Error("a second process of a name still runs")
+	}
+	if log := processLog(twin); !strings.Contains(log, "controlplane: name: taken: another process is called st-3, and is there") {
+		t.Errorf("the second process wrote %q", log)
+	}
+	reported := false
+	for _, name := range names {
+		log := processLog(cluster.servers[name].proc)
+		if strings.Contains(log, `"peer removed from the raft configuration"`) {
+			t.Errorf("%s: the first process was removed from the voters for the second", name)
+		}
+		reported = reported || strings.Contains(log, "request of a second process with the name") || strings.Contains(log, "two processes use one name")
+	}
+	if status, err := cluster.status("st-3"); err != nil || !reported || !slices.Contains(status.Voters, "st-3") {
+		t.Errorf("the second process was reported: %v; the first: %+v, %v", reported, status, err)
+	}
+}
+
+// misdirectPeer changes the configuration of a server: its section of a peer has the addresses of
+// another server.
+func (cluster *testCluster) misdirectPeer(name, peer, other string) {
+	cluster.t.Helper()
+	text, err := os.ReadFile(cluster.configPath(name))
+	if err != nil {
+		cluster.t.Fatal(err)
+	}
+	before, after, found := strings.Cut(string(text), "[peers."+peer+"]")
+	if !found {
+		cluster.t.Fatalf("the configuration of %s has no peer %s", name, peer)
+	}
+	rest := ""
+	if next := strings.Index(after, "[peers."); next >= 0 {
+		rest = after[next:]
+	}
+	target := cluster.servers[other]
+	section := fmt.Sprintf("[peers.%s]\nhttp = %q\nraft = %q\ngossip = %q\n", peer, target.http, target.raft, target.gossip)
+	if err := os.WriteFile(cluster.configPath(name), []byte(before+section+rest), 0o600); err != nil {
+		cluster.t.Fatal(err)
+	}
+}
+
+// startTwin starts another process with the configuration of a server, but a data folder and addresses
+// of its own. If change is not nil it may change the configuration further.
+func (cluster *testCluster) startTwin(name, as string, change func(config string) string) *process.Process {
+	cluster.t.Helper()
+	text, err := os.ReadFile(cluster.configPath(name))
+	if err != nil {
+		cluster.t.Fatal(err)
+	}
+	server := cluster.servers[name]
+	config := strings.Replace(string(text), fmt.Sprintf("data = %q", cluster.dataDir(name)), fmt.Sprintf("data = %q", cluster.dataDir(as)), 1)
+	for _, own := range []struct{ key, addr string }{{"listen", server.http}, {"\nraft", server.raft}, {"\ngossip", server.gossip}} {
+		addr, err := cluster.addrs.FreePort()
+		if err != nil {
+			cluster.t.Fatal(err)
+		}
+		config = strings.Replace(config, fmt.Sprintf("%s = %q", own.key, own.addr), fmt.Sprintf("%s = %q", own.key, addr), 1)
+	}
+	if change != nil {
+		config = change(config)
+	}
+	configPath := cluster.configPath(as)
+	if err := os.WriteFile(configPath, []byte(config), 0o600); err != nil {
+		cluster.t.Fatal(err)
+	}
+	twin := cluster.supervisor.Add(server.proc.Spec)
+	twin.Args, twin.Log = []string{"serve", "--config", configPath}, filepath.Join(cluster.dir, as+".log")
+	startProcess(cluster.t, twin)
+	return twin
+}
--- a/cmd/controlplane/mixedversions_test.go
+++ b/cmd/controlplane/mixedversions_test.go
@@ -7,7 +7,6 @@
 	"maps"
 	"os"
 	"slices"
-	"syscall"
 	"testing"
 	"time"
 
@@ -27,11 +26,7 @@
 
 func builds(t *testing.T) (old, present build) {
 	t.Helper()
-	exe, err := os.Executable()
-	if err != nil {
-		t.Fatal(err)
-	}
-	present = build{"present", exe, []string{"STEWARD_CHILD=1"}}
+	present = build{"present", executable(t), []string{serverChild + "=1"}}
 	old = present
 	if path := os.Getenv(otherBuild); path != "" {
 		old = build{"old", path, nil}
@@ -39,25 +34,12 @@
 	return old, present
 }
 
-// shutDown ends a server in order: it hands over what it leads and holds.
-func (cluster *testCluster) shutDown(name string) {
-	cluster.t.Helper()
-	ended := cluster.servers[name].proc.Ended()
-	if err := cluster.servers[name].proc.Signal(syscall.SIGTERM); err != nil {
-		cluster.t.Fatal(err)
-	}
-	select {
-	case <-ended:
-	case <-time.After(waitTimeout):
-		cluster.t.Fatalf("%s did not end", name)
-	}
-}
-
-// startBuild starts a server that doesn't run with the program of a build.
+// startBuild starts a server that doesn't run, with the program of a build, and waits until it is part
+// of the quorum.
 func (cluster *testCluster) startBuild(name string, b build) {
 	cluster.t.Helper()
-	p := cluster.servers[name].proc
-	p.Path, p.Env = b.path, b.env
+	proc := cluster.servers[name].proc
+	proc.Path, proc.Env = b.path, b.env
 	cluster.start(name)
 	cluster.waitUntil(name+" follows or leads", func() bool {
 		status, err := cluster.status(name)
@@ -71,10 +53,10 @@
 	builds       map[string]build
 	acknowledged map[string]float64
 	fence        int64 // of the leased task
-	revision     int64 // that the session was last told
+	revision     int64 // of the assignments that the session got last
 }
 
-// electOneOf has one of the servers named lead, by stopping and starting another that does.
+// electOneOf has one of the servers named lead: it restarts any other that does.
 func (m *mixedCluster) electOneOf(names ...string) {
 	m.t.Helper()
 	m.waitUntil(fmt.Sprintf("%v lead", names), func() bool {
@@ -88,7 +70,7 @@
 	})
 }
 
-// retryThrough calls the server named until it does what is asked.
+// retryThrough makes a call through one server until it succeeds.
 func (m *mixedCluster) retryThrough(name, what string, do func(ctx context.Context, c *control.Client) error) {
 	m.t.Helper()
 	var err error
@@ -98,7 +80,7 @@
 		}
 	}()
 	m.waitUntil(what+" through "+name, func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
+		ctx, cancel := context.WithTimeout(m.t.Context(), writeTimeout)
 		defer cancel()
 		err = do(ctx, m.servers[name].client)
 		return err == nil
@@ -112,7 +94,7 @@
 	mixedTTL     = 10 * time.Minute
 )
 
-// writeThroughAll writeThroughAll through every server: servers come, change and end, and the session is renewed.
+// writeThroughAll writes through every server: registrations, overrides, renewals and tasks.
 func (m *mixedCluster) writeThroughAll(phase string) {
 	m.t.Helper()
 	for i, name := range m.names {
@@ -144,7 +126,7 @@
 	}
 }
 
-// verifyReads holds that all that was written is there, at every server.
+// verifyReads requires that every server has all that was written.
 func (m *mixedCluster) verifyReads() {
 	m.t.Helper()
 	m.requireAcknowledged(m.acknowledged)
@@ -219,8 +201,8 @@
 	m := &mixedCluster{testCluster: cluster, builds: map[string]build{"st-1": old, "st-2": old, "st-3": present}, acknowledged: map[string]float64{}}
 	for _, name := range cluster.names {
 		cluster.configure(name, cluster.names)
-		p := cluster.servers[name].proc
-		p.Path, p.Env = m.builds[name].path, m.builds[name].env
+		proc := cluster.servers[name].proc
+		proc.Path, proc.Env = m.builds[name].path, m.builds[name].env
 		cluster.start(name)
 	}
 	m.electOneOf("st-1", "st-2")
--- /dev/null
+++ b/cmd/controlplane/servicewatch_test.go
@@ -0,0 +1,250 @@
+package main
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/endpoints"
+)
+
+// scopeHeader is the header with which a server tells how many services of a call it understood.
+const scopeHeader = "Service-Scope"
+
+// serviceQuery returns the part of a query that names services.
+func serviceQuery(services []string) string { return url.Values{"service": services}.Encode() }
+
+// serviceWatch reads what watches of services are sent, from server to server, and applies it as the
+// protocol demands.
+type serviceWatch struct {
+	services []string
+	stop     context.CancelFunc
+	done     chan struct{}
+
+	mu         sync.Mutex
+	version    int64
+	entries    map[string]endpoints.Endpoint
+	lists      []endpoints.List
+	bytes      int      // of the lists
+	violations []string // of the protocol
+}
+
+// watchServices starts a watch that begins at the first server named.
+func (cluster *testCluster) watchServices(services []string, at ...string) *serviceWatch {
+	return cluster.watchServicesFrom(0, services, at...)
+}
+
+// watchServicesFrom starts a watch whose reader has a version already.
+func (cluster *testCluster) watchServicesFrom(since int64, services []string, at ...string) *serviceWatch {
+	ctx, cancel := context.WithCancel(cluster.t.Context())
+	watch := &serviceWatch{services: services, stop: cancel, done: make(chan struct{}), version: since, entries: map[string]endpoints.Endpoint{}}
+	var addrs []string
+	for _, name := range at {
+		addrs = append(addrs, cluster.servers[name].http)
+	}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	go func() {
+		defer close(watch.done)
+		for i := 0; ctx.Err() == nil; i++ {
+			watch.readFrom(ctx, client, addrs[i%len(addrs)])
+			select {
+			case <-time.After(10 * time.Millisecond):
+			case <-ctx.Done():
+			}
+		}
+	}()
+	cluster.t.Cleanup(func() {
+		cancel()
+		<-watch.done
+	})
+	return watch
+}
+
+// readFrom applies the lines of one call to a server until the call ends.
+func (w *serviceWatch) readFrom(ctx context.Context, client *http.Client, addr string) {
+	w.mu.Lock()
+	since := w.version
+	w.mu.Unlock()
+	address := fmt.Sprintf("http://%s%s?follow=1&since=%d&%s", addr, endpoints.Path, since, serviceQuery(w.services))
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
+	if err != nil {
+		w.recordViolation("%s: %v", address, err)
+		return
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		return
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return
+	}
+	if got := resp.Header.Get(scopeHeader); got != strconv.Itoa(len(w.services)) {
+		w.recordViolation("%s: %q", scopeHeader, got)
+	}
+	lines := bufio.NewReaderSize(resp.Body, 1<<16)
+	for first := true; ; first = false {
+		line, err := lines.ReadBytes('\n')
+		if err != nil {
+			return
+		}
+		if len(line) > 1 && !w.apply(line, first) {
+			return
+		}
+	}
+}
+
+func (w *serviceWatch) recordViolation(format string, args ...any) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
+}
+
+// apply applies a line, and reports whether the reader goes on with the call. Servers without a quorum
+// serve the list that they have, if none is better, so a reader leaves a server whose first list is older
+// than its own. Later versions of a call must never decrease.
+func (w *serviceWatch) apply(line []byte, first bool) (goOn bool) {
+	list, err := endpoints.Parse(line)
+	if err != nil {
+		w.recordViolation("%.200q: %v", line, err)
+		return false
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if list.Seq < w.version && first {
+		return false
+	}
+	if list.Seq < w.version {
+		w.violations = append(w.violations, fmt.Sprintf("version %d after %d", list.Seq, w.version))
+	}
+	w.version, w.bytes, w.lists = list.Seq, w.bytes+len(line), append(w.lists, list)
+	if list.Full {
+		clear(w.entries)
+	}
+	for _, endpoint := range list.Endpoints {
+		switch {
+		case !slices.Contains(w.services, endpoint.Service):
+			w.violations = append(w.violations, fmt.Sprintf("was sent %+v, of another service", endpoint))
+		case endpoint.Health != endpoints.Removed:
+			w.entries[endpoint.Name] = endpoint
+		case w.entries[endpoint.Name].Service == endpoint.Service:
+			delete(w.entries, endpoint.Name)
+		}
+	}
+	return true
+}
+
+// names returns the entries as name@service, sorted and with spaces between.
+func (w *serviceWatch) names() string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	names := make([]string, 0, len(w.entries))
+	for _, endpoint := range w.entries {
+		names = append(names, endpoint.Name+"@"+endpoint.Service)
+	}
+	slices.Sort(names)
+	return strings.Join(names, " ")
+}
+
+// size returns the number of entries.
+func (w *serviceWatch) size() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return len(w.entries)
+}
+
+// list returns the list with an index, of those that were received; -1 is the last.
+func (w *serviceWatch) list(i int) endpoints.List {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if i < 0 {
+		i += len(w.lists)
+	}
+	return w.lists[i]
+}
+
+// received returns how many lists and bytes were received, and the version of the last.
+func (w *serviceWatch) received() (lists, bytes int, version int64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return len(w.lists), w.bytes, w.version
+}
+
+// stopAndVerify stops the watch and requires that it saw no violation of the protocol.
+func (w *serviceWatch) stopAndVerify(t *testing.T) {
+	t.Helper()
+	w.stop()
+	<-w.done
+	if len(w.violations) > 0 {
+		t.Errorf("a watch of %q: %s", w.services, strings.Join(w.violations, "; "))
+	}
+}
+
+func newServiceEndpoint(service, name string, startedMs float64) endpoints.Endpoint {
+	endpoint := newEndpoint(name, startedMs)
+	endpoint.Service = service
+	return endpoint
+}
+
+// registerInService registers a server with the servers of the cluster named, or with all, until one of
+// them acknowledges it.
+func (cluster *testCluster) registerInService(service, name string, startedMs float64, at ...string) catalog.Result {
+	cluster.t.Helper()
+	if len(at) == 0 {
+		at = cluster.names
+	}
+	var result catalog.Result
+	cluster.waitUntil(name+" is registered", func() bool {
+		ctx, cancel := context.WithTimeout(cluster.t.Context(), writeTimeout)
+		defer cancel()
+		var err error
+		result, err = cluster.client(at...).Register(ctx, newServiceEndpoint(service, name, startedMs))
+		return err == nil
+	})
+	return result
+}
+
+// get makes one GET call to a server and reads its answer.
+func (cluster *testCluster) get(at, path string) (status int, header http.Header, text []byte) {
+	cluster.t.Helper()
+	resp, err := http.Get("http://" + cluster.servers[at].http + path)
+	if err != nil {
+		cluster.t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	if text, err = io.ReadAll(resp.Body); err != nil {
+		cluster.t.Fatal(err)
+	}
+	return resp.StatusCode, resp.Header, text
+}
+
+// fullList returns the full list of some services at a server.
+func (cluster *testCluster) fullList(at, query string) endpoints.List {
+	cluster.t.Helper()
+	var list endpoints.List
+	cluster.waitUntil(at+" serves a list", func() bool {
+		status, header, text := cluster.get(at, endpoints.Path+"?"+query)
+		if status != http.StatusOK {
+			return false
+		}
+		if header.Get(scopeHeader) == "" {
+			cluster.t.Fatalf("%s: no header %s", query, scopeHeader)
+		}
+		var err error
+		if list, err = endpoints.Parse(text); err != nil || !list.Full {
+			cluster.t.Fatalf("%s: not a full list: %.200s: %v", query, text, err)
+		}
+		return true
+	})
+	return list
+}
--- a/cmd/controlplane/tasks.go
+++ b/cmd/controlplane/tasks.go
@@ -80,8 +80,8 @@
 			fmt.Fprintf(out, "%s: %s, fence %d, for %v a time\n", task.Name, taskState(&task), task.Fence, task.TTL)
 			var rows [][]string
 			for _, term := range task.History {
-				held := (term.To - term.From).Round(time.Millisecond)
-				rows = append(rows, []string{term.Process, fmt.Sprint(term.Fence), held.String(), term.Reason})
+				duration := (term.To - term.From).Round(time.Millisecond)
+				rows = append(rows, []string{term.Process, fmt.Sprint(term.Fence), duration.String(), term.Reason})
 			}
 			return table.Terminal(out, false, []string{"held by", "fence", "for", "until it"}, rows)
 		},
--- /dev/null
+++ b/cmd/controlplane/taskschedules_test.go
@@ -0,0 +1,151 @@
+package main
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+
+	"knotrouter/internal/lab/check"
+	"knotrouter/internal/lab/link"
+)
+
+const (
+	scheduledTasks  = 4
+	scheduledFaults = 8
+	// minTermsPerSchedule is how many terms a schedule has on average at least, over all tasks.
+	minTermsPerSchedule = 6
+)
+
+// countFromEnvironment returns the number that an environment variable has, or the default without one.
+func countFromEnvironment(t *testing.T, variable string, defaultCount int) int {
+	t.Helper()
+	value := os.Getenv(variable)
+	if value == "" {
+		return defaultCount
+	}
+	count, err := strconv.Atoi(value)
+	if err != nil {
+		t.Fatalf("%s: %v", variable, err)
+	}
+	return count
+}
+
+// Whatever happens to workers and servers in random schedules of kills, suspensions, cuts, moves and
+// revocations, no two processes hold a task at one time, and the resource sees no fencing token after a
+// higher one. DUTY_SEEDS is the number of schedules.
+func TestTasksNeverOverlapUnderRandomFaults(t *testing.T) {
+	schedules := countFromEnvironment(t, "DUTY_SEEDS", 10)
+	var mu sync.Mutex
+	terms, rejected := 0, 0
+	t.Run("all", func(t *testing.T) {
+		for seed := range schedules {
+			t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+				t.Parallel()
+				result := runTaskSchedule(t, uint64(seed)+1000)
+				mu.Lock()
+				defer mu.Unlock()
+				terms += result.Terms
+				rejected += result.Refused
+			})
+		}
+	})
+	if terms < minTermsPerSchedule*schedules {
+		t.Errorf("%d terms of %d tasks in %d schedules: too few changes of holders", terms, scheduledTasks, schedules)
+	}
+	t.Logf("%d schedules, %d terms, %d operations rejected for their fencing token", schedules, terms, rejected)
+}
+
+// runTaskSchedule injects random faults and returns what the resource recorded.
+func runTaskSchedule(t *testing.T, seed uint64) check.Verdict {
+	t.Helper()
+	rng := newSeededRand(t, seed)
+	cluster := newCluster(t, 3)
+	workers := cluster.startWorkers(3, 10, 0.95, 1.05, 1)
+	for i := range scheduledTasks {
+		workers.defineTask(scheduledTask(i), time.Second)
+	}
+	for i := range scheduledTasks {
+		workers.waitForOperation(scheduledTask(i), "", 0)
+	}
+	for range scheduledFaults {
+		workers.injectFault(rng)
+		time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
+	}
+	// A task may have been blamed for the ends of its holders, and suspended.
+	for i := range scheduledTasks {
+		name := scheduledTask(i)
+		cluster.waitUntil(name+" is not suspended", func() bool { return workers.commandTask(name, "unpark", "") == nil })
+	}
+	now := monotonicNow(t)
+	for i := range scheduledTasks {
+		workers.waitForOperation(scheduledTask(i), "", now)
+	}
+	workers.requireNoOverlap()
+	result := workers.operations.Judge()
+	t.Logf("%d terms, %d operations rejected for their fencing token, no holder acted for %.0f %% of the time", result.Terms, result.Refused, 100*float64(result.Idle)/float64(result.All))
+	return result
+}
+
+func scheduledTask(i int) string { return fmt.Sprint("work.", i) }
+
+// injectFault injects one random fault into a worker, a task or a server, and ends it.
+func (workers *workerGroup) injectFault(rng *rand.Rand) {
+	workers.cluster.t.Helper()
+	worker := workers.names[rng.IntN(len(workers.names))]
+	duration := time.Duration(300+rng.IntN(2200)) * time.Millisecond
+	switch rng.IntN(8) {
+	case 0, 1:
+		workers.cluster.injectFault(rng)
+	case 2:
+		workers.kill(worker)
+		time.Sleep(duration / 3)
+		workers.start(worker)
+	case 3, 4:
+		workers.suspendFor(worker, duration)
+	case 5:
+		workers.cutLinks(worker, rng.IntN(2) == 0, true)
+		time.Sleep(duration)
+		workers.cutLinks(worker, false, false)
+	case 6:
+		_ = workers.commandTask(scheduledTask(rng.IntN(scheduledTasks)), []string{"move", "revoke"}[rng.IntN(2)], "")
+	case 7:
+		workers.shutDown(worker)
+		workers.start(worker)
+	}
+}
+
+// injectFault injects one random fault into a server, mostly into the leader, and ends it.
+func (cluster *testCluster) injectFault(rng *rand.Rand) {
+	cluster.t.Helper()
+	name := cluster.names[rng.IntN(3)]
+	if rng.IntN(3) > 0 {
+		for _, candidate := range cluster.names {
+			if cluster.isLeader(candidate) {
+				name = candidate
+			}
+		}
+	}
+	duration := time.Duration(200+rng.IntN(1200)) * time.Millisecond
+	switch rng.IntN(5) {
+	case 0:
+		cluster.kill(name)
+		time.Sleep(duration / 4)
+		cluster.start(name)
+	case 1:
+		cluster.suspend(name)
+		time.Sleep(duration)
+		cluster.resume(name)
+	default:
+		outbound, inbound := link.Shape{Cut: rng.IntN(2) == 0}, cutShape
+		if rng.IntN(2) == 0 {
+			outbound, inbound = inbound, outbound
+		}
+		cluster.shapeLinks(name, outbound, inbound)
+		time.Sleep(duration)
+		cluster.shapeLinks(name, link.Shape{}, link.Shape{})
+	}
+}
--- a/cmd/controlplane/unresponsive_test.go
+++ b/cmd/controlplane/unresponsive_test.go
@@ -10,17 +10,15 @@
 	"time"
 
 	"knotrouter/internal/catalog"
-	"knotrouter/internal/endpoints"
 )
 
-// unresponsiveAddress returns an address that takes connections and answers none of them.
+// unresponsiveAddress returns an address that accepts connections and answers on none of them.
 func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var mu sync.Mutex
 	var conns []net.Conn
 	done := make(chan struct{})
 	go func() {
@@ -31,9 +29,7 @@
 				return
 			}
 			if err == nil {
-				mu.Lock()
 				conns = append(conns, conn)
-				mu.Unlock()
 			}
 		}
 	}()
@@ -47,89 +43,48 @@
 	return listener.Addr().String()
 }
 
-// A lost zone has more silent servers than a steward probes in one question's time if it probes
-// a few at a time. All of them have to be settled by a quorum of the stewards all the same.
+// A lost zone has more unresponsive servers than a server of the control plane can check within one
+// timeout if it checks a few at a time. A quorum decides on all of them all the same.
 func TestUnresponsiveZoneExpires(t *testing.T) {
-	const total, silent = 600, 120 // a fifth: the guard against mass failure holds at two fifths
+	const total, unresponsive = 600, 120 // a fifth: the mass-failure guard begins at two fifths
 	cluster := newCluster(t, 3)
 	cluster.extraConfig = "heartbeat = \"300ms\"\nlease_ttl = \"3s\"\n"
-	for _, name := range cluster.names {
-		cluster.kill(name)
-		cluster.configure(name, cluster.names)
-	}
-	for _, name := range cluster.names {
-		cluster.start(name)
-	}
+	cluster.restartAll(nil)
 	cluster.waitForLeader()
-	stop := renewRepeatedly(cluster, total-silent)
-	defer stop()
-	dial := unresponsiveAddress(t)
-	registerAll(cluster, total, dial)
-	listed := func() int {
-		status, err := cluster.status(cluster.waitForLeader())
-		if err != nil {
-			return -1
-		}
-		return status.Listed
-	}
+	cluster.renewAll(300*time.Millisecond, func() []catalog.InstanceRef { return instanceRefs(total - unresponsive) })
+	registerAll(cluster, total, unresponsiveAddress(t))
 	began := time.Now()
-	cluster.waitUntil("the silent zone is off the list, and nobody else", func() bool { return listed() == total-silent })
-	t.Logf("%d silent servers of %d were off the list after %v", silent, total, time.Since(began).Round(100*time.Millisecond))
-	if n := listed(); n != total-silent {
-		t.Errorf("%d servers are listed, want %d", n, total-silent)
+	cluster.waitUntil("only the unresponsive zone is off the list", func() bool { return cluster.listedCount() == total-unresponsive })
+	t.Logf("%d unresponsive servers of %d were off the list after %v", unresponsive, total, time.Since(began).Round(100*time.Millisecond))
+	if listed := cluster.listedCount(); listed != total-unresponsive {
+		t.Errorf("%d servers are listed, want %d", listed, total-unresponsive)
 	}
 }
 
-// renewRepeatedly renews the leases of the first servers until the returned function is called.
-func renewRepeatedly(cluster *testCluster, servers int) (stop func()) {
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		client := cluster.client(cluster.names...)
-		ticker := time.NewTicker(300 * time.Millisecond)
-		defer ticker.Stop()
-		for {
-			select {
-			case <-ticker.C:
-			case <-ctx.Done():
-				return
-			}
-			call, cancelCall := context.WithTimeout(ctx, 2*time.Second)
-			_, _ = client.Renew(call, instanceRefs(servers))
-			cancelCall()
-		}
-	}()
-	return func() { cancel(); <-done }
-}
-
-// registerAll registers servers at one address, several at a time.
+// registerAll registers the servers s-0 and so on at one address, several at a time.
 func registerAll(cluster *testCluster, servers int, dial string) {
 	cluster.t.Helper()
 	const workers = 16
 	work := make(chan int)
 	failed := make(chan error, workers)
-	var all sync.WaitGroup
+	var registering sync.WaitGroup
 	for range workers {
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			client := cluster.client(cluster.names...)
+		registering.Go(func() {
 			for i := range work {
-				if err := registerAt(client.Register, fmt.Sprint("s-", i), dial); err != nil {
+				if err := registerAt(cluster, fmt.Sprint("s-", i), dial); err != nil {
 					select {
 					case failed <- err:
 					default:
 					}
 				}
 			}
-		}()
+		})
 	}
 	for i := range servers {
 		work <- i
 	}
 	close(work)
-	all.Wait()
+	registering.Wait()
 	select {
 	case err := <-failed:
 		cluster.t.Fatal(err)
@@ -137,21 +92,19 @@
 	}
 }
 
-// registerAt registers one server and tries again until it is taken or too much time is over.
-func registerAt(register registerFunc, name, dial string) error {
-	host := newEndpoint(name, 1)
-	host.Dial = dial
+// registerAt registers one server until it is acknowledged. It returns the last error after waitTimeout.
+func registerAt(cluster *testCluster, name, dial string) error {
+	client := cluster.client(cluster.names...)
+	endpoint := newEndpoint(name, 1)
+	endpoint.Dial = dial
 	var err error
-	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
-		_, err = register(ctx, host)
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(retryInterval) {
+		ctx, cancel := context.WithTimeout(cluster.t.Context(), writeTimeout)
+		_, err = client.Register(ctx, endpoint)
 		cancel()
 		if err == nil {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s was never taken: %w", name, err)
+	return fmt.Errorf("the registration of %s was not acknowledged within %v: %w", name, waitTimeout, err)
 }
-
-// registerFunc is control.Client's Register.
-type registerFunc = func(context.Context, endpoints.Endpoint) (catalog.Result, error)
--- a/cmd/controlplane/watches_test.go
+++ b/cmd/controlplane/watches_test.go
@@ -2,70 +2,61 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"io"
-	"log/slog"
-	"net"
 	"net/http"
-	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"strings"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
-	"knotrouter/internal/agent"
+	"knotrouter/internal/catalog"
 	"knotrouter/internal/endpoints"
 	"knotrouter/internal/lab/link"
-	"knotrouter/internal/lab/process"
 )
 
-// readerGroup is many readers, each with an order of its own, as agents have.
+// readerGroup is many readers, each with its own order of the servers, as agents have. It is the
+// transport of their calls and records when they were made.
 type readerGroup struct {
-	cluster   *testCluster
-	readers   []*watchReader
-	calls     atomic.Int64
+	cluster *testCluster
+	readers []*watchReader
+	stop    context.CancelFunc
+	done    sync.WaitGroup
+
 	mu        sync.Mutex
-	callTimes []time.Time // of the calls
-	stop      context.CancelFunc
-	done      sync.WaitGroup
+	callTimes []time.Time
 }
 
 func (group *readerGroup) RoundTrip(r *http.Request) (*http.Response, error) {
-	group.calls.Add(1)
 	group.mu.Lock()
 	group.callTimes = append(group.callTimes, time.Now())
 	group.mu.Unlock()
-	return group.transport().RoundTrip(r)
-}
-
-func (group *readerGroup) transport() *http.Transport {
-	return &http.Transport{DisableKeepAlives: true}
+	transport := &http.Transport{DisableKeepAlives: true}
+	return transport.RoundTrip(r)
 }
 
+// startReaders starts n readers, which stop with the test.
 func (cluster *testCluster) startReaders(n int) *readerGroup {
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(cluster.t.Context())
 	group := &readerGroup{cluster: cluster, stop: cancel}
 	for i := range n {
-		reader := &watchReader{listed: map[string]endpoints.Endpoint{}}
+		reader := newWatchReader()
 		group.readers = append(group.readers, reader)
-		client := endpoints.NewClient(endpoints.ClientConfig{Addresses: cluster.client(cluster.names...).Addrs, Order: uint64(i), Fleet: n,
-			RejectOlder: true, Transport: group})
-		group.done.Add(1)
-		go func() {
-			defer group.done.Done()
+		client := endpoints.NewClient(endpoints.ClientConfig{
+			Addresses:   cluster.client(cluster.names...).Addrs,
+			Order:       uint64(i),
+			Fleet:       n,
+			RejectOlder: true,
+			Transport:   group,
+		})
+		group.done.Go(func() {
 			for ctx.Err() == nil {
-				reader.mu.Lock()
-				seq := reader.version
-				reader.mu.Unlock()
-				_ = client.Watch(ctx, seq, func(l endpoints.List) { reader.apply(&l) })
+				reader.watch(ctx, client)
 				time.Sleep(time.Duration(500+i%500) * time.Millisecond)
 			}
-		}()
+		})
 	}
 	cluster.t.Cleanup(group.stopReading)
 	return group
@@ -76,17 +67,17 @@
 	group.done.Wait()
 }
 
-// maxCallsWithin is how many calls there were in the fullest window of so long.
-func (group *readerGroup) maxCallsWithin(window time.Duration) (most int) {
+// maxCallsWithin returns the largest number of calls in any window of a length.
+func (group *readerGroup) maxCallsWithin(window time.Duration) (calls int) {
 	group.mu.Lock()
 	defer group.mu.Unlock()
 	for i, j := 0, 0; j < len(group.callTimes); j++ {
 		for group.callTimes[j].Sub(group.callTimes[i]) > window {
 			i++
 		}
-		most = max(most, j-i+1)
+		calls = max(calls, j-i+1)
 	}
-	return most
+	return calls
 }
 
 func (group *readerGroup) resetCallTimes() {
@@ -95,12 +86,12 @@
 	group.callTimes = nil
 }
 
-// waitUntilAllHave waits until all have a server.
+// waitUntilAllHave waits until all readers list a server.
 func (group *readerGroup) waitUntilAllHave(name string) {
 	group.cluster.t.Helper()
-	group.cluster.waitUntil("all know "+name, func() bool {
-		for _, r := range group.readers {
-			if _, ok := r.lookup(name); !ok {
+	group.cluster.waitUntil("all readers list "+name, func() bool {
+		for _, reader := range group.readers {
+			if !reader.has(name) {
 				return false
 			}
 		}
@@ -108,160 +99,164 @@
 	})
 }
 
-func (cluster *testCluster) watchCounts() (at []int, sum int) {
+// watchCounts returns the number of watches at each server, 0 for one that doesn't answer.
+func (cluster *testCluster) watchCounts() (counts []int, sum int) {
 	for _, name := range cluster.names {
 		status, err := cluster.status(name)
 		if err != nil {
 			status.Watches = 0
 		}
-		at, sum = append(at, status.Watches), sum+status.Watches
+		counts, sum = append(counts, status.Watches), sum+status.Watches
 	}
-	return at, sum
+	return counts, sum
+}
+
+// waitUntilSpread waits until n watches are spread evenly over some servers, up to a tenth of a server's
+// part and two.
+func (cluster *testCluster) waitUntilSpread(n, servers int) {
+	cluster.t.Helper()
+	cluster.waitUntil(fmt.Sprintf("%d watches are spread over %d servers", n, servers), func() bool {
+		counts, sum := cluster.watchCounts()
+		for _, count := range counts {
+			if count > n/servers+n/servers/10+2 {
+				return false
+			}
+		}
+		return sum == n
+	})
 }
 
-// Watches spread over the stewards. One that ends in order sends its own away in small
-// steps before; one that joins gets its part in small steps; nobody misses a change.
+// Watches are spread over the servers. A server that shuts down migrates its watches in small steps
+// first, and one that joins gets its part in small steps. No reader misses a change.
 func TestWatchesAreRebalanced(t *testing.T) {
 	const n = 90
 	cluster := newCluster(t, 3)
 	cluster.register("before", 1)
 	readers := cluster.startReaders(n)
-	spread := func(servers int) func() bool {
-		return func() bool {
-			at, sum := cluster.watchCounts()
-			for _, w := range at {
-				if w > n/servers+n/servers/10+2 {
-					return false
-				}
-			}
-			return sum == n
-		}
-	}
 	readers.waitUntilAllHave("before")
-	cluster.waitUntil("they are spread over three", spread(3))
+	cluster.waitUntilSpread(n, 3)
 	victim := cluster.others(cluster.waitForLeader())[0]
 	readers.resetCallTimes()
-	ended := cluster.servers[victim].proc.Ended()
-	if err := cluster.servers[victim].proc.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	<-ended
-	cluster.waitUntil("they are spread over two", spread(2))
+	cluster.shutDown(victim)
+	cluster.waitUntilSpread(n, 2)
 	cluster.register("between", 1)
 	readers.waitUntilAllHave("between")
-	// Of thirty within two seconds, a tenth of a second's part is two or three.
-	if got := readers.maxCallsWithin(100 * time.Millisecond); got > n/3/2 {
-		t.Errorf("%d of the %d readers of a steward that ends went elsewhere within 100 ms", got, n/3)
+	// Thirty watches migrate within two seconds: a tenth of a second has two or three of them.
+	if calls := readers.maxCallsWithin(100 * time.Millisecond); calls > n/3/2 {
+		t.Errorf("%d of the %d readers of a server that shuts down migrated within 100 ms", calls, n/3)
 	}
-	text, _ := os.ReadFile(cluster.servers[victim].proc.Log)
-	if !strings.Contains(string(text), "msg=drained") || !strings.Contains(string(text), "remaining=0") {
-		t.Errorf("it ended with watches left: %s", text[max(0, len(text)-400):])
+	log := processLog(cluster.servers[victim].proc)
+	if !strings.Contains(log, "msg=drained") || !strings.Contains(log, "remaining=0") {
+		t.Errorf("the server ended before all its watches had migrated: %s", tail(log, 400))
 	}
 	readers.resetCallTimes()
 	cluster.start(victim)
-	cluster.waitUntil("they are spread over three again", spread(3))
-	if got := readers.maxCallsWithin(time.Second); got > 3*n/20+3 {
-		t.Errorf("%d calls within a second to a steward that joins, of %d readers", got, n)
+	cluster.waitUntilSpread(n, 3)
+	if calls := readers.maxCallsWithin(time.Second); calls > 3*n/20+3 {
+		t.Errorf("%d calls within a second after a server joined, of %d readers", calls, n)
 	}
 	cluster.register("after", 1)
 	readers.waitUntilAllHave("after")
 	for _, reader := range readers.readers {
 		if len(reader.regressions) > 0 {
-			t.Errorf("versions went back: %v", reader.regressions)
+			t.Errorf("versions decreased: %v", reader.regressions)
 		}
 	}
 }
 
-// lagDuration is for how long a steward lags in TestLaggingServerLosesItsWatches; longer where it is asked for.
+// lagDuration returns how long a server lags: 4 s, or what the environment variable LAG_FOR says.
 func lagDuration(t *testing.T) time.Duration {
-	d, err := time.ParseDuration(os.Getenv("LAG_FOR"))
+	t.Helper()
+	duration, err := time.ParseDuration(os.Getenv("LAG_FOR"))
 	if err != nil {
 		return 4 * time.Second
 	}
-	t.Logf("lags for %v", d)
-	return d
+	t.Logf("the server lags for %v", duration)
+	return duration
 }
 
-// A steward that lags, because its disk is slow, because what it is sent comes late, or
-// because it stood still, loses its readers to others while it does; it serves them nothing
-// old, and takes them again once it has caught up.
+// lagCause is why a server lags behind the leader.
+type lagCause struct {
+	name string
+	// suspends is set if the server stands still, and can't report that it lags.
+	suspends   bool
+	begin, end func(t *testing.T, cluster *testCluster, leader, lagging string)
+}
+
+// diskBlockFile is the file that blocks the log store of a server while it exists.
+func (cluster *testCluster) diskBlockFile(name string) string {
+	return filepath.Join(cluster.dir, "slow-"+name)
+}
+
+const slowDiskCause = "slow disk"
+
+var lagCauses = []lagCause{
+	{
+		name: slowDiskCause,
+		begin: func(t *testing.T, cluster *testCluster, _, lagging string) {
+			if err := os.WriteFile(cluster.diskBlockFile(lagging), nil, 0o600); err != nil {
+				t.Fatal(err)
+			}
+		},
+		end: func(t *testing.T, cluster *testCluster, _, lagging string) {
+			if err := os.Remove(cluster.diskBlockFile(lagging)); err != nil {
+				t.Fatal(err)
+			}
+		},
+	},
+	{
+		name: "late link",
+		begin: func(t *testing.T, cluster *testCluster, leader, lagging string) {
+			if err := cluster.links[serverPair{leader, lagging}].Set(link.Shape{Delay: lagDuration(t)}, link.Shape{}); err != nil {
+				t.Fatal(err)
+			}
+		},
+		end: func(t *testing.T, cluster *testCluster, leader, lagging string) {
+			if err := cluster.links[serverPair{leader, lagging}].Set(link.Shape{}, link.Shape{}); err != nil {
+				t.Fatal(err)
+			}
+		},
+	},
+	{
+		name:     "stood still",
+		suspends: true,
+		begin:    func(_ *testing.T, cluster *testCluster, _, lagging string) { cluster.suspend(lagging) },
+		end:      func(_ *testing.T, cluster *testCluster, _, lagging string) { cluster.resume(lagging) },
+	},
+}
+
+// A server that lags, as its disk is slow, as what it is sent arrives late or as it is suspended, loses
+// its watches to the others. It serves no old list, and gets its part of the watches again once it has
+// caught up.
 func TestLaggingServerLosesItsWatches(t *testing.T) {
-	for _, cause := range []string{"slow disk", "late link", "stood still"} {
-		t.Run(cause, func(t *testing.T) {
+	for _, cause := range lagCauses {
+		t.Run(cause.name, func(t *testing.T) {
 			t.Parallel()
 			cluster := newCluster(t, 3)
 			cluster.extraConfig += "stale_after = \"1s\"\n"
-			file := filepath.Join(cluster.dir, "slow")
-			for _, name := range cluster.names {
-				cluster.kill(name)
-				cluster.configure(name, cluster.names)
-				cluster.servers[name].proc.Env = append(cluster.servers[name].proc.Env, "TEST_DISK="+file+"-"+name)
-			}
-			for _, name := range cluster.names {
-				cluster.start(name)
-			}
+			cluster.restartAll(func(_ int, name string) { cluster.setenv(name, diskBlockVariable, cluster.diskBlockFile(name)) })
 			leader := cluster.waitForLeader()
-			slow := cluster.others(leader)[0]
+			lagging := cluster.others(leader)[0]
 			cluster.register("before", 1)
 			readers := cluster.startReaders(30)
 			readers.waitUntilAllHave("before")
-			switch cause {
-			case "slow disk":
-				if err := os.WriteFile(file+"-"+slow, nil, 0o600); err != nil {
-					t.Fatal(err)
-				}
-			case "late link":
-				if err := cluster.links[[2]string{leader, slow}].Set(link.Shape{Delay: lagDuration(t)}, link.Shape{}); err != nil {
-					t.Fatal(err)
-				}
-			case "stood still":
-				if err := cluster.servers[slow].proc.Signal(syscall.SIGSTOP); err != nil {
-					t.Fatal(err)
-				}
-			}
+			cause.begin(t, cluster, leader, lagging)
 			began := time.Now()
 			cluster.register("while", 1, leader)
 			readers.waitUntilAllHave("while")
 			if took := time.Since(began); took > 20*time.Second {
-				t.Errorf("all readers knew after %v", took)
-			}
-			if cause != "stood still" {
-				cluster.waitUntil("it knows that it lags", func() bool {
-					status, err := cluster.status(slow)
-					return err == nil && status.Stale && status.Watches == 0
-				})
-				if cause == "slow disk" {
-					if status, err := cluster.status(slow); err != nil || status.SinceLeaderContactMs > 1000 || status.LagMs < 1000 {
-						t.Errorf("it hears the leader and lags: %+v, %v", status, err)
-					}
-				}
-				// A reader that knows nothing yet is sent on too.
-				if l, err := cluster.servers[slow].client.List(context.Background()); err == nil {
-					t.Errorf("it serves version %d while it lags and another doesn't", l.Seq)
-				}
+				t.Errorf("all readers had the change after %v", took)
 			}
-			if left := lagDuration(t) - time.Since(began); left > 0 {
-				time.Sleep(left)
+			if !cause.suspends {
+				requireStale(t, cluster, lagging, cause.name == slowDiskCause)
 			}
+			time.Sleep(lagDuration(t) - time.Since(began))
 			for i := range 50 {
 				cluster.register(fmt.Sprint("later-", i), 1, leader)
 			}
-			switch cause {
-			case "slow disk":
-				if err := os.Remove(file + "-" + slow); err != nil {
-					t.Fatal(err)
-				}
-			case "late link":
-				if err := cluster.links[[2]string{leader, slow}].Set(link.Shape{}, link.Shape{}); err != nil {
-					t.Fatal(err)
-				}
-			case "stood still":
-				if err := cluster.servers[slow].proc.Signal(syscall.SIGCONT); err != nil {
-					t.Fatal(err)
-				}
-			}
-			cluster.waitUntil("it has its part again", func() bool {
-				status, err := cluster.status(slow)
+			cause.end(t, cluster, leader, lagging)
+			cluster.waitUntil(lagging+" has its part of the watches again", func() bool {
+				status, err := cluster.status(lagging)
 				return err == nil && !status.Stale && status.Watches >= 5
 			})
 			cluster.register("after", 1)
@@ -271,313 +266,76 @@
 	}
 }
 
-// Stewards' clocks are half a day apart, and it shows nowhere: leases end by the leader's
-// time, no server lapses when another leads, versions never go back, not even with a fresh
-// fleet whose leader's clock is behind.
-func TestClockSkewHasNoEffect(t *testing.T) {
-	cluster := newCluster(t, 3)
-	// The guard against mass failure is not what is played, and seven of twelve end here.
-	cluster.extraConfig = strings.Replace(cluster.extraConfig, "10m", "3s", 1) + "guard_share = 1\n"
-	for i, name := range cluster.names {
-		cluster.kill(name)
-		cluster.configure(name, cluster.names)
-		cluster.servers[name].proc.Env = append(cluster.servers[name].proc.Env, fmt.Sprint("TEST_CLOCK=", []string{"11h", "-11h", "0s"}[i]))
+// requireStale waits until a server reports that it lags and has no watches left. It requires that the
+// server serves no list, and, if it still hears the leader, that it reports so.
+func requireStale(t *testing.T, cluster *testCluster, lagging string, hearsLeader bool) {
+	t.Helper()
+	cluster.waitUntil(lagging+" is stale and has no watches", func() bool {
+		status, err := cluster.status(lagging)
+		return err == nil && status.Stale && status.Watches == 0
+	})
+	if hearsLeader {
+		if status, err := cluster.status(lagging); err != nil || status.SinceLeaderContactMs > 1000 || status.LagMs < 1000 {
+			t.Errorf("a server that hears the leader and lags reports %+v, %v", status, err)
+		}
 	}
-	for _, name := range cluster.names {
-		cluster.start(name)
+	// A call without a version is rejected too.
+	if list, err := cluster.servers[lagging].client.List(t.Context()); err == nil {
+		t.Errorf("the server lists version %d while it lags and others don't", list.Seq)
 	}
+}
+
+// Clocks that are half a day apart have no effect: leases expire by the leader's elapsed time, no lease
+// expires because another server leads, and versions never decrease, not even in a new cluster whose
+// leader's clock is behind.
+func TestClockSkewHasNoEffect(t *testing.T) {
+	const (
+		n         = 8
+		halfLease = 1500 * time.Millisecond
+	)
+	cluster := newCluster(t, 3)
+	cluster.shortenLeases()
+	cluster.extraConfig += "guard_share = 1\n" // seven of twelve servers end: no mass failure
+	cluster.restartAll(func(i int, name string) {
+		cluster.setenv(name, clockOffsetVariable, []string{"11h", "-11h", "0s"}[i])
+	})
 	cluster.waitForLeader()
-	const n = 8
-	var silentServers atomic.Int64 // servers that renew no more, from the last on
-	ctx, cancel := context.WithCancel(context.Background())
-	var renewing sync.WaitGroup
-	defer renewing.Wait()
-	defer cancel()
 	for i := range n {
 		cluster.register(fmt.Sprint("s-", i), 1)
 	}
-	renewing.Add(1)
-	go func() {
-		defer renewing.Done()
-		c := cluster.client(cluster.names...)
-		for ctx.Err() == nil {
-			call, cancel := context.WithTimeout(ctx, 2*time.Second)
-			_, _ = c.Renew(call, instanceRefs(n-int(silentServers.Load())))
-			cancel()
-			time.Sleep(100 * time.Millisecond)
-		}
-	}()
+	var silentServers atomic.Int64 // the last ones, that renew no more
+	cluster.renewAll(100*time.Millisecond, func() []catalog.InstanceRef { return instanceRefs(n - int(silentServers.Load())) })
 	reader := cluster.startReader(cluster.names...)
 	for round := range 3 {
 		oldLeader := cluster.waitForLeader()
 		cluster.kill(oldLeader)
 		silentServers.Add(1)
 		expiring := fmt.Sprint("s-", n-1-round)
-		cluster.register(fmt.Sprint("round-", round), 1)
-		cluster.waitUntil("read", func() bool { _, ok := reader.lookup(fmt.Sprint("round-", round)); return ok })
+		registered := fmt.Sprint("round-", round)
+		cluster.register(registered, 1)
+		cluster.waitUntil("the reader gets "+registered, func() bool { return reader.has(registered) })
 		cluster.start(oldLeader)
-		time.Sleep(1500 * time.Millisecond) // half a lease
-		cluster.waitUntil(expiring+" lapses, which renews no more since another leads", func() bool { _, ok := reader.lookup(expiring); return !ok })
+		time.Sleep(halfLease)
+		cluster.waitUntil("the lease of "+expiring+", which renews no more, expires", func() bool { return !reader.has(expiring) })
 		for i := range n - 1 - round {
-			if _, ok := reader.lookup(fmt.Sprint("s-", i)); !ok {
-				t.Errorf("round %d: s-%d lapsed though it renewed", round, i)
+			if name := fmt.Sprint("s-", i); !reader.has(name) {
+				t.Errorf("round %d: the lease of %s expired though it was renewed", round, name)
 			}
 		}
 	}
 	cluster.register("silent", 1)
-	cluster.waitUntil("one that isn't heard lapses", func() bool { _, ok := reader.lookup("silent"); return !ok && reader.wasListed("silent") })
+	cluster.waitUntil("the lease of a server that never renews expires", func() bool {
+		return !reader.has("silent") && reader.wasListed("silent")
+	})
 	for _, name := range cluster.names {
 		cluster.kill(name)
-		if err := os.RemoveAll(cluster.dataDir(name)); err != nil {
-			t.Fatal(err)
-		}
-		cluster.servers[name].proc.Env = append(cluster.servers[name].proc.Env, "TEST_CLOCK=-11h") // whoever leads
+		cluster.eraseData(name)
+		cluster.setenv(name, clockOffsetVariable, "-11h") // of whichever server leads
 	}
 	for _, name := range cluster.names {
 		cluster.start(name)
 	}
 	cluster.register("fresh", 1)
-	cluster.waitUntil("read of a fresh fleet", func() bool { _, ok := reader.lookup("fresh"); return ok })
+	cluster.waitUntil("the reader gets the list of a new cluster", func() bool { return reader.has("fresh") })
 	reader.stopAndVerify(t)
 }
-
-// agentMain is a real agent, as cmd/agent starts one.
-func agentMain() {
-	conf, err := agent.LoadConfig(os.Getenv("EDGE_CONFIG"))
-	if err == nil {
-		var a *agent.Agent
-		if a, err = agent.New(conf, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: conf.LogLevel}))); err == nil {
-			var ln net.Listener
-			if ln, err = net.Listen("tcp", conf.Listen); err == nil {
-				err = a.Serve(context.Background(), ln)
-			}
-		}
-	}
-	fmt.Fprintln(os.Stderr, err)
-	os.Exit(1)
-}
-
-// startAgents starts startAgents that know all stewards, and returns where they listen.
-func (cluster *testCluster) startAgents(n int) (at []string, procs []*process.Process) {
-	cluster.t.Helper()
-	exe, err := os.Executable()
-	if err != nil {
-		cluster.t.Fatal(err)
-	}
-	for i := range n {
-		addr, err := cluster.addrs.FreePort()
-		if err != nil {
-			cluster.t.Fatal(err)
-		}
-		name := fmt.Sprint("n", i)
-		conf, _ := json.Marshal(map[string]any{"name": name, "listen": addr, "seed": fmt.Sprintf("%016x", i+1),
-			"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256},
-			"stewards": cluster.client(cluster.names...).Addrs, "log_level": "debug",
-			"settings": map[string]any{"replicasOfMe": n, "replicaIndex": i, "roundMs": 5, "weights": "nominal", "membershipMode": "on_request",
-				"classes": []any{map[string]any{"name": "look", "aimMs": 1000, "giveUpMs": 5000, "credit": 1, "effect": "free",
-					"group": "all", "keyTtlMs": 5000}},
-				"failureDomains": []any{"a"}, "shapes": []any{"k"},
-				"limits": map[string]any{"cancelling": true, "maxAttempts": 4, "connectTimeoutMs": 250, "keepaliveMs": 30000,
-					"probing": true, "retryAfter": true, "maxRetryAfterMs": 500},
-				"contract": map[string]any{"askWithinMs": 4000, "coldFrom": 0.3, "coldMs": 1000, "drainGraceMs": 250,
-					"fallMultiple": 4, "tipAfterMs": 1000}}})
-		path := filepath.Join(cluster.dir, name+".json")
-		if err := os.WriteFile(path, conf, 0o600); err != nil {
-			cluster.t.Fatal(err)
-		}
-		p := cluster.supervisor.Add(process.Spec{Name: name, Path: exe, Env: []string{"AGENT_CHILD=1", "EDGE_CONFIG=" + path},
-			Log: filepath.Join(cluster.dir, name+".log"), ReadyURL: "http://" + addr + "/ready"})
-		if err := p.Start(); err != nil {
-			cluster.t.Fatal(err)
-		}
-		at, procs = append(at, addr), append(procs, p)
-	}
-	cluster.t.Cleanup(func() {
-		for _, p := range procs {
-			if cluster.t.Failed() {
-				text, _ := os.ReadFile(p.Log)
-				cluster.t.Logf("%s:\n%s", p.Name, text[max(0, len(text)-3000):])
-			}
-		}
-	})
-	return at, procs
-}
-
-// startBackend is a programme server that says its name.
-func (cluster *testCluster) startBackend(name string) endpoints.Endpoint {
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, name) }))
-	cluster.t.Cleanup(s.Close)
-	return endpoints.Endpoint{Name: name, Dial: s.Listener.Addr().String(), Site: "a", Class: "k", Health: endpoints.Ready, Weight: 1,
-		StartedMs: float64(time.Now().UnixMilli())}
-}
-
-func (cluster *testCluster) registerEndpoint(h endpoints.Endpoint) {
-	cluster.t.Helper()
-	c := cluster.client(cluster.names...)
-	c.HTTP.Timeout = 2 * time.Second
-	cluster.waitUntil(h.Name+" is listed", func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
-		defer cancel()
-		_, err := c.Register(ctx, h)
-		return err == nil
-	})
-}
-
-// Agents that stay up serve through every failure of the list service: the leader killed,
-// a steward stopped, all gone while servers are replaced, a state put back, a fresh fleet at
-// the same addresses. They learn what follows each, and no request of theirs fails.
-func TestAgentsServeThroughControlPlaneFaults(t *testing.T) {
-	cluster := newCluster(t, 3)
-	cluster.registerEndpoint(cluster.startBackend("p-0"))
-	cluster.registerEndpoint(cluster.startBackend("p-1"))
-	const n = 3
-	at, procs := cluster.startAgents(n)
-	for _, p := range procs {
-		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
-		if err := p.WaitReady(ctx); err != nil {
-			t.Fatal(err)
-		}
-		cancel()
-	}
-	var requests, failed, served atomic.Int64
-	send := func(agent int) (string, error) {
-		req, err := http.NewRequest(http.MethodGet, "http://"+at[agent]+fmt.Sprint("/look/u", requests.Add(1)), nil)
-		if err != nil {
-			return "", err
-		}
-		req.Header.Set("Request-Id", fmt.Sprint("r", requests.Load(), "-", agent, "-", time.Now().UnixNano()))
-		req.Header.Set("Request-Timeout", "5000m")
-		resp, err := http.DefaultClient.Do(req)
-		if err != nil {
-			return "", err
-		}
-		defer resp.Body.Close()
-		text, err := io.ReadAll(resp.Body)
-		if err == nil && resp.StatusCode != http.StatusOK {
-			err = fmt.Errorf("%s: %s", resp.Status, text)
-		}
-		return string(text), err
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	var senders sync.WaitGroup
-	var mu sync.Mutex
-	var firstFailure error
-	answersBy := make([]map[string]int, n)
-	for i := range n {
-		answersBy[i] = map[string]int{}
-		senders.Add(1)
-		go func() {
-			defer senders.Done()
-			for ctx.Err() == nil {
-				name, err := send(i)
-				if err != nil {
-					failed.Add(1)
-				} else {
-					served.Add(1)
-				}
-				mu.Lock()
-				answersBy[i][name]++
-				if err != nil && firstFailure == nil {
-					firstFailure = fmt.Errorf("agent %d at %v: %w", i, time.Now().Format("15:04:05.000"), err)
-				}
-				mu.Unlock()
-				time.Sleep(5 * time.Millisecond)
-			}
-		}()
-	}
-	defer senders.Wait()
-	defer cancel()
-	waitUntilServedBy := func(name string) {
-		t.Helper()
-		mu.Lock()
-		for i := range answersBy {
-			answersBy[i][name] = 0
-		}
-		mu.Unlock()
-		cluster.waitUntil("all agents send to "+name, func() bool {
-			mu.Lock()
-			defer mu.Unlock()
-			for i := range answersBy {
-				if answersBy[i][name] == 0 {
-					return false
-				}
-			}
-			return true
-		})
-	}
-	waitUntilServedBy("p-0")
-	saved, err := cluster.client(cluster.names...).Snapshot(ctx)
-	if err != nil {
-		t.Fatal(err)
-	}
-
-	cluster.kill(cluster.waitForLeader())
-	cluster.registerEndpoint(cluster.startBackend("p-2"))
-	waitUntilServedBy("p-2")
-	for _, name := range cluster.names {
-		if !cluster.servers[name].proc.Runs() {
-			cluster.start(name)
-		}
-	}
-	stopped := cluster.waitForLeader()
-	if err := cluster.servers[stopped].proc.Signal(syscall.SIGSTOP); err != nil {
-		t.Fatal(err)
-	}
-	cluster.registerEndpoint(cluster.startBackend("p-3"))
-	waitUntilServedBy("p-3")
-	if err := cluster.servers[stopped].proc.Signal(syscall.SIGCONT); err != nil {
-		t.Fatal(err)
-	}
-
-	// All gone while a server is replaced by another of its name at another address.
-	for _, name := range cluster.names {
-		cluster.kill(name)
-	}
-	replacement := cluster.startBackend("p-1")
-	before := served.Load()
-	cluster.waitUntil("served without any steward", func() bool { return served.Load() > before+200 })
-	for _, name := range cluster.names {
-		cluster.start(name)
-	}
-	cluster.registerEndpoint(replacement)
-	cluster.registerEndpoint(cluster.startBackend("p-4"))
-	waitUntilServedBy("p-4")
-
-	// A state that is put in place of the present one knows neither p-2 nor what came after it.
-	if _, err := cluster.client(cluster.waitForLeader()).Restore(ctx, saved); err != nil {
-		t.Fatal(err)
-	}
-	cluster.registerEndpoint(cluster.startBackend("p-5"))
-	waitUntilServedBy("p-5")
-
-	// A fresh fleet at the same addresses knows nothing: the servers register anew.
-	for _, name := range cluster.names {
-		cluster.kill(name)
-		if err := os.RemoveAll(cluster.dataDir(name)); err != nil {
-			t.Fatal(err)
-		}
-	}
-	for _, name := range cluster.names {
-		cluster.start(name)
-	}
-	cluster.registerEndpoint(cluster.startBackend("p-6"))
-	waitUntilServedBy("p-6")
-	cancel()
-	senders.Wait()
-	if n := failed.Load(); n > 0 {
-		t.Errorf("%d of %d requests failed, first %v", n, n+served.Load(), firstFailure)
-	}
-	for _, p := range procs {
-		text, _ := os.ReadFile(p.Log)
-		if lines := strings.Count(string(text), "level=WARN"); lines == 0 || lines > 60 {
-			t.Errorf("%s wrote %d warnings", p.Name, lines)
-		}
-	}
-}
-
-// wasListed tells whether a server was listed before.
-func (r *watchReader) wasListed(name string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.everListed[name]
-}
--- /dev/null
+++ b/cmd/controlplane/watchreader_test.go
@@ -0,0 +1,131 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"knotrouter/internal/endpoints"
+)
+
+// watchReader follows the endpoint list as an agent does, from server to server, and notes whenever a
+// version is lower than the one before.
+type watchReader struct {
+	stop context.CancelFunc
+	done chan struct{}
+
+	mu          sync.Mutex
+	version     int64
+	regressions []string
+	listed      map[string]endpoints.Endpoint
+	everListed  map[string]bool
+	removed     []string // names that were taken off the list, in this order
+}
+
+func newWatchReader() *watchReader {
+	return &watchReader{listed: map[string]endpoints.Endpoint{}, everListed: map[string]bool{}}
+}
+
+// startReader starts a reader whose first watch is at the first of the servers named.
+func (cluster *testCluster) startReader(at ...string) *watchReader {
+	ctx, cancel := context.WithCancel(cluster.t.Context())
+	reader := newWatchReader()
+	reader.stop, reader.done = cancel, make(chan struct{})
+	addrs := cluster.client(at...).Addrs
+	// RejectOlder is not set: the reader takes lists of lower versions, to be able to report them.
+	client := endpoints.NewClient(endpoints.ClientConfig{Addresses: addrs, Order: orderBeginningAt(addrs), Fleet: 1})
+	go func() {
+		defer close(reader.done)
+		for ctx.Err() == nil {
+			reader.watch(ctx, client)
+			time.Sleep(10 * time.Millisecond)
+		}
+	}()
+	cluster.t.Cleanup(cancel)
+	return reader
+}
+
+// orderBeginningAt returns an order of the addresses that begins with the first of them.
+func orderBeginningAt(addrs []string) uint64 {
+	order := uint64(0)
+	for first := ""; first != addrs[0]; order++ {
+		selector := endpoints.NewAddressSelector(addrs, order+1, 1)
+		selector.BeginRound()
+		first, _, _ = selector.Next(0, 0)
+	}
+	return order
+}
+
+// watch applies the lists of one watch, from the reader's version on, until the watch ends.
+func (r *watchReader) watch(ctx context.Context, client *endpoints.Client) {
+	r.mu.Lock()
+	since := r.version
+	r.mu.Unlock()
+	_ = client.Watch(ctx, since, func(list endpoints.List) { r.apply(&list) })
+}
+
+// lookup returns the endpoint of a name that is listed now.
+func (r *watchReader) lookup(name string) (endpoints.Endpoint, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	endpoint, ok := r.listed[name]
+	return endpoint, ok
+}
+
+// has reports whether a name is listed now.
+func (r *watchReader) has(name string) bool {
+	_, ok := r.lookup(name)
+	return ok
+}
+
+// wasListed reports whether a name was listed at any time.
+func (r *watchReader) wasListed(name string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.everListed[name]
+}
+
+func (r *watchReader) apply(list *endpoints.List) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if list.Seq < r.version {
+		r.regressions = append(r.regressions, fmt.Sprintf("%d after %d", list.Seq, r.version))
+	}
+	r.version = list.Seq
+	if list.Full {
+		r.startFullList(list)
+	}
+	for _, endpoint := range list.Endpoints {
+		r.everListed[endpoint.Name] = true
+		if endpoint.Health == endpoints.Removed {
+			r.removed = append(r.removed, endpoint.Name)
+			delete(r.listed, endpoint.Name)
+			continue
+		}
+		r.listed[endpoint.Name] = endpoint
+	}
+}
+
+// startFullList drops all endpoints; those that the full list doesn't have were removed.
+func (r *watchReader) startFullList(list *endpoints.List) {
+	for name := range r.listed {
+		if !slices.ContainsFunc(list.Endpoints, func(e endpoints.Endpoint) bool { return e.Name == name }) {
+			r.removed = append(r.removed, name)
+		}
+	}
+	r.listed = map[string]endpoints.Endpoint{}
+}
+
+// stopAndVerify stops the reader and requires that its versions never decreased.
+func (r *watchReader) stopAndVerify(t *testing.T) {
+	t.Helper()
+	r.stop()
+	<-r.done
+	if len(r.regressions) > 0 {
+		t.Errorf("versions decreased: %s", strings.Join(r.regressions, ", "))
+	}
+}
--- /dev/null
+++ b/cmd/controlplane/workers_test.go
@@ -0,0 +1,203 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net/http/httptest"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"knotrouter/internal/control"
+	"knotrouter/internal/lab/check"
+	"knotrouter/internal/lab/link"
+	"knotrouter/internal/lab/process"
+	"knotrouter/internal/lab/worker"
+)
+
+// monotonicNow returns the machine's monotonic clock, which operations are stamped with.
+func monotonicNow(t testing.TB) time.Duration {
+	t.Helper()
+	now, err := worker.Monotonic()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return now
+}
+
+// workerMain is a process that holds leased tasks and acts under them. Its environment configures it.
+func workerMain() {
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
+	defer stop()
+	config := worker.Config{
+		Name:   os.Getenv("WORKER_NAME"),
+		At:     strings.Split(os.Getenv("WORKER_AT"), ","),
+		Places: []string{os.Getenv("WORKER_RESOURCE")},
+	}
+	config.Rate, _ = strconv.ParseFloat(os.Getenv("WORKER_RATE"), 64)
+	config.Cap, _ = strconv.Atoi(os.Getenv("WORKER_CAP"))
+	worker.Run(ctx, config, slog.New(slog.NewTextHandler(os.Stderr, nil)).With("worker", config.Name))
+}
+
+// workerGroup is worker processes, with a link from each to each server of the control plane, and the
+// resource that they act on, which checks fencing tokens and records the operations.
+type workerGroup struct {
+	cluster        *testCluster
+	operations     *check.Acts
+	operationsAddr string
+	names          []string
+	processes      map[string]*process.Process
+	links          map[string][]*link.Link // of a worker, in the order of the cluster's names
+}
+
+// startWorkers starts n workers, named w-1 and so on, that hold up to maxTasks each. Their clocks run at
+// the rates given, in turn, or at the rate 1.
+func (cluster *testCluster) startWorkers(n int, maxTasks int, clockRates ...float64) *workerGroup {
+	cluster.t.Helper()
+	operations := check.NewActs()
+	resource := httptest.NewServer(operations)
+	cluster.t.Cleanup(resource.Close)
+	workers := &workerGroup{
+		cluster:        cluster,
+		operations:     operations,
+		operationsAddr: resource.Listener.Addr().String(),
+		processes:      map[string]*process.Process{},
+		links:          map[string][]*link.Link{},
+	}
+	for i := range n {
+		rate := 1.0
+		if len(clockRates) > 0 {
+			rate = clockRates[i%len(clockRates)]
+		}
+		workers.add(fmt.Sprint("w-", i+1), maxTasks, rate)
+	}
+	cluster.t.Cleanup(workers.close)
+	return workers
+}
+
+func (workers *workerGroup) close() {
+	workers.cluster.t.Helper()
+	for _, links := range workers.links {
+		for _, l := range links {
+			l.Close()
+		}
+	}
+	for _, name := range workers.names {
+		logIfFailed(workers.cluster.t, workers.processes[name], 5000)
+	}
+}
+
+// add starts one more worker.
+func (workers *workerGroup) add(name string, maxTasks int, clockRate float64) {
+	cluster := workers.cluster
+	cluster.t.Helper()
+	var addrs []string
+	for _, server := range cluster.names {
+		l, err := link.New(cluster.addrs.IP()+":0", cluster.servers[server].http, 1)
+		if err != nil {
+			cluster.t.Fatal(err)
+		}
+		workers.links[name] = append(workers.links[name], l)
+		addrs = append(addrs, l.Addr())
+	}
+	workers.names = append(workers.names, name)
+	workers.processes[name] = cluster.supervisor.Add(process.Spec{
+		Name: name,
+		Path: executable(cluster.t),
+		Log:  filepath.Join(cluster.dir, name+".log"),
+		Env: []string{
+			workerChild + "=1",
+			"WORKER_NAME=" + name,
+			"WORKER_AT=" + strings.Join(addrs, ","),
+			fmt.Sprint("WORKER_CAP=", maxTasks),
+			fmt.Sprint("WORKER_RATE=", clockRate),
+			"WORKER_RESOURCE=" + workers.operationsAddr,
+		},
+	})
+	workers.start(name)
+}
+
+func (workers *workerGroup) start(name string) {
+	workers.cluster.t.Helper()
+	startProcess(workers.cluster.t, workers.processes[name])
+}
+
+func (workers *workerGroup) kill(name string) { killProcess(workers.processes[name]) }
+
+func (workers *workerGroup) shutDown(name string) {
+	workers.cluster.t.Helper()
+	shutDownProcess(workers.cluster.t, workers.processes[name])
+}
+
+func (workers *workerGroup) suspend(name string) {
+	workers.cluster.t.Helper()
+	signalProcess(workers.cluster.t, workers.processes[name], syscall.SIGSTOP)
+}
+
+func (workers *workerGroup) resume(name string) {
+	workers.cluster.t.Helper()
+	signalProcess(workers.cluster.t, workers.processes[name], syscall.SIGCONT)
+}
+
+// suspendFor has a worker stand still for a duration.
+func (workers *workerGroup) suspendFor(name string, duration time.Duration) {
+	workers.cluster.t.Helper()
+	workers.suspend(name)
+	time.Sleep(duration)
+	workers.resume(name)
+}
+
+// cutLinks cuts, or restores, each direction of a worker's links to all servers.
+func (workers *workerGroup) cutLinks(name string, outbound, inbound bool) {
+	workers.cluster.t.Helper()
+	for _, l := range workers.links[name] {
+		if err := l.Set(link.Shape{Cut: outbound}, link.Shape{Cut: inbound}); err != nil {
+			workers.cluster.t.Fatal(err)
+		}
+	}
+}
+
+// defineTask defines a leased task at whichever server takes the write.
+func (workers *workerGroup) defineTask(name string, ttl time.Duration) {
+	cluster := workers.cluster
+	cluster.t.Helper()
+	cluster.waitUntil(name+" is defined", func() bool {
+		ctx, cancel := context.WithTimeout(cluster.t.Context(), writeTimeout)
+		defer cancel()
+		return cluster.client(cluster.names...).DefineTask(ctx, name, control.TaskDefinition{TTLMs: ttl.Milliseconds()}) == nil
+	})
+}
+
+// waitForOperation waits for an operation under a task that is later than the time given and not by one
+// process, and returns it.
+func (workers *workerGroup) waitForOperation(task, exceptProcess string, after time.Duration) check.Act {
+	workers.cluster.t.Helper()
+	var operation check.Act
+	workers.cluster.waitUntil(fmt.Sprintf("an operation under %s by another process than %q", task, exceptProcess), func() bool {
+		operation = workers.operations.Last(task)
+		return operation.Process != "" && operation.Process != exceptProcess && operation.Mono > after
+	})
+	return operation
+}
+
+// requireNoOverlap requires that no two terms of a task overlapped.
+func (workers *workerGroup) requireNoOverlap() {
+	workers.cluster.t.Helper()
+	if overlaps := workers.operations.Judge().Broke; len(overlaps) > 0 {
+		workers.cluster.t.Errorf("%d overlaps of terms: %s", len(overlaps), strings.Join(overlaps[:min(len(overlaps), 3)], "; "))
+	}
+}
+
+// commandTask sends an operator's command to a task. The process to move it to may be empty.
+func (workers *workerGroup) commandTask(name, command, to string) error {
+	cluster := workers.cluster
+	ctx, cancel := context.WithTimeout(cluster.t.Context(), writeTimeout)
+	defer cancel()
+	return cluster.client(cluster.names...).CommandTask(ctx, name, command, to, "")
+}
--- /dev/null
+++ b/cmd/controlplane/writer_test.go
@@ -0,0 +1,104 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"knotrouter/internal/catalog"
+	"knotrouter/internal/control"
+)
+
+const (
+	// A writer is as impatient as a server that renews: it goes on to the next address soon.
+	writerClientTimeout = time.Second
+	writerCallTimeout   = 1500 * time.Millisecond
+	// writerNames is the number of names that a writer registers in turn. A later write of a name hides
+	// the loss of an earlier one, so they are many.
+	writerNames = 3000
+)
+
+// writer registers one server after the other and remembers what was acknowledged.
+type writer struct {
+	stop context.CancelFunc
+	done chan struct{}
+
+	mu           sync.Mutex
+	acknowledged map[string]float64
+	writes       int
+}
+
+func (cluster *testCluster) startWriter(prefix string) *writer {
+	ctx, cancel := context.WithCancel(cluster.t.Context())
+	w := &writer{acknowledged: map[string]float64{}, stop: cancel, done: make(chan struct{})}
+	client := control.NewClient(cluster.client(cluster.names...).Addrs, writerClientTimeout)
+	go func() {
+		defer close(w.done)
+		for i := 0; ctx.Err() == nil; i++ {
+			client.Addrs = append(client.Addrs[1:], client.Addrs[0])
+			w.write(client, fmt.Sprintf("%s-%d", prefix, i%writerNames), float64(i))
+		}
+	}()
+	return w
+}
+
+// write registers one server. The call outlasts the writer's stop, so that its answer is known.
+func (w *writer) write(client *control.Client, name string, startedMs float64) {
+	call, cancel := context.WithTimeout(context.Background(), writerCallTimeout)
+	defer cancel()
+	if _, err := client.Register(call, newEndpoint(name, startedMs)); err != nil {
+		var rejected *control.HTTPError
+		if errors.As(err, &rejected) {
+			time.Sleep(5 * time.Millisecond)
+		}
+		return
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.acknowledged[name] = startedMs
+	w.writes++
+}
+
+// count returns how many writes were acknowledged.
+func (w *writer) count() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.writes
+}
+
+// waitForWrites waits until more than n writes have been acknowledged from now on.
+func (w *writer) waitForWrites(cluster *testCluster, n int) {
+	cluster.t.Helper()
+	before := w.count()
+	cluster.waitUntil(fmt.Sprintf("more than %d further writes are acknowledged", n), func() bool { return w.count() > before+n })
+}
+
+// stopAndVerify stops the writer and requires that a consistent read through each of the servers named
+// has all that was acknowledged.
+func (w *writer) stopAndVerify(cluster *testCluster, at ...string) {
+	cluster.t.Helper()
+	w.stop()
+	<-w.done
+	for _, name := range at {
+		var entries []catalog.Entry
+		cluster.waitUntil(name+" answers a consistent read", func() bool {
+			ctx, cancel := context.WithTimeout(cluster.t.Context(), readTimeout)
+			defer cancel()
+			var err error
+			entries, err = cluster.servers[name].client.Servers(ctx, true)
+			return err == nil
+		})
+		started := startTimes(entries)
+		for server, startedMs := range w.acknowledged {
+			// A later write whose answer was lost may be there too, never an earlier one.
+			if got, ok := started[server]; !ok || got < startedMs {
+				cluster.t.Errorf("%s: %s was acknowledged with born_ms %v, the read has %v (present: %v)", name, server, startedMs, got, ok)
+			}
+		}
+	}
+	if len(w.acknowledged) == 0 {
+		cluster.t.Error("no write was acknowledged")
+	}
+}
