--- a/cmd/controlplane/memberviews_test.go
+++ b/cmd/controlplane/memberviews_test.go
@@ -57,7 +57,7 @@
 			cluster.t.Log(difference)
 		}
 	}()
-	cluster.waitUntil("equal views", func() bool {
+	cluster.waitUntil("the views are equal and have all servers as present", func() bool {
 		difference = cluster.viewDifference(names)
 		return difference == ""
 	})
--- a/cmd/controlplane/mixedversions_test.go
+++ b/cmd/controlplane/mixedversions_test.go
@@ -5,6 +5,7 @@
 	"context"
 	"fmt"
 	"maps"
+	"net/http"
 	"os"
 	"slices"
 	"testing"
@@ -59,7 +60,7 @@
 // electOneOf has one of the servers named lead: it restarts any other that does.
 func (m *mixedCluster) electOneOf(names ...string) {
 	m.t.Helper()
-	m.waitUntil(fmt.Sprintf("%v lead", names), func() bool {
+	m.waitUntil(fmt.Sprintf("one of %v leads", names), func() bool {
 		leader := m.waitForLeader()
 		if slices.Contains(names, leader) {
 			return true
@@ -132,13 +133,13 @@
 	m.requireAcknowledged(m.acknowledged)
 	for _, name := range m.names {
 		m.retryThrough(name, "list", func(ctx context.Context, c *control.Client) error {
-			l, err := c.List(ctx)
+			list, err := c.List(ctx)
 			if err != nil {
 				return err
 			}
 			listed := map[string]bool{}
-			for _, h := range l.Endpoints {
-				listed[h.Name] = true
+			for _, endpoint := range list.Endpoints {
+				listed[endpoint.Name] = true
 			}
 			for server := range m.acknowledged {
 				if !listed[server] {
@@ -148,25 +149,25 @@
 			return nil
 		})
 		m.retryThrough(name, "leased task", func(ctx context.Context, c *control.Client) error {
-			d, err := c.Task(ctx, mixedTask)
-			if err == nil && (d.Holder != mixedWorker || d.Session != mixedSession || d.Fence != m.fence) {
-				m.t.Fatalf("%s has the task as %+v, it was granted with fence %d", name, d, m.fence)
+			task, err := c.Task(ctx, mixedTask)
+			if err == nil && (task.Holder != mixedWorker || task.Session != mixedSession || task.Fence != m.fence) {
+				m.t.Fatalf("%s has the task as %+v, it was granted with fencing token %d", name, task, m.fence)
 			}
 			return err
 		})
 		m.retryThrough(name, "tasks of the session", func(ctx context.Context, c *control.Client) error {
 			tasks, err := c.WatchSession(ctx, mixedWorker, mixedSession, 0)
 			if err == nil && (len(tasks.Assignments) != 1 || tasks.Assignments[0].Name != mixedTask || tasks.Assignments[0].Fence != m.fence) {
-				m.t.Fatalf("%s tells the session %+v", name, tasks)
+				m.t.Fatalf("%s sends the session the tasks %+v", name, tasks)
 			}
 			return err
 		})
 	}
 	// The control plane's own tasks are held by its servers, of whichever build.
 	m.retryThrough(m.names[0], "sweep", func(ctx context.Context, c *control.Client) error {
-		d, err := c.Task(ctx, "sweep")
-		if err == nil && m.servers[d.Holder] == nil {
-			err = fmt.Errorf("held by %q", d.Holder)
+		task, err := c.Task(ctx, "sweep")
+		if err == nil && m.servers[task.Holder] == nil {
+			err = fmt.Errorf("held by %q", task.Holder)
 		}
 		return err
 	})
@@ -177,11 +178,11 @@
 // control plane's own tasks are handed over.
 func (m *mixedCluster) waitForEqualStates() {
 	m.t.Helper()
-	m.waitUntil("equal states", func() bool {
+	m.waitUntil("the states of all servers are equal", func() bool {
 		var texts [][]byte
 		for _, name := range m.names {
 			status, _, text := m.get(name, "/v1/snapshot")
-			if status != 200 {
+			if status != http.StatusOK {
 				return false
 			}
 			texts = append(texts, text)
