--- a/cmd/controlplane/gossipgroup_test.go
+++ b/cmd/controlplane/gossipgroup_test.go
@@ -45,7 +45,7 @@
 	for ctx.Err() == nil {
 		select {
 		case <-hangups:
-			log.Info("counts", "sent", node.Counts().Sent)
+			log.Info("counts", "sent", node.Counts().SentBytes)
 		case <-ctx.Done():
 		}
 	}
--- a/cmd/controlplane/members.go
+++ b/cmd/controlplane/members.go
@@ -127,7 +127,7 @@
 }
 
 func memberRow(entry *member.Entry, state member.State, last string) []string {
-	return []string{entry.Name, string(entry.Role), string(state), entry.Zone, fmt.Sprint(entry.Incarnation), entry.Program, last}
+	return []string{entry.Name, string(entry.Role), string(state), entry.Zone, fmt.Sprint(entry.Incarnation), entry.ProgramVersion, last}
 }
 
 // memberCounts is how many members there are, by role and state as they are printed.
