--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# `make demo` shows the fleet at work, `make test` passes the tests, `make scale` measures
-# what each role spends as the fleet grows.
+# `make demo` plays a small fleet, `make test` runs the tests of CI, `make scale` measures
+# what each role costs as the fleet grows.
 .PHONY: build demo scale test
 
 build:
