--- a/internal/lab/capacity/order.go
+++ b/internal/lab/capacity/order.go
@@ -12,7 +12,7 @@
 
 // Constants of other packages that are not exported, as they stand there.
 const (
-	maxListBytes  = 4 << 20 // endpoints.maxList: bytes of a whole list that a reader takes
+	maxListBytes  = 4 << 20 // endpoints.maxListBytes: bytes of a full list that a reader takes
 	bytesPerCall  = 24_000  // control.bytesPerCall: bytes of a list that cost as much as a call
 	entryBytes    = 140     // control.estimatedScopedEntryBytes: what admission reckons an entry with
 	stewardsToday = 3
--- a/internal/lab/capacity/roles.go
+++ b/internal/lab/capacity/roles.go
@@ -228,7 +228,7 @@
 				{Delay, "s until a kill is noticed, p99", gossipNoticeP99, sourceNotice, Limit{gossipNoticeGoal, formatNumber(gossipNoticeGoal) + " s (own goal)"}, true},
 			}},
 		{Name: "Exclusive leases",
-			State:     "leases (`catalog.MaxDuties` at most) and sessions of their holders (`catalog.MaxSessions` at most), replicated",
+			State:     "leases (`catalog.MaxTasks` at most) and sessions of their holders (`catalog.MaxSessions` at most), replicated",
 			Mechanism: "`internal/leaderelection`; no log entry while nothing changes. Their number at the target is not told", Needs: []Mechanism{mechanismMembers},
 			Quoted: []Quoted{
 				{CPU, "leader's cores, 1,000 leases", leases1000Cores, sourceDuties, machine, false},
