--- a/cmd/controlplane/serve.go
+++ b/cmd/controlplane/serve.go
@@ -92,7 +92,7 @@
 	var level slog.Level
 	_ = level.UnmarshalText([]byte(config.LogLevel)) // LoadConfig has checked it
 	handler := slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})
-	return slog.New(handler).With("steward", config.Name)
+	return slog.New(handler).With("replica", config.Name)
 }
 
 // waitForReload waits until the server ends or a SIGHUP arrives. It returns true if the SIGHUP came
