--- /dev/null
+++ b/internal/lab/experiment/clients.go
@@ -0,0 +1,75 @@
+package experiment
+
+import (
+	"time"
+
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/check"
+	"knotrouter/internal/lab/client"
+)
+
+// requestTally is the running count of finished requests, for progress.
+type requestTally struct {
+	Requests, InTime, Late, Rejected, Failed int
+}
+
+// listenSlack is how long beyond the agents' own slack a client waits for an answer, so that the
+// checker sees a late one.
+const listenSlack = 60 * time.Millisecond
+
+// addClients creates a client for each agent, or for each one that a baseline takes the place of.
+func (fl *fleet) addClients(agents []string) error {
+	prefix := "a"
+	if fl.policy != "" {
+		prefix = string(fl.policy[:2]) + "-"
+	}
+	env := &client.Env{Clock: fl.clock, Epoch: fl.epoch, Checker: fl.checker, Load: &fl.config.Load, IDPrefix: prefix,
+		ListenSlack: fl.config.Rules.AnswerSlack + listenSlack, Finished: fl.recordResult}
+	for i := range agents {
+		sender, err := fl.newSender(i)
+		if err != nil {
+			return err
+		}
+		fl.senders = append(fl.senders, sender)
+		fl.clients = append(fl.clients, client.New(env, i, sender))
+	}
+	return nil
+}
+
+// newSender returns what a client sends through: its agent, or the fleet's baseline.
+func (fl *fleet) newSender(agent int) (client.Sender, error) {
+	if fl.policy == "" {
+		return &client.ToAgent{Addr: fl.agents[agent].address, Clock: fl.clock}, nil
+	}
+	return client.NewBaseline(&client.Baseline{Policy: fl.policy, Clock: fl.clock, Epoch: fl.epoch, Load: &fl.config.Load,
+		ConnectTimeout: fl.config.Rules.ConnectTimeout, List: func() endpoints.List { return fl.discovery.List(agent, 0, true) }},
+		fl.seed+uint64(agent))
+}
+
+// recordResult records how a request ended. Clients call it from many goroutines.
+func (fl *fleet) recordResult(r client.Result) {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	fl.results = append(fl.results, r)
+	t := &fl.tally
+	switch {
+	case isVoid(&r):
+		return
+	case r.InTime:
+		t.InTime++
+	case r.Outcome == check.Served:
+		t.Late++
+	case r.Outcome == check.Rejected:
+		t.Rejected++
+	default:
+		t.Failed++
+	}
+	t.Requests++
+}
+
+// currentTally returns the count of the requests that have ended so far.
+func (fl *fleet) currentTally() requestTally {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	return fl.tally
+}
--- /dev/null
+++ b/internal/lab/experiment/defaults.go
@@ -0,0 +1,71 @@
+package experiment
+
+import (
+	"time"
+
+	"knotrouter/internal/lab/client"
+	"knotrouter/internal/lab/discovery"
+	"knotrouter/internal/lab/server"
+)
+
+// Default returns the experiment of an empty file: a deployment like the operators' own.
+func Default() Config {
+	return Config{
+		Seed:         1,
+		Warmup:       2 * time.Second,
+		MaxLateness:  10 * time.Millisecond,
+		Zones:        []string{"kurume-main", "yame-annex"},
+		Agents:       Agents{Count: 5, Command: "bin/agent", Cores: 1, MemoryMB: 192, Sockets: 1024, InitialList: "now"},
+		ControlPlane: ControlPlane{Command: "bin/controlplane", LeaseTTL: 6 * time.Second, AgentAccess: "all", Gossip: true, Evidence: true},
+		LeasedTasks:  LeasedTasks{TTL: 3 * time.Second, Workers: 3, MaxTasksPerWorker: 100, Command: "bin/lab", ClockRates: []float64{1}},
+		Servers: Servers{Count: 12, CellSize: 4, MachineTypes: []MachineType{
+			defaultMachineType("fast-single", 1.8), defaultMachineType("slow-single", 0.9)}},
+		Discovery: discovery.Config{Notice: millisRange(1500, 5200), Silent: millisRange(4500, 14000), Add: millisRange(1400, 3000),
+			Period: 300 * time.Millisecond, Call: 2 * time.Millisecond, Line: 50 * time.Microsecond,
+			Timeout: 2 * time.Second, Capacity: 4},
+		Load:  defaultLoad(),
+		Rules: defaultRules(),
+	}
+}
+
+func defaultLoad() client.Load {
+	return client.Load{Rate: 120, AgentCV: 0.5, Keys: 2000, Zipf: 1, Retries: 1, Backoff: "exp", BackoffBase: 300 * time.Millisecond,
+		HonorShare: 0.7, AttemptTimeoutShare: []float64{0.6, 1}, BodyBytes: 200, Classes: []client.Class{
+			{Name: "schedule-read", Share: 0.5, Work: 20, Distribution: "exp", TargetLatency: 1200 * time.Millisecond, Deadline: 5 * time.Second,
+				PriorityWeight: 3, Effect: "free", Group: "all", DedupWindow: 5 * time.Second},
+			{Name: "vote-submit", Share: 0.5, Work: 30, Distribution: "exp", TargetLatency: 1500 * time.Millisecond, Deadline: 6 * time.Second,
+				PriorityWeight: 9, Effect: "guarded", Group: "all", DedupWindow: 12 * time.Second}}}
+}
+
+func defaultRules() Rules {
+	return Rules{AnswerSlack: 20 * time.Millisecond, ListPollWithin: 10 * time.Second, SlowStartFrom: 0.13, SlowStartDuration: 24 * time.Second,
+		DrainGrace: 500 * time.Millisecond, FallMultiple: 4, FallWindow: time.Second, MaxAttempts: 6, ParallelAttempts: true,
+		Cancelling: true, Probing: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+		ConnectTimeout: 250 * time.Millisecond, Keepalive: 30 * time.Second}
+}
+
+func defaultMachineType(name string, speed float64) MachineType {
+	return MachineType{Name: name, Share: 0.5, SpeedCV: 0.12, Noise: 0.2, Spec: defaultSpec(speed),
+		Connections: defaultConnections(), Reports: defaultReports()}
+}
+
+// millisRange returns a range of durations given in milliseconds.
+func millisRange(from, to int) []time.Duration {
+	return []time.Duration{time.Duration(from) * time.Millisecond, time.Duration(to) * time.Millisecond}
+}
+
+func defaultSpec(speed float64) server.Spec {
+	return server.Spec{Cores: 1, Speed: speed, Slots: 4, Queue: 24, Thrash: 0.2, ThrashAt: 10,
+		ColdFrom: 0.2, ColdFor: 18 * time.Second, AffinityGain: 0.6, AffinityFor: 20 * time.Second, AffinityKeys: 12,
+		Choke:     server.Choke{At: 6, Over: 2 * time.Second, Slower: 2.5, Below: 0.3, Rest: 3 * time.Second, AtMost: 25 * time.Second},
+		FallSlack: 300}
+}
+
+func defaultConnections() server.Connections {
+	return server.Connections{Cap: 700, Idle: 30 * time.Second, HandshakeTime: time.Millisecond, HandshakeWork: 1}
+}
+
+func defaultReports() server.Reports {
+	return server.Reports{How: "on_probe", Names: []string{"util", "inflight"}, Period: 200 * time.Millisecond,
+		Delay: 60 * time.Millisecond, Noise: 0.1, Probes: true, ProbeWork: 0.05}
+}
--- /dev/null
+++ b/internal/lab/experiment/faults.go
@@ -0,0 +1,329 @@
+package experiment
+
+import (
+	"context"
+	"math/rand/v2"
+	"syscall"
+	"time"
+
+	"knotrouter/internal/lab/link"
+	"knotrouter/internal/lab/process"
+	"knotrouter/internal/lab/server"
+)
+
+// applyServerFault injects a fault into emulated servers and returns how many.
+func (fl *fleet) applyServerFault(ctx context.Context, f *Fault, rng *rand.Rand) (int, error) {
+	targets := fl.config.selectTargets(f.Target, rng)
+	interval := time.Duration(0)
+	if f.Kind == "replace" {
+		interval = f.Interval
+	}
+	offsets := drawPerTarget(targets, rng)
+	return len(targets), forEachTarget(ctx, targets, interval, func(target int) error {
+		return fl.faultServer(ctx, f, fl.servers[target], offsets[target])
+	})
+}
+
+// drawPerTarget draws a number in [0, 1) for each target. All are drawn before the targets'
+// goroutines start, so that they don't depend on which goroutine runs first.
+func drawPerTarget(targets []int, rng *rand.Rand) map[int]float64 {
+	draws := map[int]float64{}
+	for _, target := range targets {
+		draws[target] = rng.Float64()
+	}
+	return draws
+}
+
+// faultServer injects a fault into one server, waits for its duration and ends it. offset, in
+// [0, 1), is where in its interval a periodic fault begins.
+func (fl *fleet) faultServer(ctx context.Context, f *Fault, srv *server.Server, offset float64) error {
+	switch f.Kind {
+	case "kill":
+		srv.Kill()
+		fl.waitDuration(ctx, f)
+		if f.Duration > 0 {
+			return fl.restartServer(srv, f)
+		}
+	case "vanish":
+		if err := srv.Vanish(); err != nil {
+			return err
+		}
+		fl.waitDuration(ctx, f)
+		if f.Duration > 0 {
+			return srv.Return()
+		}
+	case "drain":
+		srv.Drain()
+		fl.waitDuration(ctx, f)
+		if f.Duration > 0 {
+			srv.Kill()
+			return fl.restartServer(srv, f)
+		}
+	case "replace":
+		return fl.replaceServer(ctx, f, srv)
+	case "mute":
+		fl.muteServer(ctx, f, srv)
+	case "slow":
+		srv.Slow(f.Size)
+		fl.waitDuration(ctx, f)
+		if f.Duration > 0 {
+			srv.Slow(1)
+		}
+	case "neighbour":
+		fl.runNeighbour(ctx, f, srv, offset)
+	default:
+		srv.Spoil(responseFaults(f))
+		fl.waitDuration(ctx, f)
+		if f.Duration > 0 {
+			srv.Spoil(server.Faults{})
+		}
+	}
+	return nil
+}
+
+// restartServer starts a server with the version that the fault names, or else its last one.
+func (fl *fleet) restartServer(srv *server.Server, f *Fault) error {
+	version := server.Version{Name: srv.VersionName()}
+	for _, name := range []string{version.Name, f.Version} {
+		if named := fl.config.findVersion(name); named != nil {
+			version = *named
+		}
+	}
+	return srv.Start(version, true)
+}
+
+// replaceServer drains a server for as long as a request may take, ends it, and starts it again.
+func (fl *fleet) replaceServer(ctx context.Context, f *Fault, srv *server.Server) error {
+	srv.Drain()
+	if !sleep(ctx, fl.maxRequestDuration()) {
+		return nil
+	}
+	srv.Kill()
+	if f.Delay > 0 && !sleep(ctx, f.Delay) {
+		return nil
+	}
+	return fl.restartServer(srv, f)
+}
+
+// muteServer suppresses the renewals of a server. In the fleet of a baseline there are none.
+func (fl *fleet) muteServer(ctx context.Context, f *Fault, srv *server.Server) {
+	if fl.controlPlane == nil {
+		return
+	}
+	fl.controlPlane.setMuted(srv.Index, true)
+	fl.waitDuration(ctx, f)
+	if f.Duration > 0 {
+		fl.controlPlane.setMuted(srv.Index, false)
+	}
+}
+
+// responseFaults returns the faults of responses that a fault of the timeline means.
+func responseFaults(f *Fault) server.Faults {
+	switch f.Kind {
+	case "errors":
+		return server.Faults{Errors: f.Size}
+	case "resets":
+		return server.Faults{Resets: f.Size}
+	case "lost":
+		return server.Faults{Lost: f.Size}
+	case "spoilt":
+		return server.Faults{Spoilt: f.Size}
+	}
+	return server.Faults{}
+}
+
+// runNeighbour takes part of a server's machine until the fault ends: all the time, or on and
+// off at the fault's interval, beginning at the given part of it.
+func (fl *fleet) runNeighbour(ctx context.Context, f *Fault, srv *server.Server, offset float64) {
+	defer srv.Take(0)
+	if f.Interval <= 0 {
+		srv.Take(f.Size)
+		if f.Duration > 0 {
+			sleep(ctx, f.Duration)
+		} else {
+			<-ctx.Done()
+		}
+		return
+	}
+	if f.Duration > 0 {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, f.Duration)
+		defer cancel()
+	}
+	for wait := time.Duration(offset * float64(f.Interval)); sleep(ctx, wait); wait = f.Interval {
+		srv.Take(f.Size)
+		if !sleep(ctx, f.Interval) {
+			return
+		}
+		srv.Take(0)
+	}
+}
+
+// applyAgentFault injects a fault into agents under test and returns how many.
+func (fl *fleet) applyAgentFault(ctx context.Context, f *Fault, rng *rand.Rand) (int, error) {
+	targets := fl.config.selectTargets(f.Target, rng)
+	draws := drawPerTarget(targets, rng)
+	interval := time.Duration(0)
+	if f.Kind == "restart" || f.Kind == "hup" {
+		interval = f.Interval
+	}
+	return len(targets), forEachTarget(ctx, targets, interval, func(target int) error {
+		agent := fl.agents[target]
+		switch f.Kind {
+		case "kill":
+			return fl.killAndRestartAgent(ctx, f, agent)
+		case "stop":
+			fl.excusePause(target, f)
+			return fl.pauseProcess(ctx, f, agent.process)
+		case "hup":
+			return fl.reloadAgent(agent)
+		}
+		return fl.restartAgent(ctx, agent, draws[target])
+	})
+}
+
+// killAndRestartAgent kills an agent and, if the fault has a duration, starts it again after it.
+func (fl *fleet) killAndRestartAgent(ctx context.Context, f *Fault, agent *agentProcess) error {
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	ended := agent.process.Ended()
+	fl.killAgent(agent)
+	fl.waitDuration(ctx, f)
+	if f.Duration == 0 || ctx.Err() != nil {
+		return nil
+	}
+	<-ended
+	return fl.startAgent(ctx, agent)
+}
+
+const (
+	// catchUpTime is how long a paused agent's requests are late after it goes on.
+	catchUpTime = time.Second
+	// endOfRun is later than the end of any run.
+	endOfRun = time.Hour
+)
+
+// excusePause has the checker excuse what an agent does late because it is paused.
+func (fl *fleet) excusePause(agent int, f *Fault) {
+	from, to := fl.clock(), fl.clock()+f.Duration+catchUpTime
+	if f.Duration == 0 {
+		to = endOfRun
+	}
+	fl.checker.AgentPaused(agent, from, to)
+}
+
+// pauseProcess stops a process and, if the fault has a duration, lets it go on after it.
+func (fl *fleet) pauseProcess(ctx context.Context, f *Fault, p *process.Process) error {
+	if err := p.Signal(syscall.SIGSTOP); err != nil {
+		return err
+	}
+	fl.waitDuration(ctx, f)
+	if f.Duration == 0 {
+		return nil
+	}
+	return p.Signal(syscall.SIGCONT)
+}
+
+// applyProcessFault injects a fault into processes that are not agents and returns how many.
+func (fl *fleet) applyProcessFault(ctx context.Context, processes []*process.Process, f *Fault, rng *rand.Rand) (int, error) {
+	targets := fl.config.selectTargets(f.Target, rng)
+	interval := time.Duration(0)
+	if f.Kind == "restart" {
+		interval = f.Interval
+	}
+	return len(targets), forEachTarget(ctx, targets, interval, func(target int) error {
+		p := processes[target]
+		ended := p.Ended()
+		switch f.Kind {
+		case "stop":
+			return fl.pauseProcess(ctx, f, p)
+		case "kill":
+			p.Kill()
+			<-ended
+			fl.waitDuration(ctx, f)
+			if f.Duration == 0 || ctx.Err() != nil {
+				return nil
+			}
+		default:
+			if err := p.Signal(syscall.SIGTERM); err != nil {
+				return err
+			}
+			<-ended
+		}
+		return p.Start()
+	})
+}
+
+// applyLinkFault injects a fault into links and returns how many. The links of a baseline's fleet
+// don't exist, so there it does nothing.
+func (fl *fleet) applyLinkFault(ctx context.Context, f *Fault) (int, error) {
+	keys := fl.linkKeys(f)
+	if fl.policy != "" || len(keys) == 0 {
+		return 0, nil
+	}
+	links := fl.controlledLinks(keys)
+	forward, back := linkShapes(f)
+	fl.excuseDiscoveryCut(keys, f, true)
+	err := forEachLink(ctx, links, func(l controllableLink) error {
+		if f.Kind == "refuse" {
+			return l.Refuse()
+		}
+		return l.Set(forward, back)
+	})
+	fl.waitDuration(ctx, f)
+	if f.Duration > 0 {
+		restoreErr := forEachLink(ctx, links, func(l controllableLink) error { return l.Set(link.Shape{}, link.Shape{}) })
+		if err == nil {
+			err = restoreErr
+		}
+		fl.excuseDiscoveryCut(keys, f, false)
+	}
+	return len(keys), err
+}
+
+// linkShapes returns what a fault does to a link in each direction.
+func linkShapes(f *Fault) (forward, back link.Shape) {
+	shape := link.Shape{}
+	switch f.Kind {
+	case "cut":
+		shape.Cut = true
+	case "delay":
+		shape.Delay, shape.Jitter = f.Delay, f.Jitter
+	case "slow":
+		shape.Rate = f.Size
+	case "reset":
+		shape.ResetAfter = int64(f.Size)
+	case "loss": // of datagrams; a stream is delayed by its retransmissions instead
+		shape.Loss, shape.Delay, shape.Jitter = f.Size, f.Delay, f.Jitter
+	}
+	if f.Direction != "back" {
+		forward = shape
+	}
+	if f.Direction != "forward" {
+		back = shape
+	}
+	return forward, back
+}
+
+// forEachLink runs do for all links at once: to fill the queue of one takes some time, and there
+// may be thousands. It returns the first error.
+func forEachLink(ctx context.Context, links []controllableLink, do func(controllableLink) error) error {
+	indexes := make([]int, len(links))
+	for i := range indexes {
+		indexes[i] = i
+	}
+	return forEachTarget(ctx, indexes, 0, func(i int) error { return do(links[i]) })
+}
+
+// excuseDiscoveryCut notifies the checker of agents that a fault cuts off from discovery, or of
+// the end of that.
+func (fl *fleet) excuseDiscoveryCut(keys []linkKey, f *Fault, cut bool) {
+	if f.Kind != "cut" && f.Kind != "refuse" {
+		return
+	}
+	for _, key := range keys {
+		if key.to == discoveryIndex {
+			fl.checker.SetDiscoveryCut(key.from, cut)
+		}
+	}
+}
--- a/internal/lab/experiment/links.go
+++ b/internal/lab/experiment/links.go
@@ -4,7 +4,7 @@
 	"knotrouter/internal/lab/link"
 )
 
-// The sorts of links: whose processes they lead from and to.
+// The kinds of links, by the processes at their two ends.
 const (
 	linkAgentToServer = iota
 	linkAgentToDiscovery
@@ -12,57 +12,145 @@
 	linkControlPlanePeers
 )
 
-// linkKey is the two ends of a link; to is -1 for discovery.
+// discoveryIndex is the index of the discovery stand-in as the end of a link.
+const discoveryIndex = -1
+
+// linkKey identifies a link by its kind and the indexes of the processes at its ends.
 type linkKey struct{ kind, from, to int }
 
-// controllableLink is one way by which two processes talk; a pair may have several.
+// controllableLink is a link that a fault can be injected into. There may be several with one
+// linkKey, for streams and datagrams.
 type controllableLink interface {
+	// Set shapes the traffic in both directions from now on.
 	Set(forward, back link.Shape) error
+	// Refuse has new connections refused.
 	Refuse() error
 	Close()
 }
 
-// udpLink is a wire that nobody connects over.
+// udpLink makes a link for datagrams a controllableLink.
 type udpLink struct{ *link.UDP }
 
+// Set shapes the datagrams in both directions. Its error is nil.
 func (d udpLink) Set(forward, back link.Shape) error {
 	d.UDP.Set(forward, back)
 	return nil
 }
 
+// Refuse drops all datagrams, because there are no connections to refuse.
 func (d udpLink) Refuse() error { return d.Set(link.Shape{Cut: true}, link.Shape{Cut: true}) }
 
-// linkedAddress is where a process dials a steward: a link, where the timeline has a fault for the
-// two. With both, datagrams go the same way.
-func (s *controlPlane) linkedAddress(p linkKey, target string, both bool) (string, error) {
-	if !s.faultyLinks[p] {
+// createLinks creates the links of agents that a fault of the timeline applies to. Those to
+// control-plane servers are created with them. A baseline runs within the lab, without links.
+func (fl *fleet) createLinks() error {
+	if fl.policy != "" {
+		return nil
+	}
+	for i := range fl.config.Faults {
+		f := &fl.config.Faults[i]
+		for _, key := range fl.linkKeys(f) {
+			if fl.links[key] != nil || key.kind > linkAgentToDiscovery {
+				continue
+			}
+			target := fl.linkTarget(key)
+			l, err := link.New(fl.addresses.IP()+":0", target, fl.seed^uint64(key.from*1000+key.to+1))
+			if err != nil {
+				return err
+			}
+			fl.links[key] = l
+		}
+	}
+	return nil
+}
+
+// linkTarget returns the address that an agent's link leads to.
+func (fl *fleet) linkTarget(key linkKey) string {
+	if key.to == discoveryIndex {
+		return fl.discovery.Addr(key.from)
+	}
+	return fl.servers[key.to].Addr()
+}
+
+// linkKeys returns the links that fromIndex fault applies to; none, if it is not fromIndex fault of links.
+func (fl *fleet) linkKeys(f *Fault) []linkKey {
+	if targetKind, err := fl.config.faultTargetKind(f); err != nil || targetKind != "link" {
+		return nil
+	}
+	rng := f.rng(fl.seed)
+	var keys []linkKey
+	from := fl.config.selectTargets(f.Target, rng)
+	if targetKind, _ := fl.config.selectorKind(f.To); targetKind == "discovery" {
+		for _, fromIndex := range from {
+			keys = append(keys, linkKey{linkAgentToDiscovery, fromIndex, discoveryIndex})
+		}
+		return keys
+	}
+	to := fl.config.selectTargets(f.To, rng)
+	kind := linkAgentToServer
+	switch targetKind, _ := fl.config.selectorKind(f.Target); targetKind {
+	case "workers":
+		kind = linkWorkerToControlPlane
+	case "stewards":
+		kind = linkControlPlanePeers
+	}
+	for _, fromIndex := range from {
+		for _, toIndex := range to {
+			if key := (linkKey{kind, fromIndex, toIndex}); kind != linkControlPlanePeers || fromIndex != toIndex {
+				keys = append(keys, key)
+			}
+		}
+	}
+	return keys
+}
+
+// serverDialAddr returns the address at which an agent reaches a server: that of their link, or
+// the server's own.
+func (fl *fleet) serverDialAddr(agent, server int) string {
+	if l := fl.links[linkKey{linkAgentToServer, agent, server}]; l != nil {
+		return l.Addr()
+	}
+	return fl.servers[server].Addr()
+}
+
+// linkIsClear reports whether no link can have delayed what an agent sent to a server within
+// twice the longest request.
+func (fl *fleet) linkIsClear(agent, server int) bool {
+	l := fl.links[linkKey{linkAgentToServer, agent, server}]
+	return l == nil || l.Plain(2*fl.maxRequestDuration())
+}
+
+// linkedAddress returns the address at which a process reaches a control-plane server: that of a
+// new link, if a fault of the timeline applies to the two, or else the target itself. With
+// datagrams, the link carries UDP at the same address too.
+func (cp *controlPlane) linkedAddress(key linkKey, target string, datagrams bool) (string, error) {
+	if !cp.faultyLinks[key] {
 		return target, nil
 	}
-	seed := s.fleet.seed ^ uint64(p.kind*1_000_000+p.from*1000+p.to+1)
-	k, err := link.New(s.fleet.addresses.IP()+":0", target, seed)
+	seed := cp.fleet.seed ^ uint64(key.kind*1_000_000+key.from*1000+key.to+1)
+	stream, err := link.New(cp.fleet.addresses.IP()+":0", target, seed)
 	if err != nil {
 		return "", err
 	}
-	s.links[p] = append(s.links[p], k)
-	if both {
-		u, err := link.NewUDP(k.Addr(), target, seed+7)
+	cp.links[key] = append(cp.links[key], stream)
+	if datagrams {
+		udp, err := link.NewUDP(stream.Addr(), target, seed+7)
 		if err != nil {
 			return "", err
 		}
-		s.links[p] = append(s.links[p], udpLink{u})
+		cp.links[key] = append(cp.links[key], udpLink{udp})
 	}
-	return k.Addr(), nil
+	return stream.Addr(), nil
 }
 
-// controlledLinks gives what a fault of links is done to.
-func (fl *fleet) controlledLinks(pairs []linkKey) (out []controllableLink) {
-	for _, p := range pairs {
-		if k := fl.links[p]; k != nil {
-			out = append(out, k)
+// controlledLinks returns all links with the given keys.
+func (fl *fleet) controlledLinks(keys []linkKey) (links []controllableLink) {
+	for _, key := range keys {
+		if l := fl.links[key]; l != nil {
+			links = append(links, l)
 		}
 		if fl.controlPlane != nil {
-			out = append(out, fl.controlPlane.links[p]...)
+			links = append(links, fl.controlPlane.links[key]...)
 		}
 	}
-	return out
+	return links
 }
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -2,73 +2,41 @@
 
 import (
 	"context"
-	"crypto/sha256"
-	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
 	"os"
 	"path/filepath"
-	"runtime"
-	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"golang.org/x/sync/errgroup"
 
-	"knotrouter/internal/lab/check"
 	"knotrouter/internal/lab/client"
 	"knotrouter/internal/lab/loopback"
 )
 
-// Options is how an experiment is played.
+// Options says how an experiment is run.
 type Options struct {
-	Seed      uint64 // 0: the file's
-	OutputDir string // the folder of the results
-	Progress  func(Progress)
+	Seed      uint64         // 0: that of the file
+	OutputDir string         // the folder of the results
+	Progress  func(Progress) // called several times a second; may be nil
 }
 
-// Progress is how far a run is.
-type Progress struct {
-	Phase          string   `json:"phase"` // "starting", "running" or "ending"
-	ElapsedSeconds float64  `json:"elapsed_s"`
-	TotalSeconds   float64  `json:"total_s"`
-	Requests       int      `json:"asked"`
-	InTime         int      `json:"in_time"`
-	Late           int      `json:"late"`
-	Rejected       int      `json:"refused"`
-	Failed         int      `json:"failed"`
-	Breaches       int      `json:"breaches"`
-	ActiveFaults   []string `json:"faults"` // that are on
-}
-
-const (
-	sampleInterval   = 500 * time.Millisecond
-	progressInterval = 250 * time.Millisecond
-	sweepInterval    = 5 * time.Second
-	// loadStartDelay is the time from the last agent's being ready to the first request.
-	loadStartDelay = 200 * time.Millisecond
-)
+// loadStartDelay is the time from the readiness of the last agent to the beginning of the load.
+const loadStartDelay = 200 * time.Millisecond
 
-// Run plays an experiment and returns what was seen. An error is one of setting it up;
-// whatever happens, nothing that it started is left.
+// Run runs an experiment and returns its summary, also if a rule was broken or an expectation not
+// met. It returns an error if the experiment could not be set up, or was interrupted: see
+// Interrupted. All processes that it started have ended when it returns.
 func Run(ctx context.Context, config *Config, options Options) (*Summary, error) {
 	seed := options.Seed
 	if seed == 0 {
 		seed = config.Seed
 	}
-	if err := os.MkdirAll(options.OutputDir, 0o755); err != nil {
-		return nil, fmt.Errorf("--out: %w", err)
-	}
-	probe := filepath.Join(options.OutputDir, ".writable")
-	if err := os.WriteFile(probe, []byte("x"), 0o644); err != nil {
+	if err := prepareOutputDir(options.OutputDir); err != nil {
 		return nil, fmt.Errorf("--out: %w", err)
 	}
-	os.Remove(probe)
 	current := &run{config: config, seed: seed, outputDir: options.OutputDir, progress: options.Progress, epoch: time.Now()}
 	defer current.close()
 	if err := current.serveStatus(); err != nil {
@@ -77,7 +45,7 @@
 	if err := current.buildFleets(); err != nil {
 		return nil, err
 	}
-	current.publishProgress("starting")
+	current.publishProgress(phaseStarting)
 	if err := current.start(ctx); err != nil {
 		if ctx.Err() != nil {
 			return nil, errInterrupted
@@ -87,38 +55,61 @@
 	if err := current.execute(ctx); err != nil {
 		return nil, err
 	}
-	return current.summarize()
+	return current.summarize(), nil
+}
+
+// prepareOutputDir creates the folder of the results. It returns an error if it is not writable.
+func prepareOutputDir(dir string) error {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return err
+	}
+	probe := filepath.Join(dir, ".writable")
+	if err := os.WriteFile(probe, []byte("x"), 0o644); err != nil {
+		return err
+	}
+	os.Remove(probe)
+	return nil
 }
 
-// run is one play of an experiment.
+// errInterrupted says that the context ended before the load began.
+var errInterrupted = errors.New("interrupted")
+
+// Interrupted reports whether the error of Run says that its context ended.
+func Interrupted(err error) bool {
+	return errors.Is(err, errInterrupted) || errors.Is(err, context.Canceled)
+}
+
+// run is one run of an experiment.
 type run struct {
 	config    *Config
 	seed      uint64
 	outputDir string
 	progress  func(Progress)
-	epoch     time.Time
-	loadStart time.Duration // by the clock, when the load begins
+	epoch     time.Time     // when the clock was 0
+	loadStart time.Duration // by the clock, when the load begins; 0: not known yet
 	addresses *loopback.Net
-	fleets    []*fleet
-	samples   [][]sample // by lane
-	applied   [][]InjectedFault
+	fleets    []*fleet          // that of the agents first
+	samples   [][]sample        // by fleet
+	applied   [][]InjectedFault // by fleet and fault
 	status    *http.Server
-	coresUsed float64 // the lab's own processors in use while it played
+	coresUsed float64 // processors that the lab itself used, on average, under load
 
-	peakDescriptors int // the lab's own, at most
+	peakDescriptors int // of the lab itself
 	background      sync.WaitGroup
 
 	mu   sync.Mutex
-	last Progress
+	last Progress // that was published
 }
 
+// clock returns the time since the run began.
 func (r *run) clock() time.Duration { return time.Since(r.epoch) }
 
+// close ends all that the run started, and waits for it.
 func (r *run) close() {
 	var all sync.WaitGroup
-	for _, l := range r.fleets {
+	for _, fl := range r.fleets {
 		all.Add(1)
-		go func() { defer all.Done(); l.close() }()
+		go func() { defer all.Done(); fl.close() }()
 	}
 	all.Wait()
 	if r.addresses != nil {
@@ -130,30 +121,7 @@
 	r.background.Wait()
 }
 
-// serveStatus offers the run's state as JSON, where the file asks for it.
-func (r *run) serveStatus() error {
-	if r.config.Listen == "" {
-		return nil
-	}
-	ln, err := net.Listen("tcp", r.config.Listen)
-	if err != nil {
-		return fmt.Errorf("listen: %w", err)
-	}
-	r.status = &http.Server{ReadHeaderTimeout: time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		r.mu.Lock()
-		p := r.last
-		r.mu.Unlock()
-		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(p)
-	})}
-	r.background.Add(1)
-	go func() {
-		defer r.background.Done()
-		_ = r.status.Serve(ln)
-	}()
-	return nil
-}
-
+// buildFleets builds the fleet of the agents and one for each baseline.
 func (r *run) buildFleets() error {
 	raiseDescriptorLimit()
 	var err error
@@ -161,87 +129,51 @@
 		return err
 	}
 	for _, policyName := range append([]string{""}, r.config.Baselines...) {
-		l, err := newFleet(r.config, policyName, r.outputDir, r.seed, r.addresses, r.clock, r.epoch)
+		fl, err := newFleet(fleetOptions{config: r.config, policy: policyName, dir: r.outputDir, seed: r.seed,
+			addresses: r.addresses, clock: r.clock, epoch: r.epoch})
 		if err != nil {
 			return err
 		}
-		r.fleets = append(r.fleets, l)
+		r.fleets = append(r.fleets, fl)
 	}
 	r.samples, r.applied = make([][]sample, len(r.fleets)), make([][]InjectedFault, len(r.fleets))
 	return nil
 }
 
-// raiseDescriptorLimit asks for as many descriptors as the servers of a large fleet hold, if it may.
-func raiseDescriptorLimit() {
-	want := uint64(200_000)
-	var lim syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim) != nil || lim.Cur >= want {
-		return
-	}
-	if syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: want, Max: max(want, lim.Max)}) != nil {
-		_ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: lim.Max, Max: lim.Max})
-	}
-}
-
-// descriptorLimit is how many descriptors the lab may hold.
-func descriptorLimit() int {
-	var lim syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim) != nil {
-		return 0
-	}
-	return int(lim.Cur)
-}
-
-func openDescriptors() int {
-	dir, err := os.Open("/proc/self/fd")
-	if err != nil {
-		return 0
-	}
-	defer dir.Close()
-	names, _ := dir.Readdirnames(-1)
-	return len(names)
-}
-
-// processorTime is what the lab has used of the processors.
-func processorTime() time.Duration {
-	var use syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &use) != nil {
-		return 0
-	}
-	return time.Duration(use.Utime.Nano() + use.Stime.Nano())
-}
-
-// maxParallelStarts is how many processes are started at once: what hundreds do in their
-// first moments would keep each of them from being ready in time.
+// maxParallelStarts bounds how many agents start at once: hundreds of them starting together would
+// keep each other from being ready in time.
 const maxParallelStarts = 24
 
+// start starts the processes of all fleets, the control plane and the workers first, and returns
+// once all are ready.
 func (r *run) start(ctx context.Context) error {
-	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(maxParallelStarts)
-	for _, l := range r.fleets {
-		if l.controlPlane != nil {
-			if err := l.controlPlane.start(ctx); err != nil {
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(maxParallelStarts)
+	for _, fl := range r.fleets {
+		if fl.controlPlane != nil {
+			if err := fl.controlPlane.start(ctx); err != nil {
 				return err
 			}
-			if l.workers != nil {
-				if err := l.workers.start(ctx); err != nil {
+			if fl.workers != nil {
+				if err := fl.workers.start(ctx); err != nil {
 					return err
 				}
 			}
 		}
-		for i := range l.clients {
-			if l.policy != "" {
-				l.checker.AgentStarted(i)
-				l.clients[i].Start()
+		for i := range fl.clients {
+			if fl.policy != "" {
+				fl.checker.AgentStarted(i)
+				fl.clients[i].Start()
 				continue
 			}
-			g.Go(func() error { return l.startAgent(ctx, l.agents[i]) })
+			group.Go(func() error { return fl.startAgent(ctx, fl.agents[i]) })
 		}
 	}
-	return g.Wait()
+	return group.Wait()
 }
 
-// execute runs load and faults, and returns when the last request has its end.
+// execute runs the load and the faults in all fleets. It returns when the last request and the
+// last fault have ended, with the error of the context if that ended first.
 func (r *run) execute(ctx context.Context) error {
 	arrivals := client.DrawArrivals(&r.config.Load, r.config.Agents.Count, r.config.Duration, r.config.loadChanges(), r.seed)
 	r.loadStart = r.clock() + loadStartDelay
@@ -254,164 +186,23 @@
 	defer stopLoad()
 	faultCtx, stopFaults := context.WithTimeout(ctx, r.loadStart+r.config.Duration-r.clock())
 	defer stopFaults()
-	lookCtx, stopLook := context.WithCancel(ctx)
-	var load, faults, looks sync.WaitGroup
-	for i, l := range r.fleets {
-		for j, cl := range l.clients {
-			load.Add(1)
-			go func() { defer load.Done(); cl.Run(loadCtx, arrivals[j]) }()
+	observeCtx, stopObserving := context.WithCancel(ctx)
+	defer stopObserving()
+	var load, faults, observers sync.WaitGroup
+	for i, fl := range r.fleets {
+		for agent, c := range fl.clients {
+			load.Go(func() { c.Run(loadCtx, arrivals[agent]) })
 		}
-		faults.Add(1)
-		go func() { defer faults.Done(); r.applied[i] = l.runTimeline(faultCtx, r.loadStart) }()
-		looks.Add(1)
-		go func() { defer looks.Done(); r.samples[i] = l.collectSamples(lookCtx, r.loadStart) }()
+		faults.Go(func() { r.applied[i] = fl.runTimeline(faultCtx, r.loadStart) })
+		observers.Go(func() { r.samples[i] = fl.collectSamples(observeCtx, r.loadStart) })
 	}
-	looks.Add(1)
-	go func() { defer looks.Done(); r.reportProgress(lookCtx) }()
-	used, began := processorTime(), time.Now()
+	observers.Go(func() { r.reportProgress(observeCtx) })
+	usedBefore, began := processorTime(), time.Now()
 	faults.Wait()
 	load.Wait()
-	r.coresUsed = float64(processorTime()-used) / float64(time.Since(began))
-	stopLook()
-	looks.Wait()
-	r.publishProgress("ending")
+	r.coresUsed = float64(processorTime()-usedBefore) / float64(time.Since(began))
+	stopObserving()
+	observers.Wait()
+	r.publishProgress(phaseEnding)
 	return ctx.Err()
 }
-
-// reportProgress reports progress until the context ends.
-func (r *run) reportProgress(ctx context.Context) {
-	for n := 0; sleep(ctx, progressInterval); n++ {
-		r.publishProgress("running")
-		if n%4 == 0 {
-			r.peakDescriptors = max(r.peakDescriptors, openDescriptors())
-		}
-	}
-}
-
-func (r *run) publishProgress(phase string) {
-	t := r.fleets[0].currentTally()
-	_, breaches := r.fleets[0].checker.Breaches()
-	p := Progress{Phase: phase, TotalSeconds: r.config.Duration.Seconds(), Requests: t.Requests, InTime: t.InTime, Late: t.Late,
-		Rejected: t.Rejected, Failed: t.Failed, ActiveFaults: []string{}}
-	if r.loadStart > 0 {
-		p.ElapsedSeconds = min(max((r.clock()-r.loadStart).Seconds(), 0), p.TotalSeconds)
-	}
-	for _, n := range breaches {
-		p.Breaches += n
-	}
-	for i := range r.config.Faults {
-		if f := &r.config.Faults[i]; f.AfterEvent == "" && p.ElapsedSeconds >= f.At.Seconds() && p.ElapsedSeconds < (f.At+max(f.Duration, time.Second)).Seconds() {
-			p.ActiveFaults = append(p.ActiveFaults, f.Name)
-		}
-	}
-	r.mu.Lock()
-	r.last = p
-	r.mu.Unlock()
-	if r.progress != nil {
-		r.progress(p)
-	}
-}
-
-// sample is what a lane's counters stood at.
-type sample struct {
-	at                                                     time.Duration
-	attempts, connections, probes, rejected                int64
-	listCalls, fullLists, listLines                        int64
-	openConnections, inFlight, warmingUp, overloaded, down int
-	watches                                                int64
-	rssMax, cpu                                            float64
-	agents                                                 int
-}
-
-// collectSamples takes a sample now and then, watches what the processes use, and lets the
-// checker forget what is long over.
-func (fl *fleet) collectSamples(ctx context.Context, loadStart time.Duration) []sample {
-	var out []sample
-	swept := time.Duration(0)
-	for {
-		s := fl.takeSample()
-		s.at = fl.clock() - loadStart
-		out = append(out, s)
-		if fl.clock()-swept > sweepInterval {
-			swept = fl.clock()
-			fl.checker.Sweep()
-		}
-		if !sleep(ctx, sampleInterval) {
-			s := fl.takeSample()
-			s.at = fl.clock() - loadStart
-			return append(out, s)
-		}
-	}
-}
-
-func (fl *fleet) takeSample() sample {
-	var s sample
-	for _, sv := range fl.servers {
-		st := sv.State()
-		s.attempts += sv.Arrived.Load()
-		s.connections += sv.Connections.Load()
-		s.probes += sv.Probes.Load()
-		s.rejected += sv.Away.Load()
-		s.openConnections += st.Conns
-		s.inFlight += st.Inflight
-		switch {
-		case st.Health == "gone":
-			s.down++
-		case st.Choked:
-			s.overloaded++
-		case st.Ramp < 1:
-			s.warmingUp++
-		}
-	}
-	d := &fl.discovery.Counters
-	s.listCalls, s.fullLists, s.listLines, s.watches = d.Calls.Load(), d.Wholes.Load(), d.Lines.Load(), d.Watches.Load()
-	for i, a := range fl.agents {
-		use, _, over := a.process.Look()
-		if a.process.Runs() {
-			s.agents++
-		}
-		s.rssMax = max(s.rssMax, use.RSSMB)
-		s.cpu += use.CPU.Seconds()
-		if over {
-			fl.checker.ReportBreach(check.RuleLimit, i, fmt.Sprintf("killed at %.0f MB of at most %.0f", use.RSSMB, fl.config.Agents.MemoryMB))
-		}
-		if use.Descriptors > fl.config.Agents.Sockets {
-			fl.checker.ReportBreach(check.RuleLimit, i, fmt.Sprintf("%d descriptors of at most %d", use.Descriptors, fl.config.Agents.Sockets))
-		}
-	}
-	return s
-}
-
-// Machine is where a run was played.
-type Machine struct {
-	CPUs   int    `json:"cpus"`
-	Go     string `json:"go"`
-	Kernel string `json:"kernel"`
-}
-
-func describeMachine() Machine {
-	m := Machine{CPUs: runtime.NumCPU(), Go: runtime.Version()}
-	if text, err := os.ReadFile("/proc/sys/kernel/osrelease"); err == nil {
-		m.Kernel = strings.TrimSpace(string(text))
-	}
-	return m
-}
-
-// programDigest names a program by its contents.
-func programDigest(path string) string {
-	f, err := os.Open(path)
-	if err != nil {
-		return "unknown"
-	}
-	defer f.Close()
-	h := sha256.New()
-	if _, err := io.Copy(h, f); err != nil {
-		return "unknown"
-	}
-	return hex.EncodeToString(h.Sum(nil))[:12]
-}
-
-// Interrupted tells whether a run ended because it was told to.
-func Interrupted(err error) bool {
-	return errors.Is(err, errInterrupted) || errors.Is(err, context.Canceled)
-}
--- /dev/null
+++ b/internal/lab/experiment/samples.go
@@ -0,0 +1,90 @@
+package experiment
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/check"
+)
+
+const (
+	sampleInterval = 500 * time.Millisecond
+	// sweepInterval is how often the checker drops requests that ended long ago.
+	sweepInterval = 5 * time.Second
+)
+
+// sample is the state of a fleet at one time. The counts that are int64 are totals since the
+// fleet was built.
+type sample struct {
+	at time.Duration // since the load began
+
+	attempts    int64 // that arrived at servers
+	connections int64 // that were opened to servers
+	probes      int64
+	listCalls   int64
+
+	openConnections int
+	warmingUp       int // servers
+	overloaded      int // servers
+	down            int // servers
+	agents          int // whose process runs
+}
+
+// collectSamples takes a sample at an interval until the context ends, and a last one then. It
+// also has the checker drop requests that ended long ago.
+func (fl *fleet) collectSamples(ctx context.Context, loadStart time.Duration) []sample {
+	var samples []sample
+	swept := time.Duration(0)
+	for {
+		samples = append(samples, fl.takeSample(loadStart))
+		if fl.clock()-swept > sweepInterval {
+			swept = fl.clock()
+			fl.checker.Sweep()
+		}
+		if !sleep(ctx, sampleInterval) {
+			return append(samples, fl.takeSample(loadStart))
+		}
+	}
+}
+
+// takeSample returns the present state of the fleet, and reports agents that are over their limits.
+func (fl *fleet) takeSample(loadStart time.Duration) sample {
+	var s sample
+	for _, srv := range fl.servers {
+		state := srv.State()
+		s.attempts += srv.Arrived.Load()
+		s.connections += srv.Connections.Load()
+		s.probes += srv.Probes.Load()
+		s.openConnections += state.Conns
+		switch {
+		case state.Health == endpoints.Removed:
+			s.down++
+		case state.Choked:
+			s.overloaded++
+		case state.Ramp < 1:
+			s.warmingUp++
+		}
+	}
+	s.listCalls = fl.discovery.Counters.Calls.Load()
+	for _, agent := range fl.agents {
+		if agent.process.Runs() {
+			s.agents++
+		}
+		fl.checkLimits(agent)
+	}
+	s.at = fl.clock() - loadStart
+	return s
+}
+
+// checkLimits reports a breach if an agent uses more than its limits allow.
+func (fl *fleet) checkLimits(agent *agentProcess) {
+	usage, _, killed := agent.process.Look()
+	if killed {
+		fl.checker.ReportBreach(check.RuleLimit, agent.index, fmt.Sprintf("killed at %.0f MB of at most %.0f", usage.RSSMB, fl.config.Agents.MemoryMB))
+	}
+	if usage.Descriptors > fl.config.Agents.Sockets {
+		fl.checker.ReportBreach(check.RuleLimit, agent.index, fmt.Sprintf("%d descriptors of at most %d", usage.Descriptors, fl.config.Agents.Sockets))
+	}
+}
--- a/internal/lab/experiment/selector.go
+++ b/internal/lab/experiment/selector.go
@@ -1,6 +1,7 @@
 package experiment
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -8,22 +9,23 @@
 	"strings"
 )
 
-// A selector names the parties of a fault:
+// A selector is the target of a fault, parsed from its text:
 //
 //	servers, agents, stewards, workers, discovery, load
-//	servers@ZONE       those of a zone
+//	servers@ZONE       those in a zone
 //	servers%0.3        three in ten of them, drawn from the seed
 //	servers#2          two of them, drawn from the seed
 //	agents@ZONE%0.5    both
-//	s-03, n7           one by its name; several with commas
+//	s-03, n7           one by its name; several are separated by commas
 type selector struct {
-	kind  string
-	names []string
-	zone  string
-	share float64
-	count int
+	kind  string   // a key of faultKinds; "" if names are given
+	names []string // of single processes
+	zone  string   // "": all zones
+	share float64  // of those that match, in (0, 1]
+	count int      // of those that match; 0: share counts
 }
 
+// parseSelector parses the text of a selector. It does not check that what it names exists.
 func parseSelector(text string) (selector, error) {
 	s := selector{share: 1}
 	rest := text
@@ -49,49 +51,39 @@
 	return s, nil
 }
 
+// serverName returns the name of the server with an index.
 func serverName(i int) string { return fmt.Sprintf("s-%02d", i) }
-func agentName(i int) string  { return fmt.Sprintf("n%d", i) }
 
-// selectorKind checks a selectorKind's text and tells what it selects.
+// agentName returns the name of the agent with an index.
+func agentName(i int) string { return fmt.Sprintf("n%d", i) }
+
+// agentNames returns the names of the agents, by index.
+func (c *Config) agentNames() []string {
+	var names []string
+	for i := range c.Agents.Count {
+		names = append(names, agentName(i))
+	}
+	return names
+}
+
+// selectorKind returns the kind of target that a selector means, a key of faultKinds. It returns
+// an error if the text is invalid or names something that the experiment doesn't have.
 func (c *Config) selectorKind(text string) (string, error) {
 	if text == "" {
-		return "", fmt.Errorf("missing")
+		return "", errSelectorMissing
 	}
 	s, err := parseSelector(text)
 	if err != nil {
 		return "", err
 	}
-	if s.kind == "stewards" && c.ControlPlane.Count == 0 {
-		return "", fmt.Errorf("%q: there are none in this experiment", text)
-	}
-	if s.kind == "workers" && c.LeasedTasks.Count == 0 {
+	if s.kind == "stewards" && c.ControlPlane.Count == 0 || s.kind == "workers" && c.LeasedTasks.Count == 0 {
 		return "", fmt.Errorf("%q: there are none in this experiment", text)
 	}
 	if s.zone != "" && !slices.Contains(c.Zones, s.zone) {
 		return "", fmt.Errorf("%q: no zone %q", text, s.zone)
 	}
 	for _, name := range s.names {
-		kind := ""
-		for i := range c.Servers.Count {
-			if serverName(i) == name {
-				kind = "servers"
-			}
-		}
-		for i := range c.Agents.Count {
-			if agentName(i) == name {
-				kind = "agents"
-			}
-		}
-		for i := range c.ControlPlane.Count {
-			if controlPlaneName(i) == name {
-				kind = "stewards"
-			}
-		}
-		for i := range c.workerCount() {
-			if workerName(i) == name {
-				kind = "workers"
-			}
-		}
+		kind := c.processKind(name)
 		switch {
 		case kind == "":
 			return "", fmt.Errorf("unknown process %q", name)
@@ -103,28 +95,41 @@
 	return s.kind, nil
 }
 
-// workerCount is how many there are.
-func (c *Config) workerCount() int {
-	if c.LeasedTasks.Count == 0 {
-		return 0
-	}
-	return c.LeasedTasks.Workers
-}
+var errSelectorMissing = errors.New("missing")
 
-// selectTargets gives the numbers of the servers or agents that a selector means. What is left
-// to chance is drawn from the rng alone, so one seed always means the same ones.
-func (c *Config) selectTargets(text string, rng *rand.Rand) []int {
-	s, _ := parseSelector(text) // checked by validate
-	kind, _ := c.selectorKind(text)
-	count, name := c.Servers.Count, serverName
+// processes returns how many processes of a kind there are, and how they are named. All that is
+// not another kind is a server.
+func (c *Config) processes(kind string) (count int, name func(index int) string) {
 	switch kind {
 	case "agents":
-		count, name = c.Agents.Count, agentName
+		return c.Agents.Count, agentName
 	case "stewards":
-		count, name = c.ControlPlane.Count, controlPlaneName
+		return c.ControlPlane.Count, controlPlaneName
 	case "workers":
-		count, name = c.workerCount(), workerName
+		return c.workerCount(), workerName
 	}
+	return c.Servers.Count, serverName
+}
+
+// processKind returns the kind of the process of that name; "" if there is none.
+func (c *Config) processKind(name string) string {
+	for _, kind := range []string{"servers", "agents", "stewards", "workers"} {
+		count, nameOf := c.processes(kind)
+		for i := range count {
+			if nameOf(i) == name {
+				return kind
+			}
+		}
+	}
+	return ""
+}
+
+// selectTargets returns the indexes, in order, of the processes that a valid selector means. Its
+// random choice is drawn from rng alone, so that one seed always selects the same ones.
+func (c *Config) selectTargets(text string, rng *rand.Rand) []int {
+	s, _ := parseSelector(text)
+	kind, _ := c.selectorKind(text)
+	count, name := c.processes(kind)
 	var chosen []int
 	for i := range count {
 		if len(s.names) > 0 && !slices.Contains(s.names, name(i)) || s.zone != "" && c.Zones[i%len(c.Zones)] != s.zone {
--- /dev/null
+++ b/internal/lab/experiment/series.go
@@ -0,0 +1,150 @@
+package experiment
+
+import (
+	"math"
+	"slices"
+	"sort"
+	"time"
+
+	"knotrouter/internal/lab/check"
+	"knotrouter/internal/lab/client"
+)
+
+// second collects the requests that were planned within one second of the run.
+type second struct {
+	requests, inTime, rejected int
+	latencies                  []time.Duration // of those that were served
+}
+
+// series returns one point for each second of the run.
+func (r *run) series(results []client.Result, samples []sample) []Point {
+	seconds := groupBySecond(results, int(math.Ceil(r.config.Duration.Seconds())))
+	points := make([]Point, len(seconds))
+	for i := range points {
+		p := &points[i]
+		p.AtS = float64(i)
+		p.addRequests(&seconds[i])
+		p.addSamples(samples, time.Duration(i)*time.Second)
+	}
+	return points
+}
+
+// groupBySecond groups the requests by the second of their planned time. Those outside the first
+// n seconds, and void ones, are left out.
+func groupBySecond(results []client.Result, n int) []second {
+	seconds := make([]second, n)
+	for i := range results {
+		result := &results[i]
+		index := int(result.Planned / time.Second)
+		if index < 0 || index >= n || isVoid(result) {
+			continue
+		}
+		s := &seconds[index]
+		s.requests++
+		switch {
+		case result.InTime:
+			s.inTime++
+		case result.Outcome == check.Rejected:
+			s.rejected++
+		}
+		if result.Outcome == check.Served {
+			s.latencies = append(s.latencies, result.Latency)
+		}
+	}
+	return seconds
+}
+
+// addRequests fills in how the requests of the second ended.
+func (p *Point) addRequests(s *second) {
+	p.Requests = s.requests
+	if s.requests > 0 {
+		p.ServedShare = roundTo4Digits(float64(s.inTime) / float64(s.requests))
+		p.RejectedShare = roundTo4Digits(float64(s.rejected) / float64(s.requests))
+	}
+	if n := len(s.latencies); n > 0 {
+		slices.Sort(s.latencies)
+		p.P50Ms, p.P99Ms = millis(s.latencies[n/2]), millis(s.latencies[n*99/100])
+	}
+}
+
+// addSamples fills in the rates between the samples around the second that begins at from, and
+// the states in its middle.
+func (p *Point) addSamples(samples []sample, from time.Duration) {
+	first, last := samplesAround(samples, from, from+time.Second)
+	if span := (last.at - first.at).Seconds(); span > 0 {
+		rate := func(a, b int64) float64 { return roundTo4Digits(float64(b-a) / span) }
+		p.AttemptsPerSecond = rate(first.attempts, last.attempts)
+		p.ConnectionsPerSecond = rate(first.connections, last.connections)
+		p.ListCallsPerSecond = rate(first.listCalls, last.listCalls)
+		p.ProbesPerSecond = rate(first.probes, last.probes)
+	}
+	middle, _ := samplesAround(samples, from+sampleInterval, 0)
+	p.OpenConnections, p.Agents = middle.openConnections, middle.agents
+	p.WarmingUp, p.Overloaded, p.Down = middle.warmingUp, middle.overloaded, middle.down
+}
+
+// samplesAround returns the first samples at or after the two times, or the last sample if there
+// is none.
+func samplesAround(samples []sample, from, to time.Duration) (a, b sample) {
+	if len(samples) == 0 {
+		return
+	}
+	at := func(t time.Duration) sample {
+		i := sort.Search(len(samples), func(i int) bool { return samples[i].at >= t })
+		return samples[min(i, len(samples)-1)]
+	}
+	return at(from), at(to)
+}
+
+const (
+	// recoveredPart is the part of the former served share from which a second counts as good.
+	recoveredPart = 0.9
+	// recoveredAfter is how many good seconds in a row make a recovery.
+	recoveredAfter = 3
+	// baselineSeconds is how many seconds before a fault give the former served share.
+	baselineSeconds = 5
+	// notRecovered is the recovery time of a run that did not recover, or whose former share is
+	// unknown.
+	notRecovered = -1
+)
+
+// recoverySeconds returns the time from a fault's beginning to the first of recoveredAfter good
+// seconds in a row after a bad one. It returns 0 if no second was bad, and notRecovered if the
+// run ended before.
+func recoverySeconds(series []Point, from, warmup time.Duration) float64 {
+	start := int(from / time.Second)
+	formerSum, formerSeconds := sumServedShare(series, max(int(warmup/time.Second), start-baselineSeconds), start)
+	if formerSeconds == 0 {
+		return notRecovered
+	}
+	threshold := recoveredPart * formerSum / float64(formerSeconds)
+	fell := false
+	goodSeconds := 0
+	for s := start; s < len(series); s++ {
+		if series[s].Requests == 0 {
+			continue
+		}
+		if series[s].ServedShare < threshold {
+			fell, goodSeconds = true, 0
+			continue
+		}
+		goodSeconds++
+		if fell && goodSeconds == recoveredAfter {
+			return math.Max(0, float64(s-recoveredAfter+1)-from.Seconds())
+		}
+	}
+	if !fell {
+		return 0
+	}
+	return notRecovered
+}
+
+// sumServedShare returns the sum of the served shares of the seconds in [from, to), and how many
+// seconds that are.
+func sumServedShare(series []Point, from, to int) (sum float64, seconds int) {
+	for s := from; s < min(to, len(series)); s++ {
+		sum += series[s].ServedShare
+		seconds++
+	}
+	return sum, seconds
+}
--- a/internal/lab/experiment/timeline.go
+++ b/internal/lab/experiment/timeline.go
@@ -2,15 +2,10 @@
 
 import (
 	"context"
-	"fmt"
-	"math/rand/v2"
 	"sync"
-	"syscall"
 	"time"
 
 	"knotrouter/internal/lab/client"
-	"knotrouter/internal/lab/link"
-	"knotrouter/internal/lab/server"
 )
 
 // InjectedFault is a fault as it was injected.
@@ -18,15 +13,15 @@
 	Name           string  `json:"name"`
 	Kind           string  `json:"kind"`
 	Targets        int     `json:"targets"`
-	PlannedSeconds float64 `json:"plan_s"` // -1: it waited for an event
-	BeganSeconds   float64 `json:"from_s"` // when it was; -1: never
+	PlannedSeconds float64 `json:"plan_s"` // since the load began; -1: it waited for an event
+	BeganSeconds   float64 `json:"from_s"` // since the load began; -1: never
 	EndedSeconds   float64 `json:"to_s"`
 	Error          string  `json:"error,omitempty"`
 }
 
-// loadChanges are the faults of the load, which the arrivals are drawn with.
+// loadChanges returns the faults of the load, which the arrivals are drawn with.
 func (c *Config) loadChanges() []client.LoadChange {
-	var out []client.LoadChange
+	var changes []client.LoadChange
 	for i := range c.Faults {
 		f := &c.Faults[i]
 		to := f.At + f.Duration
@@ -35,21 +30,22 @@
 		}
 		switch f.Kind {
 		case "burst":
-			out = append(out, client.LoadChange{From: f.At, To: to, Factor: f.Size, RampTime: f.RampTime})
+			changes = append(changes, client.LoadChange{From: f.At, To: to, Factor: f.Size, RampTime: f.RampTime})
 		case "heavy":
-			out = append(out, client.LoadChange{From: f.At, To: to, Class: f.Class, HeavyShare: f.Share, WorkFactor: f.Size})
+			changes = append(changes, client.LoadChange{From: f.At, To: to, Class: f.Class, HeavyShare: f.Share, WorkFactor: f.Size})
 		}
 	}
-	return out
+	return changes
 }
 
-// runTimeline plays the faults of a lane from its zero on, and returns when all have ended.
+// runTimeline injects the faults of the timeline at their times, counted from loadStart. It
+// returns, by fault, what was injected, once all have ended.
 func (fl *fleet) runTimeline(ctx context.Context, loadStart time.Duration) []InjectedFault {
-	out := make([]InjectedFault, len(fl.config.Faults))
+	results := make([]InjectedFault, len(fl.config.Faults))
 	var running sync.WaitGroup
 	for i := range fl.config.Faults {
 		f := &fl.config.Faults[i]
-		injected := &out[i]
+		injected := &results[i]
 		*injected = InjectedFault{Name: f.Name, Kind: f.Kind, PlannedSeconds: f.At.Seconds(), BeganSeconds: -1, EndedSeconds: -1}
 		running.Add(1)
 		go func() {
@@ -58,9 +54,11 @@
 		}()
 	}
 	running.Wait()
-	return out
+	return results
 }
 
+// runFault waits for a fault's time or event, injects it, and records in injected what happened.
+// If the context ends before that, nothing is injected.
 func (fl *fleet) runFault(ctx context.Context, loadStart time.Duration, f *Fault, injected *InjectedFault) {
 	if f.AfterEvent != "" {
 		injected.PlannedSeconds = -1
@@ -77,8 +75,8 @@
 	}
 	injected.BeganSeconds = (fl.clock() - loadStart).Seconds()
 	fl.events.record("fault " + f.Name + " begins")
-	n, err := fl.applyFault(ctx, f, injected)
-	injected.Targets = n
+	targets, err := fl.applyFault(ctx, f)
+	injected.Targets = targets
 	if injected.EndedSeconds < 0 {
 		injected.EndedSeconds = (fl.clock() - loadStart).Seconds()
 	}
@@ -88,9 +86,10 @@
 	fl.events.record("fault " + f.Name + " ends")
 }
 
-// applyFault injects a fault, waits for its time and ends it. The first error is returned; it
-// does not keep the others of the targets from their fault.
-func (fl *fleet) applyFault(ctx context.Context, f *Fault, injected *InjectedFault) (int, error) {
+// applyFault injects a fault into all its targets, waits for its duration and ends it. It returns
+// how many targets there were, and the first error; an error at one target does not keep the
+// fault from the others. In the fleet of a baseline, faults of processes have no targets.
+func (fl *fleet) applyFault(ctx context.Context, f *Fault) (int, error) {
 	kind, err := fl.config.faultTargetKind(f)
 	if err != nil {
 		return 0, err
@@ -111,12 +110,12 @@
 		return fl.applyLinkFault(ctx, f)
 	case "agents":
 		if fl.policy != "" {
-			return 0, nil // a baseline has no process
+			return 0, nil
 		}
 		return fl.applyAgentFault(ctx, f, rng)
 	case "stewards":
 		if fl.controlPlane == nil {
-			return 0, nil // a baseline's list is the stand-in's
+			return 0, nil
 		}
 		return fl.controlPlane.applyFault(ctx, f, rng)
 	case "workers":
@@ -128,14 +127,14 @@
 	return fl.applyServerFault(ctx, f, rng)
 }
 
-// waitDuration waits for as long as the fault lasts.
+// waitDuration waits for the fault's duration; not at all if it lasts to the end of the run.
 func (fl *fleet) waitDuration(ctx context.Context, f *Fault) {
 	if f.Duration > 0 {
 		sleep(ctx, f.Duration)
 	}
 }
 
-// firstError keeps the first error of several.
+// firstError keeps the first error of several goroutines.
 type firstError struct {
 	mu  sync.Mutex
 	err error
@@ -149,8 +148,9 @@
 	}
 }
 
-// forEachTarget runs do for all targets, together or, with a time between, one after the other
-// without waiting for the one before.
+// forEachTarget calls apply for each target, all at once or, with an interval above 0, one after
+// the other at that interval without waiting for the one before. It returns the first error once
+// all have returned.
 func forEachTarget(ctx context.Context, targets []int, interval time.Duration, apply func(int) error) error {
 	var running sync.WaitGroup
 	var firstErr firstError
@@ -168,264 +168,29 @@
 	return firstErr.err
 }
 
-// applyServerFault does something to servers.
-func (fl *fleet) applyServerFault(ctx context.Context, f *Fault, rng *rand.Rand) (int, error) {
-	targets := fl.config.selectTargets(f.Target, rng)
-	// again starts a server anew: with the version that the fault names, or its last one.
-	startAgain := func(s *server.Server) error {
-		v := server.Version{Name: s.VersionName()}
-		for _, name := range []string{v.Name, f.Version} {
-			if named := fl.config.findVersion(name); named != nil {
-				v = *named
-			}
-		}
-		return s.Start(v, true)
-	}
-	interval := time.Duration(0)
-	if f.Kind == "replace" {
-		interval = f.Interval
-	}
-	// Every server's draws are made before any of them, so that they don't depend on
-	// which goroutine comes first.
-	offsets := map[int]float64{}
-	for _, t := range targets {
-		offsets[t] = rng.Float64()
-	}
-	return len(targets), forEachTarget(ctx, targets, interval, func(t int) error {
-		s := fl.servers[t]
-		switch f.Kind {
-		case "kill":
-			s.Kill()
-			fl.waitDuration(ctx, f)
-			if f.Duration > 0 {
-				return startAgain(s)
-			}
-		case "vanish":
-			if err := s.Vanish(); err != nil {
-				return err
-			}
-			fl.waitDuration(ctx, f)
-			if f.Duration == 0 {
-				return nil
-			}
-			return s.Return()
-		case "drain":
-			s.Drain()
-			fl.waitDuration(ctx, f)
-			if f.Duration > 0 {
-				s.Kill()
-				return startAgain(s)
-			}
-		case "replace":
-			s.Drain()
-			if !sleep(ctx, fl.maxRequestDuration()) {
-				return nil
-			}
-			s.Kill()
-			if f.Delay > 0 && !sleep(ctx, f.Delay) {
-				return nil
-			}
-			return startAgain(s)
-		case "mute":
-			if fl.controlPlane == nil {
-				return nil // nobody renews in a baseline's lane
-			}
-			fl.controlPlane.setMuted(t, true)
-			fl.waitDuration(ctx, f)
-			if f.Duration > 0 {
-				fl.controlPlane.setMuted(t, false)
-			}
-		case "slow":
-			s.Slow(f.Size)
-			fl.waitDuration(ctx, f)
-			if f.Duration > 0 {
-				s.Slow(1)
-			}
-		case "neighbour":
-			fl.runNeighbour(ctx, f, s, offsets[t])
-		default:
-			faults := server.Faults{}
-			switch f.Kind {
-			case "errors":
-				faults.Errors = f.Size
-			case "resets":
-				faults.Resets = f.Size
-			case "lost":
-				faults.Lost = f.Size
-			case "spoilt":
-				faults.Spoilt = f.Size
-			}
-			s.Spoil(faults)
-			fl.waitDuration(ctx, f)
-			if f.Duration > 0 {
-				s.Spoil(server.Faults{})
-			}
-		}
-		return nil
-	})
-}
+// timeWindow is a span of the run, counted from the beginning of the load.
+type timeWindow struct{ from, to time.Duration }
 
-// runNeighbour takes part of a machine, on and off, beginning at a drawn point of its turn.
-func (fl *fleet) runNeighbour(ctx context.Context, f *Fault, s *server.Server, offset float64) {
-	defer s.Take(0)
-	if f.Interval <= 0 {
-		s.Take(f.Size)
-		if f.Duration > 0 {
-			sleep(ctx, f.Duration)
-		} else {
-			<-ctx.Done()
-		}
-		return
-	}
-	if f.Duration > 0 {
-		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, f.Duration)
-		defer cancel()
-	}
-	for wait := time.Duration(offset * float64(f.Interval)); sleep(ctx, wait); wait = f.Interval {
-		s.Take(f.Size)
-		if !sleep(ctx, f.Interval) {
-			return
-		}
-		s.Take(0)
-	}
-}
+// contains reports whether t lies within the window; its end does not.
+func (w timeWindow) contains(t time.Duration) bool { return t >= w.from && t < w.to }
 
-// applyAgentFault does something to agents' processes.
-func (fl *fleet) applyAgentFault(ctx context.Context, f *Fault, rng *rand.Rand) (int, error) {
-	targets := fl.config.selectTargets(f.Target, rng)
-	draws := map[int]float64{}
-	for _, t := range targets {
-		draws[t] = rng.Float64()
-	}
-	interval := time.Duration(0)
-	if f.Kind == "restart" || f.Kind == "hup" {
-		interval = f.Interval
-	}
-	return len(targets), forEachTarget(ctx, targets, interval, func(t int) error {
-		a := fl.agents[t]
-		switch f.Kind {
-		case "kill":
-			a.mu.Lock()
-			defer a.mu.Unlock()
-			ended := a.process.Ended()
-			fl.killAgent(a)
-			fl.waitDuration(ctx, f)
-			if f.Duration == 0 || ctx.Err() != nil {
-				return nil
-			}
-			<-ended
-			return fl.startAgent(ctx, a)
-		case "stop":
-			// What it held is late for a while after it goes on.
-			from, to := fl.clock(), fl.clock()+f.Duration+time.Second
-			if f.Duration == 0 {
-				to = time.Hour
-			}
-			fl.checker.AgentPaused(t, from, to)
-			if err := a.process.Signal(syscall.SIGSTOP); err != nil {
-				return err
-			}
-			fl.waitDuration(ctx, f)
-			if f.Duration == 0 {
-				return nil
-			}
-			return a.process.Signal(syscall.SIGCONT)
-		case "hup":
-			return fl.reloadAgent(a)
-		}
-		return fl.restartAgent(ctx, a, draws[t])
-	})
-}
-
-// applyLinkFault does something to links.
-func (fl *fleet) applyLinkFault(ctx context.Context, f *Fault) (int, error) {
-	pairs := fl.linkKeys(f)
-	if fl.policy != "" || len(pairs) == 0 {
-		return 0, nil
-	}
-	wires := fl.controlledLinks(pairs)
-	shape := link.Shape{}
-	switch f.Kind {
-	case "cut":
-		shape.Cut = true
-	case "delay":
-		shape.Delay, shape.Jitter = f.Delay, f.Jitter
-	case "slow":
-		shape.Rate = f.Size
-	case "reset":
-		shape.ResetAfter = int64(f.Size)
-	case "loss": // of datagrams; streams are late by as much as it takes to send again
-		shape.Loss, shape.Delay, shape.Jitter = f.Size, f.Delay, f.Jitter
-	}
-	var forward, back link.Shape
-	if f.Direction != "back" {
-		forward = shape
-	}
-	if f.Direction != "forward" {
-		back = shape
-	}
-	all := func(do func(controllableLink) error) error {
-		targets := make([]int, len(wires))
-		for i := range targets {
-			targets[i] = i
-		}
-		// Together: to fill a queue takes some time, and there may be thousands.
-		return forEachTarget(ctx, targets, 0, func(i int) error { return do(wires[i]) })
-	}
-	setCut := func(is bool) {
-		for _, p := range pairs {
-			if p.to == discoveryIndex && (f.Kind == "cut" || f.Kind == "refuse") {
-				fl.checker.SetDiscoveryCut(p.from, is)
-			}
-		}
-	}
-	setCut(true)
-	err := all(func(k controllableLink) error {
-		if f.Kind == "refuse" {
-			return k.Refuse()
-		}
-		return k.Set(forward, back)
-	})
-	fl.waitDuration(ctx, f)
-	if f.Duration > 0 {
-		if e := all(func(k controllableLink) error { return k.Set(link.Shape{}, link.Shape{}) }); err == nil {
-			err = e
-		}
-		setCut(false)
-	}
-	return len(pairs), err
-}
-
-// faultWindows are the spans of the run whose figures are taken apart.
-func (c *Config) faultWindows(applied []InjectedFault) map[string][2]time.Duration {
-	w := map[string][2]time.Duration{}
+// faultWindows returns, by the name of the fault, the windows that are measured separately.
+func (c *Config) faultWindows(applied []InjectedFault) map[string]timeWindow {
+	windows := map[string]timeWindow{}
 	for i := range c.Faults {
-		f, a := &c.Faults[i], &applied[i]
-		if a.BeganSeconds < 0 {
+		f, injected := &c.Faults[i], &applied[i]
+		if injected.BeganSeconds < 0 {
 			continue
 		}
-		from := time.Duration(a.BeganSeconds * float64(time.Second))
+		from := time.Duration(injected.BeganSeconds * float64(time.Second))
 		to := from + f.Window
 		if f.Window == 0 {
-			to = max(time.Duration(a.EndedSeconds*float64(time.Second)), from+defaultWindow)
+			to = max(time.Duration(injected.EndedSeconds*float64(time.Second)), from+defaultWindow)
 		}
-		w[f.Name] = [2]time.Duration{from, min(to, c.Duration)}
+		windows[f.Name] = timeWindow{from, min(to, c.Duration)}
 	}
-	return w
+	return windows
 }
 
-// defaultWindow is how long a fault's figures are taken apart at least.
+// defaultWindow is the least length of a fault's window where its file sets none.
 const defaultWindow = 5 * time.Second
-
-// Describe is a fault in a few words.
-func (f *Fault) Describe() string {
-	text := f.Kind + " " + f.Target
-	if f.To != "" {
-		text += " to " + f.To
-	}
-	if f.Duration > 0 {
-		text += fmt.Sprintf(" for %v", f.Duration)
-	}
-	return text
-}
--- a/internal/lab/experiment/workers.go
+++ b/internal/lab/experiment/workers.go
@@ -7,7 +7,6 @@
 	"path/filepath"
 	"slices"
 	"strings"
-	"syscall"
 	"time"
 
 	"knotrouter/internal/control"
@@ -15,53 +14,56 @@
 	"knotrouter/internal/lab/process"
 )
 
-// LeasedTasks is processes that hold duties of the stewards', and act under them at the emulated
-// servers, which look at the fence.
-type LeasedTasks struct {
-	Count             int           `koanf:"count"` // 0: none
-	TTL               time.Duration `koanf:"ttl"`
-	Workers           int           `koanf:"workers"`
-	MaxTasksPerWorker int           `koanf:"cap"`
-	Command           string        `koanf:"command"`
-	ClockRates        []float64     `koanf:"clocks"` // rates of the workers' clocks, in turn
-}
-
+// workerName returns the name of the worker with an index.
 func workerName(i int) string { return fmt.Sprintf("w-%d", i+1) }
 
-// workers runs the processes of a lane that hold duties.
+// workers runs the processes of a fleet that hold leased tasks.
 type workers struct {
 	fleet     *fleet
 	processes []*process.Process
 }
 
+// newWorkers prepares the worker processes and their links. It starts nothing.
 func newWorkers(fl *fleet) (*workers, error) {
 	w := &workers{fleet: fl}
-	d := &fl.config.LeasedTasks
-	command, err := findProgram("duties.command", d.Command)
+	tasks := &fl.config.LeasedTasks
+	command, err := findProgram("duties.command", tasks.Command)
 	if err != nil {
 		return nil, err
 	}
-	var places []string
-	for _, s := range fl.servers {
-		places = append(places, s.Addr())
+	var operationAddrs []string
+	for _, srv := range fl.servers {
+		operationAddrs = append(operationAddrs, srv.Addr())
 	}
-	for i := range d.Workers {
-		var at []string
-		for j := range fl.controlPlane.addresses {
-			addr, err := fl.controlPlane.linkedAddress(linkKey{kind: linkWorkerToControlPlane, from: i, to: j}, fl.controlPlane.addresses[j], false)
-			if err != nil {
-				return nil, err
-			}
-			at = append(at, addr)
+	for i := range tasks.Workers {
+		controlPlaneAddrs, err := w.controlPlaneAddrs(i)
+		if err != nil {
+			return nil, err
 		}
-		w.processes = append(w.processes, fl.supervisor.Add(process.Spec{Name: workerName(i), Path: command, Log: filepath.Join(fl.dir, "logs", workerName(i)+".log"),
-			Args: []string{"worker", "--name", workerName(i), "--zone", fl.config.Zones[i%len(fl.config.Zones)], "--at", strings.Join(at, ","),
-				"--place", strings.Join(places, ","), "--cap", fmt.Sprint(d.MaxTasksPerWorker), "--clock", fmt.Sprint(d.ClockRates[i%len(d.ClockRates)])}}))
+		name := workerName(i)
+		w.processes = append(w.processes, fl.supervisor.Add(process.Spec{Name: name, Path: command, Log: filepath.Join(fl.dir, "logs", name+".log"),
+			Args: []string{"worker", "--name", name, "--zone", fl.config.Zones[i%len(fl.config.Zones)], "--at", strings.Join(controlPlaneAddrs, ","),
+				"--place", strings.Join(operationAddrs, ","), "--cap", fmt.Sprint(tasks.MaxTasksPerWorker),
+				"--clock", fmt.Sprint(tasks.ClockRates[i%len(tasks.ClockRates)])}}))
 	}
 	return w, nil
 }
 
-// start defines the duties and waits until each is done.
+// controlPlaneAddrs returns the addresses at which a worker reaches the control-plane servers.
+func (w *workers) controlPlaneAddrs(worker int) ([]string, error) {
+	var addresses []string
+	for server, target := range w.fleet.controlPlane.addresses {
+		address, err := w.fleet.controlPlane.linkedAddress(linkKey{kind: linkWorkerToControlPlane, from: worker, to: server}, target, false)
+		if err != nil {
+			return nil, err
+		}
+		addresses = append(addresses, address)
+	}
+	return addresses, nil
+}
+
+// start starts the workers and defines the leased tasks. It returns once an operation has been
+// recorded for each task, or with an error after readyTimeout.
 func (w *workers) start(ctx context.Context) error {
 	for _, p := range w.processes {
 		if err := p.Start(); err != nil {
@@ -87,83 +89,50 @@
 	})
 }
 
-// retry does something until it is done or the context ends.
+// retryInterval is the time between two calls of retry.
+const retryInterval = 50 * time.Millisecond
+
+// retry calls do until it returns no error. If the context ends first, it returns the last error.
 func retry(ctx context.Context, what string, do func() error) error {
 	for {
 		err := do()
 		if err == nil {
 			return nil
 		}
-		if !sleep(ctx, 50*time.Millisecond) {
+		if !sleep(ctx, retryInterval) {
 			return fmt.Errorf("%s: %w", what, err)
 		}
 	}
 }
 
-// evaluate puts together what the acts at all servers show.
-func (w *workers) evaluate() (v check.Analysis) {
-	for _, s := range w.fleet.servers {
-		one := s.Acts.Analyze()
-		v.Violations = append(v.Violations, one.Violations...)
-		v.HandoverGaps = append(v.HandoverGaps, one.HandoverGaps...)
-		v.Terms, v.Rejected, v.Idle, v.Total = v.Terms+one.Terms, v.Rejected+one.Rejected, v.Idle+one.Idle, v.Total+one.Total
+// evaluate combines the analyses of the operations at all servers.
+func (w *workers) evaluate() (all check.Analysis) {
+	for _, srv := range w.fleet.servers {
+		one := srv.Acts.Analyze()
+		all.Violations = append(all.Violations, one.Violations...)
+		all.HandoverGaps = append(all.HandoverGaps, one.HandoverGaps...)
+		all.Terms, all.Rejected, all.Idle, all.Total = all.Terms+one.Terms, all.Rejected+one.Rejected, all.Idle+one.Idle, all.Total+one.Total
 	}
-	slices.Sort(v.HandoverGaps)
-	return v
+	slices.Sort(all.HandoverGaps)
+	return all
 }
 
-// addTotals tells what the acts show; an overlap breaks a rule.
+// addTotals adds what the operations show. Terms that overlap are reported as breaches.
 func (w *workers) addTotals(t *Total) {
-	v := w.evaluate()
-	for _, b := range v.Violations {
-		w.fleet.checker.ReportBreach(check.RuleTaskOverlap, -1, b)
+	analysis := w.evaluate()
+	for _, violation := range analysis.Violations {
+		w.fleet.checker.ReportBreach(check.RuleTaskOverlap, -1, violation)
 	}
-	t.TaskTerms, t.FencedOperations = v.Terms, v.Rejected
-	if v.Total > 0 {
-		t.TaskIdleShare = roundTo4Digits(float64(v.Idle) / float64(v.Total))
+	t.TaskTerms, t.FencedOperations = analysis.Terms, analysis.Rejected
+	if analysis.Total > 0 {
+		t.TaskIdleShare = roundTo4Digits(float64(analysis.Idle) / float64(analysis.Total))
 	}
-	if n := len(v.HandoverGaps); n > 0 {
-		t.HandoverGapP50Ms, t.HandoverGapP99Ms, t.HandoverGapMaxMs = millis(v.HandoverGaps[n/2]), millis(v.HandoverGaps[n*99/100]), millis(v.HandoverGaps[n-1])
+	if n := len(analysis.HandoverGaps); n > 0 {
+		t.HandoverGapP50Ms, t.HandoverGapP99Ms, t.HandoverGapMaxMs = millis(analysis.HandoverGaps[n/2]), millis(analysis.HandoverGaps[n*99/100]), millis(analysis.HandoverGaps[n-1])
 	}
 }
 
+// applyFault injects a fault into worker processes and returns how many.
 func (w *workers) applyFault(ctx context.Context, f *Fault, rng *rand.Rand) (int, error) {
-	return applyProcessFault(ctx, w.fleet, w.processes, f, rng)
-}
-
-// applyProcessFault does something to processes of one sort.
-func applyProcessFault(ctx context.Context, fl *fleet, procs []*process.Process, f *Fault, rng *rand.Rand) (int, error) {
-	targets := fl.config.selectTargets(f.Target, rng)
-	interval := time.Duration(0)
-	if f.Kind == "restart" {
-		interval = f.Interval
-	}
-	return len(targets), forEachTarget(ctx, targets, interval, func(i int) error {
-		p := procs[i]
-		ended := p.Ended()
-		switch f.Kind {
-		case "stop":
-			if err := p.Signal(syscall.SIGSTOP); err != nil {
-				return err
-			}
-			fl.waitDuration(ctx, f)
-			if f.Duration == 0 {
-				return nil
-			}
-			return p.Signal(syscall.SIGCONT)
-		case "kill":
-			p.Kill()
-			<-ended
-			fl.waitDuration(ctx, f)
-			if f.Duration == 0 || ctx.Err() != nil {
-				return nil
-			}
-		default:
-			if err := p.Signal(syscall.SIGTERM); err != nil {
-				return err
-			}
-			<-ended
-		}
-		return p.Start()
-	})
+	return w.fleet.applyProcessFault(ctx, w.processes, f, rng)
 }
