--- a/cmd/controlplane/workers_test.go
+++ b/cmd/controlplane/workers_test.go
@@ -36,12 +36,12 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	config := worker.Config{
-		Name:   os.Getenv("WORKER_NAME"),
-		At:     strings.Split(os.Getenv("WORKER_AT"), ","),
-		Places: []string{os.Getenv("WORKER_RESOURCE")},
+		Name:              os.Getenv("WORKER_NAME"),
+		ControlPlaneAddrs: strings.Split(os.Getenv("WORKER_AT"), ","),
+		OperationAddrs:    []string{os.Getenv("WORKER_RESOURCE")},
 	}
-	config.Rate, _ = strconv.ParseFloat(os.Getenv("WORKER_RATE"), 64)
-	config.Cap, _ = strconv.Atoi(os.Getenv("WORKER_CAP"))
+	config.ClockRate, _ = strconv.ParseFloat(os.Getenv("WORKER_RATE"), 64)
+	config.MaxTasks, _ = strconv.Atoi(os.Getenv("WORKER_CAP"))
 	worker.Run(ctx, config, slog.New(slog.NewTextHandler(os.Stderr, nil)).With("worker", config.Name))
 }
 
--- a/cmd/lab/worker.go
+++ b/cmd/lab/worker.go
@@ -12,13 +12,13 @@
 
 // workerCommand is what an experiment with duties starts.
 func workerCommand() *cobra.Command {
-	c := worker.Config{Rate: 1, Cap: 100}
+	c := worker.Config{ClockRate: 1, MaxTasks: 100}
 	cmd := &cobra.Command{Use: "worker", Short: "Hold duties and act under them, for an experiment", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			switch {
-			case c.Name == "" || len(c.At) == 0 || len(c.Places) == 0:
+			case c.Name == "" || len(c.ControlPlaneAddrs) == 0 || len(c.OperationAddrs) == 0:
 				return errors.New("--name, --at, --place: missing")
-			case !(c.Rate > 0):
+			case !(c.ClockRate > 0):
 				return errors.New("--clock: must be above 0")
 			}
 			worker.Run(cmd.Context(), c, slog.New(slog.NewTextHandler(os.Stderr, nil)).With("worker", c.Name))
@@ -27,9 +27,9 @@
 	f := cmd.Flags()
 	f.StringVar(&c.Name, "name", "", "its name")
 	f.StringVar(&c.Zone, "zone", "", "its zone")
-	f.StringSliceVar(&c.At, "at", nil, "HTTP addresses of stewards")
-	f.StringSliceVar(&c.Places, "place", nil, "addresses where acts land")
-	f.IntVar(&c.Cap, "cap", c.Cap, "duties that it holds at most")
-	f.Float64Var(&c.Rate, "clock", c.Rate, "rate of its clock")
+	f.StringSliceVar(&c.ControlPlaneAddrs, "at", nil, "HTTP addresses of stewards")
+	f.StringSliceVar(&c.OperationAddrs, "place", nil, "addresses where acts land")
+	f.IntVar(&c.MaxTasks, "cap", c.MaxTasks, "duties that it holds at most")
+	f.Float64Var(&c.ClockRate, "clock", c.ClockRate, "rate of its clock")
 	return cmd
 }
--- a/internal/lab/check/answer.go
+++ b/internal/lab/check/answer.go
@@ -62,7 +62,7 @@
 	r.mu.Unlock()
 
 	limit := r.Deadline + time.Duration(c.settings.Contract.AnswerSlackMs*float64(time.Millisecond)) + timingSlack
-	excused := c.excused(r.Agent, r.PlannedAt, a.At)
+	excused := c.isExcused(r.Agent, r.PlannedAt, a.At)
 	switch {
 	case a.Outcome == ClientCanceled || a.Outcome == Void || a.Outcome == Unreachable:
 	case a.Outcome == Served && !real:
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -81,12 +81,12 @@
 // told more, or from running.
 type agentView struct {
 	sync.Mutex
-	startedAt   time.Duration // when its process began, by discovery's time of service
-	cutDuration time.Duration // of discovery's time of service, cut off by the lab, until cutSince
-	cutSince    time.Duration
-	isCut       bool
-	servers     []serverNotice // by server
-	excused     []span
+	startedAt    time.Duration // when its process began, by discovery's time of service
+	cutDuration  time.Duration // of discovery's time of service, cut off by the lab, until cutSince
+	cutSince     time.Duration
+	isCut        bool
+	servers      []serverNotice // by server
+	excusedSpans []timeSpan
 }
 
 type serverNotice struct {
@@ -95,7 +95,7 @@
 	known         bool
 }
 
-type span struct{ from, to time.Duration }
+type timeSpan struct{ from, to time.Duration }
 
 // New makes a checker for the agents and servers named.
 func New(clock Clock, set *policy.Settings, agents []string, servers []Server) *Checker {
@@ -218,7 +218,7 @@
 func (c *Checker) checkDrain(r *Request, server int, first time.Duration) {
 	grace := time.Duration(c.settings.Contract.DrainGraceMs*float64(time.Millisecond)) + timingSlack
 	since, is := c.drainNotified(r.Agent, server, first)
-	if is && first > since+grace && !c.excused(r.Agent, since, first) {
+	if is && first > since+grace && !c.isExcused(r.Agent, since, first) {
 		c.recordBreach(RuleDrain, r, 0, server, "sent %v after its drain was told", first-since)
 	}
 }
@@ -351,7 +351,7 @@
 	v := &c.views[agent]
 	v.Lock()
 	defer v.Unlock()
-	v.excuse(span{now, now + timingSlack})
+	v.excuse(timeSpan{now, now + timingSlack})
 }
 
 // AgentPaused is told when the lab has kept an agent from running for a while.
@@ -359,25 +359,25 @@
 	v := &c.views[agent]
 	v.Lock()
 	defer v.Unlock()
-	v.excuse(span{from, to})
+	v.excuse(timeSpan{from, to})
 }
 
 // maxExcuses bounds what is remembered of an agent's stops; the oldest go first.
 const maxExcuses = 64
 
-func (v *agentView) excuse(s span) {
-	if len(v.excused) == maxExcuses {
-		v.excused = v.excused[1:]
+func (v *agentView) excuse(s timeSpan) {
+	if len(v.excusedSpans) == maxExcuses {
+		v.excusedSpans = v.excusedSpans[1:]
 	}
-	v.excused = append(v.excused, s)
+	v.excusedSpans = append(v.excusedSpans, s)
 }
 
-// excused tells whether the lab kept the agent from running at any time within the span.
-func (c *Checker) excused(agent int, from, to time.Duration) bool {
+// isExcused tells whether the lab kept the agent from running at any time within the span.
+func (c *Checker) isExcused(agent int, from, to time.Duration) bool {
 	v := &c.views[agent]
 	v.Lock()
 	defer v.Unlock()
-	for _, s := range v.excused {
+	for _, s := range v.excusedSpans {
 		if from <= s.to && to >= s.from {
 			return true
 		}
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -12,16 +12,16 @@
 
 const ms = time.Millisecond
 
-// world is a checker with a clock that a test sets.
-type world struct {
+// environment is a checker with a clock that a test sets.
+type environment struct {
 	*Checker
 	now time.Duration
 	set policy.Settings
 	n   int
 }
 
-func newWorld() *world {
-	w := &world{now: time.Second}
+func newEnvironment() *environment {
+	w := &environment{now: time.Second}
 	w.set = policy.Settings{
 		Classes: []policy.Class{{Name: "look", Effect: policy.Idempotent, Group: policy.GroupAll},
 			{Name: "send", Effect: policy.Deduplicated, Group: policy.GroupZone, DedupWindowMs: 3000},
@@ -37,187 +37,187 @@
 
 const look, send, vote, order, cell = 0, 1, 2, 3, 4
 
-func (w *world) ask(class int) *Request {
+func (w *environment) request(class int) *Request {
 	w.n++
 	r := &Request{ID: strings.Repeat("x", w.n), Class: class, PlannedAt: w.now, Deadline: w.now + 5*time.Second}
 	w.Add(r)
 	return r
 }
 
-func (w *world) at(d time.Duration) *world { w.now = time.Second + d; return w }
+func (w *environment) at(d time.Duration) *environment { w.now = time.Second + d; return w }
 
 // arrive is a whole request at a server now.
-func (w *world) arrive(r *Request, server int) *Attempt {
+func (w *environment) arrive(r *Request, server int) *Attempt {
 	return w.RecordAttempt(r, server, w.now, w.now, true)
 }
 
 // answer is a final answer now.
-func (w *world) answer(r *Request, kind Outcome, body string) Outcome {
+func (w *environment) answer(r *Request, kind Outcome, body string) Outcome {
 	return w.RecordAnswer(r, Answer{Outcome: kind, At: w.now, Body: body, Sent: true})
 }
 
-func TestRules(t *testing.T) {
+func TestRulesAreChecked(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		rule string // "" is none
-		play func(w *world)
+		play func(w *environment)
 	}{
-		{"served by a server", "", func(w *world) {
-			r := w.ask(look)
+		{"served by a server", "", func(w *environment) {
+			r := w.request(look)
 			a := w.arrive(r, 0)
 			a.MarkFinished()
 			w.at(time.Second).answer(r, Served, a.Body("s0"))
 		}},
-		{"served by nobody", RuleLost, func(w *world) { w.answer(w.ask(look), Served, "all is well") }},
-		{"served with another request's answer", RuleLost, func(w *world) {
-			r, other := w.ask(look), w.ask(look)
+		{"served by nobody", RuleLost, func(w *environment) { w.answer(w.request(look), Served, "all is well") }},
+		{"served with another request's answer", RuleLost, func(w *environment) {
+			r, other := w.request(look), w.request(look)
 			w.arrive(r, 0)
 			a := w.arrive(other, 0)
 			w.answer(r, Served, a.Body("s0"))
 		}},
-		{"within the slack", "", func(w *world) { r := w.ask(look); w.at(5070*ms).answer(r, Failed, "") }},
-		{"beyond the slack", RuleLost, func(w *world) { r := w.ask(look); w.at(5071*ms).answer(r, Failed, "") }},
-		{"beyond it while the lab had it stopped", "", func(w *world) {
-			r := w.ask(look)
+		{"within the slack", "", func(w *environment) { r := w.request(look); w.at(5070*ms).answer(r, Failed, "") }},
+		{"beyond the slack", RuleLost, func(w *environment) { r := w.request(look); w.at(5071*ms).answer(r, Failed, "") }},
+		{"beyond it while the lab had it stopped", "", func(w *environment) {
+			r := w.request(look)
 			w.AgentPaused(0, w.now+time.Second, w.now+5*time.Second)
 			w.at(6*time.Second).answer(r, Failed, "")
 		}},
-		{"never", RuleLost, func(w *world) { r := w.ask(look); w.at(5080*ms).answer(r, Unanswered, "") }},
-		{"never, its agent killed by the lab", "", func(w *world) {
-			r := w.ask(look)
+		{"never", RuleLost, func(w *environment) { r := w.request(look); w.at(5080*ms).answer(r, Unanswered, "") }},
+		{"never, its agent killed by the lab", "", func(w *environment) {
+			r := w.request(look)
 			w.at(time.Second).AgentKilled(0)
 			w.answer(r, Unanswered, "")
 		}},
-		{"closed on it", RuleLost, func(w *world) {
-			r := w.ask(look)
+		{"closed on it", RuleLost, func(w *environment) {
+			r := w.request(look)
 			w.RecordAnswer(r, Answer{Outcome: Unanswered, At: w.now, Sent: true, Closed: true})
 		}},
-		{"a new connection closed, nothing sent on", "", func(w *world) {
-			r := w.ask(look)
+		{"a new connection closed, nothing sent on", "", func(w *environment) {
+			r := w.request(look)
 			w.RecordAnswer(r, Answer{Outcome: Unanswered, At: w.now, Sent: true, Closed: true, NewConnection: true})
 		}},
-		{"a new connection closed, sent on", RuleLost, func(w *world) {
-			r := w.ask(look)
+		{"a new connection closed, sent on", RuleLost, func(w *environment) {
+			r := w.request(look)
 			w.arrive(r, 0)
 			w.RecordAnswer(r, Answer{Outcome: Unanswered, At: w.now, Sent: true, Closed: true, NewConnection: true})
 		}},
-		{"broken off half way", "", func(w *world) {
-			r := w.ask(look)
+		{"broken off half way", "", func(w *environment) {
+			r := w.request(look)
 			w.arrive(r, 0)
 			w.RecordAnswer(r, Answer{Outcome: Unanswered, At: w.now, Sent: true, Closed: true, Partial: true})
 		}},
-		{"left by its client", "", func(w *world) { w.answer(w.ask(look), ClientCanceled, "") }},
+		{"left by its client", "", func(w *environment) { w.answer(w.request(look), ClientCanceled, "") }},
 
-		{"a free one again and again", "", func(w *world) { r := w.ask(look); w.arrive(r, 0); w.arrive(r, 1); w.arrive(r, 2) }},
-		{"more than the limit", RuleDuplicate, func(w *world) {
-			r := w.ask(look)
+		{"a free one again and again", "", func(w *environment) { r := w.request(look); w.arrive(r, 0); w.arrive(r, 1); w.arrive(r, 2) }},
+		{"more than the limit", RuleDuplicate, func(w *environment) {
+			r := w.request(look)
 			for range 4 {
 				w.arrive(r, 0)
 			}
 		}},
-		{"two copies where one is allowed", RuleDuplicate, func(w *world) {
+		{"two copies where one is allowed", RuleDuplicate, func(w *environment) {
 			w.set.Limits.ParallelAttempts = false
-			r := w.ask(look)
+			r := w.request(look)
 			w.arrive(r, 0)
 			w.arrive(r, 1)
 		}},
-		{"one copy after the other", "", func(w *world) {
+		{"one copy after the other", "", func(w *environment) {
 			w.set.Limits.ParallelAttempts = false
-			r := w.ask(look)
+			r := w.request(look)
 			w.arrive(r, 0).MarkFinished()
 			w.arrive(r, 1)
 		}},
-		{"single shot again after it was turned away", "", func(w *world) { r := w.ask(order); w.arrive(r, 0).MarkRejected(); w.arrive(r, 1) }},
-		{"single shot again after it may have run", RuleDuplicate, func(w *world) { r := w.ask(order); w.arrive(r, 0).MarkFinished(); w.arrive(r, 1) }},
-		{"single shot refused after it may have run", RuleDuplicate, func(w *world) {
-			r := w.ask(order)
+		{"single shot again after it was turned away", "", func(w *environment) { r := w.request(order); w.arrive(r, 0).MarkRejected(); w.arrive(r, 1) }},
+		{"single shot again after it may have run", RuleDuplicate, func(w *environment) { r := w.request(order); w.arrive(r, 0).MarkFinished(); w.arrive(r, 1) }},
+		{"single shot refused after it may have run", RuleDuplicate, func(w *environment) {
+			r := w.request(order)
 			w.arrive(r, 0).MarkFinished()
 			w.answer(r, Rejected, "")
 		}},
-		{"single shot refused unseen", "", func(w *world) { r := w.ask(order); w.arrive(r, 0).MarkRejected(); w.answer(r, Rejected, "") }},
-		{"keyed within its zone and time", "", func(w *world) { r := w.ask(send); w.arrive(r, 0); w.at(3050*ms).arrive(r, 2) }},
-		{"keyed after its time", RuleDuplicate, func(w *world) { r := w.ask(send); w.arrive(r, 0); w.at(3051*ms).arrive(r, 2) }},
-		{"keyed in another zone", RuleDuplicate, func(w *world) { r := w.ask(send); w.arrive(r, 0); w.arrive(r, 1) }},
-		{"keyed in another cell", RuleDuplicate, func(w *world) { r := w.ask(cell); w.arrive(r, 0); w.arrive(r, 2) }},
-		{"keyed for all, anywhere", "", func(w *world) { r := w.ask(vote); w.arrive(r, 0); w.arrive(r, 1); w.answer(r, Rejected, "") }},
-		{"keyed for a zone, refused", RuleDuplicate, func(w *world) { r := w.ask(send); w.arrive(r, 0); w.answer(r, Rejected, "") }},
-		{"sent after its final answer", RuleDuplicate, func(w *world) {
-			r := w.ask(look)
+		{"single shot refused unseen", "", func(w *environment) { r := w.request(order); w.arrive(r, 0).MarkRejected(); w.answer(r, Rejected, "") }},
+		{"keyed within its zone and time", "", func(w *environment) { r := w.request(send); w.arrive(r, 0); w.at(3050*ms).arrive(r, 2) }},
+		{"keyed after its time", RuleDuplicate, func(w *environment) { r := w.request(send); w.arrive(r, 0); w.at(3051*ms).arrive(r, 2) }},
+		{"keyed in another zone", RuleDuplicate, func(w *environment) { r := w.request(send); w.arrive(r, 0); w.arrive(r, 1) }},
+		{"keyed in another cell", RuleDuplicate, func(w *environment) { r := w.request(cell); w.arrive(r, 0); w.arrive(r, 2) }},
+		{"keyed for all, anywhere", "", func(w *environment) { r := w.request(vote); w.arrive(r, 0); w.arrive(r, 1); w.answer(r, Rejected, "") }},
+		{"keyed for a zone, refused", RuleDuplicate, func(w *environment) { r := w.request(send); w.arrive(r, 0); w.answer(r, Rejected, "") }},
+		{"sent after its final answer", RuleDuplicate, func(w *environment) {
+			r := w.request(look)
 			a := w.arrive(r, 0)
 			w.answer(r, Served, a.Body("s0"))
 			w.at(60*ms).arrive(r, 1)
 		}},
-		{"sent as its final answer went out", "", func(w *world) {
-			r := w.ask(look)
+		{"sent as its final answer went out", "", func(w *environment) {
+			r := w.request(look)
 			a := w.arrive(r, 0)
 			w.answer(r, Served, a.Body("s0"))
 			w.at(50*ms).arrive(r, 1)
 		}},
 
-		{"to a draining server within the grace", "", func(w *world) {
+		{"to a draining server within the grace", "", func(w *environment) {
 			w.RecordNotified(0, 0, "draining", 0)
-			w.at(550*ms).arrive(w.ask(look), 0)
+			w.at(550*ms).arrive(w.request(look), 0)
 		}},
-		{"to a draining server after it", RuleDrain, func(w *world) {
+		{"to a draining server after it", RuleDrain, func(w *environment) {
 			w.RecordNotified(0, 0, "draining", 0)
-			w.at(551*ms).arrive(w.ask(look), 0)
+			w.at(551*ms).arrive(w.request(look), 0)
 		}},
-		{"to a server that is ready again", "", func(w *world) {
+		{"to a server that is ready again", "", func(w *environment) {
 			w.RecordNotified(0, 0, "gone", 0)
 			w.RecordNotified(0, 0, "ready", 7)
-			w.at(time.Second).arrive(w.ask(look), 0)
+			w.at(time.Second).arrive(w.request(look), 0)
 		}},
-		{"the other agent was told", "", func(w *world) {
+		{"the other agent was told", "", func(w *environment) {
 			w.RecordNotified(1, 0, "draining", 0)
-			w.at(time.Second).arrive(w.ask(look), 0)
+			w.at(time.Second).arrive(w.request(look), 0)
 		}},
-		{"told by another process of this name", "", func(w *world) {
+		{"told by another process of this name", "", func(w *environment) {
 			w.RecordNotified(0, 0, "draining", 0)
 			w.AgentStarted(0)
-			w.at(time.Second).arrive(w.ask(look), 0)
+			w.at(time.Second).arrive(w.request(look), 0)
 		}},
-		{"a drain that counts as told", RuleDrain, func(w *world) {
+		{"a drain that counts as told", RuleDrain, func(w *environment) {
 			w.RecordDiscovery(0, "draining", 0)
-			w.at(6551*ms).arrive(w.ask(look), 0)
+			w.at(6551*ms).arrive(w.request(look), 0)
 		}},
-		{"a drain that does not yet", "", func(w *world) {
+		{"a drain that does not yet", "", func(w *environment) {
 			w.RecordDiscovery(0, "draining", 0)
-			w.at(6550*ms).arrive(w.ask(look), 0)
+			w.at(6550*ms).arrive(w.request(look), 0)
 		}},
-		{"a drain while discovery is down", "", func(w *world) {
+		{"a drain while discovery is down", "", func(w *environment) {
 			w.RecordDiscovery(0, "draining", 0)
 			w.at(time.Second).SetDiscoveryUp(false)
-			w.at(20*time.Second).arrive(w.ask(look), 0)
+			w.at(20*time.Second).arrive(w.request(look), 0)
 		}},
-		{"a drain after discovery was down", RuleDrain, func(w *world) {
+		{"a drain after discovery was down", RuleDrain, func(w *environment) {
 			w.RecordDiscovery(0, "draining", 0)
 			w.at(time.Second).SetDiscoveryUp(false)
 			w.at(20 * time.Second).SetDiscoveryUp(true)
-			w.at(25551*ms).arrive(w.ask(look), 0)
+			w.at(25551*ms).arrive(w.request(look), 0)
 		}},
-		{"a drain while the lab has the agent cut off", "", func(w *world) {
+		{"a drain while the lab has the agent cut off", "", func(w *environment) {
 			w.RecordDiscovery(0, "draining", 0)
 			w.SetDiscoveryCut(0, true)
-			w.at(20*time.Second).arrive(w.ask(look), 0)
+			w.at(20*time.Second).arrive(w.request(look), 0)
 		}},
-		{"a drain after that", RuleDrain, func(w *world) {
+		{"a drain after that", RuleDrain, func(w *environment) {
 			w.RecordDiscovery(0, "draining", 0)
 			w.SetDiscoveryCut(0, true)
 			w.at(20*time.Second).SetDiscoveryCut(0, false)
-			w.at(26551*ms).arrive(w.ask(look), 0)
+			w.at(26551*ms).arrive(w.request(look), 0)
 		}},
-		{"a send that a link may have held", "", func(w *world) {
+		{"a send that a link may have held", "", func(w *environment) {
 			w.RecordNotified(0, 0, "draining", 0)
 			w.at(time.Second)
-			w.RecordAttempt(w.ask(look), 0, w.now, w.now, false)
+			w.RecordAttempt(w.request(look), 0, w.now, w.now, false)
 		}},
 
-		{"pushed over by those who knew", RuleSlowStart, func(w *world) { w.WarmupOverload(0, 0.67, 900, 500) }},
-		{"pushed over by those who could not know", "", func(w *world) { w.WarmupOverload(0, 0.66, 900, 500) }},
-		{"an id that no client sent", RuleUnknown, func(w *world) { w.ReportUnknown(w.Lookup("nobody"), "nobody", 0, "it came") }},
+		{"pushed over by those who knew", RuleSlowStart, func(w *environment) { w.WarmupOverload(0, 0.67, 900, 500) }},
+		{"pushed over by those who could not know", "", func(w *environment) { w.WarmupOverload(0, 0.66, 900, 500) }},
+		{"an id that no client sent", RuleUnknown, func(w *environment) { w.ReportUnknown(w.Lookup("nobody"), "nobody", 0, "it came") }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld()
+			w := newEnvironment()
 			c.play(w)
 			breaches, count := w.Breaches()
 			switch {
@@ -232,8 +232,8 @@
 
 // An agent counts as told of a start once it was written to it, or six seconds of
 // service after discovery knew; a start before that one is another.
-func TestStartTold(t *testing.T) {
-	w := newWorld()
+func TestStartCountsAsNotified(t *testing.T) {
+	w := newEnvironment()
 	w.RecordDiscovery(0, "ready", 100)
 	if w.StartNotified(0, 0, 100) {
 		t.Error("told at once")
@@ -248,9 +248,9 @@
 }
 
 // What has long ended is forgotten, and what is under way never.
-func TestForgets(t *testing.T) {
-	w := newWorld()
-	done, open := w.ask(look), w.ask(look)
+func TestFinishedRequestsAreForgotten(t *testing.T) {
+	w := newEnvironment()
+	done, open := w.request(look), w.request(look)
 	w.answer(done, Failed, "")
 	w.at(30 * time.Second).Sweep()
 	if w.Lookup(done.ID) == nil {
@@ -264,9 +264,9 @@
 
 // However discovery and the lab's cuts come and go, a drain counts as told after six
 // seconds in which it could have been, and not before.
-func TestToldByTimeOfService(t *testing.T) {
+func TestDrainCountsAfterServiceTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newEnvironment()
 		w.RecordDiscovery(0, "draining", 0)
 		up, cut, service := true, false, time.Duration(0)
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
--- a/internal/lab/check/operations.go
+++ b/internal/lab/check/operations.go
@@ -96,32 +96,32 @@
 }
 
 // Analyze looks at all that was taken.
-func (a *OperationLog) Analyze() (v Analysis) {
+func (a *OperationLog) Analyze() (analysis Analysis) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	v.Rejected = a.rejected
-	for duty, by := range a.terms {
+	analysis.Rejected = a.rejected
+	for duty, terms := range a.terms {
 		var fences []int64
-		for f, s := range by {
-			fences = append(fences, f)
-			if s.otherProcess != "" {
-				v.Violations = append(v.Violations, fmt.Sprintf("%s: fence %d was %s's and %s's", duty, f, s.process, s.otherProcess))
+		for fence, current := range terms {
+			fences = append(fences, fence)
+			if current.otherProcess != "" {
+				analysis.Violations = append(analysis.Violations, fmt.Sprintf("%s: fence %d was %s's and %s's", duty, fence, current.process, current.otherProcess))
 			}
 		}
 		slices.Sort(fences)
-		for i, f := range fences[1:] {
-			was, is := by[fences[i]], by[f]
-			if is.first <= was.last {
-				v.Violations = append(v.Violations, fmt.Sprintf("%s: %s acted under fence %d until %v, %s under %d from %v on",
-					duty, was.process, fences[i], was.last, is.process, f, is.first))
+		for i, fence := range fences[1:] {
+			previous, next := terms[fences[i]], terms[fence]
+			if next.first <= previous.last {
+				analysis.Violations = append(analysis.Violations, fmt.Sprintf("%s: %s acted under fence %d until %v, %s under %d from %v on",
+					duty, previous.process, fences[i], previous.last, next.process, fence, next.first))
 			}
-			v.HandoverGaps = append(v.HandoverGaps, is.first-was.last)
-			v.Idle += is.first - was.last
+			analysis.HandoverGaps = append(analysis.HandoverGaps, next.first-previous.last)
+			analysis.Idle += next.first - previous.last
 		}
-		v.Terms += len(fences)
-		v.Total += by[fences[len(fences)-1]].last - by[fences[0]].first
+		analysis.Terms += len(fences)
+		analysis.Total += terms[fences[len(fences)-1]].last - terms[fences[0]].first
 	}
-	return v
+	return analysis
 }
 
 // ServeHTTP takes an act as JSON.
--- a/internal/lab/check/operations_test.go
+++ b/internal/lab/check/operations_test.go
@@ -7,7 +7,7 @@
 
 // The place refuses what is older than what it took, and sees terms that overlap and a fence
 // that two processes used.
-func TestActs(t *testing.T) {
+func TestOperationsAreFencedAndOverlapsFound(t *testing.T) {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	a := NewOperationLog()
 	for i, c := range []struct {
--- a/internal/lab/client/call.go
+++ b/internal/lab/client/call.go
@@ -96,75 +96,75 @@
 // call sends a request once and waits for its answer until the deadline. Should the
 // other side have closed a kept connection under it, unread, it goes out once more on a
 // new one, as the protocol says.
-func (p *Pool) call(addr string, r *check.Request, head http.Header, deadline time.Time, dialWithin time.Duration, clock check.Clock) response {
-	rep, again := p.attempt(addr, r, head, deadline, dialWithin, clock, false)
-	if again {
-		if all, _ := r.Attempts(); all == 0 {
-			rep, _ = p.attempt(addr, r, head, deadline, dialWithin, clock, true)
+func (p *Pool) call(addr string, request *check.Request, header http.Header, deadline time.Time, dialWithin time.Duration, clock check.Clock) response {
+	response, retry := p.attempt(addr, request, header, deadline, dialWithin, clock, false)
+	if retry {
+		if all, _ := request.Attempts(); all == 0 {
+			response, _ = p.attempt(addr, request, header, deadline, dialWithin, clock, true)
 		}
 	}
-	return rep
+	return response
 }
 
-func (p *Pool) attempt(addr string, r *check.Request, head http.Header, deadline time.Time, dialWithin time.Duration, clock check.Clock, fresh bool) (rep response, again bool) {
-	rep.Outcome = check.Unreachable
-	c, err := p.get(addr, deadline, dialWithin, fresh)
+func (p *Pool) attempt(addr string, request *check.Request, header http.Header, deadline time.Time, dialWithin time.Duration, clock check.Clock, fresh bool) (response response, retry bool) {
+	response.Outcome = check.Unreachable
+	conn, err := p.get(addr, deadline, dialWithin, fresh)
 	if err != nil {
-		rep.At = clock()
-		return rep, false
+		response.At = clock()
+		return response, false
 	}
-	rep.NewConnection, rep.Outcome = !c.used, check.Unanswered
-	c.used = true
-	_ = c.SetDeadline(deadline)
-	u, _ := url.ParseRequestURI(r.Path)
-	req := &http.Request{Method: r.Method, URL: u, Host: "backend.local", Header: head,
-		ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(r.Body))}
-	if r.Body != "" {
-		req.Body = io.NopCloser(strings.NewReader(r.Body))
+	response.NewConnection, response.Outcome = !conn.used, check.Unanswered
+	conn.used = true
+	_ = conn.SetDeadline(deadline)
+	url, _ := url.ParseRequestURI(request.Path)
+	req := &http.Request{Method: request.Method, URL: url, Host: "backend.local", Header: header,
+		ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(request.Body))}
+	if request.Body != "" {
+		req.Body = io.NopCloser(strings.NewReader(request.Body))
 	}
-	if err := req.Write(c); err != nil {
-		p.drop(c)
-		rep.At, rep.Closed = clock(), true
-		return rep, !rep.NewConnection
+	if err := req.Write(conn); err != nil {
+		p.drop(conn)
+		response.At, response.Closed = clock(), true
+		return response, !response.NewConnection
 	}
-	rep.Sent = true
-	if _, err := c.r.Peek(1); err != nil {
-		p.drop(c)
-		rep.At, rep.Closed = clock(), !errors.Is(err, os.ErrDeadlineExceeded)
+	response.Sent = true
+	if _, err := conn.r.Peek(1); err != nil {
+		p.drop(conn)
+		response.At, response.Closed = clock(), !errors.Is(err, os.ErrDeadlineExceeded)
 		// Only an end in order can have crossed the request; a reset is a process that died.
-		return rep, !rep.NewConnection && errors.Is(err, io.EOF)
+		return response, !response.NewConnection && errors.Is(err, io.EOF)
 	}
-	rep.Partial = true
-	resp, err := http.ReadResponse(c.r, req)
+	response.Partial = true
+	resp, err := http.ReadResponse(conn.r, req)
 	var body []byte
 	if err == nil {
 		body, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 		resp.Body.Close()
 	}
-	rep.At = clock()
+	response.At = clock()
 	if err != nil {
-		p.drop(c)
-		rep.Closed = !errors.Is(err, os.ErrDeadlineExceeded)
-		return rep, false
+		p.drop(conn)
+		response.Closed = !errors.Is(err, os.ErrDeadlineExceeded)
+		return response, false
 	}
-	rep.Body = string(body)
-	rep.notStarted = resp.Header.Get("Not-Started") == "1"
-	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 && s < 3600 {
-		rep.retryAfter = time.Duration(s * float64(time.Second))
+	response.Body = string(body)
+	response.notStarted = resp.Header.Get("Not-Started") == "1"
+	if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && seconds > 0 && seconds < 3600 {
+		response.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		rep.Outcome = check.Served
+		response.Outcome = check.Served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		rep.Outcome = check.Rejected
+		response.Outcome = check.Rejected
 	default:
-		rep.Outcome = check.Failed
+		response.Outcome = check.Failed
 	}
-	rep.Surplus = c.r.Buffered() > 0
-	if resp.Close || rep.Surplus {
-		p.drop(c)
+	response.Surplus = conn.r.Buffered() > 0
+	if resp.Close || response.Surplus {
+		p.drop(conn)
 	} else {
-		p.put(c)
+		p.put(conn)
 	}
-	return rep, false
+	return response, false
 }
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -117,27 +117,27 @@
 	load := c.env.Load
 	class := &load.Classes[a.Class]
 	rng := rand.New(rand.NewPCG(a.Seed, uint64(c.index)))
-	life := c.incarnation.Load()
-	idem := ""
+	incarnation := c.incarnation.Load()
+	idempotencyKey := ""
 	if class.Effect != "free" {
-		idem = fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64())
+		idempotencyKey = fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64())
 	}
 	result := Result{Agent: int32(c.index), Class: int16(a.Class), Planned: a.At, SendDelay: delay}
 	limit := a.At + class.Deadline // of all tries together
-	for try := 0; ; try++ {
-		r, response := c.sendAttempt(a, class, idem, try, limit)
+	for attempt := 0; ; attempt++ {
+		r, response := c.sendAttempt(a, class, idempotencyKey, attempt, limit)
 		all, _ := r.Attempts()
 		result.ServerAttempts = uint8(min(int(result.ServerAttempts)+all, 255))
 		result.ClientAttempts++
 		result.Outcome = c.env.Checker.RecordAnswer(r, response.Answer)
-		if c.incarnation.Load() != life {
+		if c.incarnation.Load() != incarnation {
 			result.Outcome = check.Void
 		}
 		result.Latency = response.At - a.At
-		if result.Outcome == check.Served || try >= load.Retries || !retriesAfter(class, result.Outcome) {
+		if result.Outcome == check.Served || attempt >= load.Retries || !retriesAfter(class, result.Outcome) {
 			break
 		}
-		wait := c.backoff(a, try, response.retryAfter, rng)
+		wait := c.backoff(a, attempt, response.retryAfter, rng)
 		if c.env.Clock()+wait >= limit || !c.up.Load() {
 			break
 		}
@@ -158,51 +158,51 @@
 	return class.Effect == "free" || class.Effect == "guarded" && class.Group == "all"
 }
 
-func (c *Client) backoff(a *Arrival, try int, retryAfter time.Duration, rng *rand.Rand) time.Duration {
-	l := c.env.Load
+func (c *Client) backoff(a *Arrival, attempt int, retryAfter time.Duration, rng *rand.Rand) time.Duration {
+	load := c.env.Load
 	if retryAfter > 0 && a.HonorsRetryAfter {
 		return retryAfter
 	}
-	switch l.Backoff {
+	switch load.Backoff {
 	case "fixed":
-		return l.BackoffBase
+		return load.BackoffBase
 	case "exp":
-		return time.Duration(float64(l.BackoffBase) * float64(int(1)<<min(try, 10)) * (0.5 + rng.Float64()))
+		return time.Duration(float64(load.BackoffBase) * float64(int(1)<<min(attempt, 10)) * (0.5 + rng.Float64()))
 	}
 	return 0
 }
 
 // sendAttempt sends one sendAttempt under an id of its own.
-func (c *Client) sendAttempt(a *Arrival, class *Class, idem string, try int, limit time.Duration) (*check.Request, response) {
+func (c *Client) sendAttempt(a *Arrival, class *Class, idem string, index int, limit time.Duration) (*check.Request, response) {
 	now := c.env.Clock()
-	wait := min(a.AttemptTimeout, limit-now)
+	timeout := min(a.AttemptTimeout, limit-now)
 	r := &check.Request{ID: c.env.IDPrefix + strconv.Itoa(c.index) + "-" + strconv.FormatInt(c.serial.Add(1), 36),
 		Agent: c.index, Class: a.Class, Key: a.Key, IdempotencyKey: idem, Method: http.MethodPost,
-		Path: "/" + class.Name + "/" + strconv.FormatUint(a.Key*0x9e3779b97f4a7c15, 16), Work: a.Work, PlannedAt: now, Deadline: now + wait}
-	head := http.Header{"Request-Id": {r.ID}, "Request-Timeout": {strconv.FormatInt(max(wait.Microseconds(), 1), 10) + "u"}, "User-Agent": {""}}
+		Path: "/" + class.Name + "/" + strconv.FormatUint(a.Key*0x9e3779b97f4a7c15, 16), Work: a.Work, PlannedAt: now, Deadline: now + timeout}
+	header := http.Header{"Request-Id": {r.ID}, "Request-Timeout": {strconv.FormatInt(max(timeout.Microseconds(), 1), 10) + "u"}, "User-Agent": {""}}
 	if class.Effect == "free" {
 		r.Method = http.MethodGet
 	} else {
 		r.Body = strings.Repeat("v", c.env.Load.BodyBytes)
 	}
 	if idem != "" {
-		head["Idempotency-Key"] = []string{idem}
+		header["Idempotency-Key"] = []string{idem}
 	}
-	if try > 0 {
-		head["Client-Retry"] = []string{"1"}
+	if index > 0 {
+		header["Client-Retry"] = []string{"1"}
 	}
 	c.env.Checker.Add(r)
 	c.attempts.Add(1)
-	leave := a.CancelAfter > 0 && try == 0
-	end := r.Deadline + c.env.ListenSlack
-	if leave {
-		end = now + a.CancelAfter
+	cancels := a.CancelAfter > 0 && index == 0
+	listenUntil := r.Deadline + c.env.ListenSlack
+	if cancels {
+		listenUntil = now + a.CancelAfter
 	}
-	rep := c.sender.send(r, head, c.env.Epoch.Add(end))
-	if leave && rep.Outcome == check.Unanswered && !rep.Closed {
-		rep.Outcome = check.ClientCanceled
+	response := c.sender.send(r, header, c.env.Epoch.Add(listenUntil))
+	if cancels && response.Outcome == check.Unanswered && !response.Closed {
+		response.Outcome = check.ClientCanceled
 	}
-	return r, rep
+	return r, response
 }
 
 // ToAgent sends to an agent's address.
--- a/internal/lab/client/client_test.go
+++ b/internal/lab/client/client_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func load() *Load {
+func testLoad() *Load {
 	return &Load{Rate: 2000, Keys: 1000, Zipf: 1, AttemptTimeoutShare: []float64{0.5, 1}, HonorShare: 0.5, ImpatientShare: 0.1, AgentCV: 0.5,
 		Classes: []Class{{Name: "a", Share: 3, Work: 10, Distribution: "exp", Deadline: time.Second, Effect: "free"},
 			{Name: "b", Share: 1, Work: 20, Distribution: "lognormal", WorkCV: 1, Deadline: time.Second, Effect: "guarded", Group: "all"}}}
@@ -29,8 +29,8 @@
 
 // The seed alone decides what is asked, and adding a change of the load leaves what is
 // outside of it in its law.
-func TestDraw(t *testing.T) {
-	l := load()
+func TestDrawArrivals(t *testing.T) {
+	l := testLoad()
 	const end = 60 * time.Second
 	first := DrawArrivals(l, 7, end, nil, 5)
 	if !reflect.DeepEqual(first, DrawArrivals(l, 7, end, nil, 5)) {
@@ -96,7 +96,7 @@
 func byLen(a, b []Arrival) int { return len(a) - len(b) }
 
 // The weights of the agents add up to all of the traffic, whatever their number.
-func TestWeights(t *testing.T) {
+func TestAgentWeightsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := &Load{AgentCV: rapid.Float64Range(0, 3).Draw(t, "cv")}
 		sum := 0.0
@@ -112,56 +112,56 @@
 	})
 }
 
-// scripted answers each try as told.
-type scripted struct {
-	mu      sync.Mutex
-	clock   check.Clock
-	replies []response
-	sent    []*check.Request
-	heads   []http.Header
-	hold    time.Duration
+// scriptedSender answers each try as told.
+type scriptedSender struct {
+	mu        sync.Mutex
+	clock     check.Clock
+	responses []response
+	requests  []*check.Request
+	headers   []http.Header
+	delay     time.Duration
 }
 
-func (s *scripted) send(r *check.Request, head http.Header, _ time.Time) response {
-	time.Sleep(s.hold)
+func (s *scriptedSender) send(request *check.Request, header http.Header, _ time.Time) response {
+	time.Sleep(s.delay)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sent, s.heads = append(s.sent, r), append(s.heads, head)
-	rep := response{Answer: check.Answer{Outcome: check.Failed}}
-	if n := len(s.sent); n <= len(s.replies) {
-		rep = s.replies[n-1]
+	s.requests, s.headers = append(s.requests, request), append(s.headers, header)
+	response := response{Answer: check.Answer{Outcome: check.Failed}}
+	if n := len(s.requests); n <= len(s.responses) {
+		response = s.responses[n-1]
 	}
-	rep.At = s.clock()
-	return rep
+	response.At = s.clock()
+	return response
 }
 
-func (s *scripted) Opened() int64 { return 0 }
-func (s *scripted) Reset()        {}
+func (s *scriptedSender) Opened() int64 { return 0 }
+func (s *scriptedSender) Reset()        {}
 
-func answered(k check.Outcome) response {
+func responseWith(k check.Outcome) response {
 	return response{Answer: check.Answer{Outcome: k, Sent: true}}
 }
 
-// play sends arrivals through a client and returns how they ended.
-func play(t *testing.T, l *Load, s *scripted, arrivals []Arrival) []Result {
+// runClient sends arrivals through a client and returns how they ended.
+func runClient(t *testing.T, load *Load, sender *scriptedSender, arrivals []Arrival) []Result {
 	t.Helper()
 	epoch := time.Now()
 	clock := func() time.Duration { return time.Since(epoch) }
-	s.clock = clock
+	sender.clock = clock
 	set := &policy.Settings{Classes: []policy.Class{{Name: "a", Effect: policy.Idempotent}, {Name: "b", Effect: policy.Deduplicated, Group: policy.GroupAll}}}
 	var mu sync.Mutex
 	var results []Result
-	c := New(&Env{Clock: clock, Epoch: epoch, Load: l, IDPrefix: "t", Checker: check.New(clock, set, []string{"n0"}, nil),
-		Finished: func(r Result) { mu.Lock(); defer mu.Unlock(); results = append(results, r) }}, 0, s)
-	c.Start()
-	c.Run(context.Background(), arrivals)
+	client := New(&Env{Clock: clock, Epoch: epoch, Load: load, IDPrefix: "t", Checker: check.New(clock, set, []string{"n0"}, nil),
+		Finished: func(r Result) { mu.Lock(); defer mu.Unlock(); results = append(results, r) }}, 0, sender)
+	client.Start()
+	client.Run(context.Background(), arrivals)
 	return results
 }
 
 // Clients try again as the protocol lets them, each time under a new id, marked, and
 // within the time that the class has for all tries.
-func TestRetries(t *testing.T) {
-	later := answered(check.Rejected)
+func TestRetriesFollowTheProtocol(t *testing.T) {
+	later := responseWith(check.Rejected)
 	later.retryAfter = 40 * time.Millisecond
 	for _, c := range []struct {
 		name    string
@@ -171,17 +171,17 @@
 		tries   int
 		kind    check.Outcome
 	}{
-		{"served at once", Class{Effect: "free"}, false, []response{answered(check.Served)}, 1, check.Served},
-		{"failed, then served", Class{Effect: "free"}, false, []response{answered(check.Failed), answered(check.Served)}, 2, check.Served},
+		{"served at once", Class{Effect: "free"}, false, []response{responseWith(check.Served)}, 1, check.Served},
+		{"failed, then served", Class{Effect: "free"}, false, []response{responseWith(check.Failed), responseWith(check.Served)}, 2, check.Served},
 		{"never", Class{Effect: "guarded", Group: "all"}, false, nil, 3, check.Failed},
 		{"single shot failed", Class{Effect: "single_shot"}, false, nil, 1, check.Failed},
-		{"single shot refused", Class{Effect: "single_shot"}, false, []response{answered(check.Rejected), answered(check.Served)}, 2, check.Served},
+		{"single shot refused", Class{Effect: "single_shot"}, false, []response{responseWith(check.Rejected), responseWith(check.Served)}, 2, check.Served},
 		{"keyed for a zone, failed", Class{Effect: "guarded", Group: "zone"}, false, nil, 1, check.Failed},
-		{"left early", Class{Effect: "free"}, false, []response{answered(check.ClientCanceled)}, 1, check.ClientCanceled},
-		{"told when to come back", Class{Effect: "free"}, true, []response{later, answered(check.Served)}, 2, check.Served},
+		{"left early", Class{Effect: "free"}, false, []response{responseWith(check.ClientCanceled)}, 1, check.ClientCanceled},
+		{"told when to come back", Class{Effect: "free"}, true, []response{later, responseWith(check.Served)}, 2, check.Served},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := load()
+			l := testLoad()
 			l.Retries = 2
 			c.class.Name, c.class.Deadline, c.class.TargetLatency = "a", 10*time.Second, 10*time.Second
 			l.Classes = []Class{c.class}
@@ -190,54 +190,54 @@
 					c.replies[i].Body = "x"
 				}
 			}
-			s := &scripted{replies: c.replies}
-			res := play(t, l, s, []Arrival{{Class: 0, Key: 1, AttemptTimeout: 5 * time.Second, HonorsRetryAfter: c.heed}})
-			if len(res) != 1 || int(res[0].ClientAttempts) != c.tries || res[0].Outcome != c.kind {
-				t.Fatalf("%+v, want %d tries and %v", res, c.tries, c.kind)
+			s := &scriptedSender{responses: c.replies}
+			results := runClient(t, l, s, []Arrival{{Class: 0, Key: 1, AttemptTimeout: 5 * time.Second, HonorsRetryAfter: c.heed}})
+			if len(results) != 1 || int(results[0].ClientAttempts) != c.tries || results[0].Outcome != c.kind {
+				t.Fatalf("%+v, want %d tries and %v", results, c.tries, c.kind)
 			}
 			ids := map[string]bool{}
-			for i, r := range s.sent {
+			for i, r := range s.requests {
 				ids[r.ID] = true
-				if marked := s.heads[i].Get("Client-Retry") == "1"; marked != (i > 0) {
+				if marked := s.headers[i].Get("Client-Retry") == "1"; marked != (i > 0) {
 					t.Errorf("try %d marked %v", i, marked)
 				}
-				if i > 0 && r.IdempotencyKey != s.sent[0].IdempotencyKey {
+				if i > 0 && r.IdempotencyKey != s.requests[0].IdempotencyKey {
 					t.Error("a retry has another key")
 				}
 			}
 			if len(ids) != c.tries {
 				t.Errorf("%d ids for %d tries", len(ids), c.tries)
 			}
-			if c.heed && res[0].Latency < 40*time.Millisecond {
-				t.Errorf("came back after %v, told 40 ms", res[0].Latency)
+			if c.heed && results[0].Latency < 40*time.Millisecond {
+				t.Errorf("came back after %v, told 40 ms", results[0].Latency)
 			}
 		})
 	}
-	l := load()
+	l := testLoad()
 	l.Retries, l.Classes[0].Deadline = 1000, 150*time.Millisecond
 	l.Backoff, l.BackoffBase = "fixed", 30*time.Millisecond
-	res := play(t, l, &scripted{}, []Arrival{{Class: 0, AttemptTimeout: time.Second}})
-	if res[0].ClientAttempts > 6 || res[0].ClientAttempts < 2 {
-		t.Errorf("%d tries 30 ms apart within 150 ms", res[0].ClientAttempts)
+	results := runClient(t, l, &scriptedSender{}, []Arrival{{Class: 0, AttemptTimeout: time.Second}})
+	if results[0].ClientAttempts > 6 || results[0].ClientAttempts < 2 {
+		t.Errorf("%d tries 30 ms apart within 150 ms", results[0].ClientAttempts)
 	}
 }
 
 // The loop is open: answers that never come hold up no later request, and latency counts
 // from the planned time.
-func TestOpenLoop(t *testing.T) {
-	l := load()
+func TestLoadIsAnOpenLoop(t *testing.T) {
+	l := testLoad()
 	l.Classes[0].Deadline = 10 * time.Second
 	var arrivals []Arrival
 	for i := range 50 {
 		arrivals = append(arrivals, Arrival{At: time.Duration(i) * 2 * time.Millisecond, AttemptTimeout: time.Second})
 	}
 	began := time.Now()
-	s := &scripted{hold: 300 * time.Millisecond}
-	res := play(t, l, s, arrivals)
-	if took := time.Since(began); len(res) != 50 || took > 5*time.Second {
-		t.Errorf("%d requests of 300 ms each took %v: they waited for each other", len(res), took)
+	s := &scriptedSender{delay: 300 * time.Millisecond}
+	results := runClient(t, l, s, arrivals)
+	if took := time.Since(began); len(results) != 50 || took > 5*time.Second {
+		t.Errorf("%d requests of 300 ms each took %v: they waited for each other", len(results), took)
 	}
-	for _, r := range res {
+	for _, r := range results {
 		if r.Latency < 300*time.Millisecond {
 			t.Errorf("latency %v of an answer that took 300 ms", r.Latency)
 		}
@@ -246,18 +246,18 @@
 
 // A baseline asks another server where the first never ran it, spreads what it sends,
 // and leaves alone what isn't ready.
-func TestBaselines(t *testing.T) {
+func TestBaselinesChooseReadyServers(t *testing.T) {
 	for _, name := range Policies {
-		var hosts []endpoints.Endpoint
+		var list []endpoints.Endpoint
 		count := map[string]int{}
 		for i := range 4 {
 			health := "ready"
 			if i == 3 {
 				health = "draining"
 			}
-			hosts = append(hosts, endpoints.Endpoint{Name: fmt.Sprint(i), Dial: fmt.Sprint(i), Health: health})
+			list = append(list, endpoints.Endpoint{Name: fmt.Sprint(i), Dial: fmt.Sprint(i), Health: health})
 		}
-		b, err := NewBaseline(&Baseline{Policy: name, Load: load(), List: func() endpoints.List { return endpoints.List{Endpoints: hosts} }}, 3)
+		b, err := NewBaseline(&Baseline{Policy: name, Load: testLoad(), List: func() endpoints.List { return endpoints.List{Endpoints: list} }}, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/client/load.go
+++ b/internal/lab/client/load.go
@@ -77,73 +77,73 @@
 // AgentWeights gives each agent's part of the traffic; they add up to 1.
 func AgentWeights(l *Load, agents int, seed uint64) []float64 {
 	rng := rand.New(rand.NewPCG(seed, 999))
-	w, sum := make([]float64, agents), 0.0
-	for i := range w {
-		w[i] = 1
+	weights, sum := make([]float64, agents), 0.0
+	for i := range weights {
+		weights[i] = 1
 		if l.AgentCV > 0 {
-			w[i] = lognormal(rng, 1, l.AgentCV)
+			weights[i] = lognormal(rng, 1, l.AgentCV)
 		}
-		sum += w[i]
+		sum += weights[i]
 	}
-	for i := range w {
-		w[i] /= sum
+	for i := range weights {
+		weights[i] /= sum
 	}
-	return w
+	return weights
 }
 
 func drawAgentArrivals(l *Load, keys *zipf, rate float64, end time.Duration, changes []LoadChange, rng *rand.Rand) []Arrival {
-	most := 1.0
+	maxFactor := 1.0
 	for _, c := range changes {
-		most *= max(c.Factor, 1)
+		maxFactor *= max(c.Factor, 1)
 	}
 	var out []Arrival
 	if rate <= 0 {
 		return nil
 	}
 	for at := 0.0; ; {
-		at += rng.ExpFloat64() / (rate * most)
+		at += rng.ExpFloat64() / (rate * maxFactor)
 		t := time.Duration(at * float64(time.Second))
 		if t >= end {
 			return out
 		}
 		// Thinning: the draw is at the highest rate there is, and kept by the present one.
-		now := 1.0
+		factor := 1.0
 		for i := range changes {
-			now *= changes[i].factor(t)
+			factor *= changes[i].factor(t)
 		}
-		if rng.Float64()*most >= now {
+		if rng.Float64()*maxFactor >= factor {
 			continue
 		}
 		out = append(out, drawArrival(l, keys, t, changes, rng))
 	}
 }
 
-func drawArrival(l *Load, keys *zipf, t time.Duration, changes []LoadChange, rng *rand.Rand) Arrival {
-	a := Arrival{At: t, Class: pickClass(l, rng), Seed: rng.Uint64()}
-	c := &l.Classes[a.Class]
-	switch c.Distribution {
+func drawArrival(load *Load, keys *zipf, at time.Duration, changes []LoadChange, rng *rand.Rand) Arrival {
+	a := Arrival{At: at, Class: pickClass(load, rng), Seed: rng.Uint64()}
+	class := &load.Classes[a.Class]
+	switch class.Distribution {
 	case "fixed":
-		a.Work = c.Work
+		a.Work = class.Work
 	case "lognormal":
-		a.Work = lognormal(rng, c.Work, c.WorkCV)
+		a.Work = lognormal(rng, class.Work, class.WorkCV)
 	default:
-		a.Work = c.Work * rng.ExpFloat64()
+		a.Work = class.Work * rng.ExpFloat64()
 	}
 	for i := range changes {
-		if h := &changes[i]; h.HeavyShare > 0 && t >= h.From && t < h.To && (h.Class == "" || h.Class == c.Name) && rng.Float64() < h.HeavyShare {
-			a.Work *= h.WorkFactor
+		if change := &changes[i]; change.HeavyShare > 0 && at >= change.From && at < change.To && (change.Class == "" || change.Class == class.Name) && rng.Float64() < change.HeavyShare {
+			a.Work *= change.WorkFactor
 		}
 	}
-	if l.Keys > 0 {
+	if load.Keys > 0 {
 		a.Key = keys.draw(rng) + 1
 	}
 	share := 1.0
-	if len(l.AttemptTimeoutShare) == 2 {
-		share = l.AttemptTimeoutShare[0] + rng.Float64()*(l.AttemptTimeoutShare[1]-l.AttemptTimeoutShare[0])
+	if len(load.AttemptTimeoutShare) == 2 {
+		share = load.AttemptTimeoutShare[0] + rng.Float64()*(load.AttemptTimeoutShare[1]-load.AttemptTimeoutShare[0])
 	}
-	a.AttemptTimeout = time.Duration(share * float64(c.Deadline))
-	a.HonorsRetryAfter = rng.Float64() < l.HonorShare
-	if rng.Float64() < l.ImpatientShare {
+	a.AttemptTimeout = time.Duration(share * float64(class.Deadline))
+	a.HonorsRetryAfter = rng.Float64() < load.HonorShare
+	if rng.Float64() < load.ImpatientShare {
 		a.CancelAfter = time.Duration(rng.Float64() * float64(a.AttemptTimeout))
 	}
 	return a
@@ -162,12 +162,12 @@
 }
 
 func pickClass(l *Load, rng *rand.Rand) int {
-	x, sum := rng.Float64(), 0.0
+	draw, sum := rng.Float64(), 0.0
 	for _, c := range l.Classes {
 		sum += c.Share
 	}
 	for i, c := range l.Classes {
-		if x -= c.Share / sum; x < 0 {
+		if draw -= c.Share / sum; draw < 0 {
 			return i
 		}
 	}
@@ -184,11 +184,11 @@
 // sites name exponents from 0.9 on, so the sum is built here.
 type zipf struct{ sum []float64 }
 
-func newZipf(n int, s float64) *zipf {
-	z := &zipf{sum: make([]float64, max(n, 1))}
+func newZipf(ranks int, exponent float64) *zipf {
+	z := &zipf{sum: make([]float64, max(ranks, 1))}
 	total := 0.0
 	for i := range z.sum {
-		total += math.Pow(float64(i+1), -s)
+		total += math.Pow(float64(i+1), -exponent)
 		z.sum[i] = total
 	}
 	return z
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -11,9 +11,10 @@
 	"knotrouter/internal/lab/check"
 )
 
-// small is an experiment in which a server drains and comes back cold, short enough for
-// a test, with room for a slow machine.
-const small = `
+// smallExperiment is an experiment in which a server drains and is started again, short enough for
+// a test, with slack for a slow machine. Its parameters are the command and the violation of the
+// test agent.
+const smallExperiment = `
 name = "small"
 seed = 5
 duration = "9s"
@@ -62,13 +63,14 @@
 for = "2500ms"
 `
 
-func play(t *testing.T, text string) *Summary {
+// runExperiment runs an experiment file and returns its summary.
+func runExperiment(t *testing.T, text string) *Summary {
 	t.Helper()
 	c, err := Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
+	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	s, err := Run(ctx, c, Options{OutputDir: t.TempDir()})
 	if err != nil {
@@ -77,40 +79,40 @@
 	return s
 }
 
-// The checker sees each rule that an agent breaks, and none in one that keeps them.
+// The checker reports the rule that an agent breaks and no other, and none for an honest agent.
 func TestCheckerSeesEachRuleBroken(t *testing.T) {
 	exe, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for breaks, rule := range map[string]string{
+	for violation, rule := range map[string]string{
 		"honest": "", "lost": check.RuleLost, "silent": check.RuleLost, "forged": check.RuleLost, "twice": check.RuleLost,
 		"duplicate": check.RuleDuplicate, "refuse": check.RuleDuplicate, "again": check.RuleDuplicate,
 		"drain": check.RuleDrain, "cold": check.RuleSlowStart, "stranger": check.RuleUnknown, "crash": check.RuleCrash,
 	} {
-		t.Run(breaks, func(t *testing.T) {
+		t.Run(violation, func(t *testing.T) {
 			t.Parallel()
-			s := play(t, fmt.Sprintf(small, exe, breaks))
-			l := &s.Fleets[0]
-			if all := l.findRow("all", "all"); all.Requests < 200 && breaks != "crash" {
+			s := runExperiment(t, fmt.Sprintf(smallExperiment, exe, violation))
+			agents := &s.Fleets[0]
+			if all := agents.findRow("all", "all"); all.Requests < 200 && violation != "crash" {
 				t.Fatalf("only %d requests asked", all.Requests)
 			}
 			if rule == "" {
-				if len(l.Breaches) > 0 || !s.Passed {
-					t.Fatalf("seed %d: an agent that keeps the rules: %v %v\n%v", s.Seed, l.Breaches, s.Violations, l.Examples)
+				if len(agents.Breaches) > 0 || !s.Passed {
+					t.Fatalf("seed %d: an agent that keeps the rules: %v %v\n%v", s.Seed, agents.Breaches, s.Violations, agents.Examples)
 				}
 				return
 			}
-			if l.Breaches[rule] == 0 || s.Passed {
-				t.Fatalf("seed %d: breaches %v, held %v; want some of %q", s.Seed, l.Breaches, s.Passed, rule)
+			if agents.Breaches[rule] == 0 || s.Passed {
+				t.Fatalf("seed %d: breaches %v, held %v; want some of %q", s.Seed, agents.Breaches, s.Passed, rule)
 			}
-			for other := range l.Breaches {
-				// What a process held when it crashed is lost as well.
+			for other := range agents.Breaches {
+				// The requests in flight in a process that crashes are lost too.
 				if other != rule && !(rule == check.RuleCrash && other == check.RuleLost) {
-					t.Errorf("seed %d: also %q, of which this agent is innocent: %v", s.Seed, other, l.Examples[:min(5, len(l.Examples))])
+					t.Errorf("seed %d: also %q, of which this agent is innocent: %v", s.Seed, other, agents.Examples[:min(5, len(agents.Examples))])
 				}
 			}
-			for _, x := range l.Examples {
+			for _, x := range agents.Examples {
 				if x.Rule == rule && (x.Text == "" || x.Agent == "" && x.Server == "" || x.AtS < 0) {
 					t.Errorf("a breach without its particulars: %+v", x)
 				}
@@ -119,17 +121,17 @@
 	}
 }
 
-// Two plays with one seed inject the same faults at the same times to the same targets,
-// and ask the same requests; another seed does not.
-func TestSeedDecides(t *testing.T) {
+// Two runs with one seed inject the same faults at the same times into the same targets, and send
+// the same requests; a run with another seed does not.
+func TestSeedDeterminesFaultsAndRequests(t *testing.T) {
 	exe, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := strings.Replace(fmt.Sprintf(small, exe, "honest"), `target = "s-01"`, `target = "servers#1"`, 1)
+	text := strings.Replace(fmt.Sprintf(smallExperiment, exe, "honest"), `target = "s-01"`, `target = "servers#1"`, 1)
 	text = strings.Replace(text, `duration = "9s"`, `duration = "5s"`, 1)
-	story := func(seed int) string {
-		s := play(t, strings.Replace(text, "seed = 5", fmt.Sprintf("seed = %d", seed), 1))
+	summarizeRun := func(seed int) string {
+		s := runExperiment(t, strings.Replace(text, "seed = 5", fmt.Sprintf("seed = %d", seed), 1))
 		out := fmt.Sprint(s.Fleets[0].findRow("all", "look").Requests, s.Fleets[0].findRow("all", "order").Requests, " ")
 		for _, f := range s.Faults {
 			// Planned to the nanosecond, injected within what a timer takes.
@@ -145,7 +147,7 @@
 		}
 		return out
 	}
-	first, again, other := story(5), story(5), story(6)
+	first, again, other := summarizeRun(5), summarizeRun(5), summarizeRun(6)
 	if first != again {
 		t.Errorf("one seed, two stories:\n%s\n%s", first, again)
 	}
@@ -154,9 +156,9 @@
 	}
 }
 
-// Every key that makes no sense is named, in one line.
-func TestBadFiles(t *testing.T) {
-	good := fmt.Sprintf(small, "bin/agent", "honest")
+// The error of an invalid file names the key, in one line.
+func TestInvalidKeysAreNamed(t *testing.T) {
+	good := fmt.Sprintf(smallExperiment, "bin/agent", "honest")
 	for _, c := range []struct{ from, to, names string }{
 		{"rate = 90", "rate = -1", "load.rate: must be 0 or above"},
 		{"rate = 90", "rat = 150", "load.rat: unknown key"},
@@ -193,9 +195,10 @@
 	}
 }
 
-// A list in the file replaces the default's, and what an entry leaves out is the default's.
-func TestDefaults(t *testing.T) {
-	c, err := Parse([]byte(fmt.Sprintf(small, "bin/agent", "honest") + "\n"))
+// A list in the file replaces the default list, and what one of its entries leaves out is taken
+// from the default.
+func TestListsReplaceDefaults(t *testing.T) {
+	c, err := Parse([]byte(fmt.Sprintf(smallExperiment, "bin/agent", "honest") + "\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,9 +214,9 @@
 	}
 }
 
-// Recovery counts from the fault's beginning to the first of three good seconds in a row;
-// what never fell has none, and what never came back is said to have none.
-func TestRecovery(t *testing.T) {
+// Recovery is counted from the fault's beginning to the first of three good seconds in a row. It is
+// 0 if no second was bad, and -1 if the run did not recover.
+func TestRecoverySeconds(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		served []float64
