--- a/internal/lab/check/answer.go
+++ b/internal/lab/check/answer.go
@@ -11,95 +11,128 @@
 // Outcome is how a request ended for its client.
 type Outcome uint8
 
-// The kinds of ends.
+// The outcomes. Those up to Failed are answers.
 const (
 	Served         Outcome = iota // 200 with the body of a server
 	Rejected                      // 429 or 503
 	Failed                        // any other answer
-	Unanswered                    // no whole answer before the client gave up
-	Unreachable                   // no connection to the agent came up
-	ClientCanceled                // the client went away early, of its own accord
-	Void                          // the agent's process was killed by the lab, and its client with it
+	Unanswered                    // no complete answer before the client gave up
+	Unreachable                   // no connection to the agent could be opened
+	ClientCanceled                // the client canceled it early
+	Void                          // the lab kept the agent from answering, or killed it and its client
 )
 
 var outcomeNames = [...]string{"served", "refused", "failed", "unanswered", "unreachable", "left", "void"}
 
-func (k Outcome) String() string { return outcomeNames[k] }
+// String returns the outcome's name in reports.
+func (o Outcome) String() string { return outcomeNames[o] }
 
-// Body is what a server answers to an attempt; nothing else is taken for an answer.
+// Body returns the body with which a server answers the attempt. No other body counts as served.
 func (a *Attempt) Body(server string) string {
 	return fmt.Sprintf("%s %s %d\n", a.Request.ID, server, a.Index)
 }
 
-// Answer is what a client got for a request.
+// Answer is what a client received for a request.
 type Answer struct {
 	Outcome       Outcome
-	At            time.Duration
+	At            time.Duration // when it was complete, or when the client gave up
 	Body          string
-	Sent          bool // the request's last byte was written to a connection that came up
-	Closed        bool // the agent ended the connection without a whole answer
+	Sent          bool // the request's last byte was written to an open connection
+	Closed        bool // the agent closed the connection without a complete answer
 	Partial       bool // some bytes of an answer came
-	NewConnection bool // it was the first request on its connection
-	// Surplus says that more came than the answer.
-	Surplus bool
+	NewConnection bool // the request was the first on its connection
+	Surplus       bool // more bytes came after the answer
 }
 
-// RecordAnswer judges a request's end by rule 1, and by what refusing one of its class
-// asks for. It returns the kind that counts.
-func (c *Checker) RecordAnswer(r *Request, a Answer) Outcome {
+// RecordAnswer records how a request ended for its client, and checks that it was answered once,
+// in time, with the body of a server, and that it was not rejected after an execution that its
+// client must not repeat. It returns the outcome to be counted.
+func (c *Checker) RecordAnswer(r *Request, answer Answer) Outcome {
 	r.mu.Lock()
-	if a.Outcome <= Failed {
-		r.answered = a.At
+	if answer.Outcome <= Failed {
+		r.answered = answer.At
 	}
-	r.finished = max(a.At, 1)
-	attempts, may, real := len(r.attempts), (*Attempt)(nil), false
-	for _, t := range r.attempts {
-		if t.state != rejected && may == nil {
-			may = t
+	r.finished = max(answer.At, 1) // 0 means that it has not finished
+	attempts := r.summarizeAttempts()
+	genuine := c.isGenuine(r, answer.Body)
+	r.mu.Unlock()
+
+	outcome := c.checkAnswered(r, answer, attempts, genuine)
+	if outcome != answer.Outcome {
+		return outcome
+	}
+	if answer.Surplus {
+		c.recordRequestBreach(RuleLost, r, none, "more than one answer")
+	}
+	class := &c.settings.Classes[r.Class]
+	if executed := attempts.mayHaveRun; answer.Outcome == Rejected && executed != nil && !mayRejectAfterExecution(class) {
+		c.recordRequestBreach(RuleDuplicate, r, executed.Server, "refused though attempt %d may have run", executed.Index)
+	}
+	return answer.Outcome
+}
+
+// isGenuine reports whether the body is that of a server for one of the request's attempts. The
+// caller holds r.mu.
+func (c *Checker) isGenuine(r *Request, body string) bool {
+	for _, a := range r.attempts {
+		if body == a.Body(c.servers[a.Server].Name) {
+			return true
 		}
-		real = real || a.Body == t.Body(c.servers[t.Server].Name)
 	}
-	r.mu.Unlock()
+	return false
+}
+
+// checkAnswered checks that a request was not lost. It returns the outcome to be counted: another
+// than the answer's, if no rule applies because the lab caused it or the client can tell.
+func (c *Checker) checkAnswered(r *Request, answer Answer, attempts attemptSummary, genuine bool) Outcome {
+	limit := r.Deadline + millis(c.settings.Contract.AnswerSlackMs) + timingSlack
+	excused := c.isExcused(r.Agent, r.PlannedAt, answer.At)
+	switch answer.Outcome {
+	case ClientCanceled, Void, Unreachable:
+	case Unanswered:
+		return c.checkUnanswered(r, answer, attempts, limit, excused)
+	default:
+		switch {
+		case answer.Outcome == Served && !genuine:
+			c.recordRequestBreach(RuleLost, r, none, "served with %q, which no server made for it", truncate(answer.Body))
+		case answer.At > limit && !excused:
+			c.recordRequestBreach(RuleLost, r, none, "answered %v after its client gave up", answer.At-r.Deadline)
+		}
+	}
+	return answer.Outcome
+}
 
-	limit := r.Deadline + time.Duration(c.settings.Contract.AnswerSlackMs*float64(time.Millisecond)) + timingSlack
-	excused := c.isExcused(r.Agent, r.PlannedAt, a.At)
+// checkUnanswered checks whether a request without an answer was lost by its agent.
+func (c *Checker) checkUnanswered(r *Request, answer Answer, attempts attemptSummary, limit time.Duration, excused bool) Outcome {
 	switch {
-	case a.Outcome == ClientCanceled || a.Outcome == Void || a.Outcome == Unreachable:
-	case a.Outcome == Served && !real:
-		c.recordBreach(RuleLost, r, 0, -1, "served with %q, which no server made for it", truncate(a.Body))
-	case a.Outcome <= Failed && a.At > limit && !excused:
-		c.recordBreach(RuleLost, r, 0, -1, "answered %v after its client gave up", a.At-r.Deadline)
-	case a.Outcome == Unanswered && excused:
+	case excused:
 		return Void
-	case a.Outcome == Unanswered && a.Closed && a.Partial:
-		// The client can tell that it is not whole.
+	case answer.Closed && answer.Partial: // the client can tell that it is incomplete
 		return Failed
-	case a.Outcome == Unanswered && a.Closed && a.NewConnection && attempts == 0:
-		// A new connection that is closed with nothing sent on has failed, not lost.
+	case answer.Closed && answer.NewConnection && attempts.count == 0: // the connection failed, and nothing was forwarded
 		return Failed
-	case a.Outcome == Unanswered && a.Closed && a.Sent:
-		c.recordBreach(RuleLost, r, 0, -1, "the agent closed the connection without an answer")
-	case a.Outcome == Unanswered && a.Sent && a.At > limit:
-		c.recordBreach(RuleLost, r, 0, -1, "no answer %v after its client gave up", a.At-r.Deadline)
-	}
-	if a.Surplus {
-		c.recordBreach(RuleLost, r, 0, -1, "more than one answer")
+	case answer.Closed && answer.Sent:
+		c.recordRequestBreach(RuleLost, r, none, "the agent closed the connection without an answer")
+	case answer.Sent && answer.At > limit:
+		c.recordRequestBreach(RuleLost, r, none, "no answer %v after its client gave up", answer.At-r.Deadline)
 	}
-	if class := &c.settings.Classes[r.Class]; a.Outcome == Rejected && may != nil && !mayRejectAfterExecution(class) {
-		c.recordBreach(RuleDuplicate, r, 0, may.Server, "refused though attempt %d may have run", may.Index)
-	}
-	return a.Outcome
+	return Unanswered
 }
 
-// mayRejectAfterExecution tells whether a request of the class may be refused after it may have run:
-// its client's repeat must do no harm at any server.
+// mayRejectAfterExecution reports whether a request of the class may be rejected after it may have
+// been executed, because its client's retry does no harm at any server.
 func mayRejectAfterExecution(class *policy.Class) bool {
 	return class.Effect == policy.Idempotent || class.Effect == policy.Deduplicated && class.Group == policy.GroupAll
 }
 
-func truncate(s string) string {
-	if s = strings.TrimSpace(s); len(s) > 60 {
-		return s[:60] + "..."
+// maxQuotedBody bounds the part of a body that a breach quotes.
+const maxQuotedBody = 60
+
+// truncate shortens a body for a breach's text.
+func truncate(body string) string {
+	body = strings.TrimSpace(body)
+	if len(body) > maxQuotedBody {
+		return body[:maxQuotedBody] + "..."
 	}
-	return s
+	return body
 }
--- /dev/null
+++ b/internal/lab/check/attempts.go
@@ -0,0 +1,119 @@
+package check
+
+import (
+	"time"
+
+	"knotrouter/policy"
+)
+
+// Attempt is one arrival of a request at a server.
+type Attempt struct {
+	Request     *Request
+	Server      int
+	Index       int // among the arrivals of its request
+	FirstByteAt time.Duration
+	LastByteAt  time.Duration
+	state       attemptState // guarded by the request's mutex
+}
+
+type attemptState uint8
+
+const (
+	inFlight attemptState = iota // the server has it and its connection is open
+	rejected                     // the server rejected it without executing it
+	finished                     // answered, aborted or reset: it may have been executed
+)
+
+// MarkRejected records that the server rejected the attempt without executing it.
+func (a *Attempt) MarkRejected() { a.setState(rejected) }
+
+// MarkFinished records that the attempt has ended; it may have been executed.
+func (a *Attempt) MarkFinished() { a.setState(finished) }
+
+// setState ends an attempt that is in flight; on one that has ended it has no effect.
+func (a *Attempt) setState(state attemptState) {
+	a.Request.mu.Lock()
+	defer a.Request.mu.Unlock()
+	if a.state == inFlight {
+		a.state = state
+	}
+}
+
+// attemptSummary is what a rule needs to know of the attempts of a request.
+type attemptSummary struct {
+	count       int
+	anyInFlight bool
+	mayHaveRun  *Attempt // the first that the server did not reject; nil: none
+}
+
+// summarizeAttempts summarizes the attempts so far. The caller holds r.mu.
+func (r *Request) summarizeAttempts() attemptSummary {
+	summary := attemptSummary{count: len(r.attempts)}
+	for _, a := range r.attempts {
+		summary.anyInFlight = summary.anyInFlight || a.state == inFlight
+		if a.state != rejected && summary.mayHaveRun == nil {
+			summary.mayHaveRun = a
+		}
+	}
+	return summary
+}
+
+// RecordAttempt records that a complete request arrived at a server, before the server decides on
+// it, and checks whether the agent was allowed to send it. linkClear says that no link of the lab
+// can have delayed it.
+func (c *Checker) RecordAttempt(r *Request, server int, firstByteAt, lastByteAt time.Duration, linkClear bool) *Attempt {
+	a := &Attempt{Request: r, Server: server, FirstByteAt: firstByteAt, LastByteAt: lastByteAt}
+	r.mu.Lock()
+	earlier := r.summarizeAttempts()
+	a.Index = earlier.count
+	answered := r.answered
+	r.attempts = append(r.attempts, a)
+	r.mu.Unlock()
+
+	if answered > 0 && lastByteAt > answered+timingSlack && linkClear {
+		c.recordRequestBreach(RuleDuplicate, r, server, "sent %v after the final answer", lastByteAt-answered)
+	}
+	if limit := c.settings.Limits.MaxAttempts; limit > 0 && a.Index >= limit {
+		c.recordRequestBreach(RuleDuplicate, r, server, "attempt %d of at most %d", a.Index+1, limit)
+	}
+	if earlier.anyInFlight && linkClear && !c.settings.Limits.ParallelAttempts {
+		c.recordRequestBreach(RuleDuplicate, r, server, "a second copy while the first is out")
+	}
+	if earlier.mayHaveRun != nil {
+		c.checkRepeat(a, earlier.mayHaveRun, linkClear)
+	}
+	if linkClear {
+		c.checkDrain(r, server, firstByteAt)
+	}
+	return a
+}
+
+// checkRepeat checks whether a request may be sent again after an attempt that may have been
+// executed.
+func (c *Checker) checkRepeat(a, earlier *Attempt, linkClear bool) {
+	class := &c.settings.Classes[a.Request.Class]
+	from, to := &c.servers[earlier.Server], &c.servers[a.Server]
+	switch class.Effect {
+	case policy.NonIdempotent:
+		c.recordRequestBreach(RuleDuplicate, a.Request, a.Server, "sent again though attempt %d at %s may have run", earlier.Index, from.Name)
+	case policy.Deduplicated:
+		elapsed := a.LastByteAt - earlier.LastByteAt
+		switch {
+		case class.Group == policy.GroupZone && from.Zone != to.Zone,
+			class.Group == policy.GroupCell && from.Cell != to.Cell:
+			c.recordRequestBreach(RuleDuplicate, a.Request, a.Server, "sent again outside the %s of %s", class.Group, from.Name)
+		case elapsed > millis(class.DedupWindowMs)+timingSlack && linkClear:
+			c.recordRequestBreach(RuleDuplicate, a.Request, a.Server, "sent again %v after the first that may have run", elapsed)
+		}
+	}
+}
+
+// checkDrain checks whether a request was sent to a server that the agent knows to be draining or
+// removed.
+func (c *Checker) checkDrain(r *Request, server int, sentAt time.Duration) {
+	grace := millis(c.settings.Contract.DrainGraceMs) + timingSlack
+	since, notified := c.drainNotified(r.Agent, server, sentAt)
+	if notified && sentAt > since+grace && !c.isExcused(r.Agent, since, sentAt) {
+		c.recordRequestBreach(RuleDrain, r, server, "sent %v after its drain was told", sentAt-since)
+	}
+}
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// environment is a checker with a clock that a test sets.
+// environment is a checker of two agents and three servers, with a clock that the test sets.
 type environment struct {
 	*Checker
 	now time.Duration
@@ -20,9 +20,10 @@
 	n   int
 }
 
+// newEnvironment returns an environment at one second after the epoch.
 func newEnvironment() *environment {
-	w := &environment{now: time.Second}
-	w.set = policy.Settings{
+	e := &environment{now: time.Second}
+	e.set = policy.Settings{
 		Classes: []policy.Class{{Name: "look", Effect: policy.Idempotent, Group: policy.GroupAll},
 			{Name: "send", Effect: policy.Deduplicated, Group: policy.GroupZone, DedupWindowMs: 3000},
 			{Name: "vote", Effect: policy.Deduplicated, Group: policy.GroupAll, DedupWindowMs: 3000},
@@ -30,196 +31,200 @@
 		Contract: policy.Contract{AnswerSlackMs: 20, DrainGraceMs: 500, TipAfterMs: 1000},
 		Limits:   policy.Limits{MaxAttempts: 3, ParallelAttempts: true},
 	}
-	w.Checker = New(func() time.Duration { return w.now }, &w.set, []string{"n0", "n1"},
+	e.Checker = New(func() time.Duration { return e.now }, &e.set, []string{"n0", "n1"},
 		[]Server{{"s0", 0, 0}, {"s1", 1, 1}, {"s2", 0, 2}})
-	return w
+	return e
 }
 
+// The classes of requests, by their index in the settings.
 const look, send, vote, order, cell = 0, 1, 2, 3, 4
 
-func (w *environment) request(class int) *Request {
-	w.n++
-	r := &Request{ID: strings.Repeat("x", w.n), Class: class, PlannedAt: w.now, Deadline: w.now + 5*time.Second}
-	w.Add(r)
+// request adds a request of a class that is sent now, with a deadline in five seconds.
+func (e *environment) request(class int) *Request {
+	e.n++
+	r := &Request{ID: strings.Repeat("x", e.n), Class: class, PlannedAt: e.now, Deadline: e.now + 5*time.Second}
+	e.Add(r)
 	return r
 }
 
-func (w *environment) at(d time.Duration) *environment { w.now = time.Second + d; return w }
+// at sets the clock to d after the beginning.
+func (e *environment) at(d time.Duration) *environment { e.now = time.Second + d; return e }
 
-// arrive is a whole request at a server now.
-func (w *environment) arrive(r *Request, server int) *Attempt {
-	return w.RecordAttempt(r, server, w.now, w.now, true)
+// arrive records that the complete request arrives at a server now.
+func (e *environment) arrive(r *Request, server int) *Attempt {
+	return e.RecordAttempt(r, server, e.now, e.now, true)
 }
 
-// answer is a final answer now.
-func (w *environment) answer(r *Request, kind Outcome, body string) Outcome {
-	return w.RecordAnswer(r, Answer{Outcome: kind, At: w.now, Body: body, Sent: true})
+// answer records the final answer of a request now.
+func (e *environment) answer(r *Request, kind Outcome, body string) Outcome {
+	return e.RecordAnswer(r, Answer{Outcome: kind, At: e.now, Body: body, Sent: true})
 }
 
+// The checker reports the broken rule of each case and no other, and none where none is broken.
 func TestRulesAreChecked(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		rule string // "" is none
-		play func(w *environment)
+		run  func(e *environment)
 	}{
-		{"served by a server", "", func(w *environment) {
-			r := w.request(look)
-			a := w.arrive(r, 0)
+		{"served by a server", "", func(e *environment) {
+			r := e.request(look)
+			a := e.arrive(r, 0)
 			a.MarkFinished()
-			w.at(time.Second).answer(r, Served, a.Body("s0"))
+			e.at(time.Second).answer(r, Served, a.Body("s0"))
 		}},
-		{"served by nobody", RuleLost, func(w *environment) { w.answer(w.request(look), Served, "all is well") }},
-		{"served with another request's answer", RuleLost, func(w *environment) {
-			r, other := w.request(look), w.request(look)
-			w.arrive(r, 0)
-			a := w.arrive(other, 0)
-			w.answer(r, Served, a.Body("s0"))
+		{"served by nobody", RuleLost, func(e *environment) { e.answer(e.request(look), Served, "all is well") }},
+		{"served with another request's answer", RuleLost, func(e *environment) {
+			r, other := e.request(look), e.request(look)
+			e.arrive(r, 0)
+			a := e.arrive(other, 0)
+			e.answer(r, Served, a.Body("s0"))
 		}},
-		{"within the slack", "", func(w *environment) { r := w.request(look); w.at(5070*ms).answer(r, Failed, "") }},
-		{"beyond the slack", RuleLost, func(w *environment) { r := w.request(look); w.at(5071*ms).answer(r, Failed, "") }},
-		{"beyond it while the lab had it stopped", "", func(w *environment) {
-			r := w.request(look)
-			w.AgentPaused(0, w.now+time.Second, w.now+5*time.Second)
-			w.at(6*time.Second).answer(r, Failed, "")
+		{"within the slack", "", func(e *environment) { r := e.request(look); e.at(5070*ms).answer(r, Failed, "") }},
+		{"beyond the slack", RuleLost, func(e *environment) { r := e.request(look); e.at(5071*ms).answer(r, Failed, "") }},
+		{"beyond it while the lab had it stopped", "", func(e *environment) {
+			r := e.request(look)
+			e.AgentPaused(0, e.now+time.Second, e.now+5*time.Second)
+			e.at(6*time.Second).answer(r, Failed, "")
 		}},
-		{"never", RuleLost, func(w *environment) { r := w.request(look); w.at(5080*ms).answer(r, Unanswered, "") }},
-		{"never, its agent killed by the lab", "", func(w *environment) {
-			r := w.request(look)
-			w.at(time.Second).AgentKilled(0)
-			w.answer(r, Unanswered, "")
+		{"never", RuleLost, func(e *environment) { r := e.request(look); e.at(5080*ms).answer(r, Unanswered, "") }},
+		{"never, its agent killed by the lab", "", func(e *environment) {
+			r := e.request(look)
+			e.at(time.Second).AgentKilled(0)
+			e.answer(r, Unanswered, "")
 		}},
-		{"closed on it", RuleLost, func(w *environment) {
-			r := w.request(look)
-			w.RecordAnswer(r, Answer{Outcome: Unanswered, At: w.now, Sent: true, Closed: true})
+		{"closed on it", RuleLost, func(e *environment) {
+			r := e.request(look)
+			e.RecordAnswer(r, Answer{Outcome: Unanswered, At: e.now, Sent: true, Closed: true})
 		}},
-		{"a new connection closed, nothing sent on", "", func(w *environment) {
-			r := w.request(look)
-			w.RecordAnswer(r, Answer{Outcome: Unanswered, At: w.now, Sent: true, Closed: true, NewConnection: true})
+		{"a new connection closed, nothing sent on", "", func(e *environment) {
+			r := e.request(look)
+			e.RecordAnswer(r, Answer{Outcome: Unanswered, At: e.now, Sent: true, Closed: true, NewConnection: true})
 		}},
-		{"a new connection closed, sent on", RuleLost, func(w *environment) {
-			r := w.request(look)
-			w.arrive(r, 0)
-			w.RecordAnswer(r, Answer{Outcome: Unanswered, At: w.now, Sent: true, Closed: true, NewConnection: true})
+		{"a new connection closed, sent on", RuleLost, func(e *environment) {
+			r := e.request(look)
+			e.arrive(r, 0)
+			e.RecordAnswer(r, Answer{Outcome: Unanswered, At: e.now, Sent: true, Closed: true, NewConnection: true})
 		}},
-		{"broken off half way", "", func(w *environment) {
-			r := w.request(look)
-			w.arrive(r, 0)
-			w.RecordAnswer(r, Answer{Outcome: Unanswered, At: w.now, Sent: true, Closed: true, Partial: true})
+		{"broken off half way", "", func(e *environment) {
+			r := e.request(look)
+			e.arrive(r, 0)
+			e.RecordAnswer(r, Answer{Outcome: Unanswered, At: e.now, Sent: true, Closed: true, Partial: true})
 		}},
-		{"left by its client", "", func(w *environment) { w.answer(w.request(look), ClientCanceled, "") }},
+		{"left by its client", "", func(e *environment) { e.answer(e.request(look), ClientCanceled, "") }},
 
-		{"a free one again and again", "", func(w *environment) { r := w.request(look); w.arrive(r, 0); w.arrive(r, 1); w.arrive(r, 2) }},
-		{"more than the limit", RuleDuplicate, func(w *environment) {
-			r := w.request(look)
+		{"a free one again and again", "", func(e *environment) { r := e.request(look); e.arrive(r, 0); e.arrive(r, 1); e.arrive(r, 2) }},
+		{"more than the limit", RuleDuplicate, func(e *environment) {
+			r := e.request(look)
 			for range 4 {
-				w.arrive(r, 0)
+				e.arrive(r, 0)
 			}
 		}},
-		{"two copies where one is allowed", RuleDuplicate, func(w *environment) {
-			w.set.Limits.ParallelAttempts = false
-			r := w.request(look)
-			w.arrive(r, 0)
-			w.arrive(r, 1)
+		{"two copies where one is allowed", RuleDuplicate, func(e *environment) {
+			e.set.Limits.ParallelAttempts = false
+			r := e.request(look)
+			e.arrive(r, 0)
+			e.arrive(r, 1)
 		}},
-		{"one copy after the other", "", func(w *environment) {
-			w.set.Limits.ParallelAttempts = false
-			r := w.request(look)
-			w.arrive(r, 0).MarkFinished()
-			w.arrive(r, 1)
+		{"one copy after the other", "", func(e *environment) {
+			e.set.Limits.ParallelAttempts = false
+			r := e.request(look)
+			e.arrive(r, 0).MarkFinished()
+			e.arrive(r, 1)
 		}},
-		{"single shot again after it was turned away", "", func(w *environment) { r := w.request(order); w.arrive(r, 0).MarkRejected(); w.arrive(r, 1) }},
-		{"single shot again after it may have run", RuleDuplicate, func(w *environment) { r := w.request(order); w.arrive(r, 0).MarkFinished(); w.arrive(r, 1) }},
-		{"single shot refused after it may have run", RuleDuplicate, func(w *environment) {
-			r := w.request(order)
-			w.arrive(r, 0).MarkFinished()
-			w.answer(r, Rejected, "")
+		{"single shot again after it was turned away", "", func(e *environment) { r := e.request(order); e.arrive(r, 0).MarkRejected(); e.arrive(r, 1) }},
+		{"single shot again after it may have run", RuleDuplicate, func(e *environment) { r := e.request(order); e.arrive(r, 0).MarkFinished(); e.arrive(r, 1) }},
+		{"single shot refused after it may have run", RuleDuplicate, func(e *environment) {
+			r := e.request(order)
+			e.arrive(r, 0).MarkFinished()
+			e.answer(r, Rejected, "")
 		}},
-		{"single shot refused unseen", "", func(w *environment) { r := w.request(order); w.arrive(r, 0).MarkRejected(); w.answer(r, Rejected, "") }},
-		{"keyed within its zone and time", "", func(w *environment) { r := w.request(send); w.arrive(r, 0); w.at(3050*ms).arrive(r, 2) }},
-		{"keyed after its time", RuleDuplicate, func(w *environment) { r := w.request(send); w.arrive(r, 0); w.at(3051*ms).arrive(r, 2) }},
-		{"keyed in another zone", RuleDuplicate, func(w *environment) { r := w.request(send); w.arrive(r, 0); w.arrive(r, 1) }},
-		{"keyed in another cell", RuleDuplicate, func(w *environment) { r := w.request(cell); w.arrive(r, 0); w.arrive(r, 2) }},
-		{"keyed for all, anywhere", "", func(w *environment) { r := w.request(vote); w.arrive(r, 0); w.arrive(r, 1); w.answer(r, Rejected, "") }},
-		{"keyed for a zone, refused", RuleDuplicate, func(w *environment) { r := w.request(send); w.arrive(r, 0); w.answer(r, Rejected, "") }},
-		{"sent after its final answer", RuleDuplicate, func(w *environment) {
-			r := w.request(look)
-			a := w.arrive(r, 0)
-			w.answer(r, Served, a.Body("s0"))
-			w.at(60*ms).arrive(r, 1)
+		{"single shot refused unseen", "", func(e *environment) { r := e.request(order); e.arrive(r, 0).MarkRejected(); e.answer(r, Rejected, "") }},
+		{"keyed within its zone and time", "", func(e *environment) { r := e.request(send); e.arrive(r, 0); e.at(3050*ms).arrive(r, 2) }},
+		{"keyed after its time", RuleDuplicate, func(e *environment) { r := e.request(send); e.arrive(r, 0); e.at(3051*ms).arrive(r, 2) }},
+		{"keyed in another zone", RuleDuplicate, func(e *environment) { r := e.request(send); e.arrive(r, 0); e.arrive(r, 1) }},
+		{"keyed in another cell", RuleDuplicate, func(e *environment) { r := e.request(cell); e.arrive(r, 0); e.arrive(r, 2) }},
+		{"keyed for all, anywhere", "", func(e *environment) { r := e.request(vote); e.arrive(r, 0); e.arrive(r, 1); e.answer(r, Rejected, "") }},
+		{"keyed for a zone, refused", RuleDuplicate, func(e *environment) { r := e.request(send); e.arrive(r, 0); e.answer(r, Rejected, "") }},
+		{"sent after its final answer", RuleDuplicate, func(e *environment) {
+			r := e.request(look)
+			a := e.arrive(r, 0)
+			e.answer(r, Served, a.Body("s0"))
+			e.at(60*ms).arrive(r, 1)
 		}},
-		{"sent as its final answer went out", "", func(w *environment) {
-			r := w.request(look)
-			a := w.arrive(r, 0)
-			w.answer(r, Served, a.Body("s0"))
-			w.at(50*ms).arrive(r, 1)
+		{"sent as its final answer went out", "", func(e *environment) {
+			r := e.request(look)
+			a := e.arrive(r, 0)
+			e.answer(r, Served, a.Body("s0"))
+			e.at(50*ms).arrive(r, 1)
 		}},
 
-		{"to a draining server within the grace", "", func(w *environment) {
-			w.RecordNotified(0, 0, "draining", 0)
-			w.at(550*ms).arrive(w.request(look), 0)
+		{"to a draining server within the grace", "", func(e *environment) {
+			e.RecordNotified(0, 0, "draining", 0)
+			e.at(550*ms).arrive(e.request(look), 0)
 		}},
-		{"to a draining server after it", RuleDrain, func(w *environment) {
-			w.RecordNotified(0, 0, "draining", 0)
-			w.at(551*ms).arrive(w.request(look), 0)
+		{"to a draining server after it", RuleDrain, func(e *environment) {
+			e.RecordNotified(0, 0, "draining", 0)
+			e.at(551*ms).arrive(e.request(look), 0)
 		}},
-		{"to a server that is ready again", "", func(w *environment) {
-			w.RecordNotified(0, 0, "gone", 0)
-			w.RecordNotified(0, 0, "ready", 7)
-			w.at(time.Second).arrive(w.request(look), 0)
+		{"to a server that is ready again", "", func(e *environment) {
+			e.RecordNotified(0, 0, "gone", 0)
+			e.RecordNotified(0, 0, "ready", 7)
+			e.at(time.Second).arrive(e.request(look), 0)
 		}},
-		{"the other agent was told", "", func(w *environment) {
-			w.RecordNotified(1, 0, "draining", 0)
-			w.at(time.Second).arrive(w.request(look), 0)
+		{"the other agent was told", "", func(e *environment) {
+			e.RecordNotified(1, 0, "draining", 0)
+			e.at(time.Second).arrive(e.request(look), 0)
 		}},
-		{"told by another process of this name", "", func(w *environment) {
-			w.RecordNotified(0, 0, "draining", 0)
-			w.AgentStarted(0)
-			w.at(time.Second).arrive(w.request(look), 0)
+		{"told by another process of this name", "", func(e *environment) {
+			e.RecordNotified(0, 0, "draining", 0)
+			e.AgentStarted(0)
+			e.at(time.Second).arrive(e.request(look), 0)
 		}},
-		{"a drain that counts as told", RuleDrain, func(w *environment) {
-			w.RecordDiscovery(0, "draining", 0)
-			w.at(6551*ms).arrive(w.request(look), 0)
+		{"a drain that counts as told", RuleDrain, func(e *environment) {
+			e.RecordDiscovery(0, "draining", 0)
+			e.at(6551*ms).arrive(e.request(look), 0)
 		}},
-		{"a drain that does not yet", "", func(w *environment) {
-			w.RecordDiscovery(0, "draining", 0)
-			w.at(6550*ms).arrive(w.request(look), 0)
+		{"a drain that does not yet", "", func(e *environment) {
+			e.RecordDiscovery(0, "draining", 0)
+			e.at(6550*ms).arrive(e.request(look), 0)
 		}},
-		{"a drain while discovery is down", "", func(w *environment) {
-			w.RecordDiscovery(0, "draining", 0)
-			w.at(time.Second).SetDiscoveryUp(false)
-			w.at(20*time.Second).arrive(w.request(look), 0)
+		{"a drain while discovery is down", "", func(e *environment) {
+			e.RecordDiscovery(0, "draining", 0)
+			e.at(time.Second).SetDiscoveryUp(false)
+			e.at(20*time.Second).arrive(e.request(look), 0)
 		}},
-		{"a drain after discovery was down", RuleDrain, func(w *environment) {
-			w.RecordDiscovery(0, "draining", 0)
-			w.at(time.Second).SetDiscoveryUp(false)
-			w.at(20 * time.Second).SetDiscoveryUp(true)
-			w.at(25551*ms).arrive(w.request(look), 0)
+		{"a drain after discovery was down", RuleDrain, func(e *environment) {
+			e.RecordDiscovery(0, "draining", 0)
+			e.at(time.Second).SetDiscoveryUp(false)
+			e.at(20 * time.Second).SetDiscoveryUp(true)
+			e.at(25551*ms).arrive(e.request(look), 0)
 		}},
-		{"a drain while the lab has the agent cut off", "", func(w *environment) {
-			w.RecordDiscovery(0, "draining", 0)
-			w.SetDiscoveryCut(0, true)
-			w.at(20*time.Second).arrive(w.request(look), 0)
+		{"a drain while the lab has the agent cut off", "", func(e *environment) {
+			e.RecordDiscovery(0, "draining", 0)
+			e.SetDiscoveryCut(0, true)
+			e.at(20*time.Second).arrive(e.request(look), 0)
 		}},
-		{"a drain after that", RuleDrain, func(w *environment) {
-			w.RecordDiscovery(0, "draining", 0)
-			w.SetDiscoveryCut(0, true)
-			w.at(20*time.Second).SetDiscoveryCut(0, false)
-			w.at(26551*ms).arrive(w.request(look), 0)
+		{"a drain after that", RuleDrain, func(e *environment) {
+			e.RecordDiscovery(0, "draining", 0)
+			e.SetDiscoveryCut(0, true)
+			e.at(20*time.Second).SetDiscoveryCut(0, false)
+			e.at(26551*ms).arrive(e.request(look), 0)
 		}},
-		{"a send that a link may have held", "", func(w *environment) {
-			w.RecordNotified(0, 0, "draining", 0)
-			w.at(time.Second)
-			w.RecordAttempt(w.request(look), 0, w.now, w.now, false)
+		{"a send that a link may have held", "", func(e *environment) {
+			e.RecordNotified(0, 0, "draining", 0)
+			e.at(time.Second)
+			e.RecordAttempt(e.request(look), 0, e.now, e.now, false)
 		}},
 
-		{"pushed over by those who knew", RuleSlowStart, func(w *environment) { w.WarmupOverload(0, 0.67, 900, 500) }},
-		{"pushed over by those who could not know", "", func(w *environment) { w.WarmupOverload(0, 0.66, 900, 500) }},
-		{"an id that no client sent", RuleUnknown, func(w *environment) { w.ReportUnknown(w.Lookup("nobody"), "nobody", 0, "it came") }},
+		{"pushed over by those who knew", RuleSlowStart, func(e *environment) { e.WarmupOverload(0, 0.67, 900, 500) }},
+		{"pushed over by those who could not know", "", func(e *environment) { e.WarmupOverload(0, 0.66, 900, 500) }},
+		{"an id that no client sent", RuleUnknown, func(e *environment) { e.ReportUnknown(e.Lookup("nobody"), "nobody", 0, "it came") }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newEnvironment()
-			c.play(w)
-			breaches, count := w.Breaches()
+			e := newEnvironment()
+			c.run(e)
+			breaches, count := e.Breaches()
 			switch {
 			case c.rule == "" && len(breaches) > 0:
 				t.Errorf("nothing is broken, yet: %v", breaches)
@@ -230,60 +235,60 @@
 	}
 }
 
-// An agent counts as told of a start once it was written to it, or six seconds of
-// service after discovery knew; a start before that one is another.
+// An agent counts as notified of a start once that was written to it, or after six seconds in which
+// discovery could have. A later start needs a notification of its own.
 func TestStartCountsAsNotified(t *testing.T) {
-	w := newEnvironment()
-	w.RecordDiscovery(0, "ready", 100)
-	if w.StartNotified(0, 0, 100) {
+	e := newEnvironment()
+	e.RecordDiscovery(0, "ready", 100)
+	if e.StartNotified(0, 0, 100) {
 		t.Error("told at once")
 	}
-	w.RecordNotified(1, 0, "ready", 100)
-	if !w.StartNotified(1, 0, 100) || w.StartNotified(1, 0, 200) {
+	e.RecordNotified(1, 0, "ready", 100)
+	if !e.StartNotified(1, 0, 100) || e.StartNotified(1, 0, 200) {
 		t.Error("what was written does not count, or counts for a later start")
 	}
-	if w.at(5999*ms).StartNotified(0, 0, 100) || !w.at(6000*ms).StartNotified(0, 0, 100) {
+	if e.at(5999*ms).StartNotified(0, 0, 100) || !e.at(6000*ms).StartNotified(0, 0, 100) {
 		t.Error("it does not count as told after six seconds, or does before")
 	}
 }
 
-// What has long ended is forgotten, and what is under way never.
+// Requests that finished long ago are dropped, those in progress never.
 func TestFinishedRequestsAreForgotten(t *testing.T) {
-	w := newEnvironment()
-	done, open := w.request(look), w.request(look)
-	w.answer(done, Failed, "")
-	w.at(30 * time.Second).Sweep()
-	if w.Lookup(done.ID) == nil {
+	e := newEnvironment()
+	done, open := e.request(look), e.request(look)
+	e.answer(done, Failed, "")
+	e.at(30 * time.Second).Sweep()
+	if e.Lookup(done.ID) == nil {
 		t.Error("forgotten too soon")
 	}
-	w.at(31 * time.Second).Sweep()
-	if w.Lookup(done.ID) != nil || w.Lookup(open.ID) == nil || w.Retained() != 1 {
-		t.Errorf("holds %d", w.Retained())
+	e.at(31 * time.Second).Sweep()
+	if e.Lookup(done.ID) != nil || e.Lookup(open.ID) == nil || e.Retained() != 1 {
+		t.Errorf("holds %d", e.Retained())
 	}
 }
 
-// However discovery and the lab's cuts come and go, a drain counts as told after six
-// seconds in which it could have been, and not before.
+// Whatever the order of discovery's outages and the lab's cuts, a drain counts as notified after six
+// seconds in which discovery could have notified the agent, and not before.
 func TestDrainCountsAfterServiceTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newEnvironment()
-		w.RecordDiscovery(0, "draining", 0)
+		e := newEnvironment()
+		e.RecordDiscovery(0, "draining", 0)
 		up, cut, service := true, false, time.Duration(0)
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			d := time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * ms
-			w.now += d
+			e.now += d
 			if up && !cut {
 				service += d
 			}
 			if rapid.Bool().Draw(t, "which") {
 				up = !up
-				w.SetDiscoveryUp(up)
+				e.SetDiscoveryUp(up)
 			} else {
 				cut = !cut
-				w.SetDiscoveryCut(0, cut)
+				e.SetDiscoveryCut(0, cut)
 			}
-			if _, told := w.drainNotified(0, 0, w.now); told != (service >= notificationBound) {
-				t.Fatalf("after %v of service: told %v", service, told)
+			if _, notified := e.drainNotified(0, 0, e.now); notified != (service >= notificationBound) {
+				t.Fatalf("after %v of service: notified %v", service, notified)
 			}
 		}
 	})
--- a/internal/lab/check/history.go
+++ b/internal/lab/check/history.go
@@ -1,18 +1,14 @@
-// Package check holds what clients and programme servers saw of each request and judges
-// the four rules by it. It is told nothing by the agents, so what they claim of
-// themselves doesn't count.
 package check
 
 import (
+	"hash/maphash"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// Clock is time since the experiment began; all parties of the lab share it.
-type Clock func() time.Duration
-
-// Request is one try of a client: what it sent, and what servers got of it.
+// Request is one request that a client sent to an agent, and what servers received of it. A retry
+// of the client is another Request.
 type Request struct {
 	ID             string
 	Agent          int
@@ -28,29 +24,12 @@
 
 	mu       sync.Mutex
 	attempts []*Attempt
-	answered time.Duration // when the final answer was whole; 0: not yet
-	finished time.Duration // when nothing more is to come of it; 0: not yet
-}
-
-// Attempt is one arrival of a request at a server.
-type Attempt struct {
-	Request     *Request
-	Server      int
-	Index       int           // among the arrivals of its request
-	FirstByteAt time.Duration // when its first byte came
-	LastByteAt  time.Duration // when its last byte came
-	state       attemptState
+	answered time.Duration // when the final answer was complete; 0: not yet
+	finished time.Duration // when the client had done with it; 0: not yet
 }
 
-type attemptState uint8
-
-const (
-	inFlight attemptState = iota // the server has it and its connection is open
-	rejected                     // turned away unseen: it never ran
-	finished                     // answered, broken off or reset: it may have run
-)
-
-// Attempts tells how many arrived, and how many of them may have run.
+// Attempts returns how many attempts arrived at servers, and how many of them may have been
+// executed.
 func (r *Request) Attempts() (all, mayHaveRun int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,66 +41,69 @@
 	return len(r.attempts), mayHaveRun
 }
 
-// historyShards spreads the requests over locks: agents and servers all look them up.
+// historyShards is the number of locks that the requests are spread over.
 const historyShards = 64
 
-// retention is for how long a finished request can still be looked up. A copy of it that
-// comes later than that is unknown.
+// retention is how long a finished request can still be looked up. An attempt that arrives later
+// is of an unknown request.
 const retention = 30 * time.Second
 
-// requestHistory finds requests by id. What has long finished is dropped, so its size is bound by
-// the rate of requests and not by the length of the run.
+// requestHistory finds requests by ID. Requests that finished long ago are dropped, so that its
+// size is bounded by the rate of requests and not by the length of the run.
 type requestHistory struct {
-	shards [historyShards]struct {
-		sync.Mutex
-		m map[string]*Request
-	}
+	shards   [historyShards]historyShard
 	retained atomic.Int64
 }
 
-func (b *requestHistory) shardOf(id string) *struct {
+type historyShard struct {
 	sync.Mutex
-	m map[string]*Request
-} {
-	h := uint32(2166136261)
-	for i := range len(id) {
-		h = (h ^ uint32(id[i])) * 16777619
-	}
-	return &b.shards[h%historyShards]
+	requests map[string]*Request
 }
 
-func (b *requestHistory) add(r *Request) {
-	s := b.shardOf(r.ID)
-	s.Lock()
-	defer s.Unlock()
-	if s.m == nil {
-		s.m = map[string]*Request{}
+// shardSeed is of the hash that spreads the requests.
+var shardSeed = maphash.MakeSeed()
+
+func (h *requestHistory) shardOf(id string) *historyShard {
+	return &h.shards[maphash.String(shardSeed, id)%historyShards]
+}
+
+func (h *requestHistory) add(r *Request) {
+	shard := h.shardOf(r.ID)
+	shard.Lock()
+	defer shard.Unlock()
+	if shard.requests == nil {
+		shard.requests = map[string]*Request{}
 	}
-	s.m[r.ID] = r
-	b.retained.Add(1)
+	shard.requests[r.ID] = r
+	h.retained.Add(1)
 }
 
-func (b *requestHistory) lookup(id string) *Request {
-	s := b.shardOf(id)
-	s.Lock()
-	defer s.Unlock()
-	return s.m[id]
+// lookup returns the request with the ID, or nil.
+func (h *requestHistory) lookup(id string) *Request {
+	shard := h.shardOf(id)
+	shard.Lock()
+	defer shard.Unlock()
+	return shard.requests[id]
 }
 
-// sweep drops what finished before the time that is kept.
-func (b *requestHistory) sweep(now time.Duration) {
-	for i := range b.shards {
-		s := &b.shards[i]
-		s.Lock()
-		for id, r := range s.m {
-			r.mu.Lock()
-			old := r.finished > 0 && now-r.finished > retention
-			r.mu.Unlock()
-			if old {
-				delete(s.m, id)
-				b.retained.Add(-1)
+// sweep drops the requests that finished longer ago than retention.
+func (h *requestHistory) sweep(now time.Duration) {
+	for i := range h.shards {
+		shard := &h.shards[i]
+		shard.Lock()
+		for id, r := range shard.requests {
+			if r.finishedBefore(now - retention) {
+				delete(shard.requests, id)
+				h.retained.Add(-1)
 			}
 		}
-		s.Unlock()
+		shard.Unlock()
 	}
 }
+
+// finishedBefore reports whether the request finished before a time.
+func (r *Request) finishedBefore(at time.Duration) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.finished > 0 && r.finished < at
+}
--- /dev/null
+++ b/internal/lab/check/notifications.go
@@ -0,0 +1,213 @@
+package check
+
+import (
+	"sync"
+	"time"
+
+	"knotrouter/internal/endpoints"
+)
+
+// notificationBound is the service time of discovery after which an agent counts as notified of a
+// change, whether it was written to the agent or not.
+const notificationBound = 6 * time.Second
+
+// discoveryState is what discovery knows, and how long it has been available to tell it. Its
+// service time is the time that it was up.
+type discoveryState struct {
+	sync.Mutex
+	downTime  time.Duration // in which it was down, without the present outage
+	downSince time.Duration // the beginning of the present outage; 0: it is up
+	servers   []serverState // by server
+}
+
+// serverState is what discovery knows of a server.
+type serverState struct {
+	health    string // "": nothing yet
+	startedMs int64
+	since     time.Duration // when it got to know that, in service time
+}
+
+// agentView is what one agent was notified of, and when the lab kept it from being notified or
+// from running.
+type agentView struct {
+	sync.Mutex
+	startedAt    time.Duration  // when its process started, in service time
+	cutDuration  time.Duration  // service time in which the lab cut it off, without the present cut
+	cutSince     time.Duration  // the beginning of the present cut, in service time
+	isCut        bool           // the lab cuts it off from discovery
+	servers      []serverNotice // by server
+	excusedSpans []timeSpan     // in which the lab kept it from running
+}
+
+// serverNotice is what an agent was notified of a server.
+type serverNotice struct {
+	drainingSince time.Duration // when it learned that the server takes no new requests; 0: it does
+	startedMs     int64         // the latest start that it knows
+	known         bool
+}
+
+type timeSpan struct{ from, to time.Duration }
+
+// drainNotified returns since when the agent counts as notified that the server takes no new
+// requests; false if it does not.
+func (c *Checker) drainNotified(agent, server int, now time.Duration) (time.Duration, bool) {
+	view := &c.views[agent]
+	view.Lock()
+	defer view.Unlock()
+	if since := view.servers[server].drainingSince; since > 0 {
+		return since, true
+	}
+	state, available := c.discoveryKnows(view, server, now)
+	if state.health == "" || state.health == endpoints.Ready || available < notificationBound {
+		return 0, false
+	}
+	return now - (available - notificationBound), true
+}
+
+// StartNotified reports whether the agent counts as notified of the start of a server at
+// startedMs, or of a later one.
+func (c *Checker) StartNotified(agent, server int, startedMs int64) bool {
+	view := &c.views[agent]
+	view.Lock()
+	defer view.Unlock()
+	if notice := &view.servers[server]; notice.known && notice.startedMs >= startedMs {
+		return true
+	}
+	state, available := c.discoveryKnows(view, server, c.clock())
+	return state.health != "" && state.startedMs >= startedMs && available >= notificationBound
+}
+
+// discoveryKnows returns what discovery knows of a server, and for how long it could have notified
+// the agent of it: not while it was down, nor while the lab cut the agent off. The caller holds
+// the view's lock.
+func (c *Checker) discoveryKnows(view *agentView, server int, now time.Duration) (serverState, time.Duration) {
+	c.discovery.Lock()
+	defer c.discovery.Unlock()
+	state := c.discovery.servers[server]
+	if state.health == "" {
+		return state, 0
+	}
+	service := c.discovery.serviceTime(now)
+	cut := view.cutDuration
+	if view.isCut {
+		cut += service - view.cutSince
+	}
+	return state, service - max(state.since, view.startedAt) - cut
+}
+
+// serviceTime returns for how long discovery has been up. The caller holds the lock.
+func (d *discoveryState) serviceTime(now time.Duration) time.Duration {
+	downTime := d.downTime
+	if d.downSince > 0 {
+		downTime += now - d.downSince
+	}
+	return now - downTime
+}
+
+// serviceTime returns for how long discovery has been up.
+func (c *Checker) serviceTime() time.Duration {
+	c.discovery.Lock()
+	defer c.discovery.Unlock()
+	return c.discovery.serviceTime(c.clock())
+}
+
+// RecordDiscovery records what discovery has come to know of a server.
+func (c *Checker) RecordDiscovery(server int, health string, startedMs int64) {
+	now := c.clock()
+	c.discovery.Lock()
+	defer c.discovery.Unlock()
+	c.discovery.servers[server] = serverState{health: health, startedMs: startedMs, since: c.discovery.serviceTime(now)}
+}
+
+// SetDiscoveryUp records that discovery goes down or comes up.
+func (c *Checker) SetDiscoveryUp(up bool) {
+	now := c.clock()
+	c.discovery.Lock()
+	defer c.discovery.Unlock()
+	d := &c.discovery
+	switch {
+	case !up && d.downSince == 0:
+		d.downSince = now
+	case up && d.downSince > 0:
+		d.downTime, d.downSince = d.downTime+now-d.downSince, 0
+	}
+}
+
+// SetDiscoveryCut records that the lab cuts an agent off from discovery, or no longer does.
+func (c *Checker) SetDiscoveryCut(agent int, cut bool) {
+	view := &c.views[agent]
+	view.Lock()
+	defer view.Unlock()
+	service := c.serviceTime()
+	if view.isCut && !cut {
+		view.cutDuration += service - view.cutSince
+	}
+	if view.isCut != cut {
+		view.isCut, view.cutSince = cut, service
+	}
+}
+
+// RecordNotified records what discovery has written to an agent.
+func (c *Checker) RecordNotified(agent, server int, health string, startedMs int64) {
+	now := c.clock()
+	view := &c.views[agent]
+	view.Lock()
+	defer view.Unlock()
+	notice := &view.servers[server]
+	notice.known, notice.startedMs = true, max(notice.startedMs, startedMs)
+	switch {
+	case health == endpoints.Ready:
+		notice.drainingSince = 0
+	case notice.drainingSince == 0:
+		notice.drainingSince = now
+	}
+}
+
+// AgentStarted records that a new process of an agent starts, which knows nothing that the one
+// before was notified of.
+func (c *Checker) AgentStarted(agent int) {
+	view := &c.views[agent]
+	view.Lock()
+	defer view.Unlock()
+	view.startedAt, view.cutDuration = c.serviceTime(), 0
+	view.cutSince = view.startedAt
+	clear(view.servers)
+}
+
+// AgentKilled records that the lab kills an agent.
+func (c *Checker) AgentKilled(agent int) {
+	now := c.clock()
+	c.AgentPaused(agent, now, now+timingSlack)
+}
+
+// AgentPaused records that the lab keeps an agent from running for a time.
+func (c *Checker) AgentPaused(agent int, from, to time.Duration) {
+	view := &c.views[agent]
+	view.Lock()
+	defer view.Unlock()
+	view.excuse(timeSpan{from, to})
+}
+
+// maxExcuses bounds the excused spans that are kept of an agent; the oldest are dropped first.
+const maxExcuses = 64
+
+// excuse adds a span in which the agent could not run. The caller holds the lock.
+func (view *agentView) excuse(span timeSpan) {
+	if len(view.excusedSpans) == maxExcuses {
+		view.excusedSpans = view.excusedSpans[1:]
+	}
+	view.excusedSpans = append(view.excusedSpans, span)
+}
+
+// isExcused reports whether the lab kept the agent from running at any time from from to to.
+func (c *Checker) isExcused(agent int, from, to time.Duration) bool {
+	view := &c.views[agent]
+	view.Lock()
+	defer view.Unlock()
+	for _, span := range view.excusedSpans {
+		if from <= span.to && to >= span.from {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/lab/check/operations.go
+++ b/internal/lab/check/operations.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -10,132 +11,164 @@
 	"time"
 )
 
-// Operation is what a process does under a duty, at a place that looks at the fence.
+// Operation is one operation of a process under a leased task, at a server that checks the
+// fencing token.
 type Operation struct {
 	Task    string        `json:"duty"`
 	Process string        `json:"process"`
 	Fence   int64         `json:"fence"`
-	Mono    time.Duration `json:"mono"` // the machine's one monotonic clock, when the process last saw that it may act
+	Mono    time.Duration `json:"mono"` // the machine's monotonic clock, when the process last saw that its lease was valid
 }
 
 const (
-	maxTasks          = 10_000 // that a place remembers
-	maxTerms          = 200_000
-	maxOperationBytes = 4 << 10 // bytes of an act
+	maxTasks          = 10_000  // that an OperationLog records
+	maxTerms          = 200_000 // of all tasks
+	maxOperationBytes = 4 << 10 // of an operation as JSON
 )
 
-// OperationLog is a place where acts land. It keeps the highest fence of each duty and refuses
-// lower ones, and remembers the acts that it took, to judge them.
+// Errors of OperationLog.Record.
+var (
+	ErrIncompleteOperation = errors.New("duty, process, fence: missing")
+	ErrOperationLogFull    = errors.New("no room for more")
+)
+
+// FencedError is the error of an operation whose fencing token is older than one that was used.
+type FencedError struct{ Fence, Highest int64 }
+
+// Error says which token was rejected because of which.
+func (e *FencedError) Error() string {
+	return fmt.Sprintf("fenced: %d is older than %d", e.Fence, e.Highest)
+}
+
+// OperationLog accepts operations under leased tasks. It rejects those with a fencing token lower
+// than the highest of the task, and records the terms of the others for Analyze. It is safe for
+// concurrent use.
 type OperationLog struct {
 	mu            sync.Mutex
-	highestFence  map[string]int64
-	terms         map[string]map[int64]*term
-	lastOperation map[string]Operation
-	retainedTerms int
+	highestFence  map[string]int64           // by task
+	terms         map[string]map[int64]*term // by task and fencing token
+	lastOperation map[string]Operation       // by task
+	termCount     int
 	rejected      int
 }
 
-// term is the time from the first act of a term to its last.
+// term is the time from the first to the last operation under one fencing token.
 type term struct {
 	process      string
-	otherProcess string // another process that acted under the same fence
+	otherProcess string // another process that used the same token; "": none
 	first, last  time.Duration
 }
 
-// NewOperationLog makes a place at which nothing has been done.
+// NewOperationLog returns an empty log.
 func NewOperationLog() *OperationLog {
 	return &OperationLog{highestFence: map[string]int64{}, terms: map[string]map[int64]*term{}, lastOperation: map[string]Operation{}}
 }
 
-// Record takes an act, or refuses it for its fence.
-func (a *OperationLog) Record(act Operation) error {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	high, known := a.highestFence[act.Task]
+// Record accepts an operation. It returns ErrIncompleteOperation, ErrOperationLogFull, or a
+// *FencedError if the task has a newer fencing token.
+func (l *OperationLog) Record(operation Operation) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	highest, known := l.highestFence[operation.Task]
 	switch {
-	case act.Task == "" || act.Process == "" || act.Fence <= 0:
-		return fmt.Errorf("duty, process, fence: missing")
-	case !known && len(a.highestFence) >= maxTasks || a.retainedTerms >= maxTerms:
-		return fmt.Errorf("no room for more")
-	case act.Fence < high:
-		a.rejected++
-		return fmt.Errorf("fenced: %d is older than %d", act.Fence, high)
+	case operation.Task == "" || operation.Process == "" || operation.Fence <= 0:
+		return ErrIncompleteOperation
+	case !known && len(l.highestFence) >= maxTasks || l.termCount >= maxTerms:
+		return ErrOperationLogFull
+	case operation.Fence < highest:
+		l.rejected++
+		return &FencedError{Fence: operation.Fence, Highest: highest}
 	}
-	a.highestFence[act.Task], a.lastOperation[act.Task] = act.Fence, act
-	if a.terms[act.Task] == nil {
-		a.terms[act.Task] = map[int64]*term{}
+	l.highestFence[operation.Task], l.lastOperation[operation.Task] = operation.Fence, operation
+	t := l.termOf(operation)
+	if t.process != operation.Process {
+		t.otherProcess = operation.Process
 	}
-	s := a.terms[act.Task][act.Fence]
-	if s == nil {
-		a.retainedTerms++
-		s = &term{process: act.Process, first: act.Mono, last: act.Mono}
-		a.terms[act.Task][act.Fence] = s
+	t.first, t.last = min(t.first, operation.Mono), max(t.last, operation.Mono)
+	return nil
+}
+
+// termOf returns the term of an operation, a new one for a new fencing token. The caller holds l.mu.
+func (l *OperationLog) termOf(operation Operation) *term {
+	terms := l.terms[operation.Task]
+	if terms == nil {
+		terms = map[int64]*term{}
+		l.terms[operation.Task] = terms
 	}
-	if s.process != act.Process {
-		s.otherProcess = act.Process
+	t := terms[operation.Fence]
+	if t == nil {
+		l.termCount++
+		t = &term{process: operation.Process, first: operation.Mono, last: operation.Mono}
+		terms[operation.Fence] = t
 	}
-	s.first, s.last = min(s.first, act.Mono), max(s.last, act.Mono)
-	return nil
+	return t
 }
 
-// Last is the last act under a duty that was taken.
-func (a *OperationLog) Last(duty string) Operation {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.lastOperation[duty]
+// Last returns the last operation that was accepted under a task; an empty one if there is none.
+func (l *OperationLog) Last(task string) Operation {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.lastOperation[task]
 }
 
-// Analysis is what the acts show.
+// Analysis is what the accepted operations of all tasks show.
 type Analysis struct {
-	Violations   []string      // acts of two terms at one time, or of two processes in one
-	Terms        int           // of all duties
-	Rejected     int           // acts, for their fence
-	Idle         time.Duration // between one term's last act and the next one's first, over all duties
-	Total        time.Duration // from each duty's first act to its last
-	HandoverGaps []time.Duration
+	Violations   []string        // terms that overlap, and tokens that two processes used
+	Terms        int             // of all tasks
+	Rejected     int             // operations, for their fencing token
+	Idle         time.Duration   // from each term's last operation to the next one's first, over all tasks
+	Total        time.Duration   // from the first operation to the last, over all tasks
+	HandoverGaps []time.Duration // that Idle is the sum of; negative where terms overlap
 }
 
-// Analyze looks at all that was taken.
-func (a *OperationLog) Analyze() (analysis Analysis) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	analysis.Rejected = a.rejected
-	for duty, terms := range a.terms {
-		var fences []int64
-		for fence, current := range terms {
-			fences = append(fences, fence)
-			if current.otherProcess != "" {
-				analysis.Violations = append(analysis.Violations, fmt.Sprintf("%s: fence %d was %s's and %s's", duty, fence, current.process, current.otherProcess))
-			}
+// Analyze returns what the operations accepted so far show.
+func (l *OperationLog) Analyze() Analysis {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	analysis := Analysis{Rejected: l.rejected}
+	for task, terms := range l.terms {
+		analysis.addTask(task, terms)
+	}
+	return analysis
+}
+
+// addTask adds what the terms of one task show. There is at least one.
+func (v *Analysis) addTask(task string, terms map[int64]*term) {
+	var fences []int64
+	for fence, t := range terms {
+		fences = append(fences, fence)
+		if t.otherProcess != "" {
+			v.Violations = append(v.Violations, fmt.Sprintf("%s: fence %d was %s's and %s's", task, fence, t.process, t.otherProcess))
 		}
-		slices.Sort(fences)
-		for i, fence := range fences[1:] {
-			previous, next := terms[fences[i]], terms[fence]
-			if next.first <= previous.last {
-				analysis.Violations = append(analysis.Violations, fmt.Sprintf("%s: %s acted under fence %d until %v, %s under %d from %v on",
-					duty, previous.process, fences[i], previous.last, next.process, fence, next.first))
-			}
-			analysis.HandoverGaps = append(analysis.HandoverGaps, next.first-previous.last)
-			analysis.Idle += next.first - previous.last
+	}
+	slices.Sort(fences)
+	for i, fence := range fences[1:] {
+		previous, next := terms[fences[i]], terms[fence]
+		if next.first <= previous.last {
+			v.Violations = append(v.Violations, fmt.Sprintf("%s: %s acted under fence %d until %v, %s under %d from %v on",
+				task, previous.process, fences[i], previous.last, next.process, fence, next.first))
 		}
-		analysis.Terms += len(fences)
-		analysis.Total += terms[fences[len(fences)-1]].last - terms[fences[0]].first
+		gap := next.first - previous.last
+		v.HandoverGaps = append(v.HandoverGaps, gap)
+		v.Idle += gap
 	}
-	return analysis
+	v.Terms += len(fences)
+	v.Total += terms[fences[len(fences)-1]].last - terms[fences[0]].first
 }
 
-// ServeHTTP takes an act as JSON.
-func (a *OperationLog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP accepts an operation as JSON. It answers 400 if that is invalid, and 412 if the
+// operation is not accepted.
+func (l *OperationLog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxOperationBytes))
-	var act Operation
+	var operation Operation
 	if err == nil {
-		err = json.Unmarshal(text, &act)
+		err = json.Unmarshal(text, &operation)
 	}
 	if err != nil {
 		http.Error(w, "act: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := a.Record(act); err != nil {
+	if err := l.Record(operation); err != nil {
 		http.Error(w, err.Error(), http.StatusPreconditionFailed)
 	}
 }
