--- a/internal/lab/client/baseline.go
+++ b/internal/lab/client/baseline.go
@@ -1,11 +1,11 @@
 package client
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net/http"
 	"slices"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -14,16 +14,35 @@
 	"knotrouter/internal/lab/check"
 )
 
-// Policies are the baselines' ways to choose a server.
-var Policies = []string{"random", "round_robin", "least_of_two"}
+// The policies of baselines.
+const (
+	policyRandom     = "random"
+	policyRoundRobin = "round_robin"
+	policyLeastOfTwo = "least_of_two" // the one of two random servers with fewer requests in flight
+)
+
+// Policies are the ways in which a baseline can choose a server.
+var Policies = []string{policyRandom, policyRoundRobin, policyLeastOfTwo}
 
-// Baseline is a plain client-side balancer within the lab, the measure of what the agent
-// is worth. It reads the service's list the moment that the service knows, needs no
-// processor of its own, and tries again, at another server, what may be sent again.
+// ErrUnknownPolicy is the error of a baseline whose policy is not one of Policies.
+var ErrUnknownPolicy = errors.New("unknown baseline")
+
+const (
+	// baselineStream is the stream of the random source that a baseline draws from.
+	baselineStream = 77
+	// maxFirstIndex bounds the drawn index that a round robin begins with.
+	maxFirstIndex = 1 << 20
+	// maxBaselineAttempts is how many servers a baseline sends one request to at most.
+	maxBaselineAttempts = 3
+)
+
+// Baseline is a plain client-side load balancer within the lab, which the agent is compared with.
+// It knows discovery's list without delay, needs no process of its own, and retries at another
+// server what may be sent again. The exported fields are set before NewBaseline.
 type Baseline struct {
 	Policy         string
 	Clock          check.Clock
-	Epoch          time.Time
+	Epoch          time.Time // when the clock was 0
 	Load           *Load
 	ConnectTimeout time.Duration
 	List           func() endpoints.List
@@ -31,28 +50,28 @@
 	mu        sync.Mutex
 	rng       *rand.Rand
 	nextIndex int
-	inFlight  map[string]int
-	pools     map[string]*Pool
+	inFlight  map[string]int   // by address
+	pools     map[string]*Pool // by address
 }
 
-// NewBaseline makes one of the Policies.
+// NewBaseline completes a baseline. It returns ErrUnknownPolicy if its policy is not one of
+// Policies.
 func NewBaseline(b *Baseline, seed uint64) (*Baseline, error) {
 	if !slices.Contains(Policies, b.Policy) {
-		return nil, fmt.Errorf("unknown baseline %q: one of %s", b.Policy, strings.Join(Policies, ", "))
+		return nil, fmt.Errorf("%w %q: one of %s", ErrUnknownPolicy, b.Policy, strings.Join(Policies, ", "))
 	}
-	b.rng = rand.New(rand.NewPCG(seed, 77))
-	b.nextIndex = b.rng.IntN(1 << 20)
+	b.rng = rand.New(rand.NewPCG(seed, baselineStream))
+	b.nextIndex = b.rng.IntN(maxFirstIndex)
 	b.inFlight, b.pools = map[string]int{}, map[string]*Pool{}
 	return b, nil
 }
 
-// maxBaselineAttempts is how many servers it asks at most for one request.
-const maxBaselineAttempts = 3
-
-func (b *Baseline) send(r *check.Request, head http.Header, _ time.Time) response {
-	class := &b.Load.Classes[r.Class]
-	deadline := b.Epoch.Add(r.Deadline) // it words the end itself by then
-	response := response{Answer: check.Answer{Outcome: check.Rejected, At: b.Clock(), NewConnection: true}}
+// send sends a request to up to maxBaselineAttempts servers until one serves it. It waits until the
+// request's own deadline, not as long as the client listens, because it makes up the final answer
+// itself.
+func (b *Baseline) send(r *check.Request, header http.Header, _ time.Time) response {
+	deadline := b.Epoch.Add(r.Deadline)
+	result := response{Answer: check.Answer{Outcome: check.Rejected, At: b.Clock(), NewConnection: true}}
 	attempted := map[string]bool{}
 	for range maxBaselineAttempts {
 		addr, pool := b.choose(attempted)
@@ -60,78 +79,82 @@
 			break
 		}
 		attempted[addr] = true
-		header := head.Clone()
-		header["Request-Timeout"] = []string{strconv.FormatInt(max(time.Until(deadline).Microseconds(), 1), 10) + "u"}
-		response = pool.call(addr, r, header, deadline, b.ConnectTimeout, b.Clock)
+		attemptHeader := header.Clone()
+		attemptHeader["Request-Timeout"] = []string{formatTimeout(time.Until(deadline))}
+		result = pool.call(&call{addr: addr, request: r, header: attemptHeader, deadline: deadline, connectTimeout: b.ConnectTimeout, clock: b.Clock})
 		b.mu.Lock()
 		b.inFlight[addr]--
 		b.mu.Unlock()
-		notExecuted := response.Outcome == check.Unreachable || response.notStarted
-		switch {
-		case response.Outcome == check.Served:
-			return response
-		case notExecuted:
-			response.Outcome = check.Rejected
-		case class.Effect == "single_shot" || class.Effect == "guarded" && class.Group != "all":
-			response.Outcome = check.Failed
-			return response
-		default:
-			response.Outcome = check.Failed
+		if result.Outcome == check.Served {
+			return result
+		}
+		if result.Outcome == check.Unreachable || result.notStarted {
+			result.Outcome = check.Rejected
+			continue
+		}
+		result.Outcome = check.Failed
+		if !b.Load.Classes[r.Class].mayRepeat() {
+			return result
 		}
 	}
-	response.At = b.Clock()
-	return response
+	result.At = b.Clock()
+	return result
 }
 
-// choose picks a server that the list calls ready and that was not tried.
+// choose returns the address and the pool of a ready server that was not attempted, and counts a
+// request in flight there; "" if there is none.
 func (b *Baseline) choose(attempted map[string]bool) (string, *Pool) {
 	list := b.List()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var ready []string
 	for i := range list.Endpoints {
-		if h := &list.Endpoints[i]; h.Health == "ready" && !attempted[h.Dial] {
-			ready = append(ready, h.Dial)
+		if endpoint := &list.Endpoints[i]; endpoint.Health == endpoints.Ready && !attempted[endpoint.Dial] {
+			ready = append(ready, endpoint.Dial)
 		}
 	}
 	if len(ready) == 0 {
 		return "", nil
 	}
-	addr := ready[b.rng.IntN(len(ready))]
+	addr := b.pick(ready)
+	b.inFlight[addr]++
+	if b.pools[addr] == nil {
+		b.pools[addr] = &Pool{}
+	}
+	return addr, b.pools[addr]
+}
+
+// pick returns one of the addresses by the baseline's policy. The caller holds b.mu.
+func (b *Baseline) pick(ready []string) string {
+	addr := ready[b.rng.IntN(len(ready))] // drawn with every policy
 	switch b.Policy {
-	case "round_robin":
+	case policyRoundRobin:
 		b.nextIndex++
-		addr = ready[b.nextIndex%len(ready)]
-	case "least_of_two":
+		return ready[b.nextIndex%len(ready)]
+	case policyLeastOfTwo:
 		if other := ready[b.rng.IntN(len(ready))]; b.inFlight[other] < b.inFlight[addr] {
-			addr = other
+			return other
 		}
 	}
-	b.inFlight[addr]++
-	p := b.pools[addr]
-	if p == nil {
-		p = &Pool{}
-		b.pools[addr] = p
-	}
-	return addr, p
+	return addr
 }
 
-// Opened is how many connections were made to servers.
+// Opened returns how many connections to servers were opened.
 func (b *Baseline) Opened() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var n int64
-	for _, p := range b.pools {
-		n += p.Opened()
+	var opened int64
+	for _, pool := range b.pools {
+		opened += pool.Opened()
 	}
-	return n
+	return opened
 }
 
-// Reset breaks all connections.
+// Reset resets all connections.
 func (b *Baseline) Reset() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, p := range b.pools {
-		p.Reset()
+	for _, pool := range b.pools {
+		pool.Reset()
 	}
 }
--- a/internal/lab/client/call.go
+++ b/internal/lab/client/call.go
@@ -1,170 +1,140 @@
 package client
 
 import (
-	"bufio"
 	"errors"
 	"io"
-	"net"
 	"net/http"
 	"net/url"
 	"os"
 	"strconv"
 	"strings"
-	"sync"
 	"time"
 
 	"knotrouter/internal/lab/check"
-	"knotrouter/internal/lab/loopback"
 )
 
-// maxAnswerBytes bounds the body of an answer.
-const maxAnswerBytes = 64 << 10
-
-// Pool keeps the connections to one address, one request at a time on each.
-type Pool struct {
-	mu     sync.Mutex
-	idle   []*pooledConn
-	all    loopback.Set
-	opened int64
-}
-
-type pooledConn struct {
-	net.Conn
-	r    *bufio.Reader
-	used bool
-}
-
-// maxIdleConnections bounds the connections that are kept though nobody uses them.
-const maxIdleConnections = 64
-
-// Opened is how many connections were made.
-func (p *Pool) Opened() int64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.opened
-}
-
-// Reset breaks all connections, as when the client's process dies.
-func (p *Pool) Reset() {
-	p.mu.Lock()
-	p.idle = nil
-	p.mu.Unlock()
-	p.all.Reset()
-}
+const (
+	// maxAnswerBytes bounds the body of an answer.
+	maxAnswerBytes = 64 << 10
+	// maxRetryAfter is the time from which a Retry-After header is ignored.
+	maxRetryAfter = time.Hour
+)
 
-// get returns a kept connection, or makes one.
-func (p *Pool) get(addr string, deadline time.Time, dialWithin time.Duration, fresh bool) (*pooledConn, error) {
-	p.mu.Lock()
-	if n := len(p.idle); n > 0 && !fresh {
-		c := p.idle[n-1]
-		p.idle = p.idle[:n-1]
-		p.mu.Unlock()
-		return c, nil
-	}
-	p.opened++
-	p.mu.Unlock()
-	nc, err := net.DialTimeout("tcp", addr, min(time.Until(deadline), dialWithin))
-	if err != nil {
-		return nil, err
-	}
-	p.all.Add(nc)
-	return &pooledConn{Conn: nc, r: bufio.NewReader(nc)}, nil
+// call is a request to one address.
+type call struct {
+	addr           string
+	request        *check.Request
+	header         http.Header
+	deadline       time.Time
+	connectTimeout time.Duration
+	clock          check.Clock
 }
 
-func (p *Pool) put(c *pooledConn) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.idle) >= maxIdleConnections {
-		p.drop(c)
-		return
+// httpRequest returns the request as it is written to a connection.
+func (c *call) httpRequest() *http.Request {
+	u, _ := url.ParseRequestURI(c.request.Path)
+	httpRequest := &http.Request{Method: c.request.Method, URL: u, Host: "backend.local", Header: c.header,
+		ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(c.request.Body))}
+	if c.request.Body != "" {
+		httpRequest.Body = io.NopCloser(strings.NewReader(c.request.Body))
 	}
-	p.idle = append(p.idle, c)
-}
-
-func (p *Pool) drop(c *pooledConn) {
-	p.all.Drop(c.Conn)
-	c.Close()
+	return httpRequest
 }
 
-// response is what came back.
+// response is the answer to a call.
 type response struct {
 	check.Answer
-	notStarted bool
-	retryAfter time.Duration
+	notStarted bool          // the server says that it has not begun to execute the request
+	retryAfter time.Duration // 0: not given
 }
 
-// call sends a request once and waits for its answer until the deadline. Should the
-// other side have closed a kept connection under it, unread, it goes out once more on a
-// new one, as the protocol says.
-func (p *Pool) call(addr string, request *check.Request, header http.Header, deadline time.Time, dialWithin time.Duration, clock check.Clock) response {
-	response, retry := p.attempt(addr, request, header, deadline, dialWithin, clock, false)
-	if retry {
-		if all, _ := request.Attempts(); all == 0 {
-			response, _ = p.attempt(addr, request, header, deadline, dialWithin, clock, true)
+// call sends a request and waits for its answer until the deadline. If the other side closes an
+// idle connection while the request is being sent, and no server has received it, the request is
+// sent once more on a new connection, as HTTP allows.
+func (p *Pool) call(c *call) response {
+	result, stale := p.attempt(c, false)
+	if stale {
+		if all, _ := c.request.Attempts(); all == 0 {
+			result, _ = p.attempt(c, true)
 		}
 	}
-	return response
+	return result
 }
 
-func (p *Pool) attempt(addr string, request *check.Request, header http.Header, deadline time.Time, dialWithin time.Duration, clock check.Clock, fresh bool) (response response, retry bool) {
-	response.Outcome = check.Unreachable
-	conn, err := p.get(addr, deadline, dialWithin, fresh)
+// attempt sends a request once. stale says that its connection was closed in order while it was
+// idle, before an answer began.
+func (p *Pool) attempt(c *call, forceNew bool) (result response, stale bool) {
+	result.Outcome = check.Unreachable
+	conn, err := p.get(c.addr, c.deadline, c.connectTimeout, forceNew)
 	if err != nil {
-		response.At = clock()
-		return response, false
+		result.At = c.clock()
+		return result, false
 	}
-	response.NewConnection, response.Outcome = !conn.used, check.Unanswered
+	result.NewConnection, result.Outcome = !conn.used, check.Unanswered
 	conn.used = true
-	_ = conn.SetDeadline(deadline)
-	url, _ := url.ParseRequestURI(request.Path)
-	req := &http.Request{Method: request.Method, URL: url, Host: "backend.local", Header: header,
-		ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(request.Body))}
-	if request.Body != "" {
-		req.Body = io.NopCloser(strings.NewReader(request.Body))
-	}
-	if err := req.Write(conn); err != nil {
+	_ = conn.SetDeadline(c.deadline)
+	httpRequest := c.httpRequest()
+	if err := httpRequest.Write(conn); err != nil {
 		p.drop(conn)
-		response.At, response.Closed = clock(), true
-		return response, !response.NewConnection
+		result.At, result.Closed = c.clock(), true
+		return result, !result.NewConnection
 	}
-	response.Sent = true
-	if _, err := conn.r.Peek(1); err != nil {
+	result.Sent = true
+	if _, err := conn.reader.Peek(1); err != nil {
 		p.drop(conn)
-		response.At, response.Closed = clock(), !errors.Is(err, os.ErrDeadlineExceeded)
-		// Only an end in order can have crossed the request; a reset is a process that died.
-		return response, !response.NewConnection && errors.Is(err, io.EOF)
+		result.At, result.Closed = c.clock(), !errors.Is(err, os.ErrDeadlineExceeded)
+		// A reset, unlike an end in order, means that the other process died.
+		return result, !result.NewConnection && errors.Is(err, io.EOF)
 	}
-	response.Partial = true
-	resp, err := http.ReadResponse(conn.r, req)
+	result.Partial = true
+	p.readResponse(conn, httpRequest, c.clock, &result)
+	return result, false
+}
+
+// readResponse reads a response whose first byte has come, and returns the connection to the pool
+// or closes it.
+func (p *Pool) readResponse(conn *pooledConn, httpRequest *http.Request, clock check.Clock, result *response) {
+	httpResponse, err := http.ReadResponse(conn.reader, httpRequest)
 	var body []byte
 	if err == nil {
-		body, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
-		resp.Body.Close()
+		body, err = io.ReadAll(io.LimitReader(httpResponse.Body, maxAnswerBytes))
+		httpResponse.Body.Close()
 	}
-	response.At = clock()
+	result.At = clock()
 	if err != nil {
 		p.drop(conn)
-		response.Closed = !errors.Is(err, os.ErrDeadlineExceeded)
-		return response, false
+		result.Closed = !errors.Is(err, os.ErrDeadlineExceeded)
+		return
 	}
-	response.Body = string(body)
-	response.notStarted = resp.Header.Get("Not-Started") == "1"
-	if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && seconds > 0 && seconds < 3600 {
-		response.retryAfter = time.Duration(seconds * float64(time.Second))
+	result.Body = string(body)
+	result.Outcome = outcomeOf(httpResponse.StatusCode)
+	result.notStarted = httpResponse.Header.Get("Not-Started") == "1"
+	result.retryAfter = parseRetryAfter(httpResponse.Header.Get("Retry-After"))
+	result.Surplus = conn.reader.Buffered() > 0
+	if httpResponse.Close || result.Surplus {
+		p.drop(conn)
+	} else {
+		p.put(conn)
 	}
-	switch resp.StatusCode {
+}
+
+// outcomeOf returns the outcome of an answer with the status.
+func outcomeOf(status int) check.Outcome {
+	switch status {
 	case http.StatusOK:
-		response.Outcome = check.Served
+		return check.Served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		response.Outcome = check.Rejected
-	default:
-		response.Outcome = check.Failed
+		return check.Rejected
 	}
-	response.Surplus = conn.r.Buffered() > 0
-	if resp.Close || response.Surplus {
-		p.drop(conn)
-	} else {
-		p.put(conn)
+	return check.Failed
+}
+
+// parseRetryAfter parses seconds, with a fraction or without; 0 if they are missing or not
+// sensible.
+func parseRetryAfter(text string) time.Duration {
+	seconds, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(seconds > 0 && seconds < maxRetryAfter.Seconds()) {
+		return 0
 	}
-	return response, false
+	return time.Duration(seconds * float64(time.Second))
 }
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"math"
 	"math/rand/v2"
 	"net/http"
 	"strconv"
@@ -14,86 +15,88 @@
 	"knotrouter/internal/lab/check"
 )
 
-// Result is how one request ended, its retries included.
+// Result is how one request ended, with its retries.
 type Result struct {
 	Agent          int32
 	Class          int16
-	Outcome        check.Outcome
-	InTime         bool
+	Outcome        check.Outcome // of its last attempt
+	InTime         bool          // it was served within its class's target latency
 	ClientAttempts uint8
-	ServerAttempts uint8 // arrivals at servers, over all tries
+	ServerAttempts uint8 // that arrived at servers, over all attempts of the client; 255: that many or more
 	Planned        time.Duration
 	Latency        time.Duration // from the planned time to the end
-	SendDelay      time.Duration // by how much the lab itself sent it too late
+	SendDelay      time.Duration // from the planned time until the lab sent it
 }
 
-// Sender is where a client's requests go: its agent, or a baseline's choice.
+// Sender sends a client's requests: to its agent, or through a baseline.
 type Sender interface {
-	// send sends one try and waits for its answer until the deadline.
-	send(r *check.Request, head http.Header, deadline time.Time) response
-	// opened is how many connections were made to the fleet from here.
+	// send sends one attempt and waits for its answer until the deadline.
+	send(r *check.Request, header http.Header, deadline time.Time) response
+	// Opened returns how many connections were opened.
 	Opened() int64
+	// Reset resets all connections.
 	Reset()
 }
 
-// Env is the world that clients are in.
+// Env is what the clients of a fleet share.
 type Env struct {
 	Clock       check.Clock
-	Epoch       time.Time
+	Epoch       time.Time // when the clock was 0
 	Checker     *check.Checker
 	Load        *Load
-	ListenSlack time.Duration // beyond its deadline a client goes on listening, to judge
-	IDPrefix    string
-	// Finished is told of each request; it is called from many goroutines.
+	ListenSlack time.Duration // how long beyond its deadline a client listens, so that the checker sees late answers
+	IDPrefix    string        // of the requests' IDs
+	// Finished is called with the result of each request, from many goroutines.
 	Finished func(Result)
 }
 
-// Client is the application beside one agent.
+// Client is the application beside one agent. It is safe for concurrent use.
 type Client struct {
 	env         *Env
 	index       int
 	sender      Sender
 	up          atomic.Bool
-	incarnation atomic.Int64
+	incarnation atomic.Int64 // how often it was killed
 	skipped     atomic.Int64
 	attempts    atomic.Int64
-	serial      atomic.Int64
+	serial      atomic.Int64 // of the last request's ID
 	running     sync.WaitGroup
 }
 
-// New makes a client that is down until Up.
+// New returns a client for the agent with an index. It is down until Start.
 func New(env *Env, index int, sender Sender) *Client {
 	return &Client{env: env, index: index, sender: sender}
 }
 
-// Start starts the client's process: from now on it asks.
+// Start starts the client's process: it sends requests from now on.
 func (c *Client) Start() { c.up.Store(true) }
 
-// StopSending makes it ask nothing new; what is under way goes on.
+// StopSending has the client send no new requests. Those in progress go on, but are not retried.
 func (c *Client) StopSending() { c.up.Store(false) }
 
-// Kill ends its process: what is under way is void.
+// Kill ends the client's process. Requests in progress become void.
 func (c *Client) Kill() {
 	c.up.Store(false)
 	c.incarnation.Add(1)
 	c.sender.Reset()
 }
 
-// Counts tells how many arrivals found no process, and how many tries were made.
-func (c *Client) Counts() (skipped, tries int64) { return c.skipped.Load(), c.attempts.Load() }
+// Counts returns how many arrivals were skipped because the client was down, and how many attempts
+// were sent.
+func (c *Client) Counts() (skipped, attempts int64) { return c.skipped.Load(), c.attempts.Load() }
 
-// Run sends each arrival at its time until the context ends, and returns once all that
-// it sent has ended.
+// Run sends a request at the time of each arrival until the context ends, and returns once all
+// requests that it sent have ended. Requests don't wait for each other.
 func (c *Client) Run(ctx context.Context, arrivals []Arrival) {
-	t := time.NewTimer(time.Hour)
-	defer t.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	defer c.running.Wait()
 	for i := range arrivals {
-		a := &arrivals[i]
-		if wait := a.At - c.env.Clock(); wait > 0 {
-			t.Reset(wait)
+		arrival := &arrivals[i]
+		if wait := arrival.At - c.env.Clock(); wait > 0 {
+			timer.Reset(wait)
 			select {
-			case <-t.C:
+			case <-timer.C:
 			case <-ctx.Done():
 				return
 			}
@@ -104,41 +107,37 @@
 			c.skipped.Add(1)
 			continue
 		}
-		c.running.Add(1)
-		go func() {
-			defer c.running.Done()
-			c.runRequest(a, c.env.Clock()-a.At)
-		}()
+		c.running.Go(func() { c.runRequest(arrival, c.env.Clock()-arrival.At) })
 	}
 }
 
-// runRequest plays one request through its tries.
+// runRequest sends a request and its retries, and reports the result.
 func (c *Client) runRequest(a *Arrival, delay time.Duration) {
 	load := c.env.Load
 	class := &load.Classes[a.Class]
 	rng := rand.New(rand.NewPCG(a.Seed, uint64(c.index)))
 	incarnation := c.incarnation.Load()
 	idempotencyKey := ""
-	if class.Effect != "free" {
+	if class.Effect != EffectIdempotent {
 		idempotencyKey = fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64())
 	}
 	result := Result{Agent: int32(c.index), Class: int16(a.Class), Planned: a.At, SendDelay: delay}
-	limit := a.At + class.Deadline // of all tries together
+	deadline := a.At + class.Deadline // of all attempts together
 	for attempt := 0; ; attempt++ {
-		r, response := c.sendAttempt(a, class, idempotencyKey, attempt, limit)
-		all, _ := r.Attempts()
-		result.ServerAttempts = uint8(min(int(result.ServerAttempts)+all, 255))
+		r, response := c.sendAttempt(a, class, idempotencyKey, attempt, deadline)
+		arrived, _ := r.Attempts()
+		result.ServerAttempts = uint8(min(int(result.ServerAttempts)+arrived, math.MaxUint8))
 		result.ClientAttempts++
 		result.Outcome = c.env.Checker.RecordAnswer(r, response.Answer)
 		if c.incarnation.Load() != incarnation {
 			result.Outcome = check.Void
 		}
 		result.Latency = response.At - a.At
-		if result.Outcome == check.Served || attempt >= load.Retries || !retriesAfter(class, result.Outcome) {
+		if result.Outcome == check.Served || attempt >= load.Retries || !class.retriesAfter(result.Outcome) {
 			break
 		}
 		wait := c.backoff(a, attempt, response.retryAfter, rng)
-		if c.env.Clock()+wait >= limit || !c.up.Load() {
+		if c.env.Clock()+wait >= deadline || !c.up.Load() {
 			break
 		}
 		time.Sleep(wait)
@@ -147,17 +146,10 @@
 	c.env.Finished(result)
 }
 
-// retriesAfter tells whether a client tries again by itself.
-func retriesAfter(class *Class, k check.Outcome) bool {
-	switch k {
-	case check.ClientCanceled, check.Void, check.Served:
-		return false
-	case check.Rejected, check.Unreachable:
-		return true
-	}
-	return class.Effect == "free" || class.Effect == "guarded" && class.Group == "all"
-}
+// maxBackoffDoublings bounds how often the exponential backoff doubles.
+const maxBackoffDoublings = 10
 
+// backoff returns the time from the end of an attempt, counted from 0, to the next one.
 func (c *Client) backoff(a *Arrival, attempt int, retryAfter time.Duration, rng *rand.Rand) time.Duration {
 	load := c.env.Load
 	if retryAfter > 0 && a.HonorsRetryAfter {
@@ -167,33 +159,27 @@
 	case "fixed":
 		return load.BackoffBase
 	case "exp":
-		return time.Duration(float64(load.BackoffBase) * float64(int(1)<<min(attempt, 10)) * (0.5 + rng.Float64()))
+		return time.Duration(float64(load.BackoffBase) * float64(int(1)<<min(attempt, maxBackoffDoublings)) * (0.5 + rng.Float64()))
 	}
 	return 0
 }
 
-// sendAttempt sends one sendAttempt under an id of its own.
-func (c *Client) sendAttempt(a *Arrival, class *Class, idem string, index int, limit time.Duration) (*check.Request, response) {
+// sendAttempt sends an attempt, counted from 0, as a request with an ID of its own, and waits for
+// its answer, or until the client cancels it.
+func (c *Client) sendAttempt(a *Arrival, class *Class, idempotencyKey string, attempt int, deadline time.Duration) (*check.Request, response) {
 	now := c.env.Clock()
-	timeout := min(a.AttemptTimeout, limit-now)
-	r := &check.Request{ID: c.env.IDPrefix + strconv.Itoa(c.index) + "-" + strconv.FormatInt(c.serial.Add(1), 36),
-		Agent: c.index, Class: a.Class, Key: a.Key, IdempotencyKey: idem, Method: http.MethodPost,
-		Path: "/" + class.Name + "/" + strconv.FormatUint(a.Key*0x9e3779b97f4a7c15, 16), Work: a.Work, PlannedAt: now, Deadline: now + timeout}
-	header := http.Header{"Request-Id": {r.ID}, "Request-Timeout": {strconv.FormatInt(max(timeout.Microseconds(), 1), 10) + "u"}, "User-Agent": {""}}
-	if class.Effect == "free" {
-		r.Method = http.MethodGet
-	} else {
-		r.Body = strings.Repeat("v", c.env.Load.BodyBytes)
-	}
-	if idem != "" {
-		header["Idempotency-Key"] = []string{idem}
+	timeout := min(a.AttemptTimeout, deadline-now)
+	r := c.newRequest(a, class, idempotencyKey, now, timeout)
+	header := http.Header{"Request-Id": {r.ID}, "Request-Timeout": {formatTimeout(timeout)}, "User-Agent": {""}}
+	if idempotencyKey != "" {
+		header["Idempotency-Key"] = []string{idempotencyKey}
 	}
-	if index > 0 {
+	if attempt > 0 {
 		header["Client-Retry"] = []string{"1"}
 	}
 	c.env.Checker.Add(r)
 	c.attempts.Add(1)
-	cancels := a.CancelAfter > 0 && index == 0
+	cancels := a.CancelAfter > 0 && attempt == 0
 	listenUntil := r.Deadline + c.env.ListenSlack
 	if cancels {
 		listenUntil = now + a.CancelAfter
@@ -205,19 +191,52 @@
 	return r, response
 }
 
-// ToAgent sends to an agent's address.
+// keyMultiplier spreads the keys over the paths: neighbouring keys get paths far apart.
+const keyMultiplier = 0x9e3779b97f4a7c15
+
+// newRequest returns the request of one attempt that is sent now.
+func (c *Client) newRequest(a *Arrival, class *Class, idempotencyKey string, now, timeout time.Duration) *check.Request {
+	r := &check.Request{
+		ID:             c.env.IDPrefix + strconv.Itoa(c.index) + "-" + strconv.FormatInt(c.serial.Add(1), 36),
+		Agent:          c.index,
+		Class:          a.Class,
+		Key:            a.Key,
+		IdempotencyKey: idempotencyKey,
+		Method:         http.MethodPost,
+		Path:           "/" + class.Name + "/" + strconv.FormatUint(a.Key*keyMultiplier, 16),
+		Work:           a.Work,
+		PlannedAt:      now,
+		Deadline:       now + timeout,
+	}
+	if class.Effect == EffectIdempotent {
+		r.Method = http.MethodGet
+	} else {
+		r.Body = strings.Repeat("v", c.env.Load.BodyBytes)
+	}
+	return r
+}
+
+// formatTimeout returns the value of a Request-Timeout header, in microseconds and at least one.
+func formatTimeout(timeout time.Duration) string {
+	return strconv.FormatInt(max(timeout.Microseconds(), 1), 10) + "u"
+}
+
+// agentConnectTimeout bounds opening a connection to an agent.
+const agentConnectTimeout = time.Second
+
+// ToAgent sends requests to an agent.
 type ToAgent struct {
 	Addr  string
 	Clock check.Clock
 	pool  Pool
 }
 
-func (t *ToAgent) send(r *check.Request, head http.Header, deadline time.Time) response {
-	return t.pool.call(t.Addr, r, head, deadline, time.Second, t.Clock)
+func (t *ToAgent) send(r *check.Request, header http.Header, deadline time.Time) response {
+	return t.pool.call(&call{addr: t.Addr, request: r, header: header, deadline: deadline, connectTimeout: agentConnectTimeout, clock: t.Clock})
 }
 
-// Opened is how many connections were made to the agent.
+// Opened returns how many connections to the agent were opened.
 func (t *ToAgent) Opened() int64 { return t.pool.Opened() }
 
-// Reset breaks all connections.
+// Reset resets all connections.
 func (t *ToAgent) Reset() { t.pool.Reset() }
--- a/internal/lab/client/client_test.go
+++ b/internal/lab/client/client_test.go
@@ -1,7 +1,6 @@
 package client
 
 import (
-	"context"
 	"fmt"
 	"math"
 	"net/http"
@@ -21,14 +20,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// testLoad returns a load of two classes, one idempotent and one with idempotency keys.
 func testLoad() *Load {
 	return &Load{Rate: 2000, Keys: 1000, Zipf: 1, AttemptTimeoutShare: []float64{0.5, 1}, HonorShare: 0.5, ImpatientShare: 0.1, AgentCV: 0.5,
 		Classes: []Class{{Name: "a", Share: 3, Work: 10, Distribution: "exp", Deadline: time.Second, Effect: "free"},
 			{Name: "b", Share: 1, Work: 20, Distribution: "lognormal", WorkCV: 1, Deadline: time.Second, Effect: "guarded", Group: "all"}}}
 }
 
-// The seed alone decides what is asked, and adding a change of the load leaves what is
-// outside of it in its law.
+// The seed alone determines the arrivals, they follow the distributions of the load, and a change
+// of the load leaves the arrivals outside of it in their distribution.
 func TestDrawArrivals(t *testing.T) {
 	l := testLoad()
 	const end = 60 * time.Second
@@ -95,7 +95,7 @@
 
 func byLen(a, b []Arrival) int { return len(a) - len(b) }
 
-// The weights of the agents add up to all of the traffic, whatever their number.
+// The weights of the agents add up to 1, whatever their number.
 func TestAgentWeightsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := &Load{AgentCV: rapid.Float64Range(0, 3).Draw(t, "cv")}
@@ -112,7 +112,7 @@
 	})
 }
 
-// scriptedSender answers each try as told.
+// scriptedSender answers the attempts with the given responses in order, then fails them.
 type scriptedSender struct {
 	mu        sync.Mutex
 	clock     check.Clock
@@ -138,6 +138,7 @@
 func (s *scriptedSender) Opened() int64 { return 0 }
 func (s *scriptedSender) Reset()        {}
 
+// responseWith returns the response to a request that was sent and had the outcome.
 func responseWith(k check.Outcome) response {
 	return response{Answer: check.Answer{Outcome: k, Sent: true}}
 }
@@ -154,22 +155,22 @@
 	client := New(&Env{Clock: clock, Epoch: epoch, Load: load, IDPrefix: "t", Checker: check.New(clock, set, []string{"n0"}, nil),
 		Finished: func(r Result) { mu.Lock(); defer mu.Unlock(); results = append(results, r) }}, 0, sender)
 	client.Start()
-	client.Run(context.Background(), arrivals)
+	client.Run(t.Context(), arrivals)
 	return results
 }
 
-// Clients try again as the protocol lets them, each time under a new id, marked, and
-// within the time that the class has for all tries.
+// Clients retry where the protocol allows it, each time with a new ID, marked as a retry, and
+// within the deadline of all attempts together.
 func TestRetriesFollowTheProtocol(t *testing.T) {
 	later := responseWith(check.Rejected)
 	later.retryAfter = 40 * time.Millisecond
 	for _, c := range []struct {
-		name    string
-		class   Class
-		heed    bool
-		replies []response
-		tries   int
-		kind    check.Outcome
+		name      string
+		class     Class
+		honors    bool
+		responses []response
+		attempts  int
+		outcome   check.Outcome
 	}{
 		{"served at once", Class{Effect: "free"}, false, []response{responseWith(check.Served)}, 1, check.Served},
 		{"failed, then served", Class{Effect: "free"}, false, []response{responseWith(check.Failed), responseWith(check.Served)}, 2, check.Served},
@@ -185,30 +186,30 @@
 			l.Retries = 2
 			c.class.Name, c.class.Deadline, c.class.TargetLatency = "a", 10*time.Second, 10*time.Second
 			l.Classes = []Class{c.class}
-			for i := range c.replies { // bodies are judged by the checker's own tests
-				if c.replies[i].Outcome == check.Served {
-					c.replies[i].Body = "x"
+			for i := range c.responses { // the checker's tests check bodies
+				if c.responses[i].Outcome == check.Served {
+					c.responses[i].Body = "x"
 				}
 			}
-			s := &scriptedSender{responses: c.replies}
-			results := runClient(t, l, s, []Arrival{{Class: 0, Key: 1, AttemptTimeout: 5 * time.Second, HonorsRetryAfter: c.heed}})
-			if len(results) != 1 || int(results[0].ClientAttempts) != c.tries || results[0].Outcome != c.kind {
-				t.Fatalf("%+v, want %d tries and %v", results, c.tries, c.kind)
+			s := &scriptedSender{responses: c.responses}
+			results := runClient(t, l, s, []Arrival{{Class: 0, Key: 1, AttemptTimeout: 5 * time.Second, HonorsRetryAfter: c.honors}})
+			if len(results) != 1 || int(results[0].ClientAttempts) != c.attempts || results[0].Outcome != c.outcome {
+				t.Fatalf("%+v, want %d attempts and %v", results, c.attempts, c.outcome)
 			}
 			ids := map[string]bool{}
 			for i, r := range s.requests {
 				ids[r.ID] = true
 				if marked := s.headers[i].Get("Client-Retry") == "1"; marked != (i > 0) {
-					t.Errorf("try %d marked %v", i, marked)
+					t.Errorf("attempt %d marked %v", i, marked)
 				}
 				if i > 0 && r.IdempotencyKey != s.requests[0].IdempotencyKey {
 					t.Error("a retry has another key")
 				}
 			}
-			if len(ids) != c.tries {
-				t.Errorf("%d ids for %d tries", len(ids), c.tries)
+			if len(ids) != c.attempts {
+				t.Errorf("%d ids for %d attempts", len(ids), c.attempts)
 			}
-			if c.heed && results[0].Latency < 40*time.Millisecond {
+			if c.honors && results[0].Latency < 40*time.Millisecond {
 				t.Errorf("came back after %v, told 40 ms", results[0].Latency)
 			}
 		})
@@ -218,12 +219,11 @@
 	l.Backoff, l.BackoffBase = "fixed", 30*time.Millisecond
 	results := runClient(t, l, &scriptedSender{}, []Arrival{{Class: 0, AttemptTimeout: time.Second}})
 	if results[0].ClientAttempts > 6 || results[0].ClientAttempts < 2 {
-		t.Errorf("%d tries 30 ms apart within 150 ms", results[0].ClientAttempts)
+		t.Errorf("%d attempts 30 ms apart within 150 ms", results[0].ClientAttempts)
 	}
 }
 
-// The loop is open: answers that never come hold up no later request, and latency counts
-// from the planned time.
+// Slow answers delay no later request, and latency is counted from the planned time.
 func TestLoadIsAnOpenLoop(t *testing.T) {
 	l := testLoad()
 	l.Classes[0].Deadline = 10 * time.Second
@@ -244,8 +244,7 @@
 	}
 }
 
-// A baseline asks another server where the first never ran it, spreads what it sends,
-// and leaves alone what isn't ready.
+// A baseline spreads its requests over the ready servers, and chooses none that it has attempted.
 func TestBaselinesChooseReadyServers(t *testing.T) {
 	for _, name := range Policies {
 		var list []endpoints.Endpoint
--- /dev/null
+++ b/internal/lab/client/pool.go
@@ -0,0 +1,79 @@
+package client
+
+import (
+	"bufio"
+	"net"
+	"sync"
+	"time"
+
+	"knotrouter/internal/lab/loopback"
+)
+
+// maxIdleConnections bounds the idle connections that a pool keeps open.
+const maxIdleConnections = 64
+
+// Pool keeps the connections to one address, with one request at a time on each. The zero value
+// is empty and ready to use. It is safe for concurrent use.
+type Pool struct {
+	mu     sync.Mutex
+	idle   []*pooledConn
+	all    loopback.Set
+	opened int64
+}
+
+type pooledConn struct {
+	net.Conn
+	reader *bufio.Reader
+	used   bool // a request was sent on it
+}
+
+// Opened returns how many connections were opened, or tried to.
+func (p *Pool) Opened() int64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.opened
+}
+
+// Reset resets all connections, as when the client's process dies.
+func (p *Pool) Reset() {
+	p.mu.Lock()
+	p.idle = nil
+	p.mu.Unlock()
+	p.all.Reset()
+}
+
+// get returns an idle connection, or a new one if there is none or forceNew is set.
+func (p *Pool) get(addr string, deadline time.Time, connectTimeout time.Duration, forceNew bool) (*pooledConn, error) {
+	p.mu.Lock()
+	if n := len(p.idle); n > 0 && !forceNew {
+		conn := p.idle[n-1]
+		p.idle = p.idle[:n-1]
+		p.mu.Unlock()
+		return conn, nil
+	}
+	p.opened++
+	p.mu.Unlock()
+	conn, err := net.DialTimeout("tcp", addr, min(time.Until(deadline), connectTimeout))
+	if err != nil {
+		return nil, err
+	}
+	p.all.Add(conn)
+	return &pooledConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
+}
+
+// put makes a connection idle, or closes it if there are enough.
+func (p *Pool) put(conn *pooledConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.idle) >= maxIdleConnections {
+		p.drop(conn)
+		return
+	}
+	p.idle = append(p.idle, conn)
+}
+
+// drop closes a connection.
+func (p *Pool) drop(conn *pooledConn) {
+	p.all.Drop(conn.Conn)
+	conn.Close()
+}
--- a/internal/lab/experiment/fleet.go
+++ b/internal/lab/experiment/fleet.go
@@ -123,7 +123,7 @@
 		Clear: fl.linkIsClear, Changed: fl.serverChanged}
 	for _, class := range fl.config.Load.Classes {
 		env.Classes = append(env.Classes, class.Name)
-		env.Keyed = append(env.Keyed, class.Effect == "guarded")
+		env.Keyed = append(env.Keyed, class.Effect == client.EffectDeduplicated)
 		env.KeyTTL = append(env.KeyTTL, class.DedupWindow)
 	}
 	for _, config := range configs {
--- a/internal/lab/experiment/validate.go
+++ b/internal/lab/experiment/validate.go
@@ -206,7 +206,7 @@
 			return newKeyError(at+"share and work", "must be above 0")
 		case cl.TargetLatency <= 0 || cl.Deadline < cl.TargetLatency || cl.Deadline > time.Minute:
 			return newKeyError(at+"aim and give_up", "must be above 0, the aim the lower, and at most 1m")
-		case !slices.Contains([]string{"free", "guarded", "single_shot"}, cl.Effect):
+		case !slices.Contains([]string{client.EffectIdempotent, client.EffectDeduplicated, client.EffectNonIdempotent}, cl.Effect):
 			return newKeyError(at+"effect", "must be free, guarded or single_shot, is %q", cl.Effect)
 		case !slices.Contains([]string{"all", "zone", "cell"}, cl.Group):
 			return newKeyError(at+"group", "must be all, zone or cell, is %q", cl.Group)
