--- a/internal/lab/experiment/agents.go
+++ b/internal/lab/experiment/agents.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -81,6 +82,9 @@
 	return agent, nil
 }
 
+// errNoProgram is the error of a command that is no executable file.
+var errNoProgram = errors.New("no program there; build it first")
+
 // findProgram returns the absolute path of the program that a key of the file names. Its error
 // names the key, also if there is no executable file.
 func findProgram(key, command string) (string, error) {
@@ -89,7 +93,7 @@
 		return "", fmt.Errorf("%s: %w", key, err)
 	}
 	if info, err := os.Stat(path); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
-		return "", fmt.Errorf("%s: %s: no program there; build it first", key, command)
+		return "", fmt.Errorf("%s: %s: %w", key, command, errNoProgram)
 	}
 	return path, nil
 }
--- a/internal/lab/experiment/faults.go
+++ b/internal/lab/experiment/faults.go
@@ -15,7 +15,7 @@
 func (fl *fleet) applyServerFault(ctx context.Context, f *Fault, rng *rand.Rand) (int, error) {
 	targets := fl.config.selectTargets(f.Target, rng)
 	interval := time.Duration(0)
-	if f.Kind == "replace" {
+	if f.Kind == faultReplace {
 		interval = f.Interval
 	}
 	offsets := drawPerTarget(targets, rng)
@@ -38,13 +38,13 @@
 // [0, 1), is where in its interval a periodic fault begins.
 func (fl *fleet) faultServer(ctx context.Context, f *Fault, srv *server.Server, offset float64) error {
 	switch f.Kind {
-	case "kill":
+	case faultKill:
 		srv.Kill()
 		fl.waitDuration(ctx, f)
 		if f.Duration > 0 {
 			return fl.restartServer(srv, f)
 		}
-	case "vanish":
+	case faultVanish:
 		if err := srv.Vanish(); err != nil {
 			return err
 		}
@@ -52,24 +52,24 @@
 		if f.Duration > 0 {
 			return srv.Return()
 		}
-	case "drain":
+	case faultDrain:
 		srv.Drain()
 		fl.waitDuration(ctx, f)
 		if f.Duration > 0 {
 			srv.Kill()
 			return fl.restartServer(srv, f)
 		}
-	case "replace":
+	case faultReplace:
 		return fl.replaceServer(ctx, f, srv)
-	case "mute":
+	case faultMute:
 		fl.muteServer(ctx, f, srv)
-	case "slow":
+	case faultSlow:
 		srv.Slow(f.Size)
 		fl.waitDuration(ctx, f)
 		if f.Duration > 0 {
 			srv.Slow(1)
 		}
-	case "neighbour":
+	case faultNeighbour:
 		fl.runNeighbour(ctx, f, srv, offset)
 	default:
 		srv.Spoil(responseFaults(f))
@@ -120,13 +120,13 @@
 // responseFaults returns the faults of responses that a fault of the timeline means.
 func responseFaults(f *Fault) server.Faults {
 	switch f.Kind {
-	case "errors":
+	case faultErrors:
 		return server.Faults{Errors: f.Size}
-	case "resets":
+	case faultResets:
 		return server.Faults{Resets: f.Size}
-	case "lost":
+	case faultLost:
 		return server.Faults{Lost: f.Size}
-	case "spoilt":
+	case faultSpoilt:
 		return server.Faults{Spoilt: f.Size}
 	}
 	return server.Faults{}
@@ -164,18 +164,18 @@
 	targets := fl.config.selectTargets(f.Target, rng)
 	draws := drawPerTarget(targets, rng)
 	interval := time.Duration(0)
-	if f.Kind == "restart" || f.Kind == "hup" {
+	if f.Kind == faultRestart || f.Kind == faultReload {
 		interval = f.Interval
 	}
 	return len(targets), forEachTarget(ctx, targets, interval, func(target int) error {
 		agent := fl.agents[target]
 		switch f.Kind {
-		case "kill":
+		case faultKill:
 			return fl.killAndRestartAgent(ctx, f, agent)
-		case "stop":
+		case faultStop:
 			fl.excusePause(target, f)
 			return fl.pauseProcess(ctx, f, agent.process)
-		case "hup":
+		case faultReload:
 			return fl.reloadAgent(agent)
 		}
 		return fl.restartAgent(ctx, agent, draws[target])
@@ -228,16 +228,16 @@
 func (fl *fleet) applyProcessFault(ctx context.Context, processes []*process.Process, f *Fault, rng *rand.Rand) (int, error) {
 	targets := fl.config.selectTargets(f.Target, rng)
 	interval := time.Duration(0)
-	if f.Kind == "restart" {
+	if f.Kind == faultRestart {
 		interval = f.Interval
 	}
 	return len(targets), forEachTarget(ctx, targets, interval, func(target int) error {
 		p := processes[target]
 		ended := p.Ended()
 		switch f.Kind {
-		case "stop":
+		case faultStop:
 			return fl.pauseProcess(ctx, f, p)
-		case "kill":
+		case faultKill:
 			p.Kill()
 			<-ended
 			fl.waitDuration(ctx, f)
@@ -265,7 +265,7 @@
 	forward, back := linkShapes(f)
 	fl.excuseDiscoveryCut(keys, f, true)
 	err := forEachLink(ctx, links, func(l controllableLink) error {
-		if f.Kind == "refuse" {
+		if f.Kind == faultRefuse {
 			return l.Refuse()
 		}
 		return l.Set(forward, back)
@@ -285,21 +285,21 @@
 func linkShapes(f *Fault) (forward, back link.Shape) {
 	shape := link.Shape{}
 	switch f.Kind {
-	case "cut":
+	case faultCut:
 		shape.Cut = true
-	case "delay":
+	case faultDelay:
 		shape.Delay, shape.Jitter = f.Delay, f.Jitter
-	case "slow":
+	case faultSlow:
 		shape.Rate = f.Size
-	case "reset":
+	case faultReset:
 		shape.ResetAfter = int64(f.Size)
-	case "loss": // of datagrams; a stream is delayed by its retransmissions instead
+	case faultLoss: // of datagrams; a stream is delayed by its retransmissions instead
 		shape.Loss, shape.Delay, shape.Jitter = f.Size, f.Delay, f.Jitter
 	}
-	if f.Direction != "back" {
+	if f.Direction != directionBack {
 		forward = shape
 	}
-	if f.Direction != "forward" {
+	if f.Direction != directionForward {
 		back = shape
 	}
 	return forward, back
@@ -318,7 +318,7 @@
 // excuseDiscoveryCut notifies the checker of agents that a fault cuts off from discovery, or of
 // the end of that.
 func (fl *fleet) excuseDiscoveryCut(keys []linkKey, f *Fault, cut bool) {
-	if f.Kind != "cut" && f.Kind != "refuse" {
+	if f.Kind != faultCut && f.Kind != faultRefuse {
 		return
 	}
 	for _, key := range keys {
--- a/internal/lab/experiment/links.go
+++ b/internal/lab/experiment/links.go
@@ -73,13 +73,13 @@
 
 // linkKeys returns the links that fromIndex fault applies to; none, if it is not fromIndex fault of links.
 func (fl *fleet) linkKeys(f *Fault) []linkKey {
-	if targetKind, err := fl.config.faultTargetKind(f); err != nil || targetKind != "link" {
+	if targetKind, err := fl.config.faultTargetKind(f); err != nil || targetKind != targetLink {
 		return nil
 	}
 	rng := f.rng(fl.seed)
 	var keys []linkKey
 	from := fl.config.selectTargets(f.Target, rng)
-	if targetKind, _ := fl.config.selectorKind(f.To); targetKind == "discovery" {
+	if targetKind, _ := fl.config.selectorKind(f.To); targetKind == targetDiscovery {
 		for _, fromIndex := range from {
 			keys = append(keys, linkKey{linkAgentToDiscovery, fromIndex, discoveryIndex})
 		}
@@ -88,9 +88,9 @@
 	to := fl.config.selectTargets(f.To, rng)
 	kind := linkAgentToServer
 	switch targetKind, _ := fl.config.selectorKind(f.Target); targetKind {
-	case "workers":
+	case targetWorkers:
 		kind = linkWorkerToControlPlane
-	case "stewards":
+	case targetControlPlane:
 		kind = linkControlPlanePeers
 	}
 	for _, fromIndex := range from {
--- a/internal/lab/experiment/parse.go
+++ b/internal/lab/experiment/parse.go
@@ -1,18 +1,12 @@
 package experiment
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"slices"
-	"strings"
-
-	"github.com/go-viper/mapstructure/v2"
-	"github.com/knadh/koanf/parsers/toml/v2"
-	"github.com/knadh/koanf/providers/rawbytes"
-	"github.com/knadh/koanf/v2"
 
 	"knotrouter/internal/lab/client"
+	"knotrouter/internal/lab/configfile"
 )
 
 // Load reads an experiment file. Its error is one line that names the file and the key.
@@ -31,33 +25,18 @@
 	return config, nil
 }
 
-// keySeparator separates the parts of a key within koanf. It occurs in no key, so that keys with
-// a dot stay whole.
-const keySeparator = "\x00"
-
 // Parse reads the text of an experiment file over the defaults. Its error is one line that names
-// the key; it is a *KeyError where the key or its value is invalid.
+// the key; it is a *configfile.KeyError where the key or its value is invalid.
 func Parse(text []byte) (*Config, error) {
-	file := koanf.New(keySeparator)
-	if err := file.Load(rawbytes.Provider(text), toml.Parser()); err != nil {
-		return nil, errors.New(strings.ReplaceAll("no TOML: "+err.Error(), "\n", " "))
+	raw, err := configfile.Parse(text)
+	if err != nil {
+		return nil, err
 	}
-	raw := file.Raw()
 	config := Default()
 	config.prepareLists(raw)
-	var metadata mapstructure.Metadata
-	decoder, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{Result: &config, TagName: "koanf", Metadata: &metadata,
-		DecodeHook: mapstructure.StringToTimeDurationHookFunc()})
-	if err != nil {
+	if err := configfile.Decode(raw, &config); err != nil {
 		return nil, err
 	}
-	if err := decoder.Decode(raw); err != nil {
-		return nil, errors.New(firstLine(err))
-	}
-	if len(metadata.Unused) > 0 {
-		slices.Sort(metadata.Unused)
-		return nil, newKeyError(metadata.Unused[0], "unknown key")
-	}
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
@@ -90,14 +69,3 @@
 	values, ok := entries[list].([]any)
 	return len(values), ok && len(values) > 0
 }
-
-// firstLine returns the first of the decoder's errors, in one line.
-func firstLine(err error) string {
-	text := err.Error()
-	if joined, ok := err.(interface{ Unwrap() []error }); ok && len(joined.Unwrap()) > 0 {
-		text = joined.Unwrap()[0].Error()
-	}
-	text = strings.TrimPrefix(text, "decoding failed due to the following error(s):\n\n")
-	text, _, _ = strings.Cut(text, "\n")
-	return strings.TrimSpace(text)
-}
--- a/internal/lab/experiment/selector.go
+++ b/internal/lab/experiment/selector.go
@@ -32,18 +32,18 @@
 	var err error
 	if head, n, ok := strings.Cut(rest, "#"); ok {
 		if s.count, err = strconv.Atoi(n); err != nil || s.count < 1 {
-			return s, fmt.Errorf("%q: no number above 0 behind #", text)
+			return s, &selectorError{text, "no number above 0 behind #"}
 		}
 		rest = head
 	}
 	if head, p, ok := strings.Cut(rest, "%"); ok {
 		if s.share, err = strconv.ParseFloat(p, 64); err != nil || !(s.share > 0) || s.share > 1 {
-			return s, fmt.Errorf("%q: no share from above 0 to 1 behind %%", text)
+			return s, &selectorError{text, "no share from above 0 to 1 behind %"}
 		}
 		rest = head
 	}
 	rest, s.zone, _ = strings.Cut(rest, "@")
-	if _, known := faultKinds[rest]; known && rest != "link" {
+	if _, known := faultKinds[rest]; known && rest != targetLink {
 		s.kind = rest
 		return s, nil
 	}
@@ -76,36 +76,46 @@
 	if err != nil {
 		return "", err
 	}
-	if s.kind == "stewards" && c.ControlPlane.Count == 0 || s.kind == "workers" && c.LeasedTasks.Count == 0 {
-		return "", fmt.Errorf("%q: there are none in this experiment", text)
+	if s.kind == targetControlPlane && c.ControlPlane.Count == 0 || s.kind == targetWorkers && c.LeasedTasks.Count == 0 {
+		return "", &selectorError{text, "there are none in this experiment"}
 	}
 	if s.zone != "" && !slices.Contains(c.Zones, s.zone) {
-		return "", fmt.Errorf("%q: no zone %q", text, s.zone)
+		return "", &selectorError{text, fmt.Sprintf("no zone %q", s.zone)}
 	}
 	for _, name := range s.names {
 		kind := c.processKind(name)
 		switch {
 		case kind == "":
-			return "", fmt.Errorf("unknown process %q", name)
+			return "", fmt.Errorf("%w %q", errUnknownProcess, name)
 		case s.kind != "" && s.kind != kind:
-			return "", fmt.Errorf("%q: processes of two sorts", text)
+			return "", &selectorError{text, "processes of two sorts"}
 		}
 		s.kind = kind
 	}
 	return s.kind, nil
 }
 
-var errSelectorMissing = errors.New("missing")
+// Errors of selectors.
+var (
+	errSelectorMissing = errors.New("missing")
+	errUnknownProcess  = errors.New("unknown process")
+)
+
+// selectorError is the error of a selector that is invalid or means nothing in its experiment.
+type selectorError struct{ text, problem string }
+
+// Error quotes the selector and says what is wrong with it.
+func (e *selectorError) Error() string { return fmt.Sprintf("%q: %s", e.text, e.problem) }
 
 // processes returns how many processes of a kind there are, and how they are named. All that is
 // not another kind is a server.
 func (c *Config) processes(kind string) (count int, name func(index int) string) {
 	switch kind {
-	case "agents":
+	case targetAgents:
 		return c.Agents.Count, agentName
-	case "stewards":
+	case targetControlPlane:
 		return c.ControlPlane.Count, controlPlaneName
-	case "workers":
+	case targetWorkers:
 		return c.workerCount(), workerName
 	}
 	return c.Servers.Count, serverName
@@ -113,7 +123,7 @@
 
 // processKind returns the kind of the process of that name; "" if there is none.
 func (c *Config) processKind(name string) string {
-	for _, kind := range []string{"servers", "agents", "stewards", "workers"} {
+	for _, kind := range []string{targetServers, targetAgents, targetControlPlane, targetWorkers} {
 		count, nameOf := c.processes(kind)
 		for i := range count {
 			if nameOf(i) == name {
--- a/internal/lab/experiment/timeline.go
+++ b/internal/lab/experiment/timeline.go
@@ -29,9 +29,9 @@
 			to = c.Duration
 		}
 		switch f.Kind {
-		case "burst":
+		case faultBurst:
 			changes = append(changes, client.LoadChange{From: f.At, To: to, Factor: f.Size, RampTime: f.RampTime})
-		case "heavy":
+		case faultHeavy:
 			changes = append(changes, client.LoadChange{From: f.At, To: to, Class: f.Class, HeavyShare: f.Share, WorkFactor: f.Size})
 		}
 	}
@@ -96,29 +96,29 @@
 	}
 	rng := f.rng(fl.seed)
 	switch kind {
-	case "load": // drawn with the arrivals
+	case targetLoad: // drawn with the arrivals
 		fl.waitDuration(ctx, f)
 		return 1, nil
-	case "discovery":
+	case targetDiscovery:
 		fl.discovery.Down()
 		fl.waitDuration(ctx, f)
 		if f.Duration == 0 {
 			return 1, nil
 		}
 		return 1, fl.discovery.Up()
-	case "link":
+	case targetLink:
 		return fl.applyLinkFault(ctx, f)
-	case "agents":
+	case targetAgents:
 		if fl.policy != "" {
 			return 0, nil
 		}
 		return fl.applyAgentFault(ctx, f, rng)
-	case "stewards":
+	case targetControlPlane:
 		if fl.controlPlane == nil {
 			return 0, nil
 		}
 		return fl.controlPlane.applyFault(ctx, f, rng)
-	case "workers":
+	case targetWorkers:
 		if fl.workers == nil {
 			return 0, nil
 		}
--- a/internal/lab/experiment/validate.go
+++ b/internal/lab/experiment/validate.go
@@ -9,34 +9,22 @@
 
 	"knotrouter/internal/catalog"
 	"knotrouter/internal/lab/client"
+	"knotrouter/internal/lab/configfile"
 )
 
-// KeyError is an error in the value of one key of an experiment file.
-type KeyError struct {
-	Key     string // its path in the file, as "load.class[1].effect"
-	Problem string
-}
-
-// Error returns "key: problem", in one line.
-func (e *KeyError) Error() string { return e.Key + ": " + e.Problem }
-
-func newKeyError(key, format string, args ...any) error {
-	return &KeyError{Key: key, Problem: fmt.Sprintf(format, args...)}
-}
-
-// keyCheck is one condition on a key's value.
+// keyCheck is one condition on the value of a key.
 type keyCheck struct {
 	key     string
 	invalid bool
 	problem string
 }
 
-// validate returns a *KeyError for the first key whose value is invalid, or nil.
+// validate returns a *configfile.KeyError for the first key whose value is invalid, or nil.
 func (c *Config) validate() error {
 	for _, check := range slices.Concat(c.runChecks(), c.agentChecks(), c.controlPlaneChecks(), c.taskChecks(), c.serverChecks(),
 		c.loadChecks(), c.ruleChecks(), c.discoveryChecks()) {
 		if check.invalid {
-			return &KeyError{check.key, check.problem}
+			return &configfile.KeyError{Key: check.key, Problem: check.problem}
 		}
 	}
 	for _, step := range []func() error{c.validateMachineTypes, c.validateVersions, c.validateClasses, c.validateFaults, c.validateExpectations} {
@@ -46,7 +34,7 @@
 	}
 	for i, baseline := range c.Baselines {
 		if !slices.Contains(client.Policies, baseline) {
-			return newKeyError(fmt.Sprintf("baselines[%d]", i), "unknown policy %q: one of %s", baseline, strings.Join(client.Policies, ", "))
+			return configfile.NewKeyError(fmt.Sprintf("baselines[%d]", i), "unknown policy %q: one of %s", baseline, strings.Join(client.Policies, ", "))
 		}
 	}
 	return nil
@@ -157,17 +145,17 @@
 		at := fmt.Sprintf("servers.kind[%d].", i)
 		switch {
 		case k.Name == "":
-			return newKeyError(at+"name", "missing")
+			return configfile.NewKeyError(at+"name", "missing")
 		case !(k.Share > 0):
-			return newKeyError(at+"share", "must be above 0, is %v", k.Share)
+			return configfile.NewKeyError(at+"share", "must be above 0, is %v", k.Share)
 		case k.Spec.Cores < 1 || k.Spec.Slots < 1 || k.Spec.Queue < 0 || !(k.Spec.Speed > 0):
-			return newKeyError(at+"spec", "cores, slots and speed must be above 0, queue 0 or above")
+			return configfile.NewKeyError(at+"spec", "cores, slots and speed must be above 0, queue 0 or above")
 		case !isFraction(k.Spec.ColdFrom):
-			return newKeyError(at+"spec.cold_from", "must be 0 to 1, is %v", k.Spec.ColdFrom)
+			return configfile.NewKeyError(at+"spec.cold_from", "must be 0 to 1, is %v", k.Spec.ColdFrom)
 		case !isFraction(k.ErrorRate) || k.Noise < 0 || k.SpeedCV < 0:
-			return newKeyError(at+"error_rate, noise and speed_cv", "must be 0 or above")
+			return configfile.NewKeyError(at+"error_rate, noise and speed_cv", "must be 0 or above")
 		case k.Reports.How != "inline" && k.Reports.How != "on_probe" && k.Reports.How != "off":
-			return newKeyError(at+"reports.how", "must be inline, on_probe or off, is %q", k.Reports.How)
+			return configfile.NewKeyError(at+"reports.how", "must be inline, on_probe or off, is %q", k.Reports.How)
 		}
 	}
 	return nil
@@ -177,19 +165,19 @@
 func (c *Config) validateVersions() error {
 	for i := range c.Versions {
 		if c.Versions[i].Name == "" {
-			return newKeyError(fmt.Sprintf("version[%d].name", i), "missing")
+			return configfile.NewKeyError(fmt.Sprintf("version[%d].name", i), "missing")
 		}
 		for class, p := range c.Versions[i].Errors {
 			if c.classIndex(class) < 0 {
-				return newKeyError(fmt.Sprintf("version[%d].errors", i), "no class %q", class)
+				return configfile.NewKeyError(fmt.Sprintf("version[%d].errors", i), "no class %q", class)
 			}
 			if !isFraction(p) {
-				return newKeyError(fmt.Sprintf("version[%d].errors.%s", i, class), "must be 0 to 1, is %v", p)
+				return configfile.NewKeyError(fmt.Sprintf("version[%d].errors.%s", i, class), "must be 0 to 1, is %v", p)
 			}
 		}
 	}
 	if v := c.Servers.Version; v != "" && c.findVersion(v) == nil {
-		return newKeyError("servers.version", "no version %q", v)
+		return configfile.NewKeyError("servers.version", "no version %q", v)
 	}
 	return nil
 }
@@ -201,34 +189,22 @@
 		at := fmt.Sprintf("load.class[%d].", i)
 		switch {
 		case cl.Name == "" || strings.Contains(cl.Name, "/"):
-			return newKeyError(at+"name", "must be a word without a slash, is %q", cl.Name)
+			return configfile.NewKeyError(at+"name", "must be a word without a slash, is %q", cl.Name)
 		case !(cl.Share > 0) || !(cl.Work > 0):
-			return newKeyError(at+"share and work", "must be above 0")
+			return configfile.NewKeyError(at+"share and work", "must be above 0")
 		case cl.TargetLatency <= 0 || cl.Deadline < cl.TargetLatency || cl.Deadline > time.Minute:
-			return newKeyError(at+"aim and give_up", "must be above 0, the aim the lower, and at most 1m")
+			return configfile.NewKeyError(at+"aim and give_up", "must be above 0, the aim the lower, and at most 1m")
 		case !slices.Contains([]string{client.EffectIdempotent, client.EffectDeduplicated, client.EffectNonIdempotent}, cl.Effect):
-			return newKeyError(at+"effect", "must be free, guarded or single_shot, is %q", cl.Effect)
+			return configfile.NewKeyError(at+"effect", "must be free, guarded or single_shot, is %q", cl.Effect)
 		case !slices.Contains([]string{"all", "zone", "cell"}, cl.Group):
-			return newKeyError(at+"group", "must be all, zone or cell, is %q", cl.Group)
+			return configfile.NewKeyError(at+"group", "must be all, zone or cell, is %q", cl.Group)
 		case !slices.Contains([]string{"exp", "fixed", "lognormal"}, cl.Distribution):
-			return newKeyError(at+"dist", "must be exp, fixed or lognormal, is %q", cl.Distribution)
+			return configfile.NewKeyError(at+"dist", "must be exp, fixed or lognormal, is %q", cl.Distribution)
 		}
 	}
 	return nil
 }
 
-// faultKinds lists the kinds of faults by the kind of their target. A link is meant where a fault
-// has a far end.
-var faultKinds = map[string][]string{
-	"servers":   {"kill", "vanish", "drain", "slow", "neighbour", "errors", "resets", "lost", "spoilt", "replace", "mute"},
-	"agents":    {"kill", "stop", "restart", "hup"},
-	"stewards":  {"kill", "stop", "restart"},
-	"workers":   {"kill", "stop", "restart"},
-	"discovery": {"down"},
-	"load":      {"burst", "heavy"},
-	"link":      {"cut", "refuse", "delay", "slow", "reset", "loss"},
-}
-
 // validateFaults checks the tables "fault".
 func (c *Config) validateFaults() error {
 	names := map[string]bool{"": true, windowAll: true, windowCalm: true}
@@ -236,7 +212,7 @@
 		f := &c.Faults[i]
 		at := fmt.Sprintf("fault[%d].", i)
 		if names[f.Name] {
-			return newKeyError(at+"name", "%q is missing, taken, or a window of its own", f.Name)
+			return configfile.NewKeyError(at+"name", "%q is missing, taken, or a window of its own", f.Name)
 		}
 		names[f.Name] = true
 		if err := c.validateFault(f, at); err != nil {
@@ -254,43 +230,36 @@
 	}
 	switch {
 	case !slices.Contains(faultKinds[kind], f.Kind):
-		return newKeyError(at+"kind", "%q is nothing that is done to %s: one of %s", f.Kind, kind, strings.Join(faultKinds[kind], ", "))
+		return configfile.NewKeyError(at+"kind", "%q is nothing that is done to %s: one of %s", f.Kind, kind, strings.Join(faultKinds[kind], ", "))
 	case f.At < 0 || f.Duration < 0 || f.Interval < 0 || f.Delay < 0 || f.EventDelay < 0 || f.Jitter < 0 || f.Window < 0 || f.RampTime < 0:
-		return newKeyError(at+"at, for, every, delay, jitter, rise and window", "must be 0 or above")
+		return configfile.NewKeyError(at+"at, for, every, delay, jitter, rise and window", "must be 0 or above")
 	case f.AfterEvent == "" && f.At >= c.Duration:
-		return newKeyError(at+"at", "%v is after the end of the run at %v", f.At, c.Duration)
+		return configfile.NewKeyError(at+"at", "%v is after the end of the run at %v", f.At, c.Duration)
 	case f.AfterEvent == "" && f.At+f.Duration > c.Duration:
-		return newKeyError(at+"for", "it would end at %v, after the end of the run at %v", f.At+f.Duration, c.Duration)
+		return configfile.NewKeyError(at+"for", "it would end at %v, after the end of the run at %v", f.At+f.Duration, c.Duration)
 	case f.AfterEvent != "" && f.At > 0:
-		return newKeyError(at+"after", "an event and a time can't both say when")
+		return configfile.NewKeyError(at+"after", "an event and a time can't both say when")
 	case f.Size < 0 || !isFraction(f.Share):
-		return newKeyError(at+"size", "must be 0 or above, and share 0 to 1")
-	case f.Direction != "" && !slices.Contains([]string{"forward", "back", "both"}, f.Direction):
-		return newKeyError(at+"way", "must be forward, back or both, is %q", f.Direction)
+		return configfile.NewKeyError(at+"size", "must be 0 or above, and share 0 to 1")
+	case f.Direction != "" && !slices.Contains([]string{directionForward, directionBack, directionBoth}, f.Direction):
+		return configfile.NewKeyError(at+"way", "must be forward, back or both, is %q", f.Direction)
 	case f.Version != "" && c.findVersion(f.Version) == nil:
-		return newKeyError(at+"version", "no version %q", f.Version)
+		return configfile.NewKeyError(at+"version", "no version %q", f.Version)
 	case f.Class != "" && c.classIndex(f.Class) < 0:
-		return newKeyError(at+"class", "no class %q", f.Class)
-	case c.ControlPlane.Count > 0 && (kind == "discovery" || f.Kind == "hup" && c.ControlPlane.AgentAccess != "all"):
-		return newKeyError(at+"target", "with stewards the stand-in is not there")
-	case f.Kind == "mute" && c.ControlPlane.Count == 0:
-		return newKeyError(at+"kind", "mute is of renewals, and there are no stewards to hear any")
-	case kind == "load" && f.AfterEvent != "":
-		return newKeyError(at+"after", "arrivals are drawn ahead, so a change of the load needs a time")
-	case sizedFaultKinds[f.Kind] && kind != "link" && f.Size == 0 || kind == "link" && sizedLinkFaultKinds[f.Kind] && f.Size == 0:
-		return newKeyError(at+"size", "missing")
+		return configfile.NewKeyError(at+"class", "no class %q", f.Class)
+	case c.ControlPlane.Count > 0 && (kind == targetDiscovery || f.Kind == faultReload && c.ControlPlane.AgentAccess != "all"):
+		return configfile.NewKeyError(at+"target", "with stewards the stand-in is not there")
+	case f.Kind == faultMute && c.ControlPlane.Count == 0:
+		return configfile.NewKeyError(at+"kind", "mute is of renewals, and there are no stewards to hear any")
+	case kind == targetLoad && f.AfterEvent != "":
+		return configfile.NewKeyError(at+"after", "arrivals are drawn ahead, so a change of the load needs a time")
+	case sizedFaultKinds[f.Kind] && kind != targetLink && f.Size == 0 || kind == targetLink && sizedLinkFaultKinds[f.Kind] && f.Size == 0:
+		return configfile.NewKeyError(at+"size", "missing")
 	}
 	return nil
 }
 
-// sizedFaultKinds are the kinds of faults, other than of links, that need a size.
-var sizedFaultKinds = map[string]bool{"slow": true, "neighbour": true, "errors": true, "resets": true, "lost": true,
-	"spoilt": true, "burst": true, "heavy": true}
-
-// sizedLinkFaultKinds are the kinds of faults of links that need a size.
-var sizedLinkFaultKinds = map[string]bool{"slow": true, "reset": true, "loss": true}
-
-// faultTargetKind returns the kind of a fault's target: "link" if it has a far end, or else that of
+// faultTargetKind returns the kind of a fault's target: targetLink if it has a far end, or else that of
 // its selector. Its error names the key within the fault.
 func (c *Config) faultTargetKind(f *Fault) (string, error) {
 	kind, err := c.selectorKind(f.Target)
@@ -304,13 +273,13 @@
 	switch {
 	case err != nil:
 		return "", fmt.Errorf("to: %w", err)
-	case to == "stewards" && (kind == "workers" || kind == "stewards"):
+	case to == targetControlPlane && (kind == targetWorkers || kind == targetControlPlane):
 	case c.ControlPlane.Count > 0:
 		return "", errors.New("to: with stewards, links lead from workers and stewards to stewards: their list has one address for all agents")
-	case kind != "agents" || to != "servers" && to != "discovery":
+	case kind != targetAgents || to != targetServers && to != targetDiscovery:
 		return "", errors.New("to: links lead from agents to servers or to discovery")
 	}
-	return "link", nil
+	return targetLink, nil
 }
 
 // metricNames are the metrics that an expectation can bound.
@@ -327,17 +296,17 @@
 			slices.ContainsFunc(c.Faults, func(f Fault) bool { return f.Name == expectation.Window })
 		switch {
 		case !slices.Contains(metricNames, expectation.Metric):
-			return newKeyError(at+"what", "unknown figure %q: one of %s", expectation.Metric, strings.Join(metricNames, ", "))
+			return configfile.NewKeyError(at+"what", "unknown figure %q: one of %s", expectation.Metric, strings.Join(metricNames, ", "))
 		case expectation.AtLeast == nil && expectation.AtMost == nil:
-			return newKeyError(at+"at_least", "neither it nor at_most is given")
+			return configfile.NewKeyError(at+"at_least", "neither it nor at_most is given")
 		case expectation.Class != "" && c.classIndex(expectation.Class) < 0:
-			return newKeyError(at+"class", "no class %q", expectation.Class)
+			return configfile.NewKeyError(at+"class", "no class %q", expectation.Class)
 		case !windowExists:
-			return newKeyError(at+"window", "no fault %q", expectation.Window)
+			return configfile.NewKeyError(at+"window", "no fault %q", expectation.Window)
 		case expectation.Metric == "recovery_s" && isCommonWindow(expectation.Window):
-			return newKeyError(at+"window", "recovery_s needs the name of a fault")
+			return configfile.NewKeyError(at+"window", "recovery_s needs the name of a fault")
 		case expectation.Metric == "worth_ratio" && !slices.Contains(c.Baselines, expectation.Baseline):
-			return newKeyError(at+"baseline", "no baseline %q in this experiment", expectation.Baseline)
+			return configfile.NewKeyError(at+"baseline", "no baseline %q in this experiment", expectation.Baseline)
 		}
 	}
 	return nil
