--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -78,7 +78,7 @@
 	Epoch   time.Time // the clock's zero
 	Checker *check.Checker
 	Classes []string
-	Keyed   []bool // by class: repeats of a key are dropped for DedupWindow
+	Keyed   []bool // by class: repeats of a key are dropped for KeyTTL
 	KeyTTL  []time.Duration
 	Effects *Effects
 	// Clear tells whether nothing of the lab can have kept back what the agent sent to
