--- a/cmd/lab/mutants.go
+++ b/cmd/lab/mutants.go
@@ -18,7 +18,7 @@
 		Long: "mutants builds the tests of this tree without one mechanism at a time and plays the test that\n" +
 			"stands on it, which has to fail. The tree is not changed. Exit code 1 is a mechanism whose\n" +
 			"test passes without it; it is played from the root of the tree.",
-		Example: "  lab mutants mutants.toml\n  lab mutants experiments/mutants.toml --only 'TestDamagedFolder' --beside 1",
+		Example: "  lab mutants mutants.toml\n  lab mutants experiments/mutants.toml --only 'TestDamagedDataIsRejected' --beside 1",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			all, err := mutant.Load(args[0])
 			if err != nil {
--- a/internal/lab/capacity/roles.go
+++ b/internal/lab/capacity/roles.go
@@ -118,8 +118,8 @@
 
 // Quoted runs of docs/ROADMAP.md.
 const (
-	sourceNotice = "ROADMAP, `BenchmarkNotice`, 50 processes"
-	sourceDuties = "ROADMAP, `BenchmarkDuties`"
+	sourceNotice = "ROADMAP, `BenchmarkFailureDetection`, 50 processes"
+	sourceDuties = "ROADMAP, `BenchmarkLeasedTasks`"
 
 	gossipCoresAtRest   = 0.005
 	gossipNoticeP99     = 3.76
