--- a/cmd/controlplane/tasks_test.go
+++ b/cmd/controlplane/tasks_test.go
@@ -147,6 +147,7 @@
 	workers := cluster.startWorkers(3, 10)
 	workers.defineTask("work.a", taskTTL)
 	operation := workers.waitForOperation("work.a", "", 0)
+	workers.waitForSessions() // a task can't be moved to a process without one
 	for i := range 10 {
 		var to string
 		for _, name := range workers.names {
--- a/cmd/controlplane/workers_test.go
+++ b/cmd/controlplane/workers_test.go
@@ -194,6 +194,28 @@
 	}
 }
 
+// waitForSessions waits until the control plane has a session of every process of the group.
+func (workers *workerGroup) waitForSessions() {
+	cluster := workers.cluster
+	cluster.t.Helper()
+	cluster.waitUntil("every worker has a session", func() bool {
+		sessions, err := cluster.client(cluster.names...).Sessions(cluster.t.Context())
+		if err != nil {
+			return false
+		}
+		open := map[string]bool{}
+		for _, session := range sessions {
+			open[session.Process] = true
+		}
+		for _, name := range workers.names {
+			if !open[name] {
+				return false
+			}
+		}
+		return true
+	})
+}
+
 // commandTask sends an operator's command to a task. The process to move it to may be empty.
 func (workers *workerGroup) commandTask(name, command, to string) error {
 	cluster := workers.cluster
