--- a/cmd/controlplane/gossipgroup_test.go
+++ b/cmd/controlplane/gossipgroup_test.go
@@ -58,7 +58,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return peers, json.Unmarshal(text, &peers)
+	if err := json.Unmarshal(text, &peers); err != nil {
+		return nil, err
+	}
+	return peers, nil
 }
 
 func memberConfig(log *slog.Logger, peers map[string]string) gossip.Config {
