--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -214,6 +214,12 @@
 	}
 	l.conns.Add(a)
 	l.conns.Add(b)
+	select {
+	case <-l.closed: // Close may have reset all connections before these two were among them
+		loopback.Reset(a)
+		loopback.Reset(b)
+	default:
+	}
 	var both sync.WaitGroup
 	both.Add(2)
 	go func() { defer both.Done(); l.pump(a, b, l.forward) }()
