--- a/cmd/agent/syscallfault_test.go
+++ b/cmd/agent/syscallfault_test.go
@@ -155,7 +155,12 @@
 	p := startFaulty(t, "accept4:ENFILE", programConfig(listen, "127.0.0.1:1", s.Listener.Addr().String(), 1024), false)
 	waitReady(t, listen, p.stderr)
 	p.setFaults(true)
-	go func() { _, _ = postKey(listen, "u1", "3000m") }()
+	sending := make(chan struct{}) // a goroutine that starts late must not count as time in the queue
+	go func() {
+		close(sending)
+		_, _ = postKey(listen, "u1", "3000m")
+	}()
+	<-sending
 	const queued = 600 * time.Millisecond
 	time.Sleep(queued)
 	p.setFaults(false)
