--- a/cmd/controlplane/claims_test.go
+++ b/cmd/controlplane/claims_test.go
@@ -29,6 +29,9 @@
 
 	// maxRepeatedCalls bounds the calls that are sent twice: the checker tries each both ways.
 	maxRepeatedCalls = 10
+
+	claimHistoryFaults   = 4
+	claimHistoryMaxPause = 450 * time.Millisecond // before each fault
 )
 
 // Kinds of operations on a task.
@@ -204,10 +207,7 @@
 	for _, session := range sessions {
 		history.clients.Go(func() { session.run(ctx) })
 	}
-	for range 4 {
-		time.Sleep(time.Duration(150+rng.IntN(300)) * time.Millisecond)
-		cluster.injectFault(rng)
-	}
+	cluster.injectFaults(rng, claimHistoryFaults, claimHistoryMaxPause, history.isLongEnough)
 	cancel()
 	history.clients.Wait()
 	history.check(t)
@@ -247,12 +247,19 @@
 	return sessions
 }
 
+// isLongEnough reports whether the history has enough operations of each kind for a verdict.
+func (h *claimHistory) isLongEnough() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	counts := h.counts
+	return counts["claimtrue"] >= 10 && counts["claimfalse"] >= 10 && counts["give uptrue"] >= 5 && counts["readtrue"] >= 10 && h.repeated >= 5
+}
+
 // check requires that the history is long enough and linearizable, and that no session ended.
 func (h *claimHistory) check(t *testing.T) {
 	t.Helper()
-	counts := h.counts
-	if counts["claimtrue"] < 10 || counts["claimfalse"] < 10 || counts["give uptrue"] < 5 || counts["readtrue"] < 10 || h.repeated < 5 {
-		t.Errorf("too few operations for a verdict: %v, %d calls sent twice", counts, h.repeated)
+	if !h.isLongEnough() {
+		t.Errorf("too few operations for a verdict: %v, %d calls sent twice", h.counts, h.repeated)
 	}
 	if h.endedSessions > 0 {
 		t.Errorf("%d calls were rejected as their session had ended, though it was renewed", h.endedSessions)
--- a/cmd/controlplane/linearizability_test.go
+++ b/cmd/controlplane/linearizability_test.go
@@ -24,6 +24,7 @@
 
 const (
 	overrideHistoryFaults   = 7
+	overrideHistoryMaxPause = 550 * time.Millisecond // before each fault
 	overrideHistoryClients  = 4
 	overrideHistoryKeys     = 3
 	pauseAfterRejection     = 5 * time.Millisecond
@@ -139,6 +140,13 @@
 	h.counts[input.kind]++
 }
 
+// isLongEnough reports whether the history has enough operations of each kind for a verdict.
+func (h *overrideHistory) isLongEnough() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.counts[readOperation] >= 20 && h.counts[writeOperation] >= 20 && h.counts[compareAndSetOperation] >= 5
+}
+
 // run makes random operations, each at a random server, until the context ends. A call that was begun is
 // ended, so that its outcome is known.
 func (h *overrideHistory) run(ctx context.Context, cluster *testCluster, client int, rng *rand.Rand) {
@@ -228,13 +236,10 @@
 			history.run(ctx, cluster, client+1, rand.New(rand.NewPCG(seed, uint64(client))))
 		})
 	}
-	for range overrideHistoryFaults {
-		time.Sleep(time.Duration(150+rng.IntN(400)) * time.Millisecond)
-		cluster.injectFault(rng)
-	}
+	cluster.injectFaults(rng, overrideHistoryFaults, overrideHistoryMaxPause, history.isLongEnough)
 	cancel()
 	clients.Wait()
-	if history.counts[readOperation] < 20 || history.counts[writeOperation] < 20 || history.counts[compareAndSetOperation] < 5 {
+	if !history.isLongEnough() {
 		t.Errorf("too few operations for a verdict: %v", history.counts)
 	}
 	switch result, _ := porcupine.CheckOperationsVerbose(overrideModel, resolveUnknownOutcomes(history.operations), waitTimeout); result {
--- a/cmd/controlplane/taskschedules_test.go
+++ b/cmd/controlplane/taskschedules_test.go
@@ -118,6 +118,25 @@
 	}
 }
 
+const (
+	minFaultPause = 150 * time.Millisecond
+	// maxHistoryFaults bounds the faults of a recorded history. A busy machine needs more of them than
+	// an idle one before the clients have made enough operations for a verdict.
+	maxHistoryFaults = 24
+)
+
+// injectFaults injects random faults into the servers, one after the other: as many as count says, and
+// then more until isLongEnough reports that the history recorded meanwhile allows a verdict. Before each
+// fault it pauses between minFaultPause and maxPause.
+func (cluster *testCluster) injectFaults(rng *rand.Rand, count int, maxPause time.Duration, isLongEnough func() bool) {
+	cluster.t.Helper()
+	spread := int((maxPause - minFaultPause).Milliseconds())
+	for injected := 0; injected < count || injected < maxHistoryFaults && !isLongEnough(); injected++ {
+		time.Sleep(minFaultPause + time.Duration(rng.IntN(spread))*time.Millisecond)
+		cluster.injectFault(rng)
+	}
+}
+
 // injectFault injects one random fault into a server, mostly into the leader, and ends it.
 func (cluster *testCluster) injectFault(rng *rand.Rand) {
 	cluster.t.Helper()
