--- a/cmd/controlplane/bench_test.go
+++ b/cmd/controlplane/bench_test.go
@@ -63,7 +63,7 @@
 
 // usage returns the processor time and the memory that a server has used.
 func (cluster *testCluster) usage(name string) (cpu time.Duration, rssMB float64) {
-	use, _, _ := cluster.servers[name].proc.Look()
+	use, _, _ := cluster.servers[name].proc.SampleUsage()
 	return use.CPU, use.RSSMB
 }
 
--- a/cmd/controlplane/failuredetection_test.go
+++ b/cmd/controlplane/failuredetection_test.go
@@ -61,7 +61,7 @@
 	const rest = 10 * time.Second
 	totalCPU := func() (cpu time.Duration) {
 		for _, p := range group.processes {
-			use, _, _ := p.Look()
+			use, _, _ := p.SampleUsage()
 			cpu += use.CPU
 		}
 		return cpu
--- a/cmd/controlplane/membershipfaults_test.go
+++ b/cmd/controlplane/membershipfaults_test.go
@@ -120,20 +120,20 @@
 }
 
 func loseAndDelayDatagrams(t *testing.T, e *membershipEnvironment) {
-	e.shapeAll(link.Shape{Loss: 0.2, Delay: 5 * time.Millisecond, Jitter: 100 * time.Millisecond})
+	e.shapeAll(link.Shape{LossShare: 0.2, Delay: 5 * time.Millisecond, Jitter: 100 * time.Millisecond})
 	time.Sleep(faultDuration(t, 8*time.Second))
 	e.shapeAll(link.Shape{})
 	e.requireNeverFailed(t, e.names...)
 }
 
 func loseManyDatagrams(t *testing.T, e *membershipEnvironment) {
-	e.shapeAll(link.Shape{Loss: 0.4, Jitter: 200 * time.Millisecond})
+	e.shapeAll(link.Shape{LossShare: 0.4, Jitter: 200 * time.Millisecond})
 	time.Sleep(faultDuration(t, 8*time.Second))
 	e.shapeAll(link.Shape{})
 }
 
 func duplicateDatagrams(t *testing.T, e *membershipEnvironment) {
-	e.shapeAll(link.Shape{Twice: 0.5, Jitter: 60 * time.Millisecond})
+	e.shapeAll(link.Shape{DuplicateShare: 0.5, Jitter: 60 * time.Millisecond})
 	time.Sleep(faultDuration(t, 6*time.Second))
 	e.shapeAll(link.Shape{})
 	e.requireNeverFailed(t, e.names...)
--- a/cmd/controlplane/tasks_test.go
+++ b/cmd/controlplane/tasks_test.go
@@ -133,7 +133,7 @@
 			_ = nearest.Refuse()
 			return func() {
 				_ = nearest.Set(link.Shape{}, link.Shape{})
-				_ = nearest.Target(link.Open)
+				_ = nearest.SetTargetAvailability(link.Open)
 			}
 		}},
 	}
--- a/cmd/lab/formats_test.go
+++ b/cmd/lab/formats_test.go
@@ -42,7 +42,7 @@
 	{"summary-keys.golden", "json", []any{experiment.Summary{}}},
 	{"result-keys.golden", "json", []any{capacity.Results{}}},
 	{"state-keys.golden", "json", []any{experiment.Progress{}, experiment.Machine{}, check.Operation{}, check.Breach{},
-		hollow.AgentsState{}, hollow.ServersState{}, hollow.Rates{}, hollow.Range{}, hollow.Registered{}, process.Use{}}},
+		hollow.AgentsState{}, hollow.ServersState{}, hollow.Rates{}, hollow.Range{}, hollow.Registered{}, process.Usage{}}},
 }
 
 func TestGoldenFileKeys(t *testing.T) {
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -116,7 +116,7 @@
 			fmt.Fprintln(out, "broke:", b)
 		}
 	}
-	fmt.Fprintln(out, report.Verdict(s))
+	fmt.Fprintln(out, report.ResultLine(s))
 	if !s.Passed {
 		return errBroke
 	}
--- a/internal/lab/cost/cell.go
+++ b/internal/lab/cost/cell.go
@@ -134,8 +134,8 @@
 	return (usage(agent).CPU - before.CPU).Seconds() / time.Since(began).Seconds(), nil
 }
 
-func usage(agent *process.Process) process.Use {
-	now, _, _ := agent.Look()
+func usage(agent *process.Process) process.Usage {
+	now, _, _ := agent.SampleUsage()
 	return now
 }
 
@@ -155,7 +155,7 @@
 	c.load = summarize(outcomes)
 	c.peakRSSMB, err = agent.PeakRSSMB()
 	if err != nil && !agent.Runs() {
-		c.Broke = append(c.Broke, "the agent ended: "+agent.Tail())
+		c.Broke = append(c.Broke, "the agent ended: "+agent.LastLogLine())
 		return nil
 	}
 	return err
--- a/internal/lab/experiment/agents.go
+++ b/internal/lab/experiment/agents.go
@@ -108,7 +108,7 @@
 	known := fl.initialList(agent)
 	config := map[string]any{
 		"name": agentName(agent.index), "listen": agent.address, "discovery": agent.discoveryAddr,
-		"seed":   fmt.Sprintf("%016x", fl.seed*1_000_003+uint64(agent.index*64+agent.process.Life())),
+		"seed":   fmt.Sprintf("%016x", fl.seed*1_000_003+uint64(agent.index*64+agent.process.StartCount())),
 		"limits": map[string]any{"cores": fl.config.Agents.Cores, "memory_mb": fl.config.Agents.MemoryMB, "sockets": fl.config.Agents.Sockets},
 		"known":  known, "settings": settings}
 	if fl.controlPlane != nil {
@@ -192,7 +192,7 @@
 	if i < 0 {
 		fl.events.record("process " + p.Name + " ended")
 		if !expected {
-			fl.checker.ReportBreach(check.RuleCrash, -1, p.Name+": "+p.Tail())
+			fl.checker.ReportBreach(check.RuleCrash, -1, p.Name+": "+p.LastLogLine())
 		}
 		return
 	}
@@ -202,7 +202,7 @@
 		if err != nil {
 			text = err.Error()
 		}
-		fl.checker.ReportBreach(check.RuleCrash, i, text+": "+p.Tail())
+		fl.checker.ReportBreach(check.RuleCrash, i, text+": "+p.LastLogLine())
 		fl.checker.AgentKilled(i)
 		fl.clients[i].Kill()
 	}
--- a/internal/lab/experiment/fleet.go
+++ b/internal/lab/experiment/fleet.go
@@ -217,7 +217,7 @@
 	}
 	for agent := range fl.config.Agents.Count {
 		if l := fl.links[linkKey{linkAgentToServer, agent, srv.Index}]; l != nil {
-			if err := l.Target(target); err != nil {
+			if err := l.SetTargetAvailability(target); err != nil {
 				fl.events.record("link failed: " + err.Error())
 			}
 		}
--- a/internal/lab/experiment/links.go
+++ b/internal/lab/experiment/links.go
@@ -116,7 +116,7 @@
 // twice the longest request.
 func (fl *fleet) linkIsClear(agent, server int) bool {
 	l := fl.links[linkKey{linkAgentToServer, agent, server}]
-	return l == nil || l.Plain(2*fl.maxRequestDuration())
+	return l == nil || l.ClearFor(2*fl.maxRequestDuration())
 }
 
 // linkedAddress returns the address at which a process reaches a control-plane server: that of a
--- a/internal/lab/experiment/samples.go
+++ b/internal/lab/experiment/samples.go
@@ -80,7 +80,7 @@
 
 // checkLimits reports a breach if an agent uses more than its limits allow.
 func (fl *fleet) checkLimits(agent *agentProcess) {
-	usage, _, killed := agent.process.Look()
+	usage, _, killed := agent.process.SampleUsage()
 	if killed {
 		fl.checker.ReportBreach(check.RuleLimit, agent.index, fmt.Sprintf("killed at %.0f MB of at most %.0f", usage.RSSMB, fl.config.Agents.MemoryMB))
 	}
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -259,7 +259,7 @@
 	}
 	t.DuplicatesDropped, t.DuplicatedEffects = fl.effects.Counts()
 	for _, a := range fl.agents {
-		_, peak, _ := a.process.Look()
+		_, peak, _ := a.process.SampleUsage()
 		t.AgentPeakRSSMB = max(t.AgentPeakRSSMB, peak.RSSMB)
 		t.AgentPeakFDs = max(t.AgentPeakFDs, peak.Descriptors)
 		t.AgentCPUSeconds += peak.CPU.Seconds()
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -17,21 +17,21 @@
 
 // Shape is what one direction of a link does with what goes along it.
 type Shape struct {
-	Cut        bool          // nothing arrives; on a stream it is held until this ends
-	Delay      time.Duration // before it arrives
-	Jitter     time.Duration // up to this on top, drawn for each piece
-	Rate       float64       // bytes a second; 0: any
-	ResetAfter int64         // a connection breaks once it has carried so many bytes; 0: never
-	Loss       float64       // share of the datagrams that are dropped; streams lose nothing
-	Twice      float64       // share of the datagrams that arrive twice
+	Cut            bool          // nothing arrives; on a stream it is held until this ends
+	Delay          time.Duration // before it arrives
+	Jitter         time.Duration // up to this on top, drawn for each piece
+	Rate           float64       // bytes a second; 0: any
+	ResetAfter     int64         // a connection breaks once it has carried so many bytes; 0: never
+	LossShare      float64       // share of the datagrams that are dropped; streams lose nothing
+	DuplicateShare float64       // share of the datagrams that arrive twice
 }
 
-// Up is what new connections meet.
-type Up uint8
+// Availability is what new connections meet.
+type Availability uint8
 
 // The ways in which a link takes connections.
 const (
-	Open Up = iota
+	Open Availability = iota
 	Refused
 	Silent
 )
@@ -119,14 +119,14 @@
 	once    sync.Once
 
 	mu     sync.Mutex
-	own    Up        // what the link does by a fault
-	theirs Up        // what its target does
-	shaped time.Time // when a fault began or ended last
+	own    Availability // what the link does by a fault
+	theirs Availability // what its target does
+	shaped time.Time    // when a fault began or ended last
 	faulty bool
 }
 
-// Plain tells whether the link has held nothing back for at least so long.
-func (l *Link) Plain(d time.Duration) bool {
+// ClearFor tells whether the link has held nothing back for at least so long.
+func (l *Link) ClearFor(d time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.faulty && time.Since(l.shaped) >= d
@@ -176,9 +176,9 @@
 	return err
 }
 
-// Target is told what connections to the target itself meet: a relay that took them
+// SetTargetAvailability is told what connections to the target itself meet: a relay that took them
 // where the target refuses would make a failed connect look like a reset.
-func (l *Link) Target(up Up) error {
+func (l *Link) SetTargetAvailability(up Availability) error {
 	err := l.meet(&l.theirs, up)
 	if up == Refused {
 		l.conns.Reset()
@@ -186,7 +186,7 @@
 	return err
 }
 
-func (l *Link) meet(which *Up, up Up) error {
+func (l *Link) meet(which *Availability, up Availability) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	*which = up
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -117,7 +117,7 @@
 				c.Close()
 				t.Fatal("a connection came up over a cut link")
 			}
-			if l.Plain(0) {
+			if l.ClearFor(0) {
 				t.Error("a cut link counts as plain")
 			}
 			set(t, l, Shape{}, Shape{})
@@ -125,7 +125,7 @@
 				t.Fatalf("after the cut: %d and %v, want what was sent in it", got, err)
 			}
 			expect(t, "a new one after", dial(t, l), 3)
-			if !l.Plain(0) || l.Plain(time.Hour) {
+			if !l.ClearFor(0) || l.ClearFor(time.Hour) {
 				t.Error("a healed link is plain from then on")
 			}
 		})
@@ -169,13 +169,13 @@
 			t.Fatalf("%s: %v and %v", what, c, err)
 		}
 	}
-	if err := l.Target(Refused); err != nil {
+	if err := l.SetTargetAvailability(Refused); err != nil {
 		t.Fatal(err)
 	}
 	refused("a dead target")
 	set(t, l, Shape{Cut: true}, Shape{})
 	refused("a dead target over a cut link")
-	if err := l.Target(Open); err != nil {
+	if err := l.SetTargetAvailability(Open); err != nil {
 		t.Fatal(err)
 	}
 	if c, err := net.DialTimeout("tcp", l.Addr(), never); err == nil {
@@ -267,7 +267,7 @@
 			t.Errorf("sender %d heard %q", i, got)
 		}
 	}
-	for name, way := range map[string][2]Shape{"cut": {{Cut: true}, {}}, "cut back": {{}, {Cut: true}}, "lost": {{Loss: 1}, {}}} {
+	for name, way := range map[string][2]Shape{"cut": {{Cut: true}, {}}, "cut back": {{}, {Cut: true}}, "lost": {{LossShare: 1}, {}}} {
 		u.Set(way[0], way[1])
 		before := u.Dropped.Load()
 		if got := ask(two[0], name, never); got != "" {
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -154,12 +154,12 @@
 func (u *UDP) carry(s *side, data []byte, send func([]byte)) {
 	u.Datagrams.Add(1)
 	sh := s.shape.Load()
-	if sh.Cut || sh.Loss > 0 && s.lose(sh.Loss) {
+	if sh.Cut || sh.LossShare > 0 && s.lose(sh.LossShare) {
 		u.Dropped.Add(1)
 		return
 	}
 	u.fly(s, data, send)
-	if sh.Twice > 0 && s.lose(sh.Twice) {
+	if sh.DuplicateShare > 0 && s.lose(sh.DuplicateShare) {
 		u.fly(s, data, send)
 	}
 }
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -32,8 +32,8 @@
 	MemoryMB float64
 }
 
-// Use is what a process used at a moment.
-type Use struct {
+// Usage is what a process used at a moment.
+type Usage struct {
 	RSSMB       float64       `json:"rss_mb"`
 	Descriptors int           `json:"descriptors"`
 	CPU         time.Duration `json:"cpu_ns"`
@@ -70,8 +70,8 @@
 	ended  chan struct{} // closed when the present run has ended
 	wanted bool
 	life   int
-	peak   Use
-	last   Use
+	peak   Usage
+	last   Usage
 	spent  time.Duration // processor time of the runs before
 }
 
@@ -164,7 +164,7 @@
 	p.cmd, p.log, p.wanted, p.ended = cmd, log, false, make(chan struct{})
 	p.life++
 	p.spent += p.last.CPU
-	p.last = Use{}
+	p.last = Usage{}
 	p.sup.wait.Add(1)
 	go p.reap(cmd, log, p.ended)
 	return nil
@@ -213,8 +213,8 @@
 	return p.ended
 }
 
-// Life counts the starts.
-func (p *Process) Life() int {
+// StartCount counts the starts.
+func (p *Process) StartCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.life
@@ -270,15 +270,15 @@
 		select {
 		case <-t.C:
 		case <-ended:
-			return fmt.Errorf("process %s: it ended before it was ready: %s", p.Name, p.Tail())
+			return fmt.Errorf("process %s: it ended before it was ready: %s", p.Name, p.LastLogLine())
 		case <-ctx.Done():
 			return fmt.Errorf("process %s: not ready: %w", p.Name, ctx.Err())
 		}
 	}
 }
 
-// Tail is the last line that the process wrote.
-func (p *Process) Tail() string {
+// LastLogLine is the last line that the process wrote.
+func (p *Process) LastLogLine() string {
 	text, err := os.ReadFile(p.Log)
 	if err != nil {
 		return err.Error()
@@ -287,9 +287,9 @@
 	return string(text[bytes.LastIndexByte(text, '\n')+1:])
 }
 
-// Look reads what the process uses now, and returns it with the most it ever used. A
+// SampleUsage reads what the process uses now, and returns it with the most it ever used. A
 // process over its memory is killed, as the platform does, and said to be over.
-func (p *Process) Look() (now, peak Use, over bool) {
+func (p *Process) SampleUsage() (now, peak Usage, over bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.runs() {
@@ -309,8 +309,8 @@
 	return u, p.peak, over
 }
 
-func read(pid int) (Use, error) {
-	var u Use
+func read(pid int) (Usage, error) {
+	var u Usage
 	dir := "/proc/" + strconv.Itoa(pid)
 	statm, err := os.ReadFile(dir + "/statm")
 	if err != nil {
--- a/internal/lab/process/process_test.go
+++ b/internal/lab/process/process_test.go
@@ -102,7 +102,7 @@
 	if err := p.Start(); err == nil {
 		t.Error("started twice at once")
 	}
-	use, _, _ := p.Look()
+	use, _, _ := p.SampleUsage()
 	if use.RSSMB <= 1 || use.Descriptors < 3 {
 		t.Errorf("uses %+v", use)
 	}
@@ -142,12 +142,12 @@
 	if e := <-ends; e.wanted {
 		t.Error("a crash counts as wanted")
 	}
-	if p.Life() != 2 || p.Runs() {
-		t.Errorf("life %d, runs %v", p.Life(), p.Runs())
+	if p.StartCount() != 2 || p.Runs() {
+		t.Errorf("life %d, runs %v", p.StartCount(), p.Runs())
 	}
 	p.MemoryMB = 1
 	start()
-	if _, _, over := p.Look(); !over {
+	if _, _, over := p.SampleUsage(); !over {
 		t.Error("a process over its memory is not seen")
 	}
 	<-ends
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -65,8 +65,8 @@
 	return &s, nil
 }
 
-// Verdict is the last line of a run, in the form that scripts read.
-func Verdict(s *experiment.Summary) string {
+// ResultLine is the last line of a run, in the form that scripts read.
+func ResultLine(s *experiment.Summary) string {
 	if s.Passed {
 		return fmt.Sprintf("%s seed %d: held", s.Name, s.Seed)
 	}
@@ -133,7 +133,7 @@
 // Page is the report as a page.
 func Page(s *experiment.Summary, plots []string) ([]byte, error) {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "# %s\n\n%s\n\n`%s`\n\n", s.Name, strings.TrimSpace(s.Description), Verdict(s))
+	fmt.Fprintf(&b, "# %s\n\n%s\n\n`%s`\n\n", s.Name, strings.TrimSpace(s.Description), ResultLine(s))
 	fmt.Fprintf(&b, "%d agents, %d servers, %g requests a second for %g s. Agent build %s; %d processors, %s, Linux %s.\n\n",
 		s.Agents, s.Servers, s.RequestRate, s.DurationSeconds, s.Build, s.Machine.CPUs, s.Machine.Go, s.Machine.Kernel)
 	for _, broke := range s.Violations {
@@ -218,7 +218,7 @@
 
 // Compare writes two results side by side.
 func Compare(w io.Writer, a, b *experiment.Summary) error {
-	fmt.Fprintf(w, "A: %s, agent build %s\nB: %s, agent build %s\n", Verdict(a), a.Build, Verdict(b), b.Build)
+	fmt.Fprintf(w, "A: %s, agent build %s\nB: %s, agent build %s\n", ResultLine(a), a.Build, ResultLine(b), b.Build)
 	if a.Name != b.Name || a.Seed != b.Seed {
 		fmt.Fprintln(w, "They are not the same experiment and seed: their faults and arrivals differ.")
 	}
--- a/internal/lab/scale/beside_test.go
+++ b/internal/lab/scale/beside_test.go
@@ -215,8 +215,8 @@
 
 	read, did := readRealAgent(t, f.log("agent-1")), state()
 	realTraffic, hollowTraffic := through[0].read(), through[1].read()
-	realUse, _, _ := realAgent.Look()
-	hollowUse, _, _ := hollowProcess.Look()
+	realUse, _, _ := realAgent.SampleUsage()
+	hollowUse, _, _ := hollowProcess.SampleUsage()
 	t.Logf("%-10s %12s %12s %12s", "", "real", "hollow", "difference")
 	for _, row := range []struct {
 		name         string
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -193,7 +193,7 @@
 	}
 	_, ok := poll(ctx, startWithin, func() bool { return f.leader(ctx) >= 0 })
 	if !ok {
-		return errors.Join(ctx.Err(), fmt.Errorf("stewards: no leader within %v: %s", startWithin, f.stewards[0].Tail()))
+		return errors.Join(ctx.Err(), fmt.Errorf("stewards: no leader within %v: %s", startWithin, f.stewards[0].LastLogLine()))
 	}
 	return nil
 }
@@ -490,7 +490,7 @@
 	total := 0.0
 	for _, p := range f.supervisor.All() {
 		if p.Runs() {
-			now, _, _ := p.Look()
+			now, _, _ := p.SampleUsage()
 			total += now.RSSMB
 		}
 	}
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -66,7 +66,7 @@
 	}
 	s.at = time.Now()
 	for _, p := range f.supervisor.All() {
-		_, peak, _ := p.Look()
+		_, peak, _ := p.SampleUsage()
 		s.cpu[p] = peak.CPU // of all its runs
 	}
 	return s, nil
@@ -102,7 +102,7 @@
 }
 
 func residentMB(p *process.Process) float64 {
-	now, _, _ := p.Look()
+	now, _, _ := p.SampleUsage()
 	return now.RSSMB
 }
 
