--- a/internal/lab/process/process_test.go
+++ b/internal/lab/process/process_test.go
@@ -17,21 +17,21 @@
 	"time"
 )
 
-// TestMain makes the test binary a child, or a supervisor of one, when it is started so.
+// The first arguments that have the test binary act as another program.
+const (
+	serveCommand     = "child"     // ADDRESS: answer every HTTP request there
+	superviseCommand = "supervise" // FOLDER: start a child, print its process ID and wait
+	failCommand      = "fail"      // write two lines to stderr and exit
+)
+
+// TestMain runs the tests, or the program that the first argument names.
 func TestMain(m *testing.M) {
 	switch {
-	case len(os.Args) == 3 && os.Args[1] == "child":
+	case len(os.Args) == 3 && os.Args[1] == serveCommand:
 		_ = http.ListenAndServe(os.Args[2], http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	case len(os.Args) == 3 && os.Args[1] == "supervise":
-		s := New(nil)
-		p := s.Add(spec("grandchild", os.Args[2], freeAddr()))
-		if err := p.Start(); err != nil {
-			fmt.Println(err)
-			os.Exit(1)
-		}
-		fmt.Println(p.cmd.Process.Pid)
-		select {}
-	case len(os.Args) == 2 && os.Args[1] == "fail":
+	case len(os.Args) == 3 && os.Args[1] == superviseCommand:
+		superviseChild(os.Args[2])
+	case len(os.Args) == 2 && os.Args[1] == failCommand:
 		fmt.Fprintln(os.Stderr, "first line\nno such luck")
 		os.Exit(3)
 	default:
@@ -39,8 +39,21 @@
 	}
 }
 
-const soon = 30 * time.Second
+// superviseChild starts a child, prints its process ID and waits to be killed.
+func superviseChild(dir string) {
+	p := New(nil).Add(childSpec("grandchild", dir, freeAddr()))
+	if err := p.Start(); err != nil {
+		fmt.Println(err)
+		os.Exit(1)
+	}
+	fmt.Println(p.cmd.Process.Pid)
+	select {}
+}
+
+// waitTimeout bounds every wait for something that should happen.
+const waitTimeout = 30 * time.Second
 
+// freeAddr returns an address that nothing listens at.
 func freeAddr() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,151 +63,207 @@
 	return l.Addr().String()
 }
 
-func spec(name, dir, addr string) Spec {
+// childSpec returns the spec of the test binary as an HTTP server at addr.
+func childSpec(name, dir, addr string) Spec {
 	exe, _ := os.Executable()
-	return Spec{Name: name, Path: exe, Args: []string{"child", addr}, Log: filepath.Join(dir, name+".log"), ReadyURL: "http://" + addr + "/"}
+	return Spec{Name: name, Path: exe, Args: []string{serveCommand, addr}, Log: filepath.Join(dir, name+".log"), ReadyURL: "http://" + addr + "/"}
 }
 
-func gone(t *testing.T, pid int) {
+// newSupervisor returns a supervisor that is closed at the end of the test.
+func newSupervisor(t *testing.T, onExit ExitFunc) *Supervisor {
 	t.Helper()
-	for end := time.Now().Add(soon); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		state, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
-		if errors.Is(err, os.ErrNotExist) || strings.Contains(string(state), ") Z") {
-			return
-		}
+	s := New(onExit)
+	t.Cleanup(s.Close)
+	return s
+}
+
+// waitContext returns a context that ends after waitTimeout, or with the test.
+func waitContext(t *testing.T) context.Context {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
+	t.Cleanup(cancel)
+	return ctx
+}
+
+// start starts a process.
+func start(t *testing.T, p *Process) {
+	t.Helper()
+	if err := p.Start(); err != nil {
+		t.Fatal(err)
 	}
-	t.Fatalf("process %d still runs", pid)
 }
 
-func stopped(t *testing.T, pid int) {
+// startReady starts a process and waits until it is ready.
+func startReady(t *testing.T, p *Process) {
 	t.Helper()
-	for end := time.Now().Add(soon); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if state, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat"); err == nil && strings.Contains(string(state), ") T") {
-			return
-		}
+	start(t, p)
+	if err := p.WaitReady(waitContext(t)); err != nil {
+		t.Fatal(err)
 	}
-	t.Fatalf("process %d does not stand still", pid)
-}
-
-// A process is started, is ready, stands still, goes on, ends on its signal, and is
-// started again under its name; its ends are told with who wanted them.
-func TestLife(t *testing.T) {
-	type end struct{ wanted bool }
-	ends := make(chan end, 10)
-	s := New(func(_ *Process, _ error, wanted bool) { ends <- end{wanted} })
-	defer s.Close()
-	p := s.Add(spec("p", t.TempDir(), freeAddr()))
-	ctx, cancel := context.WithTimeout(context.Background(), soon)
-	defer cancel()
-	if err := p.Signal(syscall.SIGTERM); err == nil {
-		t.Error("a signal to nobody is no error")
-	}
-	start := func() {
-		t.Helper()
-		if err := p.Start(); err != nil {
-			t.Fatal(err)
-		}
-		if err := p.WaitReady(ctx); err != nil {
-			t.Fatal(err)
-		}
+}
+
+// sendSignal sends a signal to a process that runs.
+func sendSignal(t *testing.T, p *Process, sig syscall.Signal) {
+	t.Helper()
+	if err := p.Signal(sig); err != nil {
+		t.Fatal(err)
 	}
-	start()
-	if err := p.Start(); err == nil {
-		t.Error("started twice at once")
+}
+
+// processState returns the state letter of a process as /proc shows it, "" if there is none.
+func processState(t *testing.T, pid int) string {
+	t.Helper()
+	stat, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
+	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ESRCH) {
+		return ""
 	}
-	use, _, _ := p.SampleUsage()
-	if use.RSSMB <= 1 || use.Descriptors < 3 {
-		t.Errorf("uses %+v", use)
+	if err != nil {
+		t.Fatal(err)
 	}
-	answers := func(within time.Duration) bool {
-		c := http.Client{Timeout: within, Transport: &http.Transport{DisableKeepAlives: true}}
-		resp, err := c.Get(p.ReadyURL)
-		if err == nil {
-			resp.Body.Close()
+	_, fields, _ := strings.Cut(string(stat), ") ")
+	return fields[:1]
+}
+
+// waitForState waits until a process is in one of the states.
+func waitForState(t *testing.T, pid int, states ...string) {
+	t.Helper()
+	var state string
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		state = processState(t, pid)
+		for _, wanted := range states {
+			if state == wanted {
+				return
+			}
 		}
-		return err == nil
 	}
-	if err := p.Signal(syscall.SIGSTOP); err != nil {
-		t.Fatal(err)
+	t.Fatalf("process %d is in state %q, want one of %q", pid, state, states)
+}
+
+// waitUntilEnded waits until a process has ended, reaped or not.
+func waitUntilEnded(t *testing.T, pid int) {
+	t.Helper()
+	waitForState(t, pid, "", "Z")
+}
+
+// answers reports whether a process answers an HTTP request within a time.
+func answers(p *Process, within time.Duration) bool {
+	client := http.Client{Timeout: within, Transport: &http.Transport{DisableKeepAlives: true}}
+	resp, err := client.Get(p.ReadyURL)
+	if err == nil {
+		resp.Body.Close()
 	}
-	// The signal is sent, not yet obeyed, when the call returns.
-	stopped(t, p.cmd.Process.Pid)
-	if answers(200 * time.Millisecond) {
-		t.Error("a stopped process answers")
+	return err == nil
+}
+
+// A process that does not run takes no signal and is not waited for; one that runs is not started
+// again.
+func TestCallsNeedTheRightState(t *testing.T) {
+	p := newSupervisor(t, nil).Add(childSpec("p", t.TempDir(), freeAddr()))
+	if err := p.Signal(syscall.SIGTERM); !errors.Is(err, ErrNotRunning) {
+		t.Errorf("a signal to a process that does not run: %v", err)
 	}
-	if err := p.Signal(syscall.SIGCONT); err != nil {
-		t.Fatal(err)
+	if err := p.WaitReady(waitContext(t)); !errors.Is(err, ErrNotStarted) {
+		t.Errorf("waited for a process that was not started: %v", err)
+	}
+	startReady(t, p)
+	if err := p.Start(); !errors.Is(err, ErrRunning) {
+		t.Errorf("started twice at once: %v", err)
+	}
+}
+
+// A process stands still after SIGSTOP and goes on after SIGCONT.
+func TestStoppedProcessGoesOn(t *testing.T) {
+	p := newSupervisor(t, nil).Add(childSpec("p", t.TempDir(), freeAddr()))
+	startReady(t, p)
+	sendSignal(t, p, syscall.SIGSTOP)
+	waitForState(t, p.cmd.Process.Pid, "T") // the signal is sent, not yet obeyed, when Signal returns
+	if answers(p, 200*time.Millisecond) {
+		t.Error("a stopped process answers")
 	}
-	if !answers(soon) {
+	sendSignal(t, p, syscall.SIGCONT)
+	if !answers(p, waitTimeout) {
 		t.Error("a process that goes on does not answer")
 	}
-	if err := p.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
+}
+
+// The end of a run is reported as expected if the lab asked for it, and as unexpected after a crash
+// or a kill for too much memory. A process can be started again after each.
+func TestEndsAreReported(t *testing.T) {
+	ends := make(chan bool, 10) // whether the end was expected
+	s := newSupervisor(t, func(_ *Process, _ error, expected bool) { ends <- expected })
+	p := s.Add(childSpec("p", t.TempDir(), freeAddr()))
+
+	startReady(t, p)
+	usage, _, _ := p.SampleUsage()
+	if usage.RSSMB <= 1 || usage.Descriptors < 3 {
+		t.Errorf("uses %+v", usage)
 	}
-	if e := <-ends; !e.wanted {
+	sendSignal(t, p, syscall.SIGTERM)
+	if expected := <-ends; !expected {
 		t.Error("an end by SIGTERM counts as a crash")
 	}
-	start()
-	// Killed by somebody else: nobody wanted that.
+
+	startReady(t, p)
+	// Killed by another than the supervisor, as in a crash.
 	if err := syscall.Kill(p.cmd.Process.Pid, syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
-	if e := <-ends; e.wanted {
-		t.Error("a crash counts as wanted")
+	if expected := <-ends; expected {
+		t.Error("a crash counts as expected")
 	}
 	if p.StartCount() != 2 || p.Runs() {
-		t.Errorf("life %d, runs %v", p.StartCount(), p.Runs())
+		t.Errorf("started %d times, runs %v", p.StartCount(), p.Runs())
 	}
+
 	p.MemoryMB = 1
-	start()
-	if _, _, over := p.SampleUsage(); !over {
-		t.Error("a process over its memory is not seen")
+	startReady(t, p)
+	if _, _, killed := p.SampleUsage(); !killed {
+		t.Error("a process over its memory is not killed")
+	}
+	if expected := <-ends; expected {
+		t.Error("a kill for too much memory counts as expected")
 	}
-	<-ends
 }
 
+// A process that ends before it is ready is reported with the last line of its log, and a program
+// that is missing with the process's name.
 func TestFailsBeforeReady(t *testing.T) {
-	s := New(nil)
-	defer s.Close()
-	sp := spec("f", t.TempDir(), freeAddr())
-	sp.Args = []string{"fail"}
-	p := s.Add(sp)
-	if err := p.Start(); err != nil {
-		t.Fatal(err)
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), soon)
-	defer cancel()
-	if err := p.WaitReady(ctx); err == nil || !strings.Contains(err.Error(), "no such luck") {
-		t.Errorf("said %v, want the last line of its log", err)
+	s := newSupervisor(t, nil)
+	spec := childSpec("f", t.TempDir(), freeAddr())
+	spec.Args = []string{failCommand}
+	p := s.Add(spec)
+	start(t, p)
+	err := p.WaitReady(waitContext(t))
+	if ended := new(EndedError); !errors.As(err, &ended) || !strings.Contains(err.Error(), "no such luck") {
+		t.Errorf("got %v, want the last line of its log", err)
 	}
-	none := s.Add(Spec{Name: "none", Path: "/nowhere/program", Log: filepath.Join(t.TempDir(), "l")})
-	if err := none.Start(); err == nil || !strings.Contains(err.Error(), "process none") {
+	missing := s.Add(Spec{Name: "none", Path: "/nowhere/program", Log: filepath.Join(t.TempDir(), "l")})
+	if err := missing.Start(); err == nil || !strings.Contains(err.Error(), "process none") {
 		t.Errorf("a missing program: %v", err)
 	}
 }
 
-// No process outlives its supervisor: not its Close, though one stands still, and not
-// its own death.
-func TestNoneIsLeft(t *testing.T) {
-	s := New(nil)
+// Close ends all processes, also one that is stopped by a signal.
+func TestCloseEndsAllProcesses(t *testing.T) {
+	s := newSupervisor(t, nil)
 	dir := t.TempDir()
 	var pids []int
 	for i := range 3 {
-		p := s.Add(spec(fmt.Sprint("c", i), dir, freeAddr()))
-		if err := p.Start(); err != nil {
-			t.Fatal(err)
-		}
+		p := s.Add(childSpec(fmt.Sprint("c", i), dir, freeAddr()))
+		start(t, p)
 		pids = append(pids, p.cmd.Process.Pid)
 	}
-	if err := s.All()[1].Signal(syscall.SIGSTOP); err != nil {
-		t.Fatal(err)
-	}
+	sendSignal(t, s.All()[1], syscall.SIGSTOP)
 	s.Close()
 	for _, pid := range pids {
-		gone(t, pid)
+		waitUntilEnded(t, pid)
 	}
+}
+
+// A process ends with its supervisor's process, even if that is killed.
+func TestProcessEndsWithKilledSupervisor(t *testing.T) {
 	exe, _ := os.Executable()
-	cmd := exec.Command(exe, "supervise", dir)
+	cmd := exec.Command(exe, superviseCommand, t.TempDir())
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -205,9 +274,9 @@
 	line, _ := bufio.NewReader(out).ReadString('\n')
 	pid, err := strconv.Atoi(strings.TrimSpace(line))
 	if err != nil {
-		t.Fatalf("the supervisor said %q", line)
+		t.Fatalf("the supervisor printed %q", line)
 	}
 	_ = cmd.Process.Kill()
 	_ = cmd.Wait()
-	gone(t, pid)
+	waitUntilEnded(t, pid)
 }
