--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -15,186 +15,254 @@
 	"knotrouter/internal/lab/experiment"
 )
 
-// series is one line of a plot.
-type series struct {
-	name string
-	of   func(p *experiment.Point) float64
+// figure is one of a point's figures, drawn as a line under a name.
+type figure struct {
+	name  string
+	value func(p *experiment.Point) float64
 }
 
-// picture is one plot: lines of the agents' lane, and of the others where all is set.
-type picture struct {
+// plotSpec describes one plot of a report.
+type plotSpec struct {
 	file, title, unit string
-	lines             []series
-	baselines         bool    // the first line of each baseline as well
-	top               float64 // of the axis; 0: by the figures
-	log               bool
+	figures           []figure // of the agents
+	baselines         bool     // the first figure of each baseline is drawn too
+	maxY              float64  // the end of the Y axis; 0: as high as the figures need
+	logScale          bool     // of the Y axis
 }
 
-var pictures = []picture{
-	{file: "served.png", title: "Share of requests by outcome", unit: "share", baselines: true, top: 1.02, lines: []series{
+// plotSpecs are the plots of a report, in the order of its page.
+var plotSpecs = []plotSpec{
+	{file: "served.png", title: "Share of requests by outcome", unit: "share", baselines: true, maxY: 1.02, figures: []figure{
 		{"served in time", func(p *experiment.Point) float64 { return p.ServedShare }},
 		{"refused", func(p *experiment.Point) float64 { return p.RejectedShare }}}},
-	{file: "latency.png", title: "Latency of served requests", unit: "ms", log: true, lines: []series{
+	{file: "latency.png", title: "Latency of served requests", unit: "ms", logScale: true, figures: []figure{
 		{"p50", func(p *experiment.Point) float64 { return p.P50Ms }},
 		{"p99", func(p *experiment.Point) float64 { return p.P99Ms }}}},
-	{file: "attempts.png", title: "Requests asked and attempts at servers", unit: "a second", lines: []series{
+	{file: "attempts.png", title: "Requests asked and attempts at servers", unit: "a second", figures: []figure{
 		{"asked", func(p *experiment.Point) float64 { return float64(p.Requests) }},
 		{"attempts", func(p *experiment.Point) float64 { return p.AttemptsPerSecond }}}},
-	{file: "connections.png", title: "Connections to servers", unit: "count", lines: []series{
+	{file: "connections.png", title: "Connections to servers", unit: "count", figures: []figure{
 		{"open", func(p *experiment.Point) float64 { return float64(p.OpenConnections) }},
 		{"opened a second", func(p *experiment.Point) float64 { return p.ConnectionsPerSecond }}}},
-	{file: "list.png", title: "Calls for the list, and probes", unit: "a second", lines: []series{
+	{file: "list.png", title: "Calls for the list, and probes", unit: "a second", figures: []figure{
 		{"list calls", func(p *experiment.Point) float64 { return p.ListCallsPerSecond }},
 		{"probes", func(p *experiment.Point) float64 { return p.ProbesPerSecond }}}},
-	{file: "servers.png", title: "Servers that are not themselves, and agents", unit: "count", lines: []series{
+	{file: "servers.png", title: "Servers that are not themselves, and agents", unit: "count", figures: []figure{
 		{"cold", func(p *experiment.Point) float64 { return float64(p.WarmingUp) }},
 		{"choked", func(p *experiment.Point) float64 { return float64(p.Overloaded) }},
 		{"down", func(p *experiment.Point) float64 { return float64(p.Down) }},
 		{"agents up", func(p *experiment.Point) float64 { return float64(p.Agents) }}}},
 }
 
-var colours = []color.RGBA{
+// The size of a plot.
+const (
+	plotWidth  = 26 * vg.Centimeter
+	plotHeight = 11 * vg.Centimeter
+)
+
+// lineColors are the colors of a plot's lines, in order and over again.
+var lineColors = []color.RGBA{
 	{R: 0x1f, G: 0x77, B: 0xb4, A: 0xff}, {R: 0xd6, G: 0x27, B: 0x28, A: 0xff}, {R: 0x2c, G: 0xa0, B: 0x2c, A: 0xff},
 	{R: 0x94, G: 0x67, B: 0xbd, A: 0xff}, {R: 0xff, G: 0x7f, B: 0x0e, A: 0xff}, {R: 0x7f, G: 0x7f, B: 0x7f, A: 0xff},
 }
 
-// Plots draws the pictures into a folder and returns their files.
+// The colors of a fault's band, its left edge and its name.
+var (
+	faultBandColor  = color.NRGBA{R: 0xf2, G: 0xc0, B: 0x5a, A: 0x50}
+	faultEdgeColor  = color.RGBA{R: 0xc0, G: 0x90, B: 0x20, A: 0xff}
+	faultLabelColor = color.RGBA{R: 0x70, G: 0x55, B: 0x10, A: 0xff}
+)
+
+// baselineDashes are the lengths of the dashes and gaps of a baseline's line.
+var baselineDashes = []vg.Length{vg.Points(4), vg.Points(2)}
+
+// Plots draws the plots of a summary, which has at least one fleet, into a folder. It returns the
+// paths of their files; on an error, of those that were drawn before it.
 func Plots(dir string, s *experiment.Summary) ([]string, error) {
 	var files []string
-	for i := range pictures {
-		file := filepath.Join(dir, pictures[i].file)
-		if err := pictures[i].draw(file, s); err != nil {
-			return files, fmt.Errorf("plot %s: %w", pictures[i].file, err)
+	for i := range plotSpecs {
+		spec := &plotSpecs[i]
+		file := filepath.Join(dir, spec.file)
+		if err := spec.draw(file, s); err != nil {
+			return files, fmt.Errorf("plot %s: %w", spec.file, err)
 		}
 		files = append(files, file)
 	}
 	return files, nil
 }
 
-func (pic *picture) draw(file string, s *experiment.Summary) error {
-	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s: %s (seed %d)", s.Name, pic.title, s.Seed)
-	p.X.Label.Text, p.Y.Label.Text = "seconds", pic.unit
-	p.X.Min, p.X.Max = 0, s.DurationSeconds
-	// Shares run along the top and the bottom, so their legend stands between.
-	p.Legend.Top, p.Legend.Left = pic.top == 0, true
-	if pic.top > 0 {
-		p.Legend.YOffs = 2 * vg.Centimeter
-	}
-	p.Legend.Padding = vg.Points(2)
-	p.X.Tick.Marker, p.Y.Tick.Marker = ticks{}, ticks{}
-	p.Add(plotter.NewGrid())
-	top := pic.top
+// draw draws the plot into a file. Faults come first, so that the lines are above them.
+func (spec *plotSpec) draw(file string, s *experiment.Summary) error {
 	agents := &s.Fleets[0]
-	lowest := math.Inf(1)
-	for _, l := range pic.lines {
-		for i := range agents.Series {
-			y := l.of(&agents.Series[i])
-			if pic.top == 0 {
-				top = max(top, y*(1.05+0.1*float64(len(pic.lines)))) // the legend stands above the lines
-			}
-			if y > 0 {
-				lowest = min(lowest, y)
-			}
-		}
+	c := spec.newChart(s, agents.Series)
+	if err := c.addFaults(s.Faults); err != nil {
+		return err
 	}
-	low := 0.0
-	if pic.log {
-		low, top = 1, max(top, 10)*2
-		if lowest < 1 {
-			low = lowest
+	for _, f := range spec.figures {
+		if err := c.addLine(f.name, f, agents.Series, nil); err != nil {
+			return err
 		}
-		p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	}
-	if top <= low {
-		top = low + 1
-	}
-	n := 0
-	for i := range s.Faults {
-		if s.Faults[i].BeganSeconds >= 0 {
-			if err := mark(p, &s.Faults[i], low, top, n); err != nil {
+	if spec.baselines {
+		for i := range s.Fleets[1:] {
+			baseline := &s.Fleets[i+1]
+			if err := c.addLine(baseline.Name, spec.figures[0], baseline.Series, baselineDashes); err != nil {
 				return err
 			}
-			n++
 		}
 	}
-	for i, l := range pic.lines {
-		if err := line(p, l, agents.Series, l.name, i, nil, low); err != nil {
-			return err
-		}
+	c.Y.Min, c.Y.Max = c.minY, c.maxY
+	return c.Save(plotWidth, plotHeight, file)
+}
+
+// chart is a plot that is being drawn.
+type chart struct {
+	*plot.Plot
+	minY, maxY float64 // of the Y axis
+	logScale   bool    // of the Y axis
+	lines      int     // that were asked for so far
+	faults     int     // that were drawn so far
+}
+
+// newChart returns the chart of a run with its title, axes and legend, but without lines.
+func (spec *plotSpec) newChart(s *experiment.Summary, agents []experiment.Point) *chart {
+	c := &chart{Plot: plot.New(), logScale: spec.logScale}
+	c.Title.Text = fmt.Sprintf("%s: %s (seed %d)", s.Name, spec.title, s.Seed)
+	c.X.Label.Text, c.Y.Label.Text = "seconds", spec.unit
+	c.X.Min, c.X.Max = 0, s.DurationSeconds
+	// Shares run along the top and the bottom, so their legend stands between.
+	c.Legend.Top, c.Legend.Left = spec.maxY == 0, true
+	if spec.maxY > 0 {
+		c.Legend.YOffs = 2 * vg.Centimeter
 	}
-	if pic.baselines {
-		for i := range s.Fleets[1:] {
-			lane := &s.Fleets[i+1]
-			if err := line(p, pic.lines[0], lane.Series, lane.Name, len(pic.lines)+i, []vg.Length{vg.Points(4), vg.Points(2)}, low); err != nil {
-				return err
+	c.Legend.Padding = vg.Points(2)
+	c.X.Tick.Marker, c.Y.Tick.Marker = shortTicks{}, shortTicks{}
+	if spec.logScale {
+		c.Y.Scale, c.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
+	}
+	c.minY, c.maxY = spec.yRange(agents)
+	c.Add(plotter.NewGrid())
+	return c
+}
+
+// yRange returns the lowest and the highest value on the Y axis, with room for the legend above the
+// agents' lines unless the spec sets the end of the axis.
+func (spec *plotSpec) yRange(agents []experiment.Point) (low, high float64) {
+	high = spec.maxY
+	lowestPositive := math.Inf(1)
+	roomForLegend := 1.05 + 0.1*float64(len(spec.figures))
+	for _, f := range spec.figures {
+		for i := range agents {
+			y := f.value(&agents[i])
+			if spec.maxY == 0 {
+				high = max(high, y*roomForLegend)
+			}
+			if y > 0 {
+				lowestPositive = min(lowestPositive, y)
 			}
 		}
 	}
-	p.Y.Min, p.Y.Max = low, top
-	return p.Save(26*vg.Centimeter, 11*vg.Centimeter, file)
+	if spec.logScale {
+		low, high = min(1, lowestPositive), max(high, 10)*2
+	}
+	if high <= low {
+		high = low + 1
+	}
+	return low, high
 }
 
-// ticks are the usual ones, with no more digits than their numbers have.
-type ticks struct{}
+// shortTicks are plot's usual ticks, with no more than six digits in a label.
+type shortTicks struct{}
 
-func (ticks) Ticks(low, high float64) []plot.Tick {
-	all := plot.DefaultTicks{}.Ticks(low, high)
-	for i := range all {
-		if all[i].Label != "" {
-			all[i].Label = strconv.FormatFloat(all[i].Value, 'g', 6, 64)
+// Ticks implements plot.Ticker.
+func (shortTicks) Ticks(low, high float64) []plot.Tick {
+	ticks := plot.DefaultTicks{}.Ticks(low, high)
+	for i := range ticks {
+		if ticks[i].Label != "" {
+			ticks[i].Label = strconv.FormatFloat(ticks[i].Value, 'g', 6, 64)
 		}
 	}
-	return all
+	return ticks
 }
 
-func line(p *plot.Plot, l series, points []experiment.Point, name string, colour int, dashes []vg.Length, low float64) error {
-	xys := make(plotter.XYs, 0, len(points))
-	for i := range points {
-		y := l.of(&points[i])
-		xys = append(xys, plotter.XY{X: points[i].AtS + 0.5, Y: max(y, low)})
-	}
-	if len(xys) == 0 {
+// addLine adds a figure of the points as a line in the next color, unless there are no points. nil
+// dashes make it solid. Each point is in the middle of its second.
+func (c *chart) addLine(name string, f figure, points []experiment.Point, dashes []vg.Length) error {
+	lineColor := lineColors[c.lines%len(lineColors)]
+	c.lines++
+	if len(points) == 0 {
 		return nil
 	}
-	ln, err := plotter.NewLine(xys)
+	coordinates := make(plotter.XYs, 0, len(points))
+	for i := range points {
+		coordinates = append(coordinates, plotter.XY{X: points[i].AtS + 0.5, Y: max(f.value(&points[i]), c.minY)})
+	}
+	line, err := plotter.NewLine(coordinates)
 	if err != nil {
 		return err
 	}
-	ln.Color, ln.Width, ln.Dashes = colours[colour%len(colours)], vg.Points(1.6), dashes
-	p.Add(ln)
-	p.Legend.Add(name, ln)
+	line.Color, line.Width, line.Dashes = lineColor, vg.Points(1.6), dashes
+	c.Add(line)
+	c.Legend.Add(name, line)
+	return nil
+}
+
+// addFaults marks the faults that began.
+func (c *chart) addFaults(faults []experiment.InjectedFault) error {
+	for i := range faults {
+		if faults[i].BeganSeconds < 0 {
+			continue
+		}
+		if err := c.addFault(&faults[i]); err != nil {
+			return err
+		}
+	}
 	return nil
 }
 
-// mark shades the time of a fault and writes its name, each a line lower than the last.
-func mark(p *plot.Plot, f *experiment.InjectedFault, low, top float64, n int) error {
-	to := max(f.EndedSeconds, f.BeganSeconds+0.15)
-	band, err := plotter.NewPolygon(plotter.XYs{{X: f.BeganSeconds, Y: low}, {X: to, Y: low}, {X: to, Y: top}, {X: f.BeganSeconds, Y: top}})
+// minFaultWidth is the width of the band of a short fault, in seconds.
+const minFaultWidth = 0.15
+
+// addFault marks the time of a fault by a band with an edge, and writes its name beside the edge.
+func (c *chart) addFault(f *experiment.InjectedFault) error {
+	from, to := f.BeganSeconds, max(f.EndedSeconds, f.BeganSeconds+minFaultWidth)
+	band, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: c.minY}, {X: to, Y: c.minY}, {X: to, Y: c.maxY}, {X: from, Y: c.maxY}})
 	if err != nil {
 		return err
 	}
-	band.Color, band.LineStyle.Width = color.NRGBA{R: 0xf2, G: 0xc0, B: 0x5a, A: 0x50}, 0
-	p.Add(band)
-	edge, err := plotter.NewLine(plotter.XYs{{X: f.BeganSeconds, Y: low}, {X: f.BeganSeconds, Y: top}})
+	band.Color, band.LineStyle.Width = faultBandColor, 0
+	c.Add(band)
+	edge, err := plotter.NewLine(plotter.XYs{{X: from, Y: c.minY}, {X: from, Y: c.maxY}})
 	if err != nil {
 		return err
 	}
-	edge.Color, edge.Width = color.RGBA{R: 0xc0, G: 0x90, B: 0x20, A: 0xff}, vg.Points(0.8)
-	p.Add(edge)
-	// A line of text is about a twentieth of the height.
-	part := 0.45 - 0.055*float64(n%7)
-	y := low + (top-low)*part
-	if _, log := p.Y.Scale.(plot.LogScale); log {
-		y = low * math.Pow(top/low, part)
-	}
-	labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: f.BeganSeconds, Y: y}}, Labels: []string{" " + f.Name}})
+	edge.Color, edge.Width = faultEdgeColor, vg.Points(0.8)
+	c.Add(edge)
+	labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: from, Y: c.nextFaultLabelY()}}, Labels: []string{" " + f.Name}})
 	if err != nil {
 		return err
 	}
-	labels.TextStyle[0].Color = color.RGBA{R: 0x70, G: 0x55, B: 0x10, A: 0xff}
+	labels.TextStyle[0].Color = faultLabelColor
 	labels.TextStyle[0].Font.Size = vg.Points(8)
 	labels.TextStyle[0].XAlign = draw.XLeft
-	p.Add(labels)
+	c.Add(labels)
 	return nil
 }
+
+// The places of the faults' names, as shares of the plot's height. Each name is one line of text
+// lower than the one before, until they begin again at the top.
+const (
+	faultLabelTop  = 0.45
+	faultLabelStep = 0.055
+	faultLabels    = 7
+)
+
+// nextFaultLabelY returns where the name of the next fault is written, in units of the Y axis.
+func (c *chart) nextFaultLabelY() float64 {
+	share := faultLabelTop - faultLabelStep*float64(c.faults%faultLabels)
+	c.faults++
+	if c.logScale {
+		return c.minY * math.Pow(c.maxY/c.minY, share)
+	}
+	return c.minY + (c.maxY-c.minY)*share
+}
