--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -9,189 +9,195 @@
 )
 
 const (
-	// mostFlying bounds the datagrams that a relay holds back at once; what comes on top
-	// is dropped and counted, as a full queue does on the way.
-	mostFlying = 4096
-	// mostSources bounds the senders that a relay tells apart; the one that was heard
-	// longest ago goes.
-	mostSources = 256
-	datagram    = 64 << 10
+	// maxDelayed bounds the datagrams that a relay delays at once. More are dropped and counted,
+	// as by a full queue.
+	maxDelayed = 4096
+	// maxSenders bounds the senders that a relay tells apart. For a new one it drops the sender from
+	// which no datagram has come for the longest time.
+	maxSenders = 256
+	// maxDatagramBytes bounds a datagram.
+	maxDatagramBytes = 64 << 10
 )
 
-// UDP relays datagrams to a target. Each sender is shown to the target as an address of
-// its own, to which the target can answer.
+// UDP relays datagrams to a target. The target sees each sender at an address of the sender's own,
+// to which it can answer. It is safe for concurrent use.
 type UDP struct {
 	Counters
-	target  *net.UDPAddr
-	in      *net.UDPConn
-	forward *side
-	back    *side
-	wait    sync.WaitGroup
+	target     *net.UDPAddr
+	conn       *net.UDPConn // that senders send to
+	forward    *direction   // to the target
+	back       *direction
+	goroutines sync.WaitGroup
 
 	mu      sync.Mutex
-	sources map[string]*source
-	flying  int
+	senders map[string]*sender // by address
+	delayed int                // datagrams
 	closed  bool
 }
 
-type source struct {
-	addr  *net.UDPAddr
-	out   *net.UDPConn
-	heard time.Time
+// sender is a process that sends datagrams to the relay.
+type sender struct {
+	addr         *net.UDPAddr
+	toTarget     *net.UDPConn // that stands for the sender at the target
+	lastReceived time.Time    // guarded by UDP.mu
 }
 
-// NewUDP makes a relay at addr that leads to target.
+// NewUDP returns a relay that receives datagrams at addr, where port 0 takes a free one, and sends
+// them to target. The directions draw from the seed. The caller has to Close it.
 func NewUDP(addr, target string, seed uint64) (*UDP, error) {
-	to, err := net.ResolveUDPAddr("udp", target)
+	targetAddr, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
 		return nil, fmt.Errorf("udp link: %w", err)
 	}
-	at, err := net.ResolveUDPAddr("udp", addr)
+	listenAddr, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("udp link: %w", err)
 	}
-	in, err := net.ListenUDP("udp", at)
+	conn, err := net.ListenUDP("udp", listenAddr)
 	if err != nil {
 		return nil, fmt.Errorf("udp link: %w", err)
 	}
-	u := &UDP{target: to, in: in, forward: newSide(seed), back: newSide(seed + 1), sources: map[string]*source{}}
-	u.wait.Add(1)
+	u := &UDP{target: targetAddr, conn: conn, forward: newDirection(seed), back: newDirection(seed + 1), senders: map[string]*sender{}}
+	u.goroutines.Add(1)
 	go u.receive()
 	return u, nil
 }
 
-// Addr is where the relay listens in its target's place.
-func (u *UDP) Addr() string { return u.in.LocalAddr().String() }
+// Addr returns the address at which the relay receives in its target's place.
+func (u *UDP) Addr() string { return u.conn.LocalAddr().String() }
 
 // Set shapes the two directions.
 func (u *UDP) Set(forward, back Shape) {
-	u.forward.set(forward)
-	u.back.set(back)
+	u.forward.setShape(forward)
+	u.back.setShape(back)
 }
 
-// Close ends the relay; what it holds back is dropped.
+// Close ends the relay and returns once its goroutines have ended. Delayed datagrams are dropped.
 func (u *UDP) Close() {
 	u.mu.Lock()
 	u.closed = true
-	u.in.Close()
-	for _, s := range u.sources {
-		s.out.Close()
+	u.conn.Close()
+	for _, s := range u.senders {
+		s.toTarget.Close()
 	}
 	u.mu.Unlock()
-	u.wait.Wait()
+	u.goroutines.Wait()
 }
 
+// receive carries the senders' datagrams to the target until Close.
 func (u *UDP) receive() {
-	defer u.wait.Done()
-	buf := make([]byte, datagram)
+	defer u.goroutines.Done()
+	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, from, err := u.in.ReadFromUDP(buf)
+		n, from, err := u.conn.ReadFromUDP(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // the answer to a datagram that nobody took; others may be
+		if err != nil { // a sender has gone and its machine rejected an answer; other senders go on
 			continue
 		}
-		s, err := u.source(from)
+		s, err := u.senderAt(from)
 		if err != nil {
 			u.Dropped.Add(1)
 			continue
 		}
-		u.carry(u.forward, buf[:n], func(data []byte) { _, _ = s.out.Write(data) })
+		u.carry(u.forward, buffer[:n], func(data []byte) { _, _ = s.toTarget.Write(data) })
 	}
 }
 
-// source finds the socket that stands for a sender.
-func (u *UDP) source(from *net.UDPAddr) (*source, error) {
+// senderAt returns the sender with an address, a new one if the address is new.
+func (u *UDP) senderAt(addr *net.UDPAddr) (*sender, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.closed {
 		return nil, net.ErrClosed
 	}
-	key := from.String()
-	if s := u.sources[key]; s != nil {
-		s.heard = time.Now()
+	key := addr.String()
+	if s := u.senders[key]; s != nil {
+		s.lastReceived = time.Now()
 		return s, nil
 	}
-	if len(u.sources) >= mostSources {
-		oldest := ""
-		for k, s := range u.sources {
-			if oldest == "" || s.heard.Before(u.sources[oldest].heard) {
-				oldest = k
-			}
-		}
-		u.sources[oldest].out.Close()
-		delete(u.sources, oldest)
+	if len(u.senders) >= maxSenders {
+		u.dropOldestSender()
 	}
-	out, err := net.DialUDP("udp", nil, u.target)
+	toTarget, err := net.DialUDP("udp", nil, u.target)
 	if err != nil {
 		return nil, fmt.Errorf("udp link: %w", err)
 	}
-	s := &source{addr: from, out: out, heard: time.Now()}
-	u.sources[key] = s
-	u.wait.Add(1)
-	go u.answer(s)
+	s := &sender{addr: addr, toTarget: toTarget, lastReceived: time.Now()}
+	u.senders[key] = s
+	u.goroutines.Add(1)
+	go u.receiveAnswers(s)
 	return s, nil
 }
 
-// answer carries what the target sends back to one sender.
-func (u *UDP) answer(s *source) {
-	defer u.wait.Done()
-	buf := make([]byte, datagram)
+// dropOldestSender drops the sender from which no datagram has come for the longest time. The caller
+// holds u.mu; there is at least one sender.
+func (u *UDP) dropOldestSender() {
+	oldest := ""
+	for key, s := range u.senders {
+		if oldest == "" || s.lastReceived.Before(u.senders[oldest].lastReceived) {
+			oldest = key
+		}
+	}
+	u.senders[oldest].toTarget.Close()
+	delete(u.senders, oldest)
+}
+
+// receiveAnswers carries the target's datagrams to one sender until Close, or until the sender is
+// dropped.
+func (u *UDP) receiveAnswers(s *sender) {
+	defer u.goroutines.Done()
+	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, err := s.out.Read(buf)
+		n, err := s.toTarget.Read(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil {
+		if err != nil { // the target's machine rejected a datagram; later ones may be accepted
 			continue
 		}
-		u.carry(u.back, buf[:n], func(data []byte) { _, _ = u.in.WriteToUDP(data, s.addr) })
+		u.carry(u.back, buffer[:n], func(data []byte) { _, _ = u.conn.WriteToUDP(data, s.addr) })
 	}
 }
 
-// carry takes one datagram along a direction, unless it is lost there.
-func (u *UDP) carry(s *side, data []byte, send func([]byte)) {
+// carry takes one datagram along a direction: it drops it, or sends it once or twice.
+func (u *UDP) carry(d *direction, data []byte, send func([]byte)) {
 	u.Datagrams.Add(1)
-	sh := s.shape.Load()
-	if sh.Cut || sh.LossShare > 0 && s.lose(sh.LossShare) {
+	shape := d.shape.Load()
+	if shape.Cut || shape.LossShare > 0 && d.drawTrue(shape.LossShare) {
 		u.Dropped.Add(1)
 		return
 	}
-	u.fly(s, data, send)
-	if sh.DuplicateShare > 0 && s.lose(sh.DuplicateShare) {
-		u.fly(s, data, send)
+	u.sendInTime(d, data, send)
+	if shape.DuplicateShare > 0 && d.drawTrue(shape.DuplicateShare) {
+		u.sendInTime(d, data, send)
 	}
 }
 
-// fly has a datagram arrive in its time.
-func (u *UDP) fly(s *side, data []byte, send func([]byte)) {
-	wait := time.Until(s.due(len(data)))
+// sendInTime sends a datagram at its time of arrival, unless the relay is closed or the direction is
+// cut by then. It doesn't keep data after it has returned.
+func (u *UDP) sendInTime(d *direction, data []byte, send func([]byte)) {
+	wait := time.Until(d.arrivalTime(len(data)))
 	if wait <= 0 {
 		send(data)
 		return
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.flying >= mostFlying || u.closed {
+	if u.delayed >= maxDelayed || u.closed {
 		u.Dropped.Add(1)
 		return
 	}
-	u.flying++
-	held := append([]byte(nil), data...)
+	u.delayed++
+	dataCopy := append([]byte(nil), data...)
 	time.AfterFunc(wait, func() {
 		u.mu.Lock()
-		u.flying--
+		u.delayed--
 		closed := u.closed
 		u.mu.Unlock()
-		if !closed && !s.shape.Load().Cut {
-			send(held)
+		if !closed && !d.shape.Load().Cut {
+			send(dataCopy)
 		}
 	})
 }
-
-func (s *side) lose(p float64) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.rng.Float64() < p
-}
