--- a/internal/lab/loopback/conns.go
+++ b/internal/lab/loopback/conns.go
@@ -5,20 +5,21 @@
 	"sync"
 )
 
-// Conns is a net.Listener of the connections that several Listeners hand it, so that
-// one http.Server serves them all.
+// Conns is a net.Listener of the connections that several Listeners accept, so that one http.Server
+// serves them all. It is safe for concurrent use.
 type Conns struct {
 	accepted chan net.Conn
 	closed   chan struct{}
-	once     sync.Once
+	once     sync.Once // of closing closed
 }
 
-// NewConns makes a listener that nothing has been handed to.
+// NewConns returns a listener without connections.
 func NewConns() *Conns {
 	return &Conns{accepted: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// Put hands over a connection; once closed, it resets it.
+// Put hands over a connection and returns once Accept has taken it. After Close it resets the
+// connection.
 func (c *Conns) Put(conn net.Conn) {
 	select {
 	case c.accepted <- conn:
@@ -27,7 +28,7 @@
 	}
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection. It returns net.ErrClosed after Close.
 func (c *Conns) Accept() (net.Conn, error) {
 	select {
 	case conn := <-c.accepted:
@@ -37,53 +38,54 @@
 	}
 }
 
-// Close ends the listener; it can be called more than once.
+// Close ends the listener. It can be called more than once, and returns nil.
 func (c *Conns) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return nil
 }
 
-// Addr is of no use here: each connection has its own.
+// Addr returns an address without a port, as net.Listener needs one: each connection has its own.
 func (c *Conns) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// Set holds the open connections of a party, to break them all at once.
+// Set is the open connections of a party, which can be reset all at once. The zero value is empty
+// and ready to use. It is safe for concurrent use.
 type Set struct {
-	mu sync.Mutex
-	m  map[net.Conn]struct{}
+	mu    sync.Mutex
+	conns map[net.Conn]struct{}
 }
 
-// Add notes a connection; it returns how many there are.
+// Add adds a connection and returns how many the set has then.
 func (s *Set) Add(c net.Conn) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.m == nil {
-		s.m = map[net.Conn]struct{}{}
+	if s.conns == nil {
+		s.conns = map[net.Conn]struct{}{}
 	}
-	s.m[c] = struct{}{}
-	return len(s.m)
+	s.conns[c] = struct{}{}
+	return len(s.conns)
 }
 
-// Drop forgets a connection.
+// Drop removes a connection from the set, without closing it.
 func (s *Set) Drop(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.m, c)
+	delete(s.conns, c)
 }
 
-// Len is how many there are.
+// Len returns the number of connections.
 func (s *Set) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.m)
+	return len(s.conns)
 }
 
-// Reset breaks them all.
+// Reset resets all connections and removes them from the set.
 func (s *Set) Reset() {
 	s.mu.Lock()
-	all := s.m
-	s.m = nil
+	conns := s.conns
+	s.conns = nil
 	s.mu.Unlock()
-	for c := range all {
+	for c := range conns {
 		Reset(c)
 	}
 }
--- /dev/null
+++ b/internal/lab/loopback/listener.go
@@ -0,0 +1,295 @@
+package loopback
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// listenerState is how a listener treats new connections.
+type listenerState uint8
+
+const (
+	open    listenerState = iota // it accepts and serves them
+	refused                      // the kernel refuses them: nothing listens
+	silent                       // the kernel drops them: the queue is full
+)
+
+// openBacklog is the length of the queue of connections that an open listener has not accepted yet.
+const openBacklog = 4096
+
+// Listener is a TCP listener at a fixed address that can refuse connections or leave them without an
+// answer for a time. It is safe for concurrent use.
+type Listener struct {
+	serve     func(net.Conn)
+	accepting sync.WaitGroup // the accepting goroutines
+
+	mu            sync.Mutex
+	changed       *sync.Cond // of state and acceptorWaits
+	addr          string     // with the port, once it has listened
+	state         listenerState
+	ln            *net.TCPListener // nil until it has listened, closed while state is refused
+	heldConns     []net.Conn       // both ends of those that fill the queue of a silent listener
+	acceptorWaits bool             // the accepting goroutine waits for the end of the silence
+	closedForever bool
+}
+
+// Listen returns an open listener at addr, where port 0 takes a free one. It calls serve with each
+// connection, in a goroutine of its own. The caller has to Close it.
+func Listen(addr string, serve func(net.Conn)) (*Listener, error) {
+	l := &Listener{addr: addr, serve: serve, state: refused}
+	l.changed = sync.NewCond(&l.mu)
+	if err := l.Open(); err != nil {
+		return nil, err
+	}
+	return l, nil
+}
+
+// Addr returns the address with the port. It stays the same through Refuse and Open.
+func (l *Listener) Addr() string { return l.addr }
+
+// Open accepts connections again, also those that clients began to open during a silence and still
+// try to. It returns net.ErrClosed after Close, and an error if the address can't be listened at; the
+// state is unchanged then.
+func (l *Listener) Open() error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closedForever {
+		return net.ErrClosed
+	}
+	switch l.state {
+	case open:
+		return nil
+	case silent:
+		if err := setBacklog(l.ln, openBacklog); err != nil {
+			return err
+		}
+	case refused:
+		if err := l.listen(); err != nil {
+			return fmt.Errorf("listen at %s: %w", l.addr, err)
+		}
+	}
+	l.resetHeldConns()
+	l.setState(open)
+	return nil
+}
+
+// setState sets the state and wakes the goroutines that wait for it. The caller holds l.mu.
+func (l *Listener) setState(state listenerState) {
+	l.state = state
+	l.changed.Broadcast()
+}
+
+// listen listens at the address and starts an accepting goroutine, which ends when l.ln is closed.
+// The caller holds l.mu.
+func (l *Listener) listen() error {
+	ln, err := relisten(l.addr)
+	if err != nil {
+		return err
+	}
+	l.ln, l.addr = ln.(*net.TCPListener), ln.Addr().String()
+	l.accepting.Add(1)
+	go l.accept(l.ln)
+	return nil
+}
+
+const (
+	// relistenTimeout bounds the time in which an address that was just closed may be in use.
+	relistenTimeout  = 2 * time.Second
+	relistenInterval = 2 * time.Millisecond
+)
+
+// relisten listens at an address that this process may have closed a moment ago. A child that is
+// being started has a copy of every descriptor until it executes its program, so that the address
+// can be in use for some milliseconds more.
+func relisten(addr string) (ln net.Listener, err error) {
+	for deadline := time.Now().Add(relistenTimeout); ; time.Sleep(relistenInterval) {
+		ln, err = net.Listen("tcp", addr)
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
+			return ln, err
+		}
+	}
+}
+
+// resetHeldConns resets the connections that fill the queue. The caller holds l.mu.
+func (l *Listener) resetHeldConns() {
+	for _, c := range l.heldConns {
+		Reset(c)
+	}
+	l.heldConns = nil
+}
+
+// Refuse closes the listener until Open: connections in its queue are reset and new ones refused.
+// Connections that it has accepted go on.
+func (l *Listener) Refuse() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.state == refused {
+		return
+	}
+	l.ln.Close()
+	l.resetHeldConns()
+	l.setState(refused)
+}
+
+// Close ends the listener for good and returns once its accepting goroutines have ended.
+func (l *Listener) Close() {
+	l.mu.Lock()
+	l.closedForever = true
+	l.mu.Unlock()
+	l.Refuse()
+	l.accepting.Wait()
+}
+
+const (
+	// maxFillers bounds the connections that are opened to fill the queue of a silent listener.
+	maxFillers = 8
+	// fillerTimeout is how long opening one may take before the queue may be full.
+	fillerTimeout = 40 * time.Millisecond
+	// firstFillerTimeout is that of connections until one was opened, which is always possible.
+	firstFillerTimeout = time.Second
+	// fullAfterTimeouts is the number of timeouts that say that the queue is full. One alone may be
+	// that of a busy machine.
+	fullAfterTimeouts = 2
+)
+
+// QueueError is the error of a listener whose queue still took connections after as many as should
+// have filled it.
+type QueueError struct{ Addr string }
+
+// Error names the listener's address.
+func (e *QueueError) Error() string { return "the queue of " + e.Addr + " does not fill" }
+
+// Silence leaves new connections without an answer until Open: the queue is kept full, so that the
+// kernel drops further connections, as if the machine were cut off. It has no effect unless the
+// listener is open. It returns a *QueueError if the queue can't be filled.
+func (l *Listener) Silence() error {
+	l.mu.Lock()
+	if l.state != open {
+		l.mu.Unlock()
+		return nil
+	}
+	l.setState(silent)
+	err := setBacklog(l.ln, 0)
+	addr := l.addr
+	l.mu.Unlock()
+	if err != nil {
+		return err
+	}
+	return l.fillQueue(addr)
+}
+
+// fillQueue opens connections until the queue is full or the silence has ended.
+func (l *Listener) fillQueue(addr string) error {
+	timeout, timeouts := firstFillerTimeout, 0
+	for range maxFillers {
+		c, err := net.DialTimeout("tcp", addr, timeout)
+		if isTimeout(err) {
+			if timeouts++; timeouts == fullAfterTimeouts {
+				return nil
+			}
+			continue
+		}
+		if err != nil {
+			return fmt.Errorf("fill the queue of %s: %w", addr, err)
+		}
+		if !l.holdFiller(c) {
+			return nil
+		}
+		timeout = fillerTimeout
+	}
+	return &QueueError{Addr: addr}
+}
+
+// isTimeout reports whether an error is a timeout.
+func isTimeout(err error) bool {
+	var netError net.Error
+	return errors.As(err, &netError) && netError.Timeout()
+}
+
+// holdFiller keeps a connection that was opened to fill the queue, and waits until the accepting
+// goroutine waits: before that, it could accept a connection and so empty a queue that was full. It
+// returns false if the silence has ended.
+func (l *Listener) holdFiller(c net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.heldConns = append(l.heldConns, c)
+	for l.state == silent && !l.acceptorWaits {
+		l.changed.Wait()
+	}
+	if l.state != silent {
+		l.resetHeldConns()
+		return false
+	}
+	return true
+}
+
+// acceptRetryDelay is the time from a failed accept to the next one.
+const acceptRetryDelay = time.Millisecond
+
+// accept serves the connections of ln until that is closed.
+func (l *Listener) accept(ln *net.TCPListener) {
+	defer l.accepting.Done()
+	for {
+		c, err := ln.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil { // there are no descriptors left, or the client has gone
+			time.Sleep(acceptRetryDelay)
+			continue
+		}
+		if l.admit(ln, c) {
+			go l.serve(c)
+		}
+	}
+}
+
+// admit reports whether a connection that ln accepted is to be served. It resets one that came as ln
+// was closed. One that came as the listener fell silent is kept, and admit waits for the end of the
+// silence.
+func (l *Listener) admit(ln *net.TCPListener, c net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.state == silent && l.ln == ln {
+		l.heldConns, l.acceptorWaits = append(l.heldConns, c), true
+		l.changed.Broadcast()
+		for l.state == silent {
+			l.changed.Wait()
+		}
+		l.acceptorWaits = false
+		return false
+	}
+	if l.ln != ln || l.state == refused {
+		Reset(c)
+		return false
+	}
+	return true
+}
+
+// Reset closes a connection so that the other end sees it break, as when a process dies.
+func Reset(c net.Conn) {
+	if t, ok := c.(interface{ SetLinger(int) error }); ok {
+		_ = t.SetLinger(0)
+	}
+	c.Close()
+}
+
+// setBacklog sets the length of a listener's queue.
+func setBacklog(ln *net.TCPListener, length int) error {
+	raw, err := ln.SyscallConn()
+	if err != nil {
+		return fmt.Errorf("listen backlog: %w", err)
+	}
+	var listenErr error
+	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), length) }); err != nil {
+		return fmt.Errorf("listen backlog: %w", err)
+	}
+	if listenErr != nil {
+		return fmt.Errorf("listen backlog: %w", listenErr)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/lab/loopback/listener_test.go
@@ -0,0 +1,195 @@
+package loopback
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os/exec"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+const (
+	// waitTimeout bounds every wait for something that should happen.
+	waitTimeout = 20 * time.Second
+	// silenceTime is how long a connection is tried at a silent listener.
+	silenceTime = 100 * time.Millisecond
+)
+
+// serverListener is a listener that keeps the connections that it accepts.
+type serverListener struct {
+	*Listener
+	accepted chan net.Conn
+}
+
+// newServerListener returns an open listener at addr.
+func newServerListener(t *testing.T, addr string) *serverListener {
+	t.Helper()
+	var conns Set
+	s := &serverListener{accepted: make(chan net.Conn, 100)}
+	var err error
+	if s.Listener, err = Listen(addr, func(c net.Conn) { conns.Add(c); s.accepted <- c }); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { s.Close(); conns.Reset() })
+	return s
+}
+
+// change brings the listener into a state.
+func (s *serverListener) change(t *testing.T, state listenerState) {
+	t.Helper()
+	var err error
+	switch state {
+	case open:
+		err = s.Open()
+	case silent:
+		err = s.Silence()
+	case refused:
+		s.Refuse()
+	}
+	if err != nil {
+		t.Fatalf("to state %d: %v", state, err)
+	}
+}
+
+// expectState fails the test unless a new connection at an address is treated as in the state.
+func (s *serverListener) expectState(t *testing.T, addr string, want listenerState) {
+	t.Helper()
+	timeout := waitTimeout
+	if want == silent {
+		timeout = silenceTime
+	}
+	c, err := net.DialTimeout("tcp", addr, timeout)
+	switch {
+	case err == nil && want == open:
+		<-s.accepted
+		c.Close()
+	case err == nil:
+		c.Close()
+		t.Fatalf("a connection was accepted, want state %d", want)
+	case errors.Is(err, syscall.ECONNREFUSED):
+		if want != refused {
+			t.Fatalf("refused, want state %d", want)
+		}
+	case isTimeout(err):
+		if want != silent {
+			t.Fatalf("silent, want state %d", want)
+		}
+	default:
+		t.Fatal(err)
+	}
+}
+
+// Connections are treated as the listener's state says through many changes of the state, at the
+// same address.
+func TestListenerStates(t *testing.T) {
+	n, err := Claim()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(n.Close)
+	s := newServerListener(t, n.IP()+":0")
+	addr := s.Addr()
+	s.expectState(t, addr, open)
+	for range 3 {
+		for _, state := range []listenerState{silent, open, refused, open, silent, refused, open} {
+			s.change(t, state)
+			s.expectState(t, addr, state)
+			if s.Addr() != addr {
+				t.Fatalf("moved to %s", s.Addr())
+			}
+		}
+	}
+}
+
+// Many listeners can fall silent at once, as those of a zone do.
+func TestManyListenersFallSilentAtOnce(t *testing.T) {
+	var all sync.WaitGroup
+	for range 50 {
+		l, err := Listen("127.0.0.1:0", func(c net.Conn) { c.Close() })
+		if err != nil {
+			t.Fatal(err)
+		}
+		all.Go(func() {
+			defer l.Close()
+			if err := l.Silence(); err != nil {
+				t.Error(err)
+			}
+			if c, err := net.DialTimeout("tcp", l.Addr(), silenceTime); err == nil {
+				c.Close()
+				t.Error("a connection was accepted")
+			}
+		})
+	}
+	all.Wait()
+}
+
+// A listener opens again at its address while other goroutines start processes, which for a moment
+// have copies of the descriptor that was closed.
+func TestOpensWhileProcessesStart(t *testing.T) {
+	l, err := Listen("127.0.0.1:0", func(c net.Conn) { c.Close() })
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	stop := make(chan struct{})
+	var all sync.WaitGroup
+	for range 4 {
+		all.Go(func() {
+			for {
+				select {
+				case <-stop:
+					return
+				default:
+					_ = exec.Command("/bin/true").Run()
+				}
+			}
+		})
+	}
+	for i := range 300 {
+		l.Refuse()
+		if err := l.Open(); err != nil {
+			t.Errorf("round %d: %v", i, err)
+			break
+		}
+	}
+	close(stop)
+	all.Wait()
+}
+
+// A reset breaks the connection with an error, a close ends it in order.
+func TestReset(t *testing.T) {
+	for _, reset := range []bool{false, true} {
+		var open Set
+		l, err := Listen("127.0.0.1:0", func(c net.Conn) {
+			open.Add(c)
+			_, _ = c.Read(make([]byte, 1))
+			if reset {
+				Reset(c)
+			} else {
+				c.Close()
+			}
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		c, err := net.Dial("tcp", l.Addr())
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, _ = c.Write([]byte("x"))
+		_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
+		_, err = c.Read(make([]byte, 1))
+		if reset != errors.Is(err, syscall.ECONNRESET) || !reset != errors.Is(err, io.EOF) {
+			t.Errorf("reset %v: %v", reset, err)
+		}
+		c.Close()
+		l.Close()
+	}
+}
