--- a/internal/lab/client/arrivals.go
+++ b/internal/lab/client/arrivals.go
@@ -13,8 +13,8 @@
 	firstArrivalStream = 1000 // of the first agent; each agent has one
 )
 
-// Arrival is one request as it was drawn. All that is left to chance in it, other than its
-// retries, is drawn ahead.
+// Arrival is one request as it was drawn. All of its random properties are drawn ahead, except those
+// of its retries.
 type Arrival struct {
 	At               time.Duration
 	Class            int
@@ -23,7 +23,7 @@
 	AttemptTimeout   time.Duration
 	CancelAfter      time.Duration // after which the client cancels its first attempt; 0: never
 	HonorsRetryAfter bool
-	Seed             uint64 // of what is drawn for its retries
+	Seed             uint64 // of its idempotency key and the backoff of its retries
 }
 
 // DrawArrivals draws the arrivals of each agent up to end. They depend on the arguments alone.
@@ -64,8 +64,8 @@
 }
 
 // drawAll draws a Poisson process with the given rate per second and the load changes' factors. It
-// draws at the highest rate and keeps each arrival with the probability that the present rate has
-// of it (thinning).
+// draws at the highest rate and keeps each arrival with a probability of the rate at that time over
+// the highest rate (thinning).
 func (d *arrivalDraw) drawAll(rate float64, end time.Duration) []Arrival {
 	if rate <= 0 {
 		return nil
@@ -120,9 +120,9 @@
 // drawWork draws the work of a request of a class, in standard-core milliseconds.
 func (d *arrivalDraw) drawWork(class *Class) float64 {
 	switch class.Distribution {
-	case "fixed":
+	case distributionFixed:
 		return class.Work
-	case "lognormal":
+	case distributionLognormal:
 		return lognormal(d.rng, class.Work, class.WorkCV)
 	}
 	return class.Work * d.rng.ExpFloat64()
@@ -148,8 +148,8 @@
 	return mean * math.Exp(rng.NormFloat64()*math.Sqrt(variance)-variance/2)
 }
 
-// zipf draws ranks by their popularity. math/rand's Zipf needs an exponent above 1; measured ones
-// begin at 0.9.
+// zipf draws ranks by their popularity. math/rand's Zipf needs an exponent above 1, but measured
+// exponents begin at 0.9.
 type zipf struct{ cumulative []float64 }
 
 func newZipf(ranks int, exponent float64) *zipf {
--- a/internal/lab/client/baseline.go
+++ b/internal/lab/client/baseline.go
@@ -37,8 +37,9 @@
 )
 
 // Baseline is a plain client-side load balancer within the lab, which the agent is compared with.
-// It knows discovery's list without delay, needs no process of its own, and retries at another
-// server what may be sent again. The exported fields are set before NewBaseline.
+// It knows discovery's list without delay, needs no process of its own, and repeats a request at
+// another server if its class allows that. The exported fields are set before NewBaseline and not
+// changed afterwards. It is safe for concurrent use.
 type Baseline struct {
 	Policy         string
 	Clock          check.Clock
@@ -80,7 +81,7 @@
 		}
 		attempted[addr] = true
 		attemptHeader := header.Clone()
-		attemptHeader["Request-Timeout"] = []string{formatTimeout(time.Until(deadline))}
+		attemptHeader[headerRequestTimeout] = []string{formatTimeout(time.Until(deadline))}
 		result = pool.call(&call{addr: addr, request: r, header: attemptHeader, deadline: deadline, connectTimeout: b.ConnectTimeout, clock: b.Clock})
 		b.mu.Lock()
 		b.inFlight[addr]--
@@ -102,7 +103,7 @@
 }
 
 // choose returns the address and the pool of a ready server that was not attempted, and counts a
-// request in flight there; "" if there is none.
+// request in flight there. It returns "" and nil if there is no such server.
 func (b *Baseline) choose(attempted map[string]bool) (string, *Pool) {
 	list := b.List()
 	b.mu.Lock()
--- a/internal/lab/client/call.go
+++ b/internal/lab/client/call.go
@@ -20,6 +20,15 @@
 	maxRetryAfter = time.Hour
 )
 
+// The protocol's own headers of requests and answers.
+const (
+	headerRequestID      = "Request-Id"
+	headerRequestTimeout = "Request-Timeout"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerClientRetry    = "Client-Retry" // "1": the request is a retry
+	headerNotStarted     = "Not-Started"  // "1": the server has not begun to execute the request
+)
+
 // call is a request to one address.
 type call struct {
 	addr           string
@@ -44,7 +53,7 @@
 // response is the answer to a call.
 type response struct {
 	check.Answer
-	notStarted bool          // the server says that it has not begun to execute the request
+	notStarted bool          // the server has not begun to execute the request
 	retryAfter time.Duration // 0: not given
 }
 
@@ -54,7 +63,7 @@
 func (p *Pool) call(c *call) response {
 	result, stale := p.attempt(c, false)
 	if stale {
-		if all, _ := c.request.Attempts(); all == 0 {
+		if received, _ := c.request.Attempts(); received == 0 {
 			result, _ = p.attempt(c, true)
 		}
 	}
@@ -108,7 +117,7 @@
 	}
 	result.Body = string(body)
 	result.Outcome = outcomeOf(httpResponse.StatusCode)
-	result.notStarted = httpResponse.Header.Get("Not-Started") == "1"
+	result.notStarted = httpResponse.Header.Get(headerNotStarted) == "1"
 	result.retryAfter = parseRetryAfter(httpResponse.Header.Get("Retry-After"))
 	result.Surplus = conn.reader.Buffered() > 0
 	if httpResponse.Close || result.Surplus {
@@ -129,8 +138,8 @@
 	return check.Failed
 }
 
-// parseRetryAfter parses seconds, with a fraction or without; 0 if they are missing or not
-// sensible.
+// parseRetryAfter parses seconds, with a fraction or without. It returns 0 if they are missing,
+// invalid, not positive or at least maxRetryAfter.
 func parseRetryAfter(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0 && seconds < maxRetryAfter.Seconds()) {
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -22,7 +22,7 @@
 	Outcome        check.Outcome // of its last attempt
 	InTime         bool          // it was served within its class's target latency
 	ClientAttempts uint8
-	ServerAttempts uint8 // that arrived at servers, over all attempts of the client; 255: that many or more
+	ServerAttempts uint8 // that arrived at servers, over all attempts of the client; 255: 255 or more
 	Planned        time.Duration
 	Latency        time.Duration // from the planned time to the end
 	SendDelay      time.Duration // from the planned time until the lab sent it
@@ -56,11 +56,11 @@
 	index       int
 	sender      Sender
 	up          atomic.Bool
-	incarnation atomic.Int64 // how often it was killed
-	skipped     atomic.Int64
-	attempts    atomic.Int64
-	serial      atomic.Int64 // of the last request's ID
-	running     sync.WaitGroup
+	incarnation atomic.Int64   // how often it was killed
+	skipped     atomic.Int64   // arrivals
+	attempts    atomic.Int64   // that were sent
+	serial      atomic.Int64   // of the last request's ID
+	running     sync.WaitGroup // the requests in progress
 }
 
 // New returns a client for the agent with an index. It is down until Start.
@@ -156,9 +156,9 @@
 		return retryAfter
 	}
 	switch load.Backoff {
-	case "fixed":
+	case backoffFixed:
 		return load.BackoffBase
-	case "exp":
+	case backoffExponential:
 		return time.Duration(float64(load.BackoffBase) * float64(int(1)<<min(attempt, maxBackoffDoublings)) * (0.5 + rng.Float64()))
 	}
 	return 0
@@ -170,12 +170,12 @@
 	now := c.env.Clock()
 	timeout := min(a.AttemptTimeout, deadline-now)
 	r := c.newRequest(a, class, idempotencyKey, now, timeout)
-	header := http.Header{"Request-Id": {r.ID}, "Request-Timeout": {formatTimeout(timeout)}, "User-Agent": {""}}
+	header := http.Header{headerRequestID: {r.ID}, headerRequestTimeout: {formatTimeout(timeout)}, "User-Agent": {""}} // "" leaves it out
 	if idempotencyKey != "" {
-		header["Idempotency-Key"] = []string{idempotencyKey}
+		header[headerIdempotencyKey] = []string{idempotencyKey}
 	}
 	if attempt > 0 {
-		header["Client-Retry"] = []string{"1"}
+		header[headerClientRetry] = []string{"1"}
 	}
 	c.env.Checker.Add(r)
 	c.attempts.Add(1)
--- a/internal/lab/client/load.go
+++ b/internal/lab/client/load.go
@@ -1,5 +1,9 @@
 // Package client emulates the applications that call the agents. Their requests are an open loop:
 // they are drawn ahead from the seed, and never wait for answers to earlier ones.
+//
+// Each client owns one goroutine for each request in progress. Client.Run, which its caller runs in
+// another goroutine, ends after them. The mutexes of Baseline and Pool each guard the fields below
+// them; Baseline's is taken before a Pool's.
 package client
 
 import (
@@ -18,6 +22,18 @@
 // GroupAll is the group of classes whose repeats all servers drop.
 const GroupAll = "all"
 
+// The distributions of a class's work, as experiment files name them. Any other is exponential.
+const (
+	distributionFixed     = "fixed"
+	distributionLognormal = "lognormal"
+)
+
+// The backoffs between retries, as experiment files name them. Any other is none.
+const (
+	backoffFixed       = "fixed"
+	backoffExponential = "exp"
+)
+
 // Class is one class of requests.
 type Class struct {
 	Name           string        `koanf:"name"`
@@ -66,11 +82,11 @@
 	Classes             []Class       `koanf:"class"`
 }
 
-// LoadChange is a time in which the load differs.
+// LoadChange is a span of time in which the load differs.
 type LoadChange struct {
-	From, To   time.Duration
+	From, To   time.Duration // To is not part of it
 	Factor     float64       // of the rate; 0: unchanged
-	RampTime   time.Duration // in which the rate rises to Factor, and falls back
+	RampTime   time.Duration // in which the rate rises to Factor, and in which it falls back before To
 	Class      string        // whose requests may be heavy; "": all classes
 	HeavyShare float64       // share of these requests that are heavy
 	WorkFactor float64       // of the work of a heavy request
--- a/internal/lab/client/pool.go
+++ b/internal/lab/client/pool.go
@@ -15,9 +15,10 @@
 // Pool keeps the connections to one address, with one request at a time on each. The zero value
 // is empty and ready to use. It is safe for concurrent use.
 type Pool struct {
+	all loopback.Set // the open connections, idle or not
+
 	mu     sync.Mutex
-	idle   []*pooledConn
-	all    loopback.Set
+	idle   []*pooledConn // the one that was used last is last
 	opened int64
 }
 
@@ -27,7 +28,7 @@
 	used   bool // a request was sent on it
 }
 
-// Opened returns how many connections were opened, or tried to.
+// Opened returns how many connections the pool has tried to open, those included that failed.
 func (p *Pool) Opened() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,7 +43,8 @@
 	p.all.Reset()
 }
 
-// get returns an idle connection, or a new one if there is none or forceNew is set.
+// get returns an idle connection, or a new one if there is none or forceNew is set. It fails if a
+// new one can't be opened by the deadline and within connectTimeout.
 func (p *Pool) get(addr string, deadline time.Time, connectTimeout time.Duration, forceNew bool) (*pooledConn, error) {
 	p.mu.Lock()
 	if n := len(p.idle); n > 0 && !forceNew {
@@ -61,7 +63,7 @@
 	return &pooledConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// put makes a connection idle, or closes it if there are enough.
+// put makes a connection idle, or closes it if maxIdleConnections are idle already.
 func (p *Pool) put(conn *pooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
