--- /dev/null
+++ b/internal/lab/golden/golden_test.go
@@ -0,0 +1,66 @@
+package golden
+
+import (
+	"reflect"
+	"slices"
+	"testing"
+)
+
+// The first line in which two texts differ is found, also at the end of the shorter one.
+func TestFirstDifference(t *testing.T) {
+	for _, c := range []struct {
+		want, got         string
+		line              int
+		wantLine, gotLine string
+	}{
+		{"a\nb\n", "a\nc\n", 2, "b", "c"},
+		{"a\n", "a\nb\n", 2, "", "b"},
+		{"a\nb\n", "a\n", 2, "b", ""},
+		{"a\n", "a", 2, "", ""},
+	} {
+		line, wantLine, gotLine := firstDifference(c.want, c.got)
+		if line != c.line || wantLine != c.wantLine || gotLine != c.gotLine {
+			t.Errorf("%q and %q: line %d, %q and %q", c.want, c.got, line, wantLine, gotLine)
+		}
+	}
+}
+
+// Fill sets each exported field of the JSON form to a value of its own, in the order of the fields.
+func TestFillSetsEveryField(t *testing.T) {
+	type inner struct{ Text string }
+	type outer struct {
+		Number  int
+		Pointer *inner
+		List    []float64
+		Map     map[string]uint8
+		Flag    bool
+		Skipped string `json:"-"`
+		_       int
+	}
+	var got outer
+	Fill(t, &got)
+	want := outer{Number: 1, Pointer: &inner{"text-2"}, List: []float64{3.5}, Map: map[string]uint8{"text-4": 5}, Flag: true}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("filled %+v, want %+v", got, want)
+	}
+}
+
+// Types that contain themselves, or kinds that JSON doesn't have, are refused.
+func TestFillRefusesTypesWithoutValues(t *testing.T) {
+	type recursive struct{ Next *recursive }
+	for _, v := range []any{&recursive{}, new(chan int)} {
+		if err := new(filler).fill(reflect.ValueOf(v).Elem(), 0); err == nil {
+			t.Errorf("%T was filled", v)
+		}
+	}
+}
+
+// The constants of this package's program files are found by their literals, with and without a type.
+func TestStringConstants(t *testing.T) {
+	if got := StringConstants(t, "."); !slices.Equal(got, []string{"testdata"}) {
+		t.Errorf("constants %q", got)
+	}
+	if got := StringConstants(t, ".", "string"); len(got) > 0 {
+		t.Errorf("constants of type string: %q", got)
+	}
+}
