--- a/internal/lab/syscallfault/syscallfault.go
+++ b/internal/lab/syscallfault/syscallfault.go
@@ -1,6 +1,10 @@
-// Package syscallfault lets chosen system calls of the process that installs it fail, for as long as
-// a file exists. It stands on the kernel's seccomp user notifications (seccomp_unotify(2)), which
-// need no special rights, and so reaches calls that Go makes without the C library.
+// Package syscallfault lets chosen system calls of its own process fail for as long as a file exists,
+// so that a test can show what a program does when a call fails. It uses the kernel's seccomp user
+// notifications (seccomp_unotify(2)), which need Linux and no privileges, and so affects calls that Go
+// makes without the C library.
+//
+// FromEnvironment starts one goroutine, which decides on the calls until the process ends. The package
+// has no state that changes after that, and no locks.
 package syscallfault
 
 import (
@@ -16,20 +20,21 @@
 
 // The variables of the environment that FromEnvironment reads.
 const (
-	// FaultsVariable lists faults, each as CALL:ERROR, with commas between.
+	// FaultsVariable lists faults as CALL:ERROR, separated by commas, as in "accept4:EMFILE".
 	FaultsVariable = "SYSCALL_FAULTS"
-	// WhileVariable names the file: the calls fail while it exists.
+	// WhileVariable is the path of a file. The calls fail while it exists.
 	WhileVariable = "SYSCALL_FAULTS_WHILE"
 )
 
 // fault is a system call and the error that it returns.
 type fault struct {
-	call  int
+	call  int // the call's number
 	errno unix.Errno
 }
 
-// calls are those that Go makes in a way that lets other goroutines run, as supervise has to.
-// socket(2) is none of them.
+// calls are the system calls that can fail, by their names. Go makes each of them in a way that lets
+// other goroutines run meanwhile, which supervise needs in order to decide on the call. socket(2) is
+// left out because Go makes it otherwise.
 var calls = map[string]int{
 	"accept4": unix.SYS_ACCEPT4, "connect": unix.SYS_CONNECT,
 	"openat": unix.SYS_OPENAT, "bind": unix.SYS_BIND, "listen": unix.SYS_LISTEN,
@@ -37,6 +42,7 @@
 	"fdatasync": unix.SYS_FDATASYNC, "pwrite64": unix.SYS_PWRITE64,
 }
 
+// errnos are the errors that calls can fail with, by their names.
 var errnos = map[string]unix.Errno{
 	"ECONNABORTED": unix.ECONNABORTED, "ENFILE": unix.ENFILE, "EMFILE": unix.EMFILE, "ENOBUFS": unix.ENOBUFS,
 	"ENOMEM": unix.ENOMEM, "EADDRNOTAVAIL": unix.EADDRNOTAVAIL, "EADDRINUSE": unix.EADDRINUSE,
@@ -45,54 +51,62 @@
 	"ENOSPC": unix.ENOSPC, "EIO": unix.EIO,
 }
 
-// FromEnvironment installs the faults that the environment names, if there are any. It has to run
-// before the calls that are to fail; the file is looked for at each of them.
+// FromEnvironment installs the faults that the environment names, if it names any. It has to be called
+// before the calls that are to fail, and at most once. It fails if a fault is unknown, or if the kernel
+// refuses the filter.
 func FromEnvironment() error {
 	text := os.Getenv(FaultsVariable)
 	if text == "" {
 		return nil
 	}
+	faults, err := parseFaults(text)
+	if err != nil {
+		return err
+	}
+	return install(faults, os.Getenv(WhileVariable))
+}
+
+// parseFaults parses the value of FaultsVariable.
+func parseFaults(text string) ([]fault, error) {
 	var faults []fault
 	for part := range strings.SplitSeq(text, ",") {
-		call, name, _ := strings.Cut(part, ":")
-		nr, known := calls[call]
-		errno, named := errnos[name]
-		if !known || !named {
-			return fmt.Errorf("%s: unknown fault %q", FaultsVariable, part)
+		callName, errnoName, _ := strings.Cut(part, ":")
+		call, callKnown := calls[callName]
+		errno, errnoKnown := errnos[errnoName]
+		if !callKnown || !errnoKnown {
+			return nil, fmt.Errorf("%s: unknown fault %q", FaultsVariable, part)
 		}
-		faults = append(faults, fault{nr, errno})
+		faults = append(faults, fault{call, errno})
 	}
-	return install(faults, os.Getenv(WhileVariable))
+	return faults, nil
 }
 
-// notification and response are struct seccomp_notif and struct seccomp_notif_resp.
+// notification is struct seccomp_notif of the kernel.
 type notification struct {
-	id    uint64
-	pid   uint32
-	flags uint32
-	nr    int32
-	arch  uint32
-	ip    uint64
-	args  [6]uint64
+	id           uint64
+	pid          uint32
+	flags        uint32
+	call         int32 // its number; this and the rest is struct seccomp_data
+	architecture uint32
+	instruction  uint64
+	arguments    [6]uint64
 }
 
+// response is struct seccomp_notif_resp of the kernel.
 type response struct {
 	id    uint64
-	val   int64
-	errno int32
+	value int64
+	errno int32 // negative
 	flags uint32
 }
 
-func install(faults []fault, while string) error {
-	filter := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: 0}} // the call's number
-	for _, f := range faults {
-		filter = append(filter,
-			unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: uint32(f.call), Jf: 1},
-			unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: unix.SECCOMP_RET_USER_NOTIF})
-	}
-	filter = append(filter, unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: unix.SECCOMP_RET_ALLOW})
+// install has the kernel notify this process of each call that a fault names, and starts a goroutine
+// that decides on them.
+func install(faults []fault, whileFile string) error {
+	filter := filterProgram(faults)
 	program := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
-	runtime.LockOSThread() // both calls are of one thread; the second reaches all others
+	// Both calls have to be made by one thread. The second one affects all threads of the process.
+	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return fmt.Errorf("no_new_privs: %w", err)
@@ -102,25 +116,49 @@
 	if errno != 0 {
 		return fmt.Errorf("seccomp: %w", errno)
 	}
-	go supervise(listener, faults, while)
+	go supervise(listener, faults, whileFile)
 	return nil
 }
 
-// supervise decides on each call that is notified. It makes none of them itself.
-func supervise(listener uintptr, faults []fault, while string) {
+// callNumberOffset is the offset of the call's number in struct seccomp_data.
+const callNumberOffset = 0
+
+// filterProgram returns the BPF program that has the kernel notify the listener of the faults' calls
+// and allow all others.
+func filterProgram(faults []fault) []unix.SockFilter {
+	program := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: callNumberOffset}}
+	for _, f := range faults {
+		program = append(program,
+			unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: uint32(f.call), Jf: 1}, // Jf: skip the next one
+			unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: unix.SECCOMP_RET_USER_NOTIF})
+	}
+	return append(program, unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: unix.SECCOMP_RET_ALLOW})
+}
+
+// supervise decides on each call that the listener is notified of, until the process ends. It makes
+// none of the calls in calls itself, because such a call would wait for its own decision.
+func supervise(listener uintptr, faults []fault, whileFile string) {
 	for {
 		var n notification
 		if _, _, errno := syscall.Syscall(unix.SYS_IOCTL, listener, unix.SECCOMP_IOCTL_NOTIF_RECV, uintptr(unsafe.Pointer(&n))); errno != 0 {
-			continue // the caller was interrupted, and will call again
-		}
-		r := response{id: n.id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
-		if _, err := os.Stat(while); err == nil {
-			for _, f := range faults {
-				if f.call == int(n.nr) {
-					r.errno, r.flags = -int32(f.errno), 0
-				}
-			}
+			continue // the calling thread was interrupted, and will call again
 		}
+		r := decide(&n, faults, whileFile)
 		_, _, _ = syscall.Syscall(unix.SYS_IOCTL, listener, unix.SECCOMP_IOCTL_NOTIF_SEND, uintptr(unsafe.Pointer(&r)))
 	}
 }
+
+// decide returns the response to a call: its fault's error while the file exists, and otherwise that
+// the kernel is to execute the call. Of several faults of one call, the last one counts.
+func decide(n *notification, faults []fault, whileFile string) response {
+	r := response{id: n.id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
+	if _, err := os.Stat(whileFile); err != nil {
+		return r
+	}
+	for _, f := range faults {
+		if f.call == int(n.call) {
+			r.errno, r.flags = -int32(f.errno), 0
+		}
+	}
+	return r
+}
