--- /dev/null
+++ b/internal/lab/worker/operator.go
@@ -0,0 +1,57 @@
+package worker
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"hash/fnv"
+	"net/http"
+	"time"
+
+	"knotrouter/internal/lab/check"
+)
+
+// operationPath is the path that servers of the lab receive operations at.
+const operationPath = "/admin/act"
+
+// operator sends operations under leased tasks. It is safe for concurrent use.
+type operator struct {
+	worker    string // the name that operations are sent under
+	addresses []string
+	client    *http.Client
+}
+
+// run sends operations under a task, with the task's fencing token, until the context ends. An
+// operation that is rejected or gets no answer is not repeated: the next one follows. It returns an
+// error if the machine's clock can't be read.
+func (o *operator) run(ctx context.Context, task string, fence int64) error {
+	url := "http://" + o.addressOf(task) + operationPath
+	for ctx.Err() == nil {
+		now, err := Monotonic()
+		if err != nil {
+			return err
+		}
+		// The lease is checked after the machine's clock was read, so that it was still valid at the
+		// time that the operation reports.
+		if ctx.Err() != nil {
+			return nil
+		}
+		body, err := json.Marshal(check.Operation{Task: task, Process: o.worker, Fence: fence, Mono: now})
+		if err != nil {
+			return err
+		}
+		if resp, err := o.client.Post(url, "application/json", bytes.NewReader(body)); err == nil {
+			resp.Body.Close()
+		}
+		time.Sleep(operationInterval)
+	}
+	return nil
+}
+
+// addressOf returns the address that a task's operations land at. It is the same for all workers with
+// the same addresses.
+func (o *operator) addressOf(task string) string {
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(task))
+	return o.addresses[int(hash.Sum32()>>8)%len(o.addresses)]
+}
--- /dev/null
+++ b/internal/lab/worker/worker_test.go
@@ -0,0 +1,83 @@
+package worker
+
+import (
+	"context"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"knotrouter/internal/lab/check"
+)
+
+// waitTimeout bounds every wait for something that should happen.
+const waitTimeout = 20 * time.Second
+
+// Operations land at the servers' path with the task, the worker and the fencing token, until the
+// lease ends.
+func TestOperationsCarryTheFencingToken(t *testing.T) {
+	operations := check.NewOperationLog()
+	mux := http.NewServeMux()
+	mux.Handle("/admin/act", operations)
+	server := httptest.NewServer(mux)
+	t.Cleanup(server.Close)
+	o := &operator{worker: "w1", addresses: []string{strings.TrimPrefix(server.URL, "http://")}, client: server.Client()}
+	before, err := Monotonic()
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, endLease := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	go func() { ended <- o.run(ctx, "task", 7) }()
+	for deadline := time.Now().Add(waitTimeout); operations.Analyze().Total == 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("fewer than two operations landed")
+		}
+	}
+	endLease()
+	if err := <-ended; err != nil {
+		t.Errorf("the task ended with %v", err)
+	}
+	last := operations.Last("task")
+	if last.Process != "w1" || last.Fence != 7 || last.Mono <= before {
+		t.Errorf("the last operation is %+v", last)
+	}
+}
+
+// All workers with the same addresses send a task's operations to the same one, and tasks spread over
+// the addresses.
+func TestTaskHasOneAddress(t *testing.T) {
+	addresses := []string{"a", "b", "c"}
+	one, other := &operator{worker: "w1", addresses: addresses}, &operator{worker: "w2", addresses: addresses}
+	used := map[string]bool{}
+	for _, task := range strings.Split("abcdefghijklmnopqrstuvwxyz", "") {
+		if one.addressOf(task) != other.addressOf(task) {
+			t.Errorf("task %s has two addresses", task)
+		}
+		used[one.addressOf(task)] = true
+	}
+	if len(used) != len(addresses) {
+		t.Errorf("tasks use the addresses %v only", used)
+	}
+}
+
+// A clock with double the rate shows double the time, and its timers take half of it.
+func TestDriftClockRate(t *testing.T) {
+	const rate = 2
+	clock := driftClock{time.Now().Add(-time.Hour), rate}
+	if now := clock.Now(); now < rate*time.Hour || now > rate*(time.Hour+waitTimeout) {
+		t.Errorf("after an hour the clock shows %v", now)
+	}
+	began := time.Now()
+	fired, stop := clock.After(rate * 20 * time.Millisecond)
+	defer stop()
+	select {
+	case <-fired:
+	case <-time.After(waitTimeout):
+		t.Fatal("the timer did not fire")
+	}
+	if took := time.Since(began); took < 20*time.Millisecond {
+		t.Errorf("the timer took %v", took)
+	}
+}
