--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -40,15 +40,15 @@
 	timingSlack = 50 * time.Millisecond
 	// maxBreaches bounds the breaches that are kept with their particulars; all are counted.
 	maxBreaches = 200
-	// slowStartKnownShare is the share of the work, sent by agents that knew of a server's start,
-	// from which its overload is theirs.
+	// slowStartKnownShare is the share of an overloaded server's work from which the agents broke
+	// RuleSlowStart, counting only work from agents that knew of the server's start.
 	slowStartKnownShare = 2.0 / 3
 )
 
 // none takes the place of the index of an agent or a server that a breach does not concern.
 const none = -1
 
-// Breach is one rule broken once.
+// Breach is one case of a broken rule.
 type Breach struct {
 	Rule    string  `json:"rule"`
 	AtS     float64 `json:"at_s"`
@@ -81,7 +81,8 @@
 	discovery discoveryState
 }
 
-// New returns a checker for the named agents and servers, which later calls give by their index.
+// New returns a checker for the named agents and servers. All other methods refer to an agent or a
+// server by its index here.
 func New(clock Clock, settings *policy.Settings, agents []string, servers []Server) *Checker {
 	c := &Checker{clock: clock, settings: settings, agents: agents, servers: servers, count: map[string]int{},
 		views: make([]agentView, len(agents))}
@@ -92,8 +93,8 @@
 	return c
 }
 
-// recordBreach records that a rule was broken. agent and server may be none; with a request, the
-// agent is that of the request.
+// recordBreach records that a rule was broken. agent and server can be none. If r is not nil, its agent
+// replaces agent.
 func (c *Checker) recordBreach(rule string, r *Request, agent, server int, format string, args ...any) {
 	b := Breach{Rule: rule, AtS: c.clock().Seconds(), Text: fmt.Sprintf(format, args...)}
 	if r != nil {
--- a/internal/lab/check/notifications.go
+++ b/internal/lab/check/notifications.go
@@ -11,8 +11,8 @@
 // change, whether it was written to the agent or not.
 const notificationBound = 6 * time.Second
 
-// discoveryState is what discovery knows, and how long it has been available to tell it. Its
-// service time is the time that it was up.
+// discoveryState is what discovery knows, and how long it has been able to notify agents. Its service
+// time is the time that it was up.
 type discoveryState struct {
 	sync.Mutex
 	downTime  time.Duration // in which it was down, without the present outage
@@ -24,7 +24,7 @@
 type serverState struct {
 	health    string // "": nothing yet
 	startedMs int64
-	since     time.Duration // when it got to know that, in service time
+	since     time.Duration // when discovery learned the health and the start, in service time
 }
 
 // agentView is what one agent was notified of, and when the lab kept it from being notified or
@@ -32,24 +32,24 @@
 type agentView struct {
 	sync.Mutex
 	startedAt    time.Duration  // when its process started, in service time
-	cutDuration  time.Duration  // service time in which the lab cut it off, without the present cut
+	cutDuration  time.Duration  // service time in which the lab cut the agent off, without the present cut
 	cutSince     time.Duration  // the beginning of the present cut, in service time
-	isCut        bool           // the lab cuts it off from discovery
+	isCut        bool           // the lab cuts the agent off from discovery
 	servers      []serverNotice // by server
-	excusedSpans []timeSpan     // in which the lab kept it from running
+	excusedSpans []timeSpan     // in which the lab kept the agent from running
 }
 
 // serverNotice is what an agent was notified of a server.
 type serverNotice struct {
-	drainingSince time.Duration // when it learned that the server takes no new requests; 0: it does
-	startedMs     int64         // the latest start that it knows
-	known         bool
+	drainingSince time.Duration // when the agent learned that the server takes no new requests; 0: the server takes them
+	startedMs     int64         // the latest start that the agent knows
+	known         bool          // the agent was notified of the server
 }
 
 type timeSpan struct{ from, to time.Duration }
 
 // drainNotified returns since when the agent counts as notified that the server takes no new
-// requests; false if it does not.
+// requests. It returns false if the agent does not count as notified.
 func (c *Checker) drainNotified(agent, server int, now time.Duration) (time.Duration, bool) {
 	view := &c.views[agent]
 	view.Lock()
@@ -77,9 +77,9 @@
 	return state.health != "" && state.startedMs >= startedMs && available >= notificationBound
 }
 
-// discoveryKnows returns what discovery knows of a server, and for how long it could have notified
-// the agent of it: not while it was down, nor while the lab cut the agent off. The caller holds
-// the view's lock.
+// discoveryKnows returns what discovery knows of a server, and for how long it has been able to notify
+// the agent of that: the time in which discovery was up and the lab did not cut the agent off. The
+// caller holds the view's lock.
 func (c *Checker) discoveryKnows(view *agentView, server int, now time.Duration) (serverState, time.Duration) {
 	c.discovery.Lock()
 	defer c.discovery.Unlock()
@@ -111,7 +111,8 @@
 	return c.discovery.serviceTime(c.clock())
 }
 
-// RecordDiscovery records what discovery has come to know of a server.
+// RecordDiscovery records that discovery has learned a server's health and its latest start, in
+// milliseconds since the Unix epoch (0: long ago).
 func (c *Checker) RecordDiscovery(server int, health string, startedMs int64) {
 	now := c.clock()
 	c.discovery.Lock()
@@ -163,8 +164,8 @@
 	}
 }
 
-// AgentStarted records that a new process of an agent starts, which knows nothing that the one
-// before was notified of.
+// AgentStarted records that a new process of an agent starts. It knows nothing that the process before
+// it was notified of.
 func (c *Checker) AgentStarted(agent int) {
 	view := &c.views[agent]
 	view.Lock()
--- a/internal/lab/loopback/listener_test.go
+++ b/internal/lab/loopback/listener_test.go
@@ -163,33 +163,35 @@
 	all.Wait()
 }
 
-// A reset breaks the connection with an error, a close ends it in order.
+// A reset breaks a connection with an error, a close ends it in order.
 func TestReset(t *testing.T) {
-	for _, reset := range []bool{false, true} {
-		var open Set
-		l, err := Listen("127.0.0.1:0", func(c net.Conn) {
-			open.Add(c)
-			_, _ = c.Read(make([]byte, 1))
-			if reset {
-				Reset(c)
-			} else {
-				c.Close()
+	for _, c := range []struct {
+		name string
+		end  func(net.Conn)
+		want error
+	}{
+		{"reset", Reset, syscall.ECONNRESET},
+		{"close", func(c net.Conn) { c.Close() }, io.EOF},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l, err := Listen("127.0.0.1:0", func(conn net.Conn) {
+				_, _ = conn.Read(make([]byte, 1))
+				c.end(conn)
+			})
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(l.Close)
+			conn, err := net.Dial("tcp", l.Addr())
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(func() { conn.Close() })
+			_, _ = conn.Write([]byte("x"))
+			_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
+			if _, err = conn.Read(make([]byte, 1)); !errors.Is(err, c.want) {
+				t.Errorf("the other end got %v, want %v", err, c.want)
 			}
 		})
-		if err != nil {
-			t.Fatal(err)
-		}
-		c, err := net.Dial("tcp", l.Addr())
-		if err != nil {
-			t.Fatal(err)
-		}
-		_, _ = c.Write([]byte("x"))
-		_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
-		_, err = c.Read(make([]byte, 1))
-		if reset != errors.Is(err, syscall.ECONNRESET) || !reset != errors.Is(err, io.EOF) {
-			t.Errorf("reset %v: %v", reset, err)
-		}
-		c.Close()
-		l.Close()
 	}
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,4 +1,4 @@
-// Package table writes tables for people, on a terminal or in a Markdown page.
+// Package table writes tables for people, on a terminal or in a Markdown page. It keeps no state.
 package table
 
 import (
@@ -35,6 +35,7 @@
 	return write(w, renderer.NewMarkdown(), tw.AlignRight, header, rows)
 }
 
+// write lays a table out for a renderer and writes it.
 func write(w io.Writer, r tw.Renderer, alignment tw.Align, header []string, rows [][]string) error {
 	t := tablewriter.NewTable(w, tablewriter.WithRenderer(r), tablewriter.WithHeaderAutoFormat(tw.Off),
 		tablewriter.WithRowAlignment(alignment), tablewriter.WithHeaderAlignment(alignment))
