--- a/internal/lab/client/arrivals_test.go
+++ b/internal/lab/client/arrivals_test.go
@@ -114,3 +114,16 @@
 		}
 	})
 }
+
+// The rate rises from the beginning of a change, falls back before its end, and is unchanged outside.
+func TestRateRampsUpAndDown(t *testing.T) {
+	change := LoadChange{From: 10 * time.Second, To: 30 * time.Second, Factor: 3, RampTime: 4 * time.Second}
+	for at, want := range map[time.Duration]float64{
+		9 * time.Second: 1, 10 * time.Second: 1, 12 * time.Second: 2, 14 * time.Second: 3,
+		26 * time.Second: 3, 28 * time.Second: 2, 30 * time.Second: 1,
+	} {
+		if got := change.rateFactor(at); got != want {
+			t.Errorf("factor %v after %v, want %v", got, at, want)
+		}
+	}
+}
