--- a/cmd/lab/formats_test.go
+++ b/cmd/lab/formats_test.go
@@ -42,7 +42,7 @@
 	{"summary-keys.golden", "json", []any{experiment.Summary{}}},
 	{"result-keys.golden", "json", []any{capacity.Results{}}},
 	{"state-keys.golden", "json", []any{experiment.Progress{}, experiment.Machine{}, check.Operation{}, check.Breach{},
-		hollow.AgentsState{}, hollow.ServersState{}, hollow.Rates{}, hollow.Range{}, hollow.Registered{}, process.Usage{}}},
+		hollow.AgentsState{}, hollow.ServersState{}, hollow.Rates{}, hollow.Range{}, hollow.RegistrationResult{}, process.Usage{}}},
 }
 
 func TestGoldenFileKeys(t *testing.T) {
@@ -113,7 +113,7 @@
 		t.Fatalf("no experiment files: %v", err)
 	}
 	for _, f := range files {
-		if scale.Is(f) {
+		if scale.IsExperiment(f) {
 			_, err = scale.Load(f)
 		} else {
 			_, err = experiment.Load(f)
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -64,7 +64,7 @@
 			"makes no sense is one line that names the key, and exit code 2.",
 		Example: "  lab run experiments/steady.toml\n  lab run experiments/herd.toml --seed 7 --out /tmp/herd-7 --quiet",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if scale.Is(args[0]) {
+			if scale.IsExperiment(args[0]) {
 				return runScale(cmd.Context(), out, progress, args[0], o, quiet)
 			}
 			c, err := experiment.Load(args[0])
@@ -181,7 +181,7 @@
 			}
 			sort.Strings(files)
 			for _, f := range files {
-				if scale.Is(f) {
+				if scale.IsExperiment(f) {
 					listScale(out, f)
 					continue
 				}
@@ -205,7 +205,7 @@
 		Example: "  lab validate experiments/*.toml",
 		RunE: func(_ *cobra.Command, args []string) error {
 			for _, f := range args {
-				if scale.Is(f) {
+				if scale.IsExperiment(f) {
 					c, err := scale.Load(f)
 					if err != nil {
 						return err
--- a/internal/lab/hollow/agent.go
+++ b/internal/lab/hollow/agent.go
@@ -33,7 +33,7 @@
 // clientConfig is the configuration of the agent's reader, as the real agent's.
 func (a *Agent) clientConfig(order uint64, transport http.RoundTripper) endpoints.ClientConfig {
 	return endpoints.ClientConfig{
-		Addresses:   a.process.config.Stewards,
+		Addresses:   a.process.config.ControlPlane,
 		Order:       order,
 		Fleet:       a.process.config.Fleet,
 		RejectOlder: true,
--- a/internal/lab/hollow/agents.go
+++ b/internal/lab/hollow/agents.go
@@ -34,20 +34,20 @@
 
 // AgentsConfig describes hollow agents of one process.
 type AgentsConfig struct {
-	Stewards   []string      // HTTP addresses of the list service
-	Count      int           // hollow agents in this process
-	First      int           // index of the first one in the fleet
-	Fleet      int           // readers of the whole fleet; 0: Count
-	Seed       uint64        // of the order of addresses, the jitter and the subscriptions
-	Spread     time.Duration // agents are started evenly over that time; 0: at once
-	Services   int           // services that there are
-	Subscribed int           // services that each agent subscribes to; 0: the whole list
-	Sources    []string      // local addresses, taken in turn; none: the kernel's choice
+	ControlPlane []string      // HTTP addresses of the list service
+	Count        int           // hollow agents in this process
+	First        int           // index of the first one in the fleet
+	Fleet        int           // readers of the whole fleet; 0: Count
+	Seed         uint64        // of the order of addresses, the jitter and the subscriptions
+	Spread       time.Duration // agents are started evenly over that time; 0: at once
+	Services     int           // services that there are
+	Subscribed   int           // services that each agent subscribes to; 0: the whole list
+	Sources      []string      // local addresses, taken in turn; none: the kernel's choice
 }
 
 // Validate reports the first value that makes no sense, by its flag.
 func (c *AgentsConfig) Validate() error {
-	if err := validateStewards(c.Stewards); err != nil {
+	if err := validateStewards(c.ControlPlane); err != nil {
 		return err
 	}
 	switch {
@@ -156,7 +156,7 @@
 // Run starts the agents and returns when the context has ended and all watches with it.
 func (p *Agents) Run(ctx context.Context) {
 	p.ctx = ctx
-	p.log.Info("hollow agents start", "count", p.config.Count, "first", p.config.First, "stewards", p.config.Stewards)
+	p.log.Info("hollow agents start", "count", p.config.Count, "first", p.config.First, "stewards", p.config.ControlPlane)
 	pause := p.config.Spread / time.Duration(p.config.Count)
 	for _, agent := range p.agents {
 		if !sleep(ctx, pause) {
@@ -248,30 +248,30 @@
 
 // AgentsState is what the hollow agents of a process really did.
 type AgentsState struct {
-	Agents         int                    `json:"agents"`
-	WatchesOpen    int                    `json:"watches_open"` // served at their present address
-	WatchesEnded   int64                  `json:"watches_ended"`
-	Lines          int64                  `json:"lines"`   // lists and changes, not the empty lines of a quiet watch
-	Entries        int64                  `json:"entries"` // parsed and taken into tables
-	WholeLists     int64                  `json:"whole_lists"`
-	Versions       int64                  `json:"versions"` // lines that brought a later version
-	Failovers      int64                  `json:"failovers"`
-	HeldBack       int64                  `json:"held_back"` // rounds that the reader's budget ended
-	VersionMin     int64                  `json:"version_min"`
-	VersionMax     int64                  `json:"version_max"`
-	ListedMin      int                    `json:"listed_min"`
-	ListedMax      int                    `json:"listed_max"`
-	AsExpected     int                    `json:"as_expected"` // agents whose table has the size that was asked for
-	AtVersion      int                    `json:"at_version"`  // agents at the version that was asked for, or a later one
-	ListAgeMaxSec  float64                `json:"list_age_max_s"`
-	ListAgeMeanSec float64                `json:"list_age_mean_s"`
-	Total          Traffic                `json:"total"`
-	ByAddress      map[string]Traffic     `json:"by_address"`
-	Changes        int64                  `json:"changes"` // receipts of changes, over all agents
-	ChangeP50Ms    int64                  `json:"change_p50_ms"`
-	ChangeP99Ms    int64                  `json:"change_p99_ms"`
-	ChangeLastMs   int64                  `json:"change_last_ms"`
-	Ages           *hdrhistogram.Snapshot `json:"ages,omitempty"`
+	Agents          int                    `json:"agents"`
+	WatchesOpen     int                    `json:"watches_open"` // served at their present address
+	WatchesEnded    int64                  `json:"watches_ended"`
+	Lines           int64                  `json:"lines"`   // lists and changes, not the empty lines of a quiet watch
+	Entries         int64                  `json:"entries"` // parsed and taken into tables
+	FullLists       int64                  `json:"whole_lists"`
+	Versions        int64                  `json:"versions"` // lines that brought a later version
+	Failovers       int64                  `json:"failovers"`
+	BudgetExhausted int64                  `json:"held_back"` // rounds that the reader's budget ended
+	VersionMin      int64                  `json:"version_min"`
+	VersionMax      int64                  `json:"version_max"`
+	ListedMin       int                    `json:"listed_min"`
+	ListedMax       int                    `json:"listed_max"`
+	AsExpected      int                    `json:"as_expected"` // agents whose table has the size that was asked for
+	AtVersion       int                    `json:"at_version"`  // agents at the version that was asked for, or a later one
+	ListAgeMaxSec   float64                `json:"list_age_max_s"`
+	ListAgeMeanSec  float64                `json:"list_age_mean_s"`
+	Total           Traffic                `json:"total"`
+	ByAddress       map[string]Traffic     `json:"by_address"`
+	Changes         int64                  `json:"changes"` // receipts of changes, over all agents
+	ChangeP50Ms     int64                  `json:"change_p50_ms"`
+	ChangeP99Ms     int64                  `json:"change_p99_ms"`
+	ChangeLastMs    int64                  `json:"change_last_ms"`
+	Ages            *hdrhistogram.Snapshot `json:"ages,omitempty"`
 }
 
 // State tells what the agents did so far.
@@ -281,7 +281,7 @@
 		WatchesEnded: p.counts.watchesEnded.Load(),
 		Lines:        p.counts.lines.Load(),
 		Entries:      p.counts.entries.Load(),
-		WholeLists:   p.counts.wholeLists.Load(),
+		FullLists:    p.counts.wholeLists.Load(),
 		Versions:     p.counts.versions.Load(),
 		Failovers:    p.counts.failovers.Load(),
 		ByAddress:    p.meter.read(),
@@ -325,7 +325,7 @@
 		state.ListAgeMaxSec = max(state.ListAgeMaxSec, age)
 		state.ListAgeMeanSec += age
 	}
-	state.HeldBack += a.client.BudgetExhausted()
+	state.BudgetExhausted += a.client.BudgetExhausted()
 }
 
 // resetAges begins a new measurement of ages.
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -14,11 +14,11 @@
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 func goodAgents() AgentsConfig {
-	return AgentsConfig{Stewards: []string{"127.0.0.1:1"}, Count: 3, Services: 10, Subscribed: 4, Seed: 7}
+	return AgentsConfig{ControlPlane: []string{"127.0.0.1:1"}, Count: 3, Services: 10, Subscribed: 4, Seed: 7}
 }
 
 func goodServers() ServersConfig {
-	return ServersConfig{Stewards: []string{"127.0.0.1:1"}, Count: 100, Services: 10, Renew: time.Second, RenewBatch: 1}
+	return ServersConfig{ControlPlane: []string{"127.0.0.1:1"}, Count: 100, Services: 10, RenewInterval: time.Second, RenewBatch: 1}
 }
 
 // What makes no sense is one line that names the flag.
@@ -34,8 +34,8 @@
 		return c.Validate()
 	}
 	for flag, err := range map[string]error{
-		"--stewards":   agents(func(c *AgentsConfig) { c.Stewards = nil }),
-		"--stewards:":  agents(func(c *AgentsConfig) { c.Stewards = []string{"nowhere"} }),
+		"--stewards":   agents(func(c *AgentsConfig) { c.ControlPlane = nil }),
+		"--stewards:":  agents(func(c *AgentsConfig) { c.ControlPlane = []string{"nowhere"} }),
 		"--count":      agents(func(c *AgentsConfig) { c.Count = MaxAgents + 1 }),
 		"--first":      agents(func(c *AgentsConfig) { c.First = -1 }),
 		"--fleet":      agents(func(c *AgentsConfig) { c.Fleet = -1 }),
@@ -44,9 +44,9 @@
 		"--source":     agents(func(c *AgentsConfig) { c.Sources = []string{"10.0.0.1"} }),
 
 		"--services":     servers(func(c *ServersConfig) { c.Services = 101 }),
-		"--renew:":       servers(func(c *ServersConfig) { c.Renew = 0 }),
+		"--renew:":       servers(func(c *ServersConfig) { c.RenewInterval = 0 }),
 		"--renew-batch":  servers(func(c *ServersConfig) { c.RenewBatch = 0 }),
-		"--emulated":     servers(func(c *ServersConfig) { c.Emulated = maxEmulated + 1 }),
+		"--emulated":     servers(func(c *ServersConfig) { c.EmulatedPerZone = maxEmulated + 1 }),
 		"--service-time": servers(func(c *ServersConfig) { c.ServiceTime = -1 }),
 	} {
 		if err == nil || !strings.HasPrefix(err.Error(), flag) || strings.Contains(err.Error(), "\n") {
--- a/internal/lab/hollow/servers.go
+++ b/internal/lab/hollow/servers.go
@@ -55,19 +55,19 @@
 
 // ServersConfig describes hollow servers of one process.
 type ServersConfig struct {
-	Stewards    []string      // HTTP addresses of the list service
-	Count       int           // hollow servers
-	Services    int           // services that they are spread over evenly
-	Seed        uint64        // of the order in which servers change
-	Renew       time.Duration // between two renewals of a server
-	RenewBatch  int           // servers that one call renews
-	Emulated    int           // HTTP servers a zone that answer for its servers; 0: nobody does
-	ServiceTime time.Duration // that an emulated server takes for a request
+	ControlPlane    []string      // HTTP addresses of the list service
+	Count           int           // hollow servers
+	Services        int           // services that they are spread over evenly
+	Seed            uint64        // of the order in which servers change
+	RenewInterval   time.Duration // between two renewals of a server
+	RenewBatch      int           // servers that one call renews
+	EmulatedPerZone int           // HTTP servers a zone that answer for its servers; 0: nobody does
+	ServiceTime     time.Duration // that an emulated server takes for a request
 }
 
 // Validate reports the first value that makes no sense, by its flag.
 func (c *ServersConfig) Validate() error {
-	if err := validateStewards(c.Stewards); err != nil {
+	if err := validateStewards(c.ControlPlane); err != nil {
 		return err
 	}
 	switch {
@@ -75,12 +75,12 @@
 		return fmt.Errorf("--count: must be 1 to %d, is %d", MaxServers, c.Count)
 	case c.Services < 1 || c.Services > c.Count:
 		return fmt.Errorf("--services: must be 1 to the number of servers (%d), is %d", c.Count, c.Services)
-	case c.Renew < 10*time.Millisecond || c.Renew > time.Minute:
-		return fmt.Errorf("--renew: must be 10ms to 1m, is %v", c.Renew)
+	case c.RenewInterval < 10*time.Millisecond || c.RenewInterval > time.Minute:
+		return fmt.Errorf("--renew: must be 10ms to 1m, is %v", c.RenewInterval)
 	case c.RenewBatch < 1 || c.RenewBatch > 2000:
 		return fmt.Errorf("--renew-batch: must be 1 to 2000, is %d", c.RenewBatch)
-	case c.Emulated < 0 || c.Emulated > maxEmulated:
-		return fmt.Errorf("--emulated: must be 0 to %d, is %d", maxEmulated, c.Emulated)
+	case c.EmulatedPerZone < 0 || c.EmulatedPerZone > maxEmulated:
+		return fmt.Errorf("--emulated: must be 0 to %d, is %d", maxEmulated, c.EmulatedPerZone)
 	case c.ServiceTime < 0 || c.ServiceTime > time.Minute:
 		return fmt.Errorf("--service-time: must be 0 to 1m, is %v", c.ServiceTime)
 	}
@@ -125,7 +125,7 @@
 	p := &Servers{config: config, log: log}
 	p.meter = newMeter(&http.Transport{MaxIdleConnsPerHost: writers, DisableCompression: true}, nil)
 	for writer := range writers {
-		client := control.NewClient(rotate(config.Stewards, writer), callTimeout)
+		client := control.NewClient(rotate(config.ControlPlane, writer), callTimeout)
 		client.HTTP.Transport = p.meter
 		p.clients = append(p.clients, client)
 	}
@@ -160,11 +160,11 @@
 // emulate starts the HTTP servers that answer requests, and returns where the hollow
 // servers are reached: nowhere, if there are none.
 func (p *Servers) emulate() ([]string, error) {
-	if p.config.Emulated == 0 {
+	if p.config.EmulatedPerZone == 0 {
 		return []string{"127.0.0.1:9"}, nil // the discard port
 	}
 	var addresses []string
-	for range Zones * p.config.Emulated {
+	for range Zones * p.config.EmulatedPerZone {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, fmt.Errorf("emulated server: %w", err)
@@ -177,10 +177,10 @@
 
 // emulatedOf is the place of the emulated server that answers for a hollow one.
 func (p *Servers) emulatedOf(index int) int {
-	if p.config.Emulated == 0 {
+	if p.config.EmulatedPerZone == 0 {
 		return 0
 	}
-	return zoneOf(index, p.config.Count)*p.config.Emulated + index%p.config.Emulated
+	return zoneOf(index, p.config.Count)*p.config.EmulatedPerZone + index%p.config.EmulatedPerZone
 }
 
 // answerOf is the handler of the emulated servers of a zone: it answers after the service
@@ -218,7 +218,7 @@
 func (p *Servers) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	for i, listener := range p.listeners {
-		backend := &http.Server{Handler: p.answerOf(i / p.config.Emulated), ReadHeaderTimeout: time.Minute}
+		backend := &http.Server{Handler: p.answerOf(i / p.config.EmulatedPerZone), ReadHeaderTimeout: time.Minute}
 		context.AfterFunc(ctx, func() { backend.Close() })
 		go func() { _ = backend.Serve(listener) }()
 	}
@@ -226,7 +226,7 @@
 		running.Go(func() { p.renewShare(ctx, writer) })
 	}
 	running.Go(func() { p.change(ctx) })
-	p.log.Info("hollow servers start", "count", p.config.Count, "stewards", p.config.Stewards)
+	p.log.Info("hollow servers start", "count", p.config.Count, "stewards", p.config.ControlPlane)
 	running.Wait()
 	state := p.State()
 	p.log.Info("hollow servers end", "renewals", state.Renewals, "calls", state.Total.Calls)
@@ -240,13 +240,13 @@
 	if batches == 0 {
 		return
 	}
-	pause := p.config.Renew / time.Duration(batches)
+	pause := p.config.RenewInterval / time.Duration(batches)
 	// Writers begin at different times of the interval.
-	next := time.Now().Add(p.config.Renew * time.Duration(writer) / writers)
+	next := time.Now().Add(p.config.RenewInterval * time.Duration(writer) / writers)
 	for batch := 0; sleep(ctx, time.Until(next)) && ctx.Err() == nil; batch = (batch + 1) % batches {
 		from := first + batch*p.config.RenewBatch
 		p.renew(ctx, writer, from, min(from+p.config.RenewBatch, end))
-		if next = next.Add(pause); time.Since(next) > p.config.Renew {
+		if next = next.Add(pause); time.Since(next) > p.config.RenewInterval {
 			next = time.Now() // what could not be kept up with is not made up for
 		}
 	}
@@ -398,8 +398,8 @@
 	Count int `json:"count"`
 }
 
-// Registered is what became of registrations.
-type Registered struct {
+// RegistrationResult is what became of registrations.
+type RegistrationResult struct {
 	Servers int     `json:"servers"` // that are registered
 	Refused string  `json:"refused"` // why the first one was not; "": all are
 	Seconds float64 `json:"seconds"`
@@ -408,7 +408,7 @@
 // Register registers servers as fast as it goes, and stops at the first that is refused
 // for good. A server that registers for the first time has run for long; one that was there
 // before is a process that starts now.
-func (p *Servers) Register(ctx context.Context, r Range) Registered {
+func (p *Servers) Register(ctx context.Context, r Range) RegistrationResult {
 	began := time.Now()
 	var next, done atomic.Int64
 	var refusal atomic.Pointer[string]
@@ -430,7 +430,7 @@
 		})
 	}
 	running.Wait()
-	registered := Registered{Servers: int(done.Load()), Seconds: time.Since(began).Seconds()}
+	registered := RegistrationResult{Servers: int(done.Load()), Seconds: time.Since(began).Seconds()}
 	if text := refusal.Load(); text != nil {
 		registered.Refused = *text
 	}
@@ -486,7 +486,7 @@
 // endOne sends the call by which a server drains or leaves.
 func (p *Servers) endOne(ctx context.Context, ref catalog.InstanceRef, drain bool) error {
 	var err error
-	for _, address := range p.config.Stewards {
+	for _, address := range p.config.ControlPlane {
 		method, path := http.MethodDelete, "/v1/servers/"+ref.Name
 		if drain {
 			method, path = http.MethodPost, path+"/drain"
--- a/internal/lab/scale/beside_test.go
+++ b/internal/lab/scale/beside_test.go
@@ -44,7 +44,7 @@
 func hollowAgent(steward, listen string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	config := hollow.AgentsConfig{Stewards: []string{steward}, Count: 1, Fleet: 2, Services: 1, Seed: 5}
+	config := hollow.AgentsConfig{ControlPlane: []string{steward}, Count: 1, Fleet: 2, Services: 1, Seed: 5}
 	agents, err := hollow.NewAgents(config, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	if err != nil {
 		return err
@@ -77,8 +77,8 @@
 		t.Fatal(err)
 	}
 	config := defaults()
-	config.Scale.Stewards, config.Scale.RealAgents = 1, 1
-	config.Scale.StewardCommand, config.Scale.AgentCommand = filepath.Join(dir, "controlplane"), filepath.Join(dir, "agent")
+	config.Scale.ControlPlaneServers, config.Scale.RealAgents = 1, 1
+	config.Scale.ControlPlaneCommand, config.Scale.AgentCommand = filepath.Join(dir, "controlplane"), filepath.Join(dir, "agent")
 	f, err := newFleet(&config, Size{Servers: servers, Watches: 1, Services: 1}, 1, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -87,8 +87,8 @@
 	if err := f.startStewards(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	s, err := hollow.NewServers(hollow.ServersConfig{Stewards: f.stewardsAt, Count: servers, Services: 1, Seed: 1,
-		Renew: 2 * time.Second, RenewBatch: 1, Emulated: 1}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s, err := hollow.NewServers(hollow.ServersConfig{ControlPlane: f.stewardsAt, Count: servers, Services: 1, Seed: 1,
+		RenewInterval: 2 * time.Second, RenewBatch: 1, EmulatedPerZone: 1}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -129,11 +129,11 @@
 func stewardName(i int) string { return fmt.Sprintf("steward-%d", i+1) }
 
 func (f *fleet) addStewards() error {
-	command, err := program("scale.steward_command", f.config.Scale.StewardCommand)
+	command, err := program("scale.steward_command", f.config.Scale.ControlPlaneCommand)
 	if err != nil {
 		return err
 	}
-	count := f.config.Scale.Stewards
+	count := f.config.Scale.ControlPlaneServers
 	if f.stewardsAt, err = f.freePorts(count); err != nil {
 		return err
 	}
@@ -148,7 +148,7 @@
 	}
 	for i := range count {
 		name := stewardName(i)
-		settings := maps.Clone(f.config.Scale.Steward)
+		settings := maps.Clone(f.config.Scale.ControlPlaneSettings)
 		if settings == nil {
 			settings = map[string]any{}
 		}
@@ -250,8 +250,8 @@
 		ReadyURL: "http://" + f.serversAt + "/v1/state",
 		Args: []string{"hollow", "servers", "--stewards", strings.Join(f.stewardsAt, ","), "--listen", f.serversAt,
 			"--count", fmt.Sprint(f.size.Servers), "--services", fmt.Sprint(f.size.Services), "--seed", fmt.Sprint(f.seed),
-			"--renew", s.Renew.String(), "--renew-batch", fmt.Sprint(s.RenewBatch),
-			"--emulated", fmt.Sprint(s.Emulated), "--service-time", s.ServiceTime.String()}})
+			"--renew", s.RenewInterval.String(), "--renew-batch", fmt.Sprint(s.RenewBatch),
+			"--emulated", fmt.Sprint(s.EmulatedPerZone), "--service-time", s.ServiceTime.String()}})
 	return f.startReady(ctx, f.servers)
 }
 
@@ -441,10 +441,10 @@
 	total.WatchesEnded += state.WatchesEnded
 	total.Lines += state.Lines
 	total.Entries += state.Entries
-	total.WholeLists += state.WholeLists
+	total.FullLists += state.FullLists
 	total.Versions += state.Versions
 	total.Failovers += state.Failovers
-	total.HeldBack += state.HeldBack
+	total.BudgetExhausted += state.BudgetExhausted
 	total.AsExpected += state.AsExpected
 	total.AtVersion += state.AtVersion
 	total.ListAgeMaxSec = max(total.ListAgeMaxSec, state.ListAgeMaxSec)
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -222,7 +222,7 @@
 			err = p.serversLost(ctx, phase, hollow.ZoneRange(0, p.size.Servers))
 		case ConfigBurst:
 			err = p.configBurst(ctx)
-		case StewardKilled:
+		case FollowerKilled:
 			err = p.stewardKilled(ctx)
 		case RegionLost:
 			err = p.serversLost(ctx, phase, hollow.Range{Count: hollow.ZoneRange(regionZones, p.size.Servers).First})
@@ -274,7 +274,7 @@
 // firstStart registers all servers and starts all readers and agents at once.
 func (p *play) firstStart(ctx context.Context) error {
 	f := p.fleet
-	var registered hollow.Registered
+	var registered hollow.RegistrationResult
 	if err := f.command(ctx, "/v1/register", hollow.Range{Count: p.size.Servers}, &registered); err != nil {
 		return err
 	}
@@ -307,7 +307,7 @@
 		return p.unread(ctx, err)
 	}
 	m.add(roleReaders, "recovered_s", took.Seconds())
-	if err := f.waitAgents(ctx, p.config.Scale.RecoverWithin); err != nil {
+	if err := f.waitAgents(ctx, p.config.Scale.RecoveryTimeout); err != nil {
 		return &spent{"real agents: " + err.Error()}
 	}
 	if len(f.agents) > 0 {
@@ -338,7 +338,7 @@
 func (p *play) waitReaders(ctx context.Context, expected hollow.Expectation) (time.Duration, error) {
 	var state hollow.AgentsState
 	var failure error
-	took, ok := poll(ctx, p.config.Scale.RecoverWithin, func() bool {
+	took, ok := poll(ctx, p.config.Scale.RecoveryTimeout, func() bool {
 		leader := p.fleet.leader(ctx)
 		if leader < 0 {
 			return false
@@ -362,7 +362,7 @@
 		return took, failure
 	}
 	return took, &spent{fmt.Sprintf("readers: after %v, of %d readers %d had the list, %d were at the last version, %d had an open watch",
-		p.config.Scale.RecoverWithin, state.Agents, state.AsExpected, state.AtVersion, state.WatchesOpen)}
+		p.config.Scale.RecoveryTimeout, state.Agents, state.AsExpected, state.AtVersion, state.WatchesOpen)}
 }
 
 // steady measures a fleet in which servers change at a multiple of the target's rates.
@@ -371,7 +371,7 @@
 		return err
 	}
 	_, err := p.measured(ctx, load, func() error {
-		wait(ctx, p.config.Scale.Steady)
+		wait(ctx, p.config.Scale.SteadyDuration)
 		return nil
 	})
 	if err != nil {
@@ -416,12 +416,12 @@
 	others := slices.Delete(slices.Clone(p.fleet.stewardsAt), killed, killed+1)
 	client := control.NewClient(others, statusWait)
 	share := 1.0
-	took, ok := poll(ctx, p.config.Scale.RecoverWithin, func() bool {
+	took, ok := poll(ctx, p.config.Scale.RecoveryTimeout, func() bool {
 		_, err := client.SetOverride(ctx, "hollow-00000", control.ServerOverride{Weight: &share})
 		return err == nil
 	})
 	if !ok {
-		return took, errors.Join(ctx.Err(), &spent{fmt.Sprintf("no write was taken within %v of the leader's end", p.config.Scale.RecoverWithin)})
+		return took, errors.Join(ctx.Err(), &spent{fmt.Sprintf("no write was taken within %v of the leader's end", p.config.Scale.RecoveryTimeout)})
 	}
 	return took, nil
 }
@@ -442,7 +442,7 @@
 			return err
 		}
 		began := time.Now()
-		var registered hollow.Registered
+		var registered hollow.RegistrationResult
 		if err := f.command(ctx, "/v1/register", lost, &registered); err != nil {
 			return err
 		}
@@ -495,7 +495,7 @@
 func (p *play) waitFailovers(ctx context.Context, wanted int64) error {
 	var state hollow.AgentsState
 	var err error
-	_, ok := poll(ctx, p.config.Scale.RecoverWithin, func() bool {
+	_, ok := poll(ctx, p.config.Scale.RecoveryTimeout, func() bool {
 		state, err = p.fleet.readersState(ctx, hollow.Expectation{}, false)
 		return err == nil && state.Failovers >= wanted
 	})
@@ -520,7 +520,7 @@
 	}
 	watches := status.Watches - len(f.agents) // at least, of hollow agents
 	var moved time.Duration
-	m, err := p.measured(ctx, StewardKilled, func() error {
+	m, err := p.measured(ctx, FollowerKilled, func() error {
 		began := time.Now()
 		f.stewards[killed].Kill()
 		<-f.stewards[killed].Ended()
