--- a/internal/lab/configfile/configfile.go
+++ b/internal/lab/configfile/configfile.go
@@ -33,7 +33,7 @@
 // dot stays in one piece.
 const keySeparator = "\x00"
 
-// Parse parses TOML text into nested maps.
+// Parse parses TOML text into nested maps. Its error is one line that begins with "no TOML".
 func Parse(text []byte) (map[string]any, error) {
 	file := koanf.New(keySeparator)
 	if err := file.Load(rawbytes.Provider(text), toml.Parser()); err != nil {
@@ -42,12 +42,29 @@
 	return file.Raw(), nil
 }
 
-// Decode writes parsed values over the struct that result points to. Its error is a *KeyError for a
-// key that the struct doesn't have.
+// Decode writes parsed values over the struct that result points to. A list in the file gets the
+// file's length; what one of its entries leaves out stays as in the struct's entry at the same
+// place. A map is merged into the struct's. The error is one line that names the key, a *KeyError
+// for a key that the struct doesn't have.
 func Decode(raw map[string]any, result any) error {
+	return decode(raw, result, false)
+}
+
+// DecodeReplacing is Decode, except that a list or map in the file replaces the struct's, whose
+// entries are forgotten.
+func DecodeReplacing(raw map[string]any, result any) error {
+	return decode(raw, result, true)
+}
+
+func decode(raw map[string]any, result any, replaceCollections bool) error {
 	var metadata mapstructure.Metadata
-	decoder, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{Result: result, TagName: "koanf", Metadata: &metadata,
-		DecodeHook: mapstructure.StringToTimeDurationHookFunc()})
+	decoder, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{
+		Result:     result,
+		TagName:    "koanf",
+		Metadata:   &metadata,
+		DecodeHook: mapstructure.StringToTimeDurationHookFunc(),
+		ZeroFields: replaceCollections,
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/configfile/configfile_test.go
+++ b/internal/lab/configfile/configfile_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"reflect"
 	"strings"
 	"testing"
 	"time"
@@ -46,3 +47,43 @@
 		}
 	}
 }
+
+// Decode writes the entries of a file's list and map over the struct's, DecodeReplacing takes the
+// file's alone. Both keep what the file doesn't name and refuse an unknown key.
+func TestDecodeReplacing(t *testing.T) {
+	type step struct {
+		Name  string `koanf:"name"`
+		Count int    `koanf:"count"`
+	}
+	type collections struct {
+		Name  string         `koanf:"name"`
+		Steps []step         `koanf:"steps"`
+		Limit map[string]int `koanf:"limit"`
+	}
+	raw, err := Parse([]byte("steps = [{ count = 7 }]\nlimit = { b = 2 }\n"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defaults := func() collections {
+		return collections{Name: "kept", Steps: []step{{"one", 1}, {"two", 2}}, Limit: map[string]int{"a": 1}}
+	}
+	merged, replaced := defaults(), defaults()
+	if err := Decode(raw, &merged); err != nil {
+		t.Fatal(err)
+	}
+	if err := DecodeReplacing(raw, &replaced); err != nil {
+		t.Fatal(err)
+	}
+	want := collections{Name: "kept", Steps: []step{{"one", 7}}, Limit: map[string]int{"a": 1, "b": 2}}
+	if !reflect.DeepEqual(merged, want) {
+		t.Errorf("Decode: %+v, want %+v", merged, want)
+	}
+	want = collections{Name: "kept", Steps: []step{{"", 7}}, Limit: map[string]int{"b": 2}}
+	if !reflect.DeepEqual(replaced, want) {
+		t.Errorf("DecodeReplacing: %+v, want %+v", replaced, want)
+	}
+	var keyErr *KeyError
+	if err := DecodeReplacing(map[string]any{"colour": "red"}, &replaced); !errors.As(err, &keyErr) || keyErr.Key != "colour" {
+		t.Errorf("error %v, want a KeyError of colour", err)
+	}
+}
