--- a/internal/lab/hollow/agent.go
+++ b/internal/lab/hollow/agent.go
@@ -12,25 +12,26 @@
 
 // Agent is a reader of the list as a real agent has it, without a data path: the real
 // endpoints.Client reads, the real policy.Balancer decides when a watch begins again, and
-// each entry is parsed and kept in a table by name. The balancer is told that lists came
-// and failed, but not of their entries: it has no servers to choose from.
+// each entry is parsed and kept in a table by name. The balancer gets the events that lists came
+// and failed, but not their entries: it has no servers to choose from.
 type Agent struct {
 	process  *Agents
 	services []string // that it subscribes to; nil: all
 	client   *endpoints.Client
 
-	mu       sync.Mutex
-	balancer *policy.Balancer
-	actions  []policy.Action
-	table    map[string]endpoints.Endpoint
-	scope    *endpoints.ServiceTable // as the real agent's; nil: it reads the whole list
-	version  int64
-	taken    time.Time // when the last list or change was taken
-	watching bool      // a watch is under way, at one address or the next
-	open     bool      // and has been served at the present address
+	mu        sync.Mutex
+	balancer  *policy.Balancer
+	actions   []policy.Action
+	table     map[string]endpoints.Endpoint
+	scope     *endpoints.ServiceTable // as the real agent's; nil: it reads the full list
+	version   int64                   // of the list in the table; 0: no list has come
+	updatedAt time.Time               // when the last list or change was applied
+	watching  bool                    // a watch is under way, at one address or the next
+	open      bool                    // the watch has been served at the present address
 }
 
-// clientConfig is the configuration of the agent's reader, as the real agent's.
+// clientConfig returns the configuration of the agent's reader, as the real agent's. Order is the
+// seed of the order in which the reader tries the addresses.
 func (a *Agent) clientConfig(order uint64, transport http.RoundTripper) endpoints.ClientConfig {
 	return endpoints.ClientConfig{
 		Addresses:   a.process.config.ControlPlane,
@@ -38,13 +39,14 @@
 		Fleet:       a.process.config.Fleet,
 		RejectOlder: true,
 		Transport:   transport,
-		OnFailover:  func(string, error) { a.failedOver() },
+		OnFailover:  func(string, error) { a.recordFailover() },
 		Services:    a.services,
 	}
 }
 
-// settings are those of a real agent that decide when it asks for the list.
-func settings(fleet int) policy.Settings {
+// policySettings are the settings of a real agent that decide when it asks for the list. Fleet is
+// the number of agents.
+func policySettings(fleet int) policy.Settings {
 	return policy.Settings{
 		Membership: "on_request",
 		Replicas:   fleet,
@@ -56,13 +58,20 @@
 	}
 }
 
+// newAgent makes the agent with an index in the fleet; transport makes its calls. It returns an
+// error if the policy refuses its settings.
 func newAgent(process *Agents, index int, services []string, transport http.RoundTripper) (*Agent, error) {
-	seed := process.config.Seed*1_000_003 + uint64(index)
-	balancer, err := policy.New(settings(process.config.Fleet), seed)
+	seed := AgentSeed(process.config.Seed, index)
+	balancer, err := policy.New(policySettings(process.config.Fleet), seed)
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{process: process, services: services, balancer: balancer, table: map[string]endpoints.Endpoint{}}
+	a := &Agent{
+		process:  process,
+		services: services,
+		balancer: balancer,
+		table:    map[string]endpoints.Endpoint{},
+	}
 	if services != nil {
 		a.scope = endpoints.NewServiceTable(services)
 	}
@@ -70,53 +79,57 @@
 	return a, nil
 }
 
-// start has the policy draw the time of the first call.
+// start begins the policy, which draws the time of the first call.
 func (a *Agent) start() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.actions = a.balancer.Start(a.process.clock(), a.actions[:0])
-	a.act()
+	a.actions = a.balancer.Start(a.process.nowMs(), a.actions[:0])
+	a.runActions()
 }
 
-// tell hands the policy an event and carries out what it decides. The caller holds the lock.
-func (a *Agent) tell(event *policy.Event) {
-	a.actions = a.balancer.Handle(a.process.clock(), event, a.actions[:0])
-	a.act()
+// handleEvent hands the policy an event and carries out what it decides. The caller holds the lock.
+func (a *Agent) handleEvent(event *policy.Event) {
+	a.actions = a.balancer.Handle(a.process.nowMs(), event, a.actions[:0])
+	a.runActions()
 }
 
-func (a *Agent) act() {
+// runActions carries out what the policy decided last. The caller holds the lock.
+func (a *Agent) runActions() {
 	for i := range a.actions {
 		switch action := &a.actions[i]; action.Kind {
 		case policy.ActTimer:
 			token := action.Token
-			time.AfterFunc(time.Duration(action.Ms*float64(time.Millisecond)), func() { a.timer(token) })
+			time.AfterFunc(time.Duration(action.Ms*float64(time.Millisecond)), func() { a.fireTimer(token) })
 		case policy.ActWatchList:
-			a.follow()
+			a.openWatch()
 		}
 	}
 }
 
-func (a *Agent) timer(token uint32) {
+// fireTimer hands the policy a timer that it asked for, unless the process ends.
+func (a *Agent) fireTimer(token uint32) {
 	if a.process.ctx.Err() != nil {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.tell(&policy.Event{Kind: policy.EvTimer, Token: token})
+	a.handleEvent(&policy.Event{Kind: policy.EvTimer, Token: token})
 }
 
-// follow opens the watch, if there is none. The caller holds the lock.
-func (a *Agent) follow() {
-	if a.watching || !a.process.enter() {
+// openWatch begins a watch, if none is under way. The caller holds the lock.
+func (a *Agent) openWatch() {
+	if a.watching || !a.process.beginWatch() {
 		return
 	}
 	a.watching = true
 	go a.watch(a.process.ctx, a.version)
 }
 
+// watch reads the list from a version on until the watch has failed at all addresses, which it
+// reports to the policy, or the context ends.
 func (a *Agent) watch(ctx context.Context, since int64) {
-	defer a.process.running.Done()
-	_ = a.client.Watch(ctx, since, a.heard)
+	defer a.process.watches.Done()
+	_ = a.client.Watch(ctx, since, a.applyList)
 	if ctx.Err() != nil {
 		return
 	}
@@ -124,18 +137,20 @@
 	defer a.mu.Unlock()
 	a.watching, a.open = false, false
 	a.process.counts.watchesEnded.Add(1)
-	a.tell(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
+	a.handleEvent(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
 }
 
-func (a *Agent) failedOver() {
+// recordFailover counts that the watch goes on to another address.
+func (a *Agent) recordFailover() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.open = false
 	a.process.counts.failovers.Add(1)
 }
 
-// heard takes a list or a change into the table.
-func (a *Agent) heard(list endpoints.List) {
+// applyList applies a list or a change that the watch read to the table; one older than the table
+// is only counted.
+func (a *Agent) applyList(list endpoints.List) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -146,7 +161,7 @@
 	}
 	a.process.counts.entries.Add(int64(len(list.Endpoints)))
 	if list.Full {
-		a.process.counts.wholeLists.Add(1)
+		a.process.counts.fullLists.Add(1)
 	}
 	if list.Seq > a.version {
 		a.process.counts.versions.Add(1)
@@ -155,34 +170,34 @@
 		list, _ = a.scope.Apply(list)
 	}
 	first := a.version == 0
-	a.version, a.taken = list.Seq, now
-	ages := a.learn(&list, now)
+	a.version, a.updatedAt = list.Seq, now
+	ages := a.merge(&list, now)
 	if !first {
-		a.process.record(ages)
+		a.process.recordAges(ages)
 	}
-	a.tell(&policy.Event{Kind: policy.EvList, List: policy.ListChange})
+	a.handleEvent(&policy.Event{Kind: policy.EvList, List: policy.ListChange})
 }
 
-// learn merges a list into the table and returns the ages of what changed.
-func (a *Agent) learn(list *endpoints.List, now time.Time) []time.Duration {
+// merge merges a list into the table and returns the ages of what changed.
+func (a *Agent) merge(list *endpoints.List, now time.Time) []time.Duration {
 	var ages []time.Duration
 	if list.Full {
 		a.removeUnlisted(list)
 	}
 	for i := range list.Endpoints {
-		host := &list.Endpoints[i]
-		before := a.table[host.Name]
-		ages = append(ages, agesOf(&before, host, now)...)
-		if host.Health == endpoints.Removed {
-			delete(a.table, host.Name)
+		entry := &list.Endpoints[i]
+		before := a.table[entry.Name]
+		ages = append(ages, agesOf(&before, entry, now)...)
+		if entry.Health == endpoints.Removed {
+			delete(a.table, entry.Name)
 			continue
 		}
-		a.table[host.Name] = *host
+		a.table[entry.Name] = *entry
 	}
 	return ages
 }
 
-// removeUnlisted takes out of the table what a whole list does not name.
+// removeUnlisted removes from the table the entries that a full list does not name.
 func (a *Agent) removeUnlisted(list *endpoints.List) {
 	if len(a.table) == 0 {
 		return
--- a/internal/lab/hollow/change_test.go
+++ b/internal/lab/hollow/changeage_test.go
@@ -7,33 +7,33 @@
 	"knotrouter/internal/endpoints"
 )
 
-// A share tells when it was sent, to the millisecond, also across the wrap of its window.
-func TestAgeOfShare(t *testing.T) {
+// A weight tells when it was sent, to the millisecond, also across the wrap of its window.
+func TestAgeOfWeight(t *testing.T) {
 	wrap := time.UnixMilli(1_796_186_000_000) // a multiple of the window
 	for _, sent := range []time.Time{wrap.Add(-3 * time.Millisecond), wrap.Add(time.Millisecond), wrap.Add(123_456 * time.Millisecond)} {
 		for _, age := range []time.Duration{0, time.Millisecond, 7 * time.Second, 10 * time.Minute} {
-			got, ok := ageOfShare(shareAt(sent), sent.Add(age))
+			got, ok := ageOfWeight(weightAt(sent), sent.Add(age))
 			if !ok || got != age {
 				t.Errorf("sent at %v, read %v later: age %v, %v", sent.UnixMilli(), age, got, ok)
 			}
 		}
 	}
-	for _, share := range []float64{baseShare, 0, 0.5, 2, 100} {
-		if age, ok := ageOfShare(share, wrap); ok {
-			t.Errorf("share %v carries no time, read as %v ago", share, age)
+	for _, weight := range []float64{baseWeight, 0, 0.5, 2, 100} {
+		if age, ok := ageOfWeight(weight, wrap); ok {
+			t.Errorf("weight %v carries no time, read as %v ago", weight, age)
 		}
 	}
 }
 
-// Ages are told of restarts, configuration changes and returns, and of nothing else.
+// Ages are given for restarts, configuration changes and returns, and of nothing else.
 func TestAgesOf(t *testing.T) {
 	now := time.UnixMilli(1_796_186_400_000)
-	old := endpoints.Endpoint{Name: "a", Health: endpoints.Ready, Weight: baseShare, StartedMs: float64(now.Add(-time.Hour).UnixMilli())}
-	restarted, configured, both, gone := old, old, old, old
+	old := endpoints.Endpoint{Name: "a", Health: endpoints.Ready, Weight: baseWeight, StartedMs: float64(now.Add(-time.Hour).UnixMilli())}
+	restarted, configured, both, removed := old, old, old, old
 	restarted.StartedMs = float64(now.Add(-40 * time.Millisecond).UnixMilli())
-	configured.Weight = shareAt(now.Add(-30 * time.Millisecond))
+	configured.Weight = weightAt(now.Add(-30 * time.Millisecond))
 	both.StartedMs, both.Weight = restarted.StartedMs, configured.Weight
-	gone.Health = endpoints.Removed
+	removed.Health = endpoints.Removed
 	for _, c := range []struct {
 		name          string
 		before, after endpoints.Endpoint
@@ -43,9 +43,9 @@
 		{"a restart", old, restarted, []time.Duration{40 * time.Millisecond}},
 		{"a configuration change", old, configured, []time.Duration{30 * time.Millisecond}},
 		{"both in one line", old, both, []time.Duration{40 * time.Millisecond, 30 * time.Millisecond}},
-		{"an end", old, gone, nil},
+		{"an end", old, removed, nil},
 		{"a return", endpoints.Endpoint{}, restarted, []time.Duration{40 * time.Millisecond}},
-		{"a return with a share from before", endpoints.Endpoint{}, both, []time.Duration{40 * time.Millisecond}},
+		{"a return with a weight from before", endpoints.Endpoint{}, both, []time.Duration{40 * time.Millisecond}},
 		{"an old server that was not known", endpoints.Endpoint{}, old, nil},
 	} {
 		got := agesOf(&c.before, &c.after, now)
--- /dev/null
+++ b/internal/lab/hollow/changes.go
@@ -0,0 +1,109 @@
+package hollow
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"knotrouter/internal/control"
+)
+
+const (
+	maxChangesPerSecond = 1000
+	// idlePoll is the time between two looks at the rates while these are 0.
+	idlePoll = 50 * time.Millisecond
+)
+
+// Rates is how often servers change.
+type Rates struct {
+	ConfigurationsPerSecond float64 `json:"configurations_per_second"`
+	RestartsPerSecond       float64 `json:"restarts_per_second"`
+}
+
+func (r Rates) total() float64 { return r.ConfigurationsPerSecond + r.RestartsPerSecond }
+
+// valid returns whether the rates are numbers of 0 or above and within the bound of their total.
+func (r Rates) valid() bool {
+	return r.ConfigurationsPerSecond >= 0 && r.RestartsPerSecond >= 0 && !(r.total() > maxChangesPerSecond)
+}
+
+func (p *Servers) setRates(rates Rates) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.rates = rates
+}
+
+func (p *Servers) currentRates() Rates {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.rates
+}
+
+// makeChanges makes configuration changes and restarts at the current rates until the context ends,
+// each of another server, in an order drawn from the seed. It returns when all changes have ended.
+func (p *Servers) makeChanges(ctx context.Context) {
+	random := rand.New(rand.NewPCG(p.config.Seed, 1))
+	order := random.Perm(p.config.Count)
+	var running sync.WaitGroup
+	defer running.Wait()
+	turn := 0
+	for {
+		rates := p.currentRates()
+		total := rates.total()
+		if total == 0 {
+			if !Sleep(ctx, idlePoll) {
+				return
+			}
+			continue
+		}
+		if !Sleep(ctx, time.Duration(float64(time.Second)/total)) {
+			return
+		}
+		index := order[turn%len(order)]
+		turn++
+		restarts := random.Float64()*total < rates.RestartsPerSecond
+		running.Go(func() {
+			if restarts {
+				p.restart(ctx, index)
+				return
+			}
+			p.configure(ctx, index)
+		})
+	}
+}
+
+// configure overrides the weight of a server that renews, as an operator does.
+func (p *Servers) configure(ctx context.Context, index int) {
+	endpoint, renewing := p.endpointOf(index)
+	if !renewing {
+		return
+	}
+	weight := weightAt(time.Now())
+	if p.retryChange(ctx, func() error {
+		_, err := p.clients[index%writerCount].SetOverride(ctx, endpoint.Name, control.ServerOverride{Weight: &weight})
+		return err
+	}) {
+		p.counts.configurations.Add(1)
+	}
+}
+
+// restart registers a new process, under the same name, of a server that renews.
+func (p *Servers) restart(ctx context.Context, index int) {
+	p.mu.Lock()
+	s := &p.servers[index]
+	renewing := s.renewing
+	if renewing {
+		s.endpoint.StartedMs = float64(time.Now().UnixMilli())
+	}
+	p.mu.Unlock()
+	if !renewing {
+		return
+	}
+	if p.retryChange(ctx, func() error {
+		_, err := p.register(ctx, index%writerCount, index)
+		return err
+	}) {
+		p.counts.restarts.Add(1)
+	}
+}
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -11,7 +11,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 func goodAgents() AgentsConfig {
 	return AgentsConfig{ControlPlane: []string{"127.0.0.1:1"}, Count: 3, Services: 10, Subscribed: 4, Seed: 7}
@@ -21,8 +21,8 @@
 	return ServersConfig{ControlPlane: []string{"127.0.0.1:1"}, Count: 100, Services: 10, RenewInterval: time.Second, RenewBatch: 1}
 }
 
-// What makes no sense is one line that names the flag.
-func TestValidate(t *testing.T) {
+// The error of a value out of bounds is one line that begins with the flag.
+func TestValidateNamesTheFlag(t *testing.T) {
 	agents := func(change func(*AgentsConfig)) error {
 		c := goodAgents()
 		change(&c)
@@ -46,7 +46,7 @@
 		"--services":     servers(func(c *ServersConfig) { c.Services = 101 }),
 		"--renew:":       servers(func(c *ServersConfig) { c.RenewInterval = 0 }),
 		"--renew-batch":  servers(func(c *ServersConfig) { c.RenewBatch = 0 }),
-		"--emulated":     servers(func(c *ServersConfig) { c.EmulatedPerZone = maxEmulated + 1 }),
+		"--emulated":     servers(func(c *ServersConfig) { c.EmulatedPerZone = maxEmulatedPerZone + 1 }),
 		"--service-time": servers(func(c *ServersConfig) { c.ServiceTime = -1 }),
 	} {
 		if err == nil || !strings.HasPrefix(err.Error(), flag) || strings.Contains(err.Error(), "\n") {
@@ -62,12 +62,12 @@
 }
 
 // Subscriptions are drawn from the seed, as many as asked for, each service once.
-func TestSubscription(t *testing.T) {
-	first, err := NewAgents(goodAgents(), quiet)
+func TestSubscriptionsAreDrawnFromTheSeed(t *testing.T) {
+	first, err := NewAgents(goodAgents(), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := NewAgents(goodAgents(), quiet)
+	again, err := NewAgents(goodAgents(), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 }
 
 // Each zone is a range of servers, and the ranges hold each server once.
-func TestZones(t *testing.T) {
+func TestZonesHoldEachServerOnce(t *testing.T) {
 	for _, count := range []int{22, 100, 220, 1000, 39_000} {
 		next := 0
 		for zone := range Zones {
@@ -106,20 +106,20 @@
 	}
 }
 
-// A whole list stands in place of the table, a change is merged into it.
-func TestLearn(t *testing.T) {
+// A full list replaces the table, a change is merged into it.
+func TestListsAreMergedIntoTheTable(t *testing.T) {
 	a := &Agent{table: map[string]endpoints.Endpoint{}}
-	learn := func(whole bool, hosts ...endpoints.Endpoint) {
-		a.learn(&endpoints.List{Full: whole, Endpoints: hosts}, time.Now())
+	merge := func(full bool, entries ...endpoints.Endpoint) {
+		a.merge(&endpoints.List{Full: full, Endpoints: entries}, time.Now())
 	}
 	ready := func(name string) endpoints.Endpoint { return endpoints.Endpoint{Name: name, Health: endpoints.Ready} }
-	learn(true, ready("a"), ready("b"), ready("c"))
-	learn(false, endpoints.Endpoint{Name: "a", Health: endpoints.Removed}, endpoints.Endpoint{Name: "b", Health: endpoints.Draining}, ready("d"))
+	merge(true, ready("a"), ready("b"), ready("c"))
+	merge(false, endpoints.Endpoint{Name: "a", Health: endpoints.Removed}, endpoints.Endpoint{Name: "b", Health: endpoints.Draining}, ready("d"))
 	if len(a.table) != 3 || a.table["b"].Health != endpoints.Draining || a.table["d"].Name == "" || a.table["a"].Name != "" {
 		t.Errorf("after a change the table is %v", a.table)
 	}
-	learn(true, ready("d"), ready("e"))
+	merge(true, ready("d"), ready("e"))
 	if len(a.table) != 2 || a.table["d"].Name == "" || a.table["e"].Name == "" {
-		t.Errorf("after a whole list the table is %v", a.table)
+		t.Errorf("after a full list the table is %v", a.table)
 	}
 }
--- a/internal/lab/hollow/serve.go
+++ b/internal/lab/hollow/http.go
@@ -1,6 +1,7 @@
 package hollow
 
 import (
+	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -9,15 +10,17 @@
 	"time"
 )
 
-// maxCommand bounds the body of a command.
-const maxCommand = 64 << 10
+// maxBody is the longest body of a command, in bytes.
+const maxBody = 64 << 10
 
+// writeJSON answers a call with a value as JSON.
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// Serve offers a process's state and commands on a loopback address until the context ends.
+// Serve offers a process's state and commands on a loopback address until the context ends. It
+// returns once it listens; its error names the flag --listen.
 func Serve(ctx context.Context, address string, handler http.Handler) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -36,7 +39,8 @@
 	return nil
 }
 
-// Call sends a command to a hollow process, or asks for its state, and decodes the answer.
+// Call sends a command to a hollow process, or asks for its state, and decodes the answer into
+// into. It returns an error if there is no answer, or none with status 200.
 func Call(ctx context.Context, method, url string, body, into any) error {
 	request, err := newRequest(ctx, method, url, body)
 	if err != nil {
@@ -55,3 +59,19 @@
 	}
 	return nil
 }
+
+// newRequest makes a request with a JSON body, if there is one.
+func newRequest(ctx context.Context, method, url string, body any) (*http.Request, error) {
+	var text []byte
+	if body != nil {
+		var err error
+		if text, err = json.Marshal(body); err != nil {
+			return nil, fmt.Errorf("request: %w", err)
+		}
+	}
+	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(text))
+	if err != nil {
+		return nil, fmt.Errorf("request: %w", err)
+	}
+	return request, nil
+}
--- a/internal/lab/hollow/traffic.go
+++ b/internal/lab/hollow/traffic.go
@@ -19,7 +19,7 @@
 	BytesOut int64 `json:"bytes_out"` // payload of TCP, HTTP headers included
 }
 
-// Add adds the other's counts.
+// Add adds other's counts to t's.
 func (t *Traffic) Add(other Traffic) {
 	t.Calls += other.Calls
 	t.Refused += other.Refused
@@ -28,34 +28,49 @@
 	t.BytesOut += other.BytesOut
 }
 
-// Sub returns the difference to earlier counts.
+// Sub returns what was counted since earlier.
 func (t Traffic) Sub(earlier Traffic) Traffic {
-	return Traffic{Calls: t.Calls - earlier.Calls, Refused: t.Refused - earlier.Refused, Failed: t.Failed - earlier.Failed,
-		BytesIn: t.BytesIn - earlier.BytesIn, BytesOut: t.BytesOut - earlier.BytesOut}
+	return Traffic{
+		Calls:    t.Calls - earlier.Calls,
+		Refused:  t.Refused - earlier.Refused,
+		Failed:   t.Failed - earlier.Failed,
+		BytesIn:  t.BytesIn - earlier.BytesIn,
+		BytesOut: t.BytesOut - earlier.BytesOut,
+	}
 }
 
-// counter is a Traffic that many goroutines count in.
-type counter struct {
+// trafficCounter is a Traffic that many goroutines may count in at once.
+type trafficCounter struct {
 	calls, refused, failed, bytesIn, bytesOut atomic.Int64
 }
 
-func (c *counter) read() Traffic {
-	return Traffic{Calls: c.calls.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(),
-		BytesIn: c.bytesIn.Load(), BytesOut: c.bytesOut.Load()}
+func (c *trafficCounter) load() Traffic {
+	return Traffic{
+		Calls:    c.calls.Load(),
+		Refused:  c.refused.Load(),
+		Failed:   c.failed.Load(),
+		BytesIn:  c.bytesIn.Load(),
+		BytesOut: c.bytesOut.Load(),
+	}
 }
 
-// meter is an http.RoundTripper that counts calls and bytes by the address they go to.
+// dialTimeout bounds the time to establish a connection.
+const dialTimeout = 2 * time.Second
+
+// meter is an http.RoundTripper that counts calls and bytes by the address that they go to. It may
+// be used by many goroutines at once.
 type meter struct {
 	transport http.RoundTripper
 
 	mu        sync.Mutex
-	byAddress map[string]*counter
+	byAddress map[string]*trafficCounter
 }
 
-// newMeter counts over connections that a transport makes; the transport's dialer is
-// replaced. Local addresses are taken in turn; none leaves the choice to the kernel.
+// newMeter returns a meter of the connections that a transport makes; it replaces the transport's
+// dialer. Connections are made from the local addresses in sources, taken in turn, or from the
+// kernel's choice if there are none.
 func newMeter(transport *http.Transport, sources []string) *meter {
-	m := &meter{transport: transport, byAddress: map[string]*counter{}}
+	m := &meter{transport: transport, byAddress: map[string]*trafficCounter{}}
 	var dialed atomic.Int64
 	transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		dialer := net.Dialer{Timeout: dialTimeout}
@@ -67,61 +82,65 @@
 		if err != nil {
 			return nil, err
 		}
-		return &countedConn{Conn: connection, counter: m.of(address)}, nil
+		return &countedConn{Conn: connection, counter: m.counterFor(address)}, nil
 	}
 	return m
 }
 
-const dialTimeout = 2 * time.Second
-
-// of returns the counter of an address.
-func (m *meter) of(address string) *counter {
+// counterFor returns the counter of an address.
+func (m *meter) counterFor(address string) *trafficCounter {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := m.byAddress[address]
-	if c == nil {
-		c = &counter{}
-		m.byAddress[address] = c
+	counter := m.byAddress[address]
+	if counter == nil {
+		counter = &trafficCounter{}
+		m.byAddress[address] = counter
 	}
-	return c
+	return counter
 }
 
-// read returns all counts by address.
-func (m *meter) read() map[string]Traffic {
+// traffic returns the counts of each address and their total.
+func (m *meter) traffic() (byAddress map[string]Traffic, total Traffic) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	all := make(map[string]Traffic, len(m.byAddress))
-	for address, c := range m.byAddress {
-		all[address] = c.read()
+	byAddress = make(map[string]Traffic, len(m.byAddress))
+	for address, counter := range m.byAddress {
+		counts := counter.load()
+		byAddress[address] = counts
+		total.Add(counts)
 	}
-	return all
+	return byAddress, total
 }
 
-// RoundTrip makes a call and counts it.
+// RoundTrip makes a call through the transport and counts it, with its outcome. A call that was
+// canceled is not counted as failed.
 func (m *meter) RoundTrip(request *http.Request) (*http.Response, error) {
-	c := m.of(request.URL.Host)
-	c.calls.Add(1)
+	counter := m.counterFor(request.URL.Host)
+	counter.calls.Add(1)
 	response, err := m.transport.RoundTrip(request)
 	switch {
 	case err != nil && !errors.Is(err, context.Canceled):
-		c.failed.Add(1)
+		counter.failed.Add(1)
 	case err == nil && response.StatusCode == http.StatusServiceUnavailable:
-		c.refused.Add(1)
+		counter.refused.Add(1)
 	}
 	return response, err
 }
 
+// countedConn is a connection that counts its bytes.
 type countedConn struct {
 	net.Conn
-	counter *counter
+	counter *trafficCounter
 }
 
+// Read reads from the connection and counts what arrived.
 func (c *countedConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	c.counter.bytesIn.Add(int64(n))
 	return n, err
 }
 
+// Write writes to the connection and counts what was sent.
 func (c *countedConn) Write(buffer []byte) (int, error) {
 	n, err := c.Conn.Write(buffer)
 	c.counter.bytesOut.Add(int64(n))
--- a/internal/lab/scale/beside_test.go
+++ b/internal/lab/scale/beside_test.go
@@ -209,7 +209,7 @@
 		t.Fatalf("the hollow agent has no list: %+v", state())
 	}
 	setRates(t, s, 15, 5)
-	wait(t.Context(), 5*time.Second)
+	hollow.Sleep(t.Context(), 5*time.Second)
 	setRates(t, s, 0, 0)
 	settle(t, f, state)
 
@@ -282,7 +282,7 @@
 func settle(t *testing.T, f *fleet, state func() hollow.AgentsState) {
 	t.Helper()
 	_, ok := poll(t.Context(), time.Minute, func() bool {
-		wait(t.Context(), 300*time.Millisecond) // for a change that is under way
+		hollow.Sleep(t.Context(), 300*time.Millisecond) // for a change that is under way
 		status, err := f.status(t.Context(), 0)
 		return err == nil && state().VersionMin == status.Seq && readRealAgent(t, f.log("agent-1")).version == status.Seq
 	})
@@ -295,10 +295,10 @@
 func TestServersEnd(t *testing.T) {
 	const servers = 44
 	f, s := testFleet(t, servers)
-	if n := s.End(t.Context(), hollow.Range{First: 3, Count: 2}, true); n != 2 {
+	if n := s.Drain(t.Context(), hollow.Range{First: 3, Count: 2}); n != 2 {
 		t.Errorf("%d of 2 servers drained", n)
 	}
-	if n := s.End(t.Context(), hollow.Range{First: 10, Count: 4}, false); n != 4 {
+	if n := s.Leave(t.Context(), hollow.Range{First: 10, Count: 4}); n != 4 {
 		t.Errorf("%d of 4 servers left", n)
 	}
 	list, err := f.client.List(t.Context())
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -343,7 +343,7 @@
 	settings["shapes"] = []string{hollow.Class}
 	configuration := map[string]any{
 		"name": name, "listen": address, "discovery": lists[0], "stewards": lists,
-		"seed":     fmt.Sprintf("%016x", f.seed*1_000_003+uint64(index)),
+		"seed":     fmt.Sprintf("%016x", hollow.AgentSeed(f.seed, index)),
 		"limits":   map[string]any{"cores": base.Agents.Cores, "memory_mb": base.Agents.MemoryMB, "sockets": base.Agents.Sockets},
 		"known":    endpoints.List{Full: true, Endpoints: []endpoints.Endpoint{}},
 		"settings": settings,
@@ -424,8 +424,7 @@
 		}
 	}
 	if merged != nil {
-		total.Changes = merged.TotalCount()
-		total.ChangeP50Ms, total.ChangeP99Ms, total.ChangeLastMs = merged.ValueAtQuantile(50), merged.ValueAtQuantile(99), merged.Max()
+		total.SetAges(merged)
 	}
 	return total, nil
 }
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -178,7 +178,7 @@
 
 // guardMemory ends the play when its processes hold more than they may.
 func (p *play) guardMemory(ctx context.Context, cancel context.CancelFunc) {
-	for wait(ctx, time.Second) {
+	for hollow.Sleep(ctx, time.Second) {
 		if held := p.fleet.memoryMiB(); held > float64(p.config.Scale.MemoryMiB) {
 			reason := fmt.Sprintf("memory: all processes hold %.0f MiB of at most %d", held, p.config.Scale.MemoryMiB)
 			p.ended.Store(&reason)
@@ -188,17 +188,6 @@
 	}
 }
 
-func wait(ctx context.Context, pause time.Duration) bool {
-	timer := time.NewTimer(pause)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
 func (p *play) phases(ctx context.Context) error {
 	if err := p.fleet.startStewards(ctx); err != nil {
 		return err
@@ -371,7 +360,7 @@
 		return err
 	}
 	_, err := p.measured(ctx, load, func() error {
-		wait(ctx, p.config.Scale.SteadyDuration)
+		hollow.Sleep(ctx, p.config.Scale.SteadyDuration)
 		return nil
 	})
 	if err != nil {
@@ -475,7 +464,7 @@
 		if err := p.fleet.command(ctx, "/v1/rates", rates, &rates); err != nil {
 			return err
 		}
-		wait(ctx, burstFor)
+		hollow.Sleep(ctx, burstFor)
 		if err := p.fleet.setRates(ctx, 1); err != nil {
 			return err
 		}
