--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -15,7 +15,8 @@
 	"knotrouter/internal/lab/scale"
 )
 
-// runScale plays an experiment that has a [scale] table.
+// runScale runs an experiment that has a [scale] table and prints its verdict. It returns errBroke if
+// the run was interrupted or a size that had to be run was not.
 func runScale(ctx context.Context, out, progress io.Writer, path string, o experiment.Options, quiet bool) error {
 	config, err := scale.Load(path)
 	if err != nil {
@@ -33,7 +34,7 @@
 	if !quiet {
 		options.Progress = func(line string) { fmt.Fprintf(progress, "%6.1f s  %s\n", time.Since(began).Seconds(), line) }
 	}
-	results, broke, err := scale.Run(ctx, config, options)
+	results, notRun, err := scale.Run(ctx, config, options)
 	if errors.Is(err, scale.ErrInterrupted) {
 		fmt.Fprintf(out, "%s seed %d: broke: %v\n", config.Name, seed, err)
 		return errBroke
@@ -47,15 +48,15 @@
 		}
 		fmt.Fprintf(out, "\nlab: results in %s\n", filepath.Join(options.Out, scale.ResultsFile))
 	}
-	if len(broke) > 0 {
-		fmt.Fprintf(out, "%s seed %d: broke: %s\n", config.Name, seed, strings.Join(broke, "; "))
+	if len(notRun) > 0 {
+		fmt.Fprintf(out, "%s seed %d: broke: %s\n", config.Name, seed, strings.Join(notRun, "; "))
 		return errBroke
 	}
 	fmt.Fprintf(out, "%s seed %d: held\n", config.Name, seed)
 	return nil
 }
 
-// listScale prints the line of a scale run among the experiments of a folder.
+// listScale prints the line of a scale experiment in the list of a folder's experiments.
 func listScale(out io.Writer, path string) {
 	config, err := scale.Load(path)
 	if err != nil {
@@ -67,13 +68,13 @@
 	fmt.Fprintf(out, "%-28s scale  %3d sizes, to %d servers  %s\n", filepath.Base(path), len(sizes), sizes[len(sizes)-1].Servers, about)
 }
 
-// isScale tells whether a folder holds the results of a scale run.
+// isScale returns whether a folder holds the results of a scale run.
 func isScale(dir string) bool {
 	_, err := os.Stat(filepath.Join(dir, scale.ResultsFile))
 	return err == nil
 }
 
-// compareScale sets the results of two scale runs side by side.
+// compareScale prints the results of two scale runs, from their folders, side by side.
 func compareScale(out io.Writer, first, second string) error {
 	a, err := capacity.Read(filepath.Join(first, scale.ResultsFile))
 	if err != nil {
--- a/cmd/lab/scale_test.go
+++ b/cmd/lab/scale_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// scaleFile writes an experiment with a [scale] table, with more lines in it.
+// scaleFile writes an experiment file with a [scale] table, to which lines are added.
 func scaleFile(t *testing.T, lines string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "tiny-scale.toml")
@@ -18,11 +18,11 @@
 	return path
 }
 
-// What makes no sense in a scale run or a hollow process is one line that names the key or
-// the flag, and exit code 2.
-func TestBadScaleInput(t *testing.T) {
+// The error of a scale run or a hollow process is one line that names the key or the flag, with exit
+// code 2.
+func TestScaleErrorsNameTheKeyOrFlag(t *testing.T) {
 	for _, c := range []struct {
-		name, says string
+		name, want string
 		args       []string
 	}{
 		{"unknown key", "scale.sizez: unknown key", []string{"validate", scaleFile(t, "sizez = 3\n")}},
@@ -39,17 +39,17 @@
 			if c.args[0] == "run" && !strings.Contains(strings.Join(c.args, " "), "--out") {
 				c.args = append(c.args, "--quiet", "--out", t.TempDir())
 			}
-			ch := lab(t, c.args...)
-			code := ch.code()
-			if said := ch.err.String(); code != 2 || strings.Count(said, "\n") != 1 || !strings.Contains(said, c.says) || !strings.HasPrefix(said, "lab: ") {
-				t.Errorf("exit %d, said %q; want one line with %q", code, said, c.says)
+			run := lab(t, c.args...)
+			code := run.code()
+			if stderr := run.err.String(); code != 2 || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, c.want) || !strings.HasPrefix(stderr, "lab: ") {
+				t.Errorf("exit %d, stderr %q; want one line with %q", code, stderr, c.want)
 			}
 		})
 	}
 }
 
-// Scale runs stand among the experiments and are checked as they are.
-func TestScaleListed(t *testing.T) {
+// Scale experiments are validated and listed as other experiments are.
+func TestScaleExperimentIsValidatedAndListed(t *testing.T) {
 	path := scaleFile(t, "")
 	c := lab(t, "validate", path)
 	if code := c.code(); code != 0 || c.out.String() != path+": tiny-scale is fine\n" {
--- a/internal/lab/scale/beside_test.go
+++ b/internal/lab/scale/beside_test.go
@@ -41,10 +41,11 @@
 	os.Exit(code)
 }
 
-func hollowAgent(steward, listen string) error {
+// hollowAgent runs one hollow agent that reads from an address, until it is interrupted.
+func hollowAgent(controlPlane, listen string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	config := hollow.AgentsConfig{ControlPlane: []string{steward}, Count: 1, Fleet: 2, Services: 1, Seed: 5}
+	config := hollow.AgentsConfig{ControlPlane: []string{controlPlane}, Count: 1, Fleet: 2, Services: 1, Seed: 5}
 	agents, err := hollow.NewAgents(config, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	if err != nil {
 		return err
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// programs builds the real steward and the real agent once, into a folder.
+// programs builds the real control-plane server and the real agent once, into a folder.
 var programs = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "scale-programs-")
 	if err != nil {
@@ -69,7 +70,7 @@
 	return dir, nil
 })
 
-// testFleet is one steward with registered hollow servers that live in this process.
+// testFleet starts one control-plane server with registered hollow servers that run in this process.
 func testFleet(t *testing.T, servers int) (*fleet, *hollow.Servers) {
 	t.Helper()
 	dir, err := programs()
@@ -84,10 +85,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.close)
-	if err := f.startStewards(t.Context()); err != nil {
+	if err := f.startControlPlane(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	s, err := hollow.NewServers(hollow.ServersConfig{ControlPlane: f.stewardsAt, Count: servers, Services: 1, Seed: 1,
+	s, err := hollow.NewServers(hollow.ServersConfig{ControlPlane: f.controlPlaneAddrs, Count: servers, Services: 1, Seed: 1,
 		RenewInterval: 2 * time.Second, RenewBatch: 1, EmulatedPerZone: 1}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -108,6 +109,7 @@
 // realReader is what a real agent took, by its log.
 type realReader struct{ lines, entries, version int64 }
 
+// readRealAgent reads what a real agent took from its log.
 func readRealAgent(t *testing.T, path string) (r realReader) {
 	t.Helper()
 	file, err := os.Open(path)
@@ -117,7 +119,7 @@
 	defer file.Close()
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		match := taken.FindStringSubmatch(lines.Text())
-		if match != nil && match[1] != "0" { // that is the list of its configuration, which nobody sent
+		if match != nil && match[1] != "0" { // 0 is the list of the agent's configuration
 			r.lines++
 			r.version, _ = strconv.ParseInt(match[1], 10, 64)
 			entries, _ := strconv.ParseInt(match[2], 10, 64)
@@ -135,7 +137,7 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(f.dir, "agent.json")
-	if err := f.writeAgent(path, "agent-1", 0, address, []string{through.address()}); err != nil {
+	if err := f.writeAgentConfig(path, "agent-1", 0, address, []string{through.address()}); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(path)
@@ -146,7 +148,7 @@
 	if err := json.Unmarshal(text, &configuration); err != nil {
 		t.Fatal(err)
 	}
-	configuration["log_level"] = "debug" // which tells of each list that is taken
+	configuration["log_level"] = "debug" // at which each list that is taken is logged
 	if text, err = json.Marshal(configuration); err != nil {
 		t.Fatal(err)
 	}
@@ -177,79 +179,104 @@
 	if err := f.startReady(t.Context(), p); err != nil {
 		t.Fatal(err)
 	}
-	f.readers, f.readersAt = []*process.Process{p}, []string{address}
+	f.readers, f.readerAddrs = []*process.Process{p}, []string{address}
 	return p
 }
 
-// A hollow agent does to the list service what a real agent does: on the same list with the
-// same changes it makes the same calls, reads the same lines and entries and ends at the
-// same version. Bytes differ by the empty lines of a quiet watch. Processor time and memory
-// are printed beside each other; the real agent has a data path, though no requests here.
-func TestHollowBesideReal(t *testing.T) {
-	const servers = 400
-	f, s := testFleet(t, servers)
-	var through [2]*forwarder
-	for i := range through {
+// besidePair is a real and a hollow agent that read from one control-plane server, each through a
+// forwarder of its own.
+type besidePair struct {
+	fleet                          *fleet
+	realAgent, hollowAgent         *process.Process
+	realForwarder, hollowForwarder *forwarder
+}
+
+// startBeside starts a real and a hollow agent of a fleet and waits until the hollow one has its list.
+func startBeside(t *testing.T, f *fleet) *besidePair {
+	t.Helper()
+	b := &besidePair{fleet: f}
+	for _, forwarder := range []**forwarder{&b.realForwarder, &b.hollowForwarder} {
 		var err error
-		if through[i], err = newForwarder("127.0.0.1:0", f.stewardsAt[0]); err != nil {
+		if *forwarder, err = newForwarder("127.0.0.1:0", f.controlPlaneAddrs[0]); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(through[i].close)
+		t.Cleanup((*forwarder).close)
 	}
-	realAgent := startRealAgent(t, f, through[0])
-	hollowProcess := startHollowAgent(t, f, through[1])
-	state := func() hollow.AgentsState {
-		state, err := f.readersState(t.Context(), hollow.Expectation{Servers: servers}, true)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return state
+	b.realAgent = startRealAgent(t, f, b.realForwarder)
+	b.hollowAgent = startHollowAgent(t, f, b.hollowForwarder)
+	if _, ok := poll(t.Context(), time.Minute, func() bool { return b.hollowState(t).AsExpected == 1 }); !ok {
+		t.Fatalf("the hollow agent has no list: %+v", b.hollowState(t))
 	}
-	if _, ok := poll(t.Context(), time.Minute, func() bool { return state().AsExpected == 1 }); !ok {
-		t.Fatalf("the hollow agent has no list: %+v", state())
+	return b
+}
+
+// hollowState returns the state of the hollow agent, with the ages of changes.
+func (b *besidePair) hollowState(t *testing.T) hollow.AgentsState {
+	t.Helper()
+	state, err := b.fleet.readersState(t.Context(), hollow.Expectation{Servers: b.fleet.size.Servers}, true)
+	if err != nil {
+		t.Fatal(err)
 	}
-	setRates(t, s, 15, 5)
-	hollow.Sleep(t.Context(), 5*time.Second)
-	setRates(t, s, 0, 0)
-	settle(t, f, state)
+	return state
+}
 
-	read, did := readRealAgent(t, f.log("agent-1")), state()
-	realTraffic, hollowTraffic := through[0].read(), through[1].read()
-	realUse, _, _ := realAgent.SampleUsage()
-	hollowUse, _, _ := hollowProcess.SampleUsage()
+// logDifferences prints what both agents did and spent beside each other.
+func (b *besidePair) logDifferences(t *testing.T, read realReader, state hollow.AgentsState, realTraffic, hollowTraffic hollow.Traffic) {
+	t.Helper()
+	realUse, _, _ := b.realAgent.SampleUsage()
+	hollowUse, _, _ := b.hollowAgent.SampleUsage()
 	t.Logf("%-10s %12s %12s %12s", "", "real", "hollow", "difference")
 	for _, row := range []struct {
 		name         string
 		real, hollow int64
 	}{
 		{"calls", realTraffic.Calls, hollowTraffic.Calls}, {"bytes in", realTraffic.BytesIn, hollowTraffic.BytesIn},
-		{"bytes out", realTraffic.BytesOut, hollowTraffic.BytesOut}, {"lines", read.lines, did.Lines},
-		{"entries", read.entries, did.Entries}, {"cpu ms", realUse.CPU.Milliseconds(), hollowUse.CPU.Milliseconds()},
+		{"bytes out", realTraffic.BytesOut, hollowTraffic.BytesOut}, {"lines", read.lines, state.Lines},
+		{"entries", read.entries, state.Entries}, {"cpu ms", realUse.CPU.Milliseconds(), hollowUse.CPU.Milliseconds()},
 		{"rss kB", int64(realUse.RSSMB * 1024), int64(hollowUse.RSSMB * 1024)},
 	} {
 		t.Logf("%-10s %12d %12d %12d", row.name, row.real, row.hollow, row.hollow-row.real)
 	}
+}
+
+// A hollow agent does to the list service what a real agent does: on the same list with the
+// same changes it makes the same calls, reads the same lines and entries and ends at the
+// same version. Bytes differ by the empty lines of a quiet watch. Processor time and memory
+// are printed beside each other; the real agent has a data path, though no requests here.
+func TestHollowBesideReal(t *testing.T) {
+	const servers = 400
+	f, s := testFleet(t, servers)
+	b := startBeside(t, f)
+	setRates(t, s, 15, 5)
+	hollow.Sleep(t.Context(), 5*time.Second)
+	setRates(t, s, 0, 0)
+	b.settle(t)
+
+	read, state := readRealAgent(t, f.log("agent-1")), b.hollowState(t)
+	realTraffic, hollowTraffic := b.realForwarder.traffic(), b.hollowForwarder.traffic()
+	b.logDifferences(t, read, state, realTraffic, hollowTraffic)
 	if realTraffic.Calls != hollowTraffic.Calls {
 		t.Errorf("calls: the real agent made %d, the hollow one %d", realTraffic.Calls, hollowTraffic.Calls)
 	}
-	if read.lines != did.Lines || read.entries != did.Entries || read.lines < 10 {
-		t.Errorf("the real agent took %d lines of %d entries, the hollow one %d of %d", read.lines, read.entries, did.Lines, did.Entries)
+	if read.lines != state.Lines || read.entries != state.Entries || read.lines < 10 {
+		t.Errorf("the real agent took %d lines of %d entries, the hollow one %d of %d", read.lines, read.entries, state.Lines, state.Entries)
 	}
-	if read.version != did.VersionMin || did.ListedMin != servers {
-		t.Errorf("the real agent is at version %d, the hollow one at %d with %d servers", read.version, did.VersionMin, did.ListedMin)
+	if read.version != state.VersionMin || state.ListedMin != servers {
+		t.Errorf("the real agent is at version %d, the hollow one at %d with %d servers", read.version, state.VersionMin, state.ListedMin)
 	}
 	// An empty line every 2 s, in a chunk of HTTP, is all that may differ.
 	if difference := realTraffic.BytesIn - hollowTraffic.BytesIn; difference < -200 || difference > 200 {
 		t.Errorf("the real agent read %d bytes, the hollow one %d", realTraffic.BytesIn, hollowTraffic.BytesIn)
 	}
-	if did.Total.BytesIn != hollowTraffic.BytesIn || did.Total.Calls != hollowTraffic.Calls {
-		t.Errorf("the hollow agent counted %+v, the forwarder %+v", did.Total, hollowTraffic)
+	if state.Total.BytesIn != hollowTraffic.BytesIn || state.Total.Calls != hollowTraffic.Calls {
+		t.Errorf("the hollow agent counted %+v, the forwarder %+v", state.Total, hollowTraffic)
 	}
-	if did.Changes < 10 {
-		t.Errorf("the ages of %d changes were taken", did.Changes)
+	if state.Changes < 10 {
+		t.Errorf("the ages of %d changes were taken", state.Changes)
 	}
 }
 
+// setRates sets the rates of changes by the command that a scale run sends.
 func setRates(t *testing.T, s *hollow.Servers, configurations, restarts float64) {
 	t.Helper()
 	listener := http.NewServeMux()
@@ -269,6 +296,7 @@
 	}
 }
 
+// freeAddress returns a loopback address that is free.
 func freeAddress() (string, error) {
 	addresses, err := loopback.Claim()
 	if err != nil {
@@ -278,21 +306,22 @@
 	return addresses.FreePort()
 }
 
-// settle waits until both agents have the steward's last version.
-func settle(t *testing.T, f *fleet, state func() hollow.AgentsState) {
+// settle waits until both agents have the control-plane server's last version.
+func (b *besidePair) settle(t *testing.T) {
 	t.Helper()
+	realVersion := func() int64 { return readRealAgent(t, b.fleet.log("agent-1")).version }
 	_, ok := poll(t.Context(), time.Minute, func() bool {
 		hollow.Sleep(t.Context(), 300*time.Millisecond) // for a change that is under way
-		status, err := f.status(t.Context(), 0)
-		return err == nil && state().VersionMin == status.Seq && readRealAgent(t, f.log("agent-1")).version == status.Seq
+		status, err := b.fleet.status(t.Context(), 0)
+		return err == nil && b.hollowState(t).VersionMin == status.Seq && realVersion() == status.Seq
 	})
 	if !ok {
-		t.Fatalf("not at one version: hollow %+v, real %+v", state(), readRealAgent(t, f.log("agent-1")))
+		t.Fatalf("not at one version: hollow %+v, real %+v", b.hollowState(t), readRealAgent(t, b.fleet.log("agent-1")))
 	}
 }
 
 // Hollow servers drain, leave and come back as real ones do, by the list.
-func TestServersEnd(t *testing.T) {
+func TestServersDrainLeaveAndReturn(t *testing.T) {
 	const servers = 44
 	f, s := testFleet(t, servers)
 	if n := s.Drain(t.Context(), hollow.Range{First: 3, Count: 2}); n != 2 {
--- a/internal/lab/scale/forward.go
+++ b/internal/lab/scale/forward.go
@@ -9,20 +9,22 @@
 	"knotrouter/internal/lab/hollow"
 )
 
-// forwarder passes connections on to a steward and counts them, so that what real agents
-// exchange with it is known. A connection is a call, as their reader makes them.
+// forwarder forwards connections to a control-plane server and counts them, so that what real
+// agents exchange with it is known. A connection is a call, as their reader makes them. One
+// goroutine accepts, and two for each connection copy its bytes.
 type forwarder struct {
 	listener net.Listener
 	target   string
 	calls    atomic.Int64
 	bytesIn  atomic.Int64 // to the agents
-	bytesOut atomic.Int64 // to the steward
+	bytesOut atomic.Int64 // to the control-plane server
 
 	mu     sync.Mutex
 	open   map[net.Conn]bool
 	closed bool
 }
 
+// newForwarder listens at an address and forwards to a target; close ends it.
 func newForwarder(address, target string) (*forwarder, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -33,39 +35,46 @@
 	return f, nil
 }
 
+// address returns the address at which the forwarder listens.
 func (f *forwarder) address() string { return f.listener.Addr().String() }
 
+// accept accepts connections until the listener is closed.
 func (f *forwarder) accept() {
 	for {
-		near, err := f.listener.Accept()
+		downstream, err := f.listener.Accept()
 		if err != nil {
 			return
 		}
 		f.calls.Add(1)
-		go f.forward(near)
+		go f.forward(downstream)
 	}
 }
 
-func (f *forwarder) forward(near net.Conn) {
-	defer near.Close()
-	far, err := net.Dial("tcp", f.target)
+// forward copies the bytes of a connection both ways until one end is closed, and closes the other.
+func (f *forwarder) forward(downstream net.Conn) {
+	defer downstream.Close()
+	upstream, err := net.Dial("tcp", f.target)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	if !f.add(near, far) {
+	defer upstream.Close()
+	if !f.add(downstream, upstream) {
 		return
 	}
-	defer f.remove(near, far)
+	defer f.remove(downstream, upstream)
 	go func() {
-		copyCounted(far, near, &f.bytesOut)
-		far.Close()
+		copyCounted(upstream, downstream, &f.bytesOut)
+		upstream.Close()
 	}()
-	copyCounted(near, far, &f.bytesIn)
+	copyCounted(downstream, upstream, &f.bytesIn)
 }
 
+// copyBufferBytes is the size of the buffer of one direction of a connection.
+const copyBufferBytes = 32 << 10
+
+// copyCounted copies until the first error and counts what was read.
 func copyCounted(to io.Writer, from io.Reader, count *atomic.Int64) {
-	buffer := make([]byte, 32<<10)
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		n, err := from.Read(buffer)
 		count.Add(int64(n))
@@ -80,6 +89,7 @@
 	}
 }
 
+// add keeps connections for close. It returns false if the forwarder is closed.
 func (f *forwarder) add(connections ...net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,6 +99,7 @@
 	return !f.closed
 }
 
+// remove forgets connections that have ended.
 func (f *forwarder) remove(connections ...net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,10 +108,12 @@
 	}
 }
 
-func (f *forwarder) read() hollow.Traffic {
+// traffic returns what was counted so far, as seen by the agents.
+func (f *forwarder) traffic() hollow.Traffic {
 	return hollow.Traffic{Calls: f.calls.Load(), BytesIn: f.bytesIn.Load(), BytesOut: f.bytesOut.Load()}
 }
 
+// close stops listening and closes all connections.
 func (f *forwarder) close() {
 	f.listener.Close()
 	f.mu.Lock()
--- /dev/null
+++ b/internal/lab/scale/hollowfleet.go
@@ -0,0 +1,157 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"strings"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"knotrouter/internal/lab/hollow"
+	"knotrouter/internal/lab/process"
+)
+
+// startServers starts the process of hollow servers; none is registered yet.
+func (f *fleet) startServers(ctx context.Context) error {
+	s := &f.config.Scale
+	command, err := program("scale.lab_command", s.LabCommand)
+	if err != nil {
+		return err
+	}
+	if f.serversAddr, err = f.addresses.FreePort(); err != nil {
+		return err
+	}
+	f.servers = f.supervisor.Add(process.Spec{Name: "hollow-servers", Path: command, Log: f.log("hollow-servers"),
+		ReadyURL: "http://" + f.serversAddr + "/v1/state",
+		Args: []string{"hollow", "servers", "--stewards", strings.Join(f.controlPlaneAddrs, ","), "--listen", f.serversAddr,
+			"--count", fmt.Sprint(f.size.Servers), "--services", fmt.Sprint(f.size.Services), "--seed", fmt.Sprint(f.seed),
+			"--renew", s.RenewInterval.String(), "--renew-batch", fmt.Sprint(s.RenewBatch),
+			"--emulated", fmt.Sprint(s.EmulatedPerZone), "--service-time", s.ServiceTime.String()}})
+	return f.startReady(ctx, f.servers)
+}
+
+// startReaders starts the processes of hollow agents, which begin to read at once, and waits until
+// all of them serve their state.
+func (f *fleet) startReaders(ctx context.Context) error {
+	s := &f.config.Scale
+	command, err := program("scale.lab_command", s.LabCommand)
+	if err != nil {
+		return err
+	}
+	for first := 0; first < f.size.Watches; first += s.AgentsPerProcess {
+		address, err := f.addresses.FreePort()
+		if err != nil {
+			return err
+		}
+		name := fmt.Sprintf("hollow-agents-%d", len(f.readers)+1)
+		p := f.supervisor.Add(process.Spec{Name: name, Path: command, Log: f.log(name), ReadyURL: "http://" + address + "/v1/state",
+			Args: []string{"hollow", "agents", "--stewards", strings.Join(f.controlPlaneAddrs, ","), "--listen", address,
+				"--count", fmt.Sprint(min(s.AgentsPerProcess, f.size.Watches-first)), "--first", fmt.Sprint(first),
+				"--fleet", fmt.Sprint(f.size.Watches + s.RealAgents), "--seed", fmt.Sprint(f.seed),
+				"--services", fmt.Sprint(f.size.Services), "--subscribed", fmt.Sprint(s.Subscribed), "--source", f.addresses.IP()}})
+		f.readers, f.readerAddrs = append(f.readers, p), append(f.readerAddrs, address)
+		if err := p.Start(); err != nil {
+			return err
+		}
+	}
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
+	defer cancel()
+	for _, p := range f.readers {
+		if err := p.WaitReady(ctx); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// command sends a command to the process of hollow servers and decodes its answer into into.
+func (f *fleet) command(ctx context.Context, path string, body, into any) error {
+	return hollow.Call(ctx, http.MethodPost, "http://"+f.serversAddr+path, body, into)
+}
+
+// setRates has the hollow servers change at a multiple of the file's rates.
+func (f *fleet) setRates(ctx context.Context, multiple float64) error {
+	s := &f.config.Scale
+	rates := hollow.Rates{
+		ConfigurationsPerSecond: multiple * s.ConfigurationsPerDay / secondsPerDay,
+		RestartsPerSecond:       multiple * s.RestartsPerDay / secondsPerDay,
+	}
+	return f.command(ctx, "/v1/rates", rates, &rates)
+}
+
+// serversState returns the state of the process of hollow servers.
+func (f *fleet) serversState(ctx context.Context) (state hollow.ServersState, err error) {
+	err = hollow.Call(ctx, http.MethodGet, "http://"+f.serversAddr+"/v1/state", nil, &state)
+	return state, err
+}
+
+// readersState returns the state of all hollow agents together, compared with the list that they
+// should have. With ages it has the figures of changes too.
+func (f *fleet) readersState(ctx context.Context, expected hollow.Expectation, ages bool) (hollow.AgentsState, error) {
+	total := hollow.AgentsState{ByAddress: map[string]hollow.Traffic{}}
+	var merged *hdrhistogram.Histogram
+	query := fmt.Sprintf("/v1/state?servers=%d&first_absent=%d&absent=%d&version=%d",
+		expected.Servers, expected.FirstAbsent, expected.Absent, expected.Version)
+	if ages {
+		query += "&ages=1"
+	}
+	for i, address := range f.readerAddrs {
+		var state hollow.AgentsState
+		if err := hollow.Call(ctx, http.MethodGet, "http://"+address+query, nil, &state); err != nil {
+			return total, err
+		}
+		mergeState(&total, &state, i == 0)
+		if state.Ages == nil {
+			continue
+		}
+		if histogram := hdrhistogram.Import(state.Ages); merged == nil {
+			merged = histogram
+		} else {
+			merged.Merge(histogram)
+		}
+	}
+	if merged != nil {
+		total.SetAges(merged)
+	}
+	return total, nil
+}
+
+// mergeState adds the state of one process of hollow agents to the total; first is whether it is
+// the first to be added.
+func mergeState(total, state *hollow.AgentsState, first bool) {
+	if first {
+		total.VersionMin, total.ListedMin = state.VersionMin, state.ListedMin
+	}
+	total.VersionMin, total.VersionMax = min(total.VersionMin, state.VersionMin), max(total.VersionMax, state.VersionMax)
+	total.ListedMin, total.ListedMax = min(total.ListedMin, state.ListedMin), max(total.ListedMax, state.ListedMax)
+	total.Agents += state.Agents
+	total.WatchesOpen += state.WatchesOpen
+	total.WatchesEnded += state.WatchesEnded
+	total.Lines += state.Lines
+	total.Entries += state.Entries
+	total.FullLists += state.FullLists
+	total.Versions += state.Versions
+	total.Failovers += state.Failovers
+	total.BudgetExhausted += state.BudgetExhausted
+	total.AsExpected += state.AsExpected
+	total.AtVersion += state.AtVersion
+	total.ListAgeMaxSec = max(total.ListAgeMaxSec, state.ListAgeMaxSec)
+	total.Total.Add(state.Total)
+	for address, traffic := range state.ByAddress {
+		sum := total.ByAddress[address]
+		sum.Add(traffic)
+		total.ByAddress[address] = sum
+	}
+}
+
+// resetAges has all hollow agents begin a new measurement of the ages of changes.
+func (f *fleet) resetAges(ctx context.Context) error {
+	for _, address := range f.readerAddrs {
+		var nothing struct{}
+		if err := hollow.Call(ctx, http.MethodPost, "http://"+address+"/v1/reset", nil, &nothing); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/lab/scale/machine.go
@@ -0,0 +1,32 @@
+package scale
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"runtime"
+	"strings"
+)
+
+// revision returns the commit of the working tree, "unknown" if there is none, and whether the tree
+// has changes.
+func revision() (commit string, dirty bool) {
+	text, err := exec.Command("git", "rev-parse", "HEAD").Output()
+	if err != nil {
+		return "unknown", false
+	}
+	status, err := exec.Command("git", "status", "--porcelain").Output()
+	return strings.TrimSpace(string(text)), err != nil || len(status) > 0
+}
+
+// machine describes the machine for the results: processors, memory, version of Go.
+func machine() string {
+	memory := "unknown memory"
+	if text, err := os.ReadFile("/proc/meminfo"); err == nil {
+		var kib int
+		if _, err := fmt.Sscanf(string(text), "MemTotal: %d kB", &kib); err == nil {
+			memory = fmt.Sprintf("%.0f GiB", float64(kib)/(1<<20))
+		}
+	}
+	return fmt.Sprintf("%d processors, %s, %s", runtime.NumCPU(), memory, runtime.Version())
+}
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -14,18 +14,18 @@
 	"knotrouter/internal/lab/process"
 )
 
-// The roles of measurements.
+// The roles of measurements, as in the results.
 const (
 	roleLeader   = "steward leader"
 	roleFollower = "steward follower" // mean of them
-	roleReader   = "hollow agent"     // a reader: the processes' figures by their number of readers
-	roleServer   = "hollow server"    // a server: the process's figures by its number of servers
+	roleReader   = "hollow agent"     // of one: the processes' figures divided by their number of agents
+	roleServer   = "hollow server"    // of one: the process's figures divided by its number of servers
 	roleAgent    = "real agent"       // mean
 	roleRequests = "requests"
 	roleReaders  = "readers" // all hollow agents
 )
 
-// Steward metrics that count the changes written to watches, by the kind of watch.
+// Metrics of a control-plane server that count the changes written to watches, by the kind of watch.
 const (
 	linesSent       = "steward_lines_sent_total"
 	scopedLinesSent = "steward_scoped_lines_sent_total"
@@ -34,16 +34,18 @@
 // sample is all counts at one moment.
 type sample struct {
 	at      time.Time
-	cpu     map[*process.Process]time.Duration
+	cpu     map[*process.Process]time.Duration // of all runs of the process
 	readers hollow.AgentsState
 	servers hollow.ServersState
-	agents  map[string]hollow.Traffic // of real agents, by steward
-	lines   []float64                 // by steward
-	applied uint64                    // the last log entry that is applied
+	agents  map[string]hollow.Traffic // of real agents, by the address of the control-plane server
+	lines   []float64                 // written to watches, by control-plane server
+	applied uint64                    // index of the last log entry that the leader has applied
 }
 
-func (f *fleet) take(ctx context.Context, ages bool) (*sample, error) {
-	s := &sample{cpu: map[*process.Process]time.Duration{}, agents: map[string]hollow.Traffic{}, lines: make([]float64, len(f.stewards))}
+// sample takes all counts; with ages, those of changes too. It returns an error if a hollow process
+// doesn't answer; a control-plane server that doesn't is left out.
+func (f *fleet) sample(ctx context.Context, ages bool) (*sample, error) {
+	s := &sample{cpu: map[*process.Process]time.Duration{}, agents: map[string]hollow.Traffic{}, lines: make([]float64, len(f.controlPlane))}
 	var err error
 	if s.readers, err = f.readersState(ctx, hollow.Expectation{}, ages); err != nil {
 		return nil, err
@@ -51,9 +53,9 @@
 	if s.servers, err = f.serversState(ctx); err != nil {
 		return nil, err
 	}
-	for i := range f.stewards {
+	for i := range f.controlPlane {
 		if text, err := f.get(ctx, i, "/metrics"); err == nil {
-			s.lines[i] = metric(text, linesSent) + metric(text, scopedLinesSent)
+			s.lines[i] = metricValue(text, linesSent) + metricValue(text, scopedLinesSent)
 		}
 	}
 	if leader := f.leader(ctx); leader >= 0 {
@@ -62,7 +64,7 @@
 		}
 	}
 	for _, forwarder := range f.forwarders {
-		s.agents[forwarder.target] = forwarder.read()
+		s.agents[forwarder.target] = forwarder.traffic()
 	}
 	s.at = time.Now()
 	for _, p := range f.supervisor.All() {
@@ -72,8 +74,9 @@
 	return s, nil
 }
 
-// metric finds a metric without labels in the text form of Prometheus.
-func metric(text []byte, name string) float64 {
+// metricValue finds the value of a metric without labels in the text form of Prometheus; 0 if it is
+// not there.
+func metricValue(text []byte, name string) float64 {
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	for lines.Scan() {
 		if value, ok := strings.CutPrefix(lines.Text(), name+" "); ok {
@@ -87,69 +90,74 @@
 // measurement is the difference between two samples, as it goes into the results.
 type measurement struct {
 	fleet         *fleet
-	run           *capacity.Run
+	result        *capacity.Run
 	load          string
 	before, after *sample
 	seconds       float64
 }
 
 func (m *measurement) add(role, metric string, value float64) {
-	m.run.Add(role, m.load, metric, value)
+	m.result.Add(role, m.load, metric, value)
 }
 
+// cores returns the processor cores that a process used, on the mean.
 func (m *measurement) cores(p *process.Process) float64 {
 	return (m.after.cpu[p] - m.before.cpu[p]).Seconds() / m.seconds
 }
 
+// residentMB returns the resident memory of a process, in MB.
 func residentMB(p *process.Process) float64 {
 	now, _, _ := p.SampleUsage()
 	return now.RSSMB
 }
 
-// addAll adds the figures of all roles.
+// addAll adds the figures of all roles. Leader is the index of the control-plane server that leads,
+// or -1.
 func (m *measurement) addAll(leader int, requests requestFigures) {
-	m.addStewards(leader)
+	m.addControlPlane(leader)
 	m.addReaders()
 	m.addServers()
 	m.addAgents()
-	if requests.asked > 0 {
-		m.add(roleRequests, "served_share", float64(requests.served)/float64(requests.asked))
+	if requests.sent > 0 {
+		m.add(roleRequests, "served_share", float64(requests.served)/float64(requests.sent))
 		m.add(roleRequests, "p50_ms", requests.p50Ms)
 		m.add(roleRequests, "p99_ms", requests.p99Ms)
 	}
 }
 
-// addStewards adds what stewards spent. Bytes and calls are those of readers, real agents
-// and servers as counted there; what stewards tell each other is not in them.
-func (m *measurement) addStewards(leader int) {
+// addControlPlane adds what the control-plane servers spent. Bytes and calls are those of hollow
+// agents, real agents and hollow servers, as counted there; what control-plane servers send each
+// other is not among them.
+func (m *measurement) addControlPlane(leader int) {
 	var followers []int
-	for i := range m.fleet.stewards {
+	for i := range m.fleet.controlPlane {
 		if i != leader {
 			followers = append(followers, i)
 		}
 	}
 	if leader >= 0 {
-		m.addSteward(roleLeader, []int{leader})
+		m.addControlPlaneRole(roleLeader, []int{leader})
 	}
 	if len(followers) > 0 {
-		m.addSteward(roleFollower, followers)
+		m.addControlPlaneRole(roleFollower, followers)
 	}
 	if m.after.applied >= m.before.applied {
 		m.add(roleLeader, "log_entries", float64(m.after.applied-m.before.applied))
 	}
 }
 
-func (m *measurement) addSteward(role string, indexes []int) {
+// addControlPlaneRole adds the means over the control-plane servers with some indexes.
+func (m *measurement) addControlPlaneRole(role string, indexes []int) {
 	var cores, resident, lines float64
 	var traffic hollow.Traffic
 	for _, i := range indexes {
-		p, address := m.fleet.stewards[i], m.fleet.stewardsAt[i]
+		p, address := m.fleet.controlPlane[i], m.fleet.controlPlaneAddrs[i]
 		cores += m.cores(p)
 		resident += residentMB(p)
 		if grown := m.after.lines[i] - m.before.lines[i]; grown >= 0 {
 			lines += grown
 		} else {
-			lines += m.after.lines[i] // it was started again
+			lines += m.after.lines[i] // the server was started again, which began its count anew
 		}
 		traffic.Add(m.after.readers.ByAddress[address].Sub(m.before.readers.ByAddress[address]))
 		traffic.Add(m.after.servers.ByAddress[address].Sub(m.before.servers.ByAddress[address]))
@@ -165,6 +173,7 @@
 	m.add(role, "refused_calls", float64(traffic.Refused)/count)
 }
 
+// addReaders adds what hollow agents spent, and the ages of the changes that they received.
 func (m *measurement) addReaders() {
 	count := float64(m.after.readers.Agents)
 	var cores, resident float64
@@ -185,13 +194,14 @@
 	}
 }
 
-// addTraffic adds the calls and bytes of one of so many.
+// addTraffic adds the calls and bytes of one of count agents or servers.
 func (m *measurement) addTraffic(role string, traffic hollow.Traffic, count float64) {
 	m.add(role, "bytes_in_per_second", float64(traffic.BytesIn)/count/m.seconds)
 	m.add(role, "bytes_out_per_second", float64(traffic.BytesOut)/count/m.seconds)
 	m.add(role, "calls_per_second", float64(traffic.Calls)/count/m.seconds)
 }
 
+// addServers adds what hollow servers spent.
 func (m *measurement) addServers() {
 	count := float64(m.after.servers.Servers)
 	traffic := m.after.servers.Total.Sub(m.before.servers.Total)
@@ -201,6 +211,7 @@
 	m.add(roleServer, "refused_calls", float64(traffic.Refused))
 }
 
+// addAgents adds what real agents spent, if there are any.
 func (m *measurement) addAgents() {
 	count := float64(len(m.fleet.agents))
 	if count == 0 {
@@ -220,7 +231,7 @@
 	m.addTraffic(roleAgent, traffic, count)
 }
 
-// addSizes adds the sizes of the state and of the whole list at the leader.
+// addSizes adds the sizes of the snapshot and of the full list at the leader, if there is one.
 func (m *measurement) addSizes(ctx context.Context, leader int) error {
 	if leader < 0 {
 		return nil
@@ -235,9 +246,10 @@
 	return nil
 }
 
-// getAdmitted reads from a steward, and asks again while it has too many calls.
+// getAdmitted reads a path of a control-plane server, and tries again for startTimeout while that
+// fails, as the server admits no call.
 func (f *fleet) getAdmitted(ctx context.Context, i int, path string) (text []byte, err error) {
-	poll(ctx, startWithin, func() bool {
+	poll(ctx, startTimeout, func() bool {
 		text, err = f.get(ctx, i, path)
 		return err == nil
 	})
--- /dev/null
+++ b/internal/lab/scale/phases.go
@@ -0,0 +1,219 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"knotrouter/internal/lab/hollow"
+)
+
+// firstStart registers all servers and starts all readers and real agents at once; then it begins to
+// send requests to the real agents.
+func (r *sizeRun) firstStart(ctx context.Context) error {
+	f := r.fleet
+	var registered hollow.RegistrationResult
+	if err := f.command(ctx, "/v1/register", hollow.Range{Count: r.size.Servers}, &registered); err != nil {
+		return err
+	}
+	r.result.Add(roleServer, FirstStart, "registrations_per_second", float64(registered.Servers)/registered.Seconds)
+	if registered.Refused != "" {
+		return &notRunError{fmt.Sprintf("registration refused: %s; %d of %d servers were registered", registered.Refused, registered.Servers, r.size.Servers)}
+	}
+	r.progress(fmt.Sprintf("%s: registered in %.1f s", r.name, registered.Seconds))
+	if err := f.addRealAgents(); err != nil {
+		return err
+	}
+	var took time.Duration
+	m, err := r.measure(ctx, FirstStart, func() error {
+		if err := f.startRealAgents(); err != nil {
+			return err
+		}
+		if err := f.startReaders(ctx); err != nil {
+			return err
+		}
+		var err error
+		took, err = r.waitReaders(ctx, hollow.Expectation{Servers: r.size.Servers})
+		return err
+	})
+	if m != nil {
+		if err := m.addSizes(ctx, f.leader(ctx)); err != nil {
+			return err
+		}
+	}
+	if err != nil {
+		return r.explainUnread(ctx, err)
+	}
+	m.add(roleReaders, "recovered_s", took.Seconds())
+	if err := f.waitRealAgents(ctx, r.config.Scale.RecoveryTimeout); err != nil {
+		return &notRunError{"real agents: " + err.Error()}
+	}
+	if len(f.agents) > 0 {
+		f.requests = newRequester(f.agentAddrs, r.config.Scale.RequestRate)
+	}
+	return nil
+}
+
+// maxListBytes is the longest list that readers take (internal/endpoints).
+const maxListBytes = 4 << 20
+
+// explainUnread returns the error of readers that did not get the list: err, or a *notRunError that
+// names the size of the list if that is the cause.
+func (r *sizeRun) explainUnread(ctx context.Context, err error) error {
+	var notRun *notRunError
+	leader := r.fleet.leader(ctx)
+	if !errors.As(err, &notRun) || leader < 0 || r.config.Scale.Subscribed > 0 {
+		return err
+	}
+	text, readErr := r.fleet.getAdmitted(ctx, leader, "/v1/endpoints")
+	if readErr == nil && len(text) > maxListBytes {
+		return &notRunError{fmt.Sprintf("whole list of %d bytes is over %d: readers refuse it", len(text), maxListBytes)}
+	}
+	return err
+}
+
+// steady measures a fleet in which servers change at a multiple of the file's rates.
+func (r *sizeRun) steady(ctx context.Context, load string, multiple float64) error {
+	if err := r.fleet.setRates(ctx, multiple); err != nil {
+		return err
+	}
+	_, err := r.measure(ctx, load, func() error {
+		hollow.Sleep(ctx, r.config.Scale.SteadyDuration)
+		return nil
+	})
+	if err != nil {
+		return err
+	}
+	return r.fleet.setRates(ctx, 1)
+}
+
+// leaderKilled kills the control-plane server that leads, and starts it again once another one takes
+// writes.
+func (r *sizeRun) leaderKilled(ctx context.Context) error {
+	f := r.fleet
+	leader := f.leader(ctx)
+	if leader < 0 {
+		return &notRunError{"no steward leads"}
+	}
+	var writable, recovered time.Duration
+	m, err := r.measure(ctx, LeaderKilled, func() error {
+		began := time.Now()
+		f.controlPlane[leader].Kill()
+		<-f.controlPlane[leader].Ended()
+		var err error
+		if writable, err = r.waitWrite(ctx, leader); err != nil {
+			return err
+		}
+		if err := f.controlPlane[leader].Start(); err != nil {
+			return err
+		}
+		_, err = r.waitReaders(ctx, hollow.Expectation{Servers: r.size.Servers})
+		recovered = time.Since(began)
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	m.add(roleLeader, "recovered_s", writable.Seconds())
+	m.add(roleReaders, "recovered_s", recovered.Seconds())
+	return nil
+}
+
+// regionZones is the number of zones of a region: 22 in 6 regions, rounded up.
+const regionZones = 4
+
+// serversLost has the servers of a zone or more stop renewing, waits until the readers' lists are
+// without them, and registers them again.
+func (r *sizeRun) serversLost(ctx context.Context, load string, lost hollow.Range) error {
+	f := r.fleet
+	var removed, recovered time.Duration
+	m, err := r.measure(ctx, load, func() error {
+		if err := f.command(ctx, "/v1/silence", lost, &lost); err != nil {
+			return err
+		}
+		var err error
+		if removed, err = r.waitReaders(ctx, hollow.Expectation{Servers: r.size.Servers, Absent: lost.Count}); err != nil {
+			return err
+		}
+		began := time.Now()
+		var registered hollow.RegistrationResult
+		if err := f.command(ctx, "/v1/register", lost, &registered); err != nil {
+			return err
+		}
+		if registered.Refused != "" {
+			return &notRunError{"their return was refused: " + registered.Refused}
+		}
+		_, err = r.waitReaders(ctx, hollow.Expectation{Servers: r.size.Servers})
+		recovered = time.Since(began)
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	m.add(roleReaders, "gone_s", removed.Seconds())
+	m.add(roleReaders, "recovered_s", recovered.Seconds())
+	return nil
+}
+
+// A burst of configuration changes has this rate and lasts this long.
+const (
+	burstPerSecond = 200
+	burstDuration  = 2 * time.Second
+)
+
+// configBurst makes configuration changes at a high rate and waits until all readers have the last.
+func (r *sizeRun) configBurst(ctx context.Context) error {
+	var took time.Duration
+	m, err := r.measure(ctx, ConfigBurst, func() error {
+		rates := hollow.Rates{ConfigurationsPerSecond: burstPerSecond}
+		if err := r.fleet.command(ctx, "/v1/rates", rates, &rates); err != nil {
+			return err
+		}
+		hollow.Sleep(ctx, burstDuration)
+		if err := r.fleet.setRates(ctx, 1); err != nil {
+			return err
+		}
+		var err error
+		took, err = r.waitReaders(ctx, hollow.Expectation{Servers: r.size.Servers})
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	m.add(roleReaders, "recovered_s", took.Seconds())
+	return nil
+}
+
+// followerKilled kills a control-plane server that doesn't lead, and starts it again once its watches
+// have moved to others.
+func (r *sizeRun) followerKilled(ctx context.Context) error {
+	f := r.fleet
+	killed := (f.leader(ctx) + 1) % len(f.controlPlane)
+	status, err := f.status(ctx, killed)
+	if err != nil {
+		return err
+	}
+	before, err := f.readersState(ctx, hollow.Expectation{}, false)
+	if err != nil {
+		return err
+	}
+	hollowWatches := status.Watches - len(f.agents) // at least: each real agent has at most one there
+	var moved time.Duration
+	m, err := r.measure(ctx, FollowerKilled, func() error {
+		began := time.Now()
+		f.controlPlane[killed].Kill()
+		<-f.controlPlane[killed].Ended()
+		if err := r.waitFailovers(ctx, before.Failovers+int64(hollowWatches)); err != nil {
+			return err
+		}
+		_, err := r.waitReaders(ctx, hollow.Expectation{Servers: r.size.Servers})
+		moved = time.Since(began)
+		return errors.Join(err, f.controlPlane[killed].Start())
+	})
+	if err != nil {
+		return err
+	}
+	m.add(roleReaders, "recovered_s", moved.Seconds())
+	return nil
+}
--- /dev/null
+++ b/internal/lab/scale/realagents.go
@@ -0,0 +1,104 @@
+package scale
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	"knotrouter/internal/endpoints"
+	"knotrouter/internal/lab/experiment"
+	"knotrouter/internal/lab/hollow"
+	"knotrouter/internal/lab/process"
+)
+
+// addRealAgents prepares the real agents and the forwarders through which they reach the control
+// plane; startRealAgents starts them.
+func (f *fleet) addRealAgents() error {
+	command, err := program("scale.agent_command", f.config.Scale.AgentCommand)
+	if err != nil {
+		return err
+	}
+	var lists []string
+	for _, target := range f.controlPlaneAddrs {
+		forwarder, err := newForwarder(f.addresses.IP()+":0", target)
+		if err != nil {
+			return err
+		}
+		f.forwarders = append(f.forwarders, forwarder)
+		lists = append(lists, forwarder.address())
+	}
+	if f.agentAddrs, err = f.freePorts(f.config.Scale.RealAgents); err != nil {
+		return err
+	}
+	for i, address := range f.agentAddrs {
+		name := fmt.Sprintf("agent-%d", i+1)
+		path := filepath.Join(f.dir, name+".json")
+		if err := f.writeAgentConfig(path, name, i, address, lists); err != nil {
+			return err
+		}
+		f.agents = append(f.agents, f.supervisor.Add(process.Spec{Name: name, Path: command, Log: f.log(name),
+			ReadyURL: "http://" + address + "/ready", Env: []string{"EDGE_CONFIG=" + path}}))
+	}
+	return nil
+}
+
+// writeAgentConfig writes the configuration of the real agent with an index to a file. Lists are the
+// addresses at which it reads the list.
+func (f *fleet) writeAgentConfig(path, name string, index int, address string, lists []string) error {
+	base := experiment.Default()
+	base.Agents.Count = f.config.Scale.RealAgents + f.size.Watches
+	base.Zones = nil
+	for zone := range hollow.Zones {
+		base.Zones = append(base.Zones, hollow.ZoneName(zone))
+	}
+	base.Servers.MachineTypes[0].Name = hollow.Class
+	settings, err := base.AgentSettings(index)
+	if err != nil {
+		return err
+	}
+	settings["shapes"] = []string{hollow.Class}
+	configuration := map[string]any{
+		"name": name, "listen": address, "discovery": lists[0], "stewards": lists,
+		"seed":     fmt.Sprintf("%016x", hollow.AgentSeed(f.seed, index)),
+		"limits":   map[string]any{"cores": base.Agents.Cores, "memory_mb": base.Agents.MemoryMB, "sockets": base.Agents.Sockets},
+		"known":    endpoints.List{Full: true, Endpoints: []endpoints.Endpoint{}},
+		"settings": settings,
+	}
+	if services := hollow.DrawServices(f.seed, index, f.size.Services, f.config.Scale.Subscribed); services != nil {
+		configuration["services"] = services
+	}
+	text, err := json.MarshalIndent(configuration, "", " ")
+	if err != nil {
+		return fmt.Errorf("agent configuration: %w", err)
+	}
+	if err := os.WriteFile(path, text, 0o644); err != nil {
+		return fmt.Errorf("agent configuration: %w", err)
+	}
+	return nil
+}
+
+// startRealAgents starts the real agents and does not wait for them.
+func (f *fleet) startRealAgents() error {
+	for _, p := range f.agents {
+		if err := p.Start(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// waitRealAgents waits until all real agents have a list. It returns an error if one of them has none
+// within the timeout.
+func (f *fleet) waitRealAgents(ctx context.Context, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	for _, p := range f.agents {
+		if err := p.WaitReady(ctx); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/lab/scale/recovery.go
@@ -0,0 +1,78 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"knotrouter/internal/control"
+	"knotrouter/internal/lab/hollow"
+)
+
+// waitReaders waits until all readers have open watches and the list that is expected, at the
+// version that the leader has. It returns the time that this took, and a *notRunError if it took
+// longer than the file's limit.
+func (r *sizeRun) waitReaders(ctx context.Context, expected hollow.Expectation) (time.Duration, error) {
+	var state hollow.AgentsState
+	var stateErr error
+	took, ok := poll(ctx, r.config.Scale.RecoveryTimeout, func() bool {
+		leader := r.fleet.leader(ctx)
+		if leader < 0 {
+			return false
+		}
+		status, err := r.fleet.status(ctx, leader)
+		if err != nil {
+			return false
+		}
+		if r.config.Scale.Subscribed == 0 {
+			expected.Version = status.Seq
+		}
+		state, stateErr = r.fleet.readersState(ctx, expected, false)
+		return stateErr == nil &&
+			state.AsExpected == state.Agents && state.WatchesOpen == state.Agents && state.AtVersion == state.Agents
+	})
+	switch {
+	case ctx.Err() != nil:
+		return took, ctx.Err()
+	case ok:
+		return took, nil
+	case stateErr != nil:
+		return took, stateErr
+	}
+	return took, &notRunError{fmt.Sprintf("readers: after %v, of %d readers %d had the list, %d were at the last version, %d had an open watch",
+		r.config.Scale.RecoveryTimeout, state.Agents, state.AsExpected, state.AtVersion, state.WatchesOpen)}
+}
+
+// waitWrite waits until a control-plane server other than the killed one takes a write, and returns
+// the time that this took. Its error is a *notRunError after the file's limit.
+func (r *sizeRun) waitWrite(ctx context.Context, killed int) (time.Duration, error) {
+	others := slices.Delete(slices.Clone(r.fleet.controlPlaneAddrs), killed, killed+1)
+	client := control.NewClient(others, statusTimeout)
+	weight := 1.0
+	took, ok := poll(ctx, r.config.Scale.RecoveryTimeout, func() bool {
+		_, err := client.SetOverride(ctx, "hollow-00000", control.ServerOverride{Weight: &weight})
+		return err == nil
+	})
+	if !ok {
+		return took, errors.Join(ctx.Err(), &notRunError{fmt.Sprintf("no write was taken within %v of the leader's end", r.config.Scale.RecoveryTimeout)})
+	}
+	return took, nil
+}
+
+// waitFailovers waits until the readers' watches have failed over a number of times in all. Before
+// that their states may still count watches of a control-plane server that was killed as open. Its
+// error is a *notRunError after the file's limit.
+func (r *sizeRun) waitFailovers(ctx context.Context, wanted int64) error {
+	var state hollow.AgentsState
+	var err error
+	_, ok := poll(ctx, r.config.Scale.RecoveryTimeout, func() bool {
+		state, err = r.fleet.readersState(ctx, hollow.Expectation{}, false)
+		return err == nil && state.Failovers >= wanted
+	})
+	if !ok {
+		return errors.Join(ctx.Err(), err, &notRunError{fmt.Sprintf("readers left stewards %d times, not %d, after one was gone", state.Failovers, wanted)})
+	}
+	return nil
+}
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -14,8 +14,8 @@
 sizes = [{ servers = 100, watches = 10, services = 5 }]
 `
 
-// What makes no sense is one line that names the key.
-func TestBadFile(t *testing.T) {
+// The error of a file with a fault is one line that names the key.
+func TestErrorsNameTheKey(t *testing.T) {
 	if _, err := Parse([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
@@ -52,23 +52,23 @@
 	}
 }
 
-// Memory bounds the readers by what each holds of the list, never below one.
-func TestCarried(t *testing.T) {
+// Memory bounds the readers by the entries of the list that each keeps, never below one.
+func TestWatchesThatFitInMemory(t *testing.T) {
 	s := &Scale{MemoryMiB: 1000, EntryBytes: 1 << 10}
-	if n := carried(s, Size{Servers: 1024}); n != 800 {
+	if n := watchesThatFit(s, Size{Servers: 1024}); n != 800 {
 		t.Errorf("1000 MiB carry %d readers of 1 MiB", n)
 	}
-	if n := carried(s, Size{Servers: 10 << 20}); n != 1 {
+	if n := watchesThatFit(s, Size{Servers: 10 << 20}); n != 1 {
 		t.Errorf("a list beyond all memory leaves %d readers", n)
 	}
 	s.Subscribed = 1
-	if n := carried(s, Size{Servers: 1024, Services: 4}); n != 1600 {
+	if n := watchesThatFit(s, Size{Servers: 1024, Services: 4}); n != 1600 {
 		t.Errorf("1000 MiB carry %d readers of a quarter of 1 MiB, held twice", n)
 	}
 }
 
 // A comparison shows the measurements of both results and the sizes that were not run.
-func TestCompare(t *testing.T) {
+func TestCompareShowsBothResults(t *testing.T) {
 	before := capacity.Run{Servers: 100, Watches: 10}
 	before.Add(roleReader, Steady, "bytes_in_per_second", 1234)
 	after := before
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -12,32 +12,32 @@
 	"knotrouter/internal/lab/capacity"
 )
 
-// key names a row of a table: one metric of one role under one load.
-type key struct{ load, role, metric string }
+// rowKey identifies a row of a table: one metric of one role under one load.
+type rowKey struct{ load, role, metric string }
 
-// rowKeys lists the rows of some runs, by load in the order in which they were measured.
-func rowKeys(runs ...capacity.Run) []key {
-	seen, order := map[key]bool{}, map[string]int{}
-	var keys []key
+// rowKeys returns the rows of all runs, by load in the order in which they were measured.
+func rowKeys(runs ...capacity.Run) []rowKey {
+	seen, order := map[rowKey]bool{}, map[string]int{}
+	var keys []rowKey
 	for i := range runs {
 		for _, m := range runs[i].Measurements {
 			if _, known := order[m.Load]; !known {
 				order[m.Load] = len(order)
 			}
-			if k := (key{m.Load, m.Role, m.Metric}); !seen[k] {
+			if k := (rowKey{m.Load, m.Role, m.Metric}); !seen[k] {
 				seen[k] = true
 				keys = append(keys, k)
 			}
 		}
 	}
-	slices.SortStableFunc(keys, func(a, b key) int {
+	slices.SortStableFunc(keys, func(a, b rowKey) int {
 		return cmp.Or(cmp.Compare(order[a.load], order[b.load]), cmp.Compare(a.role, b.role))
 	})
 	return keys
 }
 
-// value finds a measurement as text; "-": there is none.
-func value(run *capacity.Run, k key) string {
+// formatValue returns the value of a row in a run, as text, or "-" if the run has none.
+func formatValue(run *capacity.Run, k rowKey) string {
 	for _, m := range run.Measurements {
 		if m.Load == k.load && m.Role == k.role && m.Metric == k.metric {
 			return strconv.FormatFloat(m.Value, 'g', 4, 64)
@@ -46,7 +46,8 @@
 	return "-"
 }
 
-// Table writes all measurements with a column for each size, then the sizes not run.
+// Table writes all measurements with a column for each size, then the sizes not run. It returns an
+// error if the table can't be written.
 func Table(w io.Writer, results *capacity.Results) error {
 	header := []string{"load", "role", "metric"}
 	for i := range results.Runs {
@@ -56,7 +57,7 @@
 	for _, k := range rowKeys(results.Runs...) {
 		row := []string{k.load, k.role, k.metric}
 		for i := range results.Runs {
-			row = append(row, value(&results.Runs[i], k))
+			row = append(row, formatValue(&results.Runs[i], k))
 		}
 		rows = append(rows, row)
 	}
@@ -71,18 +72,19 @@
 	return nil
 }
 
-// Compare sets two results side by side, size by size.
+// Compare writes the measurements of two results side by side, size by size. It returns an error if
+// a table can't be written.
 func Compare(w io.Writer, a, b *capacity.Results) error {
 	fmt.Fprintf(w, "a: %s %s, commit %s, seed %d\nb: %s %s, commit %s, seed %d\n", a.Experiment, a.Variant, a.Commit, a.Seed,
 		b.Experiment, b.Variant, b.Commit, b.Seed)
 	for i := range a.Runs {
 		first := &a.Runs[i]
-		at := slices.IndexFunc(b.Runs, func(r capacity.Run) bool { return r.Servers == first.Servers && r.Watches == first.Watches })
-		if at < 0 {
+		index := slices.IndexFunc(b.Runs, func(r capacity.Run) bool { return r.Servers == first.Servers && r.Watches == first.Watches })
+		if index < 0 {
 			fmt.Fprintf(w, "%d servers, %d watches: only in a\n", first.Servers, first.Watches)
 			continue
 		}
-		second := &b.Runs[at]
+		second := &b.Runs[index]
 		fmt.Fprintf(w, "\n%d servers, %d watches\n", first.Servers, first.Watches)
 		for name, run := range map[string]*capacity.Run{"a": first, "b": second} {
 			if run.NotRun != "" {
@@ -91,7 +93,7 @@
 		}
 		var rows [][]string
 		for _, k := range rowKeys(*first, *second) {
-			rows = append(rows, []string{k.load, k.role, k.metric, value(first, k), value(second, k)})
+			rows = append(rows, []string{k.load, k.role, k.metric, formatValue(first, k), formatValue(second, k)})
 		}
 		if err := writeTable(w, []string{"load", "role", "metric", "a", "b"}, rows); err != nil {
 			return err
@@ -100,6 +102,7 @@
 	return nil
 }
 
+// writeTable writes a table with a header.
 func writeTable(w io.Writer, header []string, rows [][]string) error {
 	table := tablewriter.NewWriter(w)
 	table.Header(header)
