--- a/internal/lab/hollow/agentsstate.go
+++ b/internal/lab/hollow/agentsstate.go
@@ -54,8 +54,8 @@
 	VersionMax      int64                  `json:"version_max"`
 	ListedMin       int                    `json:"listed_min"`
 	ListedMax       int                    `json:"listed_max"`
-	AsExpected      int                    `json:"as_expected"` // agents whose table has the size that the Expectation says
-	AtVersion       int                    `json:"at_version"`  // agents at the version that the Expectation says, or a later one
+	AsExpected      int                    `json:"as_expected"` // agents whose table has the size of the Expectation
+	AtVersion       int                    `json:"at_version"`  // agents at the version of the Expectation, or a later one
 	ListAgeMaxSec   float64                `json:"list_age_max_s"`
 	ListAgeMeanSec  float64                `json:"list_age_mean_s"`
 	Total           Traffic                `json:"total"`
--- a/internal/lab/hollow/changeage.go
+++ b/internal/lab/hollow/changeage.go
@@ -7,7 +7,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-// A change carries the time at which it was sent, so that each reader can tell its age on
+// A change carries the time at which it was sent, so that each reader can compute its age on
 // receipt. A restart carries it in the start of the new process (born_ms of the list). A
 // configuration change carries it in the server's weight (share of the list), which is baseWeight
 // plus the time in milliseconds modulo weightWindow, in units of weightUnit. Both have a
--- a/internal/lab/hollow/changeage_test.go
+++ b/internal/lab/hollow/changeage_test.go
@@ -7,7 +7,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-// A weight tells when it was sent, to the millisecond, also across the wrap of its window.
+// The age of a weight is exact to the millisecond, also across the wrap of its window.
 func TestAgeOfWeight(t *testing.T) {
 	wrap := time.UnixMilli(1_796_186_000_000) // a multiple of the window
 	for _, sent := range []time.Time{wrap.Add(-3 * time.Millisecond), wrap.Add(time.Millisecond), wrap.Add(123_456 * time.Millisecond)} {
--- a/internal/lab/hollow/servers.go
+++ b/internal/lab/hollow/servers.go
@@ -26,7 +26,7 @@
 // server is one hollow server.
 type server struct {
 	endpoint endpoints.Endpoint
-	renewing bool // it is registered and renews; false: it has not registered, was removed or fell silent
+	renewing bool // it is registered and renews; false: it has not registered, left or stopped renewing
 }
 
 // ref names the server's present process.
--- a/internal/lab/scale/config_test.go
+++ b/internal/lab/scale/config_test.go
@@ -100,12 +100,12 @@
 func checkErrorText(t *testing.T, text, want string) {
 	t.Helper()
 	_, err := Parse([]byte(text))
-	said := ""
+	got := ""
 	if err != nil {
-		said = err.Error()
+		got = err.Error()
 	}
-	if said != want {
-		t.Errorf("%q:\nerror %q\nwant  %q", text, said, want)
+	if got != want {
+		t.Errorf("%q:\nerror %q\nwant  %q", text, got, want)
 	}
 	var keyErr *configfile.KeyError
 	ofKey := strings.HasPrefix(want, "scale.") || strings.HasPrefix(want, "name: ") || strings.HasPrefix(want, "other: ")
@@ -125,7 +125,7 @@
 	}
 }
 
-// A file describes a scale run if it is TOML and has the key "scale", whatever that holds.
+// A file describes a scale run if it is TOML and has the key "scale", whatever its value is.
 func TestIsExperiment(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "experiment.toml")
 	if IsExperiment(path) {
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -125,9 +125,20 @@
 	if err := p.Start(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, startTimeout)
+	return waitReady(ctx, startTimeout, p)
+}
+
+// waitReady waits until all processes are ready. It returns the error of the first that is not by the
+// timeout or by the end of the context.
+func waitReady(ctx context.Context, timeout time.Duration, processes ...*process.Process) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return p.WaitReady(ctx)
+	for _, p := range processes {
+		if err := p.WaitReady(ctx); err != nil {
+			return err
+		}
+	}
+	return nil
 }
 
 // poll calls done each pollInterval until it returns true, which poll returns too, or the timeout or
--- a/internal/lab/scale/hollowfleet.go
+++ b/internal/lab/scale/hollowfleet.go
@@ -22,15 +22,32 @@
 	if f.serversAddr, err = f.addresses.FreePort(); err != nil {
 		return err
 	}
-	f.servers = f.supervisor.Add(process.Spec{Name: "hollow-servers", Path: command, Log: f.log("hollow-servers"),
-		ReadyURL: "http://" + f.serversAddr + "/v1/state",
-		Args: []string{"hollow", "servers", "--stewards", strings.Join(f.controlPlaneAddrs, ","), "--listen", f.serversAddr,
-			"--count", fmt.Sprint(f.size.Servers), "--services", fmt.Sprint(f.size.Services), "--seed", fmt.Sprint(f.seed),
-			"--renew", s.RenewInterval.String(), "--renew-batch", fmt.Sprint(s.RenewBatch),
-			"--emulated", fmt.Sprint(s.EmulatedPerZone), "--service-time", s.ServiceTime.String()}})
+	f.servers = f.addHollow("hollow-servers", command, f.serversAddr, []string{
+		"hollow", "servers",
+		"--stewards", strings.Join(f.controlPlaneAddrs, ","),
+		"--listen", f.serversAddr,
+		"--count", fmt.Sprint(f.size.Servers),
+		"--services", fmt.Sprint(f.size.Services),
+		"--seed", fmt.Sprint(f.seed),
+		"--renew", s.RenewInterval.String(),
+		"--renew-batch", fmt.Sprint(s.RenewBatch),
+		"--emulated", fmt.Sprint(s.EmulatedPerZone),
+		"--service-time", s.ServiceTime.String(),
+	})
 	return f.startReady(ctx, f.servers)
 }
 
+// addHollow prepares a hollow process, which is ready once it serves its state at an address.
+func (f *fleet) addHollow(name, command, address string, args []string) *process.Process {
+	return f.supervisor.Add(process.Spec{
+		Name:     name,
+		Path:     command,
+		Log:      f.log(name),
+		ReadyURL: "http://" + address + "/v1/state",
+		Args:     args,
+	})
+}
+
 // startReaders starts the processes of hollow agents, which begin to read at once, and waits until
 // all of them serve their state.
 func (f *fleet) startReaders(ctx context.Context) error {
@@ -45,24 +62,24 @@
 			return err
 		}
 		name := fmt.Sprintf("hollow-agents-%d", len(f.readers)+1)
-		p := f.supervisor.Add(process.Spec{Name: name, Path: command, Log: f.log(name), ReadyURL: "http://" + address + "/v1/state",
-			Args: []string{"hollow", "agents", "--stewards", strings.Join(f.controlPlaneAddrs, ","), "--listen", address,
-				"--count", fmt.Sprint(min(s.AgentsPerProcess, f.size.Watches-first)), "--first", fmt.Sprint(first),
-				"--fleet", fmt.Sprint(f.size.Watches + s.RealAgents), "--seed", fmt.Sprint(f.seed),
-				"--services", fmt.Sprint(f.size.Services), "--subscribed", fmt.Sprint(s.Subscribed), "--source", f.addresses.IP()}})
+		p := f.addHollow(name, command, address, []string{
+			"hollow", "agents",
+			"--stewards", strings.Join(f.controlPlaneAddrs, ","),
+			"--listen", address,
+			"--count", fmt.Sprint(min(s.AgentsPerProcess, f.size.Watches-first)),
+			"--first", fmt.Sprint(first),
+			"--fleet", fmt.Sprint(f.size.Watches + s.RealAgents),
+			"--seed", fmt.Sprint(f.seed),
+			"--services", fmt.Sprint(f.size.Services),
+			"--subscribed", fmt.Sprint(s.Subscribed),
+			"--source", f.addresses.IP(),
+		})
 		f.readers, f.readerAddrs = append(f.readers, p), append(f.readerAddrs, address)
 		if err := p.Start(); err != nil {
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, startTimeout)
-	defer cancel()
-	for _, p := range f.readers {
-		if err := p.WaitReady(ctx); err != nil {
-			return err
-		}
-	}
-	return nil
+	return waitReady(ctx, startTimeout, f.readers...)
 }
 
 // command sends a command to the process of hollow servers and decodes its answer into into.
--- a/internal/lab/scale/phases.go
+++ b/internal/lab/scale/phases.go
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// maxListBytes is the longest list that readers take (internal/endpoints).
+// maxListBytes is the length of the longest list that a reader accepts (internal/endpoints).
 const maxListBytes = 4 << 20
 
 // explainUnread returns the error of readers that did not get the list: err, or a *notRunError that
--- a/internal/lab/scale/realagents.go
+++ b/internal/lab/scale/realagents.go
@@ -93,12 +93,5 @@
 // waitRealAgents waits until all real agents have a list. It returns an error if one of them has none
 // within the timeout.
 func (f *fleet) waitRealAgents(ctx context.Context, timeout time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
-	defer cancel()
-	for _, p := range f.agents {
-		if err := p.WaitReady(ctx); err != nil {
-			return err
-		}
-	}
-	return nil
+	return waitReady(ctx, timeout, f.agents...)
 }
--- a/internal/lab/scale/requests.go
+++ b/internal/lab/scale/requests.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// call makes one call. It returns an error unless the answer is read whole and has status 200.
+// call makes one call. It returns an error unless the answer is read to its end and has status 200.
 func (r *requester) call(ctx context.Context, agent string, serial int, deadline time.Time) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/schedule-read/%d", agent, serial), nil)
 	if err != nil {
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -47,7 +47,7 @@
 }
 
 // Table writes all measurements with a column for each size, then the sizes not run. It returns an
-// error if the table can't be written.
+// error if the table can't be laid out.
 func Table(w io.Writer, results *capacity.Results) error {
 	header := []string{"load", "role", "metric"}
 	for i := range results.Runs {
@@ -73,7 +73,7 @@
 }
 
 // Compare writes the measurements of two results side by side, size by size. It returns an error if
-// a table can't be written.
+// a table can't be laid out.
 func Compare(w io.Writer, a, b *capacity.Results) error {
 	fmt.Fprintf(w, "a: %s %s, commit %s, seed %d\nb: %s %s, commit %s, seed %d\n", a.Experiment, a.Variant, a.Commit, a.Seed,
 		b.Experiment, b.Variant, b.Commit, b.Seed)
