--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -49,9 +49,8 @@
 	forward  *direction // to the target
 	back     *direction
 	conns    loopback.Set
-	serving  sync.WaitGroup // the connections
-	closed   chan struct{}  // closed by Close
-	once     sync.Once      // of closing it
+	closed   chan struct{} // closed by Close
+	once     sync.Once     // of closing it
 
 	mu                 sync.Mutex
 	linkAvailability   Availability // by the link's own faults
@@ -80,7 +79,7 @@
 	l.once.Do(func() { close(l.closed) })
 	l.listener.Close()
 	l.conns.Reset()
-	l.serving.Wait()
+	l.listener.Wait()
 }
 
 // ClearFor reports whether neither direction has had a shape for at least a time. Refuse is no
@@ -146,8 +145,6 @@
 
 // serve relays one connection until both of its directions have ended.
 func (l *Link) serve(client net.Conn) {
-	l.serving.Add(1)
-	defer l.serving.Done()
 	l.Connections.Add(1)
 	target, err := net.DialTimeout("tcp", l.target, dialTimeout)
 	if err != nil {
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"os"
+	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -231,3 +232,29 @@
 		t.Errorf("2,000 bytes at 10,000 a second took %v", took)
 	}
 }
+
+// Close ends connections that come up while it runs, and waits for them: TestMain finds a goroutine
+// that is left.
+func TestCloseEndsConnectionsThatComeUpMeanwhile(t *testing.T) {
+	target := startIncrementServer(t)
+	for range 100 {
+		l, err := New("127.0.0.1:0", target, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var dialing sync.WaitGroup
+		for range 4 {
+			dialing.Go(func() {
+				if c, err := net.DialTimeout("tcp", l.Addr(), waitTimeout); err == nil {
+					c.Close()
+				}
+			})
+		}
+		l.Close()
+		served := l.Connections.Load()
+		dialing.Wait()
+		if now := l.Connections.Load(); now != served {
+			t.Fatalf("%d connections were served after Close", now-served)
+		}
+	}
+}
--- a/internal/lab/loopback/listener.go
+++ b/internal/lab/loopback/listener.go
@@ -26,6 +26,7 @@
 type Listener struct {
 	serve     func(net.Conn)
 	accepting sync.WaitGroup // the accepting goroutines
+	serving   sync.WaitGroup // the calls of serve; only an accepting goroutine adds to it
 
 	mu            sync.Mutex
 	changed       *sync.Cond // of state and acceptorWaits
@@ -135,7 +136,8 @@
 	l.setState(refused)
 }
 
-// Close ends the listener for good and returns once its accepting goroutines have ended.
+// Close ends the listener for good and returns once its accepting goroutines have ended. Calls of
+// serve may go on; Wait waits for these.
 func (l *Listener) Close() {
 	l.mu.Lock()
 	l.closedForever = true
@@ -144,6 +146,10 @@
 	l.accepting.Wait()
 }
 
+// Wait returns once every call of serve has returned. It may be called only after Close, when no
+// further call can begin.
+func (l *Listener) Wait() { l.serving.Wait() }
+
 const (
 	// maxFillers bounds the connections that are opened to fill the queue of a silent listener.
 	maxFillers = 8
@@ -243,7 +249,7 @@
 			continue
 		}
 		if l.admit(ln, c) {
-			go l.serve(c)
+			l.serving.Go(func() { l.serve(c) })
 		}
 	}
 }
--- a/internal/lab/loopback/listener_test.go
+++ b/internal/lab/loopback/listener_test.go
@@ -6,6 +6,7 @@
 	"net"
 	"os/exec"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -195,3 +196,34 @@
 		})
 	}
 }
+
+// Wait returns after the last call of serve, however late that begins: also one of a connection that
+// was accepted just before Close.
+func TestWaitCoversConnectionsAcceptedBeforeClose(t *testing.T) {
+	for range 200 {
+		var serving atomic.Int64
+		l, err := Listen("127.0.0.1:0", func(c net.Conn) {
+			serving.Add(1)
+			defer serving.Add(-1)
+			c.Close()
+			time.Sleep(time.Millisecond) // so that Wait has something to wait for
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		var dialing sync.WaitGroup
+		for range 4 {
+			dialing.Go(func() {
+				if c, err := net.Dial("tcp", l.Addr()); err == nil {
+					c.Close()
+				}
+			})
+		}
+		l.Close()
+		l.Wait()
+		if n := serving.Load(); n != 0 {
+			t.Fatalf("%d calls of serve have not returned", n)
+		}
+		dialing.Wait()
+	}
+}
