--- /dev/null
+++ b/internal/lab/capacity/comparison.go
@@ -0,0 +1,65 @@
+package capacity
+
+// comparisonTable compares the figures of the variants Before and After, at the largest size that
+// both ran and at the target.
+func comparisonTable(target *Target, data Dataset) string {
+	var rows [][]string
+	for _, role := range roles(target) {
+		for _, load := range data.loads(role.Experiments) {
+			for _, figure := range role.Figures {
+				rows = append(rows, comparisonRows(target, data, role, figure, load)...)
+			}
+		}
+	}
+	if len(rows) == 0 {
+		return "No figure is there both before and after.\n"
+	}
+	return markdownTable([]string{"run", "role", "load", "figure", "servers, both measured", "before", "after",
+		"target, before", "target, after", "after / before there", "limit"}, rows)
+}
+
+// comparisonRows compares a figure under a load, with a row for each experiment that measured it at
+// a common size in both variants.
+func comparisonRows(target *Target, data Dataset, role Role, figure Figure, load string) [][]string {
+	var rows [][]string
+	for _, experiment := range role.Experiments {
+		key := Key{Experiment: experiment, Variant: Before, Role: figure.Role, Load: load, Metric: figure.Metric, Variable: Servers}
+		before := data.Series(key)
+		key.Variant = After
+		after := data.Series(key)
+		size, found := largestCommonSize(before.Points, after.Points)
+		if !found {
+			continue
+		}
+		targetBefore, targetAfter := before.At(target.Servers), after.At(target.Servers)
+		rows = append(rows, []string{experiment, role.Name, load, figure.Name, formatNumber(size),
+			before.At(size).String(), after.At(size).String(), targetBefore.String(), targetAfter.String(),
+			ratio(targetAfter, targetBefore), orNone(figure.Limit.Text)})
+	}
+	return rows
+}
+
+// ratio returns the quotient of two estimates, marked by the less certain basis of the two. It is
+// an empty cell where one is unknown, or where a fitted line is below zero.
+func ratio(numerator, denominator Estimate) string {
+	if numerator.Basis == Unknown || denominator.Basis == Unknown || denominator.Value <= 0 || numerator.Value < 0 {
+		return none
+	}
+	quotient := numerator
+	quotient.Value /= denominator.Value
+	quotient.Basis = max(numerator.Basis, denominator.Basis)
+	return quotient.String()
+}
+
+// largestCommonSize returns the largest size that both have a point of, or false without any.
+func largestCommonSize(a, b []Point) (float64, bool) {
+	largest, found := 0.0, false
+	for _, pointA := range a {
+		for _, pointB := range b {
+			if pointA.Size == pointB.Size {
+				largest, found = max(largest, pointA.Size), true
+			}
+		}
+	}
+	return largest, found
+}
--- a/internal/lab/capacity/derived.go
+++ b/internal/lab/capacity/derived.go
@@ -13,166 +13,224 @@
 	secondsPerDay = 86_400
 	hoursPerDay   = 24
 	daysPerYear   = 365
-	// renewalsPerLease is how often a server renews within the time of its lease.
+	// renewalsPerLease is the number of renewals that a server sends within its lease's time.
 	renewalsPerLease = 3
-	// changesPerRestart: the end of a process and the registration of the next.
+	// changesPerRestart is the number of list changes of a restart: the end of one process and the
+	// registration of the next.
 	changesPerRestart = 2
-	// rackServers is the servers of a rack, from issue 23.
+	// rackServers is the number of servers in a rack, from issue 23.
 	rackServers = 40
+	// readersPerSlowReader is the number of readers of which one is taken to be slow.
+	readersPerSlowReader = 100
 )
 
-// derivation is a figure that follows by arithmetic from others.
+// derivation is a figure that is computed from others instead of being measured.
 type derivation struct {
-	what       string
-	arithmetic string
-	value      Estimate
+	name    string // with the unit, as the table prints it
+	formula string // as the table prints it
+	value   Estimate
 }
 
-// exact is a value that follows from constants and the target alone.
+// exact returns the estimate of a value that follows from constants and the target alone.
 func exact(value float64) Estimate { return Estimate{Value: value, Basis: Fitted} }
 
-// times multiplies an estimate and keeps its basis.
+// times returns the estimate multiplied by a factor, on the same basis.
 func (e Estimate) times(factor float64) Estimate {
 	e.Value *= factor
 	return e
 }
 
-// rates are the changes that the target's fleet makes.
+// rates are the rates of change of the target's fleet.
 type rates struct {
-	configPerSecond  float64
-	changesPerSecond float64 // configuration, restarts and failures
-	renewalsPerSec   float64
-	controlPerDay    float64 // control machines that fail
-	machinePerDay    float64 // probability that one machine fails
+	configPerSecond   float64 // configuration changes
+	changesPerSecond  float64 // list changes by configuration, restarts and failures
+	renewalsPerSecond float64
+	controlPerDay     float64 // expected failures of control machines
+	machinePerDay     float64 // probability that one given machine fails
 }
 
 func (t *Target) rates() rates {
 	machine := t.Failures.MachinesPerDay / (t.Servers + t.ControlMachines)
 	restarts := t.Failures.RestartsPerDay + t.Failures.MachinesPerDay
 	return rates{
-		configPerSecond:  t.ConfigChangesPerDay / secondsPerDay,
-		changesPerSecond: (t.ConfigChangesPerDay + changesPerRestart*restarts) / secondsPerDay,
-		renewalsPerSec:   t.Servers / (control.Defaults().LeaseTTL.Seconds() / renewalsPerLease),
-		machinePerDay:    machine,
-		controlPerDay:    machine * t.ControlMachines,
+		configPerSecond:   t.ConfigChangesPerDay / secondsPerDay,
+		changesPerSecond:  (t.ConfigChangesPerDay + changesPerRestart*restarts) / secondsPerDay,
+		renewalsPerSecond: t.Servers / (control.Defaults().LeaseTTL.Seconds() / renewalsPerLease),
+		machinePerDay:     machine,
+		controlPerDay:     machine * t.ControlMachines,
 	}
 }
 
-// derivedTable gives what was not run and follows by arithmetic.
+// derivedTable lists the derived figures, now and before lastMechanism.
 func derivedTable(target *Target, data Dataset) string {
-	earlier, latest := derive(target, data, data.earliestVariant), derive(target, data, data.latestVariant)
+	earliest, latest := derive(target, data, data.earliestVariant), derive(target, data, data.latestVariant)
 	var rows [][]string
-	for i, d := range latest {
+	for i, now := range latest {
 		before := none
-		if was := earlier[i].value; was != d.value {
-			before = was.String()
+		if earliest[i].value != now.value {
+			before = earliest[i].value.String()
 		}
-		rows = append(rows, []string{d.what, d.arithmetic, d.value.String(), before})
+		rows = append(rows, []string{now.name, now.formula, now.value.String(), before})
 	}
 	return markdownTable([]string{"derived, not run", "arithmetic", "value", "before the last mechanism"}, rows)
 }
 
-// derive works out all figures with the variants that are chosen of each experiment.
+// derive computes all derived figures from the chosen variant of each experiment. Their number and
+// order depend only on the loads of the data, not on the variant.
 func derive(t *Target, data Dataset, variant variantOf) []derivation {
-	return slices.Concat(ordinaryDay(t), storms(t, data, variant), callCosts(t, data, variant))
+	return slices.Concat(
+		deriveOrdinaryDay(t),
+		deriveLosses(t),
+		deriveListTransfer(t, data, variant),
+		deriveRegionPartition(t),
+		deriveRegionReturn(t, data, variant),
+		deriveCallCosts(t, data, variant))
 }
 
-func ordinaryDay(t *Target) []derivation {
+// deriveOrdinaryDay computes the rates of a day without mass failures.
+func deriveOrdinaryDay(t *Target) []derivation {
 	r := t.rates()
 	return []derivation{
 		{"configuration changes a second, mean", "changes a day / 86,400", exact(r.configPerSecond)},
 		{"all changes of the list a second, mean", "(configuration + 2 x (restarts + failures)) / 86,400", exact(r.changesPerSecond)},
-		{"renewals a second at one leader", "servers / (`lease_ttl` / 3)", exact(r.renewalsPerSec)},
-		{"renewals a second at a leader per region", "the same / regions", exact(r.renewalsPerSec / t.Regions)},
+		{"renewals a second at one leader", "servers / (`lease_ttl` / 3)", exact(r.renewalsPerSecond)},
+		{"renewals a second at a leader per region", "the same / regions", exact(r.renewalsPerSecond / t.Regions)},
 		{"control machines that fail a day", "failures x control machines / all machines", exact(r.controlPerDay)},
 		{"probability that one fails on a day", "1 - exp(-that)", exact(1 - math.Exp(-r.controlPerDay))},
 		{"days from one such failure to the next", "1 / that", exact(1 / r.controlPerDay)},
-		{"share of a day's racks lost that hold one given control machine", "rack / all machines", exact(t.Failures.RacksPerDay * rackServers / (t.Servers + t.ControlMachines))},
+		{"share of a day's racks lost that hold one given control machine", "rack / all machines",
+			exact(t.Failures.RacksPerDay * rackServers / (t.Servers + t.ControlMachines))},
 	}
 }
 
-// storms are the losses of the target's fleet.
-func storms(t *Target, data Dataset, variant variantOf) []derivation {
-	r := t.rates()
-	partition := t.Failures.RegionPartitionHours * secondsPerDay / hoursPerDay
-	missed := r.changesPerSecond * partition
-	outside := (t.Regions - 1) / t.Regions
+// deriveLosses computes the number of watches or list changes that each kind of loss causes.
+func deriveLosses(t *Target) []derivation {
 	zone, region := t.Servers/t.Zones, t.Servers/t.Regions
-	whole := data.wholeList(t, variant)
-	part, lists := readerShare(t, variant)
-	list := whole.times(part)
-	entry := list.times(1 / t.Servers) // of a change to one server, on the mean over readers
-	admitted := control.Defaults().CallRate * stewardsToday
 	return []derivation{
 		{"steward killed: watches that move, spread over all control machines", "agents / control machines", exact(t.Servers / t.ControlMachines)},
-		{"slow readers, one in a hundred", "agents / 100", exact(t.Servers / 100)},
+		{"slow readers, one in a hundred", "agents / 100", exact(t.Servers / readersPerSlowReader)},
 		{"rack lost: changes at once", "servers of a rack", exact(rackServers)},
 		{"zone lost: changes at once", "servers / zones", exact(zone)},
 		{"region lost: changes at once", "servers / regions", exact(region)},
 		{"zone lost: part of the history kept", "that / `catalog.MaxHistory`", exact(zone / catalog.MaxHistory)},
 		{"region lost: part of the history kept; above 1 all get the whole list", "that / `catalog.MaxHistory`", exact(region / catalog.MaxHistory)},
-		{"bytes of the whole list", "`list_bytes` at the target", whole},
-		{"bytes of a reader's first list", "that x its services / services, where it reads services", list},
-		{"seconds for that at an agent's limit", "that / limit", list.times(1 / t.AgentBytesPerSecond)},
-		{"seconds for a zone lost at an agent's limit", "changes x bytes of its list / servers / limit", entry.times(zone / t.AgentBytesPerSecond)},
-		{"seconds for a region lost at an agent's limit", "changes x bytes of its list / servers / limit", entry.times(region / t.AgentBytesPerSecond)},
-		{"region cut off: configuration changes meanwhile", "rate x time", exact(r.configPerSecond * partition)},
-		{"region cut off: all changes meanwhile", "rate x time", exact(missed)},
-		{"of them outside of it, which it misses", "that x (regions - 1) / regions", exact(missed * outside)},
-		{"region cut off: its own changes, which all others miss", "that / regions", exact(missed * (1 - outside))},
-		{"part of the history kept that the changes meanwhile are; above 1 all get the whole list", "all changes / `catalog.MaxHistory`", exact(missed / catalog.MaxHistory)},
-		{"region back: bytes to each of its agents, changes only", "changes missed x bytes of its list / servers", entry.times(missed * outside)},
-		{"region back: bytes out of control, first lists", "agents of the region x bytes of its list", list.times(region)},
-		{fmt.Sprintf("region back: seconds until %d stewards admitted the first list of each of its agents", stewardsToday),
-			"agents x calls that a list counts as / (stewards x `call_rate`)", exact(region * lists / admitted)},
 	}
 }
 
-// readerShare is the part of the whole list that a reader takes, and the calls that its first
-// list counts as.
-func readerShare(t *Target, variant variantOf) (part, calls float64) {
+// deriveListTransfer computes the bytes of lists and the seconds that an agent takes to receive them
+// at its limit of bytes a second.
+func deriveListTransfer(t *Target, data Dataset, variant variantOf) []derivation {
+	zone, region := t.Servers/t.Zones, t.Servers/t.Regions
+	firstList, perServer := data.firstList(t, variant), data.listBytesPerServer(t, variant)
+	return []derivation{
+		{"bytes of the whole list", "`list_bytes` at the target", data.fullList(t, variant)},
+		{"bytes of a reader's first list", "that x its services / services, where it reads services", firstList},
+		{"seconds for that at an agent's limit", "that / limit", firstList.times(1 / t.AgentBytesPerSecond)},
+		{"seconds for a zone lost at an agent's limit", "changes x bytes of its list / servers / limit", perServer.times(zone / t.AgentBytesPerSecond)},
+		{"seconds for a region lost at an agent's limit", "changes x bytes of its list / servers / limit", perServer.times(region / t.AgentBytesPerSecond)},
+	}
+}
+
+// partitionSeconds is how long a region is cut off.
+func (t *Target) partitionSeconds() float64 {
+	return t.Failures.RegionPartitionHours * secondsPerDay / hoursPerDay
+}
+
+// changesInPartition is the number of list changes of the whole fleet while a region is cut off.
+func (t *Target) changesInPartition() float64 {
+	return t.rates().changesPerSecond * t.partitionSeconds()
+}
+
+// shareOutsideRegion is the share of the fleet that is outside of one region.
+func (t *Target) shareOutsideRegion() float64 { return (t.Regions - 1) / t.Regions }
+
+// deriveRegionPartition computes the changes that each side misses while a region is cut off.
+func deriveRegionPartition(t *Target) []derivation {
+	changes, outside := t.changesInPartition(), t.shareOutsideRegion()
+	return []derivation{
+		{"region cut off: configuration changes meanwhile", "rate x time", exact(t.rates().configPerSecond * t.partitionSeconds())},
+		{"region cut off: all changes meanwhile", "rate x time", exact(changes)},
+		{"of them outside of it, which it misses", "that x (regions - 1) / regions", exact(changes * outside)},
+		{"region cut off: its own changes, which all others miss", "that / regions", exact(changes * (1 - outside))},
+		{"part of the history kept that the changes meanwhile are; above 1 all get the whole list",
+			"all changes / `catalog.MaxHistory`", exact(changes / catalog.MaxHistory)},
+	}
+}
+
+// deriveRegionReturn computes what it takes to bring a region's agents up to date after a partition.
+func deriveRegionReturn(t *Target, data Dataset, variant variantOf) []derivation {
+	region := t.Servers / t.Regions
+	missed := t.changesInPartition() * t.shareOutsideRegion()
+	callsPerSecond := control.Defaults().CallRate * controlPlaneServersToday
+	_, callsPerList := readerShare(t, variant)
+	return []derivation{
+		{"region back: bytes to each of its agents, changes only", "changes missed x bytes of its list / servers",
+			data.listBytesPerServer(t, variant).times(missed)},
+		{"region back: bytes out of control, first lists", "agents of the region x bytes of its list",
+			data.firstList(t, variant).times(region)},
+		{fmt.Sprintf("region back: seconds until %d stewards admitted the first list of each of its agents", controlPlaneServersToday),
+			"agents x calls that a list counts as / (stewards x `call_rate`)", exact(region * callsPerList / callsPerSecond)},
+	}
+}
+
+// readerShare returns the share of the full list that a reader receives, and the number of calls
+// that admission counts for its first list. Only the variant After has lists by service.
+func readerShare(t *Target, variant variantOf) (share, calls float64) {
 	if variant(fleetAhead) == After {
 		return subscribedServices / t.Services, t.firstListCost()
 	}
 	return 1, 1 + t.Servers/entriesPerCallBefore
 }
 
-// wholeList is the bytes of a whole list at the target.
-func (d Dataset) wholeList(t *Target, variant variantOf) Estimate {
-	role := Role{Experiments: fleetRuns, Variables: overServers}
-	var best Estimate
+// fullList estimates the bytes of the full list at the target, under the first load that has an
+// estimate. Without one, the result is Unknown with the largest number of measured sizes.
+func (d Dataset) fullList(t *Target, variant variantOf) Estimate {
+	var tooFew Estimate
 	for _, load := range d.loads(fleetRuns) {
-		estimate := d.resolve(role, Figure{Role: "steward leader", Metric: "list_bytes"}, load, variant).At(t.Servers)
+		estimate := d.resolve(fullListRole, fullListBytes, load, variant).At(t.Servers)
 		if estimate.Basis != Unknown {
 			return estimate
 		}
-		best.Sizes = max(best.Sizes, estimate.Sizes)
+		tooFew.Sizes = max(tooFew.Sizes, estimate.Sizes)
 	}
-	return best
+	return tooFew
+}
+
+// firstList estimates the bytes of a reader's first list at the target.
+func (d Dataset) firstList(t *Target, variant variantOf) Estimate {
+	share, _ := readerShare(t, variant)
+	return d.fullList(t, variant).times(share)
 }
 
-// callCosts is what the agents on the way of a call add to it.
-func callCosts(t *Target, data Dataset, variant variantOf) []derivation {
-	perAgent := t.CallsPerSecond / t.Servers
-	group := []derivation{
-		{"calls a second and agent", "calls / agents", exact(perAgent)},
+// listBytesPerServer estimates the bytes of a change to one server at the target, as the mean over
+// all readers: most readers by service don't receive it.
+func (d Dataset) listBytesPerServer(t *Target, variant variantOf) Estimate {
+	return d.firstList(t, variant).times(1 / t.Servers)
+}
+
+// deriveCallCosts computes what the agents on a call's path add to it, under each measured load.
+func deriveCallCosts(t *Target, data Dataset, variant variantOf) []derivation {
+	callsPerAgent := t.CallsPerSecond / t.Servers
+	derivations := []derivation{
+		{"calls a second and agent", "calls / agents", exact(callsPerAgent)},
 		{"ms that the agents may add to the deepest call", "depth x limit", exact(t.CallDepth * t.AddedLatencyP99Ms)},
 	}
-	role := Role{Experiments: costRuns, Variables: overServers}
 	loads := data.loads(costRuns)
 	if len(loads) == 0 {
 		loads = []string{"any load"}
 	}
 	for _, load := range loads {
-		cost := data.resolve(role, Figure{Role: "agent", Metric: "cpu_ms_per_call"}, load, variant)
-		median := data.resolve(role, Figure{Role: "agent", Metric: "added_p50_ms"}, load, variant)
-		rows := []derivation{
-			{"cores that an agent spends on calls, all servers known, at " + load, "CPU a call x calls a second and agent", cost.At(t.Servers).times(perAgent / 1000)},
-			{fmt.Sprintf("the same with %d servers known", referenceKnown), "CPU a call x calls a second and agent", cost.At(referenceKnown).times(perAgent / 1000)},
-			{"ms added to the deepest call at p50, all servers known, at " + load, "depth x added p50", median.At(t.Servers).times(t.CallDepth)},
-			{fmt.Sprintf("the same with %d servers known", referenceKnown), "depth x added p50", median.At(referenceKnown).times(t.CallDepth)},
-		}
-		group = append(group, rows...)
+		cpuMs := data.resolve(callRole, cpuPerCall, load, variant)
+		addedMs := data.resolve(callRole, addedMedian, load, variant)
+		coresPerMs := callsPerAgent / 1000
+		fewServers := fmt.Sprintf("the same with %d servers known", referenceServers)
+		derivations = append(derivations,
+			derivation{"cores that an agent spends on calls, all servers known, at " + load, "CPU a call x calls a second and agent",
+				cpuMs.At(t.Servers).times(coresPerMs)},
+			derivation{fewServers, "CPU a call x calls a second and agent", cpuMs.At(referenceServers).times(coresPerMs)},
+			derivation{"ms added to the deepest call at p50, all servers known, at " + load, "depth x added p50",
+				addedMs.At(t.Servers).times(t.CallDepth)},
+			derivation{fewServers, "depth x added p50", addedMs.At(referenceServers).times(t.CallDepth)})
 	}
-	return group
+	return derivations
 }
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// MinSizes is the number of different sizes that a fit needs.
+	// MinSizes is the least number of different sizes for a fit.
 	MinSizes = 4
-	// A point is off the line when its residual is larger than maxResidualErrors standard
-	// errors of the residuals, or than maxResidualShare of the fitted value.
+	// A point is off the line if its residual is larger than maxResidualErrors standard errors of
+	// the residuals, or larger than maxResidualShare of the fitted value.
 	maxResidualErrors = 3.0
 	maxResidualShare  = 0.25
-	// roundingShare is the part of a value below which a residual counts as rounding.
+	// roundingShare is the share of a value below which a residual counts as a rounding error.
 	roundingShare = 1e-9
 )
 
-// Point is one measured value at one size.
+// Point is a measured value at one size of the fleet.
 type Point struct {
 	Size  float64
 	Value float64
@@ -30,19 +30,19 @@
 	Slope      float64
 	Intercept  float64
 	SlopeError float64 // standard error of the slope
-	RSquared   float64
-	Sizes      int     // different sizes among the points
-	Largest    float64 // largest size
-	Bend       float64 // largest size whose point is off the line; 0: none is
+	RSquared   float64 // coefficient of determination
+	Sizes      int     // number of different sizes of the points
+	Largest    float64 // largest size of the points
+	Bend       float64 // largest size whose point is off the line, or 0 if no point is
 }
 
-// FitLine fits a line to the points. With fewer than MinSizes sizes only Sizes and Largest
-// are set, and Known is false.
+// FitLine fits a line to the points. With fewer than MinSizes different sizes, only Sizes and
+// Largest of the result are set, and Known is false.
 func FitLine(points []Point) Fit {
 	var sizes, values []float64
-	for _, p := range points {
-		sizes = append(sizes, p.Size)
-		values = append(values, p.Value)
+	for _, point := range points {
+		sizes = append(sizes, point.Size)
+		values = append(values, point.Value)
 	}
 	fit := Fit{Sizes: countDistinct(sizes)}
 	if len(sizes) > 0 {
@@ -53,12 +53,7 @@
 	}
 	fit.Intercept, fit.Slope = stat.LinearRegression(sizes, values, nil, false)
 	residualError := fit.residualError(points)
-	meanSize := stat.Mean(sizes, nil)
-	var spread float64
-	for _, size := range sizes {
-		spread += (size - meanSize) * (size - meanSize)
-	}
-	fit.SlopeError = residualError / math.Sqrt(spread)
+	fit.SlopeError = residualError / math.Sqrt(sumOfSquaredDeviations(sizes))
 	fit.RSquared = stat.RSquared(sizes, values, nil, fit.Intercept, fit.Slope)
 	if math.IsNaN(fit.RSquared) { // all values are equal, and the line goes through them
 		fit.RSquared = 1
@@ -67,14 +62,14 @@
 	return fit
 }
 
-// Known reports whether there were sizes enough for a line.
+// Known reports whether there were enough sizes for a line.
 func (f Fit) Known() bool { return f.Sizes >= MinSizes }
 
-// At is the value of the line at a size.
+// At returns the value of the line at a size.
 func (f Fit) At(size float64) float64 { return f.Intercept + f.Slope*size }
 
-// SizeAt is the size at which the line reaches a value. It is false where the line does not
-// rise. A line that begins above the value reaches it at size 0.
+// SizeAt returns the smallest size, at least 0, at which the line is at the value or above. It
+// returns false if there is none: the line doesn't rise and begins below the value.
 func (f Fit) SizeAt(value float64) (float64, bool) {
 	if f.Slope <= 0 {
 		return 0, f.Intercept >= value
@@ -82,12 +77,22 @@
 	return max((value-f.Intercept)/f.Slope, 0), true
 }
 
-// residualError is the standard error of the residuals, with two degrees of freedom less
-// than there are points.
+// sumOfSquaredDeviations returns the sum of the squared differences of the values from their mean.
+func sumOfSquaredDeviations(values []float64) float64 {
+	mean := stat.Mean(values, nil)
+	var sum float64
+	for _, value := range values {
+		sum += (value - mean) * (value - mean)
+	}
+	return sum
+}
+
+// residualError returns the standard error of the residuals, or 0 if it is within rounding. A line
+// has two parameters, so there are two degrees of freedom fewer than points.
 func (f Fit) residualError(points []Point) float64 {
 	var sum float64
-	for _, p := range points {
-		residual := p.Value - f.At(p.Size)
+	for _, point := range points {
+		residual := point.Value - f.At(point.Size)
 		sum += residual * residual
 	}
 	residualError := math.Sqrt(sum / float64(len(points)-2))
@@ -97,30 +102,35 @@
 	return residualError
 }
 
-// bend is the largest size whose point is off the line; 0 if none is.
+// bend returns the largest size whose point is off the line, or 0 if no point is.
 func (f Fit) bend(points []Point, residualError float64) float64 {
 	var largest float64
-	for _, p := range points {
-		residual := math.Abs(p.Value - f.At(p.Size))
-		if residual <= roundingShare*math.Abs(p.Value) {
-			continue
-		}
-		if residual > maxResidualErrors*residualError || residual > maxResidualShare*math.Abs(f.At(p.Size)) {
-			largest = max(largest, p.Size)
+	for _, point := range points {
+		if f.isOffLine(point, residualError) {
+			largest = max(largest, point.Size)
 		}
 	}
 	return largest
 }
 
-// meanBySize replaces the points of each size by their mean, in order of size.
+func (f Fit) isOffLine(point Point, residualError float64) bool {
+	fitted := f.At(point.Size)
+	residual := math.Abs(point.Value - fitted)
+	if residual <= roundingShare*math.Abs(point.Value) {
+		return false
+	}
+	return residual > maxResidualErrors*residualError || residual > maxResidualShare*math.Abs(fitted)
+}
+
+// meanBySize returns the mean of the points of each size, in order of size.
 func meanBySize(points []Point) []Point {
 	values := map[float64][]float64{}
-	for _, p := range points {
-		values[p.Size] = append(values[p.Size], p.Value)
+	for _, point := range points {
+		values[point.Size] = append(values[point.Size], point.Value)
 	}
 	var means []Point
-	for size, all := range values {
-		means = append(means, Point{Size: size, Value: stat.Mean(all, nil)})
+	for size, sameSize := range values {
+		means = append(means, Point{Size: size, Value: stat.Mean(sameSize, nil)})
 	}
 	slices.SortFunc(means, func(a, b Point) int { return cmp.Compare(a.Size, b.Size) })
 	return means
--- a/internal/lab/capacity/fit_test.go
+++ b/internal/lab/capacity/fit_test.go
@@ -5,22 +5,23 @@
 	"testing"
 )
 
-func near(t *testing.T, what string, got, want float64) {
+// checkNear checks a value up to rounding errors.
+func checkNear(t *testing.T, name string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9*max(1, math.Abs(want)) {
-		t.Errorf("%s is %v, want %v", what, got, want)
+		t.Errorf("%s is %v, want %v", name, got, want)
 	}
 }
 
 // TestFitLine compares with values that were worked out by hand: mean size 2.5, mean value
 // 5.25, sum of squares of sizes 5, of products 10.5, of residuals 0.7, of values 22.75.
-func TestFitLine(t *testing.T) {
+func TestFitLineValues(t *testing.T) {
 	fit := FitLine([]Point{{1, 2}, {2, 4}, {3, 7}, {4, 8}})
-	near(t, "slope", fit.Slope, 2.1)
-	near(t, "intercept", fit.Intercept, 0)
-	near(t, "standard error of the slope", fit.SlopeError, math.Sqrt(0.35/5))
-	near(t, "R²", fit.RSquared, 1-0.7/22.75)
-	near(t, "value at 10", fit.At(10), 21)
+	checkNear(t, "slope", fit.Slope, 2.1)
+	checkNear(t, "intercept", fit.Intercept, 0)
+	checkNear(t, "standard error of the slope", fit.SlopeError, math.Sqrt(0.35/5))
+	checkNear(t, "R²", fit.RSquared, 1-0.7/22.75)
+	checkNear(t, "value at 10", fit.At(10), 21)
 	if fit.Sizes != 4 || fit.Largest != 4 || !fit.Known() {
 		t.Errorf("4 sizes up to 4, got %+v", fit)
 	}
@@ -28,12 +29,12 @@
 		t.Errorf("bends at %v, though no point is a quarter off the line", fit.Bend)
 	}
 	size, rises := fit.SizeAt(42)
-	if near(t, "size at 42", size, 20); !rises {
+	if checkNear(t, "size at 42", size, 20); !rises {
 		t.Error("a line with slope 2.1 rises")
 	}
 }
 
-func TestFitLineTooFewSizes(t *testing.T) {
+func TestFitLineNeedsFourSizes(t *testing.T) {
 	// Five points, but three sizes.
 	fit := FitLine([]Point{{1, 1}, {1, 1}, {2, 2}, {2, 2}, {3, 3}})
 	if fit.Known() || fit.Sizes != 3 || fit.Slope != 0 {
@@ -44,11 +45,11 @@
 	}
 }
 
-func TestFitLineConstant(t *testing.T) {
+func TestFitLineOfConstant(t *testing.T) {
 	fit := FitLine([]Point{{1, 5}, {2, 5}, {3, 5}, {4, 5}})
-	near(t, "slope", fit.Slope, 0)
-	near(t, "intercept", fit.Intercept, 5)
-	near(t, "R²", fit.RSquared, 1)
+	checkNear(t, "slope", fit.Slope, 0)
+	checkNear(t, "intercept", fit.Intercept, 5)
+	checkNear(t, "R²", fit.RSquared, 1)
 	if fit.Bend != 0 {
 		t.Errorf("a constant bends at %v", fit.Bend)
 	}
@@ -57,7 +58,7 @@
 	}
 }
 
-func TestFitLineBend(t *testing.T) {
+func TestFitLineFindsBend(t *testing.T) {
 	// Straight up to 4, then nine times as steep.
 	fit := FitLine([]Point{{1, 10}, {2, 20}, {3, 30}, {4, 40}, {8, 400}})
 	if fit.Bend == 0 {
--- a/internal/lab/capacity/format.go
+++ b/internal/lab/capacity/format.go
@@ -8,16 +8,19 @@
 
 const (
 	significantDigits = 3
-	unknown           = "unknown"
-	none              = "–"
-	// farMark follows a value that is extrapolated beyond farFactor times the largest
-	// measured size, and belowMark a line's value below zero, printed as 0.
+	unknown           = "unknown" // a value that is neither measured nor derived
+	none              = "–"       // an empty cell
+	// farMark follows a value that is extrapolated beyond farFactor times the largest measured size.
 	farMark   = "*"
-	belowMark = "†"
 	farFactor = 3.0
+	// belowMark follows the value of a fitted line that is below zero, printed as 0.
+	belowMark = "†"
+	// minPlainValue is the absolute value below which a number is printed with an exponent.
+	minPlainValue = 1e-4
 )
 
-// formatNumber prints a value with at most three significant digits, and thousands apart.
+// formatNumber returns a value with at most significantDigits significant digits and with commas
+// between thousands; unknown for NaN and infinities.
 func formatNumber(value float64) string {
 	if math.IsNaN(value) || math.IsInf(value, 0) {
 		return unknown
@@ -26,44 +29,43 @@
 	if err != nil {
 		return unknown
 	}
-	if rounded != 0 && math.Abs(rounded) < 1e-4 {
+	if rounded != 0 && math.Abs(rounded) < minPlainValue {
 		return strconv.FormatFloat(rounded, 'g', -1, 64)
 	}
-	text := strconv.FormatFloat(rounded, 'f', -1, 64)
-	whole, fraction, hasFraction := strings.Cut(text, ".")
-	text = groupThousands(whole)
-	if hasFraction {
-		text += "." + fraction
+	integer, fraction, hasFraction := strings.Cut(strconv.FormatFloat(rounded, 'f', -1, 64), ".")
+	if !hasFraction {
+		return groupThousands(integer)
 	}
-	return text
+	return groupThousands(integer) + "." + fraction
 }
 
-// groupThousands puts commas into the digits of a whole number.
+// groupThousands puts a comma between each three digits of an integer, which may have a minus sign.
 func groupThousands(digits string) string {
 	sign := ""
 	if strings.HasPrefix(digits, "-") {
 		sign, digits = "-", digits[1:]
 	}
-	for at := len(digits) - 3; at > 0; at -= 3 {
-		digits = digits[:at] + "," + digits[at:]
+	for i := len(digits) - 3; i > 0; i -= 3 {
+		digits = digits[:i] + "," + digits[i:]
 	}
 	return sign + digits
 }
 
-// markdownTable writes a table; a bar inside a cell is escaped.
+// markdownTable returns a table in Markdown. Within a cell, white space becomes single spaces and
+// "|" is escaped.
 func markdownTable(head []string, rows [][]string) string {
-	var b strings.Builder
+	var table strings.Builder
 	writeRow := func(cells []string) {
 		for _, cell := range cells {
 			cell = strings.ReplaceAll(strings.Join(strings.Fields(cell), " "), "|", `\|`)
-			b.WriteString("| " + cell + " ")
+			table.WriteString("| " + cell + " ")
 		}
-		b.WriteString("|\n")
+		table.WriteString("|\n")
 	}
 	writeRow(head)
-	b.WriteString(strings.Repeat("| --- ", len(head)) + "|\n")
+	table.WriteString(strings.Repeat("| --- ", len(head)) + "|\n")
 	for _, row := range rows {
 		writeRow(row)
 	}
-	return b.String()
+	return table.String()
 }
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -5,14 +5,15 @@
 	"strings"
 )
 
-// Markers round a generated table; the first has the table's name.
+// Lines of the page that enclose a generated table. The first has the table's name.
 const (
-	beginMarker = "<!-- table: %s -->"
-	endMarker   = "<!-- end -->"
+	beginMarkerPrefix = "<!-- table: "
+	beginMarkerSuffix = " -->"
+	endMarker         = "<!-- end -->"
 )
 
-// Render puts the tables between their markers and leaves all else as it is. A table whose
-// markers are missing is an error.
+// Render returns the page with the tables between their markers and the other text unchanged. It
+// returns an error for a table that doesn't have exactly one pair of markers in the page.
 func Render(page string, tables []Table) (string, error) {
 	for _, table := range tables {
 		before, _, after, err := cutTable(page, table.Name)
@@ -24,8 +25,8 @@
 	return page, nil
 }
 
-// Differing returns the name of the first table that the page has in another wording; ""
-// if it has all as they are.
+// Differing returns the name of the first table whose text in the page differs, or "" if none does.
+// Its errors are those of Render.
 func Differing(page string, tables []Table) (string, error) {
 	for _, table := range tables {
 		_, text, _, err := cutTable(page, table.Name)
@@ -39,20 +40,17 @@
 	return "", nil
 }
 
-// cutTable cuts the page at a table: what stands before its text, markers included, its
-// text, and what follows.
+// cutTable splits the page at a table: the text up to and including the begin marker, the table's
+// text, and the rest from the end marker on.
 func cutTable(page, name string) (before, text, after string, err error) {
-	begin := fmt.Sprintf(beginMarker, name) + "\n"
-	if strings.Count(page, begin) != 1 {
-		return "", "", "", fmt.Errorf("page: needs one line %q", strings.TrimSpace(begin))
+	begin := beginMarkerPrefix + name + beginMarkerSuffix
+	if strings.Count(page, begin+"\n") != 1 {
+		return "", "", "", fmt.Errorf("page: needs one line %q", begin)
 	}
-	at := strings.Index(page, begin) + len(begin)
-	length := strings.Index(page[at:], endMarker)
-	if length < 0 {
+	before, rest, _ := strings.Cut(page, begin+"\n")
+	text, after, ended := strings.Cut(rest, endMarker)
+	if !ended || strings.Contains(text, beginMarkerPrefix) {
 		return "", "", "", fmt.Errorf("page: no %q after the table %s", endMarker, name)
 	}
-	if next := strings.Index(page[at:], strings.TrimSuffix(beginMarker, "%s -->")); next >= 0 && next < length {
-		return "", "", "", fmt.Errorf("page: no %q after the table %s", endMarker, name)
-	}
-	return page[:at], page[at : at+length], page[at+length:], nil
+	return before + begin + "\n", text, endMarker + after, nil
 }
--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -8,7 +8,7 @@
 
 const testPage = "# Prose\n\n<!-- table: one -->\n<!-- end -->\n\nmore prose\n\n<!-- table: two -->\nold\n<!-- end -->\nend\n"
 
-func TestRender(t *testing.T) {
+func TestRenderReplacesTables(t *testing.T) {
 	tables := []Table{{"one", "| a |\n"}, {"two", "| b |\n"}}
 	page, err := Render(testPage, tables)
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestRenderMarkers(t *testing.T) {
+func TestRenderRejectsBadMarkers(t *testing.T) {
 	for name, page := range map[string]string{
 		"no marker":        "prose\n",
 		"no end":           "<!-- table: one -->\n",
@@ -43,8 +43,8 @@
 	}
 }
 
-func TestParseTarget(t *testing.T) {
-	whole, err := os.ReadFile(targetFile)
+func TestParseTargetNamesInvalidKey(t *testing.T) {
+	valid, err := os.ReadFile(targetPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 		{"zones = 22", `zones = "many"`, "zones"},
 		{"zones = 22", "zones = [", "no TOML"},
 	} {
-		_, err := ParseTarget([]byte(strings.Replace(string(whole), c.old, c.new, 1)))
+		_, err := ParseTarget([]byte(strings.Replace(string(valid), c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q in place of %q: error %q, want one line with %q", c.new, c.old, err, c.want)
 		}
--- a/internal/lab/capacity/placement.go
+++ b/internal/lab/capacity/placement.go
@@ -7,16 +7,15 @@
 	"knotrouter/internal/control"
 )
 
-// replacementHours is an assumption: how long a control machine that failed stays without
-// a replacement, where no spare stands ready.
+// replacementHours is the assumed time until a failed control machine is replaced where no spare
+// stands ready.
 const replacementHours = 1
 
-// Arrangement is a way to place the control machines.
+// Arrangement is a way to place the control machines in the regions.
 type Arrangement struct {
-	Name   string
-	Voters float64 // of each quorum
-	// PerRegion says that each region has a quorum of its own.
-	PerRegion bool
+	Name      string
+	Voters    float64 // of each quorum
+	PerRegion bool    // each region has a quorum of its own, else there is one for all regions
 }
 
 var arrangements = []Arrangement{
@@ -24,62 +23,102 @@
 	{Name: "a quorum per region, summaries between", Voters: 3, PerRegion: true},
 }
 
-// placementTable compares the arrangements.
+// placementRow is a row of the placement table: a property of the arrangements.
+type placementRow struct {
+	name  string
+	value func(Arrangement) string
+}
+
+// placementTable compares the arrangements at the target.
 func placementTable(t *Target) string {
-	rows := []struct {
-		what  string
-		value func(Arrangement) string
-	}{
-		{"voters", func(a Arrangement) string { return formatNumber(a.quorums(t) * a.Voters) }},
-		{"replicas that don't vote, and spares", func(a Arrangement) string { return formatNumber(t.ControlMachines - a.quorums(t)*a.Voters) }},
+	head := []string{"derived"}
+	for _, arrangement := range arrangements {
+		head = append(head, arrangement.Name)
+	}
+	var table [][]string
+	for _, row := range placementRows(t) {
+		cells := []string{row.name}
+		for _, arrangement := range arrangements {
+			cells = append(cells, row.value(arrangement))
+		}
+		table = append(table, cells)
+	}
+	return markdownTable(head, table)
+}
+
+func placementRows(t *Target) []placementRow {
+	var rows []placementRow
+	rows = append(rows, sizeRows(t)...)
+	rows = append(rows, zoneLossRows(t)...)
+	rows = append(rows, regionPartitionRows(t)...)
+	rows = append(rows, ordinaryDayRows(t)...)
+	return append(rows, placementRow{"has to be built", func(a Arrangement) string {
+		return a.choose(string(mechanismReplicas+"; "+mechanismRegions), string(mechanismReplicas))
+	}})
+}
+
+// sizeRows compares the sizes and loads of quorums and replicas.
+func sizeRows(t *Target) []placementRow {
+	return []placementRow{
+		{"voters", func(a Arrangement) string { return formatNumber(a.allVoters(t)) }},
+		{"replicas that don't vote, and spares", func(a Arrangement) string { return formatNumber(t.ControlMachines - a.allVoters(t)) }},
 		{"entries in a voter's state", func(a Arrangement) string { return formatNumber(t.Servers/a.quorums(t)) + a.summaries() }},
-		{"renewals a second at a leader, one call each", func(a Arrangement) string { return formatNumber(t.rates().renewalsPerSec / a.quorums(t)) }},
+		{"renewals a second at a leader, one call each", func(a Arrangement) string {
+			return formatNumber(t.rates().renewalsPerSecond / a.quorums(t))
+		}},
 		{"log entries a second at a leader", func(a Arrangement) string {
 			return formatNumber(t.rates().changesPerSecond/a.quorums(t)) + a.summaries()
 		}},
-		{"watches a machine, in the region that has fewest", func(a Arrangement) string { return formatNumber(t.watchesPerMachine(0)) }},
-		{"the same with one of its machines lost", func(a Arrangement) string { return formatNumber(t.watchesPerMachine(1)) }},
+		{"watches a machine, in the region that has fewest", func(Arrangement) string { return formatNumber(t.watchesPerMachine(0)) }},
+		{"the same with one of its machines lost", func(Arrangement) string { return formatNumber(t.watchesPerMachine(1)) }},
 		{"a write waits for", func(a Arrangement) string {
-			return a.either("a zone of its region: unknown", "the nearest two other regions: unknown")
+			return a.choose("a zone of its region: unknown", "the nearest two other regions: unknown")
 		}},
+	}
+}
+
+// zoneLossRows compares what the loss of a zone takes away.
+func zoneLossRows(t *Target) []placementRow {
+	return []placementRow{
 		{"**a zone lost**: servers gone", func(Arrangement) string { return formatNumber(t.Servers / t.Zones) }},
 		{"voters lost at most, of a quorum", func(a Arrangement) string { return "1 of " + formatNumber(a.Voters) }},
-		{"voters that may fail besides, before a spare votes", func(a Arrangement) string { return formatNumber(a.tolerated() - 1) }},
-		{"**a region cut off**: servers in it that can't register or renew", func(a Arrangement) string { return a.either("0", formatNumber(t.Servers/t.Regions)) }},
-		{"its servers, for all others", func(a Arrangement) string { return a.either("kept as of the last summary", t.lapsing()) }},
-		{"restarts in it that aren't listed in it", func(a Arrangement) string { return a.either("0", formatNumber(t.restartsInPartition())) }},
+		{"voters that may fail besides, before a spare votes", func(a Arrangement) string { return formatNumber(a.toleratedFailures() - 1) }},
+	}
+}
+
+// regionPartitionRows compares what goes on while a region is cut off.
+func regionPartitionRows(t *Target) []placementRow {
+	return []placementRow{
+		{"**a region cut off**: servers in it that can't register or renew", func(a Arrangement) string {
+			return a.choose("0", formatNumber(t.Servers/t.Regions))
+		}},
+		{"its servers, for all others", func(a Arrangement) string { return a.choose("kept as of the last summary", t.partitionedServers()) }},
+		{"restarts in it that aren't listed in it", func(a Arrangement) string { return a.choose("0", formatNumber(t.restartsInPartition())) }},
 		{"watches in it", func(a Arrangement) string {
-			return a.either("go on, its own changes arrive", "stand still, nothing arrives")
+			return a.choose("go on, its own changes arrive", "stand still, nothing arrives")
 		}},
 		{"exclusive leases in it", func(a Arrangement) string {
-			return a.either("go on for leases of the region; one for all regions has to live in one", "none is granted or renewed")
+			return a.choose("go on for leases of the region; one for all regions has to live in one", "none is granted or renewed")
 		}},
 		{"quorums that go on elsewhere", func(a Arrangement) string {
-			return a.either(formatNumber(a.quorums(t)-1)+" of "+formatNumber(a.quorums(t)), "1 of 1")
+			return a.choose(formatNumber(a.quorums(t)-1)+" of "+formatNumber(a.quorums(t)), "1 of 1")
 		}},
+	}
+}
+
+// ordinaryDayRows compares the effects of independent failures of single machines.
+func ordinaryDayRows(t *Target) []placementRow {
+	quorumsLost := fmt.Sprintf("quorums lost a year by independent failures, replaced within %d h", replacementHours)
+	return []placementRow{
 		{"**an ordinary day**: control machines that fail", func(Arrangement) string { return formatNumber(t.rates().controlPerDay) }},
-		{"voters that fail a day", func(a Arrangement) string { return formatNumber(t.rates().machinePerDay * a.Voters * a.quorums(t)) }},
-		{fmt.Sprintf("quorums lost a year by independent failures, replaced within %d h", replacementHours), func(a Arrangement) string { return formatNumber(a.quorumsLostPerYear(t)) }},
-		{"has to be built", func(a Arrangement) string {
-			return a.either(string(mechanismReplicas+"; "+mechanismRegions), string(mechanismReplicas))
+		{"voters that fail a day", func(a Arrangement) string {
+			return formatNumber(t.rates().machinePerDay * a.Voters * a.quorums(t))
 		}},
+		{quorumsLost, func(a Arrangement) string { return formatNumber(a.quorumsLostPerYear(t)) }},
 	}
-	head := []string{"derived"}
-	for _, a := range arrangements {
-		head = append(head, a.Name)
-	}
-	var table [][]string
-	for _, row := range rows {
-		cells := []string{row.what}
-		for _, a := range arrangements {
-			cells = append(cells, row.value(a))
-		}
-		table = append(table, cells)
-	}
-	return markdownTable(head, table)
 }
 
-// quorums is how many quorums there are for the target's regions.
+// quorums is the number of quorums of the target's regions together.
 func (a Arrangement) quorums(t *Target) float64 {
 	if a.PerRegion {
 		return t.Regions
@@ -87,37 +126,44 @@
 	return 1
 }
 
-func (a Arrangement) either(perRegion, across string) string {
+// allVoters is the number of voters of all quorums together.
+func (a Arrangement) allVoters(t *Target) float64 { return a.quorums(t) * a.Voters }
+
+// choose returns the first text for quorums per region, else the second.
+func (a Arrangement) choose(perRegion, acrossRegions string) string {
 	if a.PerRegion {
 		return perRegion
 	}
-	return across
+	return acrossRegions
 }
 
-func (a Arrangement) summaries() string { return a.either(", and summaries: unknown", "") }
+// summaries is the part of a cell that quorums per region add for the summaries that they exchange.
+func (a Arrangement) summaries() string { return a.choose(", and summaries: unknown", "") }
 
-// tolerated is how many voters may fail at a time.
-func (a Arrangement) tolerated() float64 { return math.Floor((a.Voters - 1) / 2) }
+// toleratedFailures is the number of voters of a quorum that may be down at the same time.
+func (a Arrangement) toleratedFailures() float64 { return math.Floor((a.Voters - 1) / 2) }
 
-// quorumsLostPerYear is the rate at which one voter more than tolerated fails within the
-// time that the first ones stay without a replacement.
+// quorumsLostPerYear is the rate at which any quorum loses one voter more than it tolerates, all
+// within replacementHours of each other. Failures are taken to be independent.
 func (a Arrangement) quorumsLostPerYear(t *Target) float64 {
 	perDay := t.rates().machinePerDay
 	rate := a.quorums(t) * a.Voters * perDay * daysPerYear
-	for failed := 1.0; failed <= a.tolerated(); failed++ {
+	for failed := 1.0; failed <= a.toleratedFailures(); failed++ {
 		rate *= (a.Voters - failed) * perDay * replacementHours / hoursPerDay
 	}
 	return rate
 }
 
-// watchesPerMachine is for a region with the fewest machines, of which some are lost.
+// watchesPerMachine is the number of watches of each control machine in a region with the fewest
+// machines, of which some are lost.
 func (t *Target) watchesPerMachine(lost float64) float64 {
 	machines := math.Floor(t.ControlMachines / t.Regions)
 	return t.Servers / t.Regions / (machines - lost)
 }
 
-// lapsing compares the share of the servers that one region has with the guard's.
-func (t *Target) lapsing() string {
+// partitionedServers says whether a single quorum removes the servers of a region that is cut off
+// from the list, or its guard against mass failure keeps them.
+func (t *Target) partitionedServers() string {
 	share, guard := 1/t.Regions, control.Defaults().GuardShare
 	if share > guard {
 		return fmt.Sprintf("held by the guard: %s of the list, guard at %s", formatNumber(share), formatNumber(guard))
@@ -125,6 +171,7 @@
 	return fmt.Sprintf("lapse: %s of the list, guard at %s", formatNumber(share), formatNumber(guard))
 }
 
+// restartsInPartition is the number of processes that start anew in a region while it is cut off.
 func (t *Target) restartsInPartition() float64 {
 	perDay := t.Failures.RestartsPerDay + t.Failures.MachinesPerDay
 	return perDay / hoursPerDay * t.Failures.RegionPartitionHours / t.Regions
--- a/internal/lab/capacity/results.go
+++ b/internal/lab/capacity/results.go
@@ -1,5 +1,3 @@
-// Package capacity holds the results of scale runs, fits slopes to them and extrapolates
-// them to the size of the fleet that the project is designed for.
 package capacity
 
 import (
@@ -10,7 +8,7 @@
 	"time"
 )
 
-// Results is what one command measured, as it stands in docs/capacity.
+// Results is what one command measured: the content of a file in docs/capacity.
 type Results struct {
 	Experiment string    `json:"experiment"` // name of the experiment or benchmark
 	Variant    string    `json:"variant"`    // what distinguishes two results of one experiment, such as "before" and "after"
@@ -23,19 +21,19 @@
 	Runs       []Run     `json:"runs"`
 }
 
-// Run is one size of a fleet. A size that could not be run has NotRun and the measurements
-// that were made until then.
+// Run holds the measurements at one size of the fleet. A run that did not reach its end has NotRun
+// and the measurements that were made until then.
 type Run struct {
 	Servers          int           `json:"servers"`            // listed servers
 	Watches          int           `json:"watches"`            // readers, each with an open watch
 	Services         int           `json:"services"`           // services that the servers belong to
 	Subscribed       int           `json:"subscribed"`         // services that each reader asks for; 0: the whole list
-	ChangesPerSecond float64       `json:"changes_per_second"` // of the steady load
-	NotRun           string        `json:"not_run,omitempty"`  // what ran out, in one line
+	ChangesPerSecond float64       `json:"changes_per_second"` // list changes under the load "steady"
+	NotRun           string        `json:"not_run,omitempty"`  // why the run did not reach its end, in one line
 	Measurements     []Measurement `json:"measurements"`
 }
 
-// Measurement is one figure of one role under one load. Metric names carry their unit as a
+// Measurement is one measured value of one role under one load. Metric names have their unit as a
 // suffix: cpu_cores, rss_mb, bytes_in_per_second, change_p99_ms, recovered_s.
 type Measurement struct {
 	Role   string  `json:"role"` // "agent", "hollow agent", "steward leader", "steward follower", "readers", "requests"
@@ -49,7 +47,7 @@
 	r.Measurements = append(r.Measurements, Measurement{Role: role, Load: load, Metric: metric, Value: value})
 }
 
-// Write writes the results as indented JSON to the path and creates its folder.
+// Write writes the results as indented JSON to the path. It creates the path's folder.
 func Write(path string, results *Results) error {
 	text, err := json.MarshalIndent(results, "", " ")
 	if err != nil {
--- /dev/null
+++ b/internal/lab/capacity/roletables.go
@@ -0,0 +1,135 @@
+package capacity
+
+import (
+	"fmt"
+	"strings"
+)
+
+// rolesTable gives a section for each role: its state, its mechanism, and a table of its needs at
+// each size of Target.Fleets.
+func rolesTable(target *Target, data Dataset) string {
+	var sections []string
+	for _, role := range roles(target) {
+		mechanism := role.Mechanism
+		if len(role.Needs) > 0 {
+			mechanism += ". To it: " + data.describe(role.Needs)
+		}
+		sections = append(sections, fmt.Sprintf("### %s\n\nState held: %s.\nMechanism: %s.\n\n%s",
+			role.Name, role.State, mechanism, roleTable(target, data, role)))
+	}
+	return strings.Join(sections, "\n")
+}
+
+// roleTable lists a role's quoted and measured figures, and what is unknown of it.
+func roleTable(target *Target, data Dataset, role Role) string {
+	fleets := target.Fleets()
+	known := data.knownQuantities(role)
+	rows := quotedRows(role)
+	for _, load := range data.loads(role.Experiments) {
+		rows = append(rows, loadRows(fleets, data, role, load, known)...)
+	}
+	if len(rows) == 0 {
+		rows = [][]string{unknownRow("all", "all")}
+	} else {
+		if quantities := role.unmeasuredQuantities(known); len(quantities) > 0 {
+			rows = append(rows, unknownRow("all", strings.Join(quantities, ", ")))
+		}
+		if loads := data.unmeasuredLoads(role); len(loads) > 0 {
+			rows = append(rows, unknownRow(strings.Join(loads, ", "), "all"))
+		}
+	}
+	return markdownTable(roleTableHead(fleets), rows)
+}
+
+func roleTableHead(fleets []Fleet) []string {
+	head := []string{"load", "quantity", "figure"}
+	for _, fleet := range fleets {
+		head = append(head, fleet.Name)
+	}
+	return append(head, "limit", "factor to it at the target", "source")
+}
+
+// unknownRow says that quantities were not measured under loads.
+func unknownRow(loads, quantities string) []string {
+	return []string{loads, quantities, none, unknown, unknown, unknown, none, unknown, "not measured"}
+}
+
+// quotedRows lists the quoted figures of a role. A figure that doesn't hold for each fleet is unknown
+// in the fleets' columns and has its value after its name.
+func quotedRows(role Role) [][]string {
+	var rows [][]string
+	for _, quoted := range role.Quoted {
+		name, estimate := quoted.Name, Estimate{Value: quoted.Value, Basis: Measured}
+		if !quoted.AnyFleet {
+			name, estimate = fmt.Sprintf("%s: %s", quoted.Name, estimate), Estimate{}
+		}
+		value := estimate.String()
+		rows = append(rows, []string{"as quoted", string(quoted.Quantity), name, value, value, value,
+			orNone(quoted.Limit.Text), limitFactor(estimate, quoted.Limit), quoted.Source})
+	}
+	return rows
+}
+
+// loadRows lists the figures of a role that were measured under a load. A last row names those of
+// the known quantities, from other loads, that were not measured under this one. It returns nil
+// where the load has no figure of the role.
+func loadRows(fleets []Fleet, data Dataset, role Role, load string, known map[Quantity]bool) [][]string {
+	var rows [][]string
+	measured := map[Quantity]bool{}
+	for _, figure := range role.Figures {
+		series := data.resolve(role, figure, load, data.latestVariant)
+		if len(series.Points) == 0 {
+			continue
+		}
+		measured[figure.Quantity] = true
+		rows = append(rows, figureRow(fleets, role, figure, series))
+	}
+	if len(rows) == 0 {
+		return nil
+	}
+	var missing []string
+	for _, quantity := range requiredQuantities {
+		if known[quantity] && !measured[quantity] {
+			missing = append(missing, string(quantity))
+		}
+	}
+	if len(missing) > 0 {
+		rows = append(rows, unknownRow(load, strings.Join(missing, ", ")))
+	}
+	return rows
+}
+
+// figureRow gives a figure at each fleet, and its factor to its limit at the last one, the target.
+func figureRow(fleets []Fleet, role Role, figure Figure, series Series) []string {
+	row := []string{series.Load, string(figure.Quantity), figure.Name}
+	var atTarget Estimate
+	for _, fleet := range fleets {
+		atTarget = series.At(fleet.size(series.Variable))
+		row = append(row, atTarget.String())
+	}
+	return append(row, orNone(figure.Limit.Text), limitFactor(atTarget, figure.Limit), series.source(role))
+}
+
+// limitFactor returns the value as a multiple of its limit.
+func limitFactor(value Estimate, limit Limit) string {
+	switch {
+	case limit.Value == 0:
+		return none
+	case value.Basis == Unknown:
+		return unknown
+	}
+	value.Value /= limit.Value
+	return value.String()
+}
+
+// source names the results of a series in a role's table. Where the role has several variables, it
+// adds the variable, and the number of open watches where that is not the variable.
+func (s Series) source(role Role) string {
+	switch {
+	case len(role.Variables) == 1:
+		return label(s.Key)
+	case s.Variable == Watches:
+		return label(s.Key) + ", over watches"
+	}
+	return fmt.Sprintf("%s, over servers with %s watches at most", label(s.Key), formatNumber(float64(s.Watches)))
+}
--- a/internal/lab/capacity/series.go
+++ b/internal/lab/capacity/series.go
@@ -1,85 +1,15 @@
 package capacity
 
-import (
-	"fmt"
-	"path/filepath"
-	"slices"
-	"strings"
-)
-
-// Variable is what a value is fitted over.
+// Variable is the measure of the fleet's size that a value is fitted over.
 type Variable string
 
 // The variables.
 const (
-	Servers Variable = "servers"
-	Watches Variable = "watches"
-)
-
-// Source is a results file with the name that it has in the page.
-type Source struct {
-	File string
-	*Results
-}
-
-// Dataset is all results that the page is made of, in the order of their file names.
-type Dataset []Source
-
-// ReadDataset reads all results of a folder; there may be none.
-func ReadDataset(folder string) (Dataset, error) {
-	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
-	if err != nil {
-		return nil, fmt.Errorf("results folder: %w", err)
-	}
-	slices.Sort(paths)
-	var data Dataset
-	for _, path := range paths {
-		results, err := Read(path)
-		if err != nil {
-			return nil, err
-		}
-		data = append(data, Source{File: filepath.Base(path), Results: results})
-	}
-	return data, nil
-}
-
-// Names of variants that have a meaning for the page: a mechanism is missing before and is
-// there after.
-const (
-	Before = "before"
-	After  = "after"
+	Servers Variable = "servers" // Run.Servers
+	Watches Variable = "watches" // Run.Watches
 )
 
-// latestVariant is the variant of an experiment that shows what there is now: After, else
-// Before, else the last by name. It is "" without results.
-func (d Dataset) latestVariant(experiment string) string {
-	var latest string
-	for _, source := range d {
-		if source.Experiment != experiment {
-			continue
-		}
-		if rankVariant(source.Variant) > rankVariant(latest) ||
-			rankVariant(source.Variant) == rankVariant(latest) && source.Variant > latest {
-			latest = source.Variant
-		}
-	}
-	return latest
-}
-
-func rankVariant(variant string) int {
-	switch variant {
-	case After:
-		return 2
-	case Before:
-		return 1
-	}
-	return 0
-}
-
-// variantOf chooses a variant of an experiment.
-type variantOf func(experiment string) string
-
-// Key names a value that was measured at several sizes.
+// Key selects the measurements of a series.
 type Key struct {
 	Experiment string
 	Variant    string
@@ -89,16 +19,16 @@
 	Variable   Variable
 }
 
-// Series is the measured means by size, in order of size, and the line through them.
+// Series is the measured values of one key: their mean at each size, in order of size, and the line
+// through the means.
 type Series struct {
 	Key
 	Points  []Point
 	Fit     Fit
-	Watches int // the most that were open in any of the runs
+	Watches int // the largest number of open watches of the runs
 }
 
-// Series gathers what was measured for a key. Measurements of a size that was not run to
-// its end are left out.
+// Series gathers the measurements of a key. Runs that did not reach their end are left out.
 func (d Dataset) Series(key Key) Series {
 	series := Series{Key: key}
 	var points []Point
@@ -106,8 +36,8 @@
 		if source.Experiment != key.Experiment || source.Variant != key.Variant {
 			continue
 		}
-		found, watches := source.points(key)
-		points = append(points, found...)
+		sourcePoints, watches := source.points(key)
+		points = append(points, sourcePoints...)
 		series.Watches = max(series.Watches, watches)
 	}
 	series.Points = meanBySize(points)
@@ -115,40 +45,16 @@
 	return series
 }
 
-// minServedShare is the share of calls that an agent has to serve for its figures to be the cost
-// of a call: a refused call costs little.
-const minServedShare = 0.99
-
-// servedCalls tells whether an agent served its calls under a load. Other roles, and loads
-// without a share, always count.
-func (r *Run) servedCalls(role, load string) bool {
-	if role != "agent" {
-		return true
-	}
-	for _, m := range r.Measurements {
-		if m.Role == role && m.Load == load && m.Metric == "served_share" {
-			return m.Value >= minServedShare
-		}
-	}
-	return true
-}
-
-// points returns what was measured for a key, and the most watches that were open then.
+// points returns the measurements of a key as points, and the largest number of open watches of the
+// runs that they are from.
 func (r *Results) points(key Key) (points []Point, watches int) {
 	for _, run := range r.Runs {
-		if run.NotRun != "" {
-			continue
-		}
-		size := float64(run.Servers)
-		if key.Variable == Watches {
-			size = float64(run.Watches)
-		}
-		if !run.servedCalls(key.Role, key.Load) {
+		if run.NotRun != "" || !run.servedCalls(key.Role, key.Load) {
 			continue
 		}
 		for _, m := range run.Measurements {
 			if m.Role == key.Role && m.Load == key.Load && m.Metric == key.Metric {
-				points = append(points, Point{Size: size, Value: m.Value})
+				points = append(points, Point{Size: run.size(key.Variable), Value: m.Value})
 				watches = max(watches, run.Watches)
 			}
 		}
@@ -156,98 +62,28 @@
 	return points, watches
 }
 
-// loads returns the loads that an experiment measured, the known ones first.
-func (d Dataset) loads(experiments []string) []string {
-	found := map[string]bool{}
-	for _, source := range d {
-		if !slices.Contains(experiments, source.Experiment) {
-			continue
-		}
-		for _, run := range source.Runs {
-			for _, m := range run.Measurements {
-				found[m.Load] = true
-			}
-		}
-	}
-	loads := []string{}
-	for load := range found {
-		loads = append(loads, load)
-	}
-	slices.SortFunc(loads, compareLoads)
-	return loads
-}
-
-// fleetLoads are the loads of the scale runs, in the order of the page.
-var fleetLoads = []string{"first start", "steady", "steady x10", "config burst", "leader killed", "steward killed",
-	"rack lost", "zone lost", "region lost", "region cut off", "slow reader"}
-
-func compareLoads(a, b string) int {
-	atA, atB := slices.Index(fleetLoads, a), slices.Index(fleetLoads, b)
-	switch {
-	case atA >= 0 && atB >= 0:
-		return atA - atB
-	case atA >= 0:
-		return -1
-	case atB >= 0:
-		return 1
-	case len(a) != len(b): // "115 calls/s" before "1150 calls/s"
-		return len(a) - len(b)
+// size returns the run's size by a variable.
+func (r *Run) size(variable Variable) float64 {
+	if variable == Watches {
+		return float64(r.Watches)
 	}
-	return strings.Compare(a, b)
+	return float64(r.Servers)
 }
 
-// Basis says how a value was obtained.
-type Basis int
-
-// The bases.
-const (
-	Unknown Basis = iota
-	Measured
-	Fitted       // by the line, up to farFactor times the largest measured size
-	Extrapolated // by the line, beyond that
-)
-
-// Estimate is a value at a size.
-type Estimate struct {
-	Value float64
-	Basis Basis
-	Sizes int // that were measured
-}
+// minServedShare is the least share of calls that an agent has to serve for its figures to count: a
+// refused call costs little, so that a smaller share would understate the cost of a call.
+const minServedShare = 0.99
 
-// At estimates the value at a size: the measured one where that size was run, else the
-// line's.
-func (s Series) At(size float64) Estimate {
-	estimate := Estimate{Sizes: s.Fit.Sizes}
-	for _, p := range s.Points {
-		if p.Size == size {
-			estimate.Value, estimate.Basis = p.Value, Measured
-			return estimate
-		}
-	}
-	if !s.Fit.Known() {
-		return estimate
-	}
-	estimate.Value, estimate.Basis = s.Fit.At(size), Fitted
-	if size > farFactor*s.Fit.Largest {
-		estimate.Basis = Extrapolated
+// servedCalls reports whether an agent served its calls under a load. It is true for other roles and
+// for loads without a measured share.
+func (r *Run) servedCalls(role, load string) bool {
+	if role != measuredAgent {
+		return true
 	}
-	return estimate
-}
-
-// String prints the value with its marks.
-func (e Estimate) String() string {
-	if e.Basis == Unknown {
-		if e.Sizes == 0 {
-			return unknown
+	for _, m := range r.Measurements {
+		if m.Role == role && m.Load == load && m.Metric == "served_share" {
+			return m.Value >= minServedShare
 		}
-		return fmt.Sprintf("unknown: %d sizes", e.Sizes)
-	}
-	text := formatNumber(e.Value)
-	if e.Basis != Measured && e.Value < 0 {
-		text = "0" + belowMark
 	}
-	if e.Basis == Extrapolated {
-		text += farMark
-	}
-	return text
+	return true
 }
--- a/internal/lab/capacity/tables_test.go
+++ b/internal/lab/capacity/tables_test.go
@@ -9,25 +9,26 @@
 	"time"
 )
 
-var targetFile = filepath.Join("..", "..", "..", "docs", "capacity", "target.toml")
+var targetPath = filepath.Join("..", "..", "..", "docs", "capacity", "target.toml")
 
 func target(t *testing.T) *Target {
 	t.Helper()
-	target, err := LoadTarget(targetFile)
+	target, err := LoadTarget(targetPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return target
 }
 
-// fixture makes results that no run gave: figures are straight lines over the servers.
+// fixture returns invented results: each metric is a straight line over the number of servers, given
+// by its value at 0 and its slope.
 func fixture(variant string, sizes []int, lines map[Measurement][2]float64) *Results {
 	results := &Results{Experiment: fleetAhead, Variant: variant, Command: "fixture", Commit: "0123456789abcdef", Seed: 7,
 		Machine: "fixture | no machine", Started: time.Unix(0, 0).UTC()}
 	for _, size := range sizes {
 		run := Run{Servers: size, Watches: min(size, 5000), Services: 10}
-		for of, line := range lines {
-			run.Add(of.Role, of.Load, of.Metric, line[0]+line[1]*float64(size))
+		for key, line := range lines {
+			run.Add(key.Role, key.Load, key.Metric, line[0]+line[1]*float64(size))
 		}
 		results.Runs = append(results.Runs, run)
 	}
@@ -69,7 +70,7 @@
 	return ""
 }
 
-// line returns the only line of a text that holds all parts.
+// line returns the only line of a text that contains all parts.
 func line(t *testing.T, text string, parts ...string) string {
 	t.Helper()
 	var found []string
@@ -127,7 +128,7 @@
 	}
 }
 
-func TestTooFewSizes(t *testing.T) {
+func TestTooFewSizesAreUnknown(t *testing.T) {
 	few := before()
 	few.Runs = few.Runs[:3]
 	few.Runs = append(few.Runs, Run{Servers: 39_000, NotRun: "descriptors ran out",
@@ -138,7 +139,7 @@
 	wantIn(t, line(t, text(t, target(t), data, "slopes"), "bytes_in_per_second"), "unknown: 3 sizes")
 }
 
-func TestUnusedMeasurement(t *testing.T) {
+func TestSourcesTableListsUnusedMeasurements(t *testing.T) {
 	results := before()
 	if sources := text(t, target(t), dataset(results), "sources"); strings.Contains(sources, "in no table") {
 		t.Errorf("all is in a table, but it says\n%s", sources)
@@ -158,7 +159,7 @@
 	}
 }
 
-func TestOrder(t *testing.T) {
+func TestOrderTable(t *testing.T) {
 	data := dataset(before())
 	order := text(t, target(t), data, "order")
 	first := strings.Split(order, "\n")[2]
@@ -175,20 +176,20 @@
 	wantIn(t, line(t, order, "Agent, control: bytes in/s, limit"), "not at the target: it doesn't rise", "| 6,000 |")
 }
 
-func TestCrossingMeasuredFirst(t *testing.T) {
+func TestThresholdPrefersSmallerMeasuredSize(t *testing.T) {
 	series := Series{Points: []Point{{1000, 1}, {2000, 9}, {3000, 1}, {4000, 1}}}
 	series.Fit = FitLine(series.Points)
-	if c := series.crossing(target(t), 9); c.Size != 2000 || !strings.HasSuffix(c.Source, "measured") {
-		t.Errorf("met at %+v, though it was measured at 2,000", c)
+	if threshold := series.threshold(target(t), 9); threshold.Size != 2000 || !strings.HasSuffix(threshold.Source, "measured") {
+		t.Errorf("reached at %+v, though it was measured at 2,000", threshold)
 	}
 }
 
-func TestComparison(t *testing.T) {
+func TestComparisonTable(t *testing.T) {
 	comparison := text(t, target(t), dataset(before(), after()), "comparison")
 	wantIn(t, line(t, comparison, "bytes in/s"), "| 10,000 | 40,000 | 400 | 156,000* | 400* | 0.00256* | 24,000 B/s |")
 }
 
-func TestDerived(t *testing.T) {
+func TestDerivedTable(t *testing.T) {
 	derived := text(t, target(t), dataset(before()), "derived")
 	wantIn(t, line(t, derived, "control machines that fail a day"), "| 0.0572 |")
 	wantIn(t, line(t, derived, "renewals a second at one leader"), "| 19,500 |")
@@ -198,7 +199,7 @@
 	wantIn(t, line(t, derived, "seconds for that at an agent's limit"), "| 195* |")
 }
 
-func TestPlacement(t *testing.T) {
+func TestPlacementTable(t *testing.T) {
 	placement := text(t, target(t), nil, "placement")
 	wantIn(t, line(t, placement, "| voters |"), "| 5 | 18 |")
 	wantIn(t, line(t, placement, "register or renew"), "| 6,500 | 0 |")
@@ -206,9 +207,8 @@
 	wantIn(t, line(t, placement, "quorums lost a year"), "| 0.00338 |")
 }
 
-// TestSignificantDigits looks for figures with more than three digits, and for tables that
-// differ from one making to the next.
-func TestSignificantDigits(t *testing.T) {
+// All figures have at most significantDigits digits, and the same inputs give the same tables.
+func TestTablesAreRoundedAndRepeatable(t *testing.T) {
 	data := dataset(before(), after())
 	again := Tables(target(t), data)
 	number := regexp.MustCompile(`[0-9][0-9,.]*`)
@@ -228,7 +228,7 @@
 	}
 }
 
-func TestNoResults(t *testing.T) {
+func TestTablesWithoutResults(t *testing.T) {
 	for _, table := range Tables(target(t), nil) {
 		if table.Text == "" {
 			t.Errorf("table %s is empty", table.Name)
@@ -237,8 +237,8 @@
 	wantIn(t, line(t, text(t, target(t), nil, "order"), "Agent, control: bytes in/s, limit"), "| unknown |")
 }
 
-// An agent that refuses calls spends little on them: that is no point of the cost's line.
-func TestRefusedCallsAreNoCost(t *testing.T) {
+// An agent that refuses calls spends little on them, so its figures are no point of a fit.
+func TestFitExcludesAgentsThatRefuseCalls(t *testing.T) {
 	served, refused := Run{Servers: 20}, Run{Servers: 2000}
 	for run, share := range map[*Run]float64{&served: 1, &refused: 0.5} {
 		run.Add("agent", "115 calls/s", "served_share", share)
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -11,36 +11,40 @@
 	"github.com/knadh/koanf/parsers/toml/v2"
 	"github.com/knadh/koanf/providers/rawbytes"
 	"github.com/knadh/koanf/v2"
+
+	"knotrouter/internal/lab/configfile"
 )
 
-// Target is the fleet that the page is worked out for.
+// Target is the fleet that the project is designed for, as the operators give it in
+// docs/capacity/target.toml. All values are above 0.
 type Target struct {
-	Servers              float64  `koanf:"servers"` // each with its agent
+	Servers              float64  `koanf:"servers"` // each with an agent beside it
 	Services             float64  `koanf:"services"`
-	CallsPerSecond       float64  `koanf:"calls_per_second"`
-	CallDepth            float64  `koanf:"call_depth"`
-	AddedLatencyP99Ms    float64  `koanf:"added_latency_p99_ms"`
+	CallsPerSecond       float64  `koanf:"calls_per_second"`     // of the whole fleet
+	CallDepth            float64  `koanf:"call_depth"`           // length of the longest chain of calls
+	AddedLatencyP99Ms    float64  `koanf:"added_latency_p99_ms"` // that an agent may add to a call
 	Regions              float64  `koanf:"regions"`
-	Zones                float64  `koanf:"zones"`
+	Zones                float64  `koanf:"zones"` // of all regions together
 	ConfigChangesPerDay  float64  `koanf:"config_changes_per_day"`
-	ConfigInForceSeconds float64  `koanf:"config_in_force_everywhere_s"`
-	AgentCoreShare       float64  `koanf:"agent_control_core_share"`
-	AgentMemoryMB        float64  `koanf:"agent_control_memory_mb"`
-	AgentBytesPerSecond  float64  `koanf:"agent_control_bytes_per_second"`
-	ControlMachines      float64  `koanf:"control_machines"`
+	ConfigInForceSeconds float64  `koanf:"config_in_force_everywhere_s"`   // from a change to the last agent
+	AgentCoreShare       float64  `koanf:"agent_control_core_share"`       // cores that an agent may spend on control
+	AgentMemoryMB        float64  `koanf:"agent_control_memory_mb"`        // memory that an agent may spend on control
+	AgentBytesPerSecond  float64  `koanf:"agent_control_bytes_per_second"` // bytes that an agent may receive for control
+	ControlMachines      float64  `koanf:"control_machines"`               // of all regions together
 	Failures             Failures `koanf:"failures"`
 }
 
-// Failures is how often parts of the fleet fail.
+// Failures is how often parts of the target's fleet fail.
 type Failures struct {
 	MachinesPerDay       float64 `koanf:"machines_per_day"`
 	RestartsPerDay       float64 `koanf:"restarts_or_replacements_per_day"`
 	RacksPerDay          float64 `koanf:"rack_or_switch_per_day"`
 	ZonesPerYear         float64 `koanf:"zone_losses_per_year"`
-	RegionPartitionHours float64 `koanf:"region_partition_hours"`
+	RegionPartitionHours float64 `koanf:"region_partition_hours"` // length of a partition
 }
 
-// LoadTarget reads a target file. Its error is one line that names the key.
+// LoadTarget reads a target file. Its error is one line that names the file, and the key where one
+// is invalid.
 func LoadTarget(path string) (*Target, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -53,34 +57,41 @@
 	return target, nil
 }
 
-// ParseTarget reads the text of a target file. Each key has to be there and above 0; an
-// unknown key is an error.
+// ParseTarget parses the text of a target file. It returns a *configfile.KeyError for a key that is
+// unknown, missing or not above 0.
 func ParseTarget(text []byte) (*Target, error) {
-	k := koanf.New(".")
-	if err := k.Load(rawbytes.Provider(text), toml.Parser()); err != nil {
+	file := koanf.New(".")
+	if err := file.Load(rawbytes.Provider(text), toml.Parser()); err != nil {
 		return nil, errors.New(firstLine("no TOML: " + err.Error()))
 	}
+	target, err := decodeTarget(file.Raw())
+	if err != nil {
+		return nil, err
+	}
+	for _, key := range file.Keys() {
+		if !(file.Float64(key) > 0) { // also true of NaN
+			return nil, configfile.NewKeyError(key, "must be above 0, is %v", file.Get(key))
+		}
+	}
+	return target, nil
+}
+
+// decodeTarget decodes parsed TOML. Unlike configfile.Decode, it requires each key.
+func decodeTarget(raw map[string]any) (*Target, error) {
 	var target Target
-	var meta mapstructure.Metadata
-	decoder, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{Result: &target, TagName: "koanf", Metadata: &meta})
+	var metadata mapstructure.Metadata
+	decoder, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{Result: &target, TagName: "koanf", Metadata: &metadata})
 	if err != nil {
 		return nil, fmt.Errorf("target: %w", err)
 	}
-	if err := decoder.Decode(k.Raw()); err != nil {
+	if err := decoder.Decode(raw); err != nil {
 		return nil, errors.New(firstLine(strings.TrimPrefix(err.Error(), "decoding failed due to the following error(s):\n\n")))
 	}
-	if len(meta.Unused) > 0 {
-		slices.Sort(meta.Unused)
-		return nil, fmt.Errorf("%s: unknown key", meta.Unused[0])
-	}
-	if len(meta.Unset) > 0 {
-		slices.Sort(meta.Unset)
-		return nil, fmt.Errorf("%s: missing", meta.Unset[0])
+	if len(metadata.Unused) > 0 {
+		return nil, configfile.NewKeyError(slices.Min(metadata.Unused), "unknown key")
 	}
-	for _, key := range k.Keys() {
-		if !(k.Float64(key) > 0) {
-			return nil, fmt.Errorf("%s: must be above 0, is %v", key, k.Get(key))
-		}
+	if len(metadata.Unset) > 0 {
+		return nil, configfile.NewKeyError(slices.Min(metadata.Unset), "missing")
 	}
 	return &target, nil
 }
@@ -90,21 +101,21 @@
 	return line
 }
 
-// Fleet is a size that the figures are worked out for.
+// Fleet is a size of the fleet that the page gives figures for.
 type Fleet struct {
 	Name    string
 	Servers float64
 	Agents  float64
 }
 
-// Today's fleet, as the operators run it.
 const (
+	// serversToday and agentsToday are the size of the fleet that the operators run today.
 	serversToday = 200
 	agentsToday  = 300
 	tenth        = 0.1
 )
 
-// Fleets returns today's fleet, a tenth of the target and the target.
+// Fleets returns today's fleet, a tenth of the target, and the target as the last one.
 func (t *Target) Fleets() []Fleet {
 	return []Fleet{
 		{Name: "today", Servers: serversToday, Agents: agentsToday},
@@ -112,3 +123,11 @@
 		{Name: "target", Servers: t.Servers, Agents: t.Servers},
 	}
 }
+
+// size returns the fleet's size by a variable. Each agent has one watch.
+func (f Fleet) size(variable Variable) float64 {
+	if variable == Watches {
+		return f.Agents
+	}
+	return f.Servers
+}
