--- a/cmd/lab/cost.go
+++ b/cmd/lab/cost.go
@@ -90,8 +90,8 @@
 // tellStep prints a line when a cell begins and one with its result.
 func tellStep(progress io.Writer, s cost.Step) {
 	if s.Cell == nil {
-		fmt.Fprintf(progress, "[%d/%d] %d servers, %g calls/s ...\n", s.Number, s.Of, s.Servers, s.Rate)
+		fmt.Fprintf(progress, "[%d/%d] %d servers, %g calls/s ...\n", s.Number, s.Total, s.Servers, s.Rate)
 		return
 	}
-	fmt.Fprintf(progress, "[%d/%d] %v\n", s.Number, s.Of, s.Cell)
+	fmt.Fprintf(progress, "[%d/%d] %v\n", s.Number, s.Total, s.Cell)
 }
--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -1,15 +1,21 @@
-// Package cost measures what one real agent costs by the number of servers that it knows:
-// processor time a call, memory, and the latency that it adds.
+// Package cost measures what one real agent costs, by the number of servers that it knows: the
+// processor time of a call, memory, and the latency that it adds to a call.
 //
-// Each call is made twice, through the agent and directly to an emulated server, in random
-// order a few milliseconds apart, so that both see the same machine. Arrivals are drawn ahead
-// from the seed and no call waits for another's answer (an open loop). The direct calls keep
-// their connections and choose no server, so they are the least that a call can take. The
-// listed servers share a handful of listeners; see Fleet.
+// Each call is made twice, through the agent and directly to an emulated server, in random order
+// pairGap apart, so that both see the machine in the same state. Arrivals are drawn ahead from the
+// seed and no call waits for another's response (an open loop). The direct calls keep their
+// connections and choose no server, so they take the least time that a call can take. The listed
+// servers share a few listeners; see Fleet.
+//
+// A measurement is a matrix of cells: each number of servers with each rate of calls. Run goes
+// through the cells; measure starts an agent for one cell and gathers its figures; newSchedule
+// draws the calls, caller sends them and summarize reduces their results. The figures go to a
+// capacity.Results, which the capacity page is made from.
 package cost
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -22,101 +28,112 @@
 // Experiment is the name of the measurement in the results.
 const Experiment = "agent-cost"
 
-// Bounds of what can be asked for.
+// Bounds of Options.
 const (
 	MaxServers = 100_000
-	MaxRate    = 20_000
+	MaxRate    = 20_000 // calls a second
 	MinWindow  = 100 * time.Millisecond
 	MaxWindow  = 10 * time.Minute
 	maxCells   = 100
 )
 
-// Options is what to measure.
+// Options says what to measure.
 type Options struct {
-	Agent    string // path of the agent's program
-	Servers  []int
-	Rates    []float64
-	Window   time.Duration // of each cell
-	Seed     uint64
-	Variant  string
-	Command  string     // that repeats the measurement
-	Progress func(Step) // told of each step; it may be nil
+	Agent    string        // path of the agent's program
+	Servers  []int         // numbers of servers that the agent knows
+	Rates    []float64     // calls a second
+	Window   time.Duration // length of the measured load of each cell
+	Seed     uint64        // of arrivals, keys and the order of calls
+	Variant  string        // capacity.Results.Variant
+	Command  string        // command line that repeats the measurement
+	Progress func(Step)    // called for each step; may be nil
 }
 
-// Step says that a cell begins, or has ended with the result Cell.
+// Step says that a cell begins, or that it has ended with a result.
 type Step struct {
-	Number, Of int
-	Servers    int
-	Rate       float64
-	Cell       *Cell
+	Number  int // of the cell, from 1
+	Total   int // number of cells
+	Servers int
+	Rate    float64 // calls a second
+	Cell    *Cell   // the result; nil where the cell begins
 }
 
 // idleWindow is how long an agent is measured without load.
 func (o *Options) idleWindow() time.Duration { return max(o.Window/3, MinWindow) }
 
-// warmup is how long the load lasts before the measured window. An agent keeps idle
-// connections for 15 s: the number of those that it holds is steady only once warm-up and
-// window together are longer than that.
+// warmup is how long the load lasts before the measured window. An agent keeps idle connections
+// for 15 s: the number of its connections is steady only once warm-up and window together are
+// longer than that.
 func (o *Options) warmup() time.Duration { return o.Window }
 
-// Validate reports the first option that makes no sense by its flag.
+// Validate returns an error that names the flag of the first invalid option, or nil.
 func (o *Options) Validate() error {
+	if err := o.validateCells(); err != nil {
+		return err
+	}
+	if o.Window < MinWindow || o.Window > MaxWindow {
+		return fmt.Errorf("--for: must be %v to %v, is %v", MinWindow, MaxWindow, o.Window)
+	}
+	if info, err := os.Stat(o.Agent); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
+		return fmt.Errorf("--agent: %s: no program there; build it first", o.Agent)
+	}
+	return nil
+}
+
+// validateCells checks the numbers of servers, the rates, and the number of cells.
+func (o *Options) validateCells() error {
 	if len(o.Servers) == 0 {
-		return fmt.Errorf("--servers: none given")
+		return errors.New("--servers: none given")
 	}
 	if len(o.Rates) == 0 {
-		return fmt.Errorf("--rates: none given")
+		return errors.New("--rates: none given")
 	}
-	for _, n := range o.Servers {
-		if n < 1 || n > MaxServers {
-			return fmt.Errorf("--servers: must be 1 to %d, is %d", MaxServers, n)
+	for _, servers := range o.Servers {
+		if servers < 1 || servers > MaxServers {
+			return fmt.Errorf("--servers: must be 1 to %d, is %d", MaxServers, servers)
 		}
 	}
 	for _, rate := range o.Rates {
-		if !(rate > 0) || rate > MaxRate {
+		if !(rate > 0) || rate > MaxRate { // the negation also holds for NaN
 			return fmt.Errorf("--rates: must be above 0 and at most %d, is %v", MaxRate, rate)
 		}
 	}
 	if cells := len(o.Servers) * len(o.Rates); cells > maxCells {
 		return fmt.Errorf("--servers: %d cells with --rates, at most %d", cells, maxCells)
 	}
-	if o.Window < MinWindow || o.Window > MaxWindow {
-		return fmt.Errorf("--for: must be %v to %v, is %v", MinWindow, MaxWindow, o.Window)
-	}
-	if st, err := os.Stat(o.Agent); err != nil || st.IsDir() || st.Mode()&0o111 == 0 {
-		return fmt.Errorf("--agent: %s: no program there; build it first", o.Agent)
-	}
 	return nil
 }
 
 // Run measures each number of servers at each rate, one cell after the other. It returns the
-// results and what broke, a line each.
+// results and the violations of all cells, a line each. A cell that could not be measured is a
+// violation, and the others are still measured. It returns an error for invalid options, and the
+// context's error if the context ends first; see Interrupted.
 func Run(ctx context.Context, o *Options) (*capacity.Results, []string, error) {
 	if err := o.Validate(); err != nil {
 		return nil, nil, err
 	}
-	agent, err := filepath.Abs(o.Agent)
+	program, err := filepath.Abs(o.Agent)
 	if err != nil {
 		return nil, nil, fmt.Errorf("--agent: %w", err)
 	}
-	o.Agent = agent
+	o.Agent = program
 	results := &capacity.Results{Experiment: Experiment, Variant: o.Variant, Command: o.Command, Seed: o.Seed,
 		Machine: machine(), Started: time.Now().UTC().Truncate(time.Second)}
-	results.Commit, results.Dirty = builtFrom(agent)
-	var broke []string
+	results.Commit, results.Dirty = builtFrom(program)
+	var violations []string
 	for i, servers := range o.Servers {
-		run, failed, err := runSize(ctx, o, servers, i*len(o.Rates))
+		run, runViolations, err := runSize(ctx, o, servers, i*len(o.Rates))
 		if err != nil {
 			return nil, nil, err
 		}
 		results.Runs = append(results.Runs, *run)
-		broke = append(broke, failed...)
+		violations = append(violations, runViolations...)
 	}
-	return results, broke, nil
+	return results, violations, nil
 }
 
-// runSize measures one number of servers at each rate. An agent that can't be run there is
-// said so in the run.
+// runSize measures one number of servers at each rate, after a number of cells that are done. The
+// reasons for cells that could not be measured are in the run's NotRun and among the violations.
 func runSize(ctx context.Context, o *Options, servers, done int) (*capacity.Run, []string, error) {
 	run := &capacity.Run{Servers: servers, Watches: 1, Services: 1}
 	fleet, err := NewFleet(servers)
@@ -124,32 +141,37 @@
 		return nil, nil, err
 	}
 	defer fleet.Close()
-	var broke, notRun []string
+	var violations, notRun []string
 	for i, rate := range o.Rates {
-		step := Step{Number: done + i + 1, Of: len(o.Servers) * len(o.Rates), Servers: servers, Rate: rate}
-		o.tell(step)
+		step := Step{Number: done + i + 1, Total: len(o.Servers) * len(o.Rates), Servers: servers, Rate: rate}
+		o.reportProgress(step)
 		cell, err := measure(ctx, o, fleet, servers, rate)
 		if Interrupted(ctx, err) {
 			return nil, nil, err
 		}
-		at := fmt.Sprintf("%d servers, %s: ", servers, loadName(rate))
+		prefix := fmt.Sprintf("%d servers, %s: ", servers, loadName(rate))
 		if err != nil {
-			notRun = append(notRun, at+err.Error())
+			notRun = append(notRun, prefix+err.Error())
 			continue
 		}
 		cell.addTo(run)
-		for _, text := range cell.Broke {
-			broke = append(broke, at+text)
+		for _, violation := range cell.Violations {
+			violations = append(violations, prefix+violation)
 		}
 		step.Cell = cell
-		o.tell(step)
+		o.reportProgress(step)
 	}
 	run.NotRun = strings.Join(notRun, "; ")
-	return run, append(broke, notRun...), nil
+	return run, append(violations, notRun...), nil
 }
 
-func (o *Options) tell(s Step) {
+func (o *Options) reportProgress(step Step) {
 	if o.Progress != nil {
-		o.Progress(s)
+		o.Progress(step)
 	}
 }
+
+// Interrupted reports whether a measurement ended with err because its context had ended.
+func Interrupted(ctx context.Context, err error) bool {
+	return ctx.Err() != nil && errors.Is(err, ctx.Err())
+}
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -34,7 +34,7 @@
 
 func get(t *testing.T, url string) *http.Response {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -49,76 +49,76 @@
 }
 
 // Both calls of a pair are drawn from the seed alone, a gap apart, in either order.
-func TestDrawSends(t *testing.T) {
+func TestScheduleIsDrawnFromSeed(t *testing.T) {
 	const rate, duration = 1000, 10 * time.Second
-	sends, pairs := drawSends(rate, duration, 7)
-	again, _ := drawSends(rate, duration, 7)
-	other, _ := drawSends(rate, duration, 8)
-	if !reflect.DeepEqual(sends, again) || reflect.DeepEqual(sends, other) {
-		t.Error("the sends are not those of their seed")
+	schedule := newSchedule(rate, duration, 7)
+	again := newSchedule(rate, duration, 7)
+	other := newSchedule(rate, duration, 8)
+	if !reflect.DeepEqual(schedule, again) || reflect.DeepEqual(schedule.calls, other.calls) {
+		t.Error("the calls are not those of their seed")
 	}
-	if mean := rate * duration.Seconds(); math.Abs(float64(pairs)-mean) > 5*math.Sqrt(mean) {
-		t.Errorf("%d pairs, expected about %v", pairs, mean)
+	if mean := rate * duration.Seconds(); math.Abs(float64(schedule.pairs)-mean) > 5*math.Sqrt(mean) {
+		t.Errorf("%d pairs, expected about %v", schedule.pairs, mean)
 	}
-	if len(sends) != 2*pairs {
-		t.Fatalf("%d sends of %d pairs", len(sends), pairs)
+	if len(schedule.calls) != 2*schedule.pairs {
+		t.Fatalf("%d calls of %d pairs", len(schedule.calls), schedule.pairs)
 	}
-	first := map[int]send{}
+	firstOfPair := map[int]plannedCall{}
 	directFirst := 0
-	for i, s := range sends {
-		if i > 0 && s.at < sends[i-1].at {
-			t.Fatalf("send %d goes out before the one before it", i)
+	for i, call := range schedule.calls {
+		if i > 0 && call.at < schedule.calls[i-1].at {
+			t.Fatalf("call %d is earlier than the one before it", i)
 		}
-		before, second := first[s.pair]
-		if !second {
-			first[s.pair] = s
-			if s.route == direct {
+		first, isSecond := firstOfPair[call.pair]
+		if !isSecond {
+			firstOfPair[call.pair] = call
+			if call.route == direct {
 				directFirst++
 			}
 			continue
 		}
-		if s.route == before.route || s.at-before.at != pairGap || s.key != before.key || s.to != before.to {
-			t.Fatalf("no pair: %+v and %+v", before, s)
+		if call.route == first.route || call.at-first.at != pairGap || call.key != first.key || call.server != first.server {
+			t.Fatalf("no pair: %+v and %+v", first, call)
 		}
 	}
-	if share := float64(directFirst) / float64(pairs); share < 0.45 || share > 0.55 {
+	if share := float64(directFirst) / float64(schedule.pairs); share < 0.45 || share > 0.55 {
 		t.Errorf("the direct call is first in %.2f of the pairs", share)
 	}
 }
 
-func TestSummarize(t *testing.T) {
+func TestSummarizeCountsServedCalls(t *testing.T) {
 	const ms = time.Millisecond
-	outcomes := []pairOutcome{
-		{direct: {latency: 2 * ms, ending: served}, throughAgent: {latency: 3 * ms, ending: served, late: ms}},
-		{direct: {latency: 4 * ms, ending: served}, throughAgent: {latency: 3 * ms, ending: served}},
-		{direct: {latency: 2 * ms, ending: served}, throughAgent: {latency: 900 * ms}},
+	results := []pairResult{
+		{direct: {latency: 2 * ms, outcome: served}, throughAgent: {latency: 3 * ms, outcome: served, lateness: ms}},
+		{direct: {latency: 4 * ms, outcome: served}, throughAgent: {latency: 3 * ms, outcome: served}},
+		{direct: {latency: 2 * ms, outcome: served}, throughAgent: {latency: 900 * ms}},
 	}
-	s := summarize(outcomes)
-	if s.pairs != 3 || s.ended[direct][served] != 3 || s.ended[throughAgent] != [endings]int{unanswered: 1, served: 2} {
-		t.Errorf("counted %d pairs, %v direct and %v through the agent", s.pairs, s.ended[direct], s.ended[throughAgent])
+	s := summarize(results)
+	if s.pairs != 3 || s.outcomes[direct][served] != 3 || s.outcomes[throughAgent] != [outcomeCount]int{unanswered: 1, served: 2} {
+		t.Errorf("counted %d pairs, %v direct and %v through the agent", s.pairs, s.outcomes[direct], s.outcomes[throughAgent])
 	}
-	if !reflect.DeepEqual(s.added, []float64{-1, 1}) {
-		t.Errorf("added %v ms", s.added)
+	if !reflect.DeepEqual(s.addedMs, []float64{-1, 1}) {
+		t.Errorf("added %v ms", s.addedMs)
 	}
 	if most := s.latency[throughAgent].Max(); most > 4000 {
 		t.Errorf("a call that was not served is in the latencies: %d us", most)
 	}
-	if late := s.late.Max(); late < 900 || late > 1100 {
-		t.Errorf("lateness %d us", late)
+	if lateness := s.lateness.Max(); lateness < 900 || lateness > 1100 {
+		t.Errorf("lateness %d us", lateness)
 	}
 }
 
-func TestEndingOf(t *testing.T) {
-	for status, want := range map[int]ending{200: served, 204: failed, 429: refused, 502: failed, 503: refused, 504: failed} {
-		if got := endingOf(status); got != want {
+func TestOutcomeOfStatus(t *testing.T) {
+	for status, want := range map[int]outcome{200: served, 204: failed, 429: refused, 502: failed, 503: refused, 504: failed} {
+		if got := outcomeOf(status); got != want {
 			t.Errorf("status %d ends as %d, want %d", status, got, want)
 		}
 	}
 }
 
 // Where nothing was served there is no latency, rather than one of 0.
-func TestNothingServed(t *testing.T) {
-	pairs := []pairOutcome{{direct: {ending: served, latency: time.Millisecond}, throughAgent: {ending: refused}}}
+func TestNoLatencyWithoutServedCalls(t *testing.T) {
+	pairs := []pairResult{{direct: {outcome: served, latency: time.Millisecond}, throughAgent: {outcome: refused}}}
 	cell := &Cell{Rate: 115, load: summarize(pairs)}
 	var run capacity.Run
 	cell.addTo(&run)
@@ -132,20 +132,20 @@
 	}
 }
 
-func TestQuantile(t *testing.T) {
+func TestSortedQuantile(t *testing.T) {
 	sorted := []float64{-1, 0, 1, 2}
 	for percent, want := range map[float64]float64{0: -1, 50: 1, 99: 2, 100: 2} {
-		if got := quantile(sorted, percent); got != want {
+		if got := sortedQuantile(sorted, percent); got != want {
 			t.Errorf("quantile %v is %v, want %v", percent, got, want)
 		}
 	}
-	if got := quantile(nil, 50); got != 0 {
+	if got := sortedQuantile(nil, 50); got != 0 {
 		t.Errorf("quantile of nothing is %v", got)
 	}
 }
 
 // The names of the list share a few addresses, and the agent takes the configuration.
-func TestFleetList(t *testing.T) {
+func TestAgentTakesFleetConfig(t *testing.T) {
 	fleet := newTestFleet(t, 100)
 	text, err := fleet.AgentConfig("127.0.0.1:0", 5)
 	if err != nil {
@@ -167,71 +167,73 @@
 	}
 }
 
-func TestListService(t *testing.T) {
+func TestListServiceServesListAndWatch(t *testing.T) {
 	fleet := newTestFleet(t, 30)
 	base := "http://" + fleet.ListAddr + endpoints.Path
 	text, err := io.ReadAll(get(t, base).Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, err := endpoints.Parse(text)
-	if err != nil || !whole.Full || len(whole.Endpoints) != 30 {
-		t.Fatalf("whole list of %d entries: %v", len(whole.Endpoints), err)
+	full, err := endpoints.Parse(text)
+	if err != nil || !full.Full || len(full.Endpoints) != 30 {
+		t.Fatalf("full list of %d entries: %v", len(full.Endpoints), err)
 	}
-	for since, entries := range map[int64]int{whole.Seq: 0, 0: 30} {
+	for since, entries := range map[int64]int{full.Seq: 0, 0: 30} {
 		lines := bufio.NewReader(get(t, fmt.Sprintf("%s?follow=1&since=%d", base, since)).Body)
 		first, err := lines.ReadBytes('\n')
 		if err != nil {
 			t.Fatal(err)
 		}
 		var list endpoints.List
-		if err := json.Unmarshal(first, &list); err != nil || list.Seq != whole.Seq || len(list.Endpoints) != entries {
+		if err := json.Unmarshal(first, &list); err != nil || list.Seq != full.Seq || len(list.Endpoints) != entries {
 			t.Errorf("since %d: version %d with %d entries: %v", since, list.Seq, len(list.Endpoints), err)
 		}
-		if beat, err := lines.ReadString('\n'); err != nil || beat != "\n" {
-			t.Errorf("since %d: %q in place of a heartbeat: %v", since, beat, err)
+		if heartbeat, err := lines.ReadString('\n'); err != nil || heartbeat != "\n" {
+			t.Errorf("since %d: %q in place of a heartbeat: %v", since, heartbeat, err)
 		}
 	}
-	if c := &fleet.Counters; c.WholeLists.Load() != 1 || c.Watches.Load() != 2 {
-		t.Errorf("counted %d whole lists and %d watches", c.WholeLists.Load(), c.Watches.Load())
+	if c := &fleet.Counters; c.FullLists.Load() != 1 || c.Watches.Load() != 2 {
+		t.Errorf("counted %d full lists and %d watches", c.FullLists.Load(), c.Watches.Load())
 	}
 }
 
-// brokenCell is one that holds, until it is changed.
-func brokenCell(change func(pairs []pairOutcome, c *Cell)) []string {
-	pairs := make([]pairOutcome, 100)
+// violationsOf returns the violations of a cell that had none before the change.
+func violationsOf(change func(pairs []pairResult, c *Cell)) []string {
+	pairs := make([]pairResult, 100)
 	for i := range pairs {
-		pairs[i] = pairOutcome{direct: {ending: served}, throughAgent: {ending: served}}
+		pairs[i] = pairResult{direct: {outcome: served}, throughAgent: {outcome: served}}
 	}
 	cell := &Cell{}
 	change(pairs, cell)
 	cell.load = summarize(pairs)
-	cell.judge()
-	return cell.Broke
+	cell.checkLimits()
+	return cell.Violations
 }
 
-func TestJudge(t *testing.T) {
+func TestCheckLimits(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func([]pairOutcome, *Cell)
-		say    string
+		change func([]pairResult, *Cell)
+		want   string
 	}{
-		"held":         {func([]pairOutcome, *Cell) {}, ""},
-		"one unserved": {func(p []pairOutcome, _ *Cell) { p[0][throughAgent].ending = refused }, ""},
-		"two unserved": {func(p []pairOutcome, _ *Cell) { p[0][throughAgent].ending, p[1][throughAgent].ending = refused, failed }, "served share 0.9800, at least 0.99 (refused 0.0100, failed 0.0100, unanswered 0.0000)"},
-		"direct":       {func(p []pairOutcome, _ *Cell) { p[0][direct].ending = unanswered }, "1 of 100 direct calls"},
-		"memory":       {func(_ []pairOutcome, c *Cell) { c.peakRSSMB = AgentMemoryMB + 1 }, "peak memory 257 MB"},
-		"late": {func(p []pairOutcome, _ *Cell) {
-			p[0][direct].late, p[1][direct].late, p[2][direct].late = 1e9, 1e9, 1e9
+		"none":         {func([]pairResult, *Cell) {}, ""},
+		"one unserved": {func(p []pairResult, _ *Cell) { p[0][throughAgent].outcome = refused }, ""},
+		"two unserved": {func(p []pairResult, _ *Cell) {
+			p[0][throughAgent].outcome, p[1][throughAgent].outcome = refused, failed
+		}, "served share 0.9800, at least 0.99 (refused 0.0100, failed 0.0100, unanswered 0.0000)"},
+		"direct": {func(p []pairResult, _ *Cell) { p[0][direct].outcome = unanswered }, "1 of 100 direct calls"},
+		"memory": {func(_ []pairResult, c *Cell) { c.peakRSSMB = AgentMemoryMB + 1 }, "peak memory 257 MB"},
+		"late": {func(p []pairResult, _ *Cell) {
+			p[0][direct].lateness, p[1][direct].lateness, p[2][direct].lateness = 1e9, 1e9, 1e9
 		}, "late at p99"},
 	} {
-		broke := strings.Join(brokenCell(c.change), "; ")
-		if (c.say == "") != (broke == "") || !strings.Contains(broke, c.say) {
-			t.Errorf("%s: broke %q, want %q", name, broke, c.say)
+		violations := strings.Join(violationsOf(c.change), "; ")
+		if (c.want == "") != (violations == "") || !strings.Contains(violations, c.want) {
+			t.Errorf("%s: violations %q, want %q", name, violations, c.want)
 		}
 	}
 }
 
-func TestValidate(t *testing.T) {
+func TestValidateNamesFlag(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "agent")
 	if err := os.WriteFile(program, nil, 0o755); err != nil {
 		t.Fatal(err)
@@ -260,19 +262,19 @@
 	}
 }
 
-// Numbers of servers that can't be measured are said so, and the others still are.
-func TestNotRunIsSaid(t *testing.T) {
+// Cells that can't be measured are reported with the reason, and the others are still measured.
+func TestCellsNotRunAreReported(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "agent")
 	if err := os.WriteFile(program, []byte("#!/bin/sh\necho no agent here\nexit 1\n"), 0o755); err != nil {
 		t.Fatal(err)
 	}
 	options := &Options{Agent: program, Servers: []int{1, 2}, Rates: []float64{50, 70}, Window: MinWindow}
-	results, broke, err := Run(context.Background(), options)
+	results, violations, err := Run(t.Context(), options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(results.Runs) != 2 || len(broke) != 4 {
-		t.Fatalf("%d runs, broke %q", len(results.Runs), broke)
+	if len(results.Runs) != 2 || len(violations) != 4 {
+		t.Fatalf("%d runs, violations %q", len(results.Runs), violations)
 	}
 	for _, run := range results.Runs {
 		if strings.Count(run.NotRun, "no agent here") != 2 || len(run.Measurements) != 0 {
@@ -293,10 +295,10 @@
 	return math.NaN()
 }
 
-func TestAddTo(t *testing.T) {
-	pairs := make([]pairOutcome, 200)
+func TestAddToAddsEachMetric(t *testing.T) {
+	pairs := make([]pairResult, 200)
 	for i := range pairs {
-		pairs[i] = pairOutcome{direct: {ending: served, latency: 2 * time.Millisecond}, throughAgent: {ending: served - ending(i%2), latency: 5 * time.Millisecond}}
+		pairs[i] = pairResult{direct: {outcome: served, latency: 2 * time.Millisecond}, throughAgent: {outcome: served - outcome(i%2), latency: 5 * time.Millisecond}}
 	}
 	cell := &Cell{Rate: 115, cpu: 100 * time.Millisecond, cores: 0.1, counts: counts{probes: 20, connections: 400}, load: summarize(pairs)}
 	var run capacity.Run
--- a/internal/lab/cost/fleet.go
+++ b/internal/lab/cost/fleet.go
@@ -7,69 +7,64 @@
 	"log"
 	"net"
 	"net/http"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"knotrouter/internal/endpoints"
-	"knotrouter/policy"
 )
 
 const (
-	// listeners is how many emulated servers really listen. The names of the list share
-	// them in turn.
+	// listeners is the number of emulated servers. The servers of the list share their addresses.
 	listeners = 8
 	// serviceTime is how long an emulated server takes for a call.
 	serviceTime = time.Millisecond
-	// heartbeat is how often an empty line shows that a quiet watch is alive.
-	heartbeat = 2 * time.Second
+	// heartbeatPeriod is the time between the empty lines that keep a watch alive.
+	heartbeatPeriod = 2 * time.Second
 	// listVersion is the version of the list, which never changes.
 	listVersion = 42
-	// cellSize is the number of servers in a cell.
-	cellSize = 40
-	// CallClass is the name of the one class of calls.
+	// serversPerBlock is the number of servers with the same endpoints.Endpoint.Block.
+	serversPerBlock = 40
+	// CallClass is the name of the only class of calls, and the first part of their path.
 	CallClass = "read"
-	// machineKind is the one kind of machine.
+	// machineKind is the only kind of machine.
 	machineKind = "standard"
 )
 
+// sites are the failure domains that the list's servers are spread over in turn.
 var sites = []string{"zone-a", "zone-b", "zone-c"}
 
-// Limits and settings of the agent under measurement.
-const (
-	AgentCores    = 1
-	AgentMemoryMB = 256
-	AgentSockets  = 1024
-	// agentReplicas is the number of agents of the calling service: 39,000 in 1,900 services.
-	agentReplicas = 20
-)
-
-// Fleet is what an agent under measurement sees: a list with many names, the service that
-// serves the list, and a handful of emulated servers behind all the names.
+// Fleet is the environment of an agent under measurement: a list of many servers, the service that
+// serves the list, and a few emulated servers behind all names of the list.
 //
-// Several names dial the same address, so that 39,000 names need no 39,000 listeners. The
-// agent keeps its connections by name, not by address, so it reuses them, or opens new ones,
-// as it would with that many machines. Calls about the same key tend to the same server; how
-// many connections a call opens is measured.
+// Several names have the same address, so that 39,000 servers need no 39,000 listeners. The agent
+// keeps its connections by name, not by address, so it reuses connections, or opens new ones, as it
+// would with that many machines. Calls for the same key tend to the same server; the number of
+// connections that a call opens is measured.
 type Fleet struct {
 	List      endpoints.List
 	Addresses []string // of the emulated servers
 	ListAddr  string   // of the list service
 	Counters  Counters
 
-	servers []*http.Server
-	text    []byte // the whole list as JSON
-	done    chan struct{}
-	serving sync.WaitGroup
+	servers     []*http.Server
+	encodedList []byte        // List as JSON
+	done        chan struct{} // closed by Close
+	serving     sync.WaitGroup
 }
 
-// Counters counts what reached the fleet since it was made.
+// Counters counts events since the fleet was made.
 type Counters struct {
-	Calls, Probes, Connections       atomic.Int64 // at the emulated servers
-	WholeLists, Watches, OpenWatches atomic.Int64 // at the list service
+	// At the emulated servers: calls, probes, and accepted connections.
+	Calls, Probes, Connections atomic.Int64
+	// At the list service: full lists that were served, watches that were opened, and the watches
+	// that are open now.
+	FullLists, Watches, OpenWatches atomic.Int64
 }
 
-// NewFleet starts a fleet of that many listed servers on loopback addresses.
+// NewFleet starts a fleet on loopback addresses, with a number of servers in its list. The caller
+// has to Close it.
 func NewFleet(servers int) (*Fleet, error) {
 	fleet := &Fleet{done: make(chan struct{})}
 	for range min(listeners, servers) {
@@ -81,12 +76,12 @@
 		fleet.Addresses = append(fleet.Addresses, addr)
 	}
 	fleet.List = newList(servers, fleet.Addresses)
-	text, err := json.Marshal(fleet.List)
+	var err error
+	fleet.encodedList, err = json.Marshal(fleet.List)
 	if err != nil {
 		fleet.Close()
 		return nil, fmt.Errorf("encode the list: %w", err)
 	}
-	fleet.text = text
 	fleet.ListAddr, err = fleet.serve(fleet.listService(), nil)
 	if err != nil {
 		fleet.Close()
@@ -95,16 +90,17 @@
 	return fleet, nil
 }
 
+// newList returns a list of servers that share the addresses in turn.
 func newList(servers int, addresses []string) endpoints.List {
 	list := endpoints.List{Seq: listVersion, Full: true, Endpoints: make([]endpoints.Endpoint, servers)}
 	for i := range list.Endpoints {
 		list.Endpoints[i] = endpoints.Endpoint{Name: fmt.Sprintf("s-%05d", i), Dial: addresses[i%len(addresses)],
-			Site: sites[i%len(sites)], Class: machineKind, Block: i / cellSize, Health: endpoints.Ready, Weight: 1}
+			Site: sites[i%len(sites)], Class: machineKind, Block: i / serversPerBlock, Health: endpoints.Ready, Weight: 1}
 	}
 	return list
 }
 
-// serve starts an HTTP server on a free port and returns its address.
+// serve starts an HTTP server on a free loopback port and returns its address. Close stops it.
 func (f *Fleet) serve(handler http.Handler, connState func(net.Conn, http.ConnState)) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -120,7 +116,7 @@
 	return listener.Addr().String(), nil
 }
 
-// Close ends the fleet and waits for its listeners.
+// Close stops the fleet and waits until nothing listens any more.
 func (f *Fleet) Close() {
 	close(f.done)
 	for _, server := range f.servers {
@@ -135,9 +131,9 @@
 	}
 }
 
-// emulatedServer answers each call after the service time, and probes at once.
+// emulatedServer handles each call in serviceTime, and probes at once.
 func (f *Fleet) emulatedServer() http.Handler {
-	const answer = "done"
+	const response = "done"
 	mux := http.NewServeMux()
 	mux.HandleFunc("/health", func(http.ResponseWriter, *http.Request) { f.Counters.Probes.Add(1) })
 	mux.HandleFunc("/status/load", func(w http.ResponseWriter, _ *http.Request) {
@@ -147,44 +143,42 @@
 	mux.HandleFunc("/"+CallClass+"/", func(w http.ResponseWriter, _ *http.Request) {
 		f.Counters.Calls.Add(1)
 		time.Sleep(serviceTime)
-		_, _ = io.WriteString(w, answer)
+		_, _ = io.WriteString(w, response)
 	})
 	return mux
 }
 
-// listService serves the whole list, and a watch on which nothing changes.
+// listService serves the full list, and a watch on which nothing changes.
 func (f *Fleet) listService() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+endpoints.Path, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		if r.URL.Query().Get("follow") == "1" {
-			f.watch(w, r)
+			f.serveWatch(w, r)
 			return
 		}
-		f.Counters.WholeLists.Add(1)
-		_, _ = w.Write(f.text)
+		f.Counters.FullLists.Add(1)
+		_, _ = w.Write(f.encodedList)
 	})
 	return mux
 }
 
-func (f *Fleet) watch(w http.ResponseWriter, r *http.Request) {
+// serveWatch sends the full list, or an empty change to a reader that has the list's version, and
+// then heartbeats until the reader or the fleet ends the watch.
+func (f *Fleet) serveWatch(w http.ResponseWriter, r *http.Request) {
 	f.Counters.Watches.Add(1)
 	f.Counters.OpenWatches.Add(1)
 	defer f.Counters.OpenWatches.Add(-1)
-	line := f.text
+	event := f.encodedList
 	if r.URL.Query().Get("since") == fmt.Sprint(listVersion) {
-		line = fmt.Appendf(nil, `{"seq":%d,"whole":false,"hosts":[]}`, listVersion)
+		event = fmt.Appendf(nil, `{"seq":%d,"whole":false,"hosts":[]}`, listVersion)
 	}
-	ticker := time.NewTicker(heartbeat)
-	defer ticker.Stop()
-	for {
-		_, err := w.Write(append(line[:len(line):len(line)], '\n'))
-		if err != nil || http.NewResponseController(w).Flush() != nil {
-			return
-		}
-		line = nil
+	heartbeat := time.NewTicker(heartbeatPeriod)
+	defer heartbeat.Stop()
+	for writeLine(w, event) == nil {
+		event = nil // an empty line is a heartbeat
 		select {
-		case <-ticker.C:
+		case <-heartbeat.C:
 		case <-r.Context().Done():
 			return
 		case <-f.done:
@@ -193,59 +187,10 @@
 	}
 }
 
-// agentConfig is an agent's configuration file.
-type agentConfig struct {
-	Name      string         `json:"name"`
-	Listen    string         `json:"listen"`
-	Discovery string         `json:"discovery"`
-	Seed      string         `json:"seed"`
-	Limits    agentLimits    `json:"limits"`
-	Known     endpoints.List `json:"known"`
-	Settings  agentSettings  `json:"settings"`
-}
-
-type agentLimits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
-}
-
-// agentSettings adds to the decisions' settings what only the agent's shell reads.
-type agentSettings struct {
-	policy.Settings
-	FailureDomains []string `json:"failureDomains"`
-	Shapes         []string `json:"shapes"`
-}
-
-// AgentConfig returns the configuration of an agent that listens at the address and knows
-// the whole list from its start.
-func (f *Fleet) AgentConfig(listen string, seed uint64) ([]byte, error) {
-	text, err := json.Marshal(agentConfig{
-		Name: "agent-cost", Listen: listen, Discovery: f.ListAddr, Seed: fmt.Sprintf("%016x", seed),
-		Limits:   agentLimits{Cores: AgentCores, MemoryMB: AgentMemoryMB, Sockets: AgentSockets},
-		Known:    f.List,
-		Settings: agentSettings{Settings: settings(), FailureDomains: sites, Shapes: []string{machineKind}},
-	})
-	if err != nil {
-		return nil, fmt.Errorf("agent configuration: %w", err)
+// writeLine sends a line at once.
+func writeLine(w http.ResponseWriter, line []byte) error {
+	if _, err := w.Write(append(slices.Clip(line), '\n')); err != nil {
+		return err
 	}
-	return text, nil
-}
-
-// settings are close to the lab's defaults, which stand for the operators' deployment.
-func settings() policy.Settings {
-	s := policy.Settings{Replicas: agentReplicas, RoundMs: 5, Weights: "nominal", WeightBy: "request",
-		Membership: "on_request", OverQuotaWeight: 0.1,
-		Classes: []policy.Class{{Name: CallClass, TargetMs: 1200, DeadlineMs: float64(callTimeout / time.Millisecond),
-			Effect: policy.Idempotent, Group: policy.GroupAll, DedupWindowMs: 5000, Credit: 3}},
-		Limits: policy.Limits{Cancelling: true, ConnectTimeoutMs: 250, KeepaliveMs: 30000, MaxAttempts: 6,
-			MaxRetryAfterMs: 2000, ParallelAttempts: true, Probing: true, RetryAfter: true},
-		Contract: policy.Contract{AnswerSlackMs: 20, ListPollWithinMs: 10000, SlowStartFrom: 0.13, SlowStartMs: 24000,
-			DrainGraceMs: 500, FallMultiple: 4, TipAfterMs: 1000},
-		Prices:    policy.Prices{CrossZone: 0.1, LateFail: 0.023, Probe: 0.01, Waste: 0.25},
-		Objective: policy.Objective{Overall: 0.55, WorstWindow: 0.25, WorstClass: 0.2},
-		Report:    policy.Report{How: "on_probe", Names: []string{"util", "inflight"}}}
-	s.Clients.MarksRetry = true
-	s.FamilyInfo.WarmKeys = true
-	return s
+	return http.NewResponseController(w).Flush()
 }
--- a/internal/lab/cost/profile.go
+++ b/internal/lab/cost/profile.go
@@ -12,21 +12,25 @@
 )
 
 const (
-	// benchmark drives an agent inside a test binary: the agent's own program has no
-	// profiler in it.
+	// benchmark runs an agent inside a test binary, as the agent's program has no profiler.
 	benchmark        = "BenchmarkAgentCall"
 	benchmarkPackage = "./internal/agent"
-	// callsProfiled is how many calls a profile covers.
+	// serversVariable is the environment variable that tells the benchmark how many servers the
+	// agent knows.
+	serversVariable = "AGENT_SERVERS"
+	// callsProfiled is the number of calls that a profile covers, as -benchtime takes it.
 	callsProfiled = "5000x"
-	// LabLabel and LabValue mark the goroutines of callers and emulated servers in a profile,
-	// so that they can be left out of it.
+	// LabLabel and LabValue label the goroutines of callers and emulated servers in a profile, so
+	// that they can be excluded.
 	LabLabel, LabValue = "role", "lab"
-	topFunctions       = 40
+	// topFunctions is the number of functions listed for a profile.
+	topFunctions = 40
 )
 
-// Profile runs the agent's benchmark for each number of known servers with a CPU profile. It
-// leaves agent-N.pprof and the agent's most expensive functions in agent-N.txt in the folder.
-// It has to run at the root of the source tree, with the Go tool.
+// Profile runs the agent's benchmark with a CPU profile for each number of known servers. It writes
+// the profile to agent-N.pprof and the agent's most expensive functions to agent-N.txt in the
+// folder, and prints a line for each to out. It has to run at the root of the source tree, with the
+// Go tool installed.
 func Profile(ctx context.Context, dir string, servers []int, out io.Writer) error {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
@@ -35,24 +39,25 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	for _, n := range servers {
-		base := filepath.Join(dir, "agent-"+strconv.Itoa(n))
-		if err := profileOne(ctx, base, n); err != nil {
+	for _, known := range servers {
+		base := filepath.Join(dir, "agent-"+strconv.Itoa(known))
+		if err := profileBenchmark(ctx, base, known); err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "profile of an agent with %d servers in %s.pprof, its functions in %s.txt\n", n, base, base)
+		fmt.Fprintf(out, "profile of an agent with %d servers in %s.pprof, its functions in %s.txt\n", known, base, base)
 	}
 	return nil
 }
 
-func profileOne(ctx context.Context, base string, servers int) error {
+// profileBenchmark writes base.pprof and base.txt for one number of known servers.
+func profileBenchmark(ctx context.Context, base string, servers int) error {
 	binary := filepath.Join(filepath.Dir(base), "agent.test")
-	_, err := output(ctx, "AGENT_SERVERS="+strconv.Itoa(servers), "test", benchmarkPackage, "-run", "^$", "-bench", "^"+benchmark+"$",
+	_, err := runGo(ctx, serversVariable+"="+strconv.Itoa(servers), "test", benchmarkPackage, "-run", "^$", "-bench", "^"+benchmark+"$",
 		"-benchtime", callsProfiled, "-cpuprofile", base+".pprof", "-o", binary)
 	if err != nil {
 		return err
 	}
-	top, err := output(ctx, "", "tool", "pprof", "-top", "-cum", "-nodecount", strconv.Itoa(topFunctions),
+	top, err := runGo(ctx, "", "tool", "pprof", "-top", "-cum", "-nodecount", strconv.Itoa(topFunctions),
 		"-tagignore", LabLabel+"="+LabValue, binary, base+".pprof")
 	if err != nil {
 		return err
@@ -60,16 +65,18 @@
 	return os.WriteFile(base+".txt", top, 0o644)
 }
 
-// output runs the Go tool and returns what it wrote; its error holds the last line of it.
-func output(ctx context.Context, env string, args ...string) ([]byte, error) {
+// runGo runs the Go tool, with a further environment variable unless env is "", and returns its
+// output. Its error has the last line of the output.
+func runGo(ctx context.Context, env string, args ...string) ([]byte, error) {
 	cmd := exec.CommandContext(ctx, "go", args...)
 	if env != "" {
 		cmd.Env = append(os.Environ(), env)
 	}
-	text, err := cmd.CombinedOutput()
+	output, err := cmd.CombinedOutput()
 	if err != nil {
-		text = bytes.TrimSpace(text)
-		return nil, fmt.Errorf("go %s: %w: %s", args[0], err, text[bytes.LastIndexByte(text, '\n')+1:])
+		output = bytes.TrimSpace(output)
+		lastLine := output[bytes.LastIndexByte(output, '\n')+1:]
+		return nil, fmt.Errorf("go %s: %w: %s", args[0], err, lastLine)
 	}
-	return text, nil
+	return output, nil
 }
--- a/internal/lab/cost/provenance.go
+++ b/internal/lab/cost/provenance.go
@@ -8,9 +8,12 @@
 	"strings"
 )
 
+// unknown stands for provenance that cannot be read.
 const unknown = "unknown"
 
-// builtFrom returns the commit that a program was built from, as the Go tool noted it.
+// builtFrom returns the commit that a program was built from, and whether the working tree had
+// uncommitted changes, as the Go tool recorded them in the program. The commit is unknown without
+// such a record.
 func builtFrom(program string) (commit string, dirty bool) {
 	commit = unknown
 	info, err := buildinfo.ReadFile(program)
@@ -28,14 +31,14 @@
 	return commit, dirty
 }
 
-// machine describes processors, memory and Go version.
+// machine describes the processors, the memory and the Go version of the lab.
 func machine() string {
-	return fmt.Sprintf("%d CPUs (%s), memory %s, %s", runtime.NumCPU(), field("/proc/cpuinfo", "model name"),
-		field("/proc/meminfo", "MemTotal"), runtime.Version())
+	return fmt.Sprintf("%d CPUs (%s), memory %s, %s", runtime.NumCPU(), procField("/proc/cpuinfo", "model name"),
+		procField("/proc/meminfo", "MemTotal"), runtime.Version())
 }
 
-// field returns the first value of a key in a file of lines "key : value".
-func field(path, key string) string {
+// procField returns the first value of a key in a file of lines "key : value", or unknown.
+func procField(path, key string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return unknown
