--- a/internal/lab/mutant/mutant.go
+++ b/internal/lab/mutant/mutant.go
@@ -1,253 +1,160 @@
-// Package mutant takes mechanisms out of the program one at a time and tells whether the
-// test that stands on each sees it: a safety test that passes without its mechanism shows
-// nothing (mutation testing: DeMillo, Lipton and Sayward, 1978). The tree is not touched:
-// the tool chain's overlay puts the changed file in place of the real one.
+// Package mutant runs mutation tests: it removes mechanisms from the program one at a time and
+// reports whether the test of each mechanism fails without it (DeMillo, Lipton and Sayward, 1978).
+// A test that passes without its mechanism shows nothing.
+//
+// A file such as mutants.toml lists the mutants: edits of source files, and the test that has to
+// fail. Load reads it and Select chooses among its mutants. Mutant.Run builds the test with the
+// edits applied and runs it; RunAll does so for many. The source tree isn't changed: the edited
+// files replace the real ones in an overlay of the Go tool.
 package mutant
 
 import (
-	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"io/fs"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"regexp"
 	"slices"
 	"strings"
-	"sync"
-	"syscall"
 	"time"
 
 	"github.com/go-viper/mapstructure/v2"
 	"github.com/knadh/koanf/parsers/toml/v2"
 	"github.com/knadh/koanf/providers/file"
 	"github.com/knadh/koanf/v2"
+
+	"knotrouter/internal/lab/configfile"
 )
 
-// Edit replaces a text that stands exactly once in a file.
+// Edit replaces a text that occurs exactly once in a file.
 type Edit struct {
-	File string `koanf:"file"`
+	File string `koanf:"file"` // path from the root of the tree
 	Old  string `koanf:"old"`
 	New  string `koanf:"new"`
 }
 
-// Mutant is the program without one mechanism, and the test that has to see that.
+// Mutant is the program without one mechanism, and the test that has to fail without it.
 type Mutant struct {
-	Name    string        `koanf:"name"` // the mechanism that is taken out
-	Edit    []Edit        `koanf:"edit"`
-	Package string        `koanf:"package"`
-	Test    string        `koanf:"test"` // a pattern, as go test's -run takes it
-	Env     []string      `koanf:"env"`
-	Within  time.Duration `koanf:"within"`
+	Name    string        `koanf:"name"`    // the mechanism that is removed; unique in its file
+	Edits   []Edit        `koanf:"edit"`    // applied in order
+	Package string        `koanf:"package"` // of the test, as a path from the root such as "./policy"
+	Test    string        `koanf:"test"`    // pattern of the test's name, as for go test -run
+	Env     []string      `koanf:"env"`     // further environment variables of the test, as "KEY=value"
+	Timeout time.Duration `koanf:"within"`  // of the test; defaultTimeout unless the file has another
 }
 
-// Verdict is what a test said of a mutant.
-type Verdict struct {
-	Seen bool
-	Took time.Duration
-	Why  string // the first line that says what failed, or why nothing can be said
-}
+// defaultTimeout is long enough for a test that waits for what doesn't happen without its mechanism
+// to fail by its own deadline.
+const defaultTimeout = 5 * time.Minute
 
-// longest is how long a test may take unless the file says more: one that waits for what
-// never comes ends by its own bound before.
-const longest = 5 * time.Minute
+// keySeparator separates the parts of a key within koanf. It occurs in no key, so that a key with a
+// dot stays in one piece.
+const keySeparator = "\x00"
 
-// Load reads a file of mutants. Its error names the key.
+// Load reads a file of mutants. Its error is one line that names the file and the invalid key; it
+// wraps a *configfile.KeyError where the key's value is invalid.
 func Load(path string) ([]Mutant, error) {
-	k := koanf.New("\x00")
-	if err := k.Load(file.Provider(path), toml.Parser()); err != nil {
+	parsed := koanf.New(keySeparator)
+	if err := parsed.Load(file.Provider(path), toml.Parser()); err != nil {
 		return nil, fmt.Errorf("%s: %s", path, strings.ReplaceAll(err.Error(), "\n", " "))
 	}
-	var all struct {
+	// The decoder's message about an unknown key includes this type's text.
+	var content struct {
 		Mutant []Mutant `koanf:"mutant"`
 	}
-	dec, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{Result: &all, TagName: "koanf", ErrorUnused: true,
+	decoder, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{Result: &content, TagName: "koanf", ErrorUnused: true,
 		DecodeHook: mapstructure.StringToTimeDurationHookFunc()})
 	if err != nil {
 		return nil, err
 	}
-	if err := dec.Decode(k.Raw()); err != nil {
+	if err := decoder.Decode(parsed.Raw()); err != nil {
 		return nil, fmt.Errorf("%s: %s", path, strings.Join(strings.Fields(err.Error()), " "))
 	}
-	names := map[string]bool{}
-	for i := range all.Mutant {
-		m := &all.Mutant[i]
-		at := fmt.Sprintf("%s: mutant[%d]", path, i)
-		switch {
-		case m.Name == "" || names[m.Name]:
-			return nil, fmt.Errorf("%s.name: %q is missing or taken", at, m.Name)
-		case m.Package == "":
-			return nil, fmt.Errorf("%s.package: missing", at)
-		case m.Test == "":
-			return nil, fmt.Errorf("%s.test: missing", at)
-		case len(m.Edit) == 0:
-			return nil, fmt.Errorf("%s.edit: none", at)
-		}
-		if _, err := regexp.Compile(m.Test); err != nil {
-			return nil, fmt.Errorf("%s.test: %w", at, err)
-		}
-		names[m.Name] = true
-		if m.Within == 0 {
-			m.Within = longest
-		}
+	if err := validate(content.Mutant); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if len(all.Mutant) == 0 {
-		return nil, fmt.Errorf("%s: mutant: none", path)
+	mutants := content.Mutant
+	for i := range mutants {
+		if mutants[i].Timeout == 0 {
+			mutants[i].Timeout = defaultTimeout
+		}
 	}
-	return all.Mutant, nil
+	return mutants, nil
 }
 
-// Check tells whether a mutant can be made of the tree as it is.
-func (m *Mutant) Check(root string) error {
-	_, err := m.changed(root)
-	return err
-}
-
-// changed is what the edits make of the files that they touch.
-func (m *Mutant) changed(root string) (map[string]string, error) {
-	texts := map[string]string{}
-	for _, e := range m.Edit {
-		path := filepath.Join(root, e.File)
-		if _, ok := texts[path]; !ok {
-			text, err := os.ReadFile(path)
-			if err != nil {
-				return nil, fmt.Errorf("%s: %w", m.Name, err)
-			}
-			texts[path] = string(text)
+// validate returns a *configfile.KeyError for the first invalid key of the mutants, or nil.
+func validate(mutants []Mutant) error {
+	names := map[string]bool{}
+	for i, mutant := range mutants {
+		key := fmt.Sprintf("mutant[%d]", i)
+		if mutant.Name == "" || names[mutant.Name] {
+			return configfile.NewKeyError(key+".name", "%q is missing or taken", mutant.Name)
 		}
-		if n := strings.Count(texts[path], e.Old); n != 1 || e.Old == "" {
-			return nil, fmt.Errorf("%s: %s has %q %d times, not once", m.Name, e.File, e.Old, n)
+		if err := mutant.validate(key); err != nil {
+			return err
 		}
-		texts[path] = strings.Replace(texts[path], e.Old, e.New, 1)
+		names[mutant.Name] = true
 	}
-	return texts, nil
+	if len(mutants) == 0 {
+		return configfile.NewKeyError("mutant", "none")
+	}
+	return nil
 }
 
-// failed is a line of the test tool that names what failed.
-var failed = regexp.MustCompile(`(?m)^\s*--- FAIL: (\S+)`)
-
-// Run plays the test on the mutant.
-func (m *Mutant) Run(ctx context.Context, root string) (v Verdict, err error) {
-	began := time.Now()
-	defer func() { v.Took = time.Since(began) }()
-	root, err = filepath.Abs(root)
-	if err != nil {
-		return v, err
-	}
-	texts, err := m.changed(root)
-	if err != nil {
-		return v, err
-	}
-	dir, err := os.MkdirTemp("", "mutant")
-	if err != nil {
-		return v, err
-	}
-	defer os.RemoveAll(dir)
-	replace := map[string]string{}
-	for path, text := range texts {
-		to := filepath.Join(dir, fmt.Sprintf("%d-%s", len(replace), filepath.Base(path)))
-		if err := os.WriteFile(to, []byte(text), 0o600); err != nil {
-			return v, err
-		}
-		replace[path] = to
-	}
-	text, err := json.Marshal(map[string]any{"Replace": replace})
-	if err != nil {
-		return v, err
-	}
-	overlay := filepath.Join(dir, "overlay.json")
-	if err := os.WriteFile(overlay, text, 0o600); err != nil {
-		return v, err
-	}
-	binary := filepath.Join(dir, "mutant.test")
-	build := exec.CommandContext(ctx, "go", "test", "-c", "-overlay", overlay, "-o", binary, m.Package)
-	build.Dir = root
-	if said, err := build.CombinedOutput(); err != nil {
-		return v, fmt.Errorf("%s: does not build: %s", m.Name, firstLines(string(said), 3))
-	}
-	// What a property test leaves of a mutant's failure is no case of the program's own.
-	leavings := filepath.Join(root, m.Package, "testdata", "rapid")
-	if _, err := os.Stat(leavings); errors.Is(err, fs.ErrNotExist) {
-		defer os.RemoveAll(leavings)
-	}
-	ctx, cancel := context.WithTimeout(ctx, m.Within+time.Minute)
-	defer cancel()
-	test := exec.CommandContext(ctx, binary, "-test.run", m.Test, "-test.failfast", "-test.v", "-test.timeout", m.Within.String())
-	test.Dir, test.Env = filepath.Join(root, m.Package), append(os.Environ(), m.Env...)
-	test.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // what it starts ends with it
-	test.Cancel = func() error { return syscall.Kill(-test.Process.Pid, syscall.SIGKILL) }
-	said, err := test.CombinedOutput()
-	var exit *exec.ExitError
+// validate checks the mutant's values, except for its name. key is that of the mutant.
+func (m *Mutant) validate(key string) error {
 	switch {
-	case err == nil && !strings.Contains(string(said), "--- PASS"):
-		return v, fmt.Errorf("%s: no test is called %s", m.Name, m.Test)
-	case err == nil:
-		v.Why = "passes without it"
-	case errors.As(err, &exit) && ctx.Err() == nil:
-		v.Seen, v.Why = true, reason(string(said))
-	default:
-		return v, fmt.Errorf("%s: %w", m.Name, err)
+	case m.Package == "":
+		return configfile.NewKeyError(key+".package", "missing")
+	case m.Test == "":
+		return configfile.NewKeyError(key+".test", "missing")
+	case len(m.Edits) == 0:
+		return configfile.NewKeyError(key+".edit", "none")
+	}
+	if _, err := regexp.Compile(m.Test); err != nil {
+		return fmt.Errorf("%s.test: %w", key, err)
 	}
-	return v, nil
+	return nil
 }
 
-// reason is the last lines that say what a test found; the ends of processes' logs are not.
-func reason(said string) string {
-	var lines []string
-	for line := range strings.Lines(said) {
-		if line = strings.TrimSpace(line); (strings.Contains(line, "_test.go:") || strings.HasPrefix(line, "panic:")) && !strings.HasSuffix(line, ":") {
-			lines = append(lines, line[:min(len(line), 200)])
-		}
+// Select returns the mutants whose name or test matches a pattern. It returns an error if the
+// pattern is invalid or matches none.
+func Select(mutants []Mutant, pattern string) ([]Mutant, error) {
+	expression, err := regexp.Compile(pattern)
+	if err != nil {
+		return nil, fmt.Errorf("--only: %w", err)
 	}
-	name := ""
-	if all := failed.FindAllStringSubmatch(said, -1); len(all) > 0 {
-		name = all[len(all)-1][1]
+	selected := slices.DeleteFunc(slices.Clone(mutants), func(m Mutant) bool {
+		return !expression.MatchString(m.Name) && !expression.MatchString(m.Test)
+	})
+	if len(selected) == 0 {
+		return nil, fmt.Errorf("--only: nothing fits %q", pattern)
 	}
-	return strings.TrimSpace(name + " " + strings.Join(lines[max(len(lines)-2, 0):], " | "))
+	return selected, nil
 }
 
-func firstLines(text string, n int) string {
-	lines := strings.Split(strings.TrimSpace(text), "\n")
-	return strings.Join(lines[:min(n, len(lines))], "; ")
+// Check returns an error if an edit doesn't apply to the tree below root.
+func (m *Mutant) Check(root string) error {
+	_, err := m.editedFiles(root)
+	return err
 }
 
-// All plays mutants, a few at a time, and tells of each as it ends.
-func All(ctx context.Context, root string, all []Mutant, beside int, tell func(m *Mutant, v Verdict, err error)) {
-	places := make(chan struct{}, max(beside, 1))
-	var mu sync.Mutex
-	var owned sync.WaitGroup
-	for i := range all {
-		select {
-		case places <- struct{}{}:
-		case <-ctx.Done():
+// editedFiles applies the edits to the files of the tree below root. It returns the resulting text
+// of each edited file by its path.
+func (m *Mutant) editedFiles(root string) (map[string]string, error) {
+	texts := map[string]string{}
+	for _, edit := range m.Edits {
+		path := filepath.Join(root, edit.File)
+		if _, ok := texts[path]; !ok {
+			text, err := os.ReadFile(path)
+			if err != nil {
+				return nil, fmt.Errorf("%s: %w", m.Name, err)
+			}
+			texts[path] = string(text)
 		}
-		if ctx.Err() != nil {
-			break
+		if count := strings.Count(texts[path], edit.Old); count != 1 || edit.Old == "" {
+			return nil, fmt.Errorf("%s: %s has %q %d times, not once", m.Name, edit.File, edit.Old, count)
 		}
-		owned.Add(1)
-		go func() {
-			defer owned.Done()
-			defer func() { <-places }()
-			v, err := all[i].Run(ctx, root)
-			mu.Lock()
-			defer mu.Unlock()
-			tell(&all[i], v, err)
-		}()
-	}
-	owned.Wait()
-}
-
-// Select keeps those whose name or test fits a pattern.
-func Select(all []Mutant, pattern string) ([]Mutant, error) {
-	re, err := regexp.Compile(pattern)
-	if err != nil {
-		return nil, fmt.Errorf("--only: %w", err)
+		texts[path] = strings.Replace(texts[path], edit.Old, edit.New, 1)
 	}
-	all = slices.DeleteFunc(slices.Clone(all), func(m Mutant) bool { return !re.MatchString(m.Name) && !re.MatchString(m.Test) })
-	if len(all) == 0 {
-		return nil, fmt.Errorf("--only: nothing fits %q", pattern)
-	}
-	return all, nil
+	return texts, nil
 }
--- a/internal/lab/mutant/mutant_test.go
+++ b/internal/lab/mutant/mutant_test.go
@@ -1,60 +1,91 @@
 package mutant
 
 import (
-	"context"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 )
 
-// A mechanism that a test stands on is seen to be missing, one that no test looks at is not;
-// the tree stays as it is, and a file that makes no sense is refused by its key.
-func TestRun(t *testing.T) {
+// sourceFile is the file that the mutants of the tests edit.
+const sourceFile = "p/p.go"
+
+// testTree is a module with a function F that a test checks, and a function G that none checks.
+var testTree = map[string]string{
+	"go.mod":      "module m\n\ngo 1.26\n",
+	sourceFile:    "package p\n\nfunc F() int { return 1 }\n\nfunc G() int { return 2 }\n",
+	"p/p_test.go": "package p\n\nimport \"testing\"\n\nfunc TestF(t *testing.T) {\n\tif F() != 1 {\n\t\tt.Error(\"F\", G())\n\t}\n}\n",
+}
+
+// writeTree writes the test tree and returns its root.
+func writeTree(t *testing.T) string {
+	t.Helper()
 	root := t.TempDir()
-	files := map[string]string{"go.mod": "module m\n\ngo 1.26\n", "p/p.go": "package p\n\nfunc F() int { return 1 }\n\nfunc G() int { return 2 }\n",
-		"p/p_test.go": "package p\n\nimport \"testing\"\n\nfunc TestF(t *testing.T) {\n\tif F() != 1 {\n\t\tt.Error(\"F\", G())\n\t}\n}\n"}
-	for name, text := range files {
-		path := filepath.Join(root, name)
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
+	for name, text := range testTree {
+		writeFile(t, filepath.Join(root, name), text)
 	}
-	mutants := func(old, test string) string {
-		return "[[mutant]]\nname = \"m\"\npackage = \"./p\"\ntest = \"" + test + "\"\nedit = [{ file = \"p/p.go\", old = \"" + old + "\", new = \"return 7\" }]\n"
+	return root
+}
+
+func writeFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
 	}
+}
+
+// mutantFile is a file with one mutant that replaces a text in sourceFile.
+func mutantFile(old, test string) string {
+	return "[[mutant]]\nname = \"m\"\npackage = \"./p\"\ntest = \"" + test + "\"\n" +
+		"edit = [{ file = \"" + sourceFile + "\", old = \"" + old + "\", new = \"return 7\" }]\n"
+}
+
+// A mutant of code that a test checks is killed, and one of other code isn't. A mutant that can't be
+// run, or a file of mutants with an invalid key, is an error. The tree stays as it is.
+func TestMutantIsKilledByItsTest(t *testing.T) {
+	root := writeTree(t)
 	file := filepath.Join(root, "mutants.toml")
-	for _, c := range []struct {
-		text string
-		seen bool
-		says string // of an error
+	for name, c := range map[string]struct {
+		mutants   string
+		killed    bool
+		wantError string // a part of the error's text; "" for none
 	}{
-		{mutants("return 1", "TestF$"), true, ""},
-		{mutants("return 2", "TestF$"), false, ""},
-		{mutants("return 2", "TestNone$"), false, "no test is called"},
-		{mutants("return", "TestF$"), false, "2 times, not once"},
-		{mutants("func G() int", "TestF$"), false, "does not build"},
-		{mutants("return 1", "("), false, "mutant[0].test"},
-		{"[[mutant]]\nname = \"m\"\n", false, "mutant[0].package"},
-		{"[[mutant]]\nnome = \"m\"\n", false, "nome"},
-		{"", false, "mutant: none"},
+		"checked code":    {mutants: mutantFile("return 1", "TestF$"), killed: true},
+		"unchecked code":  {mutants: mutantFile("return 2", "TestF$")},
+		"no such test":    {mutants: mutantFile("return 2", "TestNone$"), wantError: "no test is called"},
+		"text twice":      {mutants: mutantFile("return", "TestF$"), wantError: "2 times, not once"},
+		"build fails":     {mutants: mutantFile("func G() int", "TestF$"), wantError: "does not build"},
+		"invalid pattern": {mutants: mutantFile("return 1", "("), wantError: "mutant[0].test"},
+		"missing key":     {mutants: "[[mutant]]\nname = \"m\"\n", wantError: "mutant[0].package"},
+		"unknown key":     {mutants: "[[mutant]]\nnome = \"m\"\n", wantError: "nome"},
+		"no mutant":       {mutants: "", wantError: "mutant: none"},
 	} {
-		if err := os.WriteFile(file, []byte(c.text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		all, err := Load(file)
-		var v Verdict
-		if err == nil {
-			All(context.Background(), root, all, 1, func(_ *Mutant, got Verdict, e error) { v, err = got, e })
-		}
-		if (err != nil) != (c.says != "") || err != nil && !strings.Contains(err.Error(), c.says) || v.Seen != c.seen {
-			t.Errorf("%s: %+v, %v; want seen %v, error %q", c.text, v, err, c.seen, c.says)
-		}
+		t.Run(name, func(t *testing.T) {
+			writeFile(t, file, c.mutants)
+			result, err := loadAndRun(t, root, file)
+			if (err != nil) != (c.wantError != "") || err != nil && !strings.Contains(err.Error(), c.wantError) {
+				t.Errorf("error %v, want %q", err, c.wantError)
+			}
+			if result.Killed != c.killed {
+				t.Errorf("%+v, want killed %v", result, c.killed)
+			}
+		})
 	}
-	if text, err := os.ReadFile(filepath.Join(root, "p/p.go")); err != nil || string(text) != files["p/p.go"] {
+	if text, err := os.ReadFile(filepath.Join(root, sourceFile)); err != nil || string(text) != testTree[sourceFile] {
 		t.Errorf("the tree is %q, %v", text, err)
 	}
 }
+
+// loadAndRun loads a file with one mutant and runs it. The error is from either.
+func loadAndRun(t *testing.T, root, file string) (result Result, err error) {
+	t.Helper()
+	mutants, err := Load(file)
+	if err != nil {
+		return Result{}, err
+	}
+	RunAll(t.Context(), root, mutants, 1, func(_ *Mutant, r Result, e error) { result, err = r, e })
+	return result, err
+}
