--- a/cmd/lab/capacity.go
+++ b/cmd/lab/capacity.go
@@ -14,10 +14,10 @@
 // capacityPage is the page's file name in the folder of pages.
 const capacityPage = "CAPACITY.md"
 
-// capacityCommand makes the tables of the capacity page from the results of scale runs.
+// capacityCommand writes or checks the tables of the capacity page.
 func capacityCommand(out io.Writer) *cobra.Command {
 	var folder string
-	var check bool
+	var checkOnly bool
 	cmd := &cobra.Command{Use: "capacity", Short: "Make the tables of docs/CAPACITY.md from measured results", Args: cobra.NoArgs,
 		Long: "capacity reads DIR/capacity/*.json and DIR/capacity/target.toml, fits slopes, extrapolates\n" +
 			"them to the target and writes the tables into DIR/CAPACITY.md between their markers. With\n" +
@@ -29,36 +29,45 @@
 				return err
 			}
 			path := filepath.Join(folder, capacityPage)
-			text, err := os.ReadFile(path)
+			page, err := os.ReadFile(path)
 			if err != nil {
 				return fmt.Errorf("--dir: %w", err)
 			}
 			tables := capacity.Tables(target, data)
-			if check {
-				return checkPage(out, path, string(text), tables)
+			if checkOnly {
+				return checkPage(out, path, string(page), tables)
 			}
-			page, err := capacity.Render(string(text), tables)
-			if err != nil {
-				return fmt.Errorf("%s: %w", path, err)
-			}
-			if err := os.WriteFile(path, []byte(page), 0o644); err != nil {
-				return fmt.Errorf("write the page: %w", err)
+			if err := writePage(path, string(page), tables); err != nil {
+				return err
 			}
 			fmt.Fprintf(out, "%s: %d tables from %d results\n", path, len(tables), len(data))
 			return nil
 		}}
 	cmd.Flags().StringVar(&folder, "dir", "docs", "folder of the page; results and target in its folder capacity")
-	cmd.Flags().BoolVar(&check, "check", false, "write nothing; fail if a table differs from its results")
+	cmd.Flags().BoolVar(&checkOnly, "check", false, "write nothing; fail if a table differs from its results")
 	return cmd
 }
 
+// writePage writes the page to the path with the tables between their markers.
+func writePage(path, page string, tables []capacity.Table) error {
+	rendered, err := capacity.Render(page, tables)
+	if err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	if err := os.WriteFile(path, []byte(rendered), 0o644); err != nil {
+		return fmt.Errorf("write the page: %w", err)
+	}
+	return nil
+}
+
+// checkPage prints whether the page has the tables as they are. It returns errBroke if one differs.
 func checkPage(out io.Writer, path, page string, tables []capacity.Table) error {
-	name, err := capacity.Differing(page, tables)
+	differing, err := capacity.Differing(page, tables)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if name != "" {
-		fmt.Fprintf(out, "%s: table %s differs from the results; regenerate it with lab capacity\n", path, name)
+	if differing != "" {
+		fmt.Fprintf(out, "%s: table %s differs from the results; regenerate it with lab capacity\n", path, differing)
 		return errBroke
 	}
 	fmt.Fprintf(out, "%s: all %d tables match the results\n", path, len(tables))
--- a/cmd/lab/capacity_test.go
+++ b/cmd/lab/capacity_test.go
@@ -11,11 +11,11 @@
 	"knotrouter/internal/lab/capacity"
 )
 
-// capacityFolder is a copy of the page and the target with results that no run gave.
+// capacityFolder returns a folder with copies of the page and the target, and invented results.
 func capacityFolder(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
-	for _, name := range []string{"CAPACITY.md", filepath.Join("capacity", "target.toml")} {
+	for _, name := range []string{capacityPage, filepath.Join("capacity", "target.toml")} {
 		text, err := os.ReadFile(filepath.Join("..", "..", "docs", name))
 		if err != nil {
 			t.Fatal(err)
@@ -32,7 +32,7 @@
 	return folder
 }
 
-// writeFixture writes results whose agents get so many bytes a second for each server.
+// writeFixture writes invented results: agents receive bytesPerServer bytes a second for each server.
 func writeFixture(t *testing.T, folder string, bytesPerServer float64) {
 	t.Helper()
 	results := &capacity.Results{Experiment: "fleet-ahead", Variant: capacity.Before, Command: "fixture", Commit: "fixture", Machine: "fixture"}
@@ -54,40 +54,46 @@
 	return out.String(), err
 }
 
-func TestCapacity(t *testing.T) {
-	folder := capacityFolder(t)
-	page := filepath.Join(folder, "CAPACITY.md")
-	checkDiffers := func(table string) {
-		t.Helper()
-		was, err := os.ReadFile(page)
-		if err != nil {
-			t.Fatal(err)
-		}
-		said, err := runCapacity(folder, "--check")
-		if !errors.Is(err, errBroke) || strings.Count(said, "\n") != 1 || !strings.Contains(said, "table "+table+" differs") {
-			t.Errorf("--check said %q, error %v; want one line that names %s", said, err, table)
-		}
-		if is, err := os.ReadFile(page); err != nil || !bytes.Equal(is, was) {
-			t.Errorf("--check wrote the page (%v)", err)
-		}
+// readPage returns the page of a folder.
+func readPage(t *testing.T, folder string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(folder, capacityPage))
+	if err != nil {
+		t.Fatal(err)
 	}
-	make := func() []byte {
-		t.Helper()
-		if said, err := runCapacity(folder); err != nil {
-			t.Fatalf("%s: %v", said, err)
-		}
-		if said, err := runCapacity(folder, "--check"); err != nil {
-			t.Fatalf("--check after the page was made: %s: %v", said, err)
-		}
-		text, err := os.ReadFile(page)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return text
+	return text
+}
+
+// checkDiffers checks that --check names a table in one line, and doesn't write the page.
+func checkDiffers(t *testing.T, folder, table string) {
+	t.Helper()
+	before := readPage(t, folder)
+	output, err := runCapacity(folder, "--check")
+	if !errors.Is(err, errBroke) || strings.Count(output, "\n") != 1 || !strings.Contains(output, "table "+table+" differs") {
+		t.Errorf("--check printed %q, error %v; want one line that names %s", output, err, table)
+	}
+	if after := readPage(t, folder); !bytes.Equal(after, before) {
+		t.Error("--check wrote the page")
+	}
+}
+
+// regenerate writes the page's tables, checks the page and returns it.
+func regenerate(t *testing.T, folder string) []byte {
+	t.Helper()
+	if output, err := runCapacity(folder); err != nil {
+		t.Fatalf("%s: %v", output, err)
+	}
+	if output, err := runCapacity(folder, "--check"); err != nil {
+		t.Fatalf("--check after the page was made: %s: %v", output, err)
 	}
-	checkDiffers("sources") // the page in the repository doesn't know the fixture
-	first := make()
-	if again := make(); !bytes.Equal(first, again) {
+	return readPage(t, folder)
+}
+
+func TestCapacityWritesAndChecksPage(t *testing.T) {
+	folder := capacityFolder(t)
+	checkDiffers(t, folder, "sources") // the page in the repository doesn't know the fixture
+	first := regenerate(t, folder)
+	if again := regenerate(t, folder); !bytes.Equal(first, again) {
 		t.Error("the page differs when it is made again")
 	}
 	prose := bytes.Replace(first, []byte("# Capacity\n"), []byte("# Capacity\n\nMore prose.\n"), 1)
@@ -95,18 +101,18 @@
 	if bytes.Equal(changed, prose) {
 		t.Fatal("the page lacks the bytes of an agent at the target")
 	}
-	if err := os.WriteFile(page, changed, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, capacityPage), changed, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	checkDiffers("roles")
-	if third := make(); !bytes.Equal(third, prose) {
+	checkDiffers(t, folder, "roles")
+	if third := regenerate(t, folder); !bytes.Equal(third, prose) {
 		t.Error("prose was changed, or the table was not made as before")
 	}
 	writeFixture(t, folder, 5)
-	checkDiffers("slopes")
+	checkDiffers(t, folder, "slopes")
 }
 
-func TestCapacityBadInput(t *testing.T) {
+func TestCapacityNamesInvalidInput(t *testing.T) {
 	for name, c := range map[string]struct{ file, text, want string }{
 		"unknown key of the target":   {"capacity/target.toml", "serverz = 1\n", "serverz: unknown key"},
 		"unknown key of a result":     {"capacity/fixture.json", `{"experimint": ""}`, "experimint"},
@@ -118,9 +124,9 @@
 				t.Fatal(err)
 			}
 			for _, args := range [][]string{nil, {"--check"}} {
-				said, err := runCapacity(folder, args...)
+				output, err := runCapacity(folder, args...)
 				if err == nil || errors.Is(err, errBroke) || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-					t.Errorf("%v: said %q, error %v; want one line with %q", args, said, err, c.want)
+					t.Errorf("%v: output %q, error %v; want one line with %q", args, output, err, c.want)
 				}
 			}
 		})
--- a/cmd/lab/cost.go
+++ b/cmd/lab/cost.go
@@ -15,7 +15,7 @@
 	"knotrouter/internal/lab/cost"
 )
 
-// costCommand measures the agent's own cost.
+// costCommand measures what an agent costs.
 func costCommand(out, progress io.Writer) *cobra.Command {
 	options := cost.Options{}
 	var file, profile string
@@ -29,9 +29,9 @@
 			"  lab cost --profile found/profiles",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			options.Command = commandLine(&options)
-			options.Progress = func(s cost.Step) { tellStep(progress, s) }
+			options.Progress = func(step cost.Step) { printStep(progress, step) }
 			if file == "" {
-				file = filepath.Join("found", cost.Experiment+"-"+time.Now().Format("20060102-150405")+".json")
+				file = filepath.Join(resultsDir, cost.Experiment+"-"+time.Now().Format(fileTimeLayout)+".json")
 			}
 			return measureCost(cmd.Context(), out, &options, file, profile)
 		}}
@@ -47,9 +47,11 @@
 	return cmd
 }
 
-// measureCost measures, writes the results and prints the verdict last.
+// measureCost measures, writes the results to a file and, unless profile is "", CPU profiles to the
+// folder profile. The last line that it prints says whether the limits held; if they did not, or the
+// measurement was interrupted, it returns errBroke.
 func measureCost(ctx context.Context, out io.Writer, options *cost.Options, file, profile string) error {
-	results, broke, err := cost.Run(ctx, options)
+	results, violations, err := cost.Run(ctx, options)
 	if cost.Interrupted(ctx, err) {
 		fmt.Fprintf(out, "%s seed %d: broke: interrupted before its end\n", cost.Experiment, options.Seed)
 		return errBroke
@@ -66,19 +68,19 @@
 			return fmt.Errorf("--profile: %w", err)
 		}
 	}
-	if len(broke) > 0 {
-		fmt.Fprintf(out, "%s seed %d: broke: %s\n", cost.Experiment, options.Seed, strings.Join(broke, "; "))
+	if len(violations) > 0 {
+		fmt.Fprintf(out, "%s seed %d: broke: %s\n", cost.Experiment, options.Seed, strings.Join(violations, "; "))
 		return errBroke
 	}
 	fmt.Fprintf(out, "%s seed %d: held\n", cost.Experiment, options.Seed)
 	return nil
 }
 
-// commandLine repeats a measurement.
+// commandLine returns the command line that repeats a measurement.
 func commandLine(o *cost.Options) string {
 	var servers, rates []string
-	for _, n := range o.Servers {
-		servers = append(servers, strconv.Itoa(n))
+	for _, number := range o.Servers {
+		servers = append(servers, strconv.Itoa(number))
 	}
 	for _, rate := range o.Rates {
 		rates = append(rates, strconv.FormatFloat(rate, 'g', -1, 64))
@@ -87,11 +89,11 @@
 		strings.Join(servers, ","), strings.Join(rates, ","), o.Window, o.Seed)
 }
 
-// tellStep prints a line when a cell begins and one with its result.
-func tellStep(progress io.Writer, s cost.Step) {
-	if s.Cell == nil {
-		fmt.Fprintf(progress, "[%d/%d] %d servers, %g calls/s ...\n", s.Number, s.Total, s.Servers, s.Rate)
+// printStep prints a line when a cell begins, and one with its result when it ends.
+func printStep(progress io.Writer, step cost.Step) {
+	if step.Cell == nil {
+		fmt.Fprintf(progress, "[%d/%d] %d servers, %g calls/s ...\n", step.Number, step.Total, step.Servers, step.Rate)
 		return
 	}
-	fmt.Fprintf(progress, "[%d/%d] %v\n", s.Number, s.Total, s.Cell)
+	fmt.Fprintf(progress, "[%d/%d] %v\n", step.Number, step.Total, step.Cell)
 }
--- a/cmd/lab/cost_test.go
+++ b/cmd/lab/cost_test.go
@@ -9,9 +9,9 @@
 	"knotrouter/internal/lab/capacity"
 )
 
-// A short measurement with a real agent: what was called, served and opened is counted. Times
-// are not judged, so neither is the verdict, which breaks on a busy machine.
-func TestCost(t *testing.T) {
+// A short measurement with a real agent counts its calls. Times aren't checked, and neither is the
+// exit code, as the limits aren't held on a busy machine.
+func TestCostMeasuresRealAgent(t *testing.T) {
 	program, err := agent()
 	if err != nil {
 		t.Fatal(err)
@@ -61,8 +61,8 @@
 	}
 }
 
-// Bad input is one line that names the flag.
-func TestCostBadInput(t *testing.T) {
+// The error of an invalid flag is one line that names the flag.
+func TestCostNamesInvalidFlag(t *testing.T) {
 	program, err := agent()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/lab/formats_test.go
+++ b/cmd/lab/formats_test.go
@@ -132,15 +132,15 @@
 	}
 	for _, line := range strings.Split(strings.TrimSpace(golden(t, "commands.golden")), "\n") {
 		path, flagLine, isFlag := strings.Cut(line, " --")
-		words := strings.Fields(path)
-		if words[0] != root.Name() {
-			t.Errorf("the program is called %s, no longer %s", root.Name(), words[0])
+		names := strings.Fields(path)
+		if names[0] != root.Name() {
+			t.Errorf("the program is called %s, no longer %s", root.Name(), names[0])
 		}
-		hidden := words[len(words)-1] == "(hidden)"
+		hidden := names[len(names)-1] == "(hidden)"
 		if hidden {
-			words = words[:len(words)-1]
+			names = names[:len(names)-1]
 		}
-		cmd, rest, err := root.Find(words[1:])
+		cmd, rest, err := root.Find(names[1:])
 		if err != nil || len(rest) > 0 {
 			t.Errorf("%s: no such command: %v", path, err)
 			continue
--- a/cmd/lab/main_test.go
+++ b/cmd/lab/main_test.go
@@ -2,28 +2,23 @@
 
 import (
 	"bytes"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"net"
-	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"regexp"
 	"strconv"
 	"strings"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
-
-	"knotrouter/internal/lab/experiment"
 )
 
-// TestMain makes the test binary the lab when it is started as a child.
+// childVariable is the environment variable that makes the test binary run the lab's main.
+const childVariable = "LAB_CHILD"
+
+// TestMain runs the lab instead of the tests in a child process that lab starts.
 func TestMain(m *testing.M) {
-	if os.Getenv("LAB_CHILD") == "1" {
+	if os.Getenv(childVariable) == "1" {
 		main()
 		os.Exit(0)
 	}
@@ -34,9 +29,13 @@
 	os.Exit(code)
 }
 
-const soon = time.Minute
+const (
+	// testTimeout bounds each wait.
+	testTimeout  = time.Minute
+	pollInterval = 10 * time.Millisecond
+)
 
-// agent builds the real agent once.
+// agent builds the real agent on the first call and returns its path.
 var agent = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "lab-agent-")
 	if err != nil {
@@ -50,15 +49,15 @@
 	return path, nil
 })
 
-// file writes an experiment with real agents; changes are pairs of what stands and what is
-// to stand there.
-func file(t *testing.T, changes ...string) string {
+// experimentFile writes an experiment with real agents and returns its path. The replacements are
+// pairs of a text of the experiment and the text in its place.
+func experimentFile(t *testing.T, replacements ...string) string {
 	t.Helper()
 	path, err := agent()
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := strings.NewReplacer(changes...).Replace(fmt.Sprintf(`
+	text := strings.NewReplacer(replacements...).Replace(fmt.Sprintf(`
 name = "tiny"
 seed = 9
 duration = "3s"
@@ -86,11 +85,13 @@
 	return name
 }
 
+// child is a lab in a process of its own.
 type child struct {
 	*exec.Cmd
 	out, err bytes.Buffer
 }
 
+// lab starts a lab. The process is killed at the end of the test.
 func lab(t *testing.T, args ...string) *child {
 	t.Helper()
 	exe, err := os.Executable()
@@ -98,7 +99,7 @@
 		t.Fatal(err)
 	}
 	c := &child{Cmd: exec.Command(exe, args...)}
-	c.Env = append(os.Environ(), "LAB_CHILD=1")
+	c.Env = append(os.Environ(), childVariable+"=1")
 	c.Stdout, c.Stderr = &c.out, &c.err
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
@@ -107,174 +108,30 @@
 	return c
 }
 
-// code waits for the end and returns the exit code; -1 is a signal.
+// code waits for the end of the process and returns its exit code, or -1 if a signal ended it.
 func (c *child) code() int {
 	_ = c.Wait()
 	return c.ProcessState.ExitCode()
 }
 
-// children lists the processes whose environment names the folder: the agents of a run.
-func children(dir string) (pids []int) {
-	all, _ := filepath.Glob("/proc/[0-9]*/environ")
-	for _, f := range all {
-		if text, err := os.ReadFile(f); err == nil && bytes.Contains(text, []byte("EDGE_CONFIG="+dir)) {
-			pid, _ := strconv.Atoi(strings.Split(f, "/")[2])
+// agentProcesses returns the process ids of the agents whose configuration is in a folder.
+func agentProcesses(dir string) (pids []int) {
+	paths, _ := filepath.Glob("/proc/[0-9]*/environ")
+	for _, path := range paths {
+		if text, err := os.ReadFile(path); err == nil && bytes.Contains(text, []byte("EDGE_CONFIG="+dir)) {
+			pid, _ := strconv.Atoi(strings.Split(path, "/")[2])
 			pids = append(pids, pid)
 		}
 	}
 	return pids
 }
 
-func until(t *testing.T, what string, is func() bool) {
+// waitUntil polls a condition and fails the test if it doesn't become true within testTimeout.
+func waitUntil(t *testing.T, condition string, isTrue func() bool) {
 	t.Helper()
-	for end := time.Now().Add(soon); !is(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("never %s", what)
-		}
-	}
-}
-
-// A run writes its results, prints its verdict last, and leaves no process; the same
-// against a bound that it can't hold exits with 1 and names figure and bound.
-func TestRun(t *testing.T) {
-	dir := t.TempDir()
-	held := filepath.Join(dir, "held")
-	c := lab(t, "run", file(t), "--out", held, "--seed", "31")
-	if code := c.code(); code != 0 || !strings.HasSuffix(c.out.String(), "\ntiny seed 31: held\n") {
-		t.Fatalf("exit %d, said %s %s", code, c.out.String(), c.err.String())
-	}
-	broke := filepath.Join(dir, "broke")
-	c = lab(t, "run", file(t, "[[fault]]", "[[expect]]\nwhat = \"served\"\nat_most = 0.1\n[[fault]]"), "--out", broke, "--quiet")
-	if code := c.code(); code != 1 || !regexp.MustCompile(`^tiny seed 9: broke: served at most, [\d.]+ against 0.1\n$`).MatchString(c.out.String()) {
-		t.Errorf("exit %d, said %q %q", code, c.out.String(), c.err.String())
-	}
-	for _, d := range []string{held, broke} {
-		var s experiment.Summary
-		text, err := os.ReadFile(filepath.Join(d, "summary.json"))
-		if err == nil {
-			err = json.Unmarshal(text, &s)
+	for deadline := time.Now().Add(testTimeout); !isTrue(); time.Sleep(pollInterval) {
+		if time.Now().After(deadline) {
+			t.Fatalf("never %s", condition)
 		}
-		if err != nil || s.Name != "tiny" || len(s.Fleets) != 1 || s.Fleets[0].Rows[0].Requests < 50 || s.Faults[0].Targets != 1 {
-			t.Errorf("summary: %v %+v", err, s)
-		}
-		for _, name := range []string{"report.md", "served.png", "latency.png", "attempts.png", "connections.png", "list.png"} {
-			if st, err := os.Stat(filepath.Join(d, name)); err != nil || st.Size() < 500 {
-				t.Errorf("%s: %v", name, err)
-			}
-		}
-	}
-	c = lab(t, "compare", held, broke)
-	if code := c.code(); code != 0 || !strings.Contains(c.out.String(), "all all served share") || !strings.Contains(c.out.String(), "not the same experiment and seed") {
-		t.Errorf("exit %d, said %s", code, c.out.String())
-	}
-	if left := children(dir); len(left) > 0 {
-		t.Errorf("processes left: %v", left)
-	}
-}
-
-// What makes no sense is one line that names the key or the flag, exit code 2, and no
-// process left.
-func TestBadInput(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer taken.Close()
-	dir := t.TempDir()
-	good := file(t)
-	full := filepath.Join(dir, "full")
-	if err := os.MkdirAll(full, 0o755); err != nil {
-		t.Fatal(err)
-	}
-	// What is written there meets a disk that has no room.
-	if err := os.Symlink("/dev/full", filepath.Join(full, "summary.json.part")); err != nil {
-		t.Fatal(err)
-	}
-	for _, c := range []struct {
-		name, says string
-		args       []string
-	}{
-		{"no file", "nowhere.toml", []string{"run", "nowhere.toml"}},
-		{"no argument", "accepts 1 arg", []string{"run"}},
-		{"unknown flag", "--colour", []string{"run", good, "--colour"}},
-		{"bad seed", `--seed`, []string{"run", good, "--seed", "many"}},
-		{"unknown command", `unknown command "play"`, []string{"play"}},
-		{"unknown key", "load.rat: unknown key", []string{"run", file(t, "rate = 60", "rat = 60")}},
-		{"negative rate", "load.rate: must be 0 or above", []string{"run", file(t, "rate = 60", "rate = -60")}},
-		{"unknown process", `fault[0].target: unknown process "s-99"`, []string{"run", file(t, "servers#1", "s-99")}},
-		{"after the end", "fault[0].at: 9s is after the end", []string{"validate", good, file(t, `at = "1s"`, `at = "9s"`)}},
-		{"missing binary", "agents.command: bin/none: no program there", []string{"run", file(t, "command = ", "command = \"bin/none\" #")}},
-		{"address in use", "listen: listen tcp " + taken.Addr().String(), []string{"run", file(t, "seed = 9", fmt.Sprintf("seed = 9\nlisten = %q", taken.Addr()))}},
-		{"out not writable", "--out: mkdir /dev/null", []string{"run", good, "--out", "/dev/null/results"}},
-		{"disk full", "--out: write summary.json: ", []string{"run", good, "--out", full}},
-		{"an agent that does not start", "process n", []string{"run", file(t, "command = ", "command = \"/bin/false\" #")}},
-		{"no results", "results: ", []string{"compare", dir, dir}},
-		{"nothing to list", "--dir: no experiment", []string{"list", "--dir", dir}},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			if c.args[0] == "run" && !strings.Contains(strings.Join(c.args, " "), "--out") {
-				c.args = append(c.args, "--out", filepath.Join(dir, "out"))
-			}
-			ch := lab(t, c.args...)
-			code := ch.code()
-			said := ""
-			for _, line := range strings.SplitAfter(ch.err.String(), "\n") {
-				if !strings.Contains(line, " asked ") { // progress
-					said += line
-				}
-			}
-			if code != 2 || strings.Count(said, "\n") != 1 || !strings.Contains(said, c.says) || !strings.HasPrefix(said, "lab: ") {
-				t.Errorf("exit %d, said %q; want one line with %q", code, said, c.says)
-			}
-		})
-	}
-	if left := children(dir); len(left) > 0 {
-		t.Errorf("processes left: %v", left)
-	}
-}
-
-// However a run is ended, no agent outlives it; told to end, it says so.
-func TestInterrupted(t *testing.T) {
-	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
-		t.Run(sig.String(), func(t *testing.T) {
-			dir := t.TempDir()
-			c := lab(t, "run", file(t, `duration = "3s"`, `duration = "10m"`), "--out", dir, "--quiet")
-			until(t, "two agents", func() bool { return len(children(dir)) == 2 })
-			if err := c.Process.Signal(sig); err != nil {
-				t.Fatal(err)
-			}
-			code := c.code()
-			until(t, "without agents", func() bool { return len(children(dir)) == 0 })
-			if sig != syscall.SIGKILL && (code != 1 || !strings.HasSuffix(c.out.String(), "tiny seed 9: broke: interrupted before its end\n")) {
-				t.Errorf("exit %d, said %q %q", code, c.out.String(), c.err.String())
-			}
-		})
-	}
-}
-
-// While it plays, a run tells its state where its file says.
-func TestState(t *testing.T) {
-	free, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := free.Addr().String()
-	free.Close()
-	dir := t.TempDir()
-	c := lab(t, "run", file(t, "seed = 9", fmt.Sprintf("seed = 9\nlisten = %q", addr)), "--out", dir, "--quiet")
-	until(t, "told", func() bool {
-		resp, err := http.Get("http://" + addr)
-		if err != nil {
-			return false
-		}
-		defer resp.Body.Close()
-		var p experiment.Progress
-		return json.NewDecoder(resp.Body).Decode(&p) == nil && p.Requests > 0 && p.Phase == "running"
-	})
-	if code := c.code(); code != 0 {
-		t.Errorf("exit %d: %s", code, c.err.String())
-	}
-	if _, err := net.Dial("tcp", addr); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("after its end: %v", err)
 	}
 }
--- a/cmd/lab/worker.go
+++ b/cmd/lab/worker.go
@@ -10,26 +10,26 @@
 	"knotrouter/internal/lab/worker"
 )
 
-// workerCommand is what an experiment with duties starts.
+// workerCommand runs a worker: a process that holds leased tasks. Experiments start it.
 func workerCommand() *cobra.Command {
-	c := worker.Config{ClockRate: 1, MaxTasks: 100}
+	config := worker.Config{ClockRate: 1, MaxTasks: 100}
 	cmd := &cobra.Command{Use: "worker", Short: "Hold duties and act under them, for an experiment", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			switch {
-			case c.Name == "" || len(c.ControlPlaneAddrs) == 0 || len(c.OperationAddrs) == 0:
+			case config.Name == "" || len(config.ControlPlaneAddrs) == 0 || len(config.OperationAddrs) == 0:
 				return errors.New("--name, --at, --place: missing")
-			case !(c.ClockRate > 0):
+			case !(config.ClockRate > 0):
 				return errors.New("--clock: must be above 0")
 			}
-			worker.Run(cmd.Context(), c, slog.New(slog.NewTextHandler(os.Stderr, nil)).With("worker", c.Name))
+			worker.Run(cmd.Context(), config, slog.New(slog.NewTextHandler(os.Stderr, nil)).With("worker", config.Name))
 			return nil
 		}}
-	f := cmd.Flags()
-	f.StringVar(&c.Name, "name", "", "its name")
-	f.StringVar(&c.Zone, "zone", "", "its zone")
-	f.StringSliceVar(&c.ControlPlaneAddrs, "at", nil, "HTTP addresses of stewards")
-	f.StringSliceVar(&c.OperationAddrs, "place", nil, "addresses where acts land")
-	f.IntVar(&c.MaxTasks, "cap", c.MaxTasks, "duties that it holds at most")
-	f.Float64Var(&c.ClockRate, "clock", c.ClockRate, "rate of its clock")
+	flags := cmd.Flags()
+	flags.StringVar(&config.Name, "name", "", "its name")
+	flags.StringVar(&config.Zone, "zone", "", "its zone")
+	flags.StringSliceVar(&config.ControlPlaneAddrs, "at", nil, "HTTP addresses of stewards")
+	flags.StringSliceVar(&config.OperationAddrs, "place", nil, "addresses where acts land")
+	flags.IntVar(&config.MaxTasks, "cap", config.MaxTasks, "duties that it holds at most")
+	flags.Float64Var(&config.ClockRate, "clock", config.ClockRate, "rate of its clock")
 	return cmd
 }
