--- a/cmd/lab/formats_test.go
+++ b/cmd/lab/formats_test.go
@@ -25,13 +25,13 @@
 	"knotrouter/internal/lab/scale"
 )
 
-// The tests of this file hold what users' files and scripts rely on: the keys of experiment files
-// and results, the commands and their flags. A Go identifier may be renamed freely; the golden files
-// change only where a format is meant to change, by go test ./cmd/lab -run Golden -update.
+// The tests of this file fail if a rename changes what users' files and scripts rely on: the keys of
+// experiment files and results, the commands and their flags. To change a format on purpose, update
+// the golden files with go test ./cmd/lab -run Golden -update.
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// formats are the types whose keys are held, by the tag that gives the keys.
+// formats are the types whose keys are checked, with the tag that gives the keys.
 var formats = []struct {
 	golden string
 	tag    string
@@ -54,16 +54,16 @@
 				if len(f.types) > 1 {
 					path = fmt.Sprintf("%d", i)
 				}
-				lines = append(lines, keys(t, path, f.tag, reflect.TypeOf(x))...)
+				lines = append(lines, listKeys(t, path, f.tag, reflect.TypeOf(x))...)
 			}
 			slices.Sort(lines)
-			compare(t, f.golden, strings.Join(lines, "\n")+"\n")
+			compareGolden(t, f.golden, strings.Join(lines, "\n")+"\n")
 		})
 	}
 }
 
-// keys lists the keys of a type with what they hold, as in "load.class[].aim duration".
-func keys(t *testing.T, path, tag string, x reflect.Type) []string {
+// listKeys lists the keys of a type with the kind of their values, as in "load.class[].aim duration".
+func listKeys(t *testing.T, path, tag string, x reflect.Type) []string {
 	t.Helper()
 	text := reflect.TypeFor[encoding.TextMarshaler]()
 	custom := reflect.TypeFor[json.Marshaler]()
@@ -75,11 +75,11 @@
 	}
 	switch x.Kind() {
 	case reflect.Pointer:
-		return keys(t, path+"?", tag, x.Elem())
+		return listKeys(t, path+"?", tag, x.Elem())
 	case reflect.Slice, reflect.Array:
-		return keys(t, path+"[]", tag, x.Elem())
+		return listKeys(t, path+"[]", tag, x.Elem())
 	case reflect.Map:
-		return keys(t, path+"{"+x.Key().Kind().String()+"}", tag, x.Elem())
+		return listKeys(t, path+"{"+x.Key().Kind().String()+"}", tag, x.Elem())
 	case reflect.Struct:
 		var lines []string
 		for i := range x.NumField() {
@@ -89,7 +89,7 @@
 			case name == "-" || !f.IsExported():
 				continue
 			case name == "" && f.Anonymous:
-				lines = append(lines, keys(t, path, tag, f.Type)...)
+				lines = append(lines, listKeys(t, path, tag, f.Type)...)
 				continue
 			case name == "" && x.PkgPath() != "" && !strings.Contains(strings.SplitN(x.PkgPath(), "/", 2)[0], "."):
 				t.Errorf("%s: field %s.%s has no key of its own, so that renaming it changes the format", path, x, f.Name)
@@ -99,14 +99,14 @@
 			if options != "" {
 				name += "," + options
 			}
-			lines = append(lines, keys(t, strings.TrimPrefix(path+"."+name, "."), tag, f.Type)...)
+			lines = append(lines, listKeys(t, strings.TrimPrefix(path+"."+name, "."), tag, f.Type)...)
 		}
 		return lines
 	}
 	return []string{path + " " + x.Kind().String()}
 }
 
-// Every experiment in the repository is read without a complaint: no key or value has become unknown.
+// Every experiment in the repository is read without an error: no key or value has become unknown.
 func TestExperimentFilesAreRead(t *testing.T) {
 	files, err := filepath.Glob("../../experiments/*.toml")
 	if err != nil || len(files) == 0 {
@@ -124,13 +124,13 @@
 	}
 }
 
-// The recorded commands and flags are all there, under their name or an alias. More may have come.
+// All recorded commands and flags exist, under their name or an alias. New ones are allowed.
 func TestGoldenCommandsAndFlags(t *testing.T) {
 	root := command(io.Discard, io.Discard)
 	if *update {
-		compare(t, "commands.golden", strings.Join(describe(root, root.Name()), "\n")+"\n")
+		compareGolden(t, "commands.golden", strings.Join(describe(root, root.Name()), "\n")+"\n")
 	}
-	for _, line := range strings.Split(strings.TrimSpace(golden(t, "commands.golden")), "\n") {
+	for _, line := range strings.Split(strings.TrimSpace(readGolden(t, "commands.golden")), "\n") {
 		path, flagLine, isFlag := strings.Cut(line, " --")
 		names := strings.Fields(path)
 		if names[0] != root.Name() {
@@ -174,8 +174,8 @@
 	return lines
 }
 
-// describeFlag tells all of a flag that scripts rely on. Which program of bin is started by default
-// is no part of that.
+// describeFlag describes what scripts rely on in a flag. The name of a program in bin that is started
+// by default is not a part of it.
 func describeFlag(f *pflag.Flag) string {
 	value := fmt.Sprintf("%q", f.DefValue)
 	if strings.HasPrefix(f.DefValue, "bin/") {
@@ -184,7 +184,8 @@
 	return fmt.Sprintf("--%s shorthand=%q %s default=%s", f.Name, f.Shorthand, f.Value.Type(), value)
 }
 
-func golden(t *testing.T, name string) string {
+// readGolden returns the text of a golden file.
+func readGolden(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -193,14 +194,16 @@
 	return string(text)
 }
 
-func compare(t *testing.T, name, got string) {
+// compareGolden fails the test for each line that a golden file and the text don't have in common. With
+// -update it writes the text to the golden file first.
+func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	if *update {
 		if err := os.WriteFile(filepath.Join("testdata", name), []byte(got), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want := golden(t, name)
+	want := readGolden(t, name)
 	if got == want {
 		return
 	}
--- a/internal/lab/capacity/roles.go
+++ b/internal/lab/capacity/roles.go
@@ -1,6 +1,9 @@
 package capacity
 
-import "fmt"
+import (
+	"fmt"
+	"slices"
+)
 
 // Names of experiments.
 const (
@@ -76,6 +79,7 @@
 	}
 }
 
+// agentControlRole is the part of an agent that follows the list of servers.
 func agentControlRole(limits limits) Role {
 	return Role{
 		Name:          "Agent, control",
@@ -98,6 +102,7 @@
 	}
 }
 
+// agentCallsRole is the part of an agent that handles calls.
 func agentCallsRole(limits limits) Role {
 	return Role{
 		Name:          "Agent, calls",
@@ -117,6 +122,7 @@
 	}
 }
 
+// registrationRole is the registration and lease of a server of the fleet.
 func registrationRole() Role {
 	return Role{
 		Name:          "Programme server's registration",
@@ -136,6 +142,7 @@
 	}
 }
 
+// voterRole is a follower of the quorum.
 func voterRole(limits limits) Role {
 	return Role{
 		Name:        "Steward as voter",
@@ -144,17 +151,11 @@
 		Needs:       []Mechanism{mechanismEntries, mechanismRegions},
 		Experiments: fleetRuns,
 		Variables:   overServers,
-		Figures: []Figure{
-			{State, "log entries", measuredFollower, "log_entries", noLimit},
-			{Bytes, "bytes in/s", measuredFollower, "bytes_in_per_second", noLimit},
-			{Bytes, "bytes out/s", measuredFollower, "bytes_out_per_second", noLimit},
-			{CPU, "cores", measuredFollower, "cpu_cores", limits.controlMachine},
-			{Memory, "MB", measuredFollower, "rss_mb", noLimit},
-			{Disk, "snapshot bytes", measuredFollower, "snapshot_bytes", noLimit},
-		},
+		Figures:     controlPlaneFigures(measuredFollower, limits),
 	}
 }
 
+// leaderRole is the quorum's leader.
 func leaderRole(limits limits) Role {
 	return Role{
 		Name:        "Steward as leader",
@@ -163,19 +164,27 @@
 		Needs:       []Mechanism{mechanismBatching},
 		Experiments: fleetRuns,
 		Variables:   overServers,
-		Figures: []Figure{
-			{State, "log entries", measuredLeader, "log_entries", noLimit},
-			{Messages, "calls/s", measuredLeader, "calls_per_second", noLimit},
-			{Messages, "refused calls", measuredLeader, "refused_calls", noLimit},
-			{Bytes, "bytes in/s", measuredLeader, "bytes_in_per_second", noLimit},
-			{Bytes, "bytes out/s", measuredLeader, "bytes_out_per_second", noLimit},
-			{CPU, "cores", measuredLeader, "cpu_cores", limits.controlMachine},
-			{Memory, "MB", measuredLeader, "rss_mb", noLimit},
-			{Disk, "snapshot bytes", measuredLeader, "snapshot_bytes", noLimit},
-		},
+		Figures: controlPlaneFigures(measuredLeader, limits,
+			Figure{Messages, "calls/s", measuredLeader, "calls_per_second", noLimit},
+			Figure{Messages, "refused calls", measuredLeader, "refused_calls", noLimit}),
+	}
+}
+
+// controlPlaneFigures returns the figures of a control-plane server's state and resources, as measured
+// on the follower or on the leader. The messages come between the state and the resources.
+func controlPlaneFigures(measured string, limits limits, messages ...Figure) []Figure {
+	state := []Figure{{State, "log entries", measured, "log_entries", noLimit}}
+	resources := []Figure{
+		{Bytes, "bytes in/s", measured, "bytes_in_per_second", noLimit},
+		{Bytes, "bytes out/s", measured, "bytes_out_per_second", noLimit},
+		{CPU, "cores", measured, "cpu_cores", limits.controlMachine},
+		{Memory, "MB", measured, "rss_mb", noLimit},
+		{Disk, "snapshot bytes", measured, "snapshot_bytes", noLimit},
 	}
+	return slices.Concat(state, messages, resources)
 }
 
+// watchServerRole is a control-plane server that serves lists and watches to readers.
 func watchServerRole(limits limits) Role {
 	return Role{
 		Name:        "Steward as server of watches",
@@ -202,6 +211,7 @@
 	}
 }
 
+// gossipRole is the failure detection among control processes.
 func gossipRole(limits limits) Role {
 	detectionGoal := Limit{gossipDetectionGoal, formatNumber(gossipDetectionGoal) + " s (own goal)"}
 	return Role{
@@ -216,6 +226,7 @@
 	}
 }
 
+// leasesRole is the leader election of tasks under leases.
 func leasesRole(limits limits) Role {
 	return Role{
 		Name:      "Exclusive leases",
@@ -233,6 +244,7 @@
 	}
 }
 
+// releasesRole is the rollout of releases, which is not built.
 func releasesRole() Role {
 	return Role{
 		Name:      "Releases",
--- a/internal/lab/capacity/tables_test.go
+++ b/internal/lab/capacity/tables_test.go
@@ -171,7 +171,7 @@
 	wantIn(t, line(t, order, "Agent, control: bytes in/s, limit"), "| 2 |", "| 6,000 |", "**missing**: "+string(mechanismScope))
 	wantIn(t, line(t, order, "which a reader without services refuses"), "35,000*")
 	wantIn(t, line(t, order, "Agent, control: cores"), "not at the target; at 310,000*")
-	// After the mechanism the bytes don't rise, and what was before stands beside it.
+	// After the mechanism the bytes don't rise. The column before shows the earlier threshold.
 	order = text(t, target(t), dataset(before(), after()), "order")
 	wantIn(t, line(t, order, "Agent, control: bytes in/s, limit"), "not at the target: it doesn't rise", "| 6,000 |")
 }
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -18,7 +18,7 @@
 // Target is the fleet that the project is designed for, as the operators give it in
 // docs/capacity/target.toml. All values are above 0.
 type Target struct {
-	Servers              float64  `koanf:"servers"` // each with an agent beside it
+	Servers              float64  `koanf:"servers"` // each has one agent
 	Services             float64  `koanf:"services"`
 	CallsPerSecond       float64  `koanf:"calls_per_second"`     // of the whole fleet
 	CallDepth            float64  `koanf:"call_depth"`           // length of the longest chain of calls
--- a/internal/lab/cost/caller.go
+++ b/internal/lab/cost/caller.go
@@ -110,8 +110,8 @@
 	return results, ctx.Err()
 }
 
-// call makes one call, planned for a time. The latency counts from the send; the lateness of the
-// send, which is the lab's own and the same on both routes, is returned beside it.
+// call makes one call, planned for a time. Its latency counts from the send. The lateness of the send
+// is the lab's own and is the same on both routes, so it is kept apart from the latency.
 func (c *caller) call(ctx context.Context, call *plannedCall, planned time.Time) callResult {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/lab/cost/provenance.go
+++ b/internal/lab/cost/provenance.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// unknown stands for provenance that cannot be read.
+// unknown is the value of provenance that cannot be read.
 const unknown = "unknown"
 
 // builtFrom returns the commit that a program was built from, and whether the working tree had
