--- a/internal/lab/discovery/discovery.go
+++ b/internal/lab/discovery/discovery.go
@@ -23,21 +23,21 @@
 
 // Config is how the service behaves.
 type Config struct {
-	Notice   []time.Duration `koanf:"notice"`        // from and to: how late it learns of an end or a drain
-	Silent   []time.Duration `koanf:"silent_notice"` // of a machine that fell silent
-	Add      []time.Duration `koanf:"add"`           // of a start
-	Period   time.Duration   `koanf:"period"`        // changes within it are one line of a watch
-	Call     time.Duration   `koanf:"call"`          // work of one call
-	Line     time.Duration   `koanf:"line"`          // and of each entry that it writes
-	Timeout  time.Duration   `koanf:"timeout"`       // a call that would wait longer fails
-	Capacity int             `koanf:"capacity"`      // calls worked on at once
+	RemovalDelay       []time.Duration `koanf:"notice"`        // from and to: how late it learns of an end or a drain
+	SilentRemovalDelay []time.Duration `koanf:"silent_notice"` // of a machine that fell silent
+	StartDelay         []time.Duration `koanf:"add"`           // of a start
+	BatchInterval      time.Duration   `koanf:"period"`        // changes within it are one line of a watch
+	CallTime           time.Duration   `koanf:"call"`          // work of one call
+	EntryTime          time.Duration   `koanf:"line"`          // and of each entry that it writes
+	QueueTimeout       time.Duration   `koanf:"timeout"`       // a call that would wait longer fails
+	MaxConcurrentCalls int             `koanf:"capacity"`      // calls worked on at once
 }
 
 const (
 	// beat is how often an empty line shows that a quiet watch lives.
-	beat = 2 * time.Second
+	heartbeatInterval = 2 * time.Second
 	// mostHistory is how many changes are kept; a watch from before them gets the whole list.
-	mostHistory = 1024
+	maxHistory = 1024
 )
 
 // Env is what the service is told of the world.
@@ -46,107 +46,107 @@
 	Checker *check.Checker
 	Agents  []string
 	// Dial is the address by which an agent reaches a server.
-	Dial  func(agent, server int) string
-	Event func(name string)
+	DialAddr    func(agent, server int) string
+	RecordEvent func(name string)
 }
 
 // Entry is a server as the service lists it, but for its address.
 type Entry struct {
-	Server int
-	Name   string
-	Zone   string
-	Kind   string
-	Cell   int
-	Share  float64
-	Health string
-	BornMs int64
+	Server      int
+	Name        string
+	Zone        string
+	MachineType string
+	Cell        int
+	Weight      float64
+	Health      string
+	StartedMs   int64
 }
 
 // Counters is what was counted since the experiment began.
 type Counters struct {
-	Calls, Wholes, Watches, Lines, Failed atomic.Int64
+	Calls, FullLists, OpenWatches, EntriesSent, FailedCalls atomic.Int64
 }
 
 // Service is the list of one fleet, with an address for each agent.
 type Service struct {
 	Counters
-	c     Config
-	env   Env
-	net   *loopback.Net
-	doors []*door // by agent
-	in    *loopback.Conns
-	http  *http.Server
-	ends  context.CancelFunc
-	ctx   context.Context
-	wait  sync.WaitGroup
-
-	mu      sync.Mutex
-	seq     int64
-	list    []Entry // by server; a Health of "" is not listed
-	index   map[string]int
-	history []change
-	changed chan struct{} // closed at the next change
-	up      bool
-	busy    []time.Duration // until when each place works
-	notices map[int]int     // by server: the number of its latest news
-	rng     *rand.Rand
+	config         Config
+	env            Env
+	addresses      *loopback.Net
+	agentListeners []*agentListener // by agent
+	accepted       *loopback.Conns
+	httpServer     *http.Server
+	cancel         context.CancelFunc
+	ctx            context.Context
+	background     sync.WaitGroup
+
+	mu           sync.Mutex
+	revision     int64
+	entries      []Entry // by server; a Health of "" is not listed
+	indexByName  map[string]int
+	history      []change
+	changed      chan struct{} // closed at the next change
+	available    bool
+	busyUntil    []time.Duration // until when each place works
+	latestReport map[int]int     // by server: the number of its latest news
+	rng          *rand.Rand
 }
 
 type change struct {
-	seq    int64
-	server int
+	revision int64
+	server   int
 }
 
 // door is where one agent reaches the service.
-type door struct {
-	ln    *loopback.Listener
-	conns loopback.Set
+type agentListener struct {
+	listener  *loopback.Listener
+	openConns loopback.Set
 }
 
 // moveClose is how long after a move the old address keeps what is open.
-const moveClose = 1500 * time.Millisecond
+const previousAddressRetention = 1500 * time.Millisecond
 
 // New starts a service that lists the entries; it learns of what happens to them late.
 // The number of the list is that of a service that has run before.
 func New(c Config, env Env, addrs *loopback.Net, entries []Entry, seed uint64) (*Service, error) {
-	s := &Service{c: c, env: env, net: addrs, in: loopback.NewConns(), seq: 41, list: entries, up: true,
-		changed: make(chan struct{}), busy: make([]time.Duration, max(c.Capacity, 1)),
-		notices: map[int]int{}, rng: rand.New(rand.NewPCG(seed, 7))}
-	s.ctx, s.ends = context.WithCancel(context.Background())
-	s.http = &http.Server{Handler: s, ErrorLog: log.New(io.Discard, "", 0),
+	s := &Service{config: c, env: env, addresses: addrs, accepted: loopback.NewConns(), revision: 41, entries: entries, available: true,
+		changed: make(chan struct{}), busyUntil: make([]time.Duration, max(c.MaxConcurrentCalls, 1)),
+		latestReport: map[int]int{}, rng: rand.New(rand.NewPCG(seed, 7))}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	s.httpServer = &http.Server{Handler: s, ErrorLog: log.New(io.Discard, "", 0),
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
-			return context.WithValue(ctx, agentKey{}, nc.(*conn).agent)
+			return context.WithValue(ctx, agentContextKey{}, nc.(*conn).agent)
 		}}
 	for number := range env.Agents {
-		d, err := s.open(number)
+		d, err := s.listen(number)
 		if err != nil {
 			s.Close()
 			return nil, err
 		}
-		s.doors = append(s.doors, d)
+		s.agentListeners = append(s.agentListeners, d)
 	}
-	s.index = make(map[string]int, len(entries))
+	s.indexByName = make(map[string]int, len(entries))
 	for i := range entries {
-		s.index[entries[i].Name] = i
+		s.indexByName[entries[i].Name] = i
 		if e := &entries[i]; e.Health != "" {
-			env.Checker.RecordDiscovery(i, e.Health, e.BornMs)
+			env.Checker.RecordDiscovery(i, e.Health, e.StartedMs)
 		}
 	}
-	s.wait.Add(1)
+	s.background.Add(1)
 	go func() {
-		defer s.wait.Done()
-		_ = s.http.Serve(s.in)
+		defer s.background.Done()
+		_ = s.httpServer.Serve(s.accepted)
 	}()
 	return s, nil
 }
 
 // open makes an address for an agent.
-func (s *Service) open(number int) (*door, error) {
-	d := &door{}
+func (s *Service) listen(number int) (*agentListener, error) {
+	d := &agentListener{}
 	var err error
-	d.ln, err = loopback.Listen(s.net.IP()+":0", func(nc net.Conn) {
-		d.conns.Add(nc)
-		s.in.Put(&conn{Conn: nc, door: d, agent: number})
+	d.listener, err = loopback.Listen(s.addresses.IP()+":0", func(nc net.Conn) {
+		d.openConns.Add(nc)
+		s.accepted.Put(&conn{Conn: nc, owner: d, agent: number})
 	})
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
@@ -154,165 +154,165 @@
 	return d, nil
 }
 
-type agentKey struct{}
+type agentContextKey struct{}
 
 type conn struct {
 	net.Conn
-	door  *door
+	owner *agentListener
 	agent int
 }
 
 func (c *conn) Close() error {
-	c.door.conns.Drop(c.Conn)
+	c.owner.openConns.Drop(c.Conn)
 	return c.Conn.Close()
 }
 
-func (d *door) close() {
-	d.ln.Close()
-	d.conns.Reset()
+func (d *agentListener) close() {
+	d.listener.Close()
+	d.openConns.Reset()
 }
 
 // Move gives an agent a new address; the old one takes no new connections and closes
 // what is open after a while.
 func (s *Service) Move(number int) (string, error) {
-	next, err := s.open(number)
+	next, err := s.listen(number)
 	if err != nil {
 		return "", err
 	}
 	s.mu.Lock()
-	old := s.doors[number]
-	s.doors[number] = next
-	if !s.up {
-		next.ln.Refuse()
+	old := s.agentListeners[number]
+	s.agentListeners[number] = next
+	if !s.available {
+		next.listener.Refuse()
 	}
 	s.mu.Unlock()
-	old.ln.Refuse()
-	s.wait.Add(1)
+	old.listener.Refuse()
+	s.background.Add(1)
 	go func() {
-		defer s.wait.Done()
+		defer s.background.Done()
 		select {
-		case <-time.After(moveClose):
+		case <-time.After(previousAddressRetention):
 		case <-s.ctx.Done():
 		}
 		old.close()
 	}()
-	return next.ln.Addr(), nil
+	return next.listener.Addr(), nil
 }
 
 // every returns the doors there are.
-func (s *Service) every() []*door {
+func (s *Service) allListeners() []*agentListener {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*door(nil), s.doors...)
+	return append([]*agentListener(nil), s.agentListeners...)
 }
 
 // Addr is the service's address for an agent.
-func (s *Service) Addr(agent int) string { return s.every()[agent].ln.Addr() }
+func (s *Service) Addr(agent int) string { return s.allListeners()[agent].listener.Addr() }
 
 // Close ends the service.
 func (s *Service) Close() {
-	s.ends()
-	for _, d := range s.every() {
+	s.cancel()
+	for _, d := range s.allListeners() {
 		d.close()
 	}
-	s.in.Close()
-	s.http.Close()
-	s.wait.Wait()
+	s.accepted.Close()
+	s.httpServer.Close()
+	s.background.Wait()
 }
 
 // Down ends the service for a while: watches end, calls are refused.
-func (s *Service) Down() {
+func (s *Service) StartOutage() {
 	s.mu.Lock()
-	s.up = false
+	s.available = false
 	s.mu.Unlock()
 	s.env.Checker.SetDiscoveryUp(false)
-	for _, d := range s.every() {
-		d.ln.Refuse()
-		d.conns.Reset()
+	for _, d := range s.allListeners() {
+		d.listener.Refuse()
+		d.openConns.Reset()
 	}
-	s.env.Event("discovery down")
+	s.env.RecordEvent("discovery down")
 }
 
 // Up ends Down. What has changed meanwhile the service knows by then.
-func (s *Service) Up() error {
+func (s *Service) EndOutage() error {
 	s.mu.Lock()
-	s.up = true
+	s.available = true
 	s.mu.Unlock()
-	for _, d := range s.every() {
-		if err := d.ln.Open(); err != nil {
+	for _, d := range s.allListeners() {
+		if err := d.listener.Open(); err != nil {
 			return fmt.Errorf("discovery: %w", err)
 		}
 	}
 	s.env.Checker.SetDiscoveryUp(true)
-	s.env.Event("discovery up")
+	s.env.RecordEvent("discovery up")
 	return nil
 }
 
 // Notice hands in the service what happened to a server; it lists that after a while,
 // unless something newer has happened by then.
-func (s *Service) Notice(server int, health string, bornMs int64, silent bool) {
+func (s *Service) ReportHealth(server int, health string, bornMs int64, silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	span := s.c.Notice
+	span := s.config.RemovalDelay
 	switch {
 	case silent:
-		span = s.c.Silent
+		span = s.config.SilentRemovalDelay
 	case health == "ready":
-		span = s.c.Add
+		span = s.config.StartDelay
 	}
 	var after time.Duration
 	if len(span) == 2 {
 		after = span[0] + time.Duration(s.rng.Float64()*float64(span[1]-span[0]))
 	}
-	s.notices[server]++
-	number := s.notices[server]
-	t := time.AfterFunc(after, func() { s.learn(server, number, health, bornMs) })
+	s.latestReport[server]++
+	number := s.latestReport[server]
+	t := time.AfterFunc(after, func() { s.applyHealth(server, number, health, bornMs) })
 	context.AfterFunc(s.ctx, func() { t.Stop() })
 }
 
-func (s *Service) learn(server, number int, health string, bornMs int64) {
+func (s *Service) applyHealth(server, number int, health string, bornMs int64) {
 	s.mu.Lock()
-	e := &s.list[server]
-	if s.notices[server] != number || e.Health == health && e.BornMs == bornMs {
+	e := &s.entries[server]
+	if s.latestReport[server] != number || e.Health == health && e.StartedMs == bornMs {
 		s.mu.Unlock()
 		return
 	}
-	e.Health, e.BornMs = health, bornMs
-	s.seq++
-	if len(s.history) >= mostHistory {
+	e.Health, e.StartedMs = health, bornMs
+	s.revision++
+	if len(s.history) >= maxHistory {
 		s.history = s.history[1:]
 	}
-	s.history = append(s.history, change{s.seq, server})
+	s.history = append(s.history, change{s.revision, server})
 	close(s.changed)
 	s.changed = make(chan struct{})
 	name := e.Name
 	s.mu.Unlock()
 	s.env.Checker.RecordDiscovery(server, health, bornMs)
-	s.env.Event("discovery lists " + name + " " + health)
+	s.env.RecordEvent("discovery lists " + name + " " + health)
 }
 
 // List is the list for an agent: whole, or what changed after a version.
 func (s *Service) List(agent_ int, since int64, whole bool) endpoints.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cut(agent_, since, whole)
+	return s.listSince(agent_, since, whole)
 }
 
-func (s *Service) cut(agent_ int, since int64, whole bool) endpoints.List {
-	l := endpoints.List{Seq: s.seq, Endpoints: []endpoints.Endpoint{}}
-	oldest := s.seq
+func (s *Service) listSince(agent_ int, since int64, whole bool) endpoints.List {
+	l := endpoints.List{Seq: s.revision, Endpoints: []endpoints.Endpoint{}}
+	oldest := s.revision
 	if len(s.history) > 0 {
-		oldest = s.history[0].seq - 1
+		oldest = s.history[0].revision - 1
 	}
-	l.Full = whole || since > s.seq || since < oldest
+	l.Full = whole || since > s.revision || since < oldest
 	add := func(i int) {
-		e := &s.list[i]
-		l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Name: e.Name, Dial: s.env.Dial(agent_, i), Site: e.Zone, Class: e.Kind,
-			Block: e.Cell, Health: e.Health, Weight: e.Share, StartedMs: float64(e.BornMs)})
+		e := &s.entries[i]
+		l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Name: e.Name, Dial: s.env.DialAddr(agent_, i), Site: e.Zone, Class: e.MachineType,
+			Block: e.Cell, Health: e.Health, Weight: e.Weight, StartedMs: float64(e.StartedMs)})
 	}
 	if l.Full {
-		for i := range s.list {
-			if h := s.list[i].Health; h != "" && h != "gone" {
+		for i := range s.entries {
+			if h := s.entries[i].Health; h != "" && h != "gone" {
 				add(i)
 			}
 		}
@@ -320,7 +320,7 @@
 	}
 	seen := map[int]bool{}
 	for _, c := range s.history {
-		if c.seq > since && !seen[c.server] {
+		if c.revision > since && !seen[c.server] {
 			seen[c.server] = true
 			add(c.server)
 		}
@@ -330,7 +330,7 @@
 
 // ServeHTTP answers a call or keeps a watch.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	number := r.Context().Value(agentKey{}).(int)
+	number := r.Context().Value(agentContextKey{}).(int)
 	w.Header()["Date"] = nil
 	if r.URL.Path != "/v1/endpoints" || r.Method != http.MethodGet {
 		http.NotFound(w, r)
@@ -345,47 +345,47 @@
 		return
 	}
 	s.mu.Lock()
-	first := s.cut(number, since, !follow)
+	first := s.listSince(number, since, !follow)
 	s.mu.Unlock()
-	if !s.turn(r.Context(), len(first.Endpoints)) {
-		s.Failed.Add(1)
+	if !s.waitForCapacity(r.Context(), len(first.Endpoints)) {
+		s.FailedCalls.Add(1)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if !follow {
-		s.Wholes.Add(1)
+		s.FullLists.Add(1)
 		l := s.List(number, 0, true)
 		text, _ := json.Marshal(l)
-		s.told(number, &l)
+		s.recordNotified(number, &l)
 		_, _ = w.Write(text)
 		return
 	}
-	s.Watches.Add(1)
-	defer s.Watches.Add(-1)
-	s.watch(w, r, number, since)
+	s.OpenWatches.Add(1)
+	defer s.OpenWatches.Add(-1)
+	s.serveWatch(w, r, number, since)
 }
 
 // turn waits until the call's turn has come and its work is done; false is a call that
 // waits too long.
-func (s *Service) turn(ctx context.Context, lines int) bool {
-	cost := s.c.Call + time.Duration(lines)*s.c.Line
+func (s *Service) waitForCapacity(ctx context.Context, lines int) bool {
+	cost := s.config.CallTime + time.Duration(lines)*s.config.EntryTime
 	if cost <= 0 {
 		return true
 	}
 	s.mu.Lock()
 	now, place := s.env.Clock(), 0
-	for i := range s.busy {
-		if s.busy[i] < s.busy[place] {
+	for i := range s.busyUntil {
+		if s.busyUntil[i] < s.busyUntil[place] {
 			place = i
 		}
 	}
-	start := max(now, s.busy[place])
-	ok := s.c.Timeout <= 0 || start-now <= s.c.Timeout
-	end := now + s.c.Timeout
+	start := max(now, s.busyUntil[place])
+	ok := s.config.QueueTimeout <= 0 || start-now <= s.config.QueueTimeout
+	end := now + s.config.QueueTimeout
 	if ok {
 		end = start + cost
-		s.busy[place] = end
+		s.busyUntil[place] = end
 	}
 	s.mu.Unlock()
 	t := time.NewTimer(end - now)
@@ -399,29 +399,29 @@
 }
 
 // watch writes what changes until the connection ends.
-func (s *Service) watch(w http.ResponseWriter, r *http.Request, number int, since int64) {
+func (s *Service) serveWatch(w http.ResponseWriter, r *http.Request, number int, since int64) {
 	control := http.NewResponseController(w)
-	quiet := time.NewTimer(beat)
+	quiet := time.NewTimer(heartbeatInterval)
 	defer quiet.Stop()
 	for first := true; ; first = false {
 		s.mu.Lock()
-		l, changed := s.cut(number, since, false), s.changed
+		l, changed := s.listSince(number, since, false), s.changed
 		s.mu.Unlock()
 		text := []byte("\n")
 		if first || l.Full || len(l.Endpoints) > 0 {
 			line, _ := json.Marshal(l)
 			text = append(line, '\n')
-			s.told(number, &l)
+			s.recordNotified(number, &l)
 		}
 		since = l.Seq
 		if _, err := w.Write(text); err != nil || control.Flush() != nil {
 			return
 		}
-		quiet.Reset(beat)
+		quiet.Reset(heartbeatInterval)
 		select {
 		case <-changed:
 			select { // what changes within the period is one line
-			case <-time.After(s.c.Period):
+			case <-time.After(s.config.BatchInterval):
 			case <-r.Context().Done():
 				return
 			}
@@ -433,12 +433,12 @@
 }
 
 // told notes what an agent has been written.
-func (s *Service) told(number int, l *endpoints.List) {
-	s.Lines.Add(int64(len(l.Endpoints)))
+func (s *Service) recordNotified(number int, l *endpoints.List) {
+	s.EntriesSent.Add(int64(len(l.Endpoints)))
 	named := make(map[int]bool, len(l.Endpoints))
 	for i := range l.Endpoints {
 		h := &l.Endpoints[i]
-		server, ok := s.index[h.Name]
+		server, ok := s.indexByName[h.Name]
 		if !ok {
 			continue
 		}
@@ -448,7 +448,7 @@
 	if !l.Full {
 		return
 	}
-	for _, server := range s.index { // what a whole list doesn't name is gone
+	for _, server := range s.indexByName { // what a whole list doesn't name is gone
 		if !named[server] {
 			s.env.Checker.RecordNotified(number, server, "gone", 0)
 		}
@@ -456,4 +456,4 @@
 }
 
 // Tell notes that an agent starts with a list in its configuration.
-func (s *Service) Tell(number int, l *endpoints.List) { s.told(number, l) }
+func (s *Service) RecordInitialList(number int, l *endpoints.List) { s.recordNotified(number, l) }
--- a/internal/lab/discovery/discovery_test.go
+++ b/internal/lab/discovery/discovery_test.go
@@ -37,15 +37,15 @@
 	clock := func() time.Duration { return time.Since(began) }
 	set := &policy.Settings{Classes: []policy.Class{{Name: "look"}}, Contract: policy.Contract{DrainGraceMs: 0}}
 	checker := check.New(clock, set, []string{"n0", "n1"}, []check.Server{{Name: "s-00"}, {Name: "s-01"}, {Name: "s-02"}})
-	entries := []Entry{{Server: 0, Name: "s-00", Zone: "a", Kind: "k", Cell: 1, Share: 1.5, Health: "ready"},
-		{Server: 1, Name: "s-01", Zone: "b", Kind: "k", Health: "ready"}, {Server: 2, Name: "s-02", Zone: "a", Kind: "k"}}
+	entries := []Entry{{Server: 0, Name: "s-00", Zone: "a", MachineType: "k", Cell: 1, Weight: 1.5, Health: "ready"},
+		{Server: 1, Name: "s-01", Zone: "b", MachineType: "k", Health: "ready"}, {Server: 2, Name: "s-02", Zone: "a", MachineType: "k"}}
 	addrs, err := loopback.Claim()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(addrs.Close)
-	s, err := New(c, Env{Clock: clock, Checker: checker, Agents: []string{"n0", "n1"}, Event: func(string) {},
-		Dial: func(agent, server int) string { return fmt.Sprintf("127.0.%d.%d:80", agent, server) }}, addrs, entries, 1)
+	s, err := New(c, Env{Clock: clock, Checker: checker, Agents: []string{"n0", "n1"}, RecordEvent: func(string) {},
+		DialAddr: func(agent, server int) string { return fmt.Sprintf("127.0.%d.%d:80", agent, server) }}, addrs, entries, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 // watch tells what changed since, together what came together, or the whole list where
 // it can't tell what changed.
 func TestListsAndWatches(t *testing.T) {
-	st := newStand(t, Config{Period: 100 * ms})
+	st := newStand(t, Config{BatchInterval: 100 * ms})
 	resp, err := st.get(context.Background(), 1, "")
 	if err != nil {
 		t.Fatal(err)
@@ -124,11 +124,11 @@
 	if l := next(t, w); l.Full || len(l.Endpoints) != 0 || l.Seq != 41 {
 		t.Errorf("first line of an up-to-date watch: %+v", l)
 	}
-	st.Notice(2, "ready", 77, false)
+	st.ReportHealth(2, "ready", 77, false)
 	for st.List(0, 0, true).Seq < 42 {
 		time.Sleep(ms)
 	}
-	st.Notice(1, "draining", 0, false)
+	st.ReportHealth(1, "draining", 0, false)
 	told, lines := "", 0
 	for l := (endpoints.List{}); l.Seq < 43; lines++ {
 		if l = next(t, w); l.Full || len(l.Endpoints) > 0 && l.Endpoints[0].Name == "s-02" && l.Endpoints[0].StartedMs != 77 {
@@ -147,7 +147,7 @@
 	if l := next(t, st.watch(0, 42)); l.Full || names(l) != "s-01 draining;" {
 		t.Errorf("one behind: %+v", l)
 	}
-	st.Notice(1, "gone", 0, false)
+	st.ReportHealth(1, "gone", 0, false)
 	if l := next(t, w); names(l) != "s-01 gone;" {
 		t.Errorf("gone: %+v", l)
 	}
@@ -158,9 +158,9 @@
 
 // News that something newer overtook is not listed.
 func TestOvertakenNews(t *testing.T) {
-	st := newStand(t, Config{Notice: []time.Duration{300 * ms, 300 * ms}, Add: []time.Duration{10 * ms, 10 * ms}})
-	st.Notice(0, "gone", 0, false)
-	st.Notice(0, "ready", 5, false)
+	st := newStand(t, Config{RemovalDelay: []time.Duration{300 * ms, 300 * ms}, StartDelay: []time.Duration{10 * ms, 10 * ms}})
+	st.ReportHealth(0, "gone", 0, false)
+	st.ReportHealth(0, "ready", 5, false)
 	w := st.watch(0, 41)
 	next(t, w)
 	if l := next(t, w); names(l) != "s-00 ready;" || l.Endpoints[0].StartedMs != 5 {
@@ -179,7 +179,7 @@
 	st := newStand(t, Config{})
 	w := st.watch(0, 41)
 	next(t, w)
-	st.Down()
+	st.StartOutage()
 	if _, open := <-w; open {
 		t.Error("a watch outlives the service")
 	}
@@ -187,7 +187,7 @@
 		resp.Body.Close()
 		t.Errorf("answers while it is down: %s", resp.Status)
 	}
-	if err := st.Up(); err != nil {
+	if err := st.EndOutage(); err != nil {
 		t.Fatal(err)
 	}
 	w = st.watch(0, 41)
@@ -209,7 +209,7 @@
 
 // Calls are worked on in turn; one that would wait too long fails.
 func TestOverbooked(t *testing.T) {
-	st := newStand(t, Config{Capacity: 1, Call: 300 * ms, Timeout: 400 * ms})
+	st := newStand(t, Config{MaxConcurrentCalls: 1, CallTime: 300 * ms, QueueTimeout: 400 * ms})
 	const callers = 6
 	codes := make(chan int, callers)
 	for range callers {
@@ -230,7 +230,7 @@
 	if count[200] < 1 || count[200] > 3 || count[503] != callers-count[200] {
 		t.Errorf("codes %v: with 300 ms a call and 400 ms of patience one to three are served", count)
 	}
-	if st.Failed.Load() != int64(count[503]) {
-		t.Errorf("%d counted as failed of %d", st.Failed.Load(), count[503])
+	if st.FailedCalls.Load() != int64(count[503]) {
+		t.Errorf("%d counted as failed of %d", st.FailedCalls.Load(), count[503])
 	}
 }
--- a/internal/lab/experiment/agents.go
+++ b/internal/lab/experiment/agents.go
@@ -124,7 +124,7 @@
 	}
 	if starts {
 		fl.checker.AgentStarted(agent.index)
-		fl.discovery.Tell(agent.index, &known)
+		fl.discovery.RecordInitialList(agent.index, &known)
 		if fl.controlPlane != nil {
 			fl.controlPlane.agentStarted(agent.index)
 			fl.controlPlane.updateChecker()
--- a/internal/lab/experiment/config.go
+++ b/internal/lab/experiment/config.go
@@ -62,15 +62,15 @@
 
 // MachineType is a type of machine that emulated servers are drawn from.
 type MachineType struct {
-	Name        string             `koanf:"name"`
-	Share       float64            `koanf:"share"`  // of the servers
-	Weight      float64            `koanf:"weight"` // as listed; 0: cores times speed
-	SpeedCV     float64            `koanf:"speed_cv"`
-	Noise       float64            `koanf:"noise"`
-	ErrorRate   float64            `koanf:"error_rate"`
-	Spec        server.Spec        `koanf:"spec"`
-	Connections server.Connections `koanf:"connections"`
-	Reports     server.Reports     `koanf:"reports"`
+	Name        string                  `koanf:"name"`
+	Share       float64                 `koanf:"share"`  // of the servers
+	Weight      float64                 `koanf:"weight"` // as listed; 0: cores times speed
+	SpeedCV     float64                 `koanf:"speed_cv"`
+	Noise       float64                 `koanf:"noise"`
+	ErrorRate   float64                 `koanf:"error_rate"`
+	Spec        server.Spec             `koanf:"spec"`
+	Connections server.ConnectionPolicy `koanf:"connections"`
+	Reports     server.LoadReports      `koanf:"reports"`
 }
 
 // Rules is what the agents' settings say of the rules that the checker enforces, and of what the
@@ -81,8 +81,8 @@
 	SlowStartFrom     float64       `koanf:"cold_from"`
 	SlowStartDuration time.Duration `koanf:"cold_for"`
 	DrainGrace        time.Duration `koanf:"drain_grace"`
-	FallMultiple      float64       `koanf:"fall_multiple"`
-	FallWindow        time.Duration `koanf:"fall_window"`
+	CrashLoadMultiple float64       `koanf:"fall_multiple"`
+	CrashWindow       time.Duration `koanf:"fall_window"`
 	MaxAttempts       int           `koanf:"max_attempts"`
 	ParallelAttempts  bool          `koanf:"parallel_tries"`
 	Cancelling        bool          `koanf:"cancelling"`
@@ -133,7 +133,7 @@
 	Size       float64       `koanf:"size"`
 	Share      float64       `koanf:"share"`
 	Class      string        `koanf:"class"`
-	RampTime   time.Duration `koanf:"rise"`
+	RiseTime   time.Duration `koanf:"rise"`
 	Interval   time.Duration `koanf:"every"` // of periodic faults, and from one target to the next
 	Jitter     time.Duration `koanf:"jitter"`
 	Version    string        `koanf:"version"`
--- a/internal/lab/experiment/controlplane.go
+++ b/internal/lab/experiment/controlplane.go
@@ -235,8 +235,8 @@
 	if srv.Health() == endpoints.Draining {
 		health = endpoints.Draining
 	}
-	return endpoints.Endpoint{Name: srv.Name, Dial: srv.Addr(), Site: srv.Zone, Class: srv.Kind, Block: srv.Cell, Health: health,
-		Weight: srv.Share, StartedMs: float64(srv.BornMs())}
+	return endpoints.Endpoint{Name: srv.Name, Dial: srv.Addr(), Site: srv.Zone, Class: srv.MachineType, Block: srv.Cell, Health: health,
+		Weight: srv.Weight, StartedMs: float64(srv.StartedMs())}
 }
 
 // register registers a server and records when its change was sent.
@@ -280,7 +280,7 @@
 		cp.mu.Lock()
 		for i, srv := range cp.fleet.servers {
 			if cp.registered[i] && !cp.muted[i] {
-				refs = append(refs, catalog.InstanceRef{Name: srv.Name, StartedMs: float64(srv.BornMs())})
+				refs = append(refs, catalog.InstanceRef{Name: srv.Name, StartedMs: float64(srv.StartedMs())})
 				renewed = append(renewed, srv)
 			}
 		}
--- a/internal/lab/experiment/defaults.go
+++ b/internal/lab/experiment/defaults.go
@@ -20,9 +20,9 @@
 		LeasedTasks:  LeasedTasks{TTL: 3 * time.Second, Workers: 3, MaxTasksPerWorker: 100, Command: "bin/lab", ClockRates: []float64{1}},
 		Servers: Servers{Count: 12, CellSize: 4, MachineTypes: []MachineType{
 			defaultMachineType("fast-single", 1.8), defaultMachineType("slow-single", 0.9)}},
-		Discovery: discovery.Config{Notice: millisRange(1500, 5200), Silent: millisRange(4500, 14000), Add: millisRange(1400, 3000),
-			Period: 300 * time.Millisecond, Call: 2 * time.Millisecond, Line: 50 * time.Microsecond,
-			Timeout: 2 * time.Second, Capacity: 4},
+		Discovery: discovery.Config{RemovalDelay: millisRange(1500, 5200), SilentRemovalDelay: millisRange(4500, 14000), StartDelay: millisRange(1400, 3000),
+			BatchInterval: 300 * time.Millisecond, CallTime: 2 * time.Millisecond, EntryTime: 50 * time.Microsecond,
+			QueueTimeout: 2 * time.Second, MaxConcurrentCalls: 4},
 		Load:  defaultLoad(),
 		Rules: defaultRules(),
 	}
@@ -39,7 +39,7 @@
 
 func defaultRules() Rules {
 	return Rules{AnswerSlack: 20 * time.Millisecond, ListPollWithin: 10 * time.Second, SlowStartFrom: 0.13, SlowStartDuration: 24 * time.Second,
-		DrainGrace: 500 * time.Millisecond, FallMultiple: 4, FallWindow: time.Second, MaxAttempts: 6, ParallelAttempts: true,
+		DrainGrace: 500 * time.Millisecond, CrashLoadMultiple: 4, CrashWindow: time.Second, MaxAttempts: 6, ParallelAttempts: true,
 		Cancelling: true, Probing: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
 		ConnectTimeout: 250 * time.Millisecond, Keepalive: 30 * time.Second}
 }
@@ -55,17 +55,17 @@
 }
 
 func defaultSpec(speed float64) server.Spec {
-	return server.Spec{Cores: 1, Speed: speed, Slots: 4, Queue: 24, Thrash: 0.2, ThrashAt: 10,
-		ColdFrom: 0.2, ColdFor: 18 * time.Second, AffinityGain: 0.6, AffinityFor: 20 * time.Second, AffinityKeys: 12,
-		Choke:     server.Choke{At: 6, Over: 2 * time.Second, Slower: 2.5, Below: 0.3, Rest: 3 * time.Second, AtMost: 25 * time.Second},
-		FallSlack: 300}
+	return server.Spec{Cores: 1, Speed: speed, Slots: 4, QueueCapacity: 24, ThrashFactor: 0.2, ThrashThreshold: 10,
+		WarmupStartFactor: 0.2, WarmupDuration: 18 * time.Second, AffinityGain: 0.6, AffinityTTL: 20 * time.Second, AffinityKeys: 12,
+		Overload:   server.Overload{RequestsPerCore: 6, After: 2 * time.Second, Slowdown: 2.5, RecoveryUtilization: 0.3, RecoveryPeriod: 3 * time.Second, MaxDuration: 25 * time.Second},
+		CrashSlack: 300}
 }
 
-func defaultConnections() server.Connections {
-	return server.Connections{Cap: 700, Idle: 30 * time.Second, HandshakeTime: time.Millisecond, HandshakeWork: 1}
+func defaultConnections() server.ConnectionPolicy {
+	return server.ConnectionPolicy{MaxOpen: 700, IdleTimeout: 30 * time.Second, HandshakeDelay: time.Millisecond, HandshakeWork: 1}
 }
 
-func defaultReports() server.Reports {
-	return server.Reports{How: "on_probe", Names: []string{"util", "inflight"}, Period: 200 * time.Millisecond,
-		Delay: 60 * time.Millisecond, Noise: 0.1, Probes: true, ProbeWork: 0.05}
+func defaultReports() server.LoadReports {
+	return server.LoadReports{Mode: "on_probe", Metrics: []string{"util", "inflight"}, Interval: 200 * time.Millisecond,
+		Delay: 60 * time.Millisecond, Noise: 0.1, ProbesEnabled: true, ProbeWork: 0.05}
 }
--- a/internal/lab/experiment/faults.go
+++ b/internal/lab/experiment/faults.go
@@ -45,12 +45,12 @@
 			return fl.restartServer(srv, f)
 		}
 	case faultVanish:
-		if err := srv.Vanish(); err != nil {
+		if err := srv.Isolate(); err != nil {
 			return err
 		}
 		fl.waitDuration(ctx, f)
 		if f.Duration > 0 {
-			return srv.Return()
+			return srv.Rejoin()
 		}
 	case faultDrain:
 		srv.Drain()
@@ -64,18 +64,18 @@
 	case faultMute:
 		fl.muteServer(ctx, f, srv)
 	case faultSlow:
-		srv.Slow(f.Size)
+		srv.SetSlowdown(f.Size)
 		fl.waitDuration(ctx, f)
 		if f.Duration > 0 {
-			srv.Slow(1)
+			srv.SetSlowdown(1)
 		}
 	case faultNeighbour:
 		fl.runNeighbour(ctx, f, srv, offset)
 	default:
-		srv.Spoil(responseFaults(f))
+		srv.SetFaults(responseFaults(f))
 		fl.waitDuration(ctx, f)
 		if f.Duration > 0 {
-			srv.Spoil(server.Faults{})
+			srv.SetFaults(server.Faults{})
 		}
 	}
 	return nil
@@ -121,13 +121,13 @@
 func responseFaults(f *Fault) server.Faults {
 	switch f.Kind {
 	case faultErrors:
-		return server.Faults{Errors: f.Size}
+		return server.Faults{ErrorShare: f.Size}
 	case faultResets:
-		return server.Faults{Resets: f.Size}
+		return server.Faults{ResetShare: f.Size}
 	case faultLost:
-		return server.Faults{Lost: f.Size}
+		return server.Faults{LostShare: f.Size}
 	case faultSpoilt:
-		return server.Faults{Spoilt: f.Size}
+		return server.Faults{TruncatedShare: f.Size}
 	}
 	return server.Faults{}
 }
@@ -135,9 +135,9 @@
 // runNeighbour takes part of a server's machine until the fault ends: all the time, or on and
 // off at the fault's interval, beginning at the given part of it.
 func (fl *fleet) runNeighbour(ctx context.Context, f *Fault, srv *server.Server, offset float64) {
-	defer srv.Take(0)
+	defer srv.SetNeighbourShare(0)
 	if f.Interval <= 0 {
-		srv.Take(f.Size)
+		srv.SetNeighbourShare(f.Size)
 		if f.Duration > 0 {
 			sleep(ctx, f.Duration)
 		} else {
@@ -151,11 +151,11 @@
 		defer cancel()
 	}
 	for wait := time.Duration(offset * float64(f.Interval)); sleep(ctx, wait); wait = f.Interval {
-		srv.Take(f.Size)
+		srv.SetNeighbourShare(f.Size)
 		if !sleep(ctx, f.Interval) {
 			return
 		}
-		srv.Take(0)
+		srv.SetNeighbourShare(0)
 	}
 }
 
--- a/internal/lab/experiment/fleet.go
+++ b/internal/lab/experiment/fleet.go
@@ -83,7 +83,7 @@
 	}
 	var err error
 	fl.discovery, err = discovery.New(fl.config.Discovery, discovery.Env{Clock: fl.clock, Checker: fl.checker, Agents: agents,
-		Dial: fl.serverDialAddr, Event: fl.events.record}, fl.addresses, discoveryEntries(configs), fl.seed)
+		DialAddr: fl.serverDialAddr, RecordEvent: fl.events.record}, fl.addresses, discoveryEntries(configs), fl.seed)
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 func checkedServers(configs []server.Config) []check.Server {
 	var servers []check.Server
 	for _, config := range configs {
-		servers = append(servers, check.Server{Name: config.Name, Zone: config.ZoneNum, Cell: config.Cell})
+		servers = append(servers, check.Server{Name: config.Name, Zone: config.ZoneIndex, Cell: config.Cell})
 	}
 	return servers
 }
@@ -111,20 +111,20 @@
 func discoveryEntries(configs []server.Config) []discovery.Entry {
 	var entries []discovery.Entry
 	for _, config := range configs {
-		entries = append(entries, discovery.Entry{Server: config.Index, Name: config.Name, Zone: config.Zone, Kind: config.Kind,
-			Cell: config.Cell, Share: config.Share, Health: endpoints.Ready})
+		entries = append(entries, discovery.Entry{Server: config.Index, Name: config.Name, Zone: config.Zone, MachineType: config.MachineType,
+			Cell: config.Cell, Weight: config.Weight, Health: endpoints.Ready})
 	}
 	return entries
 }
 
 // startServers creates the emulated servers and starts them with the first version.
 func (fl *fleet) startServers(configs []server.Config) error {
-	env := &server.Env{Clock: fl.clock, Epoch: fl.epoch, Checker: fl.checker, Effects: fl.effects, Event: fl.events.record,
-		Clear: fl.linkIsClear, Changed: fl.serverChanged}
+	env := &server.Env{Clock: fl.clock, Epoch: fl.epoch, Checker: fl.checker, Effects: fl.effects, RecordEvent: fl.events.record,
+		LinkClear: fl.linkIsClear, HealthChanged: fl.serverChanged}
 	for _, class := range fl.config.Load.Classes {
 		env.Classes = append(env.Classes, class.Name)
-		env.Keyed = append(env.Keyed, class.Effect == client.EffectDeduplicated)
-		env.KeyTTL = append(env.KeyTTL, class.DedupWindow)
+		env.Deduplicated = append(env.Deduplicated, class.Effect == client.EffectDeduplicated)
+		env.DedupWindow = append(env.DedupWindow, class.DedupWindow)
 	}
 	for _, config := range configs {
 		srv, err := server.New(config, env, fl.addresses.IP()+":0", fl.seed)
@@ -155,7 +155,7 @@
 	for i, typeIndex := range c.drawMachineTypes(rng) {
 		machine := c.Servers.MachineTypes[typeIndex]
 		spec := machine.Spec
-		spec.FallMultiple, spec.FallWindow = c.Rules.FallMultiple, c.Rules.FallWindow
+		spec.CrashLoadMultiple, spec.CrashWindow = c.Rules.CrashLoadMultiple, c.Rules.CrashWindow
 		weight := machine.Weight
 		if weight <= 0 {
 			weight = float64(spec.Cores) * spec.Speed
@@ -163,10 +163,10 @@
 		// The listed weight is of the nominal speed; the actual speed is drawn around it.
 		spec.Speed *= max(1+machine.SpeedCV*rng.NormFloat64(), minSpeedFactor)
 		zone := i % len(c.Zones)
-		servers[i] = server.Config{Index: i, Name: serverName(i), Zone: c.Zones[zone], ZoneNum: zone, Kind: machine.Name,
+		servers[i] = server.Config{Index: i, Name: serverName(i), Zone: c.Zones[zone], ZoneIndex: zone, MachineType: machine.Name,
 			// A cell lies within a zone.
-			Cell: zone + len(c.Zones)*(i/len(c.Zones)/c.Servers.CellSize), Share: weight, Spec: spec, Conns: machine.Connections,
-			Reports: machine.Reports, Noise: machine.Noise, ErrorRate: machine.ErrorRate}
+			Cell: zone + len(c.Zones)*(i/len(c.Zones)/c.Servers.CellSize), Weight: weight, Spec: spec, ConnectionPolicy: machine.Connections,
+			LoadReports: machine.Reports, WorkNoise: machine.Noise, ErrorRate: machine.ErrorRate}
 	}
 	return servers
 }
@@ -206,7 +206,7 @@
 	if fl.controlPlane != nil {
 		fl.controlPlane.serverChanged(srv, health)
 	} else {
-		fl.discovery.Notice(srv.Index, health, srv.BornMs(), silent)
+		fl.discovery.ReportHealth(srv.Index, health, srv.StartedMs(), silent)
 	}
 	target := link.Open
 	switch {
--- a/internal/lab/experiment/parse.go
+++ b/internal/lab/experiment/parse.go
@@ -52,7 +52,7 @@
 		c.Servers.MachineTypes = make([]MachineType, n)
 		for i := range c.Servers.MachineTypes {
 			c.Servers.MachineTypes[i] = machineTypes[min(i, len(machineTypes)-1)]
-			c.Servers.MachineTypes[i].Reports.Names = slices.Clone(machineTypes[0].Reports.Names)
+			c.Servers.MachineTypes[i].Reports.Metrics = slices.Clone(machineTypes[0].Reports.Metrics)
 		}
 	}
 	if n, ok := listLength(raw, "load", "class"); ok {
--- a/internal/lab/experiment/rows.go
+++ b/internal/lab/experiment/rows.go
@@ -9,8 +9,8 @@
 
 // Names of the windows that every run has.
 const (
-	windowAll  = "all"  // all after the warm-up
-	windowCalm = "calm" // all after the warm-up that is in no fault's window
+	windowAll           = "all"  // all after the warm-up
+	windowOutsideFaults = "calm" // all after the warm-up that is in no fault's window
 )
 
 // classAll names all classes together.
@@ -21,7 +21,7 @@
 
 // countRows counts the requests of each class in each window.
 func (r *run) countRows(results []client.Result, windows map[string]timeWindow) []Row {
-	names := []string{windowAll, windowCalm}
+	names := []string{windowAll, windowOutsideFaults}
 	for i := range r.config.Faults {
 		if _, ok := windows[r.config.Faults[i].Name]; ok {
 			names = append(names, r.config.Faults[i].Name)
@@ -42,7 +42,7 @@
 	switch name {
 	case windowAll:
 		return planned >= r.config.Warmup
-	case windowCalm:
+	case windowOutsideFaults:
 		for _, window := range windows {
 			if window.contains(planned) {
 				return false
--- a/internal/lab/experiment/samples.go
+++ b/internal/lab/experiment/samples.go
@@ -57,13 +57,13 @@
 		s.attempts += srv.Arrived.Load()
 		s.connections += srv.Connections.Load()
 		s.probes += srv.Probes.Load()
-		s.openConnections += state.Conns
+		s.openConnections += state.OpenConnections
 		switch {
 		case state.Health == endpoints.Removed:
 			s.down++
-		case state.Choked:
+		case state.Overloaded:
 			s.overloaded++
-		case state.Ramp < 1:
+		case state.WarmupFactor < 1:
 			s.warmingUp++
 		}
 	}
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -239,12 +239,12 @@
 		t.Connections += srv.Connections.Load()
 		t.Probes += srv.Probes.Load()
 		t.ServerAttempts += srv.Arrived.Load()
-		t.Rejected += srv.Away.Load()
-		t.Overloads += srv.State().Chokes
+		t.Rejected += srv.Rejected.Load()
+		t.Overloads += srv.State().Overloads
 		t.ServerWorkSeconds += float64(srv.WorkMicros.Load()) / 1e6
 	}
 	counters := &fl.discovery.Counters
-	t.ListCalls, t.ListLines, t.ListCallsFailed = counters.Calls.Load(), counters.Lines.Load(), counters.Failed.Load()
+	t.ListCalls, t.ListLines, t.ListCallsFailed = counters.Calls.Load(), counters.EntriesSent.Load(), counters.FailedCalls.Load()
 	for i, c := range fl.clients {
 		skipped, attempts := c.Counts()
 		t.SkippedAgentDown += skipped
--- a/internal/lab/experiment/timeline.go
+++ b/internal/lab/experiment/timeline.go
@@ -30,7 +30,7 @@
 		}
 		switch f.Kind {
 		case faultBurst:
-			changes = append(changes, client.LoadChange{From: f.At, To: to, Factor: f.Size, RampTime: f.RampTime})
+			changes = append(changes, client.LoadChange{From: f.At, To: to, Factor: f.Size, RampTime: f.RiseTime})
 		case faultHeavy:
 			changes = append(changes, client.LoadChange{From: f.At, To: to, Class: f.Class, HeavyShare: f.Share, WorkFactor: f.Size})
 		}
@@ -100,12 +100,12 @@
 		fl.waitDuration(ctx, f)
 		return 1, nil
 	case targetDiscovery:
-		fl.discovery.Down()
+		fl.discovery.StartOutage()
 		fl.waitDuration(ctx, f)
 		if f.Duration == 0 {
 			return 1, nil
 		}
-		return 1, fl.discovery.Up()
+		return 1, fl.discovery.EndOutage()
 	case targetLink:
 		return fl.applyLinkFault(ctx, f)
 	case targetAgents:
--- a/internal/lab/experiment/validate.go
+++ b/internal/lab/experiment/validate.go
@@ -123,10 +123,10 @@
 // discoveryChecks checks the table "discovery".
 func (c *Config) discoveryChecks() []keyCheck {
 	return []keyCheck{
-		{"discovery.capacity", c.Discovery.Capacity < 1, fmt.Sprintf("must be 1 or above, is %d", c.Discovery.Capacity)},
-		{"discovery.notice", !isRange(c.Discovery.Notice), "must be two times, the lower first"},
-		{"discovery.silent_notice", !isRange(c.Discovery.Silent), "must be two times, the lower first"},
-		{"discovery.add", !isRange(c.Discovery.Add), "must be two times, the lower first"},
+		{"discovery.capacity", c.Discovery.MaxConcurrentCalls < 1, fmt.Sprintf("must be 1 or above, is %d", c.Discovery.MaxConcurrentCalls)},
+		{"discovery.notice", !isRange(c.Discovery.RemovalDelay), "must be two times, the lower first"},
+		{"discovery.silent_notice", !isRange(c.Discovery.SilentRemovalDelay), "must be two times, the lower first"},
+		{"discovery.add", !isRange(c.Discovery.StartDelay), "must be two times, the lower first"},
 	}
 }
 
@@ -148,14 +148,14 @@
 			return configfile.NewKeyError(at+"name", "missing")
 		case !(k.Share > 0):
 			return configfile.NewKeyError(at+"share", "must be above 0, is %v", k.Share)
-		case k.Spec.Cores < 1 || k.Spec.Slots < 1 || k.Spec.Queue < 0 || !(k.Spec.Speed > 0):
+		case k.Spec.Cores < 1 || k.Spec.Slots < 1 || k.Spec.QueueCapacity < 0 || !(k.Spec.Speed > 0):
 			return configfile.NewKeyError(at+"spec", "cores, slots and speed must be above 0, queue 0 or above")
-		case !isFraction(k.Spec.ColdFrom):
-			return configfile.NewKeyError(at+"spec.cold_from", "must be 0 to 1, is %v", k.Spec.ColdFrom)
+		case !isFraction(k.Spec.WarmupStartFactor):
+			return configfile.NewKeyError(at+"spec.cold_from", "must be 0 to 1, is %v", k.Spec.WarmupStartFactor)
 		case !isFraction(k.ErrorRate) || k.Noise < 0 || k.SpeedCV < 0:
 			return configfile.NewKeyError(at+"error_rate, noise and speed_cv", "must be 0 or above")
-		case k.Reports.How != "inline" && k.Reports.How != "on_probe" && k.Reports.How != "off":
-			return configfile.NewKeyError(at+"reports.how", "must be inline, on_probe or off, is %q", k.Reports.How)
+		case k.Reports.Mode != "inline" && k.Reports.Mode != "on_probe" && k.Reports.Mode != "off":
+			return configfile.NewKeyError(at+"reports.how", "must be inline, on_probe or off, is %q", k.Reports.Mode)
 		}
 	}
 	return nil
@@ -167,7 +167,7 @@
 		if c.Versions[i].Name == "" {
 			return configfile.NewKeyError(fmt.Sprintf("version[%d].name", i), "missing")
 		}
-		for class, p := range c.Versions[i].Errors {
+		for class, p := range c.Versions[i].ErrorShares {
 			if c.classIndex(class) < 0 {
 				return configfile.NewKeyError(fmt.Sprintf("version[%d].errors", i), "no class %q", class)
 			}
@@ -207,7 +207,7 @@
 
 // validateFaults checks the tables "fault".
 func (c *Config) validateFaults() error {
-	names := map[string]bool{"": true, windowAll: true, windowCalm: true}
+	names := map[string]bool{"": true, windowAll: true, windowOutsideFaults: true}
 	for i := range c.Faults {
 		f := &c.Faults[i]
 		at := fmt.Sprintf("fault[%d].", i)
@@ -231,7 +231,7 @@
 	switch {
 	case !slices.Contains(faultKinds[kind], f.Kind):
 		return configfile.NewKeyError(at+"kind", "%q is nothing that is done to %s: one of %s", f.Kind, kind, strings.Join(faultKinds[kind], ", "))
-	case f.At < 0 || f.Duration < 0 || f.Interval < 0 || f.Delay < 0 || f.EventDelay < 0 || f.Jitter < 0 || f.Window < 0 || f.RampTime < 0:
+	case f.At < 0 || f.Duration < 0 || f.Interval < 0 || f.Delay < 0 || f.EventDelay < 0 || f.Jitter < 0 || f.Window < 0 || f.RiseTime < 0:
 		return configfile.NewKeyError(at+"at, for, every, delay, jitter, rise and window", "must be 0 or above")
 	case f.AfterEvent == "" && f.At >= c.Duration:
 		return configfile.NewKeyError(at+"at", "%v is after the end of the run at %v", f.At, c.Duration)
@@ -314,5 +314,5 @@
 
 // isCommonWindow reports whether every run has the window; "" means windowAll.
 func isCommonWindow(name string) bool {
-	return name == "" || name == windowAll || name == windowCalm
+	return name == "" || name == windowAll || name == windowOutsideFaults
 }
--- a/internal/lab/experiment/workers.go
+++ b/internal/lab/experiment/workers.go
@@ -108,7 +108,7 @@
 // evaluate combines the analyses of the operations at all servers.
 func (w *workers) evaluate() (all check.Analysis) {
 	for _, srv := range w.fleet.servers {
-		one := srv.Acts.Analyze()
+		one := srv.Operations.Analyze()
 		all.Violations = append(all.Violations, one.Violations...)
 		all.HandoverGaps = append(all.HandoverGaps, one.HandoverGaps...)
 		all.Terms, all.Rejected, all.Idle, all.Total = all.Terms+one.Terms, all.Rejected+one.Rejected, all.Idle+one.Idle, all.Total+one.Total
--- a/internal/lab/server/http.go
+++ b/internal/lab/server/http.go
@@ -15,61 +15,61 @@
 	"knotrouter/internal/lab/loopback"
 )
 
-type connKey struct{}
+type connContextKey struct{}
 
 // conn is one connection to a server.
 type conn struct {
 	net.Conn
-	s      *Server
-	first  atomic.Int64 // when the first byte of the request at hand came
-	used   atomic.Bool  // a request has come on it
-	held   atomic.Bool  // what came was kept back while the machine was cut off
-	over   bool         // beyond the cap
-	once   sync.Once
-	closed chan struct{}
+	server             *Server
+	firstByteAt        atomic.Int64 // when the first byte of the request at hand came
+	used               atomic.Bool  // a request has come on it
+	delayedByIsolation atomic.Bool  // what came was kept back while the machine was cut off
+	overLimit          bool         // beyond the cap
+	closeOnce          sync.Once
+	closed             chan struct{}
 }
 
 // wrapper hands the http server each connection with what is known of it.
-type wrapper struct {
+type connListener struct {
 	net.Listener
-	s *Server
+	server *Server
 }
 
-func (w *wrapper) Accept() (net.Conn, error) {
+func (w *connListener) Accept() (net.Conn, error) {
 	nc, err := w.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	s := w.s
+	s := w.server
 	s.Connections.Add(1)
-	n := s.conns.Add(nc)
-	return &conn{Conn: nc, s: s, over: s.Conns.Cap > 0 && n > s.Conns.Cap, closed: make(chan struct{})}, nil
+	n := s.openConns.Add(nc)
+	return &conn{Conn: nc, server: s, overLimit: s.ConnectionPolicy.MaxOpen > 0 && n > s.ConnectionPolicy.MaxOpen, closed: make(chan struct{})}, nil
 }
 
 // Read and Write wait while the machine is cut off.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	waited, open := c.s.gate.wait(c.closed)
+	waited, open := c.server.network.wait(c.closed)
 	if !open {
 		return 0, net.ErrClosed
 	}
 	if waited {
-		c.held.Store(true)
+		c.delayedByIsolation.Store(true)
 	}
 	return n, err
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	if _, open := c.s.gate.wait(c.closed); !open {
+	if _, open := c.server.network.wait(c.closed); !open {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(p)
 }
 
 func (c *conn) Close() error {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.closed)
-		c.s.conns.Drop(c.Conn)
+		c.server.openConns.Drop(c.Conn)
 	})
 	return c.Conn.Close()
 }
@@ -81,12 +81,12 @@
 }
 
 // gate is shut while a machine is cut off.
-type gate struct {
+type networkGate struct {
 	mu   sync.Mutex
 	open chan struct{} // closed while it is open
 }
 
-func (g *gate) set(open bool) {
+func (g *networkGate) setOpen(open bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
@@ -103,7 +103,7 @@
 
 // wait returns once the gate is open, or not open when the connection has gone; it tells
 // whether it had to wait.
-func (g *gate) wait(closed <-chan struct{}) (waited, open bool) {
+func (g *networkGate) wait(closed <-chan struct{}) (waited, open bool) {
 	g.mu.Lock()
 	ch := g.open
 	g.mu.Unlock()
@@ -122,23 +122,23 @@
 
 // ServeHTTP answers one request or probe.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := r.Context().Value(connKey{}).(*conn)
+	c := r.Context().Value(connContextKey{}).(*conn)
 	w.Header()["Date"] = nil
 	fresh := !c.used.Swap(true)
 	id := r.Header.Get("Request-Id")
 	if id == "" {
 		if r.Method == http.MethodPost && r.URL.Path == "/admin/act" {
-			s.Acts.ServeHTTP(w, r)
+			s.Operations.ServeHTTP(w, r)
 			return
 		}
-		s.probe(w, r)
+		s.answerProbe(w, r)
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	if err != nil {
 		c.reset()
 	}
-	at, first := s.env.Clock(), time.Duration(c.first.Load())
+	at, first := s.env.Clock(), time.Duration(c.firstByteAt.Load())
 	s.Arrived.Add(1)
 	req := s.env.Checker.Lookup(id)
 	if req == nil || req.Method != r.Method || req.Path != r.RequestURI ||
@@ -147,7 +147,7 @@
 		http.Error(w, "no client sent this", http.StatusBadRequest)
 		return
 	}
-	clear := !c.held.Swap(false) && (s.env.Clear == nil || s.env.Clear(req.Agent, s.Index))
+	clear := !c.delayedByIsolation.Swap(false) && (s.env.LinkClear == nil || s.env.LinkClear(req.Agent, s.Index))
 	a := s.env.Checker.RecordAttempt(req, s.Index, first, at, clear)
 	defer a.MarkFinished()
 	if fresh && !s.handshake(r.Context()) {
@@ -157,34 +157,34 @@
 	health, faults, version := s.health, s.faults, s.version
 	s.mu.Unlock()
 	switch {
-	case c.over:
+	case c.overLimit:
 		w.Header().Set("Connection", "close")
-		s.away(w, a, http.StatusServiceUnavailable)
+		s.reject(w, a, http.StatusServiceUnavailable)
 		return
 	case health != "ready":
-		s.away(w, a, http.StatusServiceUnavailable)
+		s.reject(w, a, http.StatusServiceUnavailable)
 		return
 	case at >= req.Deadline:
-		s.away(w, a, http.StatusGatewayTimeout)
+		s.reject(w, a, http.StatusGatewayTimeout)
 		return
 	}
-	if s.chance(max(faults.Errors, s.ErrorRate, version.Errors[s.env.Classes[req.Class]])) {
-		s.fail(w)
+	if s.drawFault(max(faults.ErrorShare, s.ErrorRate, version.ErrorShares[s.env.Classes[req.Class]])) {
+		s.answerError(w)
 		return
 	}
-	s.work(w, r, c, a, faults)
+	s.process(w, r, c, a, faults)
 }
 
 // handshake is what the first request on a connection waits for.
 func (s *Server) handshake(ctx context.Context) bool {
-	if s.Conns.HandshakeWork > 0 {
-		s.do(func(m *Model, now time.Duration) { m.Aside(now, s.Conns.HandshakeWork) })
+	if s.ConnectionPolicy.HandshakeWork > 0 {
+		s.updateModel(func(m *Model, now time.Duration) { m.AddOverhead(now, s.ConnectionPolicy.HandshakeWork) })
 	}
-	if s.Conns.HandshakeTime <= 0 {
+	if s.ConnectionPolicy.HandshakeDelay <= 0 {
 		return true
 	}
 	select {
-	case <-time.After(s.Conns.HandshakeTime):
+	case <-time.After(s.ConnectionPolicy.HandshakeDelay):
 		return true
 	case <-ctx.Done():
 		return false
@@ -192,63 +192,63 @@
 }
 
 // work queues the request and answers at its end.
-func (s *Server) work(w http.ResponseWriter, r *http.Request, c *conn, a *check.Attempt, faults Faults) {
+func (s *Server) process(w http.ResponseWriter, r *http.Request, c *conn, a *check.Attempt, faults Faults) {
 	req := a.Request
-	j := &Job{Work: req.Work * s.noise(), Key: req.Key, done: make(chan struct{}),
-		Told: s.env.Checker.StartNotified(req.Agent, s.Index, s.BornMs())}
-	if left, ok := timeout(r.Header.Get("Request-Timeout")); ok {
-		j.Expires = a.LastByteAt + left
+	j := &Job{Work: req.Work * s.drawWorkNoise(), Key: req.Key, done: make(chan struct{}),
+		SenderNotified: s.env.Checker.StartNotified(req.Agent, s.Index, s.StartedMs())}
+	if left, ok := parseTimeout(r.Header.Get("Request-Timeout")); ok {
+		j.ExpiresAt = a.LastByteAt + left
 	}
-	verdict, life, fell := Full, 0, (*Fall)(nil)
-	s.do(func(m *Model, now time.Duration) {
-		before := m.Fell()
-		verdict, life = m.Arrive(now, j), s.life
+	verdict, life, fell := Rejected, 0, (*WarmupCrash)(nil)
+	s.updateModel(func(m *Model, now time.Duration) {
+		before := m.Crash()
+		verdict, life = m.Arrive(now, j), s.incarnation
 		if before == nil {
-			fell = m.Fell()
+			fell = m.Crash()
 		}
 	})
 	if fell != nil {
-		s.env.Event("server " + s.Name + " pushed over")
-		s.env.Checker.WarmupOverload(s.Index, fell.Told, fell.Sent, fell.Bound)
-		go s.end(life, false)
+		s.env.RecordEvent("server " + s.Name + " pushed over")
+		s.env.Checker.WarmupOverload(s.Index, fell.NotifiedShare, fell.Work, fell.Limit)
+		go s.endProcess(life, false)
 	}
-	if verdict == Full {
-		s.away(w, a, http.StatusServiceUnavailable)
+	if verdict == Rejected {
+		s.reject(w, a, http.StatusServiceUnavailable)
 		return
 	}
 	select {
 	case <-j.done:
 	case <-r.Context().Done(): // the agent gave it up, or the process ended
-		s.do(func(m *Model, now time.Duration) { m.Cancel(now, j) })
-		s.Broken.Add(1)
+		s.updateModel(func(m *Model, now time.Duration) { m.Cancel(now, j) })
+		s.Aborted.Add(1)
 		return
 	}
 	if j.Expired() {
-		s.away(w, a, http.StatusGatewayTimeout)
+		s.reject(w, a, http.StatusGatewayTimeout)
 		return
 	}
 	s.WorkMicros.Add(int64(j.Work * 1000))
-	if ttl := s.env.KeyTTL[req.Class]; s.env.Keyed[req.Class] {
+	if ttl := s.env.DedupWindow[req.Class]; s.env.Deduplicated[req.Class] {
 		s.env.Effects.commit(req.IdempotencyKey, s.env.Clock(), ttl)
 	}
 	switch {
-	case s.chance(faults.Resets):
-		s.Broken.Add(1)
+	case s.drawFault(faults.ResetShare):
+		s.Aborted.Add(1)
 		c.reset()
-	case s.chance(faults.Lost):
-		s.Broken.Add(1)
+	case s.drawFault(faults.LostShare):
+		s.Aborted.Add(1)
 		<-r.Context().Done()
 		return
 	}
 	s.Served.Add(1)
-	if s.Reports.How == "inline" {
-		w.Header().Set("Server-Load", s.report())
+	if s.LoadReports.Mode == "inline" {
+		w.Header().Set("Server-Load", s.loadReport())
 	}
 	body := a.Body(s.Name)
 	w.Header().Set("Content-Type", "text/plain")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if s.chance(faults.Spoilt) {
-		s.Broken.Add(1)
+	if s.drawFault(faults.TruncatedShare) {
+		s.Aborted.Add(1)
 		_, _ = io.WriteString(w, body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
 		c.reset()
@@ -258,35 +258,35 @@
 	_, _ = io.WriteString(w, body)
 }
 
-func (s *Server) away(w http.ResponseWriter, a *check.Attempt, status int) {
-	s.Away.Add(1)
+func (s *Server) reject(w http.ResponseWriter, a *check.Attempt, status int) {
+	s.Rejected.Add(1)
 	a.MarkRejected()
 	w.Header().Set("Not-Started", "1")
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
 }
 
-func (s *Server) fail(w http.ResponseWriter) {
+func (s *Server) answerError(w http.ResponseWriter) {
 	s.Errors.Add(1)
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(http.StatusInternalServerError)
 }
 
 // probe answers /health and /status/load beside the queue.
-func (s *Server) probe(w http.ResponseWriter, r *http.Request) {
+func (s *Server) answerProbe(w http.ResponseWriter, r *http.Request) {
 	load := r.URL.Path == "/status/load"
-	if r.Method != http.MethodGet || !s.Reports.Probes || !load && r.URL.Path != "/health" || load && s.Reports.How == "off" {
+	if r.Method != http.MethodGet || !s.LoadReports.ProbesEnabled || !load && r.URL.Path != "/health" || load && s.LoadReports.Mode == "off" {
 		http.NotFound(w, r)
 		return
 	}
 	s.Probes.Add(1)
-	s.do(func(m *Model, now time.Duration) { m.Aside(now, s.Reports.ProbeWork) })
+	s.updateModel(func(m *Model, now time.Duration) { m.AddOverhead(now, s.LoadReports.ProbeWork) })
 	body, status := "", http.StatusOK
 	if s.Health() != "ready" {
 		status = http.StatusServiceUnavailable
 	}
 	if load {
-		body = s.report()
+		body = s.loadReport()
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.Header().Set("Content-Type", "text/plain")
@@ -294,7 +294,7 @@
 	_, _ = io.WriteString(w, body)
 }
 
-func (s *Server) chance(p float64) bool {
+func (s *Server) drawFault(p float64) bool {
 	if p <= 0 {
 		return false
 	}
@@ -304,17 +304,17 @@
 }
 
 // noise is how much more or less work one attempt is than its request says.
-func (s *Server) noise() float64 {
-	if s.Noise <= 0 {
+func (s *Server) drawWorkNoise() float64 {
+	if s.WorkNoise <= 0 {
 		return 1
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(1+s.Noise*s.rng.NormFloat64(), 0.2)
+	return max(1+s.WorkNoise*s.rng.NormFloat64(), 0.2)
 }
 
 // timeout reads a number and a unit, m or u.
-func timeout(text string) (time.Duration, bool) {
+func parseTimeout(text string) (time.Duration, bool) {
 	unit := time.Millisecond
 	digits, milli := strings.CutSuffix(text, "m")
 	if !milli {
--- a/internal/lab/server/http_test.go
+++ b/internal/lab/server/http_test.go
@@ -43,8 +43,8 @@
 	clock := func() time.Duration { return time.Since(epoch) }
 	st.checker = check.New(clock, set, []string{"n0"}, []check.Server{{Name: "s-0"}})
 	st.env = &Env{Clock: clock, Epoch: epoch, Checker: st.checker, Effects: NewEffects(), Classes: []string{"look", "vote"},
-		Keyed: []bool{false, true}, KeyTTL: []time.Duration{0, time.Minute}, Event: func(string) {},
-		Changed: func(_ *Server, health string, silent bool) {
+		Deduplicated: []bool{false, true}, DedupWindow: []time.Duration{0, time.Minute}, RecordEvent: func(string) {},
+		HealthChanged: func(_ *Server, health string, silent bool) {
 			st.mu.Lock()
 			defer st.mu.Unlock()
 			if silent {
@@ -52,9 +52,9 @@
 			}
 			st.changes = append(st.changes, health)
 		}}
-	c := Config{Name: "s-0", Spec: Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 1},
-		Reports: Reports{How: "on_probe", Names: []string{"util", "inflight"}, Period: 10 * ms, Probes: true},
-		Conns:   Connections{Idle: soon}}
+	c := Config{Name: "s-0", Spec: Spec{Cores: 1, Speed: 1, Slots: 1, QueueCapacity: 1},
+		LoadReports:      LoadReports{Mode: "on_probe", Metrics: []string{"util", "inflight"}, Interval: 10 * ms, ProbesEnabled: true},
+		ConnectionPolicy: ConnectionPolicy{IdleTimeout: soon}}
 	if change != nil {
 		change(&c)
 	}
@@ -182,10 +182,10 @@
 		}()
 	}
 	give(slowReq)
-	st.until("in work", func() bool { return st.State().Inflight == 1 })
+	st.until("in work", func() bool { return st.State().InFlight == 1 })
 	_, waits := st.ask("waits", 0, 1)
 	give(waits)
-	st.until("in the queue", func() bool { return st.State().Waiting == 1 })
+	st.until("in the queue", func() bool { return st.State().Queued == 1 })
 	full, req := st.ask("full", 0, 1)
 	st.want("beyond the queue", "away 503", req)
 	if _, may := full.Attempts(); may != 0 {
@@ -193,21 +193,21 @@
 	}
 	cancel() // work stops when it is given up
 	out.Wait()
-	st.until("idle", func() bool { return st.State().Inflight == 0 })
+	st.until("idle", func() bool { return st.State().InFlight == 0 })
 	if _, may := slow.Attempts(); may != 1 {
 		t.Error("what was given up in work may not have run")
 	}
 
-	st.Spoil(Faults{Errors: 1})
+	st.SetFaults(Faults{ErrorShare: 1})
 	_, req = st.ask("error", 0, 1)
 	st.want("an error", "500", req)
-	st.Spoil(Faults{Resets: 1})
+	st.SetFaults(Faults{ResetShare: 1})
 	_, req = st.ask("reset", 0, 1)
 	st.want("a reset", "broke", req)
-	st.Spoil(Faults{Spoilt: 1})
+	st.SetFaults(Faults{TruncatedShare: 1})
 	_, req = st.ask("spoilt", 0, 1)
 	st.want("half an answer", "broke", req)
-	st.Spoil(Faults{})
+	st.SetFaults(Faults{})
 	late, req := st.ask("late", 0, 1)
 	late.Deadline = 0
 	st.want("what is already over", "away 504", req)
@@ -234,7 +234,7 @@
 	st.start(Version{ReadyAfter: 20 * ms}, false)
 	st.until("ready", func() bool { return st.Health() == "ready" })
 	st.want("health", "200", get("/health"))
-	st.until("a report", func() bool { return st.report() != "" })
+	st.until("a report", func() bool { return st.loadReport() != "" })
 	if body := st.want("load", "200", get("/status/load")); !strings.HasPrefix(body, "TEXT util=0.000, inflight=0") {
 		t.Errorf("reports %q", body)
 	}
@@ -242,15 +242,15 @@
 	if n := st.Probes.Load(); n != 3 {
 		t.Errorf("%d probes counted", n)
 	}
-	shut := newStand(t, func(c *Config) { c.Reports.Probes = false }).start(Version{}, false)
+	shut := newStand(t, func(c *Config) { c.LoadReports.ProbesEnabled = false }).start(Version{}, false)
 	r, _ := http.NewRequest("GET", "http://"+shut.Addr()+"/health", nil)
 	shut.want("a probe where there are none", "404", r)
 }
 
 // A report tells the load as it was a while ago.
 func TestReportLags(t *testing.T) {
-	st := newStand(t, func(c *Config) { c.Reports.Delay = 300 * ms }).start(Version{}, false)
-	st.until("a report", func() bool { return st.report() != "" })
+	st := newStand(t, func(c *Config) { c.LoadReports.Delay = 300 * ms }).start(Version{}, false)
+	st.until("a report", func() bool { return st.loadReport() != "" })
 	ctx, cancel := context.WithCancel(context.Background())
 	_, req := st.ask("long", 0, 1e6)
 	ended := make(chan struct{})
@@ -260,9 +260,9 @@
 			resp.Body.Close()
 		}
 	}()
-	st.until("in work", func() bool { return st.State().Inflight == 1 })
+	st.until("in work", func() bool { return st.State().InFlight == 1 })
 	began := time.Now()
-	st.until("reported", func() bool { return strings.Contains(st.report(), "inflight=1") })
+	st.until("reported", func() bool { return strings.Contains(st.loadReport(), "inflight=1") })
 	if lag := time.Since(began); lag < 200*ms {
 		t.Errorf("reported after %v, the delay is 300 ms", lag)
 	}
@@ -291,7 +291,7 @@
 
 func TestConnections(t *testing.T) {
 	st := newStand(t, func(c *Config) {
-		c.Conns = Connections{Cap: 2, Idle: 150 * ms, HandshakeTime: 60 * ms, HandshakeWork: 5}
+		c.ConnectionPolicy = ConnectionPolicy{MaxOpen: 2, IdleTimeout: 150 * ms, HandshakeDelay: 60 * ms, HandshakeWork: 5}
 	}).start(Version{}, false)
 	began := time.Now()
 	_, req := st.ask("first", 0, 1)
@@ -308,7 +308,7 @@
 		defer c.Close()
 		held = append(held, c)
 	}
-	st.until("both accepted", func() bool { return st.State().Conns >= 2 })
+	st.until("both accepted", func() bool { return st.State().OpenConnections >= 2 })
 	st.http.CloseIdleConnections()
 	_, req = st.ask("over", 0, 1)
 	st.want("beyond the cap", "away 503", req)
@@ -327,8 +327,8 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	st.until("accepted", func() bool { return st.State().Conns == 1 })
-	if err := st.Vanish(); err != nil {
+	st.until("accepted", func() bool { return st.State().OpenConnections == 1 })
+	if err := st.Isolate(); err != nil {
 		t.Fatal(err)
 	}
 	unheard, req := st.ask("unheard", 0, 1)
@@ -345,7 +345,7 @@
 		c.Close()
 		t.Error("a connection came up to a machine that vanished")
 	}
-	if err := st.Return(); err != nil {
+	if err := st.Rejoin(); err != nil {
 		t.Fatal(err)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(soon))
@@ -367,7 +367,7 @@
 func TestVersions(t *testing.T) {
 	st := newStand(t, nil).start(Version{Name: "1"}, false)
 	addr := st.Addr()
-	if st.BornMs() != 0 {
+	if st.StartedMs() != 0 {
 		t.Error("one that has stood for long was born of late")
 	}
 	if err := st.Start(Version{}, true); err == nil {
@@ -375,9 +375,9 @@
 	}
 	st.Kill()
 	before := time.Now().UnixMilli()
-	st.start(Version{Name: "2", Errors: map[string]float64{"vote": 1}, Slower: 50, CrashAfter: 700 * ms}, true)
-	if st.Addr() != addr || st.BornMs() < before || st.VersionName() != "2" {
-		t.Errorf("at %s, was at %s; born %d, started at %d; version %s", st.Addr(), addr, st.BornMs(), before, st.VersionName())
+	st.start(Version{Name: "2", ErrorShares: map[string]float64{"vote": 1}, Slowdown: 50, CrashAfter: 700 * ms}, true)
+	if st.Addr() != addr || st.StartedMs() < before || st.VersionName() != "2" {
+		t.Errorf("at %s, was at %s; born %d, started at %d; version %s", st.Addr(), addr, st.StartedMs(), before, st.VersionName())
 	}
 	began := time.Now()
 	_, req := st.ask("look", 0, 2)
--- a/internal/lab/server/model.go
+++ b/internal/lab/server/model.go
@@ -8,235 +8,235 @@
 )
 
 // Choke makes a server slower that was crowded for too long.
-type Choke struct {
-	At     float64       `koanf:"at"`      // requests held a core from which it counts as crowded; 0: never
-	Over   time.Duration `koanf:"over"`    // for how long it has to be
-	Slower float64       `koanf:"slower"`  // times slower then
-	Below  float64       `koanf:"below"`   // busy share under which it rests
-	Rest   time.Duration `koanf:"rest"`    // one such time of rest ends it
-	AtMost time.Duration `koanf:"at_most"` // and this ends it without
+type Overload struct {
+	RequestsPerCore     float64       `koanf:"at"`      // requests held a core from which it counts as crowded; 0: never
+	After               time.Duration `koanf:"over"`    // for how long it has to be
+	Slowdown            float64       `koanf:"slower"`  // times slower then
+	RecoveryUtilization float64       `koanf:"below"`   // busy share under which it rests
+	RecoveryPeriod      time.Duration `koanf:"rest"`    // one such time of rest ends it
+	MaxDuration         time.Duration `koanf:"at_most"` // and this ends it without
 }
 
 // Spec is what a server can do. Work is counted in milliseconds of a standard core.
 type Spec struct {
-	Cores        int           `koanf:"cores"`
-	Speed        float64       `koanf:"speed"`  // of a core, the standard being 1
-	Slots        int           `koanf:"slots"`  // requests in work at once
-	Queue        int           `koanf:"queue"`  // places in the waiting room
-	Thrash       float64       `koanf:"thrash"` // slower by this part for each ThrashAt that is held beyond it
-	ThrashAt     float64       `koanf:"thrash_at"`
-	ColdFrom     float64       `koanf:"cold_from"`
-	ColdFor      time.Duration `koanf:"cold_for"`
-	WarmByWork   float64       `koanf:"warm_by_work"` // standard-core ms that warm it fully; 0: by time alone
-	Choke        Choke         `koanf:"choke"`
-	AffinityGain float64       `koanf:"affinity_gain"`
-	AffinityFor  time.Duration `koanf:"affinity_for"`
-	AffinityKeys int           `koanf:"affinity_keys"`
-	PauseEvery   time.Duration `koanf:"pause_every"`
-	PauseFor     time.Duration `koanf:"pause_for"`
-	FallMultiple float64       `koanf:"-"` // of the fourth rule; 0: it never falls over
-	FallWindow   time.Duration `koanf:"-"`
-	FallSlack    float64       `koanf:"fall_slack"` // standard-core ms on top, for chance
+	Cores             int           `koanf:"cores"`
+	Speed             float64       `koanf:"speed"`  // of a core, the standard being 1
+	Slots             int           `koanf:"slots"`  // requests in work at once
+	QueueCapacity     int           `koanf:"queue"`  // places in the waiting room
+	ThrashFactor      float64       `koanf:"thrash"` // slower by this part for each ThrashAt that is held beyond it
+	ThrashThreshold   float64       `koanf:"thrash_at"`
+	WarmupStartFactor float64       `koanf:"cold_from"`
+	WarmupDuration    time.Duration `koanf:"cold_for"`
+	WarmupWork        float64       `koanf:"warm_by_work"` // standard-core ms that warm it fully; 0: by time alone
+	Overload          Overload      `koanf:"choke"`
+	AffinityGain      float64       `koanf:"affinity_gain"`
+	AffinityTTL       time.Duration `koanf:"affinity_for"`
+	AffinityKeys      int           `koanf:"affinity_keys"`
+	PauseInterval     time.Duration `koanf:"pause_every"`
+	PauseDuration     time.Duration `koanf:"pause_for"`
+	CrashLoadMultiple float64       `koanf:"-"` // of the fourth rule; 0: it never falls over
+	CrashWindow       time.Duration `koanf:"-"`
+	CrashSlack        float64       `koanf:"fall_slack"` // standard-core ms on top, for chance
 }
 
 // Job is a request in a server.
 type Job struct {
-	Work    float64
-	Key     uint64        // 0: none
-	Expires time.Duration // work has no use afterwards; 0: never
-	Told    bool          // who sent it knew that the server is cold
-
-	left    float64
-	place   place
-	done    chan struct{} // closed at its end, where somebody waits
-	Arrived time.Duration
-	Started time.Duration
-	Ended   time.Duration
+	Work           float64
+	Key            uint64        // 0: none
+	ExpiresAt      time.Duration // work has no use afterwards; 0: never
+	SenderNotified bool          // who sent it knew that the server is cold
+
+	remainingWork float64
+	state         jobState
+	done          chan struct{} // closed at its end, where somebody waits
+	ArrivedAt     time.Duration
+	StartedAt     time.Duration
+	EndedAt       time.Duration
 }
 
-type place uint8
+type jobState uint8
 
 const (
-	nowhere place = iota
-	queued
-	running
+	jobInactive jobState = iota
+	jobQueued
+	jobRunning
 )
 
 // Verdict is what becomes of an arriving job.
-type Verdict uint8
+type Admission uint8
 
 // The verdicts.
 const (
-	Taken Verdict = iota
-	Full
+	Admitted Admission = iota
+	Rejected
 )
 
 // coldStep is how long a rate is taken for constant while it rises by itself.
-const coldStep = 20 * time.Millisecond
+const warmupStep = 20 * time.Millisecond
 
 // utilOver is the time constant of the busy share that load reports tell.
-const utilOver = 200 * time.Millisecond
+const utilizationTimeConstant = 200 * time.Millisecond
 
 // Model is one server's queue. It has no clock: each call says what time it is, and
 // times never go back. It is not safe for concurrent use.
 type Model struct {
-	spec  Spec
-	now   time.Duration
-	born  time.Duration
-	cold  bool
-	work  float64 // done since it was born
-	taken float64 // part of the machine that another program has
-	slow  float64 // times slower, by its version or a fault
-
-	run    []*Job
-	queue  []*Job
-	ended  []*Job
-	aside  float64 // work beside the requests: handshakes and probes
-	util   float64
-	paused time.Duration // until then it stands still
-	pause  time.Duration // the next one begins
-
-	crowded   time.Duration // since when; -1: it is not
-	choked    time.Duration // since when; -1: it is not
-	restFrom  time.Duration
-	restBusy  float64 // busy time in this look for rest, in seconds
-	chokes    int
-	warm      map[uint64]time.Duration
-	warmOrder []uint64
-
-	pressure []arrival // of the last window while cold
-	fell     *Fall
+	spec           Spec
+	now            time.Duration
+	startedAt      time.Duration
+	warmingUp      bool
+	workDone       float64 // done since it was born
+	neighbourShare float64 // part of the machine that another program has
+	slowdown       float64 // times slower, by its version or a fault
+
+	running      []*Job
+	queue        []*Job
+	ended        []*Job
+	overheadWork float64 // work beside the requests: handshakes and probes
+	utilization  float64
+	pausedUntil  time.Duration // until then it stands still
+	nextPauseAt  time.Duration // the next one begins
+
+	thresholdExceededSince time.Duration // since when; -1: it is not
+	overloadedSince        time.Duration // since when; -1: it is not
+	recoveryPeriodStart    time.Duration
+	recoveryBusySeconds    float64 // busy time in this look for rest, in seconds
+	overloads              int
+	keyLastUsedAt          map[uint64]time.Duration
+	keysByLastUse          []uint64
+
+	warmupArrivals []arrival // of the last window while cold
+	crash          *WarmupCrash
 }
 
 type arrival struct {
-	at   time.Duration
-	work float64
-	told bool
+	at             time.Duration
+	work           float64
+	senderNotified bool
 }
 
 // Fall is how a cold server was pushed over.
-type Fall struct {
-	Sent, Bound float64 // work within the window, and the most it takes, in ms
-	Told        float64 // part of it from who knew
+type WarmupCrash struct {
+	Work, Limit   float64 // work within the window, and the most it takes, in ms
+	NotifiedShare float64 // part of it from who knew
 }
 
 // NewModel makes a server born now. One that is warm has stood for long.
 func NewModel(spec Spec, now time.Duration, cold bool) *Model {
-	m := &Model{spec: spec, now: now, born: now, slow: 1, crowded: -1, choked: -1,
-		cold: cold && spec.ColdFor > 0, warm: map[uint64]time.Duration{}}
-	m.pause = now + spec.PauseEvery
+	m := &Model{spec: spec, now: now, startedAt: now, slowdown: 1, thresholdExceededSince: -1, overloadedSince: -1,
+		warmingUp: cold && spec.WarmupDuration > 0, keyLastUsedAt: map[uint64]time.Duration{}}
+	m.nextPauseAt = now + spec.PauseInterval
 	return m
 }
 
 // Ramp is the part of its capacity that a server has reached since it was born.
-func (m *Model) Ramp() float64 {
-	if !m.cold {
+func (m *Model) WarmupFactor() float64 {
+	if !m.warmingUp {
 		return 1
 	}
-	part := float64(m.now-m.born) / float64(m.spec.ColdFor)
-	if m.spec.WarmByWork > 0 {
-		part = max(part, m.work/m.spec.WarmByWork)
+	part := float64(m.now-m.startedAt) / float64(m.spec.WarmupDuration)
+	if m.spec.WarmupWork > 0 {
+		part = max(part, m.workDone/m.spec.WarmupWork)
 	}
-	return min(m.spec.ColdFrom+(1-m.spec.ColdFrom)*part, 1)
+	return min(m.spec.WarmupStartFactor+(1-m.spec.WarmupStartFactor)*part, 1)
 }
 
 // Capacity is what the server does in a second now with all cores busy, in standard-core
 // milliseconds, but for crowding.
 func (m *Model) Capacity() float64 {
-	return 1000 * float64(m.spec.Cores) * m.spec.Speed * m.Ramp() * (1 - m.taken) / m.slow
+	return 1000 * float64(m.spec.Cores) * m.spec.Speed * m.WarmupFactor() * (1 - m.neighbourShare) / m.slowdown
 }
 
 // Choked tells whether it is slower for having been crowded; Chokes how often it was.
-func (m *Model) Choked() bool { return m.choked >= 0 }
+func (m *Model) Overloaded() bool { return m.overloadedSince >= 0 }
 
 // Chokes is how often the server was choked.
-func (m *Model) Chokes() int { return m.chokes }
+func (m *Model) Overloads() int { return m.overloads }
 
 // Held is how many requests it holds, and how many of them wait.
-func (m *Model) Held() (all, waiting int) { return len(m.run) + len(m.queue), len(m.queue) }
+func (m *Model) InFlight() (all, waiting int) { return len(m.running) + len(m.queue), len(m.queue) }
 
 // Util is the busy share of its cores of late.
-func (m *Model) Util() float64 { return m.util }
+func (m *Model) Utilization() float64 { return m.utilization }
 
 // Fell tells how the server was pushed over, or nil.
-func (m *Model) Fell() *Fall { return m.fell }
+func (m *Model) Crash() *WarmupCrash { return m.crash }
 
 // Take sets the part of the machine that another program has from now on.
-func (m *Model) Take(now time.Duration, part float64) {
+func (m *Model) SetNeighbourShare(now time.Duration, part float64) {
 	m.advance(now)
-	m.taken = min(max(part, 0), 0.99)
+	m.neighbourShare = min(max(part, 0), 0.99)
 }
 
 // Slow makes all work take that many times as long from now on.
-func (m *Model) Slow(now time.Duration, times float64) {
+func (m *Model) SetSlowdown(now time.Duration, times float64) {
 	m.advance(now)
-	m.slow = max(times, 0.01)
+	m.slowdown = max(times, 0.01)
 }
 
 // Aside adds work that no request is answered for: a handshake or a probe.
-func (m *Model) Aside(now time.Duration, work float64) {
+func (m *Model) AddOverhead(now time.Duration, work float64) {
 	m.advance(now)
-	m.aside += work
+	m.overheadWork += work
 }
 
 // Arrive hands in a job. What is turned away presses on a cold server all the same.
-func (m *Model) Arrive(now time.Duration, j *Job) Verdict {
+func (m *Model) Arrive(now time.Duration, j *Job) Admission {
 	m.advance(now)
-	m.press(j)
-	j.Arrived, j.left = now, j.Work
+	m.recordWarmupArrival(j)
+	j.ArrivedAt, j.remainingWork = now, j.Work
 	switch {
-	case m.fell != nil:
-		return Full
-	case len(m.run) < m.spec.Slots:
-		m.start(j)
-	case len(m.queue) < m.spec.Queue:
-		j.place = queued
+	case m.crash != nil:
+		return Rejected
+	case len(m.running) < m.spec.Slots:
+		m.startJob(j)
+	case len(m.queue) < m.spec.QueueCapacity:
+		j.state = jobQueued
 		m.queue = append(m.queue, j)
 	default:
-		return Full
+		return Rejected
 	}
-	m.crowd()
-	return Taken
+	m.checkOverloadThreshold()
+	return Admitted
 }
 
 // press counts what reaches a cold server against its budget.
-func (m *Model) press(j *Job) {
-	if m.spec.FallMultiple <= 0 || m.fell != nil || m.Ramp() >= 1 {
+func (m *Model) recordWarmupArrival(j *Job) {
+	if m.spec.CrashLoadMultiple <= 0 || m.crash != nil || m.WarmupFactor() >= 1 {
 		return
 	}
 	from := 0
-	for from < len(m.pressure) && m.pressure[from].at <= m.now-m.spec.FallWindow {
+	for from < len(m.warmupArrivals) && m.warmupArrivals[from].at <= m.now-m.spec.CrashWindow {
 		from++
 	}
-	m.pressure = append(m.pressure[from:], arrival{m.now, j.Work, j.Told})
+	m.warmupArrivals = append(m.warmupArrivals[from:], arrival{m.now, j.Work, j.SenderNotified})
 	sent, told := 0.0, 0.0
-	for _, a := range m.pressure {
+	for _, a := range m.warmupArrivals {
 		sent += a.work
-		if a.told {
+		if a.senderNotified {
 			told += a.work
 		}
 	}
-	bound := m.spec.FallMultiple*m.Capacity()*m.spec.FallWindow.Seconds() + m.spec.FallSlack
+	bound := m.spec.CrashLoadMultiple*m.Capacity()*m.spec.CrashWindow.Seconds() + m.spec.CrashSlack
 	if sent > bound {
-		m.fell = &Fall{Sent: sent, Bound: bound, Told: told / sent}
+		m.crash = &WarmupCrash{Work: sent, Limit: bound, NotifiedShare: told / sent}
 	}
 }
 
 // Cancel drops a job; its work stops.
 func (m *Model) Cancel(now time.Duration, j *Job) {
 	m.advance(now)
-	switch j.place {
-	case queued:
-		m.queue = without(m.queue, j)
-	case running:
-		m.run = without(m.run, j)
-		m.refill()
-	}
-	j.place = nowhere
-	m.crowd()
+	switch j.state {
+	case jobQueued:
+		m.queue = removeJob(m.queue, j)
+	case jobRunning:
+		m.running = removeJob(m.running, j)
+		m.startQueuedJobs()
+	}
+	j.state = jobInactive
+	m.checkOverloadThreshold()
 }
 
-func without(jobs []*Job, j *Job) []*Job {
+func removeJob(jobs []*Job, j *Job) []*Job {
 	for i := range jobs {
 		if jobs[i] == j {
 			return append(jobs[:i], jobs[i+1:]...)
@@ -255,87 +255,87 @@
 }
 
 // Expired tells of an ended job that it never started.
-func (j *Job) Expired() bool { return j.Started == 0 && j.left > 0 }
+func (j *Job) Expired() bool { return j.StartedAt == 0 && j.remainingWork > 0 }
 
 // start begins work on a job; a key met of late makes it less.
-func (m *Model) start(j *Job) {
-	j.place, j.Started = running, max(m.now, 1)
+func (m *Model) startJob(j *Job) {
+	j.state, j.StartedAt = jobRunning, max(m.now, 1)
 	if j.Key != 0 && m.spec.AffinityGain > 0 {
-		if met, ok := m.warm[j.Key]; ok && m.now-met <= m.spec.AffinityFor {
-			j.left *= 1 - m.spec.AffinityGain
+		if met, ok := m.keyLastUsedAt[j.Key]; ok && m.now-met <= m.spec.AffinityTTL {
+			j.remainingWork *= 1 - m.spec.AffinityGain
 		}
-		m.remember(j.Key)
+		m.rememberKey(j.Key)
 	}
-	m.run = append(m.run, j)
+	m.running = append(m.running, j)
 }
 
 // remember keeps the keys met last, as many as it has room for.
-func (m *Model) remember(key uint64) {
-	if _, known := m.warm[key]; known {
-		for i, k := range m.warmOrder {
+func (m *Model) rememberKey(key uint64) {
+	if _, known := m.keyLastUsedAt[key]; known {
+		for i, k := range m.keysByLastUse {
 			if k == key {
-				m.warmOrder = append(m.warmOrder[:i], m.warmOrder[i+1:]...)
+				m.keysByLastUse = append(m.keysByLastUse[:i], m.keysByLastUse[i+1:]...)
 				break
 			}
 		}
-	} else if len(m.warmOrder) >= max(m.spec.AffinityKeys, 1) {
-		delete(m.warm, m.warmOrder[0])
-		m.warmOrder = m.warmOrder[1:]
+	} else if len(m.keysByLastUse) >= max(m.spec.AffinityKeys, 1) {
+		delete(m.keyLastUsedAt, m.keysByLastUse[0])
+		m.keysByLastUse = m.keysByLastUse[1:]
 	}
-	m.warm[key] = m.now
-	m.warmOrder = append(m.warmOrder, key)
+	m.keyLastUsedAt[key] = m.now
+	m.keysByLastUse = append(m.keysByLastUse, key)
 }
 
 // refill starts what waits while there are slots.
-func (m *Model) refill() {
-	for len(m.queue) > 0 && len(m.run) < m.spec.Slots {
+func (m *Model) startQueuedJobs() {
+	for len(m.queue) > 0 && len(m.running) < m.spec.Slots {
 		j := m.queue[0]
 		m.queue = m.queue[1:]
-		if j.Expires > 0 && m.now >= j.Expires {
-			j.place, j.Ended = nowhere, m.now
+		if j.ExpiresAt > 0 && m.now >= j.ExpiresAt {
+			j.state, j.EndedAt = jobInactive, m.now
 			m.ended = append(m.ended, j)
 			continue
 		}
-		m.start(j)
+		m.startJob(j)
 	}
 }
 
 // rates gives how fast one job and the work aside go on, in standard ms a second, and
 // the busy share of the cores.
 func (m *Model) rates() (each, aside, busy float64) {
-	n := float64(len(m.run))
-	if m.aside > 0 {
+	n := float64(len(m.running))
+	if m.overheadWork > 0 {
 		n++
 	}
-	if n == 0 || m.now < m.paused {
+	if n == 0 || m.now < m.pausedUntil {
 		return 0, 0, 0
 	}
 	cores := float64(m.spec.Cores)
-	held := float64(len(m.run)+len(m.queue)) / cores
-	per := 1000 * m.spec.Speed * m.Ramp() * (1 - m.taken) / m.slow
-	if m.spec.Thrash > 0 && m.spec.ThrashAt > 0 && held > m.spec.ThrashAt {
-		per /= 1 + m.spec.Thrash*(held-m.spec.ThrashAt)/m.spec.ThrashAt
+	held := float64(len(m.running)+len(m.queue)) / cores
+	per := 1000 * m.spec.Speed * m.WarmupFactor() * (1 - m.neighbourShare) / m.slowdown
+	if m.spec.ThrashFactor > 0 && m.spec.ThrashThreshold > 0 && held > m.spec.ThrashThreshold {
+		per /= 1 + m.spec.ThrashFactor*(held-m.spec.ThrashThreshold)/m.spec.ThrashThreshold
 	}
-	if m.choked >= 0 {
-		per /= max(m.spec.Choke.Slower, 1)
+	if m.overloadedSince >= 0 {
+		per /= max(m.spec.Overload.Slowdown, 1)
 	}
 	each = per * min(1, cores/n)
-	if m.aside > 0 {
+	if m.overheadWork > 0 {
 		aside = each
 	}
 	return each, aside, min(n/cores, 1)
 }
 
 // Next is when something happens by itself, if nothing arrives before.
-func (m *Model) Next() (time.Duration, bool) {
-	if len(m.run) == 0 && len(m.queue) == 0 {
+func (m *Model) NextEvent() (time.Duration, bool) {
+	if len(m.running) == 0 && len(m.queue) == 0 {
 		return 0, false
 	}
-	return m.step(math.MaxInt64), true
+	return m.nextChange(math.MaxInt64), true
 }
 
 // step is how far the present rates hold, and at most to.
-func (m *Model) step(to time.Duration) time.Duration {
+func (m *Model) nextChange(to time.Duration) time.Duration {
 	each, aside, _ := m.rates()
 	end := to
 	until := func(left, rate float64) {
@@ -344,24 +344,24 @@
 			end = min(end, m.now+time.Duration(math.Ceil(left/rate*1e9))+1)
 		}
 	}
-	for _, j := range m.run {
-		until(j.left, each)
+	for _, j := range m.running {
+		until(j.remainingWork, each)
 	}
-	until(m.aside, aside)
-	if m.cold {
-		end = min(end, m.now+coldStep)
+	until(m.overheadWork, aside)
+	if m.warmingUp {
+		end = min(end, m.now+warmupStep)
 	}
-	if m.spec.PauseEvery > 0 && m.spec.PauseFor > 0 {
-		if m.now < m.paused {
-			end = min(end, m.paused)
+	if m.spec.PauseInterval > 0 && m.spec.PauseDuration > 0 {
+		if m.now < m.pausedUntil {
+			end = min(end, m.pausedUntil)
 		}
-		end = min(end, max(m.pause, m.now+1))
+		end = min(end, max(m.nextPauseAt, m.now+1))
 	}
-	if m.crowded >= 0 && m.choked < 0 {
-		end = min(end, max(m.crowded+m.spec.Choke.Over, m.now+1))
+	if m.thresholdExceededSince >= 0 && m.overloadedSince < 0 {
+		end = min(end, max(m.thresholdExceededSince+m.spec.Overload.After, m.now+1))
 	}
-	if m.choked >= 0 {
-		end = min(end, max(m.restFrom+m.spec.Choke.Rest, m.now+1), max(m.choked+m.spec.Choke.AtMost, m.now+1))
+	if m.overloadedSince >= 0 {
+		end = min(end, max(m.recoveryPeriodStart+m.spec.Overload.RecoveryPeriod, m.now+1), max(m.overloadedSince+m.spec.Overload.MaxDuration, m.now+1))
 	}
 	return end
 }
@@ -369,88 +369,88 @@
 // advance moves to now, from one change of the rates to the next.
 func (m *Model) advance(now time.Duration) {
 	for m.now < now {
-		if len(m.run) == 0 && m.aside <= 0 && m.choked < 0 && m.spec.PauseEvery <= 0 {
+		if len(m.running) == 0 && m.overheadWork <= 0 && m.overloadedSince < 0 && m.spec.PauseInterval <= 0 {
 			// Nothing goes on: the time passes at once.
-			m.settle(now, 0)
+			m.recordUtilization(now, 0)
 			m.now = now
 			break
 		}
-		end := m.step(now)
+		end := m.nextChange(now)
 		each, aside, busy := m.rates()
 		secs := (end - m.now).Seconds()
-		for _, j := range m.run {
-			j.left -= each * secs
-			m.work += each * secs
+		for _, j := range m.running {
+			j.remainingWork -= each * secs
+			m.workDone += each * secs
 		}
-		m.aside = max(m.aside-aside*secs, 0)
-		m.settle(end, busy)
+		m.overheadWork = max(m.overheadWork-aside*secs, 0)
+		m.recordUtilization(end, busy)
 		m.now = end
-		m.finish()
-		m.turn()
+		m.finishJobs()
+		m.applyTimedChanges()
 	}
-	if m.cold && m.Ramp() >= 1 {
-		m.cold, m.pressure = false, nil
+	if m.warmingUp && m.WarmupFactor() >= 1 {
+		m.warmingUp, m.warmupArrivals = false, nil
 	}
 }
 
 // settle books the busy share up to end.
-func (m *Model) settle(end time.Duration, busy float64) {
-	keep := math.Exp(-float64(end-m.now) / float64(utilOver))
-	m.util = m.util*keep + busy*(1-keep)
-	if m.choked >= 0 {
-		m.restBusy += busy * (end - m.now).Seconds()
+func (m *Model) recordUtilization(end time.Duration, busy float64) {
+	keep := math.Exp(-float64(end-m.now) / float64(utilizationTimeConstant))
+	m.utilization = m.utilization*keep + busy*(1-keep)
+	if m.overloadedSince >= 0 {
+		m.recoveryBusySeconds += busy * (end - m.now).Seconds()
 	}
 }
 
 // finish ends what has no work left, and starts what waits.
-func (m *Model) finish() {
-	kept := m.run[:0]
-	for _, j := range m.run {
-		if j.left > 1e-9 {
+func (m *Model) finishJobs() {
+	kept := m.running[:0]
+	for _, j := range m.running {
+		if j.remainingWork > 1e-9 {
 			kept = append(kept, j)
 			continue
 		}
-		j.left, j.place, j.Ended = 0, nowhere, m.now
+		j.remainingWork, j.state, j.EndedAt = 0, jobInactive, m.now
 		m.ended = append(m.ended, j)
 	}
-	clear(m.run[len(kept):])
-	m.run = kept
-	m.refill()
-	m.crowd()
+	clear(m.running[len(kept):])
+	m.running = kept
+	m.startQueuedJobs()
+	m.checkOverloadThreshold()
 }
 
 // crowd notes since when too many are held.
-func (m *Model) crowd() {
-	c := &m.spec.Choke
-	crowded := c.At > 0 && float64(len(m.run)+len(m.queue)) > c.At*float64(m.spec.Cores)
+func (m *Model) checkOverloadThreshold() {
+	c := &m.spec.Overload
+	crowded := c.RequestsPerCore > 0 && float64(len(m.running)+len(m.queue)) > c.RequestsPerCore*float64(m.spec.Cores)
 	switch {
 	case !crowded:
-		m.crowded = -1
-	case m.crowded < 0:
-		m.crowded = m.now
+		m.thresholdExceededSince = -1
+	case m.thresholdExceededSince < 0:
+		m.thresholdExceededSince = m.now
 	}
 }
 
 // turn makes the changes that come by time: pauses, choking and its end.
-func (m *Model) turn() {
-	if m.spec.PauseEvery > 0 && m.spec.PauseFor > 0 && m.now >= m.pause {
-		m.paused, m.pause = m.now+m.spec.PauseFor, m.now+m.spec.PauseEvery+m.spec.PauseFor
-	}
-	c := &m.spec.Choke
-	if m.choked < 0 {
-		if m.crowded >= 0 && m.now-m.crowded >= c.Over {
-			m.choked, m.restFrom, m.restBusy = m.now, m.now, 0
-			m.chokes++
+func (m *Model) applyTimedChanges() {
+	if m.spec.PauseInterval > 0 && m.spec.PauseDuration > 0 && m.now >= m.nextPauseAt {
+		m.pausedUntil, m.nextPauseAt = m.now+m.spec.PauseDuration, m.now+m.spec.PauseInterval+m.spec.PauseDuration
+	}
+	c := &m.spec.Overload
+	if m.overloadedSince < 0 {
+		if m.thresholdExceededSince >= 0 && m.now-m.thresholdExceededSince >= c.After {
+			m.overloadedSince, m.recoveryPeriodStart, m.recoveryBusySeconds = m.now, m.now, 0
+			m.overloads++
 		}
 		return
 	}
-	look := m.now - m.restFrom
-	rested := look >= c.Rest && m.restBusy < c.Below*look.Seconds()
+	look := m.now - m.recoveryPeriodStart
+	rested := look >= c.RecoveryPeriod && m.recoveryBusySeconds < c.RecoveryUtilization*look.Seconds()
 	switch {
-	case rested, m.now-m.choked >= c.AtMost:
-		m.choked, m.crowded = -1, -1
-		m.crowd()
-	case look >= c.Rest:
-		m.restFrom, m.restBusy = m.now, 0
+	case rested, m.now-m.overloadedSince >= c.MaxDuration:
+		m.overloadedSince, m.thresholdExceededSince = -1, -1
+		m.checkOverloadThreshold()
+	case look >= c.RecoveryPeriod:
+		m.recoveryPeriodStart, m.recoveryBusySeconds = m.now, 0
 	}
 }
--- a/internal/lab/server/model_test.go
+++ b/internal/lab/server/model_test.go
@@ -20,7 +20,7 @@
 		m.Arrive(at, jobs[i])
 	}
 	for {
-		next, more := m.Next()
+		next, more := m.NextEvent()
 		if !more {
 			return jobs
 		}
@@ -53,7 +53,7 @@
 	}{{1, 0.5, false}, {1, 0.8, false}, {3, 0.8, false}, {1, 0.5, true}, {1, 0.8, true}} {
 		t.Run(fmt.Sprint(q), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(11, 12))
-			m := NewModel(Spec{Cores: q.cores, Speed: 2, Slots: q.cores, Queue: n}, 0, false)
+			m := NewModel(Spec{Cores: q.cores, Speed: 2, Slots: q.cores, QueueCapacity: n}, 0, false)
 			at, arrivals := 0.0, make([]time.Duration, n)
 			for i := range arrivals {
 				at += rng.ExpFloat64() * mean / 2 / (q.load * float64(q.cores))
@@ -67,7 +67,7 @@
 			})
 			waited := 0.0
 			for _, j := range jobs {
-				waited += float64(j.Started-j.Arrived) / float64(ms)
+				waited += float64(j.StartedAt-j.ArrivedAt) / float64(ms)
 			}
 			got, want := waited/n, erlangWait(q.cores, q.load)*mean/2
 			if q.fixed {
@@ -84,7 +84,7 @@
 // A cold server does what its ramp says: with work always waiting, the work done by a
 // time is the integral of the ramp up to it.
 func TestColdRamp(t *testing.T) {
-	spec := Spec{Cores: 2, Speed: 1.5, Slots: 4, Queue: 1 << 20, ColdFrom: 0.2, ColdFor: 10 * time.Second}
+	spec := Spec{Cores: 2, Speed: 1.5, Slots: 4, QueueCapacity: 1 << 20, WarmupStartFactor: 0.2, WarmupDuration: 10 * time.Second}
 	m := NewModel(spec, 0, true)
 	for range 4000 {
 		m.Arrive(0, &Job{Work: 10})
@@ -100,21 +100,21 @@
 			t.Errorf("after %d s %.0f ms of work done, the ramp says %.0f", s, done, want)
 		}
 	}
-	if m.Ramp() != 1 {
-		t.Errorf("ramp %v after its time", m.Ramp())
+	if m.WarmupFactor() != 1 {
+		t.Errorf("ramp %v after its time", m.WarmupFactor())
 	}
-	byWork := NewModel(Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 100, ColdFrom: 0.5, ColdFor: time.Hour, WarmByWork: 1000}, 0, true)
+	byWork := NewModel(Spec{Cores: 1, Speed: 1, Slots: 1, QueueCapacity: 100, WarmupStartFactor: 0.5, WarmupDuration: time.Hour, WarmupWork: 1000}, 0, true)
 	for range 20 {
 		byWork.Arrive(0, &Job{Work: 100})
 	}
 	// With work w done the rate is 0.5+0.5w/1000, so w(t) = 1000(e^(t/2)-1): warm at 2 ln 2 s.
 	warm := 2 * math.Ln2 * float64(time.Second)
 	byWork.Advance(time.Duration(0.98 * warm))
-	if r := byWork.Ramp(); r >= 1 || r < 0.96 {
+	if r := byWork.WarmupFactor(); r >= 1 || r < 0.96 {
 		t.Errorf("ramp %.3f just before the work that warms it", r)
 	}
 	byWork.Advance(time.Duration(1.03 * warm))
-	if r := byWork.Ramp(); r != 1 {
+	if r := byWork.WarmupFactor(); r != 1 {
 		t.Errorf("ramp %.3f just after the work that warms it", r)
 	}
 }
@@ -122,8 +122,8 @@
 // A crowded server turns slower after its time, no sooner, and is itself again after a
 // rest or, at the latest, after the longest time.
 func TestChoke(t *testing.T) {
-	spec := Spec{Cores: 1, Speed: 1, Slots: 20, Queue: 20, Choke: Choke{At: 4, Over: 2 * time.Second,
-		Slower: 3, Below: 0.3, Rest: 3 * time.Second, AtMost: 20 * time.Second}}
+	spec := Spec{Cores: 1, Speed: 1, Slots: 20, QueueCapacity: 20, Overload: Overload{RequestsPerCore: 4, After: 2 * time.Second,
+		Slowdown: 3, RecoveryUtilization: 0.3, RecoveryPeriod: 3 * time.Second, MaxDuration: 20 * time.Second}}
 	m := NewModel(spec, 0, false)
 	jobs := make([]*Job, 5)
 	for i := range jobs {
@@ -131,19 +131,19 @@
 		m.Arrive(0, jobs[i])
 	}
 	m.Advance(1999 * ms)
-	if m.Choked() {
+	if m.Overloaded() {
 		t.Fatal("choked before its time")
 	}
 	m.Advance(2001 * ms)
-	if !m.Choked() {
+	if !m.Overloaded() {
 		t.Fatal("not choked after 2 s of crowd")
 	}
 	// 5000 ms of work: 2000 done, the rest at a third of the speed takes 9 s.
 	m.Advance(12 * time.Second)
-	if end := jobs[0].Ended; end < 10990*ms || end > 11010*ms {
+	if end := jobs[0].EndedAt; end < 10990*ms || end > 11010*ms {
 		t.Errorf("crowded jobs ended at %v, want 11 s", end)
 	}
-	for now := 12 * time.Second; m.Choked(); now += 100 * ms {
+	for now := 12 * time.Second; m.Overloaded(); now += 100 * ms {
 		if m.Advance(now); now > 15*time.Second {
 			t.Fatal("still choked after a rest")
 		}
@@ -153,30 +153,30 @@
 		busy.Arrive(0, &Job{Work: 1e9})
 	}
 	busy.Advance(21 * time.Second)
-	if !busy.Choked() {
+	if !busy.Overloaded() {
 		t.Error("a busy server is itself again without a rest")
 	}
 	busy.Advance(22*time.Second + ms)
-	if busy.Chokes() != 1 || busy.Choked() {
-		t.Errorf("choked %d times, still %v, after the longest time", busy.Chokes(), busy.Choked())
+	if busy.Overloads() != 1 || busy.Overloaded() {
+		t.Errorf("choked %d times, still %v, after the longest time", busy.Overloads(), busy.Overloaded())
 	}
 }
 
 // The fourth rule: a cold server goes down when more than its budget comes, and only then.
 func TestFall(t *testing.T) {
-	spec := Spec{Cores: 1, Speed: 1, Slots: 2, Queue: 2, ColdFrom: 0.25, ColdFor: 100 * time.Second,
-		FallMultiple: 4, FallWindow: time.Second, FallSlack: 100}
-	push := func(perSecond int, cold bool) *Fall {
+	spec := Spec{Cores: 1, Speed: 1, Slots: 2, QueueCapacity: 2, WarmupStartFactor: 0.25, WarmupDuration: 100 * time.Second,
+		CrashLoadMultiple: 4, CrashWindow: time.Second, CrashSlack: 100}
+	push := func(perSecond int, cold bool) *WarmupCrash {
 		m := NewModel(spec, 0, cold)
 		for i := range perSecond * 3 {
-			m.Arrive(time.Duration(i)*time.Second/time.Duration(perSecond), &Job{Work: 100, Told: i%4 > 0})
+			m.Arrive(time.Duration(i)*time.Second/time.Duration(perSecond), &Job{Work: 100, SenderNotified: i%4 > 0})
 		}
-		return m.Fell()
+		return m.Crash()
 	}
 	if f := push(10, true); f != nil {
 		t.Errorf("fell under 1000 ms a second, which is its budget: %+v", f)
 	}
-	if f := push(16, true); f == nil || f.Told < 0.6 || f.Told > 0.8 {
+	if f := push(16, true); f == nil || f.NotifiedShare < 0.6 || f.NotifiedShare > 0.8 {
 		t.Errorf("stood, or was told wrongly, under 1600 ms a second: %+v", f)
 	}
 	if f := push(50, false); f != nil {
@@ -189,9 +189,9 @@
 func TestModelKeepsItsBooks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := Spec{Cores: rapid.IntRange(1, 3).Draw(t, "cores"), Speed: 2, Slots: rapid.IntRange(1, 6).Draw(t, "slots"),
-			Queue: rapid.IntRange(0, 8).Draw(t, "queue"), Thrash: 0.2, ThrashAt: 3, PauseEvery: 300 * ms, PauseFor: 30 * ms,
-			AffinityGain: 0.5, AffinityFor: time.Second, AffinityKeys: 3,
-			Choke: Choke{At: 3, Over: 100 * ms, Slower: 2, Below: 0.3, Rest: 200 * ms, AtMost: time.Second}}
+			QueueCapacity: rapid.IntRange(0, 8).Draw(t, "queue"), ThrashFactor: 0.2, ThrashThreshold: 3, PauseInterval: 300 * ms, PauseDuration: 30 * ms,
+			AffinityGain: 0.5, AffinityTTL: time.Second, AffinityKeys: 3,
+			Overload: Overload{RequestsPerCore: 3, After: 100 * ms, Slowdown: 2, RecoveryUtilization: 0.3, RecoveryPeriod: 200 * ms, MaxDuration: time.Second}}
 		m := NewModel(spec, 0, rapid.Bool().Draw(t, "cold"))
 		now, in, cancelled, ended, done := time.Duration(0), map[*Job]bool{}, 0, 0, 0.0
 		take := func(jobs []*Job) {
@@ -205,8 +205,8 @@
 					continue
 				}
 				least := time.Duration(j.Work * 0.5 / 2 * float64(ms))
-				if j.Ended-j.Started < least {
-					t.Fatalf("%v ms of work done in %v", j.Work, j.Ended-j.Started)
+				if j.EndedAt-j.StartedAt < least {
+					t.Fatalf("%v ms of work done in %v", j.Work, j.EndedAt-j.StartedAt)
 				}
 				done += j.Work * 0.5
 			}
@@ -220,29 +220,29 @@
 					break
 				}
 				j := order[rapid.IntRange(0, len(order)-1).Draw(t, "which")]
-				if m.Cancel(now, j); in[j] && j.Ended == 0 {
+				if m.Cancel(now, j); in[j] && j.EndedAt == 0 {
 					delete(in, j)
 					cancelled++
 				}
 			case 1:
-				m.Take(now, rapid.Float64Range(0, 0.8).Draw(t, "part"))
+				m.SetNeighbourShare(now, rapid.Float64Range(0, 0.8).Draw(t, "part"))
 			case 2:
-				m.Aside(now, 5)
+				m.AddOverhead(now, 5)
 			default:
 				j := &Job{Work: rapid.Float64Range(1, 100).Draw(t, "work"), Key: uint64(rapid.IntRange(0, 5).Draw(t, "key")),
-					Expires: now + time.Duration(rapid.IntRange(0, 400).Draw(t, "expires"))*ms}
-				if m.Arrive(now, j) == Taken {
+					ExpiresAt: now + time.Duration(rapid.IntRange(0, 400).Draw(t, "expires"))*ms}
+				if m.Arrive(now, j) == Admitted {
 					in[j], order = true, append(order, j)
 					taken++
 				}
 			}
 			take(m.Advance(now))
-			if all, _ := m.Held(); all != len(in) {
+			if all, _ := m.InFlight(); all != len(in) {
 				t.Fatalf("holds %d, of the taken %d have not ended", all, len(in))
 			}
 		}
 		for range 10000 {
-			next, more := m.Next()
+			next, more := m.NextEvent()
 			if !more {
 				break
 			}
