--- a/internal/lab/discovery/discovery_test.go
+++ b/internal/lab/discovery/discovery_test.go
@@ -37,8 +37,8 @@
 	clock := func() time.Duration { return time.Since(began) }
 	set := &policy.Settings{Classes: []policy.Class{{Name: "look"}}, Contract: policy.Contract{DrainGraceMs: 0}}
 	checker := check.New(clock, set, []string{"n0", "n1"}, []check.Server{{Name: "s-00"}, {Name: "s-01"}, {Name: "s-02"}})
-	entries := []Entry{{Server: 0, Name: "s-00", Zone: "a", MachineType: "k", Cell: 1, Weight: 1.5, Health: "ready"},
-		{Server: 1, Name: "s-01", Zone: "b", MachineType: "k", Health: "ready"}, {Server: 2, Name: "s-02", Zone: "a", MachineType: "k"}}
+	entries := []Entry{{Name: "s-00", Zone: "a", MachineType: "k", Cell: 1, Weight: 1.5, Health: "ready"},
+		{Name: "s-01", Zone: "b", MachineType: "k", Health: "ready"}, {Name: "s-02", Zone: "a", MachineType: "k"}}
 	addrs, err := loopback.Claim()
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/lab/discovery/serverlist.go
@@ -0,0 +1,108 @@
+package discovery
+
+import "knotrouter/internal/endpoints"
+
+const (
+	// unlisted is the health of a server that the service has not listed yet.
+	unlisted = ""
+	// maxHistory bounds the changes that are kept. A watch from before them gets the full list.
+	maxHistory = 1024
+)
+
+// Entry is a server as the service lists it, but for its address.
+type Entry struct {
+	Name        string
+	Zone        string
+	MachineType string
+	Cell        int
+	Weight      float64
+	Health      string // of the endpoint list; "": the server is not listed
+	StartedMs   int64  // Unix milliseconds; 0: long ago
+}
+
+// serverList is the list of the servers and its latest changes.
+type serverList struct {
+	revision int64
+	entries  []Entry        // by server
+	servers  map[string]int // by name; it does not change
+	history  []change       // the oldest first
+}
+
+// change is one revision of the list.
+type change struct {
+	revision int64
+	server   int
+}
+
+func newServerList(entries []Entry) serverList {
+	l := serverList{revision: firstRevision, entries: entries, servers: make(map[string]int, len(entries))}
+	for server, entry := range entries {
+		l.servers[entry.Name] = server
+	}
+	return l
+}
+
+// setHealth makes a new revision of the list in which the server has the health and start time. It
+// returns false, and does nothing, if it has them already.
+func (l *serverList) setHealth(server int, health string, startedMs int64) bool {
+	entry := &l.entries[server]
+	if entry.Health == health && entry.StartedMs == startedMs {
+		return false
+	}
+	entry.Health, entry.StartedMs = health, startedMs
+	l.revision++
+	if len(l.history) >= maxHistory {
+		l.history = l.history[1:]
+	}
+	l.history = append(l.history, change{l.revision, server})
+	return true
+}
+
+// needsFull reports whether the changes since the revision are not known.
+func (l *serverList) needsFull(since int64) bool {
+	oldest := l.revision
+	if len(l.history) > 0 {
+		oldest = l.history[0].revision - 1
+	}
+	return since > l.revision || since < oldest
+}
+
+// listed returns the servers that a full list names.
+func (l *serverList) listed() []int {
+	var servers []int
+	for server, entry := range l.entries {
+		if entry.Health != unlisted && entry.Health != endpoints.Removed {
+			servers = append(servers, server)
+		}
+	}
+	return servers
+}
+
+// changedSince returns the servers that changed after the revision, each once, in the order of
+// their first change.
+func (l *serverList) changedSince(revision int64) []int {
+	var servers []int
+	seen := map[int]bool{}
+	for _, c := range l.history {
+		if c.revision > revision && !seen[c.server] {
+			seen[c.server] = true
+			servers = append(servers, c.server)
+		}
+	}
+	return servers
+}
+
+// endpoint returns the server in the form of the endpoint list, with the address to dial.
+func (l *serverList) endpoint(server int, dialAddr string) endpoints.Endpoint {
+	entry := &l.entries[server]
+	return endpoints.Endpoint{
+		Name:      entry.Name,
+		Dial:      dialAddr,
+		Site:      entry.Zone,
+		Class:     entry.MachineType,
+		Block:     entry.Cell,
+		Health:    entry.Health,
+		Weight:    entry.Weight,
+		StartedMs: float64(entry.StartedMs),
+	}
+}
--- a/internal/lab/experiment/fleet.go
+++ b/internal/lab/experiment/fleet.go
@@ -111,7 +111,7 @@
 func discoveryEntries(configs []server.Config) []discovery.Entry {
 	var entries []discovery.Entry
 	for _, config := range configs {
-		entries = append(entries, discovery.Entry{Server: config.Index, Name: config.Name, Zone: config.Zone, MachineType: config.MachineType,
+		entries = append(entries, discovery.Entry{Name: config.Name, Zone: config.Zone, MachineType: config.MachineType,
 			Cell: config.Cell, Weight: config.Weight, Health: endpoints.Ready})
 	}
 	return entries
