--- a/internal/lab/discovery/discovery_test.go
+++ b/internal/lab/discovery/discovery_test.go
@@ -1,236 +1,204 @@
 package discovery
 
 import (
-	"bufio"
-	"context"
-	"encoding/json"
-	"fmt"
 	"net/http"
+	"strconv"
 	"testing"
 	"time"
 
-	"go.uber.org/goleak"
-
 	"knotrouter/internal/endpoints"
 	"knotrouter/internal/lab/check"
-	"knotrouter/internal/lab/loopback"
-	"knotrouter/policy"
 )
 
-func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
-
-const (
-	ms   = time.Millisecond
-	soon = 20 * time.Second
-)
-
-type stand struct {
-	*Service
-	t       *testing.T
-	checker *check.Checker
-	http    *http.Transport
-}
-
-func newStand(t *testing.T, c Config) *stand {
-	t.Helper()
-	began := time.Now()
-	clock := func() time.Duration { return time.Since(began) }
-	set := &policy.Settings{Classes: []policy.Class{{Name: "look"}}, Contract: policy.Contract{DrainGraceMs: 0}}
-	checker := check.New(clock, set, []string{"n0", "n1"}, []check.Server{{Name: "s-00"}, {Name: "s-01"}, {Name: "s-02"}})
-	entries := []Entry{{Name: "s-00", Zone: "a", MachineType: "k", Cell: 1, Weight: 1.5, Health: "ready"},
-		{Name: "s-01", Zone: "b", MachineType: "k", Health: "ready"}, {Name: "s-02", Zone: "a", MachineType: "k"}}
-	addrs, err := loopback.Claim()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(addrs.Close)
-	s, err := New(c, Env{Clock: clock, Checker: checker, Agents: []string{"n0", "n1"}, RecordEvent: func(string) {},
-		DialAddr: func(agent, server int) string { return fmt.Sprintf("127.0.%d.%d:80", agent, server) }}, addrs, entries, 1)
-	if err != nil {
-		t.Fatal(err)
+func TestFullListHasTheAgentsAddresses(t *testing.T) {
+	ts := newTestService(t, Config{})
+	list := ts.getList(1)
+	if list.Seq != firstRevision || !list.Full || summary(list) != "s-00 ready;s-01 ready;" {
+		t.Fatalf("%+v", list)
 	}
-	st := &stand{Service: s, t: t, checker: checker, http: &http.Transport{DisableKeepAlives: true}}
-	t.Cleanup(s.Close)
-	return st
-}
-
-// get opens a call; the body is the caller's to close.
-func (st *stand) get(ctx context.Context, number int, query string) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+st.Addr(number)+"/v1/endpoints"+query, nil)
-	if err != nil {
-		return nil, err
+	if e := list.Endpoints[0]; e.Dial != "127.0.1.0:80" || e.Site != "a" || e.Class != "k" || e.Block != 1 || e.Weight != 1.5 {
+		t.Errorf("entry %+v", e)
 	}
-	return st.http.RoundTrip(req)
 }
 
-// watch follows an agent's list; the channel ends with the watch.
-func (st *stand) watch(number int, since int64) <-chan endpoints.List {
-	st.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), soon)
-	st.t.Cleanup(cancel)
-	resp, err := st.get(ctx, number, fmt.Sprintf("?follow=1&since=%d", since))
-	if err != nil {
-		st.t.Fatal(err)
-	}
-	lists := make(chan endpoints.List, 100)
-	go func() {
-		defer close(lists)
-		defer resp.Body.Close()
-		for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
-			var l endpoints.List
-			if len(lines.Bytes()) > 0 && json.Unmarshal(lines.Bytes(), &l) == nil {
-				lists <- l
-			}
+// An agent counts as notified of the removal of a server that its full list does not name.
+func TestFullListNotifiesOfRemovedServers(t *testing.T) {
+	ts := newTestService(t, Config{})
+	ts.ReportHealth(1, endpoints.Removed, 0, false)
+	ts.waitForRevision(firstRevision + 1)
+	for agent, breaches := range []int{0, 1} { // only the second agent gets a list
+		if breaches > 0 {
+			ts.getList(agent)
+		}
+		request := &check.Request{ID: "r" + strconv.Itoa(agent), Agent: agent, Deadline: time.Hour}
+		ts.checker.Add(request)
+		arrival := ts.env.Clock() + time.Second
+		ts.checker.RecordAttempt(request, 1, arrival, arrival, true)
+		if _, count := ts.checker.Breaches(); count[check.RuleDrain] != breaches {
+			t.Errorf("agent %d: breaches %v, want %d of %q", agent, count, breaches, check.RuleDrain)
 		}
-	}()
-	return lists
-}
-
-func next(t *testing.T, lists <-chan endpoints.List) endpoints.List {
-	t.Helper()
-	l, ok := <-lists
-	if !ok {
-		t.Fatal("the watch ended")
-	}
-	return l
-}
-
-func names(l endpoints.List) (out string) {
-	for _, h := range l.Endpoints {
-		out += h.Name + " " + h.Health + ";"
 	}
-	return out
 }
 
-// A list has the platform's form, each agent's own addresses, and only what is there; a
-// watch tells what changed since, together what came together, or the whole list where
-// it can't tell what changed.
-func TestListsAndWatches(t *testing.T) {
-	st := newStand(t, Config{BatchInterval: 100 * ms})
-	resp, err := st.get(context.Background(), 1, "")
-	if err != nil {
-		t.Fatal(err)
+// A watch sends what has changed since its revision, and changes that come together as one list.
+func TestWatchSendsChanges(t *testing.T) {
+	const batchInterval = 100 * ms
+	ts := newTestService(t, Config{BatchInterval: batchInterval})
+	lists := ts.watch(0, firstRevision)
+	if list := nextList(t, lists); list.Full || len(list.Endpoints) != 0 || list.Seq != firstRevision {
+		t.Errorf("first list of an up-to-date watch: %+v", list)
 	}
-	var whole endpoints.List
-	err = json.NewDecoder(resp.Body).Decode(&whole)
-	resp.Body.Close()
-	if err != nil || whole.Seq != 41 || !whole.Full || names(whole) != "s-00 ready;s-01 ready;" {
-		t.Fatalf("%+v, %v", whole, err)
+	began := time.Now()
+	ts.reportTwoChanges()
+	sent, sentLists := "", 0
+	for list := (endpoints.List{}); list.Seq < firstRevision+2; sentLists++ {
+		list = nextList(t, lists)
+		if list.Full || len(list.Endpoints) > 0 && list.Endpoints[0].Name == "s-02" && list.Endpoints[0].StartedMs != 77 {
+			t.Errorf("a change: %+v", list)
+		}
+		sent += summary(list)
 	}
-	if h := whole.Endpoints[0]; h.Dial != "127.0.1.0:80" || h.Site != "a" || h.Class != "k" || h.Block != 1 || h.Weight != 1.5 {
-		t.Errorf("entry %+v", h)
+	if took := time.Since(began); took < batchInterval {
+		t.Errorf("sent after %v, changes within %v are sent together", took, batchInterval)
 	}
-	w := st.watch(0, 41)
-	if l := next(t, w); l.Full || len(l.Endpoints) != 0 || l.Seq != 41 {
-		t.Errorf("first line of an up-to-date watch: %+v", l)
+	if sent != "s-02 ready;s-01 draining;" || sentLists > 2 {
+		t.Errorf("two changes in %d lists: %s", sentLists, sent)
 	}
-	st.ReportHealth(2, "ready", 77, false)
-	for st.List(0, 0, true).Seq < 42 {
-		time.Sleep(ms)
+	ts.ReportHealth(1, endpoints.Removed, 0, false)
+	if list := nextList(t, lists); summary(list) != "s-01 gone;" {
+		t.Errorf("a removal: %+v", list)
 	}
-	st.ReportHealth(1, "draining", 0, false)
-	told, lines := "", 0
-	for l := (endpoints.List{}); l.Seq < 43; lines++ {
-		if l = next(t, w); l.Full || len(l.Endpoints) > 0 && l.Endpoints[0].Name == "s-02" && l.Endpoints[0].StartedMs != 77 {
-			t.Errorf("a change: %+v", l)
-		}
-		told += names(l)
+	if list := ts.List(0, 0, true); summary(list) != "s-00 ready;s-02 ready;" {
+		t.Errorf("a full list names a removed server: %s", summary(list))
 	}
-	if told != "s-02 ready;s-01 draining;" || lines > 2 {
-		t.Errorf("two changes in %d lines: %s", lines, told)
-	}
-	for name, since := range map[string]int64{"before its history": 3, "from the future": 900} {
-		if l := next(t, st.watch(0, since)); !l.Full || names(l) != "s-00 ready;s-01 draining;s-02 ready;" {
-			t.Errorf("%s: %+v", name, l)
+}
+
+// reportTwoChanges reports that s-02 has started and then, once that is listed, that s-01 drains.
+func (ts *testService) reportTwoChanges() {
+	ts.t.Helper()
+	ts.ReportHealth(2, endpoints.Ready, 77, false)
+	ts.waitForRevision(firstRevision + 1)
+	ts.ReportHealth(1, endpoints.Draining, 0, false)
+}
+
+func TestWatchFromAnUnknownRevisionBeginsWithTheFullList(t *testing.T) {
+	ts := newTestService(t, Config{BatchInterval: 100 * ms})
+	ts.reportTwoChanges()
+	ts.waitForRevision(firstRevision + 2)
+	for name, since := range map[string]int64{"before the history": 3, "in the future": 900} {
+		if list := nextList(t, ts.watch(0, since)); !list.Full || summary(list) != "s-00 ready;s-01 draining;s-02 ready;" {
+			t.Errorf("%s: %+v", name, list)
 		}
 	}
-	if l := next(t, st.watch(0, 42)); l.Full || names(l) != "s-01 draining;" {
-		t.Errorf("one behind: %+v", l)
-	}
-	st.ReportHealth(1, "gone", 0, false)
-	if l := next(t, w); names(l) != "s-01 gone;" {
-		t.Errorf("gone: %+v", l)
-	}
-	if l := st.List(0, 0, true); names(l) != "s-00 ready;s-02 ready;" {
-		t.Errorf("a whole list names what is gone: %s", names(l))
+	if list := nextList(t, ts.watch(0, firstRevision+1)); list.Full || summary(list) != "s-01 draining;" {
+		t.Errorf("one change behind: %+v", list)
 	}
 }
 
-// News that something newer overtook is not listed.
-func TestOvertakenNews(t *testing.T) {
-	st := newStand(t, Config{RemovalDelay: []time.Duration{300 * ms, 300 * ms}, StartDelay: []time.Duration{10 * ms, 10 * ms}})
-	st.ReportHealth(0, "gone", 0, false)
-	st.ReportHealth(0, "ready", 5, false)
-	w := st.watch(0, 41)
-	next(t, w)
-	if l := next(t, w); names(l) != "s-00 ready;" || l.Endpoints[0].StartedMs != 5 {
-		t.Errorf("%+v", l)
+func TestNewerReportReplacesAnOlderOne(t *testing.T) {
+	ts := newTestService(t, Config{RemovalDelay: []time.Duration{300 * ms, 300 * ms}, StartDelay: []time.Duration{10 * ms, 10 * ms}})
+	ts.ReportHealth(0, endpoints.Removed, 0, false)
+	ts.ReportHealth(0, endpoints.Ready, 5, false)
+	lists := ts.watch(0, firstRevision)
+	nextList(t, lists)
+	if list := nextList(t, lists); summary(list) != "s-00 ready;" || list.Endpoints[0].StartedMs != 5 {
+		t.Errorf("%+v", list)
 	}
 	select {
-	case l := <-w:
-		t.Errorf("the older news came after it: %+v", l)
+	case list := <-lists:
+		t.Errorf("the older report was listed after it: %+v", list)
 	case <-time.After(500 * ms):
 	}
 }
 
-// While it is down calls are refused and watches have ended; it comes back at the same
-// address. A move is a new address, and the old one ends after a while.
-func TestDownAndMove(t *testing.T) {
-	st := newStand(t, Config{})
-	w := st.watch(0, 41)
-	next(t, w)
-	st.StartOutage()
-	if _, open := <-w; open {
+func TestDelayDependsOnTheChange(t *testing.T) {
+	const never = time.Hour
+	short, long := []time.Duration{0, 10 * ms}, []time.Duration{never, never}
+	for name, change := range map[string]struct {
+		config   Config
+		health   string
+		isolated bool
+	}{
+		"start":     {Config{StartDelay: short, RemovalDelay: long, SilentRemovalDelay: long}, endpoints.Ready, false},
+		"drain":     {Config{StartDelay: long, RemovalDelay: short, SilentRemovalDelay: long}, endpoints.Draining, false},
+		"end":       {Config{StartDelay: long, RemovalDelay: short, SilentRemovalDelay: long}, endpoints.Removed, false},
+		"isolation": {Config{StartDelay: long, RemovalDelay: long, SilentRemovalDelay: short}, endpoints.Removed, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			ts := newTestService(t, change.config)
+			ts.ReportHealth(0, change.health, 5, change.isolated)
+			ts.waitForRevision(firstRevision + 1)
+		})
+	}
+}
+
+// During an outage calls are refused and watches have ended; after it the address is the same.
+func TestOutageEndsWatchesAndRefusesCalls(t *testing.T) {
+	ts := newTestService(t, Config{})
+	lists := ts.watch(0, firstRevision)
+	nextList(t, lists)
+	addr, began := ts.Addr(0), time.Now()
+	ts.StartOutage()
+	if _, open := <-lists; open || time.Since(began) > testTimeout/2 {
 		t.Error("a watch outlives the service")
 	}
-	if resp, err := st.get(context.Background(), 0, ""); err == nil {
+	if resp, err := ts.get(t.Context(), 0, ""); err == nil {
 		resp.Body.Close()
-		t.Errorf("answers while it is down: %s", resp.Status)
+		t.Errorf("answers during the outage: %s", resp.Status)
 	}
-	if err := st.EndOutage(); err != nil {
+	if err := ts.EndOutage(); err != nil {
 		t.Fatal(err)
 	}
-	w = st.watch(0, 41)
-	next(t, w)
-	old := st.Addr(0)
-	addr, err := st.Move(0)
-	if err != nil || addr == old || st.Addr(0) != addr {
-		t.Fatalf("moved from %s to %s: %v", old, addr, err)
+	nextList(t, ts.watch(0, firstRevision))
+	if ts.Addr(0) != addr {
+		t.Errorf("at %s after the outage, was at %s", ts.Addr(0), addr)
 	}
-	if resp, err := http.Get("http://" + old + "/v1/endpoints"); err == nil {
+}
+
+// After a move the old address refuses new connections, and the open ones end after a while.
+func TestMoveGivesAnAgentANewAddress(t *testing.T) {
+	ts := newTestService(t, Config{})
+	lists := ts.watch(0, firstRevision)
+	nextList(t, lists)
+	previous := ts.Addr(0)
+	addr, err := ts.Move(0)
+	if err != nil || addr == previous || ts.Addr(0) != addr {
+		t.Fatalf("moved from %s to %s: %v", previous, addr, err)
+	}
+	if resp, err := http.Get("http://" + previous + "/v1/endpoints"); err == nil {
 		resp.Body.Close()
 		t.Error("the old address takes new calls")
 	}
-	next(t, st.watch(0, 41))
-	if _, open := <-w; open {
+	nextList(t, ts.watch(0, firstRevision))
+	if _, open := <-lists; open {
 		t.Error("a watch stays at the old address")
 	}
 }
 
-// Calls are worked on in turn; one that would wait too long fails.
-func TestOverbooked(t *testing.T) {
-	st := newStand(t, Config{MaxConcurrentCalls: 1, CallTime: 300 * ms, QueueTimeout: 400 * ms})
+// Calls are worked on in turn, and those that would wait too long fail.
+func TestOverloadedServiceFailsCalls(t *testing.T) {
+	ts := newTestService(t, Config{MaxConcurrentCalls: 1, CallTime: 300 * ms, QueueTimeout: 400 * ms})
 	const callers = 6
-	codes := make(chan int, callers)
+	statuses := make(chan int, callers)
 	for range callers {
 		go func() {
-			resp, err := st.get(context.Background(), 0, "")
+			resp, err := ts.get(t.Context(), 0, "")
 			if err != nil {
-				codes <- 0
+				statuses <- 0
 				return
 			}
 			resp.Body.Close()
-			codes <- resp.StatusCode
+			statuses <- resp.StatusCode
 		}()
 	}
 	count := map[int]int{}
 	for range callers {
-		count[<-codes]++
+		count[<-statuses]++
 	}
 	if count[200] < 1 || count[200] > 3 || count[503] != callers-count[200] {
-		t.Errorf("codes %v: with 300 ms a call and 400 ms of patience one to three are served", count)
+		t.Errorf("statuses %v: with 300 ms a call and a timeout of 400 ms one to three are served", count)
 	}
-	if st.FailedCalls.Load() != int64(count[503]) {
-		t.Errorf("%d counted as failed of %d", st.FailedCalls.Load(), count[503])
+	if ts.FailedCalls.Load() != int64(count[503]) {
+		t.Errorf("%d counted as failed of %d", ts.FailedCalls.Load(), count[503])
 	}
 }
