--- a/internal/lab/experiment/agents.go
+++ b/internal/lab/experiment/agents.go
@@ -253,7 +253,7 @@
 }
 
 // reloadAgent changes where an agent discovers servers and has it reload its configuration: the
-// discovery stand-in moves to another address, or the control-plane servers that the agent knows
+// emulated list service moves to another address, or the control-plane servers that the agent knows
 // change.
 func (fl *fleet) reloadAgent(a *agentProcess) error {
 	a.mu.Lock()
--- a/internal/lab/experiment/config.go
+++ b/internal/lab/experiment/config.go
@@ -94,9 +94,9 @@
 }
 
 // ControlPlane describes the control-plane servers that list the emulated servers. Without them
-// the lab's discovery stand-in does.
+// the emulated list service does.
 type ControlPlane struct {
-	Count    int           `koanf:"count"` // 0: the discovery stand-in lists the servers
+	Count    int           `koanf:"count"` // 0: the emulated list service lists the servers
 	Command  string        `koanf:"command"`
 	LeaseTTL time.Duration `koanf:"lease_ttl"`
 	Watches  int           `koanf:"watches"` // of the lab itself, beside the agents', to measure how changes propagate; at least one a server
--- a/internal/lab/experiment/faults.go
+++ b/internal/lab/experiment/faults.go
@@ -44,7 +44,7 @@
 		if f.Duration > 0 {
 			return fl.restartServer(srv, f)
 		}
-	case faultVanish:
+	case faultIsolate:
 		if err := srv.Isolate(); err != nil {
 			return err
 		}
@@ -126,7 +126,7 @@
 		return server.Faults{ResetShare: f.Size}
 	case faultLost:
 		return server.Faults{LostShare: f.Size}
-	case faultSpoilt:
+	case faultTruncated:
 		return server.Faults{TruncatedShare: f.Size}
 	}
 	return server.Faults{}
--- a/internal/lab/experiment/fleet.go
+++ b/internal/lab/experiment/fleet.go
@@ -34,7 +34,7 @@
 	clients      []*client.Client // by agent
 	senders      []client.Sender  // by agent
 	agents       []*agentProcess  // none in the fleet of a baseline
-	controlPlane *controlPlane    // nil: the discovery stand-in lists the servers
+	controlPlane *controlPlane    // nil: the emulated list service lists the servers
 	workers      *workers         // nil: there are no leased tasks
 	links        map[linkKey]*link.Link
 	supervisor   *process.Supervisor // nil in the fleet of a baseline
@@ -192,9 +192,9 @@
 }
 
 // serverChanged passes on a server's new health: to the control plane or discovery, which list
-// it with their delay, and to the links at once. silent means that the server no longer answers
-// and its connections stay open.
-func (fl *fleet) serverChanged(srv *server.Server, health string, silent bool) {
+// it with their delay, and to the links at once. isolated means that the server's machine no
+// longer answers and its connections stay open.
+func (fl *fleet) serverChanged(srv *server.Server, health string, isolated bool) {
 	fl.events.record("server " + srv.Name + " " + health)
 	if fl.discovery == nil {
 		return // the fleet is being built
@@ -205,11 +205,11 @@
 	if fl.controlPlane != nil {
 		fl.controlPlane.serverChanged(srv, health)
 	} else {
-		fl.discovery.ReportHealth(srv.Index, health, srv.StartedMs(), silent)
+		fl.discovery.ReportHealth(srv.Index, health, srv.StartedMs(), isolated)
 	}
 	target := link.Open
 	switch {
-	case silent:
+	case isolated:
 		target = link.Silent
 	case health == endpoints.Removed:
 		target = link.Refused
--- a/internal/lab/experiment/kinds.go
+++ b/internal/lab/experiment/kinds.go
@@ -19,7 +19,7 @@
 	faultStop      = "stop"      // pauses a process
 	faultRestart   = "restart"   // restarts processes gracefully, one after the other
 	faultReload    = "hup"       // has agents reload a configuration with another discovery
-	faultVanish    = "vanish"    // a server no longer answers, and its connections stay open
+	faultIsolate   = "vanish"    // a server no longer answers, and its connections stay open
 	faultDrain     = "drain"     // a server takes no new requests
 	faultReplace   = "replace"   // servers drain, end and are started again, one after the other
 	faultMute      = "mute"      // a server's renewals are suppressed
@@ -28,7 +28,7 @@
 	faultErrors    = "errors"    // a share of the answers are errors
 	faultResets    = "resets"    // a share of the requests end with a reset connection
 	faultLost      = "lost"      // a share of the requests get no answer
-	faultSpoilt    = "spoilt"    // a share of the answers are malformed
+	faultTruncated = "spoilt"    // a share of the answers end in the middle
 	faultDown      = "down"      // discovery does not answer
 	faultBurst     = "burst"     // the rate of the load is multiplied
 	faultHeavy     = "heavy"     // a share of the requests need more work
@@ -41,7 +41,7 @@
 
 // faultKinds lists the kinds of faults by the kind of their target.
 var faultKinds = map[string][]string{
-	targetServers: {faultKill, faultVanish, faultDrain, faultSlow, faultNeighbour, faultErrors, faultResets, faultLost, faultSpoilt,
+	targetServers: {faultKill, faultIsolate, faultDrain, faultSlow, faultNeighbour, faultErrors, faultResets, faultLost, faultTruncated,
 		faultReplace, faultMute},
 	targetAgents:       {faultKill, faultStop, faultRestart, faultReload},
 	targetControlPlane: {faultKill, faultStop, faultRestart},
@@ -53,7 +53,7 @@
 
 // sizedFaultKinds are the kinds of faults, other than of links, that need a size.
 var sizedFaultKinds = map[string]bool{faultSlow: true, faultNeighbour: true, faultErrors: true, faultResets: true, faultLost: true,
-	faultSpoilt: true, faultBurst: true, faultHeavy: true}
+	faultTruncated: true, faultBurst: true, faultHeavy: true}
 
 // sizedLinkFaultKinds are the kinds of faults of links that need a size.
 var sizedLinkFaultKinds = map[string]bool{faultSlow: true, faultReset: true, faultLoss: true}
--- a/internal/lab/experiment/links.go
+++ b/internal/lab/experiment/links.go
@@ -12,7 +12,7 @@
 	linkControlPlanePeers
 )
 
-// discoveryIndex is the index of the discovery stand-in as the end of a link.
+// discoveryIndex is the index of the emulated list service as the end of a link.
 const discoveryIndex = -1
 
 // linkKey identifies a link by its kind and the indexes of the processes at its ends.
--- a/internal/lab/experiment/series.go
+++ b/internal/lab/experiment/series.go
@@ -97,13 +97,13 @@
 }
 
 const (
-	// recoveredPart is the part of the former served share from which a second counts as good.
+	// recoveredPart is the part of the previous served share from which a second counts as good.
 	recoveredPart = 0.9
 	// recoveredAfter is how many good seconds in a row make a recovery.
 	recoveredAfter = 3
-	// baselineSeconds is how many seconds before a fault give the former served share.
+	// baselineSeconds is how many seconds before a fault give the previous served share.
 	baselineSeconds = 5
-	// notRecovered is the recovery time of a run that did not recover, or whose former share is
+	// notRecovered is the recovery time of a run that did not recover, or whose previous share is
 	// unknown.
 	notRecovered = -1
 )
@@ -113,11 +113,11 @@
 // run ended before.
 func recoverySeconds(series []Point, from, warmup time.Duration) float64 {
 	start := int(from / time.Second)
-	formerSum, formerSeconds := sumServedShare(series, max(int(warmup/time.Second), start-baselineSeconds), start)
-	if formerSeconds == 0 {
+	previousSum, previousSeconds := sumServedShare(series, max(int(warmup/time.Second), start-baselineSeconds), start)
+	if previousSeconds == 0 {
 		return notRecovered
 	}
-	threshold := recoveredPart * formerSum / float64(formerSeconds)
+	threshold := recoveredPart * previousSum / float64(previousSeconds)
 	fell := false
 	goodSeconds := 0
 	for s := start; s < len(series); s++ {
--- a/internal/lab/server/process.go
+++ b/internal/lab/server/process.go
@@ -85,27 +85,25 @@
 
 // markReady makes the process ready if it is still the present one and is starting.
 func (s *Server) markReady(incarnation int) {
-	s.mu.Lock()
-	changed := s.incarnation == incarnation && s.health == healthStarting
-	if changed {
-		s.health = endpoints.Ready
-	}
-	s.mu.Unlock()
-	if changed {
-		s.notifyHealthChanged(endpoints.Ready, false)
-	}
+	s.changeHealth(endpoints.Ready, func() bool { return s.incarnation == incarnation && s.health == healthStarting })
 }
 
 // Drain makes a ready server reject new requests. It completes those that it has.
 func (s *Server) Drain() {
+	s.changeHealth(endpoints.Draining, func() bool { return s.health == endpoints.Ready })
+}
+
+// changeHealth sets the health and notifies of it if the condition, which is called with s.mu held,
+// is met.
+func (s *Server) changeHealth(health string, condition func() bool) {
 	s.mu.Lock()
-	changed := s.health == endpoints.Ready
+	changed := condition()
 	if changed {
-		s.health = endpoints.Draining
+		s.health = health
 	}
 	s.mu.Unlock()
 	if changed {
-		s.notifyHealthChanged(endpoints.Draining, false)
+		s.notifyHealthChanged(health, false)
 	}
 }
 
