--- a/internal/lab/discovery/discovery_test.go
+++ b/internal/lab/discovery/discovery_test.go
@@ -13,7 +13,7 @@
 func TestFullListHasTheAgentsAddresses(t *testing.T) {
 	ts := newTestService(t, Config{})
 	list := ts.getList(1)
-	if list.Seq != firstRevision || !list.Full || summary(list) != "s-00 ready;s-01 ready;" {
+	if list.Seq != 41 || !list.Full || summary(list) != "s-00 ready;s-01 ready;" {
 		t.Fatalf("%+v", list)
 	}
 	if e := list.Endpoints[0]; e.Dial != "127.0.1.0:80" || e.Site != "a" || e.Class != "k" || e.Block != 1 || e.Weight != 1.5 {
@@ -155,9 +155,14 @@
 	}
 }
 
-// After a move the old address refuses new connections, and the open ones end after a while.
+// After a move the old address refuses new connections, and the open ones end after a while. The
+// service has been down before, so that its listeners are not the first ones.
 func TestMoveGivesAnAgentANewAddress(t *testing.T) {
 	ts := newTestService(t, Config{})
+	ts.StartOutage()
+	if err := ts.EndOutage(); err != nil {
+		t.Fatal(err)
+	}
 	lists := ts.watch(0, firstRevision)
 	nextList(t, lists)
 	previous := ts.Addr(0)
--- a/internal/lab/hollow/registration.go
+++ b/internal/lab/hollow/registration.go
@@ -111,6 +111,8 @@
 	return p.endServers(ctx, r, false)
 }
 
+// endServers drains servers, which go on renewing, or removes them from the list, which ends their
+// renewals. It returns how many calls succeeded.
 func (p *Servers) endServers(ctx context.Context, r Range, drain bool) int {
 	ended := 0
 	for i := r.First; i < r.First+r.Count; i++ {
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -88,7 +88,7 @@
 }
 
 // IsExperiment reports whether the experiment file at path describes a scale run: it can be read,
-// is TOML and has a [scale] table.
+// is TOML and has the key scale.
 func IsExperiment(path string) bool {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/scale/sizerun.go
+++ b/internal/lab/scale/sizerun.go
@@ -116,7 +116,7 @@
 	if err := r.fleet.resetAges(ctx); err != nil {
 		return nil, err
 	}
-	r.takeRequests()
+	r.takeRequests() // drops those before the phase
 	before, err := r.fleet.sample(ctx, false)
 	if err != nil {
 		return nil, err
--- a/internal/lab/scale/validate.go
+++ b/internal/lab/scale/validate.go
@@ -12,16 +12,16 @@
 
 // Bounds of the machine that a file can't raise.
 const (
-	maxMemoryMiB       = 12 << 10
-	maxProcesses       = 200
-	maxDescriptors     = 20_000 // of one process
-	descriptorReserve  = 500    // of one process, for what is no watch
-	maxControlPlane    = 9
-	maxRealAgents      = 100
-	maxRequestRate     = 1000
-	maxEmulatedPerZone = 40
-	maxRenewBatch      = 2000
-	minKillableServers = 3 // servers of the control plane of which one may be killed
+	maxMemoryMiB            = 12 << 10
+	maxProcesses            = 200
+	maxDescriptors          = 20_000 // of one process
+	descriptorReserve       = 500    // of one process, for what is no watch
+	maxControlPlane         = 9
+	maxRealAgents           = 100
+	maxRequestRate          = 1000
+	maxEmulatedPerZone      = 40
+	maxRenewBatch           = 2000
+	minKillableControlPlane = 3 // control-plane servers of which one may be killed
 )
 
 const secondsPerDay = 86_400
@@ -101,7 +101,7 @@
 			return configfile.NewKeyError(key, "unknown phase %q: one of %s", phase, strings.Join(allPhases, ", "))
 		case position <= previous:
 			return configfile.NewKeyError(key, "%q is out of order: they are run in the order %s", phase, strings.Join(allPhases, ", "))
-		case (phase == LeaderKilled || phase == FollowerKilled) && c.Scale.ControlPlaneServers < minKillableServers:
+		case (phase == LeaderKilled || phase == FollowerKilled) && c.Scale.ControlPlaneServers < minKillableControlPlane:
 			return configfile.NewKeyError(key, "%q needs three stewards", phase)
 		}
 		previous = position
--- a/internal/lab/server/config.go
+++ b/internal/lab/server/config.go
@@ -84,8 +84,9 @@
 	// LinkClear reports whether the lab can't have delayed what the agent sent to the server; nil:
 	// it never delays anything.
 	LinkClear func(agent, server int) bool
-	// HealthChanged is called when a server becomes ready, drains or ends. isolated means that its
-	// machine was cut off from the network: its connections stay open. nil: it is not called.
+	// HealthChanged is called when a server becomes ready, drains or ends, and when its machine is
+	// isolated or rejoins. isolated means that the machine was cut off from the network: its
+	// connections stay open. nil: it is not called.
 	HealthChanged func(s *Server, health string, isolated bool)
 	// RecordEvent adds an event to the record of the run.
 	RecordEvent func(name string)
--- a/internal/lab/server/http.go
+++ b/internal/lab/server/http.go
@@ -171,6 +171,7 @@
 	})
 	if crash != nil {
 		s.env.RecordEvent("server " + s.Name + " pushed over")
+		// The checker's rule covers any overload of a warming server; the crash is its effect here.
 		s.env.Checker.WarmupOverload(s.Index, crash.NotifiedShare, crash.Work, crash.Limit)
 		go s.endProcess(incarnation)
 	}
@@ -182,7 +183,7 @@
 	switch {
 	case s.drawFault(faults.ResetShare):
 		s.Aborted.Add(1)
-		c.reset()
+		c.reset() // it panics, so that nothing below runs
 	case s.drawFault(faults.LostShare):
 		s.Aborted.Add(1)
 		<-r.Context().Done()
@@ -199,7 +200,7 @@
 		s.Aborted.Add(1)
 		_, _ = io.WriteString(w, body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
-		c.reset()
+		c.reset() // as above
 	}
 	// Once the agent has the response it may send the next attempt, so this one ends before.
 	attempt.MarkFinished()
--- a/internal/lab/server/modelinvariants_test.go
+++ b/internal/lab/server/modelinvariants_test.go
@@ -132,7 +132,7 @@
 		if len(run.inFlight) > 0 || run.ended+run.canceled != len(run.admitted) {
 			t.Fatalf("%d admitted, %d ended, %d canceled, %d left", len(run.admitted), run.ended, run.canceled, len(run.inFlight))
 		}
-		capacity := run.now.Seconds() * msPerSecond * float64(run.spec.Cores) * invariantSpeed
+		capacity := run.now.Seconds() * 1000 * float64(run.spec.Cores) * invariantSpeed
 		if run.leastWork > capacity+1 {
 			t.Fatalf("%.0f ms of work done, the cores can do %.0f", run.leastWork, capacity)
 		}
--- a/internal/lab/server/testserver_test.go
+++ b/internal/lab/server/testserver_test.go
@@ -58,7 +58,7 @@
 	config := Config{
 		Name:             "s-0",
 		Spec:             Spec{Cores: 1, Speed: 1, Slots: 1, QueueCapacity: 1},
-		LoadReports:      LoadReports{Mode: ReportOnProbe, Metrics: []string{"util", "inflight"}, Interval: 10 * ms, ProbesEnabled: true},
+		LoadReports:      LoadReports{Mode: "on_probe", Metrics: []string{"util", "inflight"}, Interval: 10 * ms, ProbesEnabled: true},
 		ConnectionPolicy: ConnectionPolicy{IdleTimeout: testTimeout},
 	}
 	if configure != nil {
