--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -28,7 +28,7 @@
 	}
 	options := scale.Options{Seed: seed, Out: o.OutputDir, Command: fmt.Sprintf("bin/lab run %s --seed %d", path, seed)}
 	if options.Out == "" {
-		options.Out = filepath.Join("found", fmt.Sprintf("%s-%s", config.Name, time.Now().Format("20060102-150405")))
+		options.Out = filepath.Join(resultsDir, fmt.Sprintf("%s-%s", config.Name, time.Now().Format(fileTimeLayout)))
 	}
 	began := time.Now()
 	if !quiet {
--- a/internal/lab/capacity/derived.go
+++ b/internal/lab/capacity/derived.go
@@ -31,7 +31,8 @@
 	value   Estimate
 }
 
-// exact returns the estimate of a value that follows from constants and the target alone.
+// exact returns the estimate of a value that follows from constants and the target alone. Its basis
+// is Fitted, so that the tables print it without a mark, as a value within the measured sizes.
 func exact(value float64) Estimate { return Estimate{Value: value, Basis: Fitted} }
 
 // times returns the estimate multiplied by a factor, on the same basis.
--- a/internal/lab/link/udp_test.go
+++ b/internal/lab/link/udp_test.go
@@ -78,10 +78,16 @@
 	}
 }
 
-// Datagrams in a cut or lossy direction are dropped and counted, those of a delayed one are late.
+// Datagrams in a cut or lossy direction are dropped and counted, those of a delayed one are late. The
+// senders are known to the relay before, and are served again after.
 func TestUDPShapes(t *testing.T) {
 	u := newUDPRelay(t)
-	c := dialUDP(t, u)
+	c, other := dialUDP(t, u), dialUDP(t, u)
+	for _, sender := range []net.Conn{c, other} {
+		if got := requestReply(t, sender, "known", waitTimeout); got != replyPrefix+"known" {
+			t.Errorf("received %q before any shape", got)
+		}
+	}
 	for name, shapes := range map[string][2]Shape{"cut": {{Cut: true}, {}}, "cut back": {{}, {Cut: true}}, "lost": {{LossShare: 1}, {}}} {
 		u.Set(shapes[0], shapes[1])
 		before := u.Dropped.Load()
@@ -95,14 +101,19 @@
 	const delay = 80 * time.Millisecond
 	u.Set(Shape{Delay: delay}, Shape{})
 	began := time.Now()
-	if got := requestReply(t, dialUDP(t, u), "late", waitTimeout); got != replyPrefix+"late" || time.Since(began) < delay {
+	if got := requestReply(t, other, "late", waitTimeout); got != replyPrefix+"late" || time.Since(began) < delay {
 		t.Errorf("received %q after %v", got, time.Since(began))
 	}
 }
 
-// A relay keeps at most maxSenders senders, and still serves each new one.
+// A relay keeps at most maxSenders senders, and still serves each new one, beside two older ones.
 func TestUDPSendersAreBounded(t *testing.T) {
 	u := newUDPRelay(t)
+	for range 2 {
+		if got := requestReply(t, dialUDP(t, u), "older", waitTimeout); got != replyPrefix+"older" {
+			t.Fatalf("received %q", got)
+		}
+	}
 	for range maxSenders + 20 {
 		c, err := net.Dial("udp", u.Addr())
 		if err != nil {
--- a/internal/lab/loopback/listener.go
+++ b/internal/lab/loopback/listener.go
@@ -25,12 +25,12 @@
 // answer for a time. It is safe for concurrent use.
 type Listener struct {
 	serve     func(net.Conn)
+	addr      string         // with the port; only Listen writes it
 	accepting sync.WaitGroup // the accepting goroutines
 	serving   sync.WaitGroup // the calls of serve; only an accepting goroutine adds to it
 
 	mu            sync.Mutex
 	changed       *sync.Cond // of state and acceptorWaits
-	addr          string     // with the port, once it has listened
 	state         listenerState
 	ln            *net.TCPListener // nil until it has listened, closed while state is refused
 	heldConns     []net.Conn       // both ends of those that fill the queue of a silent listener
@@ -91,7 +91,10 @@
 	if err != nil {
 		return err
 	}
-	l.ln, l.addr = ln.(*net.TCPListener), ln.Addr().String()
+	if l.ln == nil { // from now on the address is fixed, and read without l.mu
+		l.addr = ln.Addr().String()
+	}
+	l.ln = ln.(*net.TCPListener)
 	l.accepting.Add(1)
 	go l.accept(l.ln)
 	return nil
--- a/internal/lab/loopback/listener_test.go
+++ b/internal/lab/loopback/listener_test.go
@@ -67,6 +67,7 @@
 		timeout = silenceTime
 	}
 	c, err := net.DialTimeout("tcp", addr, timeout)
+	var netError net.Error
 	switch {
 	case err == nil && want == open:
 		<-s.accepted
@@ -78,7 +79,7 @@
 		if want != refused {
 			t.Fatalf("refused, want state %d", want)
 		}
-	case isTimeout(err):
+	case errors.As(err, &netError) && netError.Timeout():
 		if want != silent {
 			t.Fatalf("silent, want state %d", want)
 		}
@@ -201,10 +202,10 @@
 // was accepted just before Close.
 func TestWaitCoversConnectionsAcceptedBeforeClose(t *testing.T) {
 	for range 200 {
-		var serving atomic.Int64
+		var begun, returned atomic.Int64
 		l, err := Listen("127.0.0.1:0", func(c net.Conn) {
-			serving.Add(1)
-			defer serving.Add(-1)
+			begun.Add(1)
+			defer returned.Add(1)
 			c.Close()
 			time.Sleep(time.Millisecond) // so that Wait has something to wait for
 		})
@@ -221,9 +222,10 @@
 		}
 		l.Close()
 		l.Wait()
-		if n := serving.Load(); n != 0 {
-			t.Fatalf("%d calls of serve have not returned", n)
-		}
+		whenWaited := returned.Load()
 		dialing.Wait()
+		if n := begun.Load(); n != whenWaited {
+			t.Fatalf("%d calls of serve began, %d had returned at the end of Wait", n, whenWaited)
+		}
 	}
 }
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -4,7 +4,7 @@
 //
 // A Net is owned by the run that claimed it; a Listener and its accepting goroutine by the party that
 // listens. The goroutines that serve connections belong to the function that Listen was given: Close
-// of the listener doesn't wait for them.
+// of the listener doesn't wait for them, but its method Wait does.
 package loopback
 
 import (
--- a/internal/lab/process/process_test.go
+++ b/internal/lab/process/process_test.go
@@ -120,7 +120,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, fields, _ := strings.Cut(string(stat), ") ")
+	_, fields, found := strings.Cut(string(stat), ") ")
+	if !found || fields == "" {
+		t.Fatalf("/proc/%d/stat is %q", pid, stat)
+	}
 	return fields[:1]
 }
 
@@ -194,10 +197,16 @@
 	p := s.Add(childSpec("p", t.TempDir(), freeAddr()))
 
 	startReady(t, p)
+	if err := p.Start(); !errors.Is(err, ErrRunning) { // neither disturbs the run nor counts as a start
+		t.Errorf("started twice at once: %v", err)
+	}
 	usage, _, _ := p.SampleUsage()
 	if usage.RSSMB <= 1 || usage.Descriptors < 3 {
 		t.Errorf("uses %+v", usage)
 	}
+	sendSignal(t, p, syscall.SIGSTOP)
+	waitForState(t, p.cmd.Process.Pid, "T")
+	sendSignal(t, p, syscall.SIGCONT)
 	sendSignal(t, p, syscall.SIGTERM)
 	if expected := <-ends; !expected {
 		t.Error("an end by SIGTERM counts as a crash")
