--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -94,10 +94,10 @@
 		return append(binary.BigEndian.AppendUint32([]byte{22}, n), 1, 0, 0, 0, 1, 0, 0, 0, 0)
 	}
 	pool := append([]byte{19, 0, 0, 0, 0}, 0, 0, 0, 0, 0, 0, 0, 1)
-	verdict := append(binary.BigEndian.AppendUint32([]byte{18, 0, 0, 0, 3}, 9), 0, 0, 10, 0, 0, 1, 0x13, 0x8b, 0, 100)
+	outcome := append(binary.BigEndian.AppendUint32([]byte{18, 0, 0, 0, 3}, 9), 0, 0, 10, 0, 0, 1, 0x13, 0x8b, 0, 100)
 	for _, x := range []float64{0, -1, math.NaN(), math.Inf(1), 1e300} {
 		odd := binary.BigEndian.AppendUint64(requestRecord(3, 9)[:23], math.Float64bits(x))
-		late := binary.BigEndian.AppendUint64(verdict[:19:19], math.Float64bits(x))
+		late := binary.BigEndian.AppendUint64(outcome[:19:19], math.Float64bits(x))
 		in := batch(1000, settings, bootRecord(3, len(settings)))
 		in = append(in, batch(1000, string(list(x, x)), pool, targets(3), odd, requestRecord(3, 10))...)
 		f.Add(append(in, batch(1010, "", late, killedRecord(3))...))
--- /dev/null
+++ b/cmd/simadapter/replay_actions_amd64_test.go
@@ -0,0 +1,126 @@
+package main
+
+import (
+	"bytes"
+	"encoding/binary"
+	"math"
+)
+
+// This file holds what the simulator does with the actions of the adapter.
+
+// takeReply carries out the actions of the last reply.
+func (s *simulator) takeReply() {
+	be := binary.BigEndian
+	for s.out.Len() > 0 {
+		head := s.out.Next(8)
+		n, size := int(be.Uint32(head)), int(be.Uint32(head[4:]))
+		body := s.out.Next(size)
+		if len(body) != size || n*actionSize > size {
+			s.t.Fatalf("reply of %d records and %d bytes is cut", n, size)
+		}
+		for i := range n {
+			s.act(body[actionSize*i : actionSize*(i+1)])
+		}
+	}
+}
+
+// act carries out one action.
+func (s *simulator) act(raw []byte) {
+	be := binary.BigEndian
+	var a *simAgent
+	for _, x := range s.agents {
+		if x.number == be.Uint32(raw[1:]) {
+			a = x
+		}
+	}
+	if a == nil {
+		s.t.Fatalf("action for an unknown instance: %x", raw)
+	}
+	s.counts.All++
+	id := be.Uint32(raw[5:])
+	switch raw[0] {
+	case actionCloseIdle:
+		s.counts.Closes++
+	case actionReject:
+		s.counts.Refusals++
+		a.requests[id].end(s.batch)
+	case actionProbe:
+		s.counts.Probes++
+		s.probe(a, s.server(raw[5:11]))
+	case actionWatchList:
+		s.counts.Follows++
+		s.follow(a, raw[5] == 1)
+	case actionSend:
+		s.counts.Sends++
+		s.send(a, id, s.server(raw[9:15]), math.Float64frombits(be.Uint64(raw[15:])))
+	case actionFetchList:
+		s.counts.Fetches++
+		s.fetch(a)
+	case actionSetTimer:
+		s.counts.Timers++
+		incarnation, token := a.incarnation, be.Uint32(raw[13:])
+		s.later(math.Float64frombits(be.Uint64(raw[5:])), func() []byte {
+			if a.incarnation != incarnation {
+				return nil
+			}
+			return record(eventTimerFired, a.number, token)
+		})
+	case actionCancel:
+		s.counts.Cancels++
+		s.cancel(a, id, int(be.Uint16(raw[9:])))
+	case actionFail:
+		s.counts.Failures++
+		a.requests[id].end(s.batch)
+	case actionLog:
+		s.counts.Traces++
+	default:
+		s.t.Fatalf("unexpected action: %x", raw)
+	}
+}
+
+// server returns the server with this address. It fails the test if there is none.
+func (s *simulator) server(addr []byte) *simServer {
+	for _, v := range s.servers {
+		if bytes.Equal(v.addr[:], addr) {
+			return v
+		}
+	}
+	s.t.Fatalf("action names an unknown server %x", addr)
+	return nil
+}
+
+// follow answers a subscription: sometimes late, sometimes not at all.
+func (s *simulator) follow(a *simAgent, on bool) {
+	if !on {
+		a.subscribed = false
+		return
+	}
+	incarnation := a.incarnation
+	down := s.batch%1500 > 1100 // discovery is unavailable
+	s.later(3+40*s.rng.Float64(), func() []byte {
+		if a.incarnation != incarnation {
+			return nil
+		}
+		if down || s.rng.IntN(4) == 0 {
+			return record(eventListUpdate, a.number, byte(listFailed), s.listSeq, uint32(0))
+		}
+		a.subscribed = true
+		s.list(a, listFull, s.servers)
+		return nil
+	})
+}
+
+// fetch answers a call for the full list: sometimes with an error.
+func (s *simulator) fetch(a *simAgent) {
+	incarnation := a.incarnation
+	s.later(3+40*s.rng.Float64(), func() []byte {
+		if a.incarnation != incarnation {
+			return nil
+		}
+		if s.rng.IntN(3) == 0 {
+			return record(eventListUpdate, a.number, byte(listFailed), s.listSeq, uint32(0))
+		}
+		s.list(a, listFull, s.servers)
+		return nil
+	})
+}
