--- a/cmd/agent/syscallfault_test.go
+++ b/cmd/agent/syscallfault_test.go
@@ -174,46 +174,86 @@
 	}
 }
 
+const (
+	// connectFaultTime is for how long connects are to fail in TestConnectFailsTemporarily: two attempts
+	// fail after one connect timeout of the settings (150 ms), and one more after two. The fourth
+	// attempt, which ends at 450 ms, is under way when connects succeed again.
+	connectFaultTime = 400 * time.Millisecond
+	// maxConnectFaultTime is three connect timeouts. In a longer fault the fourth attempt fails too, which
+	// uses up the retry budget: the agent sends nothing for a second, as it is meant to.
+	maxConnectFaultTime = 3 * 150 * time.Millisecond
+	// maxConnectFaultRuns bounds the runs of one fault.
+	maxConnectFaultRuns = 10
+)
+
 // If connects to servers fail temporarily, every request still gets a final response, and the
-// servers are used again once connects succeed: they are not at fault.
+// servers are used again once connects succeed: they are not at fault. A run in which the test
+// itself was held up, so that connects failed for maxConnectFaultTime or longer, is repeated.
 func TestConnectFailsTemporarily(t *testing.T) {
 	for _, fault := range []string{noDescriptors, "connect:EADDRNOTAVAIL", "connect:ENETUNREACH", "connect:EHOSTUNREACH",
 		"connect:ENOBUFS", "connect:ENOMEM"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			listen := freeAddr(t)
-			p := startFaulty(t, fault, programConfig(listen, "127.0.0.1:1", okServer(t), 1024), false)
-			waitReady(t, listen, p.stderr)
-			p.setFaults(true)
-			var requests sync.WaitGroup
-			for i := range 20 {
-				requests.Add(1)
-				go func() {
-					defer requests.Done()
-					startedAt := time.Now()
-					status, err := postKey(listen, fmt.Sprint("u", i), "800m")
-					if took := time.Since(startedAt); err != nil || took > 850*time.Millisecond ||
-						status != http.StatusOK && status != http.StatusServiceUnavailable {
-						t.Errorf("request %d: %d, %v, after %v", i, status, err, took)
-					}
-				}()
-				time.Sleep(20 * time.Millisecond)
-			}
-			p.setFaults(false)
-			back := time.Now()
-			requests.Wait()
-			status, err := 0, error(nil)
-			for status != http.StatusOK && time.Since(back) < 5*time.Second {
-				status, err = postKey(listen, "after", "300m")
-			}
-			if took := time.Since(back); took > 700*time.Millisecond {
-				t.Errorf("served %v after the calls went well again: %d, %v; stderr: %s", took, status, err, p.stderr)
+			for range maxConnectFaultRuns {
+				if faultTime := runConnectFault(t, fault); faultTime < maxConnectFaultTime {
+					return
+				}
 			}
-			p.requireRunning()
+			t.Fatalf("in %d runs connects failed for %v or longer", maxConnectFaultRuns, maxConnectFaultTime)
 		})
 	}
 }
 
+// runConnectFault starts the program and sends it twenty requests while connects fail. It checks the
+// responses, and that the backend is used again soon after connects succeed if connects failed for
+// less than maxConnectFaultTime. It returns for how long they failed.
+func runConnectFault(t *testing.T, fault string) (faultTime time.Duration) {
+	t.Helper()
+	const requestCount = 20
+	listen := freeAddr(t)
+	p := startFaulty(t, fault, programConfig(listen, "127.0.0.1:1", okServer(t), 1024), false)
+	waitReady(t, listen, p.stderr)
+	failingSince := time.Now()
+	p.setFaults(true)
+	var requests sync.WaitGroup
+	for i := range requestCount {
+		requests.Go(func() { checkFinalResponse(t, listen, i) })
+		time.Sleep(time.Until(failingSince.Add(time.Duration(i+1) * connectFaultTime / requestCount)))
+	}
+	p.setFaults(false)
+	succeedingSince := time.Now()
+	requests.Wait()
+	if faultTime = succeedingSince.Sub(failingSince); faultTime < maxConnectFaultTime {
+		p.checkServedAgain(listen, succeedingSince)
+	}
+	p.requireRunning()
+	return faultTime
+}
+
+// checkFinalResponse sends request i and checks that it is answered within its timeout.
+func checkFinalResponse(t *testing.T, listen string, i int) {
+	t.Helper()
+	startedAt := time.Now()
+	status, err := postKey(listen, fmt.Sprint("u", i), "800m")
+	if took := time.Since(startedAt); err != nil || took > 850*time.Millisecond ||
+		status != http.StatusOK && status != http.StatusServiceUnavailable {
+		t.Errorf("request %d: %d, %v, after %v", i, status, err, took)
+	}
+}
+
+// checkServedAgain sends requests until one is served, and checks that this is soon after calls
+// began to succeed again.
+func (p *faultyProgram) checkServedAgain(listen string, succeedingSince time.Time) {
+	p.t.Helper()
+	status, err := 0, error(nil)
+	for status != http.StatusOK && time.Since(succeedingSince) < 5*time.Second {
+		status, err = postKey(listen, "after", "300m")
+	}
+	if took := time.Since(succeedingSince); took > 700*time.Millisecond {
+		p.t.Errorf("served %v after the calls went well again: %d, %v; stderr: %s", took, status, err, p.stderr)
+	}
+}
+
 // Temporary failures of system calls delay the start and do not end the program.
 func TestStartWhileCallsFail(t *testing.T) {
 	for _, fault := range []string{"bind:EADDRINUSE", "bind:EADDRNOTAVAIL", "bind:ENOMEM", "listen:ENOBUFS", "openat:ENFILE", "openat:EIO"} {
