--- a/internal/agent/misbehavingclient_test.go
+++ b/internal/agent/misbehavingclient_test.go
@@ -111,9 +111,7 @@
 			if len(received) > 0 {
 				t.Fatal("reached a backend")
 			}
-			for a.clients.count() > 0 {
-				time.Sleep(time.Millisecond) // the place is given back after the close
-			}
+			waitUntil(t, "its place is given back", func() bool { return a.clients.count() == 0 })
 		})
 	}
 }
@@ -146,6 +144,87 @@
 	}
 }
 
+// misbehavingHead is the head of a request without its end.
+const misbehavingHead = "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: bad\r\nRequest-Timeout: 30000m\r\n"
+
+// misbehaviors are what misbehaving clients do with their connection.
+var misbehaviors = []struct {
+	name string
+	act  func(c net.Conn)
+}{
+	{"silent", func(c net.Conn) {}},
+	{"half a head", func(c net.Conn) { io.WriteString(c, misbehavingHead[:30]) }},
+	{"half a body", func(c net.Conn) { io.WriteString(c, misbehavingHead+"Content-Length: 65536\r\n\r\nxx") }},
+	{"a head without end", func(c net.Conn) { writeRepeatedly(c, "X: "+strings.Repeat("x", 1<<10)+"\r\n", 1<<10) }},
+	{"many requests at once", func(c net.Conn) { writeRepeatedly(c, requestText("many"), 200) }},
+	{"disconnects within a request", func(c net.Conn) {
+		io.WriteString(c, requestText("gone")+requestText("gone")[:40])
+		c.Close()
+	}},
+	{"slow", writeSlowly},
+}
+
+// writeRepeatedly writes text count times, or until a write fails.
+func writeRepeatedly(c net.Conn, text string, count int) {
+	for range count {
+		if _, err := io.WriteString(c, text); err != nil {
+			return
+		}
+	}
+}
+
+// writeSlowly writes a head byte by byte, every 50 ms.
+func writeSlowly(c net.Conn) {
+	for _, b := range []byte(misbehavingHead) {
+		if _, err := c.Write([]byte{b}); err != nil {
+			return
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+}
+
+// checkDisconnectsMisbehaving connects to the agent, misbehaves and checks that the agent closes the
+// connection in time.
+func checkDisconnectsMisbehaving(t *testing.T, base, name string, act func(c net.Conn)) {
+	t.Helper()
+	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
+	if err != nil {
+		return
+	}
+	defer c.Close()
+	startedAt := time.Now()
+	go act(c)
+	c.SetReadDeadline(startedAt.Add(testTimeout))
+	// Its own time in the kernel's queue counts: others wait before it here.
+	if _, err := io.Copy(io.Discard, c); err != nil && os.IsTimeout(err) {
+		t.Errorf("%s: neither an error nor a close within %v", name, testTimeout)
+	} else if took := time.Since(startedAt); took > 6*time.Second {
+		t.Errorf("%s: disconnected after %v", name, took)
+	}
+}
+
+// checkServesWellBehaved sends a request on its own connection and checks that it is served in time.
+func checkServesWellBehaved(t *testing.T, base string) {
+	t.Helper()
+	startedAt := time.Now()
+	resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(newCall(base, "order"))
+	if err != nil || resp.StatusCode != 200 {
+		t.Fatalf("a good client among them: %v, %v", resp, err)
+	}
+	resp.Body.Close()
+	if took := time.Since(startedAt); took > 3*time.Second {
+		t.Errorf("a good client waited %v", took)
+	}
+}
+
+// heapInUse returns the bytes of the heap that are in use after a garbage collection.
+func heapInUse() int64 {
+	runtime.GC()
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc)
+}
+
 // Among many bad clients (silent, slow, huge, sending too much at once, or disconnecting early)
 // each bad one is disconnected within 3 s, a good one is served, and all resources are released.
 func TestMisbehavingClientsAreContained(t *testing.T) {
@@ -158,82 +237,22 @@
 	send(t, newCall(base, "order"))
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 	waitUntil(t, "it is at rest", func() bool { return a.clients.count() == 0 })
-	runtime.GC()
-	var before, after runtime.MemStats
-	runtime.ReadMemStats(&before)
-	goroutines := runtime.NumGoroutine()
+	heapBefore, goroutines := heapInUse(), runtime.NumGoroutine()
 
-	head := "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: bad\r\nRequest-Timeout: 30000m\r\n"
-	bad := []func(c net.Conn){
-		func(c net.Conn) {}, // silent
-		func(c net.Conn) { io.WriteString(c, head[:30]) },                              // half a head
-		func(c net.Conn) { io.WriteString(c, head+"Content-Length: 65536\r\n\r\nxx") }, // half a body
-		func(c net.Conn) { // a head without end
-			for range 1 << 10 {
-				if _, err := io.WriteString(c, "X: "+strings.Repeat("x", 1<<10)+"\r\n"); err != nil {
-					return
-				}
-			}
-		},
-		func(c net.Conn) { // much at once
-			for range 200 {
-				if _, err := io.WriteString(c, requestText("many")); err != nil {
-					return
-				}
-			}
-		},
-		func(c net.Conn) { // gone in the midst of it
-			io.WriteString(c, requestText("gone")+requestText("gone")[:40])
-			c.Close()
-		},
-		func(c net.Conn) { // slow
-			for _, b := range []byte(head) {
-				if _, err := c.Write([]byte{b}); err != nil {
-					return
-				}
-				time.Sleep(50 * time.Millisecond)
-			}
-		},
-	}
-	var all sync.WaitGroup
+	var misbehaving sync.WaitGroup
 	for i := range 300 {
-		all.Go(func() {
-			c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
-			if err != nil {
-				return
-			}
-			defer c.Close()
-			startedAt := time.Now()
-			go bad[i%len(bad)](c)
-			c.SetReadDeadline(startedAt.Add(testTimeout))
-			// Its own time in the kernel's queue counts: others wait before it here.
-			if _, err := io.Copy(io.Discard, c); err != nil && os.IsTimeout(err) {
-				t.Errorf("kind %d: neither an error nor a close within %v", i%len(bad), testTimeout)
-			} else if took := time.Since(startedAt); took > 6*time.Second {
-				t.Errorf("kind %d: rid of after %v", i%len(bad), took)
-			}
-		})
+		m := misbehaviors[i%len(misbehaviors)]
+		misbehaving.Go(func() { checkDisconnectsMisbehaving(t, base, m.name, m.act) })
 	}
 	for range 20 {
-		startedAt := time.Now()
-		req := newCall(base, "order")
-		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
-		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("a good client among them: %v, %v", resp, err)
-		}
-		resp.Body.Close()
-		if took := time.Since(startedAt); took > 3*time.Second {
-			t.Errorf("a good client waited %v", took)
-		}
+		checkServesWellBehaved(t, base)
 		time.Sleep(50 * time.Millisecond)
 	}
-	all.Wait()
+	misbehaving.Wait()
 	waitUntil(t, "their places are given back", func() bool { return a.clients.count() == 0 })
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 	waitUntil(t, "their goroutines have ended", func() bool { return runtime.NumGoroutine() <= goroutines+5 })
-	runtime.GC()
-	runtime.ReadMemStats(&after)
-	if grew := int64(after.HeapAlloc) - int64(before.HeapAlloc); grew > 4<<20 {
+	if grew := heapInUse() - heapBefore; grew > 4<<20 {
 		t.Errorf("%d bytes more are held", grew)
 	}
 }
--- a/internal/agent/notification_test.go
+++ b/internal/agent/notification_test.go
@@ -54,14 +54,14 @@
 			t.Fatalf("query %q", q)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("not asked")
+		t.Fatal("discovery was not called")
 	}
 	if took := time.Since(startedAt); took > 200*time.Millisecond {
-		t.Fatalf("asked after %v, where it counts as told from the first moment", took)
+		t.Fatalf("discovery was called after %v, where the agent counts as notified from the start", took)
 	}
-	for end := time.Now().Add(20 * time.Second); len(received) == 0; { // until the list is taken
+	for end := time.Now().Add(20 * time.Second); len(received) == 0; { // until the list is applied
 		if send(t, newCall(base, "order")); time.Now().After(end) {
-			t.Fatal("never told of the drain")
+			t.Fatal("never notified of the drain")
 		}
 	}
 	for range 5 {
@@ -99,97 +99,124 @@
 		fail()
 	}
 	if before := fail(); before < 1200 {
-		t.Fatalf("asks again after %.0f ms though many calls failed", before)
+		t.Fatalf("the next call comes after %.0f ms though many calls failed", before)
 	}
 	l.advanceClock(10 * time.Second)
 	l.handle(event{kind: eventTimer, token: followToken})
 	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{"127.0.0.1:2"}})
 	if !l.watching {
-		t.Fatal("the new address is not asked")
+		t.Fatal("the new address is not called")
 	}
 	l.handle(event{kind: eventWatchEnded, source: l.discovery, err: errTrailingBytes})
 	if after := waits(); after <= 0 || after > 1000 {
-		t.Fatalf("asks the new address again after %.0f ms", after)
+		t.Fatalf("the second call to the new address comes after %.0f ms", after)
 	}
 }
 
+// silentDiscovery keeps a call open and answers nothing.
+func silentDiscovery(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+
+// writeFlushed sends text to the agent at once.
+func writeFlushed(w http.ResponseWriter, text string) {
+	fmt.Fprint(w, text)
+	w.(http.Flusher).Flush()
+}
+
+// trickle sends first, and then text every 50 ms until the agent ends the call.
+func trickle(first, text string) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		writeFlushed(w, first)
+		for r.Context().Err() == nil {
+			writeFlushed(w, text)
+			time.Sleep(50 * time.Millisecond)
+		}
+	}
+}
+
+// silentAfter sends text, and then nothing until the agent ends the call.
+func silentAfter(text string) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		writeFlushed(w, text)
+		silentDiscovery(w, r)
+	}
+}
+
+// rejectLate rejects a call after two seconds.
+func rejectLate(w http.ResponseWriter, r *http.Request) {
+	select {
+	case <-time.After(2 * time.Second):
+	case <-r.Context().Done():
+	}
+	w.WriteHeader(http.StatusServiceUnavailable)
+}
+
+// discoveryFaults are the ways in which discovery fails to answer.
+var discoveryFaults = map[string]http.HandlerFunc{
+	"503":                        func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
+	"reset":                      func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) },
+	"rejected late":              rejectLate,
+	"silent from the first byte": silentDiscovery,
+	"silent after the head":      silentAfter(""),
+	"silent within a line":       silentAfter(`{"seq":2,"wh`),
+	"trickles":                   trickle("", " "),
+	"never ends":                 trickle(`{"seq":2,"hosts":[`+"\n", "\n\n"),
+	"malformed":                  func(w http.ResponseWriter, r *http.Request) { writeFlushed(w, "}\n") },
+}
+
 // Whatever ended the calls before, the agent is notified within 6 s of the moment from which
 // discovery answers correctly again: after rejections, resets, silence at any point, responses that
 // trickle or never end, and with a reload in between.
 func TestNotifiedWithinSixSeconds(t *testing.T) {
-	silent := func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
-	write := func(w http.ResponseWriter, text string) {
-		fmt.Fprint(w, text)
-		w.(http.Flusher).Flush()
-	}
-	faults := map[string]http.HandlerFunc{
-		"503":   func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(503) },
-		"reset": func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) },
-		"turned away late": func(w http.ResponseWriter, r *http.Request) {
-			select {
-			case <-time.After(2 * time.Second):
-			case <-r.Context().Done():
-			}
-			w.WriteHeader(503)
-		},
-		"silent from the first byte": silent,
-		"silent after the head":      func(w http.ResponseWriter, r *http.Request) { write(w, ""); silent(w, r) },
-		"silent within a line":       func(w http.ResponseWriter, r *http.Request) { write(w, `{"seq":2,"wh`); silent(w, r) },
-		"trickles": func(w http.ResponseWriter, r *http.Request) {
-			for r.Context().Err() == nil {
-				write(w, " ")
-				time.Sleep(50 * time.Millisecond)
-			}
-		},
-		"never ends": func(w http.ResponseWriter, r *http.Request) {
-			write(w, `{"seq":2,"hosts":[`+"\n")
-			for r.Context().Err() == nil {
-				write(w, "\n\n")
-				time.Sleep(50 * time.Millisecond)
-			}
-		},
-		"nonsense": func(w http.ResponseWriter, r *http.Request) { write(w, "}\n") },
-	}
 	var all sync.WaitGroup
-	for name, fault := range faults {
+	for name, fault := range discoveryFaults {
 		for _, moved := range []bool{false, true} {
 			all.Go(func() { // all at once: they mostly wait
-				written := make(chan time.Time, 100)
-				var well atomic.Bool
-				serve := func(w http.ResponseWriter, r *http.Request) {
-					if well.Load() {
-						written <- time.Now()
-						serveList(2, hostEntry(0, "127.0.0.1:1", "ready"))(w, r)
-					} else {
-						fault(w, r)
-					}
-				}
-				addr, _ := discoveryServer(t, serve)
-				other, _ := discoveryServer(t, serve)
-				config := testConfig(addr, "127.0.0.1:1")
-				set := config["settings"].(map[string]any)
-				set["membershipMode"], set["replicasOfMe"] = "on_request", 300
-				a, _, _, _ := startAgent(t, config)
-				time.Sleep(9 * time.Second) // some calls have failed
-				if moved {
-					config["discovery"] = other
-					a.Reconfigure(parseConfig(t, config))
-					time.Sleep(time.Second)
-				}
-				well.Store(true)
-				healed := time.Now()
-				select {
-				case at := <-written:
-					// A call that had just begun is given up after 3.5 s of silence, and repeated within
-					// 4 s of its begin; the rest is for a slow machine.
-					if took := at.Sub(healed); took > 5*time.Second {
-						t.Errorf("%s, moved %v: told after %v", name, moved, took)
-					}
-				case <-time.After(testTimeout):
-					t.Errorf("%s, moved %v: never told", name, moved)
-				}
+				checkNotifiedAfterFault(t, fmt.Sprintf("%s, moved %v", name, moved), fault, moved)
 			})
 		}
 	}
 	all.Wait()
 }
+
+// checkNotifiedAfterFault starts an agent whose discovery has the fault for some time, and checks
+// when the agent is notified after that. The address of discovery changes before if moved is set.
+func checkNotifiedAfterFault(t *testing.T, name string, fault http.HandlerFunc, moved bool) {
+	t.Helper()
+	// failingTime is long enough for some calls to fail, movedFailingTime for one at the new address.
+	const failingTime, movedFailingTime = 9 * time.Second, time.Second
+	// maxNotification: a call that had just begun is given up after 3.5 s of silence, and repeated
+	// within 4 s of its begin; the rest is for a slow machine.
+	const maxNotification = 5 * time.Second
+	written := make(chan time.Time, 100)
+	var recovered atomic.Bool
+	serve := func(w http.ResponseWriter, r *http.Request) {
+		if !recovered.Load() {
+			fault(w, r)
+			return
+		}
+		written <- time.Now()
+		serveList(2, hostEntry(0, "127.0.0.1:1", "ready"))(w, r)
+	}
+	addr, _ := discoveryServer(t, serve)
+	other, _ := discoveryServer(t, serve)
+	config := testConfig(addr, "127.0.0.1:1")
+	set := config["settings"].(map[string]any)
+	set["membershipMode"], set["replicasOfMe"] = "on_request", 300
+	a, _, _, _ := startAgent(t, config)
+	time.Sleep(failingTime)
+	if moved {
+		config["discovery"] = other
+		a.Reconfigure(parseConfig(t, config))
+		time.Sleep(movedFailingTime)
+	}
+	recovered.Store(true)
+	recoveredAt := time.Now()
+	select {
+	case at := <-written:
+		if took := at.Sub(recoveredAt); took > maxNotification {
+			t.Errorf("%s: notified after %v", name, took)
+		}
+	case <-time.After(testTimeout):
+		t.Errorf("%s: never notified", name)
+	}
+}
