--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -58,72 +58,103 @@
 	}
 }
 
-// Eighty agents that start together, and whose calls all fail, ask a discovery that all
-// share seldom enough for it to work off what waits.
-func TestManyAgentsSpreadTheirCallsToDiscovery(t *testing.T) {
-	const agents, step, seconds = 80, 10, 60
+// watchingFleet is many agents that share a discovery service which answers no call.
+type watchingFleet struct {
+	t         *testing.T
+	balancers []*Balancer
+	callsAt   []float64 // when each agent's next call is due, in ms
+}
+
+// newWatchingFleet starts agents that all have the same list of two servers.
+func newWatchingFleet(t *testing.T, agents int) *watchingFleet {
+	t.Helper()
 	set := testSettings()
 	set.Membership, set.Replicas = "on_request", agents
 	set.Contract.ListPollWithinMs = 10000
-	bals, due := make([]*Balancer, agents), make([]float64, agents)
-	after := func(i int, now float64, actions []Action) {
-		if a := find(actions, ActTimer); a != nil {
-			due[i] = now + a.Ms
-		}
-	}
-	for i := range bals {
+	f := &watchingFleet{t: t, balancers: make([]*Balancer, agents), callsAt: make([]float64, agents)}
+	for i := range f.balancers {
 		set.Index = i
 		b, err := New(set, uint64(i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		bals[i] = b
-		after(i, 0, b.Start(0, nil))
+		f.balancers[i] = b
+		f.schedule(i, 0, b.Start(0, nil))
 		b.Handle(0, &Event{Kind: EvList, List: ListCached, Entries: []Entry{
 			{Server: addr(0), Health: Ready, Weight: 1}, {Server: addr(1), Health: Ready, Weight: 1}}}, nil)
 	}
-	var calls [seconds]int
-	fetches := 0
-	for now := 0.0; now < seconds*1000; now += step {
-		for i, b := range bals {
-			if now < due[i] {
-				continue
-			}
-			due[i] = math.Inf(1)
-			if find(b.Handle(now, &Event{Kind: EvTimer, Token: watchToken}, nil), ActWatchList) == nil {
-				t.Fatalf("agent %d did not subscribe", i)
+	return f
+}
+
+// schedule takes when agent i calls next from its actions.
+func (f *watchingFleet) schedule(i int, now float64, actions []Action) {
+	if timer := find(actions, ActTimer); timer != nil {
+		f.callsAt[i] = now + timer.Ms
+	}
+}
+
+// failCalls lets all calls that are due fail, and returns their number.
+func (f *watchingFleet) failCalls(now float64) (calls int) {
+	f.t.Helper()
+	for i, b := range f.balancers {
+		if now < f.callsAt[i] {
+			continue
+		}
+		f.callsAt[i] = math.Inf(1)
+		if find(b.Handle(now, &Event{Kind: EvTimer, Token: watchToken}, nil), ActWatchList) == nil {
+			f.t.Fatalf("agent %d did not subscribe", i)
+		}
+		calls++
+		f.schedule(i, now, b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil))
+	}
+	return calls
+}
+
+// failRequests lets one request of each agent fail, and returns how many full lists they fetch for it.
+func (f *watchingFleet) failRequests(now float64) (fetches int) {
+	for _, b := range f.balancers {
+		send := find(b.Handle(now, &Event{Kind: EvRequest, Request: 1, RemainingMs: 600}, nil), ActSend)
+		for _, a := range b.Handle(now, &Event{Kind: EvOutcome, Request: 1, Server: send.Server, Status: Error}, nil) {
+			if a.Kind == ActFetchList {
+				fetches++
 			}
-			calls[int(now/1000)]++
-			after(i, now, b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil))
 		}
+	}
+	return fetches
+}
+
+// Eighty agents that start together, and whose calls all fail, call a discovery that all share
+// seldom enough for it to answer the calls that are queued there.
+func TestManyAgentsSpreadTheirCallsToDiscovery(t *testing.T) {
+	// A change counts as notified 6 s after discovery's return, which asks of every agent one call
+	// each 4 s: 20 a second. Half as many more may fall into one second, but not into all of them.
+	const (
+		agents, step, seconds  = 80, 10, 60
+		settled                = 10 // seconds after which the calls of the start are spread
+		maxCallsAtTheStart     = 60 // a second
+		maxCalls, maxMeanCalls = 36, 25
+	)
+	f := newWatchingFleet(t, agents)
+	var calls [seconds]int
+	for now := 0.0; now < seconds*1000; now += step {
+		calls[int(now/1000)] += f.failCalls(now)
 		if now == 4000 { // a server fails all of them at once
-			for _, b := range bals {
-				send := find(b.Handle(now, &Event{Kind: EvRequest, Request: 1, RemainingMs: 600}, nil), ActSend)
-				for _, a := range b.Handle(now, &Event{Kind: EvOutcome, Request: 1, Server: send.Server, Status: Error}, nil) {
-					if a.Kind == ActFetchList {
-						fetches++
-					}
-				}
+			if fetches := f.failRequests(now); fetches > 0 {
+				t.Errorf("%d agents fetched the full list at one failure", fetches)
 			}
 		}
 	}
-	if fetches > 0 {
-		t.Errorf("%d agents fetched the whole list at one failure", fetches)
-	}
-	// One call each 4 s is what a change that counts as told 6 s after discovery's return
-	// asks of every agent: 20 a second. Half as many more may fall into one second, but not
-	// into all of them.
-	late := 0
+	settledCalls := 0
 	for s, n := range calls {
-		if n > 60 || s >= 10 && n > 36 {
+		if n > maxCallsAtTheStart || s >= settled && n > maxCalls {
 			t.Errorf("second %d: %d calls to discovery", s, n)
 		}
-		if s >= 10 {
-			late += n
+		if s >= settled {
+			settledCalls += n
 		}
 	}
-	if mean := float64(late) / (seconds - 10); mean > 25 {
-		t.Errorf("%.1f calls a second to discovery that is away", mean)
+	if mean := float64(settledCalls) / (seconds - settled); mean > maxMeanCalls {
+		t.Errorf("%.1f calls a second to discovery that is unavailable", mean)
 	}
 }
 
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -148,7 +148,7 @@
 }
 
 // South's rough days: a server that failed often rests long while others can take
-// its requests, but is tried again at once while they are full.
+// its requests, but is retried at once while they are full.
 func TestEjectedServerIsRetriedWhileOthersAreFull(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		r := newRig(t, testSettings(), 4)
@@ -164,8 +164,8 @@
 		}
 		r.now += r.b.minTarget + 1
 		r.request(0, 0)
-		if tried := bad.state == UnhealthyPending; tried != full {
-			t.Errorf("others full: %v; failing server attempted after one target latency: %v", full, tried)
+		if retried := bad.state == UnhealthyPending; retried != full {
+			t.Errorf("others full: %v; failing server retried after one target latency: %v", full, retried)
 		}
 	}
 }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -43,8 +43,8 @@
 	r := newRig(t, testSettings(), 1)
 	r.list(ListChange, Entry{Server: addr(1), Health: Ready, Weight: 1, StartedMs: r.now})
 	r.b.baselineLatency = 0.2
-	if cold, warm := r.b.overloadThreshold(r.b.serversByAddr[addr(1)]), r.b.overloadThreshold(r.b.serversByAddr[addr(0)]); cold < 2*warm {
-		t.Errorf("limit %.2f of a cold server, %.2f of a warm one", cold, warm)
+	if warming, warm := r.b.overloadThreshold(r.b.serversByAddr[addr(1)]), r.b.overloadThreshold(r.b.serversByAddr[addr(0)]); warming < 2*warm {
+		t.Errorf("limit %.2f of a cold server, %.2f of a warm one", warming, warm)
 	}
 }
 
@@ -164,7 +164,7 @@
 	set := testSettings()
 	set.Prices.CrossZone = 0.08
 	r := newRig(t, set, 6)
-	play := func(homeMs float64) float64 {
+	localShare := func(homeMs float64) float64 {
 		own := 0
 		for range 400 {
 			r.now += 50
@@ -178,12 +178,12 @@
 		}
 		return float64(own) / 400
 	}
-	play(20)
-	if quick := play(20); quick < 0.8 {
+	localShare(20)
+	if quick := localShare(20); quick < 0.8 {
 		t.Errorf("the own zone is as fast as the rest and got %.2f", quick)
 	}
-	play(40)
-	if slow := play(40); slow > 0.7 {
+	localShare(40)
+	if slow := localShare(40); slow > 0.7 {
 		t.Errorf("the own zone is twice as slow as the rest and got %.2f", slow)
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -35,7 +35,7 @@
 type simulatedRequest struct {
 	class    int
 	deadline float64
-	tries    []*simulatedAttempt
+	attempts []*simulatedAttempt
 	final    int
 }
 
@@ -79,7 +79,7 @@
 			if st == Timeout {
 				ends = w.now + a.Ms
 			}
-			r.tries = append(r.tries, &simulatedAttempt{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.Ms), status: st})
+			r.attempts = append(r.attempts, &simulatedAttempt{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.Ms), status: st})
 		case ActReject, ActFail:
 			if r.final++; r.final > 1 {
 				w.t.Fatalf("request %d: a second final answer", a.Request)
@@ -95,8 +95,8 @@
 			if !w.set.Limits.Cancelling {
 				w.t.Fatal("cancelled where it is not allowed")
 			}
-			if try := r.tries[a.Attempt]; !try.ended {
-				try.status, try.endsAt = Cancelled, w.now+5
+			if attempt := r.attempts[a.Attempt]; !attempt.ended {
+				attempt.status, attempt.endsAt = Cancelled, w.now+5
 			}
 		case ActProbe:
 			if !w.set.Limits.Probing {
@@ -109,7 +109,7 @@
 }
 
 func (r *simulatedRequest) mayHaveRun() bool {
-	return slices.ContainsFunc(r.tries, func(t *simulatedAttempt) bool { return !t.ended || !t.status.NotExecuted() })
+	return slices.ContainsFunc(r.attempts, func(t *simulatedAttempt) bool { return !t.ended || !t.status.NotExecuted() })
 }
 
 func (w *simulation) checkSend(r *simulatedRequest, a *Action) {
@@ -117,13 +117,13 @@
 	if r.final > 0 || w.now > r.deadline {
 		w.t.Fatalf("request %d sent after its end", a.Request)
 	}
-	if len(r.tries) >= w.set.Limits.MaxAttempts {
-		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.tries)+1, w.set.Limits.MaxAttempts)
+	if len(r.attempts) >= w.set.Limits.MaxAttempts {
+		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.attempts)+1, w.set.Limits.MaxAttempts)
 	}
 	if since, bad := w.badSince[a.Server]; bad && w.now-since > w.set.Contract.DrainGraceMs {
 		w.t.Fatalf("sent to %v %.0f ms after its drain was notified", a.Server, w.now-since)
 	}
-	for _, t := range r.tries {
+	for _, t := range r.attempts {
 		if !t.ended && !w.set.Limits.ParallelAttempts {
 			w.t.Fatalf("request %d: two attempts out at once", a.Request)
 		}
@@ -161,7 +161,7 @@
 			continue
 		}
 		open := false
-		for i, t := range r.tries {
+		for i, t := range r.attempts {
 			if t.ended {
 				continue
 			}
@@ -171,7 +171,7 @@
 			}
 			t.ended = true
 			if t.status == OK {
-				r.final++ // a second copy's answer changes nothing
+				r.final++ // the response to a second attempt changes nothing
 				r.final = min(r.final, 1)
 			}
 			w.handle(Event{Kind: EvOutcome, Request: id, Attempt: i, Server: t.server, Status: t.status,
@@ -180,7 +180,7 @@
 		if r.final == 0 && w.now > r.deadline+w.set.Contract.AnswerSlackMs {
 			w.t.Fatalf("request %d of class %d lost: no answer %.0f ms after its deadline", id, r.class, w.now-r.deadline)
 		}
-		if r.final > 0 && !open && len(r.tries) > 0 && w.now > r.deadline+100 {
+		if r.final > 0 && !open && len(r.attempts) > 0 && w.now > r.deadline+100 {
 			delete(w.reqs, id)
 		}
 	}
@@ -196,7 +196,7 @@
 	w.list[s] = e
 	if e.Health == Ready {
 		delete(w.badSince, s)
-	} else if _, told := w.badSince[s]; !told {
+	} else if _, notified := w.badSince[s]; !notified {
 		w.badSince[s] = w.now
 	}
 	w.handle(Event{Kind: EvList, List: ListChange, Entries: []Entry{e}})
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -56,8 +56,8 @@
 	return r.id, r.handle(Event{Kind: EvRequest, Request: r.id, Class: class, Key: key, RemainingMs: 600})
 }
 
-func (r *rig) outcome(id RequestID, try int, s Addr, st Status, rtt float64) []Action {
-	return r.handle(Event{Kind: EvOutcome, Request: id, Attempt: try, Server: s, Status: st, LatencyMs: rtt, Final: st == OK})
+func (r *rig) outcome(id RequestID, attempt int, s Addr, st Status, rtt float64) []Action {
+	return r.handle(Event{Kind: EvOutcome, Request: id, Attempt: attempt, Server: s, Status: st, LatencyMs: rtt, Final: st == OK})
 }
 
 func find(actions []Action, kind ActionKind) *Action {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// sent asks once and returns where the request went.
+// sent sends one request and returns the server that it went to. It fails the test if it went to none.
 func (r *rig) sent(class int, key uint64) (RequestID, Addr) {
 	r.t.Helper()
 	id, actions := r.request(class, key)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -26,13 +26,13 @@
 func TestRejectedAttemptsRefillNoSlowStartBudget(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	r.list(ListChange, Entry{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now})
-	cold := r.b.serversByAddr[addr(4)]
+	warming := r.b.serversByAddr[addr(4)]
 	for _, st := range []Status{Full, OK} {
-		cold.slowStartBudget = -1
+		warming.slowStartBudget = -1
 		id, s := r.sent(1, 7)
 		r.outcome(id, 0, s, st, 20)
-		if earned := cold.slowStartBudget > -1; earned != (st == OK) {
-			t.Errorf("status %d: the slow-start budget went from -1 to %.3f", st, cold.slowStartBudget)
+		if earned := warming.slowStartBudget > -1; earned != (st == OK) {
+			t.Errorf("status %d: the slow-start budget went from -1 to %.3f", st, warming.slowStartBudget)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 
 // Many agents with few requests: each refills a cold server's budget by a small part of one request. Together
 // they are to send it what the parts add up to: neither nothing nor one each.
-func TestManyAgentsShareAColdServersBudget(t *testing.T) {
+func TestManyAgentsShareASlowStartBudget(t *testing.T) {
 	got, agents, each := 0, 400, 20
 	for seed := range agents {
 		b, err := New(testSettings(), uint64(seed))
@@ -82,7 +82,7 @@
 
 // Where half of the servers are new, the agents of a large fleet together send a cold one
 // half or more of what it can do in its slow start, of which a warm one answers all, and no more.
-func TestLargeFleetUsesColdServers(t *testing.T) {
+func TestLargeFleetUsesServersInSlowStart(t *testing.T) {
 	set := largeFleetSettings()
 	set.Replicas, set.Contract.FallMultiple = 300, 4
 	const servers, each = 24, 200
@@ -97,10 +97,10 @@
 			r.now += 10
 			id, actions := r.request(0, 0)
 			if a := find(actions, ActSend); a != nil {
-				cold := r.b.slowStartFactor(r.b.serversByAddr[a.Server])
-				if cold < 1 {
+				factor := r.b.slowStartFactor(r.b.serversByAddr[a.Server])
+				if factor < 1 {
 					sends[1]++
-					capacity += cold
+					capacity += factor
 				} else {
 					sends[0]++
 				}
@@ -116,7 +116,7 @@
 }
 
 // i5d0607: a zone was lost and only cold servers were left.
-func TestColdServersServeWhenTheWarmOnesFailed(t *testing.T) {
+func TestServersInSlowStartServeWhenOthersFailed(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	for range 200 {
 		r.now += 10
@@ -142,7 +142,7 @@
 		name   string
 		at     []float64 // when connects failed
 		probes bool
-		cold   bool
+		slow   bool // the server is in slow start afterwards
 	}{
 		{"in a row for long", []float64{0, 600, tip + 200}, false, true},
 		{"probes in a row for long", []float64{0, 600, tip + 200}, true, true},
@@ -172,7 +172,7 @@
 			id, s := r.sentTo(srv)
 			r.now += 20
 			r.outcome(id, 0, s, OK, 20)
-			if factor := r.b.slowStartFactor(srv); (factor < 0.5) != c.cold {
+			if factor := r.b.slowStartFactor(srv); (factor < 0.5) != c.slow {
 				t.Errorf("reachable again, with slow-start factor %.2f", factor)
 			}
 		})
@@ -187,12 +187,12 @@
 		set.Limits.KeepaliveMs, set.Prices.Handshake = keepalive, 0.1
 		r := newRig(t, set, 64)
 		r.list(ListChange, Entry{Server: addr(99), Health: Ready, Weight: 1, StartedMs: r.now})
-		cold := r.b.serversByAddr[addr(99)]
-		cold.slowStartBudget = 0
+		added := r.b.serversByAddr[addr(99)]
+		added.slowStartBudget = 0
 		r.b.refillSlowStartBudgets(r.b.serversByAddr[addr(0)], 1)
-		return cold.slowStartBudget
+		return added.slowStartBudget
 	}
-	if whole, part := earned(0), earned(10000); part < 3.5*whole || whole <= 0 {
-		t.Errorf("credit earned: %.5f sending to 65 servers, %.5f to 16 of them; want four times", whole, part)
+	if all, subset := earned(0), earned(10000); subset < 3.5*all || all <= 0 {
+		t.Errorf("credit earned: %.5f sending to 65 servers, %.5f to 16 of them; want four times", all, subset)
 	}
 }
--- a/policy/unconfirmed_test.go
+++ b/policy/unconfirmed_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Once a part of an answer has come, a server that it doesn't name as ready gets nothing from half
-// the grace on, until a whole answer comes; one that it names as ready goes on, one that it names as
-// draining stops at once.
-func TestUnconfirmedServersAreHeldBack(t *testing.T) {
+// Once a part of a list has come, a server that the part doesn't name as ready gets nothing from half
+// the grace on, until a complete list comes. A server that the part names as ready is still sent to, a
+// server that it names as draining is not from then on.
+func TestUnconfirmedServersGetNoRequests(t *testing.T) {
 	entry := func(i int, h Health) Entry { return Entry{Server: Addr{byte(i)}, Health: h, Weight: 1} }
 	const grace = 500.0
 	for _, c := range []struct {
@@ -19,7 +19,7 @@
 		{"after it", nil, nil, grace/2 + 20, nil},
 		{"one is confirmed", []Entry{entry(2, Ready)}, nil, grace, []int{2}},
 		{"one drains", []Entry{entry(1, Draining)}, nil, 20, []int{2, 3}},
-		{"a whole answer came", nil, func(r *rig) { r.list(ListChange) }, grace, []int{1, 2, 3}},
+		{"a complete list came", nil, func(r *rig) { r.list(ListChange) }, grace, []int{1, 2, 3}},
 		{"a call failed", nil, func(r *rig) { r.list(ListFailed) }, grace, nil},
 		{"discovery moved", nil, func(r *rig) { r.list(ListSourceChanged) }, grace, nil},
 		{"another part names others", []Entry{entry(2, Ready)}, func(r *rig) { r.list(ListPartial, entry(3, Ready)) }, grace, []int{3}},
@@ -52,7 +52,7 @@
 }
 
 // At half the grace what was decided for unconfirmed servers and has not been written is
-// withdrawn, and the whole list is asked for where the call that stalls is still open.
+// withdrawn, and the full list is fetched where the call that stalls is still open.
 func TestAttemptsAtUnconfirmedServersAreWithdrawn(t *testing.T) {
 	for _, ended := range []bool{false, true} {
 		set := testSettings()
@@ -75,8 +75,8 @@
 		if withdrawn == nil || withdrawn.Server != b.Server {
 			t.Errorf("withdrew %+v, want from the server that isn't confirmed", withdrawn)
 		}
-		if asked := find(actions, ActFetchList) != nil; asked == ended {
-			t.Errorf("ended %v: asked for the whole list: %v", ended, asked)
+		if fetched := find(actions, ActFetchList) != nil; fetched == ended {
+			t.Errorf("ended %v: fetched the full list: %v", ended, fetched)
 		}
 	}
 }
