--- a/cmd/agent/notification_test.go
+++ b/cmd/agent/notification_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"bytes"
 	"fmt"
 	"net"
 	"net/http"
@@ -11,7 +10,6 @@
 	"path/filepath"
 	"strings"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 )
@@ -270,12 +268,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(d.configPath, bytes.ReplaceAll(config, []byte(d.discoveryAddr), []byte(next)), 0o600); err != nil {
-				t.Fatal(err)
-			}
-			if err := d.cmd.Process.Signal(syscall.SIGHUP); err != nil {
-				t.Fatal(err)
-			}
+			reloadProgram(t, d.cmd, d.configPath, strings.ReplaceAll(string(config), d.discoveryAddr, next))
 			d.check(t, 2*time.Second, 0)
 		})
 	}
--- a/cmd/agent/services_test.go
+++ b/cmd/agent/services_test.go
@@ -5,13 +5,11 @@
 	"fmt"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"path/filepath"
 	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
@@ -76,7 +74,7 @@
 				return
 			}
 		case <-limit:
-			t.Fatalf("never asked for %s", want)
+			t.Fatalf("never called with %s", want)
 		}
 	}
 }
@@ -106,84 +104,87 @@
 	}
 }
 
-// SIGHUP changes the services under load: the known servers keep serving until the list of the new
-// services arrives, and no request fails, also if the address changes at the same time.
-func TestServicesChangeUnderLoad(t *testing.T) {
-	a, ofA := countingServer(t, "s-a", "a")
-	b, ofB := countingServer(t, "s-b", "b")
-	x, ofX := countingServer(t, "s-x", "x")
-	hosts := []endpoints.Endpoint{a, b, x}
-	first, second := startScopedControlPlane(t, hosts), startScopedControlPlane(t, hosts)
-	listen, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
-	// On a busy machine one server for four clients is overloaded by the times of these settings.
-	patient := strings.Replace(settings, `"aimMs":500,"giveUpMs":1000`, `"aimMs":20000,"giveUpMs":30000`, 1)
-	config := func(controlPlane *scopedControlPlane, services string) string {
-		return fmt.Sprintf(`{"name":"n0","listen":%q,"stewards":[%q],"services":%s,"seed":"1f",
- "limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s}`, listen, controlPlane.addr, services, patient)
-	}
-	cmd, stderr := startProgramAt(t, path, config(first, `["a"]`))
-	reload := func(text string) {
-		t.Helper()
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-			t.Fatal(err)
-		}
-	}
-	waitReady(t, listen, stderr)
+// requestLoad is clients that send requests one after the other, each for another key.
+type requestLoad struct {
+	clients          sync.WaitGroup
+	end              chan struct{}
+	requests, failed atomic.Int64
+	stop             func() // ends the load and waits for its last responses
+}
 
-	var load sync.WaitGroup
-	var requests, failed atomic.Int64
-	end := make(chan struct{})
-	for range 4 {
-		load.Go(func() {
+// startLoad starts clients that send requests. Each request that is not served fails the test.
+func startLoad(t *testing.T, listen string, clients int) *requestLoad {
+	t.Helper()
+	l := &requestLoad{end: make(chan struct{})}
+	l.stop = sync.OnceFunc(func() {
+		close(l.end)
+		l.clients.Wait()
+	})
+	t.Cleanup(l.stop) // before the agent is killed, also where the test fails
+	for range clients {
+		l.clients.Go(func() {
 			for {
 				select {
-				case <-end:
+				case <-l.end:
 					return
 				default:
 				}
 				// The policy sends the requests of one key to one server while it has room.
-				if status, err := postKey(listen, fmt.Sprint("u", requests.Add(1)), "30000m"); status != http.StatusOK {
-					failed.Add(1)
+				if status, err := postKey(listen, fmt.Sprint("u", l.requests.Add(1)), "30000m"); status != http.StatusOK {
+					l.failed.Add(1)
 					t.Errorf("answered %d, %v", status, err)
 				}
 			}
 		})
 	}
-	endLoad := sync.OnceFunc(func() {
-		close(end)
-		load.Wait()
-	})
-	defer endLoad() // before the agent is killed, also where the test fails
+	return l
+}
+
+// servicesConfig returns a configuration that subscribes to services, a JSON list, at a control
+// plane. On a busy machine one server for four clients is overloaded by the times of the settings.
+func servicesConfig(listen string, controlPlane *scopedControlPlane, services string) string {
+	patient := strings.Replace(settings, `"aimMs":500,"giveUpMs":1000`, `"aimMs":20000,"giveUpMs":30000`, 1)
+	return fmt.Sprintf(`{"name":"n0","listen":%q,"stewards":[%q],"services":%s,"seed":"1f",
+ "limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s}`, listen, controlPlane.addr, services, patient)
+}
+
+// SIGHUP changes the services under load: the known servers keep serving until the list of the new
+// services arrives, and no request fails, also if the address changes at the same time.
+func TestServicesChangeUnderLoad(t *testing.T) {
+	a, ofA := countingServer(t, "s-a", "a")
+	b, ofB := countingServer(t, "s-b", "b")
+	x, ofX := countingServer(t, "s-x", "x")
+	hosts := []endpoints.Endpoint{a, b, x}
+	first, second := startScopedControlPlane(t, hosts), startScopedControlPlane(t, hosts)
+	listen, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
+	cmd, stderr := startProgramAt(t, path, servicesConfig(listen, first, `["a"]`))
+	waitReady(t, listen, stderr)
+	load := startLoad(t, listen, 4)
 	waitForMore(t, "service a", ofA, 20)
-	reload(config(first, `["b"]`))
+
+	reloadProgram(t, cmd, path, servicesConfig(listen, first, `["b"]`))
 	first.awaitQuery(t, "follow=1&since=0&service=b")
 	waitForMore(t, "service a, while the list of b is not there", ofA, 50)
 	if ofB.Load() > 0 {
-		t.Error("service b is asked before its list came")
+		t.Error("service b received requests before its list came")
 	}
 	close(first.hold)
 	waitForMore(t, "service b", ofB, 50)
 	before := ofA.Load()
 	waitForMore(t, "service b", ofB, 50)
 	if ofA.Load() > before {
-		t.Errorf("service a is asked %d times after it was left", ofA.Load()-before)
+		t.Errorf("service a received %d requests after it was unsubscribed", ofA.Load()-before)
 	}
-	reload(config(second, `["b", "a"]`))
+
+	reloadProgram(t, cmd, path, servicesConfig(listen, second, `["b", "a"]`))
 	second.awaitQuery(t, "follow=1&since=0&service=a&service=b")
 	waitForMore(t, "service a again", ofA, 20)
 	waitForMore(t, "service b still", ofB, 20)
-	endLoad()
+	load.stop()
 	close(second.hold)
-	if failed.Load() > 0 || ofX.Load() > 0 {
-		t.Errorf("%d of %d requests failed, %d reached a service that is not subscribed to", failed.Load(), requests.Load(), ofX.Load())
-	}
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Wait(); err != nil {
-		t.Fatalf("after SIGTERM: %v; stderr: %s", err, stderr)
+	if load.failed.Load() > 0 || ofX.Load() > 0 {
+		t.Errorf("%d of %d requests failed, %d reached a service that is not subscribed to",
+			load.failed.Load(), load.requests.Load(), ofX.Load())
 	}
+	stopGracefully(t, cmd, stderr)
 }
--- a/cmd/agent/syscallfault_test.go
+++ b/cmd/agent/syscallfault_test.go
@@ -32,23 +32,14 @@
 	t.Helper()
 	dir := t.TempDir()
 	p := &faultyProgram{t: t, faults: faults, faultFile: filepath.Join(dir, "failing"), configPath: filepath.Join(dir, "config.json"),
-		stderr: &stderrBuffer{}, ended: make(chan error, 1)}
-	if err := os.WriteFile(p.configPath, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
+		ended: make(chan error, 1)}
+	p.cmd, p.stderr = newProgram(t, p.configPath, config)
 	if failing {
 		p.setFaults(true)
 	}
-	exe, err := os.Executable()
-	if err != nil {
-		t.Fatal(err)
-	}
-	p.cmd = exec.Command(exe)
-	p.cmd.Env = append(os.Environ(), "AGENT_TEST_CHILD=1", "EDGE_CONFIG="+p.configPath)
 	if faults != noDescriptors {
 		p.cmd.Env = append(p.cmd.Env, syscallfault.FaultsVariable+"="+faults, syscallfault.WhileVariable+"="+p.faultFile)
 	}
-	p.cmd.Stderr = p.stderr
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
