--- a/cmd/agent/syscallfault_test.go
+++ b/cmd/agent/syscallfault_test.go
@@ -38,7 +38,7 @@
 		p.setFaults(true)
 	}
 	if faults != noDescriptors {
-		p.cmd.Env = append(p.cmd.Env, syscallfault.FaultsVariable+"="+faults, syscallfault.WhileVariable+"="+p.faultFile)
+		p.cmd.Env = append(p.cmd.Env, syscallfault.FaultsVariable+"="+faults, syscallfault.WhileVariable+"="+p.faultFile, oneMallocArena)
 	}
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -63,6 +63,11 @@
 	}
 }
 
+// oneMallocArena keeps the C library, which the test binary may be linked with, from opening
+// /sys/devices/system/cpu/online in a new thread. The thread holds a processor of the Go scheduler
+// meanwhile, and where the program has only one, syscallfault can't decide on the call.
+const oneMallocArena = "MALLOC_ARENA_MAX=1"
+
 // setFaults switches the faults on or off.
 func (p *faultyProgram) setFaults(on bool) {
 	p.t.Helper()
