--- a/cmd/simadapter/replay_attempts_amd64_test.go
+++ b/cmd/simadapter/replay_attempts_amd64_test.go
@@ -11,7 +11,7 @@
 	ms = (5 + 15*s.rng.ExpFloat64()) * v.slow * (1 + float64(v.open)/6)
 	hit := s.rng.IntN(4) > 0
 	switch {
-	case v.health == healthGone && hit:
+	case v.health == healthRemoved && hit:
 		return outcomeConnectFailed, 1
 	case v.fault == faultErrors && hit:
 		return outcomeError, 4
--- a/cmd/simadapter/replay_events_amd64_test.go
+++ b/cmd/simadapter/replay_events_amd64_test.go
@@ -41,7 +41,7 @@
 	s.pool = (s.pool + 1) % 16
 	n, at := 0, len(s.tail)
 	for _, v := range servers {
-		if v.health == healthGone && mode != listChange {
+		if v.health == healthRemoved && mode != listChange {
 			continue // a full list leaves out servers that are gone
 		}
 		s.tail = append(s.tail, record(0, uint16(v.zone), v.since, v.health, v.addr, float32(v.weight), uint16(v.cell), uint8(v.kind))[1:]...)
@@ -68,7 +68,7 @@
 	case 0:
 		v.health = healthDraining
 	case 1:
-		v.health = healthGone
+		v.health = healthRemoved
 	case 2:
 		v.weight = 0.5 + 2*s.rng.Float64()
 	default:
--- a/cmd/simadapter/replay_wire_amd64_test.go
+++ b/cmd/simadapter/replay_wire_amd64_test.go
@@ -53,7 +53,7 @@
 const (
 	healthDraining = 0
 	healthReady    = 1
-	healthGone     = 2
+	healthRemoved  = 2
 )
 
 // The status codes of attempts and probes.
--- a/internal/agent/startclock_test.go
+++ b/internal/agent/startclock_test.go
@@ -10,7 +10,7 @@
 // A process whose wall clock was stepped before its start still knows the age of servers that start
 // later: a server that warms up counts neither as warm nor as younger than it is.
 func TestSteppedClockAtTheStart(t *testing.T) {
-	const coldMs = 8000
+	const slowStartMs = 8000
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 20 * time.Second, -20 * time.Second} {
 		t.Run(step.String(), func(t *testing.T) {
 			l := offlineLoop(t, "127.0.0.1:1")
@@ -27,10 +27,10 @@
 			l.handle(event{kind: eventListChanged, list: listOf(3, false, hosts[1])})
 			l.handle(event{kind: eventListChanged, list: listOf(4, false, hosts[0])})
 			age := func(i int) float64 { return l.nowMs() - l.startOnLoopClock(&hosts[i]) }
-			if got := age(1); got < 0 || got > coldMs*3/2 || step < 0 && got > 3000 {
+			if got := age(1); got < 0 || got > slowStartMs*3/2 || step < 0 && got > 3000 {
 				t.Errorf("the new server counts as %.0f ms old, is 2000", got)
 			}
-			if got := age(0); got < coldMs {
+			if got := age(0); got < slowStartMs {
 				t.Errorf("the old server counts as %.0f ms old, is 502000", got)
 			}
 		})
--- a/internal/simwire/formats_test.go
+++ b/internal/simwire/formats_test.go
@@ -253,10 +253,10 @@
 		"contract.fallMultiple", "contract.tipAfterMs", "limits.keepaliveMs", "limits.maxAttempts", "limits.maxRetryAfterMs",
 		"prices.connection", "prices.crossZone", "prices.handshake", "replicasOfMe", "roundMs"}
 	for _, path := range numbers {
-		words := strings.Split(path, ".")
+		keys := strings.Split(path, ".")
 		text := "-1"
-		for _, w := range slices.Backward(words) {
-			text = fmt.Sprintf(`{%q:%s}`, w, text)
+		for _, key := range slices.Backward(keys) {
+			text = fmt.Sprintf(`{%q:%s}`, key, text)
 		}
 		got := refuse(`{` + class + `,"membershipMode":"pushed",` + text[1:])
 		if want := "settings: " + path + ": must be 0 or above, is -1"; got != want {
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -50,9 +50,9 @@
 	if clocks[0] != 8412.25 {
 		t.Errorf("clock %v, want 8412.25", clocks[0])
 	}
-	ask := recs[0].Event
-	if recs[0].Instance != 3 || ask.Kind != policy.EvRequest || ask.Request != 0x5d3a91c4 || ask.RemainingMs != 240 ||
-		ask.HintMs != 12 || !ask.HasHint || ask.Retry || ask.Key != 0x91f03b7c55d20a64 {
+	request := recs[0].Event
+	if recs[0].Instance != 3 || request.Kind != policy.EvRequest || request.Request != 0x5d3a91c4 || request.RemainingMs != 240 ||
+		request.HintMs != 12 || !request.HasHint || request.Retry || request.Key != 0x91f03b7c55d20a64 {
 		t.Errorf("ask: %+v", recs[0])
 	}
 	if e := recs[1].Event; e.Kind != policy.EvTimer || e.Token != 0x4d {
