--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -1,7 +1,6 @@
 package control
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"slices"
@@ -104,6 +103,30 @@
 // Error names the key and says what is wrong.
 func (e *configError) Error() string { return "configuration: " + e.key + ": " + e.problem }
 
+// configFileError is a configuration file that can't be read or parsed.
+type configFileError struct{ cause error }
+
+// Error returns the cause in one line; the parser's text can have several.
+func (e *configFileError) Error() string {
+	return "--config: " + strings.ReplaceAll(e.cause.Error(), "\n", " ")
+}
+
+// Unwrap returns the cause.
+func (e *configFileError) Unwrap() error { return e.cause }
+
+// configValueError is a setting whose value doesn't have the setting's type.
+type configValueError struct{ cause error }
+
+// Error returns the first line of the cause, which is about the first of such settings.
+func (e *configValueError) Error() string {
+	text := strings.TrimPrefix(e.cause.Error(), "decoding failed due to the following error(s):\n\n")
+	first, _, _ := strings.Cut(text, "\n")
+	return "configuration: " + first
+}
+
+// Unwrap returns the cause.
+func (e *configValueError) Unwrap() error { return e.cause }
+
 // LoadConfig reads the configuration from the file at path, if path isn't empty, then from the
 // environment, then from the given flags; later ones override earlier ones. The text of an error
 // is one line that names the key.
@@ -125,8 +148,7 @@
 		return nil, err
 	}
 	if err := decoder.Decode(settings); err != nil {
-		text, _, _ := strings.Cut(strings.TrimPrefix(err.Error(), "decoding failed due to the following error(s):\n\n"), "\n")
-		return nil, errors.New("configuration: " + text)
+		return nil, &configValueError{err}
 	}
 	if len(meta.Unused) > 0 {
 		slices.Sort(meta.Unused)
@@ -140,7 +162,7 @@
 	k := koanf.New(".")
 	if path != "" {
 		if err := k.Load(file.Provider(path), toml.Parser()); err != nil {
-			return nil, fmt.Errorf("--config: %s", strings.ReplaceAll(err.Error(), "\n", " "))
+			return nil, &configFileError{err}
 		}
 	}
 	fromEnv := env.Provider(".", env.Opt{Prefix: EnvPrefix, EnvironFunc: os.Environ,
--- a/internal/control/incarnation.go
+++ b/internal/control/incarnation.go
@@ -12,9 +12,9 @@
 
 const (
 	incarnationInterval = 500 * time.Millisecond // between checks of this process's incarnation
-	// nameConflictTimeout is for how long a name may seem to belong to another process before this
-	// one gives up: after a restart with an empty data folder, the peers need some time to notice
-	// that the earlier process has ended.
+	// nameConflictTimeout is for how long requests may be rejected because another process has this
+	// server's name before this process gives up: after a restart with an empty data folder, the
+	// peers need some time to notice that the earlier process has ended.
 	nameConflictTimeout = 10 * time.Second
 )
 
@@ -25,6 +25,20 @@
 	BootID string `json:"life"`
 }
 
+// supersededError ends a process whose name the catalog has given to another one since.
+type supersededError struct {
+	name           string
+	sameDataFolder bool // the other process has a copy of this one's data folder
+}
+
+// Error says which process keeps the name, and that this one ends.
+func (e *supersededError) Error() string {
+	if e.sameDataFolder {
+		return fmt.Sprintf("name: a later process is called %s and has a copy of this folder: this one yields", e.name)
+	}
+	return fmt.Sprintf("name: another process is called %s, and this one was thought to be gone: it yields", e.name)
+}
+
 // incarnationLoop obtains this process's incarnation number from the catalog and gossips it. It
 // ends the process if its name belongs to another one, and returns then or when the server
 // stops.
@@ -33,9 +47,9 @@
 	client.AddressSource = s.serverAddresses
 	ticker := time.NewTicker(incarnationInterval)
 	defer ticker.Stop()
-	var conflictSince time.Time
+	request := incarnationRequest{client: client}
 	for {
-		if err := s.checkIncarnation(client, &conflictSince); err != nil {
+		if err := s.checkIncarnation(&request); err != nil {
 			s.fail(err)
 			return
 		}
@@ -48,57 +62,82 @@
 }
 
 // checkIncarnation takes over this process's incarnation number once the catalog has it, and
-// requests one until then. It returns an error if this server's name belongs to another process.
-// conflictSince is when the name began to seem another process's; zero if it doesn't.
-func (s *Server) checkIncarnation(client *Client, conflictSince *time.Time) error {
-	var registered catalog.Member
+// requests one until then. It returns a supersededError if the catalog has given this server's name
+// to another process since, and an error that wraps the rejection if another present process has
+// had the name for nameConflictTimeout.
+func (s *Server) checkIncarnation(request *incarnationRequest) error {
+	registered := s.registeredMember()
+	if registered.ID == s.dataID && registered.BootID == s.bootID {
+		s.takeIncarnation(registered.Incarnation)
+		return nil
+	}
+	if current := s.gossip.Self().Incarnation; current > 0 && registered.Incarnation > current {
+		return &supersededError{s.config.Name, registered.ID == s.dataID}
+	}
+	return s.requestIncarnation(request)
+}
+
+// registeredMember returns what the catalog has under this server's name, or the zero Member.
+func (s *Server) registeredMember() (registered catalog.Member) {
 	s.fsm.read(func(state *catalog.State) {
 		if m := state.Members[s.config.Name]; m != nil {
 			registered = *m
 		}
 	})
-	current := s.gossip.Self().Incarnation
-	switch {
-	case registered.ID == s.dataID && registered.BootID == s.bootID:
-		if current != registered.Incarnation {
-			s.gossip.UpdateSelf(func(i *member.Info) { i.Incarnation = registered.Incarnation })
-			s.log.Info("incarnation number obtained", "incarnation", registered.Incarnation)
-		}
-		return nil
-	case current > 0 && registered.Incarnation > current && registered.ID == s.dataID:
-		return fmt.Errorf("name: a later process is called %s and has a copy of this folder: this one yields", s.config.Name)
-	case current > 0 && registered.Incarnation > current:
-		return fmt.Errorf("name: another process is called %s, and this one was thought to be gone: it yields", s.config.Name)
+	return registered
+}
+
+// takeIncarnation gossips this process's incarnation number, if it is new.
+func (s *Server) takeIncarnation(incarnation int64) {
+	if s.gossip.Self().Incarnation == incarnation {
+		return
 	}
+	s.gossip.UpdateSelf(func(i *member.Info) { i.Incarnation = incarnation })
+	s.log.Info("incarnation number obtained", "incarnation", incarnation)
+}
+
+// incarnationRequest is a process's repeated request for its incarnation number.
+type incarnationRequest struct {
+	client *Client
+	// conflictSince is the time of the first of the requests in a row that were rejected because
+	// another process has the name; zero if the last request was not.
+	conflictSince time.Time
+}
+
+// requestIncarnation sends the request once. It returns an error only if the request has been
+// rejected for longer than nameConflictTimeout because another process has the name.
+func (s *Server) requestIncarnation(request *incarnationRequest) error {
+	path := endpoints.MembersPath + "/" + s.config.Name + "/arrival"
 	var result catalog.Result
-	err := client.do(s.ctx, http.MethodPost, endpoints.MembersPath+"/"+s.config.Name+"/arrival", memberArrivalBody{s.dataID, s.bootID}, &result)
+	err := request.client.do(s.ctx, http.MethodPost, path, memberArrivalBody{s.dataID, s.bootID}, &result)
 	switch {
 	case !isConflict(err):
-		*conflictSince = time.Time{}
-	case conflictSince.IsZero():
-		*conflictSince = time.Now()
-	case time.Since(*conflictSince) > nameConflictTimeout:
+		request.conflictSince = time.Time{}
+	case request.conflictSince.IsZero():
+		request.conflictSince = time.Now()
+	case time.Since(request.conflictSince) > nameConflictTimeout:
 		return fmt.Errorf("name: %w", err)
 	}
 	return nil
 }
 
 // presentMember reports whether a process of this name is present in the membership view, and
-// returns the identity of its data folder.
-func (s *Server) presentMember(name string) (id string, is bool) {
+// returns the identity of its data folder, "" if that is not known.
+func (s *Server) presentMember(name string) (dataID string, present bool) {
 	if s.gossip == nil {
 		return "", false
 	}
-	s.gossip.WithTracker(func(_ time.Duration, t *member.Tracker) { id, is = t.InstanceID(name) })
-	return id, is
+	s.gossip.WithTracker(func(_ time.Duration, t *member.Tracker) { dataID, present = t.InstanceID(name) })
+	return dataID, present
 }
 
-// checkNameConflict returns a rejectedError if a process other than the one with this data folder's
-// identity is present under the name.
-func (s *Server) checkNameConflict(name, id string) error {
-	if has, is := s.presentMember(name); is && id != "" && has != "" && has != id {
+// checkNameConflict returns a rejectedError if a process with another data folder than the one with
+// this identity is present under the name. An identity that is not known, "", is no conflict.
+func (s *Server) checkNameConflict(name, dataID string) error {
+	other, present := s.presentMember(name)
+	if present && dataID != "" && other != "" && other != dataID {
 		if s.logLimiter.Allow() {
-			s.log.Error("request of a second process with the name of a present one", "name", name)
+			s.log.Error("request of a second process with the name of a present one", "member", name)
 		}
 		text := fmt.Sprintf("another process is called %s, and is there", name)
 		return &rejectedError{catalog.Result{Code: catalog.Taken, Text: text}}
@@ -120,11 +159,11 @@
 	if err := s.checkNameConflict(name, b.ID); err != nil {
 		return err
 	}
-	id, is := s.presentMember(name)
+	dataID, present := s.presentMember(name)
 	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.RegisterMember, Member: &catalog.Member{
 		Name:              name,
 		ID:                b.ID,
 		BootID:            b.BootID,
-		PredecessorAbsent: !is || id == b.ID,
+		PredecessorAbsent: !present || dataID == b.ID,
 	}})
 }
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -44,12 +44,12 @@
 	if err := s.startGossip(); err != nil {
 		return err
 	}
-	has, err := raft.HasExistingState(s.store, s.store.bolt, s.store.snaps)
+	hasState, err := raft.HasExistingState(s.store, s.store.bolt, s.store.snaps)
 	if err != nil {
 		return fmt.Errorf("data: %w", err)
 	}
 	mode := resume
-	if !has {
+	if !hasState {
 		if mode, err = s.classifyEmptyFolder(ctx); err != nil {
 			return err
 		}
@@ -89,12 +89,13 @@
 	return nil
 }
 
+// raftConfig returns the configuration of the raft library.
 func (s *Server) raftConfig(rl hclog.Logger) *raft.Config {
 	rc := raft.DefaultConfig()
 	rc.LocalID = raft.ServerID(s.config.Name)
 	rc.Logger = rl
 	rc.HeartbeatTimeout, rc.ElectionTimeout = s.config.Heartbeat, s.config.Heartbeat
-	rc.LeaderLeaseTimeout = s.config.Heartbeat * 4 / 5
+	rc.LeaderLeaseTimeout = s.config.Heartbeat * 4 / 5 // raft requires that it is not above the heartbeat timeout
 	rc.CommitTimeout = commitTimeout
 	rc.SnapshotThreshold, rc.SnapshotInterval = s.config.SnapshotEvery, s.config.SnapshotCheck
 	rc.TrailingLogs = s.config.SnapshotEvery
@@ -125,9 +126,10 @@
 	return nil
 }
 
-// raftAddr resolves the name of a server to the address of its raft transport. Raft knows
-// control-plane servers by name only, so that each can dial the others by its own table.
-func (s *Server) raftAddr(name string) (string, bool) {
+// raftAddr resolves the name of a server to the address of its raft transport. It returns false if
+// the peer table doesn't have the name. Raft knows control-plane servers by name only, so that each
+// can dial the others by its own table.
+func (s *Server) raftAddr(name string) (addr string, known bool) {
 	if name == s.config.Name {
 		return s.config.Raft, true
 	}
@@ -148,24 +150,25 @@
 			status, err := s.statusOf(ctx, name)
 			switch {
 			case err != nil:
-			case status.HasState:
-				err := s.requestRemoval(ctx)
-				switch {
-				case err == nil:
-					s.log.Info("rejoining with an empty data folder", "reported_by", name)
-					return rejoinCluster, nil
-				case isConflict(err) && time.Since(s.startedAt) > nameConflictTimeout:
-					return resume, fmt.Errorf("name: %w", err)
-				}
-			default:
+				continue
+			case !status.HasState:
 				empty++
+				continue
+			}
+			err = s.requestRemoval(ctx)
+			if err == nil {
+				s.log.Info("rejoining with an empty data folder", "reported_by", name)
+				return rejoinCluster, nil
+			}
+			if isConflict(err) && time.Since(s.startedAt) > nameConflictTimeout {
+				return resume, fmt.Errorf("name: %w", err)
 			}
 		}
 		if empty == len(others) {
 			return bootstrapCluster, nil
 		}
 		if first {
-			s.log.Info("data folder is empty: waiting until all peers answer, or one that has a state", "peers", others)
+			s.log.Info("data folder is empty: waiting until all peers answer, or one that has a state", "waiting_for", others)
 		}
 		select {
 		case <-time.After(firstStartInterval):
@@ -175,7 +178,8 @@
 	}
 }
 
-// requestRemoval asks the cluster to remove this server from the voters.
+// requestRemoval asks the cluster to remove this server from the voters. It returns the error of
+// tryPeers: isConflict holds for it if another process has this server's name.
 func (s *Server) requestRemoval(ctx context.Context) error {
 	return s.tryPeers(ctx, func(base string) error {
 		return call(ctx, s.peerClient, http.MethodDelete, base+"/v1/peers/"+s.config.Name+"?id="+s.dataID, nil, nil)
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -25,8 +25,27 @@
 	lockTimeout = 2 * time.Second
 	// checksumBytes is the size of the checksum at the end of each entry's data.
 	checksumBytes = 4
+	// entryHeadBytes is the size of what the checksum covers besides the data: index, term and type.
+	entryHeadBytes = 8 + 8 + 1
 )
 
+// errDataFolderInUse means that another process uses the data folder.
+var errDataFolderInUse = errors.New("another process uses")
+
+// damagedLogError is a log on the disk that can't be read, with the reason.
+type damagedLogError struct {
+	dir   string
+	cause error
+}
+
+// Error names the data folder and the cause.
+func (e *damagedLogError) Error() string {
+	return fmt.Sprintf("data: the log in %s is damaged: %v", e.dir, e.cause)
+}
+
+// Unwrap returns the cause.
+func (e *damagedLogError) Unwrap() error { return e.cause }
+
 // store is what raft keeps in the data folder: the log with checksums, its term and vote, and
 // snapshots.
 type store struct {
@@ -35,8 +54,9 @@
 	snaps *raft.FileSnapshotStore
 }
 
-// openStore opens the data folder, and creates it if it doesn't exist. It returns an error if the
-// folder can't be written, if another process uses it, or if the log in it is damaged.
+// openStore opens the data folder, and creates it if it doesn't exist. It returns an error that
+// wraps errDataFolderInUse if another process uses the folder, a *damagedLogError if the log in it
+// is damaged, and another error if the folder can't be written.
 func openStore(dir string, log hclog.Logger) (s *store, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("data: %w", err)
@@ -51,12 +71,12 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			s, err = nil, fmt.Errorf("data: the log in %s is damaged: %v", dir, p)
+			s, err = nil, &damagedLogError{dir, errors.New(fmt.Sprint(p))}
 		}
 	}()
 	bolt, err := boltdb.New(boltdb.Options{Path: filepath.Join(dir, "raft.db"), BoltOptions: &bbolt.Options{Timeout: lockTimeout}})
 	if errors.Is(err, bbolt.ErrTimeout) {
-		return nil, fmt.Errorf("data: another process uses %s", dir)
+		return nil, fmt.Errorf("data: %w %s", errDataFolderInUse, dir)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("data: the log in %s: %w", dir, err)
@@ -69,14 +89,15 @@
 	s = &store{checksumLogStore: &checksumLogStore{bolt}, bolt: bolt, snaps: snaps}
 	if err := s.verifyLog(); err != nil {
 		bolt.Close()
-		return nil, fmt.Errorf("data: the log in %s is damaged: %w", dir, err)
+		return nil, &damagedLogError{dir, err}
 	}
 	return s, nil
 }
 
-// verifyLog reads the whole log once: a server that can't start is better than one that lost
-// entries it had acknowledged. Entries that a snapshot covers may be missing, as they are after
-// the leader has sent a snapshot and before the log is compacted.
+// verifyLog reads the whole log once, and returns an error for the first entry that is missing or
+// damaged: a server that can't start is better than one that lost entries it had acknowledged.
+// Entries that a snapshot covers may be missing, as they are after the leader has sent a snapshot
+// and before the log is compacted.
 func (s *store) verifyLog() error {
 	var covered uint64
 	metas, err := s.snaps.List()
@@ -121,11 +142,11 @@
 
 // entryChecksum returns the checksum of an entry's index, term, type and data.
 func entryChecksum(entry *raft.Log) uint32 {
-	var head [17]byte
-	binary.BigEndian.PutUint64(head[:], entry.Index)
-	binary.BigEndian.PutUint64(head[8:], entry.Term)
-	head[16] = byte(entry.Type)
-	return crc32.Update(crc32.Checksum(head[:], castagnoli), castagnoli, entry.Data)
+	head := make([]byte, 0, entryHeadBytes)
+	head = binary.BigEndian.AppendUint64(head, entry.Index)
+	head = binary.BigEndian.AppendUint64(head, entry.Term)
+	head = append(head, byte(entry.Type))
+	return crc32.Update(crc32.Checksum(head, castagnoli), castagnoli, entry.Data)
 }
 
 // GetLog implements raft.LogStore. It returns errChecksumMismatch for a damaged entry.
@@ -161,8 +182,8 @@
 }
 
 // stableStore is a raft.StableStore of the term and the vote. Raft panics if they can't be
-// written, as on a full disk. This store ends the server with one line that says why, before raft
-// acts on a vote that is not on the disk.
+// written, as on a full disk. This store calls fail, which ends the server with one line that says
+// why, before raft acts on a vote that is not on the disk.
 type stableStore struct {
 	raft.StableStore
 	fail func(error)
@@ -178,7 +199,8 @@
 	return s.mustPersist(s.StableStore.SetUint64(key, value))
 }
 
-// mustPersist reports a write that failed and ends raft's goroutine, with its deferred calls.
+// mustPersist returns nil if err is nil. Otherwise it reports the write that failed and doesn't
+// return: it ends the calling goroutine, which is raft's, and runs its deferred calls.
 func (s *stableStore) mustPersist(err error) error {
 	if err != nil {
 		s.fail(fmt.Errorf("data: the log can't be written: %w", err))
