--- a/internal/control/fsm.go
+++ b/internal/control/fsm.go
@@ -17,6 +17,8 @@
 // maxSnapshotBytes bounds a snapshot. It is far above what the bounds of the state allow.
 const maxSnapshotBytes = 256 << 20
 
+// errSnapshotTooLarge means that a snapshot was not restored, as it is larger than
+// maxSnapshotBytes.
 var errSnapshotTooLarge = fmt.Errorf("over %d bytes", maxSnapshotBytes)
 
 // fsm is raft's state machine: it applies committed entries to the replicated state and lets the
@@ -30,7 +32,8 @@
 	sessionsChanged chan struct{} // closed when assignments may have changed; nil if nobody waits
 }
 
-// Apply implements raft.FSM: it applies a committed entry and returns its catalog.Result.
+// Apply implements raft.FSM: it applies a committed entry and returns its catalog.Result. For an
+// entry that this program can't apply it calls onFatal and returns the code Unsupported.
 func (f *fsm) Apply(entry *raft.Log) any {
 	var command catalog.Command
 	if err := json.Unmarshal(entry.Data, &command); err != nil {
@@ -92,7 +95,8 @@
 	return encodedState(text), nil
 }
 
-// Restore implements raft.FSM: it replaces the state by a snapshot.
+// Restore implements raft.FSM: it replaces the state by a snapshot. If it returns an error, such
+// as errSnapshotTooLarge or one of catalog.Decode, the state is as it was.
 func (f *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	text, err := io.ReadAll(io.LimitReader(r, maxSnapshotBytes+1))
@@ -136,10 +140,16 @@
 	do(f.state)
 }
 
-// list returns the full list, or what changed after a version if full is false and the state has
-// the history for that.
-func (f *fsm) list(since int64, full bool) (list endpoints.List) {
-	f.read(func(state *catalog.State) { list = state.List(since, full) })
+// fullList returns the full list.
+func (f *fsm) fullList() (list endpoints.List) {
+	f.read(func(state *catalog.State) { list = state.List(0, true) })
+	return list
+}
+
+// changesSince returns the entries of the list that changed after a version, or the full list if
+// the state doesn't have the history for that.
+func (f *fsm) changesSince(version int64) (list endpoints.List) {
+	f.read(func(state *catalog.State) { list = state.List(version, false) })
 	return list
 }
 
--- a/internal/control/listhandler.go
+++ b/internal/control/listhandler.go
@@ -25,7 +25,7 @@
 type listRequest struct {
 	services   []string // the services that it is limited to, sorted; nil: the whole list
 	follow     bool     // a watch
-	since      int64    // the reader's version, of a watch
+	since      int64    // for a watch: the version of the list that the reader has
 	consistent bool     // the list must contain all that was acknowledged before
 	movable    bool     // the reader knows other control-plane servers
 }
@@ -133,7 +133,7 @@
 		return
 	}
 	setScope(w, services)
-	text, _ := s.broadcaster.services.encodedList(services, 0, true)
+	text, _ := s.broadcaster.services.fullLists.encodedList(services)
 	_, _ = w.Write(text)
 }
 
--- a/internal/control/revision_test.go
+++ b/internal/control/revision_test.go
@@ -26,7 +26,7 @@
 	if seq := s.fsm.revision(); seq != began+changes {
 		t.Errorf("the version is %d, which is %d beyond what the log leads to", seq, seq-began-changes)
 	}
-	if l := s.fsm.list(began, false); l.Full || len(l.Endpoints) != changes {
+	if l := s.fsm.changesSince(began); l.Full || len(l.Endpoints) != changes {
 		t.Errorf("a reader from before gets %d entries, full %v, want the %d changes", len(l.Endpoints), l.Full, changes)
 	}
 	// A version that no entry leads to is from an earlier state of the service, which was lost.
--- a/internal/control/servicetopics.go
+++ b/internal/control/servicetopics.go
@@ -221,22 +221,20 @@
 	return lines, to, true
 }
 
-// encodedList returns the list of some services as a line, and its version: the full list, or
-// what changed after a version if full is false and the state has the history for that.
-func (t *serviceTopics) encodedList(services []string, since int64, full bool) ([]byte, int64) {
-	if !full {
-		var list endpoints.List
-		t.fsm.read(func(state *catalog.State) {
-			if full = !state.HasChangesSince(services, since); !full {
-				list = state.ListServices(services, since, false)
-				full = list.Full
-			}
-		})
-		if !full {
-			return encodeList(&list), list.Seq
+// encodedChanges returns what changed in some services after a version, as a line, and the version
+// that it leads to. It returns the full list of the services if the state doesn't have the history
+// for that, or if the changes would be much longer than the full list.
+func (t *serviceTopics) encodedChanges(services []string, since int64) (line []byte, revision int64) {
+	list := endpoints.List{Full: true}
+	t.fsm.read(func(state *catalog.State) {
+		if state.HasChangesSince(services, since) {
+			list = state.ListServices(services, since, false)
 		}
+	})
+	if list.Full {
+		return t.fullLists.encodedList(services)
 	}
-	return t.fullLists.encodedList(services)
+	return encodeList(&list), list.Seq
 }
 
 // watch writes the changes of some services after a version until the reader doesn't read in
@@ -246,17 +244,18 @@
 	defer out.close()
 	sub := t.subscribe(services)
 	defer t.unsubscribe(sub)
-	text, revision := t.encodedList(services, since, false)
-	if !out.write(text) {
+	first, revision := t.encodedChanges(services, since)
+	if !out.write(first) {
 		return
 	}
-	t.recordSent([][]byte{text})
+	t.recordSent([][]byte{first})
 	for out.awaitChange(sub.notify, end) {
 		lines, to, ok := t.eventsSince(sub, revision)
 		if !ok {
 			// The full list is of the last published version or a later one.
-			text, to = t.encodedList(services, 0, true)
-			lines = [][]byte{text}
+			var full []byte
+			full, to = t.fullLists.encodedList(services)
+			lines = [][]byte{full}
 		}
 		for _, line := range lines {
 			if !out.write(line) {
--- a/internal/control/watchbroadcaster.go
+++ b/internal/control/watchbroadcaster.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net/http"
+	"slices"
 	"sync"
 	"time"
 )
@@ -82,35 +83,42 @@
 	}
 }
 
-// publish makes an event of what changed since the last one, if anything did.
+// publish makes an event of what changed since the last one, if anything did, and wakes the
+// watches of the full list.
 func (b *watchBroadcaster) publish() {
 	b.mu.Lock()
 	since := b.publishedRevision
 	b.mu.Unlock()
-	list := b.fsm.list(since, false)
+	list := b.fsm.changesSince(since)
 	if list.Seq == since && !list.Full {
 		return
 	}
-	encoded := encodeList(&list)
+	event := listEvent{since, list.Seq, encodeList(&list)}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.encodedCount++
 	if list.Full { // the state was replaced or its history dropped: no event leads there
 		b.events, b.eventBytes = nil, 0
-		b.fullList = listEvent{to: list.Seq, encoded: encoded}
+		b.fullList = event
 	} else {
-		b.events = append(b.events, listEvent{since, list.Seq, encoded})
-		b.eventBytes += len(encoded)
-		for len(b.events) > maxListEvents || b.eventBytes > maxListEventBytes && len(b.events) > 1 {
-			b.eventBytes -= len(b.events[0].encoded)
-			b.events = b.events[1:]
-		}
+		b.appendEvent(event)
 	}
 	b.publishedRevision = list.Seq
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
+// appendEvent adds an event and drops the oldest ones beyond the bounds. The caller holds the
+// lock.
+func (b *watchBroadcaster) appendEvent(event listEvent) {
+	b.events = append(b.events, event)
+	b.eventBytes += len(event.encoded)
+	for len(b.events) > maxListEvents || b.eventBytes > maxListEventBytes && len(b.events) > 1 {
+		b.eventBytes -= len(b.events[0].encoded)
+		b.events = b.events[1:]
+	}
+}
+
 // encodedFullList returns the full list as a line, which is encoded once per version.
 func (b *watchBroadcaster) encodedFullList() []byte {
 	b.mu.Lock()
@@ -119,7 +127,7 @@
 	if cached.encoded != nil && cached.to == b.fsm.revision() {
 		return cached.encoded
 	}
-	list := b.fsm.list(0, true)
+	list := b.fsm.fullList()
 	encoded := encodeList(&list)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -128,25 +136,33 @@
 	return encoded
 }
 
-// eventsSince returns the events that lead on from a version, a channel that is closed at the
-// next event, and one that is closed to end all watches. ok is false if an event that is needed
-// is no longer retained, or no event leads on from that version.
-func (b *watchBroadcaster) eventsSince(since int64) (events []listEvent, ok bool, changed, endAll <-chan struct{}) {
+// listEvents is what eventsSince returns.
+type listEvents struct {
+	events   []listEvent
+	complete bool            // the events lead on from the version without a gap
+	changed  <-chan struct{} // closed at the next event
+	endAll   <-chan struct{} // closed to end all watches
+}
+
+// eventsSince returns the events that lead on from a version. They are not complete if an event
+// that is needed is no longer retained, or no event leads on from that version; the reader then
+// needs the full list.
+func (b *watchBroadcaster) eventsSince(version int64) listEvents {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	ok = true
+	found := listEvents{complete: true, changed: b.changed, endAll: b.endAllSignal}
 	for i := range b.events {
-		if b.events[i].to > since {
+		if b.events[i].to > version {
 			// For a version in the middle of an event, that event repeats some of what the reader
 			// has, which does no harm.
-			events, ok = append(events, b.events[i:]...), b.events[i].from <= since
+			found.events, found.complete = slices.Clone(b.events[i:]), b.events[i].from <= version
 			break
 		}
 	}
-	if len(events) == 0 && b.publishedRevision > since {
-		ok = false
+	if len(found.events) == 0 && b.publishedRevision > version {
+		found.complete = false
 	}
-	return events, ok, b.changed, b.endAllSignal
+	return found
 }
 
 // watch writes the changes after a version until the context ends, the reader doesn't read in
@@ -156,8 +172,8 @@
 	defer out.close()
 	// The channel is taken before the list is read, so that no change between the two is missed;
 	// one that the reader gets twice does no harm.
-	_, _, changed, endAll := b.eventsSince(since)
-	list := b.fsm.list(since, false)
+	next := b.eventsSince(since)
+	list := b.fsm.changesSince(since)
 	revision := list.Seq
 	first := encodeList(&list)
 	if list.Full {
@@ -166,30 +182,38 @@
 	if !out.write(first) {
 		return
 	}
-	for out.awaitChange(changed, watchTermination{ctx, endAll, migrated}) {
-		var events []listEvent
-		var ok bool
-		events, ok, changed, endAll = b.eventsSince(revision)
-		if !ok {
-			b.mu.Lock()
-			b.laggedCount++
-			b.mu.Unlock()
-			// The full list is of the last published version or a later one.
-			list := b.fsm.list(0, true)
-			events = []listEvent{{to: list.Seq, encoded: encodeList(&list)}}
+	for out.awaitChange(next.changed, watchTermination{ctx, next.endAll, migrated}) {
+		next = b.eventsSince(revision)
+		if !next.complete {
+			next.events = []listEvent{b.fullListEvent()}
 		}
-		for i := range events {
-			if !out.write(events[i].encoded) {
+		for i := range next.events {
+			if !out.write(next.events[i].encoded) {
 				return
 			}
-			revision = events[i].to
+			revision = next.events[i].to
 		}
-		b.mu.Lock()
-		b.sentCount += int64(len(events))
-		b.mu.Unlock()
+		b.recordSent(len(next.events))
 	}
 }
 
+// fullListEvent returns the full list, of the last published version or a later one, for a reader
+// that lags too far for the retained events, and counts that reader.
+func (b *watchBroadcaster) fullListEvent() listEvent {
+	b.mu.Lock()
+	b.laggedCount++
+	b.mu.Unlock()
+	list := b.fsm.fullList()
+	return listEvent{to: list.Seq, encoded: encodeList(&list)}
+}
+
+// recordSent counts events that were written to a watch.
+func (b *watchBroadcaster) recordSent(events int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.sentCount += int64(events)
+}
+
 // watchServices is watch for the changes of some services.
 func (b *watchBroadcaster) watchServices(ctx context.Context, w http.ResponseWriter, services []string, since int64, migrated <-chan struct{}) {
 	b.mu.Lock()
