--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -14,15 +14,19 @@
 
 const (
 	// minRetryAfter is the shortest time after which a rejected client is asked to retry, and
-	// maxRetryAfter the longest that is added to it, before it is drawn around.
+	// maxRetryAfter the longest delay that is added to it, before the jitter.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 	// writeRetryAfter is about the time after which a rejected write is retried.
 	writeRetryAfter = 200 * time.Millisecond
-	// bytesPerCall is how many bytes of a list cost as much as a request.
+	// minRetryJitter is the least factor by which the delay of a rejected client is multiplied,
+	// and retryJitterRange what is added to it at most.
+	minRetryJitter   = 0.75
+	retryJitterRange = 0.5
+	// bytesPerCall is the number of bytes of a list that use up as much of the rate as a request.
 	bytesPerCall = 24_000
-	// burstShare is the part of a second's requests that are admitted at once.
-	burstShare = 4
+	// burstsPerSecond divides the rate: that many requests are admitted at once.
+	burstsPerSecond = 4
 	// reservedDescriptors are left to the log, the other servers and requests that are no watches.
 	reservedDescriptors = 1024
 )
@@ -37,14 +41,15 @@
 	rejectedCalls atomic.Int64 // for the metrics
 
 	mu       sync.Mutex
-	nextSlot time.Time // after all retries that were given a time; guarded by mu
+	nextSlot time.Time // when the retries that clients were asked for so far are all admitted; guarded by mu
 }
 
+// newAdmission returns an admission with the bounds of the configuration.
 func newAdmission(c *Config) *admission {
 	return &admission{
 		config:      c,
 		maxWatches:  availableWatches(c.MaxWatches),
-		callLimiter: rate.NewLimiter(rate.Limit(c.CallRate), max(int(c.CallRate/burstShare), 1)),
+		callLimiter: rate.NewLimiter(rate.Limit(c.CallRate), max(int(c.CallRate/burstsPerSecond), 1)),
 		writeSlots:  make(chan struct{}, c.MaxWrites),
 	}
 }
@@ -62,7 +67,7 @@
 }
 
 // admitCall admits a read whose answer has about this many bytes of a list. If it returns false,
-// it has answered.
+// it has answered the request with a rejection.
 func (a *admission) admitCall(w http.ResponseWriter, bytes int) bool {
 	cost := min(1+bytes/bytesPerCall, a.callLimiter.Burst())
 	if a.callLimiter.AllowN(time.Now(), cost) {
@@ -72,8 +77,8 @@
 	return false
 }
 
-// reserveSlot reserves the next time at which a rejected request that takes the given part of
-// the rate can be admitted, and returns how far off that is.
+// reserveSlot reserves the next time at which a rejected request can be admitted, and returns the
+// time until then, at most maxRetryAfter. The cost is the time in which the rate admits as much.
 func (a *admission) reserveSlot(cost time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -81,7 +86,8 @@
 	if a.nextSlot.Before(now) {
 		a.nextSlot = now
 	}
-	// No client is asked to wait for longer; one that retries too soon is rejected again.
+	// No client is asked to wait for longer than maxRetryAfter. A client that retries before there
+	// is room for it is rejected again.
 	if a.nextSlot = a.nextSlot.Add(cost); a.nextSlot.After(now.Add(maxRetryAfter)) {
 		a.nextSlot = now.Add(maxRetryAfter)
 	}
@@ -89,7 +95,8 @@
 }
 
 // admitWrite admits a write, which has slots of its own, so that reads can't keep it waiting. It
-// returns a function that releases the slot. If it returns false, it has answered.
+// returns a function that releases the slot. If it returns false, it has answered the request with
+// a rejection, and the function is nil.
 func (a *admission) admitWrite(w http.ResponseWriter) (bool, func()) {
 	select {
 	case a.writeSlots <- struct{}{}:
@@ -104,7 +111,7 @@
 // drawn at random, so that clients that were rejected together don't retry together.
 func (a *admission) reject(w http.ResponseWriter, delay time.Duration) {
 	a.rejectedCalls.Add(1)
-	wait := minRetryAfter + time.Duration((0.75+rand.Float64()/2)*float64(delay))
+	wait := minRetryAfter + time.Duration((minRetryJitter+rand.Float64()*retryJitterRange)*float64(delay))
 	w.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 	w.Header().Set(notAppliedHeader, "1")
 	http.Error(w, "too many calls at once", http.StatusServiceUnavailable)
--- a/internal/control/evidence.go
+++ b/internal/control/evidence.go
@@ -14,7 +14,7 @@
 
 const (
 	evidenceTimeout  = 1200 * time.Millisecond // for another voter's answer
-	evidenceReserve  = 100 * time.Millisecond  // of it, for the transfer of the answer
+	evidenceReserve  = 100 * time.Millisecond  // the part of evidenceTimeout left for the transfer of the answer
 	probeTimeout     = 500 * time.Millisecond  // for a server's answer
 	maxEvidence      = 256                     // servers of one request
 	maxEvidenceCalls = 4                       // requests served at once; one leader sends one at a time
@@ -54,7 +54,7 @@
 // probeServers checks the health of servers and returns an observation of each that this server
 // knows and had the time to probe. If this process itself was slow, it doesn't report any server
 // as unresponsive.
-func (s *Server) probeServers(ctx context.Context, refs []catalog.InstanceRef) map[string]member.Answer {
+func (s *Server) probeServers(ctx context.Context, refs []catalog.InstanceRef) answersByServer {
 	ctx, cancel := context.WithTimeout(ctx, evidenceTimeout-evidenceReserve)
 	defer cancel()
 	addresses := s.addressesOf(refs)
@@ -74,7 +74,7 @@
 	}
 	running.Wait()
 	slow := s.wasPaused() || time.Since(startedAt) > 2*evidenceTimeout
-	answers := map[string]member.Answer{}
+	answers := answersByServer{}
 	for i, answer := range observed {
 		if slow && answer == member.AnswerSilent {
 			answer = member.AnswerUnsure // the delay may be this process's own
@@ -110,10 +110,11 @@
 	return e
 }
 
-// probe checks the health of a server. Any answer at all shows that it is alive.
+// probe checks the health of a server. Any answer shows that the server is alive, whatever its
+// status. It returns AnswerNone if the context ended first or the address is not valid.
 func (s *Server) probe(ctx context.Context, address string) member.Answer {
 	if ctx.Err() != nil {
-		return member.AnswerNone // there was no time for it, which is not the server's fault
+		return member.AnswerNone // no time was left to probe, which is not the server's fault
 	}
 	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/control/failureobservations.go
+++ b/internal/control/failureobservations.go
@@ -16,19 +16,33 @@
 	observationMaxAge = 3 * time.Second        // older observations are dropped
 )
 
+// answersByServer is one voter's answers, by the name of the server that it was asked about.
+type answersByServer map[string]member.Answer
+
+// answersByVoter is the answers about one server, by the name of the voter that gave them.
+type answersByVoter map[string]member.Answer
+
 // failureObservations holds what the voters observed of servers whose leases are suspected to
 // have expired.
 type failureObservations struct {
 	mu       sync.Mutex                // guards the fields, but not what they refer to, which never changes
 	byServer map[string]observationSet // by the server's name
-	voters   []string                  // that were asked last
+	voters   []string                  // the voters that were asked last
 }
 
 // observationSet is what each voter observed of one instance of a server.
 type observationSet struct {
 	startedMs  float64
 	observedAt time.Time
-	answers    map[string]member.Answer // by voter
+	answers    answersByVoter
+}
+
+// evidenceRound is one round of requests: which voters were asked about which servers, and what
+// they answered.
+type evidenceRound struct {
+	voters  []string
+	refs    []catalog.InstanceRef
+	answers map[string]answersByVoter // by the server's name
 }
 
 // expiryDecider returns the rule by which expired leases are decided on: by the majority of the
@@ -70,13 +84,12 @@
 		if len(refs) == 0 {
 			continue
 		}
-		voters := s.voters()
-		answers := s.collectEvidence(voters, refs)
+		round := s.collectEvidence(s.voters(), refs)
 		// The answers count only if this server still led after they were given.
 		if s.verifyLeader(s.ctx) != nil {
 			continue
 		}
-		s.observations.update(time.Now(), voters, refs, answers)
+		s.observations.update(time.Now(), round)
 	}
 }
 
@@ -95,9 +108,9 @@
 	return refs
 }
 
-// update adds the observations of one round, by server and voter, and drops those that are too
-// old.
-func (o *failureObservations) update(at time.Time, voters []string, refs []catalog.InstanceRef, answers map[string]map[string]member.Answer) {
+// update replaces the observations of the servers of a round that ended at a time, and drops those
+// of other servers that are older than observationMaxAge.
+func (o *failureObservations) update(at time.Time, round evidenceRound) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	byServer := map[string]observationSet{} // a new map: deciders read the old one without the lock
@@ -106,45 +119,43 @@
 			byServer[name] = set
 		}
 	}
-	for _, ref := range refs {
-		byServer[ref.Name] = observationSet{ref.StartedMs, at, answers[ref.Name]}
+	for _, ref := range round.refs {
+		byServer[ref.Name] = observationSet{ref.StartedMs, at, round.answers[ref.Name]}
 	}
-	o.byServer, o.voters = byServer, voters
-}
-
-// voterAnswers is one voter's answers by server, nil if it gave none.
-type voterAnswers struct {
-	voter   string
-	answers map[string]member.Answer
+	o.byServer, o.voters = byServer, round.voters
 }
 
-// collectEvidence asks all voters at once and returns their answers by server and voter. Voters
-// that don't answer in time are left out.
-func (s *Server) collectEvidence(voters []string, refs []catalog.InstanceRef) map[string]map[string]member.Answer {
+// collectEvidence asks all voters at once about the servers and returns their answers. Voters that
+// don't answer within evidenceTimeout are left out of the answers.
+func (s *Server) collectEvidence(voters []string, refs []catalog.InstanceRef) evidenceRound {
 	ctx, cancel := context.WithTimeout(s.ctx, evidenceTimeout)
 	defer cancel()
+	type voterAnswers struct {
+		voter   string
+		answers answersByServer // nil if the voter gave none
+	}
 	received := make(chan voterAnswers, len(voters))
 	for _, voter := range voters {
 		go func() { received <- voterAnswers{voter, s.requestEvidence(ctx, voter, refs)} }()
 	}
-	byServer := map[string]map[string]member.Answer{}
+	round := evidenceRound{voters: voters, refs: refs, answers: map[string]answersByVoter{}}
 	for _, ref := range refs {
-		byServer[ref.Name] = map[string]member.Answer{}
+		round.answers[ref.Name] = answersByVoter{}
 	}
 	for range voters {
-		a := <-received
-		for name, answer := range a.answers {
-			if byServer[name] != nil {
-				byServer[name][a.voter] = answer
+		r := <-received
+		for name, answer := range r.answers {
+			if round.answers[name] != nil {
+				round.answers[name][r.voter] = answer
 			}
 		}
 	}
-	return byServer
+	return round
 }
 
-// requestEvidence returns one voter's answers by server, or nil if it gave none. A voter of a
-// version without evidence defers to the leases.
-func (s *Server) requestEvidence(ctx context.Context, voter string, refs []catalog.InstanceRef) map[string]member.Answer {
+// requestEvidence returns one voter's answers, or nil if the voter gave none. A voter whose program
+// is of a version without evidence is taken to defer to the leases.
+func (s *Server) requestEvidence(ctx context.Context, voter string, refs []catalog.InstanceRef) answersByServer {
 	if voter == s.config.Name {
 		return s.probeServers(ctx, refs)
 	}
@@ -159,14 +170,19 @@
 	err := call(ctx, client, http.MethodPost, "http://"+p.HTTP+"/v1/evidence", ObservationMessage{Refs: refs}, &e)
 	var rejected *HTTPError
 	if errors.As(err, &rejected) && rejected.Status == http.StatusNotFound {
-		deferring := map[string]member.Answer{}
-		for _, ref := range refs {
-			deferring[ref.Name] = member.AnswerDefersToLease
-		}
-		return deferring
+		return allDeferToLease(refs)
 	}
 	if err != nil || e.From != voter { // the peer table may have another server's address
 		return nil
 	}
 	return e.Answers
 }
+
+// allDeferToLease returns the answer about each server that its lease alone decides.
+func allDeferToLease(refs []catalog.InstanceRef) answersByServer {
+	answers := answersByServer{}
+	for _, ref := range refs {
+		answers[ref.Name] = member.AnswerDefersToLease
+	}
+	return answers
+}
--- a/internal/control/forwarding.go
+++ b/internal/control/forwarding.go
@@ -21,16 +21,17 @@
 	return s.leaderWritesAfter(func(http.ResponseWriter, *http.Request) error { return nil }, do)
 }
 
-// leaderWritesAfter is leaderWrites, and calls here at the server where the request arrived,
-// after admitting it and before the leader carries it out.
-func (s *Server) leaderWritesAfter(here, do commandHandler) http.HandlerFunc {
+// leaderWritesAfter is leaderWrites with a step that runs at the server where the request arrived,
+// after the request was admitted and before the leader carries it out. An error of that step is the
+// answer.
+func (s *Server) leaderWritesAfter(observe, do commandHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ok, release := s.admission.admitWrite(w)
 		if !ok {
 			return
 		}
 		defer release()
-		if err := here(w, r); err != nil {
+		if err := observe(w, r); err != nil {
 			writeError(w, err)
 			return
 		}
@@ -97,6 +98,12 @@
 		writeError(w, fmt.Errorf("%w: %v", errUnknownOutcome, err))
 		return
 	}
+	relayAnswer(w, resp)
+}
+
+// relayAnswer answers with another server's answer, and closes it. If it can't be read to its end,
+// the client gets the part that was read.
+func relayAnswer(w http.ResponseWriter, resp *http.Response) {
 	defer resp.Body.Close()
 	for _, key := range []string{"Content-Type", "Retry-After", notAppliedHeader, endpoints.ScopeHeader} {
 		if v := resp.Header.Get(key); v != "" {
--- a/internal/control/gossip.go
+++ b/internal/control/gossip.go
@@ -13,7 +13,8 @@
 // maxBootIDBytes bounds the boot identity that is taken from an agent's request.
 const maxBootIDBytes = 64
 
-// startGossip joins the gossip protocol, if it is configured.
+// startGossip joins the gossip protocol, if it is configured. It returns the error of gossip.Start,
+// such as that the address is in use.
 func (s *Server) startGossip() error {
 	if s.config.Gossip == "" {
 		return nil
@@ -55,22 +56,22 @@
 }
 
 // logMemberChanges counts and logs changes of members' states. Those of members that don't gossip,
-// agents and registered servers, are logged at the level of debugging only, as there are many.
+// agents and registered servers, are logged at level debug only, as there are many.
 func (s *Server) logMemberChanges(changes []member.Change) {
 	for _, c := range changes {
 		s.metrics.memberChanges.WithLabelValues(string(c.Role), string(c.To)).Inc()
 		if c.Role.Gossips() {
-			s.log.Info("member state changed", "name", c.Name, "role", c.Role, "from", c.From, "to", c.To)
+			s.log.Info("member state changed", "member", c.Name, "role", c.Role, "from", c.From, "to", c.To)
 		} else {
-			s.log.Debug("member state changed", "name", c.Name, "role", c.Role, "from", c.From, "to", c.To)
+			s.log.Debug("member state changed", "member", c.Name, "role", c.Role, "from", c.From, "to", c.To)
 		}
 	}
 }
 
-// logNameConflict counts and logs that another process at an address uses a member's name.
+// logNameConflict counts and logs that a second process, at an address, uses a member's name.
 func (s *Server) logNameConflict(name, address string) {
 	if s.metrics.nameConflicts.Inc(); s.logLimiter.Allow() {
-		s.log.Error("two processes use one name: the one whose data folder the catalog has keeps it", "name", name, "address", address)
+		s.log.Error("two processes use one name: the one whose data folder the catalog has keeps it", "member", name, "address", address)
 	}
 }
 
@@ -106,12 +107,12 @@
 }
 
 // wasPaused reports whether this process was recently suspended or starved, so that an answer that
-// it missed is no evidence against the server that was asked.
-func (s *Server) wasPaused() (is bool) {
+// it missed is no evidence against the server that was asked. Without gossip it returns false.
+func (s *Server) wasPaused() (paused bool) {
 	if s.gossip != nil {
-		s.gossip.WithTracker(func(now time.Duration, t *member.Tracker) { is = t.SelfSuspect(now) })
+		s.gossip.WithTracker(func(now time.Duration, t *member.Tracker) { paused = t.SelfSuspect(now) })
 	}
-	return is
+	return paused
 }
 
 // absentProcesses returns the names of the processes that gossip and aren't present in the
@@ -120,12 +121,12 @@
 	if s.gossip == nil {
 		return nil
 	}
-	out := map[string]bool{}
-	s.gossip.WithTracker(func(_ time.Duration, t *member.Tracker) { t.AddAbsent(out) })
-	return out
+	absent := map[string]bool{}
+	s.gossip.WithTracker(func(_ time.Duration, t *member.Tracker) { t.AddAbsent(absent) })
+	return absent
 }
 
-// gossipCounts returns the gossip counters by their name in the metrics.
+// gossipCounts returns the gossip counters by their name in the metrics, or nil without gossip.
 func (s *Server) gossipCounts() map[string]float64 {
 	if s.gossip == nil {
 		return nil
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -15,6 +15,15 @@
 	statusMinAge = 100 * time.Millisecond
 )
 
+// staleAfterDivisor divides the time after which a server is stale: the statuses of the peers are
+// requested that often, so that a stale server is noticed in time.
+const staleAfterDivisor = 4
+
+// statusInterval returns the time between two requests for the statuses of the peers.
+func (s *Server) statusInterval() time.Duration {
+	return min(s.config.StaleAfter/staleAfterDivisor, statusMaxAge)
+}
+
 // statusCache holds the last statuses of the peers.
 type statusCache struct {
 	mu    sync.Mutex
@@ -22,20 +31,20 @@
 	found []Status
 }
 
-// fresh reports whether the cached statuses are recent enough. If no peer can serve, they are
-// requested again sooner, as this server serves a stale list only while that is so.
+// fresh reports whether the cached statuses may still be used. If no peer can serve, they are
+// requested again after statusMinAge, as this server serves a stale list only while no peer can.
 func (c *statusCache) fresh(maxAge time.Duration) bool {
 	age := time.Since(c.at)
 	return age < statusMinAge || age < maxAge && anyCanServe(c.found)
 }
 
 // peerStatuses returns the statuses of the peers, from the cache while it is fresh. Peers
-// that don't answer in time are left out.
+// that don't answer within peerTimeout are left out.
 func (s *Server) peerStatuses() []Status {
 	c := &s.statusCache
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.fresh(min(s.config.StaleAfter/4, statusMaxAge) / 2) {
+	if c.fresh(s.statusInterval() / 2) {
 		return c.found
 	}
 	c.found = s.requestStatuses()
@@ -74,7 +83,8 @@
 	return p, ok
 }
 
-// statusOf requests the status of one peer.
+// statusOf requests the status of one peer. It returns an error that wraps errNotInPeerTable if the
+// peer table has no address for the name, and the errors of call.
 func (s *Server) statusOf(ctx context.Context, name string) (Status, error) {
 	var st Status
 	p, ok := s.peer(name)
@@ -84,8 +94,8 @@
 	return st, call(ctx, s.peerClient, http.MethodGet, "http://"+p.HTTP+"/v1/status", nil, &st)
 }
 
-// betterElsewhere reports whether a peer can serve. If none can, this one's list is as good as
-// any, even if it is stale.
+// betterElsewhere reports whether a peer can serve. If none can, this server's list is as good as
+// any other, even if it is stale.
 func (s *Server) betterElsewhere() bool { return anyCanServe(s.peerStatuses()) }
 
 // canServe reports whether a server has a current list to serve.
--- a/internal/control/raftlogger.go
+++ b/internal/control/raftlogger.go
@@ -15,7 +15,9 @@
 	raftLogBurst          = 50
 )
 
-// newRaftLogger returns a logger for the raft library that writes its lines to log, up to a rate.
+// newRaftLogger returns a logger for the raft library that writes its lines to log, at most
+// raftLogLinesPerSecond after a burst of raftLogBurst. Each line that follows suppressed ones has
+// their number as suppressed_lines.
 func newRaftLogger(log *slog.Logger) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
 		Name:        "raft",
@@ -25,7 +27,8 @@
 	})
 }
 
-// raftLogWriter is an io.Writer that turns lines of hclog into messages of slog.
+// raftLogWriter is an io.Writer that turns lines of hclog into messages of slog. Their texts are the
+// library's, so they have its parameters in them.
 type raftLogWriter struct {
 	log        *slog.Logger
 	limit      *rate.Limiter
@@ -55,7 +58,7 @@
 	}
 	args := []any{}
 	if l.suppressed > 0 {
-		args, l.suppressed = append(args, "left_out", l.suppressed), 0
+		args, l.suppressed = append(args, "suppressed_lines", l.suppressed), 0
 	}
 	l.log.Log(context.Background(), level, text, args...)
 	return len(p), nil
--- a/internal/control/rebalance.go
+++ b/internal/control/rebalance.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// drainSteps is in how many steps Close migrates the watches to other servers.
+// drainSteps is the number of steps in which Close migrates the watches to other servers.
 const drainSteps = 20
 
 // watchLoop migrates watches to other servers: all of them once this server is stale and another
 // one can serve them, and a few at a time when others have fewer. It also measures the lag
 // behind the leader that makes a server stale. It returns when the server stops.
 func (s *Server) watchLoop() {
-	ticker := time.NewTicker(min(s.config.StaleAfter/4, statusMaxAge))
+	ticker := time.NewTicker(s.statusInterval())
 	defer ticker.Stop()
 	var leaderProgress commitProgress
 	var rebalanced time.Time
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -21,22 +21,21 @@
 	since map[string]time.Time // guarded by mu
 }
 
-// duration records whether a member has failed at present, and returns for how long it has. The
+// recordFailed records that a member has failed at present, and returns for how long it has. The
 // caller holds the lock.
-func (f *memberFailures) duration(name string, failed bool) time.Duration {
+func (f *memberFailures) recordFailed(name string) time.Duration {
 	if f.since == nil {
 		f.since = map[string]time.Time{}
 	}
-	if !failed {
-		delete(f.since, name)
-		return 0
-	}
 	if f.since[name].IsZero() {
 		f.since[name] = time.Now()
 	}
 	return time.Since(f.since[name])
 }
 
+// clear records that a member has not failed at present. The caller holds the lock.
+func (f *memberFailures) clear(name string) { delete(f.since, name) }
+
 // voterSet returns what the leader knows of the servers in the raft configuration: which vote,
 // which are present and caught up, and for how long others have failed.
 func (s *Server) voterSet() member.VoterSet {
@@ -51,11 +50,7 @@
 	if conf.Error() != nil {
 		return set
 	}
-	committed := s.raft().CommitIndex()
-	upToDate := map[string]bool{s.config.Name: true}
-	for _, status := range s.peerStatuses() {
-		upToDate[status.Name] = caughtUp(&status, committed)
-	}
+	upToDate := s.upToDateServers()
 	view := s.gossip.View()
 	s.memberFailures.mu.Lock()
 	defer s.memberFailures.mu.Unlock()
@@ -71,14 +66,26 @@
 		} else {
 			set.NonVoters = append(set.NonVoters, name)
 		}
-		failed := state == member.Failed || state == member.Left
-		if since := s.memberFailures.duration(name, failed); failed {
-			set.Failed[name] = since
+		if state == member.Failed || state == member.Left {
+			set.Failed[name] = s.memberFailures.recordFailed(name)
+		} else {
+			s.memberFailures.clear(name)
 		}
 	}
 	return set
 }
 
+// upToDateServers returns which servers have applied nearly all that is committed, by name: this
+// server, which leads, and those of the peers that answer.
+func (s *Server) upToDateServers() map[string]bool {
+	committed := s.raft().CommitIndex()
+	upToDate := map[string]bool{s.config.Name: true}
+	for _, status := range s.peerStatuses() {
+		upToDate[status.Name] = caughtUp(&status, committed)
+	}
+	return upToDate
+}
+
 // handleVoterStep changes the raft configuration by one step towards the desired number of
 // voters, all of them alive, and answers with that step. It rejects an outdated fencing token.
 func (s *Server) handleVoterStep(w http.ResponseWriter, r *http.Request) error {
@@ -114,7 +121,7 @@
 	return nil
 }
 
-// reconfigure applies one step to the raft configuration.
+// reconfigure applies one step to the raft configuration. It returns raft's error.
 func (s *Server) reconfigure(step member.Reconfiguration) error {
 	switch {
 	case step.Add != "":
@@ -136,7 +143,7 @@
 	if leader == nil {
 		return
 	}
-	if _, in := leader.Peers[s.config.Name]; in || len(leader.Peers) == 0 {
+	if _, configured := leader.Peers[s.config.Name]; configured || len(leader.Peers) == 0 {
 		return
 	}
 	p, known := s.peer(leader.Name)
--- a/internal/control/watchload.go
+++ b/internal/control/watchload.go
@@ -5,10 +5,17 @@
 	watches, movable int
 }
 
-// loadTolerance is by how many watches a server may be above its share before it ends any.
-// Readers choose among the other servers by themselves, so exact shares would make them migrate
-// to and fro.
-func loadTolerance(share int) int { return max(2, share/10) }
+const (
+	minLoadTolerance     = 2  // watches
+	loadToleranceDivisor = 10 // of a server's share
+	// migrationDivisor divides a server's watches: that many migrate at a time.
+	migrationDivisor = 20
+)
+
+// loadTolerance returns by how many watches a server may be above its share before it ends any:
+// a tenth of the share, or minLoadTolerance. Readers choose among the other servers by themselves,
+// so exact shares would make them migrate to and fro.
+func loadTolerance(share int) int { return max(minLoadTolerance, share/loadToleranceDivisor) }
 
 // excessWatches returns how many watches a server should end now, so that their readers go to
 // others that have fewer. It is a small step: at most a twentieth of its watches, or one.
@@ -25,5 +32,5 @@
 	if excess <= 0 || fewest >= share {
 		return 0
 	}
-	return min(excess, max(own.watches/20, 1), own.movable)
+	return min(excess, max(own.watches/migrationDivisor, 1), own.movable)
 }
