--- a/internal/control/fixture_test.go
+++ b/internal/control/fixture_test.go
@@ -6,6 +6,7 @@
 	"log/slog"
 	"net"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"github.com/hashicorp/raft"
@@ -18,7 +19,9 @@
 type fsmFixture struct {
 	*fsm
 	broadcaster *watchBroadcaster
-	index       uint64 // of the last applied entry
+	index       uint64          // of the last applied entry
+	ctx         context.Context // of a broadcaster that runs and its watches; see runBroadcaster
+	stop        func()          // ends ctx, and waits for the broadcaster and the watches
 }
 
 // newFSMFixture returns a fixture whose broadcaster doesn't run yet. An entry that can't be applied
@@ -31,6 +34,24 @@
 	return st
 }
 
+// runBroadcaster runs a test in a bubble of its own time, with a fixture whose broadcaster runs. It
+// ends the broadcaster and the watches after the test.
+func runBroadcaster(t *testing.T, test func(t *testing.T, st *fsmFixture)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		st := newFSMFixture(t)
+		st.ctx = ctx
+		st.stop = func() {
+			cancel()
+			synctest.Wait()
+		}
+		defer st.stop()
+		go st.broadcaster.run(ctx)
+		test(t, st)
+	})
+}
+
 // apply applies a command as if it were committed, and returns its result.
 func (st *fsmFixture) apply(t *testing.T, c catalog.Command) catalog.Result {
 	t.Helper()
@@ -46,10 +67,7 @@
 // register registers a server of the default service that started at a time.
 func (st *fsmFixture) register(t *testing.T, name string, born float64) {
 	t.Helper()
-	h := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 1, StartedMs: born}
-	if r := st.apply(t, catalog.Command{Kind: catalog.Register, Endpoint: &h}); r.Code != catalog.Done {
-		t.Fatalf("%+v", r)
-	}
+	st.registerInService(t, "", name, born)
 }
 
 // registerInService registers a server of a service that started at a time.
@@ -61,6 +79,13 @@
 	}
 }
 
+// awaitPublished waits until the changes so far are written to all watches that don't block. It is for
+// tests that run in a bubble of their own time.
+func (st *fsmFixture) awaitPublished() {
+	time.Sleep(publishDelay)
+	synctest.Wait()
+}
+
 const publishDelay = 20 * time.Millisecond // the time after a change within which its event is written
 
 // startSingleServer starts a server without peers, waits until it leads, and returns the address of
--- a/internal/control/servicetopics_test.go
+++ b/internal/control/servicetopics_test.go
@@ -1,12 +1,10 @@
 package control
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"net/http"
 	"slices"
 	"strings"
 	"sync"
@@ -20,123 +18,40 @@
 	"knotrouter/internal/endpoints"
 )
 
-// scopedReader is the response writer of a watch of services. It applies the lines as a reader must,
-// records violations of the contract as faults, and can be made to block.
-type scopedReader struct {
-	services []string
-
-	mu         sync.Mutex
-	blocked    chan struct{} // if not nil, writes wait until it is closed
-	lists      []endpoints.List
-	bytes      int
-	heartbeats int
-	servers    map[string]endpoints.Endpoint
-	revision   int64
-	faults     []string
-}
-
-func (r *scopedReader) Header() http.Header { return http.Header{} }
-
-func (r *scopedReader) WriteHeader(int) {}
-
-func (r *scopedReader) Flush() {}
-
-func (r *scopedReader) SetWriteDeadline(time.Time) error { return nil }
-
-func (r *scopedReader) Write(p []byte) (int, error) {
-	r.mu.Lock()
-	block := r.blocked
-	r.mu.Unlock()
-	if block != nil {
-		<-block
-	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if string(p) == "\n" {
-		r.heartbeats++
-		return len(p), nil
-	}
-	r.bytes += len(p)
-	l, err := endpoints.Parse(p)
-	if err != nil || bytes.Count(p, []byte("\n")) != 1 || l.Seq < r.revision {
-		r.faults = append(r.faults, fmt.Sprintf("%q after version %d: %v", p, r.revision, err))
-	}
-	r.lists, r.revision = append(r.lists, l), l.Seq
-	if l.Full || r.servers == nil {
-		r.servers = map[string]endpoints.Endpoint{}
-	}
-	for _, h := range l.Endpoints {
-		switch {
-		case !slices.Contains(r.services, h.Service):
-			r.faults = append(r.faults, fmt.Sprintf("a reader of %q was sent %+v", r.services, h))
-		case h.Health != endpoints.Removed:
-			r.servers[h.Name] = h
-		case r.servers[h.Name].Service == h.Service:
-			delete(r.servers, h.Name)
-		}
-	}
-	return len(p), nil
-}
-
-// names returns the servers that the reader has, as name@service, sorted.
-func (r *scopedReader) names() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	var out []string
-	for _, h := range r.servers {
-		out = append(out, h.Name+"@"+h.Service)
-	}
-	slices.Sort(out)
-	return strings.Join(out, " ")
-}
-
-// check fails the test if the reader recorded faults.
-func (r *scopedReader) check(t *testing.T) {
-	t.Helper()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.faults) > 0 {
-		t.Errorf("a reader of %q: %s", r.services, strings.Join(r.faults, "; "))
-	}
-}
-
 // subscribe starts a watch of services after a version.
-func (st *fsmFixture) subscribe(ctx context.Context, since int64, services ...string) *scopedReader {
+func (st *fsmFixture) subscribe(since int64, services ...string) *scopedReader {
 	slices.Sort(services)
 	r := &scopedReader{services: services}
-	go st.broadcaster.watchServices(ctx, r, services, since, nil)
+	go st.broadcaster.watchServices(st.ctx, r, services, since, nil)
 	return r
 }
 
 // A watch is sent the changes of its services only: a change is encoded once for all subscriptions
 // to the service, and an idle watch gets heartbeats.
 func TestServiceWatchesShareEvents(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		st := newFSMFixture(t)
-		go st.broadcaster.run(ctx)
+	runBroadcaster(t, func(t *testing.T, st *fsmFixture) {
 		st.registerInService(t, "a", "a-1", 1)
 		st.registerInService(t, "b", "b-1", 1)
 		st.register(t, "plain", 1)
 		time.Sleep(time.Second)
 		readers := make([]*scopedReader, 50)
 		for i := range readers {
-			readers[i] = st.subscribe(ctx, 0, "a", "none")
+			readers[i] = st.subscribe(0, "a", "none")
 		}
-		other, both, plain := st.subscribe(ctx, 0, "b"), st.subscribe(ctx, 0, "a", "b"), st.subscribe(ctx, 0, "")
+		other, both, plain := st.subscribe(0, "b"), st.subscribe(0, "a", "b"), st.subscribe(0, "")
 		synctest.Wait()
 		for what, r := range map[string]*scopedReader{"a-1@a": readers[0], "b-1@b": other, "a-1@a b-1@b": both, "plain@": plain} {
 			if got := r.names(); got != what || len(r.lists) != 1 {
 				t.Fatalf("a reader of %q has %q after %d lists, want %q", r.services, got, len(r.lists), what)
 			}
 		}
-		encoded, before, heartbeats := st.broadcaster.services.encodedCount, other.bytes, other.heartbeats
+		topics := st.broadcaster.services
+		encoded, before, heartbeats := topics.encodedCount, other.bytes, other.heartbeats
 		for i := range 3 {
 			st.registerInService(t, "a", "a-2", float64(i+1))
 		}
-		time.Sleep(publishDelay)
-		synctest.Wait()
-		if n := st.broadcaster.services.encodedCount - encoded; n != 1 {
+		st.awaitPublished()
+		if n := topics.encodedCount - encoded; n != 1 {
 			t.Errorf("three changes of one service at once were encoded %d times", n)
 		}
 		for _, r := range append(readers, both) {
@@ -155,10 +70,9 @@
 		for _, r := range append(readers, other, both, plain) {
 			r.check(t)
 		}
-		cancel()
-		synctest.Wait()
-		if len(st.broadcaster.services.byService) != 0 || st.broadcaster.services.eventBytes != 0 || st.broadcaster.services.watchCount != 0 {
-			t.Errorf("after the last watch: %d topics, %d bytes, %d watches", len(st.broadcaster.services.byService), st.broadcaster.services.eventBytes, st.broadcaster.services.watchCount)
+		st.stop()
+		if len(topics.byService) != 0 || topics.eventBytes != 0 || topics.watchCount != 0 {
+			t.Errorf("after the last watch: %d topics, %d bytes, %d watches", len(topics.byService), topics.eventBytes, topics.watchCount)
 		}
 	})
 }
@@ -166,18 +80,13 @@
 // A reader of two services that blocks while a server changes between them ends with the server in
 // its last service.
 func TestServiceEventsKeepVersionOrder(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		st := newFSMFixture(t)
-		go st.broadcaster.run(ctx)
+	runBroadcaster(t, func(t *testing.T, st *fsmFixture) {
 		st.registerInService(t, "a", "s", 1)
 		time.Sleep(time.Second)
-		both, a, b := st.subscribe(ctx, 0, "a", "b"), st.subscribe(ctx, 0, "a"), st.subscribe(ctx, 0, "b")
+		both, a, b := st.subscribe(0, "a", "b"), st.subscribe(0, "a"), st.subscribe(0, "b")
 		synctest.Wait()
 		for _, r := range []*scopedReader{both, a, b} {
-			r.mu.Lock()
-			r.blocked = make(chan struct{})
-			r.mu.Unlock()
+			r.block()
 		}
 		for _, service := range []string{"b", "a", "b", "a"} {
 			st.registerInService(t, service, "s", 1)
@@ -185,46 +94,35 @@
 		}
 		synctest.Wait()
 		for _, r := range []*scopedReader{both, a, b} {
-			close(r.blocked)
-			r.mu.Lock()
-			r.blocked = nil
-			r.mu.Unlock()
+			r.unblock()
 		}
 		synctest.Wait()
 		if both.names() != "s@a" || a.names() != "s@a" || b.names() != "" {
 			t.Errorf("readers of both, a and b have %q, %q and %q", both.names(), a.names(), b.names())
 		}
 		st.registerInService(t, "b", "s", 2) // a new instance, of the other service
-		time.Sleep(publishDelay)
-		synctest.Wait()
+		st.awaitPublished()
 		if both.names() != "s@b" || a.names() != "" || b.names() != "s@b" {
 			t.Errorf("readers of both, a and b have %q, %q and %q", both.names(), a.names(), b.names())
 		}
 		for _, r := range []*scopedReader{both, a, b} {
 			r.check(t)
 		}
-		cancel()
-		synctest.Wait()
 	})
 }
 
 // A reader of services that lags makes a topic retain no more than its bound, then gets the full list
 // of its services and later events.
 func TestLaggingServiceReaderGetsFullList(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		st := newFSMFixture(t)
-		go st.broadcaster.run(ctx)
+	runBroadcaster(t, func(t *testing.T, st *fsmFixture) {
 		st.registerInService(t, "a", "a", 1)
 		for i := range 100 {
 			st.registerInService(t, "b", fmt.Sprint("b-", i), 1)
 		}
 		time.Sleep(time.Second)
-		slow, fast, idle := st.subscribe(ctx, 0, "a"), st.subscribe(ctx, 0, "a"), st.subscribe(ctx, 0, "b")
+		slow, fast, idle := st.subscribe(0, "a"), st.subscribe(0, "a"), st.subscribe(0, "b")
 		synctest.Wait()
-		slow.mu.Lock()
-		slow.blocked = make(chan struct{})
-		slow.mu.Unlock()
+		slow.block()
 		for i := range 2 * maxTopicEvents {
 			st.registerInService(t, "a", fmt.Sprint("a-", i), 1)
 			time.Sleep(publishDelay)
@@ -233,18 +131,14 @@
 		if retained := len(st.broadcaster.services.byService["a"].events); retained != maxTopicEvents || len(fast.lists) != 1+2*maxTopicEvents {
 			t.Errorf("%d events retained; the fast reader was sent %d lists", retained, len(fast.lists))
 		}
-		close(slow.blocked)
-		slow.mu.Lock()
-		slow.blocked = nil
-		slow.mu.Unlock()
+		slow.unblock()
 		synctest.Wait()
 		last := slow.lists[len(slow.lists)-1]
 		if !last.Full || len(last.Endpoints) != 1+2*maxTopicEvents || len(slow.lists) > 3 || st.broadcaster.services.laggedCount != 1 {
 			t.Errorf("the slow reader was sent %d lists, the last of %d entries, full %v; lagged %d", len(slow.lists), len(last.Endpoints), last.Full, st.broadcaster.services.laggedCount)
 		}
 		st.registerInService(t, "a", "last", 1)
-		time.Sleep(publishDelay)
-		synctest.Wait()
+		st.awaitPublished()
 		if slow.names() != fast.names() || !strings.Contains(slow.names(), "last@a") || slow.lists[len(slow.lists)-1].Full {
 			t.Errorf("the slow reader gets no later events: %q", slow.names())
 		}
@@ -256,37 +150,30 @@
 		if st.broadcaster.services.watchCount != 0 {
 			t.Errorf("%d watches left", st.broadcaster.services.watchCount)
 		}
-		cancel()
 	})
 }
 
 // After the version was raised, each reader is sent the full list of its services.
 func TestRaisedVersionSendsFullServiceLists(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		st := newFSMFixture(t)
-		go st.broadcaster.run(ctx)
+	runBroadcaster(t, func(t *testing.T, st *fsmFixture) {
 		st.registerInService(t, "a", "a", 1)
 		st.registerInService(t, "b", "b", 1)
 		time.Sleep(time.Second)
-		r := st.subscribe(ctx, 0, "a")
+		r := st.subscribe(0, "a")
 		synctest.Wait()
 		st.apply(t, catalog.Command{Kind: catalog.RaiseRevision, Seq: 1000})
-		time.Sleep(publishDelay)
-		synctest.Wait()
+		st.awaitPublished()
 		if last := r.lists[len(r.lists)-1]; !last.Full || last.Seq != 1000 || r.names() != "a@a" {
 			t.Errorf("after version 1000: %+v", last)
 		}
-		back := st.subscribe(ctx, 500, "a")
-		ahead := st.subscribe(ctx, 2000, "a")
-		knows := st.subscribe(ctx, 1000, "a")
+		back := st.subscribe(500, "a")
+		ahead := st.subscribe(2000, "a")
+		knows := st.subscribe(1000, "a")
 		synctest.Wait()
 		if !back.lists[0].Full || !ahead.lists[0].Full || knows.lists[0].Full || len(knows.lists[0].Endpoints) != 0 {
 			t.Errorf("full lists for readers at 500, 2000 and 1000: %v, %v, %v", back.lists[0].Full, ahead.lists[0].Full, knows.lists[0].Full)
 		}
 		r.check(t)
-		cancel()
-		synctest.Wait()
 	})
 }
 
@@ -356,23 +243,24 @@
 // list.
 func TestServiceEventsAreBounded(t *testing.T) {
 	st := newFSMFixture(t)
+	topics := st.broadcaster.services
 	var subs []*subscription
 	for i := range 200 {
-		subs = append(subs, st.broadcaster.services.subscribe([]string{fmt.Sprint(i)}))
+		subs = append(subs, topics.subscribe([]string{fmt.Sprint(i)}))
 	}
-	st.broadcaster.services.mu.Lock()
+	topics.mu.Lock()
 	for i := range subs {
-		st.broadcaster.services.appendEvent(subs[i].topics[0], serviceEvent{1, make([]byte, maxTopicEventBytes)})
+		topics.appendEvent(subs[i].topics[0], serviceEvent{1, make([]byte, maxTopicEventBytes)})
 	}
-	st.broadcaster.services.mu.Unlock()
+	topics.mu.Unlock()
 	st.registerInService(t, "0", "s", 1)
-	st.broadcaster.services.publish()
-	if st.broadcaster.services.eventBytes > maxAllTopicBytes {
-		t.Errorf("%d bytes retained", st.broadcaster.services.eventBytes)
+	topics.publish()
+	if topics.eventBytes > maxAllTopicBytes {
+		t.Errorf("%d bytes retained", topics.eventBytes)
 	}
 	lagging := 0
 	for _, sub := range subs {
-		if _, _, ok := st.broadcaster.services.eventsSince(sub, 0); !ok {
+		if _, _, ok := topics.eventsSince(sub, 0); !ok {
 			lagging++
 		}
 	}
@@ -380,11 +268,11 @@
 		t.Errorf("%d of %d need full lists", lagging, len(subs))
 	}
 	topic := subs[1].topics[0]
-	st.broadcaster.services.mu.Lock()
+	topics.mu.Lock()
 	for i := range 3 {
-		st.broadcaster.services.appendEvent(topic, serviceEvent{int64(10 + i), make([]byte, maxTopicEventBytes-1)})
+		topics.appendEvent(topic, serviceEvent{int64(10 + i), make([]byte, maxTopicEventBytes-1)})
 	}
-	st.broadcaster.services.mu.Unlock()
+	topics.mu.Unlock()
 	if len(topic.events) != 1 || topic.startRevision != 11 {
 		t.Errorf("%d events of one topic retained, from version %d", len(topic.events), topic.startRevision)
 	}
--- a/internal/control/watchlines_test.go
+++ b/internal/control/watchlines_test.go
@@ -1,7 +1,6 @@
 package control
 
 import (
-	"context"
 	"slices"
 	"strings"
 	"testing"
@@ -17,10 +16,7 @@
 // write: the first list, a change, a move to another service, an end, and the line of a quiet
 // watch; as the program of commit d25b370 wrote them.
 func TestWatchLinesKeepTheirForm(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		st := newFSMFixture(t)
-		go st.broadcaster.run(ctx)
+	runBroadcaster(t, func(t *testing.T, st *fsmFixture) {
 		register := func(name, service string, born float64) {
 			t.Helper()
 			h := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Block: 3, Health: endpoints.Ready, Weight: 1, StartedMs: born, Service: service}
@@ -31,9 +27,9 @@
 		}
 		register("s-a", "", 1000)
 		register("s-b", "web", 1000)
-		whole, scoped := newWatchReader(), newWatchReader()
-		go st.broadcaster.watch(ctx, whole, 0, nil)
-		go st.broadcaster.watchServices(ctx, scoped, []string{"", "web"}, 0, nil)
+		full, scoped := newWatchReader(), newWatchReader()
+		go st.broadcaster.watch(st.ctx, full, 0, nil)
+		go st.broadcaster.watchServices(st.ctx, scoped, []string{"", "web"}, 0, nil)
 		time.Sleep(100 * time.Millisecond)
 		register("s-c", "web", 1000)
 		register("s-a", "mail", 2000)
@@ -45,8 +41,6 @@
 		lines := func(r *watchReader) []string {
 			return strings.Split(strings.TrimSuffix(strings.Join(r.lines, ""), "\n"), "\n")
 		}
-		golden.Lines(t, "watch-lines.txt", slices.Concat([]string{"all"}, lines(whole), []string{"services"}, lines(scoped)))
-		cancel()
-		synctest.Wait()
+		golden.Lines(t, "watch-lines.txt", slices.Concat([]string{"all"}, lines(full), []string{"services"}, lines(scoped)))
 	})
 }
--- a/internal/control/watchload_test.go
+++ b/internal/control/watchload_test.go
@@ -1,75 +1,94 @@
 package control
 
 import (
+	"slices"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 )
 
+// maxRebalanceSteps is far above the number of steps that any drawn distribution takes.
+const maxRebalanceSteps = 3000
+
+// drawLoads draws the loads of up to five servers. In about half of the servers, all watches can
+// migrate.
+func drawLoads(rt *rapid.T) []watchLoad {
+	loads := make([]watchLoad, rapid.IntRange(1, 5).Draw(rt, "stewards"))
+	for i := range loads {
+		loads[i].watches = rapid.IntRange(0, 2000).Draw(rt, "watches")
+		loads[i].movable = rapid.IntRange(0, loads[i].watches).Draw(rt, "movable")
+		if rapid.Bool().Draw(rt, "all can move") {
+			loads[i].movable = loads[i].watches
+		}
+	}
+	return loads
+}
+
+// fairShare returns the watches of each server if all had the same, rounded up, and how many
+// watches are beyond that at their servers and thus have to migrate.
+func fairShare(loads []watchLoad) (share, excess int) {
+	sum := 0
+	for _, load := range loads {
+		sum += load.watches
+	}
+	share = (sum + len(loads) - 1) / len(loads)
+	for _, load := range loads {
+		excess += max(load.watches-share, 0)
+	}
+	return share, excess
+}
+
+// endingWatches returns how many watches each server ends in one step, and their sum. It fails the
+// test if a server ends more than it may.
+func endingWatches(rt *rapid.T, loads []watchLoad) (ending []int, total int) {
+	for i, load := range loads {
+		others := slices.Delete(slices.Clone(loads), i, i+1)
+		count := excessWatches(load, others)
+		if count < 0 || count > load.movable || count > max(load.watches/20, 1) {
+			rt.Fatalf("ends %d of %+v", count, load)
+		}
+		ending = append(ending, count)
+		total += count
+	}
+	return ending, total
+}
+
+// migrateWatches has the reader of each ended watch go to any other server.
+func migrateWatches(rt *rapid.T, loads []watchLoad, ending []int) {
+	for i := range loads {
+		loads[i].watches, loads[i].movable = loads[i].watches-ending[i], loads[i].movable-ending[i]
+		for range ending[i] {
+			to := rapid.IntRange(0, max(len(loads)-2, 0)).Draw(rt, "to")
+			if to >= i {
+				to++
+			}
+			loads[to].watches, loads[to].movable = loads[to].watches+1, loads[to].movable+1
+		}
+	}
+}
+
 // From any distribution, repeated rebalancing in small steps evens out the watches among the servers
 // and then stops; few watches migrate more often than needed.
 func TestRebalancingConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		servers := rapid.IntRange(1, 5).Draw(rt, "stewards")
-		loads := make([]watchLoad, servers)
-		sum, steps := 0, 0
-		for i := range loads {
-			loads[i].watches = rapid.IntRange(0, 2000).Draw(rt, "watches")
-			loads[i].movable = rapid.IntRange(0, loads[i].watches).Draw(rt, "movable")
-			if rapid.Bool().Draw(rt, "all can move") {
-				loads[i].movable = loads[i].watches
-			}
-			sum += loads[i].watches
-		}
-		share := (sum + servers - 1) / servers
-		excess := 0 // what must migrate at least
-		for i := range loads {
-			excess += max(loads[i].watches-share, 0)
-		}
-		ended := 0
-		for {
-			ending := make([]int, servers)
-			total := 0
-			for i := range loads {
-				var others []watchLoad
-				for j := range loads {
-					if j != i {
-						others = append(others, loads[j])
-					}
-				}
-				ending[i] = excessWatches(loads[i], others)
-				if ending[i] < 0 || ending[i] > loads[i].movable || ending[i] > max(loads[i].watches/20, 1) {
-					rt.Fatalf("ends %d of %+v", ending[i], loads[i])
-				}
-				total += ending[i]
-			}
-			if total == 0 {
-				break
-			}
+		loads := drawLoads(rt)
+		share, excess := fairShare(loads)
+		ended, steps := 0, 0
+		for ending, total := endingWatches(rt, loads); total > 0; ending, total = endingWatches(rt, loads) {
 			ended += total
-			if steps++; steps > 3000 {
+			if steps++; steps > maxRebalanceSteps {
 				rt.Fatalf("never stops: %+v", loads)
 			}
-			// Each reader goes to any other server.
-			for i := range loads {
-				loads[i].watches, loads[i].movable = loads[i].watches-ending[i], loads[i].movable-ending[i]
-				for range ending[i] {
-					j := rapid.IntRange(0, max(servers-2, 0)).Draw(rt, "to")
-					if j >= i {
-						j++
-					}
-					loads[j].watches, loads[j].movable = loads[j].watches+1, loads[j].movable+1
-				}
-			}
+			migrateWatches(rt, loads, ending)
 		}
 		for i := range loads {
-			if over := loads[i].watches - share - loadTolerance(share); over > 0 && loads[i].movable > 0 && servers > 1 {
+			if over := loads[i].watches - share - loadTolerance(share); over > 0 && loads[i].movable > 0 && len(loads) > 1 {
 				rt.Fatalf("stopped with %+v, the share is %d", loads, share)
 			}
 		}
 		// With two other servers to choose from, every other reader goes where it can stay.
-		if ended > 8*excess+8*servers {
+		if ended > 8*excess+8*len(loads) {
 			rt.Fatalf("%d watches ended where %d had to be", ended, excess)
 		}
 	})
--- /dev/null
+++ b/internal/control/watchreader_test.go
@@ -0,0 +1,159 @@
+package control
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"knotrouter/internal/endpoints"
+)
+
+// blockableResponse is what the response writers of watches have in common. It can be made to
+// block.
+type blockableResponse struct {
+	mu      sync.Mutex    // also guards the fields of the types that embed it
+	blocked chan struct{} // if not nil, writes wait until it is closed
+}
+
+func (r *blockableResponse) Header() http.Header { return http.Header{} }
+
+func (r *blockableResponse) WriteHeader(int) {}
+
+func (r *blockableResponse) Flush() {}
+
+func (r *blockableResponse) SetWriteDeadline(time.Time) error { return nil }
+
+// block has all writes from now on wait for unblock.
+func (r *blockableResponse) block() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.blocked = make(chan struct{})
+}
+
+// unblock lets the writes that wait, and all later ones, go on.
+func (r *blockableResponse) unblock() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	close(r.blocked)
+	r.blocked = nil
+}
+
+// awaitUnblocked returns at once unless writes are blocked.
+func (r *blockableResponse) awaitUnblocked() {
+	r.mu.Lock()
+	blocked := r.blocked
+	r.mu.Unlock()
+	if blocked != nil {
+		<-blocked
+	}
+}
+
+// watchReader is the response writer of a watch of the full list. It records what is written, and
+// can be made to block.
+type watchReader struct {
+	blockableResponse
+	lines    []string
+	servers  map[string]float64
+	revision int64
+}
+
+// newWatchReader returns a reader that doesn't block.
+func newWatchReader() *watchReader { return &watchReader{servers: map[string]float64{}} }
+
+func (r *watchReader) Write(p []byte) (int, error) {
+	r.awaitUnblocked()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lines = append(r.lines, string(p))
+	var l endpoints.List
+	if len(p) > 1 && json.Unmarshal(p, &l) == nil {
+		if l.Full {
+			clear(r.servers)
+		}
+		for _, h := range l.Endpoints {
+			if r.servers[h.Name] = h.StartedMs; h.Health == endpoints.Removed {
+				delete(r.servers, h.Name)
+			}
+		}
+		r.revision = l.Seq
+	}
+	return len(p), nil
+}
+
+// count returns the number of lines that were written.
+func (r *watchReader) count() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.lines)
+}
+
+// scopedReader is the response writer of a watch of services. It applies the lines as a reader must,
+// records violations of the contract as faults, and can be made to block.
+type scopedReader struct {
+	services []string
+	blockableResponse
+	lists      []endpoints.List
+	bytes      int
+	heartbeats int
+	servers    map[string]endpoints.Endpoint
+	revision   int64
+	faults     []string
+}
+
+func (r *scopedReader) Write(p []byte) (int, error) {
+	r.awaitUnblocked()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if string(p) == "\n" {
+		r.heartbeats++
+		return len(p), nil
+	}
+	r.bytes += len(p)
+	l, err := endpoints.Parse(p)
+	if err != nil || bytes.Count(p, []byte("\n")) != 1 || l.Seq < r.revision {
+		r.faults = append(r.faults, fmt.Sprintf("%q after version %d: %v", p, r.revision, err))
+	}
+	r.lists, r.revision = append(r.lists, l), l.Seq
+	if l.Full || r.servers == nil {
+		r.servers = map[string]endpoints.Endpoint{}
+	}
+	for _, h := range l.Endpoints {
+		switch {
+		case !slices.Contains(r.services, h.Service):
+			r.faults = append(r.faults, fmt.Sprintf("a reader of %q was sent %+v", r.services, h))
+		case h.Health != endpoints.Removed:
+			r.servers[h.Name] = h
+		case r.servers[h.Name].Service == h.Service:
+			delete(r.servers, h.Name)
+		}
+	}
+	return len(p), nil
+}
+
+// names returns the servers that the reader has, as name@service, sorted.
+func (r *scopedReader) names() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var out []string
+	for _, h := range r.servers {
+		out = append(out, h.Name+"@"+h.Service)
+	}
+	slices.Sort(out)
+	return strings.Join(out, " ")
+}
+
+// check fails the test if the reader recorded faults.
+func (r *scopedReader) check(t *testing.T) {
+	t.Helper()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.faults) > 0 {
+		t.Errorf("a reader of %q: %s", r.services, strings.Join(r.faults, "; "))
+	}
+}
--- a/internal/control/wire_test.go
+++ b/internal/control/wire_test.go
@@ -52,9 +52,10 @@
 	})
 }
 
+// discardLog returns a logger that drops all messages.
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// newUnstartedServer is the handler of a server that has opened nothing yet.
+// newUnstartedServer returns a server that has opened nothing yet.
 func newUnstartedServer(t *testing.T) *Server {
 	t.Helper()
 	c := Defaults()
@@ -85,10 +86,10 @@
 	described := make(chan *prometheus.Desc, 1000)
 	newUnstartedServer(t).metrics.registry.Describe(described)
 	close(described)
-	form := regexp.MustCompile(`^Desc\{fqName: "([^"]*)", .*variableLabels: \{([^}]*)\}\}$`)
+	description := regexp.MustCompile(`^Desc\{fqName: "([^"]*)", .*variableLabels: \{([^}]*)\}\}$`)
 	var got []string
 	for d := range described {
-		m := form.FindStringSubmatch(d.String())
+		m := description.FindStringSubmatch(d.String())
 		if m == nil {
 			t.Fatalf("unknown form of a description: %s", d)
 		}
@@ -101,7 +102,7 @@
 	golden.Lines(t, "metrics.txt", got)
 }
 
-// settingLines lists the keys of a configuration with their values.
+// settingLines returns the keys of a configuration with their values, a line each, sorted.
 func settingLines(prefix string, v reflect.Value) (lines []string) {
 	for i := range v.NumField() {
 		key, f := prefix+v.Type().Field(i).Tag.Get("koanf"), v.Field(i)
@@ -152,7 +153,7 @@
 }
 
 // recordedFolder unpacks the data folder of a server that was killed with entries in its log
-// behind its last snapshot.
+// after its last snapshot, and returns the path.
 func recordedFolder(t *testing.T) string {
 	t.Helper()
 	file, err := os.Open(golden.Path("folder.tar.gz"))
@@ -234,12 +235,13 @@
 	golden.Check(t, "folder-state.json", got)
 }
 
-// apiTester asks a server that runs.
+// apiTester sends requests to a running server. A request without an answer fails the test.
 type apiTester struct {
 	t    *testing.T
 	addr string
 }
 
+// do sends a request and returns the answer.
 func (s *apiTester) do(method, path, body string) (status int, header http.Header, text string) {
 	s.t.Helper()
 	req, err := http.NewRequestWithContext(s.t.Context(), method, "http://"+s.addr+path, strings.NewReader(body))
@@ -258,6 +260,7 @@
 	return resp.StatusCode, resp.Header, string(read)
 }
 
+// get returns the answer to a read. A status other than 200 fails the test.
 func (s *apiTester) get(path string) string {
 	s.t.Helper()
 	status, _, text := s.do(http.MethodGet, path, "")
@@ -300,7 +303,7 @@
 	}
 }
 
-// version is the version of the list.
+// version returns the version of the list.
 func (s *apiTester) version() int64 {
 	s.t.Helper()
 	var st struct {
@@ -312,19 +315,19 @@
 	return st.Seq
 }
 
-// itemsExcept are the elements of a JSON list, as they stand there, but for those that match.
-func itemsExcept(t *testing.T, text string, but *regexp.Regexp) (out []string) {
+// itemsExcept returns the elements of a JSON list, as they stand there, without those that match.
+func itemsExcept(t *testing.T, text string, excluded *regexp.Regexp) (items []string) {
 	t.Helper()
 	var all []json.RawMessage
 	if err := json.Unmarshal([]byte(text), &all); err != nil {
 		t.Fatalf("%v: %s", err, text)
 	}
 	for _, item := range all {
-		if !but.Match(item) {
-			out = append(out, string(item))
+		if !excluded.Match(item) {
+			items = append(items, string(item))
 		}
 	}
-	return out
+	return items
 }
 
 // TestServerReadsRecordedFolder starts a server on the recorded data folder: lists, servers,
@@ -353,79 +356,93 @@
 	}
 }
 
+// apiRequest is a request to the HTTP API.
+type apiRequest struct{ method, path, body string }
+
+// entryBody registers the server s-a.
+const entryBody = `{"host":"s-a","dial":"127.0.0.1:9","site":"a","class":"k","block":3,"health":"ready","share":1,"born_ms":1000}`
+
+// recordedRequests are the requests whose answers testdata/answers.txt has, in the order in which they
+// are sent to one server.
+var recordedRequests = []apiRequest{
+	{"PUT", "/v1/servers/s-a", entryBody},
+	{"PUT", "/v1/servers/s-a", strings.Replace(entryBody, "1000", "900", 1)},
+	{"PUT", "/v1/servers/s-b", entryBody},
+	{"PUT", "/v1/servers/s-a", `{"strange":1}`},
+	{"PUT", "/v1/servers/s-a", `{`},
+	{"GET", "/v1/servers/s-b", ""},
+	{"PATCH", "/v1/servers/s-a", `{}`},
+	{"PATCH", "/v1/servers/s-a", `{"share":0.5,"if":1}`},
+	{"PATCH", "/v1/servers/s-b", `{"share":0.5}`},
+	{"POST", "/v1/servers/s-a/drain", ""},
+	{"POST", "/v1/servers/s-a/drain?born_ms=1", ""},
+	{"DELETE", "/v1/servers/s-a?born_ms=1000", ""},
+	{"POST", "/v1/renewals", `{"refs":[{"name":"s-b","born_ms":1}]}`},
+	{"POST", "/v1/guard/confirm", ""},
+	{"POST", "/v1/seen", `{"seq":1}`},
+	{"POST", "/v1/seen", `{"seq":-1}`},
+	{"PUT", "/v1/snapshot", `{}`},
+	{"GET", "/v1/endpoints?follow=1&since=x", ""},
+	{"GET", "/v1/endpoints?service=a&service=a", ""},
+	{"GET", "/v1/endpoints?service=a", ""},
+	{"GET", "/v1/endpoints", ""},
+	{"PUT", "/v1/sessions/w-1", `{"process":"w-1","id":"one","cap":0,"rev":0}`},
+	{"PUT", "/v1/sessions/w-1", `{"process":"w-1","id":"two","cap":0,"rev":0}`},
+	{"POST", "/v1/sessions/w-1/renewal", `{"id":"one","rev":0}`},
+	{"POST", "/v1/sessions/w-1/renewal", `{"id":"two","rev":0}`},
+	{"POST", "/v1/sessions/w-9/renewal", `{"id":"two","rev":0}`},
+	{"GET", "/v1/sessions/w-1/tasks?id=one&rev=0", ""},
+	{"GET", "/v1/sessions/w-1/tasks?id=one&rev=x", ""},
+	{"PUT", "/v1/duties/job.a", `{"ttl_ms":1}`},
+	{"PUT", "/v1/duties/job.a", `{"ttl_ms":600000}`},
+	{"POST", "/v1/duties/job.a/claim", `{"process":"w-9","id":"one"}`},
+	{"POST", "/v1/duties/job.a/revoke", ""},
+	{"POST", "/v1/duties/job.a/move", `{}`},
+	{"POST", "/v1/duties/job.a/park", `{"why":"until tomorrow"}`},
+	{"POST", "/v1/duties/job.a/unpark", ""},
+	{"DELETE", "/v1/duties/job.b", ""},
+	{"GET", "/v1/duties/job.b", ""},
+	{"POST", "/v1/terms", `{"kind":"grant","ties":[]}`},
+	{"POST", "/v1/terms", `{"kind":"give up","ties":[]}`},
+	{"POST", "/v1/terms", `{"kind":"give up","ties":[{"name":"job.a","session":"one","fence":1}],"why":"done"}`},
+	{"POST", "/v1/terms", `{"kind":"give up","ties":[{"name":"job.a","session":"one","fence":1}],"why":"strange"}`},
+	{"POST", "/v1/sweep", `{"fence":1}`},
+	{"POST", "/v1/voters", `{"fence":1}`},
+	{"PUT", "/v1/peers/nobody", ""},
+	{"GET", "/v1/members", ""},
+	{"POST", "/v1/evidence", `{"refs":[]}`},
+}
+
+// describeAnswer returns an answer's status, its keys or the first word of a rejection, and its headers.
+func describeAnswer(r apiRequest, status int, header http.Header, text string) string {
+	first, rest, isText := strings.Cut(strings.TrimSpace(text), ": ")
+	if status == http.StatusOK {
+		first = zeroNumbers([]byte(text))
+	} else if !isText || rest == "" {
+		first = "(text)"
+	}
+	line := fmt.Sprintf("%s %s %s\n\t%d %s", r.method, r.path, r.body, status, first)
+	for _, key := range []string{"Content-Type", "Retry-After", "Not-Applied", "Service-Scope"} {
+		if v := header.Get(key); v != "" {
+			line += fmt.Sprintf("\n\t%s: %s", key, v)
+		}
+	}
+	return line
+}
+
 // TestAnswersKeepStatusAndHeaders holds status, headers and first word of refusals, and the
 // keys and headers of what is answered.
 func TestAnswersKeepStatusAndHeaders(t *testing.T) {
 	s := serveFolder(t, t.TempDir())
-	entry := `{"host":"s-a","dial":"127.0.0.1:9","site":"a","class":"k","block":3,"health":"ready","share":1,"born_ms":1000}`
 	var got []string
-	for _, r := range [][3]string{
-		{"PUT", "/v1/servers/s-a", entry},
-		{"PUT", "/v1/servers/s-a", strings.Replace(entry, "1000", "900", 1)},
-		{"PUT", "/v1/servers/s-b", entry},
-		{"PUT", "/v1/servers/s-a", `{"strange":1}`},
-		{"PUT", "/v1/servers/s-a", `{`},
-		{"GET", "/v1/servers/s-b", ""},
-		{"PATCH", "/v1/servers/s-a", `{}`},
-		{"PATCH", "/v1/servers/s-a", `{"share":0.5,"if":1}`},
-		{"PATCH", "/v1/servers/s-b", `{"share":0.5}`},
-		{"POST", "/v1/servers/s-a/drain", ""},
-		{"POST", "/v1/servers/s-a/drain?born_ms=1", ""},
-		{"DELETE", "/v1/servers/s-a?born_ms=1000", ""},
-		{"POST", "/v1/renewals", `{"refs":[{"name":"s-b","born_ms":1}]}`},
-		{"POST", "/v1/guard/confirm", ""},
-		{"POST", "/v1/seen", `{"seq":1}`},
-		{"POST", "/v1/seen", `{"seq":-1}`},
-		{"PUT", "/v1/snapshot", `{}`},
-		{"GET", "/v1/endpoints?follow=1&since=x", ""},
-		{"GET", "/v1/endpoints?service=a&service=a", ""},
-		{"GET", "/v1/endpoints?service=a", ""},
-		{"GET", "/v1/endpoints", ""},
-		{"PUT", "/v1/sessions/w-1", `{"process":"w-1","id":"one","cap":0,"rev":0}`},
-		{"PUT", "/v1/sessions/w-1", `{"process":"w-1","id":"two","cap":0,"rev":0}`},
-		{"POST", "/v1/sessions/w-1/renewal", `{"id":"one","rev":0}`},
-		{"POST", "/v1/sessions/w-1/renewal", `{"id":"two","rev":0}`},
-		{"POST", "/v1/sessions/w-9/renewal", `{"id":"two","rev":0}`},
-		{"GET", "/v1/sessions/w-1/tasks?id=one&rev=0", ""},
-		{"GET", "/v1/sessions/w-1/tasks?id=one&rev=x", ""},
-		{"PUT", "/v1/duties/job.a", `{"ttl_ms":1}`},
-		{"PUT", "/v1/duties/job.a", `{"ttl_ms":600000}`},
-		{"POST", "/v1/duties/job.a/claim", `{"process":"w-9","id":"one"}`},
-		{"POST", "/v1/duties/job.a/revoke", ""},
-		{"POST", "/v1/duties/job.a/move", `{}`},
-		{"POST", "/v1/duties/job.a/park", `{"why":"until tomorrow"}`},
-		{"POST", "/v1/duties/job.a/unpark", ""},
-		{"DELETE", "/v1/duties/job.b", ""},
-		{"GET", "/v1/duties/job.b", ""},
-		{"POST", "/v1/terms", `{"kind":"grant","ties":[]}`},
-		{"POST", "/v1/terms", `{"kind":"give up","ties":[]}`},
-		{"POST", "/v1/terms", `{"kind":"give up","ties":[{"name":"job.a","session":"one","fence":1}],"why":"done"}`},
-		{"POST", "/v1/terms", `{"kind":"give up","ties":[{"name":"job.a","session":"one","fence":1}],"why":"strange"}`},
-		{"POST", "/v1/sweep", `{"fence":1}`},
-		{"POST", "/v1/voters", `{"fence":1}`},
-		{"PUT", "/v1/peers/nobody", ""},
-		{"GET", "/v1/members", ""},
-		{"POST", "/v1/evidence", `{"refs":[]}`},
-	} {
-		status, header, text := s.do(r[0], r[1], r[2])
-		first, rest, isText := strings.Cut(strings.TrimSpace(text), ": ")
-		if status == http.StatusOK {
-			first = zeroNumbers([]byte(text))
-		} else if !isText || rest == "" {
-			first = "(text)"
-		}
-		line := fmt.Sprintf("%s %s %s\n\t%d %s", r[0], r[1], r[2], status, first)
-		for _, key := range []string{"Content-Type", "Retry-After", "Not-Applied", "Service-Scope"} {
-			if v := header.Get(key); v != "" {
-				line += fmt.Sprintf("\n\t%s: %s", key, v)
-			}
-		}
-		got = append(got, line)
+	for _, r := range recordedRequests {
+		status, header, text := s.do(r.method, r.path, r.body)
+		got = append(got, describeAnswer(r, status, header, text))
 	}
 	golden.Lines(t, "answers.txt", got)
 }
 
-// zeroNumbers is a JSON text whose numbers are all 0.
+// zeroNumbers returns a JSON text with all numbers replaced by 0.
 func zeroNumbers(text []byte) string {
 	numbers := regexp.MustCompile(`:-?\d+(\.\d+)?`)
 	return string(bytes.TrimSpace(numbers.ReplaceAll(text, []byte(":0"))))
