--- a/internal/catalog/command.go
+++ b/internal/catalog/command.go
@@ -24,12 +24,13 @@
 	Drain Kind = "drain"
 	// Deregister removes the instances Refs, which shut down as planned.
 	Deregister Kind = "leave"
-	// ExpireRegistration removes the instances Refs, whose leases are over.
+	// ExpireRegistration removes the instances Refs, which have failed: their leases have expired, or
+	// are late and most voters report them unreachable.
 	ExpireRegistration Kind = "lapse"
-	// Quarantine keeps the instances Refs listed though their leases are over, because too many
+	// Quarantine keeps the instances Refs listed though their leases have expired, because too many
 	// would expire at once. If Reason is QuarantineByService, the failure is of their service alone.
 	Quarantine Kind = "hold"
-	// Recover ends the quarantine of the instances Refs, which were heard again.
+	// Recover ends the quarantine of the instances Refs, which have renewed or were observed alive.
 	Recover Kind = "seen"
 	// ConfirmRemoval removes all quarantined instances: an operator confirms that they failed.
 	ConfirmRemoval Kind = "confirm"
@@ -58,7 +59,7 @@
 	DeleteTask Kind = "drop"
 	// GrantTerm grants each task of Terms to that element's Process and Session.
 	GrantTerm Kind = "grant"
-	// ExpireTerm ends the Terms, whose holders were not heard for the tasks' TTL.
+	// ExpireTerm ends the Terms, whose holders have not renewed their sessions for the tasks' TTL.
 	ExpireTerm Kind = "free"
 	// ReleaseTerm ends the Terms, whose holder has stopped, for Reason or else ReasonCompleted.
 	ReleaseTerm Kind = "give up"
@@ -81,7 +82,7 @@
 	// RegisterMember gives the process Member its incarnation.
 	RegisterMember Kind = "arrive"
 	// CheckTerm changes nothing. Like any command it is rejected if the term of UnderTask and Fence
-	// is over, and that is what its proposer wants to know.
+	// has ended; its result tells the proposer whether it has.
 	CheckTerm Kind = "check"
 )
 
@@ -115,7 +116,7 @@
 	Reason     string      `json:"why,omitempty"`
 
 	// UnderTask and Fence refer to the term of a leased task under which the command is
-	// proposed. The command is rejected if that term is over. UnderTask "" refers to none.
+	// proposed. The command is rejected if that term has ended. UnderTask "" refers to no term.
 	UnderTask string `json:"under,omitempty"`
 	Fence     int64  `json:"fence,omitempty"`
 }
--- a/internal/catalog/entry.go
+++ b/internal/catalog/entry.go
@@ -14,7 +14,8 @@
 	HealthOverride string             `json:"health,omitempty"` // set by an operator; "": none
 	Removed        bool               `json:"ended,omitempty"`
 	RemovedAt      time.Duration      `json:"ended_at,omitempty"`
-	// Quarantined entries stay listed though their leases are over: too many expired at once.
+	// Quarantined entries stay listed though their leases have expired: too many would have expired
+	// at once.
 	Quarantined bool `json:"held,omitempty"`
 	// QuarantinedByService is set besides Quarantined if the failure is of the service alone.
 	QuarantinedByService bool            `json:"held_by_service,omitempty"`
--- a/internal/catalog/helpers_test.go
+++ b/internal/catalog/helpers_test.go
@@ -34,7 +34,7 @@
 // listed returns the full list in one line.
 func listed(s *State) string {
 	var servers []string
-	for _, e := range s.List(0, true).Endpoints {
+	for _, e := range s.FullList().Endpoints {
 		servers = append(servers, fmt.Sprintf("%s %s %g %g", e.Name, e.Health, e.Weight, e.StartedMs))
 	}
 	return strings.Join(servers, ", ")
--- a/internal/catalog/leasedtask.go
+++ b/internal/catalog/leasedtask.go
@@ -13,16 +13,16 @@
 	MaxTTL = 10 * time.Minute
 )
 
-// LeasedTask is work that at most one process runs at a time: its holder, under a lease. Each
-// time of a holder is a term with a fencing token of its own.
+// LeasedTask is work that at most one process runs at a time: its holder, under a lease. The time
+// for which a process holds the task is a term, which has a fencing token of its own.
 type LeasedTask struct {
 	Name string `json:"name"`
-	// TTL is how long a holder that is not heard keeps the task.
+	// TTL is how long a holder keeps the task after the last renewal of its session.
 	TTL              time.Duration `json:"ttl"`
 	PreferredZone    string        `json:"zone,omitempty"`
 	PreferredProcess string        `json:"process,omitempty"`
 
-	// The current term. Holder and Session are "" if nobody holds the task.
+	// The current term. Holder and Session are "" if no process holds the task.
 
 	Holder      string        `json:"holder,omitempty"`  // a process
 	Session     string        `json:"session,omitempty"` // the ID of its session
@@ -61,7 +61,7 @@
 func (s *State) TaskNames() []string { return sortedKeys(s.LeasedTasks) }
 
 // Assignments returns what a session's process is to do, in order of task names, and the
-// session's revision. It returns false if the process has no open session of that ID.
+// session's revision. ok is false if the process has no open session of that ID.
 func (s *State) Assignments(process, id string) (assignments []Assignment, revision int64, ok bool) {
 	session := s.Sessions[process]
 	if session == nil || session.ID != id {
@@ -106,7 +106,8 @@
 	return s.done()
 }
 
-// applyOperatorCommand carries out an operator's command on one task.
+// applyOperatorCommand carries out an operator's command on one task, which DeleteTask requires to
+// have no holder, and RevokeTerm to have one.
 func (s *State) applyOperatorCommand(c *Command) Result {
 	task := s.LeasedTasks[c.Name]
 	if task == nil {
@@ -120,7 +121,7 @@
 		delete(s.LeasedTasks, task.Name)
 	case RevokeTerm:
 		if task.Holder == "" {
-			return s.rejectNotHeld(task)
+			return s.rejectWithoutHolder(task)
 		}
 		s.requestStop(task)
 	case Suspend:
@@ -141,8 +142,8 @@
 	s.bumpSessionRevision(task.Holder)
 }
 
-// rejectNotHeld rejects a command that requires a holder of the task.
-func (s *State) rejectNotHeld(task *LeasedTask) Result {
+// rejectWithoutHolder rejects a command that requires a holder of the task.
+func (s *State) rejectWithoutHolder(task *LeasedTask) Result {
 	return s.reject(Conflict, "nobody holds duty %s", task.Name)
 }
 
--- a/internal/catalog/list.go
+++ b/internal/catalog/list.go
@@ -7,8 +7,8 @@
 	"knotrouter/internal/endpoints"
 )
 
-// MaxHistory bounds the changes that are kept for readers of the full list; a reader from
-// before them gets the full list. A region that is lost and comes back is 13,000 changes.
+// MaxHistory bounds the changes that are kept for readers of the full list; a reader with an
+// earlier revision gets the full list. A region that is lost and comes back is 13,000 changes.
 const MaxHistory = 16_384
 
 // entryChange is the change of one entry, which made the revision Seq.
@@ -20,20 +20,25 @@
 // EntryNames returns the names of all entries in order, including recently removed ones.
 func (s *State) EntryNames() []string { return sortedKeys(s.Entries) }
 
-// List returns the full list, or the entries that changed after the revision since. It
-// returns the full list also if the changes after since are no longer known, or if since is
-// a revision that this state has not reached.
-func (s *State) List(since int64, full bool) endpoints.List {
-	list := endpoints.List{Seq: s.Seq, Endpoints: []endpoints.Endpoint{}}
-	list.Full = full || since > s.Seq || since < s.oldestRevision()
-	if list.Full {
-		for _, name := range s.EntryNames() {
-			if listed := s.Entries[name].Listed(); listed.Health != endpoints.Removed {
-				list.Endpoints = append(list.Endpoints, listed)
-			}
+// FullList returns all servers that are listed, by name.
+func (s *State) FullList() endpoints.List {
+	list := endpoints.List{Seq: s.Seq, Full: true, Endpoints: []endpoints.Endpoint{}}
+	for _, name := range s.EntryNames() {
+		if listed := s.Entries[name].Listed(); listed.Health != endpoints.Removed {
+			list.Endpoints = append(list.Endpoints, listed)
 		}
-		return list
 	}
+	return list
+}
+
+// ListSince returns the entries that changed after a revision, each once; those that were removed
+// have the health Removed. It returns the full list if the changes after the revision are not
+// known any more, or if this state has not reached the revision.
+func (s *State) ListSince(since int64) endpoints.List {
+	if since > s.Seq || since < s.oldestRevision() {
+		return s.FullList()
+	}
+	list := endpoints.List{Seq: s.Seq, Endpoints: []endpoints.Endpoint{}}
 	included := map[string]bool{}
 	for _, change := range changesAfter(s.History, since) {
 		if !included[change.Name] {
@@ -67,7 +72,7 @@
 }
 
 // truncateHistory drops the history up to the last change of an entry that was deleted: a
-// reader from before it can't be sent that removal, and has to get the full list.
+// reader with an earlier revision can't be sent that removal, and has to get the full list.
 func (s *State) truncateHistory() {
 	for i := len(s.History) - 1; i >= 0; i-- {
 		if s.Entries[s.History[i].Name] == nil {
--- a/internal/catalog/massfailure.go
+++ b/internal/catalog/massfailure.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// When many servers fall silent at once, the leader or the network is more likely at fault
+// When many servers stop renewing at once, the leader or the network is more likely at fault
 // than the servers. RegistrationLeases then quarantines the servers: they stay listed.
 
-// MinGuardedService is how many servers a service must have listed for LeaseConfig's share to
-// apply to the service. For a smaller service only the fleet's share counts, so that its last
-// server can expire.
+// MinGuardedService is the number of listed servers from which on LeaseConfig's share applies to a
+// service by itself. For a smaller service only the fleet's share counts, so that its last server
+// can expire.
 const MinGuardedService = 5
 
-// expiryWindow has the expiries within LeaseConfig.MassFailureWindow, in order of time.
+// expiryWindow holds the times of the expiries within LeaseConfig.MassFailureWindow, in order.
 type expiryWindow struct {
 	expiredAt     []time.Duration
 	listedAtStart int // servers that were listed when the window was empty
@@ -28,26 +28,27 @@
 
 // serviceSuspects counts the suspected servers of one service.
 type serviceSuspects struct {
-	silent      int // late or over, and the evidence is not Alive
-	quarantined int // by the service's share, and not heard again
+	unresponsive int // their leases are late or expired, and the evidence is not Alive
+	quarantined  int // by the service's share, and still without a renewal
 }
 
-// maxExpiries returns how many of the listed servers may expire within the window.
+// maxExpiries returns how many of a number of listed servers may expire within the window.
 func (c LeaseConfig) maxExpiries(listed int) int {
 	return max(int(c.MassFailureShare*float64(listed)), 1)
 }
 
-// isMassFailure reports whether too many servers of the fleet are silent at once. While any of
-// them is quarantined, the mass failure is not over.
+// isMassFailure reports whether too many servers of the fleet are unresponsive at once. The mass
+// failure lasts as long as a server is quarantined because of it.
 func (l *RegistrationLeases) isMassFailure(scan *leaseScan) bool {
-	silent := len(scan.expired) + len(scan.failedEarly) + scan.inconclusive
+	unresponsive := len(scan.expired) + len(scan.failedEarly) + scan.inconclusive
 	allowed := l.config.maxExpiries(max(l.expiries.listedAtStart, scan.listed))
-	return scan.quarantined > 0 || len(l.expiries.expiredAt)+silent > allowed
+	return scan.quarantined > 0 || len(l.expiries.expiredAt)+unresponsive > allowed
 }
 
 // splitByMassFailure splits the failed servers into those that expire and those that are
-// quarantined since their service is in a mass failure. The latter are only those whose leases
-// are over: a lease that is merely late is decided again later.
+// quarantined since their service is in a mass failure. Only servers whose leases have expired are
+// quarantined: a server of such a service whose lease is late is in neither result, and is decided
+// on again later.
 func (l *RegistrationLeases) splitByMassFailure(s *State, now time.Duration, scan *leaseScan) (expire, quarantine []InstanceRef) {
 	failing := l.servicesInMassFailure(s, now, scan)
 	isFailing := func(ref InstanceRef) bool { return failing[s.Entries[ref.Name].Endpoint.Service] }
@@ -67,7 +68,7 @@
 	return expire, quarantine
 }
 
-// servicesInMassFailure returns the services of which too many servers are silent at once.
+// servicesInMassFailure returns the services of which too many servers are unresponsive at once.
 func (l *RegistrationLeases) servicesInMassFailure(s *State, now time.Duration, scan *leaseScan) map[string]bool {
 	l.advanceServiceWindows(now)
 	failing := map[string]bool{}
@@ -80,7 +81,7 @@
 			continue
 		}
 		allowed := l.config.maxExpiries(listed)
-		failing[service] = suspects.quarantined > 0 || expiries+suspects.silent > allowed
+		failing[service] = suspects.quarantined > 0 || expiries+suspects.unresponsive > allowed
 	}
 	return failing
 }
--- a/internal/catalog/member.go
+++ b/internal/catalog/member.go
@@ -13,8 +13,8 @@
 	BootID      string        `json:"life"` // drawn at each start of the process
 	Incarnation int64         `json:"incarnation"`
 	Since       time.Duration `json:"since"`
-	// PredecessorAbsent is set by the leader in a command: as far as its view of the members
-	// tells, the process that has the name is not running.
+	// PredecessorAbsent is set by the leader in a command: according to the leader's membership
+	// view, the process that has the name is not running.
 	PredecessorAbsent bool `json:"gone,omitempty"`
 }
 
--- a/internal/catalog/placement.go
+++ b/internal/catalog/placement.go
@@ -6,8 +6,9 @@
 )
 
 const (
-	// maxDrainTransfers and maxRebalanceTransfers bound the transfers under way: those that drain
-	// a process go on up to the first, those that only even out the load up to the second.
+	// maxDrainTransfers and maxRebalanceTransfers bound the transfers that have begun and not ended:
+	// transfers that drain a process begin only below the first bound, those that only even out the
+	// load below the second.
 	maxDrainTransfers     = 128
 	maxRebalanceTransfers = 8
 	// minTermBeforeRebalance is how long a term lasts at least before the load is evened out.
@@ -19,15 +20,15 @@
 	imbalanceDivisor = 10
 )
 
-// Penalties of a process for a task; the lowest sum is the best.
+// Penalties of a process for a task. The process with the lowest sum is given the task.
 const (
 	absentPenalty       = 16
-	avoidedPenalty      = 5 // worse than not to be preferred
+	avoidedPenalty      = 5 // above notPreferredPenalty: a preferred process that is avoided doesn't get the task
 	notPreferredPenalty = 4
 	otherZonePenalty    = 2
 )
 
-// placement decides which process gets which task. It counts what it has decided in load.
+// placement decides which process gets which task. It adds each decision to load.
 type placement struct {
 	state      *State
 	now        time.Duration
@@ -37,7 +38,7 @@
 	load       map[string]int  // tasks by process
 }
 
-// grants returns the grants of tasks that nobody holds, at most maxTermsPerCommand.
+// grants returns the grants of tasks that no process holds, at most maxTermsPerCommand.
 func (p *placement) grants() []TermRef {
 	var grants []TermRef
 	for _, name := range p.taskNames {
@@ -76,7 +77,7 @@
 }
 
 // rebalanceTransfers returns transfers, at most limit, from processes to those that run a much
-// smaller part of what they may. A task that is where it prefers to be stays.
+// smaller part of their MaxTasks. A task at its preferred process stays.
 func (p *placement) rebalanceTransfers(limit int) []TermRef {
 	var transfers []TermRef
 	for _, name := range p.taskNames {
@@ -120,7 +121,7 @@
 	return best
 }
 
-// penalty returns how little a process suits a task.
+// penalty returns the sum of the penalties of a process for a task.
 func (p *placement) penalty(task *LeasedTask, session *Session) int {
 	penalty := 0
 	if p.absent[session.Process] {
@@ -157,8 +158,8 @@
 	return least
 }
 
-// isImbalanced reports whether the holder runs much more than the target would run of as many
-// tasks as the holder may.
+// isImbalanced reports whether the holder runs many more tasks than the target, whose number is
+// scaled to the holder's MaxTasks.
 func (p *placement) isImbalanced(holder, target *Session) bool {
 	high := p.load[holder.Process]
 	low := p.load[target.Process] * holder.MaxTasks / target.MaxTasks
--- a/internal/catalog/registration.go
+++ b/internal/catalog/registration.go
@@ -10,13 +10,13 @@
 	// MaxEntries bounds the entries, recently removed ones included: 39,000 servers, a region of
 	// 6,500 whose names are all replaced, 9,100 replacements of a day, and a sixth on top.
 	MaxEntries = 64_000
-	// removedEntryRetention is how long a removed entry is kept at least. Until then, an older
-	// instance of the name that is heard late is rejected, and the name's damping lasts.
+	// removedEntryRetention is how long a removed entry is kept at least. Until then, a late request
+	// of an older instance of the name is rejected, and the name's damping lasts.
 	removedEntryRetention = 10 * time.Minute
 )
 
-// registerEndpoint registers a server instance. The instance of a name that started last has
-// the name; an older one is rejected as Superseded.
+// registerEndpoint registers a server instance. Of the instances of a name, the one that started
+// last keeps it; an older one is rejected as Superseded.
 func (s *State) registerEndpoint(endpoint *endpoints.Endpoint) Result {
 	if endpoint == nil {
 		return s.reject(Invalid, "no entry")
@@ -42,7 +42,7 @@
 	return result
 }
 
-// addEntry adds an entry for a new name, if need be in place of old removed entries.
+// addEntry adds an entry for a new name, if necessary after deleting old removed entries.
 func (s *State) addEntry(endpoint *endpoints.Endpoint) Result {
 	if len(s.Entries) >= MaxEntries {
 		s.pruneRemovedEntries()
@@ -60,32 +60,33 @@
 // registered again after a removal, or as a new instance, may be damped.
 func (s *State) updateEntry(entry *Entry, endpoint *endpoints.Endpoint) {
 	before := entry.Listed()
-	left := entry.Endpoint.Service
-	moves := left != endpoint.Service
+	previousService := entry.Endpoint.Service
+	changesService := previousService != endpoint.Service
 	if !entry.Removed && entry.Endpoint.StartedMs < endpoint.StartedMs {
 		s.markRemoved(entry) // the previous instance ended without notice
 	}
-	returns := entry.Removed
+	wasRemoved := entry.Removed
 	s.setQuarantined(entry, false)
-	if moves {
+	if changesService {
 		s.removeFromService(entry)
 	}
 	entry.Endpoint, entry.Removed, entry.RemovedAt = *endpoint, false, 0
-	if returns {
+	if wasRemoved {
 		entry.DampedUntil = s.dampingEnd(entry)
 	}
 	s.clearQuarantineIfEmpty()
-	if entry.Listed() != before || returns && entry.DampedUntil == 0 || moves {
+	if entry.Listed() != before || wasRemoved && entry.DampedUntil == 0 || changesService {
 		s.recordChange(entry)
 	}
-	if moves {
-		s.recordDeparture(Departure{Seq: s.Seq, Name: endpoint.Name, Service: left})
+	if changesService {
+		s.recordDeparture(Departure{Seq: s.Seq, Name: endpoint.Name, Service: previousService})
 		s.limitMinRevisions()
 	}
 }
 
 // applyToInstances carries out a command on the instances that it refers to, and skips those
-// that have been replaced or removed. It is rejected only if it refers to a single instance.
+// that have been replaced or removed. The command is rejected only if it refers to a single
+// instance, and that is skipped.
 func (s *State) applyToInstances(c *Command) Result {
 	applied := 0
 	for _, ref := range c.Refs {
--- a/internal/catalog/registration_test.go
+++ b/internal/catalog/registration_test.go
@@ -156,7 +156,7 @@
 // checkRead reads the changes since the last read, and compares with the full list.
 func (r *listReader) checkRead(t *rapid.T, s *State) {
 	t.Helper()
-	list := s.List(r.revision, false)
+	list := s.ListSince(r.revision)
 	if list.Full {
 		clear(r.endpoints)
 	}
@@ -167,7 +167,7 @@
 	}
 	r.revision = list.Seq
 	want := map[string]endpoints.Endpoint{}
-	for _, e := range s.List(0, true).Endpoints {
+	for _, e := range s.FullList().Endpoints {
 		want[e.Name] = e
 	}
 	if !reflect.DeepEqual(r.endpoints, want) {
@@ -188,7 +188,7 @@
 		t.Errorf("the history has %d changes", len(s.History))
 	}
 	oldest := s.oldestRevision()
-	if s.List(oldest, false).Full || !s.List(oldest-1, false).Full || !s.List(s.Seq+1, false).Full {
+	if s.ListSince(oldest).Full || !s.ListSince(oldest-1).Full || !s.ListSince(s.Seq+1).Full {
 		t.Error("the wrong revisions get a full list")
 	}
 	s = New()
@@ -201,7 +201,7 @@
 	before := s.Seq
 	apply(s, 0, Command{Kind: Deregister, Refs: refs("s-7", 1)})
 	r := apply(s, removedEntryRetention+1, Command{Kind: Register, Endpoint: endpoint("more", 1)})
-	if r.Code != Done || len(s.Entries) != MaxEntries || !s.List(before, false).Full {
+	if r.Code != Done || len(s.Entries) != MaxEntries || !s.ListSince(before).Full {
 		t.Errorf("a new name in place of an old removed one: %+v, %d entries", r, len(s.Entries))
 	}
 }
@@ -223,7 +223,7 @@
 			s.Apply(&c)
 		}
 		apply(s, s.Clock, Command{Kind: Register, Endpoint: endpoint("new", 1)})
-		l := s.List(s.Seq-1, false)
+		l := s.ListSince(s.Seq - 1)
 		for i := range l.Endpoints {
 			if err := l.Endpoints[i].Validate(); err != nil {
 				t.Fatalf("lists an invalid endpoint: %v", err)
--- a/internal/catalog/registrationleases.go
+++ b/internal/catalog/registrationleases.go
@@ -8,35 +8,37 @@
 
 // LeaseConfig says when registrations expire.
 type LeaseConfig struct {
-	TTL time.Duration // of a lease, from one renewal on
-	// MassFailureShare is the share of the listed servers that may expire within
-	// MassFailureWindow. If more would, they are quarantined until they are heard again or an
-	// operator confirms their removal. The same share holds within each service of at least
+	TTL time.Duration // of a lease, from the last renewal on
+	// MassFailureShare is the share of the listed servers, 0 to 1, that may expire within
+	// MassFailureWindow. If more would, they are quarantined until they renew or an operator
+	// confirms their removal. The same share holds within each service of at least
 	// MinGuardedService servers.
 	MassFailureShare  float64
 	MassFailureWindow time.Duration
 }
 
-// RegistrationLeases are the leases of the registered servers. They exist in the leader's
+// RegistrationLeases holds the leases of the registered servers. They exist in the leader's
 // memory only: renewals do not go through the log, and a new leader gives every lease its full
-// TTL. It is as pure as the state, and not safe for concurrent use.
+// TTL. Its methods do no I/O and take the time, on the state's clock, as an argument. It is not
+// safe for concurrent use.
 type RegistrationLeases struct {
 	config LeaseConfig
 	leases map[string]registrationLease // by server
-	// expiries are the expiries within the window, of the fleet and by service.
+	// expiries holds the expiries within the window of the whole fleet, and expiriesByService those
+	// of each service.
 	expiries          expiryWindow
 	expiriesByService map[string]*expiryWindow
-	// rotation is the number of times that Suspected had more servers than it returns.
+	// rotation counts the calls of Suspected that had more than maxSuspects servers.
 	rotation int
 
-	// What the last decision has seen: the state after scannedCommands commands. Unless the state
-	// has changed, no lease is late and no damping over before nextDue.
+	// The last decision was on scannedState after scannedCommands commands. Unless that has changed,
+	// no lease becomes late and no damping ends before nextDue.
 	scannedState    *State
 	scannedCommands int64
 	nextDue         time.Duration
 
 	// Retained and Undecided are the numbers of servers that the last decision left listed though
-	// their leases are over: those with the evidence Alive, and those with Inconclusive.
+	// their leases have expired: those with the evidence Alive, and those with Inconclusive.
 	Retained, Undecided int
 }
 
@@ -58,7 +60,7 @@
 	return len(d.Expire)+len(d.Quarantine)+len(d.QuarantineByService)+len(d.Recover)+len(d.EndDamping) == 0
 }
 
-// FailureEvidence is what other processes know about a server that the leader does not hear.
+// FailureEvidence is what other processes observed of a server that doesn't renew its lease.
 type FailureEvidence uint8
 
 // The evidence.
@@ -68,12 +70,12 @@
 	Failed                              // most processes do not reach the server: it is removed
 )
 
-// ExpiryDecider returns the evidence about a server whose lease is late or, if expired is
-// true, over.
+// ExpiryDecider returns the evidence about a server whose lease has expired or, if expired is
+// false, is late.
 type ExpiryDecider func(ref InstanceRef, expired bool) FailureEvidence
 
-// ExpireByLeaseOnly is the ExpiryDecider of a fleet without other observers: a server fails
-// when its lease is over.
+// ExpireByLeaseOnly is the ExpiryDecider of a fleet without other observers: a server has failed
+// when its lease has expired.
 func ExpireByLeaseOnly(_ InstanceRef, expired bool) FailureEvidence {
 	if expired {
 		return Failed
@@ -81,7 +83,8 @@
 	return Inconclusive
 }
 
-// NewRegistrationLeases returns the leases of a new leader: each has its full TTL from now on.
+// NewRegistrationLeases returns the leases of a new leader: each lasts for its full TTL from now, a
+// time on the state's clock.
 func NewRegistrationLeases(c LeaseConfig, s *State, now time.Duration) *RegistrationLeases {
 	l := &RegistrationLeases{config: c, leases: map[string]registrationLease{}, expiriesByService: map[string]*expiryWindow{}}
 	for _, entry := range s.Entries {
@@ -92,8 +95,8 @@
 	return l
 }
 
-// Renew extends the lease of an instance that was heard. It returns Superseded if a newer
-// instance has the name, and Unknown if the instance is not registered.
+// Renew extends the lease of an instance to a full TTL from now. It returns Done, Superseded if a
+// newer instance has the name, or Unknown if the instance is not registered.
 func (l *RegistrationLeases) Renew(s *State, ref InstanceRef, now time.Duration) Code {
 	entry := s.Entries[ref.Name]
 	switch {
@@ -111,25 +114,26 @@
 	l.leases[entry.Endpoint.Name] = registrationLease{entry.Endpoint.StartedMs, now + l.config.TTL}
 }
 
-// lease returns the lease of an entry's current instance, if it has one already.
+// lease returns the lease of an entry's current instance, and whether it has one yet.
 func (l *RegistrationLeases) lease(entry *Entry) (registrationLease, bool) {
 	lease, known := l.leases[entry.Endpoint.Name]
 	return lease, known && lease.startedMs == entry.Endpoint.StartedMs
 }
 
-// lateAt returns when a lease is late. Servers renew three times per TTL, so one that was not
-// heard for half of it is; in a mass failure all are, by the time the first lease is over.
+// lateAt returns the time from which on a lease is late: half a TTL after the last renewal, as
+// servers renew three times per TTL. In a mass failure the leases of all failed servers are late by
+// the time the first of them expires.
 func (l *RegistrationLeases) lateAt(lease registrationLease) time.Duration {
 	return lease.expiresAt - l.config.TTL/2
 }
 
 // maxSuspects bounds the servers that observers are asked about at once. A zone of the largest
-// fleet has to be decided within seconds, at one question a second.
+// fleet has to be decided on within seconds, at one request a second.
 const maxSuspects = 256
 
 // Suspected returns the servers about which other processes should be asked, since their
-// leases are late or over: at most maxSuspects, the longest suspected first. If there are more,
-// each call returns the next part of them.
+// leases are late or have expired: at most maxSuspects, in the order in which their leases expire.
+// If there are more, each call returns the next part of them.
 func (l *RegistrationLeases) Suspected(s *State, now time.Duration) []InstanceRef {
 	if l.nothingDue(s, now) {
 		return nil
@@ -170,8 +174,8 @@
 
 // Decide returns what the leader is to propose now: which registrations expire, which are
 // quarantined instead because of a mass failure, which have recovered from quarantine, and
-// whose damping is over. A server whose lease is over expires only if decide returns Failed;
-// so does one whose lease is merely late, unless its service is in a mass failure.
+// whose damping is over. A server expires only if its lease has expired or is late and decide
+// returns Failed; one whose lease is late stays if its service is in a mass failure.
 func (l *RegistrationLeases) Decide(s *State, now time.Duration, decide ExpiryDecider) Decision {
 	if l.nothingDue(s, now) {
 		return Decision{}
@@ -196,12 +200,12 @@
 // leaseScan is what one decision finds, server by server.
 type leaseScan struct {
 	recovered, undamped []InstanceRef // from quarantine, and whose damping is over
-	expired             []InstanceRef // their leases are over and the evidence is Failed
+	expired             []InstanceRef // their leases have expired and the evidence is Failed
 	failedEarly         []InstanceRef // their leases are late only, but the evidence is Failed
-	inconclusive        int           // late or over, and the evidence is Inconclusive
+	inconclusive        int           // their leases are late or have expired, and the evidence is Inconclusive
 	retained, undecided int           // see RegistrationLeases
 	listed              int
-	quarantined         int // and not heard again, those by service excepted
+	quarantined         int // by the fleet's share, and still without a renewal
 	services            map[string]*serviceSuspects
 }
 
@@ -252,7 +256,7 @@
 	scan.addSuspect(entry, expired, decide(entry.ref(), expired))
 }
 
-// addSuspect sorts in a server whose lease is late or, if expired is true, over.
+// addSuspect counts a server whose lease has expired or, if expired is false, is late.
 func (scan *leaseScan) addSuspect(entry *Entry, expired bool, evidence FailureEvidence) {
 	service := scan.service(entry.Endpoint.Service)
 	switch {
@@ -268,20 +272,20 @@
 		}
 	case evidence == Failed && expired:
 		scan.expired = append(scan.expired, entry.ref())
-		service.silent++
+		service.unresponsive++
 	case evidence == Failed:
 		scan.failedEarly = append(scan.failedEarly, entry.ref())
-		service.silent++
+		service.unresponsive++
 	default:
 		scan.inconclusive++
-		service.silent++
+		service.unresponsive++
 		if expired {
 			scan.undecided++
 		}
 	}
 }
 
-// service returns the counts of one service.
+// service returns the counts of one service, which are added to the scan if it has none.
 func (scan *leaseScan) service(name string) *serviceSuspects {
 	counts := scan.services[name]
 	if counts == nil {
--- a/internal/catalog/registrationleases_test.go
+++ b/internal/catalog/registrationleases_test.go
@@ -35,7 +35,7 @@
 		}
 		applyDecision(s, now, l.Decide(s, now, ExpireByLeaseOnly))
 	}
-	return len(s.List(0, true).Endpoints), s, l
+	return len(s.FullList().Endpoints), s, l
 }
 
 // applyDecision applies what the leader would propose for a decision.
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	apply(confirmed, s.Clock, Command{Kind: ConfirmRemoval})
-	if n := len(confirmed.List(0, true).Endpoints); n != 3 || confirmed.QuarantinedSince != 0 {
+	if n := len(confirmed.FullList().Endpoints); n != 3 || confirmed.QuarantinedSince != 0 {
 		t.Errorf("confirmed: %d listed", n)
 	}
 	now := 31 * time.Second
@@ -86,7 +86,7 @@
 	}
 	revision := s.Seq
 	applyDecision(s, now, l.Decide(s, now, ExpireByLeaseOnly))
-	if s.QuarantinedSince != 0 || s.Seq != revision || len(s.List(0, true).Endpoints) != 30 {
+	if s.QuarantinedSince != 0 || s.Seq != revision || len(s.FullList().Endpoints) != 30 {
 		t.Errorf("heard again: quarantined since %v, revision %d after %d", s.QuarantinedSince, s.Seq, revision)
 	}
 }
@@ -317,7 +317,7 @@
 			t.Fatalf("replacement %d: %+v", i, r)
 		}
 	}
-	if l := s.List(since-region, false); l.Full || len(l.Endpoints) != 2*region {
+	if l := s.ListSince(since - region); l.Full || len(l.Endpoints) != 2*region {
 		t.Errorf("a region lost and back is %d changes, full list %v", len(l.Endpoints), l.Full)
 	}
 	text, err := s.Encode()
@@ -328,7 +328,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again.ListedCount() != 39_000 || !reflect.DeepEqual(again.ListServices([]string{"service-0"}, 0, true), s.ListServices([]string{"service-0"}, 0, true)) {
+	if again.ListedCount() != 39_000 || !reflect.DeepEqual(again.FullServiceList([]string{"service-0"}), s.FullServiceList([]string{"service-0"})) {
 		t.Errorf("%d listed after a snapshot", again.ListedCount())
 	}
 	t.Logf("snapshot of %d bytes", len(text))
@@ -345,9 +345,9 @@
 		name string
 		step func()
 	}{
-		{"WholeList", func() { s.List(0, true) }},
-		{"WholeOf20Services", func() { s.ListServices(twenty, 0, true) }},
-		{"ChangeOf20Services", func() { s.ListServices(twenty, s.Seq-10, false) }},
+		{"WholeList", func() { s.FullList() }},
+		{"WholeOf20Services", func() { s.FullServiceList(twenty) }},
+		{"ChangeOf20Services", func() { s.ServiceListSince(twenty, s.Seq-10) }},
 		{"ChangedServices", func() { s.ChangedServices(s.Seq - 10) }},
 		{"Decide", func() { l.scannedState = nil; l.Decide(s, time.Second, ExpireByLeaseOnly) }},
 		{"DecideQuiet", func() { l.Decide(s, time.Second, ExpireByLeaseOnly) }},
--- a/internal/catalog/servicelist.go
+++ b/internal/catalog/servicelist.go
@@ -12,29 +12,35 @@
 // of the same services; a reader that would get more gets the full list.
 const MaxServiceChanges = 256
 
-// ListServices returns the full list of the services, or the entries that changed in them
-// after the revision since. It returns the full list also if the changes are not known, or
-// are much longer than it. The cost depends on the size of these services only.
-func (s *State) ListServices(services []string, since int64, full bool) endpoints.List {
-	list := endpoints.List{Seq: s.Seq, Endpoints: []endpoints.Endpoint{}}
-	if !full && s.HasChangesSince(services, since) {
-		listed := 0
-		for _, service := range services {
-			list.Endpoints = append(list.Endpoints, s.ServiceChanges(service, since)...)
-			listed += s.ServiceSize(service)
-		}
-		if len(list.Endpoints) <= listed+MaxServiceChanges {
-			return list
-		}
-		list.Endpoints = list.Endpoints[:0]
-	}
-	list.Full = true
+// FullServiceList returns the servers of the services that are listed, in the order of the services
+// and then by name. The cost depends on the size of these services only.
+func (s *State) FullServiceList(services []string) endpoints.List {
+	list := endpoints.List{Seq: s.Seq, Full: true, Endpoints: []endpoints.Endpoint{}}
 	for _, service := range services {
 		list.Endpoints = append(list.Endpoints, s.ServiceEndpoints(service)...)
 	}
 	return list
 }
 
+// ServiceListSince returns the entries that changed in the services after a revision. It returns
+// the full list of the services if the changes are not known, or are more than MaxServiceChanges
+// longer than it. The cost depends on the size of these services only.
+func (s *State) ServiceListSince(services []string, since int64) endpoints.List {
+	if !s.HasChangesSince(services, since) {
+		return s.FullServiceList(services)
+	}
+	list := endpoints.List{Seq: s.Seq, Endpoints: []endpoints.Endpoint{}}
+	listed := 0
+	for _, service := range services {
+		list.Endpoints = append(list.Endpoints, s.ServiceChanges(service, since)...)
+		listed += s.ServiceSize(service)
+	}
+	if len(list.Endpoints) <= listed+MaxServiceChanges {
+		return list
+	}
+	return s.FullServiceList(services)
+}
+
 // HasChangesSince reports whether all changes of the services after a revision are known.
 func (s *State) HasChangesSince(services []string, since int64) bool {
 	if since > s.Seq || since < s.ServiceHistory.MinRevision {
@@ -48,7 +54,8 @@
 	return true
 }
 
-// ServiceEndpoints returns the listed servers of a service, by name.
+// ServiceEndpoints returns the listed servers of a service, by name, or nil if the service has no
+// entries.
 func (s *State) ServiceEndpoints(service string) []endpoints.Endpoint {
 	index := s.serviceIndexes[service]
 	if index == nil {
@@ -111,9 +118,9 @@
 	return sizes
 }
 
-// ChangedServices returns the services that changed after the revision since, in order. It
-// returns false if that is not known, so that any service may have changed. The cost depends
-// on the number of changes only.
+// ChangedServices returns the services that changed after a revision, in order. It returns false
+// if the changes after the revision are not known any more, so that any service may have changed.
+// The cost depends on the number of changes only.
 func (s *State) ChangedServices(since int64) (services []string, known bool) {
 	if since > s.Seq || since < s.oldestRevision() || since < s.ServiceHistory.MinRevision {
 		return nil, false
--- a/internal/catalog/services_test.go
+++ b/internal/catalog/services_test.go
@@ -137,7 +137,11 @@
 				if rapid.IntRange(0, 2).Draw(t, "reads") > 0 {
 					continue
 				}
-				if err := r.apply(s.ListServices(r.services, r.revision, r.endpoints == nil)); err != nil {
+				list := s.ServiceListSince(r.services, r.revision)
+				if r.endpoints == nil {
+					list = s.FullServiceList(r.services)
+				}
+				if err := r.apply(list); err != nil {
 					t.Fatal(err)
 				}
 				if want := wantedEndpoints(s, r.services); !reflect.DeepEqual(r.endpoints, want) {
@@ -148,6 +152,22 @@
 	})
 }
 
+// listDifference returns how the encoded full list or the encoded changes since a revision differ
+// between two states, or "" if both are the same byte for byte.
+func listDifference(got, want *State, since int64) string {
+	for what, read := range map[string]func(*State) endpoints.List{
+		"full list": (*State).FullList,
+		"changes":   func(s *State) endpoints.List { return s.ListSince(since) },
+	} {
+		wanted, _ := json.Marshal(read(want))
+		found, _ := json.Marshal(read(got))
+		if !bytes.Equal(found, wanted) {
+			return fmt.Sprintf("%s: %s, want %s", what, found, wanted)
+		}
+	}
+	return ""
+}
+
 // TestReadersWithoutServicesGetSameBytes holds that readers that name no services get the same
 // bytes whatever services the servers have.
 func TestReadersWithoutServicesGetSameBytes(t *testing.T) {
@@ -166,12 +186,8 @@
 			if a != b {
 				t.Fatalf("%s: %+v, with services %+v", c.Kind, a, b)
 			}
-			for _, full := range []bool{true, false} {
-				want, _ := json.Marshal(plain.List(since, full))
-				got, _ := json.Marshal(named.List(since, full))
-				if !bytes.Equal(got, want) {
-					t.Fatalf("full %v: %s, want %s", full, got, want)
-				}
+			if difference := listDifference(named, plain, since); difference != "" {
+				t.Fatal(difference)
 			}
 		}
 	})
@@ -188,10 +204,10 @@
 	for range 2 * MaxHistory {
 		apply(s, 0, Command{Kind: SetOverride, Name: "busy", Weight: &weight})
 	}
-	if l := s.ListServices([]string{"small"}, since, false); l.Full || len(l.Endpoints) != 0 || l.Seq != s.Seq {
+	if l := s.ServiceListSince([]string{"small"}, since); l.Full || len(l.Endpoints) != 0 || l.Seq != s.Seq {
 		t.Errorf("a reader of a service without changes is sent %+v", l)
 	}
-	if l := s.ListServices([]string{"large"}, since, false); l.Full || len(l.Endpoints) != 1 {
+	if l := s.ServiceListSince([]string{"large"}, since); l.Full || len(l.Endpoints) != 1 {
 		t.Errorf("a reader far behind is sent %d entries, full %v", len(l.Endpoints), l.Full)
 	}
 	if changes := len(s.serviceIndexes["large"].changes); changes > 128 {
@@ -212,7 +228,7 @@
 	for i := range names {
 		apply(s, 0, Command{Kind: Register, Endpoint: endpointOf(fmt.Sprint("s-", i), 1, "to")})
 	}
-	if l := s.ListServices([]string{"from"}, since, false); l.Full || len(l.Endpoints) != names {
+	if l := s.ServiceListSince([]string{"from"}, since); l.Full || len(l.Endpoints) != names {
 		t.Fatalf("%d entries, full %v, want %d that are removed", len(l.Endpoints), l.Full, names)
 	}
 	for i := range MaxDepartures {
@@ -221,10 +237,10 @@
 	if len(s.ServiceHistory.Departures) != MaxDepartures {
 		t.Errorf("%d departures", len(s.ServiceHistory.Departures))
 	}
-	if l := s.ListServices([]string{"from"}, since, false); !l.Full || len(l.Endpoints) != 1 {
+	if l := s.ServiceListSince([]string{"from"}, since); !l.Full || len(l.Endpoints) != 1 {
 		t.Errorf("a reader from before a dropped departure: %+v", l)
 	}
-	if l := s.ListServices([]string{"to"}, since, false); l.Full {
+	if l := s.ServiceListSince([]string{"to"}, since); l.Full {
 		t.Error("readers of other services get the full list")
 	}
 	for i := range MaxServiceMinRevisions + 1 {
@@ -247,7 +263,7 @@
 		apply(s, 0, Command{Kind: Register, Endpoint: endpointOf(name, 1, "a")})
 		apply(s, 0, Command{Kind: Deregister, Refs: refs(name, 1)})
 	}
-	if l := s.ListServices([]string{"a"}, since, false); !l.Full || len(l.Endpoints) != 1 {
+	if l := s.ServiceListSince([]string{"a"}, since); !l.Full || len(l.Endpoints) != 1 {
 		t.Errorf("%d entries, full %v", len(l.Endpoints), l.Full)
 	}
 }
@@ -262,11 +278,11 @@
 	since := s.Seq
 	apply(s, 0, Command{Kind: RaiseRevision, Seq: 1000})
 	for _, from := range []int64{since, 999} {
-		if l := s.ListServices([]string{"a"}, from, false); !l.Full || len(l.Endpoints) != 1 || l.Seq != 1000 {
+		if l := s.ServiceListSince([]string{"a"}, from); !l.Full || len(l.Endpoints) != 1 || l.Seq != 1000 {
 			t.Errorf("a reader at revision %d: %+v", from, l)
 		}
 	}
-	if l := s.ListServices([]string{"a"}, 1000, false); l.Full || len(l.Endpoints) != 0 {
+	if l := s.ServiceListSince([]string{"a"}, 1000); l.Full || len(l.Endpoints) != 0 {
 		t.Errorf("a reader at the raised revision: %+v", l)
 	}
 	if len(s.ServiceHistory.Departures) != 0 {
@@ -287,18 +303,18 @@
 	if err := checkIndex(s); err != nil {
 		t.Fatal(err)
 	}
-	l := s.ListServices([]string{""}, 106, false)
+	l := s.ServiceListSince([]string{""}, 106)
 	if !l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "s" || l.Endpoints[0].Service != "" {
 		t.Errorf("readers of the default service: %+v", l)
 	}
-	if l := s.ListServices([]string{"a"}, 106, false); !l.Full || len(l.Endpoints) != 0 {
+	if l := s.ServiceListSince([]string{"a"}, 106); !l.Full || len(l.Endpoints) != 0 {
 		t.Errorf("readers of another service: %+v", l)
 	}
-	if l := s.List(106, false); l.Full || len(l.Endpoints) != 1 {
+	if l := s.ListSince(106); l.Full || len(l.Endpoints) != 1 {
 		t.Errorf("readers of no service: %+v", l)
 	}
 	apply(s, s.Clock, Command{Kind: Register, Endpoint: endpointOf("s", 10, "a")})
-	if l := s.ListServices([]string{"", "a"}, 107, false); l.Full || len(l.Endpoints) != 2 {
+	if l := s.ServiceListSince([]string{"", "a"}, 107); l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("after it: %+v", l)
 	}
 	if r := s.Apply(&Command{FormatVersion: FormatVersion, Kind: Register, Endpoint: endpoint("old", 1)}); r.Code != Done || s.Entries["old"].Endpoint.Service != "" {
@@ -328,12 +344,8 @@
 	if r := apply(named, time.Second, Command{Kind: Register, Endpoint: with}); r.Code != Done {
 		t.Fatalf("register with a service: %+v", r)
 	}
-	for _, full := range []bool{true, false} {
-		want, _ := json.Marshal(plain.List(0, full))
-		got, _ := json.Marshal(named.List(0, full))
-		if string(got) != string(want) {
-			t.Errorf("full %v: %s, want %s", full, got, want)
-		}
+	if difference := listDifference(named, plain, 0); difference != "" {
+		t.Error(difference)
 	}
 	if named.Entries["s"].Endpoint.Service != "billing" {
 		t.Error("the state lost the entry's service")
--- a/internal/catalog/session.go
+++ b/internal/catalog/session.go
@@ -14,8 +14,8 @@
 	maxTaskKinds = 32
 )
 
-// Session is a process that can run leased tasks, from when it opens the session to when it
-// closes it or the leader does.
+// Session is a process that can run leased tasks, from the time at which the process opens the
+// session until the process or the leader closes it.
 type Session struct {
 	Process string `json:"process"`
 	ID      string `json:"id"` // drawn by the process at its start
@@ -73,7 +73,7 @@
 	return s.done()
 }
 
-// drainSession marks a session as draining, until its process opens it again.
+// drainSession marks a session as draining, until its process opens the session again.
 func (s *State) drainSession(request *Session) Result {
 	session, rejection := s.findSession(request)
 	if session == nil {
--- a/internal/catalog/state.go
+++ b/internal/catalog/state.go
@@ -16,7 +16,7 @@
 	Clock         time.Duration     `json:"clock"`
 	Entries       map[string]*Entry `json:"entries"` // by server, including recently removed ones
 	History       []entryChange     `json:"history"` // by revision
-	// QuarantinedSince is when the first of the quarantined entries was; 0: there is none.
+	// QuarantinedSince is when the first of the quarantined entries was quarantined; 0: none is.
 	QuarantinedSince time.Duration `json:"held_since,omitempty"`
 
 	Sessions        map[string]*Session    `json:"sessions,omitempty"` // by process
@@ -135,15 +135,15 @@
 	return s.done()
 }
 
-// done is the result of a command that was carried out.
+// done returns the result of a command that was carried out.
 func (s *State) done() Result { return Result{Seq: s.Seq} }
 
-// doneWithNumber is done with a fencing token or an incarnation.
+// doneWithNumber returns the result of a command that issued a fencing token or an incarnation.
 func (s *State) doneWithNumber(number int64) Result {
 	return Result{Seq: s.Seq, Fence: number}
 }
 
-// reject is the result of a command that was not carried out, and why.
+// reject returns the result of a command that was not carried out, with the formatted reason.
 func (s *State) reject(code Code, format string, args ...any) Result {
 	return Result{Code: code, Seq: s.Seq, Text: fmt.Sprintf(format, args...)}
 }
--- a/internal/catalog/taskleases.go
+++ b/internal/catalog/taskleases.go
@@ -3,55 +3,57 @@
 import "time"
 
 const (
-	// idleSessionTimeout is how long a session that holds no task stays open without being heard.
+	// idleSessionTimeout is how long a session that holds no task stays open without a renewal.
 	// Processes without a task renew twice a second.
 	idleSessionTimeout = 3 * time.Second
-	// maxGrantSilence is how long ago a process may have been heard to be given a task.
-	maxGrantSilence = time.Second
+	// grantRenewalWindow is how long after the last renewal of its session a process may be given a
+	// task.
+	grantRenewalWindow = time.Second
 	// maxTermsPerCommand bounds the terms of one command, so that an entry of the log stays small:
 	// the terms of a process that held a thousand tasks expire by several decisions.
 	maxTermsPerCommand = 256
 	// acceptTimeout is how long a successor may take to accept a transfer.
 	acceptTimeout = 2 * time.Second
-	// deathAttributionWindow is how soon after a grant the holder must have died for the task to be
-	// counted as the cause.
+	// deathAttributionWindow is the time after a grant within which the task counts as the cause of
+	// its holder's death.
 	deathAttributionWindow = 2 * time.Second
 )
 
-// TaskLeases are the leases of the sessions that run tasks. Like RegistrationLeases they exist
-// in the leader's memory only, and a new leader gives each its full TTL: what another leader
-// promised a holder is over before the task is granted to another process. It is not safe for
-// concurrent use.
+// TaskLeases holds the leases of the sessions that run tasks. Like RegistrationLeases they exist
+// in the leader's memory only. A new leader gives each its full TTL, so that every lease that its
+// predecessor extended has expired before the new leader grants the task to another process. Times
+// are on the state's clock. It is not safe for concurrent use.
 type TaskLeases struct {
-	// Absent is set by the caller: processes that the membership view does not have as present.
-	// They are given a task only if no other process can take it.
+	// Absent is set by the caller before each Decide: the processes that are not present in the
+	// membership view. They are given a task only if no other process can take it.
 	Absent map[string]bool
 
 	leaderSince time.Duration
-	lastHeard   map[string]time.Duration // by session ID
-	// expiringTerms and closingSessions have been decided to end, and may not have ended in the
-	// state yet. Until they have, no renewal may promise their holder anything.
+	lastRenewal map[string]time.Duration // by session ID
+	// expiringTerms and closingSessions are the terms and sessions whose end Decide has proposed and
+	// the state may not have applied yet. Until it has, renewals by their holders are rejected.
 	expiringTerms   map[string]int64 // fencing tokens, by task
 	closingSessions map[string]bool  // by session ID
-	// expiredAt has the sessions that held a task when they expired, by ID. They are not given
-	// another before they are heard again.
+	// expiredAt is, by session ID, when a term of the session expired. The session is not given
+	// another task before it is renewed.
 	expiredAt map[string]time.Duration
 }
 
-// NewTaskLeases returns the leases of a new leader: each has its full TTL from now on.
+// NewTaskLeases returns the leases of a new leader: each lasts for its full TTL from now, a time on
+// the state's clock.
 func NewTaskLeases(now time.Duration) *TaskLeases {
 	return &TaskLeases{
 		leaderSince:     now,
-		lastHeard:       map[string]time.Duration{},
+		lastRenewal:     map[string]time.Duration{},
 		expiringTerms:   map[string]int64{},
 		closingSessions: map[string]bool{},
 		expiredAt:       map[string]time.Duration{},
 	}
 }
 
-// Renew extends the leases of a session, by its process and ID. It returns Unknown if the
-// process has no session, Taken if its session has another ID, and Conflict while the end of
-// the session or of one of its terms is decided but not yet applied; the process then retries.
+// Renew extends the leases of a session, by its process and ID. It returns Done, Unknown if the
+// process has no session, Taken if its session has another ID, or Conflict while the end of the
+// session or of one of its terms is proposed but not yet applied; the process then retries.
 func (t *TaskLeases) Renew(s *State, process, id string, now time.Duration) Code {
 	session := s.Sessions[process]
 	switch {
@@ -70,29 +72,29 @@
 			return Conflict
 		}
 	}
-	t.lastHeard[id] = max(t.lastHeard[id], now)
+	t.lastRenewal[id] = max(t.lastRenewal[id], now)
 	return Done
 }
 
-// lastSeen returns when a session was heard last, at the latest possible: a new leader does
-// not know of earlier renewals.
-func (t *TaskLeases) lastSeen(session *Session) time.Duration {
-	return max(t.lastHeard[session.ID], t.leaderSince, session.Opened)
+// latestRenewal returns the latest time at which a session can have been renewed. A new leader does
+// not know of renewals by its predecessor, so it assumes one at its election.
+func (t *TaskLeases) latestRenewal(session *Session) time.Duration {
+	return max(t.lastRenewal[session.ID], t.leaderSince, session.Opened)
 }
 
-// canTakeTasks reports whether a session may be given a task: it is not draining, and was
-// heard recently and since it expired, if it did.
+// canTakeTasks reports whether a session may be given a task: it is not draining, was renewed
+// within grantRenewalWindow, and if a term of it has expired, was renewed after that.
 func (t *TaskLeases) canTakeTasks(session *Session, now time.Duration) bool {
 	expiredAt, expired := t.expiredAt[session.ID]
-	return !session.Draining && now < t.lastSeen(session)+maxGrantSilence && (!expired || t.lastHeard[session.ID] > expiredAt)
+	return !session.Draining && now < t.latestRenewal(session)+grantRenewalWindow && (!expired || t.lastRenewal[session.ID] > expiredAt)
 }
 
-// isExpired reports whether the term of a task that is held is over. The holder counts the TTL
-// from when it sent a renewal, which is not later than lastSeen. A term that has just been
-// granted lasts for its TTL though the process may not have been heard since.
+// isExpired reports whether the current term of a task has expired. The holder counts the TTL
+// from when it sent a renewal, which is not later than latestRenewal. A term that has just been
+// granted lasts for its TTL though the session may not have been renewed since.
 func (t *TaskLeases) isExpired(s *State, task *LeasedTask, now time.Duration) bool {
 	session := s.holderSession(task)
-	return session == nil || now >= max(t.lastSeen(session), task.HolderSince)+task.TTL
+	return session == nil || now >= max(t.latestRenewal(session), task.HolderSince)+task.TTL
 }
 
 // holderSession returns the session in which a task is held, or nil if it is not open.
@@ -141,7 +143,7 @@
 	taskNames  []string
 	expired    []TermRef // at most maxTermsPerCommand
 	unaccepted []TermRef // transfers to cancel: the successor did not accept in time
-	transfers  int       // under way
+	transfers  int       // that have begun and not ended
 	// sessionsWithTasks are the IDs of the sessions that hold a task, expired or not.
 	sessionsWithTasks map[string]bool
 	// load is the number of tasks of each process once all transfers are done.
@@ -186,7 +188,8 @@
 }
 
 // attributeDeaths marks, of each session's expired terms, the one that may have killed the
-// process: the last that was granted, if the process was not heard for long after that.
+// process: the last that was granted, if the session was last renewed less than
+// deathAttributionWindow after the grant.
 func (t *TaskLeases) attributeDeaths(s *State, scan *taskScan) {
 	lastGranted := map[string]int{} // index in expired, by session ID
 	for i, term := range scan.expired {
@@ -198,7 +201,7 @@
 	for _, i := range lastGranted {
 		task := s.LeasedTasks[scan.expired[i].Name]
 		session := s.holderSession(task)
-		scan.expired[i].CountDeath = session == nil || t.lastSeen(session) < task.HolderSince+deathAttributionWindow
+		scan.expired[i].CountDeath = session == nil || t.latestRenewal(session) < task.HolderSince+deathAttributionWindow
 	}
 }
 
@@ -208,9 +211,9 @@
 	for _, session := range s.Sessions {
 		open[session.ID] = true
 	}
-	for id := range t.lastHeard {
+	for id := range t.lastRenewal {
 		if !open[id] {
-			delete(t.lastHeard, id)
+			delete(t.lastRenewal, id)
 			delete(t.closingSessions, id)
 			delete(t.expiredAt, id)
 		}
@@ -218,11 +221,11 @@
 }
 
 // appendIdleSessions appends commands that close the sessions which hold no task and were not
-// heard for idleSessionTimeout.
+// renewed for idleSessionTimeout.
 func (t *TaskLeases) appendIdleSessions(commands []Command, s *State, now time.Duration, withTasks map[string]bool) []Command {
 	for _, process := range s.ProcessNames() {
 		session := s.Sessions[process]
-		if now < t.lastSeen(session)+idleSessionTimeout || withTasks[session.ID] {
+		if now < t.latestRenewal(session)+idleSessionTimeout || withTasks[session.ID] {
 			continue
 		}
 		t.closingSessions[session.ID] = true
@@ -243,8 +246,8 @@
 	return candidates
 }
 
-// PreferredSuccessor returns the process that should have a task after its holder, or "" if
-// nobody holds the task or no other process can take it.
+// PreferredSuccessor returns the process that should have a task after its holder, or "" if no
+// process holds the task or no other process can take it.
 func (t *TaskLeases) PreferredSuccessor(s *State, name string, now time.Duration) string {
 	task := s.LeasedTasks[name]
 	if task == nil || task.Holder == "" {
--- a/internal/catalog/taskleases_test.go
+++ b/internal/catalog/taskleases_test.go
@@ -60,13 +60,13 @@
 	now         time.Duration
 	leaderSince time.Duration
 	sessions    map[string]string        // IDs of the processes that run
-	lastHeard   map[string]time.Duration // by session ID
+	lastRenewal map[string]time.Duration // by session ID
 	starts      int                      // of processes
 }
 
 func newTaskFleet(t *rapid.T, now time.Duration) *taskFleet {
 	return &taskFleet{t: t, s: New(), leases: NewTaskLeases(now), now: now, leaderSince: now,
-		sessions: map[string]string{}, lastHeard: map[string]time.Duration{}}
+		sessions: map[string]string{}, lastRenewal: map[string]time.Duration{}}
 }
 
 // change has one process start, die, drain or shut down, or another leader take over.
@@ -79,7 +79,7 @@
 		id := fmt.Sprint(process, "-", f.starts)
 		if r := apply(f.s, f.now, Command{Kind: OpenSession, Session: &Session{Process: process, ID: id, MaxTasks: rapid.IntRange(1, 30).Draw(f.t, "cap"),
 			Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(f.t, "zone")}}); r.Code == Done {
-			f.sessions[process], f.lastHeard[id] = id, f.now
+			f.sessions[process], f.lastRenewal[id] = id, f.now
 		}
 	case "die":
 		delete(f.sessions, process)
@@ -99,7 +99,7 @@
 func (f *taskFleet) step() (changes int) {
 	for process, id := range f.sessions {
 		if code := f.leases.Renew(f.s, process, id, f.now); code == Done {
-			f.lastHeard[id] = f.now
+			f.lastRenewal[id] = f.now
 		}
 	}
 	for _, c := range f.leases.Decide(f.s, f.now) {
@@ -119,11 +119,11 @@
 func (f *taskFleet) checkTerms(c Command) {
 	for _, term := range c.Terms {
 		if task := f.s.LeasedTasks[term.Name]; c.Kind == ExpireTerm {
-			if last := max(f.lastHeard[task.Session], f.leaderSince); f.now < last+task.TTL {
+			if last := max(f.lastRenewal[task.Session], f.leaderSince); f.now < last+task.TTL {
 				f.t.Fatalf("%s expires %v after %s was heard, its TTL is %v", term.Name, f.now-last, task.Holder, task.TTL)
 			}
 		}
-		if last := max(f.lastHeard[term.Session], f.leaderSince); c.Kind == GrantTerm && f.now >= last+maxGrantSilence {
+		if last := max(f.lastRenewal[term.Session], f.leaderSince); c.Kind == GrantTerm && f.now >= last+grantRenewalWindow {
 			f.t.Fatalf("%s is granted to %s, which was heard %v ago", term.Name, term.Process, f.now-last)
 		}
 	}
--- a/internal/catalog/term.go
+++ b/internal/catalog/term.go
@@ -12,7 +12,7 @@
 	ReasonCompleted     = "done"    // the task's function returned
 	ReasonFailed        = "failed"  // the task's function returned an error
 	ReasonTransferred   = "moved"   // the holder stopped for its successor
-	ReasonExpired       = "lapsed"  // the holder was not heard for the TTL
+	ReasonExpired       = "lapsed"  // the holder did not renew its session for the TTL
 	ReasonSessionClosed = "closed"  // the holder shut down
 	ReasonRevoked       = "revoked" // the holder was asked to stop
 )
@@ -29,12 +29,12 @@
 	maxRetryBackoff   = 5 * time.Minute
 	maxRetryDoublings = 20 // bounds the shift, far beyond maxRetryBackoff
 
-	// suspendAfterDeaths is after how many holders that died soon after the grant a task is
-	// suspended.
+	// suspendAfterDeaths is the number of holders in a row that died soon after the grant after
+	// which a task is suspended.
 	suspendAfterDeaths = 3
 )
 
-// Term is the time in which one process held a task.
+// Term is the time for which one process held a task, and why it ended.
 type Term struct {
 	Process string        `json:"process"`
 	Fence   int64         `json:"fence"`
@@ -134,7 +134,7 @@
 	session := s.Sessions[process]
 	switch {
 	case task.Holder == "":
-		return s.rejectNotHeld(task)
+		return s.rejectWithoutHolder(task)
 	case task.SuspendReason != "":
 		return s.rejectSuspended(task)
 	case task.Holder == process:
--- a/internal/catalog/wire_test.go
+++ b/internal/catalog/wire_test.go
@@ -42,6 +42,7 @@
 	golden.Includes(t, "constants.txt", quoted(golden.StringConstants(t, ".")))
 }
 
+// quoted returns the texts as Go string literals.
 func quoted(texts []string) (out []string) {
 	for _, text := range texts {
 		out = append(out, strconv.Quote(text))
@@ -49,32 +50,39 @@
 	return out
 }
 
-// TestRecordedLogGivesRecordedState applies a log with commands of every kind. Each result and
-// the state at the end are as recorded; the state's snapshot is read and written again as it is.
-func TestRecordedLogGivesRecordedState(t *testing.T) {
+// decodeCommand decodes a recorded command. It fails the test for an unknown key, and if the command
+// is encoded again differently.
+func decodeCommand(t *testing.T, line []byte) *Command {
+	t.Helper()
+	var c Command
+	decoder := json.NewDecoder(bytes.NewReader(line))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&c); err != nil {
+		t.Fatalf("%s: %v", line, err)
+	}
+	again, err := json.Marshal(&c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(again, line) {
+		t.Errorf("a command is encoded again as\n%s, and was\n%s", again, line)
+	}
+	return &c
+}
+
+// applyRecordedLog applies the recorded log to a new state, and returns that state, the results, and
+// the kinds of the commands that were carried out.
+func applyRecordedLog(t *testing.T) (s *State, results []string, applied map[string]bool) {
+	t.Helper()
 	file, err := os.Open(golden.Path("log.jsonl"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { file.Close() })
-	s := New()
-	applied := map[string]bool{}
-	var results []string
+	s, applied = New(), map[string]bool{}
 	for lines := bufio.NewScanner(file); lines.Scan(); {
-		var c Command
-		dec := json.NewDecoder(bytes.NewReader(lines.Bytes()))
-		dec.DisallowUnknownFields()
-		if err := dec.Decode(&c); err != nil {
-			t.Fatalf("%s: %v", lines.Text(), err)
-		}
-		again, err := json.Marshal(&c)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if !bytes.Equal(again, lines.Bytes()) {
-			t.Errorf("a command is encoded again as\n%s, and was\n%s", again, lines.Text())
-		}
-		r := s.Apply(&c)
+		c := decodeCommand(t, lines.Bytes())
+		r := s.Apply(c)
 		r.Text = "" // for people; it may be worded anew
 		text, err := json.Marshal(r)
 		if err != nil {
@@ -85,6 +93,13 @@
 			applied[string(c.Kind)] = true
 		}
 	}
+	return s, results, applied
+}
+
+// TestRecordedLogGivesRecordedState applies a log with commands of every kind. Each result and
+// the state at the end are as recorded.
+func TestRecordedLogGivesRecordedState(t *testing.T) {
+	s, results, applied := applyRecordedLog(t)
 	for _, kind := range golden.StringConstants(t, ".", "Kind") {
 		if !applied[kind] {
 			t.Errorf("the recorded log has no command %q that is carried out", kind)
@@ -96,7 +111,14 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "state.json", text)
-	stored, err := os.ReadFile(golden.Path("state.json"))
+	requireSameEncoding(t, "state.json")
+}
+
+// requireSameEncoding decodes a recorded snapshot, and fails the test unless it is encoded again to
+// the same bytes.
+func requireSameEncoding(t *testing.T, file string) {
+	t.Helper()
+	stored, err := os.ReadFile(golden.Path(file))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/fsm.go
+++ b/internal/control/fsm.go
@@ -142,14 +142,14 @@
 
 // fullList returns the full list.
 func (f *fsm) fullList() (list endpoints.List) {
-	f.read(func(state *catalog.State) { list = state.List(0, true) })
+	f.read(func(state *catalog.State) { list = state.FullList() })
 	return list
 }
 
 // changesSince returns the entries of the list that changed after a version, or the full list if
 // the state doesn't have the history for that.
 func (f *fsm) changesSince(version int64) (list endpoints.List) {
-	f.read(func(state *catalog.State) { list = state.List(version, false) })
+	f.read(func(state *catalog.State) { list = state.ListSince(version) })
 	return list
 }
 
--- a/internal/control/servicetopics.go
+++ b/internal/control/servicetopics.go
@@ -228,7 +228,7 @@
 	list := endpoints.List{Full: true}
 	t.fsm.read(func(state *catalog.State) {
 		if state.HasChangesSince(services, since) {
-			list = state.ListServices(services, since, false)
+			list = state.ServiceListSince(services, since)
 		}
 	})
 	if list.Full {
