--- a/internal/catalog/servicelist.go
+++ b/internal/catalog/servicelist.go
@@ -26,7 +26,7 @@
 // the full list of the services if the changes are not known, or are more than MaxServiceChanges
 // longer than it. The cost depends on the size of these services only.
 func (s *State) ServiceListSince(services []string, since int64) endpoints.List {
-	if !s.HasChangesSince(services, since) {
+	if !s.KnowsChangesSince(services, since) {
 		return s.FullServiceList(services)
 	}
 	list := endpoints.List{Seq: s.Seq, Endpoints: []endpoints.Endpoint{}}
@@ -41,8 +41,8 @@
 	return s.FullServiceList(services)
 }
 
-// HasChangesSince reports whether all changes of the services after a revision are known.
-func (s *State) HasChangesSince(services []string, since int64) bool {
+// KnowsChangesSince reports whether all changes of the services after a revision are known.
+func (s *State) KnowsChangesSince(services []string, since int64) bool {
 	if since > s.Seq || since < s.ServiceHistory.MinRevision {
 		return false
 	}
--- a/internal/control/listencoding.go
+++ b/internal/control/listencoding.go
@@ -60,7 +60,7 @@
 func (t *serviceTopics) estimateListBytes(services []string, since int64, full bool) int {
 	entries := 0
 	t.fsm.read(func(state *catalog.State) {
-		if !full && state.HasChangesSince(services, since) {
+		if !full && state.KnowsChangesSince(services, since) {
 			return
 		}
 		for _, name := range services {
--- a/internal/control/servicetopics.go
+++ b/internal/control/servicetopics.go
@@ -227,7 +227,7 @@
 func (t *serviceTopics) encodedChanges(services []string, since int64) (line []byte, revision int64) {
 	list := endpoints.List{Full: true}
 	t.fsm.read(func(state *catalog.State) {
-		if state.HasChangesSince(services, since) {
+		if state.KnowsChangesSince(services, since) {
 			list = state.ServiceListSince(services, since)
 		}
 	})
