--- a/internal/control/failureobservations.go
+++ b/internal/control/failureobservations.go
@@ -59,7 +59,9 @@
 		if !ok || set.startedMs != ref.StartedMs || time.Since(set.observedAt) > observationMaxAge {
 			return catalog.Inconclusive
 		}
-		switch member.DecideExpiry(voters, true, expired, set.answers) {
+		// Observations are stored only after a quorum has confirmed that this server leads.
+		evidence := member.ExpiryEvidence{Voters: voters, HasQuorum: true, LeaseExpired: expired, Answers: set.answers}
+		switch member.DecideExpiry(evidence) {
 		case member.DecisionRetain:
 			return catalog.Alive
 		case member.DecisionRemove:
--- a/internal/member/compare.go
+++ b/internal/member/compare.go
@@ -34,9 +34,12 @@
 	return differences
 }
 
-// ownOpinions returns, by member and observer, the opinions that observers have of others.
-func ownOpinions(views []View) map[string]map[string]ownOpinion {
-	opinions := map[string]map[string]ownOpinion{}
+// opinionsByObserver is the opinions of one member, by the name of the observer.
+type opinionsByObserver map[string]ownOpinion
+
+// ownOpinions returns, by member, the opinions that observers have of others.
+func ownOpinions(views []View) map[string]opinionsByObserver {
+	opinions := map[string]opinionsByObserver{}
 	for i := range views {
 		observer := views[i].From
 		for j := range views[i].Members {
@@ -46,7 +49,7 @@
 					continue
 				}
 				if opinions[e.Name] == nil {
-					opinions[e.Name] = map[string]ownOpinion{}
+					opinions[e.Name] = opinionsByObserver{}
 				}
 				opinions[e.Name][observer] = ownOpinion{o, e.Role}
 			}
@@ -55,9 +58,8 @@
 	return opinions
 }
 
-// compareOpinions compares the opinions of one member, by observer, and reports whether
-// they differ.
-func compareOpinions(views []View, name string, opinions map[string]ownOpinion) (Difference, bool) {
+// compareOpinions compares the opinions of one member, and reports whether they differ.
+func compareOpinions(views []View, name string, opinions opinionsByObserver) (Difference, bool) {
 	d := Difference{Name: name, States: map[string]string{}, ForMs: -1}
 	observers := map[State][]string{}
 	incarnations := map[int64]bool{}
@@ -85,9 +87,9 @@
 	return d, true
 }
 
-// observersWithout returns the processes that have no opinion of a member other than
-// themselves, in the order of the views.
-func observersWithout(views []View, name string, opinions map[string]ownOpinion) (absent []string) {
+// observersWithout returns the processes, other than the member itself, that have no opinion of the
+// member, in the order of the views.
+func observersWithout(views []View, name string, opinions opinionsByObserver) (absent []string) {
 	for i := range views {
 		from := views[i].From
 		if _, has := opinions[from]; from != name && !has {
@@ -97,8 +99,8 @@
 	return absent
 }
 
-// dissenter returns the only observer that disagrees with all others, or "". observers are
-// those of each state, and total is their number.
+// dissenter returns the only observer that disagrees with all others, or "". observers holds, by
+// state, the observers with that opinion, whose number is total; absent has those without any.
 func dissenter(observers map[State][]string, total int, absent []string) string {
 	if len(observers) == 2 && total > 2 {
 		for _, names := range observers {
--- a/internal/member/doc.go
+++ b/internal/member/doc.go
@@ -14,14 +14,14 @@
 //     ping just before the library reported it dead.
 //   - Agents and servers hold a session at one server of the control plane at a time. When
 //     the session ends, the member stays Present for Config.SessionGrace, as it may move to
-//     another server, then is Suspect for Config.FailTimeout, then Failed. If another
-//     observer sees it meanwhile, this process drops its own observation.
+//     another server, then is Suspect for Config.FailTimeout, then Failed. If the member is
+//     Present for another observer meanwhile, this process drops its own observation.
 //
 // Two guards keep a fault of this process from looking like a fault of the others. If more
 // than Config.MassFailureShare of the gossiping members fail within
 // Config.MassFailureWindow, their failures are Suspect until most observers that are left
-// agree. And for Config.MassFailureDelay after a pause of this process, it suspects nobody of
-// silence.
+// agree. And for Config.MassFailureDelay after a pause of this process, it suspects no member for
+// unanswered pings.
 //
 // # Reports
 //
@@ -35,8 +35,8 @@
 // # Views
 //
 // A View combines this process's own observations with the reports of the others, by a
-// majority for members that gossip. It is evidence for a person and for decisions; only the
-// replicated catalog says who is registered.
+// majority for members that gossip. It informs operators and decisions; which servers are
+// registered is in the replicated catalog only.
 //
 // # Decisions
 //
--- a/internal/member/expiry_test.go
+++ b/internal/member/expiry_test.go
@@ -126,7 +126,7 @@
 		}
 	}
 	decision := leases.Decide(state, expiryTTL, func(ref catalog.InstanceRef, lapsed bool) catalog.FailureEvidence {
-		switch DecideExpiry(threeVoters, c.observers.quorum, lapsed, answers[serverIndex(ref.Name)]) {
+		switch DecideExpiry(ExpiryEvidence{threeVoters, c.observers.quorum, lapsed, answers[serverIndex(ref.Name)]}) {
 		case DecisionRetain:
 			return catalog.Alive
 		case DecisionRemove:
--- a/internal/member/gossipevents.go
+++ b/internal/member/gossipevents.go
@@ -3,7 +3,7 @@
 import "time"
 
 // MemberAlive handles the gossip library's notification that a member is alive or has
-// changed its Info.
+// changed its Info. An Info of an earlier incarnation is counted as stale and changes nothing.
 func (t *Tracker) MemberAlive(now time.Duration, info Info) {
 	if m := t.members[info.Name]; m != nil && info.Incarnation == 0 {
 		// The member has restarted and the catalog has not assigned its incarnation yet. The
@@ -15,13 +15,15 @@
 		return
 	}
 	m.reportedDead, m.deadline = false, 0
-	if m.lastHeard == 0 {
-		m.lastHeard = now
+	if m.lastContact == 0 {
+		m.lastContact = now
 	}
 	t.updateOwnState(now, m)
 }
 
-// MemberDead handles the gossip library's notification that a member has failed or left.
+// MemberDead handles the gossip library's notification that a member has failed or left. A failure
+// during a mass failure, or while this process is SelfSuspect, is deferred: the member is Suspect
+// for at least Config.MassFailureDelay.
 func (t *Tracker) MemberDead(now time.Duration, name string) {
 	m := t.members[name]
 	if m == nil || m.reportedDead {
@@ -38,29 +40,29 @@
 	t.updateOwnState(now, m)
 }
 
-// ExpectPeer notes that this process pings a member from now on, so that the member's
-// silence counts.
+// ExpectPeer records that this process pings a member from now on. The member is Suspect once it
+// has not answered for Config.PeerTimeout.
 func (t *Tracker) ExpectPeer(now time.Duration, name string) {
 	if m := t.members[name]; m != nil && !m.directPeer {
-		m.directPeer, m.lastHeard = true, now
+		m.directPeer, m.lastContact = true, now
 	}
 }
 
 // PeerAnswered handles a member's answer to a ping of this process.
 func (t *Tracker) PeerAnswered(now time.Duration, name string) {
 	if m := t.members[name]; m != nil {
-		m.lastHeard = max(m.lastHeard, now)
+		m.lastContact = max(m.lastContact, now)
 		t.updateOwnState(now, m)
 	}
 }
 
 // Paused handles a pause of this process itself, which ended now: all deadlines move by its
-// duration, and for Config.MassFailureDelay nobody is suspected of silence.
+// duration, and for Config.MassFailureDelay no member is suspected for unanswered pings.
 func (t *Tracker) Paused(now, duration time.Duration) {
 	t.selfSuspectUntil = max(t.selfSuspectUntil, now+t.config.MassFailureDelay)
 	for _, m := range t.members {
-		if m.lastHeard > 0 {
-			m.lastHeard = min(m.lastHeard+duration, now)
+		if m.lastContact > 0 {
+			m.lastContact = min(m.lastContact+duration, now)
 		}
 		if m.deadline > 0 {
 			m.deadline += duration
@@ -72,29 +74,43 @@
 	}
 }
 
-// SelfSuspect reports whether this process was slow itself within Config.MassFailureDelay,
-// so that what it did not hear shows nothing about others.
+// SelfSuspect reports whether this process was paused within Config.MassFailureDelay, so that an
+// answer that it missed is no evidence against another process.
 func (t *Tracker) SelfSuspect(now time.Duration) bool { return now < t.selfSuspectUntil }
 
-// massFailure reports whether more gossiping members failed within the window than may.
+// massFailure reports whether more than Config.MassFailureShare of the gossiping members, and more
+// than one, failed within the window. It drops the failures before the window.
 func (t *Tracker) massFailure(now time.Duration) bool {
 	for len(t.recentFailures) > 0 && now-t.recentFailures[0].at > t.config.MassFailureWindow {
 		t.recentFailures = t.recentFailures[1:]
 	}
+	failed := t.recentlyFailed()
+	allowed := max(int(t.config.MassFailureShare*float64(t.countGossiping(failed))), 1)
+	return len(failed) > allowed
+}
+
+// recentlyFailed returns the names of the members that failed within the window and have not come
+// back.
+func (t *Tracker) recentlyFailed() map[string]bool {
 	failed := map[string]bool{}
 	for _, failure := range t.recentFailures {
 		if m := t.members[failure.name]; m != nil && m.reportedDead {
 			failed[failure.name] = true
 		}
 	}
+	return failed
+}
+
+// countGossiping returns the number of the gossiping members, this process included, that are
+// alive here or have recently failed.
+func (t *Tracker) countGossiping(failed map[string]bool) int {
 	members := 1 // this process
 	for name, m := range t.members {
 		if m.info.Role.Gossips() && (failed[name] || m.ownState == Present || m.ownState == Suspect || m.ownState == Joining) {
 			members++
 		}
 	}
-	allowed := max(int(t.config.MassFailureShare*float64(members)), 1)
-	return len(failed) > allowed
+	return members
 }
 
 // updateOwnState derives this process's observation of a gossiping member.
@@ -104,13 +120,13 @@
 	}
 }
 
-// gossipState returns the state of a gossiping member by what is known of it, and clears a
-// deadline that is over.
+// gossipState returns the state of a gossiping member as this process observes it. It clears the
+// deadline of a failure that is believed.
 func (t *Tracker) gossipState(now time.Duration, m *memberRecord) State {
 	switch {
 	case m.info.ShuttingDown && m.reportedDead:
 		return Left
-	case m.reportedDead && m.directPeer && now-m.lastHeard < t.config.PeerTimeout/2:
+	case m.reportedDead && m.directPeer && now-m.lastContact < t.config.PeerTimeout/2:
 		// It has just answered a ping, so it may have been its earlier incarnation that died.
 		return Suspect
 	case m.reportedDead && m.deadline > 0 && !t.failureConfirmed(now, m):
@@ -118,7 +134,7 @@
 	case m.reportedDead:
 		m.deadline = 0
 		return Failed
-	case m.directPeer && now-m.lastHeard >= t.config.PeerTimeout && now >= t.selfSuspectUntil:
+	case m.directPeer && now-m.lastContact >= t.config.PeerTimeout && now >= t.selfSuspectUntil:
 		return Suspect
 	case m.info.Incarnation == 0:
 		return Joining
@@ -126,8 +142,12 @@
 	return Present
 }
 
+// minAgreeingObservers is the least number of observers, this process included, that confirm a
+// deferred failure.
+const minAgreeingObservers = 2
+
 // failureConfirmed reports whether a deferred failure is believed: most of the observers
-// that are present, and at least two with this process, have to agree. Before the deadline
+// that are present, and at least minAgreeingObservers, have to agree. Before the deadline
 // all of them have to.
 func (t *Tracker) failureConfirmed(now time.Duration, m *memberRecord) bool {
 	agreeing, observers := 1, 1 // this process
@@ -142,5 +162,5 @@
 			agreeing++
 		}
 	}
-	return agreeing >= 2 && 2*agreeing > observers && (now >= m.deadline || agreeing == observers)
+	return agreeing >= minAgreeingObservers && 2*agreeing > observers && (now >= m.deadline || agreeing == observers)
 }
--- a/internal/member/info.go
+++ b/internal/member/info.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 
 	"knotrouter/internal/endpoints"
@@ -32,6 +31,7 @@
 // Gossips reports whether members of the role take part in gossip themselves.
 func (r Role) Gossips() bool { return r == RoleControlPlane || r == RoleWorker }
 
+// known reports whether the role is one that this build reads.
 func (r Role) known() bool {
 	return r == RoleControlPlane || r == RoleWorker || r == RoleAgent || r == RoleServer
 }
@@ -44,11 +44,12 @@
 const (
 	Joining State = "joining" // alive, and without an incarnation from the catalog yet
 	Present State = "present"
-	Suspect State = "suspect" // not heard for a while, or observers disagree
+	Suspect State = "suspect" // it doesn't answer, or observers disagree
 	Left    State = "left"    // it announced its shutdown
 	Failed  State = "failed"
 )
 
+// known reports whether the state is one that this build reads.
 func (s State) known() bool {
 	return s == Joining || s == Present || s == Suspect || s == Left || s == Failed
 }
@@ -74,7 +75,7 @@
 	ShuttingDown bool  `json:"l,omitempty"` // a planned shutdown has begun
 	// InstanceID distinguishes processes of the same name. For a member that gossips it
 	// belongs to the folder with its state, and so survives a restart; for an agent it is
-	// that of its boot.
+	// drawn at each start.
 	InstanceID string `json:"d,omitempty"`
 }
 
@@ -86,27 +87,38 @@
 	return fmt.Sprintf("form %d, this build reads form %d", e.Version, ProtocolVersion)
 }
 
-// Validate returns an error that names the first invalid field. The error is an
-// *UnsupportedVersionError if this build does not read the version.
+// InvalidMessageError means that an Info or a Report is malformed.
+type InvalidMessageError struct{ Problem string }
+
+// Error names the invalid part of the message and says what is wrong.
+func (e *InvalidMessageError) Error() string { return e.Problem }
+
+// invalidMessage returns an *InvalidMessageError with a formatted problem.
+func invalidMessage(format string, args ...any) error {
+	return &InvalidMessageError{fmt.Sprintf(format, args...)}
+}
+
+// Validate returns an *UnsupportedVersionError if this build does not read the version, and an
+// *InvalidMessageError for the first invalid field.
 func (i *Info) Validate() error {
 	switch {
 	case i.ProtocolVersion != ProtocolVersion:
 		return &UnsupportedVersionError{i.ProtocolVersion}
 	case !endpoints.IsToken(i.Name, endpoints.MaxName):
-		return errors.New("name: must be a word")
+		return invalidMessage("name: must be a word")
 	case !i.Role.known():
-		return fmt.Errorf("role: unknown word %q", i.Role)
+		return invalidMessage("role: unknown word %q", i.Role)
 	case i.Zone != "" && !endpoints.IsToken(i.Zone, endpoints.MaxLabel),
 		len(i.ProgramVersion) > maxTextBytes, len(i.InstanceID) > maxTextBytes:
-		return errors.New("zone, program, id: must be words")
+		return invalidMessage("zone, program, id: must be words")
 	case i.Incarnation < 0:
-		return errors.New("incarnation: must be 0 or above")
+		return invalidMessage("incarnation: must be 0 or above")
 	}
 	return nil
 }
 
 // DecodeInfo decodes and validates the JSON text of an Info. On failure it returns the zero
-// Info and an error.
+// Info and an error that wraps one of Validate or of package json.
 func DecodeInfo(text []byte) (Info, error) {
 	var i Info
 	if err := json.Unmarshal(text, &i); err != nil {
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -15,7 +15,8 @@
 	seq int64
 }
 
-// observerProgress is the latest that was received of an observer's reports.
+// observerProgress identifies the latest boot of an observer, and its last full report, that were
+// received.
 type observerProgress struct {
 	incarnation int64
 	bootID      string
@@ -104,8 +105,8 @@
 	}
 }
 
-// mergeObservation stores one observation of a report, and returns false if it is not newer
-// than the stored one or is about a member that is not tracked.
+// mergeObservation stores one observation of a report. It returns false, and changes nothing, if
+// the observation is not newer than the stored one or is about a member that is not tracked.
 func (t *Tracker) mergeObservation(now time.Duration, r *Report, o Observation) bool {
 	if o.Name == t.config.Self.Name || o.Name == r.From {
 		return false
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 
 	"knotrouter/internal/endpoints"
@@ -22,6 +21,7 @@
 	ForMs       int64  `json:"t"` // for how long the observer has seen this state
 }
 
+// valid reports whether all fields are within their bounds.
 func (o *Observation) valid() bool {
 	return endpoints.IsToken(o.Name, endpoints.MaxName) &&
 		o.Role.known() &&
@@ -42,12 +42,12 @@
 	Observations    []Observation `json:"o,omitempty"`
 }
 
-// DecodeReport decodes and validates the JSON text of a Report. On failure it returns an
-// error and no observations; the error wraps an *UnsupportedVersionError if this build does
-// not read the version.
+// DecodeReport decodes and validates the JSON text of a Report. On failure it returns the zero
+// Report and an error that wraps an *UnsupportedVersionError if this build does not read the
+// version, and otherwise an *InvalidMessageError or the error of package json.
 func DecodeReport(text []byte) (Report, error) {
 	if len(text) > maxReportBytes {
-		return Report{}, fmt.Errorf("report: over %d bytes", maxReportBytes)
+		return Report{}, fmt.Errorf("report: %w", invalidMessage("over %d bytes", maxReportBytes))
 	}
 	var r Report
 	if err := json.Unmarshal(text, &r); err != nil {
@@ -57,13 +57,13 @@
 	case r.ProtocolVersion != ProtocolVersion:
 		return Report{}, fmt.Errorf("report: %w", &UnsupportedVersionError{r.ProtocolVersion})
 	case !endpoints.IsToken(r.From, endpoints.MaxName):
-		return Report{}, errors.New("report: from: must be a word")
+		return Report{}, fmt.Errorf("report: %w", invalidMessage("from: must be a word"))
 	case len(r.Observations) > MaxMembers:
-		return Report{}, fmt.Errorf("report: %d members of at most %d", len(r.Observations), MaxMembers)
+		return Report{}, fmt.Errorf("report: %w", invalidMessage("%d members of at most %d", len(r.Observations), MaxMembers))
 	}
 	for i := range r.Observations {
 		if !r.Observations[i].valid() {
-			return Report{}, fmt.Errorf("report: member %d makes no sense", i)
+			return Report{}, fmt.Errorf("report: %w", invalidMessage("member %d makes no sense", i))
 		}
 	}
 	return r, nil
--- a/internal/member/reporting.go
+++ b/internal/member/reporting.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// FullReport returns all observations of this process, by name. The caller sets the boot ID.
+// FullReport returns all observations of this process, by name. The caller sets the report's boot ID.
 func (t *Tracker) FullReport(now time.Duration) Report {
 	r := t.newReport(true)
 	for _, m := range t.members {
@@ -18,8 +18,9 @@
 	return r
 }
 
-// PendingReport returns the observations that have changed since they were last returned
-// here, maxObservations at most, and whether there are any. The caller sets the boot ID.
+// PendingReport returns a partial report of the observations whose states have changed since the
+// last partial report that had them, at most maxObservations, and whether there are any. The caller
+// sets the report's boot ID.
 func (t *Tracker) PendingReport(now time.Duration, maxObservations int) (r Report, pending bool) {
 	var names []string
 	for name, m := range t.members {
--- a/internal/member/sessionevents.go
+++ b/internal/member/sessionevents.go
@@ -13,34 +13,36 @@
 func (t *Tracker) SessionOpened(now time.Duration, info Info) {
 	if m := t.upsert(now, info); m != nil {
 		m.openSessions++
-		m.lastHeard, m.deadline = now, 0
+		m.lastContact, m.deadline = now, 0
 		t.setOwnState(now, m, Present)
 	}
 }
 
-// SessionClosed handles the end of a session that was open at this process. With the
-// member's last session its grace period begins.
+// SessionClosed handles the end of a session that was open at this process. The grace period of the
+// member begins with the end of its last session. Without an open session it does nothing.
 func (t *Tracker) SessionClosed(now time.Duration, name string) {
 	if m := t.members[name]; m != nil && m.openSessions > 0 {
 		if m.openSessions--; m.openSessions == 0 {
-			m.lastHeard = now
+			m.lastContact = now
 			m.deadline = now + t.config.SessionGrace
 		}
 	}
 }
 
-// Heartbeat handles a sign of life of a member that has no session; it counts for validFor.
+// Heartbeat handles a renewal by a member that has no session: the member is Present for the
+// duration validFor.
 func (t *Tracker) Heartbeat(now time.Duration, info Info, validFor time.Duration) {
 	if m := t.upsert(now, info); m != nil {
-		m.lastHeard, m.deadline = now, now+validFor
+		m.lastContact, m.deadline = now, now+validFor
 		t.setOwnState(now, m, Present)
 	}
 }
 
-// Leave handles a member's own announcement that it shuts down.
+// Leave handles a member's own announcement that it shuts down. An announcement of an earlier
+// instance is counted as stale and changes nothing.
 func (t *Tracker) Leave(now time.Duration, info Info) {
 	if m := t.members[info.Name]; m != nil && m.info.InstanceID != info.InstanceID {
-		t.counts.Stale++ // a late announcement of the instance before
+		t.counts.Stale++ // a late announcement of an earlier instance
 		return
 	}
 	if m := t.upsert(now, info); m != nil {
@@ -49,7 +51,8 @@
 	}
 }
 
-// updateSession lets the state of a member without an open session advance with time.
+// updateSession updates the state of a member without an open session: a deadline may have passed,
+// or another observer may have the member's session now.
 func (t *Tracker) updateSession(now time.Duration, m *memberRecord) {
 	switch {
 	case m.openSessions > 0:
@@ -60,8 +63,9 @@
 	}
 }
 
-// sessionDeadline handles a deadline that is over: the member has moved to another observer,
-// or its state goes on from present to suspect, or from suspect to failed.
+// sessionDeadline handles a deadline that has passed: if the member's session has moved to another
+// observer, this process's observation is dropped; otherwise the state changes from present to
+// suspect, or from suspect to failed.
 func (t *Tracker) sessionDeadline(now time.Duration, m *memberRecord) {
 	if m.ownState != Present && m.ownState != Suspect {
 		return
--- a/internal/member/tick.go
+++ b/internal/member/tick.go
@@ -13,10 +13,10 @@
 	From, To State // From is empty for a member that is new in the view
 }
 
-// Tick lets time pass: it expires old observations, advances states whose deadline is over
-// and removes the records of members that ended long ago. It returns the members whose state
-// in the view has changed since the last Tick, by name. It has to be called a few times a
-// second.
+// Tick updates everything that depends on the time: it expires old observations, changes the states
+// whose deadlines have passed, and removes the records of members that failed or left longer than
+// Config.TombstoneRetention ago. It returns the members whose state in the view has changed since
+// the last Tick, by name. It has to be called a few times a second.
 func (t *Tracker) Tick(now time.Duration) (changes []Change) {
 	for name, m := range t.members {
 		t.expireObservations(now, m)
@@ -48,14 +48,15 @@
 	}
 }
 
-// tombstoneExpired reports whether a member ended so long ago that its record is removed.
+// tombstoneExpired reports whether a member failed or left so long ago that its record is removed.
 func (t *Tracker) tombstoneExpired(now time.Duration, m *memberRecord) bool {
 	ended := m.ownState == Failed || m.ownState == Left || m.ownState == ""
 	return ended && now-m.ownStateSince > t.config.TombstoneRetention && len(m.peerObservations) == 0
 }
 
-// publish compares a member's state in the view with that of the last Tick. It returns false
-// if the state is the same, or if the member has vanished from the view.
+// publish records a member's state in the view, and returns its change since the last Tick. It
+// returns false if the state is the same, or if no observer has an observation of the member any
+// more.
 func (t *Tracker) publish(now time.Duration, m *memberRecord) (Change, bool) {
 	if t.combinedState(m) == "" && m.lastPublished == Present && !m.info.Role.Gossips() {
 		// The only observer that saw the member has ended. The member has the grace period of
--- a/internal/member/tracker.go
+++ b/internal/member/tracker.go
@@ -8,16 +8,16 @@
 	// PeerTimeout is how long a peer may leave this process's own pings unanswered before it
 	// is suspected.
 	PeerTimeout time.Duration
-	// SessionGrace is how long a member may be without a session, as it moves from one
+	// SessionGrace is how long a member may be without a session, while its session moves from one
 	// server of the control plane to another, before it is suspected. FailTimeout is how
 	// long it is suspected before it counts as failed.
 	SessionGrace, FailTimeout time.Duration
-	// MassFailureShare is the share of the gossiping members that may fail within
+	// MassFailureShare is the share of the gossiping members, 0 to 1, that may fail within
 	// MassFailureWindow. If more of them do, each of these failures is only suspected for
 	// MassFailureDelay, and then until most observers agree.
 	MassFailureShare                    float64
 	MassFailureWindow, MassFailureDelay time.Duration
-	// ReportRetention is how long an observation counts that its observer does not renew.
+	// ReportRetention is how long another observer's observation counts after its last report.
 	ReportRetention time.Duration
 	// TombstoneRetention is how long the record of a member that failed or left is kept.
 	TombstoneRetention time.Duration
@@ -48,14 +48,14 @@
 	recentFailures   []failureEvent              // of gossiping members, within the mass failure window
 	version          int64                       // of the view
 	reportSeq        int64                       // of the last report that was made
-	selfSuspectUntil time.Duration               // until then this process counts as slow, and suspects nobody of silence
+	selfSuspectUntil time.Duration               // until then this process counts as slow and suspects no member for unanswered pings
 	counts           Counts
 }
 
 // Counts holds a Tracker's counters since its start.
 type Counts struct {
 	Stale          int64 // messages of an earlier incarnation, or out of order
-	Deferred       int64 // failures that were not believed at once: a mass failure, or this process was slow
+	Deferred       int64 // failures that were not believed at once: a mass failure, or this process was paused
 	Suspects       int64 // times that a gossiping member became suspect
 	FalsePositives int64 // times that a suspect gossiping member became present again
 	Overflow       int64 // new members that were ignored, as there were MaxMembers already
@@ -74,12 +74,12 @@
 	ownState      State // as this process observes it; empty without an observation
 	ownStateSince time.Duration
 	openSessions  int           // sessions of the member at this process
-	lastHeard     time.Duration // when this process itself last heard from the member
+	lastContact   time.Duration // when the member last answered a ping of this process, renewed or had a session here
 	directPeer    bool          // this process pings the member itself
 	reportedDead  bool          // by the gossip library
-	// deadline is 0 or a time. For a member that gossips, it is when a deferred failure may
-	// be believed. For one that has sessions, it is when the own state turns from present to
-	// suspect, or from suspect to failed.
+	// deadline is the time, or 0 for none, at which a deferred failure of a member that gossips may
+	// be believed, or at which the own state of a member that has sessions changes from present to
+	// suspect or from suspect to failed.
 	deadline         time.Duration
 	peerObservations map[string]peerObservation // by the observer's name
 	lastReported     State                      // the own state in the last partial report
@@ -119,8 +119,8 @@
 	return m.info.InstanceID, state != Failed && state != Left
 }
 
-// AddAbsent adds to the set the names of the gossiping members that are neither present nor
-// joining in the view.
+// AddAbsent adds to the set names the gossiping members that are neither present nor joining in the
+// view.
 func (t *Tracker) AddAbsent(names map[string]bool) {
 	for name, m := range t.members {
 		if state := t.combinedState(m); m.info.Role.Gossips() && state != Present && state != Joining {
--- a/internal/member/tracker_test.go
+++ b/internal/member/tracker_test.go
@@ -13,8 +13,8 @@
 	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleAgent, InstanceID: bootID}
 }
 
-// newTrackerOfFive returns the Tracker of the server a, to which four others are present and
-// were heard just now.
+// newTrackerOfFive returns the Tracker of the server a, for which four others are present and have
+// answered its pings just now.
 func newTrackerOfFive(now time.Duration) *Tracker {
 	t := NewTracker(Defaults(controlPlaneServer("a", 1)))
 	for _, name := range []string{"b", "c", "d", "e"} {
@@ -39,9 +39,95 @@
 	return r
 }
 
-// trackerEvents are the events of a Tracker by time; each is a function of the Tracker and
-// of that time.
-type trackerEvents map[time.Duration]func(t *Tracker, now time.Duration)
+// trackerEvent is an event at a time of a Tracker.
+type trackerEvent func(t *testing.T, tracker *Tracker, now time.Duration)
+
+// trackerEvents are the events of a Tracker by time.
+type trackerEvents map[time.Duration][]trackerEvent
+
+// dead returns the event that the gossip library reports members as dead, in this order.
+func dead(names ...string) trackerEvent {
+	return func(_ *testing.T, tracker *Tracker, now time.Duration) {
+		for _, name := range names {
+			tracker.MemberDead(now, name)
+		}
+	}
+}
+
+// alive returns the event that the gossip library reports a member as alive or changed.
+func alive(info Info) trackerEvent {
+	return func(_ *testing.T, tracker *Tracker, now time.Duration) { tracker.MemberAlive(now, info) }
+}
+
+// answered returns the event that members answer pings.
+func answered(names ...string) trackerEvent {
+	return func(_ *testing.T, tracker *Tracker, now time.Duration) {
+		for _, name := range names {
+			tracker.PeerAnswered(now, name)
+		}
+	}
+}
+
+// reported returns the event that a report is received.
+func reported(r *Report) trackerEvent {
+	return func(_ *testing.T, tracker *Tracker, now time.Duration) { tracker.MergeReport(now, r) }
+}
+
+// reportedBy returns the event that each observer sees a member in one state.
+func reportedBy(observers []string, state State, incarnation int64, member string) trackerEvent {
+	return func(_ *testing.T, tracker *Tracker, now time.Duration) {
+		for i, from := range observers {
+			tracker.MergeReport(now, newReportFrom(from, int64(i+1), state, incarnation, member))
+		}
+	}
+}
+
+// sessionOpened returns the event that a session of an agent begins.
+func sessionOpened(info Info) trackerEvent {
+	return func(_ *testing.T, tracker *Tracker, now time.Duration) { tracker.SessionOpened(now, info) }
+}
+
+// sessionClosed returns the event that a session of an agent ends.
+func sessionClosed(name string) trackerEvent {
+	return func(_ *testing.T, tracker *Tracker, now time.Duration) { tracker.SessionClosed(now, name) }
+}
+
+// agentLeaves returns the event that an agent announces its shutdown.
+func agentLeaves(info Info) trackerEvent {
+	return func(_ *testing.T, tracker *Tracker, now time.Duration) { tracker.Leave(now, info) }
+}
+
+// paused returns the event that a pause of this process ends.
+func paused(duration time.Duration) trackerEvent {
+	return func(_ *testing.T, tracker *Tracker, now time.Duration) { tracker.Paused(now, duration) }
+}
+
+// instanceIs returns a check that a member may be alive and has an instance ID.
+func instanceIs(name, want string) trackerEvent {
+	return func(t *testing.T, tracker *Tracker, _ time.Duration) {
+		if id, mayBeAlive := tracker.InstanceID(name); !mayBeAlive || id != want {
+			t.Errorf("the instance ID of %s is %q, may be alive: %v; want %q", name, id, mayBeAlive, want)
+		}
+	}
+}
+
+// shuttingDown returns an Info with which a member announces its shutdown.
+func shuttingDown(info Info) Info {
+	info.ShuttingDown = true
+	return info
+}
+
+// withInstanceID returns an Info of another instance.
+func withInstanceID(info Info, id string) Info {
+	info.InstanceID = id
+	return info
+}
+
+// withBootID returns a report of another boot of the observer.
+func withBootID(r *Report, id string) *Report {
+	r.BootID = id
+	return r
+}
 
 // wantedState is the state of a member that the view has to show at a time.
 type wantedState struct {
@@ -57,244 +143,111 @@
 
 // trackerCases are sequences of events at the server a of five, and the states that follow.
 var trackerCases = map[string]trackerCase{
-	"a failure is believed once the member was silent for a while, and a return at once": {
-		events: trackerEvents{
-			1 * time.Second: func(t *Tracker, now time.Duration) { t.MemberDead(now, "b") },
-			10 * time.Second: func(t *Tracker, now time.Duration) {
-				t.MemberAlive(now, controlPlaneServer("b", 2))
-				t.PeerAnswered(now, "b")
-			},
-		},
-		want: []wantedState{
-			{1 * time.Second, "b", Suspect},
-			{2 * time.Second, "b", Failed},
-			{9 * time.Second, "b", Failed},
-			{10 * time.Second, "b", Present},
+	"a failure is believed after a while without answers to pings, and a return at once": {
+		trackerEvents{
+			1 * time.Second:  {dead("b")},
+			10 * time.Second: {alive(controlPlaneServer("b", 2)), answered("b")},
 		},
+		[]wantedState{{1 * time.Second, "b", Suspect}, {2 * time.Second, "b", Failed}, {9 * time.Second, "b", Failed}, {10 * time.Second, "b", Present}},
 	},
 	"a member that does not answer pings is suspect, and not failed by that alone": {
-		events: trackerEvents{
-			1 * time.Second: func(t *Tracker, now time.Duration) {
-				t.PeerAnswered(now, "c")
-				t.PeerAnswered(now, "d")
-				t.PeerAnswered(now, "e")
-			},
-		},
-		want: []wantedState{
-			{2 * time.Second, "b", Present},
-			{3 * time.Second, "b", Suspect},
-			{3 * time.Second, "c", Present},
-			{30 * time.Second, "b", Suspect},
-		},
+		trackerEvents{1 * time.Second: {answered("c", "d", "e")}},
+		[]wantedState{{2 * time.Second, "b", Present}, {3 * time.Second, "b", Suspect}, {3 * time.Second, "c", Present}, {30 * time.Second, "b", Suspect}},
 	},
 	"suspected by one of four observers, it is present": {
-		events: trackerEvents{
-			1 * time.Second: func(t *Tracker, now time.Duration) {
-				for i, from := range []string{"c", "d", "e"} {
-					t.MergeReport(now, newReportFrom(from, int64(i+1), Present, 1, "b"))
-				}
-			},
-		},
-		want: []wantedState{
-			{3 * time.Second, "b", Present},
-			{9 * time.Second, "b", Present},
-		},
+		trackerEvents{1 * time.Second: {reportedBy([]string{"c", "d", "e"}, Present, 1, "b")}},
+		[]wantedState{{3 * time.Second, "b", Present}, {9 * time.Second, "b", Present}},
 	},
 	"failed for most observers": {
-		events: trackerEvents{
-			1 * time.Second: func(t *Tracker, now time.Duration) {
-				t.MergeReport(now, newReportFrom("c", 1, Failed, 1, "b"))
-				t.MergeReport(now, newReportFrom("d", 1, Failed, 1, "b"))
-			},
-		},
-		want: []wantedState{
-			{1 * time.Second, "b", Failed},
-		},
+		trackerEvents{1 * time.Second: {reported(newReportFrom("c", 1, Failed, 1, "b")), reported(newReportFrom("d", 1, Failed, 1, "b"))}},
+		[]wantedState{{1 * time.Second, "b", Failed}},
 	},
 	"a mass failure is not believed, however long it lasts": {
-		events: trackerEvents{
-			4 * time.Second: func(t *Tracker, now time.Duration) {
-				t.MemberDead(now, "b")
-				t.MemberDead(now, "c")
-				t.MemberDead(now, "d")
-				t.MemberDead(now, "e")
-			},
-		},
-		want: []wantedState{
-			{5 * time.Second, "e", Suspect},
-			{60 * time.Second, "e", Suspect},
-			{60 * time.Second, "d", Suspect},
-		},
+		trackerEvents{4 * time.Second: {dead("b", "c", "d", "e")}},
+		[]wantedState{{5 * time.Second, "e", Suspect}, {60 * time.Second, "e", Suspect}, {60 * time.Second, "d", Suspect}},
 	},
 	"a mass failure is believed once most remaining observers agree": {
-		events: trackerEvents{
-			4 * time.Second: func(t *Tracker, now time.Duration) {
-				t.PeerAnswered(now, "e")
-				t.MemberDead(now, "b")
-				t.MemberDead(now, "c")
-				t.MemberDead(now, "d")
-			},
-			5 * time.Second: func(t *Tracker, now time.Duration) {
-				t.PeerAnswered(now, "e")
-				t.MergeReport(now, newReportFrom("e", 1, Suspect, 1, "b", "c", "d"))
-			},
-			6 * time.Second: func(t *Tracker, now time.Duration) {
-				t.PeerAnswered(now, "e")
-				t.MergeReport(now, newReportFrom("e", 2, Failed, 1, "b", "c", "d"))
-			},
-		},
-		want: []wantedState{
-			{4 * time.Second, "d", Suspect},
-			{5 * time.Second, "d", Suspect},
-			{6 * time.Second, "d", Failed},
+		trackerEvents{
+			4 * time.Second: {answered("e"), dead("b", "c", "d")},
+			5 * time.Second: {answered("e"), reported(newReportFrom("e", 1, Suspect, 1, "b", "c", "d"))},
+			6 * time.Second: {answered("e"), reported(newReportFrom("e", 2, Failed, 1, "b", "c", "d"))},
 		},
+		[]wantedState{{4 * time.Second, "d", Suspect}, {5 * time.Second, "d", Suspect}, {6 * time.Second, "d", Failed}},
 	},
-	"after a pause of this process no member is suspected of silence": {
-		events: trackerEvents{
-			10 * time.Second: func(t *Tracker, now time.Duration) { t.Paused(now, 10*time.Second); t.MemberDead(now, "b") },
-			11 * time.Second: func(t *Tracker, now time.Duration) {
-				t.MemberAlive(now, controlPlaneServer("b", 1))
-				for _, n := range []string{"b", "c", "d", "e"} {
-					t.PeerAnswered(now, n)
-				}
-			},
-		},
-		want: []wantedState{
-			{10 * time.Second, "b", Suspect},
-			{10 * time.Second, "c", Present},
-			{12 * time.Second, "b", Present},
+	"after a pause of this process no member is suspected for unanswered pings": {
+		trackerEvents{
+			10 * time.Second: {paused(10 * time.Second), dead("b")},
+			11 * time.Second: {alive(controlPlaneServer("b", 1)), answered("b", "c", "d", "e")},
 		},
+		[]wantedState{{10 * time.Second, "b", Suspect}, {10 * time.Second, "c", Present}, {12 * time.Second, "b", Present}},
 	},
 	"reports about an earlier incarnation change nothing": {
-		events: trackerEvents{
-			1 * time.Second: func(t *Tracker, now time.Duration) { t.MemberAlive(now, controlPlaneServer("b", 5)) },
-			2 * time.Second: func(t *Tracker, now time.Duration) {
-				for i, from := range []string{"c", "d", "e"} {
-					t.MergeReport(now, newReportFrom(from, int64(i+1), Left, 4, "b"))
-				}
-				old := controlPlaneServer("b", 4)
-				old.ShuttingDown = true
-				t.MemberAlive(now, old)
-			},
-		},
-		want: []wantedState{
-			{2 * time.Second, "b", Present},
+		trackerEvents{
+			1 * time.Second: {alive(controlPlaneServer("b", 5))},
+			2 * time.Second: {reportedBy([]string{"c", "d", "e"}, Left, 4, "b"), alive(shuttingDown(controlPlaneServer("b", 4)))},
 		},
+		[]wantedState{{2 * time.Second, "b", Present}},
 	},
 	"a planned shutdown": {
-		events: trackerEvents{
-			1 * time.Second: func(t *Tracker, now time.Duration) {
-				i := controlPlaneServer("b", 1)
-				i.ShuttingDown = true
-				t.MemberAlive(now, i)
-			},
-			2 * time.Second: func(t *Tracker, now time.Duration) { t.MemberDead(now, "b") }},
-		want: []wantedState{
-			{1 * time.Second, "b", Present},
-			{2 * time.Second, "b", Left},
-		},
+		trackerEvents{1 * time.Second: {alive(shuttingDown(controlPlaneServer("b", 1)))}, 2 * time.Second: {dead("b")}},
+		[]wantedState{{1 * time.Second, "b", Present}, {2 * time.Second, "b", Left}},
 	},
 	"restarted and without an incarnation, it is present": {
-		events: trackerEvents{
-			1 * time.Second: func(t *Tracker, now time.Duration) { t.MemberDead(now, "b") },
-			3 * time.Second: func(t *Tracker, now time.Duration) {
-				restarted := controlPlaneServer("b", 0)
-				restarted.InstanceID = "another instance"
-				t.MemberAlive(now, restarted)
-				t.PeerAnswered(now, "b")
-				if id, mayBeAlive := t.InstanceID("b"); !mayBeAlive || id != restarted.InstanceID {
-					panic("its instance ID is " + id)
-				}
+		trackerEvents{
+			1 * time.Second: {dead("b")},
+			3 * time.Second: {
+				alive(withInstanceID(controlPlaneServer("b", 0), "another instance")),
+				answered("b"),
+				instanceIs("b", "another instance"),
 			},
 		},
-		want: []wantedState{
-			{2 * time.Second, "b", Failed},
-			{3 * time.Second, "b", Present},
-		},
+		[]wantedState{{2 * time.Second, "b", Failed}, {3 * time.Second, "b", Present}},
 	},
 	"a new member without an incarnation is joining": {
-		events: trackerEvents{
-			1 * time.Second: func(t *Tracker, now time.Duration) { t.MemberAlive(now, controlPlaneServer("f", 0)) },
-			2 * time.Second: func(t *Tracker, now time.Duration) { t.MemberAlive(now, controlPlaneServer("f", 9)) }},
-		want: []wantedState{
-			{1 * time.Second, "f", Joining},
-			{2 * time.Second, "f", Present},
-		},
+		trackerEvents{1 * time.Second: {alive(controlPlaneServer("f", 0))}, 2 * time.Second: {alive(controlPlaneServer("f", 9))}},
+		[]wantedState{{1 * time.Second, "f", Joining}, {2 * time.Second, "f", Present}},
 	},
 	"a session that ends and is not opened elsewhere": {
-		events: trackerEvents{
-			1 * time.Second: func(t *Tracker, now time.Duration) { t.SessionOpened(now, agentInfo("n1", "x")) },
-			5 * time.Second: func(t *Tracker, now time.Duration) { t.SessionClosed(now, "n1") }},
-		want: []wantedState{
-			{4 * time.Second, "n1", Present},
-			{6 * time.Second, "n1", Present},
-			{7 * time.Second, "n1", Suspect},
-			{8 * time.Second, "n1", Failed},
-		},
+		trackerEvents{1 * time.Second: {sessionOpened(agentInfo("n1", "x"))}, 5 * time.Second: {sessionClosed("n1")}},
+		[]wantedState{{4 * time.Second, "n1", Present}, {6 * time.Second, "n1", Present}, {7 * time.Second, "n1", Suspect}, {8 * time.Second, "n1", Failed}},
 	},
 	"a session that moves": {
-		events: trackerEvents{
-			1 * time.Second: func(t *Tracker, now time.Duration) { t.SessionOpened(now, agentInfo("n1", "x")) },
-			5 * time.Second: func(t *Tracker, now time.Duration) { t.SessionClosed(now, "n1") },
-			6 * time.Second: func(t *Tracker, now time.Duration) { t.MergeReport(now, newReportFrom("c", 1, Present, 0, "n1")) }},
-		want: []wantedState{
-			{6 * time.Second, "n1", Present},
-			{8 * time.Second, "n1", Present},
-			{21 * time.Second, "n1", Present},
-			{23 * time.Second, "n1", Suspect},
+		trackerEvents{
+			1 * time.Second: {sessionOpened(agentInfo("n1", "x"))},
+			5 * time.Second: {sessionClosed("n1")},
+			6 * time.Second: {reported(newReportFrom("c", 1, Present, 0, "n1"))},
 		},
+		[]wantedState{{6 * time.Second, "n1", Present}, {8 * time.Second, "n1", Present}, {21 * time.Second, "n1", Present}, {23 * time.Second, "n1", Suspect}},
 	},
 	"members that only a failed observer saw are suspect, then failed": {
-		events: trackerEvents{
-			1 * time.Second: func(t *Tracker, now time.Duration) {
-				t.MergeReport(now, newReportFrom("c", 1, Present, 0, "n1", "n2"))
-				for i, from := range []string{"d", "e"} {
-					t.MergeReport(now, newReportFrom(from, int64(i+1), Failed, 1, "b"))
-				}
-			},
-			2 * time.Second: func(t *Tracker, now time.Duration) { t.MemberDead(now, "c") },
-			4 * time.Second: func(t *Tracker, now time.Duration) { t.MergeReport(now, newReportFrom("d", 9, Present, 0, "n2")) }},
-		want: []wantedState{
-			{1 * time.Second, "n1", Present},
-			{2 * time.Second, "n1", Suspect},
-			{2 * time.Second, "n2", Suspect},
-			{4 * time.Second, "n2", Present},
-			{4 * time.Second, "n1", Suspect},
-			{5 * time.Second, "n1", Failed},
-			{9 * time.Second, "n2", Present},
+		trackerEvents{
+			1 * time.Second: {reported(newReportFrom("c", 1, Present, 0, "n1", "n2")), reportedBy([]string{"d", "e"}, Failed, 1, "b")},
+			2 * time.Second: {dead("c")},
+			4 * time.Second: {reported(newReportFrom("d", 9, Present, 0, "n2"))},
+		},
+		[]wantedState{
+			{1 * time.Second, "n1", Present}, {2 * time.Second, "n1", Suspect}, {2 * time.Second, "n2", Suspect}, {4 * time.Second, "n2", Present},
+			{4 * time.Second, "n1", Suspect}, {5 * time.Second, "n1", Failed}, {9 * time.Second, "n2", Present},
 		},
 	},
 	"a late announcement of an earlier shutdown changes nothing": {
-		events: trackerEvents{
-			1 * time.Second: func(t *Tracker, now time.Duration) {
-				t.SessionOpened(now, agentInfo("n1", "x"))
-				t.Leave(now, agentInfo("n1", "x"))
-			},
-			2 * time.Second: func(t *Tracker, now time.Duration) { t.SessionOpened(now, agentInfo("n1", "y")) },
-			3 * time.Second: func(t *Tracker, now time.Duration) { t.Leave(now, agentInfo("n1", "x")) }},
-		want: []wantedState{
-			{1 * time.Second, "n1", Left},
-			{2 * time.Second, "n1", Present},
-			{4 * time.Second, "n1", Present},
+		trackerEvents{
+			1 * time.Second: {sessionOpened(agentInfo("n1", "x")), agentLeaves(agentInfo("n1", "x"))},
+			2 * time.Second: {sessionOpened(agentInfo("n1", "y"))},
+			3 * time.Second: {agentLeaves(agentInfo("n1", "x"))},
 		},
+		[]wantedState{{1 * time.Second, "n1", Left}, {2 * time.Second, "n1", Present}, {4 * time.Second, "n1", Present}},
 	},
 	"reports of a worker, out of order, and of an earlier boot change nothing": {
-		events: trackerEvents{
-			1 * time.Second: func(t *Tracker, now time.Duration) {
-				t.MemberAlive(now, Info{ProtocolVersion: ProtocolVersion, Name: "w", Role: RoleWorker, Incarnation: 1})
-				t.MergeReport(now, newReportFrom("w", 1, Present, 0, "n1"))
-				t.MergeReport(now, newReportFrom("z", 1, Present, 0, "n1"))
-				t.MergeReport(now, newReportFrom("c", 2, Failed, 0, "n2"))
-				t.MergeReport(now, newReportFrom("c", 1, Present, 0, "n2"))
-				other := newReportFrom("c", 9, Present, 0, "n2")
-				other.BootID = "another"
-				t.MergeReport(now, other)
-			},
-		},
-		want: []wantedState{
-			{1 * time.Second, "n1", ""},
-			{1 * time.Second, "n2", Failed},
-		},
+		trackerEvents{1 * time.Second: {
+			alive(Info{ProtocolVersion: ProtocolVersion, Name: "w", Role: RoleWorker, Incarnation: 1}),
+			reported(newReportFrom("w", 1, Present, 0, "n1")),
+			reported(newReportFrom("z", 1, Present, 0, "n1")),
+			reported(newReportFrom("c", 2, Failed, 0, "n2")),
+			reported(newReportFrom("c", 1, Present, 0, "n2")),
+			reported(withBootID(newReportFrom("c", 9, Present, 0, "n2"), "another")),
+		}},
+		[]wantedState{{1 * time.Second, "n1", ""}, {1 * time.Second, "n2", Failed}},
 	},
 }
 
@@ -304,8 +257,8 @@
 		t.Run(name, func(t *testing.T) {
 			tracker := newTrackerOfFive(0)
 			for now := time.Duration(0); now <= 61*time.Second; now += time.Second {
-				if event := c.events[now]; event != nil {
-					event(tracker, now)
+				for _, event := range c.events[now] {
+					event(t, tracker, now)
 				}
 				tracker.Tick(now)
 				for _, want := range c.want {
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -124,7 +124,7 @@
 }
 
 // combineSessionStates combines the observations of a member that has sessions. A session is
-// at one observer, so one that sees the member is enough.
+// at one observer, so the member is present if it is for one of them.
 func combineSessionStates(states map[State]int) State {
 	switch {
 	case states[Present]+states[Joining] > 0:
@@ -137,10 +137,10 @@
 	return Failed
 }
 
-// combineGossipStates combines the observations of a member that gossips, all of them in
-// number: it has left if any observer has its announcement, and otherwise is what a majority sees.
-// If the observers are divided in halves, this process's own observation that the member is
-// alive, seenHere, decides. Without a majority the member is suspect.
+// combineGossipStates combines the observations of a member that gossips, whose number is all. The
+// member has left if any observer has its announcement, and otherwise has the state that the
+// majority observes. If half of the observers observe it alive, this process's own observation that
+// it is alive, seenHere, decides. Without a majority the member is suspect.
 func combineGossipStates(states map[State]int, all int, seenHere bool) State {
 	alive := states[Present] + states[Joining]
 	if seenHere && 2*alive == all {
