--- a/internal/leaderelection/clock.go
+++ b/internal/leaderelection/clock.go
@@ -6,8 +6,8 @@
 type Clock interface {
 	// Now returns the time that has passed since an arbitrary fixed moment.
 	Now() time.Duration
-	// After returns a channel that receives once d has passed, and a function that releases
-	// the timer; the function's result is that of time.Timer.Stop.
+	// After returns a channel that receives once d has passed, and a function that stops the
+	// timer; the function's result is that of time.Timer.Stop.
 	After(d time.Duration) (<-chan time.Time, func() bool)
 }
 
--- a/internal/leaderelection/participant.go
+++ b/internal/leaderelection/participant.go
@@ -8,13 +8,21 @@
 	"knotrouter/internal/catalog"
 )
 
-// maxRenewInterval is the longest interval between renewals, also of a session without tasks.
-const maxRenewInterval = 500 * time.Millisecond
+const (
+	// maxRenewInterval is the longest interval between renewals, also of a session without tasks.
+	maxRenewInterval = 500 * time.Millisecond
+	// renewalsPerLease is how often a session is renewed within its shortest lease.
+	renewalsPerLease = 3
+	// clockDriftDivisor divides a lease's duration: the clocks of the leader and of the holder may
+	// each run 5 % too fast or too slow, so they differ by up to that part of the lease.
+	clockDriftDivisor = 10
+	// cancelAllowance is the time that a function is given to notice that its context has ended.
+	cancelAllowance = 20 * time.Millisecond
+)
 
-// SafetyMargin returns how long before the end of a lease its holder stops. The clocks of
-// the leader and of the holder may each run 5 % too fast or too slow, so they differ by up
-// to a tenth of the lease; the other 20 ms are for the function to notice.
-func SafetyMargin(ttl time.Duration) time.Duration { return ttl/10 + 20*time.Millisecond }
+// SafetyMargin returns how long before the end of a lease of the duration ttl its holder stops: the
+// longest possible difference of the clocks, and cancelAllowance.
+func SafetyMargin(ttl time.Duration) time.Duration { return ttl/clockDriftDivisor + cancelAllowance }
 
 // Action is a step that the Participant wants its caller to perform.
 type Action struct {
@@ -81,8 +89,8 @@
 	return p.Update(now, revision, assignments)
 }
 
-// Update replaces the assignments if revision is newer than the known one. Assignments that
-// are nil mean that nothing has changed.
+// Update replaces the assignments if revision is newer than the known one and assignments is not
+// nil; nil means that they have not changed.
 func (p *Participant) Update(now time.Duration, revision int64, assignments []catalog.Assignment) []Action {
 	if revision > p.revision && assignments != nil {
 		p.revision, p.assignments = revision, assignments
@@ -103,8 +111,8 @@
 }
 
 // FunctionReturned handles the return of a term's function: it releases the term. failed is
-// whether the function returned an error of its own accord. A term that is not known is
-// ignored.
+// whether the function returned an error before its context was cancelled. If the term is not
+// known, it does nothing and returns nil.
 func (p *Participant) FunctionReturned(now time.Duration, name string, fence int64, failed bool) []Action {
 	t := p.terms[name]
 	if t == nil || t.Fence != fence {
@@ -138,8 +146,8 @@
 	return p.lastRenewalSent + ttl - p.safetyMargin(ttl)
 }
 
-// Tick cancels the terms whose time is over. next is when the next term ends, and thus when
-// Tick has to be called again at the latest; pending is whether there is such a term.
+// Tick cancels the terms that have ended by this process's clock. next is the time at which the next
+// term ends, by which Tick has to be called again; pending is false if no term is valid.
 func (p *Participant) Tick(now time.Duration) (actions []Action, next time.Duration, pending bool) {
 	actions = p.reconcile(now)
 	for _, t := range p.terms {
@@ -150,12 +158,13 @@
 	return actions, next, pending
 }
 
-// RenewInterval returns how often the session has to be renewed: a third of the shortest
-// assigned lease, so that two renewals can fail before it ends.
+// RenewInterval returns the time between two renewals of the session: a third of the shortest
+// assigned lease, so that two renewals can fail before the lease ends, and at most
+// maxRenewInterval.
 func (p *Participant) RenewInterval() time.Duration {
 	interval := maxRenewInterval
 	for _, task := range p.assignments {
-		interval = min(interval, task.TTL/3)
+		interval = min(interval, task.TTL/renewalsPerLease)
 	}
 	return interval
 }
@@ -177,7 +186,7 @@
 	return append(actions, Action{Kind: Cancel, Name: t.Name, Fence: t.Fence, Reason: reason})
 }
 
-// reconcile returns the actions that lead from the terms that run to the assignments.
+// reconcile returns the actions that change the running terms to what the assignments say.
 func (p *Participant) reconcile(now time.Duration) []Action {
 	actions := p.cancelTerms(nil, now)
 	for _, task := range p.assignments {
@@ -186,8 +195,8 @@
 	return actions
 }
 
-// cancelTerms cancels the terms that are over, were granted to another process, or are to
-// be transferred.
+// cancelTerms cancels the terms that have ended, that are not assigned to this process any more, or
+// that the control plane asks this process to stop.
 func (p *Participant) cancelTerms(actions []Action, now time.Duration) []Action {
 	assignments := map[string]catalog.Assignment{}
 	for _, task := range p.assignments {
@@ -212,13 +221,13 @@
 	case p.terms[task.Name] != nil:
 		// The function of the running term has to return first.
 	case task.Ready:
-		// Once for each revision: a report that was lost is repeated with the next change.
+		// Reported once for each revision, so that a lost report is repeated with the next change.
 		if p.acceptedRevisions[task.Name] != p.revision {
 			p.acceptedRevisions[task.Name] = p.revision
 			actions = append(actions, Action{Kind: Accept, Name: task.Name})
 		}
 	case task.Fence <= p.endedFences[task.Name], task.Stop:
-		// The term has ended here, and the control plane does not know it yet.
+		// The term has ended here, and the control plane has not applied its release yet.
 		p.endedFences[task.Name] = max(p.endedFences[task.Name], task.Fence)
 		actions = append(actions, Action{Kind: Release, Name: task.Name, Fence: task.Fence, Reason: catalog.ReasonTransferred})
 	case p.renewed && now < p.validUntil(task.TTL):
--- a/internal/leaderelection/reports.go
+++ b/internal/leaderelection/reports.go
@@ -15,8 +15,8 @@
 	reason string       // of a release
 }
 
-// queueReport queues a report of a term. Beyond catalog.MaxTasks the report is dropped: the
-// participant asks for it again. The caller holds r.mu.
+// queueReport queues a report of a term. If catalog.MaxTasks reports are queued, the report is
+// dropped; the participant returns the action again. The caller holds r.mu.
 func (r *Runner) queueReport(key reportKey, ref catalog.TermRef) {
 	if len(r.pendingReports[key]) < catalog.MaxTasks {
 		r.pendingReports[key] = append(r.pendingReports[key], ref)
@@ -36,7 +36,8 @@
 	}
 }
 
-// sendQueuedReports sends reports until the queue is empty or ctx ends.
+// sendQueuedReports sends reports until the queue is empty or ctx ends. A release that could not be
+// sent is retried with a backoff.
 func (r *Runner) sendQueuedReports(ctx context.Context) {
 	retryDelay := minRetryDelay
 	for ctx.Err() == nil {
--- a/internal/leaderelection/runner.go
+++ b/internal/leaderelection/runner.go
@@ -14,7 +14,7 @@
 type Config struct {
 	Process  string // a name that no other process has
 	Zone     string
-	MaxTasks int // how many tasks the process takes at once
+	MaxTasks int // the largest number of tasks that the process holds at a time
 	// Functions holds the functions by the first part of the tasks' names, up to a dot.
 	Functions map[string]Function
 	Service   Service
@@ -24,14 +24,17 @@
 
 const (
 	callTimeout       = 2 * time.Second // of a call to the control plane
-	returnTimeout     = time.Second     // for a cancelled function to return before it is reported
+	returnTimeout     = time.Second     // for a cancelled function to return before it is reported as overdue
 	shutdownTimeout   = 10 * time.Second
 	minRetryDelay     = 50 * time.Millisecond
 	maxRetryDelay     = time.Second
 	drainPollInterval = 10 * time.Millisecond
-	// idleDeadline is how long enforceDeadlines waits while no term can end. It is notified
-	// of a new term, so the duration does not matter.
+	// idleDeadline is how long enforceDeadlines waits while no term can end. A new term ends the
+	// wait, so its duration does not matter.
 	idleDeadline = time.Hour
+	// deadlineCheckPercent is the part of the time until the next term ends after which
+	// enforceDeadlines looks again, as a timer may fire later than it should.
+	deadlineCheckPercent = 90
 )
 
 // Runner runs the functions of the tasks whose lease this process holds. Its methods are
@@ -47,7 +50,7 @@
 	running        map[string]*runningTerm // by task
 	pendingReports map[reportKey][]catalog.TermRef
 
-	// Each channel has room for one signal; further ones say nothing new.
+	// Each channel has room for one signal; a second one before the first was received is dropped.
 	deadlineChanged chan struct{} // the participant's next deadline may have changed
 	reportQueued    chan struct{} // pendingReports has grown
 	renewNow        chan struct{} // the session has to be renewed at once
@@ -123,12 +126,12 @@
 	if r.Active() == 0 {
 		_ = r.endSession(ctx, id, false)
 	}
-	// A session whose functions have not returned is left to expire: its tasks must not be
-	// granted to others before.
+	// A session whose functions have not returned is left to expire, so that its tasks are not granted
+	// to other processes before the leases end.
 }
 
-// drain keeps the session until each of its tasks was transferred, for half of the
-// shutdown's time at most.
+// drain keeps the session open until each of its tasks was transferred, for at most half of
+// shutdownTimeout.
 func (r *Runner) drain(ctx context.Context, id string) {
 	sessionCtx, stop := context.WithCancel(ctx)
 	var session sync.WaitGroup
--- a/internal/leaderelection/service.go
+++ b/internal/leaderelection/service.go
@@ -19,9 +19,10 @@
 	// OpenSession opens a session for a process. It returns ErrNameTaken while another
 	// process holds a session under the same name.
 	OpenSession(ctx context.Context, s catalog.Session) error
-	// RenewSession extends the session and all of its terms. The answer comes from a server
-	// that has confirmed, after the call arrived, that it is the leader. It returns
-	// ErrSessionExpired or ErrNameTaken if the session is over.
+	// RenewSession extends the session and all of its terms, and returns the assignments if their
+	// revision is later than rev. The answer comes from a server that has confirmed, after the call
+	// arrived, that it is the leader. It returns ErrSessionExpired or ErrNameTaken if the session has
+	// ended.
 	RenewSession(ctx context.Context, process, id string, rev int64) (AssignmentUpdate, error)
 	// WatchSession is a long poll: it waits for a revision later than rev, for a time that
 	// the server chooses. It does not extend the session.
@@ -33,9 +34,9 @@
 	ReportTerms(ctx context.Context, kind catalog.Kind, terms []catalog.TermRef, reason string) error
 }
 
-// The errors of a Service after which a session is over.
+// The errors of a Service after which a session has ended.
 var (
-	// ErrSessionExpired means that the control plane does not know the session any more.
+	// ErrSessionExpired means that the control plane has ended the session.
 	ErrSessionExpired = errors.New("the session is over")
 	// ErrNameTaken means that another process has a session under this process's name.
 	ErrNameTaken = errors.New("another process has the name")
--- a/internal/leaderelection/session.go
+++ b/internal/leaderelection/session.go
@@ -12,7 +12,7 @@
 	"knotrouter/internal/catalog"
 )
 
-// minRenewTimeout is the shortest time that a renewal is given, whatever the interval.
+// minRenewTimeout is the shortest timeout of a renewal, also if the interval is shorter.
 const minRenewTimeout = 100 * time.Millisecond
 
 // runSession opens a session and keeps it until it expires or ctx ends. It returns the
@@ -34,8 +34,8 @@
 	return r.renewSession(sessionCtx, id)
 }
 
-// openSession opens the session, with retries until it succeeds. It returns the error of ctx
-// if ctx ends first.
+// openSession opens the session, and retries until that succeeds. It returns the error of ctx if
+// ctx ends first.
 func (r *Runner) openSession(ctx context.Context, id string) error {
 	session := catalog.Session{
 		Process:   r.config.Process,
@@ -51,7 +51,7 @@
 		if err == nil {
 			return nil
 		}
-		if errors.Is(err, ErrNameTaken) && delay < maxRetryDelay {
+		if errors.Is(err, ErrNameTaken) && delay < maxRetryDelay { // only the first attempts are logged
 			r.log.Warn("another process is called so: waiting until its time is over", "process", r.config.Process)
 		}
 		if r.sleep(ctx, delay); ctx.Err() != nil {
@@ -67,8 +67,9 @@
 	})
 }
 
-// renewSession renews the session until it expires or ctx ends, and returns the error that
-// ended it. Other errors are retried with a backoff that does not exceed the interval.
+// renewSession renews the session until it has expired or ctx ends. It returns an error that wraps
+// ErrSessionExpired or ErrNameTaken, or the error of ctx. Other errors are retried with a backoff
+// that does not exceed the interval between renewals.
 func (r *Runner) renewSession(ctx context.Context, id string) error {
 	retryDelay := minRetryDelay
 	for ctx.Err() == nil {
@@ -96,9 +97,9 @@
 	return ctx.Err()
 }
 
-// renewOnce sends one renewal and has the participant handle the answer. A renewal is given
-// the interval as its timeout: after it, a renewal through another server is worth more than
-// a late answer, as the terms count from the sending.
+// renewOnce sends one renewal and has the participant handle the answer. It returns the error of the
+// call. The timeout of a renewal is the interval between renewals: terms are extended from the time
+// at which the renewal was sent, so a new renewal extends them further than a late answer would.
 func (r *Runner) renewOnce(ctx context.Context, id string, revision int64, interval time.Duration) error {
 	sent := r.clock.Now()
 	var update AssignmentUpdate
--- a/internal/leaderelection/term.go
+++ b/internal/leaderelection/term.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Function performs a leased task until its context ends. It has to pass the fencing token
-// on with each of its writes, and to check ctx.Err before each: that reads the clock, so a
-// process that was suspended notices that its term is over. A function that returns an
-// error while its term lasts has failed.
+// Function performs a leased task until its context ends. It has to send the fencing token with
+// each of its writes, and to check ctx.Err before each write: Err reads the clock, so a process
+// that was suspended notices that its term has ended. A function that returns an error before its
+// context ends has failed.
 type Function func(ctx context.Context, name string, fence int64) error
 
 // errNoFunction is the failure of a task for which Config.Functions has no function.
@@ -41,7 +41,8 @@
 	term *runningTerm
 }
 
-// Err returns context.DeadlineExceeded once the term is over by the clock.
+// Err returns context.DeadlineExceeded once the term has ended by the clock, and otherwise the error
+// of the context that it wraps.
 func (c termContext) Err() error {
 	if err := c.Context.Err(); err != nil {
 		return err
@@ -100,8 +101,8 @@
 	return function(ctx, t.name, t.fence)
 }
 
-// reportOverdue counts and logs a cancelled function that has not returned in time. Its
-// writes are rejected by their fencing token.
+// reportOverdue counts and logs a cancelled function that has not returned within returnTimeout. Its
+// writes are rejected by their fencing token once the task is granted again.
 func (r *Runner) reportOverdue(t *runningTerm) {
 	r.mu.Lock()
 	runs := r.running[t.name] == t
@@ -128,8 +129,7 @@
 		}
 		wait := idleDeadline
 		if pending {
-			// Nine tenths of the way: a timer may fire later than it should.
-			wait = max((next-r.clock.Now())*9/10, 0) + time.Millisecond
+			wait = max((next-r.clock.Now())*deadlineCheckPercent/100, 0) + time.Millisecond
 		}
 		timer, stop := r.clock.After(wait)
 		select {
