--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -16,6 +16,12 @@
 // Error names the peer.
 func (e *unknownPeerError) Error() string { return e.name + ": not in the table of peers" }
 
+// nameMismatchError means that a member announces an Info with a name other than its own.
+type nameMismatchError struct{ announced string }
+
+// Error names the announced name.
+func (e *nameMismatchError) Error() string { return "it calls itself " + e.announced }
+
 // delegate handles the library's events and requests. The library calls it with its own lock
 // held, so its methods must not block and must not call the library's member list.
 type delegate struct{ node *Node }
@@ -49,8 +55,8 @@
 // MergeRemoteState handles the full report of the other member of an exchange.
 func (d *delegate) MergeRemoteState(text []byte, _ bool) { d.node.mergeReport(text) }
 
-// NotifyAlive returns an error, with which the library ignores the member, if the member is
-// not in the table of peers or its Info is invalid.
+// NotifyAlive returns an error if the member is not in the table of peers or its Info is invalid.
+// The library then ignores the member.
 func (d *delegate) NotifyAlive(peer *memberlist.Node) error {
 	if _, known := d.node.config.Peers()[peer.Name]; !known && peer.Name != d.node.config.Self.Name {
 		d.node.rejected.Add(1)
@@ -100,12 +106,12 @@
 	d.node.WithTracker(func(now time.Duration, t *member.Tracker) { t.PeerAnswered(now, other.Name) })
 }
 
-// decodeMeta returns a member's Info. It returns an error if the Info is invalid or has
-// another name than the member.
+// decodeMeta returns a member's Info. It returns an error of member.DecodeInfo if the Info is
+// invalid, and a *nameMismatchError if it has another name than the member.
 func decodeMeta(peer *memberlist.Node) (member.Info, error) {
 	info, err := member.DecodeInfo(peer.Meta)
 	if err == nil && info.Name != peer.Name {
-		err = fmt.Errorf("it calls itself %s", info.Name)
+		err = &nameMismatchError{info.Name}
 	}
 	return info, err
 }
--- /dev/null
+++ b/internal/gossip/delegate_test.go
@@ -0,0 +1,219 @@
+package gossip
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"knotrouter/internal/member"
+)
+
+// testPeers are the names in the table of peers of the Nodes under test.
+var testPeers = map[string]string{"st-1": "", "st-2": "", "st-3": "", "w-1": ""}
+
+// newTestNode returns the Node st-1 of a role, without sockets and goroutines.
+func newTestNode(t *testing.T, role member.Role) *Node {
+	t.Helper()
+	self := member.Info{Name: "st-1", Role: role, Incarnation: 1, InstanceID: "folder"}
+	n := newNode(Config{
+		Self:    self,
+		Log:     slog.New(slog.DiscardHandler),
+		Tracker: member.Defaults(self),
+		Peers:   func() map[string]string { return testPeers },
+	})
+	t.Cleanup(n.cancel)
+	return n
+}
+
+// meta returns the text of the Info that a member announces.
+func meta(name string, role member.Role) []byte {
+	return fmt.Appendf(nil, `{"f":1,"n":%q,"r":%q,"s":{"g":1,"c":1},"i":2}`, name, role)
+}
+
+// joinMember has the library report a member as alive.
+func joinMember(n *Node, name string, role member.Role) {
+	(&delegate{n}).NotifyJoin(&memberlist.Node{Name: name, Meta: meta(name, role)})
+}
+
+// reportText returns the text of a partial report in which an observer sees the agent n-1 as present.
+func reportText(from string, seq int) []byte {
+	return fmt.Appendf(nil, `{"f":1,"n":%q,"i":2,"q":%d,"b":"boot","o":[{"n":"n-1","r":"agent","s":"present","t":1}]}`, from, seq)
+}
+
+// trackerCounts returns the counters of the Node's Tracker.
+func trackerCounts(n *Node) (c member.Counts) {
+	n.WithTracker(func(_ time.Duration, t *member.Tracker) { c = t.Counts() })
+	return c
+}
+
+// requireNoEffect fails the test if the agent n-1 is in the view or a report is queued to be passed on.
+func requireNoEffect(t *testing.T, n *Node) {
+	t.Helper()
+	if v := n.View(); v.State("n-1") != "" {
+		t.Errorf("the report was merged: %+v", v.Members)
+	}
+	if queued := n.broadcasts.NumQueued(); queued != 0 {
+		t.Errorf("%d reports are queued to be passed on", queued)
+	}
+}
+
+// TestMalformedReportsAreCountedAndDropped shows that a report that can't be decoded, is out of its
+// bounds, or is of an unknown version changes nothing but a counter, by whichever way it arrives.
+func TestMalformedReportsAreCountedAndDropped(t *testing.T) {
+	tooMany := strings.TrimSuffix(strings.Repeat(`{"n":"n-1","r":"agent","s":"present","t":1},`, member.MaxMembers+1), ",")
+	texts := map[string]string{
+		"no JSON":             "{",
+		"no object":           "[]",
+		"unknown version":     strings.Replace(string(reportText("st-2", 1)), `"f":1`, `"f":2`, 1),
+		"no sender":           strings.Replace(string(reportText("st-2", 1)), `"st-2"`, `""`, 1),
+		"unknown state":       strings.Replace(string(reportText("st-2", 1)), `"present"`, `"odd"`, 1),
+		"negative duration":   strings.Replace(string(reportText("st-2", 1)), `"t":1`, `"t":-1`, 1),
+		"too many members":    `{"f":1,"n":"st-2","q":1,"b":"boot","o":[` + tooMany + `]}`,
+		"longer than allowed": string(reportText("st-2", 1)) + strings.Repeat(" ", 1<<20),
+	}
+	for what, text := range texts {
+		t.Run(what, func(t *testing.T) {
+			n := newTestNode(t, member.RoleControlPlane)
+			joinMember(n, "st-2", member.RoleControlPlane)
+			d := &delegate{n}
+			d.NotifyMsg([]byte(text))
+			d.MergeRemoteState([]byte(text), false)
+			if got := n.malformed.Load(); got != 2 {
+				t.Errorf("%d of 2 malformed reports were counted", got)
+			}
+			requireNoEffect(t, n)
+		})
+	}
+}
+
+// TestEmptyAndOwnReportsAreIgnored shows that a message without a text, and a report of this process
+// that comes back, are not counted as malformed or unknown.
+func TestEmptyAndOwnReportsAreIgnored(t *testing.T) {
+	n := newTestNode(t, member.RoleControlPlane)
+	d := &delegate{n}
+	d.NotifyMsg(nil)
+	d.NotifyMsg(reportText("st-1", 1))
+	if malformed, unknown := n.malformed.Load(), trackerCounts(n).UnknownSenders; malformed != 0 || unknown != 0 {
+		t.Errorf("counted as malformed: %d, as of unknown senders: %d", malformed, unknown)
+	}
+	requireNoEffect(t, n)
+}
+
+// TestReportsOfUnknownSendersAreCounted shows that only servers of the control plane that the library
+// reported as alive are observers.
+func TestReportsOfUnknownSendersAreCounted(t *testing.T) {
+	n := newTestNode(t, member.RoleControlPlane)
+	joinMember(n, "w-1", member.RoleWorker)
+	d := &delegate{n}
+	d.NotifyMsg(reportText("st-2", 1)) // not alive yet
+	d.NotifyMsg(reportText("w-1", 1))
+	if got := trackerCounts(n).UnknownSenders; got != 2 {
+		t.Errorf("%d of 2 reports of unknown senders were counted", got)
+	}
+	if got := n.malformed.Load(); got != 0 {
+		t.Errorf("%d reports were counted as malformed", got)
+	}
+	requireNoEffect(t, n)
+}
+
+// TestNewPartialReportsArePassedOnOnce shows that a partial report is queued for the other members when
+// it is new, and neither when it arrives again nor if it is a full one.
+func TestNewPartialReportsArePassedOnOnce(t *testing.T) {
+	n := newTestNode(t, member.RoleControlPlane)
+	joinMember(n, "st-2", member.RoleControlPlane)
+	d := &delegate{n}
+	for _, step := range []struct {
+		text   []byte
+		queued int
+	}{
+		{reportText("st-2", 1), 1},
+		{reportText("st-2", 1), 1},
+		{[]byte(strings.Replace(string(reportText("st-2", 2)), `"b":`, `"w":true,"b":`, 1)), 1},
+		{reportText("st-2", 3), 2},
+	} {
+		d.NotifyMsg(step.text)
+		if queued := n.broadcasts.NumQueued(); queued != step.queued {
+			t.Errorf("after %s %d reports are queued, want %d", step.text, queued, step.queued)
+		}
+	}
+	if v := n.View(); v.State("n-1") != member.Present {
+		t.Errorf("the reports were not merged: %+v", v.Members)
+	}
+}
+
+// TestQueuedBroadcastsAreBounded shows that the queue keeps the newest maxQueuedBroadcasts reports.
+func TestQueuedBroadcastsAreBounded(t *testing.T) {
+	n := newTestNode(t, member.RoleControlPlane)
+	for i := range 2 * maxQueuedBroadcasts {
+		n.queueBroadcast(fmt.Appendf(nil, "report %d", i))
+	}
+	if queued := n.broadcasts.NumQueued(); queued != maxQueuedBroadcasts {
+		t.Errorf("%d reports are queued, want %d", queued, maxQueuedBroadcasts)
+	}
+	newest := fmt.Sprintf("report %d", 2*maxQueuedBroadcasts-1)
+	found := false
+	for _, message := range (&delegate{n}).GetBroadcasts(0, 1<<20) {
+		found = found || string(message) == newest
+	}
+	if !found {
+		t.Errorf("the newest report was dropped")
+	}
+}
+
+// TestOnlyKnownPeersAreAccepted shows which members the library may take in: those of the table, and
+// this process itself, with a valid Info of their own name.
+func TestOnlyKnownPeersAreAccepted(t *testing.T) {
+	n := newTestNode(t, member.RoleControlPlane)
+	d := &delegate{n}
+	for _, name := range []string{"st-1", "st-2"} {
+		if err := d.NotifyAlive(&memberlist.Node{Name: name, Meta: meta(name, member.RoleControlPlane)}); err != nil {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	var unknownPeer *unknownPeerError
+	if err := d.NotifyAlive(&memberlist.Node{Name: "other", Meta: meta("other", member.RoleControlPlane)}); !errors.As(err, &unknownPeer) {
+		t.Errorf("a member that is not in the table: %v", err)
+	}
+	var mismatch *nameMismatchError
+	if err := d.NotifyAlive(&memberlist.Node{Name: "st-2", Meta: meta("st-3", member.RoleControlPlane)}); !errors.As(err, &mismatch) {
+		t.Errorf("a member with the Info of another one: %v", err)
+	}
+	var invalid *member.InvalidMessageError
+	if err := d.NotifyAlive(&memberlist.Node{Name: "st-2", Meta: meta("st-2", "odd")}); !errors.As(err, &invalid) {
+		t.Errorf("a member with an unknown role: %v", err)
+	}
+	if rejected, malformed := n.rejected.Load(), n.malformed.Load(); rejected != 1 || malformed != 2 {
+		t.Errorf("counted %d as rejected, want 1, and %d as malformed, want 2", rejected, malformed)
+	}
+}
+
+// TestConflictsAreCountedAndReported shows that a second process under the name of a member is counted,
+// and reported with its address.
+func TestConflictsAreCountedAndReported(t *testing.T) {
+	n := newTestNode(t, member.RoleControlPlane)
+	var reported string
+	n.config.OnConflict = func(name, address string) { reported = name + " " + address }
+	other := &memberlist.Node{Name: "st-2", Addr: net.IPv4(127, 0, 0, 1), Port: 7000}
+	(&delegate{n}).NotifyConflict(&memberlist.Node{Name: "st-2"}, other)
+	if got := n.conflicts.Load(); got != 1 || reported != "st-2 127.0.0.1:7000" {
+		t.Errorf("%d conflicts counted, reported %q", got, reported)
+	}
+}
+
+// TestAnnouncementKeepsToLimit shows that an Info that is longer than the library's limit is left out.
+func TestAnnouncementKeepsToLimit(t *testing.T) {
+	d := &delegate{newTestNode(t, member.RoleControlPlane)}
+	text := d.NodeMeta(1 << 10)
+	if len(text) == 0 || len(d.NodeMeta(len(text))) != len(text) {
+		t.Errorf("an Info of %d bytes is left out", len(text))
+	}
+	if short := d.NodeMeta(len(text) - 1); short != nil {
+		t.Errorf("within %d bytes: %s", len(text)-1, short)
+	}
+}
--- a/internal/gossip/join.go
+++ b/internal/gossip/join.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// joinMissing connects to peers of the table that the library does not know as alive, a few
-// in each interval and all in turn, until the Node is closed. That covers the start, a
-// network partition that lasted, and a member that has come back at its address.
+// joinMissing connects to peers of the table that the library does not know as alive, until the
+// Node is closed: maxRejoinsPerInterval in each interval, and all in turn. They are missing at the
+// start, after a long network partition, and when a member has restarted.
 func (n *Node) joinMissing() {
 	ticker := time.NewTicker(rejoinInterval)
 	defer ticker.Stop()
--- a/internal/gossip/librarylog.go
+++ b/internal/gossip/librarylog.go
@@ -22,7 +22,7 @@
 
 var _ io.Writer = (*libraryLog)(nil)
 
-// Write logs one line without its newline.
+// Write logs one line without its newline, or drops it if the rate is exceeded. It never fails.
 func (l *libraryLog) Write(line []byte) (int, error) {
 	if l.limit.Allow() {
 		l.log.Debug("gossip", "line", string(slices.Clone(line[:max(len(line)-1, 0)])))
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -42,6 +42,7 @@
 	probeTimeout         = 125 * time.Millisecond
 	suspicionTimeout     = 1700 * time.Millisecond
 	suspicionMaxMultiple = 2
+	minSuspicionMultiple = 3 // of the probe interval
 	gossipInterval       = 100 * time.Millisecond
 	streamTimeout        = time.Second
 	spreadTimeout        = time.Second // for an update or a leave to reach another member
@@ -92,14 +93,10 @@
 }
 
 // Start opens the sockets and begins to gossip. It returns an error if the address cannot be
-// bound. Peers that are not reachable are no error: they are tried until they are. The
-// caller has to Close the Node.
+// bound. Peers that cannot be reached are no error: Start returns, and the Node goes on to try them.
+// The caller has to Close the Node.
 func Start(c Config) (*Node, error) {
-	n := &Node{config: c, log: c.Log, startedAt: time.Now(), bootID: crand.Text(), self: c.Self}
-	n.self.ProtocolVersion = member.ProtocolVersion
-	c.Tracker.Self = n.self
-	n.tracker = member.NewTracker(c.Tracker)
-	n.ctx, n.cancel = context.WithCancel(context.Background())
+	n := newNode(c)
 	var err error
 	n.transport, err = newTransport(c.Listen, func(name string) (string, bool) {
 		addr, ok := c.Peers()[name]
@@ -108,9 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	library := n.libraryConfig()
-	n.broadcasts = &memberlist.TransmitLimitedQueue{RetransmitMult: library.RetransmitMult, NumNodes: n.countAlive}
-	if n.memberlist, err = memberlist.Create(library); err != nil {
+	if n.memberlist, err = memberlist.Create(n.libraryConfig()); err != nil {
 		n.cancel()
 		_ = n.transport.Shutdown()
 		return nil, fmt.Errorf("gossip: %w", err)
@@ -124,7 +119,18 @@
 	return n, nil
 }
 
-// libraryConfig returns the configuration of the gossip library.
+// newNode returns a Node without sockets and goroutines.
+func newNode(c Config) *Node {
+	n := &Node{config: c, log: c.Log, startedAt: time.Now(), bootID: crand.Text(), self: c.Self}
+	n.self.ProtocolVersion = member.ProtocolVersion
+	c.Tracker.Self = n.self
+	n.tracker = member.NewTracker(c.Tracker)
+	n.broadcasts = &memberlist.TransmitLimitedQueue{RetransmitMult: memberlist.DefaultLANConfig().RetransmitMult, NumNodes: n.countAlive}
+	n.ctx, n.cancel = context.WithCancel(context.Background())
+	return n
+}
+
+// libraryConfig returns the configuration of the gossip library. It requires the transport.
 func (n *Node) libraryConfig() *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Transport = n.config.Self.Name, n.transport
@@ -144,12 +150,13 @@
 	return c
 }
 
-// suspicionMultiple returns the library's suspicion multiple for a number of members. The
-// library suspects for the multiple times the probe interval times the logarithm of the
-// number of members; the multiple makes that suspicionTimeout for any number.
+// suspicionMultiple returns the library's suspicion multiple for a number of members. The library
+// suspects a member for the multiple times the probe interval times the decimal logarithm of the
+// number of members. The multiple, a whole number, makes that about suspicionTimeout for up to 100
+// members, and longer for more.
 func suspicionMultiple(members int) int {
 	magnitude := math.Max(1, math.Log10(float64(max(members, 1))))
-	return max(3, int(float64(suspicionTimeout)/float64(probeInterval)/magnitude+0.5))
+	return max(minSuspicionMultiple, int(float64(suspicionTimeout)/float64(probeInterval)/magnitude+0.5))
 }
 
 // countAlive returns the number of members that are alive, this process included.
@@ -203,8 +210,8 @@
 	}
 }
 
-// Leave announces to the others that this process shuts down as planned. It waits for up to
-// spreadTimeout, twice, until another member has the announcement.
+// Leave announces to the others that this process shuts down as planned. It waits up to twice
+// spreadTimeout until another member has the announcement.
 func (n *Node) Leave() {
 	n.UpdateSelf(func(i *member.Info) { i.ShuttingDown = true })
 	if err := n.memberlist.Leave(spreadTimeout); err != nil {
@@ -212,8 +219,8 @@
 	}
 }
 
-// Close ends all goroutines and closes the sockets, without an announcement: to the others,
-// a Node that was closed without Leave has failed.
+// Close ends all goroutines and closes the sockets. It announces nothing: the others observe a Node
+// that was closed without Leave as failed.
 func (n *Node) Close() {
 	n.cancel()
 	n.goroutines.Wait()
--- /dev/null
+++ b/internal/gossip/observers_test.go
@@ -0,0 +1,139 @@
+package gossip
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"knotrouter/internal/member"
+)
+
+// TestOnlyControlPlaneServersReport shows that a worker sends no reports, full or partial, although it
+// observes the same members as a server of the control plane.
+func TestOnlyControlPlaneServersReport(t *testing.T) {
+	for role, reports := range map[member.Role]bool{member.RoleControlPlane: true, member.RoleWorker: false} {
+		n := newTestNode(t, role)
+		joinMember(n, "st-2", member.RoleControlPlane)
+		if full := (&delegate{n}).LocalState(false); (full != nil) != reports {
+			t.Errorf("%s: the full report is %q", role, full)
+		}
+		n.tick(0)
+		if queued := n.broadcasts.NumQueued(); (queued > 0) != reports {
+			t.Errorf("%s: %d partial reports are queued", role, queued)
+		}
+	}
+}
+
+// TestPingedServersAreBounded shows that of many servers of the control plane maxPingedPeers are pinged,
+// and of few all: each once, and neither this process, nor workers, nor servers that have left.
+func TestPingedServersAreBounded(t *testing.T) {
+	for _, servers := range []int{0, 1, maxPingedPeers, 3 * maxPingedPeers} {
+		n := newTestNode(t, member.RoleControlPlane)
+		joinMember(n, "w-1", member.RoleWorker)
+		var all []string
+		for i := range servers {
+			name := fmt.Sprintf("server-%d", i)
+			joinMember(n, name, member.RoleControlPlane)
+			all = append(all, name)
+		}
+		leaving := member.Info{ProtocolVersion: member.ProtocolVersion, Name: "left", Role: member.RoleControlPlane, Incarnation: 2, ShuttingDown: true}
+		n.WithTracker(func(now time.Duration, t *member.Tracker) {
+			t.MemberAlive(now, leaving)
+			t.MemberDead(now, leaving.Name)
+		})
+		pinged := n.otherServers()
+		slices.Sort(pinged)
+		if len(pinged) != min(servers, maxPingedPeers) || len(slices.Compact(slices.Clone(pinged))) != len(pinged) {
+			t.Errorf("%d of %d servers are pinged: %v", len(pinged), servers, pinged)
+		}
+		for _, name := range pinged {
+			if !slices.Contains(all, name) {
+				t.Errorf("%s is pinged", name)
+			}
+		}
+	}
+}
+
+// TestLateTickCountsAsPause shows that a tick that is later than pauseThreshold counts as a pause of
+// this process, which then suspects itself.
+func TestLateTickCountsAsPause(t *testing.T) {
+	n := newTestNode(t, member.RoleControlPlane)
+	for _, step := range []struct {
+		late   time.Duration
+		pauses int64
+	}{{0, 0}, {pauseThreshold, 0}, {pauseThreshold + 1, 1}, {time.Minute, 2}} {
+		n.tick(step.late)
+		selfSuspect := false
+		// At the Node's start, so that the result doesn't depend on how long the test takes.
+		n.WithTracker(func(_ time.Duration, t *member.Tracker) { selfSuspect = t.SelfSuspect(0) })
+		if got := n.pauses.Load(); got != step.pauses || selfSuspect != (step.pauses > 0) {
+			t.Errorf("after a tick that was %v late: %d pauses, want %d; suspects itself: %v", step.late, got, step.pauses, selfSuspect)
+		}
+	}
+}
+
+// TestSendsWithoutKnownPeerAreCounted shows that the transport dials members by their names in the table
+// only, and counts all other sends.
+func TestSendsWithoutKnownPeerAreCounted(t *testing.T) {
+	transport := &transport{lookup: func(name string) (string, bool) { return "127.0.0.1:7000", name == "st-2" }}
+	if addr, err := transport.address("st-2"); err != nil || addr != "127.0.0.1:7000" {
+		t.Errorf("a member of the table: %q, %v", addr, err)
+	}
+	var unknownPeer *unknownPeerError
+	if _, err := transport.WriteToAddress(nil, memberlist.Address{Addr: "127.0.0.1:1", Name: "other"}); !errors.As(err, &unknownPeer) {
+		t.Errorf("a datagram to a member that is not in the table: %v", err)
+	}
+	if _, err := transport.DialAddressTimeout(memberlist.Address{Addr: "127.0.0.1:1"}, time.Second); !errors.Is(err, errNoPeerName) {
+		t.Errorf("a stream to an address without a name: %v", err)
+	}
+	if _, err := transport.WriteTo(nil, "127.0.0.1:1"); !errors.Is(err, errNoPeerName) {
+		t.Errorf("a datagram to an address: %v", err)
+	}
+	if _, err := transport.DialTimeout("127.0.0.1:1", time.Second); !errors.Is(err, errNoPeerName) {
+		t.Errorf("a stream to an address: %v", err)
+	}
+	if got := transport.unknownPeers.Load(); got != 4 {
+		t.Errorf("%d of 4 sends without a known peer were counted", got)
+	}
+}
+
+// TestCallsToOneMemberDoNotOverlap shows that a call to a member starts only after the earlier one to it
+// has returned, and does not wait for calls to others.
+func TestCallsToOneMemberDoNotOverlap(t *testing.T) {
+	var calls callGroup
+	blocked, started := make(chan struct{}), make(chan string, 10)
+	call := func(name string) {
+		started <- name
+		<-blocked
+	}
+	calls.start([]string{"a"}, call)
+	calls.start([]string{"a", "b"}, call)
+	first, second := <-started, <-started
+	close(blocked)
+	calls.wait()
+	if got := []string{first, second}; !slices.Contains(got, "a") || !slices.Contains(got, "b") || len(started) != 0 {
+		t.Errorf("calls to %v and %d more were started at a time", got, len(started))
+	}
+	calls.start([]string{"a"}, call)
+	calls.wait()
+	if got := <-started; got != "a" {
+		t.Errorf("the call to %s was started, want that to a", got)
+	}
+}
+
+// TestSuspicionLastsAboutItsTimeout shows that for any number of members up to 100 the library suspects a
+// member for suspicionTimeout, give or take one probe interval.
+func TestSuspicionLastsAboutItsTimeout(t *testing.T) {
+	for members := 1; members <= 100; members++ {
+		magnitude := max(1, math.Log10(float64(members)))
+		duration := time.Duration(float64(suspicionMultiple(members)) * magnitude * float64(probeInterval))
+		if off := (duration - suspicionTimeout).Abs(); off > probeInterval {
+			t.Errorf("%d members: %v, want about %v", members, duration, suspicionTimeout)
+		}
+	}
+}
--- a/internal/gossip/reports.go
+++ b/internal/gossip/reports.go
@@ -20,11 +20,11 @@
 // Message returns the report.
 func (b broadcast) Message() []byte { return b }
 
-// Finished does nothing: nobody waits for a broadcast.
+// Finished does nothing, as no goroutine waits for a broadcast.
 func (broadcast) Finished() {}
 
 // queueBroadcast queues a report. If the queue is full, the oldest reports are dropped; the
-// observers' next full reports contain what they say.
+// observers' next full reports contain their observations.
 func (n *Node) queueBroadcast(report []byte) {
 	n.broadcasts.QueueBroadcast(broadcast(report))
 	n.broadcasts.Prune(maxQueuedBroadcasts)
@@ -61,9 +61,9 @@
 	return text
 }
 
-// mergeReport has the Tracker merge the text of a report that was received. A partial report
-// that was new is broadcast again: the library passes on its own messages only. Members that
-// have the report already do not pass it on, so it dies out.
+// mergeReport has the Tracker merge the text of a report that was received. A malformed report is
+// counted and dropped. A partial report that was new is broadcast again, since the library passes on
+// its own messages only. Members that have the report already do not broadcast it, so it dies out.
 func (n *Node) mergeReport(text []byte) {
 	if len(text) == 0 {
 		return
--- a/internal/gossip/tick.go
+++ b/internal/gossip/tick.go
@@ -23,8 +23,9 @@
 	}
 }
 
-// tick lets time pass for the Tracker, and broadcasts and announces what has changed. late
-// is by how much the tick is late.
+// tick ticks the Tracker, broadcasts the observations that have changed, and calls Config.OnChange
+// for the members whose states have changed in the view. late is the delay of the tick; beyond
+// pauseThreshold it counts as a pause of this process.
 func (n *Node) tick(late time.Duration) {
 	paused := late > pauseThreshold
 	var changes []member.Change
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -41,7 +41,8 @@
 
 var _ memberlist.NodeAwareTransport = (*transport)(nil)
 
-// newTransport listens on an address for TCP, and on the same port for UDP.
+// newTransport listens on an address for TCP, and on the same port for UDP. It returns an error if
+// one of them can't be bound. lookup is called by several goroutines.
 func newTransport(listen string, lookup func(name string) (addr string, known bool)) (*transport, error) {
 	tcp, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -140,7 +141,8 @@
 	return nil, errNoPeerName
 }
 
-// WriteToAddress sends a datagram to a member by its name.
+// WriteToAddress sends a datagram to a member by its name, and returns the time at which it was
+// sent. It returns the errors of address, of the resolution of the address and of the socket.
 func (t *transport) WriteToAddress(datagram []byte, to memberlist.Address) (time.Time, error) {
 	addr, err := t.address(to.Name)
 	if err != nil {
@@ -155,7 +157,8 @@
 	return time.Now(), err
 }
 
-// DialAddressTimeout opens a stream to a member by its name.
+// DialAddressTimeout opens a stream to a member by its name. It returns the errors of address and of
+// net.DialTimeout.
 func (t *transport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	addr, err := t.address(to.Name)
 	if err != nil {
@@ -184,7 +187,7 @@
 }
 
 // Shutdown closes the sockets and waits for the transport's goroutines. The library calls
-// it; further calls do nothing.
+// it; all calls but the first do nothing. It returns the errors of closing the sockets.
 func (t *transport) Shutdown() error {
 	select {
 	case <-t.closed:
