--- a/cmd/controlplane/members.go
+++ b/cmd/controlplane/members.go
@@ -21,6 +21,14 @@
 // errNoView is the failure of `members` if no server that gossips answered.
 var errNoView = errors.New("no steward answers that gossips")
 
+// noSuchViewError is the failure of `members --from` if no server of that name answered.
+type noSuchViewError struct{ name string }
+
+// Error names the flag and the server.
+func (e *noSuchViewError) Error() string {
+	return "--from: " + e.name + " is none of the stewards that answer"
+}
+
 // memberOptions is what `members` is to show.
 type memberOptions struct {
 	from    string // the server whose own observations are shown; empty: the combined view
@@ -28,6 +36,7 @@
 	all     bool   // each agent and server, not only their numbers
 }
 
+// newMembersCommand returns the command that shows the membership views of servers.
 func newMembersCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
 	var options memberOptions
 	cmd := &cobra.Command{
@@ -49,8 +58,9 @@
 	return cmd
 }
 
-// printMembers prints what the options ask for of the views that servers answered with, and first
-// the addresses that did not answer.
+// printMembers prints the addresses that did not answer, and then the views, or their differences, that
+// the options select. It returns errNoView if there is no view, and a *noSuchViewError if there is none
+// of the selected server.
 func printMembers(out io.Writer, views []member.View, unanswered []string, options memberOptions) error {
 	if len(views) == 0 {
 		return errNoView
@@ -64,7 +74,7 @@
 	case options.from != "":
 		i := slices.IndexFunc(views, func(view member.View) bool { return view.From == options.from })
 		if i < 0 {
-			return fmt.Errorf("--from: %s is none of the stewards that answer", options.from)
+			return &noSuchViewError{options.from}
 		}
 		return printOwnView(out, &views[i], options.all)
 	}
@@ -91,8 +101,8 @@
 	return printMemberTable(out, view, "observers", rows, counts)
 }
 
-// printOwnView prints the members that the view's own server observes, each in the state that this
-// server has it in, and for how long.
+// printOwnView prints the members that the view's own server observes, with the state that it observes
+// and since when.
 func printOwnView(out io.Writer, view *member.View, all bool) error {
 	var rows [][]string
 	counts := memberCounts{}
@@ -110,7 +120,8 @@
 	return printMemberTable(out, view, "for", rows, counts)
 }
 
-// observationBy returns the state that an observer has a member in, and for how long.
+// observationBy returns the state of a member that an observer observes, and for how many milliseconds
+// it has. observed is false if the observer has no observation of the member.
 func observationBy(observer string, entry *member.Entry) (state member.State, forMs int64, observed bool) {
 	for _, o := range entry.Observers {
 		if o.Observer == observer {
@@ -120,28 +131,34 @@
 	return state, forMs, observed
 }
 
-// hasRow reports whether a member gets a row. Members that don't gossip are many: those of them that are
-// present are only counted, unless all are asked for.
+// hasRow reports whether a member gets a row. There are many members that don't gossip; those that are
+// present are only counted, unless all is set.
 func hasRow(role member.Role, state member.State, all bool) bool {
 	return role.Gossips() || all || state != member.Present
 }
 
+// memberRow returns the columns of a member. The last one depends on the kind of the view.
 func memberRow(entry *member.Entry, state member.State, last string) []string {
 	return []string{entry.Name, string(entry.Role), string(state), entry.Zone, fmt.Sprint(entry.Incarnation), entry.ProgramVersion, last}
 }
 
-// memberCounts is how many members there are, by role and state as they are printed.
-type memberCounts map[string]int
-
-func (c memberCounts) add(role member.Role, state member.State) {
-	c[fmt.Sprintf("%ss %s", role, state)]++
+// roleAndState is what members are counted by.
+type roleAndState struct {
+	role  member.Role
+	state member.State
 }
 
-// String returns the counts in the order of their roles and states, with commas between.
+// memberCounts is the number of members of each role and state.
+type memberCounts map[roleAndState]int
+
+// add counts a member.
+func (c memberCounts) add(role member.Role, state member.State) { c[roleAndState{role, state}]++ }
+
+// String returns the counts, sorted as texts that begin with the number, with commas between.
 func (c memberCounts) String() string {
 	var sums []string
-	for what, n := range c {
-		sums = append(sums, fmt.Sprintf("%d %s", n, what))
+	for key, n := range c {
+		sums = append(sums, fmt.Sprintf("%d %ss %s", n, key.role, key.state))
 	}
 	slices.Sort(sums)
 	return strings.Join(sums, ", ")
@@ -158,7 +175,7 @@
 	return nil
 }
 
-// printDifferences prints the members of which the servers' views differ.
+// printDifferences prints the members about which the servers' views differ, or that there are none.
 func printDifferences(out io.Writer, views []member.View) error {
 	differences := member.CompareViews(views)
 	if len(differences) == 0 {
--- a/cmd/controlplane/peers.go
+++ b/cmd/controlplane/peers.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"strings"
@@ -8,6 +9,7 @@
 	"github.com/spf13/cobra"
 )
 
+// newPeerCommand returns the commands that change which servers vote.
 func newPeerCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "peer",
@@ -23,17 +25,12 @@
 
 // newChangePeerCommand returns the command that adds a server to the voters or removes one.
 func newChangePeerCommand(out io.Writer, newClient newClientFunc, use, short string, add bool) *cobra.Command {
-	return &cobra.Command{
-		Use:   use,
-		Short: short,
-		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			status, err := newClient().ChangePeer(cmd.Context(), args[0], add)
-			if err != nil {
-				return err
-			}
-			fmt.Fprintln(out, "voters:", strings.Join(status.Voters, " "))
-			return nil
-		},
-	}
+	return newArgumentCommand(use, short, func(ctx context.Context, name string) error {
+		status, err := newClient().ChangePeer(ctx, name, add)
+		if err != nil {
+			return err
+		}
+		fmt.Fprintln(out, "voters:", strings.Join(status.Voters, " "))
+		return nil
+	})
 }
--- a/cmd/controlplane/serve.go
+++ b/cmd/controlplane/serve.go
@@ -13,10 +13,10 @@
 	"knotrouter/internal/control"
 )
 
-// errReload is the cause with which a wait for the server's end is canceled on SIGHUP.
+// errReload is the cause with which waitForReload cancels its wait for the server's end on SIGHUP.
 var errReload = errors.New("reload of the configuration requested")
 
-// adjustConfig changes what no setting can: tests replace the clock and the log store.
+// adjustConfig changes what no setting can change. Tests replace it to set the clock and the log store.
 var adjustConfig = func(*control.Config) {}
 
 // serveFlag is a setting of the configuration file that a flag of the same name overrides.
@@ -32,8 +32,18 @@
 	{"log_level", "debug, info, warn or error"},
 }
 
+// configSource is where the configuration is read from, at the start and at each SIGHUP.
+type configSource struct {
+	path      string         // of the TOML file; "": none
+	overrides map[string]any // settings that flags override, by their key
+}
+
+// load reads the configuration. It returns the errors of control.LoadConfig.
+func (s configSource) load() (*control.Config, error) { return control.LoadConfig(s.path, s.overrides) }
+
+// newServeCommand returns the command that runs a server.
 func newServeCommand() *cobra.Command {
-	var configPath string
+	source := configSource{overrides: map[string]any{}}
 	cmd := &cobra.Command{
 		Use:   "serve",
 		Short: "Run a steward",
@@ -44,27 +54,25 @@
 		Example: "  controlplane serve --data /var/lib/steward\n  controlplane serve --config steward.toml",
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&configPath, "config", "", "TOML file")
+	flags.StringVar(&source.path, "config", "", "TOML file")
 	for _, setting := range serveFlags {
 		flags.String(setting.name, "", setting.usage)
 	}
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		overrides := map[string]any{}
 		for _, setting := range serveFlags {
 			if flag := flags.Lookup(setting.name); flag.Changed {
-				overrides[setting.name] = flag.Value.String()
+				source.overrides[setting.name] = flag.Value.String()
 			}
 		}
-		return serve(cmd.Context(), configPath, overrides)
+		return serve(cmd.Context(), source)
 	}
 	return cmd
 }
 
-// serve runs a server with the configuration of the file at configPath, if that is not empty, and
-// the settings that flags override. It returns nil after a graceful shutdown, which begins when the
-// context is canceled, and otherwise the error that ended the server or kept it from starting.
-func serve(ctx context.Context, configPath string, overrides map[string]any) error {
-	config, err := control.LoadConfig(configPath, overrides)
+// serve runs a server with a configuration. It returns nil after a graceful shutdown, which begins when
+// the context is canceled, and otherwise the error that ended the server or kept it from starting.
+func serve(ctx context.Context, source configSource) error {
+	config, err := source.load()
 	if err != nil {
 		return err
 	}
@@ -84,10 +92,11 @@
 		if !reload {
 			return err
 		}
-		reloadPeers(server, log, configPath, overrides)
+		reloadPeers(server, log, source)
 	}
 }
 
+// newLogger returns the logger of a server, which writes to standard error at the configured level.
 func newLogger(config *control.Config) *slog.Logger {
 	var level slog.Level
 	_ = level.UnmarshalText([]byte(config.LogLevel)) // LoadConfig has checked it
@@ -114,10 +123,10 @@
 	return false, err
 }
 
-// reloadPeers gives the server the peers that the configuration names now. A configuration that can't
+// reloadPeers reads the configuration again and gives the server its peers. A configuration that can't
 // be loaded is logged and changes nothing.
-func reloadPeers(server *control.Server, log *slog.Logger, configPath string, overrides map[string]any) {
-	config, err := control.LoadConfig(configPath, overrides)
+func reloadPeers(server *control.Server, log *slog.Logger, source configSource) {
+	config, err := source.load()
 	if err != nil {
 		log.Error("SIGHUP: the configuration stays as it was", "err", err)
 		return
--- a/cmd/controlplane/servers.go
+++ b/cmd/controlplane/servers.go
@@ -7,6 +7,7 @@
 	"io"
 
 	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
 
 	"knotrouter/internal/catalog"
 	"knotrouter/internal/control"
@@ -16,6 +17,8 @@
 // errNoOverride is the failure of `servers set` without anything to set.
 var errNoOverride = errors.New("--share, --health: neither is given")
 
+// newServersCommand returns the command that shows the registered servers, with the one that sets an
+// override.
 func newServersCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "servers",
@@ -30,6 +33,7 @@
 	return cmd
 }
 
+// printServers prints a row for each entry, also of those that were removed recently.
 func printServers(ctx context.Context, out io.Writer, client *control.Client) error {
 	entries, err := client.Servers(ctx, true)
 	if err != nil {
@@ -42,6 +46,7 @@
 	return table.Terminal(out, false, []string{"server", "health", "dial", "site", "class", "share", "version", ""}, rows)
 }
 
+// serverRow returns the columns of an entry.
 func serverRow(entry *catalog.Entry) []string {
 	listed := entry.Listed()
 	return []string{
@@ -56,7 +61,7 @@
 	}
 }
 
-// serverNote says why an entry is not what its server last reported; it is empty for all others.
+// serverNote returns why an entry is not listed as its server last reported, or "" if it is.
 func serverNote(entry *catalog.Entry) string {
 	switch {
 	case entry.Removed:
@@ -69,35 +74,35 @@
 	return ""
 }
 
+// newSetServerCommand returns the command that sets or withdraws an override of a server's weight and
+// health. It fails with errNoOverride if neither flag is given.
 func newSetServerCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
 	var weight float64
 	var health string
 	var ifVersion int64
-	cmd := &cobra.Command{
-		Use:   "set NAME",
-		Short: "Set a server's share or health, over its own word",
-		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			override := control.ServerOverride{IfVersion: ifVersion}
-			if cmd.Flags().Changed("share") {
-				override.Weight = &weight
-			}
-			if cmd.Flags().Changed("health") {
-				override.Health = &health
-			}
-			if override.Weight == nil && override.Health == nil {
-				return errNoOverride
-			}
-			result, err := newClient().SetOverride(cmd.Context(), args[0], override)
-			if err != nil {
-				return err
-			}
-			fmt.Fprintf(out, "%s is as you say from version %d on\n", args[0], result.Seq)
-			return nil
-		},
+	var flags *pflag.FlagSet
+	set := func(ctx context.Context, server string) error {
+		override := control.ServerOverride{IfVersion: ifVersion}
+		if flags.Changed("share") {
+			override.Weight = &weight
+		}
+		if flags.Changed("health") {
+			override.Health = &health
+		}
+		if override.Weight == nil && override.Health == nil {
+			return errNoOverride
+		}
+		result, err := newClient().SetOverride(ctx, server, override)
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(out, "%s is as you say from version %d on\n", server, result.Seq)
+		return nil
 	}
-	cmd.Flags().Float64Var(&weight, "share", 0, "share, 0 or above")
-	cmd.Flags().StringVar(&health, "health", "", "ready, draining, or empty for the server's own word")
-	cmd.Flags().Int64Var(&ifVersion, "if", 0, "only if the entry has this version")
+	cmd := newArgumentCommand("set NAME", "Set a server's share or health, over its own word", set)
+	flags = cmd.Flags()
+	flags.Float64Var(&weight, "share", 0, "share, 0 or above")
+	flags.StringVar(&health, "health", "", "ready, draining, or empty for the server's own word")
+	flags.Int64Var(&ifVersion, "if", 0, "only if the entry has this version")
 	return cmd
 }
--- a/cmd/controlplane/snapshot.go
+++ b/cmd/controlplane/snapshot.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"os"
@@ -10,47 +11,42 @@
 	"knotrouter/internal/control"
 )
 
+// newSnapshotCommand returns the commands that save the replicated state to a file and restore it.
 func newSnapshotCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
 	cmd := &cobra.Command{Use: "snapshot", Short: "Save the state to a file, or put one in its place"}
 	cmd.AddCommand(newSaveSnapshotCommand(out, newClient), newRestoreSnapshotCommand(out, newClient))
 	return cmd
 }
 
+// newSaveSnapshotCommand returns the command that writes the leader's state to a file. An existing file
+// is replaced once the state is complete.
 func newSaveSnapshotCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
-	return &cobra.Command{
-		Use:   "save FILE",
-		Short: "Save the state as it is now",
-		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			text, err := newClient().Snapshot(cmd.Context())
-			if err != nil {
-				return err
-			}
-			if err := control.WriteFileAtomic(args[0], text); err != nil {
-				return fmt.Errorf("snapshot: %w", err)
-			}
-			fmt.Fprintf(out, "%d bytes in %s\n", len(text), args[0])
-			return nil
-		},
-	}
+	return newArgumentCommand("save FILE", "Save the state as it is now", func(ctx context.Context, file string) error {
+		text, err := newClient().Snapshot(ctx)
+		if err != nil {
+			return err
+		}
+		if err := control.WriteFileAtomic(file, text); err != nil {
+			return fmt.Errorf("snapshot: %w", err)
+		}
+		fmt.Fprintf(out, "%d bytes in %s\n", len(text), file)
+		return nil
+	})
 }
 
+// newRestoreSnapshotCommand returns the command that replaces the replicated state by that of a file.
 func newRestoreSnapshotCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
-	return &cobra.Command{
-		Use:   "restore FILE",
-		Short: "Put a saved state in place of the present one; versions go on",
-		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			text, err := os.ReadFile(args[0])
-			if err != nil {
-				return fmt.Errorf("snapshot: %w", err)
-			}
-			status, err := newClient().Restore(cmd.Context(), text)
-			if err != nil {
-				return err
-			}
-			fmt.Fprintf(out, "%d servers listed, version %d\n", status.Listed, status.Seq)
-			return nil
-		},
-	}
+	const short = "Put a saved state in place of the present one; versions go on"
+	return newArgumentCommand("restore FILE", short, func(ctx context.Context, file string) error {
+		text, err := os.ReadFile(file)
+		if err != nil {
+			return fmt.Errorf("snapshot: %w", err)
+		}
+		status, err := newClient().Restore(ctx, text)
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(out, "%d servers listed, version %d\n", status.Listed, status.Seq)
+		return nil
+	})
 }
--- a/cmd/controlplane/status.go
+++ b/cmd/controlplane/status.go
@@ -17,6 +17,7 @@
 // errNoAnswer is the failure of a command that no server answered.
 var errNoAnswer = errors.New("no steward answers")
 
+// newStatusCommand returns the command that shows the status of each server that --at names.
 func newStatusCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
 	return &cobra.Command{
 		Use:     "status",
@@ -60,6 +61,7 @@
 	return nil
 }
 
+// statusRow returns the columns of a server that answered.
 func statusRow(addr string, status *control.Status) []string {
 	state := status.State
 	if status.Stale {
@@ -80,7 +82,8 @@
 	}
 }
 
-// quarantineNote tells the operator that a mass failure keeps servers listed, and what ends that.
+// quarantineNote returns a line that says how many servers the mass-failure guard keeps listed, for how
+// long, and which command removes them.
 func quarantineNote(status *control.Status) string {
 	duration := (time.Duration(status.QuarantinedForMs) * time.Millisecond).Round(time.Second)
 	return fmt.Sprintf("%s: %d servers would have lapsed at once and stay listed, for %v now; 'controlplane confirm' says that they are gone",
--- a/cmd/controlplane/tasks.go
+++ b/cmd/controlplane/tasks.go
@@ -13,22 +13,23 @@
 	"knotrouter/internal/table"
 )
 
-// taskCommand is a command to a leased task that takes the task's name.
+// taskCommand is an operator's command on one leased task.
 type taskCommand struct {
-	name  string // of the command, on the command line and to the server
-	short string
+	name  string // one of control's Command constants; also on the command line
+	short string // the help text
 	done  string // what is printed after the task's name
 }
 
 var taskCommands = []taskCommand{
-	{"move", "Have a duty go to another process", "is to go to another process"},
-	{"revoke", "Have a duty's holder stop", "is taken from its holder"},
-	{"park", "Have nobody hold a duty", "is nobody's from now on"},
-	{"unpark", "Let a parked duty be held again", "may be held again"},
-	{"drop", "Forget a duty that nobody holds", "is forgotten"},
+	{control.CommandMove, "Have a duty go to another process", "is to go to another process"},
+	{control.CommandRevoke, "Have a duty's holder stop", "is taken from its holder"},
+	{control.CommandPark, "Have nobody hold a duty", "is nobody's from now on"},
+	{control.CommandUnpark, "Let a parked duty be held again", "may be held again"},
+	{control.CommandDrop, "Forget a duty that nobody holds", "is forgotten"},
 }
 
-// newTasksCommand returns the commands of leased tasks, which the operators call duties.
+// newTasksCommand returns the commands that show, define and command leased tasks, which the operators
+// call duties.
 func newTasksCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
 	list := func(cmd *cobra.Command, _ []string) error {
 		return printTasks(cmd.Context(), out, newClient())
@@ -54,6 +55,7 @@
 	return cmd
 }
 
+// printTasks prints a row for each leased task.
 func printTasks(ctx context.Context, out io.Writer, client *control.Client) error {
 	tasks, err := client.Tasks(ctx)
 	if err != nil {
@@ -67,63 +69,51 @@
 	return table.Terminal(out, false, []string{"duty", "holder", "fence", "time", "next", "state"}, rows)
 }
 
+// newShowTaskCommand returns the command that shows the state of one leased task and its last terms.
 func newShowTaskCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
-	return &cobra.Command{
-		Use:   "show NAME",
-		Short: "Show a duty and its last holders",
-		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			task, err := newClient().Task(cmd.Context(), args[0])
-			if err != nil {
-				return err
-			}
-			fmt.Fprintf(out, "%s: %s, fence %d, for %v a time\n", task.Name, taskState(&task), task.Fence, task.TTL)
-			var rows [][]string
-			for _, term := range task.History {
-				duration := (term.To - term.From).Round(time.Millisecond)
-				rows = append(rows, []string{term.Process, fmt.Sprint(term.Fence), duration.String(), term.Reason})
-			}
-			return table.Terminal(out, false, []string{"held by", "fence", "for", "until it"}, rows)
-		},
-	}
+	return newArgumentCommand("show NAME", "Show a duty and its last holders", func(ctx context.Context, name string) error {
+		task, err := newClient().Task(ctx, name)
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(out, "%s: %s, fence %d, for %v a time\n", task.Name, taskState(&task), task.Fence, task.TTL)
+		var rows [][]string
+		for _, term := range task.History {
+			duration := (term.To - term.From).Round(time.Millisecond)
+			rows = append(rows, []string{term.Process, fmt.Sprint(term.Fence), duration.String(), term.Reason})
+		}
+		return table.Terminal(out, false, []string{"held by", "fence", "for", "until it"}, rows)
+	})
 }
 
+// newDefineTaskCommand returns the command that defines a leased task or changes its definition.
 func newDefineTaskCommand(newClient newClientFunc) *cobra.Command {
 	var zone, process string
 	var ttl time.Duration
-	cmd := &cobra.Command{
-		Use:   "define NAME",
-		Short: "Make a duty, or change whom it prefers",
-		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			definition := control.TaskDefinition{TTLMs: ttl.Milliseconds(), Zone: zone, Process: process}
-			return newClient().DefineTask(cmd.Context(), args[0], definition)
-		},
-	}
+	cmd := newArgumentCommand("define NAME", "Make a duty, or change whom it prefers", func(ctx context.Context, name string) error {
+		definition := control.TaskDefinition{TTLMs: ttl.Milliseconds(), Zone: zone, Process: process}
+		return newClient().DefineTask(ctx, name, definition)
+	})
 	cmd.Flags().DurationVar(&ttl, "ttl", 3*time.Second, "how long a holder that is not heard keeps it")
 	cmd.Flags().StringVar(&zone, "zone", "", "where it had best be held")
 	cmd.Flags().StringVar(&process, "process", "", "who had best hold it")
 	return cmd
 }
 
+// newTaskCommand returns the command line's command for an operator's command on a leased task.
 func newTaskCommand(out io.Writer, newClient newClientFunc, command taskCommand) *cobra.Command {
 	var to, why string
-	cmd := &cobra.Command{
-		Use:   command.name + " NAME",
-		Short: command.short,
-		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := newClient().CommandTask(cmd.Context(), args[0], command.name, to, why); err != nil {
-				return err
-			}
-			fmt.Fprintf(out, "%s %s\n", args[0], command.done)
-			return nil
-		},
-	}
+	cmd := newArgumentCommand(command.name+" NAME", command.short, func(ctx context.Context, name string) error {
+		if err := newClient().CommandTask(ctx, name, command.name, to, why); err != nil {
+			return err
+		}
+		fmt.Fprintf(out, "%s %s\n", name, command.done)
+		return nil
+	})
 	switch command.name {
-	case "move":
+	case control.CommandMove:
 		cmd.Flags().StringVar(&to, "to", "", "the process; none: the best other one")
-	case "park":
+	case control.CommandPark:
 		cmd.Flags().StringVar(&why, "why", "", "what to tell those who ask")
 	}
 	return cmd
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -218,10 +218,20 @@
 	return c.do(ctx, http.MethodPost, "/v1/terms", termsBody{catalog.ReleaseTerm, []catalog.TermRef{t}, catalog.ReasonCompleted}, nil)
 }
 
-// CommandTask carries out an operator's command on a task: move, revoke, park, unpark or drop. The
-// process to is that of a move, or "" for the best one.
+// Operators' commands on a leased task. All but CommandDrop are the last element of a path of the HTTP
+// API.
+const (
+	CommandMove   = "move"   // transfer the task to another process
+	CommandRevoke = "revoke" // have the holder stop
+	CommandPark   = "park"   // suspend the task
+	CommandUnpark = "unpark" // resume the task
+	CommandDrop   = "drop"   // delete the task
+)
+
+// CommandTask carries out an operator's command on a task. The process to is that of a CommandMove, or
+// "" for the best one. The reason, which may be "", is for the task's history.
 func (c *Client) CommandTask(ctx context.Context, name, command, to, reason string) error {
-	if command == "drop" {
+	if command == CommandDrop {
 		return c.do(ctx, http.MethodDelete, "/v1/duties/"+name, nil, nil)
 	}
 	return c.do(ctx, http.MethodPost, "/v1/duties/"+name+"/"+command, taskCommandBody{to, reason}, nil)
--- a/internal/control/requests_test.go
+++ b/internal/control/requests_test.go
@@ -69,8 +69,8 @@
 	_ = c.DefineTask(ctx, "job.a", task)
 	_, _ = c.ClaimTask(ctx, "job.a", "w-1", "one")
 	_ = c.ReleaseTerm(ctx, tie)
-	for _, word := range []string{"move", "revoke", "park", "unpark", "drop"} {
-		_ = c.CommandTask(ctx, "job.a", word, "w-2", "until tomorrow")
+	for _, command := range []string{CommandMove, CommandRevoke, CommandPark, CommandUnpark, CommandDrop} {
+		_ = c.CommandTask(ctx, "job.a", command, "w-2", "until tomorrow")
 	}
 	_, _ = ReadMemberViews(ctx, c.Addrs, time.Second)
 	mu.Lock()
