--- a/internal/catalog/command.go
+++ b/internal/catalog/command.go
@@ -55,7 +55,7 @@
 const (
 	// DefineTask creates LeasedTask, or changes its TTL and preferences.
 	DefineTask Kind = "define"
-	// DeleteTask deletes the task Name, which nobody may hold.
+	// DeleteTask deletes the task Name, which must not have a holder.
 	DeleteTask Kind = "drop"
 	// GrantTerm grants each task of Terms to that element's Process and Session.
 	GrantTerm Kind = "grant"
--- a/internal/catalog/leasedtask_test.go
+++ b/internal/catalog/leasedtask_test.go
@@ -223,7 +223,7 @@
 		apply(s, now, Command{Kind: OpenSession, Session: &Session{Process: "q", ID: id, MaxTasks: 9}})
 		apply(s, now, Command{Kind: GrantTerm, Terms: []TermRef{{Name: "innocent", Process: "q", Session: id}}})
 		apply(s, now, Command{Kind: GrantTerm, Terms: []TermRef{{Name: "killer", Process: "q", Session: id}}})
-		for range 60 { // the process is not heard again
+		for range 60 { // the process renews no more
 			now += 100 * time.Millisecond
 			for _, c := range leases.Decide(s, now) {
 				if c.Kind != GrantTerm {
--- a/internal/catalog/registration_test.go
+++ b/internal/catalog/registration_test.go
@@ -40,7 +40,7 @@
 	step(Command{Kind: Deregister, Refs: refs("s", 20)}, Done, 107, "")
 	step(Command{Kind: Deregister, Refs: refs("s", 20)}, Unknown, 107, "")
 	step(Command{Kind: SetOverride, Name: "s", Weight: &weight}, Unknown, 107, "")
-	step(Command{Kind: Register, Endpoint: endpoint("s", 19)}, Superseded, 107, "") // an older instance is heard late
+	step(Command{Kind: Register, Endpoint: endpoint("s", 19)}, Superseded, 107, "") // a late request of an older instance
 	step(Command{Kind: Register, Endpoint: endpoint("s", 30)}, Done, 108, "s ready 0.5 30")
 	step(Command{Kind: Register, Endpoint: nil}, Invalid, 108, "s ready 0.5 30")
 	step(Command{Kind: "later", Endpoint: endpoint("s", 30)}, Unsupported, 108, "s ready 0.5 30")
--- a/internal/catalog/registrationleases_test.go
+++ b/internal/catalog/registrationleases_test.go
@@ -54,7 +54,7 @@
 }
 
 // TestMassFailure holds that one zone of three expires, and that most of the fleet does not:
-// it is quarantined until an operator confirms its removal or the servers are heard again.
+// it is quarantined until an operator confirms its removal or the servers renew again.
 func TestMassFailure(t *testing.T) {
 	t.Run("one service", func(t *testing.T) { testMassFailure(t, func(int) string { return "" }) })
 	// The fleet's share holds also for services that are too small for a share of their own.
--- a/internal/catalog/taskleases.go
+++ b/internal/catalog/taskleases.go
@@ -107,7 +107,7 @@
 
 // Decide returns the commands that the leader is to propose now, in order: terms that expire,
 // transfers that were not accepted in time, sessions to close, and then the grants of tasks
-// that nobody holds, or else transfers from draining processes, or else transfers that even
+// that no process holds, or else transfers from draining processes, or else transfers that even
 // out the load.
 func (t *TaskLeases) Decide(s *State, now time.Duration) []Command {
 	scan := t.scan(s, now)
--- a/internal/catalog/taskleases_test.go
+++ b/internal/catalog/taskleases_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestTaskLeases holds for processes that open sessions, fall silent, drain and close: no term
-// expires before its TTL since the holder was heard is over, counted by a new leader from its
-// own beginning; no process has more tasks than its MaxTasks; and in the end all tasks that
-// can be held are, and none changes hands any more.
+// TestTaskLeases shows for processes that open sessions, stop renewing, drain and close: no term
+// expires before its TTL has passed since the holder's last renewal, or since the election of a new
+// leader; no process has more tasks than its MaxTasks; and in the end all tasks that can be held
+// are, and none is transferred any more.
 func TestTaskLeases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newTaskFleet(t, time.Duration(rapid.IntRange(0, 100).Draw(t, "from"))*time.Hour)
--- a/internal/catalog/term.go
+++ b/internal/catalog/term.go
@@ -100,7 +100,7 @@
 	return task.Holder != "" && task.Fence == ref.Fence && (ref.Session == "" || task.Session == ref.Session)
 }
 
-// grantTerm grants a task that nobody holds to a session. Result.Fence is the fencing token,
+// grantTerm grants a task that no process holds to a session. Result.Fence is the fencing token,
 // which no earlier term of any task had.
 func (s *State) grantTerm(task *LeasedTask, process, sessionID string) Result {
 	session := s.Sessions[process]
--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -95,15 +95,15 @@
 }
 
 // admitWrite admits a write, which has slots of its own, so that reads can't keep it waiting. It
-// returns a function that releases the slot. If it returns false, it has answered the request with
-// a rejection, and the function is nil.
-func (a *admission) admitWrite(w http.ResponseWriter) (bool, func()) {
+// returns a function that releases the slot. If ok is false, it has answered the request with a
+// rejection, and the function is nil.
+func (a *admission) admitWrite(w http.ResponseWriter) (release func(), ok bool) {
 	select {
 	case a.writeSlots <- struct{}{}:
-		return true, func() { <-a.writeSlots }
+		return func() { <-a.writeSlots }, true
 	default:
 		a.reject(w, writeRetryAfter)
-		return false, nil
+		return nil, false
 	}
 }
 
--- a/internal/control/admission_test.go
+++ b/internal/control/admission_test.go
@@ -55,7 +55,7 @@
 		}
 		var releases []func()
 		for i := range 3 {
-			ok, release := a.admitWrite(httptest.NewRecorder())
+			release, ok := a.admitWrite(httptest.NewRecorder())
 			if ok != (i < 2) {
 				t.Errorf("write %d admitted: %v", i, ok)
 			}
@@ -64,7 +64,7 @@
 			}
 		}
 		releases[0]()
-		if ok, _ := a.admitWrite(httptest.NewRecorder()); !ok {
+		if _, ok := a.admitWrite(httptest.NewRecorder()); !ok {
 			t.Error("a released slot is not reused")
 		}
 	})
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -13,6 +13,9 @@
 	"knotrouter/internal/leaderelection"
 )
 
+// errNoAddress means that a Client has no address to send a request to.
+var errNoAddress = errors.New("no address of a steward")
+
 // Client calls the HTTP API of the control plane. It tries one address after the other until a
 // server answers; one that doesn't answer is tried last from then on. A Client may be used by
 // several goroutines.
@@ -34,7 +37,7 @@
 // do sends a request to one address after the other. After an answer, even a rejection, it tries
 // the next only if the request certainly had no effect.
 func (c *Client) do(ctx context.Context, method, path string, body, into any) error {
-	err := errors.New("no address of a steward")
+	err := errNoAddress
 	first := c.preferred.Load()
 	addrs := c.Addrs
 	if c.AddressSource != nil {
@@ -203,12 +206,14 @@
 	return all, c.do(ctx, http.MethodGet, "/v1/sessions?consistent=1", nil, &all)
 }
 
-// DefineTask defines a leased task, or changes the definition of one.
+// DefineTask defines a leased task, or changes its definition. The time to live of a task that is held
+// can't be changed.
 func (c *Client) DefineTask(ctx context.Context, name string, b TaskDefinition) error {
 	return c.do(ctx, http.MethodPut, "/v1/duties/"+name, b, nil)
 }
 
-// ClaimTask asks for a task that has no holder, for a session. It is idempotent.
+// ClaimTask requests a task that has no holder for a session. Result.Fence is the fencing token. It is
+// idempotent: a repeated call returns the same token.
 func (c *Client) ClaimTask(ctx context.Context, name, process, id string) (r catalog.Result, err error) {
 	return r, c.do(ctx, http.MethodPost, "/v1/duties/"+name+"/claim", claimBody{process, id}, &r)
 }
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -49,7 +49,7 @@
 	GuardShare  float64       `koanf:"guard_share"` // the part of the listed servers that may expire within the window
 	GuardWindow time.Duration `koanf:"guard_window"`
 
-	Heartbeat  time.Duration `koanf:"heartbeat"`   // a leader that is not heard for longer is replaced
+	Heartbeat  time.Duration `koanf:"heartbeat"`   // a follower that gets no message of the leader for longer starts an election
 	StaleAfter time.Duration `koanf:"stale_after"` // after this time without the quorum, watches are sent to peers
 	Coalesce   time.Duration `koanf:"coalesce"`    // changes within it are one event of a watch
 	Drain      time.Duration `koanf:"drain"`       // the time over which Close migrates the watches
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -55,8 +55,8 @@
 // # Disk
 //
 // The data folder has raft.db (the log, each entry with a checksum, and raft's term and vote),
-// snapshots/ (raft's), identity (drawn at random, tells a restart from another process of the
-// same name) and saved/ (copies of the state by the state-copy task). Leases aren't on disk: a
+// snapshots/ (raft's), identity (drawn at random, distinguishes a restart from another process
+// of the same name) and saved/ (copies of the state by the state-copy task). Leases aren't on disk: a
 // new leader gives all of them their full time.
 //
 // # Where to look
--- a/internal/control/forwarding.go
+++ b/internal/control/forwarding.go
@@ -26,7 +26,7 @@
 // answer.
 func (s *Server) leaderWritesAfter(observe, do commandHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		ok, release := s.admission.admitWrite(w)
+		release, ok := s.admission.admitWrite(w)
 		if !ok {
 			return
 		}
@@ -88,7 +88,7 @@
 		return
 	}
 	req.Header.Set(forwardedByHeader, s.config.Name)
-	req.GetBody = nil // so that the transport can't repeat the request by itself
+	req.GetBody = nil // so that the transport can't send the request a second time
 	resp, err := (&http.Client{Transport: s.peerClient.Transport}).Do(req)
 	switch {
 	case err != nil && neverSent(err):
--- a/internal/control/fsm.go
+++ b/internal/control/fsm.go
@@ -29,7 +29,7 @@
 
 	mu              sync.RWMutex // guards the fields below and everything that state leads to
 	state           *catalog.State
-	sessionsChanged chan struct{} // closed when assignments may have changed; nil if nobody waits
+	sessionsChanged chan struct{} // closed when assignments may have changed; nil if no request waits
 }
 
 // Apply implements raft.FSM: it applies a committed entry and returns its catalog.Result. For an
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -209,10 +209,13 @@
 	}
 }
 
+// errNoOtherPeer means that the peer table has no server but this one.
+var errNoOtherPeer = errors.New("no other steward in the table")
+
 // tryPeers calls do with the base URL of one peer after the other, until one succeeds, one
-// answers with a conflict or the context ends. It returns the last error.
+// answers with a conflict or the context ends. It returns nil, the last error, or errNoOtherPeer.
 func (s *Server) tryPeers(ctx context.Context, do func(base string) error) error {
-	err := errors.New("no other steward in the table")
+	err := errNoOtherPeer
 	for _, name := range s.config.otherServers() {
 		p, _ := s.peer(name)
 		err = do("http://" + p.HTTP)
--- a/internal/control/listhandler.go
+++ b/internal/control/listhandler.go
@@ -87,7 +87,7 @@
 
 // shouldSendElsewhere reports whether a reader is better off at another control-plane server.
 // A stale list is served as long as no other server has a current one: agents without any list
-// can't work. movable tells whether the reader knows other servers.
+// can't work. movable is whether the reader knows other servers.
 func (s *Server) shouldSendElsewhere(movable bool) bool {
 	if s.raft() == nil || s.fsm.revision() == 0 {
 		return true
--- a/internal/control/listrevision.go
+++ b/internal/control/listrevision.go
@@ -88,8 +88,8 @@
 
 // raiseRevisionAbove raises the version above the one that a reader has, unless the log leads
 // there. A follower may have applied entries that this leader has committed but not applied yet,
-// so all committed entries are applied first: raising the version drops the history, and every
-// reader would be sent the full list for nothing.
+// so all committed entries are applied first: raising the version drops the history, so that every
+// reader is sent the full list, which must not happen without need.
 func (s *Server) raiseRevisionAbove(ctx context.Context, seen int64) error {
 	if s.fsm.revision() >= seen {
 		return nil
--- a/internal/control/raftstream.go
+++ b/internal/control/raftstream.go
@@ -44,9 +44,10 @@
 	resolve func(name string) (addr string, known bool)
 }
 
-// Dial implements raft.StreamLayer. It sends the name of the server that it wants to reach: if
-// the peer table led to another server, that one's votes and acknowledgements would be counted
-// twice towards a quorum.
+// Dial implements raft.StreamLayer. It sends the name of the dialled server, which refuses the
+// connection if it has another name: if the peer table led to a wrong server, that server's votes
+// and acknowledgements would be counted twice towards a quorum. It returns an error that wraps
+// errNotInPeerTable if the table has no address for the name.
 func (s *peerDialer) Dial(name raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	addr, known := s.resolve(string(name))
 	if !known {
@@ -73,8 +74,8 @@
 	unread       []byte // the first byte, if it was no preamble
 }
 
-// Read implements net.Conn. It returns errWrongServer, and closes the connection, if the peer
-// wants to reach another server.
+// Read implements net.Conn. If the peer dialled another server, it closes the connection and returns
+// an error that wraps errWrongServer.
 func (c *addressedConn) Read(p []byte) (int, error) {
 	if !c.preambleRead {
 		c.preambleRead = true
--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -1,7 +1,6 @@
 package control
 
 import (
-	"fmt"
 	"net/http"
 	"strconv"
 	"time"
@@ -62,14 +61,8 @@
 	if err != nil {
 		return err
 	}
-	switch code {
-	case catalog.Done:
-	case catalog.Conflict:
-		return &rejectedError{catalog.Result{Code: code, Text: "the end of its time has been decided; ask again"}}
-	case catalog.Taken:
-		return &rejectedError{catalog.Result{Code: code, Text: fmt.Sprintf("another process is called %s", process)}}
-	default:
-		return &rejectedError{catalog.Result{Code: code, Text: fmt.Sprintf("no session of %s", process)}}
+	if code != catalog.Done {
+		return renewalRejection(code, process)
 	}
 	if err := s.verifyLeader(r.Context()); err != nil {
 		return err
@@ -81,6 +74,18 @@
 	return nil
 }
 
+// renewalRejection returns the rejectedError for a renewal that TaskLeases.Renew answered with a code.
+func renewalRejection(code catalog.Code, process string) error {
+	text := "no session of " + process
+	switch code {
+	case catalog.Conflict:
+		text = "the end of its time has been decided; ask again"
+	case catalog.Taken:
+		text = "another process is called " + process
+	}
+	return &rejectedError{catalog.Result{Code: code, Text: text}}
+}
+
 // renewSession renews a session at a time of the leader's clock and returns its assignments. It
 // returns errNoLeader if this server doesn't lead.
 func (s *Server) renewSession(process, id string, now time.Duration) (code catalog.Code, update leaderelection.AssignmentUpdate, err error) {
--- a/internal/control/staleness.go
+++ b/internal/control/staleness.go
@@ -6,7 +6,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// sinceLeaderContact returns how long ago this server last heard from a leader; zero if it leads.
+// sinceLeaderContact returns the time since the last message of a leader, or since the start if there
+// was none. It is zero if this server leads.
 func (s *Server) sinceLeaderContact() time.Duration {
 	if s.raft() == nil {
 		return time.Since(s.startedAt)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -31,22 +31,22 @@
 	Name                 string            `json:"name"`
 	State                string            `json:"state"` // "leader", "follower", "candidate", "ended" or "starting"
 	Leader               string            `json:"leader"`
-	Term                 uint64            `json:"term"`
-	Seq                  int64             `json:"seq"` // version of the list
-	Applied              uint64            `json:"applied"`
-	Committed            uint64            `json:"committed"`
+	Term                 uint64            `json:"term"`      // raft's
+	Seq                  int64             `json:"seq"`       // version of the list
+	Applied              uint64            `json:"applied"`   // index of the last log entry that is applied here
+	Committed            uint64            `json:"committed"` // index of the last log entry that is known here to be committed
 	HasState             bool              `json:"has_state"` // its raft log holds more than the first configuration
 	Stale                bool              `json:"stale"`
-	SinceLeaderContactMs int64             `json:"silent_ms"`
+	SinceLeaderContactMs int64             `json:"silent_ms"` // see sinceLeaderContact
 	Voters               []string          `json:"voters"`
 	Peers                map[string]string `json:"peers"`    // suffrage by name
 	LagMs                int64             `json:"lag_ms"`   // behind what the leader had committed
 	Draining             bool              `json:"draining"` // it is about to stop
 	Watches              int               `json:"watches"`
 	Movable              int               `json:"movable"` // watches that can migrate to another server
-	Listed               int               `json:"listed"`
-	Quarantined          int               `json:"held"` // servers that the mass-failure guard keeps although their leases expired
-	Damped               int               `json:"damped"`
+	Listed               int               `json:"listed"`  // servers that are listed
+	Quarantined          int               `json:"held"`    // servers that the mass-failure guard keeps although their leases expired
+	Damped               int               `json:"damped"`  // servers that are kept off the list for restarting too often
 	QuarantinedForMs     int64             `json:"held_for_ms"`
 }
 
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -58,14 +58,9 @@
 // wraps errDataFolderInUse if another process uses the folder, a *damagedLogError if the log in it
 // is damaged, and another error if the folder can't be written.
 func openStore(dir string, log hclog.Logger) (s *store, err error) {
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, fmt.Errorf("data: %w", err)
-	}
-	probe := filepath.Join(dir, ".writable")
-	if err := os.WriteFile(probe, []byte("x"), 0o600); err != nil {
-		return nil, fmt.Errorf("data: %w", err)
+	if err := ensureWritable(dir); err != nil {
+		return nil, err
 	}
-	os.Remove(probe)
 	// bbolt maps the file into memory and panics on invalid pages. An access beyond the end of a
 	// truncated file raises a signal, which is turned into a panic too.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
@@ -94,6 +89,20 @@
 	return s, nil
 }
 
+// ensureWritable creates the data folder if it doesn't exist, and returns an error if no file can be
+// written in it.
+func ensureWritable(dir string) error {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return fmt.Errorf("data: %w", err)
+	}
+	probe := filepath.Join(dir, ".writable")
+	if err := os.WriteFile(probe, []byte("x"), 0o600); err != nil {
+		return fmt.Errorf("data: %w", err)
+	}
+	os.Remove(probe)
+	return nil
+}
+
 // verifyLog reads the whole log once, and returns an error for the first entry that is missing or
 // damaged: a server that can't start is better than one that lost entries it had acknowledged.
 // Entries that a snapshot covers may be missing, as they are after the leader has sent a snapshot
--- a/internal/control/tasks.go
+++ b/internal/control/tasks.go
@@ -15,8 +15,8 @@
 // TaskDefinition defines a leased task.
 type TaskDefinition struct {
 	TTLMs   int64  `json:"ttl_ms"`            // the time to live of a term, in milliseconds
-	Zone    string `json:"zone,omitempty"`    // the zone whose processes are preferred
-	Process string `json:"process,omitempty"` // the process that is preferred
+	Zone    string `json:"zone,omitempty"`    // the zone whose processes are preferred; "": any
+	Process string `json:"process,omitempty"` // the process that is preferred; "": any
 }
 
 // claimBody claims a task that has no holder for a session.
@@ -31,7 +31,7 @@
 	Why string `json:"why,omitempty"` // the reason, for the task's history
 }
 
-// termsBody reports what happened to terms.
+// termsBody reports that terms were released, or that their transfers were accepted.
 type termsBody struct {
 	Kind catalog.Kind      `json:"kind"`
 	Ties []catalog.TermRef `json:"ties"`
@@ -61,13 +61,19 @@
 			return
 		}
 		s.metrics.taskDecisions.WithLabelValues(string(command.Kind)).Add(float64(max(len(command.Terms), 1)))
-		if len(command.Terms) > 0 {
-			first := command.Terms[0]
-			s.log.Info("task command committed", "command", command.Kind, "count", len(command.Terms), "task", first.Name, "process", first.Process)
-		} else {
-			s.log.Info("task command committed", "command", command.Kind, "process", command.Session.Process)
-		}
+		s.logTaskCommand(&command)
+	}
+}
+
+// logTaskCommand logs a committed command of catalog.TaskLeases, which is on terms or on a session. Of
+// several terms it logs the number and the first.
+func (s *Server) logTaskCommand(command *catalog.Command) {
+	if len(command.Terms) == 0 {
+		s.log.Info("task command committed", "command", command.Kind, "process", command.Session.Process)
+		return
 	}
+	first := command.Terms[0]
+	s.log.Info("task command committed", "command", command.Kind, "count", len(command.Terms), "task", first.Name, "process", first.Process)
 }
 
 // handleTerms takes a holder's report that terms were released or their transfer accepted.
--- a/internal/control/watchload.go
+++ b/internal/control/watchload.go
@@ -14,7 +14,7 @@
 
 // loadTolerance returns by how many watches a server may be above its share before it ends any:
 // a tenth of the share, or minLoadTolerance. Readers choose among the other servers by themselves,
-// so exact shares would make them migrate to and fro.
+// so with exact shares, watches would migrate again and again.
 func loadTolerance(share int) int { return max(minLoadTolerance, share/loadToleranceDivisor) }
 
 // excessWatches returns how many watches a server should end now, so that their readers go to
