--- a/internal/catalog/leasedtask_test.go
+++ b/internal/catalog/leasedtask_test.go
@@ -196,9 +196,9 @@
 	}
 }
 
-// TestTasksThatEndTheirHoldersAreSuspended holds that a task that fails is backed off, longer
-// each time, and that one whose holders die of it is suspended. A task that was held beside it
-// is not.
+// TestTasksThatEndTheirHoldersAreSuspended holds that a task that fails is granted again only after a
+// backoff, longer each time, and that a task is suspended if its holders die soon after the grant. A
+// task that the same processes held before is not.
 func TestTasksThatEndTheirHoldersAreSuspended(t *testing.T) {
 	s := New()
 	apply(s, 0, Command{Kind: OpenSession, Session: &Session{Process: "p", ID: "i", MaxTasks: 9}})
@@ -215,14 +215,14 @@
 	}
 	now := s.Clock
 	leases := NewTaskLeases(now)
-	for _, name := range []string{"innocent", "killer"} {
+	for _, name := range []string{"harmless", "crashing"} {
 		apply(s, now, Command{Kind: DefineTask, LeasedTask: &LeasedTask{Name: name, TTL: time.Second}})
 	}
 	for incarnation := range 4 {
 		id := fmt.Sprint("k-", incarnation)
 		apply(s, now, Command{Kind: OpenSession, Session: &Session{Process: "q", ID: id, MaxTasks: 9}})
-		apply(s, now, Command{Kind: GrantTerm, Terms: []TermRef{{Name: "innocent", Process: "q", Session: id}}})
-		apply(s, now, Command{Kind: GrantTerm, Terms: []TermRef{{Name: "killer", Process: "q", Session: id}}})
+		apply(s, now, Command{Kind: GrantTerm, Terms: []TermRef{{Name: "harmless", Process: "q", Session: id}}})
+		apply(s, now, Command{Kind: GrantTerm, Terms: []TermRef{{Name: "crashing", Process: "q", Session: id}}})
 		for range 60 { // the process renews no more
 			now += 100 * time.Millisecond
 			for _, c := range leases.Decide(s, now) {
@@ -232,7 +232,7 @@
 			}
 		}
 	}
-	if s.LeasedTasks["killer"].SuspendReason == "" || s.LeasedTasks["innocent"].SuspendReason != "" {
-		t.Errorf("the task that kills: %+v; the task beside it: %+v", s.LeasedTasks["killer"], s.LeasedTasks["innocent"])
+	if s.LeasedTasks["crashing"].SuspendReason == "" || s.LeasedTasks["harmless"].SuspendReason != "" {
+		t.Errorf("the task that crashes its holders: %+v; the task beside it: %+v", s.LeasedTasks["crashing"], s.LeasedTasks["harmless"])
 	}
 }
--- a/internal/catalog/services_test.go
+++ b/internal/catalog/services_test.go
@@ -86,6 +86,44 @@
 	return nil
 }
 
+// restoreSnapshot returns the state of a snapshot. It fails the test if the derived part of that state
+// is wrong, or if the state has another snapshot.
+func restoreSnapshot(t *rapid.T, s *State) *State {
+	t.Helper()
+	text, err := s.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	restored, err := Decode(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := checkIndex(restored); err != nil {
+		t.Fatalf("after a snapshot: %v", err)
+	}
+	again, _ := restored.Encode()
+	if !bytes.Equal(text, again) {
+		t.Fatalf("one state, two snapshots:\n%s\n%s", text, again)
+	}
+	return restored
+}
+
+// checkRead reads the changes since the last read, or at first the full list, and compares what the
+// reader has with the entries.
+func (r *serviceReader) checkRead(t *rapid.T, s *State) {
+	t.Helper()
+	list := s.ServiceListSince(r.services, r.revision)
+	if r.endpoints == nil {
+		list = s.FullServiceList(r.services)
+	}
+	if err := r.apply(list); err != nil {
+		t.Fatal(err)
+	}
+	if want := wantedEndpoints(s, r.services); !reflect.DeepEqual(r.endpoints, want) {
+		t.Fatalf("at revision %d a reader of %q has %v, the entries are %v", s.Seq, r.services, r.endpoints, want)
+	}
+}
+
 // TestServiceReaders holds for any log, and with snapshots in between: readers of services that
 // apply their changes have exactly the entries of their services at each revision, and no
 // revision goes back.
@@ -114,20 +152,7 @@
 				s.pruneRemovedEntries()
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
-				text, err := s.Encode()
-				if err != nil {
-					t.Fatal(err)
-				}
-				if s, err = Decode(text); err != nil {
-					t.Fatal(err)
-				}
-				if err := checkIndex(s); err != nil {
-					t.Fatalf("after a snapshot: %v", err)
-				}
-				again, _ := s.Encode()
-				if !bytes.Equal(text, again) {
-					t.Fatalf("one state, two snapshots:\n%s\n%s", text, again)
-				}
+				s = restoreSnapshot(t, s)
 			}
 			for _, r := range readers {
 				touched := slices.ContainsFunc(r.services, func(name string) bool { return slices.Contains(changed, name) })
@@ -137,16 +162,7 @@
 				if rapid.IntRange(0, 2).Draw(t, "reads") > 0 {
 					continue
 				}
-				list := s.ServiceListSince(r.services, r.revision)
-				if r.endpoints == nil {
-					list = s.FullServiceList(r.services)
-				}
-				if err := r.apply(list); err != nil {
-					t.Fatal(err)
-				}
-				if want := wantedEndpoints(s, r.services); !reflect.DeepEqual(r.endpoints, want) {
-					t.Fatalf("at revision %d a reader of %q has %v, the entries are %v", s.Seq, r.services, r.endpoints, want)
-				}
+				r.checkRead(t, s)
 			}
 		}
 	})
--- a/internal/catalog/taskleases_test.go
+++ b/internal/catalog/taskleases_test.go
@@ -46,7 +46,7 @@
 		}
 		for range 50 {
 			if changes := f.step(); changes > 0 {
-				t.Fatalf("%d tasks change hands though nothing happens", changes)
+				t.Fatalf("%d tasks are granted or transferred though nothing happens", changes)
 			}
 		}
 	})
@@ -95,7 +95,7 @@
 }
 
 // step renews all sessions, decides, carries out what was decided, and checks it. It returns
-// how many tasks change hands.
+// how many tasks are granted or transferred.
 func (f *taskFleet) step() (changes int) {
 	for process, id := range f.sessions {
 		if code := f.leases.Renew(f.s, process, id, f.now); code == Done {
@@ -115,16 +115,17 @@
 	return changes
 }
 
-// checkTerms checks that no term expires early, and that no silent process is granted one.
+// checkTerms checks that no term expires early, and that none is granted to a process that has not
+// renewed recently.
 func (f *taskFleet) checkTerms(c Command) {
 	for _, term := range c.Terms {
 		if task := f.s.LeasedTasks[term.Name]; c.Kind == ExpireTerm {
 			if last := max(f.lastRenewal[task.Session], f.leaderSince); f.now < last+task.TTL {
-				f.t.Fatalf("%s expires %v after %s was heard, its TTL is %v", term.Name, f.now-last, task.Holder, task.TTL)
+				f.t.Fatalf("%s expires %v after the last renewal by %s, its TTL is %v", term.Name, f.now-last, task.Holder, task.TTL)
 			}
 		}
 		if last := max(f.lastRenewal[term.Session], f.leaderSince); c.Kind == GrantTerm && f.now >= last+grantRenewalWindow {
-			f.t.Fatalf("%s is granted to %s, which was heard %v ago", term.Name, term.Process, f.now-last)
+			f.t.Fatalf("%s is granted to %s, which renewed %v ago", term.Name, term.Process, f.now-last)
 		}
 	}
 }
--- a/internal/control/requests_test.go
+++ b/internal/control/requests_test.go
@@ -33,17 +33,17 @@
 	t.Cleanup(service.Close)
 	c := NewClient([]string{strings.TrimPrefix(service.URL, "http://")}, 5*time.Second)
 	ctx := t.Context()
-	var h endpoints.Endpoint
+	var endpoint endpoints.Endpoint
 	var override ServerOverride
 	var session catalog.Session
 	var task TaskDefinition
 	var ref catalog.InstanceRef
-	var tie catalog.TermRef
-	for _, v := range []any{&h, &override, &session, &task, &ref, &tie} {
+	var term catalog.TermRef
+	for _, v := range []any{&endpoint, &override, &session, &task, &ref, &term} {
 		golden.Fill(t, v)
 	}
-	// Each call is refused: what was sent is all that counts.
-	_, _ = c.Register(ctx, h)
+	// The server rejects each request; only what was sent is compared.
+	_, _ = c.Register(ctx, endpoint)
 	_, _ = c.Renew(ctx, []catalog.InstanceRef{ref})
 	_, _ = c.SetOverride(ctx, "s-a", override)
 	_, _ = c.Server(ctx, "s-a", true)
@@ -62,13 +62,13 @@
 	_, _ = c.WatchSession(ctx, "w-1", "one", 7)
 	_ = c.EndSession(ctx, "w-1", "one", true)
 	_ = c.EndSession(ctx, "w-1", "one", false)
-	_ = c.ReportTerms(ctx, catalog.AcceptTransfer, []catalog.TermRef{tie}, catalog.ReasonFailed)
+	_ = c.ReportTerms(ctx, catalog.AcceptTransfer, []catalog.TermRef{term}, catalog.ReasonFailed)
 	_, _ = c.Tasks(ctx)
 	_, _ = c.Task(ctx, "job.a")
 	_, _ = c.Sessions(ctx)
 	_ = c.DefineTask(ctx, "job.a", task)
 	_, _ = c.ClaimTask(ctx, "job.a", "w-1", "one")
-	_ = c.ReleaseTerm(ctx, tie)
+	_ = c.ReleaseTerm(ctx, term)
 	for _, command := range []string{CommandMove, CommandRevoke, CommandPark, CommandUnpark, CommandDrop} {
 		_ = c.CommandTask(ctx, "job.a", command, "w-2", "until tomorrow")
 	}
@@ -78,8 +78,8 @@
 	golden.Lines(t, "requests.txt", got)
 }
 
-// TestRefusalsKeepTheirHeaders holds the headers by which a caller knows when to ask again and
-// that a refused write had no effect: without a leader, and with too many calls.
+// TestRefusalsKeepTheirHeaders holds the headers that tell a client when to retry and that a rejected
+// write had no effect: without a leader, and with too many requests.
 func TestRefusalsKeepTheirHeaders(t *testing.T) {
 	s := newUnstartedServer(t)
 	check := func(what string, status int, w *httptest.ResponseRecorder, notApplied string) {
@@ -88,11 +88,11 @@
 			t.Errorf("%s: %d %v", what, w.Code, w.Header())
 		}
 	}
-	for _, call := range [][2]string{{"PUT", "/v1/servers/s-a"}, {"POST", "/v1/terms"}, {"PUT", "/v1/duties/job.a"},
-		{"GET", "/v1/servers?consistent=1"}, {"GET", "/v1/duties?consistent=1"}} {
+	for _, r := range []apiRequest{{"PUT", "/v1/servers/s-a", "{}"}, {"POST", "/v1/terms", "{}"}, {"PUT", "/v1/duties/job.a", "{}"},
+		{"GET", "/v1/servers?consistent=1", "{}"}, {"GET", "/v1/duties?consistent=1", "{}"}} {
 		w := httptest.NewRecorder()
-		s.handler().ServeHTTP(w, httptest.NewRequest(call[0], call[1], strings.NewReader("{}")))
-		check(call[0]+" "+call[1], http.StatusServiceUnavailable, w, "1")
+		s.handler().ServeHTTP(w, httptest.NewRequest(r.method, r.path, strings.NewReader(r.body)))
+		check(r.method+" "+r.path, http.StatusServiceUnavailable, w, "1")
 	}
 	w := httptest.NewRecorder()
 	s.admission.reject(w, time.Second)
@@ -102,8 +102,8 @@
 	check("unknown outcome", http.StatusServiceUnavailable, w, "")
 }
 
-// TestSessionsKeepTheirQuery holds the query that has a session rest instead of end, and the
-// header of a call that another server passed on.
+// TestSessionsKeepTheirQuery holds the query that has a session drain instead of end, and the
+// header of a request that another server forwarded.
 func TestSessionsKeepTheirQuery(t *testing.T) {
 	if forwardedByHeader != "Forwarded-By" {
 		t.Errorf("the header of a forwarded call is %q", forwardedByHeader)
@@ -113,16 +113,20 @@
 	session := func() string {
 		return strings.Join(itemsExcept(t, s.get("/v1/sessions?consistent=1"), regexp.MustCompile(`"process":"st-1"`)), "")
 	}
-	for _, call := range [][4]string{
-		{http.MethodPut, "/v1/sessions/w-1", `{"process":"w-1","id":"one","cap":0,"rev":0}`, `{"process":"w-1","id":"one","cap":0,"opened":0,"rev":0}`},
-		{http.MethodDelete, "/v1/sessions/w-1?id=one&rest=1", "", `{"process":"w-1","id":"one","cap":0,"resting":true,"opened":0,"rev":0}`},
-		{http.MethodDelete, "/v1/sessions/w-1?id=one", "", ""},
+	for _, step := range []struct {
+		request apiRequest
+		want    string // the sessions after it, with all numbers 0
+	}{
+		{apiRequest{http.MethodPut, "/v1/sessions/w-1", `{"process":"w-1","id":"one","cap":0,"rev":0}`}, `{"process":"w-1","id":"one","cap":0,"opened":0,"rev":0}`},
+		{apiRequest{http.MethodDelete, "/v1/sessions/w-1?id=one&rest=1", ""}, `{"process":"w-1","id":"one","cap":0,"resting":true,"opened":0,"rev":0}`},
+		{apiRequest{http.MethodDelete, "/v1/sessions/w-1?id=one", ""}, ""},
 	} {
-		if status, _, text := s.do(call[0], call[1], call[2]); status != http.StatusOK {
-			t.Fatalf("%s %s: %d %s", call[0], call[1], status, text)
+		r := step.request
+		if status, _, text := s.do(r.method, r.path, r.body); status != http.StatusOK {
+			t.Fatalf("%s %s: %d %s", r.method, r.path, status, text)
 		}
-		if got := zeroNumbers([]byte(session())); got != call[3] {
-			t.Errorf("after %s %s there is %s, want %s", call[0], call[1], got, call[3])
+		if got := zeroNumbers([]byte(session())); got != step.want {
+			t.Errorf("after %s %s there is %s, want %s", r.method, r.path, got, step.want)
 		}
 	}
 }
--- a/internal/control/routes_test.go
+++ b/internal/control/routes_test.go
@@ -15,7 +15,7 @@
 // leading, and a request that it rejects changes nothing.
 func FuzzHTTP(f *testing.F) {
 	good := `{"host":"x","dial":"127.0.0.1:9","site":"a","class":"k","block":0,"health":"ready","share":1,"born_ms":5}`
-	for _, seed := range [][3]string{
+	for _, seed := range []apiRequest{
 		{"PUT", "/v1/servers/x", good}, {"PUT", "/v1/servers/x", strings.Replace(good, "1,", "1e999,", 1)},
 		{"PATCH", "/v1/servers/x", `{"share":2,"if":-1}`}, {"PATCH", "/v1/servers/x", `{"health":"draining"}`},
 		{"DELETE", "/v1/servers/x?born_ms=NaN", ""}, {"POST", "/v1/servers/x/drain?born_ms=5", ""},
@@ -24,7 +24,7 @@
 		{"GET", "/v1/endpoints?since=9&consistent=1", ""}, {"GET", "/v1/servers/%00", ""}, {"POST", "/v1/guard/confirm", "[]"},
 		{"GET", "/metrics", ""}, {"GET", "/v1/status", "{"},
 	} {
-		f.Add(seed[0], seed[1], seed[2])
+		f.Add(seed.method, seed.path, seed.body)
 	}
 	server, _ := startSingleServer(f)
 	handler := server.handler()
--- a/internal/gossip/observers_test.go
+++ b/internal/gossip/observers_test.go
@@ -41,10 +41,10 @@
 			joinMember(n, name, member.RoleControlPlane)
 			all = append(all, name)
 		}
-		leaving := member.Info{ProtocolVersion: member.ProtocolVersion, Name: "left", Role: member.RoleControlPlane, Incarnation: 2, ShuttingDown: true}
+		stopped := member.Info{ProtocolVersion: member.ProtocolVersion, Name: "left", Role: member.RoleControlPlane, Incarnation: 2, ShuttingDown: true}
 		n.WithTracker(func(now time.Duration, t *member.Tracker) {
-			t.MemberAlive(now, leaving)
-			t.MemberDead(now, leaving.Name)
+			t.MemberAlive(now, stopped)
+			t.MemberDead(now, stopped.Name)
 		})
 		pinged := n.otherServers()
 		slices.Sort(pinged)
--- a/internal/member/tracker_test.go
+++ b/internal/member/tracker_test.go
@@ -92,8 +92,8 @@
 	return func(_ *testing.T, tracker *Tracker, now time.Duration) { tracker.SessionClosed(now, name) }
 }
 
-// agentLeaves returns the event that an agent announces its shutdown.
-func agentLeaves(info Info) trackerEvent {
+// agentShutsDown returns the event that an agent announces its shutdown.
+func agentShutsDown(info Info) trackerEvent {
 	return func(_ *testing.T, tracker *Tracker, now time.Duration) { tracker.Leave(now, info) }
 }
 
@@ -232,9 +232,9 @@
 	},
 	"a late announcement of an earlier shutdown changes nothing": {
 		trackerEvents{
-			1 * time.Second: {sessionOpened(agentInfo("n1", "x")), agentLeaves(agentInfo("n1", "x"))},
+			1 * time.Second: {sessionOpened(agentInfo("n1", "x")), agentShutsDown(agentInfo("n1", "x"))},
 			2 * time.Second: {sessionOpened(agentInfo("n1", "y"))},
-			3 * time.Second: {agentLeaves(agentInfo("n1", "x"))},
+			3 * time.Second: {agentShutsDown(agentInfo("n1", "x"))},
 		},
 		[]wantedState{{1 * time.Second, "n1", Left}, {2 * time.Second, "n1", Present}, {4 * time.Second, "n1", Present}},
 	},
