--- a/internal/member/expiry_test.go
+++ b/internal/member/expiry_test.go
@@ -22,9 +22,9 @@
 // serverCase is a server: its condition, which observers have a network path to it, and
 // whether its lease has expired or its renewal is only late.
 type serverCase struct {
-	condition   serverCondition
-	reachableBy [3]bool
-	lapsed      bool
+	condition    serverCondition
+	reachableBy  [3]bool
+	leaseExpired bool
 }
 
 // observerCase is the three voters, of which the first leads.
@@ -121,12 +121,12 @@
 		switch {
 		case i >= len(c.servers):
 			leases.Renew(state, catalog.InstanceRef{Name: serverName(i), StartedMs: 1}, expiryTTL)
-		case !c.servers[i].lapsed: // late when the first lease expires
+		case !c.servers[i].leaseExpired: // late when the first lease expires
 			leases.Renew(state, catalog.InstanceRef{Name: serverName(i), StartedMs: 1}, expiryTTL/4)
 		}
 	}
-	decision := leases.Decide(state, expiryTTL, func(ref catalog.InstanceRef, lapsed bool) catalog.FailureEvidence {
-		switch DecideExpiry(ExpiryEvidence{threeVoters, c.observers.quorum, lapsed, answers[serverIndex(ref.Name)]}) {
+	decision := leases.Decide(state, expiryTTL, func(ref catalog.InstanceRef, leaseExpired bool) catalog.FailureEvidence {
+		switch DecideExpiry(ExpiryEvidence{threeVoters, c.observers.quorum, leaseExpired, answers[serverIndex(ref.Name)]}) {
 		case DecisionRetain:
 			return catalog.Alive
 		case DecisionRemove:
@@ -153,7 +153,7 @@
 		}
 	}
 	massFailure := c.others == 0 // two of two servers
-	promised := c.observers.quorum && alive == 0 && (s.lapsed && against >= 2 || refused >= 2)
+	promised := c.observers.quorum && alive == 0 && (s.leaseExpired && against >= 2 || refused >= 2)
 	switch {
 	case !removed[i] && promised && !massFailure:
 		return "a server that has failed stays"
@@ -165,7 +165,7 @@
 		return "removed by one observer alone"
 	case alive >= 2:
 		return "removed though most see it"
-	case !s.lapsed && (refused < 2 || alive > 0 || s.condition == conditionAlive):
+	case !s.leaseExpired && (refused < 2 || alive > 0 || s.condition == conditionAlive):
 		return "removed before its lease expired, and not refused by most"
 	case massFailure && removed[1-i]:
 		return "all removed at once"
