--- a/internal/catalog/leasedtask_test.go
+++ b/internal/catalog/leasedtask_test.go
@@ -48,50 +48,83 @@
 // TestTaskLogs holds for any log of commands on sessions and tasks: a task has one holder, with
 // an open session; fencing tokens grow and no two terms share one; a term ends only by a
 // command on that term or on its session; a command under a stale term is rejected and changes
-// nothing; assignments change only with the session's revision; and a replay of the log, or of
-// a snapshot and the rest of the log, gives the same state.
+// nothing; and a replay of the log, or of a snapshot and the rest of the log, gives the same state.
 func TestTaskLogs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, replayed := New(), New()
-		apply(s, 0, Command{Kind: Register, Endpoint: endpoint("s", 1)})
-		apply(replayed, 0, Command{Kind: Register, Endpoint: endpoint("s", 1)})
-		checker := taskLogChecker{terms: map[int64]string{}, assignments: map[string]string{}}
-		snapshotAt := rapid.IntRange(0, 60).Draw(t, "snapshot at")
-		for i := range rapid.IntRange(1, 120).Draw(t, "commands") {
-			if i == snapshotAt {
-				text, err := s.Encode()
-				if err != nil {
-					t.Fatal(err)
-				}
-				if replayed, err = Decode(text); err != nil {
-					t.Fatal(err)
-				}
-			}
-			c := drawTaskCommand(t, s, time.Duration(i*rapid.IntRange(0, 2000).Draw(t, "ms"))*time.Millisecond)
-			text, _ := json.Marshal(c)
-			var stored Command
-			if err := json.Unmarshal(text, &stored); err != nil {
-				t.Fatal(err)
-			}
-			before := copyOfTasks(s)
-			seq := s.Seq
-			r := s.Apply(&c)
-			if again := replayed.Apply(&stored); again != r {
-				t.Fatalf("%s: %+v, and replayed %+v", c.Kind, r, again)
-			}
-			checkCommand(t, s, c, r, seq)
-			checker.checkTerms(t, s, c, before)
-			checker.checkAssignments(t, s)
+		checker := taskLogChecker{terms: map[int64]string{}}
+		replayTaskLog(t, func(s *State, step taskLogStep) {
+			checkCommand(t, s, step.command, step.result, step.previousSeq)
+			checker.checkTerms(t, s, step.command, step.previousTasks)
+		})
+	})
+}
+
+// TestAssignmentsChangeWithRevision holds for any log of commands on sessions and tasks: the
+// assignments of a session change only with its revision, so that its process learns of each change.
+func TestAssignmentsChangeWithRevision(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		known := knownAssignments{}
+		replayTaskLog(t, func(s *State, _ taskLogStep) { known.check(t, s) })
+	})
+}
+
+// taskLogStep is a command that was applied, with its result and what the state had before it.
+type taskLogStep struct {
+	command       Command
+	result        Result
+	previousSeq   int64
+	previousTasks map[string]LeasedTask
+}
+
+// replayTaskLog applies a random log of commands on sessions and tasks to a new state, and calls
+// check after each command. It applies the stored form of each command to a second state, which is
+// replaced by a decoded snapshot of the first one at a random command, and fails the test if the
+// results of a command or the states at the end differ.
+func replayTaskLog(t *rapid.T, check func(s *State, step taskLogStep)) {
+	t.Helper()
+	s, replayed := New(), New()
+	apply(s, 0, Command{Kind: Register, Endpoint: endpoint("s", 1)})
+	apply(replayed, 0, Command{Kind: Register, Endpoint: endpoint("s", 1)})
+	snapshotAt := rapid.IntRange(0, 60).Draw(t, "snapshot at")
+	for i := range rapid.IntRange(1, 120).Draw(t, "commands") {
+		if i == snapshotAt {
+			replayed = decodedCopy(t, s)
 		}
-		a, _ := s.Encode()
-		b, _ := replayed.Encode()
-		if !bytes.Equal(a, b) {
-			t.Fatalf("replayed:\n%s\n%s", a, b)
+		c := drawTaskCommand(t, s, time.Duration(i*rapid.IntRange(0, 2000).Draw(t, "ms"))*time.Millisecond)
+		text, _ := json.Marshal(c)
+		var stored Command
+		if err := json.Unmarshal(text, &stored); err != nil {
+			t.Fatal(err)
 		}
-		if _, err := Decode(a); err != nil {
-			t.Fatalf("can't decode its own snapshot: %v", err)
+		step := taskLogStep{command: c, previousSeq: s.Seq, previousTasks: copyOfTasks(s)}
+		step.result = s.Apply(&step.command)
+		if again := replayed.Apply(&stored); again != step.result {
+			t.Fatalf("%s: %+v, and replayed %+v", c.Kind, step.result, again)
 		}
-	})
+		check(s, step)
+	}
+	a, _ := s.Encode()
+	b, _ := replayed.Encode()
+	if !bytes.Equal(a, b) {
+		t.Fatalf("replayed:\n%s\n%s", a, b)
+	}
+	if _, err := Decode(a); err != nil {
+		t.Fatalf("can't decode its own snapshot: %v", err)
+	}
+}
+
+// decodedCopy returns the state that a snapshot of s decodes to.
+func decodedCopy(t *rapid.T, s *State) *State {
+	t.Helper()
+	text, err := s.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	decoded, err := Decode(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return decoded
 }
 
 // copyOfTasks returns the tasks of a state as they are now.
@@ -123,9 +156,8 @@
 
 // taskLogChecker checks the tasks and sessions after each command of one log.
 type taskLogChecker struct {
-	terms       map[int64]string  // task and session of each term, by fencing token
-	minFence    int64             // each new term's token is above it
-	assignments map[string]string // by session and revision
+	terms    map[int64]string // task and session of each term, by fencing token
+	minFence int64            // each new term's token is above it
 }
 
 // checkTerms checks all tasks after a command. before has the tasks before it.
@@ -182,17 +214,20 @@
 		slices.ContainsFunc(c.Terms, func(term TermRef) bool { return term.Name == task.Name && term.Fence == task.Fence })
 }
 
-// checkAssignments checks that the assignments of a session change only with its revision.
-func (k *taskLogChecker) checkAssignments(t *rapid.T, s *State) {
+// knownAssignments is the assignments of sessions, as text, by session and revision.
+type knownAssignments map[string]string
+
+// check checks that the assignments of a session change only with its revision.
+func (k knownAssignments) check(t *rapid.T, s *State) {
 	t.Helper()
 	for _, process := range s.ProcessNames() {
 		session := s.Sessions[process]
 		tasks, revision, _ := s.Assignments(process, session.ID)
 		key, now := fmt.Sprint(session.ID, revision), fmt.Sprint(tasks)
-		if previous, found := k.assignments[key]; found && previous != now {
+		if previous, found := k[key]; found && previous != now {
 			t.Fatalf("at revision %d %s is to do %s, and was to do %s", revision, process, now, previous)
 		}
-		k.assignments[key] = now
+		k[key] = now
 	}
 }
 
