--- a/cmd/controlplane/servers.go
+++ b/cmd/controlplane/servers.go
@@ -80,7 +80,7 @@
 	var weight float64
 	var health string
 	var ifVersion int64
-	var flags *pflag.FlagSet
+	var flags *pflag.FlagSet // of the command below, which runs set after it has parsed them
 	set := func(ctx context.Context, server string) error {
 		override := control.ServerOverride{IfVersion: ifVersion}
 		if flags.Changed("share") {
--- a/internal/catalog/command.go
+++ b/internal/catalog/command.go
@@ -24,8 +24,8 @@
 	Drain Kind = "drain"
 	// Deregister removes the instances Refs, which shut down as planned.
 	Deregister Kind = "leave"
-	// ExpireRegistration removes the instances Refs, which have failed: their leases have expired, or
-	// are late and most voters report them unreachable.
+	// ExpireRegistration removes the instances Refs, which have failed: their leases have expired or
+	// are late, and the voters' FailureEvidence confirms it where it is collected.
 	ExpireRegistration Kind = "lapse"
 	// Quarantine keeps the instances Refs listed though their leases have expired, because too many
 	// would expire at once. If Reason is QuarantineByService, the failure is of their service alone.
--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -25,7 +25,8 @@
 	retryJitterRange = 0.5
 	// bytesPerCall is the number of bytes of a list that use up as much of the rate as a request.
 	bytesPerCall = 24_000
-	// burstsPerSecond divides the rate: that many requests are admitted at once.
+	// burstsPerSecond divides the rate. The quotient is the number of requests that are admitted at
+	// once.
 	burstsPerSecond = 4
 	// reservedDescriptors are left to the log, the other servers and requests that are no watches.
 	reservedDescriptors = 1024
@@ -78,7 +79,8 @@
 }
 
 // reserveSlot reserves the next time at which a rejected request can be admitted, and returns the
-// time until then, at most maxRetryAfter. The cost is the time in which the rate admits as much.
+// time until then, at most maxRetryAfter. The cost is the time in which the configured rate admits as
+// many requests as this one counts for.
 func (a *admission) reserveSlot(cost time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -234,7 +234,8 @@
 )
 
 // CommandTask carries out an operator's command on a task. The process to is that of a CommandMove, or
-// "" for the best one. The reason, which may be "", is for the task's history.
+// "" for the best one. The reason, which may be "", is shown as that of a CommandPark; other commands
+// ignore it.
 func (c *Client) CommandTask(ctx context.Context, name, command, to, reason string) error {
 	if command == CommandDrop {
 		return c.do(ctx, http.MethodDelete, "/v1/duties/"+name, nil, nil)
--- a/internal/control/incarnation.go
+++ b/internal/control/incarnation.go
@@ -121,8 +121,9 @@
 	return nil
 }
 
-// presentMember reports whether a process of this name is present in the membership view, and
-// returns the identity of its data folder, "" if that is not known.
+// presentMember reports whether a process of this name may be alive by the membership view, which
+// includes one that is suspect or joining. It returns the identity of its data folder, "" if that is
+// not known.
 func (s *Server) presentMember(name string) (dataID string, present bool) {
 	if s.gossip == nil {
 		return "", false
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -29,7 +29,8 @@
 	entryHeadBytes = 8 + 8 + 1
 )
 
-// errDataFolderInUse means that another process uses the data folder.
+// errDataFolderInUse means that another process uses the data folder. The folder's name follows its
+// text.
 var errDataFolderInUse = errors.New("another process uses")
 
 // damagedLogError is a log on the disk that can't be read, with the reason.
--- a/internal/control/watchbroadcaster.go
+++ b/internal/control/watchbroadcaster.go
@@ -170,8 +170,8 @@
 func (b *watchBroadcaster) watch(ctx context.Context, w http.ResponseWriter, since int64, migrated <-chan struct{}) {
 	out := newWatchWriter(w)
 	defer out.close()
-	// The channel is taken before the list is read, so that no change between the two is missed;
-	// one that the reader gets twice does no harm.
+	// The channels are taken before the list is read, so that no change between the two is missed;
+	// one that the reader gets twice does no harm. The events are not used: the list has them.
 	next := b.eventsSince(since)
 	list := b.fsm.changesSince(since)
 	revision := list.Seq
--- a/internal/control/watchload.go
+++ b/internal/control/watchload.go
@@ -8,12 +8,13 @@
 const (
 	minLoadTolerance     = 2  // watches
 	loadToleranceDivisor = 10 // of a server's share
-	// migrationDivisor divides a server's watches: that many migrate at a time.
+	// migrationDivisor divides a server's watches. The quotient is the number of watches that migrate
+	// at a time.
 	migrationDivisor = 20
 )
 
 // loadTolerance returns by how many watches a server may be above its share before it ends any:
-// a tenth of the share, or minLoadTolerance. Readers choose among the other servers by themselves,
+// a tenth of the share, or minLoadTolerance if that is more. Readers choose among the other servers by themselves,
 // so with exact shares, watches would migrate again and again.
 func loadTolerance(share int) int { return max(minLoadTolerance, share/loadToleranceDivisor) }
 
--- a/internal/gossip/delegate_test.go
+++ b/internal/gossip/delegate_test.go
@@ -105,8 +105,8 @@
 	requireNoEffect(t, n)
 }
 
-// TestReportsOfUnknownSendersAreCounted shows that only servers of the control plane that the library
-// reported as alive are observers.
+// TestReportsOfUnknownSendersAreCounted shows that reports are merged from servers of the control plane
+// only, and not before the library has reported the server as alive.
 func TestReportsOfUnknownSendersAreCounted(t *testing.T) {
 	n := newTestNode(t, member.RoleControlPlane)
 	joinMember(n, "w-1", member.RoleWorker)
@@ -147,22 +147,45 @@
 	}
 }
 
-// TestQueuedBroadcastsAreBounded shows that the queue keeps the newest maxQueuedBroadcasts reports.
+// TestPassedOnReportIsACopy shows that a report that is passed on keeps its text when the library uses
+// the memory of the message again.
+func TestPassedOnReportIsACopy(t *testing.T) {
+	n := newTestNode(t, member.RoleControlPlane)
+	joinMember(n, "st-2", member.RoleControlPlane)
+	d := &delegate{n}
+	message := reportText("st-2", 1)
+	want := string(message)
+	d.NotifyMsg(message)
+	clear(message)
+	queued := d.GetBroadcasts(0, 1<<20)
+	if len(queued) != 1 || string(queued[0]) != want {
+		t.Errorf("%q is queued, want %q", queued, want)
+	}
+}
+
+// TestQueuedBroadcastsAreBounded shows that the queue keeps the newest maxQueuedBroadcasts of reports of
+// one length that have not been sent yet.
 func TestQueuedBroadcastsAreBounded(t *testing.T) {
 	n := newTestNode(t, member.RoleControlPlane)
+	want := map[string]bool{}
 	for i := range 2 * maxQueuedBroadcasts {
-		n.queueBroadcast(fmt.Appendf(nil, "report %d", i))
+		report := fmt.Sprintf("report %06d", i)
+		n.queueBroadcast([]byte(report))
+		if i >= maxQueuedBroadcasts {
+			want[report] = true
+		}
 	}
 	if queued := n.broadcasts.NumQueued(); queued != maxQueuedBroadcasts {
 		t.Errorf("%d reports are queued, want %d", queued, maxQueuedBroadcasts)
 	}
-	newest := fmt.Sprintf("report %d", 2*maxQueuedBroadcasts-1)
-	found := false
-	for _, message := range (&delegate{n}).GetBroadcasts(0, 1<<20) {
-		found = found || string(message) == newest
+	kept := (&delegate{n}).GetBroadcasts(0, 1<<20)
+	for _, message := range kept {
+		if !want[string(message)] {
+			t.Errorf("%s is kept, older than others that were dropped", message)
+		}
 	}
-	if !found {
-		t.Errorf("the newest report was dropped")
+	if len(kept) != maxQueuedBroadcasts {
+		t.Errorf("%d reports are kept, want %d", len(kept), maxQueuedBroadcasts)
 	}
 }
 
--- a/internal/gossip/observers_test.go
+++ b/internal/gossip/observers_test.go
@@ -13,12 +13,18 @@
 	"knotrouter/internal/member"
 )
 
+// startTimeout is how long a call that should be started may take to start.
+const startTimeout = 20 * time.Second
+
 // TestOnlyControlPlaneServersReport shows that a worker sends no reports, full or partial, although it
 // observes the same members as a server of the control plane.
 func TestOnlyControlPlaneServersReport(t *testing.T) {
 	for role, reports := range map[member.Role]bool{member.RoleControlPlane: true, member.RoleWorker: false} {
 		n := newTestNode(t, role)
 		joinMember(n, "st-2", member.RoleControlPlane)
+		if view := n.View(); view.State("st-2") != member.Present {
+			t.Errorf("%s: observes st-2 as %q", role, view.State("st-2"))
+		}
 		if full := (&delegate{n}).LocalState(false); (full != nil) != reports {
 			t.Errorf("%s: the full report is %q", role, full)
 		}
@@ -102,8 +108,8 @@
 	}
 }
 
-// TestCallsToOneMemberDoNotOverlap shows that a call to a member starts only after the earlier one to it
-// has returned, and does not wait for calls to others.
+// TestCallsToOneMemberDoNotOverlap shows that a call to a member is left out while an earlier one to it is
+// running, that calls to others are not, and that a later call is made once the earlier one has returned.
 func TestCallsToOneMemberDoNotOverlap(t *testing.T) {
 	var calls callGroup
 	blocked, started := make(chan struct{}), make(chan string, 10)
@@ -113,7 +119,16 @@
 	}
 	calls.start([]string{"a"}, call)
 	calls.start([]string{"a", "b"}, call)
-	first, second := <-started, <-started
+	receive := func() string {
+		select {
+		case name := <-started:
+			return name
+		case <-time.After(startTimeout):
+			t.Error("no further call was started")
+			return ""
+		}
+	}
+	first, second := receive(), receive()
 	close(blocked)
 	calls.wait()
 	if got := []string{first, second}; !slices.Contains(got, "a") || !slices.Contains(got, "b") || len(started) != 0 {
@@ -121,7 +136,7 @@
 	}
 	calls.start([]string{"a"}, call)
 	calls.wait()
-	if got := <-started; got != "a" {
+	if got := receive(); got != "a" {
 		t.Errorf("the call to %s was started, want that to a", got)
 	}
 }
--- a/internal/gossip/reports.go
+++ b/internal/gossip/reports.go
@@ -23,8 +23,9 @@
 // Finished does nothing, as no goroutine waits for a broadcast.
 func (broadcast) Finished() {}
 
-// queueBroadcast queues a report. If the queue is full, the oldest reports are dropped; the
-// observers' next full reports contain their observations.
+// queueBroadcast queues a report. If the queue is full, the library drops the reports that it has
+// sent most often, among them the shortest first and then the oldest; the observers' next full
+// reports contain their observations.
 func (n *Node) queueBroadcast(report []byte) {
 	n.broadcasts.QueueBroadcast(broadcast(report))
 	n.broadcasts.Prune(maxQueuedBroadcasts)
--- a/internal/leaderelection/service.go
+++ b/internal/leaderelection/service.go
@@ -36,7 +36,8 @@
 
 // The errors of a Service after which a session has ended.
 var (
-	// ErrSessionExpired means that the control plane has ended the session.
+	// ErrSessionExpired means that the control plane has no such session: it has ended or lost it, or
+	// never had it.
 	ErrSessionExpired = errors.New("the session is over")
 	// ErrNameTaken means that another process has a session under this process's name.
 	ErrNameTaken = errors.New("another process has the name")
--- a/internal/member/gossipevents.go
+++ b/internal/member/gossipevents.go
@@ -23,7 +23,8 @@
 
 // MemberDead handles the gossip library's notification that a member has failed or left. A failure
 // during a mass failure, or while this process is SelfSuspect, is deferred: the member is Suspect
-// for at least Config.MassFailureDelay.
+// until all observers agree on the failure, or until most of them do and Config.MassFailureDelay is
+// over.
 func (t *Tracker) MemberDead(now time.Duration, name string) {
 	m := t.members[name]
 	if m == nil || m.reportedDead {
--- a/internal/member/info.go
+++ b/internal/member/info.go
@@ -87,7 +87,8 @@
 	return fmt.Sprintf("form %d, this build reads form %d", e.Version, ProtocolVersion)
 }
 
-// InvalidMessageError means that an Info or a Report is malformed.
+// InvalidMessageError means that an Info or a Report was decoded and breaks a rule of its form. JSON
+// that can't be decoded is not an InvalidMessageError.
 type InvalidMessageError struct{ Problem string }
 
 // Error names the invalid part of the message and says what is wrong.
--- a/internal/member/tracker.go
+++ b/internal/member/tracker.go
@@ -13,8 +13,8 @@
 	// long it is suspected before it counts as failed.
 	SessionGrace, FailTimeout time.Duration
 	// MassFailureShare is the share of the gossiping members, 0 to 1, that may fail within
-	// MassFailureWindow. If more of them do, each of these failures is only suspected for
-	// MassFailureDelay, and then until most observers agree.
+	// MassFailureWindow. If more of them do, each of these members is Suspect until all observers
+	// agree on its failure, or until most of them do and MassFailureDelay is over.
 	MassFailureShare                    float64
 	MassFailureWindow, MassFailureDelay time.Duration
 	// ReportRetention is how long another observer's observation counts after its last report.
@@ -73,10 +73,13 @@
 	info          Info
 	ownState      State // as this process observes it; empty without an observation
 	ownStateSince time.Duration
-	openSessions  int           // sessions of the member at this process
-	lastContact   time.Duration // when the member last answered a ping of this process, renewed or had a session here
-	directPeer    bool          // this process pings the member itself
-	reportedDead  bool          // by the gossip library
+	openSessions  int // sessions of the member at this process
+	// lastContact is when the member last answered a ping of this process, renewed or had a session
+	// here. It also starts, without a contact, when this process first learns of the member or begins
+	// to ping it, and moves with a pause of this process.
+	lastContact  time.Duration
+	directPeer   bool // this process pings the member itself
+	reportedDead bool // by the gossip library
 	// deadline is the time, or 0 for none, at which a deferred failure of a member that gossips may
 	// be believed, or at which the own state of a member that has sessions changes from present to
 	// suspect or from suspect to failed.
