--- /dev/null
+++ b/internal/agent/endpointlist_test.go
@@ -0,0 +1,166 @@
+package agent
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"knotrouter/internal/endpoints"
+	"knotrouter/policy"
+)
+
+// Lists are applied in the order of their versions.
+func TestListOrder(t *testing.T) {
+	l := offlineLoop(t, "127.0.0.1:1", "127.0.0.1:2")
+	h := endpoints.Endpoint{Name: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
+	usable := func(name string) bool { b := l.backends[policyAddr(name)]; return b != nil && b.usable }
+	l.handle(event{kind: eventListChanged, list: listOf(5, false, h)})
+	if usable("s-0") || !usable("s-1") {
+		t.Fatal("the change of version 5 was not applied")
+	}
+	h.Health = "ready"
+	l.handle(event{kind: eventListChanged, list: listOf(4, false, h)})
+	l.handle(event{kind: eventListFetched, list: listOf(3, true, h)})
+	if usable("s-0") || !usable("s-1") {
+		t.Fatal("an older version was applied")
+	}
+	l.handle(event{kind: eventListFetched, list: listOf(6, true, h)})
+	if !usable("s-0") || usable("s-1") || l.listVersion != 6 {
+		t.Fatal("the whole list of version 6 was not applied")
+	}
+	if len(l.backends) != 1 {
+		t.Fatalf("%d backends kept, one is listed", len(l.backends))
+	}
+	l.handle(event{kind: eventListChanged, list: listOf(7, false, endpoints.Endpoint{Name: "s-0", Health: "gone"})})
+	if len(l.backends) != 0 || l.hasUsableBackend.Load() {
+		t.Fatal("the backend that is gone was kept")
+	}
+}
+
+// A full list is ignored if another call delivered a newer one while its call was open. A list that
+// is older than what its own call named is applied: discovery's versions have restarted.
+func TestOutdatedFullListIsIgnored(t *testing.T) {
+	ready := endpoints.Endpoint{Name: "s-0", Dial: "127.0.0.1:1", Health: "ready"}
+	drains := ready
+	drains.Health = "draining"
+	for _, c := range []struct {
+		name    string
+		since   int64 // the version that the watch began with, or that of its last list
+		version int64 // of its list
+		applied bool
+	}{
+		{"outdated", 12, 14, false},
+		{"outdated, nothing new", 14, 14, false},
+		{"versions restarted", 12, 3, true},
+		{"of the same version", 12, 15, true},
+		{"newer", 12, 16, true},
+	} {
+		l := offlineLoop(t, "127.0.0.1:1", "127.0.0.1:2")
+		l.handle(event{kind: eventListFetched, list: listOf(15, true, drains)})
+		l.handle(event{kind: eventListChanged, since: c.since, list: listOf(c.version, true, ready)})
+		if b := l.backends[policyAddr("s-0")]; (b != nil && b.usable) != c.applied {
+			t.Errorf("%s: applied: %v", c.name, !c.applied)
+		}
+	}
+}
+
+// A watch that answers that nothing has changed has not failed: the next failure is the first
+// again, with the shortest backoff.
+func TestUnchangedListResetsBackoff(t *testing.T) {
+	config := testConfig(unreachableAddr, "127.0.0.1:1")
+	config["settings"].(map[string]any)["membershipMode"] = "on_request"
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	l, err := newLoop(ctx, parseConfig(t, config), slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	const followToken = 2     // of the module's time to ask again: one is set at a time
+	ended := func() float64 { // and the wait until the next watch
+		l.advanceClock(10 * time.Second)
+		l.handle(event{kind: eventTimer, token: followToken})
+		l.handle(event{kind: eventWatchEnded, err: io.EOF})
+		for _, act := range l.actions {
+			if act.Kind == policy.ActTimer && act.Token == followToken {
+				return act.Ms
+			}
+		}
+		t.Fatal("the module does not ask again")
+		return 0
+	}
+	ended()
+	for range 5 {
+		ended()
+	}
+	l.handle(event{kind: eventListChanged, list: listOf(1, false)})
+	if again := ended(); again >= 1000 { // the first wait is 500 to 1000 ms, the second 1000 to 2000
+		t.Fatalf("asks again after %.0f ms, as after a second failure", again)
+	}
+}
+
+// A new process or address gets new connections; the backend stays the same.
+func TestNewProcessGetsNewConnections(t *testing.T) {
+	l := offlineLoop(t, "127.0.0.1:1")
+	b := l.backends[policyAddr("s-0")]
+	before := b.transport
+	h := endpoints.Endpoint{Name: "s-0", Dial: "127.0.0.1:1", Health: "ready", Weight: 1}
+	l.handle(event{kind: eventListChanged, list: listOf(2, false, h)})
+	if b.transport != before {
+		t.Fatal("connections thrown away though nothing changed")
+	}
+	waits := newAttempt(before, "127.0.0.1:1", http.MethodPost, noTimeout)
+	b.attempts[waits] = struct{}{}
+	for i, change := range []func(){func() { h.Dial = "127.0.0.1:2" }, func() { h.StartedMs = 7 }} {
+		change()
+		l.handle(event{kind: eventListChanged, list: listOf(int64(3+i), false, h)})
+		if l.backends[policyAddr("s-0")] != b || b.transport == before || b.dialAddr != h.Dial {
+			t.Fatal("the old connections were kept")
+		}
+		before = b.transport
+	}
+	if context.Cause(waits.ctx) != errBackendDrained || waits.allowWrite(waits.conn.Load()) {
+		t.Fatal("an attempt that had not begun may still go to the old address")
+	}
+}
+
+// A machine that is down is unresponsive on all its connections: after a timeout no idle one is
+// used again.
+func TestTimeoutClosesIdleConnections(t *testing.T) {
+	closed := make(chan struct{})
+	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
+		if _, err := readRequest(r); err == nil {
+			io.WriteString(c, okAnswer)
+			r.ReadByte()
+			close(closed)
+		}
+	})
+	l := offlineLoop(t, addr)
+	b := l.backends[policyAddr("s-0")]
+	b.transport.IdleConnTimeout = noTimeout
+	a := newAttempt(b.transport, addr, http.MethodPost, noTimeout)
+	a.backend = b
+	if res := a.run(); res.status != policy.OK {
+		t.Fatalf("ended %d", res.status)
+	}
+	late := newAttempt(b.transport, addr, http.MethodPost, noTimeout)
+	late.backend = b
+	late.req.answers = make(chan answer, 1)
+	l.handle(event{kind: eventOutcome, attempt: late, result: result{status: policy.Timeout}})
+	<-closed
+}
+
+// A backend's address in the balancer follows from its name alone.
+func TestPolicyAddressFollowsFromName(t *testing.T) {
+	first, again, other := policyAddr("s-1"), policyAddr("s-1"), policyAddr("s-2")
+	if first != again || first == other {
+		t.Fatal("an address must follow from the name alone")
+	}
+	if affinityKey("u1") == affinityKey("u2") || affinityKey("") == 0 {
+		t.Fatal("keys must differ, and none be 0")
+	}
+}
--- /dev/null
+++ b/internal/agent/stoppedloop_test.go
@@ -0,0 +1,98 @@
+package agent
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"strings"
+	"testing"
+	"time"
+)
+
+// requestText returns a request as the bytes on the wire.
+func requestText(id string) string {
+	return "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nRequest-Timeout: 30000m\r\nContent-Length: 4\r\n\r\nbody"
+}
+
+// agentWithStoppedLoop serves an agent whose loop starts when run is called.
+func agentWithStoppedLoop(t *testing.T, config map[string]any) (a *Agent, baseURL string, run func()) {
+	t.Helper()
+	a, err := New(parseConfig(t, config), slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	a.loop.unwatched()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	go a.server.Serve(&listener{Listener: ln, clients: a.clients})
+	t.Cleanup(func() {
+		a.clients.abort()
+		a.server.Close()
+		a.stop()
+	})
+	return a, "http://" + ln.Addr().String(), func() { go a.loop.run() }
+}
+
+// scriptedBackend returns a backend that writes a response only when it is given one. It reports
+// the requests that it receives, and connections that close without a response.
+func scriptedBackend(t *testing.T) (addr string, received chan string, answer chan string, closed chan struct{}) {
+	t.Helper()
+	received, answer, closed = make(chan string, 100), make(chan string, 100), make(chan struct{}, 100)
+	addr = rawBackend(t, func(c net.Conn, r *bufio.Reader) {
+		for {
+			req, err := readRequest(r)
+			if err != nil {
+				return
+			}
+			received <- req.Header.Get("Request-Id")
+			ended := make(chan struct{})
+			go func() {
+				r.Peek(1)
+				close(ended)
+			}()
+			select {
+			case text := <-answer:
+				io.WriteString(c, text)
+				<-ended // the next request begins, or the end
+			case <-ended:
+				closed <- struct{}{}
+				return
+			case <-time.After(testTimeout):
+				return
+			}
+		}
+	})
+	return addr, received, answer, closed
+}
+
+// stallingLog is a log that blocks whoever logs a failover, which stops the loop as often as stall
+// is called.
+type stallingLog struct{ stalled, release chan struct{} }
+
+func newStallingLog(a *Agent) stallingLog {
+	s := stallingLog{stalled: make(chan struct{}, 10), release: make(chan struct{}, 10)}
+	a.loop.log = slog.New(s)
+	return s
+}
+
+func (s stallingLog) stall(a *Agent) {
+	a.loop.post(event{kind: eventFailover, source: a.loop.discovery})
+}
+
+func (s stallingLog) Enabled(context.Context, slog.Level) bool { return true }
+
+func (s stallingLog) WithAttrs([]slog.Attr) slog.Handler { return s }
+
+func (s stallingLog) WithGroup(string) slog.Handler { return s }
+
+func (s stallingLog) Handle(_ context.Context, r slog.Record) error {
+	if strings.HasPrefix(r.Message, "discovery: failed over") {
+		s.stalled <- struct{}{}
+		<-s.release
+	}
+	return nil
+}
