--- a/internal/leaderelection/exclusion_test.go
+++ b/internal/leaderelection/exclusion_test.go
@@ -18,7 +18,7 @@
 // message that is lost or late, one change of leaders, and clocks of different rates.
 type simulation struct {
 	faults
-	disabled
+	without         mechanisms
 	state           *catalog.State
 	leader          *leader // nil between two leaders
 	deposedLeader   *leader // does not know that it was deposed
@@ -31,11 +31,12 @@
 	termsStarted    int
 }
 
-// faults are the faults of one run. Times are steps; -1 means that the fault does not occur.
+// faults are the faults of one run. Times are steps. For pausedHolder, faultyMessage, leaderChangeAt
+// and transferAt, -1 means that the fault does not occur.
 type faults struct {
 	pausedHolder, pauseAt, pauseSteps int
-	faultyMessage                     int // which renewal message is lost or late
-	messageDelay                      int // by how much it is late; -1: lost
+	faultyMessage                     int // the number of the renewal message that is lost or late
+	messageDelay                      int // by how much faultyMessage is late; lostMessage: it never arrives
 	leaderChangeAt                    int
 	rateA, rateB, rateLeader          float64 // of the clocks
 	writeDelay                        int     // of each write of the first holder
@@ -44,8 +45,8 @@
 	lag                               int     // of each message, and of a command from its decision to the log
 }
 
-// disabled names the safety mechanisms that a run goes without.
-type disabled struct {
+// mechanisms is a set of safety mechanisms: those that a run goes without.
+type mechanisms struct {
 	safetyMargin, fencing, newLeaderWait, leadershipCheck bool
 }
 
@@ -57,7 +58,10 @@
 	deposedFor     = 50 // steps that a deposed leader goes on
 	electionSteps  = 3
 	taskName       = "d"
-	runsPerPackage = 200 // of a worker
+	runsPerBatch   = 200 // that a worker takes at a time
+	lostMessage    = -1  // as messageDelay
+	slowWriteSteps = 45  // that each write of the first holder takes
+	transferStep   = 40  // at which an operator transfers the task, in the runs that have it
 )
 
 // leader is a leader of the control plane, with its own clock.
@@ -113,8 +117,8 @@
 }
 
 // newSimulation returns a simulation whose sessions are an hour old.
-func newSimulation(f faults, without disabled) *simulation {
-	s := &simulation{faults: f, disabled: without, state: catalog.New(), deposedEndsAt: -1}
+func newSimulation(f faults, without mechanisms) *simulation {
+	s := &simulation{faults: f, without: without, state: catalog.New(), deposedEndsAt: -1}
 	s.leader = &leader{rate: f.rateLeader}
 	s.apply(0, catalog.Command{Kind: catalog.DefineTask, LeasedTask: &catalog.LeasedTask{Name: taskName, TTL: modelTTL}})
 	for i := range s.holders {
@@ -223,7 +227,7 @@
 	if s.leaderChangeAt >= 0 && at == s.leaderChangeAt+electionSteps {
 		s.leader = &leader{base: s.state.Clock, startedAtStep: at, rate: s.rateLeader}
 		leasesFrom := s.state.Clock
-		if s.newLeaderWait {
+		if s.without.newLeaderWait {
 			leasesFrom -= modelTTL + 100*time.Millisecond
 		}
 		s.leader.leases = catalog.NewTaskLeases(leasesFrom)
@@ -256,7 +260,7 @@
 func (s *simulation) postRenewal(m message) {
 	s.renewalMessages++
 	if s.renewalMessages == s.faultyMessage {
-		if s.messageDelay < 0 {
+		if s.messageDelay == lostMessage {
 			return
 		}
 		m.due += s.messageDelay
@@ -273,7 +277,7 @@
 		s.deliverToLeader(at, m, s.leader)
 	case toDeposedLeader:
 		// A deposed leader cannot confirm that it leads, so it answers no renewal.
-		if s.leadershipCheck {
+		if s.without.leadershipCheck {
 			s.deliverToLeader(at, m, s.deposedLeader)
 		}
 	default:
@@ -283,7 +287,7 @@
 
 // write is a write to the resource, which rejects a fencing token lower than the highest.
 func (s *simulation) write(at int, fence int64) {
-	if fence < s.highestFence && !s.fencing {
+	if fence < s.highestFence && !s.without.fencing {
 		return
 	}
 	if fence < s.highestFence {
@@ -384,16 +388,20 @@
 	return all
 }
 
-// combine returns the faults of one run, with further ones that vary from run to run.
+// combine returns the faults of one run. noWatch, lag and transferAt are no dimensions of their own,
+// which would multiply the number of runs by eight. Each is derived from the parity of a sum of the
+// other faults' values, so that some runs have it and others don't, the same ones each time. The sums
+// themselves have no meaning.
 func combine(pause, change, loss faults, rates [3]float64) faults {
 	f := pause
 	f.leaderChangeAt, f.faultyMessage, f.messageDelay = change.leaderChangeAt, loss.faultyMessage, loss.messageDelay
 	f.rateA, f.rateB, f.rateLeader = rates[0], rates[1], rates[2]
-	f.writeDelay = 45
+	f.writeDelay = slowWriteSteps
 	f.noWatch = (f.pauseAt/2+f.faultyMessage)%2 == 0
+	// &1 rather than %2, as the sum may be negative.
 	f.lag = (f.pauseAt + f.leaderChangeAt/2 + f.messageDelay) & 1
 	if (f.pauseAt+f.leaderChangeAt+f.faultyMessage)%2 == 0 {
-		f.transferAt = 40
+		f.transferAt = transferStep
 	}
 	return f
 }
@@ -425,7 +433,7 @@
 func messageFaults(none faults, stride int) []faults {
 	all := []faults{none}
 	for n := 3; n < 40; n += stride {
-		for _, delay := range []int{-1, 6, 36} {
+		for _, delay := range []int{lostMessage, 6, 36} {
 			f := none
 			f.faultyMessage, f.messageDelay = n, delay
 			all = append(all, f)
@@ -444,10 +452,10 @@
 
 // add counts one run, and reports whether a violation is known, so that no further run is
 // needed.
-func (o *outcome) add(w *simulation, violation string, f faults) (stop bool) {
+func (o *outcome) add(s *simulation, violation string, f faults) (stop bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.runs, o.terms = o.runs+1, o.terms+w.termsStarted
+	o.runs, o.terms = o.runs+1, o.terms+s.termsStarted
 	if violation != "" && o.violation == "" {
 		o.violation = fmt.Sprintf("%s, with %+v", violation, f)
 	}
@@ -462,29 +470,29 @@
 
 // runAllCombinations runs all combinations without some mechanisms, until one violates a
 // promise.
-func runAllCombinations(without disabled, stride int) *outcome {
+func runAllCombinations(without mechanisms, stride int) *outcome {
 	var result outcome
 	var workers sync.WaitGroup
-	packages := make(chan []faults, 64)
+	batches := make(chan []faults, 64)
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
-			for runs := range packages {
-				for _, f := range runs {
-					w := newSimulation(f, without)
-					if result.add(w, w.run(), f) {
+			for batch := range batches {
+				for _, f := range batch {
+					s := newSimulation(f, without)
+					if result.add(s, s.run(), f) {
 						break
 					}
 				}
 			}
 		})
 	}
-	for runs := range slices.Chunk(combinations(stride), runsPerPackage) {
-		packages <- runs
+	for batch := range slices.Chunk(combinations(stride), runsPerBatch) {
+		batches <- batch
 		if result.violated() {
 			break
 		}
 	}
-	close(packages)
+	close(batches)
 	workers.Wait()
 	return &result
 }
@@ -503,7 +511,7 @@
 			t.Fatalf("EXPLORE: no number of steps: %q", text)
 		}
 	}
-	result := runAllCombinations(disabled{}, stride)
+	result := runAllCombinations(mechanisms{}, stride)
 	if result.violation != "" {
 		t.Fatalf("after %d runs: %s", result.runs, result.violation)
 	}
@@ -511,7 +519,7 @@
 		t.Errorf("%d terms in %d runs: the task is hardly ever transferred", result.terms, result.runs)
 	}
 	t.Logf("%d runs, %d terms", result.runs, result.terms)
-	for mechanism, without := range map[string]disabled{
+	for mechanism, without := range map[string]mechanisms{
 		"safety margin":       {safetyMargin: true},
 		"fencing":             {fencing: true},
 		"new leader's wait":   {newLeaderWait: true},
