--- a/internal/control/admission_test.go
+++ b/internal/control/admission_test.go
@@ -73,11 +73,11 @@
 // The cost of a request depends on the bytes of its answer: that for a small service doesn't depend
 // on the number of all servers, and a small list costs one request.
 func TestAdmissionCostsByBytes(t *testing.T) {
-	st := newFSMFixture(t)
-	s := &Server{broadcaster: st.broadcaster, fsm: st.fsm}
-	st.registerInService(t, "small", "s", 1)
+	fixture := newFSMFixture(t)
+	s := &Server{broadcaster: fixture.broadcaster, fsm: fixture.fsm}
+	fixture.registerInService(t, "small", "s", 1)
 	for i := range 2000 {
-		st.registerInService(t, "large", fmt.Sprint("l-", i), 1)
+		fixture.registerInService(t, "large", fmt.Sprint("l-", i), 1)
 	}
 	for _, c := range []struct {
 		services []string
@@ -88,7 +88,7 @@
 	}{
 		{nil, false, 0, 2000 * 100, 2000 * 160}, {nil, true, 0, 0, 0},
 		{[]string{"small"}, false, 0, 100, 160}, {[]string{"large"}, false, 0, 2000 * 100, 2000 * 160}, {[]string{"none"}, false, 0, 0, 0},
-		{[]string{"large"}, true, st.revision() + 1, 2000 * 100, 2000 * 160}, {[]string{"large"}, true, st.revision() - 1, 0, 0},
+		{[]string{"large"}, true, fixture.revision() + 1, 2000 * 100, 2000 * 160}, {[]string{"large"}, true, fixture.revision() - 1, 0, 0},
 	} {
 		got := s.estimateListBytes(c.services, c.follow, c.since)
 		if got < c.least || got > c.most {
--- a/internal/control/fixture_test.go
+++ b/internal/control/fixture_test.go
@@ -28,60 +28,60 @@
 // fails the test.
 func newFSMFixture(t *testing.T) *fsmFixture {
 	t.Helper()
-	st := &fsmFixture{fsm: &fsm{state: catalog.New(), onFatal: func(err error) { t.Error(err) }}}
-	st.broadcaster = newWatchBroadcaster(st.fsm, 5*time.Millisecond)
-	st.onChange = st.broadcaster.notifyChanged
-	return st
+	fixture := &fsmFixture{fsm: &fsm{state: catalog.New(), onFatal: func(err error) { t.Error(err) }}}
+	fixture.broadcaster = newWatchBroadcaster(fixture.fsm, 5*time.Millisecond)
+	fixture.onChange = fixture.broadcaster.notifyChanged
+	return fixture
 }
 
 // runBroadcaster runs a test in a bubble of its own time, with a fixture whose broadcaster runs. It
 // ends the broadcaster and the watches after the test.
-func runBroadcaster(t *testing.T, test func(t *testing.T, st *fsmFixture)) {
+func runBroadcaster(t *testing.T, test func(t *testing.T, fixture *fsmFixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		st := newFSMFixture(t)
-		st.ctx = ctx
-		st.stop = func() {
+		fixture := newFSMFixture(t)
+		fixture.ctx = ctx
+		fixture.stop = func() {
 			cancel()
 			synctest.Wait()
 		}
-		defer st.stop()
-		go st.broadcaster.run(ctx)
-		test(t, st)
+		defer fixture.stop()
+		go fixture.broadcaster.run(ctx)
+		test(t, fixture)
 	})
 }
 
 // apply applies a command as if it were committed, and returns its result.
-func (st *fsmFixture) apply(t *testing.T, c catalog.Command) catalog.Result {
+func (f *fsmFixture) apply(t *testing.T, c catalog.Command) catalog.Result {
 	t.Helper()
 	c.FormatVersion = catalog.FormatVersion
 	text, err := json.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	st.index++
-	return st.Apply(&raft.Log{Index: st.index, Data: text}).(catalog.Result)
+	f.index++
+	return f.Apply(&raft.Log{Index: f.index, Data: text}).(catalog.Result)
 }
 
-// register registers a server of the default service that started at a time.
-func (st *fsmFixture) register(t *testing.T, name string, born float64) {
+// register registers a server of the default service that started at startedMs, in milliseconds.
+func (f *fsmFixture) register(t *testing.T, name string, startedMs float64) {
 	t.Helper()
-	st.registerInService(t, "", name, born)
+	f.registerInService(t, "", name, startedMs)
 }
 
-// registerInService registers a server of a service that started at a time.
-func (st *fsmFixture) registerInService(t *testing.T, service, name string, born float64) {
+// registerInService registers a server of a service that started at startedMs, in milliseconds.
+func (f *fsmFixture) registerInService(t *testing.T, service, name string, startedMs float64) {
 	t.Helper()
-	h := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 1, StartedMs: born, Service: service}
-	if r := st.apply(t, catalog.Command{Kind: catalog.Register, Endpoint: &h}); r.Code != catalog.Done {
+	endpoint := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 1, StartedMs: startedMs, Service: service}
+	if r := f.apply(t, catalog.Command{Kind: catalog.Register, Endpoint: &endpoint}); r.Code != catalog.Done {
 		t.Fatalf("%+v", r)
 	}
 }
 
 // awaitPublished waits until the changes so far are written to all watches that don't block. It is for
 // tests that run in a bubble of their own time.
-func (st *fsmFixture) awaitPublished() {
+func (f *fsmFixture) awaitPublished() {
 	time.Sleep(publishDelay)
 	synctest.Wait()
 }
--- a/internal/control/fsm_test.go
+++ b/internal/control/fsm_test.go
@@ -17,7 +17,7 @@
 		before := len(broken)
 		f.Apply(&raft.Log{Index: 7, Data: []byte(text)})
 		if len(broken) != before+1 || !strings.Contains(broken[before].Error(), "entry 7 of the log") || f.revision() != 0 {
-			t.Errorf("%s: %v, version %d", text, broken, f.revision())
+			t.Errorf("%s: %v, revision %d", text, broken, f.revision())
 		}
 	}
 }
--- a/internal/control/listencoding_test.go
+++ b/internal/control/listencoding_test.go
@@ -9,9 +9,9 @@
 
 // A list that is assembled of encoded entries is what the JSON encoder makes of the entries.
 func TestAssembledListEqualsEncodedList(t *testing.T) {
-	hosts := []endpoints.Endpoint{{Name: "a", Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 0.5, StartedMs: 7, Service: "s"},
+	entries := []endpoints.Endpoint{{Name: "a", Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 0.5, StartedMs: 7, Service: "s"},
 		{Name: "b", Health: endpoints.Removed}, {Name: "<c>&", Dial: "[::1]:2", Health: endpoints.Draining, Service: "é"}}
-	for _, l := range []endpoints.List{{Seq: 1 << 50, Full: true, Endpoints: hosts}, {Seq: -1, Endpoints: hosts[:1]}, {Endpoints: []endpoints.Endpoint{}}} {
+	for _, l := range []endpoints.List{{Seq: 1 << 50, Full: true, Endpoints: entries}, {Seq: -1, Endpoints: entries[:1]}, {Endpoints: []endpoints.Endpoint{}}} {
 		var parts [][]byte
 		for i := range l.Endpoints {
 			parts = append(parts, encodeEntries(l.Endpoints[i:i+1]))
--- a/internal/control/requests_test.go
+++ b/internal/control/requests_test.go
@@ -42,7 +42,8 @@
 	for _, v := range []any{&endpoint, &override, &session, &task, &ref, &term} {
 		golden.Fill(t, v)
 	}
-	// The server rejects each request; only what was sent is compared.
+	// The stub server rejects each request, so results and errors are ignored: the test compares the
+	// requests that the server received.
 	_, _ = c.Register(ctx, endpoint)
 	_, _ = c.Renew(ctx, []catalog.InstanceRef{ref})
 	_, _ = c.SetOverride(ctx, "s-a", override)
@@ -102,11 +103,11 @@
 	check("unknown outcome", http.StatusServiceUnavailable, w, "")
 }
 
-// TestSessionsKeepTheirQuery holds the query that has a session drain instead of end, and the
-// header of a request that another server forwarded.
+// TestSessionsKeepTheirQuery holds the query parameter rest, with which a request to end a session
+// drains it instead, and the header of a request that another server forwarded.
 func TestSessionsKeepTheirQuery(t *testing.T) {
 	if forwardedByHeader != "Forwarded-By" {
-		t.Errorf("the header of a forwarded call is %q", forwardedByHeader)
+		t.Errorf("the header of a forwarded request is %q", forwardedByHeader)
 	}
 
 	s := serveFolder(t, t.TempDir())
@@ -126,7 +127,7 @@
 			t.Fatalf("%s %s: %d %s", r.method, r.path, status, text)
 		}
 		if got := zeroNumbers([]byte(session())); got != step.want {
-			t.Errorf("after %s %s there is %s, want %s", r.method, r.path, got, step.want)
+			t.Errorf("after %s %s the sessions are %s, want %s", r.method, r.path, got, step.want)
 		}
 	}
 }
--- a/internal/control/routes_test.go
+++ b/internal/control/routes_test.go
@@ -44,13 +44,13 @@
 				t.Errorf("%s %q %q: %d %q", method, path, text, w.Code, answer)
 			}
 			if server.fsm.revision() != before {
-				t.Errorf("%s %q %q: rejected with %d, and the version went from %d to %d", method, path, text, w.Code, before, server.fsm.revision())
+				t.Errorf("%s %q %q: rejected with %d, and the revision went from %d to %d", method, path, text, w.Code, before, server.fsm.revision())
 			}
 		case w.Code/100 == 5 && w.Code != http.StatusServiceUnavailable && w.Code != http.StatusInsufficientStorage:
 			t.Errorf("%s %q %q: %d %q", method, path, text, w.Code, answer)
 		}
 		if server.fsm.revision() < before || server.fsm.revision() > maxRevision {
-			t.Fatalf("%s %q %q: the version went from %d to %d", method, path, text, before, server.fsm.revision())
+			t.Fatalf("%s %q %q: the revision went from %d to %d", method, path, text, before, server.fsm.revision())
 		}
 		select {
 		case err := <-server.fatalErrors:
@@ -114,6 +114,6 @@
 		}
 	}
 	if server.fsm.revision() != before {
-		t.Errorf("the version went from %d to %d", before, server.fsm.revision())
+		t.Errorf("the revision went from %d to %d", before, server.fsm.revision())
 	}
 }
--- a/internal/control/servicemetrics_test.go
+++ b/internal/control/servicemetrics_test.go
@@ -10,20 +10,20 @@
 
 // The largest services have labels of their own, whatever their names; all others share one.
 func TestServiceMetricsLabelLargestServices(t *testing.T) {
-	st := newFSMFixture(t)
+	fixture := newFSMFixture(t)
 	for i := range 30 {
 		service := fmt.Sprintf("service-%02d", i)
 		for j := range i + 1 {
-			st.registerInService(t, service, fmt.Sprintf("%s-%d", service, j), 1)
+			fixture.registerInService(t, service, fmt.Sprintf("%s-%d", service, j), 1)
 		}
 	}
 	for i := range 40 {
-		st.register(t, fmt.Sprint("plain-", i), 1)
-		st.registerInService(t, "other", fmt.Sprint("other-", i), 1)
+		fixture.register(t, fmt.Sprint("plain-", i), 1)
+		fixture.registerInService(t, "other", fmt.Sprint("other-", i), 1)
 	}
-	st.broadcaster.services.subscribe([]string{"other", "service-00", "unknown"})
+	fixture.broadcaster.services.subscribe([]string{"other", "service-00", "unknown"})
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(newServiceCollector(st.broadcaster))
+	registry.MustRegister(newServiceCollector(fixture.broadcaster))
 	families, err := registry.Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/servicetopics_test.go
+++ b/internal/control/servicetopics_test.go
@@ -18,45 +18,45 @@
 	"knotrouter/internal/endpoints"
 )
 
-// subscribe starts a watch of services after a version.
-func (st *fsmFixture) subscribe(since int64, services ...string) *scopedReader {
+// subscribe starts a watch of services for a reader that has the revision since.
+func (f *fsmFixture) subscribe(since int64, services ...string) *scopedReader {
 	slices.Sort(services)
 	r := &scopedReader{services: services}
-	go st.broadcaster.watchServices(st.ctx, r, services, since, nil)
+	go f.broadcaster.watchServices(f.ctx, r, services, since, nil)
 	return r
 }
 
 // A watch is sent the changes of its services only: a change is encoded once for all subscriptions
 // to the service, and an idle watch gets heartbeats.
 func TestServiceWatchesShareEvents(t *testing.T) {
-	runBroadcaster(t, func(t *testing.T, st *fsmFixture) {
-		st.registerInService(t, "a", "a-1", 1)
-		st.registerInService(t, "b", "b-1", 1)
-		st.register(t, "plain", 1)
+	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
+		fixture.registerInService(t, "a", "a-1", 1)
+		fixture.registerInService(t, "b", "b-1", 1)
+		fixture.register(t, "plain", 1)
 		time.Sleep(time.Second)
 		readers := make([]*scopedReader, 50)
 		for i := range readers {
-			readers[i] = st.subscribe(0, "a", "none")
+			readers[i] = fixture.subscribe(0, "a", "none")
 		}
-		other, both, plain := st.subscribe(0, "b"), st.subscribe(0, "a", "b"), st.subscribe(0, "")
+		other, both, plain := fixture.subscribe(0, "b"), fixture.subscribe(0, "a", "b"), fixture.subscribe(0, "")
 		synctest.Wait()
 		for what, r := range map[string]*scopedReader{"a-1@a": readers[0], "b-1@b": other, "a-1@a b-1@b": both, "plain@": plain} {
 			if got := r.names(); got != what || len(r.lists) != 1 {
 				t.Fatalf("a reader of %q has %q after %d lists, want %q", r.services, got, len(r.lists), what)
 			}
 		}
-		topics := st.broadcaster.services
+		topics := fixture.broadcaster.services
 		encoded, before, heartbeats := topics.encodedCount, other.bytes, other.heartbeats
 		for i := range 3 {
-			st.registerInService(t, "a", "a-2", float64(i+1))
+			fixture.registerInService(t, "a", "a-2", float64(i+1))
 		}
-		st.awaitPublished()
+		fixture.awaitPublished()
 		if n := topics.encodedCount - encoded; n != 1 {
 			t.Errorf("three changes of one service at once were encoded %d times", n)
 		}
 		for _, r := range append(readers, both) {
-			if !strings.HasPrefix(r.names(), "a-1@a a-2@a") || len(r.lists) != 2 || r.revision != st.revision() || r.lists[1].Full || len(r.lists[1].Endpoints) != 1 {
-				t.Fatalf("a reader of %q has %q at version %d of %d after %d lists", r.services, r.names(), r.revision, st.revision(), len(r.lists))
+			if !strings.HasPrefix(r.names(), "a-1@a a-2@a") || len(r.lists) != 2 || r.revision != fixture.revision() || r.lists[1].Full || len(r.lists[1].Endpoints) != 1 {
+				t.Fatalf("a reader of %q has %q at revision %d of %d after %d lists", r.services, r.names(), r.revision, fixture.revision(), len(r.lists))
 			}
 		}
 		if len(other.lists) != 1 || other.bytes != before || len(plain.lists) != 1 {
@@ -70,7 +70,7 @@
 		for _, r := range append(readers, other, both, plain) {
 			r.check(t)
 		}
-		st.stop()
+		fixture.stop()
 		if len(topics.byService) != 0 || topics.eventBytes != 0 || topics.watchCount != 0 {
 			t.Errorf("after the last watch: %d topics, %d bytes, %d watches", len(topics.byService), topics.eventBytes, topics.watchCount)
 		}
@@ -80,16 +80,16 @@
 // A reader of two services that blocks while a server changes between them ends with the server in
 // its last service.
 func TestServiceEventsKeepVersionOrder(t *testing.T) {
-	runBroadcaster(t, func(t *testing.T, st *fsmFixture) {
-		st.registerInService(t, "a", "s", 1)
+	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
+		fixture.registerInService(t, "a", "s", 1)
 		time.Sleep(time.Second)
-		both, a, b := st.subscribe(0, "a", "b"), st.subscribe(0, "a"), st.subscribe(0, "b")
+		both, a, b := fixture.subscribe(0, "a", "b"), fixture.subscribe(0, "a"), fixture.subscribe(0, "b")
 		synctest.Wait()
 		for _, r := range []*scopedReader{both, a, b} {
 			r.block()
 		}
 		for _, service := range []string{"b", "a", "b", "a"} {
-			st.registerInService(t, service, "s", 1)
+			fixture.registerInService(t, service, "s", 1)
 			time.Sleep(publishDelay)
 		}
 		synctest.Wait()
@@ -100,8 +100,8 @@
 		if both.names() != "s@a" || a.names() != "s@a" || b.names() != "" {
 			t.Errorf("readers of both, a and b have %q, %q and %q", both.names(), a.names(), b.names())
 		}
-		st.registerInService(t, "b", "s", 2) // a new instance, of the other service
-		st.awaitPublished()
+		fixture.registerInService(t, "b", "s", 2) // a new instance, of the other service
+		fixture.awaitPublished()
 		if both.names() != "s@b" || a.names() != "" || b.names() != "s@b" {
 			t.Errorf("readers of both, a and b have %q, %q and %q", both.names(), a.names(), b.names())
 		}
@@ -114,64 +114,64 @@
 // A reader of services that lags makes a topic retain no more than its bound, then gets the full list
 // of its services and later events.
 func TestLaggingServiceReaderGetsFullList(t *testing.T) {
-	runBroadcaster(t, func(t *testing.T, st *fsmFixture) {
-		st.registerInService(t, "a", "a", 1)
+	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
+		fixture.registerInService(t, "a", "a", 1)
 		for i := range 100 {
-			st.registerInService(t, "b", fmt.Sprint("b-", i), 1)
+			fixture.registerInService(t, "b", fmt.Sprint("b-", i), 1)
 		}
 		time.Sleep(time.Second)
-		slow, fast, idle := st.subscribe(0, "a"), st.subscribe(0, "a"), st.subscribe(0, "b")
+		slow, fast, idle := fixture.subscribe(0, "a"), fixture.subscribe(0, "a"), fixture.subscribe(0, "b")
 		synctest.Wait()
 		slow.block()
 		for i := range 2 * maxTopicEvents {
-			st.registerInService(t, "a", fmt.Sprint("a-", i), 1)
+			fixture.registerInService(t, "a", fmt.Sprint("a-", i), 1)
 			time.Sleep(publishDelay)
 		}
 		synctest.Wait()
-		if retained := len(st.broadcaster.services.byService["a"].events); retained != maxTopicEvents || len(fast.lists) != 1+2*maxTopicEvents {
+		if retained := len(fixture.broadcaster.services.byService["a"].events); retained != maxTopicEvents || len(fast.lists) != 1+2*maxTopicEvents {
 			t.Errorf("%d events retained; the fast reader was sent %d lists", retained, len(fast.lists))
 		}
 		slow.unblock()
 		synctest.Wait()
 		last := slow.lists[len(slow.lists)-1]
-		if !last.Full || len(last.Endpoints) != 1+2*maxTopicEvents || len(slow.lists) > 3 || st.broadcaster.services.laggedCount != 1 {
-			t.Errorf("the slow reader was sent %d lists, the last of %d entries, full %v; lagged %d", len(slow.lists), len(last.Endpoints), last.Full, st.broadcaster.services.laggedCount)
+		if !last.Full || len(last.Endpoints) != 1+2*maxTopicEvents || len(slow.lists) > 3 || fixture.broadcaster.services.laggedCount != 1 {
+			t.Errorf("the slow reader was sent %d lists, the last of %d entries, full %v; lagged %d", len(slow.lists), len(last.Endpoints), last.Full, fixture.broadcaster.services.laggedCount)
 		}
-		st.registerInService(t, "a", "last", 1)
-		st.awaitPublished()
+		fixture.registerInService(t, "a", "last", 1)
+		fixture.awaitPublished()
 		if slow.names() != fast.names() || !strings.Contains(slow.names(), "last@a") || slow.lists[len(slow.lists)-1].Full {
 			t.Errorf("the slow reader gets no later events: %q", slow.names())
 		}
 		if len(idle.lists) != 1 {
 			t.Errorf("a reader of another service was sent %d lists", len(idle.lists))
 		}
-		st.broadcaster.endAll()
+		fixture.broadcaster.endAll()
 		synctest.Wait()
-		if st.broadcaster.services.watchCount != 0 {
-			t.Errorf("%d watches left", st.broadcaster.services.watchCount)
+		if fixture.broadcaster.services.watchCount != 0 {
+			t.Errorf("%d watches left", fixture.broadcaster.services.watchCount)
 		}
 	})
 }
 
-// After the version was raised, each reader is sent the full list of its services.
-func TestRaisedVersionSendsFullServiceLists(t *testing.T) {
-	runBroadcaster(t, func(t *testing.T, st *fsmFixture) {
-		st.registerInService(t, "a", "a", 1)
-		st.registerInService(t, "b", "b", 1)
+// After the revision was raised, each reader is sent the full list of its services.
+func TestRaisedRevisionSendsFullServiceLists(t *testing.T) {
+	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
+		fixture.registerInService(t, "a", "a", 1)
+		fixture.registerInService(t, "b", "b", 1)
 		time.Sleep(time.Second)
-		r := st.subscribe(0, "a")
+		r := fixture.subscribe(0, "a")
 		synctest.Wait()
-		st.apply(t, catalog.Command{Kind: catalog.RaiseRevision, Seq: 1000})
-		st.awaitPublished()
+		fixture.apply(t, catalog.Command{Kind: catalog.RaiseRevision, Seq: 1000})
+		fixture.awaitPublished()
 		if last := r.lists[len(r.lists)-1]; !last.Full || last.Seq != 1000 || r.names() != "a@a" {
-			t.Errorf("after version 1000: %+v", last)
+			t.Errorf("after the revision was raised to 1000: %+v", last)
 		}
-		back := st.subscribe(500, "a")
-		ahead := st.subscribe(2000, "a")
-		knows := st.subscribe(1000, "a")
+		behind := fixture.subscribe(500, "a")
+		ahead := fixture.subscribe(2000, "a")
+		current := fixture.subscribe(1000, "a")
 		synctest.Wait()
-		if !back.lists[0].Full || !ahead.lists[0].Full || knows.lists[0].Full || len(knows.lists[0].Endpoints) != 0 {
-			t.Errorf("full lists for readers at 500, 2000 and 1000: %v, %v, %v", back.lists[0].Full, ahead.lists[0].Full, knows.lists[0].Full)
+		if !behind.lists[0].Full || !ahead.lists[0].Full || current.lists[0].Full || len(current.lists[0].Endpoints) != 0 {
+			t.Errorf("full lists for readers at the revisions 500, 2000 and 1000: %v, %v, %v", behind.lists[0].Full, ahead.lists[0].Full, current.lists[0].Full)
 		}
 		r.check(t)
 	})
@@ -182,10 +182,10 @@
 	const seed, services, changes, watches = 23, 5, 400, 60
 	t.Logf("seed %d", seed)
 	ctx, cancel := context.WithCancel(t.Context())
-	st := newFSMFixture(t)
-	st.broadcaster.coalesce = 200 * time.Microsecond
+	fixture := newFSMFixture(t)
+	fixture.broadcaster.coalesce = 200 * time.Microsecond
 	var running sync.WaitGroup
-	running.Go(func() { st.broadcaster.run(ctx) })
+	running.Go(func() { fixture.broadcaster.run(ctx) })
 	readers := make([]*scopedReader, watches)
 	running.Go(func() {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -194,18 +194,18 @@
 			slices.Sort(scope)
 			scope = slices.Compact(scope)
 			readers[i] = &scopedReader{services: scope}
-			running.Go(func() { st.broadcaster.watchServices(ctx, readers[i], scope, 0, nil) })
+			running.Go(func() { fixture.broadcaster.watchServices(ctx, readers[i], scope, 0, nil) })
 			time.Sleep(time.Duration(rng.IntN(1000)) * time.Microsecond)
 		}
 	})
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for i := range changes {
 		name := fmt.Sprint("s-", rng.IntN(30))
-		st.registerInService(t, fmt.Sprint(rng.IntN(services)), name, float64(i))
+		fixture.registerInService(t, fmt.Sprint(rng.IntN(services)), name, float64(i))
 		time.Sleep(time.Duration(rng.IntN(200)) * time.Microsecond)
 	}
 	for i := range services { // so that each watch gets a last change
-		st.registerInService(t, fmt.Sprint(i), fmt.Sprint("last-", i), changes)
+		fixture.registerInService(t, fmt.Sprint(i), fmt.Sprint("last-", i), changes)
 	}
 	caughtUp := func() bool {
 		for _, r := range readers {
@@ -224,10 +224,10 @@
 	running.Wait()
 	for i, r := range readers {
 		var want []string
-		st.read(func(state *catalog.State) {
+		fixture.read(func(state *catalog.State) {
 			for _, name := range r.services {
-				for _, h := range state.ServiceEndpoints(name) {
-					want = append(want, h.Name+"@"+h.Service)
+				for _, endpoint := range state.ServiceEndpoints(name) {
+					want = append(want, endpoint.Name+"@"+endpoint.Service)
 				}
 			}
 		})
@@ -242,8 +242,8 @@
 // The events of all topics together are bounded; a reader that needs a dropped event is sent a full
 // list.
 func TestServiceEventsAreBounded(t *testing.T) {
-	st := newFSMFixture(t)
-	topics := st.broadcaster.services
+	fixture := newFSMFixture(t)
+	topics := fixture.broadcaster.services
 	var subs []*subscription
 	for i := range 200 {
 		subs = append(subs, topics.subscribe([]string{fmt.Sprint(i)}))
@@ -253,7 +253,7 @@
 		topics.appendEvent(subs[i].topics[0], serviceEvent{1, make([]byte, maxTopicEventBytes)})
 	}
 	topics.mu.Unlock()
-	st.registerInService(t, "0", "s", 1)
+	fixture.registerInService(t, "0", "s", 1)
 	topics.publish()
 	if topics.eventBytes > maxAllTopicBytes {
 		t.Errorf("%d bytes retained", topics.eventBytes)
@@ -274,21 +274,21 @@
 	}
 	topics.mu.Unlock()
 	if len(topic.events) != 1 || topic.startRevision != 11 {
-		t.Errorf("%d events of one topic retained, from version %d", len(topic.events), topic.startRevision)
+		t.Errorf("%d events of one topic retained, from revision %d", len(topic.events), topic.startRevision)
 	}
 }
 
 // BenchmarkServicePublish measures a change of one of 1,900 services, until its subscriptions are
 // notified, while 13,000 watches of 20 services each are open.
 func BenchmarkServicePublish(b *testing.B) {
-	st := &fsmFixture{fsm: &fsm{state: catalog.New(), onFatal: func(err error) { b.Error(err) }}}
-	st.broadcaster = newWatchBroadcaster(st.fsm, 0)
-	st.onChange = func() {}
-	register := func(i int, born float64) {
-		h := endpoints.Endpoint{Name: fmt.Sprint("server-", i), Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 1, StartedMs: born, Service: fmt.Sprint("service-", i%1900)}
-		text, _ := json.Marshal(catalog.Command{FormatVersion: catalog.FormatVersion, Kind: catalog.Register, Endpoint: &h})
-		st.index++
-		st.Apply(&raft.Log{Index: st.index, Data: text})
+	fixture := &fsmFixture{fsm: &fsm{state: catalog.New(), onFatal: func(err error) { b.Error(err) }}}
+	fixture.broadcaster = newWatchBroadcaster(fixture.fsm, 0)
+	fixture.onChange = func() {}
+	register := func(i int, startedMs float64) {
+		endpoint := endpoints.Endpoint{Name: fmt.Sprint("server-", i), Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 1, StartedMs: startedMs, Service: fmt.Sprint("service-", i%1900)}
+		text, _ := json.Marshal(catalog.Command{FormatVersion: catalog.FormatVersion, Kind: catalog.Register, Endpoint: &endpoint})
+		fixture.index++
+		fixture.Apply(&raft.Log{Index: fixture.index, Data: text})
 	}
 	for i := range 39_000 {
 		register(i, 1)
@@ -300,13 +300,13 @@
 			services = append(services, fmt.Sprint("service-", rng.IntN(1900)))
 		}
 		slices.Sort(services)
-		st.broadcaster.services.subscribe(slices.Compact(services))
+		fixture.broadcaster.services.subscribe(slices.Compact(services))
 	}
-	st.broadcaster.services.publish()
-	born := 1.0
+	fixture.broadcaster.services.publish()
+	startedMs := 1.0
 	for b.Loop() {
-		born++
-		register(7, born)
-		st.broadcaster.services.publish()
+		startedMs++
+		register(7, startedMs)
+		fixture.broadcaster.services.publish()
 	}
 }
--- a/internal/control/watchlines_test.go
+++ b/internal/control/watchlines_test.go
@@ -16,11 +16,11 @@
 // write: the first list, a change, a move to another service, an end, and the line of a quiet
 // watch; as the program of commit d25b370 wrote them.
 func TestWatchLinesKeepTheirForm(t *testing.T) {
-	runBroadcaster(t, func(t *testing.T, st *fsmFixture) {
+	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
 		register := func(name, service string, born float64) {
 			t.Helper()
 			h := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Block: 3, Health: endpoints.Ready, Weight: 1, StartedMs: born, Service: service}
-			if r := st.apply(t, catalog.Command{Kind: catalog.Register, Endpoint: &h}); r.Code != catalog.Done {
+			if r := fixture.apply(t, catalog.Command{Kind: catalog.Register, Endpoint: &h}); r.Code != catalog.Done {
 				t.Fatalf("%+v", r)
 			}
 			time.Sleep(time.Second)
@@ -28,14 +28,14 @@
 		register("s-a", "", 1000)
 		register("s-b", "web", 1000)
 		full, scoped := newWatchReader(), newWatchReader()
-		go st.broadcaster.watch(st.ctx, full, 0, nil)
-		go st.broadcaster.watchServices(st.ctx, scoped, []string{"", "web"}, 0, nil)
+		go fixture.broadcaster.watch(fixture.ctx, full, 0, nil)
+		go fixture.broadcaster.watchServices(fixture.ctx, scoped, []string{"", "web"}, 0, nil)
 		time.Sleep(100 * time.Millisecond)
 		register("s-c", "web", 1000)
 		register("s-a", "mail", 2000)
-		st.apply(t, catalog.Command{Kind: catalog.Drain, Refs: []catalog.InstanceRef{{Name: "s-b", StartedMs: 1000}}})
+		fixture.apply(t, catalog.Command{Kind: catalog.Drain, Refs: []catalog.InstanceRef{{Name: "s-b", StartedMs: 1000}}})
 		time.Sleep(time.Second)
-		st.apply(t, catalog.Command{Kind: catalog.Deregister, Refs: []catalog.InstanceRef{{Name: "s-b", StartedMs: 1000}}})
+		fixture.apply(t, catalog.Command{Kind: catalog.Deregister, Refs: []catalog.InstanceRef{{Name: "s-b", StartedMs: 1000}}})
 		time.Sleep(2500 * time.Millisecond)
 		synctest.Wait()
 		lines := func(r *watchReader) []string {
--- a/internal/control/watchload_test.go
+++ b/internal/control/watchload_test.go
@@ -14,11 +14,11 @@
 // drawLoads draws the loads of up to five servers. In about half of the servers, all watches can
 // migrate.
 func drawLoads(rt *rapid.T) []watchLoad {
-	loads := make([]watchLoad, rapid.IntRange(1, 5).Draw(rt, "stewards"))
+	loads := make([]watchLoad, rapid.IntRange(1, 5).Draw(rt, "servers"))
 	for i := range loads {
 		loads[i].watches = rapid.IntRange(0, 2000).Draw(rt, "watches")
 		loads[i].movable = rapid.IntRange(0, loads[i].watches).Draw(rt, "movable")
-		if rapid.Bool().Draw(rt, "all can move") {
+		if rapid.Bool().Draw(rt, "all are movable") {
 			loads[i].movable = loads[i].watches
 		}
 	}
--- a/internal/control/watchreader_test.go
+++ b/internal/control/watchreader_test.go
@@ -76,9 +76,9 @@
 		if l.Full {
 			clear(r.servers)
 		}
-		for _, h := range l.Endpoints {
-			if r.servers[h.Name] = h.StartedMs; h.Health == endpoints.Removed {
-				delete(r.servers, h.Name)
+		for _, endpoint := range l.Endpoints {
+			if r.servers[endpoint.Name] = endpoint.StartedMs; endpoint.Health == endpoints.Removed {
+				delete(r.servers, endpoint.Name)
 			}
 		}
 		r.revision = l.Seq
@@ -117,20 +117,20 @@
 	r.bytes += len(p)
 	l, err := endpoints.Parse(p)
 	if err != nil || bytes.Count(p, []byte("\n")) != 1 || l.Seq < r.revision {
-		r.faults = append(r.faults, fmt.Sprintf("%q after version %d: %v", p, r.revision, err))
+		r.faults = append(r.faults, fmt.Sprintf("%q after revision %d: %v", p, r.revision, err))
 	}
 	r.lists, r.revision = append(r.lists, l), l.Seq
 	if l.Full || r.servers == nil {
 		r.servers = map[string]endpoints.Endpoint{}
 	}
-	for _, h := range l.Endpoints {
+	for _, endpoint := range l.Endpoints {
 		switch {
-		case !slices.Contains(r.services, h.Service):
-			r.faults = append(r.faults, fmt.Sprintf("a reader of %q was sent %+v", r.services, h))
-		case h.Health != endpoints.Removed:
-			r.servers[h.Name] = h
-		case r.servers[h.Name].Service == h.Service:
-			delete(r.servers, h.Name)
+		case !slices.Contains(r.services, endpoint.Service):
+			r.faults = append(r.faults, fmt.Sprintf("a reader of %q was sent %+v", r.services, endpoint))
+		case endpoint.Health != endpoints.Removed:
+			r.servers[endpoint.Name] = endpoint
+		case r.servers[endpoint.Name].Service == endpoint.Service:
+			delete(r.servers, endpoint.Name)
 		}
 	}
 	return len(p), nil
@@ -141,8 +141,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
-	for _, h := range r.servers {
-		out = append(out, h.Name+"@"+h.Service)
+	for _, endpoint := range r.servers {
+		out = append(out, endpoint.Name+"@"+endpoint.Service)
 	}
 	slices.Sort(out)
 	return strings.Join(out, " ")
--- a/internal/control/wire_test.go
+++ b/internal/control/wire_test.go
@@ -29,12 +29,14 @@
 	"knotrouter/internal/lab/loopback"
 )
 
-// The files in testdata are what the program of commit d25b370 wrote and answered. They stand
-// for data folders, for messages of other builds, for scripts and for dashboards: a name in Go
-// may change, these may not.
+// The files in testdata are what the program of commit d25b370 wrote and answered. Data folders on
+// disk, other builds, scripts and dashboards depend on what these files hold, so it must not change. The
+// names in Go may.
 
 // TestMessagesKeepTheirKeys holds the JSON form of the bodies of requests and answers, with
-// every field. Those of the catalog, of members and of lists are held beside their types.
+// every field. Those of the catalog, of members and of lists are held beside their types. The names
+// are only labels in messages.txt: they are the words of commit d25b370 and stay with the file, also
+// where the Go type beside them has another name today.
 func TestMessagesKeepTheirKeys(t *testing.T) {
 	golden.Messages(t, "messages.txt", []golden.Message{
 		golden.Of[Status]("status"),
@@ -64,8 +66,8 @@
 	return s
 }
 
-// TestRoutesKeepTheirPaths holds the methods of each path. A method that no route has is
-// answered with those that there are.
+// TestRoutesKeepTheirPaths holds the methods of each path. It sends each path a method that no route
+// accepts: the response's Allow header lists the methods that the path's routes accept.
 func TestRoutesKeepTheirPaths(t *testing.T) {
 	handler := newUnstartedServer(t).handler()
 	var got []string
@@ -189,8 +191,8 @@
 	}
 }
 
-// TestRecordedFolderReplaysToRecordedState reads the snapshot and the log behind it. The state
-// is, byte for byte, what the program that wrote them answered before it was killed.
+// TestRecordedFolderReplaysToRecordedState reads the snapshot and the log after it. The state is, byte
+// for byte, what the program that wrote them answered before it was killed.
 func TestRecordedFolderReplaysToRecordedState(t *testing.T) {
 	s, err := openStore(recordedFolder(t), hclog.NewNullLogger())
 	if err != nil {
@@ -226,7 +228,7 @@
 		}
 	}
 	if commands == 0 {
-		t.Error("the recorded log has no command behind the snapshot")
+		t.Error("the recorded log has no command after the snapshot")
 	}
 	got, err := machine.state.Encode()
 	if err != nil {
@@ -294,7 +296,7 @@
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		// Only a leader that has applied its log and takes writes answers a consistent read.
 		status, _, text := s.do(http.MethodGet, "/v1/servers?consistent=1", "")
-		if status == http.StatusOK && s.version() > 0 {
+		if status == http.StatusOK && s.revision() > 0 {
 			return s
 		}
 		if time.Now().After(end) {
@@ -303,19 +305,20 @@
 	}
 }
 
-// version returns the version of the list.
-func (s *apiTester) version() int64 {
+// revision returns the revision of the list.
+func (s *apiTester) revision() int64 {
 	s.t.Helper()
-	var st struct {
+	var status struct {
 		Seq int64 `json:"seq"`
 	}
-	if err := json.Unmarshal([]byte(s.get("/v1/status")), &st); err != nil {
+	if err := json.Unmarshal([]byte(s.get("/v1/status")), &status); err != nil {
 		s.t.Fatal(err)
 	}
-	return st.Seq
+	return status.Seq
 }
 
-// itemsExcept returns the elements of a JSON list, as they stand there, without those that match.
+// itemsExcept returns the JSON text of each element of a JSON array, unchanged and in order, except for
+// the elements whose text matches excluded.
 func itemsExcept(t *testing.T, text string, excluded *regexp.Regexp) (items []string) {
 	t.Helper()
 	var all []json.RawMessage
@@ -330,10 +333,10 @@
 	return items
 }
 
-// TestServerReadsRecordedFolder starts a server on the recorded data folder: lists, servers,
-// sessions and leased tasks are as the program before answered them, and writes go on. Left out is
-// what the server's own session holds, which begins anew with each start, and the session that
-// holds nothing, which ends soon.
+// TestServerReadsRecordedFolder starts a server on the recorded data folder: it answers with the same
+// lists, servers, sessions and leased tasks as the program that wrote the folder, and accepts writes. The
+// comparison leaves out the server's own session, st-1, and the tasks that it holds, as each start opens
+// a new session; and the session w-2, which holds no task and ends soon.
 func TestServerReadsRecordedFolder(t *testing.T) {
 	s := serveFolder(t, recordedFolder(t))
 	var got []string
@@ -430,8 +433,8 @@
 	return line
 }
 
-// TestAnswersKeepStatusAndHeaders holds status, headers and first word of refusals, and the
-// keys and headers of what is answered.
+// TestAnswersKeepStatusAndHeaders holds the status, the headers and the first word of each rejection, and
+// the status, the headers and the JSON keys of each other answer.
 func TestAnswersKeepStatusAndHeaders(t *testing.T) {
 	s := serveFolder(t, t.TempDir())
 	var got []string
@@ -442,7 +445,8 @@
 	golden.Lines(t, "answers.txt", got)
 }
 
-// zeroNumbers returns a JSON text with all numbers replaced by 0.
+// zeroNumbers returns a JSON text with each number behind a colon replaced by 0, also the port of an
+// address.
 func zeroNumbers(text []byte) string {
 	numbers := regexp.MustCompile(`:-?\d+(\.\d+)?`)
 	return string(bytes.TrimSpace(numbers.ReplaceAll(text, []byte(":0"))))
