--- a/internal/control/wire_test.go
+++ b/internal/control/wire_test.go
@@ -4,6 +4,7 @@
 	"archive/tar"
 	"bytes"
 	"compress/gzip"
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -246,7 +247,13 @@
 // do sends a request and returns the answer.
 func (s *apiTester) do(method, path, body string) (status int, header http.Header, text string) {
 	s.t.Helper()
-	req, err := http.NewRequestWithContext(s.t.Context(), method, "http://"+s.addr+path, strings.NewReader(body))
+	return s.doContext(s.t.Context(), method, path, body)
+}
+
+// doContext is do with a context, whose end fails the test.
+func (s *apiTester) doContext(ctx context.Context, method, path, body string) (status int, header http.Header, text string) {
+	s.t.Helper()
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.addr+path, strings.NewReader(body))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -265,7 +272,13 @@
 // get returns the answer to a read. A status other than 200 fails the test.
 func (s *apiTester) get(path string) string {
 	s.t.Helper()
-	status, _, text := s.do(http.MethodGet, path, "")
+	return s.getContext(s.t.Context(), path)
+}
+
+// getContext is get with a context, whose end fails the test.
+func (s *apiTester) getContext(ctx context.Context, path string) string {
+	s.t.Helper()
+	status, _, text := s.doContext(ctx, http.MethodGet, path, "")
 	if status != http.StatusOK {
 		s.t.Fatalf("GET %s: %d %s", path, status, text)
 	}
@@ -293,25 +306,39 @@
 	}
 	t.Cleanup(server.Close)
 	s := &apiTester{t, c.Listen}
-	for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+	s.awaitLeadership()
+	return s
+}
+
+// leadershipTimeout is how long a server may take until it leads, with all requests that ask it.
+const leadershipTimeout = 30 * time.Second
+
+// awaitLeadership waits until the server leads. A request that fails, or that isn't answered before
+// leadershipTimeout, fails the test.
+func (s *apiTester) awaitLeadership() {
+	s.t.Helper()
+	ctx, cancel := context.WithTimeout(s.t.Context(), leadershipTimeout)
+	defer cancel()
+	answer := "none"
+	for ctx.Err() == nil {
 		// Only a leader that has applied its log and takes writes answers a consistent read.
-		status, _, text := s.do(http.MethodGet, "/v1/servers?consistent=1", "")
-		if status == http.StatusOK && s.revision() > 0 {
-			return s
-		}
-		if time.Now().After(end) {
-			t.Fatalf("it never led: %d %s", status, text)
+		status, _, text := s.doContext(ctx, http.MethodGet, "/v1/servers?consistent=1", "")
+		if status == http.StatusOK && s.revision(ctx) > 0 {
+			return
 		}
+		answer = fmt.Sprint(status, " ", text)
+		time.Sleep(10 * time.Millisecond)
 	}
+	s.t.Fatalf("it never led, the last answer was: %s", answer)
 }
 
 // revision returns the revision of the list.
-func (s *apiTester) revision() int64 {
+func (s *apiTester) revision(ctx context.Context) int64 {
 	s.t.Helper()
 	var status struct {
 		Seq int64 `json:"seq"`
 	}
-	if err := json.Unmarshal([]byte(s.get("/v1/status")), &status); err != nil {
+	if err := json.Unmarshal([]byte(s.getContext(ctx, "/v1/status")), &status); err != nil {
 		s.t.Fatal(err)
 	}
 	return status.Seq
