--- a/internal/endpoints/client_test.go
+++ b/internal/endpoints/client_test.go
@@ -41,19 +41,19 @@
 	defer s.mu.Unlock()
 	s.calls = append(s.calls, r.URL.Host+"?"+r.URL.RawQuery)
 	s.callTimes = append(s.callTimes, time.Now())
-	p := s.addresses[r.URL.Host]
-	if p == nil {
+	address := s.addresses[r.URL.Host]
+	if address == nil {
 		return nil, errors.New("connection refused")
 	}
-	p.otherAddresses = r.Header.Get(OtherAddressesHeader)
-	resp := &http.Response{StatusCode: p.status, Status: fmt.Sprint(p.status), Header: p.header, Body: http.NoBody, Request: r}
-	if p.header == nil {
+	address.otherAddresses = r.Header.Get(OtherAddressesHeader)
+	resp := &http.Response{StatusCode: address.status, Status: fmt.Sprint(address.status), Header: address.header, Body: http.NoBody, Request: r}
+	if address.header == nil {
 		resp.Header = http.Header{}
 	}
-	if p.status != http.StatusOK {
+	if address.status != http.StatusOK {
 		return resp, nil
 	}
-	text, _ := json.Marshal(List{Seq: p.version, Full: true, Endpoints: []Endpoint{{Name: r.URL.Host, Dial: "127.0.0.1:9", Health: Ready}}})
+	text, _ := json.Marshal(List{Seq: address.version, Full: true, Endpoints: []Endpoint{{Name: r.URL.Host, Dial: "127.0.0.1:9", Health: Ready}}})
 	text = append(text, '\n')
 	if r.URL.RawQuery == "" {
 		resp.Body = io.NopCloser(strings.NewReader(string(text)))
@@ -61,14 +61,14 @@
 	}
 	out, in := io.Pipe()
 	resp.Body = out
-	p.closeWatch = make(chan error, 1)
-	go p.serveWatch(r.Context(), in, text, p.closeWatch, p.silent)
+	address.closeWatch = make(chan error, 1)
+	go address.serveWatch(r.Context(), in, text, address.closeWatch, address.silent)
 	return resp, nil
 }
 
 // serveWatch writes the list and then heartbeats. It takes the state of the address as arguments, as a
 // later call may change it.
-func (p *stubAddress) serveWatch(ctx context.Context, in *io.PipeWriter, list []byte, closeWatch <-chan error, silent bool) {
+func (a *stubAddress) serveWatch(ctx context.Context, in *io.PipeWriter, list []byte, closeWatch <-chan error, silent bool) {
 	_, _ = in.Write(list)
 	heartbeat := time.NewTicker(2 * time.Second)
 	defer heartbeat.Stop()
@@ -88,10 +88,10 @@
 	}
 }
 
-func (s *stubService) set(addr string, p *stubAddress) {
+func (s *stubService) set(addr string, address *stubAddress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.addresses[addr] = p
+	s.addresses[addr] = address
 }
 
 // requestedHosts returns the addresses of the calls so far, in order.
@@ -114,8 +114,8 @@
 		s := &stubService{addresses: map[string]*stubAddress{}}
 		c := NewClient(ClientConfig{Addresses: testAddresses(n), Order: 7, Fleet: 10, RejectOlder: true, Transport: s})
 		var order []string
-		for _, p := range c.selector.candidates {
-			order = append(order, p.addr)
+		for _, candidate := range c.selector.candidates {
+			order = append(order, candidate.addr)
 		}
 		test(t, s, c, order)
 	})
--- a/internal/endpoints/fakeservice_test.go
+++ b/internal/endpoints/fakeservice_test.go
@@ -276,8 +276,8 @@
 				r.failedAddresses = append(r.failedAddresses, addr)
 			}})
 		var order []string
-		for _, p := range r.client.selector.candidates {
-			order = append(order, p.addr)
+		for _, candidate := range r.client.selector.candidates {
+			order = append(order, candidate.addr)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
--- a/internal/endpoints/listscanner_test.go
+++ b/internal/endpoints/listscanner_test.go
@@ -18,9 +18,9 @@
 // drawList draws a list with names that look like JSON, and returns it with its text, which may be
 // indented.
 func drawList(t *rapid.T) (List, []byte) {
-	l := List{Seq: rapid.Int64Range(1, 1<<40).Draw(t, "seq"), Full: rapid.Bool().Draw(t, "whole"), Endpoints: []Endpoint{}}
-	for range rapid.IntRange(0, 4).Draw(t, "hosts") {
-		l.Endpoints = append(l.Endpoints, Endpoint{Name: rapid.SampledFrom([]string{"a", `b}]"`, `c\`, "d\n"}).Draw(t, "host"),
+	l := List{Seq: rapid.Int64Range(1, 1<<40).Draw(t, "seq"), Full: rapid.Bool().Draw(t, "full"), Endpoints: []Endpoint{}}
+	for range rapid.IntRange(0, 4).Draw(t, "entries") {
+		l.Endpoints = append(l.Endpoints, Endpoint{Name: rapid.SampledFrom([]string{"a", `b}]"`, `c\`, "d\n"}).Draw(t, "name"),
 			Dial: "127.0.0.1:9", Health: rapid.SampledFrom([]string{Ready, Draining, Removed}).Draw(t, "health"), Weight: 1})
 	}
 	var text []byte
--- a/internal/endpoints/subscription_test.go
+++ b/internal/endpoints/subscription_test.go
@@ -308,8 +308,9 @@
 		synctest.Wait()
 		want := []string{order[0] + "?follow=1&since=0&service=a", order[0] + "?follow=1&since=0&service=b",
 			order[1] + "?follow=1&since=102&service=b", order[1] + "?follow=1&since=0&service=b"}
-		// The second address has the reader's version: it responds with changes, which don't apply to
-		// anything, and is requested the full list at once.
+		// The second address has the reader's version, 102, and responds with the changes since then. The
+		// reader has no list of the service b that these would change, so the client requests the full
+		// list from the same address at once.
 		if got := f.requests(); !slices.Equal(got, want) || r.endpointNames() != "b1" || r.seq != 102 || r.failedWatches > 0 {
 			t.Errorf("requested %q, endpoints %q of version %d", got, r.endpointNames(), r.seq)
 		}
@@ -324,14 +325,24 @@
 	})
 }
 
+// subscribeFromVersion changes the services as of a version. From then on the reader accepts the lists of
+// the new subscription, unless they are older than its own version, and drops those of the first one.
+func subscribeFromVersion(t *testing.T, r *fakeReader, services []string, version int64) {
+	t.Helper()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	number, err := r.client.Subscribe(services, version)
+	if err != nil || number != 1 {
+		t.Fatalf("the first change of the subscription has the number %d: %v", number, err)
+	}
+	r.number = number
+}
+
 // The version that a reader passes to Subscribe bounds the lists that follow, even if it is not from the
 // watch.
 func TestSubscribeVersionIsLowerBound(t *testing.T) {
 	runScopedReader(t, 1, []string{"a"}, []Endpoint{readyEndpoint("a1", "a")}, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
-		if _, err := r.client.Subscribe([]string{"b"}, 500); err != nil {
-			t.Fatal(err)
-		}
-		r.number = 1
+		subscribeFromVersion(t, r, []string{"b"}, 500)
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if len(r.lists) != 1 || r.seq != 101 {
