--- a/internal/endpoints/wire_test.go
+++ b/internal/endpoints/wire_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"net/http"
 	"net/http/httptest"
+	"os"
 	"regexp"
 	"slices"
 	"strings"
@@ -15,10 +16,11 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// The files in testdata are what the program of commit d25b370 wrote. They stand for what other
-// builds and other list services send and read: a name in Go may change, these may not.
+// The files in testdata are what the program of commit d25b370 wrote. Other builds and other list services
+// send and read what these files hold, so it must not change. The names in Go may.
 
-// TestMessagesKeepTheirKeys holds the JSON form of a list, with every field.
+// TestMessagesKeepTheirKeys holds the JSON form of a list, with every field. The names are only labels in
+// messages.txt: they are the words of commit d25b370 and stay with the file.
 func TestMessagesKeepTheirKeys(t *testing.T) {
 	golden.Messages(t, "messages.txt", []golden.Message{
 		golden.Of[List]("list"),
@@ -26,10 +28,41 @@
 	})
 }
 
-// TestConstantsKeepTheirValues holds the path, the words of health, the query parameter and
-// the headers.
+// TestConstantsKeepTheirValues holds the paths, the values of health, the query parameter and the headers.
+// constants.txt holds which values there are; the table holds which constant has which value, so that two
+// constants can't swap theirs.
 func TestConstantsKeepTheirValues(t *testing.T) {
 	golden.Includes(t, "constants.txt", golden.StringConstants(t, "."))
+
+	byValue := map[string]string{}
+	for _, c := range []struct{ name, value, want string }{
+		{"Path", Path, "/v1/endpoints"},
+		{"MembersPath", MembersPath, "/v1/members"},
+		{"Ready", Ready, "ready"},
+		{"Draining", Draining, "draining"},
+		{"Removed", Removed, "gone"},
+		{"ServiceParam", ServiceParam, "service"},
+		{"ScopeHeader", ScopeHeader, "Service-Scope"},
+		{"OtherAddressesHeader", OtherAddressesHeader, "Other-Addresses"},
+		{"MemberHeader", MemberHeader, "Member-Name"},
+		{"BootIDHeader", BootIDHeader, "Member-Life"},
+		{"retryAfterHeader", retryAfterHeader, "Retry-After"},
+		{"notAppliedHeader", notAppliedHeader, "Not-Applied"},
+	} {
+		if c.value != c.want {
+			t.Errorf("%s is %q, want %q", c.name, c.value, c.want)
+		}
+		byValue[c.want] = c.name
+	}
+	recorded, err := os.ReadFile(golden.Path("constants.txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, value := range strings.Fields(string(recorded)) {
+		if byValue[value] == "" {
+			t.Errorf("no constant in the table has the recorded value %q", value)
+		}
+	}
 }
 
 // TestRecordedListIsRead reads a list with a key that this build doesn't know.
