--- a/internal/endpoints/addressselector_test.go
+++ b/internal/endpoints/addressselector_test.go
@@ -127,13 +127,25 @@
 	}
 }
 
-// checkBudget checks the calls so far, and the rate of the whole fleet.
+// Bounds of the calls, in calls a second. rateRounding allows for the division by the number of readers.
+const (
+	readerRateLimit = 0.5
+	fleetRateLimit  = 100
+	rateRounding    = 0.01
+)
+
+// checkBudget checks the calls so far, and the rate of the whole fleet. Calls that are paid for are the
+// burst, which is one more than the number of addresses, and what the budget was refilled with since.
 func (m *selectorModel) checkBudget() {
+	maxBurst := float64(len(m.all) + 1)
 	rate := m.selector.budget.Rate
-	if limit := 9 + rate*m.now.Seconds(); float64(m.paidCalls) > limit {
+	if limit := maxBurst + rate*m.now.Seconds(); float64(m.paidCalls) > limit {
 		m.rt.Fatalf("%d calls beyond the rounds' first within %v, at most %.1f", m.paidCalls, m.now, limit)
 	}
-	if float64(m.fleet)*rate > 100+0.01 && rate > 0.5 {
+	if rate > readerRateLimit {
+		m.rt.Fatalf("a reader may make %v calls a second", rate)
+	}
+	if float64(m.fleet)*rate > fleetRateLimit+rateRounding {
 		m.rt.Fatalf("a fleet of %d may make %v calls a second each", m.fleet, rate)
 	}
 }
