--- a/internal/control/watchlines_test.go
+++ b/internal/control/watchlines_test.go
@@ -12,23 +12,34 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// TestWatchLinesKeepTheirForm holds what a watch of the whole list and a watch of two services
-// write: the first list, a change, a move to another service, an end, and the line of a quiet
-// watch; as the program of commit d25b370 wrote them.
+// registerRecorded registers a server with every field set, started at startedMs, in milliseconds.
+func registerRecorded(t *testing.T, fixture *fsmFixture, name, service string, startedMs float64) {
+	t.Helper()
+	endpoint := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Block: 3, Health: endpoints.Ready, Weight: 1, StartedMs: startedMs, Service: service}
+	if r := fixture.apply(t, catalog.Command{Kind: catalog.Register, Endpoint: &endpoint}); r.Code != catalog.Done {
+		t.Fatalf("%+v", r)
+	}
+}
+
+// linesOf returns the lines of a watch, given the text of each of its writes.
+func linesOf(writes []string) []string {
+	return strings.Split(strings.TrimSuffix(strings.Join(writes, ""), "\n"), "\n")
+}
+
+// TestWatchLinesKeepTheirForm holds what a watch of all services and a watch of two services write, as
+// the program of commit d25b370 wrote it: the changes since revision 0, a new server, a change of service,
+// a drain, a removal, and the heartbeat of an idle watch.
 func TestWatchLinesKeepTheirForm(t *testing.T) {
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
-		register := func(name, service string, born float64) {
+		register := func(name, service string, startedMs float64) {
 			t.Helper()
-			h := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Block: 3, Health: endpoints.Ready, Weight: 1, StartedMs: born, Service: service}
-			if r := fixture.apply(t, catalog.Command{Kind: catalog.Register, Endpoint: &h}); r.Code != catalog.Done {
-				t.Fatalf("%+v", r)
-			}
+			registerRecorded(t, fixture, name, service, startedMs)
 			time.Sleep(time.Second)
 		}
 		register("s-a", "", 1000)
 		register("s-b", "web", 1000)
-		full, scoped := newWatchReader(), newWatchReader()
-		go fixture.broadcaster.watch(fixture.ctx, full, 0, nil)
+		all, scoped := newWatchReader(), newWatchReader()
+		go fixture.broadcaster.watch(fixture.ctx, all, 0, nil)
 		go fixture.broadcaster.watchServices(fixture.ctx, scoped, []string{"", "web"}, 0, nil)
 		time.Sleep(100 * time.Millisecond)
 		register("s-c", "web", 1000)
@@ -38,9 +49,46 @@
 		fixture.apply(t, catalog.Command{Kind: catalog.Deregister, Refs: []catalog.InstanceRef{{Name: "s-b", StartedMs: 1000}}})
 		time.Sleep(2500 * time.Millisecond)
 		synctest.Wait()
-		lines := func(r *watchReader) []string {
-			return strings.Split(strings.TrimSuffix(strings.Join(r.lines, ""), "\n"), "\n")
-		}
-		golden.Lines(t, "watch-lines.txt", slices.Concat([]string{"all"}, lines(full), []string{"services"}, lines(scoped)))
+		golden.Lines(t, "watch-lines.txt", slices.Concat([]string{"all"}, linesOf(all.lines), []string{"services"}, linesOf(scoped.lines)))
+	})
+}
+
+// openWatch opens a watch of services, or of all with nil services, for a reader that has the revision since.
+func openWatch(fixture *fsmFixture, services []string, since int64) *watchReader {
+	r := newWatchReader()
+	if services == nil {
+		go fixture.broadcaster.watch(fixture.ctx, r, since, nil)
+	} else {
+		go fixture.broadcaster.watchServices(fixture.ctx, r, services, since, nil)
+	}
+	return r
+}
+
+// TestFullListsOfWatchesKeepTheirForm holds the full list as a watch writes it: to watches that are open
+// when the revision is raised, which drops the history of changes, and to readers that have a later
+// revision than the server. watch-full-lists.txt was written by hand, after the form of watch-lines.txt, and
+// is what the program of commit d25b370 writes to the same watches.
+func TestFullListsOfWatchesKeepTheirForm(t *testing.T) {
+	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
+		const raisedRevision = 1000
+		registerRecorded(t, fixture, "s-a", "", 1000)
+		registerRecorded(t, fixture, "s-b", "web", 1000)
+		fixture.apply(t, catalog.Command{Kind: catalog.Drain, Refs: []catalog.InstanceRef{{Name: "s-b", StartedMs: 1000}}})
+		fixture.awaitPublished()
+		all, services := openWatch(fixture, nil, 0), openWatch(fixture, []string{"", "web"}, 0)
+		noServers := openWatch(fixture, []string{"none"}, 0)
+		synctest.Wait()
+		fixture.apply(t, catalog.Command{Kind: catalog.RaiseRevision, Seq: raisedRevision})
+		fixture.awaitPublished()
+		allLater := openWatch(fixture, nil, raisedRevision+1)
+		servicesLater := openWatch(fixture, []string{"", "web"}, raisedRevision+1)
+		synctest.Wait()
+		golden.Lines(t, "watch-full-lists.txt", slices.Concat(
+			[]string{"all, open when the revision is raised"}, linesOf(all.lines),
+			[]string{"services, open when the revision is raised"}, linesOf(services.lines),
+			[]string{"service without servers, open when the revision is raised"}, linesOf(noServers.lines),
+			[]string{"all, opened by a reader at a later revision"}, linesOf(allLater.lines),
+			[]string{"services, opened by a reader at a later revision"}, linesOf(servicesLater.lines),
+		))
 	})
 }
