--- a/internal/control/wire_test.go
+++ b/internal/control/wire_test.go
@@ -2,10 +2,7 @@
 
 import (
 	"archive/tar"
-	"bytes"
 	"compress/gzip"
-	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -19,7 +16,6 @@
 	"slices"
 	"strings"
 	"testing"
-	"time"
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
@@ -27,7 +23,6 @@
 
 	"knotrouter/internal/catalog"
 	"knotrouter/internal/lab/golden"
-	"knotrouter/internal/lab/loopback"
 )
 
 // The files in testdata are what the program of commit d25b370 wrote and answered. Data folders on
@@ -238,128 +233,6 @@
 	golden.Check(t, "folder-state.json", got)
 }
 
-// apiTester sends requests to a running server. A request without an answer fails the test.
-type apiTester struct {
-	t    *testing.T
-	addr string
-}
-
-// do sends a request and returns the answer.
-func (s *apiTester) do(method, path, body string) (status int, header http.Header, text string) {
-	s.t.Helper()
-	return s.doContext(s.t.Context(), method, path, body)
-}
-
-// doContext is do with a context, whose end fails the test.
-func (s *apiTester) doContext(ctx context.Context, method, path, body string) (status int, header http.Header, text string) {
-	s.t.Helper()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.addr+path, strings.NewReader(body))
-	if err != nil {
-		s.t.Fatal(err)
-	}
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		s.t.Fatal(err)
-	}
-	defer resp.Body.Close()
-	read, err := io.ReadAll(resp.Body)
-	if err != nil {
-		s.t.Fatal(err)
-	}
-	return resp.StatusCode, resp.Header, string(read)
-}
-
-// get returns the answer to a read. A status other than 200 fails the test.
-func (s *apiTester) get(path string) string {
-	s.t.Helper()
-	return s.getContext(s.t.Context(), path)
-}
-
-// getContext is get with a context, whose end fails the test.
-func (s *apiTester) getContext(ctx context.Context, path string) string {
-	s.t.Helper()
-	status, _, text := s.doContext(ctx, http.MethodGet, path, "")
-	if status != http.StatusOK {
-		s.t.Fatalf("GET %s: %d %s", path, status, text)
-	}
-	return text
-}
-
-// serveFolder starts a server on a data folder and waits until it leads.
-func serveFolder(t *testing.T, dir string) *apiTester {
-	t.Helper()
-	addrs, err := loopback.Claim()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { addrs.Close() })
-	c := Defaults()
-	c.Name, c.Data, c.LeaseTTL, c.Drain = "st-1", dir, 10*time.Minute, 0
-	for _, addr := range []*string{&c.Listen, &c.Raft} {
-		if *addr, err = addrs.FreePort(); err != nil {
-			t.Fatal(err)
-		}
-	}
-	server, err := Start(t.Context(), &c, discardLog())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(server.Close)
-	s := &apiTester{t, c.Listen}
-	s.awaitLeadership()
-	return s
-}
-
-// leadershipTimeout is how long a server may take until it leads, with all requests that ask it.
-const leadershipTimeout = 30 * time.Second
-
-// awaitLeadership waits until the server leads. A request that fails, or that isn't answered before
-// leadershipTimeout, fails the test.
-func (s *apiTester) awaitLeadership() {
-	s.t.Helper()
-	ctx, cancel := context.WithTimeout(s.t.Context(), leadershipTimeout)
-	defer cancel()
-	answer := "none"
-	for ctx.Err() == nil {
-		// Only a leader that has applied its log and takes writes answers a consistent read.
-		status, _, text := s.doContext(ctx, http.MethodGet, "/v1/servers?consistent=1", "")
-		if status == http.StatusOK && s.revision(ctx) > 0 {
-			return
-		}
-		answer = fmt.Sprint(status, " ", text)
-		time.Sleep(10 * time.Millisecond)
-	}
-	s.t.Fatalf("it never led, the last answer was: %s", answer)
-}
-
-// revision returns the revision of the list.
-func (s *apiTester) revision(ctx context.Context) int64 {
-	s.t.Helper()
-	var status struct {
-		Seq int64 `json:"seq"`
-	}
-	if err := json.Unmarshal([]byte(s.getContext(ctx, "/v1/status")), &status); err != nil {
-		s.t.Fatal(err)
-	}
-	return status.Seq
-}
-
-// itemsExcept returns the JSON text of each element of a JSON array, unchanged and in order, except for
-// the elements whose text matches excluded.
-func itemsExcept(t *testing.T, text string, excluded *regexp.Regexp) (items []string) {
-	t.Helper()
-	var all []json.RawMessage
-	if err := json.Unmarshal([]byte(text), &all); err != nil {
-		t.Fatalf("%v: %s", err, text)
-	}
-	for _, item := range all {
-		if !excluded.Match(item) {
-			items = append(items, string(item))
-		}
-	}
-	return items
-}
-
 // TestServerReadsRecordedFolder starts a server on the recorded data folder: it answers with the same
 // lists, servers, sessions and leased tasks as the program that wrote the folder, and accepts writes. The
 // comparison leaves out the server's own session, st-1, and the tasks that it holds, as each start opens
@@ -386,9 +259,6 @@
 	}
 }
 
-// apiRequest is a request to the HTTP API.
-type apiRequest struct{ method, path, body string }
-
 // entryBody registers the server s-a.
 const entryBody = `{"host":"s-a","dial":"127.0.0.1:9","site":"a","class":"k","block":3,"health":"ready","share":1,"born_ms":1000}`
 
@@ -471,10 +341,3 @@
 	}
 	golden.Lines(t, "answers.txt", got)
 }
-
-// zeroNumbers returns a JSON text with each number behind a colon replaced by 0, also the port of an
-// address.
-func zeroNumbers(text []byte) string {
-	numbers := regexp.MustCompile(`:-?\d+(\.\d+)?`)
-	return string(bytes.TrimSpace(numbers.ReplaceAll(text, []byte(":0"))))
-}
