--- a/internal/control/requests_test.go
+++ b/internal/control/requests_test.go
@@ -42,8 +42,7 @@
 	for _, v := range []any{&endpoint, &override, &session, &task, &ref, &term} {
 		golden.Fill(t, v)
 	}
-	// The stub server rejects each request, so results and errors are ignored: the test compares the
-	// requests that the server received.
+	// The stub rejects each request. Only the requests that it received are compared, so results are ignored.
 	_, _ = c.Register(ctx, endpoint)
 	_, _ = c.Renew(ctx, []catalog.InstanceRef{ref})
 	_, _ = c.SetOverride(ctx, "s-a", override)
