--- a/cmd/controlplane/agents_test.go
+++ b/cmd/controlplane/agents_test.go
@@ -22,12 +22,14 @@
 	"knotrouter/internal/lab/process"
 )
 
-// agentMain is an agent, as cmd/agent starts one.
+// agentMain is an agent, as cmd/agent starts one. It never returns: it exits with status 1 once the agent
+// has ended.
 func agentMain() {
 	fmt.Fprintln(os.Stderr, runAgent())
 	os.Exit(1)
 }
 
+// runAgent runs an agent with the configuration at the path that EDGE_CONFIG names, and returns why it ended.
 func runAgent() error {
 	config, err := agent.LoadConfig(os.Getenv("EDGE_CONFIG"))
 	if err != nil {
@@ -44,7 +46,8 @@
 	return a.Serve(context.Background(), listener)
 }
 
-// startAgents starts n agents that know all servers of the control plane, and returns where they listen.
+// startAgents starts n agents that know all servers of the control plane, and returns the addresses that
+// they listen at and their processes. It doesn't wait until they are ready.
 func (cluster *testCluster) startAgents(n int) (addrs []string, processes []*process.Process) {
 	cluster.t.Helper()
 	for i := range n {
@@ -75,7 +78,7 @@
 	return addrs, processes
 }
 
-// agentConfig returns the configuration of the agent with a number, of n.
+// agentConfig returns the JSON configuration of an agent that listens at addr and is number, from 0 on, of n.
 func (cluster *testCluster) agentConfig(name, addr string, number, n int) []byte {
 	cluster.t.Helper()
 	config, err := json.Marshal(map[string]any{
@@ -111,7 +114,8 @@
 	return endpoint
 }
 
-// registerEndpoint registers an endpoint until it is acknowledged, at whichever server takes it.
+// registerEndpoint sends a registration to all servers in turn until one acknowledges it, and fails the
+// test if none does within waitTimeout.
 func (cluster *testCluster) registerEndpoint(endpoint endpoints.Endpoint) {
 	cluster.t.Helper()
 	client := cluster.client(cluster.names...)
@@ -124,6 +128,9 @@
 	})
 }
 
+// requestPause is how long agentTraffic waits between an answer of an agent and its next request there.
+const requestPause = 5 * time.Millisecond
+
 // agentTraffic sends requests to agents, one after the other to each, and counts the answers.
 type agentTraffic struct {
 	addrs          []string
@@ -134,7 +141,7 @@
 
 	mu           sync.Mutex
 	firstFailure error
-	answers      []map[string]int // of each agent, by backend
+	answers      []map[string]int // counts, by index of the agent and by name of the backend
 }
 
 // startTraffic sends requests to the agents at the addresses until stop, or the end of the test.
@@ -148,7 +155,7 @@
 		traffic.senders.Go(func() {
 			for ctx.Err() == nil {
 				traffic.sendAndCount(i)
-				time.Sleep(5 * time.Millisecond)
+				time.Sleep(requestPause)
 			}
 		})
 	}
@@ -156,12 +163,14 @@
 	return traffic
 }
 
+// stopSending ends the traffic and returns once the last answer has been counted.
 func (traffic *agentTraffic) stopSending() {
 	traffic.stop()
 	traffic.senders.Wait()
 }
 
-// send sends a request to an agent and returns the name of the backend that answered.
+// send sends a request to an agent and returns the name of the backend that answered. It returns an error
+// if the request fails or its answer has another status than 200.
 func (traffic *agentTraffic) send(agent int) (string, error) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+traffic.addrs[agent]+fmt.Sprint("/look/u", traffic.sent.Add(1)), nil)
 	if err != nil {
@@ -234,11 +243,7 @@
 	cluster.registerEndpoint(cluster.startHTTPBackend("p-1"))
 	addrs, agents := cluster.startAgents(3)
 	for _, p := range agents {
-		ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
-		if err := p.WaitReady(ctx); err != nil {
-			t.Fatal(err)
-		}
-		cancel()
+		waitUntilReady(t, p)
 	}
 	traffic := cluster.startTraffic(addrs)
 	registerAndReach := func(backend string) {
@@ -271,38 +276,58 @@
 	}
 	registerAndReach("p-5")
 
-	// A new cluster has no backend: they register again.
+	// A new cluster knows no backend until one registers.
 	for _, name := range cluster.names {
 		cluster.kill(name)
 		cluster.eraseData(name)
 	}
-	for _, name := range cluster.names {
-		cluster.start(name)
-	}
+	cluster.startServers(cluster.names)
 	registerAndReach("p-6")
 	traffic.stopSending()
+	traffic.requireNoFailure(t)
+	for _, p := range agents {
+		requireSomeWarnings(t, p)
+	}
+}
+
+// waitUntilReady waits until a process that was started is ready. It fails the test if the process is not
+// ready within waitTimeout or ends before.
+func waitUntilReady(t *testing.T, p *process.Process) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
+	defer cancel()
+	if err := p.WaitReady(ctx); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// requireNoFailure requires that every request was answered with status 200. The traffic must be stopped.
+func (traffic *agentTraffic) requireNoFailure(t *testing.T) {
+	t.Helper()
 	if failed := traffic.failed.Load(); failed > 0 {
 		t.Errorf("%d of %d requests failed, first %v", failed, failed+traffic.served.Load(), traffic.firstFailure)
 	}
-	for _, p := range agents {
-		if lines := strings.Count(processLog(p), "level=WARN"); lines == 0 || lines > 60 {
-			t.Errorf("%s logged %d warnings", p.Name, lines)
-		}
+}
+
+// requireSomeWarnings requires that an agent has logged the faults of the control plane, and has not
+// flooded its log with them.
+func requireSomeWarnings(t *testing.T, agent *process.Process) {
+	t.Helper()
+	const maxWarnings = 60
+	if lines := strings.Count(processLog(agent), "level=WARN"); lines == 0 || lines > maxWarnings {
+		t.Errorf("%s logged %d warnings", agent.Name, lines)
 	}
 }
 
 // replaceWhileDown kills all servers, has a backend replaced by one of its name at another address, waits
-// until the agents have served without any server, and starts the servers again.
+// until the agents have served minServed requests without any server, and starts the servers again.
 func replaceWhileDown(cluster *testCluster, traffic *agentTraffic, backend string) {
 	cluster.t.Helper()
-	for _, name := range cluster.names {
-		cluster.kill(name)
-	}
+	const minServed = 200
+	cluster.killServers(cluster.names)
 	replacement := cluster.startHTTPBackend(backend)
 	served := traffic.served.Load()
-	cluster.waitUntil("requests are served without a server of the control plane", func() bool { return traffic.served.Load() > served+200 })
-	for _, name := range cluster.names {
-		cluster.start(name)
-	}
+	cluster.waitUntil("requests are served without a server of the control plane", func() bool { return traffic.served.Load() > served+minServed })
+	cluster.startServers(cluster.names)
 	cluster.registerEndpoint(replacement)
 }
--- a/cmd/controlplane/bench_test.go
+++ b/cmd/controlplane/bench_test.go
@@ -196,13 +196,9 @@
 	b.Helper()
 	cluster := load.cluster
 	callsBefore := load.calls.Load()
-	for _, name := range cluster.names {
-		cluster.kill(name)
-	}
+	cluster.killServers(cluster.names)
 	killed := time.Now()
-	for _, name := range cluster.names {
-		cluster.start(name)
-	}
+	cluster.startServers(cluster.names)
 	cluster.register(watchLoadMarker, 1)
 	load.waitUntil("all watches are back", func() bool { return load.haveMarker == n })
 	b.ReportMetric(time.Since(killed).Seconds(), "s-until-all-are-back")
--- a/cmd/controlplane/cluster_test.go
+++ b/cmd/controlplane/cluster_test.go
@@ -209,7 +209,24 @@
 	killProcess(cluster.servers[name].proc)
 }
 
-// shutDown stops a server gracefully: it hands over its leadership and the tasks that it holds.
+// killServers kills the servers named, one after the other.
+func (cluster *testCluster) killServers(names []string) {
+	cluster.t.Helper()
+	for _, name := range names {
+		cluster.kill(name)
+	}
+}
+
+// startServers starts the servers named, which must not run, one after the other. It waits for none.
+func (cluster *testCluster) startServers(names []string) {
+	cluster.t.Helper()
+	for _, name := range names {
+		cluster.start(name)
+	}
+}
+
+// shutDown stops a server gracefully: it hands over its leadership and the tasks that it holds. It fails
+// the test if the process still runs after waitTimeout.
 func (cluster *testCluster) shutDown(name string) {
 	cluster.t.Helper()
 	shutDownProcess(cluster.t, cluster.servers[name].proc)
@@ -237,9 +254,7 @@
 			prepare(i, name)
 		}
 	}
-	for _, name := range cluster.names {
-		cluster.start(name)
-	}
+	cluster.startServers(cluster.names)
 }
 
 // setenv sets a variable of a server's environment from its next start on.
--- a/cmd/controlplane/gossipmesh_test.go
+++ b/cmd/controlplane/gossipmesh_test.go
@@ -45,9 +45,7 @@
 // startAll starts all servers and waits until one leads and their views of the members are equal.
 func (cluster *testCluster) startAll() {
 	cluster.t.Helper()
-	for _, name := range cluster.names {
-		cluster.start(name)
-	}
+	cluster.startServers(cluster.names)
 	cluster.waitForLeader()
 	cluster.waitForEqualViews(cluster.names...)
 }
--- a/cmd/controlplane/quorum_test.go
+++ b/cmd/controlplane/quorum_test.go
@@ -69,12 +69,8 @@
 		if rng.IntN(4) == 0 {
 			victims = cluster.names
 		}
-		for _, name := range victims {
-			cluster.kill(name)
-		}
-		for _, name := range victims {
-			cluster.start(name)
-		}
+		cluster.killServers(victims)
+		cluster.startServers(victims)
 	}
 	writer.stopAndVerify(cluster, cluster.names...)
 	reader.stopAndVerify(t)
@@ -89,9 +85,7 @@
 	client := cluster.servers[survivor].client
 	reader := cluster.startReader(survivor)
 	cluster.waitUntil("the reader has the list", func() bool { return reader.has("before") })
-	for _, name := range cluster.others(survivor) {
-		cluster.kill(name)
-	}
+	cluster.killServers(cluster.others(survivor))
 	cluster.waitUntil(survivor+" is stale", func() bool {
 		status, err := cluster.status(survivor)
 		return err == nil && status.Stale
--- a/cmd/controlplane/requests_test.go
+++ b/cmd/controlplane/requests_test.go
@@ -7,19 +7,18 @@
 	"testing"
 )
 
-// An invalid request is answered with one line and a status 4xx, and changes nothing.
-func TestInvalidRequestsAreRejected(t *testing.T) {
-	cluster := newCluster(t, 1)
-	name := cluster.names[0]
-	base := "http://" + cluster.servers[name].http
-	cluster.register("s", 5)
-	before, _ := cluster.status(name)
+// invalidRequest is a request that a server rejects, and the answer that it must give.
+type invalidRequest struct {
+	method, path, body string
+	wantStatus         int
+	wantText           string // a part of the only line of the answer
+}
+
+// invalidRequests returns requests that the only server of a cluster rejects, given that server's name. The
+// cluster must have one registration, of s, as the instance that started at 5 ms.
+func invalidRequests(onlyServer string) []invalidRequest {
 	valid := `{"host":"x","dial":"127.0.0.1:9","site":"a","class":"k","block":0,"health":"ready","share":1,"born_ms":5}`
-	for _, test := range []struct {
-		method, path, body string
-		status             int
-		wantText           string
-	}{
+	return []invalidRequest{
 		{"PUT", "/v1/servers/x", "{", 400, "body: "},
 		{"PUT", "/v1/servers/x", strings.Replace(valid, `"site"`, `"sight"`, 1), 400, "sight"},
 		{"PUT", "/v1/servers/x", strings.Replace(valid, `"ready"`, `"fine"`, 1), 400, "health: unknown word"},
@@ -43,26 +42,23 @@
 		{"PUT", "/v1/snapshot", `{"form":99}`, 400, "form 99"},
 		{"PUT", "/v1/snapshot", `{"form":1,"entries":{"a":null}}`, 400, "not itself"},
 		{"PUT", "/v1/peers/nobody", "", 400, "not in the leader's table"},
-		{"DELETE", "/v1/peers/" + name, "", 400, "only one"},
+		{"DELETE", "/v1/peers/" + onlyServer, "", 400, "only one"},
 		{"POST", "/v1/seen", `{"seq":4503599627370496}`, 400, "seq: "},
 		{"GET", "/v1/endpoints?follow=1&since=old", "", 400, "since: "},
 		{"GET", "/v1/endpoints?follow=1&since=-3", "", 400, "since: "},
 		{"GET", "/v1/servers/none", "", 404, "no server"},
 		{"POST", "/v1/endpoints", "", 405, "Method"},
-	} {
-		req, err := http.NewRequest(test.method, base+test.path, strings.NewReader(test.body))
-		if err != nil {
-			t.Fatal(err)
-		}
-		resp, err := http.DefaultClient.Do(req)
-		if err != nil {
-			t.Fatal(err)
-		}
-		text, _ := io.ReadAll(resp.Body) // a server may reset the connection of a body that is too large
-		resp.Body.Close()
-		if resp.StatusCode != test.status || !isOneLineWith(string(text), test.wantText) {
-			t.Errorf("%s %s %.80s: %d %q, want %d and one line with %q", test.method, test.path, test.body, resp.StatusCode, text, test.status, test.wantText)
-		}
+	}
+}
+
+// An invalid request is answered with one line and a status 4xx, and changes nothing.
+func TestInvalidRequestsAreRejected(t *testing.T) {
+	cluster := newCluster(t, 1)
+	name := cluster.names[0]
+	cluster.register("s", 5)
+	before, _ := cluster.status(name)
+	for _, request := range invalidRequests(name) {
+		requireRejected(t, cluster.servers[name].http, request)
 	}
 	after, err := cluster.status(name)
 	if err != nil || after.Seq != before.Seq || after.Listed != 1 {
@@ -72,3 +68,22 @@
 		t.Errorf("after invalid requests: %+v %v", after, err)
 	}
 }
+
+// requireRejected sends an invalid request to a server, and requires the status and the line that the
+// request wants as its answer. It fails the test at once if the server doesn't answer.
+func requireRejected(t *testing.T, addr string, request invalidRequest) {
+	t.Helper()
+	req, err := http.NewRequest(request.method, "http://"+addr+request.path, strings.NewReader(request.body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	text, _ := io.ReadAll(resp.Body) // a server may reset the connection of a body that is too large
+	if resp.StatusCode != request.wantStatus || !isOneLineWith(string(text), request.wantText) {
+		t.Errorf("%s %s %.80s: %d %q, want %d and one line with %q", request.method, request.path, request.body, resp.StatusCode, text, request.wantStatus, request.wantText)
+	}
+}
--- a/cmd/controlplane/watches_test.go
+++ b/cmd/controlplane/watches_test.go
@@ -332,9 +332,7 @@
 		cluster.eraseData(name)
 		cluster.setenv(name, clockOffsetVariable, "-11h") // of whichever server leads
 	}
-	for _, name := range cluster.names {
-		cluster.start(name)
-	}
+	cluster.startServers(cluster.names)
 	cluster.register("fresh", 1)
 	cluster.waitUntil("the reader gets the list of a new cluster", func() bool { return reader.has("fresh") })
 	reader.stopAndVerify(t)
