--- a/cmd/controlplane/membershipfaults_test.go
+++ b/cmd/controlplane/membershipfaults_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"os"
-	"syscall"
 	"testing"
 	"time"
 
@@ -11,19 +10,26 @@
 )
 
 const (
-	// mostFailureDetection bounds the time from a kill to the first view that has the member as failed.
-	mostFailureDetection = 10 * time.Second
-	// mostConvergence bounds the time from the end of a fault until all views are equal.
-	mostConvergence = 15 * time.Second
+	// maxFailureDetection bounds the time from a kill to the first view that has the member as failed.
+	maxFailureDetection = 10 * time.Second
+	// maxConvergence bounds the time from the end of a fault until all views are equal.
+	maxConvergence = 15 * time.Second
 )
 
-// faultDuration returns how long a fault lasts: d, or what the environment variable MEMBER_FOR says, for
-// runs outside CI.
-func faultDuration(t *testing.T, d time.Duration) time.Duration {
+// holdFault lets a fault that has been injected last: for a duration, or for the one that the environment
+// variable MEMBER_FOR says, for runs outside CI. It fails the test if MEMBER_FOR is no duration.
+func holdFault(t *testing.T, defaultDuration time.Duration) {
+	t.Helper()
+	time.Sleep(faultDuration(t, defaultDuration))
+}
+
+// faultDuration returns how long a fault lasts: as long as the environment variable MEMBER_FOR says, or
+// defaultDuration without that variable. It fails the test if MEMBER_FOR is no duration.
+func faultDuration(t *testing.T, defaultDuration time.Duration) time.Duration {
 	t.Helper()
 	text := os.Getenv("MEMBER_FOR")
 	if text == "" {
-		return d
+		return defaultDuration
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil {
@@ -39,20 +45,22 @@
 	watcher  *stateWatcher
 }
 
-// requireNeverFailed requires that no server had any of those named as failed since the start.
+// requireNeverFailed requires that no server's view had any of the servers named as failed since the start.
+// It ends the watcher.
 func (e *membershipEnvironment) requireNeverFailed(t *testing.T, names ...string) {
 	t.Helper()
 	e.watcher.stopWatching()
 	e.watcher.requireNever(t, member.Failed, names...)
 }
 
-// shapeAll shapes all links.
+// shapeAll shapes the links between all servers, both ways.
 func (e *membershipEnvironment) shapeAll(shape link.Shape) {
 	e.t.Helper()
 	e.mesh.shapeBetween(e.names, e.names, shape)
 }
 
-// membershipFaults are what the network or a process does to the servers, by the name of the subtest.
+// membershipFaults are what the network or a process does to the servers, by the name of the subtest. Each
+// function injects the fault, holds it, ends it, and checks what is particular to the fault.
 var membershipFaults = map[string]func(t *testing.T, e *membershipEnvironment){
 	"cut one way between two":                      cutOneWayBetweenTwo,
 	"two of five cut off":                          cutOffMinority,
@@ -69,8 +77,8 @@
 }
 
 // Whatever the network or a process does between five servers, no healthy backend is ever taken off the
-// list, no running server is seen as failed but by those that can't reach it, and after the fault all
-// views become equal.
+// list, no running server is seen as failed but by servers that can't reach the running one, and after the
+// fault all views become equal.
 func TestMembershipUnderFaults(t *testing.T) {
 	for name, injectFault := range membershipFaults {
 		t.Run(name, func(t *testing.T) {
@@ -83,14 +91,15 @@
 				watcher:     cluster.watchStates(cluster.names...),
 			}
 			injectFault(t, e)
-			if took := cluster.waitForEqualViews(cluster.names...); took > mostConvergence {
-				t.Errorf("views were equal %v after the end of the fault, want at most %v", took, mostConvergence)
+			if took := cluster.waitForEqualViews(cluster.names...); took > maxConvergence {
+				t.Errorf("views were equal %v after the end of the fault, want at most %v", took, maxConvergence)
 			}
 			e.backends.requireAllListed()
 		})
 	}
 }
 
+// cutOneWayBetweenTwo cuts what st-1 sends to st-2: st-1 suspects st-2, and no server has st-2 as failed.
 func cutOneWayBetweenTwo(t *testing.T, e *membershipEnvironment) {
 	e.mesh.shapeOneWay("st-1", "st-2", cutShape)
 	e.waitUntil("only st-1 suspects st-2", func() bool {
@@ -101,11 +110,12 @@
 			differences[0].Name == "st-2" && differences[0].Dissenter == "st-1" &&
 			ownObservation(&first, "st-2") == member.Suspect && first.State("st-2") == member.Present
 	})
-	time.Sleep(faultDuration(t, 4*time.Second))
+	holdFault(t, 4*time.Second)
 	e.mesh.shapeOneWay("st-1", "st-2", link.Shape{})
 	e.requireNeverFailed(t, e.names...)
 }
 
+// cutOffMinority cuts two servers off from the three others, which have the two as failed.
 func cutOffMinority(t *testing.T, e *membershipEnvironment) {
 	minority, majority := e.names[:2], e.names[2:]
 	// The leader will be among the majority, and not receive the renewals of the first two.
@@ -115,39 +125,47 @@
 	for _, observer := range majority {
 		e.waitForState(observer, member.Failed, minority...)
 	}
-	time.Sleep(faultDuration(t, 5*time.Second)) // longer than a lease
+	holdFault(t, 5*time.Second) // longer than a lease
 	e.mesh.shapeBetween(minority, majority, link.Shape{})
 }
 
+// loseAndDelayDatagrams loses a fifth of the datagrams on all links and delays the others. No server is
+// seen as failed.
 func loseAndDelayDatagrams(t *testing.T, e *membershipEnvironment) {
 	e.shapeAll(link.Shape{LossShare: 0.2, Delay: 5 * time.Millisecond, Jitter: 100 * time.Millisecond})
-	time.Sleep(faultDuration(t, 8*time.Second))
+	holdFault(t, 8*time.Second)
 	e.shapeAll(link.Shape{})
 	e.requireNeverFailed(t, e.names...)
 }
 
+// loseManyDatagrams loses two fifths of the datagrams on all links. At this loss a running server may be
+// seen as failed for a while.
 func loseManyDatagrams(t *testing.T, e *membershipEnvironment) {
 	e.shapeAll(link.Shape{LossShare: 0.4, Jitter: 200 * time.Millisecond})
-	time.Sleep(faultDuration(t, 8*time.Second))
+	holdFault(t, 8*time.Second)
 	e.shapeAll(link.Shape{})
 }
 
+// duplicateDatagrams sends half of the datagrams twice, and all out of order. No server is seen as failed.
 func duplicateDatagrams(t *testing.T, e *membershipEnvironment) {
 	e.shapeAll(link.Shape{DuplicateShare: 0.5, Jitter: 60 * time.Millisecond})
-	time.Sleep(faultDuration(t, 6*time.Second))
+	holdFault(t, 6*time.Second)
 	e.shapeAll(link.Shape{})
 	e.requireNeverFailed(t, e.names...)
 }
 
+// delayOneServer delays all between one server and the others by ten seconds, so that the others have the
+// one as failed. No server has st-2, st-3 or st-4 as failed.
 func delayOneServer(t *testing.T, e *membershipEnvironment) {
 	delayed, others := e.names[4:], e.names[:4]
 	e.mesh.shapeBetween(delayed, others, link.Shape{Delay: 10 * time.Second})
 	e.waitForState("st-1", member.Failed, delayed...)
-	time.Sleep(faultDuration(t, 2*time.Second))
+	holdFault(t, 2*time.Second)
 	e.mesh.shapeBetween(delayed, others, link.Shape{})
 	e.requireNeverFailed(t, e.names[1:4]...)
 }
 
+// connectNeighborsOnly cuts all links but those between a server and the next: st-1 observes only st-2.
 func connectNeighborsOnly(t *testing.T, e *membershipEnvironment) {
 	for _, pair := range []serverPair{{"st-1", "st-3"}, {"st-1", "st-4"}, {"st-2", "st-4"}, {"st-1", "st-5"}, {"st-2", "st-5"}, {"st-3", "st-5"}} {
 		e.mesh.shapeBetween(pair[:1], pair[1:], cutShape)
@@ -156,27 +174,35 @@
 		view, ok := e.view("st-1")
 		return ok && ownObservation(&view, "st-5") != member.Present && ownObservation(&view, "st-2") == member.Present
 	})
-	time.Sleep(faultDuration(t, 3*time.Second))
+	holdFault(t, 3*time.Second)
 	e.shapeAll(link.Shape{})
 }
 
+// flapLink cuts and restores the links between two servers in turn. No server is seen as failed.
 func flapLink(t *testing.T, e *membershipEnvironment) {
+	const flapInterval = time.Second // for which the link is cut, and then restored
 	first, second := []string{"st-1"}, []string{"st-2"}
 	for end := time.Now().Add(faultDuration(t, 9*time.Second)); time.Now().Before(end); {
 		e.mesh.shapeBetween(first, second, cutShape)
-		time.Sleep(time.Second)
+		time.Sleep(flapInterval)
 		e.mesh.shapeBetween(first, second, link.Shape{})
-		time.Sleep(time.Second)
+		time.Sleep(flapInterval)
 	}
 	e.requireNeverFailed(t, e.names...)
 }
 
+// suspendOneServer suspends a follower twice. No server has the follower as failed after the short
+// suspension, none has another server as failed after either, and the resumed one suspects no other.
 func suspendOneServer(t *testing.T, e *membershipEnvironment) {
+	const (
+		shortSuspension = time.Second // too short for a verdict
+		longSuspension  = 5 * time.Second
+	)
 	suspended := e.others(e.waitForLeader())[0]
-	for _, duration := range []time.Duration{time.Second, faultDuration(t, 5*time.Second)} {
+	for _, duration := range []time.Duration{shortSuspension, faultDuration(t, longSuspension)} {
 		e.suspend(suspended)
 		time.Sleep(duration)
-		if duration == time.Second {
+		if duration == shortSuspension {
 			e.watcher.requireNever(t, member.Failed, e.names...)
 		}
 		e.resume(suspended)
@@ -186,11 +212,13 @@
 	e.requireNeverFailed(t, e.others(suspended)...)
 }
 
-// requireNoSuspicionBy requires that a server which has just been resumed has all others as present, for
-// a second: that it received nothing meanwhile was its own fault.
+// requireNoSuspicionBy reads the view of a server that has just been resumed viewReads times, and requires
+// that the server itself observes all others as present in each view that it answers with. It received
+// nothing while it was suspended, which is no evidence against the others.
 func (e *membershipEnvironment) requireNoSuspicionBy(t *testing.T, resumed string, after time.Duration) {
 	t.Helper()
-	for range 20 {
+	const viewReads = 20 // over a second
+	for range viewReads {
 		if view, ok := e.view(resumed); ok {
 			for _, other := range e.others(resumed) {
 				if state := ownObservation(&view, other); state != member.Present {
@@ -202,15 +230,15 @@
 	}
 }
 
+// restartOneByOne shuts down and starts each server in turn. Each leaves, comes back in a later incarnation
+// and is never seen as failed.
 func restartOneByOne(t *testing.T, e *membershipEnvironment) {
 	for _, name := range e.names {
 		observer := e.others(name)[0]
 		before, _ := e.view(observer)
-		proc := e.servers[name].proc
-		ended := proc.Ended()
-		signalProcess(t, proc, syscall.SIGTERM)
+		waitForEnd := beginShutDown(t, e.servers[name].proc)
 		e.waitForState(observer, member.Left, name)
-		waitForEnd(t, proc, ended)
+		waitForEnd()
 		e.start(name)
 		e.waitForState(observer, member.Present, name)
 		e.waitUntil(name+" is present in a later incarnation", func() bool {
@@ -221,6 +249,7 @@
 	e.requireNeverFailed(t, e.names...)
 }
 
+// restartWithoutData kills a follower, erases its data, starts it at once, and waits until it votes again.
 func restartWithoutData(t *testing.T, e *membershipEnvironment) {
 	name := e.others(e.waitForLeader())[0]
 	e.kill(name)
@@ -233,6 +262,8 @@
 	})
 }
 
+// restartBeforeDetection kills a follower and starts it at once, before another server has it as failed. It
+// comes back in a later incarnation, and a second kill is noticed within maxFailureDetection.
 func restartBeforeDetection(t *testing.T, e *membershipEnvironment) {
 	name := e.others(e.waitForLeader())[0]
 	observer := e.others(name)[0]
@@ -244,8 +275,8 @@
 		return ok && view.State(name) == member.Present && incarnation(&view, name) > incarnation(&before, name)
 	})
 	e.kill(name)
-	if took := e.waitForState(observer, member.Failed, name); took > mostFailureDetection {
-		t.Errorf("the kill was noticed after %v, want at most %v", took, mostFailureDetection)
+	if took := e.waitForState(observer, member.Failed, name); took > maxFailureDetection {
+		t.Errorf("the kill was noticed after %v, want at most %v", took, maxFailureDetection)
 	}
 	e.start(name)
 }
--- a/cmd/controlplane/misconfiguration_test.go
+++ b/cmd/controlplane/misconfiguration_test.go
@@ -8,7 +8,6 @@
 	"slices"
 	"strings"
 	"testing"
-	"time"
 
 	"knotrouter/internal/control"
 	"knotrouter/internal/lab/process"
@@ -17,7 +16,7 @@
 
 // A second process of a name, a process with an unknown name, a table of peers that has one server at
 // the address of another, a peer that never runs, and clocks an hour apart are each reported or
-// rejected, and the others work on.
+// rejected, and the properly configured servers go on.
 func TestMisconfiguredMembersAreRejected(t *testing.T) {
 	cluster := newGossipCluster(t, 3, "")
 	for i, name := range cluster.names {
@@ -55,7 +54,7 @@
 	if view, ok := cluster.view("st-2"); !ok || view.State("st-9") != "" {
 		t.Errorf("st-9, which no table names, is %q", view.State("st-9"))
 	}
-	stranger.Kill()
+	killProcess(stranger)
 	cluster.waitForState("st-2", member.Present, "st-3")
 	entry, err := cluster.client("st-2").Server(t.Context(), "s-9", true)
 	var rejected *control.HTTPError
@@ -65,15 +64,12 @@
 }
 
 // requireTwinEnds starts a second process with the name st-3, another data folder and other addresses.
-// It requires that the second process ends and that the first is reported to and stays a voter.
+// It requires that the second process ends with a line that says why, that a server of those named logs
+// the second process, and that the first process stays a voter.
 func requireTwinEnds(t *testing.T, cluster *testCluster, names []string) {
 	t.Helper()
 	twin := cluster.startTwin("st-3", "twin", nil)
-	select {
-	case <-twin.Ended():
-	case <-time.After(waitTimeout):
-		t.Error("a second process of a name still runs")
-	}
+	waitForEnd(t, twin, twin.Ended())
 	if log := processLog(twin); !strings.Contains(log, "controlplane: name: taken: another process is called st-3, and is there") {
 		t.Errorf("the second process wrote %q", log)
 	}
@@ -90,8 +86,8 @@
 	}
 }
 
-// misdirectPeer changes the configuration of a server: its section of a peer has the addresses of
-// another server.
+// misdirectPeer changes the configuration of a server: the section of a peer gets the addresses of another
+// server. It fails the test if the configuration has no such section.
 func (cluster *testCluster) misdirectPeer(name, peer, other string) {
 	cluster.t.Helper()
 	text, err := os.ReadFile(cluster.configPath(name))
@@ -114,7 +110,8 @@
 }
 
 // startTwin starts another process with the configuration of a server, but a data folder and addresses
-// of its own. If change is not nil it may change the configuration further.
+// of its own. Its files are named by as. If change is not nil, startTwin gives change the configuration and
+// starts the process with the one that change returns.
 func (cluster *testCluster) startTwin(name, as string, change func(config string) string) *process.Process {
 	cluster.t.Helper()
 	text, err := os.ReadFile(cluster.configPath(name))
@@ -123,12 +120,12 @@
 	}
 	server := cluster.servers[name]
 	config := strings.Replace(string(text), fmt.Sprintf("data = %q", cluster.dataDir(name)), fmt.Sprintf("data = %q", cluster.dataDir(as)), 1)
-	for _, own := range []struct{ key, addr string }{{"listen", server.http}, {"\nraft", server.raft}, {"\ngossip", server.gossip}} {
+	for _, setting := range []struct{ key, addr string }{{"listen", server.http}, {"\nraft", server.raft}, {"\ngossip", server.gossip}} {
 		addr, err := cluster.addrs.FreePort()
 		if err != nil {
 			cluster.t.Fatal(err)
 		}
-		config = strings.Replace(config, fmt.Sprintf("%s = %q", own.key, own.addr), fmt.Sprintf("%s = %q", own.key, addr), 1)
+		config = strings.Replace(config, fmt.Sprintf("%s = %q", setting.key, setting.addr), fmt.Sprintf("%s = %q", setting.key, addr), 1)
 	}
 	if change != nil {
 		config = change(config)
@@ -138,6 +135,7 @@
 		cluster.t.Fatal(err)
 	}
 	twin := cluster.supervisor.Add(server.proc.Spec)
+	twin.Name = name + " as " + as
 	twin.Args, twin.Log = []string{"serve", "--config", configPath}, filepath.Join(cluster.dir, as+".log")
 	startProcess(cluster.t, twin)
 	return twin
--- a/cmd/controlplane/processes_test.go
+++ b/cmd/controlplane/processes_test.go
@@ -9,7 +9,8 @@
 	"knotrouter/internal/lab/process"
 )
 
-// executable returns the path of the test binary, which TestMain makes any of the programs.
+// executable returns the path of the test binary. TestMain makes it the program that an environment
+// variable names.
 func executable(t testing.TB) string {
 	t.Helper()
 	path, err := os.Executable()
@@ -19,6 +20,7 @@
 	return path
 }
 
+// startProcess starts a process that doesn't run. It fails the test if the process can't be started.
 func startProcess(t testing.TB, p *process.Process) {
 	t.Helper()
 	if err := p.Start(); err != nil {
@@ -26,6 +28,7 @@
 	}
 }
 
+// signalProcess sends a signal to a process. It fails the test if the process doesn't run.
 func signalProcess(t testing.TB, p *process.Process, signal syscall.Signal) {
 	t.Helper()
 	if err := p.Signal(signal); err != nil {
@@ -33,22 +36,35 @@
 	}
 }
 
-// killProcess sends SIGKILL and returns once the process has ended.
+// killProcess sends SIGKILL to a process and returns once the process has ended. The process must have
+// been started before; it may have ended.
 func killProcess(p *process.Process) {
 	ended := p.Ended()
 	p.Kill()
 	<-ended
 }
 
-// shutDownProcess sends SIGTERM and waits for the end of the graceful shutdown.
+// shutDownProcess sends SIGTERM to a process and waits for the end of the graceful shutdown. It fails the
+// test if the process doesn't run, or still runs after waitTimeout.
 func shutDownProcess(t testing.TB, p *process.Process) {
+	t.Helper()
+	beginShutDown(t, p)()
+}
+
+// beginShutDown sends SIGTERM to a process, and returns a function that waits for the end of the graceful
+// shutdown, as waitForEnd does. It fails the test if the process doesn't run.
+func beginShutDown(t testing.TB, p *process.Process) (wait func()) {
 	t.Helper()
 	ended := p.Ended()
 	signalProcess(t, p, syscall.SIGTERM)
-	waitForEnd(t, p, ended)
+	return func() {
+		t.Helper()
+		waitForEnd(t, p, ended)
+	}
 }
 
-// waitForEnd waits until the channel that Ended returned for the process is closed.
+// waitForEnd waits until ended is closed, the channel that Ended returned for the run of the process. It
+// fails the test if the process still runs after waitTimeout.
 func waitForEnd(t testing.TB, p *process.Process, ended <-chan struct{}) {
 	t.Helper()
 	select {
@@ -58,7 +74,7 @@
 	}
 }
 
-// processLog returns what the process has written to its log, or nothing if there is no log yet.
+// processLog returns what a process has written to its log over all its runs, or "" if there is no log yet.
 func processLog(p *process.Process) string {
 	text, _ := os.ReadFile(p.Log)
 	return string(text)
--- a/cmd/controlplane/services_test.go
+++ b/cmd/controlplane/services_test.go
@@ -75,7 +75,7 @@
 }
 
 // The only server of a service changes, is replaced, ends and is followed by another. Each change is one
-// line with one entry, and watches of other services get ofDefault.
+// line with one entry, and watches of other services get nothing.
 func TestWatchOfServiceWithOneServer(t *testing.T) {
 	cluster := newCluster(t, 1)
 	cluster.registerInService("one", "s", 1)
