--- a/cmd/controlplane/backends_test.go
+++ b/cmd/controlplane/backends_test.go
@@ -85,6 +85,8 @@
 	return server
 }
 
+// renewUntilDone renews the leases of all backends at an interval until the context ends. It goes on after
+// renewals that fail.
 func (backends *backendGroup) renewUntilDone(ctx context.Context) {
 	all := instanceRefs(len(backends.names))
 	for i := 0; ctx.Err() == nil; i++ {
--- a/cmd/controlplane/bench_test.go
+++ b/cmd/controlplane/bench_test.go
@@ -31,7 +31,10 @@
 // BenchmarkLeaderFailover kills the leader and measures the time to the next acknowledged write, at the
 // default settings of servers.
 func BenchmarkLeaderFailover(b *testing.B) {
-	const callTimeout = 300 * time.Millisecond
+	const (
+		callTimeout = 300 * time.Millisecond
+		writePause  = 5 * time.Millisecond // after a failed write; the precision of the gap
+	)
 	cluster := newCluster(b, 3)
 	cluster.extraConfig = ""
 	cluster.restartAll(nil)
@@ -48,7 +51,7 @@
 			if err == nil {
 				break
 			}
-			time.Sleep(5 * time.Millisecond)
+			time.Sleep(writePause)
 		}
 		gaps = append(gaps, time.Since(began))
 		cluster.start(oldLeader)
@@ -73,6 +76,7 @@
 	calls *atomic.Int64
 }
 
+// RoundTrip implements http.RoundTripper.
 func (c countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	c.calls.Add(1)
 	return c.RoundTripper.RoundTrip(r)
@@ -95,6 +99,7 @@
 // watchLoadMarker is a server whose arrival at each watch a watchLoad counts.
 const watchLoadMarker = "back"
 
+// startWatchLoad starts n watches, which run until the load's stop is called.
 func (cluster *testCluster) startWatchLoad(n int) *watchLoad {
 	ctx, cancel := context.WithCancel(cluster.t.Context())
 	load := &watchLoad{cluster: cluster, began: time.Now(), stop: cancel}
@@ -130,7 +135,7 @@
 				load.firstLists = append(load.firstLists, time.Since(load.began))
 			}
 		})
-		time.Sleep(time.Duration(500+(number*37)%500) * time.Millisecond)
+		time.Sleep(agentReconnectPause(number * 37)) // neighbors in number are apart in time
 	}
 }
 
@@ -265,7 +270,7 @@
 		took = append(took, next.Mono-last)
 		workers.start(operation.Process)
 		operation = next
-		time.Sleep(stableTerm) // or the next end would be blamed on the task
+		time.Sleep(stableTerm) // or the control plane would blame the task for the next end of its holder
 	}
 	reportPercentiles(b, "after-kill", took)
 	before := len(workers.operations.Analyze().HandoverGaps)
@@ -314,7 +319,7 @@
 	}
 }
 
-// countFreeTasks returns how many tasks nobody holds, n if the leader doesn't answer.
+// countFreeTasks returns how many tasks nobody holds, or n if the leader doesn't answer.
 func countFreeTasks(cluster *testCluster, n int) (free int) {
 	ctx, cancel := context.WithTimeout(cluster.t.Context(), readTimeout)
 	defer cancel()
--- a/cmd/controlplane/claims_test.go
+++ b/cmd/controlplane/claims_test.go
@@ -30,6 +30,13 @@
 	// maxRepeatedCalls bounds the calls that are sent twice: the checker tries each both ways.
 	maxRepeatedCalls = 10
 
+	// A session pauses after each operation that was recorded, for minClaimPause and up to
+	// claimPauseSpreadMs more, and for failedClaimPause after any other. The pauses bound the length of the
+	// history that the checker has to search.
+	minClaimPause      = 5 * time.Millisecond
+	claimPauseSpreadMs = 10
+	failedClaimPause   = 10 * time.Millisecond
+
 	claimHistoryFaults   = 4
 	claimHistoryMaxPause = 450 * time.Millisecond // before each fault
 )
@@ -61,6 +68,7 @@
 	fence, fenceAbove int64
 }
 
+// matches reports whether the session holds the task under the fencing token, as far as it is known.
 func (s termState) matches(session string, fence int64) bool {
 	return s.session == session && (s.fence == fence || s.fence == 0 && fence > s.fenceAbove)
 }
@@ -90,7 +98,8 @@
 	return parts
 }
 
-// stepClaim returns the states that may follow an operation; none if its output can't be.
+// stepClaim returns the states that may follow an operation, or none if the operation can't have its output
+// in the state before.
 func stepClaim(s termState, in claimInput, out claimOutput) []any {
 	switch in.kind {
 	case readOperation:
@@ -119,6 +128,7 @@
 	return nil
 }
 
+// stepClaimOperation is stepClaim for a claim.
 func stepClaimOperation(s termState, in claimInput, out claimOutput) []any {
 	isFree := s.session == ""
 	switch {
@@ -191,6 +201,8 @@
 	}
 }
 
+// checkClaimHistory records a history under random faults that the seed determines, and requires that it is
+// linearizable.
 func checkClaimHistory(t *testing.T, seed uint64) {
 	t.Helper()
 	rng := newSeededRand(t, seed+2000)
@@ -239,7 +251,7 @@
 		t.Cleanup(waitForRenewers)
 		sessions = append(sessions, session)
 	}
-	time.Sleep(sessionExpiryWait) // a session that is not renewed has ended by now
+	time.Sleep(sessionExpiryWait) // afterwards each open session is one that is renewed
 	h.cluster.waitUntil("a leader answers", func() bool {
 		_, err := client.Task(t.Context(), h.tasks[0])
 		return err == nil
@@ -292,13 +304,14 @@
 		output, err := s.operate(call, client, input, called)
 		cancel()
 		if s.record(input, output, err, called) {
-			time.Sleep(time.Duration(5+s.rng.IntN(10)) * time.Millisecond)
+			time.Sleep(minClaimPause + time.Duration(s.rng.IntN(claimPauseSpreadMs))*time.Millisecond)
 		} else {
-			time.Sleep(10 * time.Millisecond)
+			time.Sleep(failedClaimPause)
 		}
 	}
 }
 
+// randomClient returns a client of one random server.
 func (s *claimSession) randomClient() *control.Client {
 	cluster := s.history.cluster
 	return control.NewClient([]string{cluster.servers[cluster.names[s.rng.IntN(3)]].http}, historyCallTimeout)
@@ -356,7 +369,8 @@
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: input, Output: output, Call: int64(called), Return: int64(returned)})
 }
 
-// record adds an operation that has returned, unless it certainly had no effect and no answer.
+// record adds an operation that has returned, unless it certainly had no effect and no answer. It reports
+// whether the operation was added.
 func (s *claimSession) record(input claimInput, output claimOutput, err error, called time.Duration) bool {
 	returned := time.Since(s.history.began)
 	var rejected *control.HTTPError
--- a/cmd/controlplane/cluster_test.go
+++ b/cmd/controlplane/cluster_test.go
@@ -26,9 +26,16 @@
 	pollInterval = 10 * time.Millisecond
 	// retryInterval is the pause before a write that failed is sent again.
 	retryInterval = 20 * time.Millisecond
+	// rejectedWritePause is the pause between a write that failed and the next write of a test that counts
+	// on failures, so that a server which rejects all writes at once is not flooded.
+	rejectedWritePause = 10 * time.Millisecond
+	// watchRestartPause is the pause between the end of a test's watch and the next call, so that a server
+	// which ends watches at once is not flooded.
+	watchRestartPause = 10 * time.Millisecond
 
 	// clientTimeout is how long a client of the cluster waits for one server.
 	clientTimeout = 6 * time.Second
+	// statusTimeout is how long a read of one server's status or view may take, or a renewal of leases.
 	statusTimeout = 2 * time.Second
 	// readTimeout is how long a consistent read or an operator's command may take.
 	readTimeout = 5 * time.Second
@@ -56,6 +63,8 @@
 	mesh        *gossipMesh // over which the servers gossip; nil: they don't
 }
 
+// serverProcess is one server of a testCluster: the addresses that it listens at, its process, and a client
+// that calls no other server.
 type serverProcess struct {
 	name, http, raft, gossip string
 	proc                     *process.Process
@@ -97,6 +106,7 @@
 	return cluster
 }
 
+// close ends all processes and links, and shows the end of each server's log if the test has failed.
 func (cluster *testCluster) close() {
 	cluster.t.Helper()
 	cluster.supervisor.Close()
@@ -134,10 +144,12 @@
 	return server
 }
 
+// configPath returns the path of a server's configuration.
 func (cluster *testCluster) configPath(name string) string {
 	return filepath.Join(cluster.dir, name+".toml")
 }
 
+// dataDir returns the path of a server's data folder.
 func (cluster *testCluster) dataDir(name string) string {
 	return filepath.Join(cluster.dir, name+".data")
 }
@@ -185,7 +197,7 @@
 }
 
 // shapeLinks shapes all that a server sends to the others over the links of replication, and all that
-// it receives.
+// the server receives. The links must exist: the servers must be configured.
 func (cluster *testCluster) shapeLinks(name string, outbound, inbound link.Shape) {
 	cluster.t.Helper()
 	for _, other := range cluster.others(name) {
@@ -198,6 +210,7 @@
 	}
 }
 
+// start starts a server, which must be configured and must not run.
 func (cluster *testCluster) start(name string) {
 	cluster.t.Helper()
 	startProcess(cluster.t, cluster.servers[name].proc)
@@ -238,6 +251,7 @@
 	signalProcess(cluster.t, cluster.servers[name].proc, syscall.SIGSTOP)
 }
 
+// resume has a suspended server go on.
 func (cluster *testCluster) resume(name string) {
 	cluster.t.Helper()
 	signalProcess(cluster.t, cluster.servers[name].proc, syscall.SIGCONT)
@@ -281,6 +295,8 @@
 	}
 }
 
+// status returns the status that a server answers with. It returns an error if the server doesn't answer
+// within statusTimeout.
 func (cluster *testCluster) status(name string) (control.Status, error) {
 	ctx, cancel := context.WithTimeout(cluster.t.Context(), statusTimeout)
 	defer cancel()
@@ -293,7 +309,8 @@
 	return err == nil && status.State == "leader"
 }
 
-// waitForLeader waits until one server leads and has taken a write, and returns its name.
+// waitForLeader waits until one server leads and has taken a write, and returns the server's name. It fails
+// the test after waitTimeout.
 func (cluster *testCluster) waitForLeader() (leader string) {
 	cluster.t.Helper()
 	cluster.waitUntil("a leader that takes writes", func() bool {
@@ -308,7 +325,7 @@
 	return leader
 }
 
-// waitForLeaderAmong waits until one of the servers named leads.
+// waitForLeaderAmong waits until one of the servers named leads. It fails the test after waitTimeout.
 func (cluster *testCluster) waitForLeaderAmong(names []string) {
 	cluster.t.Helper()
 	cluster.waitUntil(fmt.Sprintf("a leader among %v", names), func() bool {
@@ -335,6 +352,7 @@
 	return control.NewClient(addrs, clientTimeout)
 }
 
+// newEndpoint returns the endpoint of a ready server with the default address, which nothing listens at.
 func newEndpoint(name string, startedMs float64) endpoints.Endpoint {
 	return endpoints.Endpoint{Name: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Health: endpoints.Ready, Weight: 1, StartedMs: startedMs}
 }
@@ -348,8 +366,8 @@
 	return started
 }
 
-// requireAcknowledged waits until a consistent read is answered, and fails the test if a server in the
-// answer started earlier than an acknowledged registration of its name.
+// requireAcknowledged waits until a consistent read is answered, and requires that the answer has every
+// acknowledged registration, given as start times by name, or a later one of the same name.
 func (cluster *testCluster) requireAcknowledged(acknowledged map[string]float64) {
 	cluster.t.Helper()
 	cluster.waitUntil("a consistent read is answered", func() bool {
@@ -367,8 +385,8 @@
 	})
 }
 
-// register registers a server with the servers of the cluster named, or with all, until one of them
-// acknowledges it.
+// register sends a registration to the servers of the cluster named, or to all, until one of them
+// acknowledges it. It fails the test if none does within waitTimeout.
 func (cluster *testCluster) register(name string, startedMs float64, at ...string) catalog.Result {
 	cluster.t.Helper()
 	if len(at) == 0 {
--- a/cmd/controlplane/durability_test.go
+++ b/cmd/controlplane/durability_test.go
@@ -16,8 +16,8 @@
 	"knotrouter/internal/lab/process"
 )
 
-// A server without its data joins anew, and votes only once the others have added it. Even if another
-// server is lost afterwards, no acknowledged write is.
+// A server without its data joins anew, and votes only once the others have added it. Even if the leader
+// is lost afterwards, no acknowledged write is lost and writes are accepted.
 func TestServerRejoinsWithoutItsData(t *testing.T) {
 	cluster := newCluster(t, 3)
 	writer := cluster.startWriter("s")
@@ -27,8 +27,8 @@
 	cluster.eraseData(victim)
 	cluster.start(victim)
 	cluster.waitUntil(victim+" votes again", func() bool {
-		// While it replays the log it reports the voters from before its loss. What counts is what the
-		// leader reports once the victim's raft runs, which it does only after its removal.
+		// While the victim replays its log it reports the voters from before its loss. What counts is what
+		// the leader reports once the victim's raft runs, which it does only after the victim's removal.
 		if status, err := cluster.status(victim); err != nil || status.Applied == 0 {
 			return false
 		}
@@ -62,7 +62,7 @@
 		}
 		return true
 	})
-	for end := time.Now().Add(tenHeartbeats); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(tenHeartbeats); time.Now().Before(end); time.Sleep(pollInterval) {
 		for _, name := range []string{erased, lagging} {
 			if cluster.isLeader(name) {
 				t.Fatalf("%s leads by the vote of %s, which has lost its data", name, erased)
@@ -103,7 +103,7 @@
 	}
 }
 
-// A server rejects a damaged log with one line, and so it does a data folder that it can't write to or
+// A server rejects a damaged log with one line. It also rejects a data folder that it can't write to, or
 // that another process uses. Nothing in the folder changes.
 func TestDamagedDataIsRejected(t *testing.T) {
 	cluster := newCluster(t, 1)
@@ -150,6 +150,7 @@
 	})
 }
 
+// isOneLineWith reports whether a text is one line, with its line feed, that contains a part.
 func isOneLineWith(text, part string) bool {
 	return strings.Count(text, "\n") == 1 && strings.Contains(text, part)
 }
@@ -198,8 +199,8 @@
 	return string(output)
 }
 
-// A server whose disk is full rejects writes, or ends with one line that says why. What it acknowledged
-// is there when the disk has capacity again. With three servers the two others go on.
+// A server whose disk is full rejects writes, or ends with one line that says why. The writes that it
+// acknowledged are there when the disk has capacity again. With three servers the two others go on.
 func TestFullDiskKeepsAcknowledgedWrites(t *testing.T) {
 	for _, n := range []int{1, 3} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -259,7 +260,7 @@
 	longPrefix := strings.Repeat("x", 100)
 	for i := 0; !isClosed(ended) && rejectedInARow < maxRejected && i < maxWrites; i++ {
 		if rejectedInARow++; rejectedInARow > 1 {
-			time.Sleep(10 * time.Millisecond)
+			time.Sleep(rejectedWritePause)
 		}
 		name := fmt.Sprintf("%s-%d", longPrefix, i%200)
 		ctx, cancel := context.WithTimeout(t.Context(), statusTimeout)
@@ -272,6 +273,7 @@
 	return acknowledged, rejectedInARow
 }
 
+// isClosed reports whether a channel that nothing is sent on is closed.
 func isClosed(channel <-chan struct{}) bool {
 	select {
 	case <-channel:
--- a/cmd/controlplane/failuredetection_test.go
+++ b/cmd/controlplane/failuredetection_test.go
@@ -19,6 +19,14 @@
 	gossipSettleTime = 8 * time.Second
 	// detectionWindow is how long after a kill its detection counts, and when the process starts again.
 	detectionWindow = 6 * time.Second
+	// restartSettleTime is how long a process that has started again is not killed.
+	restartSettleTime = 4 * time.Second
+	// The pause between two kills is killSpacing over the number of processes, but at least minKillPause, so
+	// that few processes are down at any time.
+	killSpacing  = 24 * time.Second
+	minKillPause = time.Second
+	// statesPollInterval is how often waitForStates reads the logs of a group.
+	statesPollInterval = 100 * time.Millisecond
 )
 
 // gossipKill is the kill of a process.
@@ -73,8 +81,8 @@
 	b.ReportMetric(float64(totalCPU()-cpuBefore)/n/float64(rest)*1000, "millicores/process")
 }
 
-// killAndRestart kills random processes, each of which starts again after detectionWindow and is not
-// killed for some time then.
+// killAndRestart kills random processes, count in all. Each starts again after detectionWindow, and is not
+// killed for restartSettleTime then.
 func killAndRestart(group *gossipGroup, count int) (kills []gossipKill) {
 	n := len(group.names)
 	var restarting sync.WaitGroup
@@ -97,9 +105,9 @@
 			mu.Lock()
 			defer mu.Unlock()
 			group.start(name)
-			time.AfterFunc(4*time.Second, func() { mu.Lock(); delete(recent, name); mu.Unlock() })
+			time.AfterFunc(restartSettleTime, func() { mu.Lock(); delete(recent, name); mu.Unlock() })
 		})
-		time.Sleep(time.Duration(max(1000, 24000/n)) * time.Millisecond)
+		time.Sleep(max(minKillPause, killSpacing/time.Duration(n)))
 	}
 	restarting.Wait()
 	return kills
@@ -123,7 +131,11 @@
 // while random ones stand still for up to 5 s. It counts how often an observer had a running member as
 // failed. WRONG_FOR is the duration.
 func BenchmarkFalseFailures(b *testing.B) {
-	const n = 50
+	const (
+		n               = 50
+		maxSuspensionMs = 5000
+		recoveryPause   = 3 * time.Second // between two suspensions
+	)
 	duration, err := time.ParseDuration(os.Getenv("WRONG_FOR"))
 	if err != nil {
 		duration = 2 * time.Minute
@@ -144,19 +156,20 @@
 	for end := time.Now().Add(duration); time.Now().Before(end); pauses++ {
 		p := group.processes[group.names[rng.IntN(n)]]
 		signalProcess(b, p, syscall.SIGSTOP)
-		time.Sleep(time.Duration(rng.IntN(5000)) * time.Millisecond)
+		time.Sleep(time.Duration(rng.IntN(maxSuspensionMs)) * time.Millisecond)
 		signalProcess(b, p, syscall.SIGCONT)
-		time.Sleep(3 * time.Second)
+		time.Sleep(recoveryPause)
 	}
 	b.ReportMetric(float64(failures()-before)/duration.Hours(), "failed/h-over-50-views")
 	b.ReportMetric(float64(pauses), "pauses")
 	b.ReportMetric(0, "ns/op")
 }
 
-// waitForStates waits until each observer has logged each other member as in a state.
+// waitForStates waits until each observer has logged each other member as in a state. It fails the test
+// after waitTimeout.
 func (group *gossipGroup) waitForStates(what string, observers, members []string, state member.State) {
 	group.t.Helper()
-	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(100 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(statesPollInterval) {
 		missing := group.missingState(observers, members, state)
 		if missing == "" {
 			return
@@ -167,7 +180,8 @@
 	}
 }
 
-// missingState describes an observer that doesn't have a member in a state. It is empty if all have all.
+// missingState describes an observer whose last logged state of a member is another one. It returns "" if
+// all observers have all members in the state.
 func (group *gossipGroup) missingState(observers, members []string, state member.State) (missing string) {
 	group.t.Helper()
 	for _, observer := range observers {
@@ -181,8 +195,8 @@
 	return missing
 }
 
-// Many members start at once, and one of the table never does. Then half of them end at once, which are
-// too many for one observer to believe, until most of those that are left report the same.
+// Many members start at once, and one of the table ends before it gossips. Then half of the members end at
+// once, too many for one observer to believe, until most of the observers that are left report the same.
 func TestMassFailureNeedsMajority(t *testing.T) {
 	const n = 24
 	group := newGossipGroup(t, n, 0)
--- a/cmd/controlplane/gossipgroup_test.go
+++ b/cmd/controlplane/gossipgroup_test.go
@@ -21,8 +21,13 @@
 	"knotrouter/internal/member"
 )
 
-// gossipObservers is how many processes of a gossipGroup are observers.
-const gossipObservers = 5
+const (
+	// gossipObservers is how many processes of a gossipGroup are observers.
+	gossipObservers = 5
+	// countsPollInterval is how often bytesSent looks for the answer of a process in the log. It is short, as
+	// the processes are asked one after the other while a benchmark measures.
+	countsPollInterval = time.Millisecond
+)
 
 // memberMain is a process that gossips and does nothing else. It logs the changes that it observes, and,
 // on SIGHUP, how much it has sent.
@@ -64,6 +69,7 @@
 	return peers, nil
 }
 
+// memberConfig returns the configuration that the environment has of a process that gossips.
 func memberConfig(log *slog.Logger, peers map[string]string) gossip.Config {
 	self := member.Info{
 		ProtocolVersion: member.ProtocolVersion,
@@ -192,7 +198,7 @@
 		p := group.processes[name]
 		before := len(processLog(p))
 		signalProcess(group.t, p, syscall.SIGHUP)
-		for deadline := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
+		for deadline := time.Now().Add(waitTimeout); ; time.Sleep(countsPollInterval) {
 			if match := sentCountPattern.FindStringSubmatch(processLog(p)[before:]); match != nil {
 				sent, _ := strconv.ParseInt(match[1], 10, 64)
 				sum += sent
--- a/cmd/controlplane/gossipmesh_test.go
+++ b/cmd/controlplane/gossipmesh_test.go
@@ -50,6 +50,7 @@
 	cluster.waitForEqualViews(cluster.names...)
 }
 
+// close closes all links.
 func (m *gossipMesh) close() {
 	for _, links := range m.streams {
 		for _, l := range links {
@@ -119,6 +120,8 @@
 	m.applyShape(shape, pairs...)
 }
 
+// applyShape shapes what the first server of each pair sends to the second, and keeps the shapes of the
+// opposite directions. All links exist once the servers are configured.
 func (m *gossipMesh) applyShape(shape link.Shape, pairs ...serverPair) {
 	m.cluster.t.Helper()
 	changed := map[serverPair]bool{}
@@ -146,4 +149,5 @@
 	setting.Wait()
 }
 
+// reverse returns the pair of the opposite direction.
 func reverse(pair serverPair) serverPair { return serverPair{pair[1], pair[0]} }
--- a/cmd/controlplane/leases_test.go
+++ b/cmd/controlplane/leases_test.go
@@ -17,7 +17,7 @@
 	cluster := newCluster(t, 3)
 	cluster.shortenLeases()
 	cluster.restartAll(nil)
-	var renewing atomic.Int64 // the first servers, as many
+	var renewing atomic.Int64 // how many servers renew: the first ones
 	renewing.Store(n)
 	cluster.renewAll(200*time.Millisecond, func() []catalog.InstanceRef { return instanceRefs(int(renewing.Load())) })
 	for i := range n {
--- a/cmd/controlplane/linearizability_test.go
+++ b/cmd/controlplane/linearizability_test.go
@@ -67,7 +67,8 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
 }
 
-// stepOverride reports whether an operation's output can be, and returns the state after it.
+// stepOverride reports whether an operation can have its output in a state, and returns the state after
+// the operation.
 func stepOverride(s overrideState, in overrideInput, out overrideOutput) (bool, any) {
 	switch in.kind {
 	case readOperation:
@@ -133,6 +134,7 @@
 	counts     map[string]int // by kind
 }
 
+// add appends an operation.
 func (h *overrideHistory) add(client int, input overrideInput, output overrideOutput, called, returned time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -220,6 +222,8 @@
 	}
 }
 
+// checkOverrideHistory records a history under random faults that the seed determines, and requires that it
+// is linearizable.
 func checkOverrideHistory(t *testing.T, seed uint64) {
 	t.Helper()
 	rng := newSeededRand(t, seed)
--- a/cmd/controlplane/main_test.go
+++ b/cmd/controlplane/main_test.go
@@ -52,6 +52,7 @@
 	os.Exit(m.Run())
 }
 
+// isChild reports whether this process was started with a variable that names another program.
 func isChild(variable string) bool { return os.Getenv(variable) == "1" }
 
 // applyTestMachine gives a server the clock and the log store that its environment asks for.
@@ -70,6 +71,7 @@
 	file string
 }
 
+// StoreLogs implements raft.LogStore. It waits until the file doesn't exist.
 func (s blockingLogStore) StoreLogs(logs []*raft.Log) error {
 	for {
 		if _, err := os.Stat(s.file); err != nil {
--- a/cmd/controlplane/membership_test.go
+++ b/cmd/controlplane/membership_test.go
@@ -14,8 +14,8 @@
 	"knotrouter/internal/member"
 )
 
-// Servers whose renewals don't arrive stay listed as long as most servers of the control plane reach
-// them. One that accepts no connections any more is taken off the list.
+// Backends whose renewals don't arrive stay listed as long as most servers of the control plane reach
+// them. A backend that accepts no connections any more is taken off the list.
 func TestExpiryNeedsFailureEvidence(t *testing.T) {
 	const (
 		total         = 8
@@ -103,21 +103,23 @@
 	}
 }
 
-// startAgentWatch watches the list under an agent's name until stop is called or the test ends.
+// startAgentWatch watches the list under an agent's name until stop is called or the test ends. The order
+// decides which server the agent calls first.
 func (cluster *testCluster) startAgentWatch(name string, order uint64) (client *endpoints.Client, stop context.CancelFunc) {
+	const agentRestartPause = 20 * time.Millisecond // between the end of a watch and the next
 	ctx, stop := context.WithCancel(cluster.t.Context())
 	cluster.t.Cleanup(stop)
 	client = endpoints.NewClient(endpoints.ClientConfig{Addresses: cluster.client(cluster.names...).Addrs, Order: order, Fleet: 1, Member: name})
 	go func() {
 		for ctx.Err() == nil {
 			_ = client.Watch(ctx, 0, func(endpoints.List) {})
-			time.Sleep(20 * time.Millisecond)
+			time.Sleep(agentRestartPause)
 		}
 	}()
 	return client, stop
 }
 
-// A voter that fails is replaced by a non-voter, one at a time, and is itself a non-voter when it
+// A voter that fails is replaced by a non-voter, one voter at a time, and is itself a non-voter when it
 // returns.
 func TestFailedVotersAreReplaced(t *testing.T) {
 	const voters = 3
--- a/cmd/controlplane/memberviews_test.go
+++ b/cmd/controlplane/memberviews_test.go
@@ -32,7 +32,8 @@
 	return view
 }
 
-// waitForState waits until a server has all members named in a state, and returns how long that took.
+// waitForState waits until the view of one server has all members named in a state, and returns how long
+// that took. It fails the test after waitTimeout.
 func (cluster *testCluster) waitForState(at string, state member.State, names ...string) time.Duration {
 	cluster.t.Helper()
 	began := time.Now()
@@ -47,7 +48,7 @@
 }
 
 // waitForEqualViews waits until the views of the servers named are equal, and each has all of these
-// servers as present. It returns how long that took.
+// servers as present. It returns how long that took, and fails the test after waitTimeout.
 func (cluster *testCluster) waitForEqualViews(names ...string) time.Duration {
 	cluster.t.Helper()
 	began := time.Now()
@@ -99,6 +100,7 @@
 	return ""
 }
 
+// incarnation returns the incarnation that a view has of a member, or 0 if the view doesn't have the member.
 func incarnation(view *member.View, name string) int64 {
 	for i := range view.Members {
 		if view.Members[i].Name == name {
@@ -118,10 +120,12 @@
 	seen map[observedMember]map[member.State]bool
 }
 
+// observedMember is a member in the view of an observer.
 type observedMember struct {
 	observer, name string
 }
 
+// watchStates starts a watcher of the views of the servers named, until stopWatching or the test's end.
 func (cluster *testCluster) watchStates(observers ...string) *stateWatcher {
 	ctx, cancel := context.WithCancel(cluster.t.Context())
 	watcher := &stateWatcher{seen: map[observedMember]map[member.State]bool{}, stop: cancel}
@@ -139,6 +143,7 @@
 	return watcher
 }
 
+// record adds the states of all members in an observer's view.
 func (watcher *stateWatcher) record(observer string, view *member.View) {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
@@ -151,12 +156,13 @@
 	}
 }
 
+// stopWatching ends the watcher and returns once the last view has been recorded. It may be called again.
 func (watcher *stateWatcher) stopWatching() {
 	watcher.stop()
 	watcher.done.Wait()
 }
 
-// requireNever requires that no observer had any of the members named in a state.
+// requireNever requires that no observer had any of the members named in a state, so far.
 func (watcher *stateWatcher) requireNever(t *testing.T, state member.State, names ...string) {
 	t.Helper()
 	watcher.mu.Lock()
--- a/cmd/controlplane/mixedversions_test.go
+++ b/cmd/controlplane/mixedversions_test.go
@@ -25,6 +25,7 @@
 // TestMixedQuorum runs beside this one. Without it this build stands for both.
 const otherBuild = "OTHER_CONTROLPLANE"
 
+// builds returns the build that otherBuild names and the one of this test; without otherBuild, this one twice.
 func builds(t *testing.T) (old, present build) {
 	t.Helper()
 	present = build{"present", executable(t), []string{serverChild + "=1"}}
--- a/cmd/controlplane/quorum_test.go
+++ b/cmd/controlplane/quorum_test.go
@@ -28,6 +28,7 @@
 	{"cut off", shapeLeader(cutShape, cutShape), shapeLeader(link.Shape{}, link.Shape{})},
 }
 
+// shapeLeader returns a function that shapes all that the leader sends to the others and receives of them.
 func shapeLeader(outbound, inbound link.Shape) func(cluster *testCluster, leader string) {
 	return func(cluster *testCluster, leader string) { cluster.shapeLinks(leader, outbound, inbound) }
 }
--- a/cmd/controlplane/servicewatch_test.go
+++ b/cmd/controlplane/servicewatch_test.go
@@ -58,7 +58,7 @@
 		for i := 0; ctx.Err() == nil; i++ {
 			watch.readFrom(ctx, client, addrs[i%len(addrs)])
 			select {
-			case <-time.After(10 * time.Millisecond):
+			case <-time.After(watchRestartPause):
 			case <-ctx.Done():
 			}
 		}
@@ -104,6 +104,7 @@
 	}
 }
 
+// recordViolation adds a violation of the protocol, which stopAndVerify reports.
 func (w *serviceWatch) recordViolation(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -190,6 +191,7 @@
 	}
 }
 
+// newServiceEndpoint returns the endpoint of a ready server of a service.
 func newServiceEndpoint(service, name string, startedMs float64) endpoints.Endpoint {
 	endpoint := newEndpoint(name, startedMs)
 	endpoint.Service = service
--- a/cmd/controlplane/syscallfaults_test.go
+++ b/cmd/controlplane/syscallfaults_test.go
@@ -19,10 +19,11 @@
 type faultyCluster struct {
 	*testCluster
 	victim    string
-	faultFile string // without the name of the server
+	faultFile string // the path of the files that begin faults, without the name of the server
 }
 
-// newFaultyCluster starts n servers. The faults are in the form of syscallfault.FaultsVariable.
+// newFaultyCluster starts n servers and waits until one leads, which is the victim. The faults are in the
+// form of syscallfault.FaultsVariable.
 func newFaultyCluster(t *testing.T, n int, faults string) *faultyCluster {
 	t.Helper()
 	cluster := newUnstartedCluster(t, n)
@@ -45,6 +46,7 @@
 	}
 }
 
+// endFault ends the fault that startFault began.
 func (faulty *faultyCluster) endFault() {
 	faulty.t.Helper()
 	if err := os.Remove(faulty.faultFile + "-" + faulty.victim); err != nil {
@@ -52,8 +54,8 @@
 	}
 }
 
-// writeFor registers servers for a duration, with start times from a number on, and adds what is
-// acknowledged.
+// writeFor registers servers for a duration, with start times from a number on, and adds the start time of
+// each acknowledged registration to the map by its name.
 func (faulty *faultyCluster) writeFor(duration time.Duration, from int, acknowledged map[string]float64) {
 	faulty.t.Helper()
 	for i, end := from, time.Now().Add(duration); time.Now().Before(end); i++ {
@@ -62,7 +64,7 @@
 		_, err := faulty.client(faulty.names...).Register(ctx, newEndpoint(name, float64(i)))
 		cancel()
 		if err != nil {
-			time.Sleep(10 * time.Millisecond)
+			time.Sleep(rejectedWritePause)
 			continue
 		}
 		acknowledged[name] = float64(i)
@@ -85,6 +87,8 @@
 	}
 }
 
+// checkDiskErrors has the disk of one of n servers fail, kills that server meanwhile if killed is set, and
+// requires that every acknowledged write is there afterwards and that the log says why writes failed.
 func checkDiskErrors(t *testing.T, faults string, n int, killed bool) {
 	t.Helper()
 	cluster := newFaultyCluster(t, n, faults)
@@ -118,7 +122,11 @@
 
 // A server whose accept calls fail for a moment, with whatever error, answers right afterwards.
 func TestAcceptFailsForAMoment(t *testing.T) {
-	const recovery = 3 * time.Second
+	const (
+		maxRecovery        = 3 * time.Second
+		waitingConns       = 3
+		connectionHoldTime = 50 * time.Millisecond // for which each connection waits, and the server's calls fail
+	)
 	for _, errno := range []string{"ECONNABORTED", "ENFILE", "ENOBUFS", "EPROTO", "ENETDOWN", "EPERM", "EHOSTUNREACH"} {
 		t.Run(errno, func(t *testing.T) {
 			t.Parallel()
@@ -126,22 +134,22 @@
 			addr := cluster.servers[cluster.victim].http
 			cluster.register("before", 1)
 			cluster.startFault()
-			for range 3 { // a connection that waits has the calls fail
+			for range waitingConns { // accept is called, and fails, while a connection waits
 				if conn, err := net.DialTimeout("tcp", addr, time.Second); err == nil {
 					defer conn.Close()
 				}
-				time.Sleep(50 * time.Millisecond)
+				time.Sleep(connectionHoldTime)
 			}
 			cluster.endFault()
 			client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-			for deadline := time.Now().Add(recovery); ; time.Sleep(retryInterval) {
+			for deadline := time.Now().Add(maxRecovery); ; time.Sleep(retryInterval) {
 				resp, err := client.Get("http://" + addr + endpoints.Path)
 				if err == nil {
 					resp.Body.Close()
 					break
 				}
 				if time.Now().After(deadline) {
-					t.Fatalf("no answer within %v after the fault: %v", recovery, err)
+					t.Fatalf("no answer within %v after the fault: %v", maxRecovery, err)
 				}
 			}
 		})
--- a/cmd/controlplane/tasks_test.go
+++ b/cmd/controlplane/tasks_test.go
@@ -225,8 +225,9 @@
 	}
 }
 
-// requireTwinWorkerIsRejected starts a second process with the name of the holder of work.a, which waits
-// as long as the first runs.
+// requireTwinWorkerIsRejected starts a second process with the name of the holder of work.a. It waits until
+// the second process logs that the first one has the name, and until another process holds work.a after
+// both are killed. It starts the holder again.
 func requireTwinWorkerIsRejected(t *testing.T, workers *workerGroup, holder string) {
 	t.Helper()
 	cluster := workers.cluster
@@ -254,7 +255,6 @@
 	for i := range n {
 		workers.defineTask(fmt.Sprint("idle.", i), 3*time.Second)
 	}
-	// It is called in a cleanup too, where the test's context has been canceled.
 	holderCounts := func() (counts map[string]int, free int) { return countIdleTasks(cluster, n) }
 	isSpreadOver := func(processes int) func() bool {
 		return func() bool {
@@ -294,11 +294,11 @@
 	}
 	workers.add("w-4", 1000, 1)
 	cluster.waitUntil("the tasks are spread over three processes again", isSpreadOver(3))
-	t.Logf("the tasks were spread again %v after the kill of a holder of a third", took)
+	t.Logf("the tasks were spread again %v after the kill of a process that held a third of them", took)
 }
 
 // countIdleTasks returns how many of the tasks named idle.* each process holds, and how many nobody
-// does, which is n if no server answers.
+// holds, which is n if no server answers. It doesn't use the test's context, as a cleanup calls it too.
 func countIdleTasks(cluster *testCluster, n int) (counts map[string]int, free int) {
 	counts = map[string]int{}
 	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
@@ -320,7 +320,7 @@
 }
 
 // A leader that is suspended finds renewals when it is resumed, and may believe that it still leads. It
-// confirms none of a session that has ended at the next leader.
+// confirms no renewal of a session that has ended at the next leader.
 func TestResumedLeaderAnswersNoRenewalOfEndedSession(t *testing.T) {
 	const renewals = 40
 	cluster := newCluster(t, 3)
--- a/cmd/controlplane/taskschedules_test.go
+++ b/cmd/controlplane/taskschedules_test.go
@@ -16,6 +16,8 @@
 const (
 	scheduledTasks  = 4
 	scheduledFaults = 8
+	// maxSchedulePauseMs bounds the random pause after each fault of a schedule.
+	maxSchedulePauseMs = 500
 	// minTermsPerSchedule is how many terms a schedule has on average at least, over all tasks.
 	minTermsPerSchedule = 6
 )
@@ -73,7 +75,7 @@
 	}
 	for range scheduledFaults {
 		workers.injectFault(rng)
-		time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
+		time.Sleep(time.Duration(rng.IntN(maxSchedulePauseMs)) * time.Millisecond)
 	}
 	// A task may have been blamed for the ends of its holders, and suspended.
 	for i := range scheduledTasks {
@@ -90,6 +92,7 @@
 	return result
 }
 
+// scheduledTask returns the name of a task of a schedule.
 func scheduledTask(i int) string { return fmt.Sprint("work.", i) }
 
 // injectFault injects one random fault into a worker, a task or a server, and ends it.
--- a/cmd/controlplane/watches_test.go
+++ b/cmd/controlplane/watches_test.go
@@ -17,6 +17,16 @@
 	"knotrouter/internal/lab/link"
 )
 
+// agentReconnectPause returns how long the agent with a number waits between the end of its watch and its
+// next call: from half a second to one second, so that many agents don't call at once.
+func agentReconnectPause(number int) time.Duration {
+	const (
+		minPauseMs    = 500
+		pauseSpreadMs = 500
+	)
+	return time.Duration(minPauseMs+number%pauseSpreadMs) * time.Millisecond
+}
+
 // readerGroup is many readers, each with its own order of the servers, as agents have. It is the
 // transport of their calls and records when they were made.
 type readerGroup struct {
@@ -29,6 +39,7 @@
 	callTimes []time.Time
 }
 
+// RoundTrip implements http.RoundTripper. Each call has a connection of its own.
 func (group *readerGroup) RoundTrip(r *http.Request) (*http.Response, error) {
 	group.mu.Lock()
 	group.callTimes = append(group.callTimes, time.Now())
@@ -54,7 +65,7 @@
 		group.done.Go(func() {
 			for ctx.Err() == nil {
 				reader.watch(ctx, client)
-				time.Sleep(time.Duration(500+i%500) * time.Millisecond)
+				time.Sleep(agentReconnectPause(i))
 			}
 		})
 	}
@@ -62,6 +73,7 @@
 	return group
 }
 
+// stopReading ends all watches and returns once the readers have stopped.
 func (group *readerGroup) stopReading() {
 	group.stop()
 	group.done.Wait()
@@ -80,6 +92,7 @@
 	return calls
 }
 
+// resetCallTimes forgets the calls made before.
 func (group *readerGroup) resetCallTimes() {
 	group.mu.Lock()
 	defer group.mu.Unlock()
@@ -225,9 +238,9 @@
 	},
 }
 
-// A server that lags, as its disk is slow, as what it is sent arrives late or as it is suspended, loses
-// its watches to the others. It serves no old list, and gets its part of the watches again once it has
-// caught up.
+// A server lags because its disk is slow, because messages to it arrive late or because it is suspended.
+// It loses its watches to the others, serves no old list, and gets its part of the watches again once it
+// has caught up.
 func TestLaggingServerLosesItsWatches(t *testing.T) {
 	for _, cause := range lagCauses {
 		t.Run(cause.name, func(t *testing.T) {
@@ -267,7 +280,7 @@
 }
 
 // requireStale waits until a server reports that it lags and has no watches left. It requires that the
-// server serves no list, and, if it still hears the leader, that it reports so.
+// server serves no list and, if hearsLeader is set, that the server reports a recent contact with the leader.
 func requireStale(t *testing.T, cluster *testCluster, lagging string, hearsLeader bool) {
 	t.Helper()
 	cluster.waitUntil(lagging+" is stale and has no watches", func() bool {
--- a/cmd/controlplane/watchreader_test.go
+++ b/cmd/controlplane/watchreader_test.go
@@ -26,6 +26,7 @@
 	removed     []string // names that were taken off the list, in this order
 }
 
+// newWatchReader returns a reader without a list. It doesn't watch before its watch method is called.
 func newWatchReader() *watchReader {
 	return &watchReader{listed: map[string]endpoints.Endpoint{}, everListed: map[string]bool{}}
 }
@@ -42,7 +43,7 @@
 		defer close(reader.done)
 		for ctx.Err() == nil {
 			reader.watch(ctx, client)
-			time.Sleep(10 * time.Millisecond)
+			time.Sleep(watchRestartPause)
 		}
 	}()
 	cluster.t.Cleanup(cancel)
@@ -89,6 +90,7 @@
 	return r.everListed[name]
 }
 
+// apply takes a list of a watch: it updates what is listed, and notes a version that decreased.
 func (r *watchReader) apply(list *endpoints.List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cmd/controlplane/workers_test.go
+++ b/cmd/controlplane/workers_test.go
@@ -81,6 +81,7 @@
 	return workers
 }
 
+// close closes the links, and shows the end of each worker's log if the test has failed.
 func (workers *workerGroup) close() {
 	workers.cluster.t.Helper()
 	for _, links := range workers.links {
@@ -123,23 +124,29 @@
 	workers.start(name)
 }
 
+// start starts a worker that doesn't run.
 func (workers *workerGroup) start(name string) {
 	workers.cluster.t.Helper()
 	startProcess(workers.cluster.t, workers.processes[name])
 }
 
+// kill sends SIGKILL to a worker and returns once its process has ended.
 func (workers *workerGroup) kill(name string) { killProcess(workers.processes[name]) }
 
+// shutDown stops a worker gracefully: it releases its tasks. It fails the test if the worker still runs
+// after waitTimeout.
 func (workers *workerGroup) shutDown(name string) {
 	workers.cluster.t.Helper()
 	shutDownProcess(workers.cluster.t, workers.processes[name])
 }
 
+// suspend has a worker stand still until resume.
 func (workers *workerGroup) suspend(name string) {
 	workers.cluster.t.Helper()
 	signalProcess(workers.cluster.t, workers.processes[name], syscall.SIGSTOP)
 }
 
+// resume has a suspended worker go on.
 func (workers *workerGroup) resume(name string) {
 	workers.cluster.t.Helper()
 	signalProcess(workers.cluster.t, workers.processes[name], syscall.SIGCONT)
@@ -174,8 +181,8 @@
 	})
 }
 
-// waitForOperation waits for an operation under a task that is later than the time given and not by one
-// process, and returns it.
+// waitForOperation waits until the last operation under a task is later than a time on the monotonic clock
+// and not by exceptProcess, and returns the operation. It fails the test after waitTimeout.
 func (workers *workerGroup) waitForOperation(task, exceptProcess string, after time.Duration) check.Operation {
 	workers.cluster.t.Helper()
 	var operation check.Operation
@@ -186,7 +193,7 @@
 	return operation
 }
 
-// requireNoOverlap requires that no two terms of a task overlapped.
+// requireNoOverlap requires that no two terms of a task have overlapped so far.
 func (workers *workerGroup) requireNoOverlap() {
 	workers.cluster.t.Helper()
 	if overlaps := workers.operations.Analyze().Violations; len(overlaps) > 0 {
--- a/cmd/controlplane/writer_test.go
+++ b/cmd/controlplane/writer_test.go
@@ -12,11 +12,13 @@
 )
 
 const (
-	// A writer is as impatient as a server that renews: it goes on to the next address soon.
+	// Like a server that renews its lease, a writer goes on to the next address soon.
 	writerClientTimeout = time.Second
 	writerCallTimeout   = 1500 * time.Millisecond
-	// writerNames is the number of names that a writer registers in turn. A later write of a name hides
-	// the loss of an earlier one, so they are many.
+	// writerRejectionPause keeps a writer from flooding a server that rejects its writes at once.
+	writerRejectionPause = 5 * time.Millisecond
+	// writerNames is the number of names that a writer registers in turn. It is large, as a later write of a
+	// name hides the loss of an earlier one.
 	writerNames = 3000
 )
 
@@ -30,6 +32,7 @@
 	writes       int
 }
 
+// startWriter starts a writer whose names begin with a prefix. The test must end it with stopAndVerify.
 func (cluster *testCluster) startWriter(prefix string) *writer {
 	ctx, cancel := context.WithCancel(cluster.t.Context())
 	w := &writer{acknowledged: map[string]float64{}, stop: cancel, done: make(chan struct{})}
@@ -44,14 +47,15 @@
 	return w
 }
 
-// write registers one server. The call outlasts the writer's stop, so that its answer is known.
+// write registers one server. A call that was begun goes on after the writer's stop, so that its outcome is
+// known.
 func (w *writer) write(client *control.Client, name string, startedMs float64) {
 	call, cancel := context.WithTimeout(context.Background(), writerCallTimeout)
 	defer cancel()
 	if _, err := client.Register(call, newEndpoint(name, startedMs)); err != nil {
 		var rejected *control.HTTPError
 		if errors.As(err, &rejected) {
-			time.Sleep(5 * time.Millisecond)
+			time.Sleep(writerRejectionPause)
 		}
 		return
 	}
