--- a/cmd/controlplane/syscallfaults_test.go
+++ b/cmd/controlplane/syscallfaults_test.go
@@ -94,7 +94,8 @@
 	cluster := newFaultyCluster(t, n, faults)
 	acknowledged := map[string]float64{}
 	cluster.writeFor(time.Second, 1, acknowledged)
-	before := len(acknowledged)
+	cluster.register("before", 1) // a busy machine may not have acknowledged a write within the second
+	acknowledged["before"] = 1
 	cluster.startFault()
 	cluster.writeFor(2*time.Second, 100_000, acknowledged)
 	proc := cluster.servers[cluster.victim].proc
@@ -107,9 +108,6 @@
 	}
 	cluster.writeFor(time.Second, 200_000, acknowledged)
 	cluster.register("after", 1)
-	if before == 0 {
-		t.Fatal("no write was acknowledged before the fault")
-	}
 	cluster.requireAcknowledged(acknowledged)
 	log := processLog(proc)
 	if !strings.Contains(log, "input/output error") && !strings.Contains(log, "no space left on device") {
