--- a/cmd/controlplane/syscallfaults_test.go
+++ b/cmd/controlplane/syscallfaults_test.go
@@ -87,6 +87,9 @@
 	}
 }
 
+// diskErrorPollInterval is how long checkDiskErrors writes between two looks for a disk error in the log.
+const diskErrorPollInterval = 100 * time.Millisecond
+
 // checkDiskErrors has the disk of one of n servers fail, kills that server meanwhile if killed is set, and
 // requires that every acknowledged write is there afterwards and that the log says why writes failed.
 func checkDiskErrors(t *testing.T, faults string, n int, killed bool) {
@@ -99,6 +102,15 @@
 	cluster.startFault()
 	cluster.writeFor(2*time.Second, 100_000, acknowledged)
 	proc := cluster.servers[cluster.victim].proc
+	from := 150_000 // above all start times that two seconds of writes reach
+	cluster.waitUntil("the disk has failed", func() bool {
+		if loggedDiskError(processLog(proc)) {
+			return true
+		}
+		cluster.writeFor(diskErrorPollInterval, from, acknowledged)
+		from += 1000 // more than the writes of one interval
+		return false
+	})
 	if killed {
 		cluster.kill(cluster.victim)
 	}
@@ -106,11 +118,11 @@
 	if isClosed(proc.Ended()) {
 		cluster.start(cluster.victim)
 	}
-	cluster.writeFor(time.Second, 200_000, acknowledged)
+	cluster.writeFor(time.Second, 1_000_000, acknowledged)
 	cluster.register("after", 1)
 	cluster.requireAcknowledged(acknowledged)
 	log := processLog(proc)
-	if !strings.Contains(log, "input/output error") && !strings.Contains(log, "no space left on device") {
+	if !loggedDiskError(log) {
 		t.Error("the disk never failed")
 	}
 	if strings.Contains(log, "goroutine ") {
@@ -118,6 +130,11 @@
 	}
 }
 
+// loggedDiskError reports whether a server's log has an error of its disk.
+func loggedDiskError(log string) bool {
+	return strings.Contains(log, "input/output error") || strings.Contains(log, "no space left on device")
+}
+
 // A server whose accept calls fail for a moment, with whatever error, answers right afterwards.
 func TestAcceptFailsForAMoment(t *testing.T) {
 	const (
