--- a/cmd/controlplane/syscallfaults_test.go
+++ b/cmd/controlplane/syscallfaults_test.go
@@ -71,6 +71,19 @@
 	}
 }
 
+// writeOnceAt sends one registration to one server, as the instance that started at 1 ms. It reports whether
+// the registration was acknowledged, and adds it to the map then.
+func (faulty *faultyCluster) writeOnceAt(server, name string, acknowledged map[string]float64) bool {
+	faulty.t.Helper()
+	ctx, cancel := context.WithTimeout(faulty.t.Context(), statusTimeout)
+	defer cancel()
+	if _, err := faulty.servers[server].client.Register(ctx, newEndpoint(name, 1)); err != nil {
+		return false
+	}
+	acknowledged[name] = 1
+	return true
+}
+
 // A disk whose writes or syncs fail for a while, also with a kill meanwhile, loses no acknowledged write,
 // and writes are accepted again afterwards. A server that ended is started again, as its platform would
 // do, and has said why in its log, without a stack trace.
@@ -115,6 +128,11 @@
 		cluster.kill(cluster.victim)
 	}
 	cluster.endFault()
+	// A server that met a disk error may still be shutting down. A single server that acknowledges a write is
+	// not, and of three servers the two others are enough.
+	cluster.waitUntil("the victim has ended, or acknowledges a write", func() bool {
+		return isClosed(proc.Ended()) || cluster.writeOnceAt(cluster.victim, "resumed", acknowledged)
+	})
 	if isClosed(proc.Ended()) {
 		cluster.start(cluster.victim)
 	}
