--- a/cmd/controlplane/membershipfaults_test.go
+++ b/cmd/controlplane/membershipfaults_test.go
@@ -235,7 +235,7 @@
 func restartOneByOne(t *testing.T, e *membershipEnvironment) {
 	for _, name := range e.names {
 		observer := e.others(name)[0]
-		before, _ := e.view(observer)
+		before := e.waitForIncarnation(observer, name)
 		waitForEnd := beginShutDown(t, e.servers[name].proc)
 		e.waitForState(observer, member.Left, name)
 		waitForEnd()
@@ -243,7 +243,7 @@
 		e.waitForState(observer, member.Present, name)
 		e.waitUntil(name+" is present in a later incarnation", func() bool {
 			view, ok := e.view(observer)
-			return ok && incarnation(&view, name) > incarnation(&before, name)
+			return ok && incarnation(&view, name) > before
 		})
 	}
 	e.requireNeverFailed(t, e.names...)
@@ -267,12 +267,12 @@
 func restartBeforeDetection(t *testing.T, e *membershipEnvironment) {
 	name := e.others(e.waitForLeader())[0]
 	observer := e.others(name)[0]
-	before, _ := e.view(observer)
+	before := e.waitForIncarnation(observer, name)
 	e.kill(name)
 	e.start(name)
 	e.waitUntil(name+" is present in a later incarnation", func() bool {
 		view, ok := e.view(observer)
-		return ok && view.State(name) == member.Present && incarnation(&view, name) > incarnation(&before, name)
+		return ok && view.State(name) == member.Present && incarnation(&view, name) > before
 	})
 	e.kill(name)
 	if took := e.waitForState(observer, member.Failed, name); took > maxFailureDetection {
--- a/cmd/controlplane/memberviews_test.go
+++ b/cmd/controlplane/memberviews_test.go
@@ -100,6 +100,18 @@
 	return ""
 }
 
+// waitForIncarnation waits until the view of one server has a member, and returns the member's incarnation. It
+// fails the test after waitTimeout.
+func (cluster *testCluster) waitForIncarnation(at, name string) (found int64) {
+	cluster.t.Helper()
+	cluster.waitUntil(fmt.Sprintf("the view of %s has %s", at, name), func() bool {
+		view, ok := cluster.view(at)
+		found = incarnation(&view, name)
+		return ok && found > 0
+	})
+	return found
+}
+
 // incarnation returns the incarnation that a view has of a member, or 0 if the view doesn't have the member.
 func incarnation(view *member.View, name string) int64 {
 	for i := range view.Members {
