--- a/cmd/controlplane/cluster_test.go
+++ b/cmd/controlplane/cluster_test.go
@@ -303,6 +303,18 @@
 	return cluster.servers[name].client.Status(ctx)
 }
 
+// waitForStatus waits until a server answers with its status, and returns that status. It fails the test
+// after waitTimeout.
+func (cluster *testCluster) waitForStatus(name string) (status control.Status) {
+	cluster.t.Helper()
+	cluster.waitUntil(name+" answers with its status", func() bool {
+		var err error
+		status, err = cluster.status(name)
+		return err == nil
+	})
+	return status
+}
+
 // isLeader reports whether a server answers that it leads.
 func (cluster *testCluster) isLeader(name string) bool {
 	status, err := cluster.status(name)
--- a/cmd/controlplane/memberviews_test.go
+++ b/cmd/controlplane/memberviews_test.go
@@ -26,6 +26,17 @@
 	return views[0], true
 }
 
+// waitForView waits until a server answers with its view, and returns that view. It fails the test after
+// waitTimeout.
+func (cluster *testCluster) waitForView(name string) (view member.View) {
+	cluster.t.Helper()
+	cluster.waitUntil(name+" answers with its view", func() (ok bool) {
+		view, ok = cluster.view(name)
+		return ok
+	})
+	return view
+}
+
 // viewOrEmpty returns a server's view, or an empty one if it doesn't answer.
 func (cluster *testCluster) viewOrEmpty(name string) member.View {
 	view, _ := cluster.view(name)
