--- a/cmd/controlplane/cluster_test.go
+++ b/cmd/controlplane/cluster_test.go
@@ -12,9 +12,7 @@
 	"testing"
 	"time"
 
-	"knotrouter/internal/catalog"
 	"knotrouter/internal/control"
-	"knotrouter/internal/endpoints"
 	"knotrouter/internal/lab/link"
 	"knotrouter/internal/lab/loopback"
 	"knotrouter/internal/lab/process"
@@ -364,60 +362,6 @@
 	return control.NewClient(addrs, clientTimeout)
 }
 
-// newEndpoint returns the endpoint of a ready server with the default address, which nothing listens at.
-func newEndpoint(name string, startedMs float64) endpoints.Endpoint {
-	return endpoints.Endpoint{Name: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Health: endpoints.Ready, Weight: 1, StartedMs: startedMs}
-}
-
-// startTimes returns when each registered server started, by its name.
-func startTimes(entries []catalog.Entry) map[string]float64 {
-	started := map[string]float64{}
-	for i := range entries {
-		started[entries[i].Endpoint.Name] = entries[i].Endpoint.StartedMs
-	}
-	return started
-}
-
-// requireAcknowledged waits until a consistent read is answered, and requires that the answer has every
-// acknowledged registration, given as start times by name, or a later one of the same name.
-func (cluster *testCluster) requireAcknowledged(acknowledged map[string]float64) {
-	cluster.t.Helper()
-	cluster.waitUntil("a consistent read is answered", func() bool {
-		entries, err := cluster.client(cluster.names...).Servers(cluster.t.Context(), true)
-		if err != nil {
-			return false
-		}
-		started := startTimes(entries)
-		for name, startedMs := range acknowledged {
-			if started[name] < startedMs {
-				cluster.t.Fatalf("%s was acknowledged with born_ms %v, the read has %v", name, startedMs, started[name])
-			}
-		}
-		return true
-	})
-}
-
-// register sends a registration to the servers of the cluster named, or to all, until one of them
-// acknowledges it. It fails the test if none does within waitTimeout.
-func (cluster *testCluster) register(name string, startedMs float64, at ...string) catalog.Result {
-	cluster.t.Helper()
-	if len(at) == 0 {
-		at = cluster.names
-	}
-	var result catalog.Result
-	var err error
-	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(retryInterval) {
-		ctx, cancel := context.WithTimeout(cluster.t.Context(), writeTimeout)
-		result, err = cluster.client(at...).Register(ctx, newEndpoint(name, startedMs))
-		cancel()
-		if err == nil {
-			return result
-		}
-	}
-	cluster.t.Fatalf("the registration of %s was not acknowledged within %v: %v", name, waitTimeout, err)
-	return result
-}
-
 // shortenLeases has leases end after 3 s from the next configuration on, in place of 10 minutes.
 func (cluster *testCluster) shortenLeases() {
 	cluster.extraConfig = strings.Replace(cluster.extraConfig, "10m", "3s", 1)
@@ -433,37 +377,3 @@
 	})
 	return rand.New(rand.NewPCG(seed, 1))
 }
-
-// instanceRefs names the servers s-0 to s-(n-1), each as the instance that started at 1 ms.
-func instanceRefs(n int) (refs []catalog.InstanceRef) {
-	for i := range n {
-		refs = append(refs, catalog.InstanceRef{Name: fmt.Sprint("s-", i), StartedMs: 1})
-	}
-	return refs
-}
-
-// renewAll renews the leases of the instances that refs returns, again and again at an interval, until
-// the test ends or the returned function is called.
-func (cluster *testCluster) renewAll(interval time.Duration, refs func() []catalog.InstanceRef) (stop func()) {
-	ctx, cancel := context.WithCancel(cluster.t.Context())
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		client := cluster.client(cluster.names...)
-		ticker := time.NewTicker(interval)
-		defer ticker.Stop()
-		for {
-			select {
-			case <-ticker.C:
-			case <-ctx.Done():
-				return
-			}
-			call, cancelCall := context.WithTimeout(ctx, statusTimeout)
-			_, _ = client.Renew(call, refs())
-			cancelCall()
-		}
-	}()
-	stop = func() { cancel(); <-done }
-	cluster.t.Cleanup(stop)
-	return stop
-}
