--- a/cmd/controlplane/claims_test.go
+++ b/cmd/controlplane/claims_test.go
@@ -24,7 +24,7 @@
 
 	sessionRenewInterval = 200 * time.Millisecond
 	sessionRenewTimeout  = 500 * time.Millisecond
-	// sessionExpiryWait is longer than a session without tasks is kept that is not renewed.
+	// sessionExpiryWait is longer than the control plane keeps a session without tasks that is not renewed.
 	sessionExpiryWait = 4 * time.Second
 
 	// maxRepeatedCalls bounds the calls that are sent twice: the checker tries each both ways.
@@ -344,7 +344,7 @@
 }
 
 // maybeRepeat sends one call in four a second time, through another server, before or after the calls
-// that follow. It counts as a call whose answer was lost: it may take effect or not.
+// that follow. The history has the second call as one whose answer was lost: it may take effect or not.
 func (s *claimSession) maybeRepeat(input claimInput, called time.Duration, call func(*control.Client)) {
 	h := s.history
 	h.mu.Lock()
--- a/cmd/controlplane/linearizability_test.go
+++ b/cmd/controlplane/linearizability_test.go
@@ -91,8 +91,8 @@
 
 // resolveUnknownOutcomes completes the operations whose answers were lost with what is known of them.
 // Weights are unique: a write whose weight a read saw took effect, under the version of the read. A write
-// that no read saw concerns nobody but a compare-and-set that was rejected for it. It is left out, as the
-// checker would have to try it at every place.
+// that no read saw matters only to a compare-and-set that was rejected because of the write. The write is
+// left out, as the checker would have to try it at every place.
 func resolveUnknownOutcomes(operations []porcupine.Operation) (resolved []porcupine.Operation) {
 	seenVersions := map[float64]int64{} // by weight
 	for _, operation := range operations {
--- a/cmd/controlplane/quorum_test.go
+++ b/cmd/controlplane/quorum_test.go
@@ -144,7 +144,7 @@
 	for _, name := range cluster.names {
 		cluster.configure(name, cluster.names)
 	}
-	for _, name := range oldServers { // reads the table of peers without a restart
+	for _, name := range oldServers { // each reads its table of peers again, without a restart
 		signalProcess(t, cluster.servers[name].proc, syscall.SIGHUP)
 	}
 	writer, reader := cluster.startWriter("s"), cluster.startReader(cluster.names...)
@@ -173,8 +173,8 @@
 	reader.stopAndVerify(t)
 }
 
-// sendWhileSuspended makes calls to a server that is suspended, and returns once all have been sent. The
-// channel has a result of each after the server is resumed.
+// sendWhileSuspended makes calls to a server that is suspended, and returns once all have been sent. Each
+// call puts its result on the channel when the server, resumed by the caller, has answered.
 func (cluster *testCluster) sendWhileSuspended(name string, calls int, call func(ctx context.Context, client *control.Client) bool) <-chan bool {
 	results, sent := make(chan bool, calls), make(chan struct{}, calls)
 	trace := &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) { sent <- struct{}{} }}
@@ -192,7 +192,8 @@
 }
 
 // A leader that is suspended finds consistent reads when it is resumed, and may believe that it still
-// leads. It answers none with a state from before a write at the next leader that preceded them.
+// leads. If the next leader took a write before the reads were sent, the resumed one answers no read with
+// the state from before that write.
 func TestResumedLeaderAnswersNoStaleRead(t *testing.T) {
 	const reads = 40
 	cluster := newCluster(t, 3)
--- a/cmd/controlplane/services_test.go
+++ b/cmd/controlplane/services_test.go
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// When a server changes its service under one name, watches of the old service are told of its removal,
-// those of the new one get it, and those of both have it in the new one at the end.
+// When a server changes its service under one name, watches of the old service receive its removal, watches
+// of the new service receive the server, and watches of both have the server in the new service at the end.
 func TestServerChangesItsService(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.registerInService("old", "s", 1)
@@ -273,9 +273,9 @@
 	ofDefault.stopAndVerify(t)
 }
 
-// If all servers of one service stop renewing while those of others go on, they stay listed until an
-// operator confirms their removal. Single servers of another service, and the only server of a third,
-// expire meanwhile.
+// If all servers of one service stop renewing while the servers of others go on, the ones that stopped stay
+// listed until an operator confirms their removal. Single servers of another service, and the only server
+// of a third, expire meanwhile.
 func TestMassFailureGuardPerService(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.shortenLeases()
@@ -324,7 +324,7 @@
 	if n := count("fails"); n != 8 {
 		t.Errorf("%d servers of the service are listed, want 8", n)
 	}
-	// A leader that is elected meanwhile renews their leases once, and quarantines them again.
+	// A leader that is elected meanwhile extends all leases once, and quarantines the servers again.
 	cluster.waitUntil("the quarantined are off the list after the confirmation", func() bool {
 		if status, err := cluster.status(cluster.waitForLeader()); err == nil && status.Quarantined > 0 {
 			ctx, cancel := context.WithTimeout(t.Context(), readTimeout)
--- a/cmd/controlplane/servicewatch_test.go
+++ b/cmd/controlplane/servicewatch_test.go
@@ -24,8 +24,8 @@
 // serviceQuery returns the part of a query that names services.
 func serviceQuery(services []string) string { return url.Values{"service": services}.Encode() }
 
-// serviceWatch reads what watches of services are sent, from server to server, and applies it as the
-// protocol demands.
+// serviceWatch watches services, at one server of the control plane after the other. It applies each line
+// that it receives as the protocol demands, and notes lines that violate the protocol.
 type serviceWatch struct {
 	services []string
 	stop     context.CancelFunc
@@ -198,8 +198,8 @@
 	return endpoint
 }
 
-// registerInService registers a server with the servers of the cluster named, or with all, until one of
-// them acknowledges it.
+// registerInService sends a registration to the servers of the cluster named, or to all, until one of them
+// acknowledges it. It fails the test if none does within waitTimeout.
 func (cluster *testCluster) registerInService(service, name string, startedMs float64, at ...string) catalog.Result {
 	cluster.t.Helper()
 	if len(at) == 0 {
@@ -216,7 +216,7 @@
 	return result
 }
 
-// get makes one GET call to a server and reads its answer.
+// get makes one GET call to a server and reads its answer. It fails the test if the server doesn't answer.
 func (cluster *testCluster) get(at, path string) (status int, header http.Header, text []byte) {
 	cluster.t.Helper()
 	resp, err := http.Get("http://" + cluster.servers[at].http + path)
@@ -230,7 +230,8 @@
 	return resp.StatusCode, resp.Header, text
 }
 
-// fullList returns the full list of some services at a server.
+// fullList waits until a server serves the list that a query names, and returns the list. It fails the test
+// if the answer is no full list or doesn't tell its scope, or after waitTimeout.
 func (cluster *testCluster) fullList(at, query string) endpoints.List {
 	cluster.t.Helper()
 	var list endpoints.List
--- a/cmd/controlplane/syscallfaults_test.go
+++ b/cmd/controlplane/syscallfaults_test.go
@@ -86,7 +86,7 @@
 
 // A disk whose writes or syncs fail for a while, also with a kill meanwhile, loses no acknowledged write,
 // and writes are accepted again afterwards. A server that ended is started again, as its platform would
-// do, and has said why in its log, without a stack trace.
+// do. Its log says why writes failed, without a stack trace.
 func TestDiskErrorsKeepAcknowledgedWrites(t *testing.T) {
 	for _, faults := range []string{"fdatasync:EIO", "pwrite64:ENOSPC", "pwrite64:EIO,fdatasync:EIO"} {
 		for _, n := range []int{1, 3} {
--- a/cmd/controlplane/watches_test.go
+++ b/cmd/controlplane/watches_test.go
@@ -27,8 +27,8 @@
 	return time.Duration(minPauseMs+number%pauseSpreadMs) * time.Millisecond
 }
 
-// readerGroup is many readers, each with its own order of the servers, as agents have. It is the
-// transport of their calls and records when they were made.
+// readerGroup is many readers, each with its own order of the servers, as agents have. The group is the
+// transport of the readers' calls, and records the time of each call.
 type readerGroup struct {
 	cluster *testCluster
 	readers []*watchReader
@@ -316,7 +316,7 @@
 	for i := range n {
 		cluster.register(fmt.Sprint("s-", i), 1)
 	}
-	var silentServers atomic.Int64 // the last ones, that renew no more
+	var silentServers atomic.Int64 // how many of the last servers have stopped renewing
 	cluster.renewAll(100*time.Millisecond, func() []catalog.InstanceRef { return instanceRefs(n - int(silentServers.Load())) })
 	reader := cluster.startReader(cluster.names...)
 	for round := range 3 {
