--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -11,69 +11,10 @@
 	"strings"
 	"sync/atomic"
 	"testing"
-	"time"
 
 	"knotrouter/policy"
 )
 
-// noTimeout is a timeout that no test reaches.
-const noTimeout = time.Hour // for what a test does not let run out
-
-// rawBackend returns the address of a backend that passes each connection to serve; it ends with
-// the test.
-func rawBackend(t *testing.T, serve func(c net.Conn, r *bufio.Reader)) string {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer c.Close()
-				serve(c, bufio.NewReader(c))
-			}()
-		}
-	}()
-	return ln.Addr().String()
-}
-
-// readRequest reads one complete request.
-func readRequest(r *bufio.Reader) (*http.Request, error) {
-	req, err := http.ReadRequest(r)
-	if err == nil {
-		_, err = io.Copy(io.Discard, req.Body)
-	}
-	return req, err
-}
-
-// okAnswer is a complete response with status 200.
-const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-
-// newDialer returns a dialer without effective limits.
-func newDialer() *dialer {
-	return &dialer{connect: (&net.Dialer{}).DialContext, connectTimeout: noTimeout, idleTimeout: noTimeout, maxIdlePerBackend: 4, maxOpen: 100}
-}
-
-// newAttempt returns an attempt like the loop does.
-func newAttempt(tr *http.Transport, dial, method string, timeout time.Duration) *attempt {
-	r := &request{method: method, url: &url.URL{Path: "/order/u1"}, host: "backend.local", wireID: "id1"}
-	if method == http.MethodPost {
-		r.body = []byte("body")
-	}
-	a := &attempt{req: r, transport: tr, dialAddr: dial, started: time.Now()}
-	ctx, cancel := context.WithCancelCause(context.Background())
-	var stop context.CancelFunc
-	a.ctx, stop = context.WithTimeout(ctx, timeout)
-	a.cancel = func(cause error) { cancel(cause); stop() }
-	return a
-}
-
 // net/http must not send a request again when a kept connection breaks: that would be a second
 // attempt that nobody decided.
 func TestNoHiddenResend(t *testing.T) {
@@ -245,23 +186,6 @@
 	}
 }
 
-// An attempt whose connect is refused ends with ConnectFailed and holds no socket.
-func TestRefusedConnectIsConnectFailed(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := ln.Addr().String()
-	ln.Close()
-	d := newDialer()
-	if got := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout).run().status; got != policy.ConnectFailed {
-		t.Fatalf("ended %d, want could-not-connect", got)
-	}
-	if n := d.open.Load(); n != 0 {
-		t.Fatalf("%d sockets counted as open", n)
-	}
-}
-
 // brokenConn writes a part of each write and fails.
 type brokenConn struct{ net.Conn }
 
@@ -311,39 +235,6 @@
 	}
 }
 
-// A dial ends with its attempt: http.Transport would let it finish and keep the connection, to a
-// backend that was given up or drains.
-func TestDialEndsWithAttempt(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		cause error
-		want  policy.Status
-	}{
-		{"time-out", context.DeadlineExceeded, policy.ConnectFailed},
-		{"drain", errBackendDrained, policy.Full},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			dialing, ended := make(chan struct{}), make(chan struct{})
-			d := newDialer()
-			d.connect = func(ctx context.Context, _, _ string) (net.Conn, error) {
-				close(dialing)
-				<-ctx.Done()
-				close(ended)
-				return nil, ctx.Err()
-			}
-			a := newAttempt(d.newTransport(), "127.0.0.1:1", http.MethodPost, noTimeout)
-			done := make(chan result)
-			go func() { done <- a.run() }()
-			<-dialing
-			a.cancel(c.cause)
-			if res := <-done; res.status != c.want {
-				t.Fatalf("ended %d, want %d", res.status, c.want)
-			}
-			<-ended
-		})
-	}
-}
-
 // An attempt that is withdrawn while its connection is established writes nothing.
 func TestWithdrawnAttemptSendsNothing(t *testing.T) {
 	read := make(chan int64, 1)
@@ -370,15 +261,6 @@
 	}
 }
 
-// Without a free socket the attempt was not executed, and the backend is not at fault.
-func TestNoSocketLeftIsNotTheBackendsFault(t *testing.T) {
-	d := newDialer()
-	d.maxOpen = 0
-	if got := newAttempt(d.newTransport(), "127.0.0.1:1", http.MethodPost, noTimeout).run().status; got != policy.Full {
-		t.Fatalf("ended %d, want turned away", got)
-	}
-}
-
 // The request is forwarded unchanged.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
--- /dev/null
+++ b/internal/agent/rawbackend_test.go
@@ -0,0 +1,70 @@
+package agent
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"testing"
+	"time"
+)
+
+// noTimeout is a timeout that no test reaches.
+const noTimeout = time.Hour // for what a test does not let run out
+
+// rawBackend returns the address of a backend that passes each connection to serve; it ends with
+// the test.
+func rawBackend(t *testing.T, serve func(c net.Conn, r *bufio.Reader)) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				serve(c, bufio.NewReader(c))
+			}()
+		}
+	}()
+	return ln.Addr().String()
+}
+
+// readRequest reads one complete request.
+func readRequest(r *bufio.Reader) (*http.Request, error) {
+	req, err := http.ReadRequest(r)
+	if err == nil {
+		_, err = io.Copy(io.Discard, req.Body)
+	}
+	return req, err
+}
+
+// okAnswer is a complete response with status 200.
+const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+
+// newDialer returns a dialer without effective limits.
+func newDialer() *dialer {
+	return &dialer{connect: (&net.Dialer{}).DialContext, connectTimeout: noTimeout, idleTimeout: noTimeout, maxIdlePerBackend: 4, maxOpen: 100}
+}
+
+// newAttempt returns an attempt like the loop does.
+func newAttempt(tr *http.Transport, dial, method string, timeout time.Duration) *attempt {
+	r := &request{method: method, url: &url.URL{Path: "/order/u1"}, host: "backend.local", wireID: "id1"}
+	if method == http.MethodPost {
+		r.body = []byte("body")
+	}
+	a := &attempt{req: r, transport: tr, dialAddr: dial, started: time.Now()}
+	ctx, cancel := context.WithCancelCause(context.Background())
+	var stop context.CancelFunc
+	a.ctx, stop = context.WithTimeout(ctx, timeout)
+	a.cancel = func(cause error) { cancel(cause); stop() }
+	return a
+}
--- /dev/null
+++ b/internal/endpoints/unscopedserver_test.go
@@ -0,0 +1,78 @@
+package endpoints
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// A server that doesn't know services sends all endpoints without their services: the reader keeps the
+// ones that it has, accepts no other, follows their changes, and doesn't leave or avoid the address for
+// it. The next watch, at any server, begins with a full list.
+func TestUnscopedServerBesideScopedServer(t *testing.T) {
+	endpoints := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("a2", "a"), readyEndpoint("b1", "b"), readyEndpoint("d1", "")}
+	runScopedReader(t, 2, []string{"a"}, endpoints, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
+		f.mu.Lock()
+		f.servers[order[1]].ignoresServices = true
+		f.mu.Unlock()
+		close(f.servers[order[0]].closeWatches)
+		time.Sleep(time.Second)
+		synctest.Wait()
+		if got := f.requests(); len(got) != 2 || got[1] != order[1]+"?follow=1&since=104&service=a" {
+			t.Fatalf("requested %q", got)
+		}
+		if got := r.endpointNames(); got != "a1 a2" {
+			t.Errorf("endpoints %q", got)
+		}
+		f.update(func(s *fakeList) {
+			s.remove("a1")
+			s.set(readyEndpoint("a3", "a"), false) // nothing says that the service is a
+			s.set(readyEndpoint("b1", "b"), false)
+			e := readyEndpoint("a2", "a")
+			e.Health = Draining
+			s.set(e, false)
+		})
+		time.Sleep(time.Minute)
+		synctest.Wait()
+		if got := r.endpointNames(); got != "a2" || r.endpoints["a2"].Health != Draining || r.endpoints["a2"].Service != "a" {
+			t.Errorf("endpoints %q: %+v", got, r.endpoints)
+		}
+		if got := f.requests(); len(got) != 2 || r.client.selector.candidates[1].consecutiveFailures > 0 || r.client.selector.candidates[1].avoidUntil > 0 {
+			t.Errorf("left the server without services: %q", got)
+		}
+		f.mu.Lock()
+		f.servers[order[0]].closeWatches = make(chan struct{})
+		close(f.servers[order[1]].closeWatches)
+		f.mu.Unlock()
+		time.Sleep(time.Second)
+		synctest.Wait()
+		if got := f.requests(); len(got) != 3 || got[2] != order[0]+"?follow=1&since=0&service=a" || r.endpointNames() != "a2 a3" {
+			t.Errorf("requested %q, endpoints %q", got, r.endpointNames())
+		}
+		if len(r.events) > 0 {
+			t.Errorf("events %+v", r.events)
+		}
+	})
+}
+
+// A reader of the default service accepts from a server that doesn't know services all endpoints that it
+// doesn't have under another service.
+func TestUnscopedServerAlone(t *testing.T) {
+	endpoints := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("d1", "")}
+	runScopedReader(t, 1, []string{"", "a"}, nil, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
+		f.mu.Lock()
+		f.servers[order[0]].ignoresServices = true
+		f.mu.Unlock()
+		r.reconfigure(t, order, []string{"", "a"})
+		f.update(func(s *fakeList) {
+			for _, e := range endpoints {
+				s.set(e, false)
+			}
+		})
+		time.Sleep(time.Second)
+		synctest.Wait()
+		if got := r.endpointNames(); got != "a1 d1" || r.endpoints["a1"].Service != "" {
+			t.Errorf("endpoints %q: %+v", got, r.endpoints)
+		}
+	})
+}
