--- a/cmd/controlplane/bench_test.go
+++ b/cmd/controlplane/bench_test.go
@@ -115,7 +115,7 @@
 	var version int64
 	client := endpoints.NewClient(endpoints.ClientConfig{
 		Addresses:   load.cluster.client(load.cluster.names...).Addrs,
-		Order:       uint64(number),
+		OrderSeed:   uint64(number),
 		Fleet:       n,
 		RejectOlder: true,
 		Transport:   countingTransport{&http.Transport{DisableKeepAlives: true}, &load.calls},
--- a/cmd/controlplane/membership_test.go
+++ b/cmd/controlplane/membership_test.go
@@ -109,7 +109,7 @@
 	const agentRestartPause = 20 * time.Millisecond // between the end of a watch and the next
 	ctx, stop := context.WithCancel(cluster.t.Context())
 	cluster.t.Cleanup(stop)
-	client = endpoints.NewClient(endpoints.ClientConfig{Addresses: cluster.client(cluster.names...).Addrs, Order: order, Fleet: 1, Member: name})
+	client = endpoints.NewClient(endpoints.ClientConfig{Addresses: cluster.client(cluster.names...).Addrs, OrderSeed: order, Fleet: 1, Member: name})
 	go func() {
 		for ctx.Err() == nil {
 			_ = client.Watch(ctx, 0, func(endpoints.List) {})
--- a/cmd/controlplane/watches_test.go
+++ b/cmd/controlplane/watches_test.go
@@ -57,7 +57,7 @@
 		group.readers = append(group.readers, reader)
 		client := endpoints.NewClient(endpoints.ClientConfig{
 			Addresses:   cluster.client(cluster.names...).Addrs,
-			Order:       uint64(i),
+			OrderSeed:   uint64(i),
 			Fleet:       n,
 			RejectOlder: true,
 			Transport:   group,
--- a/cmd/controlplane/watchreader_test.go
+++ b/cmd/controlplane/watchreader_test.go
@@ -38,7 +38,7 @@
 	reader.stop, reader.done = cancel, make(chan struct{})
 	addrs := cluster.client(at...).Addrs
 	// RejectOlder is not set: the reader takes lists of lower versions, to be able to report them.
-	client := endpoints.NewClient(endpoints.ClientConfig{Addresses: addrs, Order: orderBeginningAt(addrs), Fleet: 1})
+	client := endpoints.NewClient(endpoints.ClientConfig{Addresses: addrs, OrderSeed: orderBeginningAt(addrs), Fleet: 1})
 	go func() {
 		defer close(reader.done)
 		for ctx.Err() == nil {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -209,7 +209,7 @@
 		var h endpoints.Endpoint
 		err := json.Unmarshal(host, &h)
 		if err == nil {
-			err = h.Readable()
+			err = h.CheckReadable()
 		}
 		if err != nil {
 			if skipped++; firstErr == nil {
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -94,7 +94,7 @@
 	defer stop()
 	go d.watch(ctx, 1)
 	e := receive(t, "the list with the entry", observed)
-	if e.kind != eventListChanged || e.list.Seq != 3 || e.list.Endpoints[0].Health != endpoints.Draining || e.list.Problem == nil {
+	if e.kind != eventListChanged || e.list.Seq != 3 || e.list.Endpoints[0].Health != endpoints.Draining || e.list.EntryError == nil {
 		t.Fatalf("got event %+v", e)
 	}
 	if e := receive(t, "the next list", observed); e.kind != eventListChanged || e.list.Seq != 2 {
--- a/internal/agent/endpointlist.go
+++ b/internal/agent/endpointlist.go
@@ -80,8 +80,8 @@
 func (l *loop) applyList(kind policy.ListKind, list *endpoints.List) {
 	l.listVersion = list.Seq
 	l.log.Debug("list taken", "version", list.Seq, "entries", len(list.Endpoints))
-	if list.Problem != nil {
-		l.warnDiscovery("discovery: unreadable entry of a list", "list_version", list.Seq, "err", list.Problem)
+	if list.EntryError != nil {
+		l.warnDiscovery("discovery: unreadable entry of a list", "list_version", list.Seq, "err", list.EntryError)
 	}
 	l.applyEntries(&policy.Event{Kind: policy.EvList, List: kind}, list)
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -91,7 +91,7 @@
 	// All agents see the same fault of discovery, so the rate of lines is for all of them together.
 	l.logLimiter = endpoints.TokenBucket{Burst: 10, Rate: min(1, 20/float64(max(settings.Replicas, 1)))}
 	if len(c.ControlPlane) > 0 {
-		l.controlPlane = &endpoints.ClientConfig{Order: c.Seed, Fleet: settings.Replicas, RejectOlder: true, Services: c.Services}
+		l.controlPlane = &endpoints.ClientConfig{OrderSeed: c.Seed, Fleet: settings.Replicas, RejectOlder: true, Services: c.Services}
 		l.scope.update(c.Services, 0)
 		if endpoints.IsToken(c.Name, endpoints.MaxName) {
 			l.controlPlane.Member = c.Name
--- a/internal/endpoints/addressselector.go
+++ b/internal/endpoints/addressselector.go
@@ -73,9 +73,9 @@
 // NewAddressSelector returns a selector for one reader of a fleet of that many readers. The order is
 // the seed of the reader's own order of the addresses: with different seeds, readers spread over the
 // addresses.
-func NewAddressSelector(addresses []string, order uint64, fleet int) *AddressSelector {
-	rate := min(maxReaderRate, maxFleetRate/float64(max(fleet, 1)))
-	selector := &AddressSelector{orderSeed: order, budget: TokenBucket{Rate: rate}}
+func NewAddressSelector(addresses []string, orderSeed uint64, fleetSize int) *AddressSelector {
+	rate := min(maxReaderRate, maxFleetRate/float64(max(fleetSize, 1)))
+	selector := &AddressSelector{orderSeed: orderSeed, budget: TokenBucket{Rate: rate}}
 	selector.SetAddresses(addresses)
 	return selector
 }
@@ -99,10 +99,10 @@
 
 // rendezvousRank returns the sort key of an address in a reader's order. It is rendezvous hashing: the
 // readers of a lost address spread over all others, and every other reader stays where it is.
-func rendezvousRank(order uint64, addr string) uint64 {
+func rendezvousRank(orderSeed uint64, addr string) uint64 {
 	hasher := fnv.New64a()
 	var seed [8]byte
-	binary.BigEndian.PutUint64(seed[:], order)
+	binary.BigEndian.PutUint64(seed[:], orderSeed)
 	_, _ = hasher.Write(seed[:])
 	_, _ = hasher.Write([]byte(addr))
 	hash := hasher.Sum64()
@@ -120,8 +120,8 @@
 // Has reports whether addr is one of the addresses.
 func (s *AddressSelector) Has(addr string) bool { return s.index(addr) >= 0 }
 
-// Others returns the number of addresses beside the one that is in use.
-func (s *AddressSelector) Others() int { return max(len(s.candidates)-1, 0) }
+// OtherCount returns the number of addresses beside the one that is in use.
+func (s *AddressSelector) OtherCount() int { return max(len(s.candidates)-1, 0) }
 
 // BudgetExhausted returns how many rounds ended because the budget was spent.
 func (s *AddressSelector) BudgetExhausted() int64 { return s.budgetExhausted }
--- a/internal/endpoints/addressselector_test.go
+++ b/internal/endpoints/addressselector_test.go
@@ -19,15 +19,15 @@
 
 // selectorModel drives an AddressSelector with random steps and checks its bounds after each of them.
 type selectorModel struct {
-	rt       *rapid.T
-	selector *AddressSelector
-	fleet    int
-	all      []string // the addresses that a step may set
+	rt           *rapid.T
+	selector     *AddressSelector
+	fleetSize    int
+	allAddresses []string // the addresses that a step may set
 
 	now               time.Duration
-	roundBegan        bool
+	roundStarted      bool
 	firstCall         bool
-	paidCalls         int                      // calls that were not the first of their round
+	budgetedCalls     int                      // calls that were not the first of their round
 	callsSinceList    int                      // of the present round
 	avoidUntil        map[string]time.Duration // by address
 	lastCalledAddress string
@@ -38,11 +38,11 @@
 // than its bounds, and prefers the first address in its order that gave no cause to avoid it.
 func TestAddressSelectorKeepsBudgetAndOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		all := testAddresses(8)
-		addresses := all[:rapid.IntRange(1, 5).Draw(rt, "addresses")]
-		fleet := rapid.IntRange(1, 2000).Draw(rt, "fleet")
-		m := &selectorModel{rt: rt, fleet: fleet, all: all, avoidUntil: map[string]time.Duration{}}
-		m.selector = NewAddressSelector(addresses, rapid.Uint64().Draw(rt, "order"), fleet)
+		allAddresses := testAddresses(8)
+		addresses := allAddresses[:rapid.IntRange(1, 5).Draw(rt, "addresses")]
+		fleetSize := rapid.IntRange(1, 2000).Draw(rt, "fleet")
+		m := &selectorModel{rt: rt, fleetSize: fleetSize, allAddresses: allAddresses, avoidUntil: map[string]time.Duration{}}
+		m.selector = NewAddressSelector(addresses, rapid.Uint64().Draw(rt, "order"), fleetSize)
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
 			m.step()
 			m.checkBudget()
@@ -54,7 +54,7 @@
 	switch rapid.SampledFrom([]string{"begin", "next", "next", "list", "end", "wait", "set"}).Draw(m.rt, "step") {
 	case "begin":
 		m.selector.BeginRound()
-		m.firstCall, m.roundBegan, m.callsSinceList = true, true, 0
+		m.firstCall, m.roundStarted, m.callsSinceList = true, true, 0
 	case "next":
 		m.next()
 	case "list":
@@ -68,13 +68,13 @@
 	case "wait":
 		m.now += time.Duration(rapid.IntRange(0, 20_000).Draw(m.rt, "ms")) * time.Millisecond
 	case "set":
-		m.selector.SetAddresses(m.all[:rapid.IntRange(1, 8).Draw(m.rt, "addresses")])
+		m.selector.SetAddresses(m.allAddresses[:rapid.IntRange(1, 8).Draw(m.rt, "addresses")])
 	}
 }
 
 // next asks for the next address and checks it.
 func (m *selectorModel) next() {
-	if !m.roundBegan {
+	if !m.roundStarted {
 		return
 	}
 	addr, wait, ok := m.selector.Next(m.now, rapid.Float64Range(0, 0.999).Draw(m.rt, "random"))
@@ -92,7 +92,7 @@
 	}
 	candidates := m.selector.candidates
 	if !m.firstCall {
-		if m.paidCalls++; len(candidates) == 1 {
+		if m.budgetedCalls++; len(candidates) == 1 {
 			m.rt.Fatal("a second call in a round to the only address")
 		}
 	}
@@ -137,16 +137,16 @@
 // checkBudget checks the calls so far, and the rate of the whole fleet. Calls that are paid for are the
 // burst, which is one more than the number of addresses, and what the budget was refilled with since.
 func (m *selectorModel) checkBudget() {
-	maxBurst := float64(len(m.all) + 1)
+	maxBurst := float64(len(m.allAddresses) + 1)
 	rate := m.selector.budget.Rate
-	if limit := maxBurst + rate*m.now.Seconds(); float64(m.paidCalls) > limit {
-		m.rt.Fatalf("%d calls beyond the rounds' first within %v, at most %.1f", m.paidCalls, m.now, limit)
+	if limit := maxBurst + rate*m.now.Seconds(); float64(m.budgetedCalls) > limit {
+		m.rt.Fatalf("%d calls beyond the rounds' first within %v, at most %.1f", m.budgetedCalls, m.now, limit)
 	}
 	if rate > readerRateLimit {
 		m.rt.Fatalf("a reader may make %v calls a second", rate)
 	}
-	if float64(m.fleet)*rate > fleetRateLimit+rateRounding {
-		m.rt.Fatalf("a fleet of %d may make %v calls a second each", m.fleet, rate)
+	if float64(m.fleetSize)*rate > fleetRateLimit+rateRounding {
+		m.rt.Fatalf("a fleet of %d may make %v calls a second each", m.fleetSize, rate)
 	}
 }
 
@@ -167,9 +167,9 @@
 			second, _, _ := selector.Next(0, 0)
 			secondChoices[second]++
 		}
-		without := NewAddressSelector(addresses[1:], uint64(i), readers)
-		without.BeginRound()
-		if addr, _, _ := without.Next(0, 0); first != addresses[0] && addr != first {
+		remaining := NewAddressSelector(addresses[1:], uint64(i), readers)
+		remaining.BeginRound()
+		if addr, _, _ := remaining.Next(0, 0); first != addresses[0] && addr != first {
 			t.Fatalf("reader %d leaves %s for %s because a third address is lost", i, first, addr)
 		}
 	}
--- a/internal/endpoints/client.go
+++ b/internal/endpoints/client.go
@@ -17,7 +17,7 @@
 // ClientConfig configures a Client.
 type ClientConfig struct {
 	Addresses      []string      // of the servers of the list service, as host:port
-	Order          uint64        // seed of the reader's own order of the addresses
+	OrderSeed      uint64        // seed of the reader's own order of the addresses
 	Fleet          int           // number of readers that share the service
 	SilenceTimeout time.Duration // 0: WatchSilenceTimeout
 	Member         string        // name under which the service counts the reader as present; "": it doesn't
@@ -64,7 +64,7 @@
 		httpClient:   &http.Client{Transport: config.Transport},
 		createdAt:    time.Now(),
 		bootID:       crand.Text(),
-		selector:     NewAddressSelector(config.Addresses, config.Order, config.Fleet),
+		selector:     NewAddressSelector(config.Addresses, config.OrderSeed, config.Fleet),
 		subscription: newSubscription(config.Services),
 	}
 }
--- a/internal/endpoints/client_test.go
+++ b/internal/endpoints/client_test.go
@@ -59,30 +59,30 @@
 		resp.Body = io.NopCloser(strings.NewReader(string(text)))
 		return resp, nil
 	}
-	out, in := io.Pipe()
-	resp.Body = out
+	body, writer := io.Pipe()
+	resp.Body = body
 	address.closeWatch = make(chan error, 1)
-	go address.serveWatch(r.Context(), in, text, address.closeWatch, address.silent)
+	go address.serveWatch(r.Context(), writer, text, address.closeWatch, address.silent)
 	return resp, nil
 }
 
 // serveWatch writes the list and then heartbeats. It takes the state of the address as arguments, as a
 // later call may change it.
-func (a *stubAddress) serveWatch(ctx context.Context, in *io.PipeWriter, list []byte, closeWatch <-chan error, silent bool) {
-	_, _ = in.Write(list)
+func (a *stubAddress) serveWatch(ctx context.Context, writer *io.PipeWriter, list []byte, closeWatch <-chan error, silent bool) {
+	_, _ = writer.Write(list)
 	heartbeat := time.NewTicker(2 * time.Second)
 	defer heartbeat.Stop()
 	for {
 		select {
 		case <-heartbeat.C:
 			if !silent {
-				_, _ = in.Write([]byte("\n"))
+				_, _ = writer.Write([]byte("\n"))
 			}
 		case err := <-closeWatch:
-			in.CloseWithError(err)
+			writer.CloseWithError(err)
 			return
 		case <-ctx.Done():
-			in.CloseWithError(ctx.Err())
+			writer.CloseWithError(ctx.Err())
 			return
 		}
 	}
@@ -94,8 +94,8 @@
 	s.addresses[addr] = address
 }
 
-// requestedHosts returns the addresses of the calls so far, in order.
-func (s *stubService) requestedHosts() []string {
+// requestedAddresses returns the addresses of the calls so far, in order.
+func (s *stubService) requestedAddresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var hosts []string
@@ -112,7 +112,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := &stubService{addresses: map[string]*stubAddress{}}
-		c := NewClient(ClientConfig{Addresses: testAddresses(n), Order: 7, Fleet: 10, RejectOlder: true, Transport: s})
+		c := NewClient(ClientConfig{Addresses: testAddresses(n), OrderSeed: 7, Fleet: 10, RejectOlder: true, Transport: s})
 		var order []string
 		for _, candidate := range c.selector.candidates {
 			order = append(order, candidate.addr)
@@ -149,7 +149,7 @@
 				go func() { done <- c.Watch(ctx, 5, func(l List) { received = append(received, l) }) }()
 				time.Sleep(WatchSilenceTimeout + time.Second)
 				synctest.Wait()
-				if got := s.requestedHosts(); len(got) != 2 || got[0] != order[0] || got[1] != order[1] {
+				if got := s.requestedAddresses(); len(got) != 2 || got[0] != order[0] || got[1] != order[1] {
 					t.Errorf("requested %v of %v", got, order)
 				}
 				if n := len(received); n == 0 || received[n-1].Seq != 6 || received[0].Seq < 5 {
@@ -163,8 +163,8 @@
 				}
 				time.Sleep(time.Minute) // the watch stays at the address
 				synctest.Wait()
-				if len(s.requestedHosts()) != 2 {
-					t.Errorf("requested %v", s.requestedHosts())
+				if len(s.requestedAddresses()) != 2 {
+					t.Errorf("requested %v", s.requestedAddresses())
 				}
 				cancel()
 				if err := <-done; !errors.Is(err, context.Canceled) {
@@ -184,13 +184,13 @@
 				t.Fatal("a watch without a server returned no error")
 			}
 		}
-		if n, exhausted := len(s.requestedHosts()), c.BudgetExhausted(); n < 103 || n > 107 || exhausted < 90 {
+		if n, exhausted := len(s.requestedAddresses()), c.BudgetExhausted(); n < 103 || n > 107 || exhausted < 90 {
 			t.Errorf("100 rounds at once made %d calls, %d ended by the budget", n, exhausted)
 		}
 		time.Sleep(time.Minute)
-		before := len(s.requestedHosts())
+		before := len(s.requestedAddresses())
 		_ = c.Watch(t.Context(), 0, nil)
-		if n := len(s.requestedHosts()) - before; n != 3 {
+		if n := len(s.requestedAddresses()) - before; n != 3 {
 			t.Errorf("a round after a minute made %d calls", n)
 		}
 	})
@@ -222,7 +222,7 @@
 		s.set(order[1], servingVersion(20))
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		if got := s.requestedHosts(); len(got) != 4 || got[3] == order[2] {
+		if got := s.requestedAddresses(); len(got) != 4 || got[3] == order[2] {
 			t.Errorf("requested %v after %s was removed", got, order[2])
 		}
 		cancel()
@@ -250,7 +250,7 @@
 // FuzzParse: Parse returns an error or a list whose entries are all readable, whatever the text.
 // An entry that can't be read counts as draining, or is left out without a name; the others are read.
 func TestUnreadableEntriesDoNotHideOthers(t *testing.T) {
-	good := `{"host":"s-1","dial":"127.0.0.1:1","health":"draining"}`
+	validEntry := `{"host":"s-1","dial":"127.0.0.1:1","health":"draining"}`
 	for entry, want := range map[string]string{
 		`{"host":"s-2","dial":"127.0.0.1:2","health":"resting"}`:              "s-1 draining, s-2 draining: hosts[1].health: unknown word \"resting\"",
 		`{"host":"s-2","dial":"nowhere","health":"ready"}`:                    "s-1 draining, s-2 draining: hosts[1].dial",
@@ -260,7 +260,7 @@
 		`{"dial":"127.0.0.1:2","health":"ready"}`:                             "s-1 draining: hosts[1].host: missing",
 		`7`: "s-1 draining: json",
 	} {
-		list, err := Parse([]byte(`{"seq":4,"whole":false,"hosts":[` + good + `,` + entry + `]}`))
+		list, err := Parse([]byte(`{"seq":4,"whole":false,"hosts":[` + validEntry + `,` + entry + `]}`))
 		if err != nil {
 			t.Errorf("%s: %v", entry, err)
 			continue
@@ -269,7 +269,7 @@
 		for _, e := range list.Endpoints {
 			got = append(got, e.Name+" "+e.Health)
 		}
-		if text := fmt.Sprintf("%s: %v", strings.Join(got, ", "), list.Problem); !strings.HasPrefix(text, want) {
+		if text := fmt.Sprintf("%s: %v", strings.Join(got, ", "), list.EntryError); !strings.HasPrefix(text, want) {
 			t.Errorf("%s: %q, want %q", entry, text, want)
 		}
 	}
@@ -292,8 +292,8 @@
 		for i := range l.Endpoints {
 			e := &l.Endpoints[i]
 			unreadable := e.Health != Ready && e.Health != Draining && e.Health != Removed || e.Health != Removed && !IsAddress(e.Dial)
-			if e.Name == "" || unreadable && (e.Health != Draining || l.Problem == nil) {
-				t.Errorf("accepted %+v, problem %v", e, l.Problem)
+			if e.Name == "" || unreadable && (e.Health != Draining || l.EntryError == nil) {
+				t.Errorf("accepted %+v, problem %v", e, l.EntryError)
 			}
 			if e.Validate() == nil {
 				// A valid name can stand in a path and is the same when the path is parsed.
@@ -312,21 +312,21 @@
 	pause time.Duration
 }
 
-func (w scriptedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	out, in := io.Pipe()
+func (s scriptedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	body, writer := io.Pipe()
 	go func() {
-		for _, text := range w.texts {
-			if _, err := io.WriteString(in, text); err != nil {
+		for _, text := range s.texts {
+			if _, err := io.WriteString(writer, text); err != nil {
 				return
 			}
 			select {
-			case <-time.After(w.pause):
+			case <-time.After(s.pause):
 			case <-r.Context().Done():
 			}
 		}
 	}()
-	context.AfterFunc(r.Context(), func() { in.CloseWithError(r.Context().Err()) })
-	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: out, Request: r}, nil
+	context.AfterFunc(r.Context(), func() { writer.CloseWithError(r.Context().Err()) })
+	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: body, Request: r}, nil
 }
 
 // The text of a watch may be indented, with braces inside strings, and is a list once it is complete.
@@ -341,9 +341,9 @@
 		blanks = append(blanks, " ")
 	}
 	for name, c := range map[string]struct {
-		texts  []string
-		lists  int
-		lasted time.Duration // from the start to the end by silence
+		texts    []string
+		lists    int
+		duration time.Duration // from the start to the end by silence
 	}{
 		"indented":              {[]string{indented, "\n", indented}, 2, 2*time.Second + WatchSilenceTimeout},
 		"indented, in pieces":   {strings.SplitAfter(indented, "]"), 1, 2*time.Second + WatchSilenceTimeout},
@@ -361,10 +361,10 @@
 						t.Errorf("received %+v", l)
 					}
 				})
-				lasted := time.Since(began)
+				duration := time.Since(began)
 				synctest.Wait()
-				if !errors.Is(err, errSilenceTimeout) || lists != c.lists || lasted != c.lasted {
-					t.Errorf("received %d lists, ended after %v: %v", lists, lasted, err)
+				if !errors.Is(err, errSilenceTimeout) || lists != c.lists || duration != c.duration {
+					t.Errorf("received %d lists, ended after %v: %v", lists, duration, err)
 				}
 			})
 		})
--- a/internal/endpoints/fakeservice_test.go
+++ b/internal/endpoints/fakeservice_test.go
@@ -47,44 +47,44 @@
 	endpoints []Endpoint
 }
 
-func (s *fakeList) index(name string) int {
-	return slices.IndexFunc(s.endpoints, func(e Endpoint) bool { return e.Name == name })
+func (l *fakeList) index(name string) int {
+	return slices.IndexFunc(l.endpoints, func(e Endpoint) bool { return e.Name == name })
 }
 
 // set adds or replaces an endpoint. The change of an endpoint with another service than before also holds
 // its removal from that service, before or after its new entry.
-func (s *fakeList) set(e Endpoint, removalLast bool) {
+func (l *fakeList) set(e Endpoint, removalLast bool) {
 	change := []Endpoint{e}
-	if i := s.index(e.Name); i < 0 {
-		s.endpoints = append(s.endpoints, e)
+	if i := l.index(e.Name); i < 0 {
+		l.endpoints = append(l.endpoints, e)
 	} else {
-		if before := s.endpoints[i]; before.Service != e.Service {
+		if before := l.endpoints[i]; before.Service != e.Service {
 			before.Health = Removed
 			change = append(change, before)
 			if !removalLast {
 				slices.Reverse(change)
 			}
 		}
-		s.endpoints[i] = e
+		l.endpoints[i] = e
 	}
-	s.seq++
-	s.history = append(s.history, fakeChange{s.seq, change})
+	l.seq++
+	l.history = append(l.history, fakeChange{l.seq, change})
 }
 
 // remove removes an endpoint from the list.
-func (s *fakeList) remove(name string) {
-	i := s.index(name)
-	e := s.endpoints[i]
+func (l *fakeList) remove(name string) {
+	i := l.index(name)
+	e := l.endpoints[i]
 	e.Health = Removed
-	s.endpoints = slices.Delete(s.endpoints, i, i+1)
-	s.seq++
-	s.history = append(s.history, fakeChange{s.seq, []Endpoint{e}})
+	l.endpoints = slices.Delete(l.endpoints, i, i+1)
+	l.seq++
+	l.history = append(l.history, fakeChange{l.seq, []Endpoint{e}})
 }
 
 // response returns what a reader with the version since receives. With nil services it holds the
 // endpoints of all services, without their service.
-func (s *fakeList) response(since int64, services []string) List {
-	l := List{Seq: s.seq, Full: since <= 0, Endpoints: []Endpoint{}}
+func (l *fakeList) response(since int64, services []string) List {
+	list := List{Seq: l.seq, Full: since <= 0, Endpoints: []Endpoint{}}
 	add := func(e Endpoint) {
 		if services != nil && !slices.Contains(services, e.Service) {
 			return
@@ -92,15 +92,15 @@
 		if services == nil {
 			e.Service = ""
 		}
-		l.Endpoints = append(l.Endpoints, e)
+		list.Endpoints = append(list.Endpoints, e)
 	}
-	if l.Full {
-		for _, e := range s.endpoints {
+	if list.Full {
+		for _, e := range l.endpoints {
 			add(e)
 		}
-		return l
+		return list
 	}
-	for _, c := range s.history {
+	for _, c := range l.history {
 		for _, e := range c.endpoints {
 			movedAway := services == nil && e.Health == Removed && len(c.endpoints) > 1
 			if c.seq > since && !movedAway {
@@ -108,7 +108,7 @@
 			}
 		}
 	}
-	return l
+	return list
 }
 
 // update changes the list and notifies the watches.
@@ -153,14 +153,14 @@
 	if s.raisesVersion && since > f.list.seq-s.versionLag {
 		f.list.seq, f.list.history, s.versionLag, since = since+1, nil, 0, 0
 	}
-	out, in := io.Pipe()
-	resp.Body = out
-	go f.serve(r.Context(), s, in, since, services)
+	body, writer := io.Pipe()
+	resp.Body = body
+	go f.serve(r.Context(), s, writer, since, services)
 	return resp, nil
 }
 
 // serve writes one watch: the list or its changes first, then each change, and blank lines between.
-func (f *fakeControlPlane) serve(ctx context.Context, s *fakeServer, in *io.PipeWriter, since int64, services []string) {
+func (f *fakeControlPlane) serve(ctx context.Context, s *fakeServer, writer *io.PipeWriter, since int64, services []string) {
 	heartbeat := time.NewTicker(2 * time.Second)
 	defer heartbeat.Stop()
 	for first := true; ; first = false {
@@ -171,18 +171,18 @@
 			since = l.Seq
 			l.Seq -= lag
 			text, _ := json.Marshal(l)
-			_, _ = in.Write(append(text, '\n'))
+			_, _ = writer.Write(append(text, '\n'))
 		} else {
-			_, _ = in.Write([]byte("\n"))
+			_, _ = writer.Write([]byte("\n"))
 		}
 		select {
 		case <-changed:
 		case <-heartbeat.C:
 		case <-s.closeWatches:
-			in.Close()
+			writer.Close()
 			return
 		case <-ctx.Done():
-			in.CloseWithError(ctx.Err())
+			writer.CloseWithError(ctx.Err())
 			return
 		}
 	}
@@ -194,7 +194,7 @@
 	client          *Client
 	mu              sync.Mutex
 	table           *ServiceTable
-	number          uint64
+	subscription    uint64
 	seq             int64
 	endpoints       map[string]Endpoint
 	events          []ServiceEvent
@@ -207,7 +207,7 @@
 func (r *fakeReader) onList(l List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if l.Subscription != r.number || l.Seq < r.seq {
+	if l.Subscription != r.subscription || l.Seq < r.seq {
 		return
 	}
 	r.seq = l.Seq
@@ -240,7 +240,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.number = number
+	r.subscription = number
 	r.table.Subscribe(services)
 }
 
@@ -269,7 +269,7 @@
 			f.servers[addr] = &fakeServer{closeWatches: make(chan struct{})}
 		}
 		r := &fakeReader{table: NewServiceTable(services), endpoints: map[string]Endpoint{}}
-		r.client = NewClient(ClientConfig{Addresses: testAddresses(n), Order: 7, Fleet: 10, RejectOlder: true, Services: services, Transport: f,
+		r.client = NewClient(ClientConfig{Addresses: testAddresses(n), OrderSeed: 7, Fleet: 10, RejectOlder: true, Services: services, Transport: f,
 			OnFailover: func(addr string, _ error) {
 				r.mu.Lock()
 				defer r.mu.Unlock()
--- a/internal/endpoints/list.go
+++ b/internal/endpoints/list.go
@@ -39,8 +39,8 @@
 	Scoped bool `json:"-"`
 	// Subscription is the number of the client's subscription that the list answers.
 	Subscription uint64 `json:"-"`
-	// Problem is why the first entry that can't be read can't; nil: all can.
-	Problem error `json:"-"`
+	// EntryError is why the first entry that can't be read can't; nil: all can.
+	EntryError error `json:"-"`
 	// Age is, for the part of an unfinished list, the time since its first byte arrived.
 	Age time.Duration `json:"-"`
 }
@@ -62,13 +62,13 @@
 
 // Parse reads the JSON text of one list. An entry that can't be read does not keep the others from being
 // read: it counts as Draining, as nothing can be sent to it and what it holds is not known to be over, or
-// is left out if it has no name. List.Problem then names the first one. A list that is no list is an error.
+// is left out if it has no name. List.EntryError then names the first one. A list that is no list is an error.
 func Parse(text []byte) (List, error) {
 	var list List
 	err := json.Unmarshal(text, &list) // reads all other fields if one has the wrong type
 	if mismatch := new(json.UnmarshalTypeError); errors.As(err, &mismatch) &&
 		(mismatch.Type == reflect.TypeFor[Endpoint]() || strings.HasPrefix(mismatch.Field, "hosts.")) {
-		list.Problem, err = mismatch, nil
+		list.EntryError, err = mismatch, nil
 	}
 	if err != nil {
 		return list, err
@@ -76,9 +76,9 @@
 	readable := list.Endpoints[:0]
 	for i := range list.Endpoints {
 		endpoint := list.Endpoints[i]
-		if err := endpoint.Readable(); err != nil {
-			if list.Problem == nil {
-				list.Problem = fmt.Errorf("hosts[%d].%w", i, err)
+		if err := endpoint.CheckReadable(); err != nil {
+			if list.EntryError == nil {
+				list.EntryError = fmt.Errorf("hosts[%d].%w", i, err)
 			}
 			endpoint.Health = Draining
 		}
--- a/internal/endpoints/partiallist.go
+++ b/internal/endpoints/partiallist.go
@@ -48,7 +48,7 @@
 		if err := decoder.Decode(&endpoint); err != nil {
 			return endpoints, err
 		}
-		if endpoint.Readable() == nil {
+		if endpoint.CheckReadable() == nil {
 			endpoints = append(endpoints, endpoint)
 		}
 	}
--- a/internal/endpoints/request.go
+++ b/internal/endpoints/request.go
@@ -36,9 +36,9 @@
 	if err != nil {
 		return nil, err
 	}
-	others := c.otherAddresses()
-	if others > 0 {
-		req.Header.Set(OtherAddressesHeader, strconv.Itoa(others))
+	otherCount := c.otherAddressCount()
+	if otherCount > 0 {
+		req.Header.Set(OtherAddressesHeader, strconv.Itoa(otherCount))
 	}
 	if c.config.Member != "" {
 		req.Header.Set(MemberHeader, c.config.Member)
@@ -50,25 +50,25 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		resp.Body.Close()
-		return nil, responseError(resp, others > 0)
+		return nil, responseError(resp, otherCount > 0)
 	}
 	return resp, nil
 }
 
-func (c *Client) otherAddresses() int {
+func (c *Client) otherAddressCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.selector.Others()
+	return c.selector.OtherCount()
 }
 
 // responseError returns the error for a response with another status than 200. A server that is
 // unavailable for a time and says for how long is busy or stale; for a reader that has no other
 // address, that makes no difference.
-func responseError(resp *http.Response, hasOthers bool) error {
+func responseError(resp *http.Response, hasOtherAddresses bool) error {
 	seconds, err := strconv.ParseFloat(resp.Header.Get(retryAfterHeader), 64)
 	hasRetryAfter := err == nil && seconds >= 0 && seconds <= maxRetryAfterSeconds
 	switch {
-	case !hasOthers || resp.StatusCode != http.StatusServiceUnavailable || !hasRetryAfter:
+	case !hasOtherAddresses || resp.StatusCode != http.StatusServiceUnavailable || !hasRetryAfter:
 		return errors.New(resp.Status)
 	case resp.Header.Get(notAppliedHeader) != "":
 		return &busyError{time.Duration(seconds * float64(time.Second))}
--- a/internal/endpoints/requests_test.go
+++ b/internal/endpoints/requests_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	raw := make(chan string, 10)
+	rawRequests := make(chan string, 10)
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -36,7 +36,7 @@
 				}
 				text.WriteString(line)
 			}
-			raw <- text.String()
+			rawRequests <- text.String()
 			body := `{"seq":7,"whole":true,"hosts":[]}` + "\n"
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			conn.Close()
@@ -60,7 +60,7 @@
 		}
 		for _, path := range []string{c.fetch, c.watch} {
 			want := "GET " + path + " HTTP/1.1\r\nHost: " + addr + "\r\nUser-Agent: Go-http-client/1.1\r\nConnection: close\r\n\r\n"
-			if got := <-raw; got != want {
+			if got := <-rawRequests; got != want {
 				t.Errorf("sent %q, want %q", got, want)
 			}
 		}
@@ -113,18 +113,18 @@
 		}
 		return text
 	}
-	padded := func(n int) []byte {
+	paddedTo := func(n int) []byte {
 		text := listOf(10)
 		return append(append(text[:len(text)-1], strings.Repeat(" ", n-len(text))...), '}')
 	}
 	for name, c := range map[string]struct {
-		text []byte
-		long bool
+		text    []byte
+		tooLong bool
 	}{
 		"a service of 5,000": {listOf(5000), false},
 		"39,000":             {listOf(39000), true},
-		"the limit":          {padded(maxListBytes), false},
-		"one byte more":      {padded(maxListBytes + 1), true},
+		"the limit":          {paddedTo(maxListBytes), false},
+		"one byte more":      {paddedTo(maxListBytes + 1), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := NewClient(ClientConfig{Addresses: testAddresses(1), Transport: roundTripFunc(func(r *http.Request) (*http.Response, error) {
@@ -135,15 +135,15 @@
 				return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(text)), Request: r}, nil
 			})})
 			_, err := client.Fetch(t.Context(), 0)
-			if errors.Is(err, errListTooLong) != c.long || !c.long && err != nil {
+			if errors.Is(err, errListTooLong) != c.tooLong || !c.tooLong && err != nil {
 				t.Errorf("fetched: %v", err)
 			}
-			if c.long && !strings.Contains(err.Error(), "4194304") {
+			if c.tooLong && !strings.Contains(err.Error(), "4194304") {
 				t.Errorf("the error doesn't name the limit: %v", err)
 			}
 			lists := 0
 			err = client.Watch(context.Background(), 0, func(List) { lists++ })
-			if errors.Is(err, errListTooLong) != c.long || (lists == 0) != c.long {
+			if errors.Is(err, errListTooLong) != c.tooLong || (lists == 0) != c.tooLong {
 				t.Errorf("watched %d lists: %v", lists, err)
 			}
 		})
--- a/internal/endpoints/round.go
+++ b/internal/endpoints/round.go
@@ -85,9 +85,9 @@
 	outcome, retryAfter := classifyOutcome(err)
 	c.mu.Lock()
 	c.selector.CallEnded(time.Since(c.createdAt), addr, outcome, retryAfter)
-	hasOthers := c.selector.Others() > 0
+	hasOtherAddresses := c.selector.OtherCount() > 0
 	c.mu.Unlock()
-	if !hasOthers {
+	if !hasOtherAddresses {
 		return err
 	}
 	if c.config.OnFailover != nil {
--- a/internal/endpoints/servicetable_test.go
+++ b/internal/endpoints/servicetable_test.go
@@ -32,19 +32,19 @@
 
 // apply applies one list and checks the consumer's endpoints after it, which want names as
 // "name/service" in order, and the events.
-func (r *tableHarness) apply(what string, kind listKind, entries []Endpoint, want string, events ...ServiceEvent) {
-	r.t.Helper()
-	r.seq++
-	out, got := r.table.Apply(List{Seq: r.seq, Full: kind.full, Scoped: kind.scoped, Endpoints: entries})
-	consumeList(r.consumed, &out)
-	if out.Seq != r.seq || out.Full != kind.full {
-		r.t.Errorf("%s: returned %+v", what, out)
+func (h *tableHarness) apply(step string, kind listKind, entries []Endpoint, want string, events ...ServiceEvent) {
+	h.t.Helper()
+	h.seq++
+	out, got := h.table.Apply(List{Seq: h.seq, Full: kind.full, Scoped: kind.scoped, Endpoints: entries})
+	consumeList(h.consumed, &out)
+	if out.Seq != h.seq || out.Full != kind.full {
+		h.t.Errorf("%s: returned %+v", step, out)
 	}
-	if names := describeEndpoints(r.consumed); names != want {
-		r.t.Errorf("%s: endpoints %q, want %q", what, names, want)
+	if names := describeEndpoints(h.consumed); names != want {
+		h.t.Errorf("%s: endpoints %q, want %q", step, names, want)
 	}
 	if !slices.Equal(got, events) {
-		r.t.Errorf("%s: events %+v, want %+v", what, got, events)
+		h.t.Errorf("%s: events %+v, want %+v", step, got, events)
 	}
 }
 
@@ -67,44 +67,44 @@
 // A service without endpoints is unknown if it never had any. A service that had some retains them when
 // a full list names none, until a list names one again. Each change is reported once.
 func TestServiceEvents(t *testing.T) {
-	r := newTableHarness(t, "a", "b")
+	h := newTableHarness(t, "a", "b")
 	a1, a2, b1 := readyEndpoint("a1", "a"), readyEndpoint("a2", "a"), readyEndpoint("b1", "b")
-	r.apply("first", scopedFull, endpointsOf(a1, a2), "a1/a a2/a", ServiceEvent{Kind: ServiceUnknown, Service: "b", Scoped: true})
-	r.apply("again", scopedFull, endpointsOf(a1, a2), "a1/a a2/a")
-	r.apply("b known", scopedChanges, endpointsOf(b1), "a1/a a2/a b1/b", ServiceEvent{Kind: ServiceRestored, Service: "b", Scoped: true})
-	r.apply("a emptied", scopedFull, endpointsOf(b1), "a1/a a2/a b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Retained: 2, Scoped: true})
-	r.apply("a still emptied", scopedFull, endpointsOf(b1), "a1/a a2/a b1/b")
-	r.apply("a retained endpoint is removed", scopedChanges, endpointsOf(removedEndpoint("a2", "a")), "a1/a b1/b")
-	r.apply("all emptied", scopedFull, nil, "a1/a b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "b", Retained: 1, Scoped: true})
-	r.apply("a restored", scopedChanges, endpointsOf(a2), "a2/a b1/b", ServiceEvent{Kind: ServiceRestored, Service: "a", Scoped: true})
-	r.apply("b restored", scopedFull, endpointsOf(a2, readyEndpoint("b2", "b")), "a2/a b2/b", ServiceEvent{Kind: ServiceRestored, Service: "b", Scoped: true})
-	r.apply("a emptied by changes", scopedChanges, endpointsOf(removedEndpoint("a2", "a")), "b2/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
-	r.apply("and stays emptied", scopedFull, endpointsOf(readyEndpoint("b2", "b")), "b2/b")
-	r.apply("a restored by changes", scopedChanges, endpointsOf(a1), "a1/a b2/b", ServiceEvent{Kind: ServiceRestored, Service: "a", Scoped: true})
+	h.apply("first", scopedFull, endpointsOf(a1, a2), "a1/a a2/a", ServiceEvent{Kind: ServiceUnknown, Service: "b", Scoped: true})
+	h.apply("again", scopedFull, endpointsOf(a1, a2), "a1/a a2/a")
+	h.apply("b known", scopedChanges, endpointsOf(b1), "a1/a a2/a b1/b", ServiceEvent{Kind: ServiceRestored, Service: "b", Scoped: true})
+	h.apply("a emptied", scopedFull, endpointsOf(b1), "a1/a a2/a b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Retained: 2, Scoped: true})
+	h.apply("a still emptied", scopedFull, endpointsOf(b1), "a1/a a2/a b1/b")
+	h.apply("a retained endpoint is removed", scopedChanges, endpointsOf(removedEndpoint("a2", "a")), "a1/a b1/b")
+	h.apply("all emptied", scopedFull, nil, "a1/a b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "b", Retained: 1, Scoped: true})
+	h.apply("a restored", scopedChanges, endpointsOf(a2), "a2/a b1/b", ServiceEvent{Kind: ServiceRestored, Service: "a", Scoped: true})
+	h.apply("b restored", scopedFull, endpointsOf(a2, readyEndpoint("b2", "b")), "a2/a b2/b", ServiceEvent{Kind: ServiceRestored, Service: "b", Scoped: true})
+	h.apply("a emptied by changes", scopedChanges, endpointsOf(removedEndpoint("a2", "a")), "b2/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
+	h.apply("and stays emptied", scopedFull, endpointsOf(readyEndpoint("b2", "b")), "b2/b")
+	h.apply("a restored by changes", scopedChanges, endpointsOf(a1), "a1/a b2/b", ServiceEvent{Kind: ServiceRestored, Service: "a", Scoped: true})
 }
 
 // Entries of other services are dropped, and an entry removes an endpoint only from the service that the
 // table has it under.
 func TestEntriesOfOtherServicesAreIgnored(t *testing.T) {
-	r := newTableHarness(t, "a")
-	r.apply("full list", scopedFull, endpointsOf(readyEndpoint("a1", "a"), readyEndpoint("x1", "x"), readyEndpoint("d1", "")), "a1/a")
-	r.apply("other services", scopedChanges, endpointsOf(readyEndpoint("x2", "x"), readyEndpoint("d1", ""), readyEndpoint("a1", "x")), "a1/a")
-	r.apply("removed from other services", scopedChanges, endpointsOf(removedEndpoint("a1", "x"), removedEndpoint("a1", ""), removedEndpoint("x1", "x")), "a1/a")
-	r.apply("removed", scopedChanges, endpointsOf(removedEndpoint("a1", "a")), "", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
+	h := newTableHarness(t, "a")
+	h.apply("full list", scopedFull, endpointsOf(readyEndpoint("a1", "a"), readyEndpoint("x1", "x"), readyEndpoint("d1", "")), "a1/a")
+	h.apply("other services", scopedChanges, endpointsOf(readyEndpoint("x2", "x"), readyEndpoint("d1", ""), readyEndpoint("a1", "x")), "a1/a")
+	h.apply("removed from other services", scopedChanges, endpointsOf(removedEndpoint("a1", "x"), removedEndpoint("a1", ""), removedEndpoint("x1", "x")), "a1/a")
+	h.apply("removed", scopedChanges, endpointsOf(removedEndpoint("a1", "a")), "", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
 }
 
 // An endpoint changes its service and keeps its name: a reader of both services may receive the two
 // entries in either order, and a reader of one service receives only the entry of that service.
 func TestEndpointChangesService(t *testing.T) {
-	now := readyEndpoint("s", "b")
-	now.Dial = "127.0.0.1:10"
+	moved := readyEndpoint("s", "b")
+	moved.Dial = "127.0.0.1:10"
 	a, b := readyEndpoint("a1", "a"), readyEndpoint("b1", "b")
-	for name, changes := range map[string][]Endpoint{"removed first": {removedEndpoint("s", "a"), now}, "removed last": {now, removedEndpoint("s", "a")}} {
+	for name, changes := range map[string][]Endpoint{"removed first": {removedEndpoint("s", "a"), moved}, "removed last": {moved, removedEndpoint("s", "a")}} {
 		t.Run(name, func(t *testing.T) {
 			both := newTableHarness(t, "a", "b")
 			both.apply("both: full", scopedFull, endpointsOf(a, b, readyEndpoint("s", "a")), "a1/a b1/b s/a")
 			both.apply("both: change", scopedChanges, changes, "a1/a b1/b s/b")
-			if both.consumed["s"].Dial != now.Dial {
+			if both.consumed["s"].Dial != moved.Dial {
 				t.Errorf("consumed %+v", both.consumed["s"])
 			}
 			separate := newTableHarness(t, "a", "b") // the entries arrive in two lists
@@ -113,19 +113,19 @@
 			separate.apply("two lists: second", scopedChanges, changes[1:], "a1/a b1/b s/b")
 		})
 	}
-	before := newTableHarness(t, "a")
-	before.apply("before: full", scopedFull, endpointsOf(a, readyEndpoint("s", "a")), "a1/a s/a")
-	before.apply("before: change", scopedChanges, endpointsOf(removedEndpoint("s", "a")), "a1/a")
-	after := newTableHarness(t, "b")
-	after.apply("after: full", scopedFull, endpointsOf(b), "b1/b")
-	after.apply("after: change", scopedChanges, endpointsOf(now), "b1/b s/b")
+	oldServiceOnly := newTableHarness(t, "a")
+	oldServiceOnly.apply("before: full", scopedFull, endpointsOf(a, readyEndpoint("s", "a")), "a1/a s/a")
+	oldServiceOnly.apply("before: change", scopedChanges, endpointsOf(removedEndpoint("s", "a")), "a1/a")
+	newServiceOnly := newTableHarness(t, "b")
+	newServiceOnly.apply("after: full", scopedFull, endpointsOf(b), "b1/b")
+	newServiceOnly.apply("after: change", scopedChanges, endpointsOf(moved), "b1/b s/b")
 	// A full list that has all endpoints of a service under another one leaves nothing to retain.
-	all := newTableHarness(t, "a", "b")
-	all.apply("all: full", scopedFull, endpointsOf(readyEndpoint("s", "a"), b), "b1/b s/a")
-	all.apply("all: moved", scopedFull, endpointsOf(now, b), "b1/b s/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
+	allMoved := newTableHarness(t, "a", "b")
+	allMoved.apply("all: full", scopedFull, endpointsOf(readyEndpoint("s", "a"), b), "b1/b s/a")
+	allMoved.apply("all: moved", scopedFull, endpointsOf(moved, b), "b1/b s/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
 	// The returned list names an endpoint once, however often the list does.
-	out, _ := all.table.Apply(List{Seq: 9, Scoped: true, Endpoints: endpointsOf(removedEndpoint("s", "b"), readyEndpoint("s", "a"), removedEndpoint("s", "a"), now)})
-	if len(out.Endpoints) != 1 || out.Endpoints[0] != now {
+	out, _ := allMoved.table.Apply(List{Seq: 9, Scoped: true, Endpoints: endpointsOf(removedEndpoint("s", "b"), readyEndpoint("s", "a"), removedEndpoint("s", "a"), moved)})
+	if len(out.Endpoints) != 1 || out.Endpoints[0] != moved {
 		t.Errorf("returned %+v", out)
 	}
 }
@@ -133,23 +133,23 @@
 // Entries of an unscoped list are filtered by the service that they name, or else by the service that
 // the table has the endpoint under, or else they belong to the default service.
 func TestUnscopedListsAreFilteredByService(t *testing.T) {
-	bare := func(name string) Endpoint { return readyEndpoint(name, "") }
-	r := newTableHarness(t, "a", "b")
-	r.apply("scoped", scopedFull, endpointsOf(readyEndpoint("a1", "a"), readyEndpoint("a2", "a"), readyEndpoint("b1", "b")), "a1/a a2/a b1/b")
-	r.apply("full list", unscopedFull, endpointsOf(bare("a1"), bare("b1"), bare("x1")), "a1/a b1/b")
-	if r.table.Synced() {
+	withoutService := func(name string) Endpoint { return readyEndpoint(name, "") }
+	h := newTableHarness(t, "a", "b")
+	h.apply("scoped", scopedFull, endpointsOf(readyEndpoint("a1", "a"), readyEndpoint("a2", "a"), readyEndpoint("b1", "b")), "a1/a a2/a b1/b")
+	h.apply("full list", unscopedFull, endpointsOf(withoutService("a1"), withoutService("b1"), withoutService("x1")), "a1/a b1/b")
+	if h.table.Synced() {
 		t.Error("synced after an unscoped list")
 	}
-	r.apply("changes", unscopedChanges, endpointsOf(bare("x2"), readyEndpoint("a3", "a"), removedEndpoint("x1", ""), readyEndpoint("x3", "x")), "a1/a a3/a b1/b")
-	r.apply("removed", unscopedChanges, endpointsOf(removedEndpoint("a3", ""), removedEndpoint("b1", "a")), "a1/a b1/b")
-	r.apply("moved to another service", unscopedChanges, endpointsOf(readyEndpoint("b1", "x")), "a1/a",
+	h.apply("changes", unscopedChanges, endpointsOf(withoutService("x2"), readyEndpoint("a3", "a"), removedEndpoint("x1", ""), readyEndpoint("x3", "x")), "a1/a a3/a b1/b")
+	h.apply("removed", unscopedChanges, endpointsOf(removedEndpoint("a3", ""), removedEndpoint("b1", "a")), "a1/a b1/b")
+	h.apply("moved to another service", unscopedChanges, endpointsOf(readyEndpoint("b1", "x")), "a1/a",
 		ServiceEvent{Kind: ServiceEmptied, Service: "b"})
-	r.apply("mass failure", unscopedFull, endpointsOf(bare("x1")), "a1/a", ServiceEvent{Kind: ServiceEmptied, Service: "a", Retained: 1})
-	r.apply("failure over", unscopedFull, endpointsOf(bare("x1"), bare("a1")), "a1/a", ServiceEvent{Kind: ServiceRestored, Service: "a"})
-	d := newTableHarness(t, "")
-	d.apply("default service", unscopedFull, endpointsOf(bare("d1"), readyEndpoint("x1", "x")), "d1/")
-	u := newTableHarness(t, "a")
-	u.apply("can't tell", unscopedFull, endpointsOf(bare("x1")), "", ServiceEvent{Kind: ServiceUnknown, Service: "a"})
+	h.apply("mass failure", unscopedFull, endpointsOf(withoutService("x1")), "a1/a", ServiceEvent{Kind: ServiceEmptied, Service: "a", Retained: 1})
+	h.apply("failure over", unscopedFull, endpointsOf(withoutService("x1"), withoutService("a1")), "a1/a", ServiceEvent{Kind: ServiceRestored, Service: "a"})
+	defaultOnly := newTableHarness(t, "")
+	defaultOnly.apply("default service", unscopedFull, endpointsOf(withoutService("d1"), readyEndpoint("x1", "x")), "d1/")
+	neverScoped := newTableHarness(t, "a")
+	neverScoped.apply("can't tell", unscopedFull, endpointsOf(withoutService("x1")), "", ServiceEvent{Kind: ServiceUnknown, Service: "a"})
 }
 
 // Seeded endpoints of the table's services stay in use, and are retained when the first list names none
@@ -173,26 +173,26 @@
 // After a change of the subscription the endpoints stay until the first full list, and the services
 // that are in both subscriptions keep their status.
 func TestSubscribeKeepsEndpointsUntilFullList(t *testing.T) {
-	r := newTableHarness(t, "a", "b")
-	r.apply("before", scopedFull, endpointsOf(readyEndpoint("a1", "a"), readyEndpoint("b1", "b")), "a1/a b1/b")
-	r.table.Subscribe([]string{"b", "c"})
-	r.apply("a late change", scopedChanges, endpointsOf(removedEndpoint("b1", "b"), readyEndpoint("c1", "c")), "a1/a b1/b")
-	if r.table.Synced() {
+	h := newTableHarness(t, "a", "b")
+	h.apply("before", scopedFull, endpointsOf(readyEndpoint("a1", "a"), readyEndpoint("b1", "b")), "a1/a b1/b")
+	h.table.Subscribe([]string{"b", "c"})
+	h.apply("a late change", scopedChanges, endpointsOf(removedEndpoint("b1", "b"), readyEndpoint("c1", "c")), "a1/a b1/b")
+	if h.table.Synced() {
 		t.Error("synced before the full list")
 	}
-	r.apply("full list", scopedFull, endpointsOf(readyEndpoint("c1", "c")), "b1/b c1/c", ServiceEvent{Kind: ServiceEmptied, Service: "b", Retained: 1, Scoped: true})
-	if !r.table.Synced() {
+	h.apply("full list", scopedFull, endpointsOf(readyEndpoint("c1", "c")), "b1/b c1/c", ServiceEvent{Kind: ServiceEmptied, Service: "b", Retained: 1, Scoped: true})
+	if !h.table.Synced() {
 		t.Error("not synced after the full list")
 	}
-	r.table.Subscribe([]string{"a"})
-	r.table.Subscribe([]string{"b"}) // b is given up and subscribed to again before a list arrives
-	r.apply("again", scopedFull, nil, "b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "b", Retained: 1, Scoped: true})
+	h.table.Subscribe([]string{"a"})
+	h.table.Subscribe([]string{"b"}) // b is given up and subscribed to again before a list arrives
+	h.apply("again", scopedFull, nil, "b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "b", Retained: 1, Scoped: true})
 	many := make([]string, MaxServices+10)
 	for i := range many {
 		many[i] = fmt.Sprint("s", i)
 	}
-	if r.table.Subscribe(many); len(r.table.services) != MaxServices {
-		t.Errorf("subscribes to %d services", len(r.table.services))
+	if h.table.Subscribe(many); len(h.table.services) != MaxServices {
+		t.Errorf("subscribes to %d services", len(h.table.services))
 	}
 }
 
--- a/internal/endpoints/subscriptionversion_test.go
+++ b/internal/endpoints/subscriptionversion_test.go
@@ -48,7 +48,7 @@
 	if err != nil || number != 1 {
 		t.Fatalf("the first change of the subscription has the number %d: %v", number, err)
 	}
-	r.number = number
+	r.subscription = number
 }
 
 // The version that a reader passes to Subscribe bounds the lists that follow, even if it is not from the
--- a/internal/endpoints/unscopedserver_test.go
+++ b/internal/endpoints/unscopedserver_test.go
@@ -24,13 +24,13 @@
 		if got := r.endpointNames(); got != "a1 a2" {
 			t.Errorf("endpoints %q", got)
 		}
-		f.update(func(s *fakeList) {
-			s.remove("a1")
-			s.set(readyEndpoint("a3", "a"), false) // nothing says that the service is a
-			s.set(readyEndpoint("b1", "b"), false)
+		f.update(func(list *fakeList) {
+			list.remove("a1")
+			list.set(readyEndpoint("a3", "a"), false) // nothing says that the service is a
+			list.set(readyEndpoint("b1", "b"), false)
 			e := readyEndpoint("a2", "a")
 			e.Health = Draining
-			s.set(e, false)
+			list.set(e, false)
 		})
 		time.Sleep(time.Minute)
 		synctest.Wait()
@@ -64,9 +64,9 @@
 		f.servers[order[0]].ignoresServices = true
 		f.mu.Unlock()
 		r.reconfigure(t, order, []string{"", "a"})
-		f.update(func(s *fakeList) {
+		f.update(func(list *fakeList) {
 			for _, e := range endpoints {
-				s.set(e, false)
+				list.set(e, false)
 			}
 		})
 		time.Sleep(time.Second)
--- a/internal/endpoints/validation.go
+++ b/internal/endpoints/validation.go
@@ -24,10 +24,10 @@
 	maxStartedMs = 1 << 52 // a float64 holds every whole number up to it
 )
 
-// Readable returns an error if a reader can't use the entry: it needs a name, a known health value
-// and, unless it is removed, an address. Readable is no stricter than that, so that a list from
+// CheckReadable returns an error if a reader can't use the entry: it needs a name, a known health value
+// and, unless it is removed, an address. CheckReadable is no stricter than that, so that a list from
 // another program with an unusual site or weight is still a list.
-func (e *Endpoint) Readable() error {
+func (e *Endpoint) CheckReadable() error {
 	switch {
 	case e.Name == "":
 		return errors.New("host: missing")
@@ -42,7 +42,7 @@
 // Validate returns an error that names the first field for which a service should not take the entry
 // into its list.
 func (e *Endpoint) Validate() error {
-	if err := e.Readable(); err != nil {
+	if err := e.CheckReadable(); err != nil {
 		return err
 	}
 	switch {
--- a/internal/endpoints/wire_test.go
+++ b/internal/endpoints/wire_test.go
@@ -108,9 +108,9 @@
 		if _, err := client.Fetch(ctx, 0); err != nil {
 			t.Error(err)
 		}
-		watching, stop := context.WithCancel(ctx)
-		_ = client.Watch(watching, 5, func(List) { stop() })
-		stop()
+		watchCtx, cancelWatch := context.WithCancel(ctx)
+		_ = client.Watch(watchCtx, 5, func(List) { cancelWatch() })
+		cancelWatch()
 		if c.Member != "" {
 			if err := client.Leave(ctx); err != nil {
 				t.Error(err)
--- a/internal/lab/hollow/agent.go
+++ b/internal/lab/hollow/agent.go
@@ -35,7 +35,7 @@
 func (a *Agent) clientConfig(order uint64, transport http.RoundTripper) endpoints.ClientConfig {
 	return endpoints.ClientConfig{
 		Addresses:   a.process.config.ControlPlane,
-		Order:       order,
+		OrderSeed:   order,
 		Fleet:       a.process.config.Fleet,
 		RejectOlder: true,
 		Transport:   transport,
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -25,13 +25,13 @@
 	permanentErrors = []error{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 )
 
-// Retries of a call wait initialWait at first, then twice as long each time up to MaxWait. The delays
+// Retries of a call wait initialBackoff at first, then twice as long each time up to MaxBackoff. The delays
 // are short because clients wait in the listener's queue meanwhile, and their deadlines run.
-// maxWaitShift keeps the doubling from overflowing.
+// maxBackoffShift keeps the doubling from overflowing.
 const (
-	initialWait  = 2 * time.Millisecond
-	MaxWait      = 20 * time.Millisecond
-	maxWaitShift = 10
+	initialBackoff  = 2 * time.Millisecond
+	MaxBackoff      = 20 * time.Millisecond
+	maxBackoffShift = 10
 )
 
 func matchesAny(err error, targets []error) bool {
@@ -51,7 +51,7 @@
 // Backoff waits before the next attempt, after the given number of retries, and reports whether to
 // make it: it returns false as soon as ctx ends.
 func Backoff(ctx context.Context, retries int) bool {
-	timer := time.NewTimer(min(initialWait<<min(retries, maxWaitShift), MaxWait))
+	timer := time.NewTimer(min(initialBackoff<<min(retries, maxBackoffShift), MaxBackoff))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -63,8 +63,8 @@
 
 // Retry calls call until it succeeds or fails with an error that is not temporary, the time limit has
 // passed, or ctx ends. It returns the error of the last call.
-func Retry(ctx context.Context, limit time.Duration, call func() error) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func Retry(ctx context.Context, timeout time.Duration, call func() error) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for retries := 0; ; retries++ {
 		err := call()
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -27,21 +27,21 @@
 }
 
 // Accept retries after every error of accept(2) but those that mean that there is no listening socket, and
-// the retries are at most MaxWait apart.
+// the retries are at most MaxBackoff apart.
 func TestAcceptRetriesTransientErrors(t *testing.T) {
 	for errno := syscall.Errno(1); errno < 133; errno++ {
 		permanent := errno == syscall.EBADF || errno == syscall.EINVAL || errno == syscall.ENOTSOCK || errno == syscall.EFAULT
 		synctest.Test(t, func(t *testing.T) {
 			f := &failingListener{errs: []error{errno, errno, errno, errno, errno, errno, errno, errno}}
-			errorCalls, began := 0, time.Now()
-			l := Listener{Listener: f, Context: t.Context(), OnError: func(err error, since time.Time) { errorCalls++ }}
+			onErrorCalls, began := 0, time.Now()
+			l := Listener{Listener: f, Context: t.Context(), OnError: func(err error, since time.Time) { onErrorCalls++ }}
 			conn, err := l.Accept()
 			took := time.Since(began)
 			switch {
 			case permanent && (!errors.Is(err, errno) || f.calls != 1):
 				t.Errorf("%v: %v after %d calls", errno, err, f.calls)
-			case !permanent && (conn == nil || err != nil || errorCalls != len(f.errs) || took > time.Duration(len(f.errs))*MaxWait):
-				t.Errorf("%v: %v, %d calls of OnError, after %v", errno, err, errorCalls, took)
+			case !permanent && (conn == nil || err != nil || onErrorCalls != len(f.errs) || took > time.Duration(len(f.errs))*MaxBackoff):
+				t.Errorf("%v: %v, %d calls of OnError, after %v", errno, err, onErrorCalls, took)
 			}
 		})
 	}
@@ -66,11 +66,11 @@
 // Retry repeats a call while its error is temporary and there is time, and not after another error.
 func TestRetryWhileErrorIsTemporary(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		fails int // calls before the first that succeeds
-		err   error
-		want  error
-		limit time.Duration // of the duration
+		name        string
+		failures    int // calls before the first that succeeds
+		err         error
+		want        error
+		maxDuration time.Duration
 	}{
 		{"success at once", 0, nil, nil, 0},
 		{"success after failures", 10, syscall.EMFILE, nil, 200 * time.Millisecond},
@@ -80,12 +80,12 @@
 		synctest.Test(t, func(t *testing.T) {
 			calls, began := 0, time.Now()
 			err := Retry(t.Context(), time.Second, func() error {
-				if calls++; calls <= c.fails {
+				if calls++; calls <= c.failures {
 					return c.err
 				}
 				return nil
 			})
-			if took := time.Since(began); !errors.Is(err, c.want) || took > c.limit {
+			if took := time.Since(began); !errors.Is(err, c.want) || took > c.maxDuration {
 				t.Errorf("%s: %v after %v and %d calls", c.name, err, took, calls)
 			}
 		})
