--- a/internal/endpoints/addressselector.go
+++ b/internal/endpoints/addressselector.go
@@ -8,39 +8,39 @@
 	"time"
 )
 
-// CallOutcome says how a failed fetch or a finished watch ended.
+// CallOutcome classifies how a failed fetch or a finished watch ended.
 type CallOutcome uint8
 
-// How a fetch or a watch ends.
+// Outcomes of a fetch or a watch.
 const (
-	OutcomeFailed     CallOutcome = iota // no response, an error, silence, or a malformed line
+	OutcomeFailed     CallOutcome = iota // no response, an error, a silence timeout, or a malformed list
 	OutcomeStale                         // the server has an older list than the reader, or no current one
-	OutcomeRedirected                    // the server ended the watch in order: the reader should use another
-	OutcomeBusy                          // the server rejected the call and named a time to come back
+	OutcomeRedirected                    // the server closed the watch: the reader should use another server
+	OutcomeBusy                          // the server rejected the call with a Retry-After time
 )
 
 const (
-	// A further call of a round waits a random time up to a bound that doubles from initialBackoff
-	// to maxBackoff ("full jitter": M. Brooker, "Exponential Backoff and Jitter", AWS Architecture
+	// Each call of a round after the first waits a random time up to a bound that doubles from
+	// initialBackoff to maxBackoff ("full jitter": M. Brooker, "Exponential Backoff and Jitter", AWS Architecture
 	// Blog, 2015).
 	initialBackoff = 200 * time.Millisecond
 	maxBackoff     = 2 * time.Second
-	// An address that failed is avoided for initialAvoidance, doubled with each failure in a row up
+	// An address that failed is avoided for initialAvoidance, doubled with each consecutive failure up
 	// to maxAvoidance. maxAvoidanceShift keeps the doubling from overflowing.
 	initialAvoidance  = time.Second
 	maxAvoidance      = 30 * time.Second
 	maxAvoidanceShift = 10
-	// staleAvoidance is for an address with an old list, and redirectAvoidance for one that sent the
-	// reader elsewhere, which would do so again.
+	// An address with a stale list is avoided for staleAvoidance. An address that redirected the
+	// reader is avoided for redirectAvoidance, as it would redirect the reader again.
 	staleAvoidance    = 5 * time.Second
 	redirectAvoidance = 30 * time.Second
-	// maxRetryAfter bounds the wait that a busy server asks for.
+	// maxRetryAfter caps the wait that a busy server can ask for.
 	maxRetryAfter = 5 * time.Second
 )
 
 const (
-	// maxReaderRate and maxFleetRate bound the refill of the budget, in calls a second: of one reader,
-	// and of all readers of the fleet together.
+	// maxReaderRate and maxFleetRate limit how fast the call budget refills, in calls per second: for
+	// one reader, and for all readers of the fleet together.
 	maxReaderRate = 0.5
 	maxFleetRate  = 100
 )
@@ -49,9 +49,10 @@
 // call waits. It has no clock and no random source of its own: the caller passes both in. It is not
 // safe for concurrent use.
 //
-// A round begins when the reader needs a list or a watch. Its first call is free. The further calls
-// of the round, after a failed call or a finished watch, are paid for from a budget that shrinks with
-// the size of the fleet, so that a fault that all readers notice at once doesn't multiply their calls.
+// A round begins when the reader needs a list or a watch. Its first call is not charged. Each further
+// call of the round, after a failed call or a finished watch, is charged to a budget that refills more
+// slowly the larger the fleet is, so that a fault that all readers notice at once doesn't multiply
+// their calls.
 type AddressSelector struct {
 	orderSeed       uint64
 	candidates      []candidate // in the reader's own order
@@ -61,17 +62,17 @@
 	budgetExhausted int64
 }
 
-// candidate is one address with what is known of it.
+// candidate is an address and the state of past calls to it.
 type candidate struct {
 	addr                string
-	rank                uint64
-	avoidUntil          time.Duration // any other address is preferred until then
+	rank                uint64        // sort key in the reader's own order
+	avoidUntil          time.Duration // other addresses are preferred until then
 	busyUntil           time.Duration // the server asked for no calls until then
 	consecutiveFailures int
 }
 
-// NewAddressSelector returns a selector for one reader of a fleet of that many readers. The order is
-// the seed of the reader's own order of the addresses: with different seeds, readers spread over the
+// NewAddressSelector returns a selector for one reader of a fleet of fleetSize readers. orderSeed
+// seeds the reader's own order of the addresses: readers with different seeds spread over the
 // addresses.
 func NewAddressSelector(addresses []string, orderSeed uint64, fleetSize int) *AddressSelector {
 	rate := min(maxReaderRate, maxFleetRate/float64(max(fleetSize, 1)))
@@ -80,7 +81,7 @@
 	return selector
 }
 
-// SetAddresses replaces the addresses. What is known of an address that stays is kept.
+// SetAddresses replaces the addresses. An address that stays keeps its state.
 func (s *AddressSelector) SetAddresses(addresses []string) {
 	var candidates []candidate
 	for _, addr := range addresses {
@@ -97,8 +98,8 @@
 	s.budget.Burst = float64(len(s.candidates) + 1)
 }
 
-// rendezvousRank returns the sort key of an address in a reader's order. It is rendezvous hashing: the
-// readers of a lost address spread over all others, and every other reader stays where it is.
+// rendezvousRank returns the sort key of an address in a reader's order. It is rendezvous hashing: when
+// an address is lost, its readers spread over all others, and every other reader keeps its address.
 func rendezvousRank(orderSeed uint64, addr string) uint64 {
 	hasher := fnv.New64a()
 	var seed [8]byte
@@ -106,7 +107,7 @@
 	_, _ = hasher.Write(seed[:])
 	_, _ = hasher.Write([]byte(addr))
 	hash := hasher.Sum64()
-	// FNV alone mixes the last bytes too little for an order (finalizer of SplitMix64).
+	// FNV alone does not mix the last bytes enough to sort by; this is the finalizer of SplitMix64.
 	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
 	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
 	return hash ^ hash>>31
@@ -120,19 +121,19 @@
 // Has reports whether addr is one of the addresses.
 func (s *AddressSelector) Has(addr string) bool { return s.index(addr) >= 0 }
 
-// OtherCount returns the number of addresses beside the one that is in use.
+// OtherCount returns the number of addresses other than the one in use.
 func (s *AddressSelector) OtherCount() int { return max(len(s.candidates)-1, 0) }
 
-// BudgetExhausted returns how many rounds ended because the budget was spent.
+// BudgetExhausted returns how many rounds ended because the budget was exhausted.
 func (s *AddressSelector) BudgetExhausted() int64 { return s.budgetExhausted }
 
 // BeginRound begins a round.
 func (s *AddressSelector) BeginRound() { s.firstCall, s.attempts = true, 0 }
 
-// Next returns the address of the next call and how long the call has to wait, which it derives from
-// a random number from 0 to below 1. ok is false at the end of the round: each address was called
-// since a list was received, or the budget is spent, or there is only one address, which has to wait
-// for the next round.
+// Next returns the address of the next call and how long to wait before it. The wait is derived from
+// random, a number in [0, 1). ok is false at the end of the round: every address was called since the
+// last list was received, the budget is exhausted, or there is only one address, which is called once
+// per round.
 func (s *AddressSelector) Next(now time.Duration, random float64) (addr string, wait time.Duration, ok bool) {
 	if len(s.candidates) == 0 {
 		return "", 0, false
@@ -153,8 +154,9 @@
 	return best.addr, max(wait, min(best.busyUntil-now, maxRetryAfter)), true
 }
 
-// firstAvailable returns the candidate that is available first from the given time on: the first in
-// the reader's order if several are available by then. There has to be a candidate.
+// firstAvailable returns the candidate that becomes available first, at the given time or later. Among
+// those available at the given time, it returns the first in the reader's order. There must be at
+// least one candidate.
 func (s *AddressSelector) firstAvailable(at time.Duration) *candidate {
 	best := &s.candidates[0]
 	for i := range s.candidates {
@@ -166,13 +168,13 @@
 	return best
 }
 
-// availableAt returns when the candidate need not be avoided any more, and not less than now.
+// availableAt returns the time from which the candidate no longer has to be avoided, at least now.
 func (c *candidate) availableAt(now time.Duration) time.Duration {
 	return max(c.avoidUntil, c.busyUntil, now)
 }
 
-// ListReceived records that an address returned a list: nothing speaks against the address then, and
-// every address may be called again in this round.
+// ListReceived records that an address returned a list: the address is no longer avoided, and every
+// address may be called again in this round.
 func (s *AddressSelector) ListReceived(addr string) {
 	s.attempts = 0
 	if i := s.index(addr); i >= 0 {
@@ -181,8 +183,8 @@
 	}
 }
 
-// CallEnded records how a call ended. retryAfter is the time that a busy server named; it counts for
-// OutcomeBusy alone.
+// CallEnded records how a call ended. retryAfter is the wait that a busy server asked for; it
+// is used for OutcomeBusy only.
 func (s *AddressSelector) CallEnded(now time.Duration, addr string, outcome CallOutcome, retryAfter time.Duration) {
 	i := s.index(addr)
 	if i < 0 {
--- a/internal/endpoints/client.go
+++ b/internal/endpoints/client.go
@@ -10,37 +10,37 @@
 )
 
 // WatchSilenceTimeout is how long a watch may receive no line before the client ends it. The service
-// writes a line every 2 s and counts a change as delivered after 6 s, which has to include the request
-// to another address.
+// writes a line every 2 s and assumes that a change is delivered after 6 s, which has to leave time for
+// the request to another address.
 const WatchSilenceTimeout = 3500 * time.Millisecond
 
 // ClientConfig configures a Client.
 type ClientConfig struct {
 	Addresses      []string      // of the servers of the list service, as host:port
 	OrderSeed      uint64        // seed of the reader's own order of the addresses
-	Fleet          int           // number of readers that share the service
+	Fleet          int           // number of readers that share the list service
 	SilenceTimeout time.Duration // 0: WatchSilenceTimeout
-	Member         string        // name under which the service counts the reader as present; "": it doesn't
+	Member         string        // name that the reader registers under as a member; "": it does not register
 	RejectOlder    bool          // treat a list older than the reader's version as a failure of the address
-	Services       []string      // services to subscribe to, valid for CheckServices; nil: the list of all services
+	Services       []string      // services to subscribe to, which must pass CheckServices; nil: the list of all services
 	Transport      http.RoundTripper
-	// OnPartial, if not nil, receives the part of a list that has arrived while the rest is late or
-	// will never come. The service counts a written part as delivered, so the reader has to apply
-	// it, whatever becomes of the rest. OnPartial may run on another goroutine than the call, but
+	// OnPartial, if not nil, receives the part of a list that has arrived while the rest is delayed
+	// or lost. The service treats the bytes it has written as delivered, so the reader has to apply
+	// them whether or not the rest arrives. OnPartial may run on another goroutine than the call, but
 	// never after a later list was handed over.
 	OnPartial func(l List)
-	// OnFailover, if not nil, receives each address that a call moved away from, and the reason. It
+	// OnFailover, if not nil, receives each address that a call failed over from, and the reason. It
 	// may be called often.
 	OnFailover func(addr string, err error)
 }
 
-// Client reads the endpoint list from one of several addresses. A fetch and a watch may run at the
-// same time; two watches may not.
+// Client reads the endpoint list from one of several addresses. A fetch and a watch may run
+// concurrently; two watches may not.
 type Client struct {
 	config     ClientConfig
 	httpClient *http.Client
 	createdAt  time.Time
-	bootID     string // identifies this client among all that ever used its member name
+	bootID     string // distinguishes this client from all others that have used its member name
 
 	mu             sync.Mutex
 	selector       *AddressSelector
@@ -55,8 +55,8 @@
 		config.SilenceTimeout = WatchSilenceTimeout
 	}
 	if config.Transport == nil {
-		// One connection a call: an idle connection could break under the next call, which the
-		// transport would then send twice, and each call costs the service work.
+		// Each call opens a connection: an idle connection could break during the next call, which
+		// the transport would then send twice, and each call is work for the service.
 		config.Transport = &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	}
 	return &Client{
@@ -69,7 +69,7 @@
 	}
 }
 
-// SetAddresses replaces the addresses. A watch at an address that was removed continues at another.
+// SetAddresses replaces the addresses. A watch at a removed address continues at another one.
 func (c *Client) SetAddresses(addresses []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,13 +79,14 @@
 	}
 }
 
-// Subscribe replaces the services, with nil for the list of all services; version is the version of
-// the list that the reader holds. A running watch ends; a watch for the new services, which begins
-// with a full list, replaces it at once and without a charge to the budget. Lists older than version
-// are rejected from then on.
+// Subscribe replaces the services; nil stands for the list of all services. version is the version of
+// the list that the reader holds; older lists are rejected from then on. A running watch ends. A watch
+// for the new services, which begins with a full list, replaces it at once and is not charged to the
+// budget.
 //
 // Subscribe returns the number of the new subscription. Lists with another List.Subscription were
-// already under way and have to be dropped. On an error, which names the service, nothing changes.
+// already in flight and have to be dropped. If Subscribe returns an error, nothing has changed; the
+// error names the invalid service.
 func (c *Client) Subscribe(services []string, version int64) (uint64, error) {
 	return c.changeSubscription(nil, services, version)
 }
@@ -115,16 +116,16 @@
 	return c.subscription.number, nil
 }
 
-// BudgetExhausted returns how many rounds of calls ended because the budget for calls was spent.
+// BudgetExhausted returns how many rounds of calls ended because the call budget was exhausted.
 func (c *Client) BudgetExhausted() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.selector.BudgetExhausted()
 }
 
-// Leave deregisters the reader's member name at one address, so that the service doesn't take the
-// planned end of the reader for a failure. It does nothing without a member name. It returns an
-// error if the request could not be sent; the status of the response doesn't count.
+// Leave deregisters the reader's member name at one address, so that the service doesn't mistake the
+// reader's planned shutdown for a failure. It does nothing without a member name. It returns an
+// error if the request fails; the status of the response is ignored.
 func (c *Client) Leave(ctx context.Context) error {
 	if c.config.Member == "" {
 		return nil
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// leaveAddress returns the address of the running watch, or the first choice if there is none.
+// leaveAddress returns the address of the running watch, or the preferred address if there is none.
 func (c *Client) leaveAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/endpoints/errors.go
+++ b/internal/endpoints/errors.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// Reasons for which a call to the list service ends. classifyOutcome says which of them the address
-// is avoided for.
+// Reasons why a call to the list service ends. classifyOutcome maps them to outcomes, which determine
+// how long the address is avoided.
 var (
-	errSilenceTimeout = errors.New("silent for too long")
-	errListTooLong    = fmt.Errorf("a list of over %d bytes", maxListBytes)
-	errMalformedList  = errors.New("no list")
-	errStaleList      = errors.New("older than the list at hand")
-	errServerStale    = errors.New("behind, or without a list of now")
-	errAddressRemoved = errors.New("no longer one of the addresses")
-	errNoAddress      = errors.New("no address")
-	errBusy           = errors.New("too many calls there")
-	errWatchClosed    = errors.New("the watch was ended in order")
-	// errFullListExpected means that a response began with changes, although the reader holds no
-	// list that these changes could apply to.
-	errFullListExpected = errors.New("changes in place of the whole list that was asked for")
+	errSilenceTimeout = errors.New("no data received within the silence timeout")
+	errListTooLong    = fmt.Errorf("list exceeds %d bytes", maxListBytes)
+	errMalformedList  = errors.New("malformed list")
+	errStaleList      = errors.New("list is older than the reader's version")
+	errServerStale    = errors.New("server has no current list")
+	errAddressRemoved = errors.New("address was removed")
+	errNoAddress      = errors.New("no address to call")
+	errBusy           = errors.New("server is busy")
+	errWatchClosed    = errors.New("server closed the watch")
+	// errFullListExpected means that a response began with changes although the reader holds no
+	// full list to apply them to.
+	errFullListExpected = errors.New("received changes instead of the requested full list")
 	// errSubscriptionChanged ends a call that requested the services of an earlier subscription. It
-	// is no fault of the address.
-	errSubscriptionChanged = errors.New("the services subscribed to have changed")
+	// does not count as a failure of the address.
+	errSubscriptionChanged = errors.New("subscribed services have changed")
 	// errServerCaughtUp ends a watch that sent the reader's version and learned that the list
-	// service has that version by now. It is no fault of the address: the next request there asks
-	// for the full list.
-	errServerCaughtUp = errors.New("the list service has the reader's version")
+	// service has reached that version. It does not count as a failure of the address: the next
+	// request to it asks for the full list.
+	errServerCaughtUp = errors.New("list service has reached the reader's version")
 )
 
-// busyError reports that a server rejected a call and named a time to wait.
+// busyError reports that a server rejected a call and told the client how long to
+// wait.
 type busyError struct{ retryAfter time.Duration }
 
-// Error names the time to wait.
-func (e *busyError) Error() string { return fmt.Sprintf("%v: come back in %v", errBusy, e.retryAfter) }
+// Error includes the time to wait.
+func (e *busyError) Error() string { return fmt.Sprintf("%v: retry after %v", errBusy, e.retryAfter) }
 
 // IncompleteError reports that a response ended inside a list.
 type IncompleteError struct {
@@ -43,16 +44,16 @@
 	Err     error         // why the response ended
 }
 
-// Error names the received bytes and the reason.
+// Error includes the number of received bytes and the reason.
 func (e *IncompleteError) Error() string {
-	return fmt.Sprintf("%d bytes into a list: %v", e.Pending, e.Err)
+	return fmt.Sprintf("response ended after %d bytes of a list: %v", e.Pending, e.Err)
 }
 
-// Unwrap returns the reason for which the response ended.
+// Unwrap returns the reason why the response ended.
 func (e *IncompleteError) Unwrap() error { return e.Err }
 
-// classifyOutcome says what a failed call means for its address. The duration is the time to wait
-// that a busy server named, and 0 for other outcomes.
+// classifyOutcome returns the outcome of a call that ended with err. The duration is the wait that a
+// busy server asked for, and 0 for other outcomes.
 func classifyOutcome(err error) (CallOutcome, time.Duration) {
 	var busy *busyError
 	switch {
--- a/internal/endpoints/fetch.go
+++ b/internal/endpoints/fetch.go
@@ -13,9 +13,9 @@
 	maxListBytes = 4 << 20 // of one list
 )
 
-// Fetch requests the full list, at one address after the other until one returns it. With
-// ClientConfig.RejectOlder, a list older than minVersion counts as a failure of its address. Fetch
-// returns the error of the last address if none returned a list; the list is not valid then.
+// Fetch requests the full list from one address after the other until one returns it. With
+// ClientConfig.RejectOlder, a list older than minVersion counts as a failure of its address. If no
+// address returned a list, Fetch returns the error of the last one, and the list is not valid.
 func (c *Client) Fetch(ctx context.Context, minVersion int64) (List, error) {
 	var list List
 	err := c.runRound(ctx, func(addr string) error {
@@ -37,8 +37,8 @@
 	firstByteAt := time.Now()
 	text, err := readList(resp.Body)
 	if err != nil {
-		// The response's header alone delivers nothing: the service may stall before it writes any
-		// byte of the list.
+		// A response header alone does not mean that a part of the list was delivered: the service
+		// may stall before it writes any byte of the list.
 		if len(bytes.TrimSpace(text)) > 0 {
 			c.reportPartial(resp, &requested, text, firstByteAt)
 		}
@@ -54,7 +54,7 @@
 	return c.acceptFetchedList(addr, &requested)
 }
 
-// readList reads the text of one list. On an error it also returns the bytes received so far.
+// readList reads the text of one list. With an error, it also returns the bytes received so far.
 func readList(body io.Reader) ([]byte, error) {
 	text, err := io.ReadAll(io.LimitReader(body, maxListBytes+1))
 	if err == nil && len(text) > maxListBytes {
@@ -64,7 +64,7 @@
 }
 
 // acceptFetchedList records that an address returned a list. It returns an error if the subscription
-// has changed since the request: the list has to be dropped then.
+// has changed since the request, in which case the list has to be dropped.
 func (c *Client) acceptFetchedList(addr string, requested *subscription) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,15 +75,15 @@
 	return nil
 }
 
-// currentSubscription returns a copy of the subscription, as a request is made for it.
+// currentSubscription returns a copy of the subscription, for use in a request.
 func (c *Client) currentSubscription() subscription {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.subscription
 }
 
-// markOrigin records on a list which subscription it answers, and whether the service limited it to
-// the requested services.
+// markOrigin sets the subscription that a list was requested for, and whether the service limited the
+// list to the requested services.
 func markOrigin(list *List, resp *http.Response, requested *subscription) {
 	list.Scoped = resp.Header.Get(ScopeHeader) != ""
 	list.Subscription = requested.number
--- a/internal/endpoints/list.go
+++ b/internal/endpoints/list.go
@@ -1,8 +1,9 @@
 // Package endpoints is the HTTP interface of discovery: the list of endpoints, complete or as the
-// changes since a version, as agents read it and as the list service writes it. It holds the list's
-// form, a client with failover and watches, and the table that a reader keeps of its services.
+// changes since a version, that agents read and the list service writes. It contains the JSON format
+// of the list, a client with failover and watches, and the table in which a reader keeps the endpoints
+// of its services.
 //
-// The form's keys and values are older than the names of this package and stay as they are: "hosts"
+// The JSON keys and values are older than the Go names of this package and must not change: "hosts"
 // are the endpoints, "whole" means full, "share" is the weight, "born_ms" the start time, and "gone"
 // means removed.
 package endpoints
@@ -16,32 +17,32 @@
 	"time"
 )
 
-// Path is the HTTP path under which the service answers requests for a list.
+// Path is the HTTP path of requests for a list.
 const Path = "/v1/endpoints"
 
 // Values of Endpoint.Health.
 const (
 	Ready    = "ready"
-	Draining = "draining" // completes the requests that it has and gets no new ones
-	Removed  = "gone"     // stands only in lists of changes
+	Draining = "draining" // completes its pending requests and receives no new ones
+	Removed  = "gone"     // used in lists of changes only
 )
 
 // List is a list of endpoints, or of the changes since a version.
 type List struct {
 	Seq       int64      `json:"seq"`   // version
-	Full      bool       `json:"whole"` // the list is complete; if not, it holds changes
+	Full      bool       `json:"whole"` // the list is complete; otherwise it holds changes
 	Endpoints []Endpoint `json:"hosts"`
 
-	// A Client sets the fields below on a list that it has read; they are not part of the form.
+	// A Client sets the fields below on a list that it has read; they are not part of the JSON format.
 
-	// Scoped says that the list service understood which services were requested, and sent only
+	// Scoped means that the list service understood which services were requested and sent only
 	// those.
 	Scoped bool `json:"-"`
-	// Subscription is the number of the client's subscription that the list answers.
+	// Subscription is the number of the client's subscription that the list was requested for.
 	Subscription uint64 `json:"-"`
-	// EntryError is why the first entry that can't be read can't; nil: all can.
+	// EntryError is the error of the first unreadable entry; nil: all entries are readable.
 	EntryError error `json:"-"`
-	// Age is, for the part of an unfinished list, the time since its first byte arrived.
+	// Age is the time since the first byte arrived; it is set on the part of an unfinished list.
 	Age time.Duration `json:"-"`
 }
 
@@ -54,15 +55,16 @@
 	Block     int     `json:"block"`
 	Health    string  `json:"health"` // Ready, Draining or Removed
 	Weight    float64 `json:"share"`
-	StartedMs float64 `json:"born_ms"` // start of the backend's process by the wall clock, in milliseconds
-	// Service is the service that the backend belongs to; "" is the default service. A reader that
-	// requests no services receives lists without it.
+	StartedMs float64 `json:"born_ms"` // wall-clock start time of the backend's process, in milliseconds
+	// Service is the service that the backend belongs to; "" is the default service. It is missing
+	// from the lists sent to a reader that requests no services.
 	Service string `json:"service,omitempty"`
 }
 
-// Parse reads the JSON text of one list. An entry that can't be read does not keep the others from being
-// read: it counts as Draining, as nothing can be sent to it and what it holds is not known to be over, or
-// is left out if it has no name. List.EntryError then names the first one. A list that is no list is an error.
+// Parse reads the JSON text of one list. An unreadable entry does not prevent the others from being read.
+// It counts as Draining, because no requests can be sent to it and the requests that it already has may
+// still be running; it is left out if it has no name. List.EntryError describes the first such entry.
+// Parse returns an error if the text is not a list.
 func Parse(text []byte) (List, error) {
 	var list List
 	err := json.Unmarshal(text, &list) // reads all other fields if one has the wrong type
--- a/internal/endpoints/listscanner.go
+++ b/internal/endpoints/listscanner.go
@@ -7,13 +7,13 @@
 )
 
 // partialListDelay is how long a list may stay unfinished before its reader receives the part that
-// has arrived: the service counts as delivered what it has written (PROTOCOL, "The rules on
-// sockets"), and a reader has half a second to apply it.
+// has arrived: the service treats the bytes it has written as delivered (PROTOCOL, "The rules on
+// sockets"), and a reader has half a second to apply them.
 const partialListDelay = 100 * time.Millisecond
 
-// listScanner splits the bytes of a watch into lists as they arrive. A list ends with its last brace,
-// whether or not its line does, and may be indented over several lines. A list that stays unfinished
-// is reported in part. The callbacks run with the scanner locked.
+// listScanner splits the bytes of a watch into lists as they arrive. A list ends at its closing brace,
+// whether or not a newline follows, and may be indented over several lines. If a list stays unfinished,
+// the part that has arrived is reported. The callbacks run with the scanner locked.
 type listScanner struct {
 	onList      func(text []byte) error                  // receives each list
 	onBlankLine func()                                   // is called for each blank line between lists
@@ -29,8 +29,8 @@
 	partialTimer  *time.Timer
 }
 
-// feed scans the next bytes. It returns an error if they are not part of a list, or the error of
-// onList.
+// feed scans the next bytes. It returns an error if they are not valid as part of a list, or the error
+// of onList.
 func (s *listScanner) feed(data []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +98,7 @@
 	return nil, nil
 }
 
-// finishList hands over the list that ends with tail. Only blanks may follow on the same line.
+// finishList hands the list that ends with tail to onList. Only blanks may follow it on the same line.
 func (s *listScanner) finishList(tail, rest []byte) ([]byte, error) {
 	if next := bytes.TrimLeft(rest, " \t\r"); len(next) > 0 && next[0] != '\n' {
 		return nil, errMalformedList
@@ -119,19 +119,19 @@
 	}
 }
 
-// reportOverdue runs on the timer: it reports the part of a list that is overdue, and restarts the
-// timer to report what arrives later.
+// reportOverdue is called by the timer: it reports the received part of an overdue list, and restarts
+// the timer to report the bytes that arrive later.
 func (s *listScanner) reportOverdue() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.partialTimer == nil || len(s.pending) == 0 || time.Since(s.firstByteAt) < partialListDelay {
-		return // the list was finished while the timer fired
+		return // the list was completed while the timer fired
 	}
 	s.reportGrowth()
 	s.partialTimer.Reset(partialListDelay)
 }
 
-// reportGrowth reports the part that has arrived, if it has grown since the last report.
+// reportGrowth reports the received part of the list if it has grown since the last report.
 func (s *listScanner) reportGrowth() {
 	if len(s.pending) > s.reportedBytes {
 		s.reportedBytes = len(s.pending)
@@ -139,8 +139,8 @@
 	}
 }
 
-// close ends the scan for the reason err, which it returns. If a list is unfinished, close reports its
-// part first and returns an *IncompleteError that wraps err.
+// close ends the scan and returns err, the reason why the response ended. If a list is unfinished, close
+// reports the received part first and returns an *IncompleteError that wraps err.
 func (s *listScanner) close(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/endpoints/partiallist.go
+++ b/internal/endpoints/partiallist.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 )
 
-// parsePartialList reads the beginning of a list's text. It returns the entries that are complete and
-// readable, and the list's version, or 0 if the text doesn't hold the complete version.
+// parsePartialList parses the beginning of a list's text. It returns the entries that are complete and
+// readable, and the list's version, or 0 if the text doesn't contain the complete version.
 func parsePartialList(text []byte) (list List) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
@@ -37,8 +37,8 @@
 	return list
 }
 
-// parsePartialEndpoints reads entries up to the end of their array or an error, and returns the
-// readable ones among those before it.
+// parsePartialEndpoints parses entries up to the end of their array or the first error, and returns the
+// readable ones.
 func parsePartialEndpoints(decoder *json.Decoder) (endpoints []Endpoint, err error) {
 	if token, err := decoder.Token(); err != nil || token != json.Delim('[') {
 		return nil, errMalformedList
--- a/internal/endpoints/request.go
+++ b/internal/endpoints/request.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// OtherAddressesHeader says in a watch how many other addresses the reader knows: the service may
-// redirect the reader to one of them. A reader without the header stays where it is.
+// OtherAddressesHeader is the request header with the number of other addresses that the reader knows:
+// the service may redirect the reader to one of them. Readers that don't send it are not redirected.
 const OtherAddressesHeader = "Other-Addresses"
 
-// A reader that registers as present sends MemberHeader with its name and BootIDHeader with the
-// identifier of its present process. It deregisters under MembersPath.
+// A reader that registers as a member sends MemberHeader with its name and BootIDHeader with an
+// identifier of its current process. It deregisters under MembersPath.
 const (
 	MemberHeader = "Member-Name"
 	BootIDHeader = "Member-Life"
@@ -22,15 +22,15 @@
 
 const (
 	retryAfterHeader = "Retry-After"
-	// notAppliedHeader marks a response that rejects a call without having done any part of it.
+	// notAppliedHeader marks a response to a call that was rejected without any effect.
 	notAppliedHeader = "Not-Applied"
-	// maxRetryAfterSeconds bounds the Retry-After header; a response with a longer time is an
-	// ordinary failure.
+	// maxRetryAfterSeconds is the longest accepted Retry-After time; a response with a longer one is
+	// an ordinary failure.
 	maxRetryAfterSeconds = 1e6
 )
 
-// requestList requests a list or a watch of one address. On success, which is status 200, the caller
-// has to close the body of the response.
+// requestList requests a list or a watch from one address. Any status but 200 is an error. Without an
+// error, the caller has to close the body of the response.
 func (c *Client) requestList(ctx context.Context, addr, query string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+Path+query, nil)
 	if err != nil {
@@ -61,9 +61,9 @@
 	return c.selector.OtherCount()
 }
 
-// responseError returns the error for a response with another status than 200. A server that is
-// unavailable for a time and says for how long is busy or stale; for a reader that has no other
-// address, that makes no difference.
+// responseError returns the error for a response with a status other than 200. A server that responds
+// with 503 and a Retry-After time is busy or stale. Without another address to call, the reader treats
+// this like any other failure.
 func responseError(resp *http.Response, hasOtherAddresses bool) error {
 	seconds, err := strconv.ParseFloat(resp.Header.Get(retryAfterHeader), 64)
 	hasRetryAfter := err == nil && seconds >= 0 && seconds <= maxRetryAfterSeconds
--- a/internal/endpoints/round.go
+++ b/internal/endpoints/round.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// runRound makes one round of calls: it calls one address after the other, as the selector says,
+// runRound makes one round of calls: it calls one address after the other, as chosen by the selector,
 // until a call succeeds, ctx ends, or the selector ends the round. It returns the error of the last
-// call, with its address if there is more than one.
+// call, prefixed with its address if there is more than one address.
 func (c *Client) runRound(ctx context.Context, call func(addr string) error) error {
 	c.beginRound()
 	lastErr := errNoAddress
@@ -47,8 +47,8 @@
 	return c.selector.Next(time.Since(c.createdAt), rand.Float64())
 }
 
-// sleep waits, and returns the error of ctx if that ends first. It doesn't look at ctx if there is
-// nothing to wait for.
+// sleep waits, and returns the error of ctx if ctx ends first. It doesn't check ctx if wait is not
+// positive.
 func sleep(ctx context.Context, wait time.Duration) error {
 	if wait <= 0 {
 		return nil
@@ -63,8 +63,8 @@
 	}
 }
 
-// callWhileOutdated calls an address, and again for as long as the call ends because the request has
-// become outdated and the address is still one of the addresses.
+// callWhileOutdated calls an address, and repeats the call while it ends because its request was
+// outdated and the address is still one of the addresses.
 func (c *Client) callWhileOutdated(ctx context.Context, addr string, call func(addr string) error) error {
 	err := call(addr)
 	for isOutdated(err) && ctx.Err() == nil && c.hasAddress(addr) {
@@ -79,8 +79,8 @@
 	return c.selector.Has(addr)
 }
 
-// recordFailure tells the selector how a call ended and reports the failover, if there is another
-// address. It returns the error for the caller of the round.
+// recordFailure records in the selector how a call ended and, if there is another address, reports the
+// failover. It returns the error for the caller of the round.
 func (c *Client) recordFailure(addr string, err error) error {
 	outcome, retryAfter := classifyOutcome(err)
 	c.mu.Lock()
--- a/internal/endpoints/serviceevents.go
+++ b/internal/endpoints/serviceevents.go
@@ -1,16 +1,16 @@
 package endpoints
 
-// ServiceEventKind says what happened to a service that a reader subscribes to.
+// ServiceEventKind is a kind of ServiceEvent.
 type ServiceEventKind uint8
 
-// What may happen to a service.
+// Events of a service that a reader subscribes to.
 const (
 	ServiceUnknown  ServiceEventKind = iota // no list has ever named an endpoint of the service
-	ServiceEmptied                          // it had endpoints, and the last list names none
+	ServiceEmptied                          // it had endpoints, and the latest list names none
 	ServiceRestored                         // it has endpoints again, or for the first time
 )
 
-// String returns the text for log lines.
+// String returns the text used in log lines.
 func (k ServiceEventKind) String() string {
 	switch k {
 	case ServiceUnknown:
@@ -23,24 +23,24 @@
 	return "service event unknown"
 }
 
-// ServiceEvent reports a change of a service that the entries of its endpoints alone don't show.
+// ServiceEvent reports a change of a service that is not apparent from the entries of its endpoints.
 type ServiceEvent struct {
 	Kind     ServiceEventKind
 	Service  string
-	Retained int // number of endpoints that stay in use though the list names none
-	// Scoped says that the list was limited to the reader's services. If it was not, the list may
-	// leave out which service an endpoint belongs to, and the event may be wrong.
+	Retained int // number of endpoints that stay in use although the list names none
+	// Scoped means that the list was limited to the reader's services. An unscoped list may omit
+	// which service an endpoint belongs to, so the event may be wrong.
 	Scoped bool
 }
 
-// serviceStatus is what the lists have said of a service so far.
+// serviceStatus is the status of a service according to the lists applied so far.
 type serviceStatus uint8
 
 const (
-	statusUnseen  serviceStatus = iota // no list was applied since the service was subscribed to
-	statusPresent                      // the last list names endpoints of the service
+	statusUnseen  serviceStatus = iota // no list was applied since the reader subscribed to the service
+	statusPresent                      // the latest list names endpoints of the service
 	statusUnknown                      // no list has named an endpoint
-	statusEmptied                      // an earlier list named endpoints and the last one names none
+	statusEmptied                      // an earlier list named endpoints and the latest one names none
 )
 
 // updateStatuses updates the status of the services after a list was applied, and returns an event
--- a/internal/endpoints/services.go
+++ b/internal/endpoints/services.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// MaxServices is the number of services that one reader may subscribe to.
+	// MaxServices is the maximum number of services that one reader may subscribe to.
 	MaxServices = 256
 	// ServiceParam is the query parameter that names one service in a request for a list. It may be
 	// repeated; an empty value is the default service.
 	ServiceParam = "service"
-	// ScopeHeader stands in the response of a list service that understood ServiceParam. A response
+	// ScopeHeader is set in the response of a list service that understood ServiceParam. A response
 	// without it holds the list of all services.
 	ScopeHeader = "Service-Scope"
 )
 
-// ServiceError reports a service that can't be subscribed to.
+// ServiceError reports an invalid service in a subscription.
 type ServiceError struct {
 	Index int   // position of the service in the subscription
-	Err   error // what is wrong with the service
+	Err   error // why the service is invalid
 }
 
-// Error names the position and the fault.
+// Error includes the position and the reason.
 func (e *ServiceError) Error() string { return fmt.Sprintf("services[%d]: %v", e.Index, e.Err) }
 
-// Unwrap returns the fault.
+// Unwrap returns the reason why the service is invalid.
 func (e *ServiceError) Unwrap() error { return e.Err }
 
-// CheckServices returns an error if a reader can't subscribe to the services: there has to be at least
-// one, at most MaxServices, and each has to be a token that stands there once. The empty name is the
-// default service. For a fault of one service the error is a *ServiceError.
+// CheckServices returns an error if a reader can't subscribe to the services: there must be at least
+// one and at most MaxServices, and each must be a token, without duplicates. The empty name is valid
+// and stands for the default service. If a single service is invalid, the error is a *ServiceError.
 func CheckServices(services []string) error {
 	if len(services) == 0 {
 		return errors.New("services: none named")
--- a/internal/endpoints/servicetable.go
+++ b/internal/endpoints/servicetable.go
@@ -5,38 +5,38 @@
 	"slices"
 )
 
-// ServiceTable is a reader's table of the endpoints of the services that it subscribes to. It turns
-// the lists that arrive into lists of these services alone, for a consumer that knows no services.
+// ServiceTable is a reader's table of the endpoints of the services that it subscribes to. It converts
+// received lists into lists of these services alone, for a consumer that has no notion of services.
 //
 // A full list without any endpoint of a service that had some is more likely wrong than right: the
-// table retains these endpoints until a list names one of the service again. A change that removes an
-// endpoint is applied as it is, as the list service guards its changes itself.
+// table retains these endpoints until a list names an endpoint of the service again. A change that
+// removes an endpoint is always applied, because the list service has safeguards for its changes.
 //
-// A ServiceTable is not safe for concurrent use. The time of a change grows with the entries of the
-// change, and the time of a full list with the entries of the list and of the table; the endpoints
-// that were retained and are replaced by a change take time once each.
+// A ServiceTable is not safe for concurrent use. Applying changes takes time linear in the entries of
+// the changes, and applying a full list time linear in the entries of the list and of the table. Each
+// retained endpoint that a change causes to be removed adds to that time once.
 type ServiceTable struct {
 	services    map[string]*serviceState // subscribed to, by name
 	endpoints   map[string]Endpoint      // by name; each with its service
-	hasFullList bool                     // a full list was applied since the services changed
+	hasFullList bool                     // a full list was applied since the last change of services
 	synced      bool                     // the last full list and all changes after it were scoped
 }
 
-// serviceState is what the table holds of one service.
+// serviceState is the table's state of one service.
 type serviceState struct {
 	endpointNames map[string]bool // the endpoints in the table
-	retained      bool            // they are in the table though the last full list named none of them
+	retained      bool            // they are in the table although the last full list named none of them
 	status        serviceStatus
 }
 
-// NewServiceTable returns an empty table of these services, which have to pass CheckServices.
+// NewServiceTable returns an empty table of the given services, which must pass CheckServices.
 func NewServiceTable(services []string) *ServiceTable {
 	t := &ServiceTable{endpoints: map[string]Endpoint{}}
 	t.Subscribe(services)
 	return t
 }
 
-// Subscribe replaces the services; the new ones have to pass CheckServices. The endpoints in the table
+// Subscribe replaces the services; the new ones must pass CheckServices. The endpoints in the table
 // stay until the next full list, and changes before that list are ignored.
 func (t *ServiceTable) Subscribe(services []string) {
 	previous := t.services
@@ -48,8 +48,8 @@
 		}
 		t.services[name] = state
 	}
-	// A service that was given up and is subscribed to again before a full list arrived still has
-	// its endpoints in the table.
+	// If the reader unsubscribes from a service and subscribes to it again before a full list
+	// arrives, the endpoints of the service are still in the table.
 	for name, endpoint := range t.endpoints {
 		if state := t.services[endpoint.Service]; state != nil {
 			state.endpointNames[name] = true
@@ -58,12 +58,12 @@
 	t.hasFullList, t.synced = false, false
 }
 
-// Synced reports whether the table rests on a full scoped list and no unscoped list was applied after
-// it. A table that is not synced may lack endpoints of its services.
+// Synced reports whether the table is based on a full scoped list and no unscoped list was applied
+// after it. A table that is not synced may lack endpoints of its services.
 func (t *ServiceTable) Synced() bool { return t.synced }
 
-// Seed puts a list into the table that is known from an earlier run, and returns the entries of the
-// table's services. It causes no events: those tell what lists of the service say.
+// Seed adds the endpoints of a list saved by an earlier run to the table, and returns the entries of the
+// table's services. It causes no events, because events only report lists of the list service.
 func (t *ServiceTable) Seed(list List) List {
 	seeded := List{Seq: list.Seq, Full: list.Full, Endpoints: []Endpoint{}}
 	for i := range list.Endpoints {
@@ -89,7 +89,7 @@
 	return t.applyChanges(&list)
 }
 
-// applyFullList replaces the table by a full list and the endpoints that are retained beside it.
+// applyFullList replaces the contents of the table with a full list and the retained endpoints.
 func (t *ServiceTable) applyFullList(list *List) (List, []ServiceEvent) {
 	next := t.subscribedEntries(list)
 	services := slices.Sorted(maps.Keys(t.services))
@@ -99,13 +99,13 @@
 	return List{Seq: list.Seq, Full: true, Endpoints: next.inOrder()}, t.updateStatuses(services, list.Scoped)
 }
 
-// entrySet is a set of entries in the order in which their names were added first.
+// entrySet is a set of entries, ordered by when their names were first added.
 type entrySet struct {
 	byName map[string]Endpoint
 	names  []string
 }
 
-// add adds an entry, or replaces the one of the same name in its place.
+// add adds an entry, or replaces the one with the same name and keeps its position.
 func (s *entrySet) add(endpoint Endpoint) {
 	if _, exists := s.byName[endpoint.Name]; !exists {
 		s.names = append(s.names, endpoint.Name)
@@ -135,8 +135,7 @@
 	return entries
 }
 
-// retainEmptied adds to next, for each service without an entry in next, the endpoints that the table
-// has of it.
+// retainEmptied adds to next the table's endpoints of each service that has no entry in next.
 func (t *ServiceTable) retainEmptied(next *entrySet, services []string) {
 	listedCount := map[string]int{}
 	for _, endpoint := range next.byName {
@@ -149,7 +148,7 @@
 			continue
 		}
 		for _, name := range slices.Sorted(maps.Keys(state.endpointNames)) {
-			if _, listed := next.byName[name]; !listed { // it could be listed under another service
+			if _, listed := next.byName[name]; !listed { // it may be listed under another service
 				next.add(t.endpoints[name])
 				state.retained = true
 			}
@@ -157,7 +156,7 @@
 	}
 }
 
-// replaceEndpoints makes these the endpoints of the table.
+// replaceEndpoints replaces all endpoints of the table.
 func (t *ServiceTable) replaceEndpoints(endpoints map[string]Endpoint) {
 	for _, state := range t.services {
 		state.endpointNames = map[string]bool{}
@@ -175,8 +174,8 @@
 }
 
 // serviceOf returns the service that an entry belongs to, and whether the table subscribes to it. An
-// entry of an unscoped list may leave its service out: it belongs to the service that the table has
-// the endpoint under, or else to the default service.
+// entry of an unscoped list may omit its service: it then belongs to the endpoint's service in the
+// table or, if the table doesn't have the endpoint, to the default service.
 func (t *ServiceTable) serviceOf(endpoint *Endpoint, scoped bool) (service string, subscribed bool) {
 	service = endpoint.Service
 	if current, ok := t.endpoints[endpoint.Name]; ok && !scoped && service == "" {
--- a/internal/endpoints/subscription.go
+++ b/internal/endpoints/subscription.go
@@ -6,15 +6,15 @@
 	"strconv"
 )
 
-// subscription is what a client requests from the list service.
+// subscription is the set of services that a client requests, and how its next watch requests them.
 type subscription struct {
 	services   []string // sorted; nil: the list of all services
-	number     uint64   // counts the changes of services
-	minVersion int64    // the reader's version when the services changed last
-	// needsFullList says that the reader holds no list that changes of these services apply to, so
-	// that the next watch has to begin with a full list.
+	number     uint64   // number of changes of the services so far
+	minVersion int64    // the reader's version at the last change of the services
+	// needsFullList means that the reader holds no list to which changes of these services could be
+	// applied, so the next watch has to begin with a full list.
 	needsFullList bool
-	// sendsVersion says that the next watch sends the reader's version although it needs a full
+	// sendsVersion means that the next watch sends the reader's version although it needs a full
 	// list. The last response was older than that version, and the list service raises its own
 	// version only when a reader sends a later one.
 	sendsVersion bool
@@ -24,12 +24,12 @@
 	return subscription{services: sortedServices(services), needsFullList: services != nil}
 }
 
-// replace subscribes to other services; version is the reader's version.
+// replace replaces the services; version is the reader's version.
 func (s *subscription) replace(services []string, version int64) {
 	*s = subscription{services: sortedServices(services), number: s.number + 1, minVersion: version, needsFullList: true}
 }
 
-// requiredVersion returns the least version that a list may have for a reader with the version since.
+// requiredVersion returns the lowest acceptable version of a list for a reader with the version since.
 func (s *subscription) requiredVersion(since int64) int64 {
 	if s.number == 0 {
 		return since
@@ -64,7 +64,7 @@
 }
 
 // listReceived records a list that the reader accepted from a watch. Later changes apply only to a
-// list of the reader's services: the list of all services may leave out which service an entry
+// list of the reader's services, because the list of all services may omit which service an entry
 // belongs to.
 func (s *subscription) listReceived(list *List) {
 	switch {
@@ -75,7 +75,7 @@
 	}
 }
 
-// sortedServices returns a sorted copy, and nil for nil.
+// sortedServices returns a sorted copy of services, or nil if services is nil.
 func sortedServices(services []string) []string {
 	services = slices.Clone(services)
 	slices.Sort(services)
--- a/internal/endpoints/tableupdate.go
+++ b/internal/endpoints/tableupdate.go
@@ -19,8 +19,8 @@
 // tableUpdate applies one list of changes to a table and collects what has changed.
 type tableUpdate struct {
 	table           *ServiceTable
-	touchedNames    []string            // of endpoints, in the order in which they were touched first
-	previous        map[string]Endpoint // the touched endpoints before the update; without a name if the table had none
+	touchedNames    []string            // of endpoints, in the order in which they were first touched
+	previous        map[string]Endpoint // the touched endpoints before the update; zero if the table had none
 	touchedServices map[string]bool
 }
 
@@ -28,8 +28,8 @@
 func (u *tableUpdate) apply(endpoint Endpoint, scoped bool) {
 	current, exists := u.table.endpoints[endpoint.Name]
 	if endpoint.Health == Removed {
-		// An endpoint that changes its service is removed from the previous one. That entry may
-		// follow the one that adds it to the new service, and must not remove it there.
+		// When an endpoint changes its service, the list has a removal from the previous service.
+		// The removal may follow the entry for the new service, and must not undo that one.
 		if exists && (endpoint.Service == current.Service || !scoped && endpoint.Service == "") {
 			u.remove(endpoint.Name)
 		}
@@ -37,7 +37,7 @@
 	}
 	service, subscribed := u.table.serviceOf(&endpoint, scoped)
 	if !subscribed {
-		if exists && !scoped { // the endpoint moved to a service without a subscription
+		if exists && !scoped { // the endpoint moved to a service that the table does not subscribe to
 			u.remove(endpoint.Name)
 		}
 		return
@@ -49,8 +49,8 @@
 	u.table.put(endpoint)
 }
 
-// removeRetained removes the endpoints that the table only retains for a service, now that a list
-// names an endpoint of the service again.
+// removeRetained removes the retained endpoints of a service, because a list names an endpoint of the
+// service again.
 func (u *tableUpdate) removeRetained(service string) {
 	state := u.table.services[service]
 	if !state.retained {
@@ -62,7 +62,7 @@
 	}
 }
 
-// remove removes an endpoint from the table, if it is there, and records that it was touched.
+// remove removes an endpoint from the table, if it exists, and records that it was touched.
 func (u *tableUpdate) remove(name string) {
 	current, exists := u.table.endpoints[name]
 	if _, touched := u.previous[name]; !touched {
@@ -79,8 +79,7 @@
 	}
 }
 
-// changedEndpoints returns one entry for each touched endpoint: as it is in the table now, or as
-// removed.
+// changedEndpoints returns one entry for each touched endpoint: its entry in the table, or its removal.
 func (u *tableUpdate) changedEndpoints() []Endpoint {
 	changed := make([]Endpoint, 0, len(u.touchedNames))
 	for _, name := range u.touchedNames {
--- a/internal/endpoints/validation.go
+++ b/internal/endpoints/validation.go
@@ -11,22 +11,22 @@
 	"unicode/utf8"
 )
 
-// Bounds of the texts of a valid Endpoint, in bytes.
+// Maximum lengths of the strings of a valid Endpoint, in bytes.
 const (
 	MaxName  = 128 // of a name; an address may be twice as long
 	MaxLabel = 64  // of a site, a class or a service
 )
 
-// Bounds of the numbers of a valid Endpoint.
+// Maximum values of the numbers of a valid Endpoint.
 const (
 	maxBlock     = 1 << 20
 	maxWeight    = 1e6
-	maxStartedMs = 1 << 52 // a float64 holds every whole number up to it
+	maxStartedMs = 1 << 52 // a float64 represents every integer up to this exactly
 )
 
 // CheckReadable returns an error if a reader can't use the entry: it needs a name, a known health value
-// and, unless it is removed, an address. CheckReadable is no stricter than that, so that a list from
-// another program with an unusual site or weight is still a list.
+// and, unless it is removed, an address. CheckReadable is no stricter than that, so that a reader accepts
+// lists of other programs with unusual sites or weights.
 func (e *Endpoint) CheckReadable() error {
 	switch {
 	case e.Name == "":
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// Validate returns an error that names the first field for which a service should not take the entry
-// into its list.
+// Validate returns an error if a list service should not add the entry to its list. The error names the
+// first invalid field.
 func (e *Endpoint) Validate() error {
 	if err := e.CheckReadable(); err != nil {
 		return err
@@ -74,10 +74,10 @@
 	return fmt.Errorf("%s: must be at most %d printable characters without spaces or slashes", field, maxLength)
 }
 
-// IsWeight reports whether an endpoint can have the weight. NaN is no weight.
+// IsWeight reports whether weight is a valid weight of an endpoint. NaN is not valid.
 func IsWeight(weight float64) bool { return weight >= 0 && weight <= maxWeight }
 
-// isStartTime reports whether ms is a whole number of milliseconds within the bounds.
+// isStartTime reports whether ms is a whole number of milliseconds from 0 to maxStartedMs.
 func isStartTime(ms float64) bool {
 	return ms >= 0 && ms <= maxStartedMs && ms == math.Trunc(ms)
 }
@@ -92,7 +92,7 @@
 	return err == nil
 }
 
-// IsToken reports whether a name can stand in a path, a log line and a metric: it is printable, has no
+// IsToken reports whether a name can be used in a path, a log line and a metric: it is printable, has no
 // spaces, slashes, quotes or other characters with a meaning in a URL, and at most maxLength bytes.
 func IsToken(name string, maxLength int) bool {
 	if name == "" || name == "." || name == ".." || len(name) > maxLength || !utf8.ValidString(name) {
--- a/internal/endpoints/watch.go
+++ b/internal/endpoints/watch.go
@@ -12,16 +12,16 @@
 // watchBufferBytes is the size of one read from a watch.
 const watchBufferBytes = 4096
 
-// Watch hands each change after the version since to onList, and continues at another address where
-// one fails. It returns when its round of calls is over, with the reason for which the last call
-// ended; it never returns nil. onList runs on the goroutine of Watch.
+// Watch passes each change after the version since to onList, and continues at another address when
+// one fails. It returns when its round of calls is over, with the reason why the last call ended; it
+// never returns nil. onList runs on the goroutine of Watch.
 func (c *Client) Watch(ctx context.Context, since int64, onList func(List)) error {
 	return c.runRound(ctx, func(addr string) error {
 		return c.watchAddress(ctx, addr, &since, onList)
 	})
 }
 
-// watchAddress runs one watch at one address, and keeps version at the version of the last list.
+// watchAddress runs one watch at one address, and updates *version with the version of each list.
 func (c *Client) watchAddress(ctx context.Context, addr string, version *int64, onList func(List)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -41,8 +41,9 @@
 	return watchError(ctx, w.run(ctx))
 }
 
-// watchError returns the reason for which a watch was canceled in place of the read error that this
-// caused. A stale list stays the reason where the watch was canceled at the same time.
+// watchError returns the error of a watch. If the watch was canceled, that is the cause of the
+// cancellation instead of the read error that it led to; but a stale list remains the reported error
+// even if the watch was canceled at the same time.
 func watchError(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
 	if cause == nil || errors.Is(err, errStaleList) {
@@ -54,7 +55,7 @@
 	return cause
 }
 
-// watchStarted records the address of the running watch, and returns the subscription to request.
+// watchStarted records the address of the new watch, and returns the subscription to request.
 func (c *Client) watchStarted(addr string, cancel context.CancelCauseFunc) subscription {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,14 +79,14 @@
 	requested  subscription
 	version    *int64 // of the last list that the reader accepted
 	hasBase    bool   // the reader holds a list that changes of the requested services apply to
-	onActivity func() // is called for each line and each list
+	onActivity func() // is called for each blank line and each list
 	onList     func(List)
 
 	resp *http.Response
 }
 
-// run reads the watch until it ends. The error is never nil: it is errWatchClosed if the server ended
-// the response in order.
+// run reads the watch until it ends. The error is never nil: it is errWatchClosed if the server closed
+// the response normally.
 func (w *watch) run(ctx context.Context) error {
 	resp, err := w.client.requestList(ctx, w.addr, w.requested.watchQuery(*w.version))
 	if err != nil {
@@ -109,7 +110,7 @@
 	}
 }
 
-// handleList parses and checks one list and hands it to the reader. An error ends the watch.
+// handleList parses and checks one list and passes it to the reader. An error ends the watch.
 func (w *watch) handleList(text []byte) error {
 	list, err := Parse(text)
 	if err != nil {
@@ -128,8 +129,8 @@
 	return nil
 }
 
-// checkList returns an error for a list that the reader can't apply: one that is older than what the
-// reader holds, or changes without the full list that they apply to.
+// checkList returns an error for a list that the reader can't apply: one that is older than the
+// reader's version, or changes without a full list to apply them to.
 func (w *watch) checkList(list *List) error {
 	if w.client.config.RejectOlder && list.Seq < w.requested.requiredVersion(*w.version) {
 		w.client.staleListReceived(&w.requested)
@@ -151,7 +152,7 @@
 }
 
 // acceptWatchedList records that a watch received a list. It returns an error if the subscription has
-// changed since the request: the list has to be dropped then.
+// changed since the request, in which case the list has to be dropped.
 func (c *Client) acceptWatchedList(addr string, requested *subscription, list *List) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,8 +164,9 @@
 	return nil
 }
 
-// staleListReceived records that a watch received a list older than the reader's version. The next
-// watch sends that version, unless this one did, so that the service can raise its own.
+// staleListReceived records that a watch received a list older than the reader's version. If the
+// next watch needs a full list, it sends the reader's version, unless this watch already did, so that
+// the service can raise its own version.
 func (c *Client) staleListReceived(requested *subscription) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,5 +1,5 @@
-// Package transient tells errors of system calls that are temporary from permanent ones, and retries
-// calls that failed with a temporary error. The agent and the control plane both use it.
+// Package transient distinguishes temporary errors of system calls from permanent ones, and retries
+// calls that failed with a temporary error. Both the agent and the control plane use it.
 package transient
 
 import (
@@ -13,21 +13,21 @@
 
 // Errors of accept(2), socket(2), connect(2) and open(2).
 var (
-	// localErrors mean that this machine lacks a resource for a moment. They say nothing about the
-	// other side of a connection.
+	// localErrors mean that this machine temporarily lacks a resource. They say nothing about the
+	// peer of a connection.
 	localErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 		syscall.EADDRINUSE, syscall.EAGAIN, syscall.EINTR}
-	// networkErrors mean that the network has no route, which may be the fault of the other side.
+	// networkErrors mean that the network has no route, which may be the fault of the peer.
 	networkErrors = []error{syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENONET}
-	// permanentErrors of accept mean that there is no listening socket any more. EOPNOTSUPP is not
+	// permanentErrors of accept mean that the listening socket no longer exists. EOPNOTSUPP is not
 	// among them: accept returns errors that are pending on the new connection (accept(2), "Error
 	// handling").
 	permanentErrors = []error{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 )
 
-// Retries of a call wait initialBackoff at first, then twice as long each time up to MaxBackoff. The delays
-// are short because clients wait in the listener's queue meanwhile, and their deadlines run.
-// maxBackoffShift keeps the doubling from overflowing.
+// The first retry of a call waits initialBackoff, and each further one twice as long, up to MaxBackoff.
+// The delays are short because clients wait in the listener's queue meanwhile and their deadlines
+// approach. maxBackoffShift keeps the doubling from overflowing.
 const (
 	initialBackoff  = 2 * time.Millisecond
 	MaxBackoff      = 20 * time.Millisecond
@@ -38,8 +38,8 @@
 	return slices.ContainsFunc(targets, func(target error) bool { return errors.Is(err, target) })
 }
 
-// IsTemporary reports whether a call may succeed a moment later: it failed because this machine lacks
-// a resource, or because a read from a device failed.
+// IsTemporary reports whether a failed call may soon succeed: it failed because this machine lacks a
+// resource, or because a read from a device failed.
 func IsTemporary(err error) bool { return matchesAny(err, localErrors) || errors.Is(err, syscall.EIO) }
 
 // IsLocal reports whether a call failed because this machine lacks a resource.
@@ -48,8 +48,8 @@
 // IsNetwork reports whether a connect failed because the network has no route.
 func IsNetwork(err error) bool { return matchesAny(err, networkErrors) }
 
-// Backoff waits before the next attempt, after the given number of retries, and reports whether to
-// make it: it returns false as soon as ctx ends.
+// Backoff waits before the next attempt, after the given number of retries. It returns whether to make
+// the attempt, which is false as soon as ctx ends.
 func Backoff(ctx context.Context, retries int) bool {
 	timer := time.NewTimer(min(initialBackoff<<min(retries, maxBackoffShift), MaxBackoff))
 	defer timer.Stop()
@@ -61,8 +61,8 @@
 	}
 }
 
-// Retry calls call until it succeeds or fails with an error that is not temporary, the time limit has
-// passed, or ctx ends. It returns the error of the last call.
+// Retry calls call until it succeeds, it fails with an error that is not temporary, the timeout expires,
+// or ctx ends. It returns the error of the last call.
 func Retry(ctx context.Context, timeout time.Duration, call func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -86,7 +86,7 @@
 }
 
 // Accept waits for a connection. It returns net.ErrClosed once the listener is closed or Context has
-// ended, or a permanent error.
+// ended, and any permanent error at once.
 func (l *Listener) Accept() (net.Conn, error) {
 	for retries := 0; ; retries++ {
 		began := time.Now()
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// failingListener fails with each error in turn, and then returns a connection.
+// failingListener fails with each of errs in turn, and then returns a connection.
 type failingListener struct {
 	net.Listener
 	errs  []error
@@ -26,8 +26,8 @@
 	return &net.TCPConn{}, nil
 }
 
-// Accept retries after every error of accept(2) but those that mean that there is no listening socket, and
-// the retries are at most MaxBackoff apart.
+// Accept retries after every error of accept(2) except those that mean that the listening socket no longer
+// exists, and the retries are at most MaxBackoff apart.
 func TestAcceptRetriesTransientErrors(t *testing.T) {
 	for errno := syscall.Errno(1); errno < 133; errno++ {
 		permanent := errno == syscall.EBADF || errno == syscall.EINVAL || errno == syscall.ENOTSOCK || errno == syscall.EFAULT
@@ -39,9 +39,9 @@
 			took := time.Since(began)
 			switch {
 			case permanent && (!errors.Is(err, errno) || f.calls != 1):
-				t.Errorf("%v: %v after %d calls", errno, err, f.calls)
+				t.Errorf("%v: Accept returned %v after %d calls", errno, err, f.calls)
 			case !permanent && (conn == nil || err != nil || onErrorCalls != len(f.errs) || took > time.Duration(len(f.errs))*MaxBackoff):
-				t.Errorf("%v: %v, %d calls of OnError, after %v", errno, err, onErrorCalls, took)
+				t.Errorf("%v: Accept returned %v after %d calls of OnError and %v", errno, err, onErrorCalls, took)
 			}
 		})
 	}
@@ -58,16 +58,17 @@
 		}
 		l := Listener{Listener: f, Context: ctx}
 		if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Accept returned %v, want net.ErrClosed", err)
 		}
 	})
 }
 
-// Retry repeats a call while its error is temporary and there is time, and not after another error.
+// Retry repeats a call while its error is temporary and the timeout has not expired, and does not repeat it
+// after any other error.
 func TestRetryWhileErrorIsTemporary(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		failures    int // calls before the first that succeeds
+		failures    int // number of calls before the first that succeeds
 		err         error
 		want        error
 		maxDuration time.Duration
@@ -86,7 +87,7 @@
 				return nil
 			})
 			if took := time.Since(began); !errors.Is(err, c.want) || took > c.maxDuration {
-				t.Errorf("%s: %v after %v and %d calls", c.name, err, took, calls)
+				t.Errorf("%s: Retry returned %v after %v and %d calls", c.name, err, took, calls)
 			}
 		})
 	}
