--- a/internal/endpoints/addressselector_test.go
+++ b/internal/endpoints/addressselector_test.go
@@ -17,7 +17,7 @@
 	return addresses
 }
 
-// selectorModel drives an AddressSelector with random steps and checks its bounds after each of them.
+// selectorModel drives an AddressSelector with random steps and checks its invariants after each of them.
 type selectorModel struct {
 	rt           *rapid.T
 	selector     *AddressSelector
@@ -28,14 +28,15 @@
 	roundStarted      bool
 	firstCall         bool
 	budgetedCalls     int                      // calls that were not the first of their round
-	callsSinceList    int                      // of the present round
+	callsSinceList    int                      // of the current round
 	avoidUntil        map[string]time.Duration // by address
 	lastCalledAddress string
 }
 
-// Whatever happens, a selector returns only its own addresses, each at most once in a round after a
-// list was received, pays for all but the first call of a round from its budget, never waits longer
-// than its bounds, and prefers the first address in its order that gave no cause to avoid it.
+// In any sequence of steps, a selector returns only its own addresses, makes no more calls in a round
+// than it has addresses unless a list is received, charges all but the first call of a round to its
+// budget, never waits longer than its bounds, and prefers the first address in its order that need not
+// be avoided.
 func TestAddressSelectorKeepsBudgetAndOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		allAddresses := testAddresses(8)
@@ -80,24 +81,24 @@
 	addr, wait, ok := m.selector.Next(m.now, rapid.Float64Range(0, 0.999).Draw(m.rt, "random"))
 	if !ok {
 		if m.firstCall {
-			m.rt.Fatal("the first call of a round was denied")
+			m.rt.Fatal("Next denied the first call of a round")
 		}
 		return
 	}
 	if !m.selector.Has(addr) {
-		m.rt.Fatalf("returned %s, which is none of the addresses", addr)
+		m.rt.Fatalf("Next returned %s, which is not one of the addresses", addr)
 	}
 	if wait < 0 || wait > max(maxBackoff, maxRetryAfter) {
-		m.rt.Fatalf("waits %v", wait)
+		m.rt.Fatalf("Next returned a wait of %v", wait)
 	}
 	candidates := m.selector.candidates
 	if !m.firstCall {
 		if m.budgetedCalls++; len(candidates) == 1 {
-			m.rt.Fatal("a second call in a round to the only address")
+			m.rt.Fatal("Next returned the only address twice in a round")
 		}
 	}
 	if m.callsSinceList++; m.callsSinceList > max(len(candidates), 1) {
-		m.rt.Fatalf("%d calls to %d addresses in one round without a list", m.callsSinceList, len(candidates))
+		m.rt.Fatalf("%d calls in a round with %d addresses, without a list", m.callsSinceList, len(candidates))
 	}
 	for i := range candidates {
 		preferred := candidates[i].addr
@@ -105,7 +106,7 @@
 			break
 		}
 		if m.avoidUntil[preferred] <= m.now && candidates[i].busyUntil <= m.now {
-			m.rt.Fatalf("returned %s though %s comes before it and gave no cause to avoid it", addr, preferred)
+			m.rt.Fatalf("Next returned %s although %s comes before it and need not be avoided", addr, preferred)
 		}
 	}
 	m.firstCall, m.lastCalledAddress = false, addr
@@ -123,35 +124,35 @@
 	until := m.selector.candidates[m.selector.index(addr)].avoidUntil
 	m.avoidUntil[addr] = until
 	if outcome != OutcomeBusy && until <= m.now || until > m.now+redirectAvoidance {
-		m.rt.Fatalf("outcome %d: avoided for %v", outcome, until-m.now)
+		m.rt.Fatalf("outcome %d: address avoided for %v", outcome, until-m.now)
 	}
 }
 
-// Bounds of the calls, in calls a second. rateRounding allows for the division by the number of readers.
+// Limits of the calls, in calls per second. rateRounding allows for the division by the number of readers.
 const (
 	readerRateLimit = 0.5
 	fleetRateLimit  = 100
 	rateRounding    = 0.01
 )
 
-// checkBudget checks the calls so far, and the rate of the whole fleet. Calls that are paid for are the
-// burst, which is one more than the number of addresses, and what the budget was refilled with since.
+// checkBudget checks the number of charged calls so far, and the rate of the whole fleet. The budget allows
+// the burst, which is one more than the number of addresses, and the refill since the start.
 func (m *selectorModel) checkBudget() {
 	maxBurst := float64(len(m.allAddresses) + 1)
 	rate := m.selector.budget.Rate
 	if limit := maxBurst + rate*m.now.Seconds(); float64(m.budgetedCalls) > limit {
-		m.rt.Fatalf("%d calls beyond the rounds' first within %v, at most %.1f", m.budgetedCalls, m.now, limit)
+		m.rt.Fatalf("%d calls after the first ones of their rounds within %v, want at most %.1f", m.budgetedCalls, m.now, limit)
 	}
 	if rate > readerRateLimit {
-		m.rt.Fatalf("a reader may make %v calls a second", rate)
+		m.rt.Fatalf("a reader may make %v calls per second", rate)
 	}
 	if float64(m.fleetSize)*rate > fleetRateLimit+rateRounding {
-		m.rt.Fatalf("a fleet of %d may make %v calls a second each", m.fleetSize, rate)
+		m.rt.Fatalf("%d readers may make %v calls per second each", m.fleetSize, rate)
 	}
 }
 
-// Readers spread over the addresses, and when one address is lost its readers spread over the rest
-// while all others stay.
+// Readers spread over the addresses. When one address is lost, its readers spread over the others, and
+// all other readers keep their address.
 func TestReadersSpreadOverAddresses(t *testing.T) {
 	const readers = 3000
 	addresses := testAddresses(3)
@@ -170,17 +171,17 @@
 		remaining := NewAddressSelector(addresses[1:], uint64(i), readers)
 		remaining.BeginRound()
 		if addr, _, _ := remaining.Next(0, 0); first != addresses[0] && addr != first {
-			t.Fatalf("reader %d leaves %s for %s because a third address is lost", i, first, addr)
+			t.Fatalf("reader %d moves from %s to %s although only a third address is lost", i, first, addr)
 		}
 	}
-	// Four standard deviations of a fair draw.
+	// Allows four standard deviations of a uniform distribution.
 	for addr, n := range firstChoices {
 		if n < readers/3-104 || n > readers/3+104 {
-			t.Errorf("%d of %d readers begin at %s", n, readers, addr)
+			t.Errorf("%d of %d readers prefer %s", n, readers, addr)
 		}
 	}
 	lost := firstChoices[addresses[0]]
 	if n := secondChoices[addresses[1]]; n < lost/2-66 || n > lost/2+66 || secondChoices[addresses[0]] > 0 {
-		t.Errorf("of %d readers of a lost address: %v", lost, secondChoices)
+		t.Errorf("%d readers of a lost address spread to %v", lost, secondChoices)
 	}
 }
--- a/internal/endpoints/client_test.go
+++ b/internal/endpoints/client_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// stubService is the transport of a client: a list service with several addresses, without sockets, so
-// that it can run on the clock of a synctest bubble.
+// stubService is a client's transport that simulates a list service with several addresses. It uses no
+// sockets, so that it can run on the clock of a synctest bubble.
 type stubService struct {
 	mu        sync.Mutex
 	addresses map[string]*stubAddress
@@ -25,14 +25,14 @@
 	callTimes []time.Time
 }
 
-// stubAddress is what one address does with a call: it rejects the call, or sends its list and then a
-// blank line every 2 s until closeWatch receives a value.
+// stubAddress defines how one address responds to a call: it rejects the call, or sends its list and then
+// a blank line every 2 s until closeWatch receives a value.
 type stubAddress struct {
 	status         int
 	header         http.Header
 	version        int64
 	silent         bool       // sends nothing after the list
-	closeWatch     chan error // the error that ends the running watch; nil: in order
+	closeWatch     chan error // receives the error that ends the running watch; nil: closes it normally
 	otherAddresses string     // header of the last call
 }
 
@@ -66,8 +66,8 @@
 	return resp, nil
 }
 
-// serveWatch writes the list and then heartbeats. It takes the state of the address as arguments, as a
-// later call may change it.
+// serveWatch writes the list and then heartbeats. It takes the state of the address as arguments because
+// a later call may change it.
 func (a *stubAddress) serveWatch(ctx context.Context, writer *io.PipeWriter, list []byte, closeWatch <-chan error, silent bool) {
 	_, _ = writer.Write(list)
 	heartbeat := time.NewTicker(2 * time.Second)
@@ -106,8 +106,8 @@
 	return hosts
 }
 
-// runClient runs a test in a synctest bubble with a client of a service of n addresses. The test
-// receives the addresses in the client's order.
+// runClient runs a test in a synctest bubble, with a client of a list service that has n addresses. The
+// test receives the addresses in the client's order.
 func runClient(t *testing.T, n int, test func(t *testing.T, s *stubService, c *Client, order []string)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -121,13 +121,14 @@
 	})
 }
 
-// servingVersion returns an address that serves a list of the version.
+// servingVersion returns an address that serves a list of the given version.
 func servingVersion(version int64) *stubAddress {
 	return &stubAddress{status: http.StatusOK, version: version}
 }
 
-// A watch leaves an address that refuses the connection, returns an error, is busy, has no current
-// list, has an older list than the reader, or falls silent, and stays at an address without a fault.
+// A watch fails over from an address that refuses the connection, returns an error, is busy, has no
+// current list, has an older list than the reader, or sends nothing for too long, and stays at a healthy
+// address.
 func TestWatchFailsOverToNextAddress(t *testing.T) {
 	busy := &stubAddress{status: 503, header: http.Header{"Retry-After": {"1.5"}, "Not-Applied": {"1"}}}
 	stale := &stubAddress{status: 503, header: http.Header{"Retry-After": {"0.2"}}}
@@ -150,7 +151,7 @@
 				time.Sleep(WatchSilenceTimeout + time.Second)
 				synctest.Wait()
 				if got := s.requestedAddresses(); len(got) != 2 || got[0] != order[0] || got[1] != order[1] {
-					t.Errorf("requested %v of %v", got, order)
+					t.Errorf("requested %v, the order is %v", got, order)
 				}
 				if n := len(received); n == 0 || received[n-1].Seq != 6 || received[0].Seq < 5 {
 					t.Errorf("received %+v", received)
@@ -175,8 +176,8 @@
 	}
 }
 
-// With no address that responds, a round calls each address once at most, and many rounds in a row are
-// cut short by the budget, which refills with time.
+// If no address responds, a round calls each address at most once, and the budget, which refills over
+// time, limits the calls of many consecutive rounds.
 func TestBudgetBoundsCallsOfFailingRounds(t *testing.T) {
 	runClient(t, 3, func(t *testing.T, s *stubService, c *Client, order []string) {
 		for range 100 {
@@ -185,19 +186,19 @@
 			}
 		}
 		if n, exhausted := len(s.requestedAddresses()), c.BudgetExhausted(); n < 103 || n > 107 || exhausted < 90 {
-			t.Errorf("100 rounds at once made %d calls, %d ended by the budget", n, exhausted)
+			t.Errorf("100 consecutive rounds made %d calls, %d ended by the budget", n, exhausted)
 		}
 		time.Sleep(time.Minute)
 		before := len(s.requestedAddresses())
 		_ = c.Watch(t.Context(), 0, nil)
 		if n := len(s.requestedAddresses()) - before; n != 3 {
-			t.Errorf("a round after a minute made %d calls", n)
+			t.Errorf("a round after a minute made %d calls, want 3", n)
 		}
 	})
 }
 
-// A watch that its server ends in order continues at the next address in the reader's order, from the
-// version that it has, and doesn't return to the first address soon.
+// A watch that its server closes normally continues at the next address in the reader's order, from the
+// reader's version, and does not soon return to the first address.
 func TestClosedWatchContinuesAtNextAddress(t *testing.T) {
 	runClient(t, 3, func(t *testing.T, s *stubService, c *Client, order []string) {
 		for i, addr := range order {
@@ -216,7 +217,7 @@
 		if got := strings.Join(s.calls, " "); got != want {
 			t.Errorf("requested %s, want %s", got, want)
 		}
-		// The address of the watch is removed: the watch continues at one that stays.
+		// When the address of the watch is removed, the watch continues at one of the others.
 		c.SetAddresses(order[:2])
 		s.set(order[0], servingVersion(20))
 		s.set(order[1], servingVersion(20))
@@ -230,7 +231,7 @@
 	})
 }
 
-// A fetch takes the list of the first address whose list is not older than the reader's.
+// A fetch returns the list of the first address whose list is not older than the reader's version.
 func TestFetchSkipsStaleLists(t *testing.T) {
 	runClient(t, 3, func(t *testing.T, s *stubService, c *Client, order []string) {
 		s.set(order[0], servingVersion(4))
@@ -247,8 +248,7 @@
 	})
 }
 
-// FuzzParse: Parse returns an error or a list whose entries are all readable, whatever the text.
-// An entry that can't be read counts as draining, or is left out without a name; the others are read.
+// An unreadable entry counts as draining, or is left out if it has no name; the other entries are read.
 func TestUnreadableEntriesDoNotHideOthers(t *testing.T) {
 	validEntry := `{"host":"s-1","dial":"127.0.0.1:1","health":"draining"}`
 	for entry, want := range map[string]string{
@@ -280,6 +280,8 @@
 	}
 }
 
+// For any text, Parse returns an error, or a list in which each entry has a name and is readable or counts
+// as draining.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"seq":2,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"ready","share":1,"born_ms":5}]}`))
 	f.Add([]byte(`{"seq":-1,"hosts":[{"host":"","health":"gone"}]}`))
@@ -293,10 +295,10 @@
 			e := &l.Endpoints[i]
 			unreadable := e.Health != Ready && e.Health != Draining && e.Health != Removed || e.Health != Removed && !IsAddress(e.Dial)
 			if e.Name == "" || unreadable && (e.Health != Draining || l.EntryError == nil) {
-				t.Errorf("accepted %+v, problem %v", e, l.EntryError)
+				t.Errorf("accepted %+v, entry error %v", e, l.EntryError)
 			}
 			if e.Validate() == nil {
-				// A valid name can stand in a path and is the same when the path is parsed.
+				// A valid name can be used in a path and is unchanged when the path is parsed.
 				u, err := url.Parse("http://a/v1/servers/" + e.Name)
 				if err != nil || u.Path != "/v1/servers/"+e.Name || !(e.Weight >= 0) || strconv.Itoa(e.Block) == "" {
 					t.Errorf("accepted the name %q: %v", e.Name, err)
@@ -306,7 +308,7 @@
 	})
 }
 
-// scriptedTransport is a service whose watch writes texts with a pause after each, and then is silent.
+// scriptedTransport is a service whose watch writes texts with a pause after each, and then nothing more.
 type scriptedTransport struct {
 	texts []string
 	pause time.Duration
@@ -329,8 +331,8 @@
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: body, Request: r}, nil
 }
 
-// The text of a watch may be indented, with braces inside strings, and is a list once it is complete.
-// Bytes that never make a list don't keep the watch alive, however they are split.
+// A list in a watch may be indented and have braces inside strings, and is received once it is complete.
+// Bytes that never complete a list don't keep the watch alive, however they are split.
 func TestWatchDecodesListsAndDetectsSilence(t *testing.T) {
 	const indented = "{\n  \"seq\": 6,\n  \"whole\": false,\n  \"hosts\": [\n    {\"host\": \"a}\\\"]\",\n" +
 		"     \"dial\": \"127.0.0.1:9\", \"health\": \"draining\"}\n  ]\n}\n"
@@ -343,7 +345,7 @@
 	for name, c := range map[string]struct {
 		texts    []string
 		lists    int
-		duration time.Duration // from the start to the end by silence
+		duration time.Duration // from the start to the silence timeout
 	}{
 		"indented":              {[]string{indented, "\n", indented}, 2, 2*time.Second + WatchSilenceTimeout},
 		"indented, in pieces":   {strings.SplitAfter(indented, "]"), 1, 2*time.Second + WatchSilenceTimeout},
@@ -371,7 +373,7 @@
 	}
 }
 
-// A line that is no list ends the watch, even if its brackets never match.
+// A line that is not a list ends the watch, even if its brackets never match.
 func TestWatchRejectsMalformedLists(t *testing.T) {
 	for _, text := range []string{"}\n", "x\n", "[1]\n", "{\"seq\":\"\n", "{}}\n", "{\"a\":[}]}\n"} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/endpoints/fakeservice_test.go
+++ b/internal/endpoints/fakeservice_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// fakeControlPlane is the transport of a client: a list service that knows services, without sockets.
-// Its servers share one list.
+// fakeControlPlane is a client's transport that simulates a control plane with support for services. Its
+// servers share one list.
 type fakeControlPlane struct {
 	mu      sync.Mutex
 	list    fakeList
@@ -25,13 +25,13 @@
 	changed chan struct{} // closed, and replaced, by each change of the list
 }
 
-// fakeServer is what one address does.
+// fakeServer defines the behavior of one address.
 type fakeServer struct {
-	ignoresServices    bool  // as a server of a release without services
-	versionLag         int64 // how much lower its versions are than the list's
+	ignoresServices    bool  // like a server of a release without services
+	versionLag         int64 // how far its versions are behind those of the list
 	raisesVersion      bool  // raises its version when a reader sends a later one
 	refusesConnections bool
-	closeWatches       chan struct{} // closed to end the server's watches in order
+	closeWatches       chan struct{} // closed to end the server's watches normally
 }
 
 // fakeList is a list with the history of its changes.
@@ -41,7 +41,7 @@
 	history   []fakeChange
 }
 
-// fakeChange is the entries of one change.
+// fakeChange holds the entries of one change.
 type fakeChange struct {
 	seq       int64
 	endpoints []Endpoint
@@ -51,8 +51,8 @@
 	return slices.IndexFunc(l.endpoints, func(e Endpoint) bool { return e.Name == name })
 }
 
-// set adds or replaces an endpoint. The change of an endpoint with another service than before also holds
-// its removal from that service, before or after its new entry.
+// set adds or replaces an endpoint. If that changes the endpoint's service, the change also holds a removal
+// from the previous service, before or after the new entry.
 func (l *fakeList) set(e Endpoint, removalLast bool) {
 	change := []Endpoint{e}
 	if i := l.index(e.Name); i < 0 {
@@ -81,8 +81,8 @@
 	l.history = append(l.history, fakeChange{l.seq, []Endpoint{e}})
 }
 
-// response returns what a reader with the version since receives. With nil services it holds the
-// endpoints of all services, without their service.
+// response returns the list that a reader with the version since receives. If services is nil, it holds
+// the endpoints of all services, with the service omitted.
 func (l *fakeList) response(since int64, services []string) List {
 	list := List{Seq: l.seq, Full: since <= 0, Endpoints: []Endpoint{}}
 	add := func(e Endpoint) {
@@ -159,7 +159,7 @@
 	return resp, nil
 }
 
-// serve writes one watch: the list or its changes first, then each change, and blank lines between.
+// serve writes one watch: first the list or its changes, then each new change, with blank lines in between.
 func (f *fakeControlPlane) serve(ctx context.Context, s *fakeServer, writer *io.PipeWriter, since int64, services []string) {
 	heartbeat := time.NewTicker(2 * time.Second)
 	defer heartbeat.Stop()
@@ -188,8 +188,8 @@
 	}
 }
 
-// fakeReader uses a Client and a ServiceTable as the agent does: it drops lists of another subscription
-// and of an older version, and applies the rest.
+// fakeReader uses a Client and a ServiceTable as the agent does: it drops lists of other subscriptions and
+// of older versions, and applies all others.
 type fakeReader struct {
 	client          *Client
 	mu              sync.Mutex
@@ -199,7 +199,7 @@
 	endpoints       map[string]Endpoint
 	events          []ServiceEvent
 	lists           []List   // in the order of arrival
-	failedWatches   int      // rounds of the watch that ended with an error
+	failedWatches   int      // rounds of Watch that ended with an error
 	failedAddresses []string // of failovers, in order
 }
 
@@ -217,7 +217,7 @@
 	consumeList(r.endpoints, &out)
 }
 
-// consumeList applies a list as a consumer does that knows no services.
+// consumeList applies a list as a consumer does that has no notion of services.
 func consumeList(endpoints map[string]Endpoint, l *List) {
 	if l.Full {
 		clear(endpoints)
@@ -244,7 +244,7 @@
 	r.table.Subscribe(services)
 }
 
-// endpointNames returns the names of the reader's endpoints, sorted, with spaces between.
+// endpointNames returns the names of the reader's endpoints, sorted and separated by spaces.
 func (r *fakeReader) endpointNames() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -256,8 +256,8 @@
 	return strings.Join(names, " ")
 }
 
-// runScopedReader runs a test in a synctest bubble with a reader of services and a control plane of n
-// servers that lists the endpoints. The test receives the addresses in the reader's order.
+// runScopedReader runs a test in a synctest bubble, with a reader of the given services and a control plane
+// of n servers that lists the given endpoints. The test receives the addresses in the reader's order.
 func runScopedReader(t *testing.T, n int, services []string, endpoints []Endpoint, test func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -304,7 +304,7 @@
 	})
 }
 
-// readyEndpoint returns an endpoint of a service.
+// readyEndpoint returns a ready endpoint of a service.
 func readyEndpoint(name, service string) Endpoint {
 	return Endpoint{Name: name, Dial: "127.0.0.1:9", Health: Ready, Service: service}
 }
--- a/internal/endpoints/listscanner_test.go
+++ b/internal/endpoints/listscanner_test.go
@@ -15,8 +15,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawList draws a list with names that look like JSON, and returns it with its text, which may be
-// indented.
+// drawList draws a random list whose names contain JSON syntax, and returns it with its text, which may
+// be indented.
 func drawList(t *rapid.T) (List, []byte) {
 	l := List{Seq: rapid.Int64Range(1, 1<<40).Draw(t, "seq"), Full: rapid.Bool().Draw(t, "full"), Endpoints: []Endpoint{}}
 	for range rapid.IntRange(0, 4).Draw(t, "entries") {
@@ -32,16 +32,15 @@
 	return l, append(text, '\n')
 }
 
-// Of the text of a list up to any byte, parsePartialList returns the first entries and either the version
-// or none.
+// For any prefix of the text of a list, parsePartialList returns the first entries, and the version or 0.
 func TestParsePartialListReturnsPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, text := drawList(t)
-		parsed := 0 // entries of the shorter texts
+		parsed := 0 // number of entries of the previous prefix
 		for n := range len(text) {
 			part := parsePartialList(text[:n])
 			if part.Seq != 0 && part.Seq != l.Seq {
-				t.Fatalf("%q: version %d of %d", text[:n], part.Seq, l.Seq)
+				t.Fatalf("%q: version %d, want %d", text[:n], part.Seq, l.Seq)
 			}
 			got := len(part.Endpoints)
 			if got < parsed || got > len(l.Endpoints) || got > 0 && !reflect.DeepEqual(part.Endpoints, l.Endpoints[:got]) {
@@ -50,13 +49,13 @@
 			parsed = got
 		}
 		if parsed != len(l.Endpoints) {
-			t.Fatalf("%d of %d entries of %q", parsed, len(l.Endpoints), text)
+			t.Fatalf("parsed %d of %d entries of %q", parsed, len(l.Endpoints), text)
 		}
 	})
 }
 
 // However the bytes of a watch are split into pieces, the scanner returns the same lists, each as soon as
-// its last brace arrives.
+// its closing brace arrives.
 func TestScannerSplitsListsAtAnyBoundary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want, got []List
@@ -86,9 +85,9 @@
 	})
 }
 
-// The part of a list is reported 100 ms after its first byte, again when it has grown, and at the end of
-// the watch. A list that is complete in time is not reported in part. The error at the end says how many
-// bytes were left.
+// The received part of a list is reported 100 ms after its first byte, again when it has grown, and at the
+// end of the watch. A list that is complete within that time is not reported in part. The error at the end
+// holds the number of bytes of the unfinished list.
 func TestScannerReportsPartialLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		parts, lists := []string{}, 0
@@ -101,7 +100,7 @@
 		}
 		feed(`{"a":`)
 		time.Sleep(partialListDelay - time.Millisecond)
-		feed(`1}`) // in time
+		feed(`1}`) // before the delay is over
 		time.Sleep(time.Second)
 		if len(parts) != 0 || lists != 1 {
 			t.Fatalf("parts %q, %d lists", parts, lists)
@@ -121,8 +120,8 @@
 	})
 }
 
-// A fetch that ends inside its list reports the part that has arrived. A fetch that ends after the
-// header, or after blanks alone, reports none, as nothing of the list was written.
+// A fetch that ends inside its list reports the received part. A fetch that ends after the header, or after
+// nothing but blanks, reports none, because the service has written no part of the list.
 func TestFetchReportsPartialList(t *testing.T) {
 	for body, want := range map[string]int{"": 0, " \n": 0, `{"seq":7,"whole":true,"hosts":[`: 1,
 		`{"seq":7,"hosts":[{"host":"a","dial":"127.0.0.1:9","health":"draining"},{"ho`: 1} {
@@ -133,10 +132,10 @@
 				return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(text), Request: r}, nil
 			})})
 		if _, err := client.Fetch(t.Context(), 0); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("%q: %v", body, err)
+			t.Errorf("%q: Fetch returned %v, want io.ErrUnexpectedEOF", body, err)
 		}
 		if len(parts) != want || want > 0 && parts[0].Seq != 7 {
-			t.Errorf("%q: parts %+v, want %d", body, parts, want)
+			t.Errorf("%q: reported %+v, want %d parts", body, parts, want)
 		}
 	}
 }
--- a/internal/endpoints/requests_test.go
+++ b/internal/endpoints/requests_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// A client without services sends, byte for byte, what clients sent before there were services. A client
-// with services adds nothing but the parameter.
+// A client without services sends, byte for byte, the same requests as clients of releases without
+// services. A client with services only adds the query parameter.
 func TestRequestsOnTheWire(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -92,14 +92,14 @@
 		if err != nil {
 			client := NewClient(ClientConfig{Addresses: testAddresses(1)})
 			if _, err := client.Subscribe(c.services, 1); err == nil || client.subscription.number != 0 {
-				t.Errorf("%.20q: Subscribe accepted them", c.services)
+				t.Errorf("%.20q: Subscribe accepted the services", c.services)
 			}
 		}
 	}
 }
 
-// A list of more than maxListBytes is rejected with an error that names the limit; a list of exactly that
-// length is accepted. A list of 39,000 endpoints is above the limit, a service of 5,000 isn't.
+// A list of more than maxListBytes is rejected with an error that includes the limit; a list of exactly
+// that length is accepted. A list of 39,000 endpoints exceeds the limit, a service of 5,000 does not.
 func TestListSizeLimit(t *testing.T) {
 	listOf := func(n int) []byte {
 		l := List{Seq: 1, Full: true}
@@ -136,15 +136,15 @@
 			})})
 			_, err := client.Fetch(t.Context(), 0)
 			if errors.Is(err, errListTooLong) != c.tooLong || !c.tooLong && err != nil {
-				t.Errorf("fetched: %v", err)
+				t.Errorf("Fetch returned %v", err)
 			}
 			if c.tooLong && !strings.Contains(err.Error(), "4194304") {
-				t.Errorf("the error doesn't name the limit: %v", err)
+				t.Errorf("the error does not include the limit: %v", err)
 			}
 			lists := 0
 			err = client.Watch(context.Background(), 0, func(List) { lists++ })
 			if errors.Is(err, errListTooLong) != c.tooLong || (lists == 0) != c.tooLong {
-				t.Errorf("watched %d lists: %v", lists, err)
+				t.Errorf("Watch received %d lists and returned %v", lists, err)
 			}
 		})
 	}
--- a/internal/endpoints/servicetable_model_test.go
+++ b/internal/endpoints/servicetable_model_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// modelTable does what ServiceTable does in the plainest way: it looks at all endpoints and services for
-// each list.
+// modelTable is a simple reference implementation of ServiceTable: for each list, it goes through all
+// endpoints and services.
 type modelTable struct {
 	services    []string
 	endpoints   map[string]Endpoint // by name
@@ -98,8 +98,8 @@
 	}
 }
 
-// events updates the status of every service and returns an event for each change. Services that no
-// entry of the list touched have not changed.
+// events updates the status of every service and returns an event for each status that has changed. The
+// status of a service that no entry of the list touched stays the same.
 func (m *modelTable) events(list List) (events []ServiceEvent) {
 	if !m.hasFullList {
 		return nil
@@ -128,8 +128,8 @@
 	return events
 }
 
-// subscribe replaces the services and forgets the status of those that were given up. Their endpoints go
-// with the next full list.
+// subscribe replaces the services and drops the status of services that are no longer subscribed to. Their
+// endpoints are removed by the next full list.
 func (m *modelTable) subscribe(services []string) {
 	statuses := map[string]modelStatus{}
 	for _, s := range services {
@@ -140,9 +140,9 @@
 	m.services, m.statuses, m.hasFullList = services, statuses, false
 }
 
-// For random lists, scoped or not, full or not, and random changes of the subscription: a consumer of the
-// returned lists has the endpoints of the model, a returned list names each endpoint once, and the events
-// are the model's.
+// For random lists, scoped or not, full or not, and random changes of the subscription, a consumer of the
+// returned lists has the same endpoints as the model, a returned list names each endpoint at most once, and
+// the events are those of the model.
 func TestTableMatchesModel(t *testing.T) {
 	services := []string{"", "a", "b", "c"}
 	endpointNames := []string{"s0", "s1", "s2", "s3", "s4", "s5"}
--- a/internal/endpoints/servicetable_test.go
+++ b/internal/endpoints/servicetable_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// tableHarness applies lists to a table, and what the table returns to a consumer.
+// tableHarness applies lists to a table, and the returned lists to a consumer.
 type tableHarness struct {
 	t        *testing.T
 	table    *ServiceTable
@@ -20,7 +20,7 @@
 	return &tableHarness{t: t, table: NewServiceTable(services), consumed: map[string]Endpoint{}}
 }
 
-// listKind says whether a list is full or holds changes, and whether it is scoped.
+// listKind defines whether a list is full or holds changes, and whether it is scoped.
 type listKind struct{ full, scoped bool }
 
 var (
@@ -30,8 +30,8 @@
 	unscopedChanges = listKind{}
 )
 
-// apply applies one list and checks the consumer's endpoints after it, which want names as
-// "name/service" in order, and the events.
+// apply applies one list and checks the events and the consumer's endpoints. want has the endpoints in the
+// format of describeEndpoints.
 func (h *tableHarness) apply(step string, kind listKind, entries []Endpoint, want string, events ...ServiceEvent) {
 	h.t.Helper()
 	h.seq++
@@ -48,7 +48,7 @@
 	}
 }
 
-// describeEndpoints returns the endpoints as "name/service", sorted, with spaces between.
+// describeEndpoints returns the endpoints as "name/service", sorted and separated by spaces.
 func describeEndpoints(endpoints map[string]Endpoint) string {
 	var names []string
 	for name, e := range endpoints {
@@ -64,8 +64,8 @@
 
 func endpointsOf(endpoints ...Endpoint) []Endpoint { return endpoints }
 
-// A service without endpoints is unknown if it never had any. A service that had some retains them when
-// a full list names none, until a list names one again. Each change is reported once.
+// A service without endpoints is unknown if it never had any. A service that had some retains them when a
+// full list names none, until a list names one again. Each change of the status is reported once.
 func TestServiceEvents(t *testing.T) {
 	h := newTableHarness(t, "a", "b")
 	a1, a2, b1 := readyEndpoint("a1", "a"), readyEndpoint("a2", "a"), readyEndpoint("b1", "b")
@@ -83,8 +83,8 @@
 	h.apply("a restored by changes", scopedChanges, endpointsOf(a1), "a1/a b2/b", ServiceEvent{Kind: ServiceRestored, Service: "a", Scoped: true})
 }
 
-// Entries of other services are dropped, and an entry removes an endpoint only from the service that the
-// table has it under.
+// Entries of other services are dropped, and a removal applies only if it names the endpoint's service in
+// the table.
 func TestEntriesOfOtherServicesAreIgnored(t *testing.T) {
 	h := newTableHarness(t, "a")
 	h.apply("full list", scopedFull, endpointsOf(readyEndpoint("a1", "a"), readyEndpoint("x1", "x"), readyEndpoint("d1", "")), "a1/a")
@@ -93,7 +93,7 @@
 	h.apply("removed", scopedChanges, endpointsOf(removedEndpoint("a1", "a")), "", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
 }
 
-// An endpoint changes its service and keeps its name: a reader of both services may receive the two
+// When an endpoint changes its service and keeps its name, a reader of both services may receive the two
 // entries in either order, and a reader of one service receives only the entry of that service.
 func TestEndpointChangesService(t *testing.T) {
 	moved := readyEndpoint("s", "b")
@@ -119,7 +119,7 @@
 	newServiceOnly := newTableHarness(t, "b")
 	newServiceOnly.apply("after: full", scopedFull, endpointsOf(b), "b1/b")
 	newServiceOnly.apply("after: change", scopedChanges, endpointsOf(moved), "b1/b s/b")
-	// A full list that has all endpoints of a service under another one leaves nothing to retain.
+	// If a full list has all endpoints of a service under another service, none are retained.
 	allMoved := newTableHarness(t, "a", "b")
 	allMoved.apply("all: full", scopedFull, endpointsOf(readyEndpoint("s", "a"), b), "b1/b s/a")
 	allMoved.apply("all: moved", scopedFull, endpointsOf(moved, b), "b1/b s/b", ServiceEvent{Kind: ServiceEmptied, Service: "a", Scoped: true})
@@ -130,15 +130,15 @@
 	}
 }
 
-// Entries of an unscoped list are filtered by the service that they name, or else by the service that
-// the table has the endpoint under, or else they belong to the default service.
+// An entry of an unscoped list belongs to the service that it names, or else to the endpoint's service in
+// the table, or else to the default service. Entries of other services are dropped.
 func TestUnscopedListsAreFilteredByService(t *testing.T) {
 	withoutService := func(name string) Endpoint { return readyEndpoint(name, "") }
 	h := newTableHarness(t, "a", "b")
 	h.apply("scoped", scopedFull, endpointsOf(readyEndpoint("a1", "a"), readyEndpoint("a2", "a"), readyEndpoint("b1", "b")), "a1/a a2/a b1/b")
 	h.apply("full list", unscopedFull, endpointsOf(withoutService("a1"), withoutService("b1"), withoutService("x1")), "a1/a b1/b")
 	if h.table.Synced() {
-		t.Error("synced after an unscoped list")
+		t.Error("the table is synced after an unscoped list")
 	}
 	h.apply("changes", unscopedChanges, endpointsOf(withoutService("x2"), readyEndpoint("a3", "a"), removedEndpoint("x1", ""), readyEndpoint("x3", "x")), "a1/a a3/a b1/b")
 	h.apply("removed", unscopedChanges, endpointsOf(removedEndpoint("a3", ""), removedEndpoint("b1", "a")), "a1/a b1/b")
@@ -149,11 +149,11 @@
 	defaultOnly := newTableHarness(t, "")
 	defaultOnly.apply("default service", unscopedFull, endpointsOf(withoutService("d1"), readyEndpoint("x1", "x")), "d1/")
 	neverScoped := newTableHarness(t, "a")
-	neverScoped.apply("can't tell", unscopedFull, endpointsOf(withoutService("x1")), "", ServiceEvent{Kind: ServiceUnknown, Service: "a"})
+	neverScoped.apply("service not named", unscopedFull, endpointsOf(withoutService("x1")), "", ServiceEvent{Kind: ServiceUnknown, Service: "a"})
 }
 
-// Seeded endpoints of the table's services stay in use, and are retained when the first list names none
-// of a service.
+// Seeded endpoints of the table's services stay in use, and are retained if the first list names no
+// endpoint of their service.
 func TestSeedKeepsKnownEndpoints(t *testing.T) {
 	table := NewServiceTable([]string{"a", "b"})
 	known := List{Seq: 5, Full: true, Endpoints: endpointsOf(readyEndpoint("a1", "a"), readyEndpoint("d1", ""), readyEndpoint("x1", "x"), removedEndpoint("a2", "a"), readyEndpoint("a1", "b"))}
@@ -178,26 +178,26 @@
 	h.table.Subscribe([]string{"b", "c"})
 	h.apply("a late change", scopedChanges, endpointsOf(removedEndpoint("b1", "b"), readyEndpoint("c1", "c")), "a1/a b1/b")
 	if h.table.Synced() {
-		t.Error("synced before the full list")
+		t.Error("the table is synced before the full list")
 	}
 	h.apply("full list", scopedFull, endpointsOf(readyEndpoint("c1", "c")), "b1/b c1/c", ServiceEvent{Kind: ServiceEmptied, Service: "b", Retained: 1, Scoped: true})
 	if !h.table.Synced() {
-		t.Error("not synced after the full list")
+		t.Error("the table is not synced after the full list")
 	}
 	h.table.Subscribe([]string{"a"})
-	h.table.Subscribe([]string{"b"}) // b is given up and subscribed to again before a list arrives
+	h.table.Subscribe([]string{"b"}) // b is unsubscribed and subscribed to again before a list arrives
 	h.apply("again", scopedFull, nil, "b1/b", ServiceEvent{Kind: ServiceEmptied, Service: "b", Retained: 1, Scoped: true})
 	many := make([]string, MaxServices+10)
 	for i := range many {
 		many[i] = fmt.Sprint("s", i)
 	}
 	if h.table.Subscribe(many); len(h.table.services) != MaxServices {
-		t.Errorf("subscribes to %d services", len(h.table.services))
+		t.Errorf("the table subscribes to %d services, want MaxServices", len(h.table.services))
 	}
 }
 
-// The cost of a change grows with its entries and not with the endpoints of their service: it is the
-// same for a service of one endpoint and one of 5,000. The cost is counted in allocations.
+// The cost of a change depends on its entries and not on the endpoints of their service: it is the same for
+// a service of one endpoint and one of 5,000. The cost is measured in allocations.
 func TestUpdateCostIsIndependentOfServiceSize(t *testing.T) {
 	cost := map[int]float64{}
 	for _, n := range []int{1, 5000} {
@@ -218,10 +218,10 @@
 		}
 		out, _ = table.Apply(List{Seq: 4, Scoped: true, Endpoints: endpointsOf(entries[0])})
 		if len(out.Endpoints) != n || len(table.endpoints) != 1 {
-			t.Fatalf("after the service is restored %d endpoints are touched, %d are in the table", len(out.Endpoints), len(table.endpoints))
+			t.Fatalf("restoring the service touched %d endpoints and left %d in the table", len(out.Endpoints), len(table.endpoints))
 		}
 	}
 	if cost[5000] > cost[1] {
-		t.Errorf("a change costs %v", cost)
+		t.Errorf("allocations of a change, by size of the service: %v", cost)
 	}
 }
--- a/internal/endpoints/subscription_test.go
+++ b/internal/endpoints/subscription_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// A change of the subscription ends the watch and begins a new one at once, at the same address, with the
+// A change of the subscription ends the watch and immediately begins a new one at the same address, with the
 // full list of the new services. The reader's endpoints stay until that list arrives. The change counts
 // neither as a failure nor against the budget.
 func TestSubscriptionChangeRestartsWatchAtSameAddress(t *testing.T) {
@@ -22,15 +22,15 @@
 		}
 		began := time.Now()
 		want := []string{order[0] + "?follow=1&since=0&service=a&service=b"}
-		for i := range 20 { // more calls than the budget has
+		for i := range 20 { // more calls than the budget allows
 			services := []string{"b", "c"}
 			if i%2 == 1 {
 				services = []string{"a"}
 			}
-			f.mu.Lock() // holds the response back
+			f.mu.Lock() // delays the response
 			r.reconfigure(t, order, services)
 			if got := r.endpointNames(); i == 0 && got != "a1 b1" {
-				t.Fatalf("endpoints %q before the new list", got)
+				t.Fatalf("endpoints %q before the new list arrived", got)
 			}
 			f.mu.Unlock()
 			synctest.Wait()
@@ -44,9 +44,9 @@
 		}
 		first, spent := r.client.selector.candidates[0], r.client.selector.budget.spent
 		if len(r.failedAddresses) > 0 || first.consecutiveFailures > 0 || first.avoidUntil > 0 || first.busyUntil > 0 || spent > 0 {
-			t.Errorf("the change counts against %+v", first)
+			t.Errorf("the change counts against the address: %+v", first)
 		}
-		// The next watch of this subscription continues from its version.
+		// The next watch of this subscription continues from the version of the list.
 		close(f.servers[order[0]].closeWatches)
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -56,9 +56,9 @@
 		f.update(func(list *fakeList) { list.set(readyEndpoint("a2", "a"), false) })
 		synctest.Wait()
 		if got := r.endpointNames(); got != "a1 a2" || r.lists[len(r.lists)-1].Full {
-			t.Errorf("endpoints %q, by %+v", got, r.lists[len(r.lists)-1])
+			t.Errorf("endpoints %q after the list %+v", got, r.lists[len(r.lists)-1])
 		}
-		// The reader stays at its address, even when another one is its first choice again.
+		// The reader stays at its address, even if it could use its preferred address again.
 		time.Sleep(time.Minute)
 		f.mu.Lock()
 		f.servers[order[0]].closeWatches = make(chan struct{})
@@ -71,7 +71,8 @@
 	})
 }
 
-// The subscription changes while the watch loses its address, ends, or finds no server.
+// The subscription changes while the address of the watch is removed, the watch ends, or all servers refuse
+// connections.
 func TestSubscriptionChangeDuringAddressChange(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -80,7 +81,7 @@
 	}{
 		{"address removed", 3, subscribeWithAddressRemoved},
 		{"the only address replaced", 2, subscribeWithOnlyAddressReplaced},
-		{"ended in order at the same time", 3, subscribeWhileWatchIsClosed},
+		{"closed at the same time", 3, subscribeWhileWatchIsClosed},
 		{"refused everywhere", 2, subscribeWhileRefusedEverywhere},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -151,7 +152,7 @@
 	}
 }
 
-// A list of the previous services that is already read when the subscription changes is dropped.
+// A list of the previous services that was already read when the subscription changes is dropped.
 func TestListOfPreviousSubscriptionIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listText := func(seq int) string {
@@ -171,14 +172,14 @@
 		if !errors.Is(err, errSilenceTimeout) {
 			t.Errorf("ended with %v", err)
 		}
-		// The transport writes both lists to the new watch, too: those belong to it.
+		// The transport writes both lists to the new watch as well, where they belong to the new subscription.
 		if len(received) != 3 || received[0].Subscription != 0 || received[1].Subscription != 1 || received[1].Seq != 6 {
 			t.Errorf("received %+v", received)
 		}
 	})
 }
 
-// A fetch whose services change while it runs is repeated at once for the new ones.
+// If the services change during a fetch, it is immediately repeated for the new services.
 func TestFetchRepeatsAfterSubscriptionChange(t *testing.T) {
 	runScopedReader(t, 1, []string{"a"}, []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b")}, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		first := true
@@ -195,17 +196,18 @@
 		})
 		l, err := client.Fetch(t.Context(), 0)
 		if err != nil || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "b1" || l.Subscription != 1 || !l.Scoped || client.selector.budget.spent > 0 {
-			t.Errorf("fetched %+v: %v", l, err)
+			t.Errorf("Fetch returned %+v: %v", l, err)
 		}
 	})
 }
 
-// roundTripFunc is a transport that is a function.
+// roundTripFunc is a function that implements http.RoundTripper.
 type roundTripFunc func(*http.Request) (*http.Response, error)
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// A reader that gives up its services requests the list of all services, beginning with the full one.
+// A reader that changes its subscription to all services requests the list of all services, beginning with a
+// full list.
 func TestSubscribeToAllServices(t *testing.T) {
 	endpoints := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b")}
 	runScopedReader(t, 2, []string{"a"}, endpoints, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
--- a/internal/endpoints/subscriptionversion_test.go
+++ b/internal/endpoints/subscriptionversion_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The version never decreases over a change of the subscription: the reader leaves a server with an older
-// list, and accepts a list of the same version.
+// The reader's version never decreases when the subscription changes: the reader fails over from a server
+// with an older list, and accepts a list of the same version.
 func TestVersionNeverDecreasesAcrossSubscriptions(t *testing.T) {
 	endpoints := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("b1", "b")}
 	runScopedReader(t, 2, []string{"a"}, endpoints, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
@@ -22,8 +22,8 @@
 		want := []string{order[0] + "?follow=1&since=0&service=a", order[0] + "?follow=1&since=0&service=b",
 			order[1] + "?follow=1&since=102&service=b", order[1] + "?follow=1&since=0&service=b"}
 		// The second address has the reader's version, 102, and responds with the changes since then. The
-		// reader has no list of the service b that these would change, so the client requests the full
-		// list from the same address at once.
+		// reader has no list of the service b to apply them to, so the client immediately requests the
+		// full list from the same address.
 		if got := f.requests(); !slices.Equal(got, want) || r.endpointNames() != "b1" || r.seq != 102 || r.failedWatches > 0 {
 			t.Errorf("requested %q, endpoints %q of version %d", got, r.endpointNames(), r.seq)
 		}
@@ -38,21 +38,22 @@
 	})
 }
 
-// subscribeFromVersion changes the services as of a version. From then on the reader accepts the lists of
-// the new subscription, unless they are older than its own version, and drops those of the first one.
+// subscribeFromVersion changes the services, with the given version as the reader's. From then on the
+// reader accepts the lists of the new subscription, unless they are older than its own version, and drops
+// those of the first one.
 func subscribeFromVersion(t *testing.T, r *fakeReader, services []string, version int64) {
 	t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	number, err := r.client.Subscribe(services, version)
 	if err != nil || number != 1 {
-		t.Fatalf("the first change of the subscription has the number %d: %v", number, err)
+		t.Fatalf("Subscribe returned the number %d, want 1: %v", number, err)
 	}
 	r.subscription = number
 }
 
-// The version that a reader passes to Subscribe bounds the lists that follow, even if it is not from the
-// watch.
+// Lists older than the version that a reader passes to Subscribe are rejected, even if that version is not
+// from a list of the watch.
 func TestSubscribeVersionIsLowerBound(t *testing.T) {
 	runScopedReader(t, 1, []string{"a"}, []Endpoint{readyEndpoint("a1", "a")}, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		subscribeFromVersion(t, r, []string{"b"}, 500)
@@ -62,13 +63,13 @@
 			t.Errorf("accepted %+v", r.lists)
 		}
 		if _, err := r.client.Fetch(t.Context(), 0); !errors.Is(err, errStaleList) {
-			t.Errorf("fetched: %v", err)
+			t.Errorf("Fetch returned %v, want errStaleList", err)
 		}
 	})
 }
 
-// A reader that needs a full list sends its version if that is later than any of the list service, which
-// makes the service raise its own. Otherwise the reader would never accept a list again.
+// A reader that needs a full list sends its version if that is later than the version of the list service,
+// so that the service raises its own. Otherwise the reader would never accept a list again.
 func TestReaderReportsLaterVersion(t *testing.T) {
 	runScopedReader(t, 1, []string{"a"}, []Endpoint{readyEndpoint("a1", "a")}, func(t *testing.T, f *fakeControlPlane, r *fakeReader, order []string) {
 		f.mu.Lock()
@@ -88,7 +89,7 @@
 	})
 }
 
-// Changes in place of the requested full list end the watch.
+// A watch ends if it receives changes instead of the requested full list.
 func TestChangesInPlaceOfFullListAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := NewClient(ClientConfig{Addresses: testAddresses(1), Services: []string{"a"},
--- a/internal/endpoints/unscopedserver_test.go
+++ b/internal/endpoints/unscopedserver_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A server that doesn't know services sends all endpoints without their services: the reader keeps the
-// ones that it has, accepts no other, follows their changes, and doesn't leave or avoid the address for
+// A server that doesn't support services sends all endpoints without their services. The reader keeps and
+// updates the endpoints that it has, accepts no others, and neither leaves nor avoids the address because of
 // it. The next watch, at any server, begins with a full list.
 func TestUnscopedServerBesideScopedServer(t *testing.T) {
 	endpoints := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("a2", "a"), readyEndpoint("b1", "b"), readyEndpoint("d1", "")}
@@ -26,7 +26,7 @@
 		}
 		f.update(func(list *fakeList) {
 			list.remove("a1")
-			list.set(readyEndpoint("a3", "a"), false) // nothing says that the service is a
+			list.set(readyEndpoint("a3", "a"), false) // the server does not send the service a
 			list.set(readyEndpoint("b1", "b"), false)
 			e := readyEndpoint("a2", "a")
 			e.Health = Draining
@@ -38,7 +38,7 @@
 			t.Errorf("endpoints %q: %+v", got, r.endpoints)
 		}
 		if got := f.requests(); len(got) != 2 || r.client.selector.candidates[1].consecutiveFailures > 0 || r.client.selector.candidates[1].avoidUntil > 0 {
-			t.Errorf("left the server without services: %q", got)
+			t.Errorf("left the server that does not support services: %q", got)
 		}
 		f.mu.Lock()
 		f.servers[order[0]].closeWatches = make(chan struct{})
@@ -55,7 +55,7 @@
 	})
 }
 
-// A reader of the default service accepts from a server that doesn't know services all endpoints that it
+// From a server that doesn't support services, a reader of the default service accepts all endpoints that it
 // doesn't have under another service.
 func TestUnscopedServerAlone(t *testing.T) {
 	endpoints := []Endpoint{readyEndpoint("a1", "a"), readyEndpoint("d1", "")}
--- a/internal/endpoints/wire_test.go
+++ b/internal/endpoints/wire_test.go
@@ -16,11 +16,11 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// The files in testdata are what the program of commit d25b370 wrote. Other builds and other list services
-// send and read what these files hold, so it must not change. The names in Go may.
+// The files in testdata record the output of the program of commit d25b370. Other builds and other list
+// services send and read the same texts, so they must not change. The Go names may.
 
-// TestMessagesKeepTheirKeys holds the JSON form of a list, with every field. The names are only labels in
-// messages.txt: they are the words of commit d25b370 and stay with the file.
+// TestMessagesKeepTheirKeys checks the JSON format of a list, with every field. The names are only labels
+// in messages.txt: they are those of commit d25b370 and stay as recorded.
 func TestMessagesKeepTheirKeys(t *testing.T) {
 	golden.Messages(t, "messages.txt", []golden.Message{
 		golden.Of[List]("list"),
@@ -28,9 +28,9 @@
 	})
 }
 
-// TestConstantsKeepTheirValues holds the paths, the values of health, the query parameter and the headers.
-// constants.txt holds which values there are; the table holds which constant has which value, so that two
-// constants can't swap theirs.
+// TestConstantsKeepTheirValues checks the paths, the values of health, the query parameter and the headers.
+// constants.txt records the set of values; the table records which constant has which value, so that two
+// constants can't swap their values.
 func TestConstantsKeepTheirValues(t *testing.T) {
 	golden.Includes(t, "constants.txt", golden.StringConstants(t, "."))
 
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestRecordedListIsRead reads a list with a key that this build doesn't know.
+// TestRecordedListIsRead reads a list with keys that this build doesn't know.
 func TestRecordedListIsRead(t *testing.T) {
 	l, err := Parse([]byte(`{"seq":7,"whole":true,"later":1,"hosts":[{"host":"s-a","dial":"127.0.0.1:9","site":"a","class":"k",` +
 		`"block":3,"health":"draining","share":0.5,"born_ms":1000,"service":"web","later":1}]}`))
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestRequestsKeepPathQueryAndHeaders holds what a reader sends: a fetch and a watch, of all
-// services and of some, under a name.
+// TestRequestsKeepPathQueryAndHeaders checks the requests of a reader: a fetch and a watch, of all services
+// and of some, with and without a member name.
 func TestRequestsKeepPathQueryAndHeaders(t *testing.T) {
 	var mu sync.Mutex
 	var got []string
