--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	defer a.stop() // the loop does not run
-	a.loop.unwatched()
+	a.loop.endInitialWatch()
 	req := newCall("", "order")
 	req.Header.Set("Request-Timeout", "20m")
 	rec := httptest.NewRecorder()
--- a/internal/agent/lateanswerload_test.go
+++ b/internal/agent/lateanswerload_test.go
@@ -19,9 +19,9 @@
 
 // Bounds of what a run draws.
 const (
-	lateLoadMaxService  = 15 * time.Millisecond
-	lateLoadMinLateness = 1 * time.Millisecond
-	lateLoadMaxLateness = 8 * time.Millisecond
+	lateLoadMaxServiceTime = 15 * time.Millisecond
+	lateLoadMinLateness    = 1 * time.Millisecond
+	lateLoadMaxLateness    = 8 * time.Millisecond
 )
 
 // TestLateAnswerLoad has servers send a share of their answers a second time, some milliseconds late,
@@ -74,7 +74,7 @@
 	receivedAgain int             // unsafe requests that were received after a server had executed them
 	executedAgain int             // those of them that were executed again
 	secondDue     int             // second answers that servers were to send
-	tooLate       int             // those that were not sent, as the test was held up for longer than maxLate
+	tooLate       int             // those that were not sent, as the test was held up for longer than maxSecondAnswerDelay
 	secondSent    int             // those that went out before the agent's close of the connection was seen
 	delays        []time.Duration // of second answers beyond their lateness, until the write has returned
 	latencies     []time.Duration // at clients
@@ -88,14 +88,14 @@
 	// By whole milliseconds: second answers sent and taken for another's answer, by their lateness; requests,
 	// and those that got a second answer to another one, by the service time that their own answer takes.
 	sentByLateness, wrongByLateness   [lateLoadMaxLateness/time.Millisecond + 1]int
-	requestsByService, wrongByService [lateLoadMaxService / time.Millisecond]int
+	requestsByService, wrongByService [lateLoadMaxServiceTime / time.Millisecond]int
 }
 
 // lateLoadPlan is what a server does with a request.
 type lateLoadPlan struct {
-	status            int // 200, 500, or 503 with Not-Started
-	service, lateness time.Duration
-	doubled           bool
+	status                int // 200, 500, or 503 with Not-Started
+	serviceTime, lateness time.Duration
+	doubled               bool
 }
 
 // plan draws what a server does with a request when servers receive it for the nth time. It depends on the
@@ -103,7 +103,7 @@
 func (l *lateLoad) plan(request, nth int) lateLoadPlan {
 	rng := rand.New(rand.NewPCG(l.seed, uint64(request)<<8|uint64(nth)))
 	p := lateLoadPlan{status: http.StatusOK, lateness: l.lateness, doubled: rng.Float64() < l.doubled}
-	p.service = time.Duration(rng.Int64N(int64(lateLoadMaxService)))
+	p.serviceTime = time.Duration(rng.Int64N(int64(lateLoadMaxServiceTime)))
 	if p.lateness == 0 {
 		p.lateness = lateLoadMinLateness + time.Duration(rng.Int64N(int64(lateLoadMaxLateness-lateLoadMinLateness)))
 	}
@@ -123,20 +123,20 @@
 		addrs = append(addrs, rawBackend(t, l.serve))
 	}
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addrs...))
-	var running sync.WaitGroup
+	var wg sync.WaitGroup
 	for client := range clients {
-		running.Go(func() {
-			connections := &http.Transport{}
-			defer connections.CloseIdleConnections()
+		wg.Go(func() {
+			transport := &http.Transport{}
+			defer transport.CloseIdleConnections()
 			for n := range requests {
 				// Guards against requests that never get a final answer.
-				if err := l.call(connections, base, n*clients+client); err != nil {
+				if err := l.call(transport, base, n*clients+client); err != nil {
 					t.Errorf("request %d: %v", n*clients+client, err)
 				}
 			}
 		})
 	}
-	running.Wait()
+	wg.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	// Guards against a second answer, or one that it displaced, being served to the next request.
@@ -163,8 +163,8 @@
 		l.connections, lateLoadQuantile(l.latencies, 0.5), lateLoadQuantile(l.latencies, 0.99), l.statuses)
 	t.Logf("delay_p50=%v delay_p99=%v delay_max=%v above_2ms=%d above_5ms=%d above_12ms=%d",
 		lateLoadQuantile(l.delays, 0.5), lateLoadQuantile(l.delays, 0.99), lateLoadQuantile(l.delays, 1),
-		lateLoadAbove(l.delays, 2*time.Millisecond), lateLoadAbove(l.delays, 5*time.Millisecond),
-		lateLoadAbove(l.delays, 12*time.Millisecond))
+		lateLoadCountAbove(l.delays, 2*time.Millisecond), lateLoadCountAbove(l.delays, 5*time.Millisecond),
+		lateLoadCountAbove(l.delays, 12*time.Millisecond))
 	t.Logf("wrong_gap_min=%v wrong_gap_p50=%v wrong_gap_max=%v", // of the second answers that were served to another request
 		lateLoadQuantile(wrongGaps, 0), lateLoadQuantile(wrongGaps, 0.5), lateLoadQuantile(wrongGaps, 1))
 	t.Logf("by_lateness sent=%v wrong_second=%v", l.sentByLateness, l.wrongByLateness)
@@ -182,20 +182,20 @@
 			return
 		}
 		number, p := l.receive(req)
-		time.Sleep(p.service)
-		before := time.Now()
+		time.Sleep(p.serviceTime)
+		firstWriteStart := time.Now()
 		if _, text := l.answer(number, p.status, 0); !lateLoadWrite(c, text) {
 			return
 		}
 		if p.doubled {
-			time.AfterFunc(p.lateness, func() { l.writeSecond(c, number, p, before) }) // requests go on meanwhile
+			time.AfterFunc(p.lateness, func() { l.writeSecond(c, number, p, firstWriteStart) }) // requests go on meanwhile
 		}
 	}
 }
 
-// writeSecond answers a request a second time. The write of its first answer began at before.
-func (l *lateLoad) writeSecond(c net.Conn, number int, p lateLoadPlan, before time.Time) {
-	if time.Since(before) > maxLate {
+// writeSecond answers a request a second time. The write of its first answer began at firstWriteStart.
+func (l *lateLoad) writeSecond(c net.Conn, number int, p lateLoadPlan, firstWriteStart time.Time) {
+	if time.Since(firstWriteStart) > maxSecondAnswerDelay {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.tooLate++
@@ -203,7 +203,7 @@
 	}
 	answer, text := l.answer(number, p.status, p.lateness)
 	sent := lateLoadWrite(c, text)
-	gap := time.Since(before)
+	gap := time.Since(firstWriteStart)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gaps[answer] = gap
@@ -254,7 +254,7 @@
 
 // call sends a request of a drawn class and records its answer. It returns an error if that is no final
 // answer to a valid request.
-func (l *lateLoad) call(connections *http.Transport, base string, number int) error {
+func (l *lateLoad) call(transport *http.Transport, base string, number int) error {
 	rng := rand.New(rand.NewPCG(l.seed, uint64(number)<<8)) // no plan draws from it: nth begins at 1
 	class := []string{"look", "send", "order"}[rng.IntN(3)]
 	req := newCall(base, class)
@@ -273,7 +273,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	started := time.Now()
-	resp, err := connections.RoundTrip(req.WithContext(ctx))
+	resp, err := transport.RoundTrip(req.WithContext(ctx))
 	if err != nil {
 		return fmt.Errorf("no answer: %w", err)
 	}
@@ -283,12 +283,12 @@
 		return fmt.Errorf("no whole answer: %w", err)
 	}
 	latency := time.Since(started)
-	service := l.plan(number, 1).service / time.Millisecond
+	serviceMs := l.plan(number, 1).serviceTime / time.Millisecond
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.latencies = append(l.latencies, latency)
 	l.statuses[resp.StatusCode]++
-	l.requestsByService[service]++
+	l.requestsByService[serviceMs]++
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable, http.StatusBadGateway:
@@ -307,7 +307,7 @@
 	if lateness > 0 {
 		l.wrongSecond = append(l.wrongSecond, answer)
 		l.wrongByLateness[lateness]++
-		l.wrongByService[service]++
+		l.wrongByService[serviceMs]++
 	}
 	return nil
 }
@@ -326,8 +326,8 @@
 	return sorted[int(p*float64(len(sorted)-1))].Round(10 * time.Microsecond)
 }
 
-// lateLoadAbove returns how many of the values are above the limit.
-func lateLoadAbove(values []time.Duration, limit time.Duration) (n int) {
+// lateLoadCountAbove returns how many of the values are above the limit.
+func lateLoadCountAbove(values []time.Duration, limit time.Duration) (n int) {
 	for _, v := range values {
 		if v > limit {
 			n++
--- a/internal/agent/lateanswertraffic_test.go
+++ b/internal/agent/lateanswertraffic_test.go
@@ -16,13 +16,13 @@
 	"knotrouter/policy"
 )
 
-// secondAnswers is a server that executes requests for some time, answers them with their identifier,
+// periodicSecondAnswers is a server that executes requests for some time, answers them with their identifier,
 // and answers some of them a second time.
-type secondAnswers struct {
-	takes time.Duration // for a request
-	late  time.Duration // from an answer to the second one
-	every int64         // how many answers there are to a second one
-	stray string
+type periodicSecondAnswers struct {
+	serviceTime time.Duration // for a request
+	lateness    time.Duration // from an answer to the second one
+	every       int64         // how many answers there are to a second one
+	stray       string
 
 	count    atomic.Int64
 	mu       sync.Mutex
@@ -30,7 +30,7 @@
 }
 
 // serve serves one connection. Second answers go out beside the requests that follow.
-func (s *secondAnswers) serve(c net.Conn, r *bufio.Reader) {
+func (s *periodicSecondAnswers) serve(c net.Conn, r *bufio.Reader) {
 	var mu sync.Mutex // so that answers don't mix
 	write := func(text string) {
 		mu.Lock()
@@ -42,19 +42,19 @@
 		if err != nil {
 			return
 		}
-		id := nameOf(req)
+		id := requestName(req)
 		s.mu.Lock()
 		if s.executed == nil {
 			s.executed = map[string]int{}
 		}
 		s.executed[id]++
 		s.mu.Unlock()
-		time.Sleep(s.takes)
+		time.Sleep(s.serviceTime)
 		write(idAnswer(id))
 		if s.count.Add(1)%s.every == 0 {
 			answered := time.Now()
-			time.AfterFunc(s.late, func() {
-				if time.Since(answered) <= maxLate {
+			time.AfterFunc(s.lateness, func() {
+				if time.Since(answered) <= maxSecondAnswerDelay {
 					write(s.stray)
 				}
 			})
@@ -64,7 +64,7 @@
 
 // config returns the configuration of an agent with three such servers. A server is ejected for the
 // target latency, which is short here: else requests would wait for that, not for an answer.
-func (s *secondAnswers) config(t *testing.T) map[string]any {
+func (s *periodicSecondAnswers) config(t *testing.T) map[string]any {
 	t.Helper()
 	config := testConfig(unreachableAddr, rawBackend(t, s.serve), rawBackend(t, s.serve), rawBackend(t, s.serve))
 	for _, class := range config["settings"].(map[string]any)["classes"].([]any) {
@@ -75,14 +75,14 @@
 
 // trafficCase is one kind of traffic to servers that answer twice.
 type trafficCase struct {
-	class   string
-	late    time.Duration
-	every   int64
-	clients int
+	class    string
+	lateness time.Duration
+	every    int64
+	clients  int
 }
 
 func (c trafficCase) String() string {
-	return fmt.Sprint(c.class, "/", c.late, "/every ", c.every, "/clients ", c.clients)
+	return fmt.Sprint(c.class, "/", c.lateness, "/every ", c.every, "/clients ", c.clients)
 }
 
 // sendAll sends requests from all clients at once, each without a pause, and requires a final answer
@@ -138,7 +138,7 @@
 					c := trafficCase{class, late * time.Millisecond, every, clients}
 					t.Run(c.String(), func(t *testing.T) {
 						t.Parallel()
-						s := &secondAnswers{takes: c.late, late: c.late, every: c.every, stray: straySized}
+						s := &periodicSecondAnswers{serviceTime: c.lateness, lateness: c.lateness, every: c.every, stray: strayWithLength}
 						_, base, _, _ := startAgent(t, s.config(t))
 						if c.sendAll(t, base) == 0 {
 							t.Error("nothing was served")
@@ -157,7 +157,7 @@
 			c := trafficCase{"order", late * time.Millisecond, 2, clients}
 			t.Run(c.String(), func(t *testing.T) {
 				t.Parallel()
-				s := &secondAnswers{takes: c.late, late: c.late, every: c.every, stray: rejection}
+				s := &periodicSecondAnswers{serviceTime: c.lateness, lateness: c.lateness, every: c.every, stray: notStartedAnswer}
 				_, base, _, _ := startAgent(t, s.config(t))
 				c.sendAll(t, base)
 				s.mu.Lock()
@@ -173,7 +173,7 @@
 }
 
 // healthCheckedLoop returns a loop whose one backend is the server, with health checks of this kind.
-func healthCheckedLoop(t *testing.T, how string, s *twiceAnswering) *loop {
+func healthCheckedLoop(t *testing.T, how string, s *secondAnswerBackend) *loop {
 	t.Helper()
 	s.start(t)
 	l := offlineLoop(t, s.addr)
@@ -205,16 +205,16 @@
 	for how, path := range map[string]string{"on_probe": "/status/load", "off": "/health"} {
 		for _, stray := range []string{"200", "500", "503 not started"} {
 			t.Run(path+" behind a request/"+stray, func(t *testing.T) {
-				s := &twiceAnswering{stray: strayAnswers[stray], atRequest: true}
+				s := &secondAnswerBackend{stray: strayForms[stray], onNextRequest: true}
 				l := healthCheckedLoop(t, how, s)
 				sendRequest(l, "first")
-				s.requireOwn(t, healthReport, checkHealth(t, l))
+				s.requireOwnAnswer(t, healthReport, checkHealth(t, l))
 			})
 			t.Run("request behind "+path+"/"+stray, func(t *testing.T) {
-				s := &twiceAnswering{twice: healthReport, stray: strayAnswers[stray], atRequest: true}
+				s := &secondAnswerBackend{target: healthReport, stray: strayForms[stray], onNextRequest: true}
 				l := healthCheckedLoop(t, how, s)
 				checkHealth(t, l)
-				s.requireOwn(t, "second", sendRequest(l, "second"))
+				s.requireOwnAnswer(t, "second", sendRequest(l, "second"))
 			})
 		}
 	}
@@ -234,9 +234,9 @@
 						if err != nil {
 							return
 						}
-						if nameOf(req) != "first" {
-							time.Sleep(lateBy)
-							io.WriteString(c, idAnswer(nameOf(req)))
+						if requestName(req) != "first" {
+							time.Sleep(secondAnswerDelay)
+							io.WriteString(c, idAnswer(requestName(req)))
 							continue
 						}
 						io.WriteString(c, idAnswer("first")[:bytes])
@@ -244,7 +244,7 @@
 						<-abandoned
 						io.WriteString(c, idAnswer("first")[bytes:])
 						time.Sleep(time.Millisecond)
-						io.WriteString(c, straySized)
+						io.WriteString(c, strayWithLength)
 					}
 				})
 				tr := newDialer().newTransport()
@@ -272,17 +272,17 @@
 
 // An attempt that is withdrawn on a kept connection leaves none on which a second answer may arrive.
 func TestSecondAnswerAroundWithdrawnAttempt(t *testing.T) {
-	s := &twiceAnswering{stray: straySized}
+	s := &secondAnswerBackend{stray: strayWithLength}
 	s.start(t)
 	tr := newDialer().newTransport()
 	defer tr.CloseIdleConnections()
-	requireFirst(t, s, tr, http.MethodPost)
+	requireFirstAnswer(t, s, tr, http.MethodPost)
 	withdrawn := s.attempt(tr, http.MethodPost, "withdrawn")
 	withdrawn.withdraw()
 	if res := withdrawn.run(); !res.status.NotExecuted() {
 		t.Fatalf("the withdrawn one ended %d", res.status)
 	}
-	s.requireOwn(t, "second", s.attempt(tr, http.MethodPost, "second").run())
+	s.requireOwnAnswer(t, "second", s.attempt(tr, http.MethodPost, "second").run())
 	if n := s.executions("withdrawn"); n > 0 {
 		t.Fatalf("the withdrawn one was executed %d times", n)
 	}
--- a/internal/agent/lateansweruse_test.go
+++ b/internal/agent/lateansweruse_test.go
@@ -16,31 +16,31 @@
 const (
 	// A second answer comes at least minAnswerLateness after the first and at most maxAnswerLateness.
 	minAnswerLateness, maxAnswerLateness = time.Millisecond, 8 * time.Millisecond
-	// workTime is how long the backends work on a request: its own answer comes that long after a second
+	// serviceTime is how long the backends work on a request: its own answer comes that long after a second
 	// answer that crossed it.
-	workTime = 20 * time.Millisecond
-	// lateServed and lateNotStarted are second answers.
-	lateServed     = "HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\nTEXT util=0.9"
-	lateNotStarted = "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+	serviceTime = 20 * time.Millisecond
+	// secondLoadReport and secondNotStarted are second answers.
+	secondLoadReport = "HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\nTEXT util=0.9"
+	secondNotStarted = "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// writeLate writes a second answer as soon as the next request on the connection has begun, within the
+// writeSecondAnswer writes a second answer as soon as the next request on the connection has begun, within the
 // bounds of its lateness, so that whether it crosses the request depends on no timer of the test. It writes
-// none if the test was held up for longer than maxLate.
-func writeLate(c net.Conn, r *bufio.Reader, text string) {
+// none if the test was held up for longer than maxSecondAnswerDelay.
+func writeSecondAnswer(c net.Conn, r *bufio.Reader, text string) {
 	answered := time.Now()
 	time.Sleep(minAnswerLateness)
 	c.SetReadDeadline(time.Now().Add(maxAnswerLateness - minAnswerLateness))
 	r.Peek(1)
 	c.SetReadDeadline(time.Time{})
-	if time.Since(answered) <= maxLate {
+	if time.Since(answered) <= maxSecondAnswerDelay {
 		io.WriteString(c, text)
 	}
 }
 
 // A second answer that says "not started" proves nothing of the next request on its connection: that one
 // has run, and a request that must not be repeated would run twice.
-func TestLateNotStartedProvesNothing(t *testing.T) {
+func TestLateNotStartedCausesNoDuplicate(t *testing.T) {
 	var mu sync.Mutex
 	executions := map[string]int{}
 	serve := func(c net.Conn, r *bufio.Reader) {
@@ -52,9 +52,9 @@
 			mu.Lock()
 			executions[request.Header.Get("Request-Id")]++
 			mu.Unlock()
-			time.Sleep(workTime)
+			time.Sleep(serviceTime)
 			io.WriteString(c, okAnswer)
-			writeLate(c, r, lateNotStarted)
+			writeSecondAnswer(c, r, secondNotStarted)
 		}
 	}
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, rawBackend(t, serve), rawBackend(t, serve)))
@@ -81,7 +81,7 @@
 			return // fails the check by an end without an answer
 		}
 		io.WriteString(c, okAnswer)
-		writeLate(c, r, lateServed)
+		writeSecondAnswer(c, r, secondLoadReport)
 		readRequest(r)
 	})
 	l := offlineLoop(t, addr)
@@ -105,12 +105,12 @@
 				return
 			}
 			if request.Header.Get("Request-Id") != "" {
-				time.Sleep(workTime)
+				time.Sleep(serviceTime)
 				io.WriteString(c, okAnswer)
 				continue
 			}
-			io.WriteString(c, lateServed)
-			writeLate(c, r, lateServed)
+			io.WriteString(c, secondLoadReport)
+			writeSecondAnswer(c, r, secondLoadReport)
 		}
 	})
 	l := offlineLoop(t, addr)
--- a/internal/agent/lifecycle_test.go
+++ b/internal/agent/lifecycle_test.go
@@ -125,11 +125,11 @@
 	for name, hang := range map[string]bool{"refused": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			disco := unreachableAddr
+			discoveryAddr := unreachableAddr
 			if hang {
-				disco = rawBackend(t, func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) })
+				discoveryAddr = rawBackend(t, func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) })
 			}
-			config := testConfig(disco)
+			config := testConfig(discoveryAddr)
 			config["known"] = "nothing that makes sense"
 			startedAt := time.Now()
 			_, base, _, _ := startAgent(t, config)
--- a/internal/agent/listener_test.go
+++ b/internal/agent/listener_test.go
@@ -16,10 +16,10 @@
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
 	for _, c := range []struct {
 		name     string
-		stood    [][2]int // ms from and to
-		emptied  bool
+		stalls   [][2]int // ms from and to
+		drained  bool
 		accepted int
-		since    int
+		earliest int
 	}{
 		{"never stood", nil, false, 700, 700},
 		{"right after it", [][2]int{{100, 600}}, false, 600, 100},
@@ -30,14 +30,14 @@
 		{"twice, far apart", [][2]int{{100, 600}, {2000, 2100}}, false, 2100, 2000},
 	} {
 		var q acceptQueue
-		for _, s := range c.stood {
+		for _, s := range c.stalls {
 			q.noteStall(at(s[0]), at(s[1]))
 		}
-		if c.emptied {
+		if c.drained {
 			q.noteEmpty()
 		}
-		if got := q.earliestArrival(at(c.accepted)); !got.Equal(at(c.since)) {
-			t.Errorf("%s: since %v, want %d ms", c.name, got.Sub(begin), c.since)
+		if got := q.earliestArrival(at(c.accepted)); !got.Equal(at(c.earliest)) {
+			t.Errorf("%s: since %v, want %d ms", c.name, got.Sub(begin), c.earliest)
 		}
 	}
 }
--- a/internal/agent/misbehavingclient_test.go
+++ b/internal/agent/misbehavingclient_test.go
@@ -31,18 +31,18 @@
 // its body is taken for a request.
 func TestAmbiguousLength(t *testing.T) {
 	inner := "GET /look/u2 HTTP/1.1\r\nHost: x\r\nRequest-Id: inner\r\nRequest-Timeout: 30000m\r\n\r\n"
-	start1 := "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: outer\r\nRequest-Timeout: 30000m\r\n"
+	postHead := "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: outer\r\nRequest-Timeout: 30000m\r\n"
 	length := fmt.Sprintf("Content-Length: %d\r\n", len("0\r\n\r\n"+inner))
 	const coding = "Transfer-Encoding: chunked\r\n"
 	for name, text := range map[string]string{
-		"length first":    start1 + length + coding + "\r\n0\r\n\r\n" + inner,
-		"coding first":    start1 + coding + length + "\r\n0\r\n\r\n" + inner,
-		"other case":      start1 + strings.ToLower(length) + "TRANSFER-ENCODING: Chunked\r\n\r\n0\r\n\r\n" + inner,
-		"another class":   strings.Replace(start1, "/order/", "/nothing/", 1) + length + coding + "\r\n0\r\n\r\n" + inner,
+		"length first":    postHead + length + coding + "\r\n0\r\n\r\n" + inner,
+		"coding first":    postHead + coding + length + "\r\n0\r\n\r\n" + inner,
+		"other case":      postHead + strings.ToLower(length) + "TRANSFER-ENCODING: Chunked\r\n\r\n0\r\n\r\n" + inner,
+		"another class":   strings.Replace(postHead, "/order/", "/nothing/", 1) + length + coding + "\r\n0\r\n\r\n" + inner,
 		"ready":           "GET /ready HTTP/1.1\r\nHost: x\r\n" + length + coding + "\r\n0\r\n\r\n" + inner,
-		"coding in 1.0":   strings.Replace(start1, "1.1", "1.0", 1) + "Connection: keep-alive\r\n" + coding + "\r\n0\r\n\r\n" + inner,
-		"two lengths":     start1 + "Content-Length: 0\r\n" + length + "\r\n" + inner,
-		"two codings":     start1 + coding + coding + "\r\n0\r\n\r\n" + inner,
+		"coding in 1.0":   strings.Replace(postHead, "1.1", "1.0", 1) + "Connection: keep-alive\r\n" + coding + "\r\n0\r\n\r\n" + inner,
+		"two lengths":     postHead + "Content-Length: 0\r\n" + length + "\r\n" + inner,
+		"two codings":     postHead + coding + coding + "\r\n0\r\n\r\n" + inner,
 		"after a request": "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -54,7 +54,7 @@
 				if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 {
 					t.Fatalf("/ready: %v %v", resp, err)
 				}
-				text = start1 + length + coding + "\r\n0\r\n\r\n" + inner
+				text = postHead + length + coding + "\r\n0\r\n\r\n" + inner
 			}
 			io.WriteString(c, text)
 			resp, err := http.ReadResponse(r, nil)
@@ -289,7 +289,7 @@
 
 // A request behind a crowd of connections, most of which have stopped within a head, is answered in time,
 // although there are many times as many as the agent can hold.
-func TestRequestBehindACrowd(t *testing.T) {
+func TestRequestBehindManyIncompleteRequests(t *testing.T) {
 	const sockets, idleClients, partialOf10, timeout = 160, 416, 9, 2500 * time.Millisecond
 	addr, _ := countingBackend(t, http.StatusOK, false)
 	config := testConfig(unreachableAddr, addr)
--- a/internal/agent/notification_test.go
+++ b/internal/agent/notification_test.go
@@ -42,10 +42,10 @@
 func TestPushedListIsWatched(t *testing.T) {
 	old, _ := countingBackend(t, 200, false)
 	good, received := countingBackend(t, 200, false)
-	disco, requests := discoveryServer(t, serveList(2, hostEntry(0, old, "draining"), hostEntry(1, good, "ready")))
-	config := testConfig(disco, old)
-	set := config["settings"].(map[string]any)
-	set["contract"].(map[string]any)["askWithinMs"], set["replicasOfMe"] = 0, 300
+	discoveryAddr, requests := discoveryServer(t, serveList(2, hostEntry(0, old, "draining"), hostEntry(1, good, "ready")))
+	config := testConfig(discoveryAddr, old)
+	settings := config["settings"].(map[string]any)
+	settings["contract"].(map[string]any)["askWithinMs"], settings["replicasOfMe"] = 0, 300
 	startedAt := time.Now()
 	_, base, _, _ := startAgent(t, config)
 	select {
@@ -79,36 +79,36 @@
 func TestChangedDiscoveryIsPolledSoon(t *testing.T) {
 	config := testConfig(unreachableAddr, "127.0.0.1:1")
 	config["settings"].(map[string]any)["membershipMode"] = "on_request"
-	l := offlineLoopOf(t, config)
-	const followToken = 2
-	waits := func() (ms float64) {
+	l := offlineLoopWithConfig(t, config)
+	const pollTimerToken = 2
+	nextPollMs := func() (ms float64) {
 		for _, act := range l.actions {
-			if act.Token == followToken && act.Ms > 0 {
+			if act.Token == pollTimerToken && act.Ms > 0 {
 				ms = act.Ms
 			}
 		}
 		return ms
 	}
-	fail := func() float64 {
+	failPoll := func() float64 {
 		l.advanceClock(10 * time.Second)
-		l.handle(event{kind: eventTimer, token: followToken})
+		l.handle(event{kind: eventTimer, token: pollTimerToken})
 		l.handle(event{kind: eventWatchEnded, source: l.discovery, err: errTrailingBytes})
-		return waits()
+		return nextPollMs()
 	}
 	for range 6 {
-		fail()
+		failPoll()
 	}
-	if before := fail(); before < 1200 {
+	if before := failPoll(); before < 1200 {
 		t.Fatalf("the next call comes after %.0f ms though many calls failed", before)
 	}
 	l.advanceClock(10 * time.Second)
-	l.handle(event{kind: eventTimer, token: followToken})
+	l.handle(event{kind: eventTimer, token: pollTimerToken})
 	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{"127.0.0.1:2"}})
 	if !l.watching {
 		t.Fatal("the new address is not called")
 	}
 	l.handle(event{kind: eventWatchEnded, source: l.discovery, err: errTrailingBytes})
-	if after := waits(); after <= 0 || after > 1000 {
+	if after := nextPollMs(); after <= 0 || after > 1000 {
 		t.Fatalf("the second call to the new address comes after %.0f ms", after)
 	}
 }
@@ -167,23 +167,23 @@
 // discovery answers correctly again: after rejections, resets, silence at any point, responses that
 // trickle or never end, and with a reload in between.
 func TestNotifiedWithinSixSeconds(t *testing.T) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for name, fault := range discoveryFaults {
-		for _, moved := range []bool{false, true} {
-			all.Go(func() { // all at once: they mostly wait
-				checkNotifiedAfterFault(t, fmt.Sprintf("%s, moved %v", name, moved), fault, moved)
+		for _, addrChanged := range []bool{false, true} {
+			wg.Go(func() { // all at once: they mostly wait
+				checkNotifiedAfterFault(t, fmt.Sprintf("%s, moved %v", name, addrChanged), fault, addrChanged)
 			})
 		}
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // checkNotifiedAfterFault starts an agent whose discovery has the fault for some time, and checks
-// when the agent is notified after that. The address of discovery changes before if moved is set.
-func checkNotifiedAfterFault(t *testing.T, name string, fault http.HandlerFunc, moved bool) {
+// when the agent is notified after that. The address of discovery changes before if addrChanged is set.
+func checkNotifiedAfterFault(t *testing.T, name string, fault http.HandlerFunc, addrChanged bool) {
 	t.Helper()
-	// failingTime is long enough for some calls to fail, movedFailingTime for one at the new address.
-	const failingTime, movedFailingTime = 9 * time.Second, time.Second
+	// failingTime is long enough for some calls to fail, failingTimeAfterChange for one at the new address.
+	const failingTime, failingTimeAfterChange = 9 * time.Second, time.Second
 	// maxNotification: a call that had just begun is given up after 3.5 s of silence, and repeated
 	// within 4 s of its begin; the rest is for a slow machine.
 	const maxNotification = 5 * time.Second
@@ -198,16 +198,16 @@
 		serveList(2, hostEntry(0, "127.0.0.1:1", "ready"))(w, r)
 	}
 	addr, _ := discoveryServer(t, serve)
-	other, _ := discoveryServer(t, serve)
+	otherAddr, _ := discoveryServer(t, serve)
 	config := testConfig(addr, "127.0.0.1:1")
-	set := config["settings"].(map[string]any)
-	set["membershipMode"], set["replicasOfMe"] = "on_request", 300
+	settings := config["settings"].(map[string]any)
+	settings["membershipMode"], settings["replicasOfMe"] = "on_request", 300
 	a, _, _, _ := startAgent(t, config)
 	time.Sleep(failingTime)
-	if moved {
-		config["discovery"] = other
+	if addrChanged {
+		config["discovery"] = otherAddr
 		a.Reconfigure(parseConfig(t, config))
-		time.Sleep(movedFailingTime)
+		time.Sleep(failingTimeAfterChange)
 	}
 	recovered.Store(true)
 	recoveredAt := time.Now()
--- a/internal/agent/offlineloop_test.go
+++ b/internal/agent/offlineloop_test.go
@@ -11,22 +11,22 @@
 // offlineLoop returns a loop that the test drives by itself, with the backends listed.
 func offlineLoop(t *testing.T, backends ...string) *loop {
 	t.Helper()
-	return offlineLoopOf(t, testConfig(unreachableAddr, backends...))
+	return offlineLoopWithConfig(t, testConfig(unreachableAddr, backends...))
 }
 
-// offlineLoopOf returns a loop that the test drives by itself.
-func offlineLoopOf(t *testing.T, config map[string]any) *loop {
+// offlineLoopWithConfig returns a loop that the test drives by itself.
+func offlineLoopWithConfig(t *testing.T, config map[string]any) *loop {
 	t.Helper()
 	l, err := newLoop(t.Context(), parseConfig(t, config), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.unwatched()
+	l.endInitialWatch()
 	return l
 }
 
-// unwatched ends the watch that newLoop may have opened, and discards its event.
-func (l *loop) unwatched() {
+// endInitialWatch ends the watch that newLoop may have opened, and discards its event.
+func (l *loop) endInitialWatch() {
 	if l.watching {
 		l.cancelDiscovery()
 		<-l.events
--- a/internal/agent/pipelining_test.go
+++ b/internal/agent/pipelining_test.go
@@ -19,7 +19,7 @@
 
 // pipelineBackend answers each request with a digest of what it received, the first one late.
 type pipelineBackend struct {
-	firstTakes time.Duration
+	firstDelay time.Duration
 	mu         sync.Mutex
 	received   []string // Request-Id of each request
 }
@@ -32,7 +32,7 @@
 	b.received = append(b.received, r.Header.Get("Request-Id"))
 	b.mu.Unlock()
 	if first {
-		time.Sleep(b.firstTakes)
+		time.Sleep(b.firstDelay)
 	}
 	io.WriteString(w, digest(r.Method, r.RequestURI, r.Header.Get("Request-Id"), body))
 }
@@ -69,10 +69,10 @@
 	return pipelinedRequest{text: text, id: id, want: digest(method, target, id, body)}
 }
 
-// startPipeline starts an agent with a backend whose first answer takes firstTakes, and connects to it.
-func startPipeline(t *testing.T, firstTakes time.Duration) (a *Agent, b *pipelineBackend, c net.Conn, r *bufio.Reader) {
+// startPipeline starts an agent with a backend whose first answer takes firstDelay, and connects to it.
+func startPipeline(t *testing.T, firstDelay time.Duration) (a *Agent, b *pipelineBackend, c net.Conn, r *bufio.Reader) {
 	t.Helper()
-	b = &pipelineBackend{firstTakes: firstTakes}
+	b = &pipelineBackend{firstDelay: firstDelay}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -157,18 +157,18 @@
 	checkReadAheadReleased(t, a, c)
 }
 
-// hostileBody returns a body that looks like the rest of a head and another request.
-func hostileBody(size int) []byte {
+// requestLikeBody returns a body that looks like the rest of a head and another request.
+func requestLikeBody(size int) []byte {
 	const text = "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\nPOST /order/u9 HTTP/1.1\r\nRequest-Id: smuggled\r\n\r\n"
 	return bytes.Repeat([]byte(text), size/len(text)+1)[:size]
 }
 
-// drawPipeline draws requests of up to total bytes and more.
-func drawPipeline(random *rand.Rand, total int) (requests []pipelinedRequest) {
+// randomPipeline draws requests of up to total bytes and more.
+func randomPipeline(random *rand.Rand, total int) (requests []pipelinedRequest) {
 	for size, i := 0, 0; size < total; i++ {
 		var body []byte
 		if random.IntN(2) == 0 {
-			body = hostileBody(random.IntN(1 << random.IntN(17)))
+			body = requestLikeBody(random.IntN(1 << random.IntN(17)))
 		}
 		requests = append(requests, newPipelinedRequest(i, body, random.IntN(1<<random.IntN(12))))
 		size += len(requests[i].text)
@@ -200,7 +200,7 @@
 			random := rand.New(rand.NewPCG(seed, 0))
 			a, b, c, r := startPipeline(t, time.Duration(random.IntN(100))*time.Millisecond)
 			total := 1 << (10 + random.IntN(10))
-			requests := drawPipeline(random, total)
+			requests := randomPipeline(random, total)
 			var text strings.Builder
 			for _, request := range requests {
 				text.WriteString(request.text)
@@ -224,7 +224,7 @@
 
 // The end of a header line whose beginning was read together with the previous request is not taken for
 // a line of its own.
-func TestHeaderLineInTwoPartsIsNotJudged(t *testing.T) {
+func TestSplitHeaderLineIsOneLine(t *testing.T) {
 	const readTogether = 4 << 10 // by net/http, at once
 	a, b, c, r := startPipeline(t, 100*time.Millisecond)
 	first, second := newPipelinedRequest(0, nil, 0), newPipelinedRequest(1, []byte("body"), 0)
@@ -252,7 +252,7 @@
 	a, b, c, r := startPipeline(t, 300*time.Millisecond)
 	requests := []pipelinedRequest{newPipelinedRequest(0, nil, 0)}
 	for i := range 30 {
-		requests = append(requests, newPipelinedRequest(i+1, hostileBody(maxBodyBytes), 0))
+		requests = append(requests, newPipelinedRequest(i+1, requestLikeBody(maxBodyBytes), 0))
 	}
 	written := make(chan error, 1)
 	go func() {
@@ -276,7 +276,7 @@
 
 // What all connections together read ahead is bounded. Those that come too late for it end with their
 // current answer.
-func TestReadAheadIsBoundedInAll(t *testing.T) {
+func TestTotalReadAheadIsBounded(t *testing.T) {
 	a, _, _, _ := startPipeline(t, 0)
 	a.clients.mu.Lock()
 	a.clients.readAheadBytes = maxReadAheadTotal - 1000 // as if others had them
--- a/internal/agent/rawbackend_test.go
+++ b/internal/agent/rawbackend_test.go
@@ -62,12 +62,12 @@
 const testReuseDelayMs = policy.CautiousReuseDelayMs
 
 // newAttempt returns an attempt like the loop does.
-func newAttempt(tr *backendTransport, dial, method string, timeout time.Duration) *attempt {
+func newAttempt(tr *backendTransport, dialAddr, method string, timeout time.Duration) *attempt {
 	r := &request{method: method, url: &url.URL{Path: "/order/u1"}, host: "backend.local", wireID: "id1"}
 	if method == http.MethodPost {
 		r.body = []byte("body")
 	}
-	a := &attempt{req: r, transport: tr, dialAddr: dial, started: time.Now(), reuseDelay: milliseconds(testReuseDelayMs)}
+	a := &attempt{req: r, transport: tr, dialAddr: dialAddr, started: time.Now(), reuseDelay: milliseconds(testReuseDelayMs)}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	var stop context.CancelFunc
 	a.ctx, stop = context.WithTimeout(ctx, timeout)
--- a/internal/agent/retrywindow_test.go
+++ b/internal/agent/retrywindow_test.go
@@ -20,7 +20,7 @@
 func TestRetryIsNotSentAfterItsWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	received, ended := make(chan string, 10), make(chan struct{}, 10)
-	fails := func(c net.Conn, r *bufio.Reader) {
+	failingBackend := func(c net.Conn, r *bufio.Reader) {
 		defer func() { ended <- struct{}{} }()
 		for {
 			req, err := readRequest(r)
@@ -31,7 +31,7 @@
 			io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 		}
 	}
-	config := testConfig(unreachableAddr, rawBackend(t, fails), rawBackend(t, fails))
+	config := testConfig(unreachableAddr, rawBackend(t, failingBackend), rawBackend(t, failingBackend))
 	for _, class := range config["settings"].(map[string]any)["classes"].([]any) {
 		class.(map[string]any)["keyTtlMs"] = window.Milliseconds()
 	}
@@ -73,13 +73,13 @@
 	}
 }
 
-// slowWrites is a connection that records the deadlines of its writes.
-type slowWrites struct {
+// deadlineRecordingConn is a connection that records the deadlines of its writes.
+type deadlineRecordingConn struct {
 	net.Conn
 	deadlines chan time.Time
 }
 
-func (c slowWrites) SetWriteDeadline(t time.Time) error {
+func (c deadlineRecordingConn) SetWriteDeadline(t time.Time) error {
 	c.deadlines <- t
 	return c.Conn.SetWriteDeadline(t)
 }
@@ -96,25 +96,25 @@
 		}
 	})
 	d := newDialer()
-	connect, bounds := d.connect, make(chan time.Time, 10)
+	connect, deadlines := d.connect, make(chan time.Time, 10)
 	d.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := connect(ctx, network, addr)
-		return slowWrites{c, bounds}, err
+		return deadlineRecordingConn{c, deadlines}, err
 	}
 	tr := d.newTransport()
 	defer tr.CloseIdleConnections()
-	by := time.Now().Add(noTimeout)
-	for _, want := range []time.Time{by, {}} {
+	sendBy := time.Now().Add(noTimeout)
+	for _, want := range []time.Time{sendBy, {}} {
 		a := newAttempt(tr, addr, http.MethodPost, noTimeout)
 		a.sendBy = want
 		if res := a.run(); res.status != policy.OK {
 			t.Fatalf("ended %d", res.status)
 		}
-		if len(bounds) == 0 {
+		if len(deadlines) == 0 {
 			t.Fatal("written without a word on its bound")
 		}
-		for len(bounds) > 0 { // one for each write
-			if got := <-bounds; !got.Equal(want) {
+		for len(deadlines) > 0 { // one for each write
+			if got := <-deadlines; !got.Equal(want) {
 				t.Fatalf("the write was bounded by %v, want %v", got, want)
 			}
 		}
@@ -217,15 +217,15 @@
 	}
 }
 
-// blockedWrites is a connection on which only the first write succeeds; the next blocks until the
+// blockedWriteConn is a connection on which only the first write succeeds; the next blocks until the
 // close.
-type blockedWrites struct {
+type blockedWriteConn struct {
 	net.Conn
 	written *atomic.Bool
 	closed  chan struct{}
 }
 
-func (c blockedWrites) Write(p []byte) (int, error) {
+func (c blockedWriteConn) Write(p []byte) (int, error) {
 	if !c.written.Swap(true) {
 		return c.Conn.Write(p)
 	}
@@ -233,7 +233,7 @@
 	return 0, net.ErrClosed
 }
 
-func (c blockedWrites) Close() error {
+func (c blockedWriteConn) Close() error {
 	select {
 	case <-c.closed:
 	default:
@@ -254,7 +254,7 @@
 	connect := d.connect
 	d.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := connect(ctx, network, addr)
-		return blockedWrites{c, new(atomic.Bool), make(chan struct{})}, err
+		return blockedWriteConn{c, new(atomic.Bool), make(chan struct{})}, err
 	}
 	a := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout)
 	a.req.body = []byte(strings.Repeat("x", maxBodyBytes))
--- a/internal/agent/reusedelay_test.go
+++ b/internal/agent/reusedelay_test.go
@@ -15,8 +15,8 @@
 
 // A kept connection that ends between its choice and the first byte is no fault of the backend, no matter
 // whether the transport's reader or the check before the write notices the end first.
-func TestConnectionThatEndsOnceChosenIsReplaced(t *testing.T) {
-	for name, last := range map[string]string{"end": "", "unsolicited bytes": strayAnswer} {
+func TestConnectionThatEndsAfterCheckoutIsReplaced(t *testing.T) {
+	for name, finalBytes := range map[string]string{"end": "", "unsolicited bytes": strayAnswer} {
 		t.Run(name, func(t *testing.T) {
 			end := make(chan struct{})
 			var first atomic.Bool
@@ -27,7 +27,7 @@
 				io.WriteString(c, okAnswer)
 				if !first.Swap(true) {
 					<-end
-					io.WriteString(c, last)
+					io.WriteString(c, finalBytes)
 				}
 			})
 			d := newDialer()
@@ -93,7 +93,7 @@
 }
 
 // An attempt that ended in the reuse delay of its connection says nothing of the server.
-func TestEndInReuseDelayIsLocal(t *testing.T) {
+func TestTimeoutDuringReuseDelayIsLocal(t *testing.T) {
 	addr, _ := keepAliveBackend(t)
 	tr := newDialer().newTransport()
 	defer tr.CloseIdleConnections()
--- a/internal/agent/reuseorder_test.go
+++ b/internal/agent/reuseorder_test.go
@@ -13,7 +13,7 @@
 
 // Bytes that were read before a request are never scanned after it has begun, however long the reader is
 // held up in between.
-func TestReadAndScanAreOneStep(t *testing.T) {
+func TestReadAndScanAreAtomic(t *testing.T) {
 	f := responseFraming{framingState: framingState{complete: true}}
 	began := make(chan bool, 1)
 	_, accepted, _ := f.receive(make([]byte, 100), func(p []byte) (int, error) {
--- a/internal/agent/stoppedloop_test.go
+++ b/internal/agent/stoppedloop_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.loop.unwatched()
+	a.loop.endInitialWatch()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
