--- a/internal/agent/lateanswerload_test.go
+++ b/internal/agent/lateanswerload_test.go
@@ -17,16 +17,17 @@
 	"time"
 )
 
-// Bounds of what a run draws.
+// Bounds of the random service times and latenesses of a run.
 const (
 	lateLoadMaxServiceTime = 15 * time.Millisecond
 	lateLoadMinLateness    = 1 * time.Millisecond
 	lateLoadMaxLateness    = 8 * time.Millisecond
 )
 
-// TestLateAnswerLoad has servers send a share of their answers a second time, some milliseconds late,
-// while clients call again at once. LATE_ANSWER_SEEDS ("7" or "1-50") and LATE_ANSWER_REQUESTS (of each
-// client) make it run longer.
+// TestLateAnswerLoad checks that clients that send requests without a pause get no answer to another
+// request, and that no unsafe request is retried once it was executed, while servers send a share of their
+// answers a second time, some milliseconds late. LATE_ANSWER_SEEDS ("7" or "1-50") and LATE_ANSWER_REQUESTS
+// (per client) make it run longer.
 func TestLateAnswerLoad(t *testing.T) {
 	firstSeed, lastSeed, requests := 1, 1, 20
 	if text := os.Getenv("LATE_ANSWER_SEEDS"); text != "" {
@@ -35,12 +36,12 @@
 			last = first
 		}
 		if _, err := fmt.Sscan(first+" "+last, &firstSeed, &lastSeed); err != nil || firstSeed < 0 || firstSeed > lastSeed {
-			t.Fatalf("LATE_ANSWER_SEEDS: %q is no seed and no range of seeds", text)
+			t.Fatalf("LATE_ANSWER_SEEDS: %q is neither a seed nor a range of seeds", text)
 		}
 	}
 	if text := os.Getenv("LATE_ANSWER_REQUESTS"); text != "" {
 		if _, err := fmt.Sscan(text, &requests); err != nil || requests < 1 {
-			t.Fatalf("LATE_ANSWER_REQUESTS: %q is no number above 0", text)
+			t.Fatalf("LATE_ANSWER_REQUESTS: %q is not a positive number", text)
 		}
 	}
 	for _, c := range []struct {
@@ -60,46 +61,46 @@
 	}
 }
 
-// lateLoad is one run, and what its servers and clients saw.
+// lateLoad is one run, with the counts that its servers and clients record.
 type lateLoad struct {
 	seed     uint64
-	doubled  float64       // the share of answers that are sent a second time
-	lateness time.Duration // of the second answers; 0: drawn for each
+	doubled  float64       // share of answers that are sent a second time
+	lateness time.Duration // of the second answers; 0: a random one for each
 
 	mu            sync.Mutex
 	connections   int
-	answers       int             // by servers, second ones included
-	received      map[int]int     // by request: how often servers received it
-	executed      map[int]int     // by request: how often servers executed it
-	receivedAgain int             // unsafe requests that were received after a server had executed them
-	executedAgain int             // those of them that were executed again
-	secondDue     int             // second answers that servers were to send
-	tooLate       int             // those that were not sent, as the test was held up for longer than maxSecondAnswerDelay
-	secondSent    int             // those that went out before the agent's close of the connection was seen
-	delays        []time.Duration // of second answers beyond their lateness, until the write has returned
-	latencies     []time.Duration // at clients
-	statuses      map[int]int     // at clients
-	wrong         int             // answers with status 200 that clients got to another request
-	wrongSecond   []int           // those that were second answers, by number; others are first ones, which these displaced
+	answers       int             // sent by servers, second ones included
+	received      map[int]int     // times servers received a request, by its number
+	executed      map[int]int     // times servers executed a request, by its number
+	receivedAgain int             // unsafe requests that a server received after one had executed them
+	executedAgain int             // of these, those that were executed again
+	secondDue     int             // second answers that were planned
+	tooLate       int             // planned ones not sent, as the test was stalled beyond maxSecondAnswerDelay
+	secondSent    int             // those written before the server saw that the agent had closed the connection
+	delays        []time.Duration // of second answers beyond their lateness, measured after the write
+	latencies     []time.Duration // measured by clients
+	statuses      map[int]int     // answers that clients got, by status
+	wrong         int             // answers with status 200 to another request that clients got
+	wrongSecond   []int           // numbers of those that were second answers; these displaced the others
 
-	// By number of a second answer: how long after the first one it was sent, measured around both writes.
+	// Time from the first answer to the second one, measured around both writes, by number of the second.
 	gaps map[int]time.Duration
 
-	// By whole milliseconds: second answers sent and taken for another's answer, by their lateness; requests,
-	// and those that got a second answer to another one, by the service time that their own answer takes.
+	// Histograms with buckets of one millisecond: second answers that were sent and that were served to another
+	// request, by lateness; requests in all and those that got a second answer to another one, by service time.
 	sentByLateness, wrongByLateness   [lateLoadMaxLateness/time.Millisecond + 1]int
 	requestsByService, wrongByService [lateLoadMaxServiceTime / time.Millisecond]int
 }
 
-// lateLoadPlan is what a server does with a request.
+// lateLoadPlan describes how a server handles a request.
 type lateLoadPlan struct {
 	status                int // 200, 500, or 503 with Not-Started
 	serviceTime, lateness time.Duration
 	doubled               bool
 }
 
-// plan draws what a server does with a request when servers receive it for the nth time. It depends on the
-// seed, and not on the order in which requests come.
+// plan returns at random how a server handles a request that servers receive for the nth time. The result
+// depends on the seed, the request and n, not on the order in which requests arrive.
 func (l *lateLoad) plan(request, nth int) lateLoadPlan {
 	rng := rand.New(rand.NewPCG(l.seed, uint64(request)<<8|uint64(nth)))
 	p := lateLoadPlan{status: http.StatusOK, lateness: l.lateness, doubled: rng.Float64() < l.doubled}
@@ -116,7 +117,7 @@
 	return p
 }
 
-// run plays the load, and checks and logs what came of it.
+// run generates the load, checks the outcome and logs the counts.
 func (l *lateLoad) run(t *testing.T, servers, clients, requests int) {
 	var addrs []string
 	for range servers {
@@ -129,7 +130,7 @@
 			transport := &http.Transport{}
 			defer transport.CloseIdleConnections()
 			for n := range requests {
-				// Guards against requests that never get a final answer.
+				// Detects requests that never get a final answer.
 				if err := l.call(transport, base, n*clients+client); err != nil {
 					t.Errorf("request %d: %v", n*clients+client, err)
 				}
@@ -139,18 +140,18 @@
 	wg.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// Guards against a second answer, or one that it displaced, being served to the next request.
+	// Detects a second answer, or a first answer shifted by one, that is served to the next request.
 	if l.wrong > 0 {
 		t.Errorf("%d requests were answered 200 with the answer to another one", l.wrong)
 	}
-	// Guards against retries because a stray 503 with Not-Started was taken for the answer.
+	// Detects retries of executed requests, caused by a stray 503 with Not-Started taken for the answer.
 	if l.receivedAgain > 0 {
 		t.Errorf("%d unsafe requests were received again after a server had executed them; %d were executed again",
 			l.receivedAgain, l.executedAgain)
 	}
 	var wrongGaps []time.Duration
 	for _, number := range l.wrongSecond {
-		if gap, recorded := l.gaps[number]; recorded { // not yet, if it was sent in this moment
+		if gap, recorded := l.gaps[number]; recorded { // false if its write has not returned yet
 			wrongGaps = append(wrongGaps, gap)
 		}
 	}
@@ -165,7 +166,7 @@
 		lateLoadQuantile(l.delays, 0.5), lateLoadQuantile(l.delays, 0.99), lateLoadQuantile(l.delays, 1),
 		lateLoadCountAbove(l.delays, 2*time.Millisecond), lateLoadCountAbove(l.delays, 5*time.Millisecond),
 		lateLoadCountAbove(l.delays, 12*time.Millisecond))
-	t.Logf("wrong_gap_min=%v wrong_gap_p50=%v wrong_gap_max=%v", // of the second answers that were served to another request
+	t.Logf("wrong_gap_min=%v wrong_gap_p50=%v wrong_gap_max=%v", // for second answers served to another request
 		lateLoadQuantile(wrongGaps, 0), lateLoadQuantile(wrongGaps, 0.5), lateLoadQuantile(wrongGaps, 1))
 	t.Logf("by_lateness sent=%v wrong_second=%v", l.sentByLateness, l.wrongByLateness)
 	t.Logf("by_service requests=%v wrong_second=%v", l.requestsByService, l.wrongByService)
@@ -188,7 +189,7 @@
 			return
 		}
 		if p.doubled {
-			time.AfterFunc(p.lateness, func() { l.writeSecond(c, number, p, firstWriteStart) }) // requests go on meanwhile
+			time.AfterFunc(p.lateness, func() { l.writeSecond(c, number, p, firstWriteStart) }) // other requests go on
 		}
 	}
 }
@@ -208,13 +209,13 @@
 	defer l.mu.Unlock()
 	l.gaps[answer] = gap
 	l.delays = append(l.delays, gap-p.lateness)
-	if sent { // else the agent has closed the connection
+	if sent { // otherwise the agent has closed the connection
 		l.secondSent++
 		l.sentByLateness[p.lateness/time.Millisecond]++
 	}
 }
 
-// receive records a request at a server, and returns its number and what the server does with it.
+// receive records a request that a server has received, and returns its number and the plan for it.
 func (l *lateLoad) receive(req *http.Request) (number int, p lateLoadPlan) {
 	fmt.Sscan(req.Header.Get("Request-Id"), &number)
 	unsafe := strings.HasPrefix(req.URL.Path, "/order/")
@@ -238,8 +239,8 @@
 	return number, p
 }
 
-// answer returns an answer to a request, and its running number. Its body names the request, the running
-// number, and the lateness in whole ms, which is 0 for the first answer only.
+// answer returns an answer to a request and its sequence number. The body contains the number of the request,
+// the sequence number, and the lateness in whole milliseconds, which is 0 only for the first answer.
 func (l *lateLoad) answer(number, status int, lateness time.Duration) (answer int, text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -252,20 +253,20 @@
 	return l.answers, fmt.Sprintf("HTTP/1.1 %d -\r\n%sContent-Length: %d\r\n\r\n%s", status, notStarted, len(body), body)
 }
 
-// call sends a request of a drawn class and records its answer. It returns an error if that is no final
+// call sends a request of a random class and records the answer. It returns an error if that is not a final
 // answer to a valid request.
 func (l *lateLoad) call(transport *http.Transport, base string, number int) error {
-	rng := rand.New(rand.NewPCG(l.seed, uint64(number)<<8)) // no plan draws from it: nth begins at 1
+	rng := rand.New(rand.NewPCG(l.seed, uint64(number)<<8)) // independent of the plans, whose nth begins at 1
 	class := []string{"look", "send", "order"}[rng.IntN(3)]
 	req := newCall(base, class)
 	id := fmt.Sprint(number)
-	req.URL.Path = "/" + class + "/" + id // another key each, so that all servers get requests
+	req.URL.Path = "/" + class + "/" + id // a different key each, so that all servers get requests
 	req.Header.Set("Request-Id", id)
 	if class == "send" {
 		req.Header.Set("Idempotency-Key", id)
 	}
-	// With a body that can't be had again, net/http does not hide that the agent closed the connection over
-	// a request: it would send it again.
+	// Without GetBody and with a body, net/http does not resend a request whose connection the agent closed, which
+	// would hide the close.
 	req.GetBody = nil
 	if req.Body == nil {
 		req.Body = io.NopCloser(strings.NewReader(""))
@@ -280,20 +281,20 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return fmt.Errorf("no whole answer: %w", err)
+		return fmt.Errorf("incomplete answer: %w", err)
 	}
 	latency := time.Since(started)
-	serviceMs := l.plan(number, 1).serviceTime / time.Millisecond
+	serviceBucket := l.plan(number, 1).serviceTime / time.Millisecond
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.latencies = append(l.latencies, latency)
 	l.statuses[resp.StatusCode]++
-	l.requestsByService[serviceMs]++
+	l.requestsByService[serviceBucket]++
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable, http.StatusBadGateway:
 		return nil
-	default: // 504: nothing came of the request in all of its time; 4xx: it was misread
+	default: // 504: not answered within its timeout; 4xx: misread
 		return fmt.Errorf("answered %d", resp.StatusCode)
 	}
 	var answered, answer, lateness int
@@ -307,18 +308,18 @@
 	if lateness > 0 {
 		l.wrongSecond = append(l.wrongSecond, answer)
 		l.wrongByLateness[lateness]++
-		l.wrongByService[serviceMs]++
+		l.wrongByService[serviceBucket]++
 	}
 	return nil
 }
 
-// lateLoadWrite reports whether the connection took the text.
+// lateLoadWrite writes text to the connection and reports whether the write succeeded.
 func lateLoadWrite(c net.Conn, text string) bool {
 	_, err := io.WriteString(c, text)
 	return err == nil
 }
 
-// lateLoadQuantile returns the value at the share p of the sorted values; 0 if there are none.
+// lateLoadQuantile returns the p-quantile of the sorted values, or 0 if there are none.
 func lateLoadQuantile(sorted []time.Duration, p float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/agent/lateanswerorder_test.go
+++ b/internal/agent/lateanswerorder_test.go
@@ -16,19 +16,19 @@
 	"knotrouter/policy"
 )
 
-// The tests of this file force the order of two events on a kept connection: a second answer to one
-// request, some milliseconds after the first, and the next request.
+// The tests of this file force the order of two events on a reused connection: the arrival of a second
+// answer to one request, some milliseconds after the first answer, and the next request.
 
 const (
-	secondAnswerDelay    = 5 * time.Millisecond   // from an answer to the second one, unless a test has it sent before
-	maxSecondAnswerDelay = 10 * time.Millisecond  // a server that was itself held up for longer sends no second answer
-	maxStall             = 150 * time.Millisecond // for which a busy machine may hold the agent up
-	longIdle             = 50 * time.Millisecond  // of a connection whose second answer arrived long before
+	secondAnswerDelay    = 5 * time.Millisecond   // between the two answers, unless a test triggers the second
+	maxSecondAnswerDelay = 10 * time.Millisecond  // a server that was itself stalled for longer sends no second answer
+	maxStall             = 150 * time.Millisecond // of the agent on a busy machine
+	longIdle             = 50 * time.Millisecond  // of a connection after its second answer has arrived
 	notStartedAnswer     = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 	strayWithLength      = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 )
 
-// strayForms are the second answers, whole and in part.
+// strayForms are complete and incomplete second answers.
 var strayForms = map[string]string{
 	"200":                        strayWithLength,
 	"200 without a body":         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
@@ -47,15 +47,15 @@
 	"half a chunk":               "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\nstray",
 }
 
-// idAnswer returns a complete response whose body names the request that it answers.
+// idAnswer returns a complete response whose body is the identifier of the request that it answers.
 func idAnswer(id string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 }
 
-// healthReport is the answer to a health check.
+// healthReport is the body of the answer to a health check.
 const healthReport = "TEXT util=0.5"
 
-// requestName returns the identifier of a request; a health check has none.
+// requestName returns the identifier of a request, or healthReport for a health check, which has none.
 func requestName(req *http.Request) string {
 	if id := req.Header.Get("Request-Id"); id != "" {
 		return id
@@ -63,15 +63,15 @@
 	return healthReport
 }
 
-// secondAnswerBackend is a server that answers one request a second time, secondAnswerDelay after the first answer or
-// once triggerSecond is called. It answers all others after that, each with its name.
+// secondAnswerBackend is a server that answers one request a second time, secondAnswerDelay after the first
+// answer or once triggerSecond is called. It answers all other requests after that, each with its name.
 type secondAnswerBackend struct {
 	addr              string
-	target            string // the name of the request that is answered twice; "": "first"
-	firstAnswer       string // the first answer to it; "": one that names it
+	target            string // name of the request that is answered twice; default "first"
+	firstAnswer       string // the first answer to it; default idAnswer(target)
 	stray             string // the second answer
-	onNextRequest     bool   // the next request on the connection makes the second answer due
-	closesAfterAnswer bool   // it closes a connection after an answer to another request
+	onNextRequest     bool   // the next request on the connection triggers the second answer
+	closesAfterAnswer bool   // close the connection after an answer to another request
 	triggerSecond     func()
 	sent              chan struct{} // closed once the second answer is sent
 
@@ -105,7 +105,7 @@
 					s.triggerSecond()
 				}
 				<-s.sent
-				time.Sleep(secondAnswerDelay) // so that it is not read together with the second answer to the other
+				time.Sleep(secondAnswerDelay) // so that this answer is not read together with the second one
 				io.WriteString(c, idAnswer(id))
 				if s.closesAfterAnswer {
 					return
@@ -129,61 +129,61 @@
 	})
 }
 
-// sendStray has the second answer sent now, and waits until it has arrived.
+// sendStray triggers the second answer and waits until it has arrived.
 func (s *secondAnswerBackend) sendStray() {
 	s.triggerSecond()
 	<-s.sent
-	time.Sleep(2 * time.Millisecond) // in which it is read, unless that is held up
+	time.Sleep(2 * time.Millisecond) // enough for the agent to read it, unless its reader is delayed
 }
 
-// attempt returns an attempt of the request with this identifier at the server.
+// attempt returns an attempt to send the request with this identifier to the server.
 func (s *secondAnswerBackend) attempt(tr *backendTransport, method, id string) *attempt {
 	a := newAttempt(tr, s.addr, method, testTimeout)
 	a.req.wireID = id
 	return a
 }
 
-// requireOwnAnswer fails the test if the outcome of a request that its server answers 200 was taken from
-// the answer to another one.
+// requireOwnAnswer fails the test if the result of a request that the server answers with 200 was taken
+// from the answer to another request.
 func (s *secondAnswerBackend) requireOwnAnswer(t *testing.T, id string, res result) {
 	t.Helper()
 	switch {
 	case res.status == policy.OK && string(res.body) != id:
 		t.Fatalf("%q was answered %q", id, res.body)
 	case res.status == policy.Error || res.status == policy.Timeout:
-		t.Fatalf("%q ended %d, although its server answers 200", id, res.status)
+		t.Fatalf("%q ended with status %d, although its server answers 200", id, res.status)
 	case res.status.NotExecuted():
-		time.Sleep(4 * secondAnswerDelay) // in which what was written would be executed
+		time.Sleep(4 * secondAnswerDelay) // enough for the server to execute a request that was written
 		if s.executions(id) > 0 {
-			t.Fatalf("%q was executed, and ended %d, which says that it was not", id, res.status)
+			t.Fatalf("%q was executed but ended with status %d, which means not executed", id, res.status)
 		}
 	}
 }
 
-// executions returns how often the server has executed a request.
+// executions returns how many times the server has executed a request.
 func (s *secondAnswerBackend) executions(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.executed[id]
 }
 
-// connStep is a step of a connection that a test can hold up.
+// connStep is a point in a read or write on a connection at which a test can delay it.
 type connStep int
 
 const (
 	stepNone      connStep = iota
-	stepRead               // a read begins
-	stepReadDone           // bytes were read from the kernel, and nobody has seen them
-	stepWrite              // a write was allowed, and no byte of it written
-	stepWriteDone          // a write has ended
+	stepRead               // before a read
+	stepReadDone           // after a read from the kernel, before it returns
+	stepWrite              // before the first byte of a write, after the checks that allow it
+	stepWriteDone          // after a write
 )
 
-// hookedConn is a connection to a backend that reports its steps behind the first answer, and may be
-// held up at each.
+// hookedConn is a connection to a backend that calls onStep at each step after the first answer; onStep may
+// block to delay the connection.
 type hookedConn struct {
 	*net.TCPConn
 	onStep          func(step connStep)
-	answerBytesLeft atomic.Int64 // bytes of the first answer that are still to be read
+	answerBytesLeft atomic.Int64 // bytes of the first answer that are not read yet
 }
 
 func (c *hookedConn) Read(p []byte) (int, error) {
@@ -202,15 +202,15 @@
 	return c.TCPConn.Write(p)
 }
 
-// step reports a step, unless it is one of the first request.
+// step calls onStep, unless the step belongs to the first request.
 func (c *hookedConn) step(step connStep, answered bool) {
 	if answered {
 		c.onStep(step)
 	}
 }
 
-// hookedTransport returns a transport whose first connection calls onStep for each of its steps behind
-// the first answer, which has so many bytes.
+// hookedTransport returns a transport whose first connection calls onStep at each step after the first
+// answer, which has answerBytes bytes.
 func hookedTransport(t *testing.T, answerBytes int, onStep func(step connStep)) *backendTransport {
 	t.Helper()
 	d := newDialer()
@@ -230,8 +230,8 @@
 	return tr
 }
 
-// delayedTransport returns the same, with the first connection held up at a step until the next request
-// was written on it, but for no longer than a busy machine holds the agent up.
+// delayedTransport returns a transport whose first connection is blocked at a step after the first answer
+// until the next request was written on it, for maxStall at most.
 func delayedTransport(t *testing.T, answerBytes int, delayed connStep) *backendTransport {
 	t.Helper()
 	written := make(chan struct{})
@@ -250,8 +250,8 @@
 	})
 }
 
-// forEachStray runs a test for a second answer that is served, and for one that has the request
-// repeated.
+// forEachStray runs a test with a second answer that would be served to the client, and with one that would
+// cause a retry.
 func forEachStray(t *testing.T, name string, run func(t *testing.T, s *secondAnswerBackend, method string)) {
 	for _, stray := range []string{"200", "503 not started"} {
 		for _, method := range []string{http.MethodGet, http.MethodPost} {
@@ -264,16 +264,16 @@
 	}
 }
 
-// requireFirstAnswer sends the request that is answered twice, and requires its own answer.
+// requireFirstAnswer sends the request that is answered twice and fails the test unless it gets its own answer.
 func requireFirstAnswer(t *testing.T, s *secondAnswerBackend, tr *backendTransport, method string) {
 	t.Helper()
 	if res := s.attempt(tr, method, "first").run(); res.status != policy.OK || string(res.body) != "first" {
-		t.Fatalf("the first ended %d with %q", res.status, res.body)
+		t.Fatalf("the first request ended with status %d and %q", res.status, res.body)
 	}
 }
 
-// A second answer that arrives before the checkout for the next request is not its answer, however far
-// the goroutine that reads the idle connection has come: it may be held up.
+// A second answer that arrives before the checkout for the next request is not taken for its answer, even if
+// the goroutine that reads the idle connection is delayed before the read, or between read and scan.
 func TestSecondAnswerBeforeTheNextRequest(t *testing.T) {
 	for name, delayed := range map[string]connStep{"unread": stepRead, "read, not scanned": stepReadDone, "scanned": stepNone} {
 		for _, idle := range []time.Duration{0, longIdle} {
@@ -288,7 +288,7 @@
 	}
 }
 
-// A second answer that arrives while the next request is written is not its answer.
+// A second answer that arrives while the next request is written is not taken for its answer.
 func TestSecondAnswerDuringTheNextRequest(t *testing.T) {
 	for name, when := range map[string]connStep{"before the first byte": stepWrite, "after the first write": stepWriteDone} {
 		forEachStray(t, name, func(t *testing.T, s *secondAnswerBackend, method string) {
@@ -304,7 +304,8 @@
 	}
 }
 
-// delayedContext is a context that holds up the call in which an attempt is bound to its connection.
+// delayedContext is a context that calls onDeadline, which may block, whenever its deadline is read. An
+// attempt reads it when it is bound to a connection.
 type delayedContext struct {
 	context.Context
 	onDeadline func()
@@ -315,8 +316,8 @@
 	return c.Context.Deadline()
 }
 
-// A second answer that arrives while the agent is held up between the checkout of a connection and the
-// first byte is not the answer, whether or not the connection is read meanwhile.
+// A second answer that arrives while the agent is delayed between the checkout of a connection and the
+// first byte of the next request is not taken for its answer, whether or not the connection is read meanwhile.
 func TestSecondAnswerBetweenCheckoutAndFirstByte(t *testing.T) {
 	for name, delayed := range map[string]connStep{"unread": stepRead, "read": stepNone} {
 		forEachStray(t, name, func(t *testing.T, s *secondAnswerBackend, method string) {
@@ -334,8 +335,8 @@
 	}
 }
 
-// A second answer of any form that arrives once the next request was sent is not its answer, nor a
-// part of it.
+// A second answer of any form that arrives after the next request was sent is not taken for its answer or
+// for a part of it.
 func TestSecondAnswerAfterTheNextRequest(t *testing.T) {
 	for name, stray := range strayForms {
 		for _, method := range []string{http.MethodGet, http.MethodPost} {
@@ -353,7 +354,7 @@
 	}
 }
 
-// A second answer that ends with its connection does not make one with the answer behind it.
+// A second answer that is delimited by the close of the connection is not merged with the answer after it.
 func TestSecondAnswerDelimitedByClose(t *testing.T) {
 	s := &secondAnswerBackend{stray: strayForms["200 until the close"], onNextRequest: true, closesAfterAnswer: true}
 	s.start(t)
@@ -363,7 +364,7 @@
 	s.requireOwnAnswer(t, "second", s.attempt(tr, http.MethodPost, "second").run())
 }
 
-// One second answer does not shift the answers to all requests that follow on its connection.
+// One second answer does not shift the answers to all later requests on its connection.
 func TestSecondAnswerDoesNotShiftTheNextOnes(t *testing.T) {
 	for _, stray := range []string{"200", "500", "503 not started"} {
 		t.Run(stray, func(t *testing.T) {
@@ -381,8 +382,8 @@
 	}
 }
 
-// The second answer after a first one of any form is not the answer to the next request: net/http puts
-// a connection back at another moment after an answer without a body.
+// The second answer after a first one of any form is not taken for the answer to the next request. The form
+// matters because net/http returns a connection to the pool at another moment after an answer without a body.
 func TestSecondAnswerAfterAnyFirst(t *testing.T) {
 	for name, first := range map[string]string{
 		"200 without a body": "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
@@ -403,8 +404,8 @@
 	}
 }
 
-// A second answer that arrives together with the end of a long one is not the answer to the next
-// request: net/http reads a long body up to its end, and leaves what follows in the kernel's buffer.
+// A second answer that arrives together with the end of a long first answer is not taken for the answer to
+// the next request: net/http reads a long body up to its end and leaves later bytes in the kernel's buffer.
 func TestSecondAnswerTogetherWithALongFirst(t *testing.T) {
 	for _, size := range []int{1_000, 30_000, 60_000, maxBodyBytes} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
--- a/internal/agent/lateanswertraffic_test.go
+++ b/internal/agent/lateanswertraffic_test.go
@@ -16,12 +16,12 @@
 	"knotrouter/policy"
 )
 
-// periodicSecondAnswers is a server that executes requests for some time, answers them with their identifier,
-// and answers some of them a second time.
+// periodicSecondAnswers is a server that answers each request with its identifier after serviceTime, and
+// every nth one a second time.
 type periodicSecondAnswers struct {
-	serviceTime time.Duration // for a request
-	lateness    time.Duration // from an answer to the second one
-	every       int64         // how many answers there are to a second one
+	serviceTime time.Duration // until a request is answered
+	lateness    time.Duration // of the second answer after the first
+	every       int64         // one in this many answers is sent a second time
 	stray       string
 
 	count    atomic.Int64
@@ -29,9 +29,9 @@
 	executed map[string]int // by Request-Id
 }
 
-// serve serves one connection. Second answers go out beside the requests that follow.
+// serve serves one connection. Second answers are sent concurrently with the requests that follow.
 func (s *periodicSecondAnswers) serve(c net.Conn, r *bufio.Reader) {
-	var mu sync.Mutex // so that answers don't mix
+	var mu sync.Mutex // so that answers are not interleaved
 	write := func(text string) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -62,8 +62,8 @@
 	}
 }
 
-// config returns the configuration of an agent with three such servers. A server is ejected for the
-// target latency, which is short here: else requests would wait for that, not for an answer.
+// config returns the configuration of an agent with three such servers. The target latency is short because a
+// server is ejected for that long, and requests would otherwise wait for the end of the ejection.
 func (s *periodicSecondAnswers) config(t *testing.T) map[string]any {
 	t.Helper()
 	config := testConfig(unreachableAddr, rawBackend(t, s.serve), rawBackend(t, s.serve), rawBackend(t, s.serve))
@@ -73,7 +73,7 @@
 	return config
 }
 
-// trafficCase is one kind of traffic to servers that answer twice.
+// trafficCase is one kind of traffic to servers that send second answers.
 type trafficCase struct {
 	class    string
 	lateness time.Duration
@@ -85,8 +85,8 @@
 	return fmt.Sprint(c.class, "/", c.lateness, "/every ", c.every, "/clients ", c.clients)
 }
 
-// sendAll sends requests from all clients at once, each without a pause, and requires a final answer
-// to each: its own, or one that says that it was rejected or failed. It returns how many were served.
+// sendAll sends requests from all clients concurrently, each without a pause, and checks that each request gets
+// a final answer: its own, or one with status 503 or 502. It returns how many were served.
 func (c trafficCase) sendAll(t *testing.T, base string) (served int64) {
 	t.Helper()
 	const each = 15
@@ -113,7 +113,7 @@
 				resp.Body.Close()
 				switch {
 				case err != nil:
-					t.Errorf("%s: no whole answer: %v", id, err)
+					t.Errorf("%s: incomplete answer: %v", id, err)
 				case resp.StatusCode == http.StatusOK && string(body) != id:
 					t.Errorf("%s was answered %q", id, body)
 				case resp.StatusCode == http.StatusOK:
@@ -128,7 +128,7 @@
 	return n.Load()
 }
 
-// No request of any class is answered with the second answer to another one, however late that comes,
+// No request of any class is answered with the second answer to another one, however late that arrives,
 // and each gets a final answer.
 func TestNoRequestGetsAnothersAnswer(t *testing.T) {
 	for _, class := range []string{"look", "send", "order"} {
@@ -141,7 +141,7 @@
 						s := &periodicSecondAnswers{serviceTime: c.lateness, lateness: c.lateness, every: c.every, stray: strayWithLength}
 						_, base, _, _ := startAgent(t, s.config(t))
 						if c.sendAll(t, base) == 0 {
-							t.Error("nothing was served")
+							t.Error("no request was served")
 						}
 					})
 				}
@@ -150,7 +150,7 @@
 	}
 }
 
-// A second answer that says "not started" does not make the agent repeat a request that was executed.
+// A second answer that says "not started" does not make the agent retry a request that was executed.
 func TestSecondAnswerCausesNoDuplicate(t *testing.T) {
 	for _, late := range []time.Duration{1, 3, 5, 8} {
 		for _, clients := range []int{1, 4} {
@@ -172,7 +172,7 @@
 	}
 }
 
-// healthCheckedLoop returns a loop whose one backend is the server, with health checks of this kind.
+// healthCheckedLoop returns a loop whose only backend is the server; how selects the kind of health check.
 func healthCheckedLoop(t *testing.T, how string, s *secondAnswerBackend) *loop {
 	t.Helper()
 	s.start(t)
@@ -200,7 +200,7 @@
 	return a.run()
 }
 
-// A health check and a request on one connection don't get each other's second answer.
+// A health check and a request on the same connection do not get each other's second answer.
 func TestHealthCheckGetsItsOwnAnswer(t *testing.T) {
 	for how, path := range map[string]string{"on_probe": "/status/load", "off": "/health"} {
 		for _, stray := range []string{"200", "500", "503 not started"} {
@@ -220,7 +220,7 @@
 	}
 }
 
-// The answers to an attempt that was given up are not the next attempt's.
+// The answers to an abandoned attempt are not taken for the answer to the next attempt.
 func TestAnswersToAbandonedAttemptAreNotTheNextAnswer(t *testing.T) {
 	for name, cause := range map[string]error{
 		"cancelled": errAttemptCanceled, "timed out": context.DeadlineExceeded, "client gone": errClientCanceled,
@@ -257,20 +257,21 @@
 				first.cancel(cause)
 				res := receive(t, "the attempt's end", ended)
 				if res.status.NotExecuted() {
-					t.Fatalf("it was executed, and ended %d", res.status)
+					t.Fatalf("executed, but ended with status %d, which means not executed", res.status)
 				}
 				close(abandoned)
 				second := newAttempt(tr, addr, http.MethodPost, testTimeout)
 				second.req.wireID = "second"
 				if res := second.run(); res.status == policy.OK && string(res.body) != "second" {
-					t.Fatalf("the next one was answered %q", res.body)
+					t.Fatalf("the next attempt was answered %q", res.body)
 				}
 			})
 		}
 	}
 }
 
-// An attempt that is withdrawn on a kept connection leaves none on which a second answer may arrive.
+// An attempt that is withdrawn on a reused connection leaves no connection on which a second answer may arrive
+// for a later request.
 func TestSecondAnswerAroundWithdrawnAttempt(t *testing.T) {
 	s := &secondAnswerBackend{stray: strayWithLength}
 	s.start(t)
@@ -280,10 +281,10 @@
 	withdrawn := s.attempt(tr, http.MethodPost, "withdrawn")
 	withdrawn.withdraw()
 	if res := withdrawn.run(); !res.status.NotExecuted() {
-		t.Fatalf("the withdrawn one ended %d", res.status)
+		t.Fatalf("the withdrawn attempt ended with status %d", res.status)
 	}
 	s.requireOwnAnswer(t, "second", s.attempt(tr, http.MethodPost, "second").run())
 	if n := s.executions("withdrawn"); n > 0 {
-		t.Fatalf("the withdrawn one was executed %d times", n)
+		t.Fatalf("the withdrawn attempt was executed %d times", n)
 	}
 }
--- a/internal/agent/lateansweruse_test.go
+++ b/internal/agent/lateansweruse_test.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// A second answer comes at least minAnswerLateness after the first and at most maxAnswerLateness.
+	// A second answer is sent between minAnswerLateness and maxAnswerLateness after the first.
 	minAnswerLateness, maxAnswerLateness = time.Millisecond, 8 * time.Millisecond
-	// serviceTime is how long the backends work on a request: its own answer comes that long after a second
-	// answer that crossed it.
+	// serviceTime is how long the backends take for a request: its own answer arrives that long after a second
+	// answer that was sent as soon as the request arrived.
 	serviceTime = 20 * time.Millisecond
 	// secondLoadReport and secondNotStarted are second answers.
 	secondLoadReport = "HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\nTEXT util=0.9"
@@ -25,8 +25,8 @@
 )
 
 // writeSecondAnswer writes a second answer as soon as the next request on the connection has begun, within the
-// bounds of its lateness, so that whether it crosses the request depends on no timer of the test. It writes
-// none if the test was held up for longer than maxSecondAnswerDelay.
+// bounds of its lateness, so that whether the two cross on the wire does not depend on a timer of the test. It
+// writes nothing if the test was stalled for longer than maxSecondAnswerDelay.
 func writeSecondAnswer(c net.Conn, r *bufio.Reader, text string) {
 	answered := time.Now()
 	time.Sleep(minAnswerLateness)
@@ -38,8 +38,8 @@
 	}
 }
 
-// A second answer that says "not started" proves nothing of the next request on its connection: that one
-// has run, and a request that must not be repeated would run twice.
+// A second answer that says "not started" is not taken for the answer to the next request on its connection:
+// a request that must not be repeated would be retried although it was executed.
 func TestLateNotStartedCausesNoDuplicate(t *testing.T) {
 	var mu sync.Mutex
 	executions := map[string]int{}
@@ -67,18 +67,18 @@
 	defer mu.Unlock()
 	for id, count := range executions {
 		if count > 1 {
-			t.Errorf("request %s ran %d times", id, count)
+			t.Errorf("request %s was executed %d times", id, count)
 		}
 	}
 }
 
-// A second answer to a request is not the result of a health check that follows on its connection: a
-// server that fails its checks would be used again.
+// A second answer to a request is not taken for the result of a health check that follows on its connection:
+// a server that fails its checks would be used again.
 func TestLateAnswerIsNoHealthCheckResult(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		request, err := readRequest(r)
 		if err != nil || request.URL.Path == "/status/load" || request.URL.Path == "/health" {
-			return // fails the check by an end without an answer
+			return // fails the check: closes without an answer
 		}
 		io.WriteString(c, okAnswer)
 		writeSecondAnswer(c, r, secondLoadReport)
@@ -87,12 +87,12 @@
 	l := offlineLoop(t, addr)
 	b := l.backends[policyAddr("s-0")]
 	if res := newAttempt(b.transport, addr, http.MethodPost, noTimeout).run(); res.status != policy.OK {
-		t.Fatalf("the request ended %d: %v", res.status, res.err)
+		t.Fatalf("the request ended with status %d: %v", res.status, res.err)
 	}
 	l.actions = []policy.Action{{Kind: policy.ActProbe, Server: b.addr, ReuseDelayMs: testReuseDelayMs}}
 	l.executeActions()
 	if e := <-l.events; e.result.status == policy.OK {
-		t.Fatalf("a health check that got no answer succeeded with %q", e.result.body)
+		t.Fatalf("a health check without an answer succeeded with %q", e.result.body)
 	}
 }
 
@@ -118,7 +118,7 @@
 	l.actions = []policy.Action{{Kind: policy.ActProbe, Server: b.addr, ReuseDelayMs: testReuseDelayMs}}
 	l.executeActions()
 	if e := <-l.events; e.result.status != policy.OK {
-		t.Fatalf("the health check ended %d: %v", e.result.status, e.result.err)
+		t.Fatalf("the health check ended with status %d: %v", e.result.status, e.result.err)
 	}
 	res := newAttempt(b.transport, addr, http.MethodPost, noTimeout).run()
 	if res.status == policy.OK && string(res.body) != "done" {
--- a/internal/agent/lifecycle_test.go
+++ b/internal/agent/lifecycle_test.go
@@ -15,7 +15,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-// A panic in the loop loses only the event that caused it.
+// After a panic in the loop, only the event that caused it is lost.
 func TestLoopSurvivesPanic(t *testing.T) {
 	addr, _ := countingBackend(t, 200, false)
 	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -45,7 +45,7 @@
 }
 
 // After SIGTERM new connections are still served, requests in flight are answered, and the agent
-// ends without an error.
+// exits without an error.
 func TestGracefulShutdownAnswersRequests(t *testing.T) {
 	got, release := make(chan struct{}, 2), make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -82,8 +82,8 @@
 	}
 }
 
-// A backend that begins to drain while the connection to it is established gets nothing, and the
-// request is forwarded to another one.
+// A backend that begins to drain while a connection to it is being established is sent no request; the
+// request is forwarded to another backend.
 func TestDrainDuringConnectForwardsElsewhere(t *testing.T) {
 	good, received := countingBackend(t, 200, false)
 	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, "127.0.0.1:1"))
@@ -119,8 +119,8 @@
 	<-received
 }
 
-// A new process is ready with a list, and after a while without one: discovery may be unavailable,
-// and a rejection tells clients more than a wait.
+// A new process is ready once it has an endpoint list, and after readyDeadline without one: discovery may be
+// unavailable, and a rejection tells clients more than a wait.
 func TestReadyWithoutAList(t *testing.T) {
 	for name, hang := range map[string]bool{"refused": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
@@ -139,7 +139,7 @@
 				return status == http.StatusOK
 			}
 			if ready() && time.Since(startedAt) < readyDeadline/2 {
-				t.Fatal("ready at once with nothing to send to")
+				t.Fatal("ready at once without a backend")
 			}
 			waitUntil(t, "ready", ready)
 			req := newCall(base, "order")
--- a/internal/agent/misbehavingclient_test.go
+++ b/internal/agent/misbehavingclient_test.go
@@ -22,13 +22,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	// Far past every wait of the agent's: a test that meets it has failed.
+	// Longer than any timeout of the agent: a test that reaches it has failed.
 	c.SetReadDeadline(time.Now().Add(time.Minute))
 	return c, bufio.NewReader(c)
 }
 
-// A request whose end two readers could see differently is answered with an error, and no part of
-// its body is taken for a request.
+// A request whose length is ambiguous, so that two parsers could disagree on where it ends, is answered with
+// an error, and no part of its body is taken for a request (request smuggling).
 func TestAmbiguousLength(t *testing.T) {
 	inner := "GET /look/u2 HTTP/1.1\r\nHost: x\r\nRequest-Id: inner\r\nRequest-Timeout: 30000m\r\n\r\n"
 	postHead := "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: outer\r\nRequest-Timeout: 30000m\r\n"
@@ -61,10 +61,10 @@
 			if err != nil || resp.StatusCode < 400 || resp.StatusCode > 501 {
 				t.Fatalf("answered %v, %v", resp, err)
 			}
-			// What comes now, if the connection is not closed, answers what stood inside.
+			// A further response, if the connection is not closed, would be to the inner request.
 			io.Copy(io.Discard, resp.Body)
 			if more, err := http.ReadResponse(r, nil); err == nil {
-				t.Fatalf("the body was answered: %v", more)
+				t.Fatalf("the request in the body was answered: %v", more)
 			}
 			if len(received) > 0 {
 				t.Fatalf("%q reached a backend", <-received)
@@ -73,7 +73,7 @@
 	}
 }
 
-// A body in chunks is accepted like one with a length.
+// A chunked body is accepted like one with a Content-Length.
 func TestChunkedRequest(t *testing.T) {
 	addr, received := countingBackend(t, 200, false)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -85,7 +85,7 @@
 }
 
 // A peer that sends no valid request, or stops in the middle of one, is soon disconnected and its
-// place is released.
+// connection slot is released.
 func TestUnresponsivePeerIsClosed(t *testing.T) {
 	const post = "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: id1\r\nRequest-Timeout: 30000m\r\n"
 	for name, text := range map[string]string{
@@ -103,20 +103,20 @@
 			addr, received := countingBackend(t, 200, false)
 			a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 			c, r := dialAgent(t, base)
-			c.SetReadDeadline(time.Now().Add(20 * time.Second)) // the client's time is 30 s
+			c.SetReadDeadline(time.Now().Add(20 * time.Second)) // less than the 30 s of Request-Timeout
 			io.WriteString(c, text)
 			if _, err := io.Copy(io.Discard, r); err != nil {
-				t.Fatalf("not closed: %v", err)
+				t.Fatalf("the connection was not closed: %v", err)
 			}
 			if len(received) > 0 {
-				t.Fatal("reached a backend")
+				t.Fatal("the request reached a backend")
 			}
-			waitUntil(t, "its place is given back", func() bool { return a.clients.count() == 0 })
+			waitUntil(t, "its slot is released", func() bool { return a.clients.count() == 0 })
 		})
 	}
 }
 
-// Idle connections are closed when the client connections are nearly full, so that places remain
+// Idle connections are closed when nearly all slots for client connections are taken, so that some remain
 // for requests.
 func TestConnectionsAreClosedWhenNearlyFull(t *testing.T) {
 	addr, _ := countingBackend(t, 200, false)
@@ -136,18 +136,18 @@
 		}
 	}
 	if closed == 0 || closed == a.clients.capacity {
-		t.Fatalf("%d of %d were told to close, want those that found few places left", closed, a.clients.capacity)
+		t.Fatalf("%d of %d were told to close, want only those that found few free slots", closed, a.clients.capacity)
 	}
-	waitUntil(t, "idle connections give their places back", func() bool { return a.clients.count() == 0 })
+	waitUntil(t, "idle connections release their slots", func() bool { return a.clients.count() == 0 })
 	if status, _, _ := send(t, newCall(base, "order")); status != 200 {
 		t.Fatalf("answered %d", status)
 	}
 }
 
-// misbehavingHead is the head of a request without its end.
+// misbehavingHead is the head of a request without the final empty line.
 const misbehavingHead = "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: bad\r\nRequest-Timeout: 30000m\r\n"
 
-// misbehaviors are what misbehaving clients do with their connection.
+// misbehaviors are the ways in which misbehaving clients use their connections.
 var misbehaviors = []struct {
 	name string
 	act  func(c net.Conn)
@@ -183,8 +183,8 @@
 	}
 }
 
-// checkDisconnectsMisbehaving connects to the agent, misbehaves and checks that the agent closes the
-// connection in time.
+// checkDisconnectsMisbehaving connects to the agent, runs act on the connection and checks that the agent
+// closes it in time.
 func checkDisconnectsMisbehaving(t *testing.T, base, name string, act func(c net.Conn)) {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
@@ -195,7 +195,7 @@
 	startedAt := time.Now()
 	go act(c)
 	c.SetReadDeadline(startedAt.Add(testTimeout))
-	// Its own time in the kernel's queue counts: others wait before it here.
+	// The measured time includes the wait in the kernel's accept queue behind other connections.
 	if _, err := io.Copy(io.Discard, c); err != nil && os.IsTimeout(err) {
 		t.Errorf("%s: neither an error nor a close within %v", name, testTimeout)
 	} else if took := time.Since(startedAt); took > 6*time.Second {
@@ -203,17 +203,17 @@
 	}
 }
 
-// checkServesWellBehaved sends a request on its own connection and checks that it is served in time.
+// checkServesWellBehaved sends a request on a new connection and checks that it is served in time.
 func checkServesWellBehaved(t *testing.T, base string) {
 	t.Helper()
 	startedAt := time.Now()
 	resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(newCall(base, "order"))
 	if err != nil || resp.StatusCode != 200 {
-		t.Fatalf("a good client among them: %v, %v", resp, err)
+		t.Fatalf("well-behaved client: %v, %v", resp, err)
 	}
 	resp.Body.Close()
 	if took := time.Since(startedAt); took > 3*time.Second {
-		t.Errorf("a good client waited %v", took)
+		t.Errorf("a well-behaved client waited %v", took)
 	}
 }
 
@@ -225,10 +225,11 @@
 	return int64(stats.HeapAlloc)
 }
 
-// Among many bad clients (silent, slow, huge, sending too much at once, or disconnecting early)
-// each bad one is disconnected within 3 s, a good one is served, and all resources are released.
+// With many misbehaving clients (silent, slow, huge, sending too much at once, or disconnecting early), each
+// of them is disconnected within 6 s (3 s plus the wait in the accept queue), a well-behaved one is served
+// within 3 s, and all resources are released.
 func TestMisbehavingClientsAreContained(t *testing.T) {
-	// Thousands of requests come through, and nobody reads their ids.
+	// Thousands of requests arrive; countingBackend would block, as nothing receives their identifiers.
 	addr := respondingBackend(t, 200, false, func(string) {})
 	config := testConfig(unreachableAddr, addr)
 	config["limits"].(map[string]any)["sockets"] = 256
@@ -236,7 +237,7 @@
 	a, base, _, _ := startAgent(t, config)
 	send(t, newCall(base, "order"))
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-	waitUntil(t, "it is at rest", func() bool { return a.clients.count() == 0 })
+	waitUntil(t, "the agent has no connections", func() bool { return a.clients.count() == 0 })
 	heapBefore, goroutines := heapInUse(), runtime.NumGoroutine()
 
 	var misbehaving sync.WaitGroup
@@ -249,16 +250,16 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	misbehaving.Wait()
-	waitUntil(t, "their places are given back", func() bool { return a.clients.count() == 0 })
+	waitUntil(t, "their slots are released", func() bool { return a.clients.count() == 0 })
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 	waitUntil(t, "their goroutines have ended", func() bool { return runtime.NumGoroutine() <= goroutines+5 })
 	if grew := heapInUse() - heapBefore; grew > 4<<20 {
-		t.Errorf("%d bytes more are held", grew)
+		t.Errorf("%d more bytes of the heap are in use than before", grew)
 	}
 }
 
-// A client that is evicted within its request is sent a rejection: the agent did not execute what
-// it received, and the client may send it again.
+// A client that is evicted while its request is still being read is sent a rejection: the request was not
+// executed, and the client may send it again.
 func TestEvictedSlowClientIsRejected(t *testing.T) {
 	addr, _ := countingBackend(t, 200, false)
 	config := testConfig(unreachableAddr, addr)
@@ -271,7 +272,7 @@
 		slow = append(slow, r)
 		io.WriteString(c, text[:len(text)-1])
 	}
-	waitUntil(t, "all are in their request", func() bool { return a.clients.countAt(connReading) == a.clients.capacity })
+	waitUntil(t, "all requests are being read", func() bool { return a.clients.countAt(connReading) == a.clients.capacity })
 	time.Sleep(minReadingBeforeEviction)
 	if status, _, _ := send(t, newCall(base, "order")); status != 200 {
 		t.Fatalf("answered %d", status)
@@ -287,8 +288,8 @@
 	}
 }
 
-// A request behind a crowd of connections, most of which have stopped within a head, is answered in time,
-// although there are many times as many as the agent can hold.
+// A request that arrives after many more connections than the agent can hold, most of which have stopped in
+// the middle of a request head, is answered in time.
 func TestRequestBehindManyIncompleteRequests(t *testing.T) {
 	const sockets, idleClients, partialOf10, timeout = 160, 416, 9, 2500 * time.Millisecond
 	addr, _ := countingBackend(t, http.StatusOK, false)
--- a/internal/agent/notification_test.go
+++ b/internal/agent/notification_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// discoveryServer returns a discovery service that reports the queries of its calls and answers
-// with serve.
+// discoveryServer starts a discovery server that answers with serve and sends the query string of each
+// request to the channel.
 func discoveryServer(t *testing.T, serve http.HandlerFunc) (addr string, requests chan string) {
 	t.Helper()
 	requests = make(chan string, 100)
@@ -25,7 +25,7 @@
 	return s.Listener.Addr().String(), requests
 }
 
-// serveList writes a full list and keeps the watch open.
+// serveList returns a handler that writes a full list and keeps a watch open.
 func serveList(seq int, hosts ...any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		text, _ := json.MarshalIndent(map[string]any{"seq": seq, "whole": true, "hosts": hosts}, "", "  ")
@@ -37,8 +37,8 @@
 	}
 }
 
-// Over HTTP a pushed list arrives on a watch too: without a watch the agent would never be notified
-// of a drain.
+// Over HTTP, lists are received on a watch in the push mode too: without a watch the agent would never be
+// notified of a drain.
 func TestPushedListIsWatched(t *testing.T) {
 	old, _ := countingBackend(t, 200, false)
 	good, received := countingBackend(t, 200, false)
@@ -57,11 +57,11 @@
 		t.Fatal("discovery was not called")
 	}
 	if took := time.Since(startedAt); took > 200*time.Millisecond {
-		t.Fatalf("discovery was called after %v, where the agent counts as notified from the start", took)
+		t.Fatalf("discovery was called only after %v, although the agent counts as notified from the start", took)
 	}
 	for end := time.Now().Add(20 * time.Second); len(received) == 0; { // until the list is applied
 		if send(t, newCall(base, "order")); time.Now().After(end) {
-			t.Fatal("never notified of the drain")
+			t.Fatal("the agent was not notified of the drain")
 		}
 	}
 	for range 5 {
@@ -70,12 +70,12 @@
 		}
 	}
 	if len(received) != 6 {
-		t.Fatalf("%d of 6 requests reached the one that stays", len(received))
+		t.Fatalf("%d of 6 requests reached the backend that is not draining", len(received))
 	}
 }
 
-// A new address of discovery is polled at once, and soon again if that fails, however long the
-// backoff had become at the previous one.
+// A new discovery address is polled at once, and soon again if that fails, however long the backoff had become
+// at the previous address.
 func TestChangedDiscoveryIsPolledSoon(t *testing.T) {
 	config := testConfig(unreachableAddr, "127.0.0.1:1")
 	config["settings"].(map[string]any)["membershipMode"] = "on_request"
@@ -99,30 +99,30 @@
 		failPoll()
 	}
 	if before := failPoll(); before < 1200 {
-		t.Fatalf("the next call comes after %.0f ms though many calls failed", before)
+		t.Fatalf("the next call is due in only %.0f ms although many calls failed", before)
 	}
 	l.advanceClock(10 * time.Second)
 	l.handle(event{kind: eventTimer, token: pollTimerToken})
 	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{"127.0.0.1:2"}})
 	if !l.watching {
-		t.Fatal("the new address is not called")
+		t.Fatal("the new address was not called")
 	}
 	l.handle(event{kind: eventWatchEnded, source: l.discovery, err: errTrailingBytes})
 	if after := nextPollMs(); after <= 0 || after > 1000 {
-		t.Fatalf("the second call to the new address comes after %.0f ms", after)
+		t.Fatalf("the second call to the new address is due in %.0f ms", after)
 	}
 }
 
-// silentDiscovery keeps a call open and answers nothing.
+// silentDiscovery keeps a call open without an answer.
 func silentDiscovery(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// writeFlushed sends text to the agent at once.
+// writeFlushed writes text and flushes it to the agent.
 func writeFlushed(w http.ResponseWriter, text string) {
 	fmt.Fprint(w, text)
 	w.(http.Flusher).Flush()
 }
 
-// trickle sends first, and then text every 50 ms until the agent ends the call.
+// trickle returns a handler that sends first, and then text every 50 ms until the agent ends the call.
 func trickle(first, text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		writeFlushed(w, first)
@@ -133,7 +133,7 @@
 	}
 }
 
-// silentAfter sends text, and then nothing until the agent ends the call.
+// silentAfter returns a handler that sends text, and then nothing until the agent ends the call.
 func silentAfter(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		writeFlushed(w, text)
@@ -150,7 +150,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// discoveryFaults are the ways in which discovery fails to answer.
+// discoveryFaults are handlers with which discovery fails to answer.
 var discoveryFaults = map[string]http.HandlerFunc{
 	"503":                        func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 	"reset":                      func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) },
@@ -163,29 +163,30 @@
 	"malformed":                  func(w http.ResponseWriter, r *http.Request) { writeFlushed(w, "}\n") },
 }
 
-// Whatever ended the calls before, the agent is notified within 6 s of the moment from which
-// discovery answers correctly again: after rejections, resets, silence at any point, responses that
-// trickle or never end, and with a reload in between.
+// The agent is notified within 6 s after discovery answers correctly again, whatever the fault before was:
+// rejections, resets, silence at any point, responses that trickle or never end, and with a reload of the
+// configuration in between.
 func TestNotifiedWithinSixSeconds(t *testing.T) {
 	var wg sync.WaitGroup
 	for name, fault := range discoveryFaults {
 		for _, addrChanged := range []bool{false, true} {
-			wg.Go(func() { // all at once: they mostly wait
-				checkNotifiedAfterFault(t, fmt.Sprintf("%s, moved %v", name, addrChanged), fault, addrChanged)
+			wg.Go(func() { // concurrently, as they mostly wait
+				checkNotifiedAfterFault(t, fmt.Sprintf("%s, address changed %v", name, addrChanged), fault, addrChanged)
 			})
 		}
 	}
 	wg.Wait()
 }
 
-// checkNotifiedAfterFault starts an agent whose discovery has the fault for some time, and checks
-// when the agent is notified after that. The address of discovery changes before if addrChanged is set.
+// checkNotifiedAfterFault starts an agent whose discovery server has the fault for some time, and checks how
+// soon the agent is notified after that. If addrChanged is set, the discovery address changes before the
+// fault ends.
 func checkNotifiedAfterFault(t *testing.T, name string, fault http.HandlerFunc, addrChanged bool) {
 	t.Helper()
 	// failingTime is long enough for some calls to fail, failingTimeAfterChange for one at the new address.
 	const failingTime, failingTimeAfterChange = 9 * time.Second, time.Second
-	// maxNotification: a call that had just begun is given up after 3.5 s of silence, and repeated
-	// within 4 s of its begin; the rest is for a slow machine.
+	// maxNotification allows for a call that had just begun: it is aborted after 3.5 s of silence and retried
+	// within 4 s of its start. The rest is for a slow machine.
 	const maxNotification = 5 * time.Second
 	written := make(chan time.Time, 100)
 	var recovered atomic.Bool
--- a/internal/agent/offlineloop_test.go
+++ b/internal/agent/offlineloop_test.go
@@ -8,13 +8,13 @@
 	"knotrouter/internal/endpoints"
 )
 
-// offlineLoop returns a loop that the test drives by itself, with the backends listed.
+// offlineLoop returns a loop that is not running, for a test to drive, with the backends in its list.
 func offlineLoop(t *testing.T, backends ...string) *loop {
 	t.Helper()
 	return offlineLoopWithConfig(t, testConfig(unreachableAddr, backends...))
 }
 
-// offlineLoopWithConfig returns a loop that the test drives by itself.
+// offlineLoopWithConfig returns a loop with the configuration that is not running, for a test to drive.
 func offlineLoopWithConfig(t *testing.T, config map[string]any) *loop {
 	t.Helper()
 	l, err := newLoop(t.Context(), parseConfig(t, config), slog.New(slog.DiscardHandler))
@@ -36,7 +36,7 @@
 // advanceClock moves the loop's clock forward by d.
 func (l *loop) advanceClock(d time.Duration) { l.startedAt = l.startedAt.Add(-d) }
 
-// listOf returns a list of the entries.
+// listOf returns an endpoint list with the entries.
 func listOf(seq int64, full bool, hosts ...endpoints.Endpoint) endpoints.List {
 	return endpoints.List{Seq: seq, Full: full, Endpoints: hosts}
 }
--- a/internal/agent/pipelining_test.go
+++ b/internal/agent/pipelining_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// pipelineBackend answers each request with a digest of what it received, the first one late.
+// pipelineBackend answers each request with a digest of it, and the first one only after firstDelay.
 type pipelineBackend struct {
 	firstDelay time.Duration
 	mu         sync.Mutex
@@ -44,20 +44,20 @@
 	return append([]string(nil), b.received...)
 }
 
-// digest identifies a request with its body.
+// digest returns a text that identifies a request and its body.
 func digest(method, target, id string, body []byte) string {
 	sum := fnv.New64a()
 	sum.Write(body)
 	return fmt.Sprintf("%s %s %s %d %x", method, target, id, len(body), sum.Sum64())
 }
 
-// pipelinedRequest is one request as it is sent, and the answer that it has to get.
+// pipelinedRequest is one request as it is sent, and the expected body of its answer.
 type pipelinedRequest struct {
 	text, id, want string
 }
 
-// newPipelinedRequest returns a request with a body, or without one if body is nil, and with a header
-// field of padding bytes.
+// newPipelinedRequest returns a POST request with the body, or a GET request if body is nil, with a header
+// field whose value has padding bytes.
 func newPipelinedRequest(i int, body []byte, padding int) pipelinedRequest {
 	id, target, method := fmt.Sprint("id", i), fmt.Sprint("/order/u", i), http.MethodPost
 	length := fmt.Sprintf("Content-Length: %d\r\n", len(body))
@@ -69,7 +69,7 @@
 	return pipelinedRequest{text: text, id: id, want: digest(method, target, id, body)}
 }
 
-// startPipeline starts an agent with a backend whose first answer takes firstDelay, and connects to it.
+// startPipeline starts an agent with a backend whose first answer takes firstDelay, and connects to the agent.
 func startPipeline(t *testing.T, firstDelay time.Duration) (a *Agent, b *pipelineBackend, c net.Conn, r *bufio.Reader) {
 	t.Helper()
 	b = &pipelineBackend{firstDelay: firstDelay}
@@ -85,9 +85,9 @@
 	return a, b, c, r
 }
 
-// readPipelinedAnswers reads the answers to requests until one announces that the connection ends. It
-// fails the test if an answer is not that of its request, or if the connection ends otherwise. It
-// returns how many were answered.
+// readPipelinedAnswers reads the answers to requests until one announces the close of the connection. It
+// fails the test if an answer is not the expected one, or if the connection ends otherwise. It returns how
+// many requests were answered.
 func readPipelinedAnswers(t *testing.T, r *bufio.Reader, requests []pipelinedRequest) int {
 	t.Helper()
 	for i, request := range requests {
@@ -118,7 +118,7 @@
 	}
 	for i, id := range got {
 		if id != requests[i].id {
-			t.Errorf("%s was forwarded in place %d", id, i)
+			t.Errorf("%s was forwarded as request %d", id, i)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 	}
 }
 
-// Requests that are sent behind one in flight are answered in order, with none of their bytes lost.
+// Requests that are pipelined behind one in flight are answered in order, and none of their bytes is lost.
 func TestManyPipelinedRequestsAreAnswered(t *testing.T) {
 	const count, padding = 61, 200 // about 0.3 KB each
 	a, b, c, r := startPipeline(t, 400*time.Millisecond)
@@ -151,19 +151,19 @@
 	}
 	answered := readPipelinedAnswers(t, r, requests)
 	if answered != count {
-		t.Errorf("%d of %d were answered", answered, count)
+		t.Errorf("%d of %d requests were answered", answered, count)
 	}
 	checkForwarded(t, b, requests, answered)
 	checkReadAheadReleased(t, a, c)
 }
 
-// requestLikeBody returns a body that looks like the rest of a head and another request.
+// requestLikeBody returns a body that looks like the rest of a request head followed by another request.
 func requestLikeBody(size int) []byte {
 	const text = "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\nPOST /order/u9 HTTP/1.1\r\nRequest-Id: smuggled\r\n\r\n"
 	return bytes.Repeat([]byte(text), size/len(text)+1)[:size]
 }
 
-// randomPipeline draws requests of up to total bytes and more.
+// randomPipeline returns random requests with total bytes or more in all.
 func randomPipeline(random *rand.Rand, total int) (requests []pipelinedRequest) {
 	for size, i := 0, 0; size < total; i++ {
 		var body []byte
@@ -176,7 +176,7 @@
 	return requests
 }
 
-// writeInPieces writes a text in pieces of random sizes with random pauses, and stops at an error.
+// writeInPieces writes text in pieces of random size with random pauses, and stops at an error.
 func writeInPieces(random *rand.Rand, c net.Conn, text string) {
 	for len(text) > 0 {
 		n := min(len(text), 1+random.IntN(1<<random.IntN(18)))
@@ -190,9 +190,9 @@
 	}
 }
 
-// Whatever the sizes, pieces and moments of pipelined requests: each reaches a backend byte for byte or
-// not at all, in order, none is read from the middle of another, and the client sees by the last answer
-// which were not begun.
+// Whatever the sizes of pipelined requests and of the pieces in which they are written, and whenever these
+// arrive: each request reaches a backend unchanged or not at all, in order, none is parsed from the middle of
+// another, and the client sees from the last answer which requests were not begun.
 func TestPipelinedRequestsInPieces(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -222,13 +222,13 @@
 	}
 }
 
-// The end of a header line whose beginning was read together with the previous request is not taken for
+// The end of a header line whose beginning was read together with the previous request is not validated as
 // a line of its own.
 func TestSplitHeaderLineIsOneLine(t *testing.T) {
-	const readTogether = 4 << 10 // by net/http, at once
+	const readTogether = 4 << 10 // bytes that net/http reads at once
 	a, b, c, r := startPipeline(t, 100*time.Millisecond)
 	first, second := newPipelinedRequest(0, nil, 0), newPipelinedRequest(1, []byte("body"), 0)
-	// The first byte after what is read together is read alone.
+	// The first byte after those that are read at once is read alone.
 	const field, rest = "X-Padding: ", "pTransfer-Encoding: chunked"
 	beforeField := strings.Index(second.text, field) + len(field)
 	padding := strings.Repeat("p", readTogether-len(first.text)-beforeField)
@@ -240,14 +240,15 @@
 	requests := []pipelinedRequest{first, second}
 	answered := readPipelinedAnswers(t, r, requests)
 	if answered != len(requests) {
-		t.Errorf("%d of %d were answered", answered, len(requests))
+		t.Errorf("%d of %d requests were answered", answered, len(requests))
 	}
 	checkForwarded(t, b, requests, answered)
 	checkReadAheadReleased(t, a, c)
 }
 
-// A client that sends far more behind a request than is kept gets its answer, which announces the end
-// of the connection, and the end of the stream instead of a reset. Nothing of the rest is forwarded.
+// A client that pipelines far more bytes behind a request than the agent buffers gets the answer to that
+// request, which announces the close of the connection, and then the end of the stream instead of a reset.
+// None of the other requests is forwarded.
 func TestTooManyPipelinedBytes(t *testing.T) {
 	a, b, c, r := startPipeline(t, 300*time.Millisecond)
 	requests := []pipelinedRequest{newPipelinedRequest(0, nil, 0)}
@@ -265,7 +266,7 @@
 		written <- nil
 	}()
 	if answered := readPipelinedAnswers(t, r, requests); answered != 1 {
-		t.Errorf("%d were answered", answered)
+		t.Errorf("%d requests were answered, want 1", answered)
 	}
 	if err := receive(t, "all is written", written); errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the connection was reset while the client wrote: %v", err)
@@ -274,12 +275,12 @@
 	checkReadAheadReleased(t, a, c)
 }
 
-// What all connections together read ahead is bounded. Those that come too late for it end with their
-// current answer.
+// The number of bytes that all connections together have read ahead is bounded. A connection that exceeds the
+// bound is closed after its current answer.
 func TestTotalReadAheadIsBounded(t *testing.T) {
 	a, _, _, _ := startPipeline(t, 0)
 	a.clients.mu.Lock()
-	a.clients.readAheadBytes = maxReadAheadTotal - 1000 // as if others had them
+	a.clients.readAheadBytes = maxReadAheadTotal - 1000 // as if other connections had read them
 	a.clients.mu.Unlock()
 	near, _ := connPair(t)
 	client := a.clients.admit(near, nil)
@@ -289,6 +290,6 @@
 	left := a.clients.readAheadBytes
 	a.clients.mu.Unlock()
 	if !buffered || over || left != maxReadAheadTotal-1000 || client.sealReadAhead() {
-		t.Errorf("buffered %v, then %v, %d bytes counted", buffered, over, left)
+		t.Errorf("buffered within the bound: %v, beyond it: %v; %d bytes counted", buffered, over, left)
 	}
 }
--- a/internal/agent/rawbackend_test.go
+++ b/internal/agent/rawbackend_test.go
@@ -14,10 +14,10 @@
 )
 
 // noTimeout is a timeout that no test reaches.
-const noTimeout = time.Hour // for what a test does not let run out
+const noTimeout = time.Hour
 
-// rawBackend returns the address of a backend that passes each connection to serve; it ends with
-// the test.
+// rawBackend starts a backend that passes each connection to serve, and returns its address. It stops at the
+// end of the test.
 func rawBackend(t *testing.T, serve func(c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,11 +57,11 @@
 	return &dialer{connect: (&net.Dialer{}).DialContext, connectTimeout: noTimeout, idleTimeout: noTimeout, maxIdlePerBackend: 4, maxOpen: 100}
 }
 
-// testReuseDelayMs is the delay after which the balancer lets a connection be used again whose server it
-// hardly knows.
+// testReuseDelayMs is the delay before the balancer lets a connection be reused if it has received few
+// responses from the server.
 const testReuseDelayMs = policy.CautiousReuseDelayMs
 
-// newAttempt returns an attempt like the loop does.
+// newAttempt returns an attempt such as the loop creates.
 func newAttempt(tr *backendTransport, dialAddr, method string, timeout time.Duration) *attempt {
 	r := &request{method: method, url: &url.URL{Path: "/order/u1"}, host: "backend.local", wireID: "id1"}
 	if method == http.MethodPost {
--- a/internal/agent/retrywindow_test.go
+++ b/internal/agent/retrywindow_test.go
@@ -15,8 +15,9 @@
 	"knotrouter/policy"
 )
 
-// A retry whose connection is established only after the deduplication window of its first attempt
-// is not sent: it would count as a new request. The client is answered then, not at its deadline.
+// A retry whose connection is established only after the deduplication window of the first attempt is not
+// sent: the server would treat it as a new request. The client is answered at the end of the window, not at
+// its deadline.
 func TestRetryIsNotSentAfterItsWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	received, ended := make(chan string, 10), make(chan struct{}, 10)
@@ -43,7 +44,7 @@
 		i := n.Add(1)
 		dials <- i
 		if i > 1 {
-			<-release // comes up late, in spite of its end
+			<-release // is established late, although its context has ended
 		}
 		return connect(context.Background(), network, addr)
 	}
@@ -61,7 +62,7 @@
 		answered <- resp.StatusCode
 	}()
 	receive(t, "the first attempt", dials)
-	receive(t, "the repeat", dials)
+	receive(t, "the retry", dials)
 	status := receive(t, "the answer", answered)
 	if took := time.Since(startedAt); status != http.StatusServiceUnavailable || took > 10*time.Second {
 		t.Errorf("answered %d after %v", status, took)
@@ -69,7 +70,7 @@
 	close(release)
 	receive(t, "the late connection ends", ended)
 	if len(received) != 1 {
-		t.Fatalf("%d attempts arrived, the repeat after its window", len(received))
+		t.Fatalf("%d attempts arrived, the retry after its window", len(received))
 	}
 }
 
@@ -84,8 +85,8 @@
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// The last byte of a retry is written within the deduplication window or never: the write has that
-// deadline, and the connection then serves a request without a window.
+// The last byte of a retry is written within the deduplication window or not at all: the write has that
+// deadline. A later request without a window on the same connection is written without a deadline.
 func TestRetryIsWrittenWithinItsWindow(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -108,21 +109,21 @@
 		a := newAttempt(tr, addr, http.MethodPost, noTimeout)
 		a.sendBy = want
 		if res := a.run(); res.status != policy.OK {
-			t.Fatalf("ended %d", res.status)
+			t.Fatalf("ended with status %d", res.status)
 		}
 		if len(deadlines) == 0 {
-			t.Fatal("written without a word on its bound")
+			t.Fatal("no write deadline was set")
 		}
 		for len(deadlines) > 0 { // one for each write
 			if got := <-deadlines; !got.Equal(want) {
-				t.Fatalf("the write was bounded by %v, want %v", got, want)
+				t.Fatalf("write deadline %v, want %v", got, want)
 			}
 		}
 	}
 }
 
-// What a backend sends after a response is not taken for the next response, also if the end of the
-// response is in its chunks.
+// Bytes that a backend sends after a response are not taken for the next response, also if the response is
+// chunked.
 func TestTrailingBytesAfterChunksAreNoResponse(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\ndo\r\n2\r\nne\r\n0\r\nX: y\r\n\r\n"
 	stray := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
@@ -160,8 +161,8 @@
 	}
 }
 
-// A connection with a chunked response is kept, and its bytes are counted correctly in pieces of
-// any size.
+// responseFraming finds the end of a chunked response in pieces of any size, so that its connection can be
+// reused.
 func TestChunkedFramingInPieces(t *testing.T) {
 	text := "HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\n0123456789\r\n1\r\nx\r\n0\r\n\r\n"
 	for size := 1; size <= len(text); size++ {
@@ -171,7 +172,7 @@
 			n := min(size, len(rest))
 			took := f.scan([]byte(rest[:n]))
 			if rest = rest[n:]; took < n != (len(rest) == 0) || f.violated != (len(rest) == 0) {
-				t.Fatalf("pieces of %d: took %d of %d, over %v, %d left", size, took, n, f.violated, len(rest))
+				t.Fatalf("pieces of %d: took %d of %d, violated %v, %d left", size, took, n, f.violated, len(rest))
 			}
 		}
 	}
@@ -179,11 +180,11 @@
 	f.beginResponse()
 	f.scan([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"))
 	if !f.hasTrailingBytes() {
-		t.Fatal("a chunk without a size has an end")
+		t.Fatal("bytes after a chunk with an invalid size do not count as trailing")
 	}
 }
 
-// countDials counts the connections that a dialer opened.
+// countDials returns a counter of the connections that the dialer opens from now on.
 func countDials(d *dialer) *int {
 	n, connect := new(int), d.connect
 	d.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -209,7 +210,7 @@
 	defer tr.CloseIdleConnections()
 	for range 3 {
 		if res := newAttempt(tr, addr, http.MethodPost, noTimeout).run(); res.status != policy.OK || !strings.HasPrefix(string(res.body), "done") {
-			t.Fatalf("ended %d %q", res.status, res.body)
+			t.Fatalf("ended with status %d %q", res.status, res.body)
 		}
 	}
 	if *n != 1 {
@@ -217,8 +218,8 @@
 	}
 }
 
-// blockedWriteConn is a connection on which only the first write succeeds; the next blocks until the
-// close.
+// blockedWriteConn is a connection on which only the first write succeeds; the next one blocks until the
+// connection is closed.
 type blockedWriteConn struct {
 	net.Conn
 	written *atomic.Bool
@@ -242,10 +243,10 @@
 	return c.Conn.Close()
 }
 
-// A response that arrives before the request was sent completely is not that request's.
+// A response that arrives before the request was sent completely is not taken for its response.
 func TestResponseBeforeRequestIsSent(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-		if _, err := http.ReadRequest(r); err == nil { // its head
+		if _, err := http.ReadRequest(r); err == nil { // the head only
 			io.WriteString(c, okAnswer)
 			io.Copy(io.Discard, r)
 		}
@@ -259,9 +260,9 @@
 	a := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout)
 	a.req.body = []byte(strings.Repeat("x", maxBodyBytes))
 	if res := a.run(); res.status == policy.OK {
-		t.Fatalf("taken for its answer: %q", res.body)
+		t.Fatalf("the early response was taken for the answer: %q", res.body)
 	}
 	if n := d.open.Load(); n != 0 {
-		t.Fatalf("%d connections left", n)
+		t.Fatalf("%d connections are still open", n)
 	}
 }
--- a/internal/agent/reuseorder_test.go
+++ b/internal/agent/reuseorder_test.go
@@ -12,7 +12,7 @@
 )
 
 // Bytes that were read before a request are never scanned after it has begun, however long the reader is
-// held up in between.
+// delayed in between.
 func TestReadAndScanAreAtomic(t *testing.T) {
 	f := responseFraming{framingState: framingState{complete: true}}
 	began := make(chan bool, 1)
@@ -22,11 +22,11 @@
 		return copy(p, strayAnswer), nil
 	})
 	if <-began || accepted != 0 {
-		t.Errorf("%d bytes from before the request count as its response", accepted)
+		t.Errorf("%d bytes that were read before the request count as its response", accepted)
 	}
 }
 
-// An attempt waits for the reuse delay of an idle connection, and does not open one more.
+// An attempt waits for the reuse delay of an idle connection instead of opening another one.
 func TestReuseDelayIsWaitedFor(t *testing.T) {
 	addr, _ := keepAliveBackend(t)
 	d := newDialer()
@@ -37,15 +37,15 @@
 		a := newAttempt(tr, addr, http.MethodPost, noTimeout)
 		a.reuseDelay = 50 * time.Millisecond
 		if res := a.run(); res.status != policy.OK {
-			t.Fatalf("ended %d", res.status)
+			t.Fatalf("ended with status %d", res.status)
 		}
 	}
 	if *connections != 1 {
-		t.Errorf("%d connections", *connections)
+		t.Errorf("%d connections were opened, want 1", *connections)
 	}
 }
 
-// A report of a transport that was replaced is of a previous process or address, and ignored.
+// A report of unsolicited bytes from a replaced transport concerns a previous process or address and is ignored.
 func TestReportOfAReplacedTransportIsIgnored(t *testing.T) {
 	l := offlineLoop(t, "127.0.0.1:9")
 	b := l.backends[policyAddr("s-0")]
@@ -54,11 +54,11 @@
 	l.actions = l.actions[:0]
 	l.handle(event{kind: eventUnsolicited, backend: b, transport: before})
 	if len(l.actions) != 0 {
-		t.Errorf("got %+v", l.actions)
+		t.Errorf("the report led to actions %+v", l.actions)
 	}
 }
 
-// The reuse delay begins at the end of the last response, not at the beginning of its attempt.
+// The reuse delay counts from the end of the last response, not from the start of its attempt.
 func TestReuseDelayBeginsAfterTheResponse(t *testing.T) {
 	answered := make(chan time.Time, 1)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
@@ -72,9 +72,9 @@
 	defer tr.CloseIdleConnections()
 	a := newAttempt(tr, addr, http.MethodPost, noTimeout)
 	if res := a.run(); res.status != policy.OK {
-		t.Fatalf("ended %d", res.status)
+		t.Fatalf("ended with status %d", res.status)
 	}
 	if since := a.conn.Load().idleSince.Load(); since.Before(<-answered) {
-		t.Error("the delay began before the response")
+		t.Error("the reuse delay began before the response")
 	}
 }
