--- a/internal/agent/lateanswerload_test.go
+++ b/internal/agent/lateanswerload_test.go
@@ -46,13 +46,13 @@
 	}
 	for _, c := range []struct {
 		servers, clients int
-		doubled          float64
+		secondShare      float64
 	}{{1, 1, 1}, {2, 4, 0.2}, {4, 8, 1}, {4, 8, 0.2}, {12, 4, 0.05}} {
 		for _, lateness := range []time.Duration{0, 5 * time.Millisecond, 8 * time.Millisecond} {
-			name := fmt.Sprintf("servers=%d,clients=%d,doubled=%g,late=%v", c.servers, c.clients, c.doubled, lateness)
+			name := fmt.Sprintf("servers=%d,clients=%d,doubled=%g,late=%v", c.servers, c.clients, c.secondShare, lateness)
 			for seed := firstSeed; seed <= lastSeed; seed++ {
 				t.Run(fmt.Sprintf("%s,seed=%d", strings.Replace(name, "=0s", "=drawn", 1), seed), func(t *testing.T) {
-					l := &lateLoad{seed: uint64(seed), doubled: c.doubled, lateness: lateness,
+					l := &lateLoad{seed: uint64(seed), secondShare: c.secondShare, lateness: lateness,
 						received: map[int]int{}, executed: map[int]int{}, statuses: map[int]int{}, gaps: map[int]time.Duration{}}
 					l.run(t, c.servers, c.clients, requests)
 				})
@@ -63,9 +63,9 @@
 
 // lateLoad is one run, with the counts that its servers and clients record.
 type lateLoad struct {
-	seed     uint64
-	doubled  float64       // share of answers that are sent a second time
-	lateness time.Duration // of the second answers; 0: a random one for each
+	seed        uint64
+	secondShare float64       // share of answers that are sent a second time
+	lateness    time.Duration // of the second answers; 0: a random one for each
 
 	mu            sync.Mutex
 	connections   int
@@ -96,14 +96,14 @@
 type lateLoadPlan struct {
 	status                int // 200, 500, or 503 with Not-Started
 	serviceTime, lateness time.Duration
-	doubled               bool
+	answerTwice           bool
 }
 
 // plan returns at random how a server handles a request that servers receive for the nth time. The result
 // depends on the seed, the request and n, not on the order in which requests arrive.
 func (l *lateLoad) plan(request, nth int) lateLoadPlan {
 	rng := rand.New(rand.NewPCG(l.seed, uint64(request)<<8|uint64(nth)))
-	p := lateLoadPlan{status: http.StatusOK, lateness: l.lateness, doubled: rng.Float64() < l.doubled}
+	p := lateLoadPlan{status: http.StatusOK, lateness: l.lateness, answerTwice: rng.Float64() < l.secondShare}
 	p.serviceTime = time.Duration(rng.Int64N(int64(lateLoadMaxServiceTime)))
 	if p.lateness == 0 {
 		p.lateness = lateLoadMinLateness + time.Duration(rng.Int64N(int64(lateLoadMaxLateness-lateLoadMinLateness)))
@@ -188,7 +188,7 @@
 		if _, text := l.answer(number, p.status, 0); !lateLoadWrite(c, text) {
 			return
 		}
-		if p.doubled {
+		if p.answerTwice {
 			time.AfterFunc(p.lateness, func() { l.writeSecond(c, number, p, firstWriteStart) }) // other requests go on
 		}
 	}
@@ -233,7 +233,7 @@
 	if executes {
 		l.executed[number]++
 	}
-	if p.doubled {
+	if p.answerTwice {
 		l.secondDue++
 	}
 	return number, p
