--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -113,7 +113,7 @@
 		return
 	}
 	path := "/status/load"
-	if l.settings.Report.How == "off" {
+	if l.settings.Report.Mode == "off" {
 		path = "/health"
 	}
 	// A health check bypasses the server's queue: without a response within two connect timeouts it has failed.
--- a/internal/agent/healthcheck_test.go
+++ b/internal/agent/healthcheck_test.go
@@ -30,7 +30,7 @@
 			}))
 			t.Cleanup(s.Close)
 			l := offlineLoop(t, s.Listener.Addr().String())
-			l.settings.Report = policy.Report{How: c.how, Names: []string{"util"}}
+			l.settings.Report = policy.Report{Mode: c.how, Names: []string{"util"}}
 			b := l.backends[policyAddr("s-0")]
 			l.actions = []policy.Action{{Kind: policy.ActProbe, Server: b.addr}}
 			l.executeActions()
--- a/internal/agent/lateanswertraffic_test.go
+++ b/internal/agent/lateanswertraffic_test.go
@@ -177,7 +177,7 @@
 	t.Helper()
 	s.start(t)
 	l := offlineLoop(t, s.addr)
-	l.settings.Report = policy.Report{How: how, Names: []string{"util"}}
+	l.settings.Report = policy.Report{Mode: how, Names: []string{"util"}}
 	return l
 }
 
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -159,7 +159,7 @@
 func (c *Checker) WarmupOverload(server int, knownShare float64, sent, bound float64) {
 	if knownShare >= slowStartKnownShare {
 		c.recordBreach(RuleSlowStart, nil, none, server, "sent %.0f ms of work within %.1f s, at most %.0f; %.0f %% by agents told of its start",
-			sent, c.settings.Contract.TipAfterMs/1000, bound, 100*knownShare)
+			sent, c.settings.Contract.CrashWindowMs/1000, bound, 100*knownShare)
 	}
 }
 
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -28,7 +28,7 @@
 			{Name: "send", Effect: policy.Deduplicated, Group: policy.GroupZone, DedupWindowMs: 3000},
 			{Name: "vote", Effect: policy.Deduplicated, Group: policy.GroupAll, DedupWindowMs: 3000},
 			{Name: "order", Effect: policy.NonIdempotent}, {Name: "cell", Effect: policy.Deduplicated, Group: policy.GroupCell, DedupWindowMs: 3000}},
-		Contract: policy.Contract{AnswerSlackMs: 20, DrainGraceMs: 500, TipAfterMs: 1000},
+		Contract: policy.Contract{AnswerSlackMs: 20, DrainGraceMs: 500, CrashWindowMs: 1000},
 		Limits:   policy.Limits{MaxAttempts: 3, ParallelAttempts: true},
 	}
 	e.Checker = New(func() time.Duration { return e.now }, &e.set, []string{"n0", "n1"},
--- a/internal/lab/cost/agentconfig.go
+++ b/internal/lab/cost/agentconfig.go
@@ -67,10 +67,10 @@
 		Limits: policy.Limits{Cancelling: true, ConnectTimeoutMs: 250, KeepaliveMs: 30000, MaxAttempts: 6,
 			MaxRetryAfterMs: 2000, ParallelAttempts: true, Probing: true, RetryAfter: true},
 		Contract: policy.Contract{AnswerSlackMs: 20, ListPollWithinMs: 10000, SlowStartFrom: 0.13, SlowStartMs: 24000,
-			DrainGraceMs: 500, FallMultiple: 4, TipAfterMs: 1000},
+			DrainGraceMs: 500, CrashLoadMultiple: 4, CrashWindowMs: 1000},
 		Prices:    policy.Prices{CrossZone: 0.1, LateFail: 0.023, Probe: 0.01, Waste: 0.25},
 		Objective: policy.Objective{Overall: 0.55, WorstWindow: 0.25, WorstClass: 0.2},
-		Report:    policy.Report{How: "on_probe", Names: []string{"util", "inflight"}}}
+		Report:    policy.Report{Mode: "on_probe", Names: []string{"util", "inflight"}}}
 	settings.Clients.MarksRetry = true
 	settings.FamilyInfo.WarmKeys = true
 	return settings
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -17,10 +17,10 @@
 			MaxAttempts: rules.MaxAttempts, MaxRetryAfterMs: millis(rules.MaxRetryAfter), ParallelAttempts: rules.ParallelAttempts,
 			Probing: rules.Probing, RetryAfter: rules.RetryAfter},
 		Contract: policy.Contract{AnswerSlackMs: millis(rules.AnswerSlack), ListPollWithinMs: millis(rules.ListPollWithin), SlowStartFrom: rules.SlowStartFrom,
-			SlowStartMs: millis(rules.SlowStartDuration), DrainGraceMs: millis(rules.DrainGrace), FallMultiple: rules.CrashLoadMultiple, TipAfterMs: millis(rules.CrashWindow)},
+			SlowStartMs: millis(rules.SlowStartDuration), DrainGraceMs: millis(rules.DrainGrace), CrashLoadMultiple: rules.CrashLoadMultiple, CrashWindowMs: millis(rules.CrashWindow)},
 		Prices:    policy.Prices{CrossZone: 0.1, LateFail: 0.023, Probe: 0.01, Waste: 0.25},
 		Objective: policy.Objective{Overall: 0.55, WorstWindow: 0.25, WorstClass: 0.2},
-		Report:    policy.Report{How: c.Servers.MachineTypes[0].Reports.Mode, Names: c.Servers.MachineTypes[0].Reports.Metrics}}
+		Report:    policy.Report{Mode: c.Servers.MachineTypes[0].Reports.Mode, Names: c.Servers.MachineTypes[0].Reports.Metrics}}
 	settings.Clients.MarksRetry = true
 	settings.FamilyInfo.WarmKeys = c.Servers.MachineTypes[0].Spec.AffinityGain > 0
 	for _, class := range c.Load.Classes {
--- a/internal/lab/server/spec.go
+++ b/internal/lab/server/spec.go
@@ -30,7 +30,7 @@
 	AffinityKeys      int           `koanf:"affinity_keys"` // keys that the server remembers
 	PauseInterval     time.Duration `koanf:"pause_every"`   // from the end of a pause to the next; 0: no pauses
 	PauseDuration     time.Duration `koanf:"pause_for"`
-	CrashLoadMultiple float64       `koanf:"-"`          // of the capacity of a warming server, which it withstands (the contract's FallMultiple); 0: it never crashes
+	CrashLoadMultiple float64       `koanf:"-"`          // of the capacity of a warming server, which it withstands (the contract's CrashLoadMultiple); 0: it never crashes
 	CrashWindow       time.Duration `koanf:"-"`          // in which the work that arrives is added up
 	CrashSlack        float64       `koanf:"fall_slack"` // work that the server withstands in addition, for random bursts
 }
--- a/internal/lab/server/testserver_test.go
+++ b/internal/lab/server/testserver_test.go
@@ -86,7 +86,7 @@
 			{Name: "vote", Effect: policy.Deduplicated, Group: policy.GroupAll, DedupWindowMs: 60000},
 		},
 		Limits:   policy.Limits{ParallelAttempts: true},
-		Contract: policy.Contract{TipAfterMs: 1000},
+		Contract: policy.Contract{CrashWindowMs: 1000},
 	}
 	ts.checker = check.New(clock, settings, []string{"n0"}, []check.Server{{Name: "s-0"}})
 	return &Env{
--- a/policy/anyorder_test.go
+++ b/policy/anyorder_test.go
@@ -84,7 +84,7 @@
 // is retried or finished as if it had not been reported.
 func TestResponseStartedAfterItsAttempt(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	id, server := r.sent(0, 0)
+	id, server := r.mustSend(0, 0)
 	r.b.retryDebt, r.b.retryDebtAt = 100, r.now // so that the retry stays queued
 	r.outcome(id, 0, server, Reset, 5)
 	if len(r.b.queued) != 1 {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -24,12 +24,12 @@
 			return false // a retry goes to another server
 		}
 	}
-	return b.effectAllows(r, s)
+	return b.effectPermitsRetry(r, s)
 }
 
-// effectAllows reports whether the class of the request permits one more attempt at the server,
+// effectPermitsRetry reports whether the class of the request permits one more attempt at the server,
 // although earlier attempts may have been executed.
-func (b *Balancer) effectAllows(r *request, s *server) bool {
+func (b *Balancer) effectPermitsRetry(r *request, s *server) bool {
 	if r.ambiguousAttempts == 0 {
 		return true
 	}
@@ -66,9 +66,9 @@
 	if !b.maySend(r, s) {
 		return false
 	}
-	by := b.dedupWindowLeft(r)
-	if math.IsInf(by, 1) {
-		by = 0
+	sendBy := b.dedupWindowLeft(r)
+	if math.IsInf(sendBy, 1) {
+		sendBy = 0
 	}
 	a := &attempt{request: r, server: s, index: len(r.attempts), soleInFlight: len(s.inFlight) == 0,
 		sentAt: b.now, cost: b.cost(r)}
@@ -88,7 +88,7 @@
 	if b.slowStartFactor(s) < 1 {
 		s.slowStartBudget -= a.cost
 	}
-	b.emit(Action{Kind: ActSend, Request: r.id, Server: s.addr, Ms: r.deadline - b.now, SendByMs: by,
+	b.emit(Action{Kind: ActSend, Request: r.id, Server: s.addr, Ms: r.deadline - b.now, SendByMs: sendBy,
 		ReuseDelayMs: s.reuseDelay(), SingleUse: b.singleUse(s)})
 	return true
 }
@@ -139,8 +139,8 @@
 	// An attempt that never began because its client had left, and one whose client left before the
 	// target, show nothing of the servers: clients that leave in a burst must not use up the retry
 	// budget of the others.
-	leftEarly := r.closed && status == Cancelled && b.now < r.targetAt
-	if status != Withdrawn && !leftEarly {
+	canceledEarly := r.closed && status == Cancelled && b.now < r.targetAt
+	if status != Withdrawn && !canceledEarly {
 		b.retryDebt += 1 - retryBudgetRatio*earned
 	}
 }
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -5,14 +5,14 @@
 func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	for _, st := range []Status{Error, Timeout, Reset, Cancelled} {
 		r := newRig(t, testSettings(), 3)
-		id, s := r.sent(1, 5)
+		id, s := r.mustSend(1, 5)
 		actions := r.outcome(id, 0, s, st, 50)
 		if find(actions, ActSend) != nil || find(actions, ActReject) != nil || find(actions, ActFail) == nil {
 			t.Errorf("ending %d: want a failure and nothing else, got %+v", st, actions)
 		}
 	}
 	r := newRig(t, testSettings(), 3)
-	id, s := r.sent(1, 5)
+	id, s := r.mustSend(1, 5)
 	if actions := r.outcome(id, 0, s, ConnectFailed, 50); find(actions, ActSend) == nil {
 		t.Errorf("an attempt that never ran was not repeated: %+v", actions)
 	}
@@ -20,7 +20,7 @@
 
 func TestDeduplicatedRetryKeepsToGroupAndWindow(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
-	id, s := r.sent(2, 5)
+	id, s := r.mustSend(2, 5)
 	actions := r.outcome(id, 0, s, Error, 20)
 	a := find(actions, ActSend)
 	if a == nil || r.b.serversByAddr[a.Server].cell != r.b.serversByAddr[s].cell {
@@ -72,7 +72,7 @@
 	cell := r.b.serversByAddr[first.Server].cell
 	for i := range 6 {
 		if i%2 == cell {
-			r.list(ListChange, Entry{Server: addr(i), Health: Draining, Weight: 1, Cell: cell, Zone: cell})
+			r.handleList(ListChange, Entry{Server: addr(i), Health: Draining, Weight: 1, Cell: cell, Zone: cell})
 		}
 	}
 	if actions = r.outcome(id, 0, first.Server, Error, 20); find(actions, ActSend) != nil || len(r.b.queued) != 1 {
@@ -88,17 +88,17 @@
 
 func TestDrainingAndRemovedServersGetNothing(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	r.list(ListChange, Entry{Server: addr(0), Health: Draining, Weight: 1})
+	r.handleList(ListChange, Entry{Server: addr(0), Health: Draining, Weight: 1})
 	for key := range uint64(20) {
-		id, s := r.sent(0, key+1)
+		id, s := r.mustSend(0, key+1)
 		if s == addr(0) {
 			t.Fatal("sent to a draining server")
 		}
 		r.outcome(id, 0, s, OK, 20)
 	}
-	r.list(ListFull, Entry{Server: addr(0), Health: Ready, Weight: 1})
+	r.handleList(ListFull, Entry{Server: addr(0), Health: Ready, Weight: 1})
 	for key := range uint64(20) {
-		id, s := r.sent(0, key+1)
+		id, s := r.mustSend(0, key+1)
 		if s == addr(1) {
 			t.Fatal("sent to a server that left the list")
 		}
@@ -111,7 +111,7 @@
 	set := testSettings()
 	set.Classes[0].Streamed = true
 	r := newRig(t, set, 4)
-	id, s := r.sent(0, 3)
+	id, s := r.mustSend(0, 3)
 	r.now += 30
 	r.handle(Event{Kind: EvResponseStarted, Request: id, Attempt: 0, Server: s, LatencyMs: 30})
 	for range 200 {
@@ -141,7 +141,7 @@
 		closed := 0
 		for i := range 400 {
 			r.now += 20
-			id, s := r.sent(0, r.b.rng.Uint64())
+			id, s := r.mustSend(0, r.b.rng.Uint64())
 			if a := find(r.outcome(id, 0, s, OK, 10), ActClose); a != nil && i >= 200 {
 				if closed++; a.Server != s {
 					t.Fatalf("closed %v, want the idle %v", a.Server, s)
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -46,7 +46,7 @@
 // unsolicited bytes.
 func TestReuseDelayUntilAServerIsProven(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
-	restOf := func() float64 {
+	nextReuseDelay := func() float64 {
 		r.b.retryDebt = 0
 		id, actions := r.request(0, 0)
 		sent := find(actions, ActSend)
@@ -58,11 +58,11 @@
 	}
 	for _, from := range []string{"the start", "unsolicited bytes"} {
 		for i := range provenResponses {
-			if got := restOf(); got != CautiousReuseDelayMs {
+			if got := nextReuseDelay(); got != CautiousReuseDelayMs {
 				t.Fatalf("%d responses from %s: a delay of %v ms", i, from, got)
 			}
 		}
-		if got := restOf(); got != reuseDelayMs {
+		if got := nextReuseDelay(); got != reuseDelayMs {
 			t.Errorf("proven since %s: a delay of %v ms", from, got)
 		}
 		r.unsolicited(addr(0))
@@ -87,7 +87,7 @@
 func TestRestartEndsSingleUse(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	r.unsolicited(addr(0))
-	r.list(ListChange, Entry{Server: addr(0), Health: Ready, Weight: 1, StartedMs: r.now})
+	r.handleList(ListChange, Entry{Server: addr(0), Health: Ready, Weight: 1, StartedMs: r.now})
 	if r.b.singleUse(r.b.serversByAddr[addr(0)]) {
 		t.Error("single use went on")
 	}
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -65,16 +65,16 @@
 		b.watchScheduled = false // the schedule of the first call is of no use any more
 	}
 	pollWithin, jitter := b.settings.Contract.ListPollWithinMs/5, b.rng.Float64()
-	quickWait := min(servedWatchBackoff, pollWithin) * jitter
+	shortWait := min(servedWatchBackoff, pollWithin) * jitter
 	if b.listIncomplete() && b.watchFailures <= maxQuickRetries {
-		b.scheduleWatch(quickWait) // the rest of an answer is owed
+		b.scheduleWatch(shortWait) // the rest of an answer is owed
 		return
 	}
 	if b.watchGranted && b.watchFailures == 1 {
-		// Calls stay apart, from the begin of one to that of the next.
-		apart := min(1000, pollWithin)*(1+jitter)/2 - (b.now - b.watchRequestedAt)
-		b.scheduleWatch(max(apart, quickWait))
-		b.retriedAtOnce = true
+		// Calls stay apart, from the start of one to the start of the next.
+		spacing := min(1000, pollWithin)*(1+jitter)/2 - (b.now - b.watchRequestedAt)
+		b.scheduleWatch(max(spacing, shortWait))
+		b.retriedImmediately = true
 		return
 	}
 	b.scheduleWatch(b.watchBackoff(pollWithin, jitter))
@@ -84,7 +84,7 @@
 // failure up to pollWithin, longer where many agents share discovery. The jitter is from 0 up to 1.
 func (b *Balancer) watchBackoff(pollWithin, jitter float64) float64 {
 	failures := b.watchFailures
-	if b.retriedAtOnce { // a call that is rejected for coming at once is the first that failed
+	if b.retriedImmediately { // a call that is rejected for coming at once is the first that failed
 		failures--
 	}
 	wait := min(1000, pollWithin) * (1 + jitter) / 2
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -49,7 +49,7 @@
 	r.now += 10000
 	r.handle(Event{Kind: EvTimer, Token: watchToken})
 	for range 20 {
-		again := find(r.list(ListFailed), ActTimer)
+		again := find(r.handleList(ListFailed), ActTimer)
 		if again == nil || again.Token != watchToken || again.Ms > set.Contract.ListPollWithinMs/5 {
 			t.Fatalf("asked again too late: %+v", again)
 		}
@@ -162,7 +162,7 @@
 // counts as told 2 s later, unless it was asked for less than half a second ago.
 func TestServedWatchIsRequestedAgainAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		lasted, least, most float64 // ms
+		servedMs, minWait, maxWait float64 // ms
 	}{
 		{0, 500, 1000}, // never served twice within half a second
 		{300, 200, 700},
@@ -181,10 +181,10 @@
 				t.Fatal("did not ask")
 			}
 			b.Handle(now, &Event{Kind: EvList, List: ListChange}, nil)
-			now += c.lasted
+			now += c.servedMs
 			wait := find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer).Ms
-			if wait < c.least || wait > c.most {
-				t.Fatalf("seed %d: served for %.0f ms, asked again after %.0f, want %.0f to %.0f", seed, c.lasted, wait, c.least, c.most)
+			if wait < c.minWait || wait > c.maxWait {
+				t.Fatalf("seed %d: served for %.0f ms, asked again after %.0f, want %.0f to %.0f", seed, c.servedMs, wait, c.minWait, c.maxWait)
 			}
 		}
 	}
@@ -210,12 +210,12 @@
 				now += find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer).Ms
 				b.Handle(now, &Event{Kind: EvTimer, Token: watchToken}, nil)
 			}
-			if took := now - ended; took > servedWatchBackoff+1000 {
-				t.Fatalf("%d agents, seed %d: the second call came %.0f ms after the end", agents, seed, took)
+			if elapsed := now - ended; elapsed > servedWatchBackoff+1000 {
+				t.Fatalf("%d agents, seed %d: the second call came %.0f ms after the end", agents, seed, elapsed)
 			}
 			third := find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer).Ms
-			if least := min(2000*float64(agents)/frequentWatchers, maxWatchInterval) / 2; agents >= 40 && third < least {
-				t.Fatalf("%d agents: the third call comes after %.0f ms, at least %.0f", agents, third, least)
+			if minWait := min(2000*float64(agents)/frequentWatchers, maxWatchInterval) / 2; agents >= 40 && third < minWait {
+				t.Fatalf("%d agents: the third call comes after %.0f ms, want at least %.0f", agents, third, minWait)
 			}
 		}
 	}
@@ -255,7 +255,7 @@
 				}
 			}
 			for s, n := range calls[:seconds] {
-				if most := 0.75*float64(agents) + 3; s >= 10 && float64(n) > most {
+				if maxCalls := 0.75*float64(agents) + 3; s >= 10 && float64(n) > maxCalls {
 					t.Errorf("second %d: %d calls of %d agents", s, n, agents)
 				}
 			}
--- a/policy/health.go
+++ b/policy/health.go
@@ -58,7 +58,8 @@
 // evidence: overloaded servers would be left idle (i228a10). Nor are one or two failed connects: where
 // one server in three starts late, all servers would be taken for cold by turns.
 func (b *Balancer) recordResponse(s *server) {
-	if s.connectFailures >= restartConnectFailures && s.connectFailureSpan > b.settings.Contract.TipAfterMs {
+	if s.connectFailures >= restartConnectFailures &&
+		s.connectFailureSpan > b.settings.Contract.CrashWindowMs {
 		s.startedAt, s.concurrencyLimit, s.slowStartBudget = b.now, 1, b.rng.Float64()
 	}
 	s.lastResponse, s.connectFailures = b.now, 0
@@ -93,7 +94,7 @@
 	}
 	doubling := float64(int(1) << max(s.recentEjections-1, 0))
 	if b.largeFleet() && s.unresponsive {
-		return base * min(minOverloadRest*doubling, 2*minOverloadRest)
+		return base * min(minOverloadEjection*doubling, 2*minOverloadEjection)
 	}
 	return base * doubling
 }
@@ -114,8 +115,8 @@
 		}
 		// Where responses take a hundredth of the target, eight of them are one costly request.
 		expected := b.expectedLatency(oldest.request)
-		patience := max(expected*8/float64(min(len(s.inFlight), 3)), b.minTarget/4)
-		if b.now-max(s.lastResponse, oldest.sentAt) >= patience {
+		responseTimeout := max(expected*8/float64(min(len(s.inFlight), 3)), b.minTarget/4)
+		if b.now-max(s.lastResponse, oldest.sentAt) >= responseTimeout {
 			b.eject(s, true)
 		}
 	}
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -6,7 +6,7 @@
 	set := testSettings()
 	set.Replicas = 0 // the key stays whole
 	r := newRig(t, set, 4)
-	id, s := r.sent(0, 7)
+	id, s := r.mustSend(0, 7)
 	srv := r.b.serversByAddr[s]
 	if srv.state != Unknown {
 		t.Fatalf("a listed server starts in state %d, want Unknown", srv.state)
@@ -16,7 +16,7 @@
 	if srv.state != Connected {
 		t.Fatalf("served: state %d, want Connected", srv.state)
 	}
-	id, s2 := r.sent(0, 7)
+	id, s2 := r.mustSend(0, 7)
 	if s2 != s {
 		t.Fatalf("key moved from %v to %v without a cause", s, s2)
 	}
@@ -32,11 +32,11 @@
 	}
 	// While it is Unhealthy its key goes elsewhere; after its hold the next
 	// request makes it pending, and a served answer Connected.
-	if _, s3 := r.sent(0, 7); s3 == s {
+	if _, s3 := r.mustSend(0, 7); s3 == s {
 		t.Error("an Unhealthy server was chosen before the better tier")
 	}
 	r.now += r.b.ejectionTime(srv) + 1
-	id, s4 := r.sent(0, 7)
+	id, s4 := r.mustSend(0, 7)
 	if srv.state != UnhealthyPending || s4 != s {
 		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", srv.state, s4)
 	}
@@ -49,7 +49,7 @@
 
 func TestRejectionEjectsNoServer(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
-	id, s := r.sent(1, 7)
+	id, s := r.mustSend(1, 7)
 	actions := r.outcome(id, 0, s, Full, 1)
 	if got := r.b.serversByAddr[s].state; got == Unhealthy {
 		t.Error("a rejection ejected the server")
@@ -63,7 +63,7 @@
 	set := testSettings()
 	set.Limits.Probing = true
 	r := newRig(t, set, 3)
-	id, s := r.sent(0, 7)
+	id, s := r.mustSend(0, 7)
 	r.outcome(id, 0, s, Error, 5)
 	r.now += 2 * r.b.ejectionTime(r.b.serversByAddr[s])
 	_, actions := r.request(0, 7)
@@ -118,11 +118,11 @@
 func TestHungServerIsEjected(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range 200 { // learn what an answer takes
-		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		id, s := r.mustSend(0, uint64(r.b.rng.Int64()))
 		r.now += 10
 		r.outcome(id, 0, s, OK, 10)
 	}
-	_, s := r.sent(0, 9)
+	_, s := r.mustSend(0, 9)
 	for range 30 {
 		if r.tick(10); r.b.serversByAddr[s].state == Unhealthy {
 			return
@@ -132,14 +132,14 @@
 }
 
 // A costly request among very quick ones does not make its server unresponsive.
-func TestCostlyRequestIsNotUnresponsive(t *testing.T) {
+func TestCostlyRequestDoesNotEjectServer(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range 200 {
-		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		id, s := r.mustSend(0, uint64(r.b.rng.Int64()))
 		r.now += 2
 		r.outcome(id, 0, s, OK, 2)
 	}
-	_, s := r.sent(0, 9)
+	_, s := r.mustSend(0, 9)
 	for range 5 {
 		if r.tick(10); r.b.serversByAddr[s].state == Unhealthy {
 			t.Fatal("after a sixth of the target the server was taken for unresponsive")
@@ -180,7 +180,7 @@
 		for range 60 {
 			r.now += 500
 			var id RequestID
-			id, s = r.sent(0, r.b.rng.Uint64())
+			id, s = r.mustSend(0, r.b.rng.Uint64())
 			r.outcome(id, 0, s, OK, 20)
 		}
 		r.b.eject(r.b.serversByAddr[s], true)
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -81,11 +81,11 @@
 func (b *Balancer) adjustLimit(s *server, threshold, latencyMs float64) {
 	switch {
 	case s.latency > threshold && b.now-s.limitReducedAt > latencyMs:
-		least := 1.0
+		minLimit := 1.0
 		if s.latency > severeOverloadFactor*threshold {
-			least = minConcurrencyLimit
+			minLimit = minConcurrencyLimit
 		}
-		b.reduceLimit(s, overloadBackoff, least)
+		b.reduceLimit(s, overloadBackoff, minLimit)
 	case s.latency < threshold && float64(len(s.inFlight)+2) > s.concurrencyLimit &&
 		b.latencySamples > baselineSamples:
 		step := min(1/s.concurrencyLimit, s.concurrencyLimit)
@@ -123,8 +123,8 @@
 // overloaded. In a fleet of few agents each sees most of the load and need not fear to overload a
 // server that answers well within the target. A cold server is slow before it is overloaded (i5d0607).
 func (b *Balancer) overloadThreshold(s *server) float64 {
-	least := 2 * overloadLatencyShare / (2 + float64(b.settings.Replicas))
-	threshold := max(overloadBaselineFactor*b.baselineLatency, least)
+	minThreshold := 2 * overloadLatencyShare / (2 + float64(b.settings.Replicas))
+	threshold := max(overloadBaselineFactor*b.baselineLatency, minThreshold)
 	return min(overloadLatencyShare, threshold) / b.slowStartFactor(s)
 }
 
@@ -136,8 +136,8 @@
 }
 
 // reduceLimit multiplies a server's concurrency limit by factor, down to least, and never raises it.
-func (b *Balancer) reduceLimit(s *server, factor, least float64) {
-	s.concurrencyLimit = min(s.concurrencyLimit, max(s.concurrencyLimit*factor, least))
+func (b *Balancer) reduceLimit(s *server, factor, minLimit float64) {
+	s.concurrencyLimit = min(s.concurrencyLimit, max(s.concurrencyLimit*factor, minLimit))
 	s.limitReducedAt = b.now
 }
 
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -14,7 +14,7 @@
 			if i > 100 {
 				rtt = 60
 			}
-			id, s := r.sent(0, uint64(r.b.rng.Int64()))
+			id, s := r.mustSend(0, uint64(r.b.rng.Int64()))
 			r.now += rtt
 			r.outcome(id, 0, s, OK, rtt)
 		}
@@ -41,7 +41,7 @@
 		t.Errorf("limit %.2f with a high baseline, want %.2f", l, overloadLatencyShare)
 	}
 	r := newRig(t, testSettings(), 1)
-	r.list(ListChange, Entry{Server: addr(1), Health: Ready, Weight: 1, StartedMs: r.now})
+	r.handleList(ListChange, Entry{Server: addr(1), Health: Ready, Weight: 1, StartedMs: r.now})
 	r.b.baselineLatency = 0.2
 	if warming, warm := r.b.overloadThreshold(r.b.serversByAddr[addr(1)]), r.b.overloadThreshold(r.b.serversByAddr[addr(0)]); warming < 2*warm {
 		t.Errorf("limit %.2f of a cold server, %.2f of a warm one", warming, warm)
@@ -52,7 +52,7 @@
 func TestOverloadAtTheStartDoesNotSetTheBaseline(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range baselineSamples {
-		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		id, s := r.mustSend(0, uint64(r.b.rng.Int64()))
 		r.now += 270
 		r.outcome(id, 0, s, OK, 270)
 	}
@@ -67,11 +67,11 @@
 	r := newRig(t, set, 1)
 	srv := r.b.servers[0]
 	for range 300 { // long enough to know the baseline latency
-		id, s := r.sent(0, 1)
+		id, s := r.mustSend(0, 1)
 		r.now += 20
 		r.outcome(id, 0, s, OK, 20)
 	}
-	grown := srv.concurrencyLimit
+	limitBefore := srv.concurrencyLimit
 	for range 200 {
 		if id, actions := r.request(0, 1); find(actions, ActSend) != nil {
 			r.now += 140
@@ -79,8 +79,8 @@
 		}
 		r.now += 10
 	}
-	if srv.concurrencyLimit >= grown {
-		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, srv.concurrencyLimit)
+	if srv.concurrencyLimit >= limitBefore {
+		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", limitBefore, srv.concurrencyLimit)
 	}
 	// ie9df20: with many agents one attempt of each keeps a tipped server busy.
 	if srv.concurrencyLimit >= 1 {
@@ -96,7 +96,7 @@
 		set.Replicas = agents
 		r := newRig(t, set, 1)
 		var out []RequestID
-		note := func(actions []Action) {
+		recordSends := func(actions []Action) {
 			for _, a := range actions {
 				if a.Kind == ActSend {
 					out = append(out, a.Request)
@@ -106,13 +106,13 @@
 		for range 300 { // quick answers to as many as go out
 			for range 5 {
 				_, actions := r.request(0, 0)
-				note(actions)
+				recordSends(actions)
 			}
 			for len(out) > 0 {
 				r.now += 2
 				id := out[0]
 				out = out[1:]
-				note(r.outcome(id, 0, addr(0), OK, 10))
+				recordSends(r.outcome(id, 0, addr(0), OK, 10))
 			}
 		}
 		for range 20 {
@@ -132,7 +132,7 @@
 	set.Replicas = 1 // more agents have no more than the first window each
 	r := newRig(t, set, 2)
 	for range baselineSamples - 1 {
-		id, s := r.sent(0, r.b.rng.Uint64())
+		id, s := r.mustSend(0, r.b.rng.Uint64())
 		r.now += 20
 		r.outcome(id, 0, s, OK, 20)
 		if w := r.b.serversByAddr[s].concurrencyLimit; w > initialConcurrencyLimit {
@@ -164,33 +164,33 @@
 	set := testSettings()
 	set.Prices.CrossZone = 0.08
 	r := newRig(t, set, 6)
-	localShare := func(homeMs float64) float64 {
-		own := 0
+	localShare := func(localMs float64) float64 {
+		local := 0
 		for range 400 {
 			r.now += 50
-			id, s := r.sent(0, r.b.rng.Uint64())
+			id, s := r.mustSend(0, r.b.rng.Uint64())
 			rtt := 20.0
 			if r.b.serversByAddr[s].zone == 0 {
-				own++
-				rtt = homeMs
+				local++
+				rtt = localMs
 			}
 			r.outcome(id, 0, s, OK, rtt)
 		}
-		return float64(own) / 400
+		return float64(local) / 400
 	}
 	localShare(20)
 	if quick := localShare(20); quick < 0.8 {
-		t.Errorf("the own zone is as fast as the rest and got %.2f", quick)
+		t.Errorf("the local zone is as fast as the rest and got %.2f", quick)
 	}
 	localShare(40)
 	if slow := localShare(40); slow > 0.7 {
-		t.Errorf("the own zone is twice as slow as the rest and got %.2f", slow)
+		t.Errorf("the local zone is twice as slow as the rest and got %.2f", slow)
 	}
 }
 
 // i5db14f: machines 2.5 times apart got equal shares, and the small ones were overloaded. Where
 // the list tells no weights a kind's answer times do.
-func TestSlowKindOfMachineGetsLess(t *testing.T) {
+func TestSlowMachineKindGetsFewerRequests(t *testing.T) {
 	for _, weights := range []string{"off", "nominal"} {
 		set := testSettings()
 		set.Weights = weights
@@ -199,11 +199,11 @@
 		for i := range 8 {
 			entries = append(entries, Entry{Server: addr(i), Health: Ready, Weight: 1, Kind: i % 2})
 		}
-		r.list(ListFull, entries...)
+		r.handleList(ListFull, entries...)
 		slow := 0
 		for i := range 1200 {
 			r.now += 50
-			id, s := r.sent(0, r.b.rng.Uint64())
+			id, s := r.mustSend(0, r.b.rng.Uint64())
 			rtt := 20.0
 			if r.b.serversByAddr[s].kind == 1 {
 				rtt = 50
@@ -213,7 +213,7 @@
 			}
 			r.outcome(id, 0, s, OK, rtt)
 		}
-		if even := slow > 250; even != (weights == "nominal") {
+		if evenShares := slow > 250; evenShares != (weights == "nominal") {
 			t.Errorf("weights %q: the slow half of the fleet got %d of 600 requests", weights, slow)
 		}
 	}
--- a/policy/list.go
+++ b/policy/list.go
@@ -37,7 +37,7 @@
 
 // watchSucceeded ends the backoff of the subscription.
 func (b *Balancer) watchSucceeded() {
-	b.watchFailures, b.watchGranted, b.retriedAtOnce = 0, true, false
+	b.watchFailures, b.watchGranted, b.retriedImmediately = 0, true, false
 }
 
 // countZones counts the zones of the servers in the first list.
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -27,10 +27,10 @@
 	// maxAgentLimitFactor is how many times its even share an agent may have in flight without
 	// overload: some agents have much more to send than most.
 	maxAgentLimitFactor = 1.5
-	// minOverloadRest is for how many target latencies at the least a server that was found
+	// minOverloadEjection is for how many target latencies at the least a server that was found
 	// overloaded or unresponsive gets nothing: an overloaded server recovers only when it has been
 	// idle for as long, and eighty agents that each check sooner with one request keep it busy.
-	minOverloadRest = 8.0
+	minOverloadEjection = 8.0
 	// idleInFlight is how many requests a server that was found overloaded may report to be in flight
 	// when it is sent to again: one, as reports are a little noisy. With a few it is still busy all
 	// the time, and stays as slow as it is.
@@ -55,7 +55,7 @@
 	}
 	b.logLatency += (x - b.logLatency) * max(logLatencyWeight, 1/b.logLatencySamples)
 	if b.logLatencySamples <= baselineSamples {
-		b.learnLogBaseline(x)
+		b.initLogBaseline(x)
 		return
 	}
 	rate := baselineRise
@@ -68,8 +68,8 @@
 	}
 }
 
-// learnLogBaseline takes one of the first responses into the baseline of logLatency.
-func (b *Balancer) learnLogBaseline(x float64) {
+// initLogBaseline takes one of the first responses into the baseline of logLatency.
+func (b *Balancer) initLogBaseline(x float64) {
 	b.baselineLogLatency += (x - b.baselineLogLatency) / b.logLatencySamples
 	if b.logLatencySamples == baselineSamples { // an overload at the start must not set the baseline
 		b.baselineLogLatency = min(b.baselineLogLatency, math.Log(overloadLatencyShare/4))
@@ -95,13 +95,13 @@
 
 // evenShare is the agent's even share of what all servers that can be sent to may have in flight.
 func (b *Balancer) evenShare() float64 {
-	n := 0.0
+	capacity := 0.0
 	for _, s := range b.servers {
 		if s.ready && s.state != Unhealthy {
-			n += b.slowStartFactor(s)
+			capacity += b.slowStartFactor(s)
 		}
 	}
-	return maxServerConcurrency * n / float64(b.settings.Replicas)
+	return maxServerConcurrency * capacity / float64(b.settings.Replicas)
 }
 
 // withinAgentLimit reports whether the agent may have one more attempt in flight. An attempt that has
@@ -112,16 +112,17 @@
 		return true
 	}
 	b.updateAgentLimit()
-	left := b.agentLimit
+	remaining := b.agentLimit
 	for _, s := range b.servers {
 		for _, a := range s.inFlight {
 			if b.now-a.sentAt < b.minTarget {
-				left--
+				remaining--
 			}
 		}
 	}
 	// A rest of less than one attempt is kept by pausing.
-	return left >= 1 || left > 0 && b.now-b.lastSentAt >= math.Exp(b.logLatency)*b.minTarget/left
+	return remaining >= 1 ||
+		remaining > 0 && b.now-b.lastSentAt >= math.Exp(b.logLatency)*b.minTarget/remaining
 }
 
 // suspiciouslySlow reports whether a latency, or the time without a response, as a part of the target,
@@ -136,11 +137,11 @@
 // without queueing, and show nothing of that otherwise.
 func (b *Balancer) reportsOverload(s *server, report []float32) bool {
 	i := slices.Index(b.settings.Report.Names, "inflight")
-	most := float32(maxServerConcurrency)
+	maxInFlight := float32(maxServerConcurrency)
 	if s.overloaded {
-		most = idleInFlight
+		maxInFlight = idleInFlight
 	}
-	return b.largeFleet() && i >= 0 && i < len(report) && report[i] > most
+	return b.largeFleet() && i >= 0 && i < len(report) && report[i] > maxInFlight
 }
 
 // pendingTimeout is how long in ms a server waits for its validation before it counts as healthy again.
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -6,7 +6,7 @@
 func largeFleetSettings() Settings {
 	set := testSettings()
 	set.Replicas, set.Limits.Probing = 80, true
-	set.Report = Report{How: "on_probe", Names: []string{"util", "inflight"}}
+	set.Report = Report{Mode: "on_probe", Names: []string{"util", "inflight"}}
 	set.Classes[2].Group = GroupAll
 	return set
 }
@@ -53,8 +53,8 @@
 		}
 		healthy += sent()
 	}
-	if most := 2 * maxServerConcurrency * servers; float64(slow) > most || slow < servers {
-		t.Errorf("%d attempts in flight at %d overloaded servers, want %d to %v", slow, servers, servers, most)
+	if maxAttempts := 2 * maxServerConcurrency * servers; float64(slow) > maxAttempts || slow < servers {
+		t.Errorf("%d attempts in flight at %d overloaded servers, want %d to %v", slow, servers, servers, maxAttempts)
 	}
 	if healthy <= slow {
 		t.Errorf("%d attempts in flight at healthy servers, %d at overloaded ones", healthy, slow)
@@ -64,7 +64,7 @@
 // respondLate lets a server answer one request late, and returns it.
 func (r *rig) respondLate(rtt float64) *server {
 	r.t.Helper()
-	id, s := r.sent(0, 7)
+	id, s := r.mustSend(0, 7)
 	r.now += rtt
 	r.outcome(id, 0, s, OK, rtt)
 	return r.b.serversByAddr[s]
@@ -97,7 +97,7 @@
 // The same where no answer comes: the request does not have to end first.
 func TestMissingResponseStartsValidation(t *testing.T) {
 	r := newRig(t, largeFleetSettings(), 4)
-	_, s := r.sent(0, 7)
+	_, s := r.mustSend(0, 7)
 	r.tick(160)
 	if _, actions := r.request(0, 8); find(actions, ActProbe) == nil || find(actions, ActProbe).Server != s {
 		t.Errorf("half a target latency without a response and no probe: %+v", actions)
@@ -107,17 +107,17 @@
 // Attempts that wait at a server found overloaded are cancelled and retried elsewhere, but
 // those that must not run twice.
 func TestOverloadedServersAttemptsAreCancelled(t *testing.T) {
-	for class, back := range []bool{true, false, true} {
+	for class, retried := range []bool{true, false, true} {
 		r := newRig(t, largeFleetSettings(), 4)
-		id, s := r.sent(class, 7)
+		id, s := r.mustSend(class, 7)
 		r.tick(160)
 		r.request(0, 8)
 		actions := r.handle(Event{Kind: EvProbeResult, Server: s, Status: OK, Report: []float32{1, 12}})
 		a := find(actions, ActCancel)
-		if back != (a != nil && a.Request == id) {
-			t.Fatalf("class %d: cancelled: %v, want %v: %+v", class, a != nil, back, actions)
+		if retried != (a != nil && a.Request == id) {
+			t.Fatalf("class %d: cancelled: %v, want %v: %+v", class, a != nil, retried, actions)
 		}
-		if !back {
+		if !retried {
 			continue
 		}
 		actions = r.outcome(id, 0, s, Cancelled, 160)
@@ -133,7 +133,7 @@
 	srv := r.respondLate(200)
 	r.request(0, 8)
 	r.handle(Event{Kind: EvProbeResult, Server: srv.addr, Status: OK, Report: []float32{1, 12}})
-	looked := func(until float64) bool {
+	contacted := func(until float64) bool {
 		for ; r.now < until; r.now += 50 {
 			id, actions := r.request(0, 0)
 			for _, a := range actions {
@@ -147,10 +147,10 @@
 		}
 		return false
 	}
-	if from := r.now; looked(from + 7*r.b.minTarget) {
+	if from := r.now; contacted(from + 7*r.b.minTarget) {
 		t.Errorf("did not rest for 7 target latencies: sent to again after %v ms", r.now-from)
 	}
-	if from := r.now; !looked(from + 10*r.b.minTarget) {
+	if from := r.now; !contacted(from + 10*r.b.minTarget) {
 		t.Error("not validated again after 17 target latencies")
 	}
 }
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -126,8 +126,8 @@
 	}
 	share := b.recentKeys.add(key) - 1.0/keyHistory
 	servers := float64(b.subsetSize())
-	blindness := min(float64(b.settings.Replicas)/max(boundedLoadFactor*servers, 1), 1)
-	parts := max(share*keySplitFactor*servers*blindness, 1)
+	splitWeight := min(float64(b.settings.Replicas)/max(boundedLoadFactor*servers, 1), 1)
+	parts := max(share*keySplitFactor*servers*splitWeight, 1)
 	// Part 0 keeps the key's own order.
 	return key + uint64(parts*b.rng.Float64())*0x9e3779b97f4a7c15
 }
--- a/policy/pick_test.go
+++ b/policy/pick_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-func TestEmptyTopTierPassesDown(t *testing.T) {
+func TestEmptyTopTierFallsBackToLowerTier(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	for range 2 {
-		id, s := r.sent(1, 3)
+		id, s := r.mustSend(1, 3)
 		r.outcome(id, 0, s, Error, 5)
 	}
-	if _, s := r.sent(0, 3); s == (Addr{}) {
+	if _, s := r.mustSend(0, 3); s == (Addr{}) {
 		t.Error("nothing was sent though Unhealthy servers are the only ones")
 	}
 }
@@ -23,13 +23,13 @@
 	if len(r.b.queued) == 0 {
 		t.Fatal("nothing is queued; the test does not test what it says")
 	}
-	free := 0
+	sentCount := 0
 	for key := uint64(100); key < 140; key++ {
 		if _, actions := r.request(0, key); find(actions, ActSend) != nil {
-			free++
+			sentCount++
 		}
 	}
-	if free == 0 {
+	if sentCount == 0 {
 		t.Error("requests for idle servers were queued behind a popular key")
 	}
 }
@@ -40,7 +40,7 @@
 	r := newRig(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
 	own, used, all := 0, map[Addr]bool{}, 600
 	for key := range uint64(all) {
-		id, s := r.sent(0, splitMix64(key+1))
+		id, s := r.mustSend(0, splitMix64(key+1))
 		r.outcome(id, 0, s, OK, 20)
 		used[s] = true
 		if r.b.serversByAddr[s].zone == 0 {
@@ -54,10 +54,10 @@
 
 // id753de: with many agents, each with one request out, a popular key put twenty times
 // the mean on one server. Few agents leave it to the cap; a rare key stays whole.
-func TestPopularKeyIsSplitWhereTheCapIsBlind(t *testing.T) {
+func TestPopularKeyIsSplitInLargeFleets(t *testing.T) {
 	for _, c := range []struct {
-		agents, every int
-		least, most   int
+		agents, every    int
+		minimum, maximum int
 	}{
 		{1000, 4, 5, 40},  // a quarter of the traffic, many agents: spread
 		{2, 4, 1, 1},      // the same, two agents: the cap sees enough
@@ -73,15 +73,15 @@
 			if i%c.every == 0 {
 				key = 7
 			}
-			id, s := r.sent(0, key)
+			id, s := r.mustSend(0, key)
 			if key == 7 && i > keyHistory {
 				used[s] = true
 			}
 			r.outcome(id, 0, s, OK, 20)
 		}
-		if len(used) < c.least || len(used) > c.most {
+		if len(used) < c.minimum || len(used) > c.maximum {
 			t.Errorf("%d agents, one request in %d: the key used %d servers, want %d to %d",
-				c.agents, c.every, len(used), c.least, c.most)
+				c.agents, c.every, len(used), c.minimum, c.maximum)
 		}
 	}
 }
@@ -91,8 +91,8 @@
 // a busy agent uses the whole fleet, and what is down in the subset is replaced.
 func TestAgentsWithFewRequestsKeepToASubset(t *testing.T) {
 	for _, c := range []struct {
-		gap         float64 // ms between requests
-		least, most int
+		gap              float64 // ms between requests
+		minimum, maximum int
 	}{{400, minSubsetSize, 16}, {4, 50, 60}} {
 		all := map[Addr]int{}
 		for index := range 30 {
@@ -105,14 +105,14 @@
 			for range 300 {
 				r.now += c.gap
 				r.b.servers[0].stateSince = r.now // stays Unhealthy
-				id, s := r.sent(0, r.b.rng.Uint64())
+				id, s := r.mustSend(0, r.b.rng.Uint64())
 				r.outcome(id, 0, s, OK, 3)
 				if used[s] = true; s == r.b.servers[0].addr {
 					t.Fatal("an Unhealthy server of the subset was not replaced")
 				}
 			}
-			if len(used) < c.least || len(used) > c.most {
-				t.Fatalf("a request each %.0f ms used %d servers, want %d to %d", c.gap, len(used), c.least, c.most)
+			if len(used) < c.minimum || len(used) > c.maximum {
+				t.Fatalf("a request each %.0f ms used %d servers, want %d to %d", c.gap, len(used), c.minimum, c.maximum)
 			}
 			for s := range used {
 				all[s]++
@@ -128,10 +128,10 @@
 // many zones there are, and most requests stay in it; all agents use all servers even so.
 func TestSubsetPrefersTheLocalZone(t *testing.T) {
 	for _, c := range []struct {
-		zones int
-		price float64
-		least float64 // part of the requests that stay in their zone, and the most
-		most  float64
+		zones   int
+		price   float64
+		minimum float64 // part of the requests that stay in their zone, and the maximum
+		maximum float64
 	}{{1, 0.1, 1, 1}, {2, 0.1, 0.7, 1}, {6, 0.1, 0.6, 0.95}, {6, 0, 0.1, 0.4}} {
 		const agents, servers, each = 60, 120, 100
 		own, all := 0, map[Addr]bool{}
@@ -149,18 +149,18 @@
 				entries[s] = Entry{Server: addr(s), Health: Ready, Weight: 1, Zone: s % c.zones}
 				zone[addr(s)] = s % c.zones
 			}
-			r.list(ListCached, entries...)
+			r.handleList(ListCached, entries...)
 			for range each {
 				r.now += 100
-				id, s := r.sent(0, b.rng.Uint64())
+				id, s := r.mustSend(0, b.rng.Uint64())
 				r.outcome(id, 0, s, OK, 20)
 				if all[s] = true; zone[s] == set.Zone {
 					own++
 				}
 			}
 		}
-		if share := float64(own) / agents / each; share < c.least || share > c.most {
-			t.Errorf("%d zones, price %v: %.2f stayed in their zone, want %v to %v", c.zones, c.price, share, c.least, c.most)
+		if share := float64(own) / agents / each; share < c.minimum || share > c.maximum {
+			t.Errorf("%d zones, price %v: %.2f stayed in their zone, want %v to %v", c.zones, c.price, share, c.minimum, c.maximum)
 		}
 		if len(all) < servers*9/10 {
 			t.Errorf("%d zones, price %v: %d of %d servers used", c.zones, c.price, len(all), servers)
@@ -189,11 +189,11 @@
 	r := newRig(t, testSettings(), 4)
 	bad := r.b.serversByAddr[addr(0)]
 	r.b.setState(bad, UnhealthyPending)
-	free, once := 0, 0
+	idempotent, nonIdempotent := 0, 0
 	for range 200 {
 		r.now += 10
-		for class, n := range []*int{&free, &once} {
-			id, s := r.sent(class, uint64(r.b.rng.Int64()))
+		for class, n := range []*int{&idempotent, &nonIdempotent} {
+			id, s := r.mustSend(class, uint64(r.b.rng.Int64()))
 			if s == bad.addr {
 				*n++
 			}
@@ -201,7 +201,7 @@
 			r.b.setState(bad, UnhealthyPending)
 		}
 	}
-	if free == 0 || once > 0 {
-		t.Errorf("a pending server was validated by %d idempotent and %d non-idempotent requests; want some and none", free, once)
+	if idempotent == 0 || nonIdempotent > 0 {
+		t.Errorf("a pending server was validated by %d idempotent and %d non-idempotent requests; want some and none", idempotent, nonIdempotent)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -30,21 +30,21 @@
 	// Output: send request 1 to [10 0 0 1 31 144]
 }
 
-// Legal but odd values must not poison what is learned, and each request is answered once.
+// Legal but extreme values must not poison what is learned, and each request is answered once.
 func TestNonFiniteInputsKeepTheStateFinite(t *testing.T) {
-	odd := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 0, 1e300}
+	extremes := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 0, 1e300}
 	r := newRig(t, testSettings(), 3)
-	r.list(ListChange, Entry{Server: addr(9), Health: Gone}, Entry{Server: addr(1), Health: Draining})
-	final := map[RequestID]int{}
+	r.handleList(ListChange, Entry{Server: addr(9), Health: Gone}, Entry{Server: addr(1), Health: Draining})
+	finals := map[RequestID]int{}
 	count := func(actions []Action) {
 		for _, a := range actions {
 			if a.Kind == ActReject || a.Kind == ActFail {
-				final[a.Request]++
+				finals[a.Request]++
 			}
 		}
 	}
-	for i, x := range odd {
-		r.list(ListChange, Entry{Server: addr(2), Health: Ready, Weight: x, StartedMs: x})
+	for i, x := range extremes {
+		r.handleList(ListChange, Entry{Server: addr(2), Health: Ready, Weight: x, StartedMs: x})
 		for _, class := range []int{-1, 0, 1, 2, 3, 1 << 16} {
 			r.id++
 			actions := r.handle(Event{Kind: EvRequest, Request: r.id, Class: class, Tenant: -i, Key: 5, RemainingMs: x, HintMs: x, HasHint: true})
@@ -52,7 +52,7 @@
 			if a := find(actions, ActSend); a != nil {
 				r.now++
 				st := []Status{OK, Error, Timeout}[i%3]
-				final[r.id] += map[Status]int{OK: 1}[st]
+				finals[r.id] += map[Status]int{OK: 1}[st]
 				count(r.outcome(r.id, 0, a.Server, st, x))
 				count(r.outcome(r.id, 0, a.Server, st, x))
 				count(r.outcome(r.id, -1, a.Server, st, x))
@@ -70,18 +70,18 @@
 		}
 	}
 	for id := RequestID(1); id <= r.id; id++ {
-		if final[id] > 1 || final[id] == 0 && r.b.requests[id] == nil {
-			t.Errorf("request %d has %d final answers", id, final[id])
+		if finals[id] > 1 || finals[id] == 0 && r.b.requests[id] == nil {
+			t.Errorf("request %d has %d final answers", id, finals[id])
 		}
 	}
 	if x := r.b.fleetLatency + r.b.meanCostHint + r.b.hintedLatencies.meanX + r.b.baselineLatency + r.b.classLatency[0]; math.IsNaN(x) || math.IsInf(x, 0) {
-		t.Errorf("odd values poisoned the means: %v", x)
+		t.Errorf("extreme values corrupted the means: %v", x)
 	}
 }
 
 // The clock may start anywhere, and a request may come with no time left: it is still
 // answered, once, and ordinary ones are served as ever.
-func TestClockStartsAnywhereAndNoTimeLeft(t *testing.T) {
+func TestAnyClockStartAndNoTimeLeft(t *testing.T) {
 	for _, start := range []float64{-1e7, 0, 1e13} {
 		b, err := New(testSettings(), 1)
 		if err != nil {
@@ -89,7 +89,7 @@
 		}
 		r := &rig{t: t, b: b, now: start}
 		b.Start(start, nil)
-		r.list(ListCached, Entry{Server: addr(0), Health: Ready, Weight: 1}, Entry{Server: addr(1), Health: Ready, Weight: 1})
+		r.handleList(ListCached, Entry{Server: addr(0), Health: Ready, Weight: 1}, Entry{Server: addr(1), Health: Ready, Weight: 1})
 		for _, left := range []float64{0, -5, 600} {
 			r.id++
 			finals, actions := 0, r.handle(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: 3, RemainingMs: left})
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -11,17 +11,17 @@
 // simulation plays random clients, servers and lists against one Balancer and
 // checks the rules from outside, on the actions alone.
 type simulation struct {
-	t        *testing.T
-	rng      *rand.Rand
-	set      Settings
-	b        *Balancer
-	now      float64
-	next     RequestID
-	reqs     map[RequestID]*simulatedRequest
-	timers   []simulatedTimer
-	list     map[Addr]Entry
-	badSince map[Addr]float64 // the agent was notified that it drains or is removed
-	history  []Action
+	t                *testing.T
+	rng              *rand.Rand
+	settings         Settings
+	b                *Balancer
+	now              float64
+	next             RequestID
+	reqs             map[RequestID]*simulatedRequest
+	timers           []simulatedTimer
+	list             map[Addr]Entry
+	unavailableSince map[Addr]float64 // the agent was notified that it drains or is removed
+	history          []Action
 }
 
 type simulatedAttempt struct {
@@ -84,22 +84,22 @@
 			if r.final++; r.final > 1 {
 				w.t.Fatalf("request %d: a second final answer", a.Request)
 			}
-			if w.now > r.deadline+w.set.Contract.AnswerSlackMs {
+			if w.now > r.deadline+w.settings.Contract.AnswerSlackMs {
 				w.t.Fatalf("request %d answered %.1f ms after its deadline", a.Request, w.now-r.deadline)
 			}
-			c := w.set.Classes[r.class]
-			if a.Kind == ActReject && r.mayHaveRun() && (c.Effect == NonIdempotent || c.Effect == Deduplicated && c.Group != GroupAll) {
+			c := w.settings.Classes[r.class]
+			if a.Kind == ActReject && r.mayHaveExecuted() && (c.Effect == NonIdempotent || c.Effect == Deduplicated && c.Group != GroupAll) {
 				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Effect)
 			}
 		case ActCancel:
-			if !w.set.Limits.Cancelling {
+			if !w.settings.Limits.Cancelling {
 				w.t.Fatal("cancelled where it is not allowed")
 			}
 			if attempt := r.attempts[a.Attempt]; !attempt.ended {
 				attempt.status, attempt.endsAt = Cancelled, w.now+5
 			}
 		case ActProbe:
-			if !w.set.Limits.Probing {
+			if !w.settings.Limits.Probing {
 				w.t.Fatal("probed where it is not allowed")
 			}
 		case ActTimer:
@@ -108,23 +108,23 @@
 	}
 }
 
-func (r *simulatedRequest) mayHaveRun() bool {
+func (r *simulatedRequest) mayHaveExecuted() bool {
 	return slices.ContainsFunc(r.attempts, func(t *simulatedAttempt) bool { return !t.ended || !t.status.NotExecuted() })
 }
 
 func (w *simulation) checkSend(r *simulatedRequest, a *Action) {
-	c := w.set.Classes[r.class]
+	c := w.settings.Classes[r.class]
 	if r.final > 0 || w.now > r.deadline {
 		w.t.Fatalf("request %d sent after its end", a.Request)
 	}
-	if len(r.attempts) >= w.set.Limits.MaxAttempts {
-		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.attempts)+1, w.set.Limits.MaxAttempts)
+	if len(r.attempts) >= w.settings.Limits.MaxAttempts {
+		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.attempts)+1, w.settings.Limits.MaxAttempts)
 	}
-	if since, bad := w.badSince[a.Server]; bad && w.now-since > w.set.Contract.DrainGraceMs {
+	if since, unavailable := w.unavailableSince[a.Server]; unavailable && w.now-since > w.settings.Contract.DrainGraceMs {
 		w.t.Fatalf("sent to %v %.0f ms after its drain was notified", a.Server, w.now-since)
 	}
 	for _, t := range r.attempts {
-		if !t.ended && !w.set.Limits.ParallelAttempts {
+		if !t.ended && !w.settings.Limits.ParallelAttempts {
 			w.t.Fatalf("request %d: two attempts out at once", a.Request)
 		}
 		if t.ended && t.status.NotExecuted() {
@@ -147,7 +147,7 @@
 func (w *simulation) handle(ev Event) { w.apply(w.b.Handle(w.now, &ev, nil)) }
 
 func (w *simulation) step() {
-	w.now += w.set.RoundMs
+	w.now += w.settings.RoundMs
 	for i := 0; i < len(w.timers); i++ {
 		if t := w.timers[i]; t.at <= w.now {
 			w.timers = slices.Delete(w.timers, i, i+1)
@@ -177,7 +177,7 @@
 			w.handle(Event{Kind: EvOutcome, Request: id, Attempt: i, Server: t.server, Status: t.status,
 				LatencyMs: w.now - t.sentAt, Final: r.final > 0})
 		}
-		if r.final == 0 && w.now > r.deadline+w.set.Contract.AnswerSlackMs {
+		if r.final == 0 && w.now > r.deadline+w.settings.Contract.AnswerSlackMs {
 			w.t.Fatalf("request %d of class %d lost: no answer %.0f ms after its deadline", id, r.class, w.now-r.deadline)
 		}
 		if r.final > 0 && !open && len(r.attempts) > 0 && w.now > r.deadline+100 {
@@ -195,19 +195,19 @@
 	}
 	w.list[s] = e
 	if e.Health == Ready {
-		delete(w.badSince, s)
-	} else if _, notified := w.badSince[s]; !notified {
-		w.badSince[s] = w.now
+		delete(w.unavailableSince, s)
+	} else if _, notified := w.unavailableSince[s]; !notified {
+		w.unavailableSince[s] = w.now
 	}
 	w.handle(Event{Kind: EvList, List: ListChange, Entries: []Entry{e}})
 }
 
-func runRandomDay(t *testing.T, seed uint64) []Action {
+func runRandomScenario(t *testing.T, seed uint64) []Action {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	w := &simulation{t: t, rng: rng, set: randomSettings(rng), now: 5000, reqs: map[RequestID]*simulatedRequest{},
-		list: map[Addr]Entry{}, badSince: map[Addr]float64{}}
+	w := &simulation{t: t, rng: rng, settings: randomSettings(rng), now: 5000, reqs: map[RequestID]*simulatedRequest{},
+		list: map[Addr]Entry{}, unavailableSince: map[Addr]float64{}}
 	var err error
-	if w.b, err = New(w.set, seed); err != nil {
+	if w.b, err = New(w.settings, seed); err != nil {
 		t.Fatal(err)
 	}
 	w.apply(w.b.Start(w.now, nil))
@@ -219,7 +219,7 @@
 		for i < 1200 && rng.IntN(3) == 0 {
 			w.next++
 			left := 20 + 800*rng.Float64()
-			class := rng.IntN(len(w.set.Classes))
+			class := rng.IntN(len(w.settings.Classes))
 			w.reqs[w.next] = &simulatedRequest{class: class, deadline: w.now + left}
 			w.handle(Event{Kind: EvRequest, Request: w.next, Class: class, Tenant: rng.IntN(2), Key: uint64(rng.IntN(30)),
 				RemainingMs: left, HasHint: rng.IntN(2) == 0, HintMs: 100 * rng.Float64(), Retry: rng.IntN(5) == 0})
@@ -253,15 +253,15 @@
 	return w.history
 }
 
-func TestRulesHoldOnRandomDays(t *testing.T) {
+func TestRulesHoldInRandomScenarios(t *testing.T) {
 	for seed := range uint64(60) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomDay(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomScenario(t, seed) })
 	}
 }
 
 func TestEqualInputsGiveEqualActions(t *testing.T) {
 	for seed := range uint64(5) {
-		if !reflect.DeepEqual(runRandomDay(t, seed), runRandomDay(t, seed)) {
+		if !reflect.DeepEqual(runRandomScenario(t, seed), runRandomScenario(t, seed)) {
 			t.Errorf("seed %d: two runs differ", seed)
 		}
 	}
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// minUsefulTimeShare is the part of its expected latency that a request with a cost hint needs
+	// minTimeShare is the part of its expected latency that a request with a cost hint needs
 	// at the least to be queued at all.
-	minUsefulTimeShare = 0.7
+	minTimeShare = 0.7
 	// retryBudgetRatio is how many attempts may end for each that succeeded before the agent sends
 	// less. retryBudgetBurst of them are free. All count for retryBudgetWindow target latencies.
 	retryBudgetRatio, retryBudgetBurst, retryBudgetWindow = 1.5, 3.0, 10.0
@@ -41,7 +41,7 @@
 	remaining := sanitize(ev.RemainingMs)
 	r.deadline = b.now + remaining - min(b.settings.RoundMs, remaining/4)
 	if ev.Retry {
-		r.firstArrivedAt = b.recallFirstArrival(r)
+		r.firstArrivedAt = b.firstArrival(r)
 	}
 	r.targetAt = min(r.firstArrivedAt+c.TargetMs+c.TargetStretch*r.costHint, r.deadline)
 	r.hash = b.affinityHash(r.key)
@@ -51,7 +51,7 @@
 	b.queued = append(b.queued, r)
 	// A request whose expected work cannot fit its target anywhere would only keep others waiting:
 	// these are the few costly ones of a heavy tail.
-	if r.costHint > 0 && c.LateShare == 0 && minUsefulTimeShare*b.hintedLatency(r) > r.targetAt-b.now {
+	if r.costHint > 0 && c.LateShare == 0 && minTimeShare*b.hintedLatency(r) > r.targetAt-b.now {
 		b.finish(r)
 	}
 }
@@ -69,7 +69,7 @@
 // onClientCanceled drops the request of a client that has left.
 func (b *Balancer) onClientCanceled(ev *Event) {
 	if r := b.requests[ev.Request]; r != nil && !r.closed {
-		b.rememberUnserved(r)
+		b.recordUnserved(r)
 		b.closeRequest(r)
 	}
 }
@@ -119,7 +119,7 @@
 	// server show that there is no capacity.
 	b.capacityExhausted = false
 	for i, failures := 0, 0; i < len(b.queued) && failures < maxDispatchFailures &&
-		b.allowRetry() && b.withinAgentLimit(); {
+		b.withinRetryBudget() && b.withinAgentLimit(); {
 		r := b.queued[i]
 		if b.affinityBusy(r) {
 			i++
@@ -159,11 +159,11 @@
 		!b.accepts(first[0], r) && !b.accepts(first[1], r)
 }
 
-// allowRetry is the agent's adaptive throttling with a retry budget: attempts that fail or come late
+// withinRetryBudget is the agent's adaptive throttling with a retry budget: attempts that fail or come late
 // leave less to send, first attempts included. With a request or two in flight at each of a thousand
 // agents no concurrency limit of a server holds back all of them together; each rejected attempt went
 // on to the next server, until requests were sent nine times (i86bcad).
-func (b *Balancer) allowRetry() bool { return b.currentRetryDebt() < retryBudgetBurst }
+func (b *Balancer) withinRetryBudget() bool { return b.currentRetryDebt() < retryBudgetBurst }
 
 // expireQueued ends queued requests that can no longer earn anything, before they cost work.
 func (b *Balancer) expireQueued() {
@@ -205,7 +205,7 @@
 		b.dequeue(r)
 		return
 	}
-	b.rememberUnserved(r)
+	b.recordUnserved(r)
 	retryIsHarmless := r.ambiguousAttempts == 0 || b.settings.Classes[r.class].repeatableAnywhere()
 	b.closeRequest(r)
 	if retryIsHarmless {
@@ -236,9 +236,9 @@
 	}
 }
 
-// rememberUnserved keeps when an unserved request first arrived, so that its retry by the client is
+// recordUnserved keeps when an unserved request first arrived, so that its retry by the client is
 // judged by the time that has passed for the client.
-func (b *Balancer) rememberUnserved(r *request) {
+func (b *Balancer) recordUnserved(r *request) {
 	if !b.settings.Clients.MarksRetry {
 		return
 	}
@@ -250,9 +250,9 @@
 	}
 }
 
-// recallFirstArrival returns when the client's first try of a retried request arrived, or the retry's
+// firstArrival returns when the client's first try of a retried request arrived, or the retry's
 // own arrival where none is remembered. A remembered try counts for one retry.
-func (b *Balancer) recallFirstArrival(r *request) float64 {
+func (b *Balancer) firstArrival(r *request) float64 {
 	i := slices.IndexFunc(b.recentUnserved, func(u unservedRequest) bool {
 		return u.class == r.class && u.key == r.key
 	})
--- a/policy/requests_test.go
+++ b/policy/requests_test.go
@@ -20,7 +20,7 @@
 // The client's retry of a hopeless request is judged by the client's time.
 func TestClientsRetryKeepsTheFirstArrival(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
-	id, s := r.sent(0, 5)
+	id, s := r.mustSend(0, 5)
 	r.now += 200
 	r.handle(Event{Kind: EvClientCanceled, Request: id})
 	r.outcome(id, 0, s, Cancelled, 200)
@@ -36,15 +36,15 @@
 	set := testSettings()
 	set.Objective = Objective{Overall: 0.5, WorstClass: 0.5}
 	r := newRig(t, set, 2)
-	once, free := &request{class: 1, targetAt: r.now + 500}, &request{class: 0, targetAt: r.now + 500}
+	highCredit, lowCredit := &request{class: 1, targetAt: r.now + 500}, &request{class: 0, targetAt: r.now + 500}
 	for range 500 { // of class 1 all are served, of class 0 none
 		r.b.countClass(0)
 		r.b.countClass(1)
 		r.b.classSuccess[1] += 1 - shareDecay
 	}
-	with := r.b.value(free) / r.b.value(once)
+	with := r.b.value(lowCredit) / r.b.value(highCredit)
 	r.b.worstClass = 1
-	if without := r.b.value(free) / r.b.value(once); with <= without {
+	if without := r.b.value(lowCredit) / r.b.value(highCredit); with <= without {
 		t.Errorf("the starved class weighs %.2f, when served well %.2f", with, without)
 	}
 }
@@ -97,7 +97,7 @@
 			}
 			var all []sent
 			for range 8 {
-				id, to := r.sent(0, 0)
+				id, to := r.mustSend(0, 0)
 				all = append(all, sent{id, to})
 			}
 			r.now += c.after * set.Classes[0].TargetMs
@@ -105,7 +105,7 @@
 				r.handle(Event{Kind: EvClientCanceled, Request: s.id})
 				r.outcome(s.id, 0, s.to, c.status, 1)
 			}
-			if r.b.allowRetry() != c.open {
+			if r.b.withinRetryBudget() != c.open {
 				t.Fatalf("failing %.1f", r.b.retryDebt)
 			}
 		})
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -22,7 +22,7 @@
 		Limits: Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 500, ParallelAttempts: true,
 			ConnectTimeoutMs: 100},
 		Contract: Contract{AnswerSlackMs: 20, ListPollWithinMs: 8000, SlowStartFrom: 0.2, SlowStartMs: 10000, DrainGraceMs: 500,
-			FallMultiple: 3, TipAfterMs: 1000},
+			CrashLoadMultiple: 3, CrashWindowMs: 1000},
 		Membership: "pushed", Replicas: 3, RoundMs: 5, WeightBy: "request", Weights: "nominal",
 	}
 	s.Clients.MarksRetry = true
@@ -41,13 +41,13 @@
 	for i := range entries {
 		entries[i] = Entry{Server: addr(i), Health: Ready, Weight: 1, Cell: i % 2, Zone: i % 2}
 	}
-	r.list(ListCached, entries...)
+	r.handleList(ListCached, entries...)
 	return r
 }
 
 func (r *rig) handle(ev Event) []Action { return r.b.Handle(r.now, &ev, nil) }
 
-func (r *rig) list(kind ListKind, entries ...Entry) []Action {
+func (r *rig) handleList(kind ListKind, entries ...Entry) []Action {
 	return r.handle(Event{Kind: EvList, List: kind, Entries: entries})
 }
 
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// sent sends one request and returns the server that it went to. It fails the test if it went to none.
-func (r *rig) sent(class int, key uint64) (RequestID, Addr) {
+// mustSend sends one request and returns the server that it went to. It fails the test if it went to none.
+func (r *rig) mustSend(class int, key uint64) (RequestID, Addr) {
 	r.t.Helper()
 	id, actions := r.request(class, key)
 	a := find(actions, ActSend)
@@ -86,15 +86,15 @@
 	return r.handle(Event{Kind: EvTimer, Token: tickToken})
 }
 
-// sentTo sends a request to the server: all others are taken to be full.
-func (r *rig) sentTo(s *server) (RequestID, Addr) {
+// mustSendTo sends a request to the server: all others are taken to be full.
+func (r *rig) mustSendTo(s *server) (RequestID, Addr) {
 	r.t.Helper()
 	r.b.retryDebt = 0
 	for _, o := range r.b.servers {
 		o.ready = o == s
 	}
 	s.state = Unknown
-	id, to := r.sent(0, 0)
+	id, to := r.mustSend(0, 0)
 	for _, o := range r.b.servers {
 		o.ready = true
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -64,13 +64,13 @@
 // Contract holds the figures of the four rules. Its platform words: "ask" is a poll of the list,
 // "cold" is a server in slow start, and one that "tips" collapses under load.
 type Contract struct {
-	AnswerSlackMs    float64 `json:"answerSlackMs"` // for the final answer, after the client's deadline
-	ListPollWithinMs float64 `json:"askWithinMs"`   // an agent without a subscription must poll so often
-	SlowStartFrom    float64 `json:"coldFrom"`      // part of its capacity that a server starts with
-	SlowStartMs      float64 `json:"coldMs"`        // until it has its full capacity
-	DrainGraceMs     float64 `json:"drainGraceMs"`  // for ending sends to a draining or removed server
-	FallMultiple     float64 `json:"fallMultiple"`  // of its present capacity collapses a cold server
-	TipAfterMs       float64 `json:"tipAfterMs"`    // when it is sent for so long
+	AnswerSlackMs     float64 `json:"answerSlackMs"` // for the final answer, after the client's deadline
+	ListPollWithinMs  float64 `json:"askWithinMs"`   // an agent without a subscription must poll so often
+	SlowStartFrom     float64 `json:"coldFrom"`      // part of its capacity that a server starts with
+	SlowStartMs       float64 `json:"coldMs"`        // until it has its full capacity
+	DrainGraceMs      float64 `json:"drainGraceMs"`  // for ending sends to a draining or removed server
+	CrashLoadMultiple float64 `json:"fallMultiple"`  // of its present capacity collapses a cold server
+	CrashWindowMs     float64 `json:"tipAfterMs"`    // when it is sent for so long
 }
 
 // Prices are points taken off the result, each times its share or rate. The platform's price
@@ -96,7 +96,7 @@
 
 // Report describes the servers' load reports.
 type Report struct {
-	How   string   `json:"how"` // "inline", "on_probe" or "off"
+	Mode  string   `json:"how"` // "inline", "on_probe" or "off"
 	Names []string `json:"names"`
 }
 
@@ -189,8 +189,8 @@
 		{"contract.coldFrom", s.Contract.SlowStartFrom},
 		{"contract.coldMs", s.Contract.SlowStartMs},
 		{"contract.drainGraceMs", s.Contract.DrainGraceMs},
-		{"contract.fallMultiple", s.Contract.FallMultiple},
-		{"contract.tipAfterMs", s.Contract.TipAfterMs},
+		{"contract.fallMultiple", s.Contract.CrashLoadMultiple},
+		{"contract.tipAfterMs", s.Contract.CrashWindowMs},
 		{"limits.keepaliveMs", s.Limits.KeepaliveMs},
 		{"limits.maxAttempts", float64(s.Limits.MaxAttempts)},
 		{"limits.maxRetryAfterMs", s.Limits.MaxRetryAfterMs},
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestInvalidSettings(t *testing.T) {
-	for key, spoil := range map[string]func(*Settings){
+	for key, invalidate := range map[string]func(*Settings){
 		"classes":             func(s *Settings) { s.Classes = nil },
 		"classes[0].aimMs":    func(s *Settings) { s.Classes[0].TargetMs = math.NaN() },
 		"classes[1].giveUpMs": func(s *Settings) { s.Classes[1].DeadlineMs = -1 },
@@ -18,7 +18,7 @@
 		"membershipMode":      func(s *Settings) { s.Membership = "" },
 	} {
 		s := testSettings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1); err == nil || !contains(err.Error(), key) {
 			t.Errorf("spoilt %s: error %v does not name it", key, err)
 		}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -27,7 +27,7 @@
 // the contract, so that its keys move to it as it warms up.
 func (b *Balancer) slowStartShare(s *server) float64 {
 	if factor := b.slowStartFactor(s); factor < 1 {
-		return factor * b.settings.Contract.FallMultiple / slowStartMargin
+		return factor * b.settings.Contract.CrashLoadMultiple / slowStartMargin
 	}
 	return 1
 }
--- a/policy/slowstart_budget_test.go
+++ b/policy/slowstart_budget_test.go
@@ -11,22 +11,22 @@
 	name     string
 	contract Contract
 }{
-	{"wide", Contract{SlowStartFrom: 0.13, SlowStartMs: 24000, FallMultiple: 4, TipAfterMs: 1000}},
-	{"narrow", Contract{SlowStartFrom: 0.2, SlowStartMs: 9000, FallMultiple: 2.5, TipAfterMs: 800}},
-	{"long", Contract{SlowStartFrom: 0.34, SlowStartMs: 9000, FallMultiple: 3, TipAfterMs: 3000}},
+	{"wide", Contract{SlowStartFrom: 0.13, SlowStartMs: 24000, CrashLoadMultiple: 4, CrashWindowMs: 1000}},
+	{"narrow", Contract{SlowStartFrom: 0.2, SlowStartMs: 9000, CrashLoadMultiple: 2.5, CrashWindowMs: 800}},
+	{"long", Contract{SlowStartFrom: 0.34, SlowStartMs: 9000, CrashLoadMultiple: 3, CrashWindowMs: 3000}},
 }
 
-// startMany starts the first n servers. Each agent is notified of each within the given time in ms.
-func startMany(f *slowStartFleet, n int, within float64) {
+// startServers starts the first n servers. Each agent is notified of each within the given time in ms.
+func startServers(f *slowStartFleet, n int, within float64) {
 	for s := range n {
-		f.begin(s, within)
+		f.startServer(s, within)
 	}
 }
 
 // failBetween starts server 0, and gives attempts at the servers that match a status from one time to
 // another, both in ms from now.
 func failBetween(f *slowStartFleet, from, to float64, status Status, matches func(a Addr) bool) {
-	f.begin(0, 50)
+	f.startServer(0, 50)
 	from, to = f.now+from, f.now+to
 	f.status = func(a Addr, now float64) Status {
 		if matches(a) && now > from && now < to {
@@ -41,25 +41,25 @@
 	name  string
 	begin func(t *testing.T, f *slowStartFleet)
 }{
-	{"start", func(_ *testing.T, f *slowStartFleet) { f.begin(0, 50) }},
+	{"start", func(_ *testing.T, f *slowStartFleet) { f.startServer(0, 50) }},
 	{"start in a lull", func(_ *testing.T, f *slowStartFleet) {
-		f.load(0.2)
-		f.begin(0, 50)
-		f.after(6000, func() { f.load(8) })
+		f.scaleLoad(0.2)
+		f.startServer(0, 50)
+		f.after(6000, func() { f.scaleLoad(8) })
 	}},
-	{"half start at once", func(_ *testing.T, f *slowStartFleet) { startMany(f, f.servers/2, 50) }},
-	{"all but two start", func(_ *testing.T, f *slowStartFleet) { startMany(f, f.servers-2, 1000) }},
-	{"half start", func(_ *testing.T, f *slowStartFleet) { startMany(f, f.servers/2, 3000) }},
+	{"half start at once", func(_ *testing.T, f *slowStartFleet) { startServers(f, f.servers/2, 50) }},
+	{"all but two start", func(_ *testing.T, f *slowStartFleet) { startServers(f, f.servers-2, 1000) }},
+	{"half start", func(_ *testing.T, f *slowStartFleet) { startServers(f, f.servers/2, 3000) }},
 	{"restarts in slow start", func(t *testing.T, f *slowStartFleet) {
-		f.begin(0, 50)
+		f.startServer(0, 50)
 		for i := range f.agents {
 			f.after(1000+f.rng.Float64()*4000, func() { f.restart(t, i) })
 		}
 	}},
 	{"all restart at once in slow start, in a burst", func(t *testing.T, f *slowStartFleet) {
-		f.begin(0, 50)
+		f.startServer(0, 50)
 		f.after(1500, func() {
-			f.load(6)
+			f.scaleLoad(6)
 			for i := range f.agents {
 				f.restart(t, i)
 			}
@@ -101,7 +101,7 @@
 		f.run(f.now + 15000)
 		begin(t, f)
 		f.run(f.now + contract.SlowStartMs)
-		used, window := f.worst()
+		used, window := f.worstWindow()
 		if len(worst) == 0 || used > slices.Max(worst) {
 			worstWindow = fmt.Sprintf("seed %d: %s", seed, window)
 		}
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -12,17 +12,17 @@
 // more are in slow start. It knows what such a server can do at any moment, which the agents don't,
 // and counts what all of them send it.
 type slowStartFleet struct {
-	rng     *rand.Rand
-	set     Settings
-	agents  []*fleetAgent
-	servers int
-	started map[Addr]float64 // when the servers in slow start started
-	queue   eventQueue
-	now     float64
-	sent    map[Addr][]fleetSend             // to servers in slow start
-	full    float64                          // requests a warm server can serve in a ms
-	status  func(a Addr, now float64) Status // of an attempt that is sent now
-	nextID  RequestID
+	rng            *rand.Rand
+	set            Settings
+	agents         []*fleetAgent
+	servers        int
+	started        map[Addr]float64 // when the servers in slow start started
+	queue          eventQueue
+	now            float64
+	sent           map[Addr][]fleetSend             // to servers in slow start
+	serverCapacity float64                          // requests a warm server can serve in a ms
+	status         func(a Addr, now float64) Status // of an attempt that is sent now
+	nextID         RequestID
 }
 
 // fleetAgent is one agent of the fleet.
@@ -77,7 +77,7 @@
 func newSlowStartFleet(t *testing.T, seed uint64, agents, servers int, load float64, set Settings) *slowStartFleet {
 	t.Helper()
 	f := &slowStartFleet{rng: rand.New(rand.NewPCG(seed, 1)), set: set, servers: servers, now: 1e6,
-		started: map[Addr]float64{}, sent: map[Addr][]fleetSend{}, full: 0.012,
+		started: map[Addr]float64{}, sent: map[Addr][]fleetSend{}, serverCapacity: 0.012,
 		status: func(Addr, float64) Status { return OK }}
 	f.set.Replicas = agents
 	total := 0.0
@@ -86,7 +86,7 @@
 		total += f.agents[i].rate
 	}
 	for i, a := range f.agents {
-		a.rate *= load * f.full * float64(servers) / total
+		a.rate *= load * f.serverCapacity * float64(servers) / total
 		f.restart(t, i)
 		f.after(f.rng.ExpFloat64()/a.rate, func() { f.request(a) })
 	}
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	f.agents[i].b = b
-	f.act(f.agents[i], b, b.Start(f.now, nil))
+	f.apply(f.agents[i], b, b.Start(f.now, nil))
 	for s := range f.started {
 		f.agents[i].notified[s] = true
 	}
@@ -110,17 +110,17 @@
 	for s := range entries {
 		entries[s] = Entry{Server: addr(s), Health: Ready, Weight: 1, StartedMs: f.started[addr(s)]}
 	}
-	f.act(f.agents[i], b, b.Handle(f.now, &Event{Kind: EvList, List: ListCached, Entries: entries}, nil))
+	f.apply(f.agents[i], b, b.Handle(f.now, &Event{Kind: EvList, List: ListCached, Entries: entries}, nil))
 }
 
 // begin starts server s. Each agent is notified within the given time in ms.
-func (f *slowStartFleet) begin(s int, within float64) {
+func (f *slowStartFleet) startServer(s int, within float64) {
 	f.started[addr(s)] = f.now
 	e := Entry{Server: addr(s), Health: Ready, Weight: 1, StartedMs: f.now}
 	for _, a := range f.agents {
 		f.after(f.rng.Float64()*within, func() {
 			a.notified[addr(s)] = true
-			f.act(a, a.b, a.b.Handle(f.now, &Event{Kind: EvList, List: ListChange, Entries: []Entry{e}}, nil))
+			f.apply(a, a.b, a.b.Handle(f.now, &Event{Kind: EvList, List: ListChange, Entries: []Entry{e}}, nil))
 		})
 	}
 }
@@ -130,12 +130,12 @@
 	f.nextID++
 	// Some keys are far more popular than the rest.
 	key := 1 + uint64(math.Pow(f.rng.Float64(), 3)*1000)
-	f.act(a, a.b, a.b.Handle(f.now, &Event{Kind: EvRequest, Request: f.nextID, Class: 0, Key: key, RemainingMs: 5000}, nil))
+	f.apply(a, a.b, a.b.Handle(f.now, &Event{Kind: EvRequest, Request: f.nextID, Class: 0, Key: key, RemainingMs: 5000}, nil))
 	f.after(f.rng.ExpFloat64()/a.rate, func() { f.request(a) })
 }
 
 // act carries out the actions of a process of an agent.
-func (f *slowStartFleet) act(a *fleetAgent, b *Balancer, actions []Action) {
+func (f *slowStartFleet) apply(a *fleetAgent, b *Balancer, actions []Action) {
 	for _, act := range actions {
 		switch act.Kind {
 		case ActTimer:
@@ -151,7 +151,7 @@
 // handle hands an event to a process of an agent, unless the agent has restarted since.
 func (f *slowStartFleet) handle(a *fleetAgent, b *Balancer, ev Event) {
 	if a.b == b {
-		f.act(a, b, b.Handle(f.now, &ev, nil))
+		f.apply(a, b, b.Handle(f.now, &ev, nil))
 	}
 }
 
@@ -183,13 +183,13 @@
 // worst returns how many calls beyond N the servers in slow start got in the worst window, as a part
 // of the slack for chance: above 1 a server is overloaded. A window is not counted if a third of its
 // calls came from agents that were not notified of the start.
-func (f *slowStartFleet) worst() (worst float64, where string) {
+func (f *slowStartFleet) worstWindow() (worst float64, where string) {
 	c := f.set.Contract
 	for s, sends := range f.sent {
 		for i, first := range sends {
 			calls, notified := 0, 0
 			for _, x := range sends[i:] {
-				if x.at > first.at+c.TipAfterMs {
+				if x.at > first.at+c.CrashWindowMs {
 					break
 				}
 				if calls++; x.notified {
@@ -197,11 +197,11 @@
 				}
 			}
 			age := first.at - f.started[s]
-			n := c.FallMultiple * f.slowStartFactor(age) * f.full * c.TipAfterMs
+			n := c.CrashLoadMultiple * f.slowStartFactor(age) * f.serverCapacity * c.CrashWindowMs
 			if x := (float64(calls) - n) / (2*math.Sqrt(n) + 2); x > worst && 3*notified > 2*calls {
 				worst = x
 				where = fmt.Sprintf("%d calls, %d of them notified, in %.0f ms, %.1f s after the start, N %.1f",
-					calls, notified, c.TipAfterMs, age/1000, n)
+					calls, notified, c.CrashWindowMs, age/1000, n)
 			}
 		}
 	}
@@ -209,8 +209,8 @@
 }
 
 // load multiplies the rate of requests.
-func (f *slowStartFleet) load(by float64) {
+func (f *slowStartFleet) scaleLoad(factor float64) {
 	for _, a := range f.agents {
-		a.rate *= by
+		a.rate *= factor
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -5,19 +5,19 @@
 // A cold server gets no more than its slow-start share, even after a time of low load.
 func TestSlowStartBudget(t *testing.T) {
 	r := newRig(t, testSettings(), 5)
-	r.list(ListChange, Entry{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now - 10})
-	got, all := 0, 2000
+	r.handleList(ListChange, Entry{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now - 10})
+	received, all := 0, 2000
 	for range all {
 		r.now++
-		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		id, s := r.mustSend(0, uint64(r.b.rng.Int64()))
 		if s == addr(4) {
-			got++
+			received++
 		}
 		r.outcome(id, 0, s, OK, 20)
 	}
 	even := float64(all) / 4
-	if limit := even * 0.36 * 0.5 * 1.2; float64(got) > limit || got == 0 {
-		t.Errorf("a cold server got %d of %d sends; want some, and at most %.0f", got, all, limit)
+	if limit := even * 0.36 * 0.5 * 1.2; float64(received) > limit || received == 0 {
+		t.Errorf("a cold server received %d of %d sends; want some, and at most %.0f", received, all, limit)
 	}
 }
 
@@ -25,11 +25,11 @@
 // a storm of them let the agents push cold servers over.
 func TestRejectedAttemptsRefillNoSlowStartBudget(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	r.list(ListChange, Entry{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now})
+	r.handleList(ListChange, Entry{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now})
 	warming := r.b.serversByAddr[addr(4)]
 	for _, st := range []Status{Full, OK} {
 		warming.slowStartBudget = -1
-		id, s := r.sent(1, 7)
+		id, s := r.mustSend(1, 7)
 		r.outcome(id, 0, s, st, 20)
 		if earned := warming.slowStartBudget > -1; earned != (st == OK) {
 			t.Errorf("status %d: the slow-start budget went from -1 to %.3f", st, warming.slowStartBudget)
@@ -64,9 +64,9 @@
 			entries[i] = Entry{Server: addr(i), Health: Ready, Weight: 1}
 		}
 		entries[0].StartedMs = r.now
-		r.list(ListFull, entries...)
+		r.handleList(ListFull, entries...)
 		for range each {
-			id, s := r.sent(0, b.rng.Uint64())
+			id, s := r.mustSend(0, b.rng.Uint64())
 			if s == addr(0) {
 				got++
 			}
@@ -74,7 +74,7 @@
 		}
 	}
 	c := testSettings().Contract
-	share := float64(agents*each) / 9 * c.SlowStartFrom * c.FallMultiple / slowStartMargin
+	share := float64(agents*each) / 9 * c.SlowStartFrom * c.CrashLoadMultiple / slowStartMargin
 	if float64(got) > share*1.3 || float64(got) < share*0.2 {
 		t.Errorf("%d agents sent a cold server %d requests, want up to about %.0f", agents, got, share)
 	}
@@ -84,14 +84,14 @@
 // half or more of what it can do in its slow start, of which a warm one answers all, and no more.
 func TestLargeFleetUsesServersInSlowStart(t *testing.T) {
 	set := largeFleetSettings()
-	set.Replicas, set.Contract.FallMultiple = 300, 4
+	set.Replicas, set.Contract.CrashLoadMultiple = 300, 4
 	const servers, each = 24, 200
 	sends, capacity := [2]float64{}, 0.0 // to warm and to cold servers
 	for i := range set.Replicas {
 		set.Index = i
 		r := newRig(t, set, servers/2)
 		for s := range servers / 2 {
-			r.list(ListChange, Entry{Server: addr(servers/2 + s), Health: Ready, Weight: 1, StartedMs: r.now - set.Contract.SlowStartMs/4})
+			r.handleList(ListChange, Entry{Server: addr(servers/2 + s), Health: Ready, Weight: 1, StartedMs: r.now - set.Contract.SlowStartMs/4})
 		}
 		for range each {
 			r.now += 10
@@ -120,15 +120,15 @@
 	r := newRig(t, testSettings(), 2)
 	for range 200 {
 		r.now += 10
-		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		id, s := r.mustSend(0, uint64(r.b.rng.Int64()))
 		r.outcome(id, 0, s, OK, 20)
 	}
-	r.list(ListChange, Entry{Server: addr(2), Health: Ready, Weight: 1, StartedMs: r.now})
+	r.handleList(ListChange, Entry{Server: addr(2), Health: Ready, Weight: 1, StartedMs: r.now})
 	r.b.serversByAddr[addr(2)].lastSentAt = 0
 	for i := range 2 {
 		r.b.eject(r.b.serversByAddr[addr(i)], true)
 	}
-	if _, s := r.sent(0, 9); s != addr(2) {
+	if _, s := r.mustSend(0, 9); s != addr(2) {
 		t.Errorf("sent to %v, want the cold server", s)
 	}
 }
@@ -137,7 +137,7 @@
 // row for long tell that, by requests or by probes. One or two don't, nor do more at once: a
 // connect that comes up late is no restart, and each such server stood idle for its slow start.
 func TestReturnFromConnectFailuresStartsSlowStart(t *testing.T) {
-	tip := testSettings().Contract.TipAfterMs
+	tip := testSettings().Contract.CrashWindowMs
 	for _, c := range []struct {
 		name   string
 		at     []float64 // when connects failed
@@ -165,11 +165,11 @@
 					r.handle(Event{Kind: EvProbeResult, Server: srv.addr, Status: ConnectFailed})
 					continue
 				}
-				id, s := r.sentTo(srv)
+				id, s := r.mustSendTo(srv)
 				r.outcome(id, 0, s, ConnectFailed, 100)
 			}
 			r.now = began + tip + 1000
-			id, s := r.sentTo(srv)
+			id, s := r.mustSendTo(srv)
 			r.now += 20
 			r.outcome(id, 0, s, OK, 20)
 			if factor := r.b.slowStartFactor(srv); (factor < 0.5) != c.slow {
@@ -186,7 +186,7 @@
 		set := testSettings()
 		set.Limits.KeepaliveMs, set.Prices.Handshake = keepalive, 0.1
 		r := newRig(t, set, 64)
-		r.list(ListChange, Entry{Server: addr(99), Health: Ready, Weight: 1, StartedMs: r.now})
+		r.handleList(ListChange, Entry{Server: addr(99), Health: Ready, Weight: 1, StartedMs: r.now})
 		added := r.b.serversByAddr[addr(99)]
 		added.slowStartBudget = 0
 		r.b.refillSlowStartBudgets(r.b.serversByAddr[addr(0)], 1)
--- a/policy/state.go
+++ b/policy/state.go
@@ -192,16 +192,16 @@
 	activeProbes  int
 
 	// The list of servers.
-	zoneCount        uint64  // zones of the servers in the first list
-	lastFetchAt      float64 // when the full list was last fetched
-	watchFailures    int     // failed calls for the subscription in a row
-	watchScheduled   bool    // the next call is due at watchDueAt
-	watchDueAt       float64
-	watchGranted     bool // the subscription was granted since it was requested at watchRequestedAt
-	watchRequestedAt float64
-	retriedAtOnce    bool    // the failed calls began with one right behind a subscription that was served
-	partialSince     float64 // when an answer began that has arrived in part; 0: none is incomplete
-	partialCallEnded bool    // the call of that answer has ended
+	zoneCount          uint64  // zones of the servers in the first list
+	lastFetchAt        float64 // when the full list was last fetched
+	watchFailures      int     // failed calls for the subscription in a row
+	watchScheduled     bool    // the next call is due at watchDueAt
+	watchDueAt         float64
+	watchGranted       bool // the subscription was granted since it was requested at watchRequestedAt
+	watchRequestedAt   float64
+	retriedImmediately bool    // the failed calls began with one right behind a subscription that was served
+	partialSince       float64 // when an answer began that has arrived in part; 0: none is incomplete
+	partialCallEnded   bool    // the call of that answer has ended
 
 	// Latency. Without a unit in its name, a latency is a part of the request's target.
 	classLatency       []float64 // by class: mean latency in ms
@@ -299,11 +299,11 @@
 }
 
 // stepWeight moves a weight a step down or up within its bounds.
-func stepWeight(w float64, down bool, least, most float64) float64 {
+func stepWeight(w float64, down bool, minWeight, maxWeight float64) float64 {
 	if down {
-		return max(w/(1+weightStep), least)
+		return max(w/(1+weightStep), minWeight)
 	}
-	return min(w*(1+weightStep), most)
+	return min(w*(1+weightStep), maxWeight)
 }
 
 // sanitize makes an input safe to calculate with: NaN and negative values become 0, infinite and huge
--- a/policy/unconfirmed_test.go
+++ b/policy/unconfirmed_test.go
@@ -19,18 +19,18 @@
 		{"after it", nil, nil, grace/2 + 20, nil},
 		{"one is confirmed", []Entry{entry(2, Ready)}, nil, grace, []int{2}},
 		{"one drains", []Entry{entry(1, Draining)}, nil, 20, []int{2, 3}},
-		{"a complete list came", nil, func(r *rig) { r.list(ListChange) }, grace, []int{1, 2, 3}},
-		{"a call failed", nil, func(r *rig) { r.list(ListFailed) }, grace, nil},
-		{"discovery moved", nil, func(r *rig) { r.list(ListSourceChanged) }, grace, nil},
-		{"another part names others", []Entry{entry(2, Ready)}, func(r *rig) { r.list(ListPartial, entry(3, Ready)) }, grace, []int{3}},
+		{"a complete list came", nil, func(r *rig) { r.handleList(ListChange) }, grace, []int{1, 2, 3}},
+		{"a call failed", nil, func(r *rig) { r.handleList(ListFailed) }, grace, nil},
+		{"discovery moved", nil, func(r *rig) { r.handleList(ListSourceChanged) }, grace, nil},
+		{"another part names others", []Entry{entry(2, Ready)}, func(r *rig) { r.handleList(ListPartial, entry(3, Ready)) }, grace, []int{3}},
 		{"nothing came for long", nil, nil, maxUnconfirmed + 20, []int{1, 2, 3}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
 			set.Membership, set.Contract.DrainGraceMs = "on_request", grace
 			r := newRig(t, set, 1)
-			r.list(ListFull, entry(1, Ready), entry(2, Ready), entry(3, Ready))
-			r.list(ListPartial, c.part...)
+			r.handleList(ListFull, entry(1, Ready), entry(2, Ready), entry(3, Ready))
+			r.handleList(ListPartial, c.part...)
 			began := r.now
 			if c.then != nil {
 				r.now += 10
@@ -59,13 +59,13 @@
 		set.Membership, set.Contract.DrainGraceMs = "on_request", 500
 		r := newRig(t, set, 1)
 		a, b := Entry{Server: Addr{1}, Health: Ready, Weight: 1}, Entry{Server: Addr{2}, Health: Ready, Weight: 1}
-		r.list(ListFull, a, b)
+		r.handleList(ListFull, a, b)
 		timer := find(r.handle(Event{Kind: EvList, List: ListPartial, Entries: []Entry{a}, AgeMs: 100}), ActTimer)
 		if timer == nil || timer.Token != confirmationToken || timer.Ms != 150 {
 			t.Fatalf("timer %+v, want one in 150 ms", timer)
 		}
 		if ended {
-			if again := find(r.list(ListFailed), ActTimer); again == nil || again.Ms > servedWatchBackoff {
+			if again := find(r.handleList(ListFailed), ActTimer); again == nil || again.Ms > servedWatchBackoff {
 				t.Fatalf("asked again by %+v", again)
 			}
 		}
