--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -1,5 +1,5 @@
-// This file holds the decisions on attempts: the guard that each attempt passes, and whether a request
-// whose attempt ended is answered, retried or failed.
+// This file holds the decisions on attempts: the check that each attempt must pass, and whether a request
+// is answered, retried or failed after an attempt has ended.
 
 package policy
 
@@ -8,12 +8,12 @@
 	"slices"
 )
 
-// maxWriteDelayMs is how long an agent may be delayed between reading its clock and writing: what must
-// not arrive late is due so much earlier (STANDING, "What production adds").
+// maxWriteDelayMs is the longest assumed delay between reading the clock and writing: deadlines for data
+// that must not arrive late are earlier by this margin (STANDING, "What production adds").
 const maxWriteDelayMs = 150.0
 
-// maySend is the guard of all attempts: it holds rules 2 and 3 and the limits. Rule 4 is held by
-// hasCapacity; send charges the server's slow-start budget for each attempt.
+// maySend is the check that all attempts pass: it enforces rules 2 and 3 and the limits. Rule 4 is enforced
+// by hasCapacity; send charges the server's slow-start budget for each attempt.
 func (b *Balancer) maySend(r *request, s *server) bool {
 	if !s.ready || b.confirmationOverdue(s) || r.closed || r.responseStarted || r.openAttempts > 0 ||
 		b.now >= r.deadline || len(r.attempts) >= b.settings.Limits.MaxAttempts {
@@ -21,14 +21,14 @@
 	}
 	for _, a := range r.attempts {
 		if a.server == s && len(b.servers) > len(r.attempts) {
-			return false // a retry goes to another server
+			return false // retry on another server
 		}
 	}
 	return b.effectPermitsRetry(r, s)
 }
 
-// effectPermitsRetry reports whether the class of the request permits one more attempt at the server,
-// although earlier attempts may have been executed.
+// effectPermitsRetry reports whether the class of the request permits one more attempt at the server when
+// earlier attempts may have been executed.
 func (b *Balancer) effectPermitsRetry(r *request, s *server) bool {
 	if r.ambiguousAttempts == 0 {
 		return true
@@ -46,13 +46,14 @@
 }
 
 // repeatableAnywhere reports whether a request of the class may be sent again to any server, whatever
-// became of earlier attempts.
+// happened to earlier attempts.
 func (c *Class) repeatableAnywhere() bool {
 	return c.Effect == Idempotent || c.Effect == Deduplicated && c.Group == GroupAll
 }
 
-// dedupWindowLeft is the time in ms in which a repeat of a request with an idempotency key has to
-// arrive to be deduplicated. It is infinite where no attempt is a repeat, or repeats are harmless.
+// dedupWindowLeft is the time in ms within which a repeat of a request with an idempotency key must arrive
+// to be deduplicated. It is infinite if no earlier attempt may have been executed, or if the class needs no
+// deduplication.
 func (b *Balancer) dedupWindowLeft(r *request) float64 {
 	c := &b.settings.Classes[r.class]
 	if r.ambiguousAttempts == 0 || c.Effect != Deduplicated {
@@ -100,7 +101,7 @@
 	}
 	a := r.attempts[ev.Attempt]
 	b.endAttempt(a, ev.Status)
-	if !ev.Local { // a local failure shows nothing of the servers, and costs them nothing
+	if !ev.Local { // local failures say nothing about the servers and cost them no work
 		b.closeIdle(a.server)
 		b.chargeRetryBudget(r, ev.Status)
 		b.recordOutcome(a, ev.Status, sanitize(ev.LatencyMs))
@@ -112,7 +113,7 @@
 	}
 }
 
-// endAttempt takes an attempt that ended out of those in flight.
+// endAttempt removes an ended attempt from those in flight.
 func (b *Balancer) endAttempt(a *attempt, status Status) {
 	r, s := a.request, a.server
 	a.done = true
@@ -126,8 +127,7 @@
 	}
 }
 
-// chargeRetryBudget charges the retry budget for an attempt that ended, and refills it for one that
-// succeeded.
+// chargeRetryBudget charges the retry budget for an ended attempt, and refills it for a successful one.
 func (b *Balancer) chargeRetryBudget(r *request, status Status) {
 	earned := 0.0
 	if status == OK && b.now <= r.targetAt {
@@ -136,27 +136,27 @@
 		earned = b.settings.Classes[r.class].LateShare
 	}
 	b.retryDebt, b.retryDebtAt = b.currentRetryDebt(), b.now
-	// An attempt that never began because its client had left, and one whose client left before the
-	// target, show nothing of the servers: clients that leave in a burst must not use up the retry
-	// budget of the others.
+	// Attempts withdrawn before they began, and those that the client cancelled before the target, say
+	// nothing about the servers: a burst of client cancellations must not use up the retry budget of the
+	// other clients.
 	canceledEarly := r.closed && status == Cancelled && b.now < r.targetAt
 	if status != Withdrawn && !canceledEarly {
 		b.retryDebt += 1 - retryBudgetRatio*earned
 	}
 }
 
-// currentRetryDebt is the retry debt as of now. It decays with time.
+// currentRetryDebt is the retry debt now; it decays with time.
 func (b *Balancer) currentRetryDebt() float64 {
 	return b.retryDebt * math.Exp((b.retryDebtAt-b.now)/(retryBudgetWindow*b.minTarget))
 }
 
-// closeIdle closes a server's idle connections where keeping them costs more than opening one again,
-// when this agent comes back to the server as seldom as its last sends show. The requests of all
-// agents are estimated as those of this agent times the number of agents. A thousand agents that each
-// met every server kept 400 connections a server open (i5db14f).
+// closeIdle closes a server's idle connections if, given how seldom this agent recently sent to the server,
+// keeping them costs more than opening new ones. The request rate of all agents is estimated as this
+// agent's rate times the number of agents. Without this, a thousand agents that each sent to every server
+// kept 400 connections per server open (i5db14f).
 func (b *Balancer) closeIdle(s *server) {
 	p := &b.settings.Prices
-	// Requests of all agents in a ms.
+	// Requests of all agents per ms.
 	fleetRate := b.requestCount / max(b.now-b.startedAt, 1) * float64(b.settings.Replicas)
 	if p.Connection > 0 && len(s.inFlight) == 0 && (s.sendInterval == 0 ||
 		s.sendInterval*fleetRate*p.Connection > 100*float64(len(b.servers))*p.Handshake) {
@@ -164,8 +164,9 @@
 	}
 }
 
-// scheduleRetry queues an unanswered request for another server where class and time allow, and
-// finishes it otherwise. It competes with first attempts, so that failures do not multiply the load.
+// scheduleRetry queues an unanswered request for another server if its class and the time left allow it,
+// and finishes it otherwise. Retries compete with first attempts, so that failures do not multiply the
+// load.
 func (b *Balancer) scheduleRetry(r *request, lastStatus Status) {
 	c := &b.settings.Classes[r.class]
 	repeatable := r.ambiguousAttempts == 0 || c.Effect == Idempotent || c.Effect == Deduplicated
--- a/policy/list.go
+++ b/policy/list.go
@@ -1,4 +1,4 @@
-// This file holds what an agent makes of the lists of servers that discovery sends.
+// This file processes the lists of servers that discovery sends.
 
 package policy
 
@@ -35,12 +35,12 @@
 	b.removeUnused()
 }
 
-// watchSucceeded ends the backoff of the subscription.
+// watchSucceeded resets the backoff of the subscription.
 func (b *Balancer) watchSucceeded() {
 	b.watchFailures, b.watchGranted, b.retriedImmediately = 0, true, false
 }
 
-// countZones counts the zones of the servers in the first list.
+// countZones counts the zones in the first list.
 func (b *Balancer) countZones(entries []Entry) {
 	if b.zoneCount > 0 {
 		return
@@ -52,7 +52,7 @@
 	b.zoneCount = uint64(len(zones))
 }
 
-// disableUnlisted stops sending to servers that a full list does not name.
+// disableUnlisted stops sends to servers that are missing from a full list.
 func (b *Balancer) disableUnlisted(entries []Entry) {
 	listed := map[Addr]bool{}
 	for i := range entries {
@@ -63,7 +63,7 @@
 	}
 }
 
-// removeUnused removes servers that get no requests any more, once nothing is in flight at them.
+// removeUnused removes servers that get no more requests and have no attempt or probe in flight.
 func (b *Balancer) removeUnused() {
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
 		unused := !s.ready && len(s.inFlight) == 0 && !s.probing
@@ -74,7 +74,7 @@
 	})
 }
 
-// updateServer takes an entry of the list into the server that it names.
+// updateServer applies an entry of the list to its server.
 func (b *Balancer) updateServer(e *Entry) {
 	s, startedAt := b.serversByAddr[e.Server], sanitize(e.StartedMs)
 	if s == nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-// addServer adds a server that was not known, at its place in the agent's order.
+// addServer adds a new server at its place in the agent's order.
 func (b *Balancer) addServer(e *Entry, startedAt float64) *server {
 	s := &server{
 		addr:             e.Server,
@@ -111,10 +111,10 @@
 	return s
 }
 
-// restartServer resets a server of which the list names a new process: nothing known of the old one
-// holds, and the new one is cold. Its slow-start budget begins at random: of many agents that each
-// refill a part of one request, as many send one as the parts add up to; from 0 none would send one
-// before the server is warm.
+// restartServer resets a server when the list shows that it runs a new process: the state of the old
+// process no longer applies, and the new one is cold. Its slow-start budget starts at a random value: when
+// many agents each refill a fraction of a request, the number of them that send one matches the sum of the
+// fractions; starting from 0, none would send one before the server is warm.
 func (b *Balancer) restartServer(s *server, startedAt float64) {
 	s.listedAt, s.startedAt = startedAt, startedAt
 	s.state, s.stateSince = Unknown, b.now
@@ -125,8 +125,8 @@
 	s.singleUseUntil, s.cleanResponses = 0, 0
 }
 
-// subsetOrder is a server's place in the agent's own order, whose first servers are its subset. Where
-// crossing zones has a price about half of them are of the agent's own zone.
+// subsetOrder is a server's sort key in the agent's own order, whose first servers form its subset. If
+// crossing zones has a price, about half of them are in the agent's own zone.
 func (b *Balancer) subsetOrder(s *server) uint64 {
 	order := splitMix64(s.hash ^ splitMix64(uint64(b.settings.Index)+1))
 	if s.zone == b.settings.Zone && b.settings.Prices.CrossZone > 0 {
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -1,5 +1,5 @@
-// This file holds the decisions on which server gets a request: tiers by health, then weighted
-// rendezvous hashing of the request's key with bounded loads.
+// This file holds the choice of a server for a request: tiers by health, then weighted rendezvous hashing
+// of the request's key with bounded loads.
 
 package policy
 
@@ -8,30 +8,30 @@
 )
 
 const (
-	// boundedLoadFactor is how far above its even share of the agent's attempts a server may go
-	// before a key's request moves on to the next server in hash order.
+	// boundedLoadFactor is how many times its even share of the agent's attempts a server may have in
+	// flight before a request moves on to the next server in its key's hash order.
 	boundedLoadFactor = 3.0
-	// affinityWait is the part of its target latency that a request may wait for one of the
-	// affinityServers first in its hash order: going on at once would lose the warm key just when
+	// affinityWait is the fraction of its target latency that a request may wait for one of the
+	// affinityServers first in its hash order: moving on immediately would miss the warm cache just when
 	// time is short.
 	affinityWait, affinityServers = 0.25, 2
-	// keyHistory is over how many requests keys are counted. A key with the load of a server's even
-	// share is split into keySplitFactor parts.
+	// keyHistory is the number of recent requests over which keys are counted. A key whose load is a
+	// server's even share is split into keySplitFactor parts.
 	keyHistory, keySplitFactor = 128, 4.0
 	// minSubsetSize is the smallest subset of the fleet that an agent sends to.
 	minSubsetSize = 16
 )
 
-// healthTiers is how many tiers of servers healthTier tells apart.
+// healthTiers is the number of tiers of healthTier.
 const healthTiers = 3
 
-// healthTier is the server's tier for the request; servers of tier 0 are preferred.
+// healthTier is the server's tier for the request; lower tiers are preferred.
 func (b *Balancer) healthTier(s *server, r *request) int {
 	switch s.state {
 	case Unhealthy:
 		return 2
 	case UnhealthyPending:
-		// A request that must not run twice does not validate a server while others are healthy.
+		// A non-idempotent request does not validate a server while others are healthy.
 		nonIdempotent := b.settings.Classes[r.class].Effect == NonIdempotent
 		if nonIdempotent || b.settings.Limits.Probing && b.now-s.stateSince < b.pendingTimeout() {
 			return 1
@@ -40,8 +40,8 @@
 	return 0
 }
 
-// pickServer returns the server for the request, or nil where none accepts it: of the best tier that
-// has servers, the first in the order of the key's hash that is under its cap and has capacity.
+// pickServer returns the server for the request, or nil if none accepts it. In the best tier that has
+// servers, it is the first one in the key's hash order that is under its load cap and has capacity.
 func (b *Balancer) pickServer(r *request) *server {
 	awaitsAffinity, subset := b.awaitsAffinity(r), b.subsetSize()
 	for tier := range healthTiers {
@@ -64,9 +64,9 @@
 	return nil
 }
 
-// scoreTier scores the servers of the agent's subset of a tier. It returns all that have capacity, or
-// just all where the request awaits affinity, and the first of these in hash order. The result stays
-// valid until the next call. It sets the weight of the tier in the request.
+// scoreTier scores the servers of a tier that belong to the agent's subset. It returns those with capacity,
+// or all if the request awaits affinity, and the first of these in hash order. The result is valid until
+// the next call. It sets the request's tierWeight.
 func (b *Balancer) scoreTier(r *request, tier int, awaitsAffinity bool, subset int) (
 	candidates []*server, first [affinityServers]*server) {
 	candidates = b.tierScratch[:0]
@@ -95,11 +95,11 @@
 	return candidates, first
 }
 
-// subsetSize is how many servers of a tier, in an order of its own, an agent sends to: those that it
-// can meet every few seconds. An agent with few requests met each server of the fleet once a minute:
-// it opened a connection for each request and could not learn which were slow or hung (id753de).
-// Orders differ between agents, so each server keeps its share; keys find theirs within. Where
-// connections have no price, more servers keep more keys warm.
+// subsetSize is how many servers of a tier, in the agent's own order, the agent sends to: as many as it can
+// send to every few seconds. When an agent with few requests sent to each server of the fleet only once a
+// minute, it opened a connection for each request and could not learn which servers were slow or hung
+// (id753de). The order differs between agents, so that each server gets its share; keys are hashed within
+// the subset. If connections have no price, more servers keep more keys warm.
 func (b *Balancer) subsetSize() int {
 	n := b.recentRequests
 	if b.settings.Limits.KeepaliveMs <= 0 {
@@ -116,10 +116,10 @@
 		b.now-r.arrivedAt < affinityWait*(r.targetAt-r.arrivedAt)
 }
 
-// affinityHash gives a key the hash that orders the servers for it. A popular key is split into parts,
-// each with its own order: one key was twenty times what its server can do (id753de), and with one
-// request in flight the cap sees nothing of that. The fewer agents share a server, the more each of
-// them sees, and the splitting is left to the cap.
+// affinityHash returns the hash that determines the order of servers for a key. A popular key is split into
+// parts, each with its own order: one key had twenty times the load that its server can serve (id753de),
+// and the load cap does not notice this when each agent has one request in flight. The fewer agents share a
+// server, the more of its load each of them sees, and the splitting is left to the cap.
 func (b *Balancer) affinityHash(key uint64) uint64 {
 	if key == 0 {
 		return b.rng.Uint64()
@@ -128,16 +128,16 @@
 	servers := float64(b.subsetSize())
 	splitWeight := min(float64(b.settings.Replicas)/max(boundedLoadFactor*servers, 1), 1)
 	parts := max(share*keySplitFactor*servers*splitWeight, 1)
-	// Part 0 keeps the key's own order.
+	// Part 0 uses the key's own order.
 	return key + uint64(parts*b.rng.Float64())*0x9e3779b97f4a7c15
 }
 
-// score orders servers by weighted rendezvous hashing, the lowest score first: every agent of a zone
-// finds the same order for a key, and a server's share of keys is that of its weight.
+// score is the server's score for the request by weighted rendezvous hashing, lowest first: all agents of a
+// zone compute the same order for a key, and a server's share of the keys is proportional to its weight.
 func (b *Balancer) score(r *request, s *server) float64 {
 	x := splitMix64(r.hash ^ s.hash)
 	u := float64(x>>11) / (1 << 53)
-	// A cold server may stand further in front than its share: its slow-start budget limits it.
+	// A cold server may rank higher than its share warrants: its slow-start budget limits it.
 	w := s.weight * b.kinds[s.kind&255].weight * min(4*b.slowStartShare(s), 1)
 	if s.zone == b.settings.Zone {
 		w *= b.localZoneWeight
@@ -145,22 +145,22 @@
 	return -math.Log(u+1e-18) / w
 }
 
-// accepts reports whether the server is under its cap in the tier of the request's last pick and has
-// capacity.
+// accepts reports whether the server has capacity and is under its load cap in the tier of the request's
+// last pick.
 func (b *Balancer) accepts(s *server, r *request) bool {
 	share := s.weight * b.slowStartFactor(s) / r.tierWeight
 	return float64(len(s.inFlight)) < math.Ceil(boundedLoadFactor*float64(b.inFlight+1)*share) &&
 		b.hasCapacity(s, r)
 }
 
-// hasCapacity bounds what a server has in flight of this agent: its concurrency limit, one attempt at
-// a time until it is validated, and a cold server's slow-start budget.
+// hasCapacity limits the attempts of this agent in flight to a server: by its concurrency limit, to one at
+// a time until it is validated, and by the slow-start budget of a cold server.
 func (b *Balancer) hasCapacity(s *server, r *request) bool {
 	if s.state >= UnhealthyPending {
 		return len(s.inFlight) == 0
 	}
-	// A limit below one is kept by pausing: with many agents even one attempt of each can be too
-	// much, and a server that collapsed needs rest to recover.
+	// A limit below 1 is kept by spacing attempts out: with many agents even one attempt of each can be too
+	// much, and a collapsed server needs idle time to recover.
 	if len(s.inFlight) >= max(int(s.concurrencyLimit), 1) ||
 		s.concurrencyLimit < 1 && b.now-s.lastSentAt < s.latencyMs/s.concurrencyLimit {
 		return false
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,8 +1,8 @@
-// This file holds the entry points of a Balancer: it takes each event and hands it to the file that
-// decides on it. Requests are decided on in requests.go, their attempts in attempts.go, the choice of a
-// server in pick.go and slowstart.go, the reuse of connections in connections.go, the health of servers
-// in health.go, latency.go and overload.go, and the list of servers in discovery.go, list.go and
-// unconfirmed.go. The interface is in types.go.
+// This file holds the entry points of a Balancer: it dispatches each event to the file that makes the
+// decision. requests.go decides on requests, attempts.go on their attempts, pick.go and slowstart.go on the
+// choice of a server, connections.go on the reuse of connections, health.go, latency.go and overload.go on
+// the health of servers, and discovery.go, list.go and unconfirmed.go on the list of servers. The interface
+// is in types.go.
 
 package policy
 
@@ -11,15 +11,15 @@
 	"math/rand/v2"
 )
 
-// The tokens of the timers that a Balancer sets.
+// Tokens of the timers that a Balancer sets.
 const (
 	tickToken         = 1 // see scheduleTick
 	watchToken        = 2 // see scheduleWatch
 	confirmationToken = 3 // see onPartialList
 )
 
-// New returns the balancer of one agent, or a *SettingError that names the first setting that makes no
-// sense. All its randomness comes from the seed.
+// New returns the Balancer of one agent, or a *SettingError for the first invalid setting. All its
+// randomness derives from the seed.
 func New(settings Settings, seed uint64) (*Balancer, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -48,8 +48,8 @@
 	return b, nil
 }
 
-// Start appends the first actions of a new agent to out and returns it. The clock now is in ms, as in
-// Handle; only its differences count.
+// Start appends the first actions of a new agent to out and returns it. The clock reading now is in ms, as
+// in Handle; only differences between readings matter.
 func (b *Balancer) Start(now float64, out []Action) []Action {
 	b.now, b.actions, b.startedAt = now, out, now
 	b.retryDebtAt, b.recentRequestsAt, b.warmWorkAt, b.agentLimitAt = now, now, now, now
@@ -59,8 +59,8 @@
 	return b.actions
 }
 
-// Handle takes one event, appends the actions that it calls for to out and returns it. Events for
-// requests and attempts that are finished or unknown are ignored.
+// Handle processes one event, appends the resulting actions to out and returns it. Events for finished or
+// unknown requests and attempts are ignored.
 func (b *Balancer) Handle(now float64, ev *Event, out []Action) []Action {
 	b.now, b.actions = now, out
 	switch ev.Kind {
@@ -86,10 +86,10 @@
 	return b.actions
 }
 
-// emit appends an action to those of the event at hand.
+// emit appends an action to those of the current event.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// scheduleTick keeps one timer running while requests are queued or attempts in flight.
+// scheduleTick keeps one timer running while requests are queued or attempts are in flight.
 func (b *Balancer) scheduleTick() {
 	if !b.tickScheduled && (len(b.queued) > 0 || b.inFlight > 0) {
 		b.tickScheduled = true
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -1,4 +1,4 @@
-// This file holds the decisions on requests: in which order they are sent, how long they stay queued,
+// This file holds the decisions on requests: the order in which they are sent, how long they stay queued,
 // and when they are rejected or failed.
 
 package policy
@@ -10,13 +10,14 @@
 )
 
 const (
-	// minTimeShare is the part of its expected latency that a request with a cost hint needs
-	// at the least to be queued at all.
+	// minTimeShare is the fraction of its expected latency that must be left until its target for a request
+	// with a cost hint to be queued at all.
 	minTimeShare = 0.7
-	// retryBudgetRatio is how many attempts may end for each that succeeded before the agent sends
-	// less. retryBudgetBurst of them are free. All count for retryBudgetWindow target latencies.
+	// retryBudgetRatio is how many attempts may end per successful one before the agent sends less;
+	// retryBudgetBurst of them are free. The debt decays over retryBudgetWindow times the shortest target
+	// latency.
 	retryBudgetRatio, retryBudgetBurst, retryBudgetWindow = 1.5, 3.0, 10.0
-	// maxQueued bounds the requests that wait for capacity, and so the work of a decision.
+	// maxQueued bounds the requests that wait for capacity, and thus the work per event.
 	maxQueued = 512
 	// maxDispatchFailures is how many queued requests may find no server before dispatch stops.
 	maxDispatchFailures = 4
@@ -27,7 +28,7 @@
 		return
 	}
 	if ev.Class < 0 || ev.Class >= len(b.settings.Classes) {
-		b.finish(&request{id: ev.Request}) // the client is still owed an answer; nothing was executed
+		b.finish(&request{id: ev.Request}) // the client still needs an answer; nothing was executed
 		return
 	}
 	c := &b.settings.Classes[ev.Class]
@@ -49,14 +50,14 @@
 	b.countRequest(r)
 	b.revalidate()
 	b.queued = append(b.queued, r)
-	// A request whose expected work cannot fit its target anywhere would only keep others waiting:
-	// these are the few costly ones of a heavy tail.
+	// A request that is expected to miss its target on any server would only delay others: these are the
+	// few costly requests of a heavy-tailed distribution.
 	if r.costHint > 0 && c.LateShare == 0 && minTimeShare*b.hintedLatency(r) > r.targetAt-b.now {
 		b.finish(r)
 	}
 }
 
-// countRequest takes a new request into the agent's rates and shares.
+// countRequest adds a new request to the agent's rates and shares.
 func (b *Balancer) countRequest(r *request) {
 	b.requestCount++
 	window := max(b.settings.Limits.KeepaliveMs, 1)
@@ -66,7 +67,7 @@
 	b.countClass(r.class)
 }
 
-// onClientCanceled drops the request of a client that has left.
+// onClientCanceled drops a request that its client has cancelled.
 func (b *Balancer) onClientCanceled(ev *Event) {
 	if r := b.requests[ev.Request]; r != nil && !r.closed {
 		b.recordUnserved(r)
@@ -74,8 +75,9 @@
 	}
 }
 
-// onResponseStarted notes that a streamed response has begun: from now on it belongs to the client. A
-// report of an attempt that is not in flight is ignored, as nothing would end its request any more.
+// onResponseStarted records that a streamed response has begun to reach the client: the request can no
+// longer be retried or answered otherwise. It ignores an attempt that is not in flight, as nothing would
+// end its request afterwards.
 func (b *Balancer) onResponseStarted(ev *Event) {
 	r := b.requests[ev.Request]
 	if r == nil || r.closed || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) {
@@ -90,8 +92,8 @@
 	a.server.lastResponse = b.now
 }
 
-// value is what a unit of server time spent on the request earns by the objective: a part of the
-// overall result, and all of the worst class's result if the request is of that class.
+// value is what a unit of server time spent on the request contributes to the objective: to the overall
+// score, and to the worst class's score if the request is of that class.
 func (b *Balancer) value(r *request) float64 {
 	c := &b.settings.Classes[r.class]
 	o := &b.settings.Objective
@@ -111,12 +113,12 @@
 	return v
 }
 
-// dispatch sends queued requests as far as there is capacity: the most valuable first, of equal ones
-// the newest, as under overload the oldest would only end late.
+// dispatch sends queued requests while there is capacity: the most valuable first, and among equal ones the
+// newest, since under overload the oldest would only finish late.
 func (b *Balancer) dispatch() {
 	b.sortQueue()
-	// A request that waits for its key's servers is passed over. Of the others a few that find no
-	// server show that there is no capacity.
+	// Requests that wait for the servers first in their key's order are skipped. When a few of the others
+	// find no server, there is no capacity.
 	b.capacityExhausted = false
 	for i, failures := 0, 0; i < len(b.queued) && failures < maxDispatchFailures &&
 		b.withinRetryBudget() && b.withinAgentLimit(); {
@@ -140,7 +142,7 @@
 	}
 }
 
-// sortQueue orders the queued requests by value, and those of equal value from the newest.
+// sortQueue orders the queued requests by value, newest first among equals.
 func (b *Balancer) sortQueue() {
 	for _, r := range b.queued {
 		r.value = b.value(r)
@@ -151,21 +153,22 @@
 	})
 }
 
-// affinityBusy reports whether the request waits for its key's servers, these are known from its last
-// pick, and none of them accepts it.
+// affinityBusy reports whether the request waits for its key's servers, which are known from its last pick,
+// and none of them accepts it.
 func (b *Balancer) affinityBusy(r *request) bool {
 	first := r.affinity
 	return b.awaitsAffinity(r) && first[0] != nil && r.affinityEpoch == b.epoch &&
 		!b.accepts(first[0], r) && !b.accepts(first[1], r)
 }
 
-// withinRetryBudget is the agent's adaptive throttling with a retry budget: attempts that fail or come late
-// leave less to send, first attempts included. With a request or two in flight at each of a thousand
-// agents no concurrency limit of a server holds back all of them together; each rejected attempt went
-// on to the next server, until requests were sent nine times (i86bcad).
+// withinRetryBudget reports whether the retry budget allows another attempt. As in adaptive throttling,
+// failed and late attempts reduce what is sent, first attempts included. With a thousand agents that have
+// one or two requests in flight to each server, no concurrency limit of a server holds back all of them
+// together: each rejected attempt went on to the next server, until requests were sent nine times
+// (i86bcad).
 func (b *Balancer) withinRetryBudget() bool { return b.currentRetryDebt() < retryBudgetBurst }
 
-// expireQueued ends queued requests that can no longer earn anything, before they cost work.
+// expireQueued ends queued requests that can no longer earn credit, before they cost server work.
 func (b *Balancer) expireQueued() {
 	for i := 0; i < len(b.queued); {
 		r := b.queued[i]
@@ -181,7 +184,7 @@
 	}
 }
 
-// expectedLatency is the mean time in ms until such a request is answered.
+// expectedLatency is the expected time in ms until such a request is answered.
 func (b *Balancer) expectedLatency(r *request) float64 {
 	expected := b.classLatency[r.class]
 	if hinted := b.hintedLatency(r); hinted > 0 {
@@ -190,16 +193,16 @@
 	return expected
 }
 
-// queueOverflows reports whether more requests are queued than the agent can bear: beyond the requests
-// that it may have open, clients would wait for a connection that nobody accepts.
+// queueOverflows reports whether too many requests are queued: beyond the limit on open requests, new
+// clients would wait for a connection that nobody accepts.
 func (b *Balancer) queueOverflows() bool {
 	openCap := b.settings.Limits.OpenCap
 	return len(b.queued) > maxQueued ||
 		len(b.queued) > 0 && openCap > 0 && len(b.queued)+b.inFlight > openCap
 }
 
-// finish is the guard of all final answers except responses: it rejects the request where its class
-// allows the claim that a retry is harmless, and fails it otherwise. The request is not queued after it.
+// finish gives every final answer except responses: it rejects the request if its class and attempts make a
+// retry harmless, and fails it otherwise. Afterwards the request is not queued.
 func (b *Balancer) finish(r *request) {
 	if r.closed || r.responseStarted {
 		b.dequeue(r)
@@ -215,7 +218,7 @@
 	}
 }
 
-// closeRequest drops a finished request as soon as none of its attempts is in flight.
+// closeRequest closes a request, cancels its attempts in flight, and drops it once none is left.
 func (b *Balancer) closeRequest(r *request) {
 	r.closed = true
 	b.dequeue(r)
@@ -229,15 +232,15 @@
 	}
 }
 
-// dequeue takes a request off the queue, if it is queued.
+// dequeue removes a request from the queue, if it is queued.
 func (b *Balancer) dequeue(r *request) {
 	if i := slices.Index(b.queued, r); i >= 0 {
 		b.queued = slices.Delete(b.queued, i, i+1)
 	}
 }
 
-// recordUnserved keeps when an unserved request first arrived, so that its retry by the client is
-// judged by the time that has passed for the client.
+// recordUnserved stores when an unserved request first arrived, so that the target of its retry by the
+// client counts from then.
 func (b *Balancer) recordUnserved(r *request) {
 	if !b.settings.Clients.MarksRetry {
 		return
@@ -250,8 +253,8 @@
 	}
 }
 
-// firstArrival returns when the client's first try of a retried request arrived, or the retry's
-// own arrival where none is remembered. A remembered try counts for one retry.
+// firstArrival returns when the client's first try of a retried request arrived, or the retry's own arrival
+// if no first try is recorded. A record is used for one retry only.
 func (b *Balancer) firstArrival(r *request) float64 {
 	i := slices.IndexFunc(b.recentUnserved, func(u unservedRequest) bool {
 		return u.class == r.class && u.key == r.key
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -5,88 +5,89 @@
 	"math"
 )
 
-// Effect tells whether a request of a class may be executed more than once. Its values, and those of
-// Group, are the platform's words; the constants say what they mean.
+// Effect tells whether a request of a class may be executed more than once. The values of Effect and Group
+// are the platform's terms; the constants have the usual names.
 type Effect string
 
-// The effects a class may have.
+// The effects of a class.
 const (
 	Idempotent    Effect = "free"        // safe to repeat
-	Deduplicated  Effect = "guarded"     // with an idempotency key: a group of servers drops repeats, for a time
+	Deduplicated  Effect = "guarded"     // has an idempotency key: a group of servers drops repeats for a time
 	NonIdempotent Effect = "single_shot" // must never be executed twice
 )
 
-// Group tells which servers drop repeats of a request of a Deduplicated class.
+// Group is the set of servers that drop repeats of a request of a Deduplicated class.
 type Group string
 
-// The groups that a Deduplicated class may have.
+// The groups of a Deduplicated class.
 const (
 	GroupAll  Group = "all"
 	GroupZone Group = "zone" // those in the zone of the first server
 	GroupCell Group = "cell" // those in the cell of the first server
 )
 
-// Class is one class of requests. Its platform words: "aim" is the target latency, "give up" the
-// client's deadline, "key TTL" the deduplication window, "credit" the worth of one request.
+// Class is one class of requests. In the platform's terms, "aim" is the target latency, "give up" the
+// client's deadline, "key TTL" the deduplication window, and "credit" the value of one request.
 type Class struct {
 	Name          string  `json:"name"`
-	TargetMs      float64 `json:"aimMs"`      // a response within this time earns the full credit
-	TargetStretch float64 `json:"aimStretch"` // times the request's cost hint is added to the target
-	DeadlineMs    float64 `json:"giveUpMs"`   // how long a client waits, over all its tries
+	TargetMs      float64 `json:"aimMs"`      // responses within this time earn the full credit
+	TargetStretch float64 `json:"aimStretch"` // multiplied by the request's cost hint and added to the target
+	DeadlineMs    float64 `json:"giveUpMs"`   // how long a client waits, including all its tries
 	Effect        Effect  `json:"effect"`
 	Group         Group   `json:"group"`
-	DedupWindowMs float64 `json:"keyTtlMs"` // from the send of the first attempt that may have been executed
+	DedupWindowMs float64 `json:"keyTtlMs"` // starts when the first attempt that may have been executed is sent
 	Credit        float64 `json:"credit"`
-	LateShare     float64 `json:"lateShare"` // part of the credit for a response between target and deadline
+	LateShare     float64 `json:"lateShare"` // fraction of the credit earned between target and deadline
 	Streamed      bool    `json:"streamed"`
 }
 
-// Tenant is a customer with a quota. Its platform word "portion" is the tenant's part of the service.
+// Tenant is a customer with a quota. In the platform's terms, "portion" is the tenant's fraction of the
+// service.
 type Tenant struct {
 	Name          string  `json:"name"`
-	QuotaPerS     float64 `json:"quotaPerS"` // requests a second over all agents
+	QuotaPerS     float64 `json:"quotaPerS"` // requests per second over all agents
 	QuotaFraction float64 `json:"portion"`
 }
 
-// Limits is what a deployment permits an agent. Its platform word "tries" are attempts.
+// Limits holds what a deployment permits an agent to do. In the platform's terms, "tries" are attempts.
 type Limits struct {
 	Cancelling       bool    `json:"cancelling"`
 	ConnectTimeoutMs float64 `json:"connectTimeoutMs"`
-	KeepaliveMs      float64 `json:"keepaliveMs"` // after which an idle connection is closed
-	MaxAttempts      int     `json:"maxAttempts"` // of one request
+	KeepaliveMs      float64 `json:"keepaliveMs"` // idle connections are closed after this time
+	MaxAttempts      int     `json:"maxAttempts"` // per request
 	MaxRetryAfterMs  float64 `json:"maxRetryAfterMs"`
 	ParallelAttempts bool    `json:"parallelTries"` // hedged requests
 	Probing          bool    `json:"probing"`
 	RetryAfter       bool    `json:"retryAfter"` // clients honour Retry-After
-	OpenCap          int     `json:"openCap"`    // requests that an agent may have open; 0: no limit
+	OpenCap          int     `json:"openCap"`    // maximum open requests of an agent; 0: no limit
 }
 
-// Contract holds the figures of the four rules. Its platform words: "ask" is a poll of the list,
-// "cold" is a server in slow start, and one that "tips" collapses under load.
+// Contract holds the parameters of the four rules. In the platform's terms, to "ask" is to poll the list, a
+// "cold" server is one in slow start, and a server that "tips" or "falls" collapses under load.
 type Contract struct {
-	AnswerSlackMs     float64 `json:"answerSlackMs"` // for the final answer, after the client's deadline
-	ListPollWithinMs  float64 `json:"askWithinMs"`   // an agent without a subscription must poll so often
-	SlowStartFrom     float64 `json:"coldFrom"`      // part of its capacity that a server starts with
-	SlowStartMs       float64 `json:"coldMs"`        // until it has its full capacity
-	DrainGraceMs      float64 `json:"drainGraceMs"`  // for ending sends to a draining or removed server
-	CrashLoadMultiple float64 `json:"fallMultiple"`  // of its present capacity collapses a cold server
-	CrashWindowMs     float64 `json:"tipAfterMs"`    // when it is sent for so long
+	AnswerSlackMs     float64 `json:"answerSlackMs"` // allowance for the final response after the client's deadline
+	ListPollWithinMs  float64 `json:"askWithinMs"`   // maximum poll interval without a subscription
+	SlowStartFrom     float64 `json:"coldFrom"`      // fraction of its capacity that a server starts with
+	SlowStartMs       float64 `json:"coldMs"`        // time until it reaches full capacity
+	DrainGraceMs      float64 `json:"drainGraceMs"`  // time to stop sending to a draining or removed server
+	CrashLoadMultiple float64 `json:"fallMultiple"`  // multiple of its current capacity that collapses a cold server
+	CrashWindowMs     float64 `json:"tipAfterMs"`    // duration of such load that causes the collapse
 }
 
-// Prices are points taken off the result, each times its share or rate. The platform's price
-// "membershipMode" is that of list entries sent.
+// Prices are deductions from the score, each multiplied by the share or rate of what it names. The
+// platform's price "membershipMode" applies to list entries sent.
 type Prices struct {
 	CrossZone  float64 `json:"crossZone"`
 	Handshake  float64 `json:"handshake"`
 	Connection float64 `json:"connection"`
-	LateFail   float64 `json:"lateFail"` // of credit that is not served after its target has passed
+	LateFail   float64 `json:"lateFail"` // of the credit of requests that fail after their target
 	Probe      float64 `json:"probe"`
-	Waste      float64 `json:"waste"` // of servers' work without a response that was used
+	Waste      float64 `json:"waste"` // of server work whose response is not used
 	List       float64 `json:"membershipMode"`
 }
 
-// Objective holds the weights of the result's components. Its platform word "whole" is the result over
-// the full time and all classes.
+// Objective holds the weights of the components of the score. In the platform's terms, "whole" is the score
+// over the full time and all classes.
 type Objective struct {
 	Overall     float64 `json:"whole"`
 	WorstWindow float64 `json:"worstWindow"`
@@ -103,9 +104,9 @@
 // membershipOnRequest is the Settings.Membership in which an agent must subscribe to the list.
 const membershipOnRequest = "on_request"
 
-// Settings is the configuration of an agent. Its JSON keys are those of the platform. Where these are
-// plain words the fields have the field's terms: "replicas of me" are the agents of this tier, "share"
-// is a tenant's quota, and "worth" the weight of a request.
+// Settings is the configuration of an agent. Where its JSON keys are the platform's own terms, the fields
+// have the usual ones: "replicas of me" are the agents of this tier, "share" is a tenant's quota, and
+// "worth" is the weight of a request.
 type Settings struct {
 	Classes    []Class   `json:"classes"`
 	Tenants    []Tenant  `json:"tenants"`
@@ -119,18 +120,18 @@
 		MarksRetry bool `json:"marksRetry"`
 	} `json:"clients"`
 	FamilyInfo struct {
-		WarmKeys bool `json:"warmKeys"` // a server answers a key that it knows with less work
+		WarmKeys bool `json:"warmKeys"` // requests for recently served keys cost a server less work
 	} `json:"familyInfo"`
 	Index           int     `json:"index"` // of this agent, from 0
 	Replicas        int     `json:"replicasOfMe"`
-	OverQuotaWeight float64 `json:"overShareWorth"` // of a request beyond its tenant's quota
-	RoundMs         float64 `json:"roundMs"`        // the shortest time between two events
+	OverQuotaWeight float64 `json:"overShareWorth"` // weight of a request beyond its tenant's quota
+	RoundMs         float64 `json:"roundMs"`        // minimum time between two events
 	Weights         string  `json:"weights"`        // "off", "nominal", "rough" or "live"
 	WeightBy        string  `json:"worthBy"`        // credit is paid by "request" or by "work"
 	Zone            int     `json:"zone"`           // of this agent
 }
 
-// A SettingError names a setting that makes no sense.
+// A SettingError reports an invalid setting.
 type SettingError struct {
 	Key    string // JSON path, such as classes[0].aimMs
 	Reason string
@@ -139,7 +140,7 @@
 // Error returns the key and the reason in one line.
 func (e *SettingError) Error() string { return "settings: " + e.Key + ": " + e.Reason }
 
-// validate returns a *SettingError for the first setting that makes no sense.
+// validate returns a *SettingError for the first invalid setting.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
 		return &SettingError{Key: "classes", Reason: "none given"}
@@ -155,7 +156,7 @@
 	return s.validateNumbers()
 }
 
-// validate returns a *SettingError for the first setting of class i that makes no sense.
+// validate returns a *SettingError for the first invalid setting of class i.
 func (c *Class) validate(i int) error {
 	invalid := func(key, format string, value any) error {
 		return &SettingError{Key: fmt.Sprintf("classes[%d].%s", i, key), Reason: fmt.Sprintf(format, value)}
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,72 +1,73 @@
-// Package policy decides, for one agent (a sidecar load balancer), where each request of its client is
-// sent: to which server, when, until when, whether it is retried, and when it is rejected. It is a state
-// machine without I/O: the caller hands in events with a clock and carries out the actions that are
-// returned, in order.
+// Package policy makes the routing decisions of one agent (a sidecar load balancer): which server gets each
+// request of its client, when, with which timeout, whether the request is retried, and when it is rejected.
+// It is a state machine without I/O: the caller passes in events with a clock reading and carries out the
+// returned actions in order.
 //
-// This file holds the interface: events and actions. The settings are in settings.go, the decisions in
-// the files that policy.go lists, and the state that they keep in state.go.
+// This file holds the interface: events and actions. The settings are in settings.go, the decisions in the
+// files that policy.go lists, and the state that they share in state.go.
 package policy
 
-// Addr names a server: four bytes of address and a port. It has no meaning
-// beyond equality and is sent back exactly as it came.
+// Addr identifies a server: four address bytes and a port. The Balancer only compares and hashes it, and
+// returns it unchanged.
 type Addr [6]byte
 
-// RequestID names one try of a client; no ID is used twice.
+// RequestID identifies one try of a client; IDs are never reused.
 type RequestID uint32
 
 // State is the health of a listed server as one agent sees it.
 type State uint8
 
-// The four states, best first.
+// The states, best first.
 const (
-	Connected        State = iota // it answers
-	Unknown                       // nothing is known of it yet
-	UnhealthyPending              // to be validated by a probe or a request
+	Connected        State = iota // it responds
+	Unknown                       // no result yet
+	UnhealthyPending              // awaits validation by a probe or a request
 	Unhealthy                     // ejected
 )
 
-// Health is the lifecycle state of a server by the list. Its values are those of the simulator's wire.
+// Health is a server's lifecycle state as discovery lists it. Its values are those of the simulator's wire
+// protocol.
 type Health uint8
 
-// The values of Health. On the wire they are 0, 1 and 2; discovery's texts write the last one "gone".
+// The values of Health. On the wire they are 0, 1 and 2; discovery's texts call the last one "gone".
 const (
-	Draining Health = iota // it finishes what it has, and must not be sent anything new
+	Draining Health = iota // finishes its requests and must not get new ones
 	Ready
-	Gone // it is removed
+	Gone // removed
 )
 
-// Entry is one server's entry in the list.
+// Entry is one server in the list.
 type Entry struct {
 	Server    Addr
 	Zone      int
 	Cell      int
-	Kind      int     // of machine
-	StartedMs float64 // clock time of the latest start; 0: long past
+	Kind      int     // machine type
+	StartedMs float64 // clock time of the last start; 0: long ago
 	Health    Health
 	Weight    float64
 }
 
-// ListKind is how a list event changes the list that the agent holds.
+// ListKind is the kind of a list event: how it changes the list that the agent holds.
 type ListKind uint8
 
 // The kinds of list events.
 const (
 	ListChange        ListKind = iota // the entries that changed
 	ListFull                          // all entries; a server without one is removed
-	ListCached                        // all entries as the agent last held them, perhaps stale
+	ListCached                        // all entries as the agent last stored them, possibly stale
 	ListFailed                        // a call failed or the subscription ended; no entries
-	ListPartial                       // the part that arrived of an answer that began AgeMs ago
-	ListSourceChanged                 // discovery moved: earlier failures don't count any more
+	ListPartial                       // the received part of a response that began AgeMs ago
+	ListSourceChanged                 // the agent uses another discovery now: earlier failures no longer count
 )
 
 // Status is how an attempt or a probe ended.
 type Status uint16
 
-// The values of Status are those of the simulator's wire, where it is called ending.
+// The values of Status are those of the simulator's wire protocol, which calls it ending.
 const (
 	OK            Status = 100
 	Error         Status = 301 // the server answered with an error
-	Full          Status = 302 // the server rejected the attempt for want of capacity
+	Full          Status = 302 // the server rejected the attempt: no capacity
 	Timeout       Status = 303
 	ConnectFailed Status = 304
 	Reset         Status = 305 // the connection was closed before the response
@@ -74,10 +75,10 @@
 	Withdrawn     Status = 307 // before a byte of it was written
 )
 
-// NotExecuted reports whether the status proves that the attempt was not executed.
+// NotExecuted reports whether the status proves that the server did not execute the attempt.
 func (s Status) NotExecuted() bool { return s == Full || s == ConnectFailed || s == Withdrawn }
 
-// EventKind is what an Event reports, and so which of its fields are set.
+// EventKind tells what an Event reports, and thus which of its fields are set.
 type EventKind uint8
 
 // The kinds of events, with the fields that are set.
@@ -85,15 +86,15 @@
 	EvRequest         EventKind = iota + 1 // Request, Class, Tenant, Key, RemainingMs, HintMs, HasHint, Retry
 	EvOutcome                              // Request, Attempt, Server, Status, LatencyMs, Final, Local, Report
 	EvResponseStarted                      // Request, Attempt, Server, LatencyMs: a streamed response began
-	EvClientCanceled                       // Request: its client gave up
+	EvClientCanceled                       // Request: its client cancelled it
 	EvList                                 // List, Entries, AgeMs
 	EvProbeResult                          // Server, Status, LatencyMs, Report
 	EvTimer                                // Token
 	EvPeer                                 // a message of another agent; ignored
-	EvUnsolicited                          // Server: it sent bytes that no request had asked for
+	EvUnsolicited                          // Server: it sent bytes that belong to no request
 )
 
-// Event is something that happened to one agent.
+// Event is an input to the Balancer.
 type Event struct {
 	Kind        EventKind
 	Request     RequestID
@@ -103,21 +104,21 @@
 	RemainingMs float64
 	HintMs      float64 // expected work, valid if HasHint
 	HasHint     bool
-	Retry       bool // the client says that it is a retry
-	Attempt     int  // index among the request's attempts, in the order of sends
+	Retry       bool // marked as a retry by the client
+	Attempt     int  // index among the request's attempts, in send order
 	Server      Addr
 	Status      Status
 	LatencyMs   float64
 	Final       bool      // the request is finished
-	Local       bool      // the attempt failed for lack of a resource of the agent's own machine
-	Report      []float32 // load report; its values are named by Settings.Report
+	Local       bool      // the attempt failed because the agent's own machine lacked a resource
+	Report      []float32 // load report; Settings.Report names its values
 	List        ListKind
-	AgeMs       float64 // of a partial list: time since the answer began
-	Entries     []Entry // not changed and not kept by the Balancer
+	AgeMs       float64 // of a partial list: time since its response began
+	Entries     []Entry // neither modified nor retained by the Balancer
 	Token       uint32
 }
 
-// ActionKind is what an Action asks for, and so which of its fields are set.
+// ActionKind tells what an Action requests, and thus which of its fields are set.
 type ActionKind uint8
 
 // The kinds of actions, with the fields that are set.
@@ -125,26 +126,26 @@
 	ActSend      ActionKind = iota + 1 // Request, Server, Ms: timeout, SendByMs, ReuseDelayMs, SingleUse
 	ActCancel                          // Request, Attempt
 	ActReject                          // Request, Ms: Retry-After
-	ActFail                            // Request: answer that it failed
+	ActFail                            // Request: respond with a failure
 	ActProbe                           // Server, ReuseDelayMs, SingleUse
 	ActTimer                           // Ms, Token
 	ActWatchList                       // subscribe to the list
 	ActFetchList                       // fetch the full list once
 	ActLog                             // Text
 	ActClose                           // Server: close idle connections to it
-	ActWithdraw                        // Server: end its attempts of which no byte has been written
+	ActWithdraw                        // Server: end its attempts that have not written a byte
 )
 
-// Action is something that the agent must do, in the order of the actions.
+// Action is an instruction to the agent. Actions are carried out in order.
 type Action struct {
 	Kind         ActionKind
 	Request      RequestID
 	Server       Addr
 	Attempt      int
 	Ms           float64
-	SendByMs     float64 // the last byte must be written in this time, or the attempt dropped; 0: no limit
-	ReuseDelayMs float64 // from the last response on its connection until it may use that
-	SingleUse    bool    // on a new connection that is closed after it
+	SendByMs     float64 // the attempt is dropped unless its last byte is written within this time; 0: no limit
+	ReuseDelayMs float64 // minimum time between the last response on a connection and its reuse
+	SingleUse    bool    // use a new connection and close it afterwards
 	Token        uint32
 	Text         string
 }
--- a/policy/unconfirmed.go
+++ b/policy/unconfirmed.go
@@ -1,20 +1,20 @@
-// This file holds the decisions on unconfirmed servers: discovery has written an answer of which only a
-// part arrived. What was written counts as notified (PROTOCOL, "The rules on sockets"), and a server
-// may be draining by the rest of the answer.
+// This file holds the decisions on unconfirmed servers: discovery has written a response of which only a
+// part arrived. The whole response counts as notified once written (PROTOCOL, "The rules on sockets"), and
+// the missing part may say that a server is draining.
 
 package policy
 
 const (
-	// unconfirmedGrace is the part of the contract's grace after which an unconfirmed server gets
-	// nothing more. The other part is for delays between the decision to send and the writing.
+	// unconfirmedGrace is the fraction of the contract's drain grace after which unconfirmed servers get no
+	// new attempts. The rest allows for delays between the decision to send and the write.
 	unconfirmedGrace = 0.5
-	// maxUnconfirmed bounds how long, in ms, unconfirmed servers get nothing: a discovery that can't
-	// be reached must not stop the agent for good.
+	// maxUnconfirmed bounds, in ms, how long unconfirmed servers get nothing: an unreachable discovery must
+	// not stop the agent permanently.
 	maxUnconfirmed = 10000.0
 )
 
-// onPartialList takes the part of an answer that has arrived. Its entries hold, and those that are ready
-// are confirmed; all other servers are unconfirmed until a complete answer arrives.
+// onPartialList processes the received part of a list response. Its entries apply, and those that are ready
+// are confirmed; all other servers are unconfirmed until a complete response arrives.
 func (b *Balancer) onPartialList(ev *Event) {
 	if !b.listIncomplete() {
 		b.partialSince = b.now - sanitize(ev.AgeMs)
@@ -33,22 +33,22 @@
 	}
 }
 
-// listIncomplete reports whether an answer has arrived in part and no complete one since.
+// listIncomplete reports whether a partial response has arrived, and no complete one since.
 func (b *Balancer) listIncomplete() bool {
 	return b.partialSince > 0 && b.now < b.partialSince+maxUnconfirmed
 }
 
-// confirmationDueAt is when unconfirmed servers stop getting requests.
+// confirmationDueAt is the time from which unconfirmed servers get no requests.
 func (b *Balancer) confirmationDueAt() float64 {
 	return b.partialSince + unconfirmedGrace*b.settings.Contract.DrainGraceMs
 }
 
-// confirmationOverdue reports whether the server gets nothing because it has not been confirmed in time.
+// confirmationOverdue reports whether the server gets no requests because it was not confirmed in time.
 func (b *Balancer) confirmationOverdue(s *server) bool {
 	return b.listIncomplete() && !s.confirmed && b.now >= b.confirmationDueAt()
 }
 
-// markListComplete notes that a complete answer has arrived: no server is unconfirmed any more.
+// markListComplete records that a complete response has arrived: no server is unconfirmed any longer.
 func (b *Balancer) markListComplete() {
 	if b.partialSince > 0 {
 		b.partialSince = 0
@@ -56,8 +56,9 @@
 	}
 }
 
-// withdrawUnconfirmed withdraws the attempts at unconfirmed servers that have not been written yet. It
-// fetches an answer that is still incomplete anew, beside a subscription that may have stalled.
+// withdrawUnconfirmed withdraws attempts to unconfirmed servers that have not been written yet. If the
+// response is still incomplete and its call open, it also fetches the full list, as the subscription may
+// have stalled.
 func (b *Balancer) withdrawUnconfirmed() {
 	if !b.listIncomplete() || b.now < b.confirmationDueAt()-1 {
 		return
