--- a/policy/health.go
+++ b/policy/health.go
@@ -1,17 +1,18 @@
-// This file holds the decisions on the health of servers: what the end of an attempt or a probe says
-// about a server, when it is ejected (state Unhealthy), and when it is validated again.
+// This file holds the decisions on the health of servers: what the result of an attempt or a probe implies
+// for a server, when it is ejected (state Unhealthy), and when it is validated again.
 
 package policy
 
 const (
-	maxRecentEjections = 5 // bounds the doubling of an ejection's time
-	// restartConnectFailures is how many connects have to fail in a row for a new process to be likely.
+	maxRecentEjections = 5 // bounds the doubling of the ejection time
+	// restartConnectFailures is how many consecutive connect failures suggest that a new process has
+	// started.
 	restartConnectFailures = 3
-	// minProbes is how many validations may be under way at once in any fleet.
+	// minProbes is how many probes may be in flight at once in a fleet of any size.
 	minProbes = 2
 )
 
-// recordOutcome takes what an attempt's end says about its server.
+// recordOutcome updates an attempt's server with the attempt's result.
 func (b *Balancer) recordOutcome(a *attempt, status Status, latencyMs float64) {
 	s := a.server
 	switch status {
@@ -33,8 +34,8 @@
 	}
 }
 
-// recordTimeout ejects the server of an attempt that timed out. A server that answered other attempts
-// meanwhile is not to blame for a costly request: it counts as slow.
+// recordTimeout ejects the server of an attempt that timed out. If the server answered other attempts
+// meanwhile, the request was probably costly: the timeout only counts as a slow response.
 func (b *Balancer) recordTimeout(a *attempt, latencyMs float64) {
 	if a.server.lastResponse > a.sentAt {
 		b.recordHintedLatency(a.request, latencyMs)
@@ -44,7 +45,7 @@
 	}
 }
 
-// recordConnectFailure counts a connect that failed.
+// recordConnectFailure counts a failed connect.
 func (b *Balancer) recordConnectFailure(s *server) {
 	if s.connectFailures == 0 {
 		s.firstConnectFailure = b.now
@@ -53,10 +54,10 @@
 	s.connectFailureSpan = b.now - s.firstConnectFailure
 }
 
-// recordResponse notes a response. A server that no connect reached for long may be a new process,
-// cold and not yet listed: its slow start begins as if it had started now. Timeouts alone are no
-// evidence: overloaded servers would be left idle (i228a10). Nor are one or two failed connects: where
-// one server in three starts late, all servers would be taken for cold by turns.
+// recordResponse records a response. A server whose connects failed for long may be a new process that is
+// cold and not listed yet, so its slow start begins now. Timeouts alone are no evidence of a restart:
+// overloaded servers would be left idle (i228a10). Neither are one or two failed connects: when one server
+// in three starts late, all servers would be taken for cold in turn.
 func (b *Balancer) recordResponse(s *server) {
 	if s.connectFailures >= restartConnectFailures &&
 		s.connectFailureSpan > b.settings.Contract.CrashWindowMs {
@@ -65,8 +66,8 @@
 	s.lastResponse, s.connectFailures = b.now, 0
 }
 
-// eject makes a server Unhealthy and has the list fetched; failures of one moment count as one
-// ejection. The server is unresponsive where it gave no answer at all, not even an error.
+// eject makes a server Unhealthy and has the list fetched; simultaneous failures count as one ejection.
+// unresponsive means that the server sent no response at all, not even an error.
 func (b *Balancer) eject(s *server, unresponsive bool) {
 	if s.state != Unhealthy {
 		s.recentEjections = min(s.recentEjections+1, maxRecentEjections)
@@ -78,12 +79,12 @@
 	b.fetchList()
 }
 
-// ejectionTime is how long in ms a server stays Unhealthy before it is validated again. For a stray
-// failure it is one target latency, or the time in which the agent comes by each server if that is
-// longer and a validation costs a request (agents with few requests lost a third of theirs in
-// validating slow servers again and again, id753de). It doubles with each further ejection. While the
-// other servers have no capacity it is 0: a server that fails some requests is better than rejecting
-// them all. An unresponsive server is not.
+// ejectionTime is how long in ms a server stays Unhealthy before it is validated again. For a single
+// failure it is one target latency. If a validation costs a request, it is at least the mean time between
+// two requests of this agent to a server: agents with few requests lost a third of them by validating slow
+// servers again and again (id753de). It doubles with each further ejection. While the other servers have no
+// capacity it is 0: a server that fails some requests is better than rejecting all of them. This does not
+// apply to an unresponsive server.
 func (b *Balancer) ejectionTime(s *server) float64 {
 	if b.capacityExhausted && !s.unresponsive {
 		return 0
@@ -99,8 +100,8 @@
 	return base * doubling
 }
 
-// ejectUnresponsive ejects servers that took attempts and have answered nothing for several expected
-// latencies: servers that hang would stay Connected otherwise.
+// ejectUnresponsive ejects servers that got attempts and have sent no response for several expected
+// latencies: hung servers would otherwise stay Connected.
 func (b *Balancer) ejectUnresponsive() {
 	for _, s := range b.servers {
 		if len(s.inFlight) == 0 || s.state == Unhealthy {
@@ -113,7 +114,8 @@
 			b.setState(s, UnhealthyPending)
 			continue
 		}
-		// Where responses take a hundredth of the target, eight of them are one costly request.
+		// If responses take a hundredth of the target, eight times that may be one costly request: hence
+		// the lower bound.
 		expected := b.expectedLatency(oldest.request)
 		responseTimeout := max(expected*8/float64(min(len(s.inFlight), 3)), b.minTarget/4)
 		if b.now-max(s.lastResponse, oldest.sentAt) >= responseTimeout {
@@ -122,8 +124,8 @@
 	}
 }
 
-// revalidate, on each request, makes servers pending that were Unhealthy for their ejection time, and
-// probes pending servers in the background where probes are allowed.
+// revalidate runs on each request. It moves Unhealthy servers whose ejection time is over to
+// UnhealthyPending, and probes pending servers in the background if probes are allowed.
 func (b *Balancer) revalidate() {
 	for _, s := range b.servers {
 		if s.state == Unhealthy && s.ready && len(s.inFlight) == 0 &&
@@ -159,7 +161,7 @@
 		b.recordResponse(s)
 		b.setState(s, Connected)
 	case ev.Status == Error || ev.Status == Reset:
-		// As with an attempt: a server that answers with an error, or breaks off, is there.
+		// As with an attempt, a server that responds with an error or resets the connection is responsive.
 		s.lastResponse = b.now
 		b.eject(s, false)
 	case ev.Status != Full:
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -1,6 +1,6 @@
-// This file holds the decisions on overload in a large fleet, where so many agents share the servers
-// that no concurrency limit of one agent can bound what all of them have in flight at one server: how
-// much the agent has in flight altogether, and how it finds an overloaded server.
+// This file holds the decisions on overload in a large fleet, where so many agents share the servers that
+// the concurrency limits of single agents cannot bound the total in flight to one server: how many attempts
+// the agent may have in flight in total, and how it detects an overloaded server.
 
 package policy
 
@@ -11,38 +11,38 @@
 
 const (
 	// logLatencyWeight is the weight of a response in logLatency, the mean logarithm of latencies as
-	// parts of the target: an agent that sees twenty responses a second knows within one second that
-	// they take twice as long, which a mean of the latencies themselves would not show.
+	// fractions of the target. An agent that sees twenty responses per second thus detects within one
+	// second that they take twice as long; a mean of the latencies themselves would not show this.
 	logLatencyWeight = 0.1
-	// baselineRise and baselineFall are how fast the baseline follows logLatency up and down.
+	// baselineRise and baselineFall are the rates at which the baseline follows logLatency up and down.
 	baselineRise, baselineFall = 0.001, 0.05
-	// overloadFactor is how many times the baseline latency shows that servers are overloaded.
+	// overloadFactor is the multiple of the baseline latency that indicates overloaded servers.
 	overloadFactor = 2.5
-	// maxOutlierFactor is how many times the baseline latency a response counts for at the most: one
-	// outlier is no overload of the fleet.
+	// maxOutlierFactor caps the latency of a response, as a multiple of the baseline: one outlier is not an
+	// overload of the fleet.
 	maxOutlierFactor = 6.0
-	// logLatencyDecayMs is how long logLatency takes to return to the baseline where nothing is
-	// answered. The agent's limit grows e-fold in agentLimitGrowthMs without overload.
+	// logLatencyDecayMs is the time constant with which logLatency returns to the baseline without
+	// responses. Without overload, the agent's limit grows by a factor of e per agentLimitGrowthMs.
 	logLatencyDecayMs, agentLimitGrowthMs = 3000.0, 1500.0
-	// maxAgentLimitFactor is how many times its even share an agent may have in flight without
-	// overload: some agents have much more to send than most.
+	// maxAgentLimitFactor bounds the agent's limit without overload, as a multiple of its even share: some
+	// agents have much more to send than most.
 	maxAgentLimitFactor = 1.5
-	// minOverloadEjection is for how many target latencies at the least a server that was found
-	// overloaded or unresponsive gets nothing: an overloaded server recovers only when it has been
-	// idle for as long, and eighty agents that each check sooner with one request keep it busy.
+	// minOverloadEjection is the minimum time, in target latencies, for which a server found overloaded or
+	// unresponsive gets nothing. An overloaded server recovers only when it has been idle for this long,
+	// and eighty agents that each validate it sooner with one request keep it busy.
 	minOverloadEjection = 8.0
-	// idleInFlight is how many requests a server that was found overloaded may report to be in flight
-	// when it is sent to again: one, as reports are a little noisy. With a few it is still busy all
-	// the time, and stays as slow as it is.
+	// idleInFlight is the highest number of requests in flight that a server found overloaded may report to
+	// get attempts again: 1, with a margin as reports are slightly noisy. With a few in flight it is still
+	// busy all the time and stays slow.
 	idleInFlight = 1.5
 )
 
-// largeFleet reports whether a concurrency limit of one attempt an agent is more than a server should
+// largeFleet reports whether there are so many agents that one attempt of each is more than a server should
 // have in flight.
 func (b *Balancer) largeFleet() bool { return float64(b.settings.Replicas) > 2*maxServerConcurrency }
 
-// recordLogLatency takes the latency of a response, as a part of its target, into logLatency and its
-// baseline, and lowers the agent's limit where these show overload.
+// recordLogLatency adds the latency of a response, as a fraction of its target, to logLatency and its
+// baseline, and lowers the agent's limit if these indicate overload.
 func (b *Balancer) recordLogLatency(latency float64) {
 	if !b.largeFleet() {
 		return
@@ -68,20 +68,20 @@
 	}
 }
 
-// initLogBaseline takes one of the first responses into the baseline of logLatency.
+// initLogBaseline adds one of the first responses to the baseline of logLatency.
 func (b *Balancer) initLogBaseline(x float64) {
 	b.baselineLogLatency += (x - b.baselineLogLatency) / b.logLatencySamples
-	if b.logLatencySamples == baselineSamples { // an overload at the start must not set the baseline
+	if b.logLatencySamples == baselineSamples { // an overload at startup must not set the baseline
 		b.baselineLogLatency = min(b.baselineLogLatency, math.Log(overloadLatencyShare/4))
 	}
 }
 
-// overloadExcess is how far logLatency is above what needs no explanation by overload.
+// overloadExcess is how far logLatency exceeds the level that indicates overload; negative below it.
 func (b *Balancer) overloadExcess() float64 {
 	return b.logLatency - b.baselineLogLatency - math.Log(overloadFactor)
 }
 
-// updateAgentLimit brings what depends on time up to now: logLatency and the agent's limit.
+// updateAgentLimit advances the time-dependent values to now: logLatency and the agent's limit.
 func (b *Balancer) updateAgentLimit() {
 	passed := b.now - b.agentLimitAt
 	b.agentLimitAt = b.now
@@ -93,7 +93,7 @@
 	b.agentLimit = min(b.agentLimit, max(maxAgentLimitFactor*b.evenShare(), 1))
 }
 
-// evenShare is the agent's even share of what all servers that can be sent to may have in flight.
+// evenShare is the agent's even share of the attempts that all usable servers may have in flight.
 func (b *Balancer) evenShare() float64 {
 	capacity := 0.0
 	for _, s := range b.servers {
@@ -104,9 +104,9 @@
 	return maxServerConcurrency * capacity / float64(b.settings.Replicas)
 }
 
-// withinAgentLimit reports whether the agent may have one more attempt in flight. An attempt that has
-// been in flight for a target latency counts no more: it waits at an outlier, or in a queue that others
-// drain.
+// withinAgentLimit reports whether the agent may have one more attempt in flight. An attempt that has been
+// in flight for longer than a target latency no longer counts: it waits at an outlier, or in a queue that
+// others drain.
 func (b *Balancer) withinAgentLimit() bool {
 	if !b.largeFleet() || b.logLatencySamples <= baselineSamples {
 		return true
@@ -120,21 +120,21 @@
 			}
 		}
 	}
-	// A rest of less than one attempt is kept by pausing.
+	// A remainder below 1 is kept by spacing attempts out.
 	return remaining >= 1 ||
 		remaining > 0 && b.now-b.lastSentAt >= math.Exp(b.logLatency)*b.minTarget/remaining
 }
 
-// suspiciouslySlow reports whether a latency, or the time without a response, as a part of the target,
-// is a reason to validate a server. By latency alone an agent that meets a server every few seconds
-// would send it a dozen requests before it knew that the server is overloaded.
+// suspiciouslySlow reports whether a latency, or the time without a response, as a fraction of the target,
+// is a reason to validate a server. Judging by mean latency alone, an agent that sends to a server every
+// few seconds would send it a dozen requests before detecting that it is overloaded.
 func (b *Balancer) suspiciouslySlow(latency float64) bool {
 	return b.largeFleet() && b.settings.Limits.Probing && latency > overloadLatencyShare
 }
 
-// reportsOverload reports whether a server's load report names more requests in flight than all agents
-// may have at it, or, once it was found overloaded, that it is not yet idle. Its probes are answered
-// without queueing, and show nothing of that otherwise.
+// reportsOverload reports whether a server's load report shows more requests in flight than all agents may
+// have there, or, if it was found overloaded, that it is not idle yet. Probes are answered without
+// queueing, so their latency does not show this.
 func (b *Balancer) reportsOverload(s *server, report []float32) bool {
 	i := slices.Index(b.settings.Report.Names, "inflight")
 	maxInFlight := float32(maxServerConcurrency)
@@ -144,7 +144,7 @@
 	return b.largeFleet() && i >= 0 && i < len(report) && report[i] > maxInFlight
 }
 
-// pendingTimeout is how long in ms a server waits for its validation before it counts as healthy again.
+// pendingTimeout is how long in ms a server awaits validation before it counts as healthy again.
 func (b *Balancer) pendingTimeout() float64 {
 	if b.largeFleet() {
 		return 10 * b.minTarget
@@ -152,7 +152,7 @@
 	return b.minTarget
 }
 
-// maxProbes bounds the validations under way at once.
+// maxProbes bounds the probes in flight at once.
 func (b *Balancer) maxProbes() int {
 	if b.largeFleet() {
 		return max(minProbes, len(b.servers)/8)
@@ -160,8 +160,8 @@
 	return minProbes
 }
 
-// cancelInFlight cancels the attempts at a server that was found overloaded or unresponsive, to be
-// retried elsewhere while there is time: what waits there is late, and keeps the server overloaded.
+// cancelInFlight cancels the attempts in flight to a server found overloaded or unresponsive, so that they
+// are retried elsewhere while there is time: they would be late, and keep the server overloaded.
 func (b *Balancer) cancelInFlight(s *server) {
 	if !b.largeFleet() || !b.settings.Limits.Cancelling {
 		return
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -162,10 +162,9 @@
 }
 
 // withinRetryBudget reports whether the retry budget allows another attempt. As in adaptive throttling,
-// failed and late attempts reduce what is sent, first attempts included. With a thousand agents that have
-// one or two requests in flight to each server, no concurrency limit of a server holds back all of them
-// together: each rejected attempt went on to the next server, until requests were sent nine times
-// (i86bcad).
+// failed and late attempts reduce what is sent, first attempts included. When each of a thousand agents has
+// one or two requests in flight, no concurrency limit of a server holds back all of them together: each
+// rejected attempt went on to the next server, until requests were sent nine times (i86bcad).
 func (b *Balancer) withinRetryBudget() bool { return b.currentRetryDebt() < retryBudgetBurst }
 
 // expireQueued ends queued requests that can no longer earn credit, before they cost server work.
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,30 +1,31 @@
-// This file holds the decisions on slow start: what a server that started a short while ago (a cold
-// server) may be sent, so that all agents together keep the contract without any agreement.
+// This file holds the decisions on slow start: how much a recently started server (a cold server) may be
+// sent, so that all agents together keep the contract without coordination.
 
 package policy
 
 import "math"
 
 const (
-	// slowStartBurst bounds what a cold server's budget saves up: all agents may spend it at once.
+	// slowStartBurst bounds how much budget a cold server accumulates: all agents may spend it at once.
 	slowStartBurst = 1.0
-	// slowStartMargin is what an even share may cost a cold server, in its present capacity: warm
-	// servers answer at most all that they can, and may save three quarters of it by their warm keys.
+	// slowStartMargin is how many times its current capacity an even share may cost a cold server: warm
+	// servers answer at most as much as they can, and their warm keys may save them three quarters of the
+	// work.
 	slowStartMargin = 4.0
 )
 
-// slowStartFactor is the part of its capacity that a server has by the contract; 1 once it is warm.
+// slowStartFactor is the fraction of its capacity that a server has by the contract; 1 once it is warm.
 func (b *Balancer) slowStartFactor(s *server) float64 {
 	c := &b.settings.Contract
 	age := b.now - s.startedAt
 	if s.startedAt <= 0 || age >= c.SlowStartMs || s.startedAt != s.listedAt && age > c.ListPollWithinMs {
-		return 1 // long past, or a restart that was assumed and not confirmed by the list in its time
+		return 1 // started long ago, or an assumed restart that the list did not confirm in time
 	}
 	return c.SlowStartFrom + (1-c.SlowStartFrom)*max(age, 0)/c.SlowStartMs
 }
 
-// slowStartShare is the part of an even share that a server may be sent: for a cold server what keeps
-// the contract, so that its keys move to it as it warms up.
+// slowStartShare is the fraction of an even share that a server may be sent: for a cold server, as much as
+// the contract allows, so that its keys move to it as it warms up.
 func (b *Balancer) slowStartShare(s *server) float64 {
 	if factor := b.slowStartFactor(s); factor < 1 {
 		return factor * b.settings.Contract.CrashLoadMultiple / slowStartMargin
@@ -32,8 +33,8 @@
 	return 1
 }
 
-// cost is the work of a request in units of the mean request's, and never less than one: hints are
-// rough, and a cold server would be sent those hinted as small that are not (i299663).
+// cost is the work of a request in units of the mean request, at least 1: hints are rough, and a cold
+// server would otherwise be sent requests that are hinted as small but are not (i299663).
 func (b *Balancer) cost(r *request) float64 {
 	if r.costHint > b.meanCostHint {
 		return r.costHint / b.meanCostHint
@@ -41,10 +42,10 @@
 	return 1
 }
 
-// refillSlowStartBudgets refills each cold server's budget after a server answered: for all that warm
-// servers have answered a cold one may get its share by weight and slow start. Then the servers'
-// shares of all agents together stay in proportion to what they can do, without any agreement.
-// Rejected attempts refill nothing: in a storm they made cold servers' shares ninefold (i86bcad).
+// refillSlowStartBudgets refills the budget of each cold server after a server answered: relative to what
+// the warm servers have answered, a cold one may get its share by weight and slow start. This keeps the
+// servers' shares of all agents together in proportion to their capacity, without coordination. Rejected
+// attempts refill nothing: in a retry storm they raised cold servers' shares ninefold (i86bcad).
 func (b *Balancer) refillSlowStartBudgets(s *server, cost float64) {
 	if b.slowStartFactor(s) < 1 {
 		return
@@ -63,8 +64,8 @@
 	}
 }
 
-// warmWeight is the weight of the servers of the top tier that are not cold, counted once for all
-// decisions of a moment.
+// warmWeight is the total weight of the warm servers in the top tier, computed once per event time and
+// epoch.
 func (b *Balancer) warmWeight() float64 {
 	if b.warmTotalAt == b.now && b.warmTotalEpoch == b.epoch {
 		return b.warmTotal
