--- a/policy/anyorder_test.go
+++ b/policy/anyorder_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-// maxDecisionTime is how long the decisions on one event may take, far beyond what they need.
+// maxDecisionTime bounds the time to handle one event, far above what is needed.
 const maxDecisionTime = 20 * time.Second
 
-// handleInTime handles an event. A decision that does not end can't be stopped, so it ends the test
-// program with the events that led to it.
+// handleInTime handles an event. A decision that does not terminate can't be stopped, so the watchdog
+// panics with the events that led to it.
 func handleInTime(r *rig, history []Event, ev Event) []Action {
 	watchdog := time.AfterFunc(maxDecisionTime, func() {
-		panic(fmt.Sprintf("the decisions on %+v do not end, after %+v", ev, history))
+		panic(fmt.Sprintf("handling %+v does not terminate; events before it: %+v", ev, history))
 	})
 	defer watchdog.Stop()
 	return r.handle(ev)
@@ -34,7 +34,7 @@
 	}
 }
 
-// drawEvent draws an event of any kind on the requests so far, which may be unknown, finished or queued.
+// drawEvent draws an event of any kind for a request that may be unknown, finished or queued.
 func drawEvent(t *rapid.T, requests int) Event {
 	kind := rapid.SampledFrom([]EventKind{EvRequest, EvRequest, EvOutcome, EvOutcome, EvResponseStarted, EvClientCanceled, EvTimer, EvList,
 		EvUnsolicited}).Draw(t, "kind")
@@ -60,7 +60,7 @@
 	return ev
 }
 
-// Whatever the order of events, also one that no agent can cause: the decisions on each end, and no
+// Whatever the order of events, even one that no agent can cause, handling each event terminates and no
 // finished request stays queued.
 func TestDecisionsEndInAnyOrderOfEvents(t *testing.T) {
 	outer := t
@@ -80,12 +80,12 @@
 	})
 }
 
-// A response that is reported to have begun after its attempt has ended belongs to nobody: the request
-// is retried or finished as if it had not been reported.
+// A response start reported after its attempt has ended is ignored: the request is retried or finished as
+// if it had not been reported.
 func TestResponseStartedAfterItsAttempt(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	id, server := r.mustSend(0, 0)
-	r.b.retryDebt, r.b.retryDebtAt = 100, r.now // so that the retry stays queued
+	r.b.retryDebt, r.b.retryDebtAt = 100, r.now // keeps the retry queued
 	r.outcome(id, 0, server, Reset, 5)
 	if len(r.b.queued) != 1 {
 		t.Fatalf("%d requests are queued for a retry", len(r.b.queued))
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -8,13 +8,13 @@
 		id, s := r.mustSend(1, 5)
 		actions := r.outcome(id, 0, s, st, 50)
 		if find(actions, ActSend) != nil || find(actions, ActReject) != nil || find(actions, ActFail) == nil {
-			t.Errorf("ending %d: want a failure and nothing else, got %+v", st, actions)
+			t.Errorf("status %d: want only ActFail, got %+v", st, actions)
 		}
 	}
 	r := newRig(t, testSettings(), 3)
 	id, s := r.mustSend(1, 5)
 	if actions := r.outcome(id, 0, s, ConnectFailed, 50); find(actions, ActSend) == nil {
-		t.Errorf("an attempt that never ran was not repeated: %+v", actions)
+		t.Errorf("an attempt that was not executed was not retried: %+v", actions)
 	}
 }
 
@@ -24,46 +24,47 @@
 	actions := r.outcome(id, 0, s, Error, 20)
 	a := find(actions, ActSend)
 	if a == nil || r.b.serversByAddr[a.Server].cell != r.b.serversByAddr[s].cell {
-		t.Fatalf("a retry with an idempotency key did not stay in its cell: %+v", actions)
+		t.Fatalf("the retry of a deduplicated request left its cell: %+v", actions)
 	}
-	r.now += 346 // just inside the 500 ms less the margins
+	r.now += 346 // within the 500 ms, but not less the margins
 	actions = r.outcome(id, 1, a.Server, Error, 20)
 	if find(actions, ActSend) != nil || find(actions, ActFail) == nil && len(r.b.queued) == 0 {
 		t.Errorf("a retry was sent after its deduplication window: %+v", actions)
 	}
 }
 
-// A repeat says until when its last byte has to be out for the window of the first attempt to
-// cover its arrival; one whose window is over is answered at once, not queued to its deadline.
+// A retry carries the time by which its last byte must be written to arrive within the deduplication window
+// of the first attempt. A request whose window is over is answered immediately instead of staying queued
+// until its deadline.
 func TestRetryHasSendDeadlineOfDedupWindow(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
 	id, actions := r.request(2, 5)
 	first := find(actions, ActSend)
 	if first == nil || first.SendByMs != 0 {
-		t.Fatalf("the first attempt has an end: %+v", first)
+		t.Fatalf("the first attempt has a send deadline: %+v", first)
 	}
 	r.now += 200
 	a := find(r.outcome(id, 0, first.Server, Error, 20), ActSend)
 	if want := 500 - 200 - 150 - 2*5.0; a == nil || a.SendByMs != want {
-		t.Fatalf("the repeat may go until %+v, want %.0f ms", a, want)
+		t.Fatalf("the retry is %+v, want a send deadline of %.0f ms", a, want)
 	}
 	r.now += 50
 	if a = find(r.outcome(id, 1, a.Server, ConnectFailed, 20), ActSend); a == nil || a.SendByMs != 90 {
-		t.Fatalf("one after a connect that failed may go until %+v, want 90 ms", a)
+		t.Fatalf("the retry after a failed connect is %+v, want a send deadline of 90 ms", a)
 	}
 	r.now += 90
 	if actions = r.outcome(id, 2, a.Server, ConnectFailed, 20); find(actions, ActFail) == nil {
-		t.Fatalf("not answered when the window was over: %+v", actions)
+		t.Fatalf("not answered at the end of the window: %+v", actions)
 	}
-	// What never ran has no window: the first that may have run begins it.
+	// An attempt that was not executed starts no window: the first that may have been executed does.
 	r = newRig(t, testSettings(), 6)
 	id, actions = r.request(2, 6)
 	first = find(actions, ActSend)
 	r.now += 100
 	if a = find(r.outcome(id, 0, first.Server, ConnectFailed, 20), ActSend); a == nil || a.SendByMs != 0 {
-		t.Fatalf("after an attempt that never ran: %+v", a)
+		t.Fatalf("send deadline after an attempt that was not executed: %+v", a)
 	}
-	// A request that is queued for capacity ends with its window, too.
+	// A request queued for capacity is answered at the end of its window, too.
 	set := testSettings()
 	set.Classes[2].DedupWindowMs = 250
 	r = newRig(t, set, 6)
@@ -79,10 +80,10 @@
 		t.Fatalf("not queued: %+v", actions)
 	}
 	if find(r.tick(89), ActFail) != nil {
-		t.Fatal("given up within its window")
+		t.Fatal("failed within its window")
 	}
 	if find(r.tick(1), ActFail) == nil {
-		t.Fatal("queued beyond its window")
+		t.Fatal("still queued after its window")
 	}
 }
 
@@ -100,13 +101,13 @@
 	for key := range uint64(20) {
 		id, s := r.mustSend(0, key+1)
 		if s == addr(1) {
-			t.Fatal("sent to a server that left the list")
+			t.Fatal("sent to a server removed from the list")
 		}
 		r.outcome(id, 0, s, OK, 20)
 	}
 }
 
-// A started stream belongs to the client: nothing more is sent or answered for it.
+// Once a streamed response has begun, its request is neither retried nor answered again.
 func TestStartedStreamIsNotRetried(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Streamed = true
@@ -117,18 +118,18 @@
 	for range 200 {
 		for _, a := range r.tick(10) {
 			if a.Request == id && a.Kind != ActTimer {
-				t.Fatalf("action %+v for a request whose answer streams", a)
+				t.Fatalf("action %+v for a request whose response is being streamed", a)
 			}
 		}
 	}
 	actions := r.handle(Event{Kind: EvOutcome, Request: id, Attempt: 0, Server: s, Status: Reset, LatencyMs: 2000, Final: true})
 	if find(actions, ActSend) != nil || find(actions, ActFail) != nil || len(r.b.requests) != 0 {
-		t.Errorf("a stream that broke: %+v, %d requests kept", actions, len(r.b.requests))
+		t.Errorf("after a broken stream: %+v, %d requests kept", actions, len(r.b.requests))
 	}
 }
 
-// i5db14f: a thousand agents that each met every server kept 400 connections a server
-// open. They are closed where their price is above that of opening them again.
+// i5db14f: a thousand agents that each sent to every server kept 400 connections per server open. Idle
+// connections are closed where keeping them costs more than opening new ones.
 func TestIdleConnectionsAreClosedWhereTheyCostMore(t *testing.T) {
 	for _, c := range []struct {
 		agents                int
@@ -144,7 +145,7 @@
 			id, s := r.mustSend(0, r.b.rng.Uint64())
 			if a := find(r.outcome(id, 0, s, OK, 10), ActClose); a != nil && i >= 200 {
 				if closed++; a.Server != s {
-					t.Fatalf("closed %v, want the idle %v", a.Server, s)
+					t.Fatalf("closed connections to %v, want to the idle %v", a.Server, s)
 				}
 			}
 		}
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// unsolicited reports unsolicited bytes of a server.
+// unsolicited reports unsolicited bytes from a server.
 func (r *rig) unsolicited(s Addr) []Action { return r.handle(Event{Kind: EvUnsolicited, Server: s}) }
 
-// From unsolicited bytes of a server on, for a bounded time, each connection to it carries one request.
-// Other servers' connections are kept.
+// After unsolicited bytes from a server, each connection to it carries only one request for a limited time.
+// Connections to other servers are reused.
 func TestSingleUseAfterUnsolicitedBytes(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	suspect, other := r.b.serversByAddr[addr(0)], r.b.serversByAddr[addr(1)]
@@ -24,13 +24,13 @@
 		return sent.SingleUse
 	}
 	if singleUse(suspect) {
-		t.Error("single use before any unsolicited bytes")
+		t.Error("single use without unsolicited bytes")
 	}
 	if a := find(r.unsolicited(suspect.addr), ActClose); a == nil || a.Server != suspect.addr {
-		t.Error("idle connections are kept")
+		t.Error("idle connections were not closed")
 	}
 	if !singleUse(suspect) || singleUse(other) {
-		t.Error("want single use of the server's connections, and no other's")
+		t.Error("want single use for this server's connections only")
 	}
 	r.now += singleUseMs - 1
 	if !singleUse(suspect) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// Connections to a server are used again later until enough of its responses are known, and again after
-// unsolicited bytes.
+// Connections to a server are reused with the longer delay until enough of its responses are known, and
+// again after unsolicited bytes.
 func TestReuseDelayUntilAServerIsProven(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	nextReuseDelay := func() float64 {
@@ -63,14 +63,14 @@
 			}
 		}
 		if got := nextReuseDelay(); got != reuseDelayMs {
-			t.Errorf("proven since %s: a delay of %v ms", from, got)
+			t.Errorf("enough responses since %s: a delay of %v ms", from, got)
 		}
 		r.unsolicited(addr(0))
 		r.now += singleUseMs
 	}
 }
 
-// A health check, too, gets a connection of its own after unsolicited bytes.
+// A probe also uses a new connection after unsolicited bytes.
 func TestProbeAfterUnsolicitedBytes(t *testing.T) {
 	s := testSettings()
 	s.Limits.Probing = true
@@ -83,17 +83,17 @@
 	}
 }
 
-// A new process of a server is not judged by what the one before sent.
+// A restart of the server ends single use, as the unsolicited bytes came from the old process.
 func TestRestartEndsSingleUse(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	r.unsolicited(addr(0))
 	r.handleList(ListChange, Entry{Server: addr(0), Health: Ready, Weight: 1, StartedMs: r.now})
 	if r.b.singleUse(r.b.serversByAddr[addr(0)]) {
-		t.Error("single use went on")
+		t.Error("single use continued after the restart")
 	}
 }
 
-// Unsolicited bytes of a server that is not listed any more change nothing.
+// Unsolicited bytes from a server that is no longer listed have no effect.
 func TestUnsolicitedBytesOfAnUnknownServer(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	if actions := r.unsolicited(addr(7)); len(actions) > 0 {
--- a/policy/deployfile_test.go
+++ b/policy/deployfile_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// The deploy file names every file with decisions, and none of their lines is too wide to read. How
-// many lines they have is not limited any more.
+// deploy/balancer.toml names every file with decisions, and their lines are at most 110 columns wide. The
+// number of lines is not limited.
 func TestPolicyFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -19,10 +19,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The interface, the settings' checks, and what is remembered hold no decisions.
-	undecided := []string{"types.go", "settings.go", "state.go"}
+	// Files without decisions: the interface, the checks of settings, and the state.
+	withoutDecisions := []string{"types.go", "settings.go", "state.go"}
 	for _, name := range files {
-		if strings.HasSuffix(name, "_test.go") || slices.Contains(undecided, name) {
+		if strings.HasSuffix(name, "_test.go") || slices.Contains(withoutDecisions, name) {
 			continue
 		}
 		if !strings.Contains(string(deploy), `"policy/`+name+`"`) {
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -28,11 +28,11 @@
 			t.Fatalf("a failed call was not repeated in the contract's time: %+v", again)
 		}
 		if second := find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer); second != nil {
-			t.Fatalf("two times are set to ask again: %+v, %+v", again, second)
+			t.Fatalf("two calls are scheduled: %+v, %+v", again, second)
 		}
-		now += again.Ms // its time has come, and not before
+		now += again.Ms // due now, and not earlier
 		if find(b.Handle(now-2, &Event{Kind: EvTimer, Token: again.Token}, nil), ActWatchList) != nil {
-			t.Fatal("subscribed before its time")
+			t.Fatal("subscribed before the call was due")
 		}
 		if find(b.Handle(now, &Event{Kind: EvTimer, Token: again.Token}, nil), ActWatchList) == nil {
 			t.Fatal("the timer did not subscribe again")
@@ -40,8 +40,8 @@
 	}
 }
 
-// Discovery that was away for long is asked again soon after it is back: what it has to
-// tell counts as told whether the agent waits or not.
+// After a long outage discovery is called again soon after its return: the agent counts as notified of
+// pending changes whether it is still backing off or not.
 func TestWatchIsRequestedSoonAfterManyFailures(t *testing.T) {
 	set := testSettings()
 	set.Membership = "on_request"
@@ -51,7 +51,7 @@
 	for range 20 {
 		again := find(r.handleList(ListFailed), ActTimer)
 		if again == nil || again.Token != watchToken || again.Ms > set.Contract.ListPollWithinMs/5 {
-			t.Fatalf("asked again too late: %+v", again)
+			t.Fatalf("next call too late: %+v", again)
 		}
 		r.now += again.Ms
 		r.handle(Event{Kind: EvTimer, Token: watchToken})
@@ -86,14 +86,14 @@
 	return f
 }
 
-// schedule takes when agent i calls next from its actions.
+// schedule reads from the actions of agent i when its next call is due.
 func (f *watchingFleet) schedule(i int, now float64, actions []Action) {
 	if timer := find(actions, ActTimer); timer != nil {
 		f.callsAt[i] = now + timer.Ms
 	}
 }
 
-// failCalls lets all calls that are due fail, and returns their number.
+// failCalls fails all calls that are due, and returns their number.
 func (f *watchingFleet) failCalls(now float64) (calls int) {
 	f.t.Helper()
 	for i, b := range f.balancers {
@@ -110,7 +110,7 @@
 	return calls
 }
 
-// failRequests lets one request of each agent fail, and returns how many full lists they fetch for it.
+// failRequests fails one request of each agent, and returns how many full lists they fetch as a result.
 func (f *watchingFleet) failRequests(now float64) (fetches int) {
 	for _, b := range f.balancers {
 		send := find(b.Handle(now, &Event{Kind: EvRequest, Request: 1, RemainingMs: 600}, nil), ActSend)
@@ -123,15 +123,15 @@
 	return fetches
 }
 
-// Eighty agents that start together, and whose calls all fail, call a discovery that all share
-// seldom enough for it to answer the calls that are queued there.
+// Eighty agents that start together, and whose calls all fail, call their shared discovery rarely enough
+// that it could answer the calls queued there.
 func TestManyAgentsSpreadTheirCallsToDiscovery(t *testing.T) {
-	// A change counts as notified 6 s after discovery's return, which asks of every agent one call
-	// each 4 s: 20 a second. Half as many more may fall into one second, but not into all of them.
+	// A change counts as notified 6 s after discovery's return, which requires one call of every agent per
+	// 4 s: 20 calls per second. Half as many more may fall into a single second, but not into every one.
 	const (
 		agents, step, seconds  = 80, 10, 60
-		settled                = 10 // seconds after which the calls of the start are spread
-		maxCallsAtTheStart     = 60 // a second
+		settled                = 10 // seconds after which the initial calls are spread out
+		maxCallsAtTheStart     = 60 // per second
 		maxCalls, maxMeanCalls = 36, 25
 	)
 	f := newWatchingFleet(t, agents)
@@ -140,7 +140,7 @@
 		calls[int(now/1000)] += f.failCalls(now)
 		if now == 4000 { // a server fails all of them at once
 			if fetches := f.failRequests(now); fetches > 0 {
-				t.Errorf("%d agents fetched the full list at one failure", fetches)
+				t.Errorf("%d agents fetched the full list after one failure", fetches)
 			}
 		}
 	}
@@ -154,17 +154,17 @@
 		}
 	}
 	if mean := float64(settledCalls) / (seconds - settled); mean > maxMeanCalls {
-		t.Errorf("%.1f calls a second to discovery that is unavailable", mean)
+		t.Errorf("%.1f calls per second to an unavailable discovery", mean)
 	}
 }
 
-// A subscription that was served and ended is asked for again within 200 ms, as what it missed
-// counts as told 2 s later, unless it was asked for less than half a second ago.
+// A granted subscription that ended is requested again within 200 ms, as changes missed meanwhile count as
+// notified 2 s later, unless it was requested less than half a second ago.
 func TestServedWatchIsRequestedAgainAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		servedMs, minWait, maxWait float64 // ms
 	}{
-		{0, 500, 1000}, // never served twice within half a second
+		{0, 500, 1000}, // calls are at least half a second apart
 		{300, 200, 700},
 		{1000, 0, servedWatchBackoff},
 		{60000, 0, servedWatchBackoff},
@@ -178,20 +178,20 @@
 			}
 			now := find(b.Start(0, nil), ActTimer).Ms
 			if find(b.Handle(now, &Event{Kind: EvTimer, Token: watchToken}, nil), ActWatchList) == nil {
-				t.Fatal("did not ask")
+				t.Fatal("did not subscribe")
 			}
 			b.Handle(now, &Event{Kind: EvList, List: ListChange}, nil)
 			now += c.servedMs
 			wait := find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer).Ms
 			if wait < c.minWait || wait > c.maxWait {
-				t.Fatalf("seed %d: served for %.0f ms, asked again after %.0f, want %.0f to %.0f", seed, c.servedMs, wait, c.minWait, c.maxWait)
+				t.Fatalf("seed %d: subscription lasted %.0f ms, requested again after %.0f ms, want %.0f to %.0f ms", seed, c.servedMs, wait, c.minWait, c.maxWait)
 			}
 		}
 	}
 }
 
-// A call that comes at once behind a served subscription, and is refused, leaves the agent no later
-// than one that had waited first: the next comes within a second, in fleets of any size.
+// When the immediate call after a granted subscription is rejected, the next call follows within a second,
+// no later than if the agent had waited first, in fleets of any size.
 func TestRejectedCallAfterAServedWatch(t *testing.T) {
 	for _, agents := range []int{1, 40, 300} {
 		for seed := range uint64(50) {
@@ -211,19 +211,19 @@
 				b.Handle(now, &Event{Kind: EvTimer, Token: watchToken}, nil)
 			}
 			if elapsed := now - ended; elapsed > servedWatchBackoff+1000 {
-				t.Fatalf("%d agents, seed %d: the second call came %.0f ms after the end", agents, seed, elapsed)
+				t.Fatalf("%d agents, seed %d: the second call came %.0f ms after the subscription ended", agents, seed, elapsed)
 			}
 			third := find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer).Ms
 			if minWait := min(2000*float64(agents)/frequentWatchers, maxWatchInterval) / 2; agents >= 40 && third < minWait {
-				t.Fatalf("%d agents: the third call comes after %.0f ms, want at least %.0f", agents, third, minWait)
+				t.Fatalf("%d agents: the third call comes after %.0f ms, want at least %.0f ms", agents, third, minWait)
 			}
 		}
 	}
 }
 
-// Whatever calls failed before, and however long each took to fail, the next one begins
-// within 4 s of the last one's begin: what discovery has to tell counts as told 6 s after
-// it could be reached. All agents' calls together stay few.
+// Regardless of how many calls failed, and how long each took to fail, the next one starts within 4 s of
+// the start of the last one, because the agent counts as notified 6 s after discovery became reachable. The
+// total call rate of all agents stays low.
 func TestEachCallIsRepeatedInTime(t *testing.T) {
 	for _, agents := range []int{1, 5, 20, 80, 300} {
 		t.Run(fmt.Sprint(agents), func(t *testing.T) {
@@ -242,14 +242,14 @@
 				at := find(b.Start(0, nil), ActTimer).Ms
 				for last := 0.0; at < seconds*1000; {
 					if find(b.Handle(at, &Event{Kind: EvTimer, Token: watchToken}, nil), ActWatchList) == nil {
-						t.Fatalf("agent %d did not ask", i)
+						t.Fatalf("agent %d did not subscribe", i)
 					}
 					if at-last > 4000 {
-						t.Fatalf("agent %d asked at %.0f and then at %.0f ms", i, last, at)
+						t.Fatalf("agent %d called at %.0f ms and then only at %.0f ms", i, last, at)
 					}
 					calls[int(at/1000)]++
 					last = at
-					// Refused at once, turned away after its turn, or silent and given up.
+					// Rejected immediately, rejected after queueing, or timed out.
 					at += []float64{0, 1000, 2000, 3500}[rng.IntN(4)]
 					at += find(b.Handle(at, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer).Ms
 				}
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -4,7 +4,7 @@
 
 func TestStateTransitions(t *testing.T) {
 	set := testSettings()
-	set.Replicas = 0 // the key stays whole
+	set.Replicas = 0 // the key is not split
 	r := newRig(t, set, 4)
 	id, s := r.mustSend(0, 7)
 	srv := r.b.serversByAddr[s]
@@ -14,31 +14,31 @@
 	r.now += 50
 	r.outcome(id, 0, s, OK, 50)
 	if srv.state != Connected {
-		t.Fatalf("served: state %d, want Connected", srv.state)
+		t.Fatalf("after a response: state %d, want Connected", srv.state)
 	}
 	id, s2 := r.mustSend(0, 7)
 	if s2 != s {
-		t.Fatalf("key moved from %v to %v without a cause", s, s2)
+		t.Fatalf("key moved from %v to %v although the server is healthy", s, s2)
 	}
 	actions := r.outcome(id, 0, s, Error, 5)
 	if srv.state != Unhealthy {
-		t.Fatalf("error: state %d, want Unhealthy", srv.state)
+		t.Fatalf("after an error: state %d, want Unhealthy", srv.state)
 	}
 	if find(actions, ActFetchList) == nil {
-		t.Error("an ejection did not fetch the list")
+		t.Error("the ejection did not fetch the list")
 	}
 	if a := find(actions, ActSend); a == nil || a.Server == s {
-		t.Errorf("the free request did not go on to another server: %+v", actions)
+		t.Errorf("the idempotent request was not retried on another server: %+v", actions)
 	}
-	// While it is Unhealthy its key goes elsewhere; after its hold the next
-	// request makes it pending, and a served answer Connected.
+	// While the server is Unhealthy its key is sent elsewhere. After the ejection time the next request
+	// makes it pending, and a response makes it Connected.
 	if _, s3 := r.mustSend(0, 7); s3 == s {
-		t.Error("an Unhealthy server was chosen before the better tier")
+		t.Error("an Unhealthy server was preferred to a better tier")
 	}
 	r.now += r.b.ejectionTime(srv) + 1
 	id, s4 := r.mustSend(0, 7)
 	if srv.state != UnhealthyPending || s4 != s {
-		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", srv.state, s4)
+		t.Fatalf("after the ejection time: state %d, sent to %v; want pending and the request to validate it", srv.state, s4)
 	}
 	r.now += 50
 	r.outcome(id, 0, s, OK, 50)
@@ -68,7 +68,7 @@
 	r.now += 2 * r.b.ejectionTime(r.b.serversByAddr[s])
 	_, actions := r.request(0, 7)
 	if p := find(actions, ActProbe); p == nil || p.Server != s {
-		t.Fatalf("no probe of the pending server: %+v", actions)
+		t.Fatalf("the pending server was not probed: %+v", actions)
 	}
 	if a := find(actions, ActSend); a == nil || a.Server == s {
 		t.Error("a request went to a pending server before its probe")
@@ -81,12 +81,13 @@
 	r.request(0, 8)
 	r.handle(Event{Kind: EvProbeResult, Server: s, Status: OK, LatencyMs: 5})
 	if r.b.serversByAddr[s].state != Connected {
-		t.Error("a good probe did not set Connected")
+		t.Error("a successful probe did not set Connected")
 	}
 }
 
-// A probe that broke off tells no more of its server than an attempt that did: it is there,
-// and is tried again at once while the others are full. One that answers nothing is not.
+// A probe that ends with a reset or an error, like such an attempt, shows that its server is responsive:
+// the server is retried immediately while the others are full. A server that did not respond to the probe
+// is not.
 func TestProbeResetIsNotUnresponsive(t *testing.T) {
 	for status, tried := range map[Status]bool{Reset: true, Error: true, Timeout: false, ConnectFailed: false} {
 		set := testSettings()
@@ -101,23 +102,23 @@
 		r.request(0, 0) // sends the probe
 		r.handle(Event{Kind: EvProbeResult, Server: bad.addr, Status: status, LatencyMs: 5})
 		if bad.state != Unhealthy {
-			t.Fatalf("a probe that ended %d did not eject", status)
+			t.Fatalf("a probe with status %d did not eject", status)
 		}
-		for range 40 { // more than the other windows hold
+		for range 40 { // more than the other limits allow
 			r.request(0, 0)
 		}
 		r.now++
 		r.request(0, 0)
 		if got := bad.state == UnhealthyPending; got != tried {
-			t.Errorf("a probe ended %d; the server tried at once while others are full: %v, want %v", status, got, tried)
+			t.Errorf("probe status %d: server retried immediately while others are full: %v, want %v", status, got, tried)
 		}
 	}
 }
 
-// Hung servers stay Connected in the source's scheme; here a lack of responses ejects them.
+// A hung server would stay Connected if only results changed its state; a lack of responses ejects it.
 func TestHungServerIsEjected(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	for range 200 { // learn what an answer takes
+	for range 200 { // learn the expected latency
 		id, s := r.mustSend(0, uint64(r.b.rng.Int64()))
 		r.now += 10
 		r.outcome(id, 0, s, OK, 10)
@@ -128,10 +129,10 @@
 			return
 		}
 	}
-	t.Error("a server that answers nothing for 300 ms was not ejected")
+	t.Error("a server without a response for 300 ms was not ejected")
 }
 
-// A costly request among very quick ones does not make its server unresponsive.
+// A costly request among very fast ones does not make its server unresponsive.
 func TestCostlyRequestDoesNotEjectServer(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range 200 {
@@ -142,13 +143,13 @@
 	_, s := r.mustSend(0, 9)
 	for range 5 {
 		if r.tick(10); r.b.serversByAddr[s].state == Unhealthy {
-			t.Fatal("after a sixth of the target the server was taken for unresponsive")
+			t.Fatal("the server was ejected as unresponsive after a sixth of the target")
 		}
 	}
 }
 
-// South's rough days: a server that failed often rests long while others can take
-// its requests, but is retried at once while they are full.
+// On days with many failures: a server that failed often stays ejected for long while others have capacity,
+// but is retried immediately while they are full.
 func TestEjectedServerIsRetriedWhileOthersAreFull(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		r := newRig(t, testSettings(), 4)
@@ -158,7 +159,7 @@
 			r.b.eject(bad, false)
 		}
 		if full {
-			for range 40 { // more than the other windows hold
+			for range 40 { // more than the other limits allow
 				r.request(0, 0)
 			}
 		}
@@ -170,7 +171,8 @@
 	}
 }
 
-// id753de: an agent with few requests validated each slow server again after one target latency, with a request.
+// id753de: an agent with few requests spent a request on validating each slow server again after one target
+// latency.
 func TestAgentWithFewRequestsEjectsLonger(t *testing.T) {
 	for _, probing := range []bool{false, true} {
 		set := testSettings()
@@ -185,7 +187,7 @@
 		}
 		r.b.eject(r.b.serversByAddr[s], true)
 		if hold := r.b.ejectionTime(r.b.serversByAddr[s]); probing != (hold < 1000) {
-			t.Errorf("probing %v: ejected for %.0f ms, two requests a second over 20 servers", probing, hold)
+			t.Errorf("probing %v: ejected for %.0f ms, at two requests per second over 20 servers", probing, hold)
 		}
 	}
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -28,9 +28,10 @@
 	// overloadBackoff and rejectionBackoff are the factors applied to a limit when latency is above the
 	// threshold, and when the server rejects an attempt.
 	overloadBackoff, rejectionBackoff = 0.85, 0.7
-	// minLocalZoneWeight is the minimum weight of a server in the agent's own zone in a key's order;
-	// localZonePriceFactor times the price of crossing zones is the maximum. minKindWeight is the minimum
-	// weight of a slow machine type. weightStep is the relative step by which weights change.
+	// minLocalZoneWeight is the minimum weight of a server in the agent's own zone, relative to other
+	// zones, in a key's order; localZonePriceFactor times the price of crossing zones is the maximum.
+	// minKindWeight is the minimum weight of a slow machine type. weightStep is the relative step by which
+	// weights change.
 	minLocalZoneWeight, localZonePriceFactor, minKindWeight, weightStep = 1.5, 100.0, 0.25, 0.05
 )
 
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A day with one agent and four servers: the first answers were quick (a few hot
-// keys), and what came after counted as overloaded at one attempt a server, for good.
+// With one agent and four servers, the first responses were fast (a few popular keys), and later latencies
+// counted as overload forever, with a limit of one attempt per server.
 func TestLoneAgentRaisesItsBaseline(t *testing.T) {
 	for _, agents := range []int{1, 5} {
 		set := testSettings()
@@ -24,8 +24,8 @@
 	}
 }
 
-// Few agents see most of the load: a server that answers well within the target is not overloaded,
-// however low the baseline was taken. Cold servers are slower before they are overloaded.
+// With few agents, each sees most of the load: a server that responds well within the target is not
+// overloaded, however low the baseline is. Cold servers are slower before they are overloaded.
 func TestMinOverloadThresholdFallsWithReplicas(t *testing.T) {
 	limit := func(agents int, baseline float64) float64 {
 		set := testSettings()
@@ -35,20 +35,20 @@
 		return r.b.overloadThreshold(r.b.serversByAddr[addr(0)])
 	}
 	if one, many := limit(1, 0.01), limit(20, 0.01); one < 0.3 || many > 0.1 {
-		t.Errorf("least limits: %.2f for one agent, want about a third; %.2f for twenty, want little", one, many)
+		t.Errorf("minimum thresholds: %.2f for one agent, want at least 0.3; %.2f for twenty, want at most 0.1", one, many)
 	}
 	if l := limit(1, 0.9); l != overloadLatencyShare {
-		t.Errorf("limit %.2f with a high baseline, want %.2f", l, overloadLatencyShare)
+		t.Errorf("threshold %.2f with a high baseline, want %.2f", l, overloadLatencyShare)
 	}
 	r := newRig(t, testSettings(), 1)
 	r.handleList(ListChange, Entry{Server: addr(1), Health: Ready, Weight: 1, StartedMs: r.now})
 	r.b.baselineLatency = 0.2
 	if warming, warm := r.b.overloadThreshold(r.b.serversByAddr[addr(1)]), r.b.overloadThreshold(r.b.serversByAddr[addr(0)]); warming < 2*warm {
-		t.Errorf("limit %.2f of a cold server, %.2f of a warm one", warming, warm)
+		t.Errorf("threshold %.2f of a cold server, %.2f of a warm one", warming, warm)
 	}
 }
 
-// id08146: agents restarted one by one while the fleet was overloaded.
+// id08146: agents were restarted one by one while the fleet was overloaded.
 func TestOverloadAtTheStartDoesNotSetTheBaseline(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range baselineSamples {
@@ -63,10 +63,10 @@
 
 func TestOverloadReducesConcurrencyLimit(t *testing.T) {
 	set := testSettings()
-	set.Replicas = 20 // many, as on ie9df20: each sees little of the load
+	set.Replicas = 20 // many agents, as in ie9df20: each sees little of the load
 	r := newRig(t, set, 1)
 	srv := r.b.servers[0]
-	for range 300 { // long enough to know the baseline latency
+	for range 300 { // long enough to learn the baseline
 		id, s := r.mustSend(0, 1)
 		r.now += 20
 		r.outcome(id, 0, s, OK, 20)
@@ -80,16 +80,16 @@
 		r.now += 10
 	}
 	if srv.concurrencyLimit >= limitBefore {
-		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", limitBefore, srv.concurrencyLimit)
+		t.Errorf("latency rose sevenfold and the limit went from %.2f to %.2f", limitBefore, srv.concurrencyLimit)
 	}
-	// ie9df20: with many agents one attempt of each keeps a tipped server busy.
+	// ie9df20: with many agents, one attempt of each keeps a collapsed server busy.
 	if srv.concurrencyLimit >= 1 {
-		t.Errorf("a tipped server is not left to rest: window %.2f", srv.concurrencyLimit)
+		t.Errorf("a collapsed server gets no idle time: limit %.2f", srv.concurrencyLimit)
 	}
 }
 
 // case5409: concurrency limits grown under low load let a burst overload the servers until they were
-// several times slower, for good. All agents' windows together stay under that.
+// permanently several times slower. The limits of all agents together stay below that point.
 func TestConcurrencyLimitsOfAllAgentsAreBounded(t *testing.T) {
 	for _, agents := range []int{1, 2, 8} {
 		set := testSettings()
@@ -103,7 +103,7 @@
 				}
 			}
 		}
-		for range 300 { // quick answers to as many as go out
+		for range 300 { // all attempts get fast responses
 			for range 5 {
 				_, actions := r.request(0, 0)
 				recordSends(actions)
@@ -120,23 +120,23 @@
 		}
 		want := max(int(maxServerConcurrency)/agents, 1)
 		if got := len(r.b.serversByAddr[addr(0)].inFlight); got != want {
-			t.Errorf("%d agents: the server holds %d of one, want %d", agents, got, want)
+			t.Errorf("%d agents: one has %d attempts in flight to the server, want %d", agents, got, want)
 		}
 	}
 }
 
-// i452d3e: concurrency limits that grew before the baseline was known overloaded the
-// servers, and the latency under overload became the baseline.
+// i452d3e: concurrency limits that grew before the baseline was known overloaded the servers, and the
+// latency under overload became the baseline.
 func TestNoConcurrencyLimitGrowsBeforeTheBaseline(t *testing.T) {
 	set := testSettings()
-	set.Replicas = 1 // more agents have no more than the first window each
+	set.Replicas = 1 // with more agents, limits do not grow above the initial one
 	r := newRig(t, set, 2)
 	for range baselineSamples - 1 {
 		id, s := r.mustSend(0, r.b.rng.Uint64())
 		r.now += 20
 		r.outcome(id, 0, s, OK, 20)
 		if w := r.b.serversByAddr[s].concurrencyLimit; w > initialConcurrencyLimit {
-			t.Fatalf("window %.2f after %.0f answers", w, r.b.latencySamples)
+			t.Fatalf("limit %.2f after %.0f responses", w, r.b.latencySamples)
 		}
 	}
 	var ids []RequestID
@@ -158,8 +158,8 @@
 	}
 }
 
-// Olive's quiet day: with a price on crossing, the own zone was given half of what it
-// could serve. It gets more while it answers as fast as the rest, and gives it back.
+// With a price on crossing zones and low load, the local zone was given only half of what it could serve.
+// It gets more traffic while it is as fast as the others, and loses it when it is slower.
 func TestLocalZoneGetsMoreWhileItIsQuick(t *testing.T) {
 	set := testSettings()
 	set.Prices.CrossZone = 0.08
@@ -180,16 +180,16 @@
 	}
 	localShare(20)
 	if quick := localShare(20); quick < 0.8 {
-		t.Errorf("the local zone is as fast as the rest and got %.2f", quick)
+		t.Errorf("the local zone is as fast as the others and got %.2f of the requests", quick)
 	}
 	localShare(40)
 	if slow := localShare(40); slow > 0.7 {
-		t.Errorf("the local zone is twice as slow as the rest and got %.2f", slow)
+		t.Errorf("the local zone is twice as slow as the others and got %.2f of the requests", slow)
 	}
 }
 
-// i5db14f: machines 2.5 times apart got equal shares, and the small ones were overloaded. Where
-// the list tells no weights a kind's answer times do.
+// i5db14f: machines whose speeds differed 2.5 times got equal shares, and the slow ones were overloaded. If
+// the list gives no weights, the latencies of a machine type determine them.
 func TestSlowMachineKindGetsFewerRequests(t *testing.T) {
 	for _, weights := range []string{"off", "nominal"} {
 		set := testSettings()
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// largeFleetSettings are those of a large fleet, whose servers report what they hold when probed.
+// largeFleetSettings returns the settings of a large fleet whose servers report their requests in flight
+// when probed.
 func largeFleetSettings() Settings {
 	set := testSettings()
 	set.Replicas, set.Limits.Probing = 80, true
@@ -11,7 +12,7 @@
 	return set
 }
 
-// serveRequest lets a request come and be answered after rtt, if it is sent.
+// serveRequest handles a request and, if it is sent, its response after rtt.
 func (r *rig) serveRequest(rtt float64) {
 	_, actions := r.request(0, 0)
 	r.now += rtt
@@ -20,8 +21,8 @@
 	}
 }
 
-// Eighty agents that see answers get slow have no more out together than the servers may
-// hold, whatever comes; and more once latency is at the baseline again.
+// Eighty agents that see rising latency have no more attempts in flight together than the servers may have,
+// however many requests arrive; and more once latency is back at the baseline.
 func TestOverloadBoundsAttemptsOfLargeFleet(t *testing.T) {
 	const servers, burst = 60, 20
 	slow, healthy := 0, 0
@@ -37,7 +38,7 @@
 					n++
 				}
 			}
-			r.tick(500) // what was not sent can't be in time any more
+			r.tick(500) // too late for the requests that are still queued
 			return n
 		}
 		for range baselineSamples + 10 {
@@ -61,7 +62,7 @@
 	}
 }
 
-// respondLate lets a server answer one request late, and returns it.
+// respondLate has a server respond to one request late, and returns the server.
 func (r *rig) respondLate(rtt float64) *server {
 	r.t.Helper()
 	id, s := r.mustSend(0, 7)
@@ -70,8 +71,8 @@
 	return r.b.serversByAddr[s]
 }
 
-// An agent that meets a server once in a few seconds looks how it is after one answer
-// that took half the target, and sends it nothing while it reports too much in flight.
+// An agent that sends to a server every few seconds probes it after a single response that took half the
+// target, and sends it nothing while it reports too many requests in flight.
 func TestLateResponseStartsValidation(t *testing.T) {
 	for _, c := range []struct {
 		inflight float32
@@ -81,10 +82,10 @@
 		srv := r.respondLate(200)
 		_, actions := r.request(0, 7)
 		if a := find(actions, ActProbe); a == nil || a.Server != srv.addr {
-			t.Fatalf("the server was not validated: %+v", actions)
+			t.Fatalf("the server was not probed: %+v", actions)
 		}
 		if a := find(actions, ActSend); a == nil || a.Server == srv.addr {
-			t.Fatalf("the request waited for the probe or went to the server in doubt: %+v", actions)
+			t.Fatalf("the request waited for the probe or went to the pending server: %+v", actions)
 		}
 		r.now += 2
 		r.handle(Event{Kind: EvProbeResult, Server: srv.addr, Status: OK, Report: []float32{1, c.inflight}})
@@ -94,18 +95,18 @@
 	}
 }
 
-// The same where no answer comes: the request does not have to end first.
+// A missing response has the same effect, before the request times out.
 func TestMissingResponseStartsValidation(t *testing.T) {
 	r := newRig(t, largeFleetSettings(), 4)
 	_, s := r.mustSend(0, 7)
 	r.tick(160)
 	if _, actions := r.request(0, 8); find(actions, ActProbe) == nil || find(actions, ActProbe).Server != s {
-		t.Errorf("half a target latency without a response and no probe: %+v", actions)
+		t.Errorf("no probe after half a target latency without a response: %+v", actions)
 	}
 }
 
-// Attempts that wait at a server found overloaded are cancelled and retried elsewhere, but
-// those that must not run twice.
+// Attempts in flight to a server found overloaded are cancelled and retried elsewhere, except
+// non-idempotent ones.
 func TestOverloadedServersAttemptsAreCancelled(t *testing.T) {
 	for class, retried := range []bool{true, false, true} {
 		r := newRig(t, largeFleetSettings(), 4)
@@ -122,12 +123,12 @@
 		}
 		actions = r.outcome(id, 0, s, Cancelled, 160)
 		if a := find(actions, ActSend); a == nil || a.Request != id || a.Server == s {
-			t.Errorf("class %d: did not go elsewhere: %+v", class, actions)
+			t.Errorf("class %d: not retried on another server: %+v", class, actions)
 		}
 	}
 }
 
-// A server found overloaded rests until it can have recovered, however often requests come.
+// A server found overloaded gets nothing until it can have recovered, however many requests arrive.
 func TestOverloadedServerGetsNothingWhileItRests(t *testing.T) {
 	r := newRig(t, largeFleetSettings(), 4)
 	srv := r.respondLate(200)
@@ -148,15 +149,15 @@
 		return false
 	}
 	if from := r.now; contacted(from + 7*r.b.minTarget) {
-		t.Errorf("did not rest for 7 target latencies: sent to again after %v ms", r.now-from)
+		t.Errorf("contacted again within 7 target latencies, after %v ms", r.now-from)
 	}
 	if from := r.now; !contacted(from + 10*r.b.minTarget) {
-		t.Error("not validated again after 17 target latencies")
+		t.Error("not contacted again within 17 target latencies")
 	}
 }
 
-// An overloaded server stays slow until it has been idle. What reports to hold a few
-// requests still, after its rest, is left again; what reports hardly any is sent to.
+// An overloaded server stays slow until it has been idle. If it still reports a few requests in flight
+// after its ejection it is ejected again; if it reports hardly any it gets requests.
 func TestOverloadedServerIsEjectedUntilItIsIdle(t *testing.T) {
 	r := newRig(t, largeFleetSettings(), 4)
 	srv := r.respondLate(200)
@@ -166,7 +167,7 @@
 			if id, actions := r.request(0, 8); find(actions, ActSend) != nil {
 				s := find(actions, ActSend).Server
 				if s == srv.addr {
-					t.Fatal("sent to the overloaded server")
+					t.Fatal("a request was sent to the overloaded server")
 				}
 				r.outcome(id, 0, s, OK, 20)
 			}
@@ -176,13 +177,13 @@
 	report(12)
 	report(maxServerConcurrency - 1)
 	if srv.state != Unhealthy {
-		t.Errorf("state %d with %v in flight after the rest, want %d", srv.state, maxServerConcurrency-1, Unhealthy)
+		t.Errorf("state %d with %v in flight after the ejection, want %d", srv.state, maxServerConcurrency-1, Unhealthy)
 	}
 	report(1)
 	if srv.state != Connected {
 		t.Errorf("state %d once idle, want %d", srv.state, Connected)
 	}
-	srv = r.respondLate(200) // a healthy one may hold a few
+	srv = r.respondLate(200) // a healthy server may have a few in flight
 	report(maxServerConcurrency - 1)
 	if srv.state != Connected {
 		t.Errorf("state %d of a server with %v in flight, want %d", srv.state, maxServerConcurrency-1, Connected)
--- a/policy/pick_test.go
+++ b/policy/pick_test.go
@@ -9,19 +9,19 @@
 		r.outcome(id, 0, s, Error, 5)
 	}
 	if _, s := r.mustSend(0, 3); s == (Addr{}) {
-		t.Error("nothing was sent though Unhealthy servers are the only ones")
+		t.Error("the request was not sent although all servers are Unhealthy")
 	}
 }
 
-// i8d4be0, ifafc7b: queued requests that wait for their key's servers must not
-// keep others from servers that have room.
+// i8d4be0, ifafc7b: queued requests that wait for the servers of their key must not block others from
+// servers with capacity.
 func TestWaitForAffinityBlocksNoOtherRequest(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
 	for range 30 {
-		r.request(0, 42) // one key: fills its two servers, the rest are queued
+		r.request(0, 42) // one key: its two servers fill up, the other requests are queued
 	}
 	if len(r.b.queued) == 0 {
-		t.Fatal("nothing is queued; the test does not test what it says")
+		t.Fatal("no request is queued, so the test checks nothing")
 	}
 	sentCount := 0
 	for key := uint64(100); key < 140; key++ {
@@ -30,14 +30,14 @@
 		}
 	}
 	if sentCount == 0 {
-		t.Error("requests for idle servers were queued behind a popular key")
+		t.Error("requests for idle servers were blocked by a popular key")
 	}
 }
 
-// Crossing zones costs time and a price: of many keys more stay in the own zone
-// than its servers' part, and still most other servers are used.
+// Crossing zones costs time and has a price: with many keys, the local zone gets more than its servers'
+// share of them, and still most other servers are used.
 func TestLocalZoneIsPreferredByKey(t *testing.T) {
-	r := newRig(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
+	r := newRig(t, testSettings(), 6) // alternating zones 0 and 1; this agent is in 0
 	own, used, all := 0, map[Addr]bool{}, 600
 	for key := range uint64(all) {
 		id, s := r.mustSend(0, splitMix64(key+1))
@@ -48,20 +48,20 @@
 		}
 	}
 	if share := float64(own) / float64(all); share < 0.53 || share > 0.68 || len(used) != 6 {
-		t.Errorf("own zone got %.2f of the keys over %d servers, want about 0.6 over 6", share, len(used))
+		t.Errorf("the local zone got %.2f of the keys, over %d servers in total; want about 0.6 over 6", share, len(used))
 	}
 }
 
-// id753de: with many agents, each with one request out, a popular key put twenty times
-// the mean on one server. Few agents leave it to the cap; a rare key stays whole.
+// id753de: with many agents, each with one request in flight, a popular key put twenty times the mean load
+// on one server. With few agents the load cap is sufficient; a rare key is not split.
 func TestPopularKeyIsSplitInLargeFleets(t *testing.T) {
 	for _, c := range []struct {
 		agents, every    int
 		minimum, maximum int
 	}{
-		{1000, 4, 5, 40},  // a quarter of the traffic, many agents: spread
-		{2, 4, 1, 1},      // the same, two agents: the cap sees enough
-		{1000, 150, 1, 1}, // rare: its server keeps it warm
+		{1000, 4, 5, 40},  // a quarter of the traffic, many agents: split
+		{2, 4, 1, 1},      // the same, two agents: the load cap is sufficient
+		{1000, 150, 1, 1}, // rare: one server keeps it warm
 	} {
 		set := testSettings()
 		set.Replicas = c.agents
@@ -86,9 +86,9 @@
 	}
 }
 
-// id753de: an agent with few requests met each of hundreds of servers once a minute. It keeps
-// to a subset it meets often; agents' subsets differ, so that each server has its share;
-// a busy agent uses the whole fleet, and what is down in the subset is replaced.
+// id753de: an agent with few requests sent to each of hundreds of servers once a minute. Instead it uses a
+// subset to which it sends often. Subsets differ between agents, so that each server gets its share; an
+// agent with many requests uses the whole fleet, and a failed server of the subset is replaced.
 func TestAgentsWithFewRequestsKeepToASubset(t *testing.T) {
 	for _, c := range []struct {
 		gap              float64 // ms between requests
@@ -112,25 +112,25 @@
 				}
 			}
 			if len(used) < c.minimum || len(used) > c.maximum {
-				t.Fatalf("a request each %.0f ms used %d servers, want %d to %d", c.gap, len(used), c.minimum, c.maximum)
+				t.Fatalf("with a request every %.0f ms, %d servers were used, want %d to %d", c.gap, len(used), c.minimum, c.maximum)
 			}
 			for s := range used {
 				all[s]++
 			}
 		}
 		if len(all) < 58 {
-			t.Errorf("30 agents used %d of 60 servers together", len(all))
+			t.Errorf("30 agents together used %d of 60 servers", len(all))
 		}
 	}
 }
 
-// Where crossing has a price, about half of a subset is of the agent's own zone, however
-// many zones there are, and most requests stay in it; all agents use all servers even so.
+// If crossing zones has a price, about half of a subset is in the agent's own zone, however many zones
+// there are, and most requests stay in it; all agents together still use all servers.
 func TestSubsetPrefersTheLocalZone(t *testing.T) {
 	for _, c := range []struct {
 		zones   int
 		price   float64
-		minimum float64 // part of the requests that stay in their zone, and the maximum
+		minimum float64 // fraction of the requests that stay in their zone
 		maximum float64
 	}{{1, 0.1, 1, 1}, {2, 0.1, 0.7, 1}, {6, 0.1, 0.6, 0.95}, {6, 0, 0.1, 0.4}} {
 		const agents, servers, each = 60, 120, 100
@@ -160,7 +160,7 @@
 			}
 		}
 		if share := float64(own) / agents / each; share < c.minimum || share > c.maximum {
-			t.Errorf("%d zones, price %v: %.2f stayed in their zone, want %v to %v", c.zones, c.price, share, c.minimum, c.maximum)
+			t.Errorf("%d zones, price %v: %.2f of the requests stayed in their zone, want %v to %v", c.zones, c.price, share, c.minimum, c.maximum)
 		}
 		if len(all) < servers*9/10 {
 			t.Errorf("%d zones, price %v: %d of %d servers used", c.zones, c.price, len(all), servers)
@@ -168,7 +168,7 @@
 	}
 }
 
-// Found by the fuzzer: a keyed request ahead of the first list crashed the agent.
+// Found by fuzzing: a request with a key before the first list crashed the agent.
 func TestKeyedRequestBeforeTheFirstList(t *testing.T) {
 	b, err := New(testSettings(), 1)
 	if err != nil {
@@ -183,8 +183,8 @@
 	}
 }
 
-// Kyushu's and south's failing servers: what must not run twice would be lost on a
-// server that is only being checked.
+// When servers failed, non-idempotent requests were lost on pending servers that they were used to
+// validate.
 func TestNonIdempotentRequestDoesNotValidateAServer(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	bad := r.b.serversByAddr[addr(0)]
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -30,7 +30,7 @@
 	// Output: send request 1 to [10 0 0 1 31 144]
 }
 
-// Legal but extreme values must not poison what is learned, and each request is answered once.
+// Valid but extreme values must not corrupt the learned state, and each request is answered once.
 func TestNonFiniteInputsKeepTheStateFinite(t *testing.T) {
 	extremes := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 0, 1e300}
 	r := newRig(t, testSettings(), 3)
@@ -62,7 +62,7 @@
 	for range 300 {
 		r.now += 10
 		count(r.handle(Event{Kind: EvTimer, Token: tickToken}))
-		for id := RequestID(1); id <= r.id; id++ { // what went out again ends too
+		for id := RequestID(1); id <= r.id; id++ { // end retries too
 			if q := r.b.requests[id]; q != nil && q.openAttempts > 0 {
 				a := q.attempts[len(q.attempts)-1]
 				count(r.outcome(id, a.index, a.server.addr, Timeout, 10))
@@ -79,8 +79,8 @@
 	}
 }
 
-// The clock may start anywhere, and a request may come with no time left: it is still
-// answered, once, and ordinary ones are served as ever.
+// The clock may start at any value, and a request may arrive with no time left: it is still answered once,
+// and ordinary requests are served as usual.
 func TestAnyClockStartAndNoTimeLeft(t *testing.T) {
 	for _, start := range []float64{-1e7, 0, 1e13} {
 		b, err := New(testSettings(), 1)
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// simulation plays random clients, servers and lists against one Balancer and
-// checks the rules from outside, on the actions alone.
+// simulation runs random clients, servers and lists against one Balancer and checks the rules on the
+// actions alone.
 type simulation struct {
 	t                *testing.T
 	rng              *rand.Rand
@@ -20,7 +20,7 @@
 	reqs             map[RequestID]*simulatedRequest
 	timers           []simulatedTimer
 	list             map[Addr]Entry
-	unavailableSince map[Addr]float64 // the agent was notified that it drains or is removed
+	unavailableSince map[Addr]float64 // when the agent was notified of its drain or removal
 	history          []Action
 }
 
@@ -82,25 +82,25 @@
 			r.attempts = append(r.attempts, &simulatedAttempt{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.Ms), status: st})
 		case ActReject, ActFail:
 			if r.final++; r.final > 1 {
-				w.t.Fatalf("request %d: a second final answer", a.Request)
+				w.t.Fatalf("request %d was answered a second time", a.Request)
 			}
 			if w.now > r.deadline+w.settings.Contract.AnswerSlackMs {
 				w.t.Fatalf("request %d answered %.1f ms after its deadline", a.Request, w.now-r.deadline)
 			}
 			c := w.settings.Classes[r.class]
 			if a.Kind == ActReject && r.mayHaveExecuted() && (c.Effect == NonIdempotent || c.Effect == Deduplicated && c.Group != GroupAll) {
-				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Effect)
+				w.t.Fatalf("request %d of effect %s was rejected although it may have been executed", a.Request, c.Effect)
 			}
 		case ActCancel:
 			if !w.settings.Limits.Cancelling {
-				w.t.Fatal("cancelled where it is not allowed")
+				w.t.Fatal("attempt cancelled although cancelling is not allowed")
 			}
 			if attempt := r.attempts[a.Attempt]; !attempt.ended {
 				attempt.status, attempt.endsAt = Cancelled, w.now+5
 			}
 		case ActProbe:
 			if !w.settings.Limits.Probing {
-				w.t.Fatal("probed where it is not allowed")
+				w.t.Fatal("server probed although probing is not allowed")
 			}
 		case ActTimer:
 			w.timers = append(w.timers, simulatedTimer{w.now + a.Ms, a.Token})
@@ -115,7 +115,7 @@
 func (w *simulation) checkSend(r *simulatedRequest, a *Action) {
 	c := w.settings.Classes[r.class]
 	if r.final > 0 || w.now > r.deadline {
-		w.t.Fatalf("request %d sent after its end", a.Request)
+		w.t.Fatalf("request %d sent after its answer or deadline", a.Request)
 	}
 	if len(r.attempts) >= w.settings.Limits.MaxAttempts {
 		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.attempts)+1, w.settings.Limits.MaxAttempts)
@@ -125,7 +125,7 @@
 	}
 	for _, t := range r.attempts {
 		if !t.ended && !w.settings.Limits.ParallelAttempts {
-			w.t.Fatalf("request %d: two attempts out at once", a.Request)
+			w.t.Fatalf("request %d has two attempts in flight", a.Request)
 		}
 		if t.ended && t.status.NotExecuted() {
 			continue
@@ -133,11 +133,11 @@
 		x, y := w.list[t.server], w.list[a.Server]
 		switch {
 		case c.Effect == NonIdempotent:
-			w.t.Fatalf("request %d sent again though it may have run", a.Request)
+			w.t.Fatalf("request %d sent again although it may have been executed", a.Request)
 		case c.Effect == Deduplicated && (a.SendByMs <= 0 || w.now+a.SendByMs-t.sentAt > c.DedupWindowMs-150): // 0.15 s: STANDING
-			w.t.Fatalf("request %d may arrive %.0f ms after it may have run", a.Request, w.now+a.SendByMs-t.sentAt)
+			w.t.Fatalf("request %d may arrive %.0f ms after it may have been executed", a.Request, w.now+a.SendByMs-t.sentAt)
 		case c.Effect == Deduplicated && w.now-t.sentAt > c.DedupWindowMs:
-			w.t.Fatalf("request %d sent again %.0f ms after it may have run", a.Request, w.now-t.sentAt)
+			w.t.Fatalf("request %d sent again %.0f ms after it may have been executed", a.Request, w.now-t.sentAt)
 		case c.Effect == Deduplicated && (c.Group == GroupZone && x.Zone != y.Zone || c.Group == GroupCell && x.Cell != y.Cell):
 			w.t.Fatalf("request %d sent again outside its group", a.Request)
 		}
@@ -171,14 +171,14 @@
 			}
 			t.ended = true
 			if t.status == OK {
-				r.final++ // the response to a second attempt changes nothing
+				r.final++ // a second response does not count
 				r.final = min(r.final, 1)
 			}
 			w.handle(Event{Kind: EvOutcome, Request: id, Attempt: i, Server: t.server, Status: t.status,
 				LatencyMs: w.now - t.sentAt, Final: r.final > 0})
 		}
 		if r.final == 0 && w.now > r.deadline+w.settings.Contract.AnswerSlackMs {
-			w.t.Fatalf("request %d of class %d lost: no answer %.0f ms after its deadline", id, r.class, w.now-r.deadline)
+			w.t.Fatalf("request %d of class %d has no answer %.0f ms after its deadline", id, r.class, w.now-r.deadline)
 		}
 		if r.final > 0 && !open && len(r.attempts) > 0 && w.now > r.deadline+100 {
 			delete(w.reqs, id)
@@ -232,7 +232,7 @@
 				r.final = 1
 				w.handle(Event{Kind: EvClientCanceled, Request: w.next})
 			}
-		case 2: // what is unknown or over is ignored
+		case 2: // unknown and finished requests are ignored
 			w.handle(Event{Kind: EvOutcome, Request: 1 << 30, Server: addr(1), Status: OK})
 			w.handle(Event{Kind: EvClientCanceled, Request: 1 << 30})
 			w.handle(Event{Kind: EvTimer, Token: 99})
@@ -244,11 +244,11 @@
 	}
 	for _, s := range w.b.servers {
 		if len(s.inFlight) != 0 {
-			t.Errorf("seed %d: server %v keeps %d attempts", seed, s.addr, len(s.inFlight))
+			t.Errorf("seed %d: server %v still has %d attempts in flight", seed, s.addr, len(s.inFlight))
 		}
 	}
 	if len(w.b.recentUnserved) > maxQueued {
-		t.Errorf("seed %d: %d past requests remembered", seed, len(w.b.recentUnserved))
+		t.Errorf("seed %d: %d unserved requests recorded, more than maxQueued", seed, len(w.b.recentUnserved))
 	}
 	return w.history
 }
--- a/policy/requests_test.go
+++ b/policy/requests_test.go
@@ -8,7 +8,7 @@
 	for range 130 {
 		if a := find(actions, ActReject); a != nil {
 			if a.Request != id {
-				t.Fatalf("refused %d, want %d", a.Request, id)
+				t.Fatalf("rejected request %d, want %d", a.Request, id)
 			}
 			return
 		}
@@ -17,7 +17,7 @@
 	t.Error("a request with an empty list was never answered")
 }
 
-// The client's retry of a hopeless request is judged by the client's time.
+// The target of a client's retry counts from the arrival of its first try.
 func TestClientsRetryKeepsTheFirstArrival(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	id, s := r.mustSend(0, 5)
@@ -27,17 +27,17 @@
 	r.id++
 	r.handle(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: 5, RemainingMs: 600, Retry: true})
 	if q := r.b.requests[r.id]; q == nil || q.targetAt-r.now > 101 {
-		t.Error("a retry was given the full target latency again")
+		t.Error("the retry got a new full target latency")
 	}
 }
 
-// i7e1314: the class of least credit was starved though the worst class counts.
+// i7e1314: the class with the lowest credit was starved although the objective includes the worst class.
 func TestWorstClassCountsAmongQueued(t *testing.T) {
 	set := testSettings()
 	set.Objective = Objective{Overall: 0.5, WorstClass: 0.5}
 	r := newRig(t, set, 2)
 	highCredit, lowCredit := &request{class: 1, targetAt: r.now + 500}, &request{class: 0, targetAt: r.now + 500}
-	for range 500 { // of class 1 all are served, of class 0 none
+	for range 500 { // all requests of class 1 are served, none of class 0
 		r.b.countClass(0)
 		r.b.countClass(1)
 		r.b.classSuccess[1] += 1 - shareDecay
@@ -45,12 +45,12 @@
 	with := r.b.value(lowCredit) / r.b.value(highCredit)
 	r.b.worstClass = 1
 	if without := r.b.value(lowCredit) / r.b.value(highCredit); with <= without {
-		t.Errorf("the starved class weighs %.2f, when served well %.2f", with, without)
+		t.Errorf("relative value of class 0: %.2f when starved, %.2f when served; want more when starved", with, without)
 	}
 }
 
-// i86bcad, i5db14f: each of many agents sent every refused or full request on, and all
-// together kept the servers too full to serve any. What fails leaves less to send.
+// i86bcad, i5db14f: each of many agents retried every rejected request elsewhere, and all together kept the
+// servers too full to serve any. Failures reduce what is sent.
 func TestFailuresUseUpTheRetryBudget(t *testing.T) {
 	for _, st := range []Status{OK, Full} {
 		r := newRig(t, testSettings(), 20)
@@ -68,21 +68,21 @@
 			}
 		}
 		if served := st == OK; served && sends != 200 || !served && (sends > 40 || sends < 5) {
-			t.Errorf("ending %d: 200 requests over 4 s became %d attempts", st, sends)
+			t.Errorf("status %d: 200 requests over 4 s became %d attempts", st, sends)
 		}
 	}
 }
 
-// Clients that leave before their answers are late show nothing of the servers: the retry budget
-// stays open for those that stay. Where they leave because it is late, that counts.
+// Clients that cancel before the target say nothing about the servers: the retry budget stays available to
+// the others. Cancellations after the target use it up.
 func TestClientCancellationsKeepTheRetryBudget(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status Status
-		after  float64 // the share of the target latency that has passed
+		after  float64 // elapsed fraction of the target latency
 		open   bool
 	}{
-		{"never begun", Withdrawn, 0.1, true},
+		{"withdrawn", Withdrawn, 0.1, true},
 		{"cancelled in time", Cancelled, 0.5, true},
 		{"cancelled late", Cancelled, 1.1, false},
 		{"timed out", Timeout, 0.5, false},
@@ -106,19 +106,19 @@
 				r.outcome(s.id, 0, s.to, c.status, 1)
 			}
 			if r.b.withinRetryBudget() != c.open {
-				t.Fatalf("failing %.1f", r.b.retryDebt)
+				t.Fatalf("retry budget: allows an attempt %v, want %v; retry debt %.1f", !c.open, c.open, r.b.retryDebt)
 			}
 		})
 	}
 }
 
-// An agent that may have few requests open refuses what it can't hold at once, the
-// least valuable first, and never what is already out.
+// An agent with a limit on open requests immediately rejects queued requests beyond it, the least valuable
+// first, and never one that has been sent.
 func TestOpenCapRejectsAtOnce(t *testing.T) {
 	s := testSettings()
 	s.Limits.OpenCap = 4
 	r := newRig(t, s, 1)
-	sent, refused := 0, 0
+	sent, rejected := 0, 0
 	for range 10 {
 		_, actions := r.request(0, 0)
 		for _, a := range actions {
@@ -126,13 +126,13 @@
 			case ActSend:
 				sent++
 			case ActReject:
-				refused++
+				rejected++
 			case ActFail:
-				t.Error("failed what never ran")
+				t.Error("failed a request that was not executed")
 			}
 		}
 	}
-	if sent == 0 || sent >= 4 || refused != 6 {
-		t.Errorf("sent %d and refused %d of 10, want some sent and 6 refused", sent, refused)
+	if sent == 0 || sent >= 4 || rejected != 6 {
+		t.Errorf("sent %d and rejected %d of 10, want some sent and 6 rejected", sent, rejected)
 	}
 }
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// rig drives one Balancer by hand.
+// rig drives a single Balancer with a manual clock.
 type rig struct {
 	t   *testing.T
 	b   *Balancer
@@ -69,7 +69,8 @@
 	return nil
 }
 
-// mustSend sends one request and returns the server that it went to. It fails the test if it went to none.
+// mustSend sends one request and returns the server it went to. It fails the test if the request was not
+// sent.
 func (r *rig) mustSend(class int, key uint64) (RequestID, Addr) {
 	r.t.Helper()
 	id, actions := r.request(class, key)
@@ -80,13 +81,13 @@
 	return id, a.Server
 }
 
-// tick fires the running timer after ms.
+// tick advances the clock by ms and fires the tick timer.
 func (r *rig) tick(ms float64) []Action {
 	r.now += ms
 	return r.handle(Event{Kind: EvTimer, Token: tickToken})
 }
 
-// mustSendTo sends a request to the server: all others are taken to be full.
+// mustSendTo sends a request to the given server, with all others made unavailable.
 func (r *rig) mustSendTo(s *server) (RequestID, Addr) {
 	r.t.Helper()
 	r.b.retryDebt = 0
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -20,7 +20,7 @@
 		s := testSettings()
 		invalidate(&s)
 		if _, err := New(s, 1); err == nil || !contains(err.Error(), key) {
-			t.Errorf("spoilt %s: error %v does not name it", key, err)
+			t.Errorf("invalid %s: error %v does not name it", key, err)
 		}
 	}
 }
--- a/policy/singleuse_test.go
+++ b/policy/singleuse_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Responses on connections that are closed right after them prove nothing: a second response that comes
-// late has no one to see it. So a server is not proven when its connections are reused again.
+// Responses on connections that are closed right after them do not count as proof, as a second response
+// that arrives late cannot be observed. So the server still gets the cautious delay when its connections
+// are reused again.
 func TestSingleUseProvesNothing(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	exchange := func() *Action {
@@ -19,7 +20,7 @@
 	r.unsolicited(addr(0))
 	for range provenResponses {
 		if !exchange().SingleUse {
-			t.Fatal("the connection is kept")
+			t.Fatal("want single use of the connection")
 		}
 	}
 	r.now += singleUseMs
--- a/policy/slowstart_budget_test.go
+++ b/policy/slowstart_budget_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// slowStartContracts are contracts with different slow starts.
+// slowStartContracts are contracts with different slow-start parameters.
 var slowStartContracts = []struct {
 	name     string
 	contract Contract
@@ -16,15 +16,16 @@
 	{"long", Contract{SlowStartFrom: 0.34, SlowStartMs: 9000, CrashLoadMultiple: 3, CrashWindowMs: 3000}},
 }
 
-// startServers starts the first n servers. Each agent is notified of each within the given time in ms.
+// startServers starts the first n servers. Each agent is notified of each of them within the given time in
+// ms.
 func startServers(f *slowStartFleet, n int, within float64) {
 	for s := range n {
 		f.startServer(s, within)
 	}
 }
 
-// failBetween starts server 0, and gives attempts at the servers that match a status from one time to
-// another, both in ms from now.
+// failBetween starts server 0, and has attempts to the matching servers end with a status between two
+// times, both in ms from now.
 func failBetween(f *slowStartFleet, from, to float64, status Status, matches func(a Addr) bool) {
 	f.startServer(0, 50)
 	from, to = f.now+from, f.now+to
@@ -76,8 +77,8 @@
 	}},
 }
 
-// What all agents together send a server in slow start stays within what it can bear at any moment,
-// N calls and 2 root N + 2 for chance, also where one free call of each agent would exceed it.
+// All agents together send a server in slow start no more than it can handle at any time: N calls, plus 2
+// root N + 2 for random variation. This holds even when one unbudgeted call per agent would exceed it.
 func TestFleetKeepsSlowStartBudgets(t *testing.T) {
 	for _, c := range slowStartContracts {
 		for _, agents := range []int{5, 20, 30} {
@@ -91,7 +92,7 @@
 	}
 }
 
-// checkSlowStartBudgets runs a scenario with six seeds and checks the worst window of all.
+// checkSlowStartBudgets runs a scenario with six seeds and checks the worst window of all runs.
 func checkSlowStartBudgets(t *testing.T, contract Contract, agents int, begin func(t *testing.T, f *slowStartFleet)) {
 	t.Helper()
 	var worst []float64
@@ -108,13 +109,13 @@
 		worst = append(worst, used)
 	}
 	slices.Sort(worst)
-	t.Logf("parts of the slack used: median %.2f, most %.2f (%s)", worst[len(worst)/2], worst[len(worst)-1], worstWindow)
+	t.Logf("fractions of the slack used: median %.2f, maximum %.2f (%s)", worst[len(worst)/2], worst[len(worst)-1], worstWindow)
 	if worst[len(worst)-1] > 1 {
 		t.Errorf("a server in slow start was overloaded: %s", worstWindow)
 	}
 }
 
-// slowStartSettings returns the settings of the fleet under a contract.
+// slowStartSettings returns the settings of a fleet under the contract.
 func slowStartSettings(contract Contract) Settings {
 	set := testSettings()
 	set.Contract = contract
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// slowStartFleet simulates many agents, each with a Balancer of its own, and servers of which one or
-// more are in slow start. It knows what such a server can do at any moment, which the agents don't,
-// and counts what all of them send it.
+// slowStartFleet simulates many agents, each with its own Balancer, and servers of which one or more are in
+// slow start. Unlike the agents, it knows the capacity of such a server at any time, and counts what all of
+// them send to it.
 type slowStartFleet struct {
 	rng            *rand.Rand
 	set            Settings
@@ -19,32 +19,32 @@
 	started        map[Addr]float64 // when the servers in slow start started
 	queue          eventQueue
 	now            float64
-	sent           map[Addr][]fleetSend             // to servers in slow start
-	serverCapacity float64                          // requests a warm server can serve in a ms
-	status         func(a Addr, now float64) Status // of an attempt that is sent now
+	sent           map[Addr][]fleetSend             // attempts to servers in slow start
+	serverCapacity float64                          // requests per ms that a warm server can serve
+	status         func(a Addr, now float64) Status // status of an attempt sent now
 	nextID         RequestID
 }
 
 // fleetAgent is one agent of the fleet.
 type fleetAgent struct {
 	b        *Balancer
-	rate     float64       // requests a ms
-	notified map[Addr]bool // of the starts
+	rate     float64       // requests per ms
+	notified map[Addr]bool // servers of whose start it was notified
 }
 
-// fleetSend is an attempt at a server in slow start.
+// fleetSend is an attempt sent to a server in slow start.
 type fleetSend struct {
 	at       float64
-	notified bool // its agent knew of the start
+	notified bool // the agent had been notified of the start
 }
 
-// fleetEvent is what happens at a time in ms.
+// fleetEvent is a scheduled function call, at a time in ms.
 type fleetEvent struct {
 	at float64
 	do func()
 }
 
-// eventQueue is a heap of events, the earliest first.
+// eventQueue is a heap of events, earliest first.
 type eventQueue []fleetEvent
 
 func (q eventQueue) Len() int           { return len(q) }
@@ -73,7 +73,7 @@
 	f.now = to
 }
 
-// newSlowStartFleet returns a fleet whose requests take load of what the servers can serve.
+// newSlowStartFleet returns a fleet whose requests use the fraction load of the servers' capacity.
 func newSlowStartFleet(t *testing.T, seed uint64, agents, servers int, load float64, set Settings) *slowStartFleet {
 	t.Helper()
 	f := &slowStartFleet{rng: rand.New(rand.NewPCG(seed, 1)), set: set, servers: servers, now: 1e6,
@@ -93,7 +93,7 @@
 	return f
 }
 
-// restart starts agent i as a new process, which has the current list.
+// restart starts agent i as a new process that has the current list.
 func (f *slowStartFleet) restart(t *testing.T, i int) {
 	set := f.set
 	set.Index = i
@@ -113,7 +113,7 @@
 	f.apply(f.agents[i], b, b.Handle(f.now, &Event{Kind: EvList, List: ListCached, Entries: entries}, nil))
 }
 
-// begin starts server s. Each agent is notified within the given time in ms.
+// startServer starts server s. Each agent is notified within the given time in ms.
 func (f *slowStartFleet) startServer(s int, within float64) {
 	f.started[addr(s)] = f.now
 	e := Entry{Server: addr(s), Health: Ready, Weight: 1, StartedMs: f.now}
@@ -125,7 +125,7 @@
 	}
 }
 
-// request sends one request to the agent and schedules its next one.
+// request sends one request to the agent and schedules the next one.
 func (f *slowStartFleet) request(a *fleetAgent) {
 	f.nextID++
 	// Some keys are far more popular than the rest.
@@ -134,7 +134,7 @@
 	f.after(f.rng.ExpFloat64()/a.rate, func() { f.request(a) })
 }
 
-// act carries out the actions of a process of an agent.
+// apply carries out the actions of one process of an agent.
 func (f *slowStartFleet) apply(a *fleetAgent, b *Balancer, actions []Action) {
 	for _, act := range actions {
 		switch act.Kind {
@@ -148,7 +148,7 @@
 	}
 }
 
-// handle hands an event to a process of an agent, unless the agent has restarted since.
+// handle passes an event to one process of an agent, unless the agent has restarted since.
 func (f *slowStartFleet) handle(a *fleetAgent, b *Balancer, ev Event) {
 	if a.b == b {
 		f.apply(a, b, b.Handle(f.now, &ev, nil))
@@ -175,14 +175,14 @@
 	})
 }
 
-// slowStartFactor returns the part of its capacity that a server has at an age in ms.
+// slowStartFactor returns the fraction of its capacity that a server has at an age in ms.
 func (f *slowStartFleet) slowStartFactor(age float64) float64 {
 	return min(f.set.Contract.SlowStartFrom+(1-f.set.Contract.SlowStartFrom)*age/f.set.Contract.SlowStartMs, 1)
 }
 
-// worst returns how many calls beyond N the servers in slow start got in the worst window, as a part
-// of the slack for chance: above 1 a server is overloaded. A window is not counted if a third of its
-// calls came from agents that were not notified of the start.
+// worstWindow returns how many calls beyond N a server in slow start got in its worst window, as a fraction
+// of the slack for random variation: above 1 the server is overloaded. A window is ignored if a third or
+// more of its calls came from agents that were not notified of the start.
 func (f *slowStartFleet) worstWindow() (worst float64, where string) {
 	c := f.set.Contract
 	for s, sends := range f.sent {
@@ -208,7 +208,7 @@
 	return worst, where
 }
 
-// load multiplies the rate of requests.
+// scaleLoad multiplies the request rate by factor.
 func (f *slowStartFleet) scaleLoad(factor float64) {
 	for _, a := range f.agents {
 		a.rate *= factor
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A cold server gets no more than its slow-start share, even after a time of low load.
+// A cold server gets no more than its slow-start share, even after a period of low load.
 func TestSlowStartBudget(t *testing.T) {
 	r := newRig(t, testSettings(), 5)
 	r.handleList(ListChange, Entry{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now - 10})
@@ -21,8 +21,8 @@
 	}
 }
 
-// i86bcad: attempts that warm servers rejected were counted as what they take, and
-// a storm of them let the agents push cold servers over.
+// i86bcad: attempts rejected by warm servers were counted as work done, and in a retry storm the agents
+// overloaded cold servers.
 func TestRejectedAttemptsRefillNoSlowStartBudget(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	r.handleList(ListChange, Entry{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now})
@@ -37,20 +37,20 @@
 	}
 }
 
-// i299663: 69 requests hinted as ten mean ones pushed a cold server over.
+// i299663: 69 requests hinted at ten times the mean cost overloaded a cold server.
 func TestSlowStartBudgetIsChargedByCost(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	r.b.meanCostHint = 50
 	if c := r.b.cost(&request{costHint: 1}); c != 1 {
-		t.Errorf("a request hinted small costs %.2f mean ones, want 1", c)
+		t.Errorf("a request with a small hint costs %.2f mean requests, want 1", c)
 	}
 	if c := r.b.cost(&request{costHint: 200}); c != 4 {
 		t.Errorf("a request hinted at four times the mean costs %.2f, want 4", c)
 	}
 }
 
-// Many agents with few requests: each refills a cold server's budget by a small part of one request. Together
-// they are to send it what the parts add up to: neither nothing nor one each.
+// Many agents with few requests each refill a cold server's budget by a fraction of one request. Together
+// they send it as many as the fractions add up to: neither none nor one each.
 func TestManyAgentsShareASlowStartBudget(t *testing.T) {
 	got, agents, each := 0, 400, 20
 	for seed := range agents {
@@ -80,8 +80,8 @@
 	}
 }
 
-// Where half of the servers are new, the agents of a large fleet together send a cold one
-// half or more of what it can do in its slow start, of which a warm one answers all, and no more.
+// When half of the servers are new, the agents of a large fleet together send a cold one between half and
+// all of what its slow-start capacity allows, relative to a warm one.
 func TestLargeFleetUsesServersInSlowStart(t *testing.T) {
 	set := largeFleetSettings()
 	set.Replicas, set.Contract.CrashLoadMultiple = 300, 4
@@ -111,11 +111,11 @@
 	}
 	share := sends[1] / sends[0] / (capacity / sends[1])
 	if share < 0.45 || share > 1 {
-		t.Errorf("a cold server got %.2f of its slow-start part of what a warm one got, want half of it to all", share)
+		t.Errorf("a cold server got %.2f of its slow-start share relative to a warm one, want 0.45 to 1", share)
 	}
 }
 
-// i5d0607: a zone was lost and only cold servers were left.
+// i5d0607: a zone failed and only cold servers were left.
 func TestServersInSlowStartServeWhenOthersFailed(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	for range 200 {
@@ -133,22 +133,23 @@
 	}
 }
 
-// i958eff: servers that had been unreachable came back cold, before the list named them. Connects that fail in a
-// row for long tell that, by requests or by probes. One or two don't, nor do more at once: a
-// connect that comes up late is no restart, and each such server stood idle for its slow start.
+// i958eff: servers that had been unreachable came back cold before the list showed the restart. Consecutive
+// connect failures of requests or probes over a long time indicate it. One or two failures, or several at
+// once, don't: a late connect is no restart, and each server wrongly taken for cold stood idle for its slow
+// start.
 func TestReturnFromConnectFailuresStartsSlowStart(t *testing.T) {
-	tip := testSettings().Contract.CrashWindowMs
+	crashWindow := testSettings().Contract.CrashWindowMs
 	for _, c := range []struct {
 		name   string
 		at     []float64 // when connects failed
 		probes bool
 		slow   bool // the server is in slow start afterwards
 	}{
-		{"in a row for long", []float64{0, 600, tip + 200}, false, true},
-		{"probes in a row for long", []float64{0, 600, tip + 200}, true, true},
+		{"consecutive for long", []float64{0, 600, crashWindow + 200}, false, true},
+		{"consecutive probes for long", []float64{0, 600, crashWindow + 200}, true, true},
 		{"one", []float64{0}, false, false},
 		{"one by a probe", []float64{0}, true, false},
-		{"two", []float64{0, tip + 200}, false, false},
+		{"two", []float64{0, crashWindow + 200}, false, false},
 		{"three at once", []float64{0, 10, 20}, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -168,19 +169,19 @@
 				id, s := r.mustSendTo(srv)
 				r.outcome(id, 0, s, ConnectFailed, 100)
 			}
-			r.now = began + tip + 1000
+			r.now = began + crashWindow + 1000
 			id, s := r.mustSendTo(srv)
 			r.now += 20
 			r.outcome(id, 0, s, OK, 20)
 			if factor := r.b.slowStartFactor(srv); (factor < 0.5) != c.slow {
-				t.Errorf("reachable again, with slow-start factor %.2f", factor)
+				t.Errorf("slow-start factor %.2f once reachable again", factor)
 			}
 		})
 	}
 }
 
-// ifa5a01: the fleet doubled, and agents with few requests, each sending to a subset, refilled the
-// new servers' budgets by a share of the full fleet: they idled while the old ones were overloaded.
+// ifa5a01: when the fleet doubled, agents with few requests, each sending to a subset, refilled the new
+// servers' budgets by a share of the full fleet: the new servers idled while the old ones were overloaded.
 func TestSlowStartBudgetCountsTheSubset(t *testing.T) {
 	earned := func(keepalive float64) float64 {
 		set := testSettings()
@@ -193,6 +194,6 @@
 		return added.slowStartBudget
 	}
 	if all, subset := earned(0), earned(10000); subset < 3.5*all || all <= 0 {
-		t.Errorf("credit earned: %.5f sending to 65 servers, %.5f to 16 of them; want four times", all, subset)
+		t.Errorf("budget refilled: %.5f when sending to 65 servers, %.5f to 16 of them; want four times as much", all, subset)
 	}
 }
--- a/policy/unconfirmed_test.go
+++ b/policy/unconfirmed_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Once a part of a list has come, a server that the part doesn't name as ready gets nothing from half
-// the grace on, until a complete list comes. A server that the part names as ready is still sent to, a
-// server that it names as draining is not from then on.
+// Once part of a list has arrived, a server that it does not show as ready gets nothing after half of the
+// drain grace, until a complete list arrives. Servers that the part shows as ready still get requests; a
+// server that it shows as draining gets none from then on.
 func TestUnconfirmedServersGetNoRequests(t *testing.T) {
 	entry := func(i int, h Health) Entry { return Entry{Server: Addr{byte(i)}, Health: h, Weight: 1} }
 	const grace = 500.0
@@ -16,14 +16,14 @@
 		sendsTo []int
 	}{
 		{"before half the grace", nil, nil, grace/2 - 20, []int{1, 2, 3}},
-		{"after it", nil, nil, grace/2 + 20, nil},
-		{"one is confirmed", []Entry{entry(2, Ready)}, nil, grace, []int{2}},
-		{"one drains", []Entry{entry(1, Draining)}, nil, 20, []int{2, 3}},
-		{"a complete list came", nil, func(r *rig) { r.handleList(ListChange) }, grace, []int{1, 2, 3}},
+		{"after half the grace", nil, nil, grace/2 + 20, nil},
+		{"one server is confirmed", []Entry{entry(2, Ready)}, nil, grace, []int{2}},
+		{"one server drains", []Entry{entry(1, Draining)}, nil, 20, []int{2, 3}},
+		{"a complete list arrived", nil, func(r *rig) { r.handleList(ListChange) }, grace, []int{1, 2, 3}},
 		{"a call failed", nil, func(r *rig) { r.handleList(ListFailed) }, grace, nil},
-		{"discovery moved", nil, func(r *rig) { r.handleList(ListSourceChanged) }, grace, nil},
-		{"another part names others", []Entry{entry(2, Ready)}, func(r *rig) { r.handleList(ListPartial, entry(3, Ready)) }, grace, []int{3}},
-		{"nothing came for long", nil, nil, maxUnconfirmed + 20, []int{1, 2, 3}},
+		{"discovery changed", nil, func(r *rig) { r.handleList(ListSourceChanged) }, grace, nil},
+		{"another part shows other servers", []Entry{entry(2, Ready)}, func(r *rig) { r.handleList(ListPartial, entry(3, Ready)) }, grace, []int{3}},
+		{"nothing arrived for long", nil, nil, maxUnconfirmed + 20, []int{1, 2, 3}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
@@ -51,8 +51,8 @@
 	}
 }
 
-// At half the grace what was decided for unconfirmed servers and has not been written is
-// withdrawn, and the full list is fetched where the call that stalls is still open.
+// After half of the drain grace, attempts to unconfirmed servers that have not been written are withdrawn,
+// and the full list is fetched if the stalled call is still open.
 func TestAttemptsAtUnconfirmedServersAreWithdrawn(t *testing.T) {
 	for _, ended := range []bool{false, true} {
 		set := testSettings()
@@ -66,17 +66,17 @@
 		}
 		if ended {
 			if again := find(r.handleList(ListFailed), ActTimer); again == nil || again.Ms > servedWatchBackoff {
-				t.Fatalf("asked again by %+v", again)
+				t.Fatalf("next call: %+v", again)
 			}
 		}
 		r.now += 150
 		actions := r.handle(Event{Kind: EvTimer, Token: confirmationToken})
 		withdrawn := find(actions, ActWithdraw)
 		if withdrawn == nil || withdrawn.Server != b.Server {
-			t.Errorf("withdrew %+v, want from the server that isn't confirmed", withdrawn)
+			t.Errorf("withdrew %+v, want the attempts to the unconfirmed server", withdrawn)
 		}
 		if fetched := find(actions, ActFetchList) != nil; fetched == ended {
-			t.Errorf("ended %v: fetched the full list: %v", ended, fetched)
+			t.Errorf("call ended %v: full list fetched: %v", ended, fetched)
 		}
 	}
 }
