--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -62,7 +62,7 @@
 	return r.executedAt + c.DedupWindowMs - maxWriteDelayMs - 2*b.settings.RoundMs - b.now
 }
 
-// send sends the request to the server. It returns false, and does nothing, where maySend forbids it.
+// send sends the request to the server. If maySend forbids it, send does nothing and returns false.
 func (b *Balancer) send(r *request, s *server) bool {
 	if !b.maySend(r, s) {
 		return false
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -83,7 +83,7 @@
 }
 
 // watchBackoff is the wait in ms before the next call after a failed one. It doubles with each failure up
-// to pollWithin, or longer if many agents share discovery. The jitter is in [0, 1).
+// to pollWithin, or longer if many agents share discovery. The jitter is at least 0 and below 1.
 func (b *Balancer) watchBackoff(pollWithin, jitter float64) float64 {
 	failures := b.watchFailures
 	if b.retriedImmediately { // the immediate retry's failure counts as the first
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -138,7 +138,7 @@
 	var calls [seconds]int
 	for now := 0.0; now < seconds*1000; now += step {
 		calls[int(now/1000)] += f.failCalls(now)
-		if now == 4000 { // a server fails all of them at once
+		if now == 4000 { // one server fails requests of all agents at once
 			if fetches := f.failRequests(now); fetches > 0 {
 				t.Errorf("%d agents fetched the full list after one failure", fetches)
 			}
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -25,7 +25,7 @@
 // healthTiers is the number of tiers of healthTier.
 const healthTiers = 3
 
-// healthTier is the server's tier for the request; lower tiers are preferred.
+// healthTier is the server's tier for the request; tier 0 is preferred.
 func (b *Balancer) healthTier(s *server, r *request) int {
 	switch s.state {
 	case Unhealthy:
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -134,7 +134,7 @@
 		switch {
 		case c.Effect == NonIdempotent:
 			w.t.Fatalf("request %d sent again although it may have been executed", a.Request)
-		case c.Effect == Deduplicated && (a.SendByMs <= 0 || w.now+a.SendByMs-t.sentAt > c.DedupWindowMs-150): // 0.15 s: STANDING
+		case c.Effect == Deduplicated && (a.SendByMs <= 0 || w.now+a.SendByMs-t.sentAt > c.DedupWindowMs-150): // margin of 0.15 s, see STANDING
 			w.t.Fatalf("request %d may arrive %.0f ms after it may have been executed", a.Request, w.now+a.SendByMs-t.sentAt)
 		case c.Effect == Deduplicated && w.now-t.sentAt > c.DedupWindowMs:
 			w.t.Fatalf("request %d sent again %.0f ms after it may have been executed", a.Request, w.now-t.sentAt)
--- a/policy/requests_test.go
+++ b/policy/requests_test.go
@@ -106,7 +106,7 @@
 				r.outcome(s.id, 0, s.to, c.status, 1)
 			}
 			if r.b.withinRetryBudget() != c.open {
-				t.Fatalf("retry budget: allows an attempt %v, want %v; retry debt %.1f", !c.open, c.open, r.b.retryDebt)
+				t.Fatalf("retry budget available or used up contrary to the test case, at a retry debt of %.1f", r.b.retryDebt)
 			}
 		})
 	}
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -58,7 +58,7 @@
 	return x
 }
 
-// after schedules an event in ms from now.
+// after schedules a function call ms from now.
 func (f *slowStartFleet) after(ms float64, do func()) {
 	heap.Push(&f.queue, fleetEvent{f.now + ms, do})
 }
--- a/policy/unconfirmed.go
+++ b/policy/unconfirmed.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// listIncomplete reports whether a partial response has arrived, and no complete one since.
+// listIncomplete reports whether a partial response has arrived and no complete one since, for at most
+// maxUnconfirmed.
 func (b *Balancer) listIncomplete() bool {
 	return b.partialSince > 0 && b.now < b.partialSince+maxUnconfirmed
 }
