--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -2,16 +2,17 @@
 
 import "testing"
 
-// largeFleetSettings are those of a large fleet, whose servers report what they hold when probed.
+// largeFleetSettings returns the settings of a large fleet whose servers report their requests in flight
+// when probed.
 func largeFleetSettings() Settings {
 	set := testSettings()
 	set.Replicas, set.Limits.Probing = 80, true
-	set.Report = Report{How: "on_probe", Names: []string{"util", "inflight"}}
+	set.Report = Report{Mode: "on_probe", Names: []string{"util", "inflight"}}
 	set.Classes[2].Group = GroupAll
 	return set
 }
 
-// serveRequest lets a request come and be answered after rtt, if it is sent.
+// serveRequest handles a request and, if it is sent, its response after rtt.
 func (r *rig) serveRequest(rtt float64) {
 	_, actions := r.request(0, 0)
 	r.now += rtt
@@ -20,8 +21,8 @@
 	}
 }
 
-// Eighty agents that see answers get slow have no more out together than the servers may
-// hold, whatever comes; and more once latency is at the baseline again.
+// Eighty agents that see rising latency have no more attempts in flight together than the servers may have,
+// however many requests arrive; and more once latency is back at the baseline.
 func TestOverloadBoundsAttemptsOfLargeFleet(t *testing.T) {
 	const servers, burst = 60, 20
 	slow, healthy := 0, 0
@@ -37,7 +38,7 @@
 					n++
 				}
 			}
-			r.tick(500) // what was not sent can't be in time any more
+			r.tick(500) // too late for the requests that are still queued
 			return n
 		}
 		for range baselineSamples + 10 {
@@ -53,25 +54,25 @@
 		}
 		healthy += sent()
 	}
-	if most := 2 * maxServerConcurrency * servers; float64(slow) > most || slow < servers {
-		t.Errorf("%d attempts in flight at %d overloaded servers, want %d to %v", slow, servers, servers, most)
+	if maxAttempts := 2 * maxServerConcurrency * servers; float64(slow) > maxAttempts || slow < servers {
+		t.Errorf("%d attempts in flight at %d overloaded servers, want %d to %v", slow, servers, servers, maxAttempts)
 	}
 	if healthy <= slow {
 		t.Errorf("%d attempts in flight at healthy servers, %d at overloaded ones", healthy, slow)
 	}
 }
 
-// respondLate lets a server answer one request late, and returns it.
+// respondLate has a server respond to one request late, and returns the server.
 func (r *rig) respondLate(rtt float64) *server {
 	r.t.Helper()
-	id, s := r.sent(0, 7)
+	id, s := r.mustSend(0, 7)
 	r.now += rtt
 	r.outcome(id, 0, s, OK, rtt)
 	return r.b.serversByAddr[s]
 }
 
-// An agent that meets a server once in a few seconds looks how it is after one answer
-// that took half the target, and sends it nothing while it reports too much in flight.
+// An agent that sends to a server every few seconds probes it after a single response that took half the
+// target, and sends it nothing while it reports too many requests in flight.
 func TestLateResponseStartsValidation(t *testing.T) {
 	for _, c := range []struct {
 		inflight float32
@@ -81,10 +82,10 @@
 		srv := r.respondLate(200)
 		_, actions := r.request(0, 7)
 		if a := find(actions, ActProbe); a == nil || a.Server != srv.addr {
-			t.Fatalf("the server was not validated: %+v", actions)
+			t.Fatalf("the server was not probed: %+v", actions)
 		}
 		if a := find(actions, ActSend); a == nil || a.Server == srv.addr {
-			t.Fatalf("the request waited for the probe or went to the server in doubt: %+v", actions)
+			t.Fatalf("the request waited for the probe or went to the pending server: %+v", actions)
 		}
 		r.now += 2
 		r.handle(Event{Kind: EvProbeResult, Server: srv.addr, Status: OK, Report: []float32{1, c.inflight}})
@@ -94,46 +95,46 @@
 	}
 }
 
-// The same where no answer comes: the request does not have to end first.
+// A missing response has the same effect, before the request times out.
 func TestMissingResponseStartsValidation(t *testing.T) {
 	r := newRig(t, largeFleetSettings(), 4)
-	_, s := r.sent(0, 7)
+	_, s := r.mustSend(0, 7)
 	r.tick(160)
 	if _, actions := r.request(0, 8); find(actions, ActProbe) == nil || find(actions, ActProbe).Server != s {
-		t.Errorf("half a target latency without a response and no probe: %+v", actions)
+		t.Errorf("no probe after half a target latency without a response: %+v", actions)
 	}
 }
 
-// Attempts that wait at a server found overloaded are cancelled and retried elsewhere, but
-// those that must not run twice.
+// Attempts in flight to a server found overloaded are cancelled and retried elsewhere, except
+// non-idempotent ones.
 func TestOverloadedServersAttemptsAreCancelled(t *testing.T) {
-	for class, back := range []bool{true, false, true} {
+	for class, retried := range []bool{true, false, true} {
 		r := newRig(t, largeFleetSettings(), 4)
-		id, s := r.sent(class, 7)
+		id, s := r.mustSend(class, 7)
 		r.tick(160)
 		r.request(0, 8)
 		actions := r.handle(Event{Kind: EvProbeResult, Server: s, Status: OK, Report: []float32{1, 12}})
 		a := find(actions, ActCancel)
-		if back != (a != nil && a.Request == id) {
-			t.Fatalf("class %d: cancelled: %v, want %v: %+v", class, a != nil, back, actions)
+		if retried != (a != nil && a.Request == id) {
+			t.Fatalf("class %d: cancelled: %v, want %v: %+v", class, a != nil, retried, actions)
 		}
-		if !back {
+		if !retried {
 			continue
 		}
 		actions = r.outcome(id, 0, s, Cancelled, 160)
 		if a := find(actions, ActSend); a == nil || a.Request != id || a.Server == s {
-			t.Errorf("class %d: did not go elsewhere: %+v", class, actions)
+			t.Errorf("class %d: not retried on another server: %+v", class, actions)
 		}
 	}
 }
 
-// A server found overloaded rests until it can have recovered, however often requests come.
+// A server found overloaded gets nothing until it can have recovered, however many requests arrive.
 func TestOverloadedServerGetsNothingWhileItRests(t *testing.T) {
 	r := newRig(t, largeFleetSettings(), 4)
 	srv := r.respondLate(200)
 	r.request(0, 8)
 	r.handle(Event{Kind: EvProbeResult, Server: srv.addr, Status: OK, Report: []float32{1, 12}})
-	looked := func(until float64) bool {
+	contacted := func(until float64) bool {
 		for ; r.now < until; r.now += 50 {
 			id, actions := r.request(0, 0)
 			for _, a := range actions {
@@ -147,16 +148,16 @@
 		}
 		return false
 	}
-	if from := r.now; looked(from + 7*r.b.minTarget) {
-		t.Errorf("did not rest for 7 target latencies: sent to again after %v ms", r.now-from)
+	if from := r.now; contacted(from + 7*r.b.minTarget) {
+		t.Errorf("contacted again within 7 target latencies, after %v ms", r.now-from)
 	}
-	if from := r.now; !looked(from + 10*r.b.minTarget) {
-		t.Error("not validated again after 17 target latencies")
+	if from := r.now; !contacted(from + 10*r.b.minTarget) {
+		t.Error("not contacted again within 17 target latencies")
 	}
 }
 
-// An overloaded server stays slow until it has been idle. What reports to hold a few
-// requests still, after its rest, is left again; what reports hardly any is sent to.
+// An overloaded server stays slow until it has been idle. If it still reports a few requests in flight
+// after its ejection it is ejected again; if it reports hardly any it gets requests.
 func TestOverloadedServerIsEjectedUntilItIsIdle(t *testing.T) {
 	r := newRig(t, largeFleetSettings(), 4)
 	srv := r.respondLate(200)
@@ -166,7 +167,7 @@
 			if id, actions := r.request(0, 8); find(actions, ActSend) != nil {
 				s := find(actions, ActSend).Server
 				if s == srv.addr {
-					t.Fatal("sent to the overloaded server")
+					t.Fatal("a request was sent to the overloaded server")
 				}
 				r.outcome(id, 0, s, OK, 20)
 			}
@@ -176,13 +177,13 @@
 	report(12)
 	report(maxServerConcurrency - 1)
 	if srv.state != Unhealthy {
-		t.Errorf("state %d with %v in flight after the rest, want %d", srv.state, maxServerConcurrency-1, Unhealthy)
+		t.Errorf("state %d with %v in flight after the ejection, want %d", srv.state, maxServerConcurrency-1, Unhealthy)
 	}
 	report(1)
 	if srv.state != Connected {
 		t.Errorf("state %d once idle, want %d", srv.state, Connected)
 	}
-	srv = r.respondLate(200) // a healthy one may hold a few
+	srv = r.respondLate(200) // a healthy server may have a few in flight
 	report(maxServerConcurrency - 1)
 	if srv.state != Connected {
 		t.Errorf("state %d of a server with %v in flight, want %d", srv.state, maxServerConcurrency-1, Connected)
