--- a/internal/catalog/entry.go
+++ b/internal/catalog/entry.go
@@ -57,7 +57,7 @@
 	return InstanceRef{Name: e.Endpoint.Name, StartedMs: e.Endpoint.StartedMs}
 }
 
-// isInstance reports whether ref is the entry's current instance, and that is not removed.
-func (e *Entry) isInstance(ref InstanceRef) bool {
+// isCurrentInstance reports whether ref is the entry's current instance, and that is not removed.
+func (e *Entry) isCurrentInstance(ref InstanceRef) bool {
 	return e != nil && !e.Removed && e.Endpoint.StartedMs == ref.StartedMs
 }
--- a/internal/catalog/helpers_test.go
+++ b/internal/catalog/helpers_test.go
@@ -15,8 +15,8 @@
 	return &endpoints.Endpoint{Name: name, Dial: "127.0.0.1:80", Site: "a", Class: "k", Health: endpoints.Ready, Weight: 1, StartedMs: startedMs}
 }
 
-// endpointOf returns the registration of a server in a service.
-func endpointOf(name string, startedMs float64, service string) *endpoints.Endpoint {
+// endpointInService returns the registration of a server in a service.
+func endpointInService(name string, startedMs float64, service string) *endpoints.Endpoint {
 	e := endpoint(name, startedMs)
 	e.Service = service
 	return e
--- a/internal/catalog/leasedtask_test.go
+++ b/internal/catalog/leasedtask_test.go
@@ -231,10 +231,10 @@
 	}
 }
 
-// TestTasksThatEndTheirHoldersAreSuspended holds that a task that fails is granted again only after a
+// TestCrashingTasksAreSuspended holds that a task that fails is granted again only after a
 // backoff, longer each time, and that a task is suspended if its holders die soon after the grant. A
 // task that the same processes held before is not.
-func TestTasksThatEndTheirHoldersAreSuspended(t *testing.T) {
+func TestCrashingTasksAreSuspended(t *testing.T) {
 	s := New()
 	apply(s, 0, Command{Kind: OpenSession, Session: &Session{Process: "p", ID: "i", MaxTasks: 9}})
 	apply(s, 0, Command{Kind: DefineTask, LeasedTask: &LeasedTask{Name: "f", TTL: time.Second}})
@@ -300,8 +300,8 @@
 	apply(s, 0, Command{Kind: CloseSession, Session: &Session{Process: "p", ID: "i"}})
 	leases, now := NewTaskLeases(0), time.Duration(0)
 	leases.Essential = map[string]bool{"sweep": true, "old": true, "operator": true, "undefined": true}
-	for life := range 2 * suspendAfterDeaths { // each process dies as soon as it holds the tasks
-		apply(s, now, Command{Kind: OpenSession, Session: &Session{Process: "q", ID: fmt.Sprint("q-", life), MaxTasks: 9}})
+	for incarnation := range 2 * suspendAfterDeaths { // each process dies as soon as it holds the tasks
+		apply(s, now, Command{Kind: OpenSession, Session: &Session{Process: "q", ID: fmt.Sprint("q-", incarnation), MaxTasks: 9}})
 		for range 60 {
 			now += 100 * time.Millisecond
 			for _, c := range leases.Decide(s, now) {
--- a/internal/catalog/massfailure.go
+++ b/internal/catalog/massfailure.go
@@ -5,10 +5,10 @@
 // When many servers stop renewing at once, the leader or the network is more likely at fault
 // than the servers. RegistrationLeases then quarantines the servers: they stay listed.
 
-// MinGuardedService is the number of listed servers from which on LeaseConfig's share applies to a
+// MinServiceSizeForQuarantine is the number of listed servers from which on LeaseConfig's share applies to a
 // service by itself. For a smaller service only the fleet's share counts, so that its last server
 // can expire.
-const MinGuardedService = 5
+const MinServiceSizeForQuarantine = 5
 
 // expiryWindow holds the times of the expiries within LeaseConfig.MassFailureWindow, in order.
 type expiryWindow struct {
@@ -77,7 +77,7 @@
 		if window := l.expiriesByService[service]; window != nil {
 			listed, expiries = max(listed, window.listedAtStart), len(window.expiredAt)
 		}
-		if listed < MinGuardedService {
+		if listed < MinServiceSizeForQuarantine {
 			continue
 		}
 		allowed := l.config.maxExpiries(listed)
--- a/internal/catalog/placement.go
+++ b/internal/catalog/placement.go
@@ -49,7 +49,7 @@
 		if len(grants) == maxTermsPerCommand {
 			break
 		}
-		if session := p.best(task); session != nil {
+		if session := p.bestCandidate(task); session != nil {
 			p.load[session.Process]++
 			grants = append(grants, TermRef{Name: name, Process: session.Process, Session: session.ID})
 		}
@@ -68,7 +68,7 @@
 		if holder := p.state.Sessions[task.Holder]; holder == nil || !holder.Draining || !task.isTransferable() {
 			continue
 		}
-		if session := p.best(task); session != nil {
+		if session := p.bestCandidate(task); session != nil {
 			p.load[session.Process]++
 			transfers = append(transfers, TermRef{Name: name, Process: session.Process})
 		}
@@ -106,9 +106,9 @@
 	return task.Holder != "" && task.Successor == "" && !task.StopRequested && task.SuspendReason == ""
 }
 
-// best returns the candidate other than the task's holder that should have the task, or nil if
+// bestCandidate returns the candidate other than the task's holder that should have the task, or nil if
 // none can take it: the one with the lowest penalty, and of those the least loaded.
-func (p *placement) best(task *LeasedTask) *Session {
+func (p *placement) bestCandidate(task *LeasedTask) *Session {
 	var best *Session
 	for _, session := range p.candidates {
 		if session.Process == task.Holder || !p.hasCapacity(session) || !session.CanRun(task.Name) {
@@ -161,9 +161,9 @@
 // isImbalanced reports whether the holder runs many more tasks than the target, whose number is
 // scaled to the holder's MaxTasks.
 func (p *placement) isImbalanced(holder, target *Session) bool {
-	high := p.load[holder.Process]
-	low := p.load[target.Process] * holder.MaxTasks / target.MaxTasks
-	return high-low > minImbalance+high/imbalanceDivisor
+	holderLoad := p.load[holder.Process]
+	scaledTargetLoad := p.load[target.Process] * holder.MaxTasks / target.MaxTasks
+	return holderLoad-scaledTargetLoad > minImbalance+holderLoad/imbalanceDivisor
 }
 
 // hasCapacity reports whether a process may run another task.
--- a/internal/catalog/registration.go
+++ b/internal/catalog/registration.go
@@ -91,7 +91,7 @@
 	applied := 0
 	for _, ref := range c.Refs {
 		entry := s.Entries[ref.Name]
-		if !entry.isInstance(ref) {
+		if !entry.isCurrentInstance(ref) {
 			continue
 		}
 		applied++
--- a/internal/catalog/registrationleases.go
+++ b/internal/catalog/registrationleases.go
@@ -12,7 +12,7 @@
 	// MassFailureShare is the share of the listed servers, 0 to 1, that may expire within
 	// MassFailureWindow. If more would, they are quarantined until they renew or an operator
 	// confirms their removal. The same share holds within each service of at least
-	// MinGuardedService servers.
+	// MinServiceSizeForQuarantine servers.
 	MassFailureShare  float64
 	MassFailureWindow time.Duration
 }
@@ -102,7 +102,7 @@
 	switch {
 	case entry != nil && entry.Endpoint.StartedMs > ref.StartedMs:
 		return Superseded
-	case !entry.isInstance(ref):
+	case !entry.isCurrentInstance(ref):
 		return Unknown
 	}
 	l.renew(entry, now)
@@ -135,7 +135,7 @@
 // leases are late or have expired: at most maxSuspects, in the order in which their leases expire.
 // If there are more, each call returns the next part of them.
 func (l *RegistrationLeases) Suspected(s *State, now time.Duration) []InstanceRef {
-	if l.nothingDue(s, now) {
+	if l.canSkipScan(s, now) {
 		return nil
 	}
 	type suspect struct {
@@ -165,10 +165,10 @@
 	return refs
 }
 
-// nothingDue reports, without looking at each server, that a decision would find nothing: the
+// canSkipScan reports, without looking at each server, that a decision would find nothing: the
 // state is the one of the last decision, no entry is quarantined, and no lease can have become
 // late, since renewals only put that off.
-func (l *RegistrationLeases) nothingDue(s *State, now time.Duration) bool {
+func (l *RegistrationLeases) canSkipScan(s *State, now time.Duration) bool {
 	return l.scannedState == s && l.scannedCommands == s.appliedCommands && s.quarantinedCount == 0 && now <= l.nextDue
 }
 
@@ -177,7 +177,7 @@
 // whose damping is over. A server expires only if its lease has expired or is late and decide
 // returns Failed; one whose lease is late stays if its service is in a mass failure.
 func (l *RegistrationLeases) Decide(s *State, now time.Duration, decide ExpiryDecider) Decision {
-	if l.nothingDue(s, now) {
+	if l.canSkipScan(s, now) {
 		return Decision{}
 	}
 	scan := l.scan(s, now, decide)
--- a/internal/catalog/registrationleases_test.go
+++ b/internal/catalog/registrationleases_test.go
@@ -12,24 +12,24 @@
 
 // simulateFleet runs a fleet of 30 servers of which some fall silent at once. It returns how
 // many are listed after the ticks, of 500 ms each, the state, and the leases.
-func simulateFleet(silent func(i int) bool, ticks int) (left int, s *State, l *RegistrationLeases) {
-	return simulateServices(func(int) string { return "" }, silent, ticks)
+func simulateFleet(failed func(i int) bool, ticks int) (remaining int, s *State, l *RegistrationLeases) {
+	return simulateServices(func(int) string { return "" }, failed, ticks)
 }
 
 // simulateServices is simulateFleet with a service for each server.
-func simulateServices(service func(i int) string, silent func(i int) bool, ticks int) (left int, s *State, l *RegistrationLeases) {
+func simulateServices(service func(i int) string, failed func(i int) bool, ticks int) (remaining int, s *State, l *RegistrationLeases) {
 	const n = 30
 	s = New()
 	c := LeaseConfig{TTL: 6 * time.Second, MassFailureShare: 0.4, MassFailureWindow: 10 * time.Second}
 	for i := range n {
-		apply(s, 0, Command{Kind: Register, Endpoint: endpointOf(fmt.Sprintf("s-%02d", i), 1, service(i))})
+		apply(s, 0, Command{Kind: Register, Endpoint: endpointInService(fmt.Sprintf("s-%02d", i), 1, service(i))})
 	}
 	l = NewRegistrationLeases(c, s, 0)
 	for tick := range ticks {
 		now := time.Duration(tick) * 500 * time.Millisecond
 		for i := range n {
 			// Each renews every 2 s, at its own time; the silent ones until 10 s.
-			if (tick+i)%4 == 0 && (!silent(i) || now < 10*time.Second) {
+			if (tick+i)%4 == 0 && (!failed(i) || now < 10*time.Second) {
 				l.Renew(s, InstanceRef{fmt.Sprintf("s-%02d", i), 1}, now)
 			}
 		}
@@ -62,12 +62,12 @@
 }
 
 func testMassFailure(t *testing.T, service func(i int) string) {
-	if left, s, _ := simulateServices(service, func(i int) bool { return i%3 == 0 }, 60); left != 20 || s.QuarantinedSince != 0 {
-		t.Errorf("a zone of three lost: %d of 30 listed, quarantined since %v", left, s.QuarantinedSince)
+	if remaining, s, _ := simulateServices(service, func(i int) bool { return i%3 == 0 }, 60); remaining != 20 || s.QuarantinedSince != 0 {
+		t.Errorf("a zone of three lost: %d of 30 listed, quarantined since %v", remaining, s.QuarantinedSince)
 	}
-	left, s, l := simulateServices(service, func(i int) bool { return i%10 != 0 }, 60)
-	if left != 30 || s.QuarantinedSince == 0 {
-		t.Fatalf("nine in ten silent: %d of 30 listed, quarantined since %v", left, s.QuarantinedSince)
+	remaining, s, l := simulateServices(service, func(i int) bool { return i%10 != 0 }, 60)
+	if remaining != 30 || s.QuarantinedSince == 0 {
+		t.Fatalf("nine in ten silent: %d of 30 listed, quarantined since %v", remaining, s.QuarantinedSince)
 	}
 	snapshot, _ := s.Encode()
 	confirmed, err := Decode(snapshot)
@@ -110,7 +110,7 @@
 	const ttl = 6 * time.Second
 	for _, c := range []struct {
 		name                string
-		silence             time.Duration
+		sinceRenewal        time.Duration
 		evidence            FailureEvidence
 		expires             bool
 		retained, undecided int
@@ -118,26 +118,26 @@
 		{"not late", ttl / 2, Failed, false, 0, 0},
 		{"late and failed", ttl/2 + 1, Failed, true, 0, 0},
 		{"late and alive", ttl/2 + 1, Alive, false, 0, 0},
-		{"late and unknown", ttl - 1, Inconclusive, false, 0, 0},
-		{"over and failed", ttl, Failed, true, 0, 0},
-		{"over and alive", ttl, Alive, false, 1, 0},
-		{"over and unknown", ttl, Inconclusive, false, 0, 1},
+		{"late and inconclusive", ttl - 1, Inconclusive, false, 0, 0},
+		{"expired and failed", ttl, Failed, true, 0, 0},
+		{"expired and alive", ttl, Alive, false, 1, 0},
+		{"expired and inconclusive", ttl, Inconclusive, false, 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, l := serviceFleet(map[string]int{"a": 10})
-			silent := InstanceRef{"a-3", 1}
+			lateServer := InstanceRef{"a-3", 1}
 			for name := range s.Entries {
-				if name != silent.Name {
-					l.Renew(s, InstanceRef{name, 1}, c.silence)
+				if name != lateServer.Name {
+					l.Renew(s, InstanceRef{name, 1}, c.sinceRenewal)
 				}
 			}
-			d := l.Decide(s, c.silence, func(ref InstanceRef, expired bool) FailureEvidence {
-				if ref != silent || expired != (c.silence >= ttl) {
+			d := l.Decide(s, c.sinceRenewal, func(ref InstanceRef, expired bool) FailureEvidence {
+				if ref != lateServer || expired != (c.sinceRenewal >= ttl) {
 					t.Errorf("asked about %v, expired %v", ref, expired)
 				}
 				return c.evidence
 			})
-			if expires := reflect.DeepEqual(d, Decision{Expire: []InstanceRef{silent}}); expires != c.expires || !expires && !d.Empty() {
+			if expires := reflect.DeepEqual(d, Decision{Expire: []InstanceRef{lateServer}}); expires != c.expires || !expires && !d.Empty() {
 				t.Errorf("decided: %+v, want expiry %v", d, c.expires)
 			}
 			if l.Retained != c.retained || l.Undecided != c.undecided {
@@ -152,18 +152,18 @@
 	s := New()
 	for service, size := range sizes {
 		for i := range size {
-			apply(s, 0, Command{Kind: Register, Endpoint: endpointOf(fmt.Sprintf("%s-%d", service, i), 1, service)})
+			apply(s, 0, Command{Kind: Register, Endpoint: endpointInService(fmt.Sprintf("%s-%d", service, i), 1, service)})
 		}
 	}
 	return s, NewRegistrationLeases(LeaseConfig{TTL: 6 * time.Second, MassFailureShare: 0.4, MassFailureWindow: 10 * time.Second}, s, 0)
 }
 
 // runLeases renews all servers but the silent ones every 2 s, and applies all decisions.
-func runLeases(s *State, l *RegistrationLeases, from, to time.Duration, silent func(name string) bool) {
+func runLeases(s *State, l *RegistrationLeases, from, to time.Duration, failed func(name string) bool) {
 	for now := from; now < to; now += 500 * time.Millisecond {
 		if now%(2*time.Second) == 0 {
 			for name, e := range s.Entries {
-				if !e.Removed && !silent(name) {
+				if !e.Removed && !failed(name) {
 					l.Renew(s, InstanceRef{name, e.Endpoint.StartedMs}, now)
 				}
 			}
@@ -177,10 +177,10 @@
 // small services, still expire.
 func TestQuarantineByService(t *testing.T) {
 	s, l := serviceFleet(map[string]int{"a": 20, "b": 60, "c": 4, "one": 1})
-	silent := func(name string) bool {
+	failed := func(name string) bool {
 		return strings.HasPrefix(name, "a-") && name != "a-0" || name == "b-1" || strings.HasPrefix(name, "c-") || name == "one-0"
 	}
-	runLeases(s, l, 0, 30*time.Second, silent)
+	runLeases(s, l, 0, 30*time.Second, failed)
 	if got := s.ServiceSizes(); got["a"] != 20 || got["b"] != 59 || got["c"] != 0 || got["one"] != 0 {
 		t.Fatalf("listed by service: %v", got)
 	}
@@ -188,7 +188,7 @@
 		t.Errorf("quarantined since %v: %+v", s.QuarantinedSince, s.Entries["a-1"])
 	}
 	// While the service is quarantined, servers of the others expire.
-	runLeases(s, l, 30*time.Second, 60*time.Second, func(name string) bool { return silent(name) || name == "b-2" })
+	runLeases(s, l, 30*time.Second, 60*time.Second, func(name string) bool { return failed(name) || name == "b-2" })
 	if got := s.ServiceSizes(); got["a"] != 20 || got["b"] != 58 {
 		t.Errorf("while one service is quarantined, listed by service: %v", got)
 	}
@@ -223,8 +223,8 @@
 			return false
 		})
 	}
-	if left := s.ServiceSize("a"); left < 6 || s.QuarantinedSince == 0 {
-		t.Errorf("%d of 10 servers listed within a window, quarantined since %v", left, s.QuarantinedSince)
+	if remaining := s.ServiceSize("a"); remaining < 6 || s.QuarantinedSince == 0 {
+		t.Errorf("%d of 10 servers listed within a window, quarantined since %v", remaining, s.QuarantinedSince)
 	}
 }
 
@@ -249,7 +249,7 @@
 					t.Fatalf("renewal: %q, %q", a, b)
 				}
 			}
-			if skips.nothingDue(s, now) {
+			if skips.canSkipScan(s, now) {
 				skipped++
 			}
 			scans.scannedState = nil
@@ -274,7 +274,7 @@
 				l.Renew(s, InstanceRef{name, 1}, now)
 			}
 		}
-		if !l.nothingDue(s, now) {
+		if !l.canSkipScan(s, now) {
 			scanned++
 		}
 		if d := l.Decide(s, now, ExpireByLeaseOnly); !d.Empty() {
@@ -296,7 +296,7 @@
 		if i >= 5000 {
 			service = fmt.Sprint("service-", 1+i%1899)
 		}
-		if r := apply(s, 0, Command{Kind: Register, Endpoint: endpointOf(fmt.Sprintf("server-%05d", i), 1, service)}); r.Code != Done {
+		if r := apply(s, 0, Command{Kind: Register, Endpoint: endpointInService(fmt.Sprintf("server-%05d", i), 1, service)}); r.Code != Done {
 			tb.Fatalf("server %d: %+v", i, r)
 		}
 	}
@@ -313,7 +313,7 @@
 	}
 	since := s.Seq
 	for i := range region {
-		if r := apply(s, time.Second, Command{Kind: Register, Endpoint: endpointOf(fmt.Sprint("next-", i), 2, "service-0")}); r.Code != Done {
+		if r := apply(s, time.Second, Command{Kind: Register, Endpoint: endpointInService(fmt.Sprint("next-", i), 2, "service-0")}); r.Code != Done {
 			t.Fatalf("replacement %d: %+v", i, r)
 		}
 	}
@@ -337,21 +337,21 @@
 // BenchmarkLargestFleet measures single operations with the largest fleet.
 func BenchmarkLargestFleet(b *testing.B) {
 	s, l := largestFleet(b)
-	twenty := make([]string, 20)
-	for i := range twenty {
-		twenty[i] = fmt.Sprint("service-", i+1)
+	twentyServices := make([]string, 20)
+	for i := range twentyServices {
+		twentyServices[i] = fmt.Sprint("service-", i+1)
 	}
-	steps := []struct {
+	operations := []struct {
 		name string
-		step func()
+		run  func()
 	}{
-		{"WholeList", func() { s.FullList() }},
-		{"WholeOf20Services", func() { s.FullServiceList(twenty) }},
-		{"ChangeOf20Services", func() { s.ServiceListSince(twenty, s.Seq-10) }},
+		{"FullList", func() { s.FullList() }},
+		{"FullListOf20Services", func() { s.FullServiceList(twentyServices) }},
+		{"ChangesOf20Services", func() { s.ServiceListSince(twentyServices, s.Seq-10) }},
 		{"ChangedServices", func() { s.ChangedServices(s.Seq - 10) }},
 		{"Decide", func() { l.scannedState = nil; l.Decide(s, time.Second, ExpireByLeaseOnly) }},
-		{"DecideQuiet", func() { l.Decide(s, time.Second, ExpireByLeaseOnly) }},
-		{"Doubtful", func() { l.scannedState = nil; l.Suspected(s, time.Second) }},
+		{"DecideWithoutScan", func() { l.Decide(s, time.Second, ExpireByLeaseOnly) }},
+		{"Suspected", func() { l.scannedState = nil; l.Suspected(s, time.Second) }},
 		{"Names", func() { s.EntryNames() }},
 		{"Encode", func() { _, _ = s.Encode() }},
 		{"RegisterAgain", func() {
@@ -360,17 +360,17 @@
 			s.Clock += time.Hour
 			apply(s, s.Clock, Command{Kind: Register, Endpoint: &h})
 		}},
-		{"SetWhileHeld", func() {
+		{"RecoverWhileQuarantined", func() {
 			if s.QuarantinedSince == 0 {
 				apply(s, s.Clock, Command{Kind: Quarantine, Refs: refs("server-00001", 1)})
 			}
 			apply(s, s.Clock, Command{Kind: Recover, Refs: refs("server-00002", 1)})
 		}},
 	}
-	for _, st := range steps {
-		b.Run(st.name, func(b *testing.B) {
+	for _, operation := range operations {
+		b.Run(operation.name, func(b *testing.B) {
 			for b.Loop() {
-				st.step()
+				operation.run()
 			}
 		})
 	}
--- a/internal/catalog/services_test.go
+++ b/internal/catalog/services_test.go
@@ -171,14 +171,14 @@
 // listDifference returns how the encoded full list or the encoded changes since a revision differ
 // between two states, or "" if both are the same byte for byte.
 func listDifference(got, want *State, since int64) string {
-	for what, read := range map[string]func(*State) endpoints.List{
+	for listKind, read := range map[string]func(*State) endpoints.List{
 		"full list": (*State).FullList,
 		"changes":   func(s *State) endpoints.List { return s.ListSince(since) },
 	} {
 		wanted, _ := json.Marshal(read(want))
 		found, _ := json.Marshal(read(got))
 		if !bytes.Equal(found, wanted) {
-			return fmt.Sprintf("%s: %s, want %s", what, found, wanted)
+			return fmt.Sprintf("%s: %s, want %s", listKind, found, wanted)
 		}
 	}
 	return ""
@@ -213,10 +213,10 @@
 // another service churns.
 func TestChurnOfOtherServices(t *testing.T) {
 	s := New()
-	apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("quiet", 1, "small")})
+	apply(s, 0, Command{Kind: Register, Endpoint: endpointInService("quiet", 1, "small")})
 	since := s.Seq
 	weight := 0.5
-	apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("busy", 1, "large")})
+	apply(s, 0, Command{Kind: Register, Endpoint: endpointInService("busy", 1, "large")})
 	for range 2 * MaxHistory {
 		apply(s, 0, Command{Kind: SetOverride, Name: "busy", Weight: &weight})
 	}
@@ -237,18 +237,18 @@
 	s := New()
 	const names = 100
 	for i := range names {
-		apply(s, 0, Command{Kind: Register, Endpoint: endpointOf(fmt.Sprint("s-", i), 1, "from")})
+		apply(s, 0, Command{Kind: Register, Endpoint: endpointInService(fmt.Sprint("s-", i), 1, "from")})
 	}
-	apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("stays", 1, "from")})
+	apply(s, 0, Command{Kind: Register, Endpoint: endpointInService("stays", 1, "from")})
 	since := s.Seq
 	for i := range names {
-		apply(s, 0, Command{Kind: Register, Endpoint: endpointOf(fmt.Sprint("s-", i), 1, "to")})
+		apply(s, 0, Command{Kind: Register, Endpoint: endpointInService(fmt.Sprint("s-", i), 1, "to")})
 	}
 	if l := s.ServiceListSince([]string{"from"}, since); l.Full || len(l.Endpoints) != names {
 		t.Fatalf("%d entries, full %v, want %d that are removed", len(l.Endpoints), l.Full, names)
 	}
 	for i := range MaxDepartures {
-		apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("s-0", 1, fmt.Sprint("other-", i%2))})
+		apply(s, 0, Command{Kind: Register, Endpoint: endpointInService("s-0", 1, fmt.Sprint("other-", i%2))})
 	}
 	if len(s.ServiceHistory.Departures) != MaxDepartures {
 		t.Errorf("%d departures", len(s.ServiceHistory.Departures))
@@ -272,11 +272,11 @@
 // are not sent.
 func TestLongChangesBecomeFullLists(t *testing.T) {
 	s := New()
-	apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("stays", 1, "a")})
+	apply(s, 0, Command{Kind: Register, Endpoint: endpointInService("stays", 1, "a")})
 	since := s.Seq
 	for i := range 2 * MaxServiceChanges {
 		name := fmt.Sprint("s-", i)
-		apply(s, 0, Command{Kind: Register, Endpoint: endpointOf(name, 1, "a")})
+		apply(s, 0, Command{Kind: Register, Endpoint: endpointInService(name, 1, "a")})
 		apply(s, 0, Command{Kind: Deregister, Refs: refs(name, 1)})
 	}
 	if l := s.ServiceListSince([]string{"a"}, since); !l.Full || len(l.Endpoints) != 1 {
@@ -288,9 +288,9 @@
 // have theirs from a lost state, get the full list.
 func TestRaisedRevisionGivesFullList(t *testing.T) {
 	s := New()
-	apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("s", 1, "a")})
-	apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("moves", 1, "a")})
-	apply(s, 0, Command{Kind: Register, Endpoint: endpointOf("moves", 1, "b")})
+	apply(s, 0, Command{Kind: Register, Endpoint: endpointInService("s", 1, "a")})
+	apply(s, 0, Command{Kind: Register, Endpoint: endpointInService("moves", 1, "a")})
+	apply(s, 0, Command{Kind: Register, Endpoint: endpointInService("moves", 1, "b")})
 	since := s.Seq
 	apply(s, 0, Command{Kind: RaiseRevision, Seq: 1000})
 	for _, from := range []int64{since, 999} {
@@ -329,7 +329,7 @@
 	if l := s.ListSince(106); l.Full || len(l.Endpoints) != 1 {
 		t.Errorf("readers of no service: %+v", l)
 	}
-	apply(s, s.Clock, Command{Kind: Register, Endpoint: endpointOf("s", 10, "a")})
+	apply(s, s.Clock, Command{Kind: Register, Endpoint: endpointInService("s", 10, "a")})
 	if l := s.ServiceListSince([]string{"", "a"}, 107); l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("after it: %+v", l)
 	}
@@ -353,7 +353,7 @@
 // was before endpoints had a service.
 func TestServiceStaysOutOfFullList(t *testing.T) {
 	plain, named := New(), New()
-	with := endpointOf("s", 10, "billing")
+	with := endpointInService("s", 10, "billing")
 	if r := apply(plain, time.Second, Command{Kind: Register, Endpoint: endpoint("s", 10)}); r.Code != Done {
 		t.Fatalf("register: %+v", r)
 	}
@@ -371,7 +371,7 @@
 // TestServiceNameIsChecked holds that a registration with a malformed service is rejected.
 func TestServiceNameIsChecked(t *testing.T) {
 	for _, name := range []string{"a b", "a/b", "a?b", strings.Repeat("x", 65)} {
-		r := apply(New(), time.Second, Command{Kind: Register, Endpoint: endpointOf("s", 10, name)})
+		r := apply(New(), time.Second, Command{Kind: Register, Endpoint: endpointInService("s", 10, name)})
 		if r.Code != Invalid || !strings.HasPrefix(r.Text, "service: ") {
 			t.Errorf("service %q: %+v", name, r)
 		}
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -136,16 +136,16 @@
 		if task == nil || task.Name != name || task.TTL < MinTTL || task.TTL > MaxTTL || task.Fence > s.Fence {
 			return inconsistent("duty", name, " is not itself")
 		}
-		if !s.hasSoundHolders(task) {
+		if !s.hasConsistentHolder(task) {
 			return inconsistent("duty", name, ": its holder makes no sense")
 		}
 	}
 	return nil
 }
 
-// hasSoundHolders reports whether a task has a holder with a session or neither, and a
+// hasConsistentHolder reports whether a task has a holder with a session or neither, and a
 // successor only beside a holder and with an open session.
-func (s *State) hasSoundHolders(task *LeasedTask) bool {
+func (s *State) hasConsistentHolder(task *LeasedTask) bool {
 	if (task.Holder == "") != (task.Session == "") {
 		return false
 	}
--- a/internal/catalog/taskleases.go
+++ b/internal/catalog/taskleases.go
@@ -275,7 +275,7 @@
 	for _, other := range s.LeasedTasks {
 		p.load[other.Holder]++
 	}
-	if session := p.best(task); session != nil {
+	if session := p.bestCandidate(task); session != nil {
 		return session.Process
 	}
 	return ""
--- a/internal/catalog/taskleases_test.go
+++ b/internal/catalog/taskleases_test.go
@@ -21,7 +21,7 @@
 				PreferredZone: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "zone")}})
 		}
 		for range rapid.IntRange(0, 25).Draw(t, "changes") {
-			f.change()
+			f.applyRandomChange()
 			for range rapid.IntRange(1, 20).Draw(t, "steps") {
 				f.step()
 			}
@@ -69,8 +69,8 @@
 		sessions: map[string]string{}, lastRenewal: map[string]time.Duration{}}
 }
 
-// change has one process start, die, drain or shut down, or another leader take over.
-func (f *taskFleet) change() {
+// applyRandomChange has one process start, die, drain or shut down, or another leader take over.
+func (f *taskFleet) applyRandomChange() {
 	process := fmt.Sprint("p-", rapid.IntRange(0, 4).Draw(f.t, "process"))
 	session := &Session{Process: process, ID: f.sessions[process]}
 	switch rapid.SampledFrom([]string{"open", "open", "die", "drain", "close", "leader"}).Draw(f.t, "change") {
@@ -109,7 +109,7 @@
 		}
 		apply(f.s, f.now, c)
 	}
-	f.transfer()
+	f.completeTransfers()
 	f.checkLoad()
 	f.now += 100 * time.Millisecond
 	return changes
@@ -130,8 +130,8 @@
 	}
 }
 
-// transfer has each successor accept and each holder then release its term at once.
-func (f *taskFleet) transfer() {
+// completeTransfers has each successor accept and each holder then release its term at once.
+func (f *taskFleet) completeTransfers() {
 	for _, task := range f.s.LeasedTasks {
 		if task.Successor != "" {
 			session := f.s.Sessions[task.Successor]
--- a/internal/catalog/term.go
+++ b/internal/catalog/term.go
@@ -114,7 +114,7 @@
 	case s.Clock < task.NotBefore:
 		return s.reject(Conflict, "duty %s waits for another %v", task.Name, task.NotBefore-s.Clock)
 	case session == nil || session.ID != sessionID || session.Draining || !session.CanRun(task.Name):
-		return s.rejectProcess(process)
+		return s.rejectIneligibleProcess(process)
 	}
 	s.Fence++
 	task.Holder, task.Session, task.Fence, task.HolderSince = process, sessionID, s.Fence, s.Clock
@@ -140,7 +140,7 @@
 	case task.Holder == process:
 		return s.reject(Conflict, "%s holds duty %s already", process, task.Name)
 	case session == nil || session.Draining || !session.CanRun(task.Name):
-		return s.rejectProcess(process)
+		return s.rejectIneligibleProcess(process)
 	}
 	s.cancelTransfer(task)
 	task.Successor, task.SuccessorSince = process, s.Clock
@@ -242,7 +242,7 @@
 	return task != nil && task.HolderDeaths >= suspendAfterDeaths && task.SuspendReason == deathsReason(task.HolderDeaths)
 }
 
-// rejectProcess rejects a process that has no session, or one that can't be granted the task.
-func (s *State) rejectProcess(process string) Result {
+// rejectIneligibleProcess rejects a process that has no session, or one that can't be granted the task.
+func (s *State) rejectIneligibleProcess(process string) Result {
 	return s.reject(Unknown, "no session of %s that takes duties", process)
 }
