--- a/internal/catalog/damping.go
+++ b/internal/catalog/damping.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// A server that was removed more than maxUndampedRemovals times within dampingWindow and
-// registers again stays unlisted for minDampingDuration, doubled with each removal beyond
-// that, up to maxDampingDuration.
+// Damping limits list changes by servers that restart in a loop. A server that was removed more
+// than maxUndampedRemovals times within dampingWindow stays unlisted for minDampingDuration when it
+// registers again. The duration doubles with each further removal, up to maxDampingDuration.
 const (
 	maxUndampedRemovals = 3
 	dampingWindow       = time.Minute
 	minDampingDuration  = 5 * time.Second
 	maxDampingDuration  = time.Minute
 
-	// maxRemovals is how many removals an entry remembers. With the last of them the damping has
-	// its longest duration.
+	// maxRemovals is the number of removals that an entry remembers, enough to reach
+	// maxDampingDuration.
 	maxRemovals = maxUndampedRemovals + 5
 )
 
-// dampingEnd returns until when a server that registers again stays unlisted, or 0 if it is
-// listed at once.
+// dampingEnd returns the time until which a server that registers again stays unlisted, or 0 if it
+// is listed at once.
 func (s *State) dampingEnd(entry *Entry) time.Duration {
 	recent := 0
 	for _, removedAt := range entry.Removals {
--- a/internal/catalog/doc.go
+++ b/internal/catalog/doc.go
@@ -1,35 +1,35 @@
-// Package catalog is the replicated state machine of the control plane. It holds which
+// Package catalog is the replicated state machine of the control plane. It records which
 // servers are registered and listed, and which process runs which leased task.
 //
 // # Replication
 //
-// A State is changed by Commands only. The leader of the control plane proposes a command
-// (package control), the raft log orders it, and every replica carries it out by State.Apply.
-// The package does no I/O, reads no clock and draws no random numbers, and nothing that Apply
-// does depends on the iteration order of a map. So all replicas that have applied the same log
-// have the same state and have returned the same Results.
+// A State changes only through Commands. The leader of the control plane proposes a command
+// (package control), the raft log orders it, and every replica applies it with State.Apply.
+// The package does no I/O, reads no clock and uses no random numbers, and Apply does not depend
+// on the iteration order of maps. All replicas that have applied the same log therefore have the
+// same state and have returned the same Results.
 //
 // # Time
 //
-// The only time of the state is Command.At, the elapsed time that the leader stamps on a
-// command when it proposes it. State.Clock is the latest such time and never goes back, whichever
-// replica leads. All points in time of the state, such as Entry.DampedUntil, are on that clock.
+// The state's only source of time is Command.At, the elapsed time that the leader sets when it
+// proposes a command. State.Clock is the latest such time and never goes back, even when the
+// leader changes. All points in time in the state, such as Entry.DampedUntil, are on that clock.
 //
 // # Revisions
 //
-// State.Seq is the revision of the endpoint list: each change that readers of the list can see
-// raises it by one, and Entry.Version is the revision of the entry's last change. Readers ask
-// for the changes after the revision that they have. The history that answers them is bounded;
-// a reader from before it is sent the full list. Leased tasks do not use this revision: a term
-// has a fencing token (Fence), and a session has a revision of its own.
+// State.Seq is the revision of the endpoint list: each change that is visible to readers of the
+// list increments it, and Entry.Version is the revision of the entry's last change. Readers ask
+// for the changes after the revision that they have. The history of changes is bounded; a reader
+// whose revision is older gets the full list. Leased tasks do not use this revision: a term has a
+// fencing token (Fence), and a session has its own revision.
 //
 // # Leader-only state
 //
 // Renewals are frequent, so they do not go through the log. RegistrationLeases and TaskLeases
-// record them in the leader's memory and tell the leader what to propose: which registrations
-// and terms expire, and which process is granted which task. They have no clock either and take
-// the time as an argument. A new leader makes new ones, and every lease lasts for its full TTL
-// from then on, since the new leader does not know what its predecessor promised.
+// record them in the leader's memory and decide what the leader proposes: which registrations
+// and terms expire, and which process is granted which task. They read no clock either and take
+// the time as an argument. A new leader starts with new ones, in which every lease lasts for its
+// full TTL, because it does not know which renewals its predecessor confirmed.
 //
 // # Compatibility
 //
@@ -38,21 +38,21 @@
 // reasons are therefore fixed, and so are the texts of results and errors, which clients show.
 // Some are older than the terms that the code uses: a leased task is stored as "duty", a
 // reference to a term as "tie", a draining session as "resting", a suspended task as "parked".
-// Fields and kinds may be added. A replica that meets a kind or a FormatVersion that its build
-// does not know answers Unsupported, and package control then stops it: the other replicas may
-// have applied the command.
+// Fields and kinds may be added. A replica whose build does not know the kind or FormatVersion of
+// a command returns Unsupported, and package control then stops the replica, because other
+// replicas may have applied the command.
 //
 // # Where to look
 //
-//   - command.go: the commands, what each reads, and the result codes
+//   - command.go: the commands, the fields that each reads, and the result codes
 //   - state.go: the State, and the dispatch of commands
 //   - snapshot.go: encoding, decoding and validation of snapshots
 //   - entry.go, registration.go, override.go, damping.go: servers and the commands on them
 //   - list.go: the endpoint list and its history
-//   - servicehistory.go, serviceindex.go, servicelist.go: the same by service
+//   - servicehistory.go, serviceindex.go, servicelist.go: the lists and histories of services
 //   - registrationleases.go, massfailure.go: when registrations expire, and when they are
 //     quarantined instead because too many would expire at once
-//   - session.go, leasedtask.go, term.go: processes, the tasks that they run, and their terms
+//   - session.go, leasedtask.go, term.go: sessions of processes, leased tasks, and their terms
 //   - taskleases.go, placement.go: when terms expire, and which process gets which task
 //   - member.go: incarnations of processes
 package catalog
--- a/internal/catalog/entry.go
+++ b/internal/catalog/entry.go
@@ -6,7 +6,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-// Entry is a registered server, or a removed one whose name is still remembered.
+// Entry is a registered server, or a removed one that is retained for a while.
 type Entry struct {
 	Endpoint       endpoints.Endpoint `json:"host"` // as the server registered it
 	Version        int64              `json:"version"`
@@ -14,19 +14,19 @@
 	HealthOverride string             `json:"health,omitempty"` // set by an operator; "": none
 	Removed        bool               `json:"ended,omitempty"`
 	RemovedAt      time.Duration      `json:"ended_at,omitempty"`
-	// Quarantined entries stay listed though their leases have expired: too many would have expired
-	// at once.
+	// Quarantined entries stay listed although their leases have expired, because too many would
+	// have expired at once.
 	Quarantined bool `json:"held,omitempty"`
-	// QuarantinedByService is set besides Quarantined if the failure is of the service alone.
+	// QuarantinedByService is set in addition to Quarantined if only the entry's service is affected.
 	QuarantinedByService bool            `json:"held_by_service,omitempty"`
 	Removals             []time.Duration `json:"ends,omitempty"`   // times of the last removals
 	DampedUntil          time.Duration   `json:"damped,omitempty"` // unlisted until then; 0: not damped
 
-	countedAsListed bool // in the counts of listed entries of the state and of the service
+	countedAsListed bool // whether State.listedCount and serviceIndex.listedCount include the entry
 }
 
-// Listed returns the endpoint as readers without a service subscription see it. It has no
-// service: such readers are sent the same bytes as before endpoints had one.
+// Listed returns the endpoint as readers without a service subscription see it. Its service is
+// cleared, so that such readers are sent the same bytes as before endpoints had a service.
 func (e *Entry) Listed() endpoints.Endpoint {
 	listed := e.Endpoint
 	listed.Service = ""
@@ -52,12 +52,13 @@
 // isListed reports whether the entry is on the list.
 func (e *Entry) isListed() bool { return !e.Removed && e.DampedUntil <= 0 }
 
-// ref refers to the entry's current instance.
+// ref returns a reference to the entry's current instance.
 func (e *Entry) ref() InstanceRef {
 	return InstanceRef{Name: e.Endpoint.Name, StartedMs: e.Endpoint.StartedMs}
 }
 
-// isCurrentInstance reports whether ref is the entry's current instance, and that is not removed.
+// isCurrentInstance reports whether ref identifies the entry's current instance and the entry is not
+// removed. It returns false for a nil entry.
 func (e *Entry) isCurrentInstance(ref InstanceRef) bool {
 	return e != nil && !e.Removed && e.Endpoint.StartedMs == ref.StartedMs
 }
--- a/internal/catalog/leasedtask.go
+++ b/internal/catalog/leasedtask.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// MaxTasks bounds the leased tasks, and Session.MaxTasks.
+	// MaxTasks is the maximum number of leased tasks, and the maximum of Session.MaxTasks.
 	MaxTasks = 20_000
 	// MinTTL and MaxTTL bound the TTL of a task.
 	MinTTL = 500 * time.Millisecond
 	MaxTTL = 10 * time.Minute
 )
 
-// LeasedTask is work that at most one process runs at a time: its holder, under a lease. The time
-// for which a process holds the task is a term, which has a fencing token of its own.
+// LeasedTask is work that at most one process, its holder, runs at a time under a lease. The period
+// in which a process holds the task is a term; each term has its own fencing token.
 type LeasedTask struct {
 	Name string `json:"name"`
 	// TTL is how long a holder keeps the task after the last renewal of its session.
@@ -22,48 +22,48 @@
 	PreferredZone    string        `json:"zone,omitempty"`
 	PreferredProcess string        `json:"process,omitempty"`
 
-	// The current term. Holder and Session are "" if no process holds the task.
+	// The current term. Holder and Session are empty if no process holds the task.
 
 	Holder      string        `json:"holder,omitempty"`  // a process
 	Session     string        `json:"session,omitempty"` // the ID of its session
 	Fence       int64         `json:"fence"`             // the fencing token of the current or last term
 	HolderSince time.Duration `json:"since,omitempty"`
 
-	// A transfer. Successor is "" if there is none.
+	// A transfer in progress. Successor is empty if there is none.
 
-	Successor      string        `json:"next,omitempty"` // the process that is to take over
+	Successor      string        `json:"next,omitempty"` // the process that will take over
 	SuccessorSince time.Duration `json:"next_from,omitempty"`
-	SuccessorReady bool          `json:"accepted,omitempty"` // so the holder is to stop
+	SuccessorReady bool          `json:"accepted,omitempty"` // the successor has accepted; the holder is asked to stop
 
-	StopRequested bool `json:"stop,omitempty"` // the holder is to stop, whether or not there is a successor
+	StopRequested bool `json:"stop,omitempty"` // the holder is asked to stop, with or without a successor
 
-	// What keeps the task from being granted.
+	// Conditions that delay or prevent the next grant, or exclude a process from it.
 
 	NotBefore     time.Duration `json:"wait,omitempty"`   // backoff after failures
 	AvoidProcess  string        `json:"avoid,omitempty"`  // where the task failed last
-	Failures      int           `json:"fails,omitempty"`  // short terms in a row that failed
-	HolderDeaths  int           `json:"deaths,omitempty"` // holders that died soon after the grant
-	SuspendReason string        `json:"parked,omitempty"` // "": the task is not suspended
+	Failures      int           `json:"fails,omitempty"`  // consecutive short terms that failed
+	HolderDeaths  int           `json:"deaths,omitempty"` // consecutive holders that died soon after the grant
+	SuspendReason string        `json:"parked,omitempty"` // empty: the task is not suspended
 
-	History []Term `json:"past,omitempty"` // the last terms, in order
+	History []Term `json:"past,omitempty"` // the last ended terms, oldest first
 }
 
-// Assignment is what a session's process is to do about one task.
+// Assignment tells a session's process to run, stop or prepare for one task.
 type Assignment struct {
 	Name  string        `json:"name"`
 	TTL   time.Duration `json:"ttl"`
 	Fence int64         `json:"fence,omitempty"` // the process holds the task under this token
-	Stop  bool          `json:"stop,omitempty"`  // it is to stop, and then to release its term
-	// Ready: the process is to get ready, and then to accept the transfer. It stays set until the
-	// task is granted to the process or the transfer is cancelled; accepting again changes nothing.
+	Stop  bool          `json:"stop,omitempty"`  // the process must stop the task and then release its term
+	// Ready tells the process to get ready and then to accept the transfer. It stays set until the
+	// task is granted to the process or the transfer is cancelled; accepting again has no effect.
 	Ready bool `json:"ready,omitempty"`
 }
 
-// TaskNames returns the names of all tasks in order.
+// TaskNames returns the names of all tasks, sorted.
 func (s *State) TaskNames() []string { return sortedKeys(s.LeasedTasks) }
 
-// Assignments returns what a session's process is to do, in order of task names, and the
-// session's revision. ok is false if the process has no open session of that ID.
+// Assignments returns the assignments of a session, sorted by task name, and the session's
+// revision. ok is false if the process has no open session with that ID.
 func (s *State) Assignments(process, id string) (assignments []Assignment, revision int64, ok bool) {
 	session := s.Sessions[process]
 	if session == nil || session.ID != id {
@@ -82,8 +82,8 @@
 	return assignments, session.Revision, true
 }
 
-// defineTask creates a task, or changes its TTL and preferences. The holder of a task relies
-// on the TTL, so that can't change while the task is held.
+// defineTask creates a task, or changes its TTL and preferences. The TTL can't change while the
+// task is held, because the holder relies on it.
 func (s *State) defineTask(definition *LeasedTask) Result {
 	switch {
 	case definition == nil || !isName(definition.Name):
@@ -108,8 +108,8 @@
 	return s.done()
 }
 
-// applyOperatorCommand carries out an operator's command on one task, which DeleteTask requires to
-// have no holder, and RevokeTerm to have one.
+// applyOperatorCommand applies an operator's command on a task. DeleteTask requires that the task
+// has no holder, RevokeTerm that it has one.
 func (s *State) applyOperatorCommand(c *Command) Result {
 	task := s.LeasedTasks[c.Name]
 	if task == nil {
@@ -138,18 +138,18 @@
 	return s.done()
 }
 
-// requestStop has the assignments of a task's holder ask it to stop.
+// requestStop asks the holder of a task to stop, through the assignments of its session.
 func (s *State) requestStop(task *LeasedTask) {
 	task.StopRequested = true
 	s.bumpSessionRevision(task.Holder)
 }
 
-// rejectWithoutHolder rejects a command that requires a holder of the task.
+// rejectWithoutHolder rejects a command that requires the task to be held.
 func (s *State) rejectWithoutHolder(task *LeasedTask) Result {
 	return s.reject(Conflict, "nobody holds duty %s", task.Name)
 }
 
-// rejectSuspended rejects a command that requires a task that is not suspended.
+// rejectSuspended rejects a command that is not allowed while the task is suspended.
 func (s *State) rejectSuspended(task *LeasedTask) Result {
 	return s.reject(Conflict, "duty %s is parked: %s", task.Name, task.SuspendReason)
 }
--- a/internal/catalog/list.go
+++ b/internal/catalog/list.go
@@ -7,20 +7,20 @@
 	"knotrouter/internal/endpoints"
 )
 
-// MaxHistory bounds the changes that are kept for readers of the full list; a reader with an
-// earlier revision gets the full list. A region that is lost and comes back is 13,000 changes.
+// MaxHistory is the number of changes retained for readers that follow all servers; a reader with
+// an older revision gets the full list. The loss and return of a region causes 13,000 changes.
 const MaxHistory = 16_384
 
-// entryChange is the change of one entry, which made the revision Seq.
+// entryChange records that revision Seq changed the entry Name.
 type entryChange struct {
 	Seq  int64  `json:"seq"`
 	Name string `json:"name"`
 }
 
-// EntryNames returns the names of all entries in order, including recently removed ones.
+// EntryNames returns the names of all entries, sorted, including recently removed ones.
 func (s *State) EntryNames() []string { return sortedKeys(s.Entries) }
 
-// FullList returns all servers that are listed, by name.
+// FullList returns all listed servers, sorted by name.
 func (s *State) FullList() endpoints.List {
 	list := endpoints.List{Seq: s.Seq, Full: true, Endpoints: []endpoints.Endpoint{}}
 	for _, name := range s.EntryNames() {
@@ -31,9 +31,9 @@
 	return list
 }
 
-// ListSince returns the entries that changed after a revision, each once; those that were removed
-// have the health Removed. It returns the full list if the changes after the revision are not
-// known any more, or if this state has not reached the revision.
+// ListSince returns the entries that changed after a revision, each once; removed ones have the
+// health Removed. It returns the full list if the changes after the revision are no longer
+// retained, or if the revision is newer than the state's.
 func (s *State) ListSince(since int64) endpoints.List {
 	if since > s.Seq || since < s.oldestRevision() {
 		return s.FullList()
@@ -49,10 +49,10 @@
 	return list
 }
 
-// ListedCount returns how many servers are listed.
+// ListedCount returns the number of listed servers.
 func (s *State) ListedCount() int { return s.listedCount }
 
-// oldestRevision returns the oldest revision after which all changes are known.
+// oldestRevision returns the oldest revision after which all changes are retained.
 func (s *State) oldestRevision() int64 {
 	if len(s.History) == 0 {
 		return s.Seq
@@ -60,7 +60,8 @@
 	return s.History[0].Seq - 1
 }
 
-// recordChange gives the state its next revision, for a change of the entry.
+// recordChange advances the list to its next revision, which is the entry's new version, and adds
+// the change to the history and to the index of the entry's service.
 func (s *State) recordChange(entry *Entry) {
 	s.Seq++
 	entry.Version = s.Seq
@@ -71,8 +72,8 @@
 	s.indexEntry(entry)
 }
 
-// truncateHistory drops the history up to the last change of an entry that was deleted: a
-// reader with an earlier revision can't be sent that removal, and has to get the full list.
+// truncateHistory drops the history up to the last change of a deleted entry. A reader with an
+// older revision can no longer be sent the removal of that entry and must get the full list.
 func (s *State) truncateHistory() {
 	for i := len(s.History) - 1; i >= 0; i-- {
 		if s.Entries[s.History[i].Name] == nil {
@@ -82,7 +83,7 @@
 	}
 }
 
-// changesAfter returns the part of changes, which are in order, after a revision.
+// changesAfter returns the changes after a revision. changes must be sorted by revision.
 func changesAfter(changes []entryChange, revision int64) []entryChange {
 	first := sort.Search(len(changes), func(i int) bool { return changes[i].Seq > revision })
 	return changes[first:]
--- a/internal/catalog/massfailure.go
+++ b/internal/catalog/massfailure.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// When many servers stop renewing at once, the leader or the network is more likely at fault
-// than the servers. RegistrationLeases then quarantines the servers: they stay listed.
+// When many servers stop renewing at once, a fault of the leader or the network is more likely
+// than a failure of the servers. RegistrationLeases then quarantines them, so they stay listed.
 
-// MinServiceSizeForQuarantine is the number of listed servers from which on LeaseConfig's share applies to a
-// service by itself. For a smaller service only the fleet's share counts, so that its last server
-// can expire.
+// MinServiceSizeForQuarantine is the minimum number of listed servers at which
+// LeaseConfig.MassFailureShare also applies to a service by itself. The servers of a smaller service
+// are quarantined only in a mass failure of the fleet, so that its last server can expire.
 const MinServiceSizeForQuarantine = 5
 
-// expiryWindow holds the times of the expiries within LeaseConfig.MassFailureWindow, in order.
+// expiryWindow holds the times of the expiries within LeaseConfig.MassFailureWindow, oldest first.
 type expiryWindow struct {
 	expiredAt     []time.Duration
-	listedAtStart int // servers that were listed when the window was empty
+	listedAtStart int // number of servers that were listed when the window was last empty
 }
 
-// advance drops the expiries that have left the window.
+// advance drops the expiries that are older than the window.
 func (w *expiryWindow) advance(now, window time.Duration) {
 	for len(w.expiredAt) > 0 && now-w.expiredAt[0] > window {
 		w.expiredAt = w.expiredAt[1:]
 	}
 }
 
-// isEmpty reports whether there was no expiry within the window.
+// isEmpty reports whether no server expired within the window.
 func (w *expiryWindow) isEmpty() bool { return len(w.expiredAt) == 0 }
 
 // serviceSuspects counts the suspected servers of one service.
 type serviceSuspects struct {
-	unresponsive int // their leases are late or expired, and the evidence is not Alive
-	quarantined  int // by the service's share, and still without a renewal
+	unresponsive int // late or expired leases for which the evidence is not Alive
+	quarantined  int // quarantined by service, and not renewed since
 }
 
-// maxExpiries returns how many of a number of listed servers may expire within the window.
+// maxExpiries returns the number of servers that may expire within the window, given the number of
+// listed servers.
 func (c LeaseConfig) maxExpiries(listed int) int {
 	return max(int(c.MassFailureShare*float64(listed)), 1)
 }
 
-// isMassFailure reports whether too many servers of the fleet are unresponsive at once. The mass
-// failure lasts as long as a server is quarantined because of it.
+// isMassFailure reports whether too many servers of the fleet are unresponsive at once. A mass
+// failure lasts until no server is quarantined because of it.
 func (l *RegistrationLeases) isMassFailure(scan *leaseScan) bool {
 	unresponsive := len(scan.expired) + len(scan.failedEarly) + scan.inconclusive
 	allowed := l.config.maxExpiries(max(l.expiries.listedAtStart, scan.listed))
@@ -46,9 +47,9 @@
 }
 
 // splitByMassFailure splits the failed servers into those that expire and those that are
-// quarantined since their service is in a mass failure. Only servers whose leases have expired are
-// quarantined: a server of such a service whose lease is late is in neither result, and is decided
-// on again later.
+// quarantined because their service is in a mass failure. Only servers whose leases have expired
+// are quarantined; a server of such a service whose lease is only late is in neither result and is
+// considered again in a later decision.
 func (l *RegistrationLeases) splitByMassFailure(s *State, now time.Duration, scan *leaseScan) (expire, quarantine []InstanceRef) {
 	failing := l.servicesInMassFailure(s, now, scan)
 	isFailing := func(ref InstanceRef) bool { return failing[s.Entries[ref.Name].Endpoint.Service] }
@@ -68,7 +69,7 @@
 	return expire, quarantine
 }
 
-// servicesInMassFailure returns the services of which too many servers are unresponsive at once.
+// servicesInMassFailure returns the services in which too many servers are unresponsive at once.
 func (l *RegistrationLeases) servicesInMassFailure(s *State, now time.Duration, scan *leaseScan) map[string]bool {
 	l.advanceServiceWindows(now)
 	failing := map[string]bool{}
@@ -86,7 +87,7 @@
 	return failing
 }
 
-// advanceServiceWindows drops the services' expiries that have left the window.
+// advanceServiceWindows drops the expiries of each service that are older than the window.
 func (l *RegistrationLeases) advanceServiceWindows(now time.Duration) {
 	for service, window := range l.expiriesByService {
 		window.advance(now, l.config.MassFailureWindow)
@@ -96,7 +97,7 @@
 	}
 }
 
-// recordExpiry counts the expiry of a server of a service within the windows.
+// recordExpiry adds the expiry of a server to the windows of the fleet and of the server's service.
 func (l *RegistrationLeases) recordExpiry(s *State, service string, now time.Duration) {
 	l.expiries.expiredAt = append(l.expiries.expiredAt, now)
 	window := l.expiriesByService[service]
--- a/internal/catalog/member.go
+++ b/internal/catalog/member.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// MaxMembers bounds the processes whose incarnations are remembered.
+// MaxMembers is the maximum number of processes whose incarnations are stored.
 const MaxMembers = 1024
 
-// Member is a process that takes part in membership. Its incarnation numbers its starts: it
-// grows with each, across all members, and is not taken from a clock.
+// Member is a process that takes part in membership. Its incarnation identifies a start of the
+// process: it is assigned from a counter shared by all members, not from a clock, and therefore
+// grows with each start.
 type Member struct {
 	Name        string        `json:"name"`
-	ID          string        `json:"id"`   // of the folder that the process keeps its state in
+	ID          string        `json:"id"`   // identifies the process's data directory
 	BootID      string        `json:"life"` // drawn at each start of the process
 	Incarnation int64         `json:"incarnation"`
 	Since       time.Duration `json:"since"`
-	// PredecessorAbsent is set by the leader in a command: according to the leader's membership
-	// view, the process that has the name is not running.
+	// PredecessorAbsent is set in a command if, according to the leader's membership view, the
+	// process that has the name is not running.
 	PredecessorAbsent bool `json:"gone,omitempty"`
 }
 
-// registerMember gives a process its incarnation, which Result.Fence returns. A name belongs
-// to one folder for as long as the process of that folder is running: a process of another
-// folder is rejected as Taken. A process of the same folder is the same one started again,
-// since only one process at a time can use a folder.
+// registerMember assigns an incarnation to a process and returns it in Result.Fence. A name belongs
+// to one data directory while the process that uses the directory is running: a process with another
+// directory is rejected as Taken. A process with the same directory is a restart of that process,
+// because only one process at a time can use a directory.
 func (s *State) registerMember(request *Member) Result {
 	if request == nil || !isName(request.Name) || !isName(request.ID) || !isName(request.BootID) {
 		return s.reject(Invalid, "name, id, life: must be words")
@@ -34,7 +35,7 @@
 		member = &Member{Name: request.Name}
 		s.Members[request.Name] = member
 	case member.ID == request.ID && member.BootID == request.BootID:
-		return s.doneWithNumber(member.Incarnation) // a retry: the first answer was lost
+		return s.doneWithNumber(member.Incarnation) // a retry after a lost response
 	case member.ID != request.ID && !request.PredecessorAbsent:
 		return s.rejectNameTaken(request.Name)
 	}
@@ -43,7 +44,7 @@
 	return s.doneWithNumber(member.Incarnation)
 }
 
-// rejectNameTaken rejects a process whose name another running process has.
+// rejectNameTaken rejects a process whose name is in use by another process.
 func (s *State) rejectNameTaken(name string) Result {
 	return s.reject(Taken, "another process is called %s, and is there", name)
 }
--- a/internal/catalog/override.go
+++ b/internal/catalog/override.go
@@ -2,8 +2,8 @@
 
 import "knotrouter/internal/endpoints"
 
-// setOverride sets an operator's weight or health of a server. Both outlast restarts of the
-// server.
+// setOverride sets the weight or health that an operator chose for a server. Both persist when the
+// server restarts.
 func (s *State) setOverride(c *Command) Result {
 	entry := s.Entries[c.Name]
 	switch {
@@ -27,7 +27,7 @@
 	return s.done()
 }
 
-// isHealthOverride reports whether an operator may set that health; "" clears the override.
+// isHealthOverride reports whether an operator may set this health; "" clears the override.
 func isHealthOverride(health string) bool {
 	return health == "" || health == endpoints.Ready || health == endpoints.Draining
 }
--- a/internal/catalog/placement.go
+++ b/internal/catalog/placement.go
@@ -6,39 +6,39 @@
 )
 
 const (
-	// maxDrainTransfers and maxRebalanceTransfers bound the transfers that have begun and not ended:
-	// transfers that drain a process begin only below the first bound, those that only even out the
-	// load below the second.
+	// maxDrainTransfers and maxRebalanceTransfers limit the transfers in progress: a transfer from a
+	// draining process starts only below the first limit, a transfer that only balances the load
+	// starts only below the second.
 	maxDrainTransfers     = 128
 	maxRebalanceTransfers = 8
-	// minTermBeforeRebalance is how long a term lasts at least before the load is evened out.
+	// minTermBeforeRebalance is the minimum age of a term before its task is moved to balance the load.
 	minTermBeforeRebalance = 10 * time.Second
 
-	// The load of two processes is evened out if it differs by more than minImbalance and a part,
-	// of imbalanceDivisor, of the higher one.
+	// A task is moved to balance the load if the loads of the two processes differ by more than
+	// minImbalance plus the higher load divided by imbalanceDivisor.
 	minImbalance     = 2
 	imbalanceDivisor = 10
 )
 
-// Penalties of a process for a task. The process with the lowest sum is given the task.
+// Penalties of a process for a task. The process with the lowest sum is granted the task.
 const (
 	absentPenalty       = 16
-	avoidedPenalty      = 5 // above notPreferredPenalty: a preferred process that is avoided doesn't get the task
+	avoidedPenalty      = 5 // above notPreferredPenalty, so that a preferred process to avoid doesn't get the task
 	notPreferredPenalty = 4
 	otherZonePenalty    = 2
 )
 
-// placement decides which process gets which task. It adds each decision to load.
+// placement decides which process gets which task. It updates load with each decision.
 type placement struct {
 	state      *State
 	now        time.Duration
 	absent     map[string]bool // see TaskLeases.Absent
-	candidates []*Session      // that may be given a task, in order of processes
-	taskNames  []string        // all tasks, in order
-	load       map[string]int  // tasks by process
+	candidates []*Session      // sessions that may be given a task, sorted by process
+	taskNames  []string        // all tasks, sorted
+	load       map[string]int  // number of tasks by process
 }
 
-// grants returns the grants of tasks that no process holds, at most maxTermsPerCommand.
+// grants returns up to maxTermsPerCommand grants of tasks that no process holds.
 func (p *placement) grants() []TermRef {
 	var grants []TermRef
 	for _, name := range p.taskNames {
@@ -57,7 +57,7 @@
 	return grants
 }
 
-// drainTransfers returns transfers of tasks whose holders are draining, at most limit.
+// drainTransfers returns up to limit transfers of tasks whose holders are draining.
 func (p *placement) drainTransfers(limit int) []TermRef {
 	var transfers []TermRef
 	for _, name := range p.taskNames {
@@ -76,8 +76,8 @@
 	return transfers
 }
 
-// rebalanceTransfers returns transfers, at most limit, from processes to those that run a much
-// smaller part of their MaxTasks. A task at its preferred process stays.
+// rebalanceTransfers returns up to limit transfers from processes to others that use a much smaller
+// share of their MaxTasks. A task that its preferred process holds is not moved.
 func (p *placement) rebalanceTransfers(limit int) []TermRef {
 	var transfers []TermRef
 	for _, name := range p.taskNames {
@@ -101,13 +101,13 @@
 	return transfers
 }
 
-// isTransferable reports whether a task that is held may be given a successor.
+// isTransferable reports whether the task is held and may be given a successor.
 func (task *LeasedTask) isTransferable() bool {
 	return task.Holder != "" && task.Successor == "" && !task.StopRequested && task.SuspendReason == ""
 }
 
-// bestCandidate returns the candidate other than the task's holder that should have the task, or nil if
-// none can take it: the one with the lowest penalty, and of those the least loaded.
+// bestCandidate returns the candidate that should be given the task, or nil if none can take it: the
+// one with the lowest penalty and, if several have it, the least loaded. The task's holder is excluded.
 func (p *placement) bestCandidate(task *LeasedTask) *Session {
 	var best *Session
 	for _, session := range p.candidates {
@@ -140,7 +140,7 @@
 }
 
 // leastLoaded returns the least loaded process that is present and can take a task from its
-// holder, or nil if there is none. A task in its preferred zone stays there.
+// holder, or nil if there is none. A task in its preferred zone is not moved out of the zone.
 func (p *placement) leastLoaded(task *LeasedTask, holder *Session) *Session {
 	var least *Session
 	for _, session := range p.candidates {
@@ -158,8 +158,8 @@
 	return least
 }
 
-// isImbalanced reports whether the holder runs many more tasks than the target, whose number is
-// scaled to the holder's MaxTasks.
+// isImbalanced reports whether the holder runs many more tasks than the target, after the target's
+// load is scaled to the holder's MaxTasks.
 func (p *placement) isImbalanced(holder, target *Session) bool {
 	holderLoad := p.load[holder.Process]
 	scaledTargetLoad := p.load[target.Process] * holder.MaxTasks / target.MaxTasks
@@ -171,7 +171,7 @@
 	return p.load[session.Process] < session.MaxTasks
 }
 
-// compareLoad compares the parts of their MaxTasks that two processes run.
+// compareLoad compares two processes by the share of their MaxTasks that they use.
 func (p *placement) compareLoad(a, b *Session) int {
 	return cmp.Compare(p.load[a.Process]*b.MaxTasks, p.load[b.Process]*a.MaxTasks)
 }
--- a/internal/catalog/registration.go
+++ b/internal/catalog/registration.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// MaxEntries bounds the entries, recently removed ones included: 39,000 servers, a region of
-	// 6,500 whose names are all replaced, 9,100 replacements of a day, and a sixth on top.
+	// MaxEntries is the maximum number of entries, including recently removed ones. It has room for
+	// 39,000 servers, the replacement of all 6,500 names of a region, 9,100 replacements in a day,
+	// and a sixth more.
 	MaxEntries = 64_000
-	// removedEntryRetention is how long a removed entry is kept at least. Until then, a late request
-	// of an older instance of the name is rejected, and the name's damping lasts.
+	// removedEntryRetention is the minimum time for which a removed entry is retained. It allows late
+	// requests of older instances to be rejected, and keeps the removals that count for damping.
 	removedEntryRetention = 10 * time.Minute
 )
 
-// registerEndpoint registers a server instance. Of the instances of a name, the one that started
-// last keeps it; an older one is rejected as Superseded.
+// registerEndpoint registers a server instance. The instance of a name that started last keeps the
+// name; an older one is rejected as Superseded.
 func (s *State) registerEndpoint(endpoint *endpoints.Endpoint) Result {
 	if endpoint == nil {
 		return s.reject(Invalid, "no entry")
@@ -42,7 +43,7 @@
 	return result
 }
 
-// addEntry adds an entry for a new name, if necessary after deleting old removed entries.
+// addEntry adds an entry for a new name. If the table is full, it first deletes old removed entries.
 func (s *State) addEntry(endpoint *endpoints.Endpoint) Result {
 	if len(s.Entries) >= MaxEntries {
 		s.pruneRemovedEntries()
@@ -56,14 +57,14 @@
 	return s.done()
 }
 
-// updateEntry replaces an entry's endpoint by one that is as new or newer. A server that is
-// registered again after a removal, or as a new instance, may be damped.
+// updateEntry replaces an entry's endpoint with one of the same or a newer instance. A server that
+// registers again after a removal, or as a new instance, may be damped.
 func (s *State) updateEntry(entry *Entry, endpoint *endpoints.Endpoint) {
 	before := entry.Listed()
 	previousService := entry.Endpoint.Service
 	changesService := previousService != endpoint.Service
 	if !entry.Removed && entry.Endpoint.StartedMs < endpoint.StartedMs {
-		s.markRemoved(entry) // the previous instance ended without notice
+		s.markRemoved(entry) // the previous instance ended without deregistering
 	}
 	wasRemoved := entry.Removed
 	s.setQuarantined(entry, false)
@@ -84,9 +85,9 @@
 	}
 }
 
-// applyToInstances carries out a command on the instances that it refers to, and skips those
-// that have been replaced or removed. The command is rejected only if it refers to a single
-// instance, and that is skipped.
+// applyToInstances applies a command to the instances that it refers to, and skips those that have
+// been replaced or removed. The command is rejected only if it refers to a single instance that is
+// skipped.
 func (s *State) applyToInstances(c *Command) Result {
 	applied := 0
 	for _, ref := range c.Refs {
@@ -108,7 +109,7 @@
 	return s.done()
 }
 
-// applyToEntry carries out a command on the current instance of one entry.
+// applyToEntry applies a command to the current instance of an entry.
 func (s *State) applyToEntry(c *Command, entry *Entry) {
 	switch c.Kind {
 	case Drain:
@@ -130,7 +131,7 @@
 	}
 }
 
-// rejectInstance rejects a command on an instance that has been replaced or removed.
+// rejectInstance rejects a command that refers to an instance that has been replaced or removed.
 func (s *State) rejectInstance(ref InstanceRef) Result {
 	if entry := s.Entries[ref.Name]; entry != nil && entry.Endpoint.StartedMs > ref.StartedMs {
 		return s.rejectSuperseded(entry)
@@ -138,7 +139,7 @@
 	return s.reject(Unknown, "no server %s that was born at %.0f", ref.Name, ref.StartedMs)
 }
 
-// rejectSuperseded rejects a command of an instance older than the entry's.
+// rejectSuperseded rejects a command for an instance that is older than the entry's.
 func (s *State) rejectSuperseded(entry *Entry) Result {
 	return s.reject(Superseded, "%s was born later, at %.0f", entry.Endpoint.Name, entry.Endpoint.StartedMs)
 }
@@ -160,7 +161,7 @@
 	return s.done()
 }
 
-// markRemoved marks an entry as removed. The caller records the change of the list.
+// markRemoved marks an entry as removed. The caller must call recordChange if the list changes.
 func (s *State) markRemoved(entry *Entry) {
 	s.setQuarantined(entry, false)
 	entry.Removed, entry.RemovedAt = true, s.Clock
@@ -170,7 +171,7 @@
 	}
 }
 
-// setQuarantined marks an entry as quarantined or not, and counts it.
+// setQuarantined sets whether an entry is quarantined and updates the count of quarantined entries.
 func (s *State) setQuarantined(entry *Entry, quarantined bool) {
 	switch {
 	case quarantined && !entry.Quarantined:
@@ -184,15 +185,15 @@
 	}
 }
 
-// clearQuarantineIfEmpty ends the state's quarantine when no entry is quarantined any more.
+// clearQuarantineIfEmpty resets QuarantinedSince when no entry is quarantined any more.
 func (s *State) clearQuarantineIfEmpty() {
 	if s.quarantinedCount == 0 {
 		s.QuarantinedSince = 0
 	}
 }
 
-// pruneRemovedEntries deletes the entries that were removed longer than removedEntryRetention
-// ago, with their part of the history.
+// pruneRemovedEntries deletes the entries that were removed more than removedEntryRetention ago,
+// and truncates the history accordingly.
 func (s *State) pruneRemovedEntries() {
 	pruned := false
 	for name, entry := range s.Entries {
--- a/internal/catalog/registrationleases.go
+++ b/internal/catalog/registrationleases.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// LeaseConfig says when registrations expire.
+// LeaseConfig configures when registrations expire and when they are quarantined instead.
 type LeaseConfig struct {
-	TTL time.Duration // of a lease, from the last renewal on
+	TTL time.Duration // of a lease, counted from its last renewal
 	// MassFailureShare is the share of the listed servers, 0 to 1, that may expire within
-	// MassFailureWindow. If more would, they are quarantined until they renew or an operator
-	// confirms their removal. The same share holds within each service of at least
+	// MassFailureWindow. If more would expire, they are quarantined until they renew or an operator
+	// confirms their removal. The same share applies within each service of at least
 	// MinServiceSizeForQuarantine servers.
 	MassFailureShare  float64
 	MassFailureWindow time.Duration
 }
 
-// RegistrationLeases holds the leases of the registered servers. They exist in the leader's
-// memory only: renewals do not go through the log, and a new leader gives every lease its full
-// TTL. Its methods do no I/O and take the time, on the state's clock, as an argument. It is not
-// safe for concurrent use.
+// RegistrationLeases holds the leases of the registered servers. They exist only in the leader's
+// memory: renewals do not go through the log, and a new leader gives every lease its full TTL.
+// The methods do no I/O and take the time, on the state's clock, as an argument. It is not safe for
+// concurrent use.
 type RegistrationLeases struct {
 	config LeaseConfig
 	leases map[string]registrationLease // by server
-	// expiries holds the expiries within the window of the whole fleet, and expiriesByService those
-	// of each service.
+	// expiries holds the recent expiries of the whole fleet, expiriesByService those of each service.
 	expiries          expiryWindow
 	expiriesByService map[string]*expiryWindow
-	// rotation counts the calls of Suspected that had more than maxSuspects servers.
+	// rotation counts the calls of Suspected that found more than maxSuspects servers. It selects the
+	// part of them to return.
 	rotation int
 
-	// The last decision was on scannedState after scannedCommands commands. Unless that has changed,
-	// no lease becomes late and no damping ends before nextDue.
+	// The last decision scanned scannedState after it had applied scannedCommands commands. As long as
+	// neither has changed, no lease becomes late and no damping ends before nextDue.
 	scannedState    *State
 	scannedCommands int64
 	nextDue         time.Duration
 
-	// Retained and Undecided are the numbers of servers that the last decision left listed though
-	// their leases have expired: those with the evidence Alive, and those with Inconclusive.
+	// Retained and Undecided are the numbers of servers that the last decision kept listed although
+	// their leases have expired: Retained counts the evidence Alive, Undecided counts Inconclusive.
 	Retained, Undecided int
 }
 
@@ -48,34 +48,35 @@
 	expiresAt time.Duration
 }
 
-// Decision is what the leader is to propose, each list in order of names.
+// Decision holds the changes that the leader should propose. Each list is sorted by name.
 type Decision struct {
 	Expire, Quarantine, Recover, EndDamping []InstanceRef
-	// QuarantineByService are to be quarantined because the failure is of their service alone.
+	// QuarantineByService lists the instances to quarantine for a mass failure of their service alone.
 	QuarantineByService []InstanceRef
 }
 
-// Empty reports whether there is nothing to propose.
+// Empty reports whether the decision proposes no change.
 func (d *Decision) Empty() bool {
 	return len(d.Expire)+len(d.Quarantine)+len(d.QuarantineByService)+len(d.Recover)+len(d.EndDamping) == 0
 }
 
-// FailureEvidence is what other processes observed of a server that doesn't renew its lease.
+// FailureEvidence summarizes the observations, by other processes, of a server that does not renew
+// its lease.
 type FailureEvidence uint8
 
-// The evidence.
+// Values of FailureEvidence.
 const (
-	Inconclusive FailureEvidence = iota // too little is known: the server stays for now
-	Alive                               // most processes reach the server: it stays
-	Failed                              // most processes do not reach the server: it is removed
+	Inconclusive FailureEvidence = iota // too few observations: the server stays listed for now
+	Alive                               // most processes can reach the server: it stays listed
+	Failed                              // most processes cannot reach the server: it is removed
 )
 
 // ExpiryDecider returns the evidence about a server whose lease has expired or, if expired is
 // false, is late.
 type ExpiryDecider func(ref InstanceRef, expired bool) FailureEvidence
 
-// ExpireByLeaseOnly is the ExpiryDecider of a fleet without other observers: a server has failed
-// when its lease has expired.
+// ExpireByLeaseOnly is the ExpiryDecider for a fleet without observations by other processes: a
+// server has failed when its lease has expired.
 func ExpireByLeaseOnly(_ InstanceRef, expired bool) FailureEvidence {
 	if expired {
 		return Failed
@@ -83,7 +84,7 @@
 	return Inconclusive
 }
 
-// NewRegistrationLeases returns the leases of a new leader: each lasts for its full TTL from now, a
+// NewRegistrationLeases returns the leases of a new leader. Each lasts for its full TTL from now, a
 // time on the state's clock.
 func NewRegistrationLeases(c LeaseConfig, s *State, now time.Duration) *RegistrationLeases {
 	l := &RegistrationLeases{config: c, leases: map[string]registrationLease{}, expiriesByService: map[string]*expiryWindow{}}
@@ -109,31 +110,31 @@
 	return Done
 }
 
-// renew gives the current instance of an entry a full lease.
+// renew extends the lease of an entry's current instance to a full TTL from now.
 func (l *RegistrationLeases) renew(entry *Entry, now time.Duration) {
 	l.leases[entry.Endpoint.Name] = registrationLease{entry.Endpoint.StartedMs, now + l.config.TTL}
 }
 
-// lease returns the lease of an entry's current instance, and whether it has one yet.
+// lease returns the lease of an entry's current instance. It returns false if there is none yet.
 func (l *RegistrationLeases) lease(entry *Entry) (registrationLease, bool) {
 	lease, known := l.leases[entry.Endpoint.Name]
 	return lease, known && lease.startedMs == entry.Endpoint.StartedMs
 }
 
-// lateAt returns the time from which on a lease is late: half a TTL after the last renewal, as
-// servers renew three times per TTL. In a mass failure the leases of all failed servers are late by
-// the time the first of them expires.
+// lateAt returns the time after which a lease is late: half a TTL after the last renewal, since
+// servers renew three times per TTL. In a mass failure, the leases of all failed servers are
+// therefore late by the time the first of them expires.
 func (l *RegistrationLeases) lateAt(lease registrationLease) time.Duration {
 	return lease.expiresAt - l.config.TTL/2
 }
 
-// maxSuspects bounds the servers that observers are asked about at once. A zone of the largest
-// fleet has to be decided on within seconds, at one request a second.
+// maxSuspects is the maximum number of servers about which observers are asked at once. At one
+// request per second, it must be high enough to decide on a zone of the largest fleet within seconds.
 const maxSuspects = 256
 
-// Suspected returns the servers about which other processes should be asked, since their
-// leases are late or have expired: at most maxSuspects, in the order in which their leases expire.
-// If there are more, each call returns the next part of them.
+// Suspected returns the servers about which other processes should be asked because their leases
+// are late or have expired. It returns at most maxSuspects, in the order in which their leases
+// expire. If there are more, successive calls return different parts of them in rotation.
 func (l *RegistrationLeases) Suspected(s *State, now time.Duration) []InstanceRef {
 	if l.canSkipScan(s, now) {
 		return nil
@@ -152,7 +153,7 @@
 		a, b := suspects[i], suspects[j]
 		return a.expiresAt < b.expiresAt || a.expiresAt == b.expiresAt && a.ref.Name < b.ref.Name
 	})
-	// Servers that stay suspected must not keep the others from being asked about.
+	// Servers that stay suspected must not prevent questions about the others.
 	if len(suspects) > maxSuspects {
 		l.rotation++
 		first := (l.rotation * maxSuspects) % len(suspects)
@@ -165,17 +166,17 @@
 	return refs
 }
 
-// canSkipScan reports, without looking at each server, that a decision would find nothing: the
-// state is the one of the last decision, no entry is quarantined, and no lease can have become
-// late, since renewals only put that off.
+// canSkipScan reports whether a decision would certainly find nothing to do, without a scan of all
+// servers: the state has not changed since the last decision, no entry is quarantined, and no lease
+// can have become late, because renewals only postpone that.
 func (l *RegistrationLeases) canSkipScan(s *State, now time.Duration) bool {
 	return l.scannedState == s && l.scannedCommands == s.appliedCommands && s.quarantinedCount == 0 && now <= l.nextDue
 }
 
-// Decide returns what the leader is to propose now: which registrations expire, which are
-// quarantined instead because of a mass failure, which have recovered from quarantine, and
-// whose damping is over. A server expires only if its lease has expired or is late and decide
-// returns Failed; one whose lease is late stays if its service is in a mass failure.
+// Decide returns what the leader should propose now: which registrations expire, which are
+// quarantined instead because of a mass failure, which have recovered from quarantine, and which
+// servers are no longer damped. A server expires only if its lease has expired or is late and decide
+// returns Failed. A server whose lease is only late does not expire in a mass failure of its service.
 func (l *RegistrationLeases) Decide(s *State, now time.Duration, decide ExpiryDecider) Decision {
 	if l.canSkipScan(s, now) {
 		return Decision{}
@@ -197,19 +198,19 @@
 	return decision
 }
 
-// leaseScan is what one decision finds, server by server.
+// leaseScan holds the result of a scan of all servers for one decision.
 type leaseScan struct {
-	recovered, undamped []InstanceRef // from quarantine, and whose damping is over
-	expired             []InstanceRef // their leases have expired and the evidence is Failed
-	failedEarly         []InstanceRef // their leases are late only, but the evidence is Failed
-	inconclusive        int           // their leases are late or have expired, and the evidence is Inconclusive
+	recovered, undamped []InstanceRef // servers whose quarantine or damping can end
+	expired             []InstanceRef // leases that have expired, with the evidence Failed
+	failedEarly         []InstanceRef // leases that are only late, with the evidence Failed
+	inconclusive        int           // late or expired leases with the evidence Inconclusive
 	retained, undecided int           // see RegistrationLeases
 	listed              int
-	quarantined         int // by the fleet's share, and still without a renewal
+	quarantined         int // quarantined in a mass failure of the fleet, and not renewed since
 	services            map[string]*serviceSuspects
 }
 
-// scan looks at each server, and gives those that have no lease yet a full one.
+// scan examines all servers and starts the leases of those that have none yet.
 func (l *RegistrationLeases) scan(s *State, now time.Duration, decide ExpiryDecider) *leaseScan {
 	l.scannedState, l.scannedCommands, l.nextDue = s, s.appliedCommands, math.MaxInt64
 	scan := &leaseScan{services: map[string]*serviceSuspects{}}
@@ -236,7 +237,7 @@
 	return scan
 }
 
-// scanLease looks at the lease of one server.
+// scanLease examines the lease of one server.
 func (l *RegistrationLeases) scanLease(scan *leaseScan, entry *Entry, now time.Duration, decide ExpiryDecider) {
 	lease, known := l.lease(entry)
 	if !known { // registered since the last decision
@@ -256,7 +257,7 @@
 	scan.addSuspect(entry, expired, decide(entry.ref(), expired))
 }
 
-// addSuspect counts a server whose lease has expired or, if expired is false, is late.
+// addSuspect adds a server to the scan whose lease has expired or, if expired is false, is late.
 func (scan *leaseScan) addSuspect(entry *Entry, expired bool, evidence FailureEvidence) {
 	service := scan.service(entry.Endpoint.Service)
 	switch {
@@ -285,7 +286,7 @@
 	}
 }
 
-// service returns the counts of one service, which are added to the scan if it has none.
+// service returns the counts of a service, and adds them to the scan if there are none.
 func (scan *leaseScan) service(name string) *serviceSuspects {
 	counts := scan.services[name]
 	if counts == nil {
@@ -295,7 +296,7 @@
 	return counts
 }
 
-// sortByName puts instances in order of names.
+// sortByName sorts instances by server name.
 func sortByName(refs []InstanceRef) {
 	sort.Slice(refs, func(i, j int) bool { return refs[i].Name < refs[j].Name })
 }
--- a/internal/catalog/servicehistory.go
+++ b/internal/catalog/servicehistory.go
@@ -1,21 +1,22 @@
 package catalog
 
 const (
-	// MaxDepartures bounds the departures that are kept, over all services.
+	// MaxDepartures is the maximum number of departures that are retained, over all services.
 	MaxDepartures = 8192
-	// MaxServiceMinRevisions bounds the services that have a minimum revision of their own.
-	// Beyond it, all services take the highest of them.
+	// MaxServiceMinRevisions is the maximum number of services with a minimum revision of their own.
+	// If there are more, the highest of these revisions becomes the minimum for all services.
 	MaxServiceMinRevisions = 4096
 )
 
-// ServiceHistory is what readers of services need besides the entries. The changes of a
-// service after a revision are its entries with a later version, and the servers that have
-// left it for another service since.
+// ServiceHistory holds the data that, besides the entries, determines the changes of a service. The
+// changes after a revision are the service's entries with a later version and the servers that have
+// since left it for another service.
 type ServiceHistory struct {
-	// MinRevision is the revision after which the changes of every service are known, unless the
-	// service has a later one in MinRevisions.
+	// MinRevision is the oldest revision after which all changes of a service are known, unless
+	// MinRevisions has a later one for the service.
 	MinRevision int64 `json:"floor,omitempty"`
-	// MinRevisions has the services of which a removal or a departure was dropped.
+	// MinRevisions holds the minimum revisions of services from whose history a removal or a
+	// departure was dropped.
 	MinRevisions map[string]int64 `json:"floors,omitempty"`
 	Departures   []Departure      `json:"moved,omitempty"` // by revision
 }
@@ -27,7 +28,7 @@
 	Service string `json:"service,omitempty"` // the one that the server left
 }
 
-// recordDeparture keeps a departure for the readers of the service that the server left.
+// recordDeparture records a departure for the readers of the service that the server left.
 func (s *State) recordDeparture(departure Departure) {
 	s.ServiceHistory.Departures = append(s.ServiceHistory.Departures, departure)
 	index := s.serviceIndexFor(departure.Service)
@@ -40,19 +41,19 @@
 	}
 }
 
-// dropDeparture drops a departure from its service's index, so that the service's readers
-// from before it get the full list.
+// dropDeparture drops a departure from its service's index. Readers of the service with an older
+// revision then get the full list.
 func (s *State) dropDeparture(departure Departure) {
 	index := s.serviceIndexes[departure.Service]
 	if index == nil || index.departed[departure.Name] != departure.Seq {
-		return // the server is back, or has left the service again since
+		return // the server has returned to the service, or has left it again
 	}
 	delete(index.departed, departure.Name)
 	s.raiseMinRevision(departure.Service, departure.Seq)
 	s.dropIndexIfEmpty(departure.Service)
 }
 
-// raiseMinRevision records that the changes of a service are known only after a revision.
+// raiseMinRevision records that only the changes of a service after a revision are known.
 func (s *State) raiseMinRevision(service string, revision int64) {
 	if s.ServiceHistory.MinRevisions == nil {
 		s.ServiceHistory.MinRevisions = map[string]int64{}
@@ -60,8 +61,8 @@
 	s.ServiceHistory.MinRevisions[service] = max(s.ServiceHistory.MinRevisions[service], revision)
 }
 
-// limitMinRevisions merges the services' minimum revisions into the common one if there are
-// too many of them.
+// limitMinRevisions merges the minimum revisions of single services into the common one if there
+// are more than MaxServiceMinRevisions.
 func (s *State) limitMinRevisions() {
 	if len(s.ServiceHistory.MinRevisions) <= MaxServiceMinRevisions {
 		return
@@ -72,7 +73,7 @@
 	s.ServiceHistory.MinRevisions = nil
 }
 
-// resetServiceHistory begins the history of all services at a revision.
+// resetServiceHistory restarts the history of all services at a revision.
 func (s *State) resetServiceHistory(revision int64) {
 	s.ServiceHistory = &ServiceHistory{MinRevision: revision}
 	for name, index := range s.serviceIndexes {
--- a/internal/catalog/serviceindex.go
+++ b/internal/catalog/serviceindex.go
@@ -5,18 +5,18 @@
 	"sort"
 )
 
-// minChangesToCompact keeps small services from compacting their changes at each change.
+// minChangesToCompact prevents small services from compacting their changes at each change.
 const minChangesToCompact = 64
 
-// serviceIndex is the index of one service. It is derived from the entries and the
-// departures, and rebuilt when a snapshot is decoded.
+// serviceIndex is the index of the entries and changes of one service. It is derived from the
+// entries and the departures, and rebuilt when a snapshot is decoded.
 type serviceIndex struct {
 	entries  map[string]*Entry // including removed ones
 	departed map[string]int64  // the revisions at which servers left for another service
-	// changes is in order of revisions. It holds outdated ones, whose entry has changed again.
+	// changes is sorted by revision. It may include outdated changes, whose server has changed again.
 	changes      []entryChange
 	listedCount  int
-	lastRevision int64 // of the last change
+	lastRevision int64 // the revision of the last change
 }
 
 // serviceIndexFor returns the index of a service, and creates it if there is none.
@@ -29,7 +29,7 @@
 	return index
 }
 
-// recordChange appends a change, and drops the outdated ones when they are the majority.
+// recordChange appends a change, and drops the outdated changes when they are the majority.
 func (index *serviceIndex) recordChange(change entryChange) {
 	index.changes = append(index.changes, change)
 	index.lastRevision = max(index.lastRevision, change.Seq)
@@ -65,7 +65,8 @@
 	s.dropIndexIfEmpty(entry.Endpoint.Service)
 }
 
-// countListed counts an entry as listed or not, in its service's index and in the state.
+// countListed updates the counts of listed entries, in the service's index and in the state, for an
+// entry that is listed or not.
 func (s *State) countListed(index *serviceIndex, entry *Entry, listed bool) {
 	switch {
 	case listed && !entry.countedAsListed:
@@ -85,7 +86,7 @@
 	}
 }
 
-// rebuildIndexes derives what a snapshot does not hold.
+// rebuildIndexes derives the indexes and counts that are not part of a snapshot.
 func (s *State) rebuildIndexes() {
 	s.serviceIndexes, s.listedCount, s.quarantinedCount = map[string]*serviceIndex{}, 0, 0
 	for name, entry := range s.Entries {
@@ -110,7 +111,7 @@
 	}
 }
 
-// sortChanges puts the changes in order of revisions.
+// sortChanges sorts the changes by revision and sets lastRevision.
 func (index *serviceIndex) sortChanges() {
 	sort.Slice(index.changes, func(i, j int) bool {
 		a, b := index.changes[i], index.changes[j]
--- a/internal/catalog/servicelist.go
+++ b/internal/catalog/servicelist.go
@@ -8,12 +8,12 @@
 	"knotrouter/internal/endpoints"
 )
 
-// MaxServiceChanges is by how many entries a list of changes may be longer than the full list
-// of the same services; a reader that would get more gets the full list.
+// MaxServiceChanges is the maximum number of entries by which a list of changes may exceed the full
+// list of the same services. A reader that would get a longer one gets the full list.
 const MaxServiceChanges = 256
 
-// FullServiceList returns the servers of the services that are listed, in the order of the services
-// and then by name. The cost depends on the size of these services only.
+// FullServiceList returns the listed servers of the services, in the given order of services and
+// then by name. The cost depends only on the size of these services.
 func (s *State) FullServiceList(services []string) endpoints.List {
 	list := endpoints.List{Seq: s.Seq, Full: true, Endpoints: []endpoints.Endpoint{}}
 	for _, service := range services {
@@ -23,8 +23,8 @@
 }
 
 // ServiceListSince returns the entries that changed in the services after a revision. It returns
-// the full list of the services if the changes are not known, or are more than MaxServiceChanges
-// longer than it. The cost depends on the size of these services only.
+// the full list of the services if the changes are not known, or if they exceed the full list by
+// more than MaxServiceChanges. The cost depends only on the size of these services.
 func (s *State) ServiceListSince(services []string, since int64) endpoints.List {
 	if !s.KnowsChangesSince(services, since) {
 		return s.FullServiceList(services)
@@ -54,8 +54,8 @@
 	return true
 }
 
-// ServiceEndpoints returns the listed servers of a service, by name, or nil if the service has no
-// entries.
+// ServiceEndpoints returns the listed servers of a service, sorted by name, or nil if the service has
+// neither entries nor retained departures.
 func (s *State) ServiceEndpoints(service string) []endpoints.Endpoint {
 	index := s.serviceIndexes[service]
 	if index == nil {
@@ -72,7 +72,7 @@
 }
 
 // ServiceChanges returns the servers of a service that changed after the revision since, each
-// once. Those that were removed or left for another service have the health Removed.
+// once. Servers that were removed or left for another service have the health Removed.
 func (s *State) ServiceChanges(service string, since int64) []endpoints.Endpoint {
 	index := s.serviceIndexes[service]
 	if index == nil {
@@ -92,7 +92,7 @@
 	return changed
 }
 
-// ServiceSize returns how many servers of a service are listed.
+// ServiceSize returns the number of listed servers of a service.
 func (s *State) ServiceSize(service string) int {
 	if index := s.serviceIndexes[service]; index != nil {
 		return index.listedCount
@@ -100,8 +100,8 @@
 	return 0
 }
 
-// ServiceVersion returns the revision of a service's last change, or 0 if the service has no
-// entries.
+// ServiceVersion returns the revision of a service's last change, or 0 if the service has neither
+// entries nor retained departures.
 func (s *State) ServiceVersion(service string) int64 {
 	if index := s.serviceIndexes[service]; index != nil {
 		return index.lastRevision
@@ -118,9 +118,9 @@
 	return sizes
 }
 
-// ChangedServices returns the services that changed after a revision, in order. It returns false
-// if the changes after the revision are not known any more, so that any service may have changed.
-// The cost depends on the number of changes only.
+// ChangedServices returns the services that changed after a revision, sorted. It returns false if the
+// changes after the revision are no longer known, in which case any service may have changed. The
+// cost depends only on the number of changes.
 func (s *State) ChangedServices(since int64) (services []string, known bool) {
 	if since > s.Seq || since < s.oldestRevision() || since < s.ServiceHistory.MinRevision {
 		return nil, false
--- a/internal/catalog/session.go
+++ b/internal/catalog/session.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// MaxSessions bounds the open sessions.
+	// MaxSessions is the maximum number of open sessions.
 	MaxSessions = 256
-	// maxTaskKinds bounds the kinds of tasks that a session names.
+	// maxTaskKinds is the maximum length of Session.TaskKinds.
 	maxTaskKinds = 32
 )
 
-// Session is a process that can run leased tasks, from the time at which the process opens the
-// session until the process or the leader closes it.
+// Session represents a process that can run leased tasks. The process opens the session; the process
+// or the leader closes it.
 type Session struct {
 	Process string `json:"process"`
 	ID      string `json:"id"` // drawn by the process at its start
 	Zone    string `json:"zone,omitempty"`
-	// TaskKinds are the kinds of tasks that the process can run: the parts of their names up to
-	// the first dot. None means that it can run all tasks.
+	// TaskKinds lists the kinds of tasks that the process can run; an empty list means all tasks. The
+	// kind of a task is the part of its name before the first dot.
 	TaskKinds []string      `json:"kinds,omitempty"`
-	MaxTasks  int           `json:"cap"`               // bound of the tasks that the process holds
+	MaxTasks  int           `json:"cap"`               // maximum number of tasks that the process holds
 	Draining  bool          `json:"resting,omitempty"` // its tasks are to be transferred
 	Opened    time.Duration `json:"opened,omitempty"`
-	Revision  int64         `json:"rev"` // changes whenever the session's Assignments do
+	Revision  int64         `json:"rev"` // changes whenever the session's assignments change
 }
 
-// CanRun reports whether the process can run the task of that name.
+// CanRun reports whether the process can run the task with the given name.
 func (session *Session) CanRun(task string) bool {
 	kind, _, _ := strings.Cut(task, ".")
 	return len(session.TaskKinds) == 0 || slices.Contains(session.TaskKinds, kind)
 }
 
-// ProcessNames returns the processes of all open sessions in order.
+// ProcessNames returns the processes of all open sessions, sorted.
 func (s *State) ProcessNames() []string { return sortedKeys(s.Sessions) }
 
-// openSession opens a session, or updates the one that is open with the same ID. A process
-// name belongs to one session until that is closed: another ID is rejected as Taken.
+// openSession opens a session, or updates the open one with the same ID. A process name belongs to
+// one session until that session is closed; another ID is rejected as Taken.
 func (s *State) openSession(request *Session) Result {
 	switch {
 	case request == nil || !isName(request.Process) || !isName(request.ID):
@@ -83,7 +83,8 @@
 	return s.done()
 }
 
-// closeSession ends a session with its terms. A task whose successor is ready is granted to it.
+// closeSession closes a session and ends its terms. A task whose successor is ready is granted to
+// that successor.
 func (s *State) closeSession(request *Session, reason string) Result {
 	session, rejection := s.findSession(request)
 	if session == nil {
@@ -102,8 +103,8 @@
 	return s.done()
 }
 
-// findSession returns the open session that a command names by its process and ID, or nil and
-// the result that rejects the command.
+// findSession returns the open session with the process and ID of a command. If there is none, it
+// returns nil and the result that rejects the command.
 func (s *State) findSession(request *Session) (*Session, Result) {
 	if request == nil {
 		return nil, s.reject(Invalid, "no session")
@@ -115,14 +116,14 @@
 	return session, Result{}
 }
 
-// nextSessionRevision returns a revision that no session has had.
+// nextSessionRevision returns a revision that no session has had before.
 func (s *State) nextSessionRevision() int64 {
 	s.SessionRevision++
 	return s.SessionRevision
 }
 
-// bumpSessionRevision gives a process's session, if one is open, a new revision, since its
-// assignments change.
+// bumpSessionRevision assigns a new revision to the open session of a process, if there is one,
+// because its assignments change.
 func (s *State) bumpSessionRevision(process string) {
 	if session := s.Sessions[process]; session != nil {
 		session.Revision = s.nextSessionRevision()
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -9,29 +9,29 @@
 
 // FormatError reports a snapshot or a command in a format that this build does not read.
 type FormatError struct {
-	FormatVersion int // the one found
+	FormatVersion int // of the snapshot or command
 }
 
-// Error names both formats.
+// Error returns a text with the format that was found and the one that this build reads.
 func (e *FormatError) Error() string {
 	return fmt.Sprintf("form %d, this build reads form %d", e.FormatVersion, FormatVersion)
 }
 
-// InconsistentStateError reports a snapshot that no log of commands can lead to.
+// InconsistentStateError reports a snapshot that no log of commands can produce.
 type InconsistentStateError struct {
 	Part    string // of the snapshot, such as `entry "a"`
 	Problem string
 }
 
-// Error names the part and its problem.
+// Error returns the part followed by its problem.
 func (e *InconsistentStateError) Error() string { return e.Part + e.Problem }
 
-// inconsistent returns an InconsistentStateError for the element name of a table.
+// inconsistent returns an InconsistentStateError for the element with the given name in a table.
 func inconsistent(table, name, problem string) error {
 	return &InconsistentStateError{Part: fmt.Sprintf("%s %q", table, name), Problem: problem}
 }
 
-// Encode returns the snapshot of the state. Equal states have equal snapshots.
+// Encode returns a snapshot of the state. Equal states have equal snapshots.
 func (s *State) Encode() ([]byte, error) {
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -41,8 +41,8 @@
 }
 
 // Decode returns the state of a snapshot that Encode wrote, in this build or an earlier one.
-// It returns an error that wraps a *FormatError, an *InconsistentStateError, or the error of
-// package json or of endpoints.Endpoint.Validate.
+// Its errors wrap a *FormatError, an *InconsistentStateError, or an error from package json or from
+// endpoints.Endpoint.Validate.
 func Decode(text []byte) (*State, error) {
 	s, err := decode(text)
 	if err != nil {
@@ -74,8 +74,8 @@
 	return s, nil
 }
 
-// fillAbsentTables makes the tables that are null in a snapshot, or absent from one of an
-// earlier build.
+// fillAbsentTables creates the tables that are null in a snapshot, or that a snapshot of an earlier
+// build does not have.
 func (s *State) fillAbsentTables() {
 	if s.Entries == nil {
 		s.Entries = map[string]*Entry{}
@@ -90,14 +90,14 @@
 		s.Members = map[string]*Member{}
 	}
 	if s.ServiceHistory == nil {
-		// What changed in a service before is not known, so its readers get the full list. The
-		// minimum revision may thus differ between replicas that decoded different snapshots from
-		// before there were services, until the revision is raised; no decision depends on it.
+		// Earlier changes of a service are unknown, so its readers get the full list. Until the revision
+		// is raised, the minimum revision may differ between replicas that decoded different snapshots
+		// from before services existed; no decision depends on it.
 		s.ServiceHistory = &ServiceHistory{MinRevision: s.Seq}
 	}
 }
 
-// checkEntries returns an error for an entry that Apply could not have made.
+// checkEntries returns an error if there is an entry that Apply could not have produced.
 func (s *State) checkEntries() error {
 	for name, entry := range s.Entries {
 		if entry == nil || entry.Endpoint.Name != name {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// checkHistory returns an error if the history is not in order, or names a missing entry.
+// checkHistory returns an error if the history is not sorted, or refers to a missing entry.
 func (s *State) checkHistory() error {
 	previous := int64(math.MinInt64)
 	for _, change := range s.History {
@@ -125,7 +125,8 @@
 	return nil
 }
 
-// checkSessionsAndTasks returns an error for a session or task that Apply could not have made.
+// checkSessionsAndTasks returns an error if there is a session or task that Apply could not have
+// produced.
 func (s *State) checkSessionsAndTasks() error {
 	for process, session := range s.Sessions {
 		if session == nil || session.Process != process || session.ID == "" || session.MaxTasks < 0 || session.Revision > s.SessionRevision {
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// hasConsistentHolder reports whether a task has a holder with a session or neither, and a
-// successor only beside a holder and with an open session.
+// hasConsistentHolder reports whether a task has either both a holder and a session or neither, and a
+// successor only if it has a holder and the successor has an open session.
 func (s *State) hasConsistentHolder(task *LeasedTask) bool {
 	if (task.Holder == "") != (task.Session == "") {
 		return false
@@ -152,7 +153,7 @@
 	return task.Successor == "" || task.Holder != "" && s.Sessions[task.Successor] != nil
 }
 
-// checkMembers returns an error for a member that Apply could not have made.
+// checkMembers returns an error if there is a member that Apply could not have produced.
 func (s *State) checkMembers() error {
 	for name, member := range s.Members {
 		if member == nil || member.Name != name || member.Incarnation > s.Incarnation {
@@ -162,7 +163,7 @@
 	return nil
 }
 
-// checkServiceHistory returns an error for a service history that Apply could not have made.
+// checkServiceHistory returns an error for a service history that Apply could not have produced.
 func (s *State) checkServiceHistory() error {
 	const part = "scopes: "
 	history := s.ServiceHistory
--- a/internal/catalog/state.go
+++ b/internal/catalog/state.go
@@ -8,7 +8,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-// State is all that the replicas of the control plane agree on. It is not safe for
+// State is the state on which all replicas of the control plane agree. It is not safe for
 // concurrent use.
 type State struct {
 	FormatVersion int               `json:"form"`
@@ -16,7 +16,8 @@
 	Clock         time.Duration     `json:"clock"`
 	Entries       map[string]*Entry `json:"entries"` // by server, including recently removed ones
 	History       []entryChange     `json:"history"` // by revision
-	// QuarantinedSince is when the first of the quarantined entries was quarantined; 0: none is.
+	// QuarantinedSince is the time from which at least one entry has been quarantined without
+	// interruption, or 0 if none is.
 	QuarantinedSince time.Duration `json:"held_since,omitempty"`
 
 	Sessions        map[string]*Session    `json:"sessions,omitempty"` // by process
@@ -25,7 +26,7 @@
 	SessionRevision int64                  `json:"rev,omitempty"`      // the last one issued
 	Members         map[string]*Member     `json:"members,omitempty"`  // by name
 	Incarnation     int64                  `json:"incarnation,omitempty"`
-	// ServiceHistory is nil only in snapshots from before servers had services.
+	// ServiceHistory is nil only in snapshots from before services existed.
 	ServiceHistory *ServiceHistory `json:"scopes,omitempty"`
 
 	// The fields below are derived from those above and rebuilt when a snapshot is decoded.
@@ -34,12 +35,12 @@
 	listedCount      int // entries that are listed
 	quarantinedCount int // entries that are quarantined
 
-	// appliedCommands counts the commands applied by this process, those on sessions and tasks
-	// excepted. It tells RegistrationLeases whether an entry may have changed.
+	// appliedCommands counts the commands that this process applied, except commands on sessions and
+	// tasks. RegistrationLeases uses it to detect that an entry may have changed.
 	appliedCommands int64
 }
 
-// New returns the empty state.
+// New returns an empty state.
 func New() *State {
 	return &State{
 		FormatVersion:  FormatVersion,
@@ -52,8 +53,8 @@
 	}
 }
 
-// Apply carries out one command and returns its outcome. A rejected command changes nothing
-// but the clock; one of an unknown format changes nothing at all.
+// Apply applies one command and returns its outcome. A rejected command changes only the clock; a
+// command of an unknown format changes nothing.
 func (s *State) Apply(c *Command) Result {
 	if c.FormatVersion != FormatVersion {
 		return s.reject(Unsupported, "%s", (&FormatError{c.FormatVersion}).Error())
@@ -85,8 +86,8 @@
 	return s.reject(Unsupported, "unknown command %q", c.Kind)
 }
 
-// applyTaskCommand carries out a command on sessions or leased tasks. It returns false for a
-// command of another kind.
+// applyTaskCommand applies a command on sessions or leased tasks. It returns false for commands of
+// other kinds.
 func (s *State) applyTaskCommand(c *Command) (Result, bool) {
 	switch c.Kind {
 	case OpenSession:
@@ -105,8 +106,8 @@
 	return Result{}, false
 }
 
-// rejectStaleTerm rejects a command that is proposed under a term which is not the task's
-// current one. It returns false if the command may go on.
+// rejectStaleTerm rejects a command that was proposed under a term that is not the task's current
+// one. It returns false if the command may be applied.
 func (s *State) rejectStaleTerm(c *Command) (Result, bool) {
 	if c.UnderTask == "" {
 		return Result{}, false
@@ -121,48 +122,48 @@
 	return Result{}, false
 }
 
-// raiseRevision raises all numbers that the state issues to at least revision, so that they
-// stay above those of a previous state that was lost.
+// raiseRevision raises all numbers that the state issues to at least revision, so that they stay
+// above the numbers that a previous, lost state issued.
 func (s *State) raiseRevision(revision int64) Result {
 	s.Fence, s.SessionRevision = max(s.Fence, revision), max(s.SessionRevision, revision)
 	s.Incarnation = max(s.Incarnation, revision)
 	if revision > s.Seq {
-		// A reader with an older revision may have it from the previous state, so no change
-		// leads on from there: it has to get the full list.
+		// A reader with an older revision may have received it from the previous state. This state
+		// has no changes that apply to that list, so the reader must get the full list.
 		s.Seq, s.History = revision, nil
 		s.resetServiceHistory(revision)
 	}
 	return s.done()
 }
 
-// done returns the result of a command that was carried out.
+// done returns the result of a command that was applied.
 func (s *State) done() Result { return Result{Seq: s.Seq} }
 
-// doneWithNumber returns the result of a command that issued a fencing token or an incarnation.
+// doneWithNumber returns the result of a command that assigned a fencing token or an incarnation.
 func (s *State) doneWithNumber(number int64) Result {
 	return Result{Seq: s.Seq, Fence: number}
 }
 
-// reject returns the result of a command that was not carried out, with the formatted reason.
+// reject returns the result of a rejected command, with the formatted reason.
 func (s *State) reject(code Code, format string, args ...any) Result {
 	return Result{Code: code, Seq: s.Seq, Text: fmt.Sprintf(format, args...)}
 }
 
-// rejectFence rejects an action under a fencing token that is not the task's current one.
+// rejectFence rejects a command with a fencing token that is not the task's current one.
 func (s *State) rejectFence(task *LeasedTask, fence int64) Result {
 	return s.reject(Fenced, "fence %d of duty %s is not the present one, %d", fence, task.Name, task.Fence)
 }
 
-// isName reports whether text can be the name or the ID of a server, process or task.
+// isName reports whether text is valid as the name or ID of a server, process or task.
 func isName(text string) bool { return endpoints.IsToken(text, endpoints.MaxName) }
 
-// isLabel reports whether text can be a zone or a kind of tasks.
+// isLabel reports whether text is valid as a zone or a kind of task.
 func isLabel(text string) bool { return endpoints.IsToken(text, endpoints.MaxLabel) }
 
-// isServiceName reports whether text can be the name of a service; "" is the default service.
+// isServiceName reports whether text is valid as the name of a service; "" is the default service.
 func isServiceName(text string) bool { return text == "" || isLabel(text) }
 
-// sortedKeys returns the keys of a table in order, which is the order of all decisions.
+// sortedKeys returns the sorted keys of a table. Iterating in this order keeps decisions deterministic.
 func sortedKeys[V any](table map[string]V) []string {
 	keys := make([]string, 0, len(table))
 	for key := range table {
--- a/internal/catalog/taskleases.go
+++ b/internal/catalog/taskleases.go
@@ -9,40 +9,40 @@
 	// grantRenewalWindow is how long after the last renewal of its session a process may be given a
 	// task.
 	grantRenewalWindow = time.Second
-	// maxTermsPerCommand bounds the terms of one command, so that an entry of the log stays small:
-	// the terms of a process that held a thousand tasks expire by several decisions.
+	// maxTermsPerCommand is the maximum number of terms in one command. It keeps entries of the log
+	// small: the terms of a process that held a thousand tasks expire in several decisions.
 	maxTermsPerCommand = 256
 	// acceptTimeout is how long a successor may take to accept a transfer.
 	acceptTimeout = 2 * time.Second
-	// deathAttributionWindow is the time after a grant within which the task counts as the cause of
-	// its holder's death.
+	// deathAttributionWindow is the time after a grant within which the death of the holder is
+	// attributed to the task.
 	deathAttributionWindow = 2 * time.Second
 )
 
-// TaskLeases holds the leases of the sessions that run tasks. Like RegistrationLeases they exist
-// in the leader's memory only. A new leader gives each its full TTL, so that every lease that its
+// TaskLeases holds the leases of the sessions that run tasks. Like RegistrationLeases, they exist only
+// in the leader's memory. A new leader gives every lease its full TTL, so that a lease that its
 // predecessor extended has expired before the new leader grants the task to another process. Times
 // are on the state's clock. It is not safe for concurrent use.
 type TaskLeases struct {
-	// Absent is set by the caller before each Decide: the processes that are not present in the
-	// membership view. They are given a task only if no other process can take it.
+	// Absent contains the processes that are not present in the membership view. The caller sets it
+	// before each Decide. An absent process is given a task only if no other process can take it.
 	Absent map[string]bool
-	// Essential is set by the caller: the tasks of the control plane itself, by name. They are not
-	// suspended for the deaths of their holders, as nothing else would do their work.
+	// Essential contains the names of the control plane's own tasks. The caller sets it. These tasks
+	// are not suspended for the deaths of their holders, because nothing else would do their work.
 	Essential map[string]bool
 
 	leaderSince time.Duration
 	lastRenewal map[string]time.Duration // by session ID
-	// expiringTerms and closingSessions are the terms and sessions whose end Decide has proposed and
-	// the state may not have applied yet. Until it has, renewals by their holders are rejected.
+	// expiringTerms and closingSessions contain the terms and sessions whose end Decide has proposed
+	// but the state may not have applied yet. Until it has, their holders' renewals are rejected.
 	expiringTerms   map[string]int64 // fencing tokens, by task
 	closingSessions map[string]bool  // by session ID
-	// expiredAt is, by session ID, when a term of the session expired. The session is not given
-	// another task before it is renewed.
+	// expiredAt maps a session ID to the time at which a term of the session expired. The session is
+	// given no further task until it is renewed.
 	expiredAt map[string]time.Duration
 }
 
-// NewTaskLeases returns the leases of a new leader: each lasts for its full TTL from now, a time on
+// NewTaskLeases returns the leases of a new leader. Each lasts for its full TTL from now, a time on
 // the state's clock.
 func NewTaskLeases(now time.Duration) *TaskLeases {
 	return &TaskLeases{
@@ -54,9 +54,10 @@
 	}
 }
 
-// Renew extends the leases of a session, by its process and ID. It returns Done, Unknown if the
+// Renew extends the leases of the session with a process and ID. It returns Done, Unknown if the
 // process has no session, Taken if its session has another ID, or Conflict while the end of the
-// session or of one of its terms is proposed but not yet applied; the process then retries.
+// session or of one of its terms is proposed but not yet applied. After a Conflict, the process
+// retries.
 func (t *TaskLeases) Renew(s *State, process, id string, now time.Duration) Code {
 	session := s.Sessions[process]
 	switch {
@@ -79,28 +80,28 @@
 	return Done
 }
 
-// latestRenewal returns the latest time at which a session can have been renewed. A new leader does
-// not know of renewals by its predecessor, so it assumes one at its election.
+// latestRenewal returns the latest time at which the session may have been renewed. A new leader does
+// not know the renewals that its predecessor confirmed, so it assumes a renewal at its election.
 func (t *TaskLeases) latestRenewal(session *Session) time.Duration {
 	return max(t.lastRenewal[session.ID], t.leaderSince, session.Opened)
 }
 
-// canTakeTasks reports whether a session may be given a task: it is not draining, was renewed
-// within grantRenewalWindow, and if a term of it has expired, was renewed after that.
+// canTakeTasks reports whether a session may be given a task: it must not be draining, must have been
+// renewed within grantRenewalWindow, and, if one of its terms has expired, renewed after the expiry.
 func (t *TaskLeases) canTakeTasks(session *Session, now time.Duration) bool {
 	expiredAt, expired := t.expiredAt[session.ID]
 	return !session.Draining && now < t.latestRenewal(session)+grantRenewalWindow && (!expired || t.lastRenewal[session.ID] > expiredAt)
 }
 
 // isExpired reports whether the current term of a task has expired. The holder counts the TTL
-// from when it sent a renewal, which is not later than latestRenewal. A term that has just been
-// granted lasts for its TTL though the session may not have been renewed since.
+// from the time at which it sent a renewal, which is not later than latestRenewal. A new term lasts
+// for at least its TTL even if the session has not been renewed since the grant.
 func (t *TaskLeases) isExpired(s *State, task *LeasedTask, now time.Duration) bool {
 	session := s.holderSession(task)
 	return session == nil || now >= max(t.latestRenewal(session), task.HolderSince)+task.TTL
 }
 
-// holderSession returns the session in which a task is held, or nil if it is not open.
+// holderSession returns the session that holds a task, or nil if that session is not open.
 func (s *State) holderSession(task *LeasedTask) *Session {
 	if session := s.Sessions[task.Holder]; session != nil && session.ID == task.Session {
 		return session
@@ -108,10 +109,10 @@
 	return nil
 }
 
-// Decide returns the commands that the leader is to propose now, in order: terms that expire,
-// transfers that were not accepted in time, essential tasks to resume, sessions to close, and then the grants of tasks
-// that no process holds, or else transfers from draining processes, or else transfers that even
-// out the load.
+// Decide returns the commands that the leader should propose now, in this order: expire terms, cancel
+// transfers that were not accepted in time, resume essential tasks, close sessions, and grant the
+// tasks that no process holds. If there are no grants, transfers from draining processes take their
+// place; if there are none of these either, transfers that balance the load do.
 func (t *TaskLeases) Decide(s *State, now time.Duration) []Command {
 	scan := t.scan(s, now)
 	commands := appendTerms(nil, ExpireTerm, scan.expired)
@@ -134,7 +135,7 @@
 	return appendTerms(commands, TransferTask, transfers)
 }
 
-// appendTerms appends a command on terms, if there are any.
+// appendTerms appends a command on the terms, unless there are none.
 func appendTerms(commands []Command, kind Kind, terms []TermRef) []Command {
 	if len(terms) == 0 {
 		return commands
@@ -142,19 +143,19 @@
 	return append(commands, Command{Kind: kind, Terms: terms})
 }
 
-// taskScan is what one decision finds, task by task.
+// taskScan holds the result of a scan of all tasks for one decision.
 type taskScan struct {
 	taskNames  []string
 	expired    []TermRef // at most maxTermsPerCommand
-	unaccepted []TermRef // transfers to cancel: the successor did not accept in time
-	transfers  int       // that have begun and not ended
-	// sessionsWithTasks are the IDs of the sessions that hold a task, expired or not.
+	unaccepted []TermRef // transfers to cancel because the successor did not accept in time
+	transfers  int       // number of transfers in progress
+	// sessionsWithTasks contains the IDs of the sessions that hold a task, expired or not.
 	sessionsWithTasks map[string]bool
-	// load is the number of tasks of each process once all transfers are done.
+	// load is the number of tasks of each process after all transfers in progress.
 	load map[string]int
 }
 
-// scan looks at each task, in order of names.
+// scan examines all tasks in order of names.
 func (t *TaskLeases) scan(s *State, now time.Duration) *taskScan {
 	scan := &taskScan{taskNames: s.TaskNames(), sessionsWithTasks: map[string]bool{}, load: map[string]int{}}
 	for _, name := range scan.taskNames {
@@ -182,7 +183,8 @@
 	return scan
 }
 
-// expire adds the current term of a task to those that expire, unless there are too many.
+// expire records that the current term of a task has expired, and adds it to scan.expired unless that
+// is full.
 func (t *TaskLeases) expire(scan *taskScan, task *LeasedTask, now time.Duration) {
 	t.expiredAt[task.Session] = now
 	if len(scan.expired) < maxTermsPerCommand {
@@ -191,9 +193,9 @@
 	}
 }
 
-// attributeDeaths marks, of each session's expired terms, the one that may have killed the
-// process: the last that was granted, if the session was last renewed less than
-// deathAttributionWindow after the grant. An essential task is never marked.
+// attributeDeaths marks, among the expired terms of each session, the term of the task that may have
+// killed the process: the one granted last, if the session was last renewed less than
+// deathAttributionWindow after that grant. The term of an essential task is never marked.
 func (t *TaskLeases) attributeDeaths(s *State, scan *taskScan) {
 	lastGranted := map[string]int{} // index in expired, by session ID
 	for i, term := range scan.expired {
@@ -213,7 +215,7 @@
 }
 
 // appendResumes appends commands that resume the essential tasks that a leader of an earlier build
-// has had suspended for the deaths of their holders.
+// suspended for the deaths of their holders.
 func (t *TaskLeases) appendResumes(commands []Command, s *State) []Command {
 	for _, name := range sortedKeys(t.Essential) {
 		if s.SuspendedForDeaths(name) {
@@ -223,7 +225,7 @@
 	return commands
 }
 
-// dropClosedSessions drops what is recorded of sessions that are not open any more.
+// dropClosedSessions drops the records of sessions that are no longer open.
 func (t *TaskLeases) dropClosedSessions(s *State) {
 	open := map[string]bool{}
 	for _, session := range s.Sessions {
@@ -238,7 +240,7 @@
 	}
 }
 
-// appendIdleSessions appends commands that close the sessions which hold no task and were not
+// appendIdleSessions appends commands that close the sessions that hold no task and have not been
 // renewed for idleSessionTimeout.
 func (t *TaskLeases) appendIdleSessions(commands []Command, s *State, now time.Duration, withTasks map[string]bool) []Command {
 	for _, process := range s.ProcessNames() {
@@ -253,7 +255,7 @@
 	return commands
 }
 
-// candidates returns the sessions that may be given a task, in order of processes.
+// candidates returns the sessions that may be given a task, sorted by process.
 func (t *TaskLeases) candidates(s *State, now time.Duration) []*Session {
 	var candidates []*Session
 	for _, process := range s.ProcessNames() {
@@ -264,7 +266,7 @@
 	return candidates
 }
 
-// PreferredSuccessor returns the process that should have a task after its holder, or "" if no
+// PreferredSuccessor returns the process that should take over a task from its holder, or "" if no
 // process holds the task or no other process can take it.
 func (t *TaskLeases) PreferredSuccessor(s *State, name string, now time.Duration) string {
 	task := s.LeasedTasks[name]
--- a/internal/catalog/term.go
+++ b/internal/catalog/term.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	// maxTermHistory bounds the ended terms that a task remembers.
+	// maxTermHistory is the maximum number of ended terms that a task remembers.
 	maxTermHistory = 8
 
-	// A term is short if it ends sooner than shortTermDuration. After a short term that failed, a
-	// task is not granted for minRetryBackoff, doubled with each such term in a row, up to
-	// maxRetryBackoff.
+	// A term is short if it is shorter than shortTermDuration. After a short term that failed, a task
+	// is not granted for minRetryBackoff. The backoff doubles with each consecutive term of this
+	// kind, up to maxRetryBackoff.
 	shortTermDuration = 30 * time.Second
 	minRetryBackoff   = time.Second
 	maxRetryBackoff   = 5 * time.Minute
-	maxRetryDoublings = 20 // bounds the shift, far beyond maxRetryBackoff
+	maxRetryDoublings = 20 // limits the shift; reaches far beyond maxRetryBackoff
 
-	// suspendAfterDeaths is the number of holders in a row that died soon after the grant after
-	// which a task is suspended.
+	// suspendAfterDeaths is the number of consecutive holders that die soon after the grant before
+	// the task is suspended.
 	suspendAfterDeaths = 3
 )
 
-// Term is the time for which one process held a task, and why it ended.
+// Term records an ended term: the process that held the task, when, and why the term ended.
 type Term struct {
 	Process string        `json:"process"`
 	Fence   int64         `json:"fence"`
@@ -43,20 +43,20 @@
 	Reason  string        `json:"why"`
 }
 
-// TermRef refers to a term of a task that is to begin, or to the current one. GrantTerm and
-// AcceptTransfer read Process and Session, and TransferTask reads Process: who is to hold the
-// task. ExpireTerm and ReleaseTerm read Fence and, unless it is "", Session: both have to be
-// those of the current term.
+// TermRef refers to the current term of a task, or to one that is about to begin. GrantTerm and
+// AcceptTransfer read Process and Session, and TransferTask reads Process, to identify the process
+// that is about to hold the task. ExpireTerm and ReleaseTerm read Fence and Session, which must be
+// those of the current term; an empty Session matches any.
 type TermRef struct {
 	Name       string `json:"name"` // of the task
 	Process    string `json:"process,omitempty"`
 	Session    string `json:"session,omitempty"`
 	Fence      int64  `json:"fence,omitempty"`
-	CountDeath bool   `json:"blame,omitempty"` // of ExpireTerm: the task may have killed its holder
+	CountDeath bool   `json:"blame,omitempty"` // for ExpireTerm: the task may have killed its holder
 }
 
-// applyToTerms carries out a command on terms. The result of a single one is its own; of
-// several, those that can't be applied are skipped.
+// applyToTerms applies a command to its terms. If there is only one, the result is that of the term;
+// if there are several, those to which the command can't be applied are skipped.
 func (s *State) applyToTerms(c *Command) Result {
 	for _, term := range c.Terms {
 		result := s.applyToTerm(c, term)
@@ -67,7 +67,7 @@
 	return s.done()
 }
 
-// applyToTerm carries out a command on one term.
+// applyToTerm applies a command to one term.
 func (s *State) applyToTerm(c *Command, term TermRef) Result {
 	task := s.LeasedTasks[term.Name]
 	if task == nil {
@@ -95,18 +95,18 @@
 	return s.done()
 }
 
-// isCurrentTerm reports whether the task is held in the term that ref refers to.
+// isCurrentTerm reports whether ref refers to the current term of the task.
 func (task *LeasedTask) isCurrentTerm(ref TermRef) bool {
 	return task.Holder != "" && task.Fence == ref.Fence && (ref.Session == "" || task.Session == ref.Session)
 }
 
-// grantTerm grants a task that no process holds to a session. Result.Fence is the fencing token,
-// which no earlier term of any task had.
+// grantTerm grants a task that no process holds to a session. Result.Fence is the term's fencing
+// token, which no earlier term of any task had.
 func (s *State) grantTerm(task *LeasedTask, process, sessionID string) Result {
 	session := s.Sessions[process]
 	switch {
 	case task.Holder == process && task.Session == sessionID:
-		return s.doneWithNumber(task.Fence) // a retry: the first answer was lost
+		return s.doneWithNumber(task.Fence) // a retry after a lost response
 	case task.Holder != "":
 		return s.reject(Taken, "duty %s is held by %s", task.Name, task.Holder)
 	case task.SuspendReason != "":
@@ -123,9 +123,9 @@
 	return s.doneWithNumber(task.Fence)
 }
 
-// transferTask names the process that is to take over a task, its successor. The successor gets
-// ready and accepts the transfer; then the holder is asked to stop; and when the holder has
-// released its term, the task is granted to the successor. Process "" cancels the transfer.
+// transferTask sets the successor of a task, the process that will take it over. The successor gets
+// ready and accepts the transfer, then the holder is asked to stop, and when the holder has
+// released its term, the task is granted to the successor. An empty process cancels the transfer.
 func (s *State) transferTask(task *LeasedTask, process string) Result {
 	if process == "" {
 		s.cancelTransfer(task)
@@ -149,7 +149,7 @@
 }
 
 // acceptTransfer records that the successor of a task is ready, so that the holder is asked to
-// stop. The assignments of the successor itself stay as they are.
+// stop. The successor's own assignments do not change.
 func (s *State) acceptTransfer(task *LeasedTask, process, sessionID string) Result {
 	session := s.Sessions[process]
 	if task.Successor != process || session == nil || session.ID != sessionID {
@@ -172,8 +172,8 @@
 	task.Successor, task.SuccessorSince, task.SuccessorReady = "", 0, false
 }
 
-// endTerm ends the current term of a task for a reason. If the task has a successor that is
-// ready, and the reason is not ReasonFailed, it is granted to the successor at once.
+// endTerm ends the current term of a task for a reason. If the task has a successor that is ready and
+// the reason is not ReasonFailed, the task is granted to the successor immediately.
 func (s *State) endTerm(task *LeasedTask, reason string) {
 	if task.StopRequested && reason == ReasonCompleted {
 		reason = ReasonRevoked
@@ -199,8 +199,8 @@
 	}
 }
 
-// updateBackoff decides from an ended term when the task may be granted again, and which
-// process is to be avoided then. A term that was not short clears earlier failures.
+// updateBackoff sets when the task may be granted again after an ended term, and which process is
+// avoided then. A term that was not short clears earlier failures.
 func (s *State) updateBackoff(task *LeasedTask, term Term) {
 	short := term.To-term.From < shortTermDuration
 	switch {
@@ -222,7 +222,7 @@
 }
 
 // countHolderDeath counts a holder that died soon after the task was granted to it. After
-// suspendAfterDeaths in a row the task is suspended until an operator resumes it.
+// suspendAfterDeaths consecutive deaths, the task is suspended until an operator resumes it.
 func (s *State) countHolderDeath(task *LeasedTask) {
 	task.HolderDeaths++
 	if task.HolderDeaths >= suspendAfterDeaths && task.Holder == "" {
@@ -230,7 +230,7 @@
 	}
 }
 
-// deathsReason returns the SuspendReason of a task that is suspended for its holders' deaths.
+// deathsReason returns the SuspendReason of a task that is suspended for the deaths of its holders.
 func deathsReason(deaths int) string {
 	return fmt.Sprintf("its last %d holders ended in it", deaths)
 }
@@ -242,7 +242,8 @@
 	return task != nil && task.HolderDeaths >= suspendAfterDeaths && task.SuspendReason == deathsReason(task.HolderDeaths)
 }
 
-// rejectIneligibleProcess rejects a process that has no session, or one that can't be granted the task.
+// rejectIneligibleProcess rejects a process that has no session or whose session can't be granted the
+// task.
 func (s *State) rejectIneligibleProcess(process string) Result {
 	return s.reject(Unknown, "no session of %s that takes duties", process)
 }
