--- a/internal/catalog/helpers_test.go
+++ b/internal/catalog/helpers_test.go
@@ -22,16 +22,16 @@
 	return e
 }
 
-// apply applies a command of the present format at a time of the leader.
+// apply applies a command of the current format at the leader's time at.
 func apply(s *State, at time.Duration, c Command) Result {
 	c.FormatVersion, c.At = FormatVersion, at
 	return s.Apply(&c)
 }
 
-// refs refers to a single instance.
+// refs returns a list with a reference to a single instance.
 func refs(name string, startedMs float64) []InstanceRef { return []InstanceRef{{name, startedMs}} }
 
-// listed returns the full list in one line.
+// listed returns the full list as one line of text.
 func listed(s *State) string {
 	var servers []string
 	for _, e := range s.FullList().Endpoints {
@@ -40,7 +40,7 @@
 	return strings.Join(servers, ", ")
 }
 
-// drawCommand draws a command on servers of any kind, valid or not.
+// drawCommand draws a random command on servers, valid or not.
 func drawCommand(t *rapid.T, at time.Duration) Command {
 	c := Command{FormatVersion: FormatVersion, At: at, Kind: rapid.SampledFrom([]Kind{Register, Register, Register, RaiseRevision, Drain, Deregister, ExpireRegistration,
 		Quarantine, Recover, ConfirmRemoval, EndDamping, SetOverride, "nonsense"}).Draw(t, "kind")}
@@ -65,7 +65,7 @@
 	return c
 }
 
-// drawTaskCommand draws a command on sessions and tasks, valid or not.
+// drawTaskCommand draws a random command on sessions and tasks, valid or not.
 func drawTaskCommand(t *rapid.T, s *State, at time.Duration) Command {
 	c := Command{FormatVersion: FormatVersion, At: at, Kind: rapid.SampledFrom([]Kind{OpenSession, OpenSession, CloseSession, DrainSession, DefineTask, DefineTask, DeleteTask, GrantTerm, GrantTerm, GrantTerm,
 		ExpireTerm, ReleaseTerm, TransferTask, AcceptTransfer, RevokeTerm, Suspend, Resume, RaiseRevision, SetOverride}).Draw(t, "kind")}
--- a/internal/catalog/leasedtask_test.go
+++ b/internal/catalog/leasedtask_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestTaskHasOneHolder holds that a task is not granted while another process holds it, that a
-// retry of the grant gets the same fencing token, and that only the holder's term releases it.
+// TestTaskHasOneHolder verifies that a task is not granted while another process holds it, that a
+// retried grant returns the same fencing token, and that a release must have the current token.
 func TestTaskHasOneHolder(t *testing.T) {
 	s := New()
 	for _, process := range []string{"p", "q"} {
@@ -24,30 +24,30 @@
 	}
 	first := grant("p")
 	if first.Code != Done || first.Fence == 0 {
-		t.Fatalf("granted: %+v", first)
+		t.Fatalf("first grant: %+v", first)
 	}
 	if other := grant("q"); other.Code != Taken || s.LeasedTasks["task"].Holder != "p" {
-		t.Errorf("granted to another process: %+v, held by %s", other, s.LeasedTasks["task"].Holder)
+		t.Errorf("grant to another process: %+v, held by %s", other, s.LeasedTasks["task"].Holder)
 	}
 	if retry := grant("p"); retry != first {
-		t.Errorf("granted again: %+v, want %+v", retry, first)
+		t.Errorf("retried grant: %+v, want %+v", retry, first)
 	}
 	release := Command{Kind: ReleaseTerm, Terms: []TermRef{{Name: "task", Fence: first.Fence + 1}}}
 	if r := apply(s, s.Clock, release); r.Code != Fenced || s.LeasedTasks["task"].Holder != "p" {
-		t.Errorf("released under another fencing token: %+v", r)
+		t.Errorf("release under another fencing token: %+v", r)
 	}
 	release.Terms[0].Fence = first.Fence
 	if r := apply(s, s.Clock, release); r.Code != Done || s.LeasedTasks["task"].Holder != "" {
-		t.Errorf("released: %+v", r)
+		t.Errorf("release: %+v", r)
 	}
 	if second := grant("q"); second.Code != Done || second.Fence <= first.Fence {
-		t.Errorf("granted after the release: %+v, first %+v", second, first)
+		t.Errorf("grant after the release: %+v, first grant %+v", second, first)
 	}
 }
 
-// TestTaskLogs holds for any log of commands on sessions and tasks: a task has one holder, with
-// an open session; fencing tokens grow and no two terms share one; a term ends only by a
-// command on that term or on its session; a command under a stale term is rejected and changes
+// TestTaskLogs verifies for random logs of commands on sessions and tasks: a task has at most one
+// holder, with an open session; fencing tokens grow and no two terms share one; a term ends only by
+// a command on that term or on its session; a command under a stale term is rejected and changes
 // nothing; and a replay of the log, or of a snapshot and the rest of the log, gives the same state.
 func TestTaskLogs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -59,8 +59,8 @@
 	})
 }
 
-// TestAssignmentsChangeWithRevision holds for any log of commands on sessions and tasks: the
-// assignments of a session change only with its revision, so that its process learns of each change.
+// TestAssignmentsChangeWithRevision verifies for random logs of commands on sessions and tasks that the
+// assignments of a session change only with its revision, so that its process notices each change.
 func TestAssignmentsChangeWithRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		known := knownAssignments{}
@@ -68,7 +68,7 @@
 	})
 }
 
-// taskLogStep is a command that was applied, with its result and what the state had before it.
+// taskLogStep is an applied command with its result and parts of the state before it.
 type taskLogStep struct {
 	command       Command
 	result        Result
@@ -77,9 +77,9 @@
 }
 
 // replayTaskLog applies a random log of commands on sessions and tasks to a new state, and calls
-// check after each command. It applies the stored form of each command to a second state, which is
-// replaced by a decoded snapshot of the first one at a random command, and fails the test if the
-// results of a command or the states at the end differ.
+// check after each command. It also applies the stored form of each command to a second state, which
+// it replaces with a decoded snapshot of the first at a random command. It fails the test if the
+// results of a command or the final states differ.
 func replayTaskLog(t *rapid.T, check func(s *State, step taskLogStep)) {
 	t.Helper()
 	s, replayed := New(), New()
@@ -99,17 +99,17 @@
 		step := taskLogStep{command: c, previousSeq: s.Seq, previousTasks: copyOfTasks(s)}
 		step.result = s.Apply(&step.command)
 		if again := replayed.Apply(&stored); again != step.result {
-			t.Fatalf("%s: %+v, and replayed %+v", c.Kind, step.result, again)
+			t.Fatalf("%s: %+v, replayed: %+v", c.Kind, step.result, again)
 		}
 		check(s, step)
 	}
 	a, _ := s.Encode()
 	b, _ := replayed.Encode()
 	if !bytes.Equal(a, b) {
-		t.Fatalf("replayed:\n%s\n%s", a, b)
+		t.Fatalf("states differ after the replay:\n%s\n%s", a, b)
 	}
 	if _, err := Decode(a); err != nil {
-		t.Fatalf("can't decode its own snapshot: %v", err)
+		t.Fatalf("cannot decode the state's own snapshot: %v", err)
 	}
 }
 
@@ -127,7 +127,7 @@
 	return decoded
 }
 
-// copyOfTasks returns the tasks of a state as they are now.
+// copyOfTasks returns copies of the tasks of a state.
 func copyOfTasks(s *State) map[string]LeasedTask {
 	tasks := map[string]LeasedTask{}
 	for name, task := range s.LeasedTasks {
@@ -136,13 +136,13 @@
 	return tasks
 }
 
-// checkCommand checks one command's result against the state after it: a session that was
-// opened has the name, and a command under a term was applied only if the term is current. seq
-// is the list's revision before the command.
+// checkCommand checks a command's result against the state after it: an opened session has the
+// process name, and a command under a term was applied if and only if that term is current. seq is
+// the list's revision before the command.
 func checkCommand(t *rapid.T, s *State, c Command, r Result, seq int64) {
 	t.Helper()
 	if c.Kind == OpenSession && r.Code == Done && s.Sessions[c.Session.Process].ID != c.Session.ID {
-		t.Fatalf("%s is answered that it has the name that %s has", c.Session.ID, s.Sessions[c.Session.Process].ID)
+		t.Fatalf("session %s was opened, but its process name belongs to session %s", c.Session.ID, s.Sessions[c.Session.Process].ID)
 	}
 	if c.UnderTask == "" {
 		return
@@ -150,17 +150,17 @@
 	task := s.LeasedTasks[c.UnderTask]
 	current := task != nil && task.Holder != "" && task.Fence == c.Fence
 	if current != (r.Code == Done) || !current && s.Seq != seq {
-		t.Fatalf("a command under fence %d of %+v: %+v", c.Fence, task, r)
+		t.Fatalf("command under fencing token %d of %+v: %+v", c.Fence, task, r)
 	}
 }
 
 // taskLogChecker checks the tasks and sessions after each command of one log.
 type taskLogChecker struct {
 	terms    map[int64]string // task and session of each term, by fencing token
-	minFence int64            // each new term's token is above it
+	minFence int64            // the token of each new term must be higher
 }
 
-// checkTerms checks all tasks after a command. before has the tasks before it.
+// checkTerms checks all tasks after a command. before holds the tasks before it.
 func (k *taskLogChecker) checkTerms(t *rapid.T, s *State, c Command, before map[string]LeasedTask) {
 	t.Helper()
 	if c.Kind == RaiseRevision {
@@ -171,37 +171,38 @@
 		previous, known := before[name]
 		if task.Holder != "" && (previous.Holder == "" || previous.Fence != task.Fence) {
 			if task.Fence <= k.minFence {
-				t.Fatalf("%s is granted under fence %d, there was %d", name, task.Fence, k.minFence)
+				t.Fatalf("%s is granted with fencing token %d, not above %d", name, task.Fence, k.minFence)
 			}
 			highest = max(highest, task.Fence)
 		}
 		if known && task.Fence < previous.Fence {
-			t.Fatalf("%s: fence %d after %d", name, task.Fence, previous.Fence)
+			t.Fatalf("%s: fencing token %d after %d", name, task.Fence, previous.Fence)
 		}
 		if task.Holder != "" {
 			k.checkHolder(t, s, task)
 		}
 		if task.SuspendReason != "" && task.Holder != "" && task.Fence != previous.Fence {
-			t.Fatalf("%s is suspended and was granted: %+v", name, task)
+			t.Fatalf("%s was granted although it is suspended: %+v", name, task)
 		}
 		if known && previous.Holder != "" && (task.Holder != previous.Holder || task.Fence != previous.Fence) && !endsTerm(c, &previous) {
-			t.Fatalf("%s took %s from %s", c.Kind, name, previous.Holder)
+			t.Fatalf("command %s ended the term of %s held by %s", c.Kind, name, previous.Holder)
 		}
 	}
 	k.minFence = highest
 }
 
-// checkHolder checks that a task is held in an open session, under a fencing token of its own.
+// checkHolder checks that a task is held in an open session, with a fencing token that no other term
+// has.
 func (k *taskLogChecker) checkHolder(t *rapid.T, s *State, task *LeasedTask) {
 	t.Helper()
 	term := task.Name + task.Session
 	switch {
 	case s.Sessions[task.Holder] == nil || s.Sessions[task.Holder].ID != task.Session:
-		t.Fatalf("%s is held by %s, %s, which is not open", task.Name, task.Holder, task.Session)
+		t.Fatalf("%s is held by %s in session %s, which is not open", task.Name, task.Holder, task.Session)
 	case k.terms[task.Fence] == "":
 		k.terms[task.Fence] = term
 	case k.terms[task.Fence] != term:
-		t.Fatalf("fence %d is %s's and %s's", task.Fence, k.terms[task.Fence], term)
+		t.Fatalf("fencing token %d belongs to %s and to %s", task.Fence, k.terms[task.Fence], term)
 	}
 }
 
@@ -214,7 +215,7 @@
 		slices.ContainsFunc(c.Terms, func(term TermRef) bool { return term.Name == task.Name && term.Fence == task.Fence })
 }
 
-// knownAssignments is the assignments of sessions, as text, by session and revision.
+// knownAssignments maps a session and revision to the session's assignments, as text.
 type knownAssignments map[string]string
 
 // check checks that the assignments of a session change only with its revision.
@@ -225,15 +226,15 @@
 		tasks, revision, _ := s.Assignments(process, session.ID)
 		key, now := fmt.Sprint(session.ID, revision), fmt.Sprint(tasks)
 		if previous, found := k[key]; found && previous != now {
-			t.Fatalf("at revision %d %s is to do %s, and was to do %s", revision, process, now, previous)
+			t.Fatalf("at revision %d, the assignments of %s changed to %s from %s", revision, process, now, previous)
 		}
 		k[key] = now
 	}
 }
 
-// TestCrashingTasksAreSuspended holds that a task that fails is granted again only after a
-// backoff, longer each time, and that a task is suspended if its holders die soon after the grant. A
-// task that the same processes held before is not.
+// TestCrashingTasksAreSuspended verifies that a task that fails is granted again only after a backoff
+// that grows each time, and that a task is suspended if its holders die soon after the grant. A task
+// that the same processes already held is not suspended.
 func TestCrashingTasksAreSuspended(t *testing.T) {
 	s := New()
 	apply(s, 0, Command{Kind: OpenSession, Session: &Session{Process: "p", ID: "i", MaxTasks: 9}})
@@ -258,7 +259,7 @@
 		apply(s, now, Command{Kind: OpenSession, Session: &Session{Process: "q", ID: id, MaxTasks: 9}})
 		apply(s, now, Command{Kind: GrantTerm, Terms: []TermRef{{Name: "harmless", Process: "q", Session: id}}})
 		apply(s, now, Command{Kind: GrantTerm, Terms: []TermRef{{Name: "crashing", Process: "q", Session: id}}})
-		for range 60 { // the process renews no more
+		for range 60 { // the process no longer renews
 			now += 100 * time.Millisecond
 			for _, c := range leases.Decide(s, now) {
 				if c.Kind != GrantTerm {
@@ -268,11 +269,12 @@
 		}
 	}
 	if s.LeasedTasks["crashing"].SuspendReason == "" || s.LeasedTasks["harmless"].SuspendReason != "" {
-		t.Errorf("the task that crashes its holders: %+v; the task beside it: %+v", s.LeasedTasks["crashing"], s.LeasedTasks["harmless"])
+		t.Errorf("task that crashes its holders: %+v; task of the same holders: %+v", s.LeasedTasks["crashing"], s.LeasedTasks["harmless"])
 	}
 }
 
-// suspendForDeaths has three holders of a task die, as a leader that counts the deaths proposes it.
+// suspendForDeaths applies the commands of a leader that counts the deaths of holders, for three
+// holders of a task that die.
 func suspendForDeaths(t *testing.T, s *State, name string) {
 	t.Helper()
 	for range suspendAfterDeaths {
@@ -280,13 +282,13 @@
 		apply(s, s.Clock, Command{Kind: ExpireTerm, Terms: []TermRef{{Name: name, Fence: s.LeasedTasks[name].Fence, CountDeath: true}}})
 	}
 	if !s.SuspendedForDeaths(name) {
-		t.Fatalf("after %d deaths: %+v", suspendAfterDeaths, s.LeasedTasks[name])
+		t.Fatalf("not suspended after %d deaths: %+v", suspendAfterDeaths, s.LeasedTasks[name])
 	}
 }
 
-// TestEssentialTasksStayGranted holds that the deaths of the holders of an essential task never
-// suspend it, that one which an earlier build has suspended is resumed, and that an operator's
-// suspension stays.
+// TestEssentialTasksStayGranted verifies that the deaths of its holders never suspend an essential
+// task, that an essential task suspended by an earlier build is resumed, and that an operator's
+// suspension persists.
 func TestEssentialTasksStayGranted(t *testing.T) {
 	s := New()
 	for _, name := range []string{"sweep", "old", "operator", "users"} {
@@ -312,7 +314,7 @@
 	for name, wantReason := range map[string]string{"sweep": "", "old": "", "operator": "until tomorrow", "users": deathsReason(suspendAfterDeaths)} {
 		task := s.LeasedTasks[name]
 		if task.SuspendReason != wantReason {
-			t.Errorf("%s is suspended for %q, want %q", name, task.SuspendReason, wantReason)
+			t.Errorf("%s has suspend reason %q, want %q", name, task.SuspendReason, wantReason)
 		}
 		if terms := len(task.History); wantReason == "" && terms < suspendAfterDeaths {
 			t.Errorf("%s was granted %d times", name, terms)
--- a/internal/catalog/registration_test.go
+++ b/internal/catalog/registration_test.go
@@ -14,8 +14,8 @@
 	"knotrouter/internal/endpoints"
 )
 
-// TestRegistrationsOfOneName holds, command by command, which instance has a name, what readers
-// see of it, and which revisions that makes.
+// TestRegistrationsOfOneName verifies, command by command, which instance has a name, what readers
+// see of it, and which revisions result.
 func TestRegistrationsOfOneName(t *testing.T) {
 	s := New()
 	step := func(c Command, code Code, revision int64, list string) {
@@ -33,7 +33,7 @@
 	step(Command{Kind: SetOverride, Name: "s", Weight: &weight, IfVersion: 101}, Done, 102, "s ready 0.5 10")
 	step(Command{Kind: SetOverride, Name: "s", Weight: &weight, IfVersion: 101}, Conflict, 102, "s ready 0.5 10")
 	step(Command{Kind: SetOverride, Name: "s", Health: &draining}, Done, 103, "s draining 0.5 10")
-	step(Command{Kind: Register, Endpoint: endpoint("s", 20)}, Done, 104, "s draining 0.5 20") // an override outlasts a restart
+	step(Command{Kind: Register, Endpoint: endpoint("s", 20)}, Done, 104, "s draining 0.5 20") // an override persists across a restart
 	step(Command{Kind: SetOverride, Name: "s", Health: &none}, Done, 105, "s ready 0.5 20")
 	step(Command{Kind: ExpireRegistration, Refs: refs("s", 10)}, Superseded, 105, "s ready 0.5 20") // the previous instance
 	step(Command{Kind: Drain, Refs: refs("s", 20)}, Done, 106, "s draining 0.5 20")
@@ -48,12 +48,12 @@
 	removed.Health = endpoints.Removed
 	step(Command{Kind: Register, Endpoint: &removed}, Invalid, 108, "s ready 0.5 30")
 	if r := s.Apply(&Command{FormatVersion: FormatVersion + 1, Kind: RaiseRevision, Seq: 999}); r.Code != Unsupported || s.Seq != 108 {
-		t.Errorf("a command of a later format: %+v", r)
+		t.Errorf("command of a later format: %+v", r)
 	}
 }
 
-// TestDamping holds that a server that restarts too often stays unlisted, longer each time, and
-// is listed again after that.
+// TestDamping verifies that a server that restarts too often stays unlisted, longer each time, and
+// is listed when the damping ends.
 func TestDamping(t *testing.T) {
 	s := New()
 	var damped []time.Duration
@@ -70,17 +70,17 @@
 	}
 	apply(s, s.Clock, Command{Kind: Register, Endpoint: endpoint("s", 100)})
 	if listed(s) != "" {
-		t.Fatalf("listed while it is damped: %s", listed(s))
+		t.Fatalf("damped server is listed: %s", listed(s))
 	}
 	until := s.Entries["s"].DampedUntil
 	apply(s, until-1, Command{Kind: EndDamping, Refs: refs("s", 100)})
 	if listed(s) != "" {
-		t.Error("listed before the damping is over")
+		t.Error("server is listed before the damping ends")
 	}
 	before := s.Seq
 	apply(s, until, Command{Kind: EndDamping, Refs: refs("s", 100)})
 	if listed(s) != "s ready 1 100" || s.Seq != before+1 {
-		t.Errorf("not listed: %s, revision %d after %d", listed(s), s.Seq, before)
+		t.Errorf("after the damping: list %q, revision %d after %d", listed(s), s.Seq, before)
 	}
 	apply(s, s.Clock+time.Hour, Command{Kind: ExpireRegistration, Refs: refs("s", 100)})
 	if r := apply(s, s.Clock+time.Second, Command{Kind: Register, Endpoint: endpoint("s", 101)}); r.DampedFor != 0 {
@@ -88,13 +88,13 @@
 	}
 }
 
-// TestReplayGivesSameState holds for any log: a replay of it, or of a snapshot and the rest of
-// it, gives the same results and the same state; revisions never go back, and each change of
-// the list has one of its own; and a reader that follows the changes has the full list.
+// TestReplayGivesSameState verifies for random logs: a replay of the log, or of a snapshot and the
+// rest of the log, gives the same results and the same state; revisions never go back, and each
+// change of the list has its own; and a reader that follows the changes has the full list.
 func TestReplayGivesSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, replayed := New(), New()
-		var restored *State // from a snapshot; nil before that
+		var restored *State // decoded from a snapshot; nil before the snapshot
 		reader := listReader{endpoints: map[string]endpoints.Endpoint{}}
 		snapshotAt := rapid.IntRange(0, 40).Draw(t, "snapshot at")
 		for i := range rapid.IntRange(1, 60).Draw(t, "commands") {
@@ -117,18 +117,18 @@
 			revision, clock, before := s.Seq, s.Clock, listed(s)
 			r := s.Apply(&c)
 			if again := replayed.Apply(&stored); again != r {
-				t.Fatalf("%s: %+v, and replayed %+v", c.Kind, r, again)
+				t.Fatalf("%s: %+v, replayed: %+v", c.Kind, r, again)
 			}
 			if restored != nil {
 				if again := restored.Apply(&stored); again != r {
-					t.Fatalf("%s: %+v, and after a snapshot %+v", c.Kind, r, again)
+					t.Fatalf("%s: %+v, after a snapshot: %+v", c.Kind, r, again)
 				}
 			}
 			switch {
 			case s.Seq < revision || s.Clock < clock:
 				t.Fatalf("revision %d after %d, clock %v after %v", s.Seq, revision, s.Clock, clock)
 			case listed(s) != before && s.Seq == revision:
-				t.Fatalf("the list changed under revision %d", revision)
+				t.Fatalf("the list changed without a new revision after %d", revision)
 			}
 			if rapid.IntRange(0, 3).Draw(t, "reads") == 0 {
 				reader.checkRead(t, s)
@@ -137,23 +137,23 @@
 		a, _ := s.Encode()
 		b, _ := replayed.Encode()
 		if !bytes.Equal(a, b) {
-			t.Fatalf("replayed:\n%s\n%s", a, b)
+			t.Fatalf("states differ after the replay:\n%s\n%s", a, b)
 		}
 		if restored != nil {
 			if c, _ := restored.Encode(); !bytes.Equal(a, c) {
-				t.Fatalf("snapshot and the rest of the log:\n%s\n%s", a, c)
+				t.Fatalf("states differ after a snapshot and the rest of the log:\n%s\n%s", a, c)
 			}
 		}
 	})
 }
 
-// listReader follows the changes of the list.
+// listReader is a reader that follows the changes of the list.
 type listReader struct {
 	revision  int64
 	endpoints map[string]endpoints.Endpoint
 }
 
-// checkRead reads the changes since the last read, and compares with the full list.
+// checkRead reads the changes since the last read, and compares the reader's list with the full list.
 func (r *listReader) checkRead(t *rapid.T, s *State) {
 	t.Helper()
 	list := s.ListSince(r.revision)
@@ -171,12 +171,12 @@
 		want[e.Name] = e
 	}
 	if !reflect.DeepEqual(r.endpoints, want) {
-		t.Fatalf("a reader has %v, the list is %v", r.endpoints, want)
+		t.Fatalf("reader has %v, want %v", r.endpoints, want)
 	}
 }
 
-// TestBounds holds that the history is bounded and readers from before it get the full list,
-// and that the table of entries is bounded and old removed ones make room.
+// TestBounds verifies that the history is bounded and that readers with an older revision get the full
+// list, and that the table of entries is bounded and old removed entries make room for new ones.
 func TestBounds(t *testing.T) {
 	s := New()
 	weight := 1.0
@@ -189,24 +189,25 @@
 	}
 	oldest := s.oldestRevision()
 	if s.ListSince(oldest).Full || !s.ListSince(oldest-1).Full || !s.ListSince(s.Seq+1).Full {
-		t.Error("the wrong revisions get a full list")
+		t.Error("full list for the wrong revisions")
 	}
 	s = New()
 	for i := range MaxEntries {
 		apply(s, 0, Command{Kind: Register, Endpoint: endpoint(fmt.Sprint("s-", i), 1)})
 	}
 	if r := apply(s, 0, Command{Kind: Register, Endpoint: endpoint("more", 1)}); r.Code != TooMany {
-		t.Errorf("one name too many: %+v", r)
+		t.Errorf("registration with a full table: %+v", r)
 	}
 	before := s.Seq
 	apply(s, 0, Command{Kind: Deregister, Refs: refs("s-7", 1)})
 	r := apply(s, removedEntryRetention+1, Command{Kind: Register, Endpoint: endpoint("more", 1)})
 	if r.Code != Done || len(s.Entries) != MaxEntries || !s.ListSince(before).Full {
-		t.Errorf("a new name in place of an old removed one: %+v, %d entries", r, len(s.Entries))
+		t.Errorf("registration in place of an old removed entry: %+v, %d entries", r, len(s.Entries))
 	}
 }
 
-// FuzzDecode holds that any bytes are rejected as a snapshot or command, or give a sound state.
+// FuzzDecode verifies that arbitrary bytes, as a snapshot or a command, are rejected or give a valid
+// state.
 func FuzzDecode(f *testing.F) {
 	_, s, _ := simulateFleet(func(i int) bool { return i < 3 }, 40)
 	text, _ := s.Encode()
@@ -226,7 +227,7 @@
 		l := s.ListSince(s.Seq - 1)
 		for i := range l.Endpoints {
 			if err := l.Endpoints[i].Validate(); err != nil {
-				t.Fatalf("lists an invalid endpoint: %v", err)
+				t.Fatalf("list has an invalid endpoint: %v", err)
 			}
 		}
 		again, err := s.Encode()
@@ -234,7 +235,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Decode(again); err != nil {
-			t.Fatalf("can't decode its own snapshot: %v", err)
+			t.Fatalf("cannot decode the state's own snapshot: %v", err)
 		}
 	})
 }
--- a/internal/catalog/registrationleases_test.go
+++ b/internal/catalog/registrationleases_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// simulateFleet runs a fleet of 30 servers of which some fall silent at once. It returns how
-// many are listed after the ticks, of 500 ms each, the state, and the leases.
+// simulateFleet runs a fleet of 30 servers of which the failed ones stop renewing at once. It returns
+// the number of servers that remain listed after the ticks, of 500 ms each, the state, and the leases.
 func simulateFleet(failed func(i int) bool, ticks int) (remaining int, s *State, l *RegistrationLeases) {
 	return simulateServices(func(int) string { return "" }, failed, ticks)
 }
 
-// simulateServices is simulateFleet with a service for each server.
+// simulateServices is like simulateFleet, with a service for each server.
 func simulateServices(service func(i int) string, failed func(i int) bool, ticks int) (remaining int, s *State, l *RegistrationLeases) {
 	const n = 30
 	s = New()
@@ -28,7 +28,7 @@
 	for tick := range ticks {
 		now := time.Duration(tick) * 500 * time.Millisecond
 		for i := range n {
-			// Each renews every 2 s, at its own time; the silent ones until 10 s.
+			// Each server renews every 2 s, at its own offset; failed servers stop after 10 s.
 			if (tick+i)%4 == 0 && (!failed(i) || now < 10*time.Second) {
 				l.Renew(s, InstanceRef{fmt.Sprintf("s-%02d", i), 1}, now)
 			}
@@ -38,7 +38,7 @@
 	return len(s.FullList().Endpoints), s, l
 }
 
-// applyDecision applies what the leader would propose for a decision.
+// applyDecision applies the commands that the leader would propose for a decision.
 func applyDecision(s *State, now time.Duration, d Decision) {
 	for _, c := range []Command{
 		{Kind: ExpireRegistration, Refs: d.Expire},
@@ -53,21 +53,21 @@
 	}
 }
 
-// TestMassFailure holds that one zone of three expires, and that most of the fleet does not:
-// it is quarantined until an operator confirms its removal or the servers renew again.
+// TestMassFailure verifies that the servers of one zone of three expire, but that most of the fleet
+// does not: it is quarantined until an operator confirms the removal or the servers renew again.
 func TestMassFailure(t *testing.T) {
 	t.Run("one service", func(t *testing.T) { testMassFailure(t, func(int) string { return "" }) })
-	// The fleet's share holds also for services that are too small for a share of their own.
-	t.Run("a service each", func(t *testing.T) { testMassFailure(t, func(i int) string { return fmt.Sprint("service-", i) }) })
+	// The fleet's share also applies to services that are too small for a share of their own.
+	t.Run("one service per server", func(t *testing.T) { testMassFailure(t, func(i int) string { return fmt.Sprint("service-", i) }) })
 }
 
 func testMassFailure(t *testing.T, service func(i int) string) {
 	if remaining, s, _ := simulateServices(service, func(i int) bool { return i%3 == 0 }, 60); remaining != 20 || s.QuarantinedSince != 0 {
-		t.Errorf("a zone of three lost: %d of 30 listed, quarantined since %v", remaining, s.QuarantinedSince)
+		t.Errorf("one zone of three failed: %d of 30 listed, quarantined since %v", remaining, s.QuarantinedSince)
 	}
 	remaining, s, l := simulateServices(service, func(i int) bool { return i%10 != 0 }, 60)
 	if remaining != 30 || s.QuarantinedSince == 0 {
-		t.Fatalf("nine in ten silent: %d of 30 listed, quarantined since %v", remaining, s.QuarantinedSince)
+		t.Fatalf("nine in ten servers failed: %d of 30 listed, quarantined since %v", remaining, s.QuarantinedSince)
 	}
 	snapshot, _ := s.Encode()
 	confirmed, err := Decode(snapshot)
@@ -76,7 +76,7 @@
 	}
 	apply(confirmed, s.Clock, Command{Kind: ConfirmRemoval})
 	if n := len(confirmed.FullList().Endpoints); n != 3 || confirmed.QuarantinedSince != 0 {
-		t.Errorf("confirmed: %d listed", n)
+		t.Errorf("after the confirmation: %d listed", n)
 	}
 	now := 31 * time.Second
 	for i := range 30 {
@@ -87,11 +87,11 @@
 	revision := s.Seq
 	applyDecision(s, now, l.Decide(s, now, ExpireByLeaseOnly))
 	if s.QuarantinedSince != 0 || s.Seq != revision || len(s.FullList().Endpoints) != 30 {
-		t.Errorf("heard again: quarantined since %v, revision %d after %d", s.QuarantinedSince, s.Seq, revision)
+		t.Errorf("after renewals: quarantined since %v, revision %d after %d", s.QuarantinedSince, s.Seq, revision)
 	}
 }
 
-// TestNewLeaderExtendsLeases holds that a new leader gives every lease its full TTL, however
+// TestNewLeaderExtendsLeases verifies that a new leader gives every lease its full TTL, however
 // old the last renewal is.
 func TestNewLeaderExtendsLeases(t *testing.T) {
 	_, s, _ := simulateFleet(func(int) bool { return false }, 8)
@@ -101,11 +101,12 @@
 		t.Errorf("before the full TTL: %+v", d)
 	}
 	if d := l.Decide(s, now+6*time.Second, ExpireByLeaseOnly); len(d.Expire) != 30 {
-		t.Errorf("after it: %+v", d)
+		t.Errorf("after the full TTL: %+v", d)
 	}
 }
 
-// TestEvidence holds what becomes of a server that is late or over, by the evidence of others.
+// TestEvidence verifies whether a server expires whose lease is late or has expired, by the evidence
+// of other processes.
 func TestEvidence(t *testing.T) {
 	const ttl = 6 * time.Second
 	for _, c := range []struct {
@@ -133,12 +134,12 @@
 			}
 			d := l.Decide(s, c.sinceRenewal, func(ref InstanceRef, expired bool) FailureEvidence {
 				if ref != lateServer || expired != (c.sinceRenewal >= ttl) {
-					t.Errorf("asked about %v, expired %v", ref, expired)
+					t.Errorf("evidence requested for %v with expired %v", ref, expired)
 				}
 				return c.evidence
 			})
 			if expires := reflect.DeepEqual(d, Decision{Expire: []InstanceRef{lateServer}}); expires != c.expires || !expires && !d.Empty() {
-				t.Errorf("decided: %+v, want expiry %v", d, c.expires)
+				t.Errorf("decision %+v, want expiry %v", d, c.expires)
 			}
 			if l.Retained != c.retained || l.Undecided != c.undecided {
 				t.Errorf("%d retained and %d undecided, want %d and %d", l.Retained, l.Undecided, c.retained, c.undecided)
@@ -147,7 +148,7 @@
 	}
 }
 
-// serviceFleet returns the state of services of the given sizes, and the leases of their servers.
+// serviceFleet returns a state with services of the given sizes, and the leases of their servers.
 func serviceFleet(sizes map[string]int) (*State, *RegistrationLeases) {
 	s := New()
 	for service, size := range sizes {
@@ -158,7 +159,7 @@
 	return s, NewRegistrationLeases(LeaseConfig{TTL: 6 * time.Second, MassFailureShare: 0.4, MassFailureWindow: 10 * time.Second}, s, 0)
 }
 
-// runLeases renews all servers but the silent ones every 2 s, and applies all decisions.
+// runLeases renews all servers except the failed ones every 2 s, and applies all decisions.
 func runLeases(s *State, l *RegistrationLeases, from, to time.Duration, failed func(name string) bool) {
 	for now := from; now < to; now += 500 * time.Millisecond {
 		if now%(2*time.Second) == 0 {
@@ -172,9 +173,9 @@
 	}
 }
 
-// TestQuarantineByService holds that the servers of a service are quarantined if most of them
-// fall silent while the other services do not, and that single servers of other services, and
-// small services, still expire.
+// TestQuarantineByService verifies that the servers of a service are quarantined if most of them stop
+// renewing while other services do not, and that single servers of other services, and small
+// services, still expire.
 func TestQuarantineByService(t *testing.T) {
 	s, l := serviceFleet(map[string]int{"a": 20, "b": 60, "c": 4, "one": 1})
 	failed := func(name string) bool {
@@ -199,20 +200,20 @@
 	}
 	apply(confirmed, s.Clock, Command{Kind: ConfirmRemoval})
 	if got := confirmed.ServiceSizes(); got["a"] != 1 || confirmed.QuarantinedSince != 0 {
-		t.Errorf("confirmed: %v", got)
+		t.Errorf("after the confirmation, listed by service: %v", got)
 	}
 	runLeases(s, l, 60*time.Second, 64*time.Second, func(name string) bool { return name == "b-1" })
 	if got := s.ServiceSizes(); got["a"] != 20 || s.QuarantinedSince != 0 || s.Entries["a-1"].QuarantinedByService {
-		t.Errorf("heard again: %v, quarantined since %v", got, s.QuarantinedSince)
+		t.Errorf("after renewals, listed by service: %v, quarantined since %v", got, s.QuarantinedSince)
 	}
 }
 
-// TestQuarantineByServiceWithinWindow holds that a service loses at most its share within a
-// window, though its servers fail one after the other.
+// TestQuarantineByServiceWithinWindow verifies that a service loses at most its share within a
+// window, even if its servers fail one after the other.
 func TestQuarantineByServiceWithinWindow(t *testing.T) {
 	s, l := serviceFleet(map[string]int{"a": 10, "b": 90})
 	failed := 0
-	for at := time.Duration(0); at < 16*time.Second; at += 2 * time.Second { // one more fails every 2 s
+	for at := time.Duration(0); at < 16*time.Second; at += 2 * time.Second { // one more server fails every 2 s
 		failed++
 		runLeases(s, l, at, at+2*time.Second, func(name string) bool {
 			for i := range failed {
@@ -228,8 +229,8 @@
 	}
 }
 
-// TestSkippedDecisionsFindNothing holds that a decision which skips the scan is the one that
-// would result from it, and that decisions do skip the scan.
+// TestSkippedDecisionsFindNothing verifies that a decision that skips the scan is the same as with the
+// scan, and that decisions do skip the scan.
 func TestSkippedDecisionsFindNothing(t *testing.T) {
 	skipped := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -254,11 +255,11 @@
 			}
 			scans.scannedState = nil
 			if got, want := skips.Suspected(s, now), scans.Suspected(s, now); len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
-				t.Fatalf("at %v the suspects are %v, and with a scan %v", now, got, want)
+				t.Fatalf("at %v the suspects are %v, with a scan %v", now, got, want)
 			}
 			got, want := skips.Decide(s, now, ExpireByLeaseOnly), scans.Decide(s, now, ExpireByLeaseOnly)
 			if !reflect.DeepEqual(got, want) || skips.Retained != scans.Retained || skips.Undecided != scans.Undecided {
-				t.Fatalf("at %v the decision is %+v, and with a scan %+v", now, got, want)
+				t.Fatalf("at %v the decision is %+v, with a scan %+v", now, got, want)
 			}
 			applyDecision(s, now, got)
 		}
@@ -278,7 +279,7 @@
 			scanned++
 		}
 		if d := l.Decide(s, now, ExpireByLeaseOnly); !d.Empty() {
-			t.Fatalf("decided: %+v", d)
+			t.Fatalf("unexpected decision: %+v", d)
 		}
 	}
 	if scanned > 60 {
@@ -286,8 +287,8 @@
 	}
 }
 
-// largestFleet returns the fleet that is planned for: 39,000 servers in 1,900 services, the
-// first of which has 5,000.
+// largestFleet returns a fleet of the maximum planned size: 39,000 servers in 1,900 services, of which
+// the first has 5,000 servers.
 func largestFleet(tb testing.TB) (*State, *RegistrationLeases) {
 	tb.Helper()
 	s := New()
@@ -303,8 +304,8 @@
 	return s, NewRegistrationLeases(LeaseConfig{TTL: time.Hour, MassFailureShare: 0.4, MassFailureWindow: 10 * time.Second}, s, 0)
 }
 
-// TestLargestFleetFits holds that the state has the capacity for the largest fleet while the
-// names of a full region are replaced at once, and that its snapshot can be decoded.
+// TestLargestFleetFits verifies that the state has the capacity for the largest fleet while all
+// names of a region are replaced at once, and that its snapshot can be decoded.
 func TestLargestFleetFits(t *testing.T) {
 	s, _ := largestFleet(t)
 	const region = 6500
@@ -318,7 +319,7 @@
 		}
 	}
 	if l := s.ListSince(since - region); l.Full || len(l.Endpoints) != 2*region {
-		t.Errorf("a region lost and back is %d changes, full list %v", len(l.Endpoints), l.Full)
+		t.Errorf("loss and return of a region: %d changes, full list %v", len(l.Endpoints), l.Full)
 	}
 	text, err := s.Encode()
 	if err != nil {
@@ -334,7 +335,7 @@
 	t.Logf("snapshot of %d bytes", len(text))
 }
 
-// BenchmarkLargestFleet measures single operations with the largest fleet.
+// BenchmarkLargestFleet measures single operations on the state and the leases of the largest fleet.
 func BenchmarkLargestFleet(b *testing.B) {
 	s, l := largestFleet(b)
 	twentyServices := make([]string, 20)
--- a/internal/catalog/services_test.go
+++ b/internal/catalog/services_test.go
@@ -22,7 +22,7 @@
 	endpoints map[string]endpoints.Endpoint // nil before the first list
 }
 
-// apply applies a list, and returns an error for what a reader must never be sent.
+// apply applies a list, and returns an error if the reader must never be sent such a list.
 func (r *serviceReader) apply(l endpoints.List) error {
 	if l.Seq < r.revision {
 		return fmt.Errorf("revision %d after %d", l.Seq, r.revision)
@@ -34,11 +34,11 @@
 	for _, e := range l.Endpoints {
 		switch {
 		case !slices.Contains(r.services, e.Service):
-			return fmt.Errorf("a reader of %q is sent %+v", r.services, e)
+			return fmt.Errorf("reader of %q was sent %+v", r.services, e)
 		case e.Health != endpoints.Removed:
 			r.endpoints[e.Name] = e
 		case l.Full:
-			return fmt.Errorf("removed in a full list: %+v", e)
+			return fmt.Errorf("removed endpoint in a full list: %+v", e)
 		case r.endpoints[e.Name].Service == e.Service:
 			delete(r.endpoints, e.Name)
 		}
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// wantedEndpoints returns the listed endpoints of services, from the entries alone.
+// wantedEndpoints returns the listed endpoints of services, determined from the entries alone.
 func wantedEndpoints(s *State, services []string) map[string]endpoints.Endpoint {
 	want := map[string]endpoints.Endpoint{}
 	for name, e := range s.Entries {
@@ -58,7 +58,7 @@
 	return want
 }
 
-// checkIndex compares the derived part of a state with its entries.
+// checkIndex compares the derived fields of a state with its entries.
 func checkIndex(s *State) error {
 	listed, quarantined := 0, 0
 	sizes := map[string]int{}
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// restoreSnapshot returns the state of a snapshot. It fails the test if the derived part of that state
-// is wrong, or if the state has another snapshot.
+// restoreSnapshot encodes and decodes a state, and returns the result. It fails the test if the derived
+// fields of the result are wrong, or if its snapshot differs.
 func restoreSnapshot(t *rapid.T, s *State) *State {
 	t.Helper()
 	text, err := s.Encode()
@@ -103,13 +103,13 @@
 	}
 	again, _ := restored.Encode()
 	if !bytes.Equal(text, again) {
-		t.Fatalf("one state, two snapshots:\n%s\n%s", text, again)
+		t.Fatalf("snapshots differ:\n%s\n%s", text, again)
 	}
 	return restored
 }
 
-// checkRead reads the changes since the last read, or at first the full list, and compares what the
-// reader has with the entries.
+// checkRead reads the changes since the last read, or the full list the first time, and compares the
+// reader's endpoints with the entries.
 func (r *serviceReader) checkRead(t *rapid.T, s *State) {
 	t.Helper()
 	list := s.ServiceListSince(r.services, r.revision)
@@ -120,12 +120,12 @@
 		t.Fatal(err)
 	}
 	if want := wantedEndpoints(s, r.services); !reflect.DeepEqual(r.endpoints, want) {
-		t.Fatalf("at revision %d a reader of %q has %v, the entries are %v", s.Seq, r.services, r.endpoints, want)
+		t.Fatalf("at revision %d, reader of %q has %v, want %v", s.Seq, r.services, r.endpoints, want)
 	}
 }
 
-// TestServiceReaders holds for any log, and with snapshots in between: readers of services that
-// apply their changes have exactly the entries of their services at each revision, and no
+// TestServiceReaders verifies for random logs, with snapshots in between, that readers that apply the
+// changes of their services have exactly the entries of these services at each revision, and that no
 // revision goes back.
 func TestServiceReaders(t *testing.T) {
 	services := []string{"", "a", "b", "c"}
@@ -157,7 +157,7 @@
 			for _, r := range readers {
 				touched := slices.ContainsFunc(r.services, func(name string) bool { return slices.Contains(changed, name) })
 				if known && !touched && r.revision >= before && !reflect.DeepEqual(wantedEndpoints(s, r.services), r.endpoints) && r.endpoints != nil {
-					t.Fatalf("%s changed %q, and not what a reader of %q has", c.Kind, changed, r.services)
+					t.Fatalf("%s changed services %q, but also the entries for a reader of %q", c.Kind, changed, r.services)
 				}
 				if rapid.IntRange(0, 2).Draw(t, "reads") > 0 {
 					continue
@@ -168,8 +168,8 @@
 	})
 }
 
-// listDifference returns how the encoded full list or the encoded changes since a revision differ
-// between two states, or "" if both are the same byte for byte.
+// listDifference describes how the encoded full list or the encoded changes since a revision differ
+// between two states. It returns "" if both are identical byte for byte.
 func listDifference(got, want *State, since int64) string {
 	for listKind, read := range map[string]func(*State) endpoints.List{
 		"full list": (*State).FullList,
@@ -184,15 +184,15 @@
 	return ""
 }
 
-// TestReadersWithoutServicesGetSameBytes holds that readers that name no services get the same
-// bytes whatever services the servers have.
+// TestReadersWithoutServicesGetSameBytes verifies that readers that name no services get the same
+// bytes regardless of the services of the servers.
 func TestReadersWithoutServicesGetSameBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain, named := New(), New()
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			c := drawCommand(t, time.Duration(rapid.IntRange(0, 100_000).Draw(t, "ms"))*time.Millisecond)
 			with := c
-			if c.Endpoint != nil { // each name has one service
+			if c.Endpoint != nil { // derived from the name, so that a name never changes its service
 				e := *c.Endpoint
 				e.Service = "service-of-" + e.Name
 				with.Endpoint = &e
@@ -209,8 +209,8 @@
 	})
 }
 
-// TestChurnOfOtherServices holds that readers of a service need no full list however long
-// another service churns.
+// TestChurnOfOtherServices verifies that readers of a service need no full list, however many times
+// another service changes.
 func TestChurnOfOtherServices(t *testing.T) {
 	s := New()
 	apply(s, 0, Command{Kind: Register, Endpoint: endpointInService("quiet", 1, "small")})
@@ -221,18 +221,18 @@
 		apply(s, 0, Command{Kind: SetOverride, Name: "busy", Weight: &weight})
 	}
 	if l := s.ServiceListSince([]string{"small"}, since); l.Full || len(l.Endpoints) != 0 || l.Seq != s.Seq {
-		t.Errorf("a reader of a service without changes is sent %+v", l)
+		t.Errorf("reader of a service without changes was sent %+v", l)
 	}
 	if l := s.ServiceListSince([]string{"large"}, since); l.Full || len(l.Endpoints) != 1 {
-		t.Errorf("a reader far behind is sent %d entries, full %v", len(l.Endpoints), l.Full)
+		t.Errorf("reader with an old revision was sent %d entries, full %v", len(l.Endpoints), l.Full)
 	}
 	if changes := len(s.serviceIndexes["large"].changes); changes > 128 {
-		t.Errorf("the index has %d changes of one server", changes)
+		t.Errorf("index has %d changes of one server", changes)
 	}
 }
 
-// TestDeparturesAreBounded holds that departures and minimum revisions are bounded, and that
-// readers from before a dropped one get the full list.
+// TestDeparturesAreBounded verifies that departures and minimum revisions are bounded, and that
+// readers whose revision is older than a dropped departure get the full list.
 func TestDeparturesAreBounded(t *testing.T) {
 	s := New()
 	const names = 100
@@ -245,16 +245,16 @@
 		apply(s, 0, Command{Kind: Register, Endpoint: endpointInService(fmt.Sprint("s-", i), 1, "to")})
 	}
 	if l := s.ServiceListSince([]string{"from"}, since); l.Full || len(l.Endpoints) != names {
-		t.Fatalf("%d entries, full %v, want %d that are removed", len(l.Endpoints), l.Full, names)
+		t.Fatalf("%d entries, full %v, want %d removed ones", len(l.Endpoints), l.Full, names)
 	}
 	for i := range MaxDepartures {
 		apply(s, 0, Command{Kind: Register, Endpoint: endpointInService("s-0", 1, fmt.Sprint("other-", i%2))})
 	}
 	if len(s.ServiceHistory.Departures) != MaxDepartures {
-		t.Errorf("%d departures", len(s.ServiceHistory.Departures))
+		t.Errorf("%d departures are retained", len(s.ServiceHistory.Departures))
 	}
 	if l := s.ServiceListSince([]string{"from"}, since); !l.Full || len(l.Endpoints) != 1 {
-		t.Errorf("a reader from before a dropped departure: %+v", l)
+		t.Errorf("reader with a revision before a dropped departure: %+v", l)
 	}
 	if l := s.ServiceListSince([]string{"to"}, since); l.Full {
 		t.Error("readers of other services get the full list")
@@ -264,12 +264,12 @@
 	}
 	s.limitMinRevisions()
 	if len(s.ServiceHistory.MinRevisions) != 0 || s.ServiceHistory.MinRevision != s.Seq {
-		t.Errorf("%d minimum revisions, the common one at %d of %d", len(s.ServiceHistory.MinRevisions), s.ServiceHistory.MinRevision, s.Seq)
+		t.Errorf("%d minimum revisions, common minimum %d, state revision %d", len(s.ServiceHistory.MinRevisions), s.ServiceHistory.MinRevision, s.Seq)
 	}
 }
 
-// TestLongChangesBecomeFullLists holds that changes which are much longer than the full list
-// are not sent.
+// TestLongChangesBecomeFullLists verifies that a reader gets the full list if the changes are much
+// longer.
 func TestLongChangesBecomeFullLists(t *testing.T) {
 	s := New()
 	apply(s, 0, Command{Kind: Register, Endpoint: endpointInService("stays", 1, "a")})
@@ -284,8 +284,8 @@
 	}
 }
 
-// TestRaisedRevisionGivesFullList holds that readers from before a raised revision, which may
-// have theirs from a lost state, get the full list.
+// TestRaisedRevisionGivesFullList verifies that readers get the full list if their revision is older
+// than a raised one, because they may have received it from a lost state.
 func TestRaisedRevisionGivesFullList(t *testing.T) {
 	s := New()
 	apply(s, 0, Command{Kind: Register, Endpoint: endpointInService("s", 1, "a")})
@@ -295,20 +295,20 @@
 	apply(s, 0, Command{Kind: RaiseRevision, Seq: 1000})
 	for _, from := range []int64{since, 999} {
 		if l := s.ServiceListSince([]string{"a"}, from); !l.Full || len(l.Endpoints) != 1 || l.Seq != 1000 {
-			t.Errorf("a reader at revision %d: %+v", from, l)
+			t.Errorf("reader at revision %d: %+v", from, l)
 		}
 	}
 	if l := s.ServiceListSince([]string{"a"}, 1000); l.Full || len(l.Endpoints) != 0 {
-		t.Errorf("a reader at the raised revision: %+v", l)
+		t.Errorf("reader at the raised revision: %+v", l)
 	}
 	if len(s.ServiceHistory.Departures) != 0 {
-		t.Errorf("departures from before it: %+v", s.ServiceHistory.Departures)
+		t.Errorf("departures before the raised revision: %+v", s.ServiceHistory.Departures)
 	}
 }
 
-// TestSnapshotFromBeforeServices holds that the entries of a snapshot from before there were
-// services belong to the default service, and that readers of services from before it get the
-// full list.
+// TestSnapshotFromBeforeServices verifies that the entries of a snapshot from before services existed
+// belong to the default service, and that readers of services with an older revision get the full
+// list.
 func TestSnapshotFromBeforeServices(t *testing.T) {
 	const text = `{"form":1,"seq":107,"clock":5000000000,"entries":{"s":{"host":{"host":"s","dial":"127.0.0.1:80","site":"a","class":"k",` +
 		`"block":0,"health":"ready","share":1,"born_ms":10},"version":107}},"history":[{"seq":106,"name":"s"},{"seq":107,"name":"s"}]}`
@@ -331,14 +331,14 @@
 	}
 	apply(s, s.Clock, Command{Kind: Register, Endpoint: endpointInService("s", 10, "a")})
 	if l := s.ServiceListSince([]string{"", "a"}, 107); l.Full || len(l.Endpoints) != 2 {
-		t.Errorf("after it: %+v", l)
+		t.Errorf("readers of both services after a change of service: %+v", l)
 	}
 	if r := s.Apply(&Command{FormatVersion: FormatVersion, Kind: Register, Endpoint: endpoint("old", 1)}); r.Code != Done || s.Entries["old"].Endpoint.Service != "" {
-		t.Errorf("a command from before there were services: %+v", r)
+		t.Errorf("command from before services existed: %+v", r)
 	}
 }
 
-// TestInvalidServiceHistoryIsRejected holds that snapshots with an impossible service history
+// TestInvalidServiceHistoryIsRejected verifies that snapshots with an inconsistent service history
 // are rejected.
 func TestInvalidServiceHistoryIsRejected(t *testing.T) {
 	for _, scopes := range []string{`{"floor":8}`, `{"floors":{"a":8}}`, `{"floors":{"a b":1}}`, `{"moved":[{"seq":8,"name":"s"}]}`,
@@ -349,8 +349,8 @@
 	}
 }
 
-// TestServiceStaysOutOfFullList holds that a reader that names no services gets the list as it
-// was before endpoints had a service.
+// TestServiceStaysOutOfFullList verifies that a reader that names no services gets the list in the
+// form that it had before endpoints had a service.
 func TestServiceStaysOutOfFullList(t *testing.T) {
 	plain, named := New(), New()
 	with := endpointInService("s", 10, "billing")
@@ -368,7 +368,7 @@
 	}
 }
 
-// TestServiceNameIsChecked holds that a registration with a malformed service is rejected.
+// TestServiceNameIsChecked verifies that a registration with a malformed service is rejected.
 func TestServiceNameIsChecked(t *testing.T) {
 	for _, name := range []string{"a b", "a/b", "a?b", strings.Repeat("x", 65)} {
 		r := apply(New(), time.Second, Command{Kind: Register, Endpoint: endpointInService("s", 10, name)})
--- a/internal/catalog/snapshot_test.go
+++ b/internal/catalog/snapshot_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// TestDecodeErrors holds the types and the texts of the errors of Decode.
+// TestDecodeErrors verifies the types and texts of the errors of Decode.
 func TestDecodeErrors(t *testing.T) {
 	var format *FormatError
 	if _, err := Decode([]byte(`{"form":2}`)); !errors.As(err, &format) || format.FormatVersion != 2 || err.Error() != "snapshot: form 2, this build reads form 1" {
-		t.Errorf("another format: %v", err)
+		t.Errorf("snapshot of another format: %v", err)
 	}
 	var syntax *json.SyntaxError
 	if _, err := Decode([]byte(`{"form":1`)); !errors.As(err, &syntax) {
-		t.Errorf("half a snapshot: %v", err)
+		t.Errorf("truncated snapshot: %v", err)
 	}
 	const host = `{"host":{"host":"s","dial":"127.0.0.1:80","health":"ready","share":1},"version":1}`
 	for _, c := range []struct{ state, text string }{
--- a/internal/catalog/taskleases_test.go
+++ b/internal/catalog/taskleases_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestTaskLeases shows for processes that open sessions, stop renewing, drain and close: no term
+// TestTaskLeases verifies for processes that open sessions, stop renewing, drain and close: no term
 // expires before its TTL has passed since the holder's last renewal, or since the election of a new
-// leader; no process has more tasks than its MaxTasks; and in the end all tasks that can be held
-// are, and none is transferred any more.
+// leader; no process has more tasks than its MaxTasks; and in the end all tasks that can be held are
+// held, and transfers stop.
 func TestTaskLeases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newTaskFleet(t, time.Duration(rapid.IntRange(0, 100).Draw(t, "from"))*time.Hour)
@@ -26,7 +26,7 @@
 				f.step()
 			}
 		}
-		for range 400 { // until all backoffs are over and the load is even
+		for range 400 { // until all backoffs have ended and the load is balanced
 			f.step()
 		}
 		capacity := 0
@@ -46,20 +46,20 @@
 		}
 		for range 50 {
 			if changes := f.step(); changes > 0 {
-				t.Fatalf("%d tasks are granted or transferred though nothing happens", changes)
+				t.Fatalf("%d tasks are granted or transferred in a stable fleet", changes)
 			}
 		}
 	})
 }
 
-// taskFleet is a leader, and processes that renew their sessions and do as they are assigned.
+// taskFleet simulates a leader, and processes that renew their sessions and follow their assignments.
 type taskFleet struct {
 	t           *rapid.T
 	s           *State
 	leases      *TaskLeases
 	now         time.Duration
 	leaderSince time.Duration
-	sessions    map[string]string        // IDs of the processes that run
+	sessions    map[string]string        // session IDs of the running processes
 	lastRenewal map[string]time.Duration // by session ID
 	starts      int                      // of processes
 }
@@ -69,7 +69,7 @@
 		sessions: map[string]string{}, lastRenewal: map[string]time.Duration{}}
 }
 
-// applyRandomChange has one process start, die, drain or shut down, or another leader take over.
+// applyRandomChange makes one process start, die, drain or shut down, or another leader take over.
 func (f *taskFleet) applyRandomChange() {
 	process := fmt.Sprint("p-", rapid.IntRange(0, 4).Draw(f.t, "process"))
 	session := &Session{Process: process, ID: f.sessions[process]}
@@ -94,8 +94,8 @@
 	}
 }
 
-// step renews all sessions, decides, carries out what was decided, and checks it. It returns
-// how many tasks are granted or transferred.
+// step renews all sessions, and makes, checks and applies the leader's decision. It returns the number
+// of tasks that are granted or transferred.
 func (f *taskFleet) step() (changes int) {
 	for process, id := range f.sessions {
 		if code := f.leases.Renew(f.s, process, id, f.now); code == Done {
@@ -130,7 +130,7 @@
 	}
 }
 
-// completeTransfers has each successor accept and each holder then release its term at once.
+// completeTransfers makes each successor accept its transfer and each holder then release its term.
 func (f *taskFleet) completeTransfers() {
 	for _, task := range f.s.LeasedTasks {
 		if task.Successor != "" {
@@ -151,13 +151,13 @@
 	}
 	for process, tasks := range load {
 		if session := f.s.Sessions[process]; tasks > session.MaxTasks {
-			f.t.Fatalf("%s holds %d tasks of at most %d", process, tasks, session.MaxTasks)
+			f.t.Fatalf("%s holds %d tasks, more than %d", process, tasks, session.MaxTasks)
 		}
 	}
 }
 
-// TestAbsentProcessesAreChosenLast holds that a process which is not in the membership view
-// is granted a task only if no other process has the capacity.
+// TestAbsentProcessesAreChosenLast verifies that a process that is not in the membership view is
+// granted a task only if no other process has the capacity.
 func TestAbsentProcessesAreChosenLast(t *testing.T) {
 	s := New()
 	for _, process := range []string{"a", "b"} {
--- a/internal/catalog/wire_test.go
+++ b/internal/catalog/wire_test.go
@@ -12,10 +12,10 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// The files in testdata are what the program of commit d25b370 wrote. They stand for logs and
-// snapshots on disks and for messages of other builds: a name in Go may change, these may not.
+// The files in testdata were written by the program of commit d25b370. They represent logs and
+// snapshots on disks and messages of other builds, so they must not change when a Go name does.
 
-// TestMessagesKeepTheirKeys holds the JSON form of all that is replicated, with every field.
+// TestMessagesKeepTheirKeys verifies the JSON form of all replicated types, with every field.
 func TestMessagesKeepTheirKeys(t *testing.T) {
 	golden.Messages(t, "messages.txt", []golden.Message{
 		golden.Of[Command]("command"),
@@ -34,8 +34,8 @@
 	})
 }
 
-// TestConstantsKeepTheirValues holds the values of the kinds of commands, of the codes of their
-// results, and of all other string constants, which stand in commands and states.
+// TestConstantsKeepTheirValues verifies the values of all command kinds and result codes, and of the
+// other string constants, which are stored in commands and states.
 func TestConstantsKeepTheirValues(t *testing.T) {
 	golden.Lines(t, "kinds.txt", golden.StringConstants(t, ".", "Kind"))
 	golden.Lines(t, "codes.txt", quoted(golden.StringConstants(t, ".", "Code")))
@@ -50,8 +50,8 @@
 	return out
 }
 
-// decodeCommand decodes a recorded command. It fails the test for an unknown key, and if the command
-// is encoded again differently.
+// decodeCommand decodes a recorded command. It fails the test if the command has an unknown key or
+// if its encoding differs from the recorded one.
 func decodeCommand(t *testing.T, line []byte) *Command {
 	t.Helper()
 	var c Command
@@ -65,13 +65,13 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again, line) {
-		t.Errorf("a command is encoded again as\n%s, and was\n%s", again, line)
+		t.Errorf("command is encoded as\n%s, recorded as\n%s", again, line)
 	}
 	return &c
 }
 
-// applyRecordedLog applies the recorded log to a new state, and returns that state, the results, and
-// the kinds of the commands that were carried out.
+// applyRecordedLog applies the recorded log to a new state. It returns that state, the results, and
+// the kinds of the commands that succeeded.
 func applyRecordedLog(t *testing.T) (s *State, results []string, applied map[string]bool) {
 	t.Helper()
 	file, err := os.Open(golden.Path("log.jsonl"))
@@ -83,7 +83,7 @@
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		c := decodeCommand(t, lines.Bytes())
 		r := s.Apply(c)
-		r.Text = "" // for people; it may be worded anew
+		r.Text = "" // for people; its wording may change
 		text, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
@@ -96,13 +96,13 @@
 	return s, results, applied
 }
 
-// TestRecordedLogGivesRecordedState applies a log with commands of every kind. Each result and
-// the state at the end are as recorded.
+// TestRecordedLogGivesRecordedState verifies that a recorded log with commands of every kind still
+// gives the recorded results and the recorded final state.
 func TestRecordedLogGivesRecordedState(t *testing.T) {
 	s, results, applied := applyRecordedLog(t)
 	for _, kind := range golden.StringConstants(t, ".", "Kind") {
 		if !applied[kind] {
-			t.Errorf("the recorded log has no command %q that is carried out", kind)
+			t.Errorf("the recorded log has no successful command %q", kind)
 		}
 	}
 	golden.Lines(t, "log-results.txt", results)
@@ -114,7 +114,7 @@
 	requireSameEncoding(t, "state.json")
 }
 
-// requireSameEncoding decodes a recorded snapshot, and fails the test unless it is encoded again to
+// requireSameEncoding decodes a recorded snapshot, and fails the test unless the result is encoded to
 // the same bytes.
 func requireSameEncoding(t *testing.T, file string) {
 	t.Helper()
@@ -131,6 +131,6 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(again, stored) {
-		t.Errorf("the recorded snapshot is encoded again as\n%s, and was\n%s", again, stored)
+		t.Errorf("snapshot is encoded as\n%s, recorded as\n%s", again, stored)
 	}
 }
