--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -56,9 +56,9 @@
 	defer a.cancel(nil)
 	first, second := &backendConn{}, &backendConn{}
 	a.conn.Store(first)
-	begun := a.allowWrite(first)
-	begunAgain := a.allowWrite(first)
-	if !begun || !begunAgain {
+	allowed := a.allowWrite(first)
+	allowedAgain := a.allowWrite(first)
+	if !allowed || !allowedAgain {
 		t.Fatal("the attempt's own connection was refused")
 	}
 	if a.allowWrite(second) {
@@ -172,17 +172,17 @@
 	d := newDialer()
 	tr := d.newTransport()
 	defer tr.CloseIdleConnections()
-	ends := map[policy.Status]int{}
+	outcomes := map[policy.Status]int{}
 	for i := range 50 {
 		res := newAttempt(tr, addr, http.MethodPost, noTimeout).run()
 		if res.status == policy.OK && string(res.body) != "done" {
 			t.Fatalf("attempt %d was answered %q", i, res.body)
 		}
-		ends[res.status]++
+		outcomes[res.status]++
 	}
 	// A quick attempt may get the connection before it is closed: it never ran there.
-	if ends[policy.OK] == 0 || ends[policy.Reset] == 0 || ends[policy.OK]+ends[policy.Reset]+ends[policy.ConnectFailed] != 50 {
-		t.Fatalf("ended %v, want every other one reset", ends)
+	if outcomes[policy.OK] == 0 || outcomes[policy.Reset] == 0 || outcomes[policy.OK]+outcomes[policy.Reset]+outcomes[policy.ConnectFailed] != 50 {
+		t.Fatalf("ended %v, want every other one reset", outcomes)
 	}
 }
 
@@ -208,21 +208,21 @@
 // Cancelling an attempt closes its connection before the outcome is reported, so that the next
 // attempt never runs beside it.
 func TestTimeoutClosesConnection(t *testing.T) {
-	closed := make(chan error, 1)
-	got := make(chan struct{})
+	readErr := make(chan error, 1)
+	received := make(chan struct{})
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := readRequest(r); err != nil {
 			return
 		}
-		close(got)
+		close(received)
 		_, err := r.ReadByte()
-		closed <- err
+		readErr <- err
 	})
 	d := newDialer()
 	a := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout)
 	done := make(chan result)
 	go func() { done <- a.run() }()
-	<-got
+	<-received
 	a.cancel(context.DeadlineExceeded) // the time-out, without waiting for it
 	if res := <-done; res.status != policy.Timeout {
 		t.Fatalf("ended %d, want timed out", res.status)
@@ -230,17 +230,17 @@
 	if n := d.open.Load(); n != 0 {
 		t.Fatalf("%d connections open at the outcome", n)
 	}
-	if err := <-closed; err == nil {
+	if err := <-readErr; err == nil {
 		t.Fatal("the backend read on instead of seeing the end")
 	}
 }
 
 // An attempt that is withdrawn while its connection is established writes nothing.
 func TestWithdrawnAttemptSendsNothing(t *testing.T) {
-	read := make(chan int64, 1)
+	bytesRead := make(chan int64, 1)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		n, _ := io.Copy(io.Discard, r)
-		read <- n
+		bytesRead <- n
 	})
 	d := newDialer()
 	var a *attempt
@@ -256,14 +256,14 @@
 	if got := a.run().status; !got.NotExecuted() {
 		t.Fatalf("ended %d, which may have run", got)
 	}
-	if n := <-read; n != 0 {
+	if n := <-bytesRead; n != 0 {
 		t.Fatalf("the backend got %d bytes", n)
 	}
 }
 
 // The request is forwarded unchanged.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
-	got := make(chan *http.Request, 1)
+	received := make(chan *http.Request, 1)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
@@ -271,7 +271,7 @@
 		}
 		body, _ := io.ReadAll(req.Body)
 		req.Body = io.NopCloser(strings.NewReader(string(body)))
-		got <- req
+		received <- req
 		io.WriteString(c, okAnswer)
 	})
 	a := newAttempt(newDialer().newTransport(), addr, http.MethodPost, noTimeout)
@@ -280,7 +280,7 @@
 	if res := a.run(); res.status != policy.OK {
 		t.Fatalf("ended %d", res.status)
 	}
-	req := <-got
+	req := <-received
 	body, _ := io.ReadAll(req.Body)
 	if req.RequestURI != "/order/a%2Fb%20c?x=1&y=%2f" || req.Method != http.MethodPost || string(body) != "body" ||
 		req.Header.Get("Request-Id") != "id1" || req.Header.Get("Idempotency-Key") != "k1" || req.Host != "backend.local" {
@@ -297,9 +297,9 @@
 	if len(got) != 3 || got[0] != 7 || got[1] != 0.61 || got[2] != 0 {
 		t.Fatalf("got %v", got)
 	}
-	for _, bad := range []string{"", "JSON {}", "TEXT qps=much"} {
-		if got := parseLoadReport(bad, []string{"qps"}); got != nil {
-			t.Fatalf("%q gave %v", bad, got)
+	for _, malformed := range []string{"", "JSON {}", "TEXT qps=much"} {
+		if got := parseLoadReport(malformed, []string{"qps"}); got != nil {
+			t.Fatalf("%q gave %v", malformed, got)
 		}
 	}
 }
--- a/internal/agent/backendtransport_test.go
+++ b/internal/agent/backendtransport_test.go
@@ -24,7 +24,7 @@
 // The next request goes out on the connection used last of those that have been idle for long, else on the
 // longest idle one, after what is left of the delay, and on a new one if none is idle.
 func TestConnectionIsReusedAfterItsDelay(t *testing.T) {
-	const delay, isNew = 10 * time.Millisecond, -1
+	const delay, emptySlot = 10 * time.Millisecond, -1
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	for _, c := range []struct {
@@ -33,7 +33,7 @@
 		want      int
 		wantLeft  time.Duration
 	}{
-		{"none is idle", nil, isNew, 0},
+		{"none is idle", nil, emptySlot, 0},
 		{"the delay of one is just over", []int{90}, 0, 0},
 		{"that of one is not", []int{91}, 0, time.Millisecond},
 		{"two have been idle for long", []int{20, 50, 95}, 1, 0},
@@ -47,7 +47,7 @@
 			}
 			transport, slots := idleTransport(idleSince...)
 			got, left := transport.acquire(at(100), delay)
-			if c.want == isNew && got.conn != nil || c.want != isNew && got != slots[c.want] || left != c.wantLeft {
+			if c.want == emptySlot && got.conn != nil || c.want != emptySlot && got != slots[c.want] || left != c.wantLeft {
 				t.Errorf("got slot %s of %d, in %v", got.host, len(slots), left)
 			}
 		})
@@ -55,7 +55,7 @@
 }
 
 // A connection of which the attempt demands that it is new is new, also where others are idle.
-func TestNewConnectionOnDemand(t *testing.T) {
+func TestAcquireEmptyIgnoresIdleConnections(t *testing.T) {
 	transport, _ := idleTransport(time.Time{})
 	if transport.acquireEmpty().conn != nil {
 		t.Error("got one that was used before")
@@ -64,7 +64,7 @@
 
 // No slot is in use twice, and the names of slots are used again once their connections are closed, so
 // that net/http does not collect names.
-func TestSlotsAreUsedAgain(t *testing.T) {
+func TestSlotsAreReused(t *testing.T) {
 	now := time.Now()
 	transport, slots := idleTransport(now, now)
 	slots[0].conn.transport.connClosed(slots[0].conn)
@@ -85,9 +85,9 @@
 // The close of a connection that was replaced in its slot leaves the newer one there.
 func TestCloseOfAReplacedConnection(t *testing.T) {
 	transport, slots := idleTransport(time.Time{})
-	before := slots[0].conn
+	replaced := slots[0].conn
 	transport.connected(slots[0], &backendConn{transport: transport, slot: slots[0]})
-	transport.connClosed(before)
+	transport.connClosed(replaced)
 	if got, _ := transport.acquire(time.Now(), 0); got != slots[0] || got.conn == nil {
 		t.Error("the newer connection is lost")
 	}
--- a/internal/agent/cancellation_test.go
+++ b/internal/agent/cancellation_test.go
@@ -30,22 +30,22 @@
 			}
 		}))
 	}
-	a, base, run := agentWithStoppedLoop(t, testConfig(unreachableAddr, addrs...))
-	s := newStallingLog(a)
-	const many = 20
+	a, base, runLoop := agentWithStoppedLoop(t, testConfig(unreachableAddr, addrs...))
+	s := newStallingHandler(a)
+	const requests = 20
 	conns := []net.Conn{}
-	for i := range many {
+	for i := range requests {
 		c, _ := dialAgent(t, base)
 		io.WriteString(c, requestText(fmt.Sprint("gone", i)))
 		conns = append(conns, c)
 	}
-	waitUntil(t, "all wait for the loop", func() bool { return len(a.loop.events) == many })
+	waitUntil(t, "all wait for the loop", func() bool { return len(a.loop.events) == requests })
 	s.stall(a) // behind the requests, and before what is told of their clients
 	for _, c := range conns {
 		c.Close()
 	}
-	waitUntil(t, "their ends wait", func() bool { return len(a.loop.events) > many+1 })
-	run()
+	waitUntil(t, "their ends wait", func() bool { return len(a.loop.events) > requests+1 })
+	runLoop()
 	receive(t, "the loop stands", s.stalled)
 	time.Sleep(100 * time.Millisecond) // in which what it sent on would arrive
 	s.release <- struct{}{}
@@ -61,12 +61,12 @@
 // The request of a client that disconnects during the connect to its backend is not forwarded, even
 // though the loop has not been notified.
 func TestCanceledDuringConnect(t *testing.T) {
-	read := make(chan int64, 1)
+	bytesRead := make(chan int64, 1)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		n, _ := io.Copy(io.Discard, r)
-		read <- n
+		bytesRead <- n
 	})
-	a, base, run := agentWithStoppedLoop(t, testConfig(unreachableAddr, addr))
+	a, base, runLoop := agentWithStoppedLoop(t, testConfig(unreachableAddr, addr))
 	connect := a.loop.dialer.connect
 	dialing, proceed := make(chan struct{}), make(chan struct{})
 	a.loop.dialer.connect = func(_ context.Context, network, addr string) (net.Conn, error) {
@@ -74,13 +74,13 @@
 		<-proceed
 		return connect(context.Background(), network, addr) // it came up in spite of its end
 	}
-	run()
+	runLoop()
 	c, _ := dialAgent(t, base)
 	io.WriteString(c, requestText("gone"))
 	receive(t, "the dial", dialing)
 	c.Close()
 	close(proceed)
-	if n := receive(t, "the backend's connection ends", read); n != 0 {
+	if n := receive(t, "the backend's connection ends", bytesRead); n != 0 {
 		t.Fatalf("the backend got %d bytes for a client that had gone", n)
 	}
 }
@@ -101,10 +101,10 @@
 	if res := newAttempt(tr, addr, http.MethodPost, noTimeout).run(); res.status != policy.OK {
 		t.Fatalf("ended %d", res.status)
 	}
-	near, far := connPair(t)
+	local, peer := connPair(t)
 	a := newAttempt(tr, addr, http.MethodPost, noTimeout)
-	a.req.client = newClientConns(1).admit(near, nil)
-	far.Close()
+	a.req.client = newClientConns(1).admit(local, nil)
+	peer.Close()
 	waitUntil(t, "its end is there", a.req.client.disconnected)
 	if res := a.run(); res.status != policy.Withdrawn {
 		t.Fatalf("ended %d, want as never begun and nobody to blame", res.status)
@@ -116,37 +116,37 @@
 
 // The disconnect of a client that has sent a part of a next request is detected, whether that part
 // arrived before or after its request was accepted, and however long it is.
-func TestCanceledBehindAPipelinedRequest(t *testing.T) {
+func TestCanceledWithPartialPipelinedRequest(t *testing.T) {
 	for _, size := range []int{1, 50, maxReadAheadBuf + 1, 200 << 10} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			addr, received, _, cut := scriptedBackend(t)
+			addr, received, _, closed := scriptedBackend(t)
 			a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 			c, _ := dialAgent(t, base)
-			behind := "POST /order/u2 HTTP/1.1\r\nX: " + strings.Repeat("x", size)
-			io.WriteString(c, requestText("first")+behind[:1])
+			next := "POST /order/u2 HTTP/1.1\r\nX: " + strings.Repeat("x", size)
+			io.WriteString(c, requestText("first")+next[:1])
 			receive(t, "the request", received)
-			io.WriteString(c, behind[1:][:size-1])
+			io.WriteString(c, next[1:][:size-1])
 			c.Close()
-			receive(t, "the attempt is given up", cut)
+			receive(t, "the attempt is given up", closed)
 			waitUntil(t, "its place is given back", func() bool { return a.clients.count() == 0 })
 		})
 	}
 }
 
 // The same with several pipelined requests, of which the client disconnects during the second.
-func TestCanceledBehindPipelinedRequests(t *testing.T) {
-	addr, received, answer, cut := scriptedBackend(t)
+func TestCanceledWithSeveralPipelinedRequests(t *testing.T) {
+	addr, received, answer, closed := scriptedBackend(t)
 	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 	c, r := dialAgent(t, base)
 	io.WriteString(c, requestText("first")+"P")
 	receive(t, "the first", received)
-	rest := (requestText("second") + requestText("third"))[1:]
-	io.WriteString(c, rest[:len(rest)-10])
+	pipelined := (requestText("second") + requestText("third"))[1:]
+	io.WriteString(c, pipelined[:len(pipelined)-10])
 	waitUntil(t, "it is read ahead", func() bool {
 		a.clients.mu.Lock()
 		defer a.clients.mu.Unlock()
 		for c := range a.clients.conns {
-			return c.readAhead.size >= len(rest)-11 // one may have come with the first
+			return c.readAhead.size >= len(pipelined)-11 // one may have come with the first
 		}
 		return false
 	})
@@ -156,32 +156,32 @@
 	}
 	receive(t, "the second", received)
 	c.Close()
-	receive(t, "the attempt is given up", cut)
+	receive(t, "the attempt is given up", closed)
 	waitUntil(t, "its place is given back", func() bool { return a.clients.count() == 0 })
 }
 
 // If a client disconnects between a failed attempt and the next, no further attempt begins.
 func TestCanceledBeforeTheRetry(t *testing.T) {
 	var addrs []string
-	var all []chan string
-	turnedAway := "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+	var received []chan string
+	rejection := "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 	answers := make([]chan string, 3)
 	for i := range answers {
-		addr, received, answer, _ := scriptedBackend(t)
-		addrs, all, answers[i] = append(addrs, addr), append(all, received), answer
+		addr, ids, answer, _ := scriptedBackend(t)
+		addrs, received, answers[i] = append(addrs, addr), append(received, ids), answer
 	}
-	a, base, run := agentWithStoppedLoop(t, testConfig(unreachableAddr, addrs...))
-	s := newStallingLog(a)
-	run()
+	a, base, runLoop := agentWithStoppedLoop(t, testConfig(unreachableAddr, addrs...))
+	s := newStallingHandler(a)
+	runLoop()
 	c, _ := dialAgent(t, base)
 	io.WriteString(c, requestText("gone"))
-	waitUntil(t, "the first attempt", func() bool { return len(all[0])+len(all[1])+len(all[2]) == 1 })
+	waitUntil(t, "the first attempt", func() bool { return len(received[0])+len(received[1])+len(received[2]) == 1 })
 	// The loop stands still while the attempt is turned away, and again once it has heard of
 	// that, before it hears of the client.
 	s.stall(a)
 	receive(t, "the loop stands", s.stalled)
 	for i := range answers {
-		answers[i] <- turnedAway
+		answers[i] <- rejection
 	}
 	waitUntil(t, "the outcome waits", func() bool { return len(a.loop.events) > 0 })
 	s.stall(a)
@@ -192,7 +192,7 @@
 	time.Sleep(100 * time.Millisecond) // in which a second attempt would arrive
 	s.release <- struct{}{}
 	waitUntil(t, "the place is given back", func() bool { return a.clients.count() == 0 })
-	if n := len(all[0]) + len(all[1]) + len(all[2]); n != 1 {
+	if n := len(received[0]) + len(received[1]) + len(received[2]); n != 1 {
 		t.Fatalf("%d attempts of a client that had gone", n)
 	}
 }
@@ -200,7 +200,7 @@
 // A client that ends only its sending counts as disconnected too, and must not read a response that
 // no backend sent.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
-	addr, received, _, cut := scriptedBackend(t)
+	addr, received, _, closed := scriptedBackend(t)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 	c, r := dialAgent(t, base)
 	io.WriteString(c, requestText("half"))
@@ -209,5 +209,5 @@
 	if text, err := io.ReadAll(r); err != nil || len(text) > 0 {
 		t.Fatalf("read %q, %v", text, err)
 	}
-	receive(t, "the attempt is given up", cut)
+	receive(t, "the attempt is given up", closed)
 }
--- a/internal/agent/clientconn_test.go
+++ b/internal/agent/clientconn_test.go
@@ -13,21 +13,21 @@
 )
 
 // connPair returns the two ends of a connection.
-func connPair(t *testing.T) (near, far net.Conn) {
+func connPair(t *testing.T) (local, peer net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	if far, err = net.Dial("tcp", ln.Addr().String()); err != nil {
+	if peer, err = net.Dial("tcp", ln.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	if near, err = ln.Accept(); err != nil {
+	if local, err = ln.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { near.Close(); far.Close() })
-	return near, far
+	t.Cleanup(func() { local.Close(); peer.Close() })
+	return local, peer
 }
 
 // What is read ahead behind a request is not lost to the next one.
@@ -57,7 +57,7 @@
 // A request that arrives while its connection is closed is never forwarded, and the previous
 // response is read completely, followed by an end and not by a reset.
 func TestRequestDuringCloseIsNotForwarded(t *testing.T) {
-	for name, kind := range map[string]func(a *Agent, stop func()){
+	for name, beginClose := range map[string]func(a *Agent, stop func()){
 		"shutdown": func(a *Agent, stop func()) { stop() },
 		"drain":    func(a *Agent, stop func()) { a.clients.drain() },
 	} {
@@ -69,7 +69,7 @@
 				io.WriteString(c, requestText("first"))
 				receive(t, "the first", received)
 				waitUntil(t, "it rests", func() bool { return a.clients.countAt(connIdle) == 1 })
-				kind(a, stop)
+				beginClose(a, stop)
 				waitUntil(t, "the close has begun", func() bool { return a.clients.countAt(connClosing) == 1 })
 				late := requestText("late") + strings.Repeat("x", 1<<20)
 				c.SetWriteDeadline(time.Now().Add(testTimeout))
@@ -141,16 +141,16 @@
 	if resp, err := http.ReadResponse(r2, nil); err != nil || resp.StatusCode != 200 {
 		t.Fatalf("answered %v, %v", resp, err)
 	}
-	near, far := connPair(t)
-	cc := a.clients.admit(near, nil)
+	local, peer := connPair(t)
+	cc := a.clients.admit(local, nil)
 	a.clients.mu.Lock()
 	cc.halfClose()
 	a.clients.mu.Unlock()
 	if cc.acceptRequest() {
 		t.Fatal("a request is taken on a connection that is being closed")
 	}
-	io.WriteString(far, requestText("third"))
-	far.Close()
+	io.WriteString(peer, requestText("third"))
+	peer.Close()
 	if n, err := cc.Read(make([]byte, 100)); n != 0 || err == nil {
 		t.Fatalf("%d bytes were read behind the close, %v", n, err)
 	}
@@ -198,16 +198,16 @@
 
 // Bytes that arrived behind a request before it was accepted start the read-ahead too.
 func TestReadAheadOfEarlierBytes(t *testing.T) {
-	near, far := connPair(t)
-	c := newClientConns(1).admit(near, nil)
-	io.WriteString(far, "xy")
+	local, peer := connPair(t)
+	c := newClientConns(1).admit(local, nil)
+	io.WriteString(peer, "xy")
 	if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil { // as the HTTP server does beside a request
 		t.Fatal(n, err)
 	}
 	if !c.acceptRequest() {
 		t.Fatal("not taken")
 	}
-	far.Close()
+	peer.Close()
 	receive(t, "the client is seen to go", c.canceled)
 	c.Close()
 }
@@ -215,17 +215,17 @@
 // Idle clients that occupy all places are evicted at once for one with a request, whether they have
 // sent a request before or not.
 func TestIdleClientsAreEvicted(t *testing.T) {
-	for _, requests := range []bool{true, false} {
-		t.Run(fmt.Sprint(requests), func(t *testing.T) {
+	for _, usedBefore := range []bool{true, false} {
+		t.Run(fmt.Sprint(usedBefore), func(t *testing.T) {
 			addr, received := countingBackend(t, 200, false)
 			config := testConfig(unreachableAddr, addr)
 			config["limits"].(map[string]any)["sockets"] = minSockets
 			a, base, _, _ := startAgent(t, config)
 			for range a.clients.capacity { // nobody reads from these: they don't end by themselves
-				near, _ := connPair(t)
-				c := a.clients.admit(near, nil)
+				local, _ := connPair(t)
+				c := a.clients.admit(local, nil)
 				a.clients.mu.Lock()
-				c.answered, c.stageSince = requests, time.Now().Add(-minUnusedBeforeEviction)
+				c.answered, c.stageSince = usedBefore, time.Now().Add(-minUnusedBeforeEviction)
 				a.clients.mu.Unlock()
 			}
 			startedAt := time.Now()
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -41,20 +41,20 @@
 
 // Invalid entries of the cached list are skipped and named; the agent starts without them.
 func TestMalformedCachedListIsSkipped(t *testing.T) {
-	good := hostEntry(1, "127.0.0.1:1", "ready")
+	valid := hostEntry(1, "127.0.0.1:1", "ready")
 	for _, c := range []struct {
-		known any
-		hosts int
-		says  string
+		known     any
+		hosts     int
+		wantError string
 	}{
 		{nil, 0, ""},
 		{map[string]any{}, 0, ""},
-		{map[string]any{"seq": 3, "hosts": []any{good}}, 1, ""},
-		{map[string]any{"hosts": []any{hostEntry(0, "x", "ready"), good}}, 1, "known: hosts[0].dial"},
-		{map[string]any{"hosts": []any{good, hostEntry(0, "127.0.0.1:1", "well"), 7, "x"}}, 1, "known: hosts[1].health: unknown word \"well\", and 2 more"},
+		{map[string]any{"seq": 3, "hosts": []any{valid}}, 1, ""},
+		{map[string]any{"hosts": []any{hostEntry(0, "x", "ready"), valid}}, 1, "known: hosts[0].dial"},
+		{map[string]any{"hosts": []any{valid, hostEntry(0, "127.0.0.1:1", "well"), 7, "x"}}, 1, "known: hosts[1].health: unknown word \"well\", and 2 more"},
 		{map[string]any{"hosts": "none"}, 0, "known: "},
 		{"a list", 0, "known: "},
-		{[]any{good}, 0, "known: "},
+		{[]any{valid}, 0, "known: "},
 	} {
 		config := testConfig(unreachableAddr)
 		config["known"] = c.known
@@ -63,10 +63,10 @@
 		if got.CachedListErr != nil {
 			message = got.CachedListErr.Error()
 		}
-		if full := c.says == "" && c.hosts > 0; (got.CachedList.Seq != 0) != full {
+		if wantVersion := c.wantError == "" && c.hosts > 0; (got.CachedList.Seq != 0) != wantVersion {
 			t.Errorf("%v: asks for what came after version %d", c.known, got.CachedList.Seq)
 		}
-		if len(got.CachedList.Endpoints) != c.hosts || !strings.Contains(message, c.says) || (message == "") != (c.says == "") {
+		if len(got.CachedList.Endpoints) != c.hosts || !strings.Contains(message, c.wantError) || (message == "") != (c.wantError == "") {
 			t.Errorf("%v: took %+v and reported %q", c.known, got.CachedList.Endpoints, message)
 		}
 	}
--- a/internal/agent/cost_test.go
+++ b/internal/agent/cost_test.go
@@ -24,15 +24,15 @@
 	if text == "" {
 		return []int{20, 200, 2000, 10000, 39000}
 	}
-	var servers []int
-	for word := range strings.SplitSeq(text, ",") {
-		n, err := strconv.Atoi(word)
+	var counts []int
+	for field := range strings.SplitSeq(text, ",") {
+		n, err := strconv.Atoi(field)
 		if err != nil {
 			b.Fatalf("AGENT_SERVERS: %v", err)
 		}
-		servers = append(servers, n)
+		counts = append(counts, n)
 	}
-	return servers
+	return counts
 }
 
 // BenchmarkAgentCall makes calls one after the other through an agent that knows so many
@@ -87,14 +87,14 @@
 		b.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		a.Serve(ctx, ln)
 	}()
 	b.Cleanup(func() {
 		stop()
-		<-ended
+		<-done
 	})
 	return "http://" + ln.Addr().String()
 }
@@ -103,7 +103,7 @@
 	b.Helper()
 	transport := &http.Transport{DisableCompression: true}
 	defer transport.CloseIdleConnections()
-	served := 0
+	succeeded := 0
 	b.ResetTimer()
 	for i := range b.N {
 		req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("%s/%s/%x", base, cost.CallClass, i%2000), nil)
@@ -119,9 +119,9 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 		if resp.StatusCode == http.StatusOK {
-			served++
+			succeeded++
 		}
 	}
 	b.StopTimer()
-	b.ReportMetric(float64(served)/float64(b.N), "served/call")
+	b.ReportMetric(float64(succeeded)/float64(b.N), "served/call")
 }
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -24,7 +24,7 @@
 }
 
 // timeoutBackend answers each request after a time and reports the timeout that it received.
-func timeoutBackend(t *testing.T, status int, after time.Duration) (addr string, observed chan observedTimeout) {
+func timeoutBackend(t *testing.T, status int, delay time.Duration) (addr string, observed chan observedTimeout) {
 	t.Helper()
 	observed = make(chan observedTimeout, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -33,7 +33,7 @@
 			t.Error(err)
 		}
 		observed <- observedTimeout{r.Header.Get("Request-Id"), time.Now(), d}
-		time.Sleep(after)
+		time.Sleep(delay)
 		w.WriteHeader(status)
 		fmt.Fprint(w, "done")
 	}))
@@ -60,9 +60,9 @@
 // A slow connect takes its part of the timeout: what the server receives is computed when the
 // request is written, for the first attempt and the next.
 func TestDeadlineAfterSlowConnect(t *testing.T) {
-	refuses, first := timeoutBackend(t, http.StatusInternalServerError, 0)
-	serves, second := timeoutBackend(t, http.StatusInternalServerError, 0)
-	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, refuses, serves))
+	addr1, observed1 := timeoutBackend(t, http.StatusInternalServerError, 0)
+	addr2, observed2 := timeoutBackend(t, http.StatusInternalServerError, 0)
+	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr1, addr2))
 	connect := a.loop.dialer.connect
 	a.loop.dialer.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		time.Sleep(400 * time.Millisecond)
@@ -74,10 +74,10 @@
 	send(t, req)
 	for range 2 {
 		select {
-		case tt := <-first:
-			tt.check(t, sent, timedRequestTimeout)
-		case tt := <-second:
-			tt.check(t, sent, timedRequestTimeout)
+		case observed := <-observed1:
+			observed.check(t, sent, timedRequestTimeout)
+		case observed := <-observed2:
+			observed.check(t, sent, timedRequestTimeout)
 		case <-time.After(testTimeout):
 			t.Fatal("no second attempt")
 		}
@@ -93,29 +93,29 @@
 
 // testPipelinedRequestDeadline sends two requests at once or in pieces.
 func testPipelinedRequestDeadline(t *testing.T) {
-	const turn = 600 * time.Millisecond
-	both := timedRequest("first") + timedRequest("second")
-	at := len(timedRequest("first"))
+	const responseDelay = 600 * time.Millisecond
+	requests := timedRequest("first") + timedRequest("second")
+	firstLen := len(timedRequest("first"))
 	for name, cuts := range map[string][]int{
-		"at once": nil, "its first byte with the first": {at + 1}, "all of it behind": {at}, "in pieces": {at + 1, at + 30, at + 60},
+		"at once": nil, "its first byte with the first": {firstLen + 1}, "all of it behind": {firstLen}, "in pieces": {firstLen + 1, firstLen + 30, firstLen + 60},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, observed := timeoutBackend(t, http.StatusOK, turn)
+			addr, observed := timeoutBackend(t, http.StatusOK, responseDelay)
 			_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 			c, _ := dialAgent(t, base)
-			startedAt, rest := 0, both
+			offset, rest := 0, requests
 			sent := time.Now()
 			for _, cut := range cuts {
-				io.WriteString(c, both[startedAt:cut])
+				io.WriteString(c, requests[offset:cut])
 				time.Sleep(20 * time.Millisecond) // within the first one's turn
-				startedAt, rest = cut, both[cut:]
+				offset, rest = cut, requests[cut:]
 			}
 			io.WriteString(c, rest)
-			last := sent.Add(time.Duration(len(cuts)) * 20 * time.Millisecond)
-			for _, sentAt := range []time.Time{sent, last} {
+			lastSent := sent.Add(time.Duration(len(cuts)) * 20 * time.Millisecond)
+			for _, sentAt := range []time.Time{sent, lastSent} {
 				select {
-				case tt := <-observed:
-					tt.check(t, sentAt, timedRequestTimeout)
+				case got := <-observed:
+					got.check(t, sentAt, timedRequestTimeout)
 				case <-time.After(testTimeout):
 					t.Fatal("a request did not come")
 				}
@@ -127,17 +127,17 @@
 // The timeout of a request runs from its arrival also behind several others, each larger than what
 // net/http reads at once.
 func TestDeadlineBehindSeveralRequests(t *testing.T) {
-	const turn, behind = 400 * time.Millisecond, 3
-	addr, observed := timeoutBackend(t, http.StatusOK, turn)
+	const responseDelay, queued = 400 * time.Millisecond, 3
+	addr, observed := timeoutBackend(t, http.StatusOK, responseDelay)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 	c, _ := dialAgent(t, base)
 	sent := time.Now()
 	padding := "\r\nX-Padding: " + strings.Repeat("p", 5<<10) + "\r\n"
 	io.WriteString(c, timedRequest("first"))
-	for i := range behind {
+	for i := range queued {
 		io.WriteString(c, strings.Replace(timedRequest(fmt.Sprint("behind", i)), "\r\n", padding, 1))
 	}
-	for range 1 + behind {
+	for range 1 + queued {
 		receive(t, "a request", observed).check(t, sent, timedRequestTimeout)
 	}
 }
@@ -149,17 +149,17 @@
 	config["limits"].(map[string]any)["sockets"] = minSockets
 	a, base, _, _ := startAgent(t, config)
 	for range a.clients.capacity { // nobody reads from these: they don't end by themselves
-		near, _ := connPair(t)
-		a.clients.admit(near, nil)
+		local, _ := connPair(t)
+		a.clients.admit(local, nil)
 	}
 	c, _ := dialAgent(t, base)
 	sent := time.Now()
 	io.WriteString(c, timedRequest("waits"))
-	tt := receive(t, "the request", observed)
-	if tt.arrivedAt.Sub(sent) < minUnusedBeforeEviction/2 {
-		t.Fatalf("it waited for %v only", tt.arrivedAt.Sub(sent))
+	got := receive(t, "the request", observed)
+	if got.arrivedAt.Sub(sent) < minUnusedBeforeEviction/2 {
+		t.Fatalf("it waited for %v only", got.arrivedAt.Sub(sent))
 	}
-	tt.check(t, sent, timedRequestTimeout)
+	got.check(t, sent, timedRequestTimeout)
 }
 
 // The timeout of a request on an idle connection runs from the request's arrival and not from the
@@ -171,8 +171,8 @@
 	for i := range 2 {
 		time.Sleep(300 * time.Millisecond)
 		io.WriteString(c, timedRequest(fmt.Sprint(i)))
-		if tt := receive(t, "the request", observed); tt.timeout < timedRequestTimeout-100*time.Millisecond {
-			t.Errorf("request %d: the server was told %v of %v", i, tt.timeout, timedRequestTimeout)
+		if got := receive(t, "the request", observed); got.timeout < timedRequestTimeout-100*time.Millisecond {
+			t.Errorf("request %d: the server was told %v of %v", i, got.timeout, timedRequestTimeout)
 		}
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
--- a/internal/agent/dialer_test.go
+++ b/internal/agent/dialer_test.go
@@ -90,28 +90,28 @@
 }
 
 // The longest idle connection gives way to a dial that finds the limit reached.
-func TestLongestIdleConnectionGivesWay(t *testing.T) {
+func TestLongestIdleConnectionIsEvicted(t *testing.T) {
 	d := newDialer()
 	d.maxOpen = 2
-	var backends []chan string
+	var backendEvents []chan string
 	for range 3 {
 		addr, events := keepAliveBackend(t)
-		backends = append(backends, events)
+		backendEvents = append(backendEvents, events)
 		if res := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout).run(); res.status != policy.OK {
-			t.Fatalf("backend %d: ended %d: %v", len(backends), res.status, res.err)
+			t.Fatalf("backend %d: ended %d: %v", len(backendEvents), res.status, res.err)
 		}
 		receive(t, "the request", events)
 	}
-	if event := receive(t, "the end of the first connection", backends[0]); event != "end" {
+	if event := receive(t, "the end of the first connection", backendEvents[0]); event != "end" {
 		t.Errorf("the first backend got %q", event)
 	}
-	if n := d.open.Load(); n != 2 || len(backends[1]) > 0 {
-		t.Errorf("%d connections are open; the second backend got %d more events", n, len(backends[1]))
+	if n := d.open.Load(); n != 2 || len(backendEvents[1]) > 0 {
+		t.Errorf("%d connections are open; the second backend got %d more events", n, len(backendEvents[1]))
 	}
 }
 
 // A connection that an attempt uses never gives way.
-func TestConnectionInUseDoesNotGiveWay(t *testing.T) {
+func TestConnectionInUseIsNotEvicted(t *testing.T) {
 	addr, received, answer, _ := scriptedBackend(t)
 	d := newDialer()
 	d.maxOpen = 1
@@ -133,7 +133,7 @@
 
 // An attempt that chose a connection in the moment in which it gave way writes nothing there, and goes
 // on another one.
-func TestAttemptOnAConnectionThatGaveWay(t *testing.T) {
+func TestAttemptOnEvictedConnection(t *testing.T) {
 	addr, events := keepAliveBackend(t)
 	d := newDialer()
 	transport := d.newTransport()
@@ -141,12 +141,12 @@
 		t.Fatalf("ended %d: %v", res.status, res.err)
 	}
 	receive(t, "the first request", events)
-	gaveWay := d.idle.takeOldest() // and is closed only later
+	evicted := d.idle.takeOldest() // and is closed only later
 	res := newAttempt(transport, addr, http.MethodPost, noTimeout).run()
 	if res.status != policy.OK {
 		t.Fatalf("ended %d: %v", res.status, res.err)
 	}
-	gaveWay.Close()
+	evicted.Close()
 	got := []string{receive(t, "the second request or the end", events), receive(t, "the other", events)}
 	if got[0] == got[1] || len(events) > 0 {
 		t.Errorf("the backend got %q and %d more, want one request and one end", got, len(events))
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -15,15 +15,15 @@
 )
 
 // logCounter counts the lines of a log and keeps the attributes of the last one.
-type logCounter struct {
+type countingHandler struct {
 	slog.Handler
 	lines int
 	last  string
 }
 
-func (c *logCounter) Enabled(context.Context, slog.Level) bool { return true }
+func (c *countingHandler) Enabled(context.Context, slog.Level) bool { return true }
 
-func (c *logCounter) Handle(_ context.Context, r slog.Record) error {
+func (c *countingHandler) Handle(_ context.Context, r slog.Record) error {
 	c.lines++
 	c.last = ""
 	r.Attrs(func(a slog.Attr) bool { c.last += a.String() + " "; return true })
@@ -34,24 +34,24 @@
 // suppressed.
 func TestDiscoveryLogIsRateLimited(t *testing.T) {
 	l := offlineLoop(t, "127.0.0.1:1")
-	c := &logCounter{}
-	l.log = slog.New(c)
+	handler := &countingHandler{}
+	l.log = slog.New(handler)
 	for range 2000 {
 		l.handle(event{kind: eventFailover, addr: "127.0.0.1:2", err: io.EOF})
 	}
-	if c.lines < 10 || c.lines > 30 {
-		t.Errorf("%d lines of 2000 failures", c.lines)
+	if handler.lines < 10 || handler.lines > 30 {
+		t.Errorf("%d lines of 2000 failures", handler.lines)
 	}
 	l.logLimiter = endpoints.TokenBucket{Burst: 10}
 	l.handle(event{kind: eventFailover, addr: "127.0.0.1:2", err: io.EOF})
-	if !strings.Contains(c.last, "suppressed_lines=") {
-		t.Errorf("logged %q", c.last)
+	if !strings.Contains(handler.last, "suppressed_lines=") {
+		t.Errorf("logged %q", handler.last)
 	}
 }
 
 // scriptedDiscovery returns a discovery whose watch writes lines and then stays open or ends, and
 // the events that it posts.
-func scriptedDiscovery(t *testing.T, silence time.Duration, stay bool, lines ...string) (*discovery, chan event) {
+func scriptedDiscovery(t *testing.T, silenceTimeout time.Duration, keepOpen bool, lines ...string) (*discovery, chan event) {
 	t.Helper()
 	release := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -59,7 +59,7 @@
 			fmt.Fprintln(w, line)
 		}
 		w.(http.Flusher).Flush()
-		if stay {
+		if keepOpen {
 			select {
 			case <-release:
 			case <-r.Context().Done():
@@ -68,7 +68,7 @@
 	}))
 	t.Cleanup(func() { close(release); s.Close() })
 	events := make(chan event, 100)
-	return newDiscovery(endpoints.ClientConfig{Addresses: []string{s.Listener.Addr().String()}, SilenceTimeout: silence},
+	return newDiscovery(endpoints.ClientConfig{Addresses: []string{s.Listener.Addr().String()}, SilenceTimeout: silenceTimeout},
 		func(e event) { events <- e }), events
 }
 
@@ -134,9 +134,9 @@
 	}))
 	t.Cleanup(s.Close)
 	config := testConfig(s.Listener.Addr().String(), "127.0.0.1:1")
-	set := config["settings"].(map[string]any)
-	set["membershipMode"] = "on_request"
-	set["contract"].(map[string]any)["askWithinMs"] = 10
+	settings := config["settings"].(map[string]any)
+	settings["membershipMode"] = "on_request"
+	settings["contract"].(map[string]any)["askWithinMs"] = 10
 	startAgent(t, config)
 	if q := <-requests; q != "follow=1&since=1" {
 		t.Fatalf("query %q", q)
--- a/internal/agent/endpointlist_test.go
+++ b/internal/agent/endpointlist_test.go
@@ -17,19 +17,19 @@
 // Lists are applied in the order of their versions.
 func TestListOrder(t *testing.T) {
 	l := offlineLoop(t, "127.0.0.1:1", "127.0.0.1:2")
-	h := endpoints.Endpoint{Name: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
+	entry := endpoints.Endpoint{Name: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
 	usable := func(name string) bool { b := l.backends[policyAddr(name)]; return b != nil && b.usable }
-	l.handle(event{kind: eventListChanged, list: listOf(5, false, h)})
+	l.handle(event{kind: eventListChanged, list: listOf(5, false, entry)})
 	if usable("s-0") || !usable("s-1") {
 		t.Fatal("the change of version 5 was not applied")
 	}
-	h.Health = "ready"
-	l.handle(event{kind: eventListChanged, list: listOf(4, false, h)})
-	l.handle(event{kind: eventListFetched, list: listOf(3, true, h)})
+	entry.Health = "ready"
+	l.handle(event{kind: eventListChanged, list: listOf(4, false, entry)})
+	l.handle(event{kind: eventListFetched, list: listOf(3, true, entry)})
 	if usable("s-0") || !usable("s-1") {
 		t.Fatal("an older version was applied")
 	}
-	l.handle(event{kind: eventListFetched, list: listOf(6, true, h)})
+	l.handle(event{kind: eventListFetched, list: listOf(6, true, entry)})
 	if !usable("s-0") || usable("s-1") || l.listVersion != 6 {
 		t.Fatal("the whole list of version 6 was not applied")
 	}
@@ -46,8 +46,8 @@
 // is older than what its own call named is applied: discovery's versions have restarted.
 func TestOutdatedFullListIsIgnored(t *testing.T) {
 	ready := endpoints.Endpoint{Name: "s-0", Dial: "127.0.0.1:1", Health: "ready"}
-	drains := ready
-	drains.Health = "draining"
+	draining := ready
+	draining.Health = "draining"
 	for _, c := range []struct {
 		name    string
 		since   int64 // the version that the watch began with, or that of its last list
@@ -61,7 +61,7 @@
 		{"newer", 12, 16, true},
 	} {
 		l := offlineLoop(t, "127.0.0.1:1", "127.0.0.1:2")
-		l.handle(event{kind: eventListFetched, list: listOf(15, true, drains)})
+		l.handle(event{kind: eventListFetched, list: listOf(15, true, draining)})
 		l.handle(event{kind: eventListChanged, since: c.since, list: listOf(c.version, true, ready)})
 		if b := l.backends[policyAddr("s-0")]; (b != nil && b.usable) != c.applied {
 			t.Errorf("%s: applied: %v", c.name, !c.applied)
@@ -80,26 +80,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const followToken = 2     // of the module's time to ask again: one is set at a time
-	ended := func() float64 { // and the wait until the next watch
+	const watchTimer = 2         // of the module's time to ask again: one is set at a time
+	endWatch := func() float64 { // and the wait until the next watch
 		l.advanceClock(10 * time.Second)
-		l.handle(event{kind: eventTimer, token: followToken})
+		l.handle(event{kind: eventTimer, token: watchTimer})
 		l.handle(event{kind: eventWatchEnded, err: io.EOF})
 		for _, act := range l.actions {
-			if act.Kind == policy.ActTimer && act.Token == followToken {
+			if act.Kind == policy.ActTimer && act.Token == watchTimer {
 				return act.Ms
 			}
 		}
 		t.Fatal("the module does not ask again")
 		return 0
 	}
-	ended()
+	endWatch()
 	for range 5 {
-		ended()
+		endWatch()
 	}
 	l.handle(event{kind: eventListChanged, list: listOf(1, false)})
-	if again := ended(); again >= 1000 { // the first wait is 500 to 1000 ms, the second 1000 to 2000
-		t.Fatalf("asks again after %.0f ms, as after a second failure", again)
+	if wait := endWatch(); wait >= 1000 { // the first wait is 500 to 1000 ms, the second 1000 to 2000
+		t.Fatalf("asks again after %.0f ms, as after a second failure", wait)
 	}
 }
 
@@ -107,23 +107,23 @@
 func TestNewProcessGetsNewConnections(t *testing.T) {
 	l := offlineLoop(t, "127.0.0.1:1")
 	b := l.backends[policyAddr("s-0")]
-	before := b.transport
-	h := endpoints.Endpoint{Name: "s-0", Dial: "127.0.0.1:1", Health: "ready", Weight: 1}
-	l.handle(event{kind: eventListChanged, list: listOf(2, false, h)})
-	if b.transport != before {
+	previous := b.transport
+	entry := endpoints.Endpoint{Name: "s-0", Dial: "127.0.0.1:1", Health: "ready", Weight: 1}
+	l.handle(event{kind: eventListChanged, list: listOf(2, false, entry)})
+	if b.transport != previous {
 		t.Fatal("connections thrown away though nothing changed")
 	}
-	waits := newAttempt(before, "127.0.0.1:1", http.MethodPost, noTimeout)
-	b.attempts[waits] = struct{}{}
-	for i, change := range []func(){func() { h.Dial = "127.0.0.1:2" }, func() { h.StartedMs = 7 }} {
+	pending := newAttempt(previous, "127.0.0.1:1", http.MethodPost, noTimeout)
+	b.attempts[pending] = struct{}{}
+	for i, change := range []func(){func() { entry.Dial = "127.0.0.1:2" }, func() { entry.StartedMs = 7 }} {
 		change()
-		l.handle(event{kind: eventListChanged, list: listOf(int64(3+i), false, h)})
-		if l.backends[policyAddr("s-0")] != b || b.transport == before || b.dialAddr != h.Dial {
+		l.handle(event{kind: eventListChanged, list: listOf(int64(3+i), false, entry)})
+		if l.backends[policyAddr("s-0")] != b || b.transport == previous || b.dialAddr != entry.Dial {
 			t.Fatal("the old connections were kept")
 		}
-		before = b.transport
+		previous = b.transport
 	}
-	if context.Cause(waits.ctx) != errBackendDrained || waits.allowWrite(waits.conn.Load()) {
+	if context.Cause(pending.ctx) != errBackendDrained || pending.allowWrite(pending.conn.Load()) {
 		t.Fatal("an attempt that had not begun may still go to the old address")
 	}
 }
@@ -147,10 +147,10 @@
 	if res := a.run(); res.status != policy.OK {
 		t.Fatalf("ended %d", res.status)
 	}
-	late := newAttempt(b.transport, addr, http.MethodPost, noTimeout)
-	late.backend = b
-	late.req.answers = make(chan answer, 1)
-	l.handle(event{kind: eventOutcome, attempt: late, result: result{status: policy.Timeout}})
+	timedOut := newAttempt(b.transport, addr, http.MethodPost, noTimeout)
+	timedOut.backend = b
+	timedOut.req.answers = make(chan answer, 1)
+	l.handle(event{kind: eventOutcome, attempt: timedOut, result: result{status: policy.Timeout}})
 	<-closed
 }
 
--- a/internal/agent/failedconn_test.go
+++ b/internal/agent/failedconn_test.go
@@ -13,10 +13,10 @@
 )
 
 // A new connection that the backend ended is not replaced, also where the transport's reader has closed
-// it before the attempt gets it. TestNewConnectionThatEndsIsNotReplaced has this order now and then.
-func TestNewConnectionThatTheReaderClosedIsNotReplaced(t *testing.T) {
-	conn, far := connectedBackendConn(t)
-	far.Close()
+// it before the attempt gets it. TestNewConnectionClosedByBackendIsNotReplaced has this order now and then.
+func TestNewConnectionClosedByReaderIsNotReplaced(t *testing.T) {
+	conn, peer := connectedBackendConn(t)
+	peer.Close()
 	conn.Close() // as the reader does at the end
 	a := newAttempt(conn.transport, "", http.MethodPost, noTimeout)
 	defer a.cancel(nil)
@@ -28,7 +28,7 @@
 }
 
 // An attempt whose time ends when its connection has given way does not blame the backend.
-func TestEndAfterAConnectionGaveWayIsNoConnectFailure(t *testing.T) {
+func TestTimeoutAfterEvictionIsNotConnectFailed(t *testing.T) {
 	conn, _ := connectedBackendConn(t)
 	conn.endUse(time.Now())
 	a := newAttempt(conn.transport, "", http.MethodPost, time.Millisecond)
@@ -55,7 +55,7 @@
 
 // Where nothing was written because the attempt was withdrawn in that moment, nothing is its response.
 func TestNoResponseToAWithdrawnAttempt(t *testing.T) {
-	conn, far := connectedBackendConn(t)
+	conn, peer := connectedBackendConn(t)
 	a := newAttempt(conn.transport, "", http.MethodPost, noTimeout)
 	defer a.cancel(nil)
 	a.conn.Store(conn)
@@ -63,7 +63,7 @@
 	if a.allowWrite(conn) {
 		t.Fatal("written")
 	}
-	io.WriteString(far, strayAnswer)
+	io.WriteString(peer, strayAnswer)
 	if n, err := conn.Read(make([]byte, 100)); err != errTrailingBytes {
 		t.Errorf("read %d bytes of a response, %v", n, err)
 	}
--- a/internal/agent/formats_test.go
+++ b/internal/agent/formats_test.go
@@ -97,7 +97,7 @@
 }
 
 // All agents, of any version, derive the same numbers for a server and a key.
-func TestNumbersOfServersAndKeys(t *testing.T) {
+func TestServerAndKeyHashesAreStable(t *testing.T) {
 	if got := fmt.Sprintf("%x", policyAddr("s-0")); got != "5a655c3fc0d7" {
 		t.Errorf("server s-0 is %s", got)
 	}
@@ -107,7 +107,7 @@
 }
 
 // rawServer answers each connection's first request with the given bytes and reports the request's.
-func rawServer(t *testing.T, answer string) (addr string, received chan string) {
+func recordingBackend(t *testing.T, answer string) (addr string, received chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -124,8 +124,8 @@
 			go func() {
 				defer c.Close()
 				var head strings.Builder
-				in := bufio.NewReader(io.TeeReader(c, &head))
-				req, err := http.ReadRequest(in)
+				reader := bufio.NewReader(io.TeeReader(c, &head))
+				req, err := http.ReadRequest(reader)
 				if err != nil {
 					return
 				}
@@ -160,7 +160,7 @@
 // The bytes that a server and a client see of one request, for each kind of answer.
 func TestBytesToServersAndClients(t *testing.T) {
 	timeout := regexp.MustCompile(`Request-Timeout: \d{1,5}m`)
-	const full = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+	const rejection = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 	for _, c := range []struct {
 		name, request, answer, toServer, toClient string
 	}{
@@ -173,16 +173,16 @@
 		{"failed", "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: id1\r\nRequest-Timeout: 30000m\r\nContent-Length: 4\r\nConnection: close\r\n\r\nbody",
 			"HTTP/1.1 500 No\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", "POST /order/u1 HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nRequest-Id: id1\r\nRequest-Timeout: TIME\r\n\r\nbody", "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
 		{"refused", "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: id1\r\nRequest-Timeout: 30000m\r\nContent-Length: 4\r\nConnection: close\r\n\r\nbody",
-			full, "", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.6\r\nConnection: close\r\n\r\n"},
-		{"unknown class", "POST /none/u1 HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", full, "", "HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 25\r\nContent-Type: text/plain\r\n\r\nunknown class of request\n"},
-		{"no id", "GET /look/u1 HTTP/1.1\r\nHost: x\r\nRequest-Timeout: 30000m\r\n\r\n", full, "", "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 20\r\nContent-Type: text/plain\r\n\r\nRequest-Id: missing\n"},
-		{"no key", "POST /send/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: id1\r\nRequest-Timeout: 30000m\r\nContent-Length: 0\r\n\r\n", full, "", "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 25\r\nContent-Type: text/plain\r\n\r\nIdempotency-Key: missing\n"},
-		{"no time", "GET /look/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: id1\r\nRequest-Timeout: 3\r\n\r\n", full, "", "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 48\r\nContent-Type: text/plain\r\n\r\nRequest-Timeout: no number with the unit m or u\n"},
-		{"method", "GET /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: id1\r\n\r\n", full, "", "HTTP/1.1 405 Method Not Allowed\r\nConnection: close\r\nContent-Length: 30\r\nContent-Type: text/plain\r\n\r\nthis class is asked with POST\n"},
-		{"ready", "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", full, "", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
+			rejection, "", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.6\r\nConnection: close\r\n\r\n"},
+		{"unknown class", "POST /none/u1 HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", rejection, "", "HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 25\r\nContent-Type: text/plain\r\n\r\nunknown class of request\n"},
+		{"no id", "GET /look/u1 HTTP/1.1\r\nHost: x\r\nRequest-Timeout: 30000m\r\n\r\n", rejection, "", "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 20\r\nContent-Type: text/plain\r\n\r\nRequest-Id: missing\n"},
+		{"no key", "POST /send/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: id1\r\nRequest-Timeout: 30000m\r\nContent-Length: 0\r\n\r\n", rejection, "", "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 25\r\nContent-Type: text/plain\r\n\r\nIdempotency-Key: missing\n"},
+		{"no time", "GET /look/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: id1\r\nRequest-Timeout: 3\r\n\r\n", rejection, "", "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 48\r\nContent-Type: text/plain\r\n\r\nRequest-Timeout: no number with the unit m or u\n"},
+		{"method", "GET /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: id1\r\n\r\n", rejection, "", "HTTP/1.1 405 Method Not Allowed\r\nConnection: close\r\nContent-Length: 30\r\nContent-Type: text/plain\r\n\r\nthis class is asked with POST\n"},
+		{"ready", "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", rejection, "", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			addr, received := rawServer(t, c.answer)
+			addr, received := recordingBackend(t, c.answer)
 			_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 			if got := exchange(t, strings.TrimPrefix(base, "http://"), c.request); got != c.toClient {
 				t.Errorf("to the client: %q", got)
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -37,7 +37,7 @@
 		status     int
 		notStarted bool
 		attempts   int
-		answer     int
+		wantStatus int
 	}{
 		{"order", 500, false, 1, http.StatusBadGateway},
 		{"order", 503, false, 1, http.StatusBadGateway},
@@ -53,12 +53,12 @@
 				addrs, received = append(addrs, addr), append(received, ids)
 			}
 			_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addrs...))
-			status, _, head := send(t, newCall(base, c.class))
-			if status != c.answer {
-				t.Errorf("answered %d, want %d", status, c.answer)
+			status, _, header := send(t, newCall(base, c.class))
+			if status != c.wantStatus {
+				t.Errorf("answered %d, want %d", status, c.wantStatus)
 			}
-			if want := status == http.StatusServiceUnavailable; (head.Get("Retry-After") == "0.6") != want {
-				t.Errorf("Retry-After %q with %d", head.Get("Retry-After"), status)
+			if want := status == http.StatusServiceUnavailable; (header.Get("Retry-After") == "0.6") != want {
+				t.Errorf("Retry-After %q with %d", header.Get("Retry-After"), status)
 			}
 			attempts := 0
 			for _, ids := range received {
@@ -108,9 +108,9 @@
 			t.Errorf("%s: answered %d", name, status)
 		}
 	}
-	look := newCall(base, "look")
-	look.Body, look.ContentLength = io.NopCloser(strings.NewReader("body")), 4
-	if status, _, _ := send(t, look); status != http.StatusBadRequest {
+	lookWithBody := newCall(base, "look")
+	lookWithBody.Body, lookWithBody.ContentLength = io.NopCloser(strings.NewReader("body")), 4
+	if status, _, _ := send(t, lookWithBody); status != http.StatusBadRequest {
 		t.Errorf("GET with a body: answered %d", status)
 	}
 	longest := newCall(base, "send")
@@ -206,48 +206,48 @@
 // they would be lost.
 func TestRequestsBeyondCapacityAreRejected(t *testing.T) {
 	release := make(chan struct{})
-	open := sync.OnceFunc(func() { close(release) })
+	unblock := sync.OnceFunc(func() { close(release) })
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		<-release
 		fmt.Fprint(w, "done")
 	}))
 	t.Cleanup(s.Close)
-	t.Cleanup(open) // before the backend closes, also when the test fails
+	t.Cleanup(unblock) // before the backend closes, also when the test fails
 	config := testConfig(unreachableAddr, s.Listener.Addr().String())
 	config["limits"].(map[string]any)["sockets"] = minSockets
 	_, base, _, _ := startAgent(t, config)
-	const over = 20
-	requests := maxOpenRequests(minSockets) + over
+	const excess = 20
+	requests := maxOpenRequests(minSockets) + excess
 	if requests <= clientSockets(minSockets) {
 		t.Fatal("these fit into the places")
 	}
-	answers := make(chan int, requests)
+	statuses := make(chan int, requests)
 	for range requests {
 		go func() {
 			resp, err := new(http.Transport).RoundTrip(newCall(base, "order"))
 			if err != nil {
 				t.Error(err)
-				answers <- 0
+				statuses <- 0
 				return
 			}
 			resp.Body.Close()
-			answers <- resp.StatusCode
+			statuses <- resp.StatusCode
 		}()
 	}
-	soon := time.After(10 * time.Second) // the module's own patience is 15 s here
-	for range over {
+	timeout := time.After(10 * time.Second) // the module's own patience is 15 s here
+	for range excess {
 		select {
-		case status := <-answers:
+		case status := <-statuses:
 			if status != http.StatusServiceUnavailable {
 				t.Errorf("answered %d while the backend holds all, want 503", status)
 			}
-		case <-soon:
+		case <-timeout:
 			t.Fatal("not refused at once")
 		}
 	}
-	open()
-	for range requests - over {
-		if status := <-answers; status != 200 {
+	unblock()
+	for range requests - excess {
+		if status := <-statuses; status != 200 {
 			t.Errorf("answered %d, want 200", status)
 		}
 	}
--- a/internal/agent/lateanswer_test.go
+++ b/internal/agent/lateanswer_test.go
@@ -12,16 +12,16 @@
 // A second answer that comes some milliseconds after the first is not taken for the answer to the next
 // request on its connection.
 func TestLateSecondAnswerIsNotServed(t *testing.T) {
-	const late = 5 * time.Millisecond
+	const delay = 5 * time.Millisecond
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := readRequest(r); err != nil {
 			return
 		}
 		io.WriteString(c, okAnswer)
-		time.Sleep(late)
+		time.Sleep(delay)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
 		if _, err := readRequest(r); err == nil {
-			time.Sleep(late)
+			time.Sleep(delay)
 			io.WriteString(c, okAnswer)
 		}
 	})
--- a/internal/agent/services_test.go
+++ b/internal/agent/services_test.go
@@ -52,9 +52,9 @@
 }
 
 // deliver passes the loop a list of a subscription.
-func (l *loop) deliver(kind eventKind, subscription uint64, scoped bool, lst endpoints.List) {
-	lst.Subscription, lst.Scoped = subscription, scoped
-	l.handle(event{kind: kind, list: lst, source: l.discovery})
+func (l *loop) deliver(kind eventKind, subscription uint64, scoped bool, list endpoints.List) {
+	list.Subscription, list.Scoped = subscription, scoped
+	l.handle(event{kind: kind, list: list, source: l.discovery})
 }
 
 // serviceEndpoint returns the entry of server s-i of a service.
@@ -64,9 +64,9 @@
 
 // Errors in the configured services name the key.
 func TestServicesConfig(t *testing.T) {
-	many := []string{}
+	tooMany := []string{}
 	for i := range endpoints.MaxServices + 1 {
-		many = append(many, fmt.Sprint("s", i))
+		tooMany = append(tooMany, fmt.Sprint("s", i))
 	}
 	for _, c := range []struct {
 		controlPlane bool
@@ -74,10 +74,10 @@
 		want         string
 	}{
 		{true, []string{"", "a"}, ""},
-		{true, many[1:], ""},
+		{true, tooMany[1:], ""},
 		{false, []string{"a"}, "config: services: only with stewards, which are not set"},
 		{true, []string{}, "config: services: none named"},
-		{true, many, "config: services: 257 of at most 256"},
+		{true, tooMany, "config: services: 257 of at most 256"},
 		{true, []string{"a", "b", "x y"}, `config: services[2]: must be at most 64 printable characters without spaces or slashes: "x y"`},
 		{true, []string{"a", "b", "a"}, `config: services[2]: named twice: "a"`},
 		{true, "a", "config: services: cannot be a string"},
@@ -103,7 +103,7 @@
 }
 
 // Without the key every listed server is used, whatever service its entry names.
-func TestNoServicesNoScope(t *testing.T) {
+func TestAllServersAreUsedWithoutServices(t *testing.T) {
 	l, _ := scopedLoop(t, scopedConfig())
 	if l.scope.table != nil || l.usableBackends() != "s-1 s-2" {
 		t.Fatalf("usable: %q", l.usableBackends())
--- a/internal/agent/startclock_test.go
+++ b/internal/agent/startclock_test.go
@@ -20,13 +20,13 @@
 			l.handle(event{kind: eventListChanged, list: listOf(2, false)})
 			l.advanceClock(10 * time.Second)
 			// It started 2 s ago; another one long ago, and was not listed for some time.
-			started := realMs() - 2000
-			hosts := []endpoints.Endpoint{
-				{Name: "s-8", Dial: "127.0.0.1:8", Health: "ready", StartedMs: started - 500_000},
-				{Name: "s-9", Dial: "127.0.0.1:9", Health: "ready", StartedMs: started}}
-			l.handle(event{kind: eventListChanged, list: listOf(3, false, hosts[1])})
-			l.handle(event{kind: eventListChanged, list: listOf(4, false, hosts[0])})
-			age := func(i int) float64 { return l.nowMs() - l.startOnLoopClock(&hosts[i]) }
+			startedMs := realMs() - 2000
+			entries := []endpoints.Endpoint{
+				{Name: "s-8", Dial: "127.0.0.1:8", Health: "ready", StartedMs: startedMs - 500_000},
+				{Name: "s-9", Dial: "127.0.0.1:9", Health: "ready", StartedMs: startedMs}}
+			l.handle(event{kind: eventListChanged, list: listOf(3, false, entries[1])})
+			l.handle(event{kind: eventListChanged, list: listOf(4, false, entries[0])})
+			age := func(i int) float64 { return l.nowMs() - l.startOnLoopClock(&entries[i]) }
 			if got := age(1); got < 0 || got > slowStartMs*3/2 || step < 0 && got > 3000 {
 				t.Errorf("the new server counts as %.0f ms old, is 2000", got)
 			}
--- a/internal/agent/stoppedloop_test.go
+++ b/internal/agent/stoppedloop_test.go
@@ -17,7 +17,7 @@
 }
 
 // agentWithStoppedLoop serves an agent whose loop starts when run is called.
-func agentWithStoppedLoop(t *testing.T, config map[string]any) (a *Agent, baseURL string, run func()) {
+func agentWithStoppedLoop(t *testing.T, config map[string]any) (a *Agent, baseURL string, runLoop func()) {
 	t.Helper()
 	a, err := New(parseConfig(t, config), slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -39,9 +39,9 @@
 
 // scriptedBackend returns a backend that writes a response only when it is given one. It reports
 // the requests that it receives, and connections that close without a response.
-func scriptedBackend(t *testing.T) (addr string, received chan string, answer chan string, closed chan struct{}) {
+func scriptedBackend(t *testing.T) (addr string, received chan string, responses chan string, closed chan struct{}) {
 	t.Helper()
-	received, answer, closed = make(chan string, 100), make(chan string, 100), make(chan struct{}, 100)
+	received, responses, closed = make(chan string, 100), make(chan string, 100), make(chan struct{}, 100)
 	addr = rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			req, err := readRequest(r)
@@ -55,7 +55,7 @@
 				close(ended)
 			}()
 			select {
-			case text := <-answer:
+			case text := <-responses:
 				io.WriteString(c, text)
 				<-ended // the next request begins, or the end
 			case <-ended:
@@ -66,30 +66,30 @@
 			}
 		}
 	})
-	return addr, received, answer, closed
+	return addr, received, responses, closed
 }
 
 // stallingLog is a log that blocks whoever logs a failover, which stops the loop as often as stall
 // is called.
-type stallingLog struct{ stalled, release chan struct{} }
+type stallingHandler struct{ stalled, release chan struct{} }
 
-func newStallingLog(a *Agent) stallingLog {
-	s := stallingLog{stalled: make(chan struct{}, 10), release: make(chan struct{}, 10)}
+func newStallingHandler(a *Agent) stallingHandler {
+	s := stallingHandler{stalled: make(chan struct{}, 10), release: make(chan struct{}, 10)}
 	a.loop.log = slog.New(s)
 	return s
 }
 
-func (s stallingLog) stall(a *Agent) {
+func (s stallingHandler) stall(a *Agent) {
 	a.loop.post(event{kind: eventFailover, source: a.loop.discovery})
 }
 
-func (s stallingLog) Enabled(context.Context, slog.Level) bool { return true }
+func (s stallingHandler) Enabled(context.Context, slog.Level) bool { return true }
 
-func (s stallingLog) WithAttrs([]slog.Attr) slog.Handler { return s }
+func (s stallingHandler) WithAttrs([]slog.Attr) slog.Handler { return s }
 
-func (s stallingLog) WithGroup(string) slog.Handler { return s }
+func (s stallingHandler) WithGroup(string) slog.Handler { return s }
 
-func (s stallingLog) Handle(_ context.Context, r slog.Record) error {
+func (s stallingHandler) Handle(_ context.Context, r slog.Record) error {
 	if strings.HasPrefix(r.Message, "discovery: failed over") {
 		s.stalled <- struct{}{}
 		<-s.release
--- a/internal/agent/testagent_test.go
+++ b/internal/agent/testagent_test.go
@@ -17,8 +17,8 @@
 // testConfig returns a complete configuration; backends are listed as s-0, s-1, ...
 func testConfig(discovery string, backends ...string) map[string]any {
 	hosts := []any{}
-	for i, dial := range backends {
-		hosts = append(hosts, hostEntry(i, dial, "ready"))
+	for i, addr := range backends {
+		hosts = append(hosts, hostEntry(i, addr, "ready"))
 	}
 	class := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "aimMs": 20000, "giveUpMs": 30000, "credit": 1,
@@ -41,8 +41,8 @@
 }
 
 // hostEntry returns the entry of server s-i in a list.
-func hostEntry(i int, dial, health string) map[string]any {
-	return map[string]any{"host": fmt.Sprint("s-", i), "dial": dial, "site": "a", "class": "k",
+func hostEntry(i int, addr, health string) map[string]any {
+	return map[string]any{"host": fmt.Sprint("s-", i), "dial": addr, "site": "a", "class": "k",
 		"block": 1, "health": health, "share": 1.0, "born_ms": 0}
 }
 
--- a/internal/agent/testwait_test.go
+++ b/internal/agent/testwait_test.go
@@ -22,8 +22,8 @@
 // waitUntil polls until done, for testTimeout at most.
 func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !done(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(testTimeout); !done(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("%s: not within %v", what, testTimeout)
 		}
 	}
--- a/internal/agent/unsolicited_test.go
+++ b/internal/agent/unsolicited_test.go
@@ -17,11 +17,11 @@
 const strayAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 
 // connectedBackendConn returns a connection as a dial for an attempt makes it, and its far end.
-func connectedBackendConn(t *testing.T) (conn *backendConn, far net.Conn) {
+func connectedBackendConn(t *testing.T) (conn *backendConn, peer net.Conn) {
 	t.Helper()
-	near, far := connPair(t)
+	local, peer := connPair(t)
 	transport := newDialer().newTransport()
-	return newBackendConn(near, newDialer(), transport, transport.acquireEmpty()), far
+	return newBackendConn(local, newDialer(), transport, transport.acquireEmpty()), peer
 }
 
 // carryRequest has the connection carry a request and its response.
@@ -34,11 +34,11 @@
 // What arrived before a request was written is not its response, even if this process has not read it
 // yet: it may have been suspended meanwhile.
 func TestUnreadBytesPreventARequest(t *testing.T) {
-	conn, far := connectedBackendConn(t)
+	conn, peer := connectedBackendConn(t)
 	carryRequest(conn)
 	reports := 0
 	conn.transport.onUnsolicited = func() { reports++ }
-	io.WriteString(far, strayAnswer)
+	io.WriteString(peer, strayAnswer)
 	waitUntil(t, "the bytes are there", func() bool { return mayBeReadable(conn.Conn) })
 	a := newAttempt(conn.transport, "", http.MethodPost, noTimeout)
 	defer a.cancel(nil)
@@ -56,20 +56,20 @@
 
 // What a backend sends before the first request on a connection is not the second response to one.
 func TestBytesBeforeAnyRequestAreNotReported(t *testing.T) {
-	conn, far := connectedBackendConn(t)
+	conn, peer := connectedBackendConn(t)
 	conn.transport.onUnsolicited = func() { t.Error("reported") }
-	io.WriteString(far, strayAnswer)
+	io.WriteString(peer, strayAnswer)
 	if _, err := conn.Read(make([]byte, 100)); err != errTrailingBytes {
 		t.Errorf("read with %v", err)
 	}
 }
 
 // A connection that the backend has closed is not written to, and is no sign of unsolicited bytes.
-func TestEndedConnectionPreventsARequest(t *testing.T) {
-	conn, far := connectedBackendConn(t)
+func TestClosedConnectionIsNotWrittenTo(t *testing.T) {
+	conn, peer := connectedBackendConn(t)
 	conn.endUse(time.Now())
 	conn.transport.onUnsolicited = func() { t.Error("reported bytes") }
-	far.Close()
+	peer.Close()
 	waitUntil(t, "the end is there", func() bool { return mayBeReadable(conn.Conn) })
 	a := newAttempt(conn.transport, "", http.MethodPost, noTimeout)
 	defer a.cancel(nil)
@@ -98,7 +98,7 @@
 
 // A backend that closes each connection at once is not connected to again and again by one attempt, and
 // is to blame.
-func TestNewConnectionThatEndsIsNotReplaced(t *testing.T) {
+func TestNewConnectionClosedByBackendIsNotReplaced(t *testing.T) {
 	accepted := make(chan struct{}, 10)
 	addr := rawBackend(t, func(net.Conn, *bufio.Reader) { accepted <- struct{}{} })
 	d := newDialer()
@@ -149,7 +149,7 @@
 // After unsolicited bytes of a backend, each connection to it carries one request, health checks
 // included, until the balancer allows more again.
 func TestConnectionsCarryOneRequestAfterUnsolicitedBytes(t *testing.T) {
-	const late = 5 * time.Millisecond
+	const delay = 5 * time.Millisecond
 	requests := make(chan string, 100) // what each connection carried
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		var paths []string
@@ -161,7 +161,7 @@
 			}
 			paths = append(paths, request.URL.Path)
 			io.WriteString(c, okAnswer)
-			time.Sleep(late)
+			time.Sleep(delay)
 			io.WriteString(c, strayAnswer)
 		}
 	})
