--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -15,8 +15,8 @@
 	"knotrouter/policy"
 )
 
-// net/http must not send a request again when a kept connection breaks: that would be a second
-// attempt that nobody decided.
+// net/http must not resend a request when a reused connection breaks: that would be a second attempt that
+// the balancer has not ordered.
 func TestNoHiddenResend(t *testing.T) {
 	for _, c := range []struct{ name, method, key string }{
 		{"safe", http.MethodGet, ""}, {"keyed", http.MethodPost, "k1"}, {"unsafe", http.MethodPost, ""},
@@ -29,7 +29,7 @@
 						return
 					}
 					if received.Add(1) > 1 {
-						return // breaks the kept connection under the second request
+						return // closes the reused connection without answering its second request
 					}
 					io.WriteString(conn, okAnswer)
 				}
@@ -40,17 +40,17 @@
 				a := newAttempt(tr, addr, c.method, noTimeout)
 				a.req.idempotencyKey = c.key
 				if got := a.run().status; got != want {
-					t.Fatalf("attempt %d ended %d, want %d", i, got, want)
+					t.Fatalf("attempt %d: status %d, want %d", i, got, want)
 				}
 			}
 			if n := received.Load(); n != 2 {
-				t.Fatalf("the backend got %d requests of 2 attempts", n)
+				t.Fatalf("the backend received %d requests from 2 attempts", n)
 			}
 		})
 	}
 }
 
-// The connection itself prevents a second copy of a request, whatever net/http does.
+// An attempt may write on one connection only, even if net/http picks a second one for it.
 func TestOneConnectionPerAttempt(t *testing.T) {
 	a := newAttempt(nil, "", http.MethodPost, noTimeout)
 	defer a.cancel(nil)
@@ -59,13 +59,13 @@
 	allowed := a.allowWrite(first)
 	allowedAgain := a.allowWrite(first)
 	if !allowed || !allowedAgain {
-		t.Fatal("the attempt's own connection was refused")
+		t.Fatal("the attempt may not write on its own connection")
 	}
 	if a.allowWrite(second) {
-		t.Fatal("the attempt went out on a second connection")
+		t.Fatal("the attempt may write on a second connection")
 	}
 	if a.withdraw() {
-		t.Fatal("an attempt that began was withdrawn")
+		t.Fatal("an attempt was withdrawn after it began to write")
 	}
 }
 
@@ -84,36 +84,36 @@
 		serve func(net.Conn, *bufio.Reader)
 		want  policy.Status
 	}{
-		{"whole answer", answer(okAnswer), policy.OK},
-		{"no answer", answer(""), policy.Reset},
-		{"half an answer", answer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone"), policy.Reset},
-		{"half a chunked answer", answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"), policy.Reset},
-		{"answer that ends with its connection", answer("HTTP/1.1 200 OK\r\n\r\ndone"), policy.OK},
-		{"the same, reset", func(c net.Conn, r *bufio.Reader) {
+		{"complete response", answer(okAnswer), policy.OK},
+		{"no response", answer(""), policy.Reset},
+		{"truncated response", answer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone"), policy.Reset},
+		{"truncated chunked response", answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"), policy.Reset},
+		{"response delimited by connection close", answer("HTTP/1.1 200 OK\r\n\r\ndone"), policy.OK},
+		{"response delimited by connection reset", func(c net.Conn, r *bufio.Reader) {
 			answer("HTTP/1.1 200 OK\r\n\r\ndone")(c, r)
 			_ = c.(*net.TCPConn).SetLinger(0)
 		}, policy.Reset},
-		{"error that ends with its connection", answer("HTTP/1.1 500 No\r\n\r\nno"), policy.Error},
-		{"answer too long", answer("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), policy.Error},
-		{"bytes behind the answer", answer(okAnswer + "more"), policy.Reset},
-		{"two answers", answer("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad" + okAnswer), policy.Reset},
-		{"length and coding", answer("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), policy.Reset},
-		{"interim answer", answer("HTTP/1.1 103 Hints\r\nX: y\r\n\r\n" + okAnswer), policy.OK},
-		{"chunked answer", answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), policy.OK},
-		{"turned away until the close", answer("HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\nno"), policy.Full},
+		{"error response delimited by connection close", answer("HTTP/1.1 500 No\r\n\r\nno"), policy.Error},
+		{"response too long", answer("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), policy.Error},
+		{"bytes after the response", answer(okAnswer + "more"), policy.Reset},
+		{"two responses", answer("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad" + okAnswer), policy.Reset},
+		{"Content-Length and Transfer-Encoding", answer("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), policy.Reset},
+		{"interim response", answer("HTTP/1.1 103 Hints\r\nX: y\r\n\r\n" + okAnswer), policy.OK},
+		{"chunked response", answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), policy.OK},
+		{"503 not started, delimited by connection close", answer("HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\nno"), policy.Full},
 		{"error", answer("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), policy.Error},
-		{"another success", answer("HTTP/1.1 204 No\r\n\r\n"), policy.Error},
-		{"503 that may have run", answer("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), policy.Error},
-		{"503 turned away", answer("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), policy.Full},
-		{"504 turned away", answer("HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), policy.Full},
-		{"500 that says it was not started", answer("HTTP/1.1 500 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), policy.Error},
+		{"success other than 200", answer("HTTP/1.1 204 No\r\n\r\n"), policy.Error},
+		{"503 that may have been executed", answer("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), policy.Error},
+		{"503 not started", answer("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), policy.Full},
+		{"504 not started", answer("HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), policy.Full},
+		{"500 not started", answer("HTTP/1.1 500 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), policy.Error},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			tr := newDialer().newTransport()
 			defer tr.CloseIdleConnections()
 			res := newAttempt(tr, rawBackend(t, c.serve), http.MethodPost, noTimeout).run()
 			if res.status != c.want {
-				t.Fatalf("ended %d, want %d", res.status, c.want)
+				t.Fatalf("status %d, want %d", res.status, c.want)
 			}
 			if want := c.want == policy.OK; (string(res.body) == "done") != want {
 				t.Fatalf("body %q", res.body)
@@ -122,9 +122,9 @@
 	}
 }
 
-// A response's head without an end is abandoned soon: the agent's memory is small.
+// A response whose header never ends is given up after a bounded number of bytes: the agent's memory is small.
 func TestEndlessResponseHeadIsAbandoned(t *testing.T) {
-	const buffer, line = 64 << 10, "X-Line: nothing that anybody wants to know\r\n"
+	const buffer, line = 64 << 10, "X-Line: padding-padding-padding-padding-xx\r\n"
 	sent := make(chan int, 1)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		n := 0
@@ -146,19 +146,19 @@
 	d.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := connect(ctx, network, addr)
 		if err == nil {
-			c.(*net.TCPConn).SetReadBuffer(buffer) // so that what was sent tells what was read
+			c.(*net.TCPConn).SetReadBuffer(buffer) // small, so that the bytes sent are close to the bytes read
 		}
 		return c, err
 	}
 	if res := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout).run(); res.status != policy.Reset {
-		t.Fatalf("ended %d, want reset", res.status)
+		t.Fatalf("status %d, want %d", res.status, policy.Reset)
 	}
 	if n := <-sent; n > 4<<20 {
-		t.Fatalf("the backend got rid of %d bytes of a head", n)
+		t.Fatalf("the backend could send %d bytes of a header", n)
 	}
 }
 
-// What a backend sends after a response is never the response to the next request.
+// Bytes that a backend sends after a response are never taken for the response to the next request.
 func TestTrailingBytesAreNoResponse(t *testing.T) {
 	const stray = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
@@ -176,17 +176,17 @@
 	for i := range 50 {
 		res := newAttempt(tr, addr, http.MethodPost, noTimeout).run()
 		if res.status == policy.OK && string(res.body) != "done" {
-			t.Fatalf("attempt %d was answered %q", i, res.body)
+			t.Fatalf("attempt %d: response body %q", i, res.body)
 		}
 		outcomes[res.status]++
 	}
-	// A quick attempt may get the connection before it is closed: it never ran there.
+	// An attempt may get the connection just before it is closed; that attempt is not executed.
 	if outcomes[policy.OK] == 0 || outcomes[policy.Reset] == 0 || outcomes[policy.OK]+outcomes[policy.Reset]+outcomes[policy.ConnectFailed] != 50 {
-		t.Fatalf("ended %v, want every other one reset", outcomes)
+		t.Fatalf("attempts by status: %v, want every other one reset", outcomes)
 	}
 }
 
-// brokenConn writes a part of each write and fails.
+// brokenConn fails each write after half of its bytes.
 type brokenConn struct{ net.Conn }
 
 func (brokenConn) Write(p []byte) (int, error) { return len(p) / 2, errors.New("broken") }
@@ -201,12 +201,12 @@
 		return brokenConn{c}, err
 	}
 	if got := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout).run().status; got != policy.ConnectFailed {
-		t.Fatalf("ended %d, want could-not-connect", got)
+		t.Fatalf("status %d, want %d", got, policy.ConnectFailed)
 	}
 }
 
-// Cancelling an attempt closes its connection before the outcome is reported, so that the next
-// attempt never runs beside it.
+// Canceling an attempt closes its connection before the outcome is reported, so that the next attempt never
+// runs at the same time.
 func TestTimeoutClosesConnection(t *testing.T) {
 	readErr := make(chan error, 1)
 	received := make(chan struct{})
@@ -223,19 +223,19 @@
 	done := make(chan result)
 	go func() { done <- a.run() }()
 	<-received
-	a.cancel(context.DeadlineExceeded) // the time-out, without waiting for it
+	a.cancel(context.DeadlineExceeded) // as a timeout does, without waiting for one
 	if res := <-done; res.status != policy.Timeout {
-		t.Fatalf("ended %d, want timed out", res.status)
+		t.Fatalf("status %d, want %d", res.status, policy.Timeout)
 	}
 	if n := d.open.Load(); n != 0 {
-		t.Fatalf("%d connections open at the outcome", n)
+		t.Fatalf("%d connections open when the outcome is reported", n)
 	}
 	if err := <-readErr; err == nil {
-		t.Fatal("the backend read on instead of seeing the end")
+		t.Fatal("the backend received a byte, want the end of the connection")
 	}
 }
 
-// An attempt that is withdrawn while its connection is established writes nothing.
+// An attempt that is withdrawn while its connection is being established writes nothing.
 func TestWithdrawnAttemptSendsNothing(t *testing.T) {
 	bytesRead := make(chan int64, 1)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
@@ -248,20 +248,20 @@
 	d.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := connect(ctx, network, addr)
 		if !a.withdraw() {
-			t.Error("could not be withdrawn before its first byte")
+			t.Error("the attempt could not be withdrawn before its first byte")
 		}
 		return c, err
 	}
 	a = newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout)
 	if got := a.run().status; !got.NotExecuted() {
-		t.Fatalf("ended %d, which may have run", got)
+		t.Fatalf("status %d, want one that means not executed", got)
 	}
 	if n := <-bytesRead; n != 0 {
-		t.Fatalf("the backend got %d bytes", n)
+		t.Fatalf("the backend received %d bytes", n)
 	}
 }
 
-// The request is forwarded unchanged.
+// The method, the request target, the body and the forwarded headers reach the backend unchanged.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	received := make(chan *http.Request, 1)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
@@ -278,20 +278,20 @@
 	a.req.url, _ = url.ParseRequestURI("/order/a%2Fb%20c?x=1&y=%2f")
 	a.req.idempotencyKey = "k1"
 	if res := a.run(); res.status != policy.OK {
-		t.Fatalf("ended %d", res.status)
+		t.Fatalf("status %d, want %d", res.status, policy.OK)
 	}
 	req := <-received
 	body, _ := io.ReadAll(req.Body)
 	if req.RequestURI != "/order/a%2Fb%20c?x=1&y=%2f" || req.Method != http.MethodPost || string(body) != "body" ||
 		req.Header.Get("Request-Id") != "id1" || req.Header.Get("Idempotency-Key") != "k1" || req.Host != "backend.local" {
-		t.Fatalf("the backend got %v %s body %q %v", req.Method, req.RequestURI, body, req.Header)
+		t.Fatalf("the backend received %v %s, body %q, header %v", req.Method, req.RequestURI, body, req.Header)
 	}
 	if got := req.Header.Get("Request-Timeout"); !strings.HasSuffix(got, "m") || len(got) != len("3599999m") {
-		t.Fatalf("Request-Timeout %q of an hour", got)
+		t.Fatalf("Request-Timeout %q, want a little less than an hour", got)
 	}
 }
 
-// Load reports are parsed by name, and malformed ones are ignored.
+// The values of a load report are looked up by name, and malformed reports are ignored.
 func TestParseLoadReport(t *testing.T) {
 	got := parseLoadReport("TEXT util=0.61, qps=7", []string{"qps", "util", "eps"})
 	if len(got) != 3 || got[0] != 7 || got[1] != 0.61 || got[2] != 0 {
@@ -299,7 +299,7 @@
 	}
 	for _, malformed := range []string{"", "JSON {}", "TEXT qps=much"} {
 		if got := parseLoadReport(malformed, []string{"qps"}); got != nil {
-			t.Fatalf("%q gave %v", malformed, got)
+			t.Fatalf("load report %q was parsed as %v", malformed, got)
 		}
 	}
 }
--- a/internal/agent/backendtransport_test.go
+++ b/internal/agent/backendtransport_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// idleTransport returns a transport with an idle connection for each of the times since when they are
-// idle.
+// idleTransport returns a transport with one idle connection for each of the times, at which it became idle.
 func idleTransport(idleSince ...time.Time) (t *backendTransport, slots []*connSlot) {
 	t = &backendTransport{}
 	for _, since := range idleSince {
@@ -21,24 +20,25 @@
 	return t, slots
 }
 
-// The next request goes out on the connection used last of those that have been idle for long, else on the
-// longest idle one, after what is left of the delay, and on a new one if none is idle.
+// A request uses the most recently used of the connections that have been idle for at least preferredIdleTime.
+// If there is none, it uses the longest idle connection, after the rest of its reuse delay, and if none is idle,
+// a new one.
 func TestConnectionIsReusedAfterItsDelay(t *testing.T) {
 	const delay, emptySlot = 10 * time.Millisecond, -1
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	for _, c := range []struct {
 		name      string
-		idleSince []int // ms; the request comes at 100
+		idleSince []int // in ms; the request arrives at 100 ms
 		want      int
 		wantLeft  time.Duration
 	}{
-		{"none is idle", nil, emptySlot, 0},
-		{"the delay of one is just over", []int{90}, 0, 0},
-		{"that of one is not", []int{91}, 0, time.Millisecond},
-		{"two have been idle for long", []int{20, 50, 95}, 1, 0},
-		{"those of two are over, none was idle for long", []int{80, 85, 95}, 0, 0},
-		{"none is over", []int{92, 95}, 0, 2 * time.Millisecond},
+		{"no idle connection", nil, emptySlot, 0},
+		{"one, reuse delay just over", []int{90}, 0, 0},
+		{"one, 1 ms of its reuse delay left", []int{91}, 0, time.Millisecond},
+		{"two idle for long", []int{20, 50, 95}, 1, 0},
+		{"two with their reuse delay over, none idle for long", []int{80, 85, 95}, 0, 0},
+		{"two, reuse delay of none over", []int{92, 95}, 0, 2 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var idleSince []time.Time
@@ -48,22 +48,22 @@
 			transport, slots := idleTransport(idleSince...)
 			got, left := transport.acquire(at(100), delay)
 			if c.want == emptySlot && got.conn != nil || c.want != emptySlot && got != slots[c.want] || left != c.wantLeft {
-				t.Errorf("got slot %s of %d, in %v", got.host, len(slots), left)
+				t.Errorf("got slot %s of %d with %v left", got.host, len(slots), left)
 			}
 		})
 	}
 }
 
-// A connection of which the attempt demands that it is new is new, also where others are idle.
+// An attempt that needs a new connection gets an empty slot even if connections are idle.
 func TestAcquireEmptyIgnoresIdleConnections(t *testing.T) {
 	transport, _ := idleTransport(time.Time{})
 	if transport.acquireEmpty().conn != nil {
-		t.Error("got one that was used before")
+		t.Error("got a slot with a used connection")
 	}
 }
 
-// No slot is in use twice, and the names of slots are used again once their connections are closed, so
-// that net/http does not collect names.
+// A slot is never in use twice at a time. Slots are reused with their host names once their connections are closed:
+// net/http keeps state for each host name, which would otherwise grow without bound.
 func TestSlotsAreReused(t *testing.T) {
 	now := time.Now()
 	transport, slots := idleTransport(now, now)
@@ -82,13 +82,13 @@
 	}
 }
 
-// The close of a connection that was replaced in its slot leaves the newer one there.
+// Closing a connection that was replaced in its slot leaves the newer connection there.
 func TestCloseOfAReplacedConnection(t *testing.T) {
 	transport, slots := idleTransport(time.Time{})
 	replaced := slots[0].conn
 	transport.connected(slots[0], &backendConn{transport: transport, slot: slots[0]})
 	transport.connClosed(replaced)
 	if got, _ := transport.acquire(time.Now(), 0); got != slots[0] || got.conn == nil {
-		t.Error("the newer connection is lost")
+		t.Error("the newer connection is no longer in its slot")
 	}
 }
--- a/internal/agent/cancellation_test.go
+++ b/internal/agent/cancellation_test.go
@@ -14,11 +14,11 @@
 	"knotrouter/policy"
 )
 
-// The tests of this file cancel a request while another step of it is under way. Each race is forced:
-// by a loop that does not run yet, a connect that does not end, or a response that is kept back.
+// The tests in this file cancel a request while another step of its handling is in progress. Each race is
+// forced: by a loop that is not running yet, a connect that blocks, or a response that is held back.
 
-// The request of a client that disconnected while it was queued is not forwarded, however far the
-// loop is behind: many clients disconnect here before the loop has handled any of their requests.
+// A request whose client disconnects while it is queued is not forwarded, however long the loop's event queue
+// is: here 20 clients disconnect before the loop has handled any of their requests.
 func TestCanceledBeforeLoopRuns(t *testing.T) {
 	var addrs []string
 	received := make(chan string, 1000)
@@ -39,27 +39,27 @@
 		io.WriteString(c, requestText(fmt.Sprint("gone", i)))
 		conns = append(conns, c)
 	}
-	waitUntil(t, "all wait for the loop", func() bool { return len(a.loop.events) == requests })
-	s.stall(a) // behind the requests, and before what is told of their clients
+	waitUntil(t, "all requests are queued for the loop", func() bool { return len(a.loop.events) == requests })
+	s.stall(a) // queued after the requests and before the disconnects of their clients
 	for _, c := range conns {
 		c.Close()
 	}
-	waitUntil(t, "their ends wait", func() bool { return len(a.loop.events) > requests+1 })
+	waitUntil(t, "their disconnects are queued for the loop", func() bool { return len(a.loop.events) > requests+1 })
 	runLoop()
-	receive(t, "the loop stands", s.stalled)
-	time.Sleep(100 * time.Millisecond) // in which what it sent on would arrive
+	receive(t, "the loop is blocked", s.stalled)
+	time.Sleep(100 * time.Millisecond) // long enough for a forwarded request to arrive
 	s.release <- struct{}{}
 	if status, _, _ := send(t, newCall(base, "order")); status != 200 {
-		t.Fatalf("answered %d", status)
+		t.Fatalf("status %d, want 200", status)
 	}
-	if id := receive(t, "the one that stayed", received); id != "id1" || len(received) > 0 {
-		t.Fatalf("%q and %d more were sent on", id, len(received))
+	if id := receive(t, "the request whose client stayed connected", received); id != "id1" || len(received) > 0 {
+		t.Fatalf("forwarded %q and %d more requests, want only \"id1\"", id, len(received))
 	}
-	waitUntil(t, "their places are given back", func() bool { return a.clients.count() <= 1 })
+	waitUntil(t, "the connections of the disconnected clients are released", func() bool { return a.clients.count() <= 1 })
 }
 
-// The request of a client that disconnects during the connect to its backend is not forwarded, even
-// though the loop has not been notified.
+// A request whose client disconnects during the connect to the backend is not forwarded, even if the loop has
+// not been notified of the disconnect.
 func TestCanceledDuringConnect(t *testing.T) {
 	bytesRead := make(chan int64, 1)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
@@ -72,7 +72,7 @@
 	a.loop.dialer.connect = func(_ context.Context, network, addr string) (net.Conn, error) {
 		close(dialing)
 		<-proceed
-		return connect(context.Background(), network, addr) // it came up in spite of its end
+		return connect(context.Background(), network, addr) // succeeds although the attempt has been canceled
 	}
 	runLoop()
 	c, _ := dialAgent(t, base)
@@ -80,13 +80,13 @@
 	receive(t, "the dial", dialing)
 	c.Close()
 	close(proceed)
-	if n := receive(t, "the backend's connection ends", bytesRead); n != 0 {
-		t.Fatalf("the backend got %d bytes for a client that had gone", n)
+	if n := receive(t, "the end of the backend's connection", bytesRead); n != 0 {
+		t.Fatalf("the backend received %d bytes for a disconnected client", n)
 	}
 }
 
-// The client's connection is checked right before the first byte, also between the checkout of a
-// kept connection and that byte, and also if its end is queued unread behind the request.
+// The client's connection is checked immediately before the first byte is written, also after an idle backend
+// connection was chosen, and a disconnect is found even if it has not been read yet.
 func TestCanceledBeforeTheFirstByte(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -99,23 +99,23 @@
 	tr := newDialer().newTransport()
 	defer tr.CloseIdleConnections()
 	if res := newAttempt(tr, addr, http.MethodPost, noTimeout).run(); res.status != policy.OK {
-		t.Fatalf("ended %d", res.status)
+		t.Fatalf("status %d, want %d", res.status, policy.OK)
 	}
 	local, peer := connPair(t)
 	a := newAttempt(tr, addr, http.MethodPost, noTimeout)
 	a.req.client = newClientConns(1).admit(local, nil)
 	peer.Close()
-	waitUntil(t, "its end is there", a.req.client.disconnected)
+	waitUntil(t, "the client's disconnect arrives", a.req.client.disconnected)
 	if res := a.run(); res.status != policy.Withdrawn {
-		t.Fatalf("ended %d, want as never begun and nobody to blame", res.status)
+		t.Fatalf("status %d, want %d", res.status, policy.Withdrawn)
 	}
 	if a.conn.Load() == nil {
-		t.Fatal("it never got as far as a connection")
+		t.Fatal("the attempt ended before it had a connection")
 	}
 }
 
-// The disconnect of a client that has sent a part of a next request is detected, whether that part
-// arrived before or after its request was accepted, and however long it is.
+// The disconnect of a client that has sent a part of its next request is detected, whether that part arrived
+// before or after the current request was accepted, and whatever its length.
 func TestCanceledWithPartialPipelinedRequest(t *testing.T) {
 	for _, size := range []int{1, 50, maxReadAheadBuf + 1, 200 << 10} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -127,40 +127,40 @@
 			receive(t, "the request", received)
 			io.WriteString(c, next[1:][:size-1])
 			c.Close()
-			receive(t, "the attempt is given up", closed)
-			waitUntil(t, "its place is given back", func() bool { return a.clients.count() == 0 })
+			receive(t, "the attempt is canceled", closed)
+			waitUntil(t, "the client's connection is released", func() bool { return a.clients.count() == 0 })
 		})
 	}
 }
 
-// The same with several pipelined requests, of which the client disconnects during the second.
+// The disconnect of a client is detected during its second request, of three pipelined ones.
 func TestCanceledWithSeveralPipelinedRequests(t *testing.T) {
 	addr, received, answer, closed := scriptedBackend(t)
 	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 	c, r := dialAgent(t, base)
 	io.WriteString(c, requestText("first")+"P")
-	receive(t, "the first", received)
+	receive(t, "the first request", received)
 	pipelined := (requestText("second") + requestText("third"))[1:]
 	io.WriteString(c, pipelined[:len(pipelined)-10])
-	waitUntil(t, "it is read ahead", func() bool {
+	waitUntil(t, "the pipelined requests are read ahead", func() bool {
 		a.clients.mu.Lock()
 		defer a.clients.mu.Unlock()
 		for c := range a.clients.conns {
-			return c.readAhead.size >= len(pipelined)-11 // one may have come with the first
+			return c.readAhead.size >= len(pipelined)-11 // one byte may have been read with the first request
 		}
 		return false
 	})
 	answer <- okAnswer
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 {
-		t.Fatalf("got %v, %v", resp, err)
+		t.Fatalf("response %v, error %v, want status 200", resp, err)
 	}
-	receive(t, "the second", received)
+	receive(t, "the second request", received)
 	c.Close()
-	receive(t, "the attempt is given up", closed)
-	waitUntil(t, "its place is given back", func() bool { return a.clients.count() == 0 })
+	receive(t, "the attempt is canceled", closed)
+	waitUntil(t, "the client's connection is released", func() bool { return a.clients.count() == 0 })
 }
 
-// If a client disconnects between a failed attempt and the next, no further attempt begins.
+// If a client disconnects after a failed attempt and before the retry, no further attempt begins.
 func TestCanceledBeforeTheRetry(t *testing.T) {
 	var addrs []string
 	var received []chan string
@@ -176,29 +176,29 @@
 	c, _ := dialAgent(t, base)
 	io.WriteString(c, requestText("gone"))
 	waitUntil(t, "the first attempt", func() bool { return len(received[0])+len(received[1])+len(received[2]) == 1 })
-	// The loop stands still while the attempt is turned away, and again once it has heard of
-	// that, before it hears of the client.
+	// The loop is blocked while the backend rejects the attempt, and again after it has handled that outcome and
+	// before it handles the client's disconnect.
 	s.stall(a)
-	receive(t, "the loop stands", s.stalled)
+	receive(t, "the loop is blocked", s.stalled)
 	for i := range answers {
 		answers[i] <- rejection
 	}
-	waitUntil(t, "the outcome waits", func() bool { return len(a.loop.events) > 0 })
+	waitUntil(t, "the outcome is queued for the loop", func() bool { return len(a.loop.events) > 0 })
 	s.stall(a)
 	c.Close()
-	waitUntil(t, "the client's end waits", func() bool { return len(a.loop.events) > 2 })
+	waitUntil(t, "the client's disconnect is queued for the loop", func() bool { return len(a.loop.events) > 2 })
 	s.release <- struct{}{}
-	receive(t, "the loop stands again", s.stalled)
-	time.Sleep(100 * time.Millisecond) // in which a second attempt would arrive
+	receive(t, "the loop is blocked again", s.stalled)
+	time.Sleep(100 * time.Millisecond) // long enough for a second attempt to arrive
 	s.release <- struct{}{}
-	waitUntil(t, "the place is given back", func() bool { return a.clients.count() == 0 })
+	waitUntil(t, "the client's connection is released", func() bool { return a.clients.count() == 0 })
 	if n := len(received[0]) + len(received[1]) + len(received[2]); n != 1 {
-		t.Fatalf("%d attempts of a client that had gone", n)
+		t.Fatalf("%d attempts for a disconnected client, want 1", n)
 	}
 }
 
-// A client that ends only its sending counts as disconnected too, and must not read a response that
-// no backend sent.
+// A client that closes only its sending direction counts as disconnected too: its request is canceled, and it
+// must not receive a response that no backend sent.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	addr, received, _, closed := scriptedBackend(t)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -207,7 +207,7 @@
 	receive(t, "the request", received)
 	c.(*net.TCPConn).CloseWrite()
 	if text, err := io.ReadAll(r); err != nil || len(text) > 0 {
-		t.Fatalf("read %q, %v", text, err)
+		t.Fatalf("read %q, error %v, want nothing", text, err)
 	}
-	receive(t, "the attempt is given up", closed)
+	receive(t, "the attempt is canceled", closed)
 }
--- a/internal/agent/clientconn_test.go
+++ b/internal/agent/clientconn_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// connPair returns the two ends of a connection.
+// connPair returns the two ends of a TCP connection: local accepted it, peer dialed it.
 func connPair(t *testing.T) (local, peer net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,32 +30,32 @@
 	return local, peer
 }
 
-// What is read ahead behind a request is not lost to the next one.
+// Bytes that are read ahead during one request are not lost for the next request.
 func TestPipelinedRequestIsAnswered(t *testing.T) {
 	addr, received, answer, _ := scriptedBackend(t)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 	c, r := dialAgent(t, base)
 	second := requestText("second")
 	io.WriteString(c, requestText("first")+second[:1])
-	receive(t, "the first", received)
+	receive(t, "the first request", received)
 	io.WriteString(c, second[1:20])
-	time.Sleep(5 * time.Millisecond) // some of it is read ahead, whatever part
+	time.Sleep(5 * time.Millisecond) // so that a part of it, of any length, is read ahead
 	io.WriteString(c, second[20:])
 	for range 2 {
 		answer <- okAnswer
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("got %v, %v", resp, err)
+			t.Fatalf("response %v, error %v, want status 200", resp, err)
 		}
 		io.Copy(io.Discard, resp.Body)
 	}
-	if id := receive(t, "the second", received); id != "second" {
-		t.Fatalf("got %q", id)
+	if id := receive(t, "the second request", received); id != "second" {
+		t.Fatalf("forwarded request %q, want \"second\"", id)
 	}
 }
 
-// A request that arrives while its connection is closed is never forwarded, and the previous
-// response is read completely, followed by an end and not by a reset.
+// A request that arrives while its connection is being closed is never forwarded. The client can read the
+// previous response completely, followed by the end of the connection and not by a reset.
 func TestRequestDuringCloseIsNotForwarded(t *testing.T) {
 	for name, beginClose := range map[string]func(a *Agent, stop func()){
 		"shutdown": func(a *Agent, stop func()) { stop() },
@@ -67,31 +67,31 @@
 				a, base, stop, ended := startAgent(t, testConfig(unreachableAddr, addr))
 				c, r := dialAgent(t, base)
 				io.WriteString(c, requestText("first"))
-				receive(t, "the first", received)
-				waitUntil(t, "it rests", func() bool { return a.clients.countAt(connIdle) == 1 })
+				receive(t, "the first request", received)
+				waitUntil(t, "the connection is idle", func() bool { return a.clients.countAt(connIdle) == 1 })
 				beginClose(a, stop)
-				waitUntil(t, "the close has begun", func() bool { return a.clients.countAt(connClosing) == 1 })
+				waitUntil(t, "the connection is closing", func() bool { return a.clients.countAt(connClosing) == 1 })
 				late := requestText("late") + strings.Repeat("x", 1<<20)
 				c.SetWriteDeadline(time.Now().Add(testTimeout))
 				go io.WriteString(c, late[:size])
 				resp, err := http.ReadResponse(r, nil)
 				if err != nil || resp.StatusCode != 200 {
-					t.Fatalf("the answer before: %v, %v", resp, err)
+					t.Fatalf("previous response: %v, error %v", resp, err)
 				}
 				if body, err := io.ReadAll(resp.Body); err != nil || string(body) != "done" {
-					t.Fatalf("the answer before: %q, %v", body, err)
+					t.Fatalf("body of the previous response: %q, error %v", body, err)
 				}
-				// More than is lingered for may be cut off by a reset.
+				// The agent may reset the connection if it receives more than maxLingerBytes.
 				if rest, err := io.ReadAll(r); len(rest) > 0 || err != nil && size < maxLingerBytes {
-					t.Fatalf("behind it: %q, %v", rest, err)
+					t.Fatalf("after the previous response: %q, error %v", rest, err)
 				}
-				// The client stays: else it had gone before its request could be sent on.
-				waitUntil(t, "its place is given back", func() bool { return a.clients.count() == 0 })
+				// The client stays connected: a disconnect alone would prevent its request from being forwarded.
+				waitUntil(t, "the client's connection is released", func() bool { return a.clients.count() == 0 })
 				if len(received) > 0 {
-					t.Fatalf("%q was sent on", <-received)
+					t.Fatalf("request %q was forwarded", <-received)
 				}
 				if name == "shutdown" {
-					if err := receive(t, "the end", ended); err != nil {
+					if err := receive(t, "the end of Serve", ended); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -112,34 +112,34 @@
 	return n
 }
 
-// A request that was read in the instant in which the close of its connection began is not
-// accepted; a request that was accepted first is answered before the close.
+// A request that is read just as its connection begins to close is not accepted. A request that was accepted
+// before is answered before the connection closes.
 func TestRequestIsAcceptedOrConnectionClosed(t *testing.T) {
 	addr, received, answer, _ := scriptedBackend(t)
 	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 	c, r := dialAgent(t, base)
 	io.WriteString(c, requestText("first"))
-	receive(t, "it is sent on", received)
-	a.clients.drain() // while it is out
+	receive(t, "the request is forwarded", received)
+	a.clients.drain() // while the request is in flight
 	answer <- okAnswer
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil || resp.StatusCode != 200 {
-		t.Fatalf("answered %v, %v", resp, err)
+		t.Fatalf("response %v, error %v, want status 200", resp, err)
 	}
 	io.Copy(io.Discard, resp.Body)
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Fatalf("behind the answer: %v, want an end", err)
+		t.Fatalf("after the response: error %v, want EOF", err)
 	}
 
-	// The other order: the bytes have been read by the server, the handler comes next.
+	// In the other order, the server has read the request, and the handler runs after the close has begun.
 	c2, r2 := dialAgent(t, base)
 	a.clients.mu.Lock()
 	io.WriteString(c2, requestText("second"))
 	a.clients.mu.Unlock()
-	receive(t, "it is sent on", received)
+	receive(t, "the request is forwarded", received)
 	answer <- okAnswer
 	if resp, err := http.ReadResponse(r2, nil); err != nil || resp.StatusCode != 200 {
-		t.Fatalf("answered %v, %v", resp, err)
+		t.Fatalf("response %v, error %v, want status 200", resp, err)
 	}
 	local, peer := connPair(t)
 	cc := a.clients.admit(local, nil)
@@ -147,19 +147,19 @@
 	cc.halfClose()
 	a.clients.mu.Unlock()
 	if cc.acceptRequest() {
-		t.Fatal("a request is taken on a connection that is being closed")
+		t.Fatal("a request is accepted on a closing connection")
 	}
 	io.WriteString(peer, requestText("third"))
 	peer.Close()
 	if n, err := cc.Read(make([]byte, 100)); n != 0 || err == nil {
-		t.Fatalf("%d bytes were read behind the close, %v", n, err)
+		t.Fatalf("read %d bytes from a closing connection, error %v", n, err)
 	}
 	cc.Close()
 }
 
-// A response followed by a close arrives completely even if its client reads slowly and sends more:
-// closing before those bytes arrive would reset the connection and lose what the kernel still
-// holds.
+// A response after which the connection closes arrives completely even if the client reads slowly and sends
+// more. If the agent closed its socket before those bytes arrived, the kernel would reset the connection and
+// discard the unsent part of the response.
 func TestNoResetAfterResponse(t *testing.T) {
 	addr, received, answer, _ := scriptedBackend(t)
 	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -173,47 +173,47 @@
 	defer c.Close()
 	c.SetReadDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c, requestText("first"))
-	receive(t, "it is sent on", received)
-	a.draining.Store(true) // its answer says that the connection ends
+	receive(t, "the request is forwarded", received)
+	a.draining.Store(true) // so that the response announces the end of the connection
 	body := strings.Repeat("y", maxBodyBytes)
 	answer <- fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	r := bufio.NewReaderSize(c, 16)
 	if _, err := r.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "it is closed", func() bool { return a.clients.countAt(connActive) == 0 })
+	waitUntil(t, "the connection is closing", func() bool { return a.clients.countAt(connActive) == 0 })
 	io.WriteString(c, requestText("behind"))
 	time.Sleep(20 * time.Millisecond)
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Fatalf("answered %v, %v", resp, err)
+		t.Fatalf("response %v, error %v, want status 200 and Connection: close", resp, err)
 	}
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != body {
-		t.Fatalf("read %d bytes of the answer, %v", len(got), err)
+		t.Fatalf("read %d bytes of the response, error %v", len(got), err)
 	}
 	if len(received) > 0 {
-		t.Fatalf("%q was sent on", <-received)
+		t.Fatalf("request %q was forwarded", <-received)
 	}
 }
 
-// Bytes that arrived behind a request before it was accepted start the read-ahead too.
+// Bytes that follow a request and arrive before it is accepted start the read-ahead too.
 func TestReadAheadOfEarlierBytes(t *testing.T) {
 	local, peer := connPair(t)
 	c := newClientConns(1).admit(local, nil)
 	io.WriteString(peer, "xy")
-	if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil { // as the HTTP server does beside a request
+	if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil { // as the HTTP server does while it handles a request
 		t.Fatal(n, err)
 	}
 	if !c.acceptRequest() {
-		t.Fatal("not taken")
+		t.Fatal("the request is not accepted")
 	}
 	peer.Close()
-	receive(t, "the client is seen to go", c.canceled)
+	receive(t, "the client's disconnect", c.canceled)
 	c.Close()
 }
 
-// Idle clients that occupy all places are evicted at once for one with a request, whether they have
-// sent a request before or not.
+// If idle client connections occupy the whole capacity, one is evicted at once for a client that sends a request,
+// whether the idle clients have sent a request before or not.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	for _, usedBefore := range []bool{true, false} {
 		t.Run(fmt.Sprint(usedBefore), func(t *testing.T) {
@@ -221,7 +221,7 @@
 			config := testConfig(unreachableAddr, addr)
 			config["limits"].(map[string]any)["sockets"] = minSockets
 			a, base, _, _ := startAgent(t, config)
-			for range a.clients.capacity { // nobody reads from these: they don't end by themselves
+			for range a.clients.capacity { // nothing reads from these connections, so they end only by eviction
 				local, _ := connPair(t)
 				c := a.clients.admit(local, nil)
 				a.clients.mu.Lock()
@@ -231,16 +231,16 @@
 			startedAt := time.Now()
 			for i := range 2 * a.clients.capacity {
 				if status, _, _ := send(t, newCall(base, "order")); status != 200 {
-					t.Fatalf("request %d: answered %d", i, status)
+					t.Fatalf("request %d: status %d, want 200", i, status)
 				}
 				receive(t, "the request", received)
 				http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 			}
 			if took := time.Since(startedAt); took > testTimeout/2 {
-				t.Fatalf("took %v", took)
+				t.Fatalf("all requests took %v, want at most %v", took, testTimeout/2)
 			}
 			if n := a.clients.count(); n > a.clients.capacity {
-				t.Fatalf("%d connections, %d places", n, a.clients.capacity)
+				t.Fatalf("%d client connections, capacity %d", n, a.clients.capacity)
 			}
 		})
 	}
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Errors of a configuration name the key.
+// An error in a configuration names the key.
 func TestConfigErrorsNameTheKey(t *testing.T) {
 	for key, change := range map[string]func(c map[string]any){
 		"name":             func(c map[string]any) { delete(c, "name") },
@@ -31,15 +31,15 @@
 		change(c)
 		text, _ := json.Marshal(c)
 		if _, err := ParseConfig(text); err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", key, err)
+			t.Errorf("%s: error %v, want one line that names the key", key, err)
 		}
 	}
 	if _, err := ParseConfig([]byte("{")); err == nil {
-		t.Error("half a configuration was taken")
+		t.Error("a truncated configuration was accepted")
 	}
 }
 
-// Invalid entries of the cached list are skipped and named; the agent starts without them.
+// Invalid entries of the cached list are skipped and reported; the agent starts without them.
 func TestMalformedCachedListIsSkipped(t *testing.T) {
 	valid := hostEntry(1, "127.0.0.1:1", "ready")
 	for _, c := range []struct {
@@ -64,10 +64,10 @@
 			message = got.CachedListErr.Error()
 		}
 		if wantVersion := c.wantError == "" && c.hosts > 0; (got.CachedList.Seq != 0) != wantVersion {
-			t.Errorf("%v: asks for what came after version %d", c.known, got.CachedList.Seq)
+			t.Errorf("%v: list version %d; only a complete list may keep its version", c.known, got.CachedList.Seq)
 		}
 		if len(got.CachedList.Endpoints) != c.hosts || !strings.Contains(message, c.wantError) || (message == "") != (c.wantError == "") {
-			t.Errorf("%v: took %+v and reported %q", c.known, got.CachedList.Endpoints, message)
+			t.Errorf("%v: accepted %+v, error %q", c.known, got.CachedList.Endpoints, message)
 		}
 	}
 }
--- a/internal/agent/cost_test.go
+++ b/internal/agent/cost_test.go
@@ -17,7 +17,8 @@
 	"knotrouter/internal/lab/cost"
 )
 
-// profiledServers are the numbers of known servers; AGENT_SERVERS names others.
+// profiledServers returns the numbers of known servers to measure with: those in AGENT_SERVERS, separated by
+// commas, or a default.
 func profiledServers(b *testing.B) []int {
 	b.Helper()
 	text := os.Getenv("AGENT_SERVERS")
@@ -35,8 +36,8 @@
 	return counts
 }
 
-// BenchmarkAgentCall makes calls one after the other through an agent that knows so many
-// servers. What belongs to callers and emulated servers carries a label in a CPU profile:
+// BenchmarkAgentCall makes sequential calls through an agent that knows the given number of servers. In a CPU
+// profile, samples of the callers and the emulated servers carry a label, so that they can be excluded:
 //
 //	go test ./internal/agent -run '^$' -bench AgentCall/servers=39000 -benchtime 5000x -cpuprofile cpu.pprof
 //	go tool pprof -top -tagignore role=lab agent.test cpu.pprof
@@ -62,7 +63,7 @@
 	withLabLabel(func() { callRepeatedly(b, base) })
 }
 
-// withLabLabel marks what f does, and the goroutines that it starts, as the lab's own work.
+// withLabLabel runs f with the profiler label of the lab, which goroutines started by f inherit.
 func withLabLabel(f func()) {
 	pprof.Do(context.Background(), pprof.Labels(cost.LabLabel, cost.LabValue), func(context.Context) { f() })
 }
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -12,18 +12,18 @@
 	"time"
 )
 
-// deadlineSlack is by how much the timeout that a server receives may exceed what the client has
-// left. STANDING allows 0.15 s more for a process that is held up, which no test here is.
+// deadlineSlack is how much longer the timeout that a server receives may be than the client's remaining time.
+// STANDING allows 0.15 s more for a process that is suspended, which does not occur in these tests.
 const deadlineSlack = 50 * time.Millisecond
 
-// observedTimeout is the timeout that a server received with a request, and when.
+// observedTimeout is the timeout that a server received with a request, and the time of arrival.
 type observedTimeout struct {
 	id        string
 	arrivedAt time.Time
 	timeout   time.Duration
 }
 
-// timeoutBackend answers each request after a time and reports the timeout that it received.
+// timeoutBackend starts a backend that answers each request after the delay and reports the received timeout.
 func timeoutBackend(t *testing.T, status int, delay time.Duration) (addr string, observed chan observedTimeout) {
 	t.Helper()
 	observed = make(chan observedTimeout, 100)
@@ -41,12 +41,12 @@
 	return s.Listener.Addr().String(), observed
 }
 
-// check compares the received timeout with what was left for the client, which sent its request at
-// sent.
+// check compares the received timeout with the remaining time of the client, which sent its request with the
+// timeout at the time sent.
 func (o observedTimeout) check(t *testing.T, sent time.Time, timeout time.Duration) {
 	t.Helper()
 	if left := timeout - o.arrivedAt.Sub(sent); o.timeout > left+deadlineSlack {
-		t.Errorf("%s: the server was told %v, the client had %v left", o.id, o.timeout, left)
+		t.Errorf("%s: the server received a timeout of %v, the client had %v left", o.id, o.timeout, left)
 	}
 }
 
@@ -57,8 +57,8 @@
 
 const timedRequestTimeout = 2 * time.Second // of timedRequest
 
-// A slow connect takes its part of the timeout: what the server receives is computed when the
-// request is written, for the first attempt and the next.
+// A slow connect counts against the timeout: the timeout for the server is computed when the request is written,
+// for the first attempt and for a retry.
 func TestDeadlineAfterSlowConnect(t *testing.T) {
 	addr1, observed1 := timeoutBackend(t, http.StatusInternalServerError, 0)
 	addr2, observed2 := timeoutBackend(t, http.StatusInternalServerError, 0)
@@ -79,25 +79,26 @@
 		case observed := <-observed2:
 			observed.check(t, sent, timedRequestTimeout)
 		case <-time.After(testTimeout):
-			t.Fatal("no second attempt")
+			t.Fatalf("fewer than two attempts within %v", testTimeout)
 		}
 	}
 }
 
-// The timeout of a request runs while it waits behind another one on its connection, or for a
-// place.
+// The timeout of a request also runs while the request waits for an earlier one on the same connection, or while
+// its connection waits for capacity.
 func TestDeadlineOfWaitingRequests(t *testing.T) {
-	t.Run("behind another one", testPipelinedRequestDeadline)
-	t.Run("for its place", testQueuedConnectionDeadline)
+	t.Run("pipelined", testPipelinedRequestDeadline)
+	t.Run("waiting for capacity", testQueuedConnectionDeadline)
 }
 
-// testPipelinedRequestDeadline sends two requests at once or in pieces.
+// testPipelinedRequestDeadline sends two pipelined requests, in one write or in several.
 func testPipelinedRequestDeadline(t *testing.T) {
 	const responseDelay = 600 * time.Millisecond
 	requests := timedRequest("first") + timedRequest("second")
 	firstLen := len(timedRequest("first"))
 	for name, cuts := range map[string][]int{
-		"at once": nil, "its first byte with the first": {firstLen + 1}, "all of it behind": {firstLen}, "in pieces": {firstLen + 1, firstLen + 30, firstLen + 60},
+		"one write": nil, "first byte with the first request": {firstLen + 1}, "second request in one write": {firstLen},
+		"second request in pieces": {firstLen + 1, firstLen + 30, firstLen + 60},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, observed := timeoutBackend(t, http.StatusOK, responseDelay)
@@ -107,7 +108,7 @@
 			sent := time.Now()
 			for _, cut := range cuts {
 				io.WriteString(c, requests[offset:cut])
-				time.Sleep(20 * time.Millisecond) // within the first one's turn
+				time.Sleep(20 * time.Millisecond) // less than the response delay of the first request
 				offset, rest = cut, requests[cut:]
 			}
 			io.WriteString(c, rest)
@@ -117,15 +118,15 @@
 				case got := <-observed:
 					got.check(t, sentAt, timedRequestTimeout)
 				case <-time.After(testTimeout):
-					t.Fatal("a request did not come")
+					t.Fatalf("a request did not arrive within %v", testTimeout)
 				}
 			}
 		})
 	}
 }
 
-// The timeout of a request runs from its arrival also behind several others, each larger than what
-// net/http reads at once.
+// The timeout of a pipelined request runs from its arrival, also if it waits for several others of which each is
+// larger than one read of net/http.
 func TestDeadlineBehindSeveralRequests(t *testing.T) {
 	const responseDelay, queued = 400 * time.Millisecond, 3
 	addr, observed := timeoutBackend(t, http.StatusOK, responseDelay)
@@ -142,13 +143,13 @@
 	}
 }
 
-// testQueuedConnectionDeadline sends a request while idle connections occupy all places.
+// testQueuedConnectionDeadline sends a request while idle connections occupy the whole capacity.
 func testQueuedConnectionDeadline(t *testing.T) {
 	addr, observed := timeoutBackend(t, http.StatusOK, 0)
 	config := testConfig(unreachableAddr, addr)
 	config["limits"].(map[string]any)["sockets"] = minSockets
 	a, base, _, _ := startAgent(t, config)
-	for range a.clients.capacity { // nobody reads from these: they don't end by themselves
+	for range a.clients.capacity { // nothing reads from these connections, so they end only by eviction
 		local, _ := connPair(t)
 		a.clients.admit(local, nil)
 	}
@@ -157,13 +158,13 @@
 	io.WriteString(c, timedRequest("waits"))
 	got := receive(t, "the request", observed)
 	if got.arrivedAt.Sub(sent) < minUnusedBeforeEviction/2 {
-		t.Fatalf("it waited for %v only", got.arrivedAt.Sub(sent))
+		t.Fatalf("the request waited only %v", got.arrivedAt.Sub(sent))
 	}
 	got.check(t, sent, timedRequestTimeout)
 }
 
-// The timeout of a request on an idle connection runs from the request's arrival and not from the
-// connection's.
+// The timeout of a request on an idle connection runs from the arrival of the request, not from when the connection
+// was opened or became idle.
 func TestDeadlineAfterIdleTime(t *testing.T) {
 	addr, observed := timeoutBackend(t, http.StatusOK, 0)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -172,7 +173,7 @@
 		time.Sleep(300 * time.Millisecond)
 		io.WriteString(c, timedRequest(fmt.Sprint(i)))
 		if got := receive(t, "the request", observed); got.timeout < timedRequestTimeout-100*time.Millisecond {
-			t.Errorf("request %d: the server was told %v of %v", i, got.timeout, timedRequestTimeout)
+			t.Errorf("request %d: the server received a timeout of %v, the client sent %v", i, got.timeout, timedRequestTimeout)
 		}
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
--- a/internal/agent/dialer_test.go
+++ b/internal/agent/dialer_test.go
@@ -11,7 +11,7 @@
 	"knotrouter/policy"
 )
 
-// An attempt whose connect is refused ends with ConnectFailed and holds no socket.
+// An attempt whose connect is refused has the status ConnectFailed and holds no socket.
 func TestRefusedConnectIsConnectFailed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -21,22 +21,22 @@
 	ln.Close()
 	d := newDialer()
 	if got := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout).run().status; got != policy.ConnectFailed {
-		t.Fatalf("ended %d, want could-not-connect", got)
+		t.Fatalf("status %d, want %d", got, policy.ConnectFailed)
 	}
 	if n := d.open.Load(); n != 0 {
-		t.Fatalf("%d sockets counted as open", n)
+		t.Fatalf("%d sockets are counted as open, want 0", n)
 	}
 }
 
-// A dial ends with its attempt: http.Transport would let it finish and keep the connection, to a
-// backend that was given up or drains.
+// A dial is canceled with its attempt. http.Transport would let it finish and keep the connection, even to a
+// backend that has failed or drains.
 func TestDialEndsWithAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		cause error
 		want  policy.Status
 	}{
-		{"time-out", context.DeadlineExceeded, policy.ConnectFailed},
+		{"timeout", context.DeadlineExceeded, policy.ConnectFailed},
 		{"drain", errBackendDrained, policy.Full},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -54,24 +54,24 @@
 			<-dialing
 			a.cancel(c.cause)
 			if res := <-done; res.status != c.want {
-				t.Fatalf("ended %d, want %d", res.status, c.want)
+				t.Fatalf("status %d, want %d", res.status, c.want)
 			}
 			<-ended
 		})
 	}
 }
 
-// Without a free socket the attempt was not executed, and the backend is not at fault.
+// If no socket is free, the attempt counts as not executed, and the failure does not count against the backend.
 func TestNoSocketLeftIsNotTheBackendsFault(t *testing.T) {
 	d := newDialer()
 	d.maxOpen = 0
 	if got := newAttempt(d.newTransport(), "127.0.0.1:1", http.MethodPost, noTimeout).run().status; got != policy.Full {
-		t.Fatalf("ended %d, want turned away", got)
+		t.Fatalf("status %d, want %d", got, policy.Full)
 	}
 }
 
-// keepAliveBackend returns a backend that answers each request, and what arrives there: the identifier
-// of each request, and "end" when a connection ends.
+// keepAliveBackend starts a backend that answers each request. It reports the identifier of each request, and "end"
+// for each connection that ends.
 func keepAliveBackend(t *testing.T) (addr string, events chan string) {
 	t.Helper()
 	events = make(chan string, 100)
@@ -89,7 +89,7 @@
 	return addr, events
 }
 
-// The longest idle connection gives way to a dial that finds the limit reached.
+// A dial at the limit of open connections evicts the connection that has been idle for longest.
 func TestLongestIdleConnectionIsEvicted(t *testing.T) {
 	d := newDialer()
 	d.maxOpen = 2
@@ -98,19 +98,19 @@
 		addr, events := keepAliveBackend(t)
 		backendEvents = append(backendEvents, events)
 		if res := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout).run(); res.status != policy.OK {
-			t.Fatalf("backend %d: ended %d: %v", len(backendEvents), res.status, res.err)
+			t.Fatalf("backend %d: status %d, error %v", len(backendEvents), res.status, res.err)
 		}
 		receive(t, "the request", events)
 	}
 	if event := receive(t, "the end of the first connection", backendEvents[0]); event != "end" {
-		t.Errorf("the first backend got %q", event)
+		t.Errorf("the first backend received %q, want the end of its connection", event)
 	}
 	if n := d.open.Load(); n != 2 || len(backendEvents[1]) > 0 {
-		t.Errorf("%d connections are open; the second backend got %d more events", n, len(backendEvents[1]))
+		t.Errorf("%d connections are open; the second backend reported %d more events", n, len(backendEvents[1]))
 	}
 }
 
-// A connection that an attempt uses never gives way.
+// A connection that an attempt uses is never evicted.
 func TestConnectionInUseIsNotEvicted(t *testing.T) {
 	addr, received, answer, _ := scriptedBackend(t)
 	d := newDialer()
@@ -120,38 +120,37 @@
 	receive(t, "the request", received)
 	other, events := keepAliveBackend(t)
 	if res := newAttempt(d.newTransport(), other, http.MethodPost, noTimeout).run(); res.status != policy.Full {
-		t.Errorf("beside a connection in use: ended %d, want turned away", res.status)
+		t.Errorf("attempt at the limit: status %d, want %d", res.status, policy.Full)
 	}
 	answer <- okAnswer
-	if res := receive(t, "the answer", done); res.status != policy.OK {
-		t.Errorf("the attempt in flight ended %d: %v", res.status, res.err)
+	if res := receive(t, "the outcome of the attempt in flight", done); res.status != policy.OK {
+		t.Errorf("attempt in flight: status %d, error %v", res.status, res.err)
 	}
 	if len(events) > 0 {
-		t.Errorf("%d events at the other backend", len(events))
+		t.Errorf("the other backend reported %d events, want 0", len(events))
 	}
 }
 
-// An attempt that chose a connection in the moment in which it gave way writes nothing there, and goes
-// on another one.
+// An attempt that chose a connection just as it was evicted writes nothing on it and uses another one.
 func TestAttemptOnEvictedConnection(t *testing.T) {
 	addr, events := keepAliveBackend(t)
 	d := newDialer()
 	transport := d.newTransport()
 	if res := newAttempt(transport, addr, http.MethodPost, noTimeout).run(); res.status != policy.OK {
-		t.Fatalf("ended %d: %v", res.status, res.err)
+		t.Fatalf("status %d, error %v", res.status, res.err)
 	}
 	receive(t, "the first request", events)
-	evicted := d.idle.takeOldest() // and is closed only later
+	evicted := d.idle.takeOldest() // closed only after the second attempt
 	res := newAttempt(transport, addr, http.MethodPost, noTimeout).run()
 	if res.status != policy.OK {
-		t.Fatalf("ended %d: %v", res.status, res.err)
+		t.Fatalf("status %d, error %v", res.status, res.err)
 	}
 	evicted.Close()
-	got := []string{receive(t, "the second request or the end", events), receive(t, "the other", events)}
+	got := []string{receive(t, "the second request or the end", events), receive(t, "the other event", events)}
 	if got[0] == got[1] || len(events) > 0 {
-		t.Errorf("the backend got %q and %d more, want one request and one end", got, len(events))
+		t.Errorf("the backend reported %q and %d more events, want one request and one end", got, len(events))
 	}
 	if n := d.open.Load(); n != 1 {
-		t.Errorf("%d connections are open", n)
+		t.Errorf("%d connections are open, want 1", n)
 	}
 }
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -14,7 +14,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-// logCounter counts the lines of a log and keeps the attributes of the last one.
+// countingHandler counts log lines and keeps the attributes of the last one.
 type countingHandler struct {
 	slog.Handler
 	lines int
@@ -30,8 +30,7 @@
 	return nil
 }
 
-// However often discovery fails, few lines are logged about it, and they report how many were
-// suppressed.
+// Log lines about failures of discovery are rate-limited, and the next line reports how many were suppressed.
 func TestDiscoveryLogIsRateLimited(t *testing.T) {
 	l := offlineLoop(t, "127.0.0.1:1")
 	handler := &countingHandler{}
@@ -40,17 +39,17 @@
 		l.handle(event{kind: eventFailover, addr: "127.0.0.1:2", err: io.EOF})
 	}
 	if handler.lines < 10 || handler.lines > 30 {
-		t.Errorf("%d lines of 2000 failures", handler.lines)
+		t.Errorf("%d lines logged for 2000 failures, want 10 to 30", handler.lines)
 	}
 	l.logLimiter = endpoints.TokenBucket{Burst: 10}
 	l.handle(event{kind: eventFailover, addr: "127.0.0.1:2", err: io.EOF})
 	if !strings.Contains(handler.last, "suppressed_lines=") {
-		t.Errorf("logged %q", handler.last)
+		t.Errorf("logged %q, want the number of suppressed lines", handler.last)
 	}
 }
 
-// scriptedDiscovery returns a discovery whose watch writes lines and then stays open or ends, and
-// the events that it posts.
+// scriptedDiscovery returns a discovery client and the events that it posts. Its server writes the lines and then
+// keeps the response open or ends it.
 func scriptedDiscovery(t *testing.T, silenceTimeout time.Duration, keepOpen bool, lines ...string) (*discovery, chan event) {
 	t.Helper()
 	release := make(chan struct{})
@@ -72,60 +71,60 @@
 		func(e event) { events <- e }), events
 }
 
-// changeLine is a change in which server s-0 drains.
+// changeLine is a list change after which server s-0 drains.
 const changeLine = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
 
-// A watch ends at a malformed line, after delivering the lines before it.
+// A watch delivers the lines before a malformed line and then ends.
 func TestMalformedLineEndsWatch(t *testing.T) {
 	d, observed := scriptedDiscovery(t, noTimeout, true, "", changeLine, `{"seq":3,"hosts":7}`)
 	d.watch(context.Background(), 1)
 	if e := <-observed; e.kind != eventListChanged || e.list.Seq != 2 || e.list.Endpoints[0].Health != "draining" {
-		t.Fatalf("got event %+v", e)
+		t.Fatalf("unexpected event %+v", e)
 	}
 	if e := <-observed; e.kind != eventWatchEnded || e.err == nil {
-		t.Fatalf("got event %+v", e)
+		t.Fatalf("unexpected event %+v", e)
 	}
 }
 
-// A server whose entry can't be read is delivered as draining, and the watch goes on.
+// A server with an invalid entry is delivered as draining, and the watch continues.
 func TestUnreadableEntryIsDelivered(t *testing.T) {
 	d, observed := scriptedDiscovery(t, noTimeout, true, `{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`, changeLine)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go d.watch(ctx, 1)
-	e := receive(t, "the list with the entry", observed)
+	e := receive(t, "the list with the invalid entry", observed)
 	if e.kind != eventListChanged || e.list.Seq != 3 || e.list.Endpoints[0].Health != endpoints.Draining || e.list.EntryError == nil {
-		t.Fatalf("got event %+v", e)
+		t.Fatalf("unexpected event %+v", e)
 	}
 	if e := receive(t, "the next list", observed); e.kind != eventListChanged || e.list.Seq != 2 {
-		t.Fatalf("got event %+v", e)
+		t.Fatalf("unexpected event %+v", e)
 	}
 }
 
-// A watch on which nothing arrives ends.
+// A watch ends if nothing arrives within the silence timeout.
 func TestUnresponsiveWatchEnds(t *testing.T) {
 	d, observed := scriptedDiscovery(t, time.Millisecond, true)
 	d.watch(context.Background(), 1)
 	if e := <-observed; e.kind != eventWatchEnded || e.err == nil {
-		t.Fatalf("got event %+v", e)
+		t.Fatalf("unexpected event %+v", e)
 	}
 }
 
-// A fetch reports the full list or an error.
+// A fetch posts the full list or an error.
 func TestFetchReportsListOrError(t *testing.T) {
 	d, observed := scriptedDiscovery(t, noTimeout, false, strings.Replace(changeLine, "false", "true", 1))
 	d.fetch(context.Background(), 0)
 	if e := <-observed; e.kind != eventListFetched || e.err != nil || !e.list.Full || e.list.Seq != 2 {
-		t.Fatalf("got event %+v", e)
+		t.Fatalf("unexpected event %+v", e)
 	}
 	d, observed = scriptedDiscovery(t, noTimeout, false, "no list")
 	d.fetch(context.Background(), 0)
 	if e := <-observed; e.kind != eventListFetched || e.err == nil {
-		t.Fatalf("got event %+v", e)
+		t.Fatalf("unexpected event %+v", e)
 	}
 }
 
-// After the end of a watch the balancer opens the next one.
+// After a watch has ended, the balancer opens the next one from the last received version.
 func TestEndedWatchIsReopened(t *testing.T) {
 	requests := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -139,7 +138,7 @@
 	settings["contract"].(map[string]any)["askWithinMs"] = 10
 	startAgent(t, config)
 	if q := <-requests; q != "follow=1&since=1" {
-		t.Fatalf("query %q", q)
+		t.Fatalf("first query %q", q)
 	}
 	if q := <-requests; q != "follow=1&since=2" {
 		t.Fatalf("second query %q", q)
--- a/internal/agent/failedconn_test.go
+++ b/internal/agent/failedconn_test.go
@@ -12,22 +12,22 @@
 	"knotrouter/policy"
 )
 
-// A new connection that the backend ended is not replaced, also where the transport's reader has closed
-// it before the attempt gets it. TestNewConnectionClosedByBackendIsNotReplaced has this order now and then.
+// A new connection that the backend closed is not replaced, even if the transport's reader has closed it before
+// the attempt gets it. TestNewConnectionClosedByBackendIsNotReplaced produces this order only occasionally.
 func TestNewConnectionClosedByReaderIsNotReplaced(t *testing.T) {
 	conn, peer := connectedBackendConn(t)
 	peer.Close()
-	conn.Close() // as the reader does at the end
+	conn.Close() // as the reader does at the end of the connection
 	a := newAttempt(conn.transport, "", http.MethodPost, noTimeout)
 	defer a.cancel(nil)
 	a.header = http.Header{}
 	a.gotConn(httptrace.GotConnInfo{Conn: conn})
 	if a.mayChooseAnotherConn() {
-		t.Error("the attempt connects again")
+		t.Error("the attempt may use another connection")
 	}
 }
 
-// An attempt whose time ends when its connection has given way does not blame the backend.
+// A timeout after the attempt's connection was evicted does not count as a failed connect of the backend.
 func TestTimeoutAfterEvictionIsNotConnectFailed(t *testing.T) {
 	conn, _ := connectedBackendConn(t)
 	conn.endUse(time.Now())
@@ -35,14 +35,14 @@
 	a.abandonConn(conn)
 	<-a.ctx.Done()
 	if a.mayChooseAnotherConn() {
-		t.Fatal("goes on after its end")
+		t.Fatal("the attempt may use another connection after its timeout")
 	}
 	if got := a.failureStatus(context.DeadlineExceeded); got != policy.Full {
-		t.Errorf("ended %d, want %d", got, policy.Full)
+		t.Errorf("status %d, want %d", got, policy.Full)
 	}
 }
 
-// interruptedConn withdraws an attempt while its connection is asked for unread bytes.
+// interruptedConn calls interrupt while its connection is checked for unread bytes.
 type interruptedConn struct {
 	syscall.RawConn
 	interrupt func()
@@ -53,7 +53,8 @@
 	return c.RawConn.Control(f)
 }
 
-// Where nothing was written because the attempt was withdrawn in that moment, nothing is its response.
+// If an attempt is withdrawn during the check for unread bytes, nothing is written, and bytes that arrive
+// afterwards are not its response.
 func TestNoResponseToAWithdrawnAttempt(t *testing.T) {
 	conn, peer := connectedBackendConn(t)
 	a := newAttempt(conn.transport, "", http.MethodPost, noTimeout)
@@ -61,10 +62,10 @@
 	a.conn.Store(conn)
 	conn.raw = interruptedConn{conn.raw, func() { a.withdraw() }}
 	if a.allowWrite(conn) {
-		t.Fatal("written")
+		t.Fatal("a withdrawn attempt may write")
 	}
 	io.WriteString(peer, strayAnswer)
 	if n, err := conn.Read(make([]byte, 100)); err != errTrailingBytes {
-		t.Errorf("read %d bytes of a response, %v", n, err)
+		t.Errorf("read %d bytes, error %v, want error %v", n, err, errTrailingBytes)
 	}
 }
