--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -151,7 +151,7 @@
 		return c, err
 	}
 	if res := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout).run(); res.status != policy.Reset {
-		t.Fatalf("status %d, want %d", res.status, policy.Reset)
+		t.Fatalf("status %d, want Reset", res.status)
 	}
 	if n := <-sent; n > 4<<20 {
 		t.Fatalf("the backend could send %d bytes of a header", n)
@@ -201,7 +201,7 @@
 		return brokenConn{c}, err
 	}
 	if got := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout).run().status; got != policy.ConnectFailed {
-		t.Fatalf("status %d, want %d", got, policy.ConnectFailed)
+		t.Fatalf("status %d, want ConnectFailed", got)
 	}
 }
 
@@ -225,7 +225,7 @@
 	<-received
 	a.cancel(context.DeadlineExceeded) // as a timeout does, without waiting for one
 	if res := <-done; res.status != policy.Timeout {
-		t.Fatalf("status %d, want %d", res.status, policy.Timeout)
+		t.Fatalf("status %d, want Timeout", res.status)
 	}
 	if n := d.open.Load(); n != 0 {
 		t.Fatalf("%d connections open when the outcome is reported", n)
@@ -278,7 +278,7 @@
 	a.req.url, _ = url.ParseRequestURI("/order/a%2Fb%20c?x=1&y=%2f")
 	a.req.idempotencyKey = "k1"
 	if res := a.run(); res.status != policy.OK {
-		t.Fatalf("status %d, want %d", res.status, policy.OK)
+		t.Fatalf("status %d, want OK", res.status)
 	}
 	req := <-received
 	body, _ := io.ReadAll(req.Body)
--- a/internal/agent/cancellation_test.go
+++ b/internal/agent/cancellation_test.go
@@ -99,7 +99,7 @@
 	tr := newDialer().newTransport()
 	defer tr.CloseIdleConnections()
 	if res := newAttempt(tr, addr, http.MethodPost, noTimeout).run(); res.status != policy.OK {
-		t.Fatalf("status %d, want %d", res.status, policy.OK)
+		t.Fatalf("status %d, want OK", res.status)
 	}
 	local, peer := connPair(t)
 	a := newAttempt(tr, addr, http.MethodPost, noTimeout)
@@ -107,7 +107,7 @@
 	peer.Close()
 	waitUntil(t, "the client's disconnect arrives", a.req.client.disconnected)
 	if res := a.run(); res.status != policy.Withdrawn {
-		t.Fatalf("status %d, want %d", res.status, policy.Withdrawn)
+		t.Fatalf("status %d, want Withdrawn", res.status)
 	}
 	if a.conn.Load() == nil {
 		t.Fatal("the attempt ended before it had a connection")
--- a/internal/agent/clientconn_test.go
+++ b/internal/agent/clientconn_test.go
@@ -237,7 +237,7 @@
 				http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 			}
 			if took := time.Since(startedAt); took > testTimeout/2 {
-				t.Fatalf("all requests took %v, want at most %v", took, testTimeout/2)
+				t.Fatalf("all requests took %v, want at most half of testTimeout", took)
 			}
 			if n := a.clients.count(); n > a.clients.capacity {
 				t.Fatalf("%d client connections, capacity %d", n, a.clients.capacity)
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -64,7 +64,7 @@
 			message = got.CachedListErr.Error()
 		}
 		if wantVersion := c.wantError == "" && c.hosts > 0; (got.CachedList.Seq != 0) != wantVersion {
-			t.Errorf("%v: list version %d; only a complete list may keep its version", c.known, got.CachedList.Seq)
+			t.Errorf("%v: list version %d, want other than 0 only for a complete list", c.known, got.CachedList.Seq)
 		}
 		if len(got.CachedList.Endpoints) != c.hosts || !strings.Contains(message, c.wantError) || (message == "") != (c.wantError == "") {
 			t.Errorf("%v: accepted %+v, error %q", c.known, got.CachedList.Endpoints, message)
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -79,7 +79,7 @@
 		case observed := <-observed2:
 			observed.check(t, sent, timedRequestTimeout)
 		case <-time.After(testTimeout):
-			t.Fatalf("fewer than two attempts within %v", testTimeout)
+			t.Fatal("fewer than two attempts within testTimeout")
 		}
 	}
 }
@@ -118,7 +118,7 @@
 				case got := <-observed:
 					got.check(t, sentAt, timedRequestTimeout)
 				case <-time.After(testTimeout):
-					t.Fatalf("a request did not arrive within %v", testTimeout)
+					t.Fatal("a request did not arrive within testTimeout")
 				}
 			}
 		})
--- a/internal/agent/dialer_test.go
+++ b/internal/agent/dialer_test.go
@@ -21,7 +21,7 @@
 	ln.Close()
 	d := newDialer()
 	if got := newAttempt(d.newTransport(), addr, http.MethodPost, noTimeout).run().status; got != policy.ConnectFailed {
-		t.Fatalf("status %d, want %d", got, policy.ConnectFailed)
+		t.Fatalf("status %d, want ConnectFailed", got)
 	}
 	if n := d.open.Load(); n != 0 {
 		t.Fatalf("%d sockets are counted as open, want 0", n)
@@ -66,7 +66,7 @@
 	d := newDialer()
 	d.maxOpen = 0
 	if got := newAttempt(d.newTransport(), "127.0.0.1:1", http.MethodPost, noTimeout).run().status; got != policy.Full {
-		t.Fatalf("status %d, want %d", got, policy.Full)
+		t.Fatalf("status %d, want Full", got)
 	}
 }
 
@@ -120,7 +120,7 @@
 	receive(t, "the request", received)
 	other, events := keepAliveBackend(t)
 	if res := newAttempt(d.newTransport(), other, http.MethodPost, noTimeout).run(); res.status != policy.Full {
-		t.Errorf("attempt at the limit: status %d, want %d", res.status, policy.Full)
+		t.Errorf("attempt at the limit: status %d, want Full", res.status)
 	}
 	answer <- okAnswer
 	if res := receive(t, "the outcome of the attempt in flight", done); res.status != policy.OK {
--- a/internal/agent/endpointlist_test.go
+++ b/internal/agent/endpointlist_test.go
@@ -64,7 +64,7 @@
 		l.handle(event{kind: eventListFetched, list: listOf(15, true, draining)})
 		l.handle(event{kind: eventListChanged, since: c.since, list: listOf(c.version, true, ready)})
 		if b := l.backends[policyAddr("s-0")]; (b != nil && b.usable) != c.applied {
-			t.Errorf("%s: applied: %v, want %v", c.name, !c.applied, c.applied)
+			t.Errorf("%s: applied: %v, want the opposite", c.name, !c.applied)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 		change()
 		l.handle(event{kind: eventListChanged, list: listOf(int64(3+i), false, entry)})
 		if l.backends[policyAddr("s-0")] != b || b.transport == previous || b.dialAddr != entry.Dial {
-			t.Fatal("the old connections or another backend are used")
+			t.Fatal("the old connections, backend or address are still used")
 		}
 		previous = b.transport
 	}
@@ -144,7 +144,7 @@
 	a := newAttempt(b.transport, addr, http.MethodPost, noTimeout)
 	a.backend = b
 	if res := a.run(); res.status != policy.OK {
-		t.Fatalf("status %d, want %d", res.status, policy.OK)
+		t.Fatalf("status %d, want OK", res.status)
 	}
 	timedOut := newAttempt(b.transport, addr, http.MethodPost, noTimeout)
 	timedOut.backend = b
--- a/internal/agent/failedconn_test.go
+++ b/internal/agent/failedconn_test.go
@@ -66,6 +66,6 @@
 	}
 	io.WriteString(peer, strayAnswer)
 	if n, err := conn.Read(make([]byte, 100)); err != errTrailingBytes {
-		t.Errorf("read %d bytes, error %v, want error %v", n, err, errTrailingBytes)
+		t.Errorf("read %d bytes, error %v, want errTrailingBytes", n, err)
 	}
 }
--- a/internal/agent/formats_test.go
+++ b/internal/agent/formats_test.go
@@ -19,11 +19,11 @@
 	"knotrouter/policy"
 )
 
-// The tests of this file fix what an agent shares with other programs: its configuration's keys, and
-// the bytes of the requests and responses that it writes. Go identifiers may be renamed freely.
+// The tests in this file pin the formats that an agent shares with other programs: the keys of its configuration,
+// and the bytes of the requests and responses that it writes. A renamed Go identifier must not change them.
 
-// fullConfig has every key of a configuration that the agent reads, except for the other settings,
-// whose keys internal/simwire fixes.
+// fullConfig has every key of a configuration that the agent reads, except for the remaining settings, whose keys
+// the tests of internal/simwire pin.
 const fullConfig = `{
 	"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c1f30d27a5be964",
 	"limits": {"cores": 1.5, "memory_mb": 192, "sockets": 1024},
@@ -54,23 +54,23 @@
 		ControlPlane: []string{"127.0.0.1:4", "127.0.0.1:5"}, Services: []string{"s", "u"}, LogLevel: slog.LevelWarn,
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as\n%+v\nwant\n%+v", got, want)
+		t.Errorf("parsed as\n%+v\nwant\n%+v", got, want)
 	}
 	v := reflect.ValueOf(*want)
 	for i := range v.NumField() {
 		if f := v.Type().Field(i); v.Field(i).IsZero() && f.Type != reflect.TypeFor[error]() {
-			t.Errorf("the sample does not set %s", f.Name)
+			t.Errorf("fullConfig does not set %s", f.Name)
 		}
 	}
 }
 
-// An error names the key, or the environment variable that names the file.
+// An error names the key, or the environment variable that holds the path of the configuration.
 func TestErrorsNameTheKey(t *testing.T) {
 	if _, err := LoadConfig(""); err == nil || err.Error() != "EDGE_CONFIG: not set" {
-		t.Errorf("without a file: %v", err)
+		t.Errorf("no path: error %v", err)
 	}
 	if _, err := LoadConfig("/no/such/file"); err == nil || !strings.HasPrefix(err.Error(), "EDGE_CONFIG: ") {
-		t.Errorf("a file that isn't there: %v", err)
+		t.Errorf("missing file: error %v", err)
 	}
 	for _, c := range []struct{ from, to, want string }{
 		{`"n0"`, `""`, `config: name: missing`},
@@ -91,22 +91,23 @@
 	} {
 		text := strings.Replace(fullConfig, c.from, c.to, 1)
 		if _, err := ParseConfig([]byte(text)); fmt.Sprint(err) != c.want {
-			t.Errorf("%s for %s: %v, want %s", c.to, c.from, err, c.want)
+			t.Errorf("%s instead of %s: error %v, want %s", c.to, c.from, err, c.want)
 		}
 	}
 }
 
-// All agents, of any version, derive the same numbers for a server and a key.
+// All agents, of any version, derive the same number from a server's name and from an affinity key.
 func TestServerAndKeyHashesAreStable(t *testing.T) {
 	if got := fmt.Sprintf("%x", policyAddr("s-0")); got != "5a655c3fc0d7" {
-		t.Errorf("server s-0 is %s", got)
+		t.Errorf("address of server s-0: %s", got)
 	}
 	if got := fmt.Sprintf("%x", affinityKey("u1")); got != "8c47b07b56747f3" {
-		t.Errorf("key u1 is %s", got)
+		t.Errorf("hash of affinity key u1: %s", got)
 	}
 }
 
-// rawServer answers each connection's first request with the given bytes and reports the request's.
+// recordingBackend starts a backend that answers the first request of each connection with the given bytes. It
+// reports the bytes of the request.
 func recordingBackend(t *testing.T, answer string) (addr string, received chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -138,7 +139,7 @@
 	return ln.Addr().String(), received
 }
 
-// exchange sends the bytes and returns everything received until the close.
+// exchange sends the bytes of a request and returns all bytes received until the connection is closed.
 func exchange(t *testing.T, addr, request string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -157,7 +158,7 @@
 	return string(got)
 }
 
-// The bytes that a server and a client see of one request, for each kind of answer.
+// These are the exact bytes that a server and a client receive for one request, for each kind of response.
 func TestBytesToServersAndClients(t *testing.T) {
 	timeout := regexp.MustCompile(`Request-Timeout: \d{1,5}m`)
 	const rejection = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
@@ -185,7 +186,7 @@
 			addr, received := recordingBackend(t, c.answer)
 			_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 			if got := exchange(t, strings.TrimPrefix(base, "http://"), c.request); got != c.toClient {
-				t.Errorf("to the client: %q", got)
+				t.Errorf("sent to the client: %q", got)
 			}
 			if c.toServer == "" {
 				return
@@ -193,16 +194,16 @@
 			select {
 			case got := <-received:
 				if got = timeout.ReplaceAllString(got, "Request-Timeout: TIME"); got != c.toServer {
-					t.Errorf("to the server: %q", got)
+					t.Errorf("sent to the server: %q", got)
 				}
 			case <-time.After(10 * time.Second):
-				t.Error("nothing came to the server")
+				t.Error("no request arrived at the server")
 			}
 		})
 	}
 }
 
-// Discovery receives these requests: a watch, and the notification of a shutdown.
+// An agent sends these requests to discovery: a watch, and a deregistration when it shuts down.
 func TestRequestsToDiscovery(t *testing.T) {
 	received := make(chan string, 100)
 	list := `{"seq":7,"whole":true,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","site":"a","class":"k","block":1,"health":"ready","share":1,"born_ms":0}]}`
@@ -216,7 +217,7 @@
 		_, _ = io.WriteString(w, list+"\n")
 		w.(http.Flusher).Flush()
 		if r.Method == http.MethodGet {
-			<-r.Context().Done() // a watch goes on
+			<-r.Context().Done() // a watch stays open
 		}
 	})}
 	t.Cleanup(func() { server.Close() })
@@ -243,11 +244,11 @@
 	}
 	if got := next(); got != "GET /v1/endpoints?follow=1&since=0&service=s&service=u; Connection: close; "+
 		"Member-Life: LIFE; Member-Name: n0; Other-Addresses: 1; User-Agent: Go-http-client/1.1" {
-		t.Errorf("first: %q", got)
+		t.Errorf("first request: %q", got)
 	}
 	stop()
 	<-ended
 	if got := next(); got != "DELETE /v1/members/n0; Connection: close; Member-Life: LIFE; User-Agent: Go-http-client/1.1" {
-		t.Errorf("at the end: %q", got)
+		t.Errorf("request at shutdown: %q", got)
 	}
 }
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -14,23 +14,23 @@
 	"time"
 )
 
-// The agent serves each class and reports that it is ready.
+// The agent serves requests of each class, and /ready reports that it is ready.
 func TestAgentServesEachClass(t *testing.T) {
 	addr, _ := countingBackend(t, 200, false)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 	for _, class := range []string{"look", "send", "order"} {
 		if status, body, _ := send(t, newCall(base, class)); status != 200 || body != "done" {
-			t.Fatalf("%s: got %d %q", class, status, body)
+			t.Fatalf("%s: status %d, body %q", class, status, body)
 		}
 	}
 	ready, _ := http.NewRequest(http.MethodGet, base+"/ready", nil)
 	if status, _, _ := send(t, ready); status != 200 {
-		t.Fatalf("/ready: %d", status)
+		t.Fatalf("/ready: status %d, want 200", status)
 	}
 }
 
-// A request that may have been executed is retried only if its class allows it; a rejected one may
-// be forwarded to another backend in any class.
+// A request that may have been executed is retried only if its class allows it. A request that a backend rejected
+// without starting it is retried at another backend in any class.
 func TestRetriesFollowTheEffectOfTheClass(t *testing.T) {
 	for _, c := range []struct {
 		class      string
@@ -55,14 +55,14 @@
 			_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addrs...))
 			status, _, header := send(t, newCall(base, c.class))
 			if status != c.wantStatus {
-				t.Errorf("answered %d, want %d", status, c.wantStatus)
+				t.Errorf("status %d, want %d", status, c.wantStatus)
 			}
 			if want := status == http.StatusServiceUnavailable; (header.Get("Retry-After") == "0.6") != want {
-				t.Errorf("Retry-After %q with %d", header.Get("Retry-After"), status)
+				t.Errorf("Retry-After %q with status %d", header.Get("Retry-After"), status)
 			}
 			attempts := 0
 			for _, ids := range received {
-				attempts += len(ids) // each was counted before it was answered
+				attempts += len(ids) // each request is reported before it is answered
 			}
 			if attempts != c.attempts {
 				t.Errorf("%d attempts, want %d", attempts, c.attempts)
@@ -71,7 +71,7 @@
 	}
 }
 
-// A truncated response of a backend is not forwarded, neither completely nor in part.
+// No part of a truncated response is forwarded; the client gets status 502 without a body.
 func TestTruncatedResponseIsNotForwarded(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := readRequest(r); err == nil {
@@ -80,11 +80,11 @@
 	})
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 	if status, body, _ := send(t, newCall(base, "order")); status != http.StatusBadGateway || body != "" {
-		t.Fatalf("got %d %q", status, body)
+		t.Fatalf("status %d, body %q, want 502 without a body", status, body)
 	}
 }
 
-// An invalid request gets a 4xx that does not invite a retry, and reaches no backend.
+// An invalid request gets a 4xx status other than 429, which would invite a retry, and reaches no backend.
 func TestInvalidRequestsAreAnswered4xx(t *testing.T) {
 	addr, received := countingBackend(t, 200, false)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -105,26 +105,26 @@
 		req := newCall(base, "send")
 		change(req)
 		if status, _, _ := send(t, req); status < 400 || status > 499 || status == 429 {
-			t.Errorf("%s: answered %d", name, status)
+			t.Errorf("%s: status %d, want 4xx other than 429", name, status)
 		}
 	}
 	lookWithBody := newCall(base, "look")
 	lookWithBody.Body, lookWithBody.ContentLength = io.NopCloser(strings.NewReader("body")), 4
 	if status, _, _ := send(t, lookWithBody); status != http.StatusBadRequest {
-		t.Errorf("GET with a body: answered %d", status)
+		t.Errorf("GET with a body: status %d, want 400", status)
 	}
 	longest := newCall(base, "send")
 	longest.Body, longest.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBodyBytes))), maxBodyBytes
 	longest.Header.Set("Request-Id", "longest")
 	if status, _, _ := send(t, longest); status != 200 {
-		t.Errorf("a body of 64 KiB: answered %d", status)
+		t.Errorf("body of 64 KiB: status %d, want 200", status)
 	}
 	if id := <-received; id != "longest" || len(received) > 0 {
-		t.Errorf("bad input reached the backend")
+		t.Errorf("an invalid request reached the backend")
 	}
 }
 
-// The guard timer answers if the loop never does.
+// The handler's guard timer answers a request with 504 if the loop does not.
 func TestGuardAnswersWhenTheLoopIsStopped(t *testing.T) {
 	config := parseConfig(t, testConfig(unreachableAddr))
 	a, err := New(config, slog.New(slog.DiscardHandler))
@@ -138,21 +138,21 @@
 	rec := httptest.NewRecorder()
 	a.ServeHTTP(rec, req)
 	if rec.Code != http.StatusGatewayTimeout {
-		t.Fatalf("answered %d", rec.Code)
+		t.Fatalf("status %d, want 504", rec.Code)
 	}
 	if first, second := <-a.loop.events, <-a.loop.events; first.kind != eventRequest || second.kind != eventClientCanceled {
-		t.Fatalf("the loop got events %d, %d", first.kind, second.kind)
+		t.Fatalf("the loop received events %d and %d, want a request and its cancellation", first.kind, second.kind)
 	}
 }
 
-// panicReader panics when the handler reads it.
+// panicReader is a request body whose Read panics.
 type panicReader struct{}
 
 func (panicReader) Read([]byte) (int, error) { panic("boom") }
 
 func (panicReader) Close() error { return nil }
 
-// A panic in a handler does not leave its request unanswered.
+// A request whose handler panics is answered with status 500.
 func TestHandlerPanicIsAnswered500(t *testing.T) {
 	a, err := New(parseConfig(t, testConfig(unreachableAddr)), slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -164,12 +164,12 @@
 	rec := httptest.NewRecorder()
 	a.ServeHTTP(rec, req)
 	if rec.Code != http.StatusInternalServerError {
-		t.Fatalf("answered %d", rec.Code)
+		t.Fatalf("status %d, want 500", rec.Code)
 	}
 }
 
-// If the client connections are nearly full, each is closed after its response: idle ones must not
-// keep out a client whose timeout runs.
+// If the number of client connections is near its limit, each connection is closed after its response: idle
+// connections must not keep out a client whose timeout is running.
 func TestConnectionsCloseWhenNearlyFull(t *testing.T) {
 	addr, _ := countingBackend(t, 200, false)
 	config := testConfig(unreachableAddr, addr)
@@ -184,7 +184,7 @@
 		return resp
 	}
 	if request().Close {
-		t.Fatal("closed though there is room")
+		t.Fatal("the connection is closed far from the limit")
 	}
 	for !a.clients.nearlyFull() {
 		n := a.clients.count()
@@ -194,16 +194,16 @@
 		}
 		defer c.Close()
 		for a.clients.count() == n {
-			time.Sleep(time.Millisecond) // until it is accepted
+			time.Sleep(time.Millisecond) // until the connection is accepted
 		}
 	}
 	if !request().Close {
-		t.Fatal("kept open with few places left")
+		t.Fatal("the connection is kept open near the limit")
 	}
 }
 
-// Requests beyond the number of client connections are rejected at once; waiting for a connection
-// they would be lost.
+// Requests beyond the limit of open requests are rejected at once with status 503. If they waited for a connection
+// instead, nobody would answer them before their timeout.
 func TestRequestsBeyondCapacityAreRejected(t *testing.T) {
 	release := make(chan struct{})
 	unblock := sync.OnceFunc(func() { close(release) })
@@ -212,14 +212,14 @@
 		fmt.Fprint(w, "done")
 	}))
 	t.Cleanup(s.Close)
-	t.Cleanup(unblock) // before the backend closes, also when the test fails
+	t.Cleanup(unblock) // runs before s.Close, also if the test fails
 	config := testConfig(unreachableAddr, s.Listener.Addr().String())
 	config["limits"].(map[string]any)["sockets"] = minSockets
 	_, base, _, _ := startAgent(t, config)
 	const excess = 20
 	requests := maxOpenRequests(minSockets) + excess
 	if requests <= clientSockets(minSockets) {
-		t.Fatal("these fit into the places")
+		t.Fatal("the requests do not exceed the limit of client connections")
 	}
 	statuses := make(chan int, requests)
 	for range requests {
@@ -234,21 +234,21 @@
 			statuses <- resp.StatusCode
 		}()
 	}
-	timeout := time.After(10 * time.Second) // the module's own patience is 15 s here
+	timeout := time.After(10 * time.Second) // less than the 15 s that the balancer would let a request wait here
 	for range excess {
 		select {
 		case status := <-statuses:
 			if status != http.StatusServiceUnavailable {
-				t.Errorf("answered %d while the backend holds all, want 503", status)
+				t.Errorf("status %d while the backend blocks, want 503", status)
 			}
 		case <-timeout:
-			t.Fatal("not refused at once")
+			t.Fatal("not all excess requests were rejected at once")
 		}
 	}
 	unblock()
 	for range requests - excess {
 		if status := <-statuses; status != 200 {
-			t.Errorf("answered %d, want 200", status)
+			t.Errorf("status %d, want 200", status)
 		}
 	}
 }
--- a/internal/agent/healthcheck_test.go
+++ b/internal/agent/healthcheck_test.go
@@ -9,8 +9,8 @@
 	"knotrouter/policy"
 )
 
-// A failed server gets a health check in the background, and the result reaches the balancer: the
-// server is used again, and no second check runs at the same time.
+// A probe ordered by the balancer runs in the background, and its result reaches the balancer: the server can be
+// used again, and no other probe runs at the same time.
 func TestProbeResultReachesBalancer(t *testing.T) {
 	for _, c := range []struct {
 		how, path string
@@ -36,28 +36,27 @@
 			l.executeActions()
 			r := <-requests
 			if r.Method != http.MethodGet || r.URL.Path != c.path || r.Header.Get("Request-Id") != "" {
-				t.Fatalf("asked %s %s %v", r.Method, r.URL.Path, r.Header)
+				t.Fatalf("probe request %s %s, header %v", r.Method, r.URL.Path, r.Header)
 			}
 			e := <-l.events
 			if e.kind != eventProbeResult || e.result.status != c.want || e.attempt.backend != b {
-				t.Fatalf("got event %+v", e)
+				t.Fatalf("unexpected event %+v", e)
 			}
 			l.handle(e)
 			if len(b.attempts) > 0 {
-				t.Fatal("the probe is still out")
+				t.Fatal("the probe is still in flight")
 			}
 		})
 	}
 }
 
-// A health check of a server that is not listed any more ends too: the balancer waits for its
-// result.
+// A probe of a server that is not listed any more yields a result too, because the balancer waits for it.
 func TestProbeOfUnlistedBackendEnds(t *testing.T) {
 	l := offlineLoop(t)
 	l.actions = []policy.Action{{Kind: policy.ActProbe, Server: policyAddr("s-0")}}
 	l.executeActions()
 	if len(l.deferredEvents) != 1 || l.deferredEvents[0].kind != eventProbeResult {
-		t.Fatalf("got event %+v", l.deferredEvents)
+		t.Fatalf("deferred events %+v, want one probe result", l.deferredEvents)
 	}
 	l.handle(l.deferredEvents[0])
 }
--- a/internal/agent/lateanswer_test.go
+++ b/internal/agent/lateanswer_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A second answer that comes some milliseconds after the first is not taken for the answer to the next
-// request on its connection.
+// A second response that arrives some milliseconds after the first is not taken for the response to the next request
+// on the connection.
 func TestLateSecondAnswerIsNotServed(t *testing.T) {
 	const delay = 5 * time.Millisecond
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
@@ -28,7 +28,7 @@
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 	for i := range 2 {
 		if status, body, _ := send(t, newCall(base, "order")); status == http.StatusOK && body == "stray" {
-			t.Fatalf("request %d was answered with the second answer to another one", i)
+			t.Fatalf("request %d was answered with the second response to another request", i)
 		}
 	}
 }
--- a/internal/agent/services_test.go
+++ b/internal/agent/services_test.go
@@ -13,8 +13,8 @@
 	"knotrouter/policy"
 )
 
-// scopedConfig returns the configuration of an agent that subscribes to services at one
-// control-plane server and knows one server of service a and one of service b.
+// scopedConfig returns the configuration of an agent with one control-plane server, a subscription to the services
+// (to all if there are none) and a cached list with one server of service a and one of service b.
 func scopedConfig(services ...string) map[string]any {
 	a, b := hostEntry(1, "127.0.0.1:1", "ready"), hostEntry(2, "127.0.0.1:2", "ready")
 	a["service"], b["service"] = "a", "b"
@@ -28,7 +28,7 @@
 	return config
 }
 
-// scopedLoop returns a loop that the test drives by itself, and its log.
+// scopedLoop returns a loop whose events the test handles itself, and its log.
 func scopedLoop(t *testing.T, config map[string]any) (*loop, *bytes.Buffer) {
 	t.Helper()
 	log := &bytes.Buffer{}
@@ -39,7 +39,7 @@
 	return l, log
 }
 
-// usableBackends returns the names of the servers that the loop may send to.
+// usableBackends returns the names of the servers that may receive requests.
 func (l *loop) usableBackends() string {
 	var names []string
 	for i := range 10 {
@@ -51,7 +51,7 @@
 	return strings.Join(names, " ")
 }
 
-// deliver passes the loop a list of a subscription.
+// deliver has the loop handle a list that belongs to a subscription.
 func (l *loop) deliver(kind eventKind, subscription uint64, scoped bool, list endpoints.List) {
 	list.Subscription, list.Scoped = subscription, scoped
 	l.handle(event{kind: kind, list: list, source: l.discovery})
@@ -62,7 +62,7 @@
 	return endpoints.Endpoint{Name: fmt.Sprint("s-", i), Dial: fmt.Sprint("127.0.0.1:", i), Service: service, Health: health}
 }
 
-// Errors in the configured services name the key.
+// An error in the configured services names the key.
 func TestServicesConfig(t *testing.T) {
 	tooMany := []string{}
 	for i := range endpoints.MaxServices + 1 {
@@ -97,12 +97,12 @@
 			got = err.Error()
 		}
 		if got != c.want {
-			t.Errorf("%.60v: %q, want %q", c.services, got, c.want)
+			t.Errorf("%.60v: error %q, want %q", c.services, got, c.want)
 		}
 	}
 }
 
-// Without the key every listed server is used, whatever service its entry names.
+// Without configured services every listed server is used, whatever service its entry names.
 func TestAllServersAreUsedWithoutServices(t *testing.T) {
 	l, _ := scopedLoop(t, scopedConfig())
 	if l.scope.table != nil || l.usableBackends() != "s-1 s-2" {
@@ -119,8 +119,8 @@
 	}
 }
 
-// The agent uses only the servers of its services, also from the cached list, and logs what becomes
-// of a service.
+// The agent uses only the servers of its services, also from the cached list. It logs when a service is empty,
+// unknown or available again.
 func TestOnlySubscribedServicesAreUsed(t *testing.T) {
 	l, log := scopedLoop(t, scopedConfig("a", "c"))
 	if l.usableBackends() != "s-1" {
@@ -145,8 +145,8 @@
 	}
 }
 
-// After a new subscription the known servers stay in use until its full list arrives; lists of the
-// earlier subscription are ignored.
+// After a change of the subscription the known servers stay in use until the full list of the new subscription
+// arrives. Lists of the previous subscription are ignored.
 func TestListsOfOldSubscriptionAreIgnored(t *testing.T) {
 	l, log := scopedLoop(t, scopedConfig("a"))
 	l.deliver(eventListChanged, 0, true, listOf(5, true, serviceEndpoint(1, "a", "ready"), serviceEndpoint(3, "a", "ready")))
@@ -158,36 +158,36 @@
 	l.deliver(eventListChanged, 0, true, listOf(6, false, serviceEndpoint(1, "a", "gone")))
 	l.deliver(eventListFetched, 0, true, listOf(7, true))
 	if l.usableBackends() != "s-1 s-3" || l.listVersion != 5 || l.fetching {
-		t.Errorf("took a list of the services before: usable %q, version %d", l.usableBackends(), l.listVersion)
+		t.Errorf("applied a list of the previous subscription: usable %q, version %d", l.usableBackends(), l.listVersion)
 	}
-	l.deliver(eventListChanged, 1, true, listOf(5, true, serviceEndpoint(2, "b", "ready"))) // of the same version
+	l.deliver(eventListChanged, 1, true, listOf(5, true, serviceEndpoint(2, "b", "ready"))) // with an unchanged version
 	if l.usableBackends() != "s-2" {
 		t.Errorf("usable: %q", l.usableBackends())
 	}
 	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{unreachableAddr}, services: []string{"b"}})
 	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{"127.0.0.1:2"}, services: []string{"b"}})
 	if l.scope.subscription != 1 {
-		t.Error("subscribed anew to the same services")
+		t.Error("unchanged services started a new subscription")
 	}
 	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{unreachableAddr}, services: []string{"no word"}})
 	if l.scope.subscription != 1 || !strings.Contains(log.String(), "services[0]") {
-		t.Errorf("subscribed to no word; log: %s", log)
+		t.Errorf("an invalid service name started a new subscription or was not logged; log: %s", log)
 	}
-	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{unreachableAddr}}) // the key is gone
+	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{unreachableAddr}}) // without services: a subscription to all
 	l.deliver(eventListChanged, 1, true, listOf(8, true))
 	l.deliver(eventListChanged, 2, false, listOf(8, true, serviceEndpoint(7, "x", "ready")))
 	if l.scope.subscription != 2 || l.usableBackends() != "s-7" {
 		t.Errorf("subscription %d, usable %q", l.scope.subscription, l.usableBackends())
 	}
-	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{unreachableAddr}, services: []string{"a"}}) // and here again
+	l.handle(event{kind: eventDiscoveryChanged, addrs: []string{unreachableAddr}, services: []string{"a"}}) // services again
 	l.deliver(eventListChanged, 3, true, listOf(9, true, serviceEndpoint(1, "a", "ready")))
 	if l.usableBackends() != "s-1" {
 		t.Errorf("usable: %q", l.usableBackends())
 	}
 }
 
-// If an unscoped list made the version later than that of a scoped list which arrives after it, the
-// scoped one is skipped and requested again: the unscoped one may lack servers.
+// A scoped list that is older than an unscoped list applied before is skipped and requested again: the unscoped
+// list may lack servers.
 func TestOlderScopedListIsRequestedAgain(t *testing.T) {
 	l, _ := scopedLoop(t, scopedConfig("a"))
 	l.deliver(eventListFetched, 0, false, listOf(9, true, serviceEndpoint(1, "", "ready"), serviceEndpoint(3, "", "ready")))
@@ -204,11 +204,11 @@
 	}
 	l.deliver(eventListChanged, 1, true, listOf(8, true, serviceEndpoint(1, "a", "ready")))
 	if l.usableBackends() != "s-1 s-3" || l.scope.subscription != 1 {
-		t.Errorf("an older list: usable %q, subscription %d", l.usableBackends(), l.scope.subscription)
+		t.Errorf("after an older list: usable %q, subscription %d", l.usableBackends(), l.scope.subscription)
 	}
 }
 
-// An agent that started without a control plane ignores services.
+// An agent that started without a control plane ignores services that are configured later.
 func TestServicesRequireControlPlane(t *testing.T) {
 	config := testConfig(unreachableAddr, "127.0.0.1:1")
 	l, log := scopedLoop(t, config)
@@ -228,6 +228,6 @@
 		backends = append(backends, addr)
 	}
 	if len(backends) != 2 || !slices.Contains(backends, policyAddr("s-1")) || !slices.Contains(backends, policyAddr("s-2")) {
-		t.Errorf("holds %v", backends)
+		t.Errorf("backends %v, want s-1 and s-2", backends)
 	}
 }
--- a/internal/agent/stoppedloop_test.go
+++ b/internal/agent/stoppedloop_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// requestText returns a request as the bytes on the wire.
+// requestText returns the bytes of a valid request.
 func requestText(id string) string {
 	return "POST /order/u1 HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nRequest-Timeout: 30000m\r\nContent-Length: 4\r\n\r\nbody"
 }
 
-// agentWithStoppedLoop serves an agent whose loop starts when run is called.
+// agentWithStoppedLoop serves an agent whose loop starts when runLoop is called.
 func agentWithStoppedLoop(t *testing.T, config map[string]any) (a *Agent, baseURL string, runLoop func()) {
 	t.Helper()
 	a, err := New(parseConfig(t, config), slog.New(slog.DiscardHandler))
@@ -37,8 +37,8 @@
 	return a, "http://" + ln.Addr().String(), func() { go a.loop.run() }
 }
 
-// scriptedBackend returns a backend that writes a response only when it is given one. It reports
-// the requests that it receives, and connections that close without a response.
+// scriptedBackend starts a backend that answers a request when the test sends it a response. It reports the
+// identifiers of the requests, and each connection that closes before its response.
 func scriptedBackend(t *testing.T) (addr string, received chan string, responses chan string, closed chan struct{}) {
 	t.Helper()
 	received, responses, closed = make(chan string, 100), make(chan string, 100), make(chan struct{}, 100)
@@ -57,7 +57,7 @@
 			select {
 			case text := <-responses:
 				io.WriteString(c, text)
-				<-ended // the next request begins, or the end
+				<-ended // the next request begins, or the connection ends
 			case <-ended:
 				closed <- struct{}{}
 				return
@@ -69,8 +69,8 @@
 	return addr, received, responses, closed
 }
 
-// stallingLog is a log that blocks whoever logs a failover, which stops the loop as often as stall
-// is called.
+// stallingHandler is a log handler that blocks whenever a failover is logged. Each call of stall posts a failover to
+// the loop, which blocks it until release receives a value.
 type stallingHandler struct{ stalled, release chan struct{} }
 
 func newStallingHandler(a *Agent) stallingHandler {
--- a/internal/agent/switchingprotocols_test.go
+++ b/internal/agent/switchingprotocols_test.go
@@ -11,9 +11,9 @@
 	"knotrouter/policy"
 )
 
-// An attempt that is answered with 101 ends, within its timeout at the latest: net/http hands the raw
-// connection to whoever asked, and its reads end with no context. An attempt that never ends keeps its
-// goroutine, its connection and its place at the server.
+// An attempt that is answered with 101 ends at its timeout at the latest. net/http returns the raw connection as
+// the response body, and its reads ignore the context of the request. An attempt that never ended would keep its
+// goroutine, its connection and its share of the server's concurrency limit.
 func TestSwitchingProtocolsEndsTheAttempt(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := readRequest(r); err == nil {
@@ -28,12 +28,12 @@
 	select {
 	case res := <-ended:
 		if res.status == policy.OK || res.status.NotExecuted() {
-			t.Errorf("ended %d, want one that may have run", res.status)
+			t.Errorf("status %d, want a failure that may have been executed", res.status)
 		}
 	case <-time.After(20 * timeout):
 		if c := a.conn.Load(); c != nil {
 			c.Close()
 		}
-		t.Fatalf("still out %v after its timeout of %v", 19*timeout, timeout)
+		t.Fatalf("still in flight %v after its timeout of %v", 19*timeout, timeout)
 	}
 }
--- a/internal/agent/testagent_test.go
+++ b/internal/agent/testagent_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// testConfig returns a complete configuration; backends are listed as s-0, s-1, ...
+// testConfig returns a complete configuration whose cached list has the backends as s-0, s-1, ...
 func testConfig(discovery string, backends ...string) map[string]any {
 	hosts := []any{}
 	for i, addr := range backends {
@@ -46,7 +46,7 @@
 		"block": 1, "health": health, "share": 1.0, "born_ms": 0}
 }
 
-// parseConfig parses a configuration that must be valid.
+// parseConfig parses a configuration and fails the test if it is invalid.
 func parseConfig(t *testing.T, config map[string]any) *Config {
 	t.Helper()
 	text, err := json.Marshal(config)
@@ -60,8 +60,8 @@
 	return c
 }
 
-// startAgent serves an agent until the test ends. stop has the effect of SIGTERM; done receives the
-// result of Serve.
+// startAgent serves an agent until the test ends. stop shuts it down as SIGTERM does; done receives the result of
+// Serve.
 func startAgent(t *testing.T, config map[string]any) (a *Agent, baseURL string, stop func(), done chan error) {
 	t.Helper()
 	a, err := New(parseConfig(t, config), slog.New(slog.DiscardHandler))
@@ -111,18 +111,18 @@
 	defer cancel()
 	resp, err := http.DefaultTransport.RoundTrip(req.WithContext(ctx))
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Fatalf("no whole answer: %v", err)
+		t.Fatalf("incomplete response: %v", err)
 	}
 	return resp.StatusCode, string(body), resp.Header
 }
 
-// countingBackend returns a backend that answers every request with status, and the identifiers of
-// the requests that it received.
+// countingBackend starts a backend that answers every request with status. It reports the identifiers of the
+// requests.
 func countingBackend(t *testing.T, status int, notStarted bool) (addr string, received chan string) {
 	t.Helper()
 	received = make(chan string, 100)
@@ -130,7 +130,8 @@
 	return addr, received
 }
 
-// respondingBackend starts a backend that hands the id of each request to onRequest and answers it.
+// respondingBackend starts a backend that passes the identifier of each request to onRequest and answers it with
+// status.
 func respondingBackend(t *testing.T, status int, notStarted bool, onRequest func(id string)) (addr string) {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -145,5 +146,5 @@
 	return s.Listener.Addr().String()
 }
 
-// unreachableAddr is a discovery address that is never called: lists are pushed in these settings.
+// unreachableAddr is a discovery address to which no agent connects, as lists are pushed in the test settings.
 const unreachableAddr = "127.0.0.1:1"
--- a/internal/agent/testwait_test.go
+++ b/internal/agent/testwait_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// testTimeout limits the waits of these tests.
+// testTimeout limits each wait for an expected event in these tests.
 const testTimeout = 20 * time.Second
 
 // receive returns the next value of c, which must arrive within testTimeout.
@@ -19,7 +19,7 @@
 	return v
 }
 
-// waitUntil polls until done, for testTimeout at most.
+// waitUntil polls until done returns true, which must happen within testTimeout.
 func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !done(); time.Sleep(time.Millisecond) {
