--- a/internal/agent/cost_test.go
+++ b/internal/agent/cost_test.go
@@ -17,26 +17,27 @@
 	"knotrouter/internal/lab/cost"
 )
 
-// profiledServers are the numbers of known servers; AGENT_SERVERS names others.
+// profiledServers returns the numbers of known servers to measure with: those in AGENT_SERVERS, separated by
+// commas, or a default.
 func profiledServers(b *testing.B) []int {
 	b.Helper()
 	text := os.Getenv("AGENT_SERVERS")
 	if text == "" {
 		return []int{20, 200, 2000, 10000, 39000}
 	}
-	var servers []int
-	for word := range strings.SplitSeq(text, ",") {
-		n, err := strconv.Atoi(word)
+	var counts []int
+	for field := range strings.SplitSeq(text, ",") {
+		n, err := strconv.Atoi(field)
 		if err != nil {
 			b.Fatalf("AGENT_SERVERS: %v", err)
 		}
-		servers = append(servers, n)
+		counts = append(counts, n)
 	}
-	return servers
+	return counts
 }
 
-// BenchmarkAgentCall makes calls one after the other through an agent that knows so many
-// servers. What belongs to callers and emulated servers carries a label in a CPU profile:
+// BenchmarkAgentCall makes sequential calls through an agent that knows the given number of servers. In a CPU
+// profile, samples of the callers and the emulated servers carry a label, so that they can be excluded:
 //
 //	go test ./internal/agent -run '^$' -bench AgentCall/servers=39000 -benchtime 5000x -cpuprofile cpu.pprof
 //	go tool pprof -top -tagignore role=lab agent.test cpu.pprof
@@ -62,7 +63,7 @@
 	withLabLabel(func() { callRepeatedly(b, base) })
 }
 
-// withLabLabel marks what f does, and the goroutines that it starts, as the lab's own work.
+// withLabLabel runs f with the profiler label of the lab, which goroutines started by f inherit.
 func withLabLabel(f func()) {
 	pprof.Do(context.Background(), pprof.Labels(cost.LabLabel, cost.LabValue), func(context.Context) { f() })
 }
@@ -87,14 +88,14 @@
 		b.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		a.Serve(ctx, ln)
 	}()
 	b.Cleanup(func() {
 		stop()
-		<-ended
+		<-done
 	})
 	return "http://" + ln.Addr().String()
 }
@@ -103,7 +104,7 @@
 	b.Helper()
 	transport := &http.Transport{DisableCompression: true}
 	defer transport.CloseIdleConnections()
-	served := 0
+	succeeded := 0
 	b.ResetTimer()
 	for i := range b.N {
 		req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("%s/%s/%x", base, cost.CallClass, i%2000), nil)
@@ -119,9 +120,9 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 		if resp.StatusCode == http.StatusOK {
-			served++
+			succeeded++
 		}
 	}
 	b.StopTimer()
-	b.ReportMetric(float64(served)/float64(b.N), "served/call")
+	b.ReportMetric(float64(succeeded)/float64(b.N), "served/call")
 }
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// deadlineSlack is by how much the timeout that a server receives may exceed what the client has
-// left. STANDING allows 0.15 s more for a process that is held up, which no test here is.
+// deadlineSlack is how much longer the timeout that a server receives may be than the client's remaining time.
+// STANDING allows 0.15 s more for a process that is suspended, which does not occur in these tests.
 const deadlineSlack = 50 * time.Millisecond
 
-// observedTimeout is the timeout that a server received with a request, and when.
+// observedTimeout is the timeout that a server received with a request, and the time of arrival.
 type observedTimeout struct {
 	id        string
 	arrivedAt time.Time
 	timeout   time.Duration
 }
 
-// timeoutBackend answers each request after a time and reports the timeout that it received.
-func timeoutBackend(t *testing.T, status int, after time.Duration) (addr string, observed chan observedTimeout) {
+// timeoutBackend starts a backend that answers each request after the delay and reports the received timeout.
+func timeoutBackend(t *testing.T, status int, delay time.Duration) (addr string, observed chan observedTimeout) {
 	t.Helper()
 	observed = make(chan observedTimeout, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -33,7 +33,7 @@
 			t.Error(err)
 		}
 		observed <- observedTimeout{r.Header.Get("Request-Id"), time.Now(), d}
-		time.Sleep(after)
+		time.Sleep(delay)
 		w.WriteHeader(status)
 		fmt.Fprint(w, "done")
 	}))
@@ -41,12 +41,12 @@
 	return s.Listener.Addr().String(), observed
 }
 
-// check compares the received timeout with what was left for the client, which sent its request at
-// sent.
+// check compares the received timeout with the remaining time of the client, which sent its request with the
+// timeout at the time sent.
 func (o observedTimeout) check(t *testing.T, sent time.Time, timeout time.Duration) {
 	t.Helper()
 	if left := timeout - o.arrivedAt.Sub(sent); o.timeout > left+deadlineSlack {
-		t.Errorf("%s: the server was told %v, the client had %v left", o.id, o.timeout, left)
+		t.Errorf("%s: the server received a timeout of %v, the client had %v left", o.id, o.timeout, left)
 	}
 }
 
@@ -57,12 +57,12 @@
 
 const timedRequestTimeout = 2 * time.Second // of timedRequest
 
-// A slow connect takes its part of the timeout: what the server receives is computed when the
-// request is written, for the first attempt and the next.
+// A slow connect counts against the timeout: the timeout for the server is computed when the request is written,
+// for the first attempt and for a retry.
 func TestDeadlineAfterSlowConnect(t *testing.T) {
-	refuses, first := timeoutBackend(t, http.StatusInternalServerError, 0)
-	serves, second := timeoutBackend(t, http.StatusInternalServerError, 0)
-	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, refuses, serves))
+	addr1, observed1 := timeoutBackend(t, http.StatusInternalServerError, 0)
+	addr2, observed2 := timeoutBackend(t, http.StatusInternalServerError, 0)
+	a, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr1, addr2))
 	connect := a.loop.dialer.connect
 	a.loop.dialer.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		time.Sleep(400 * time.Millisecond)
@@ -74,96 +74,97 @@
 	send(t, req)
 	for range 2 {
 		select {
-		case tt := <-first:
-			tt.check(t, sent, timedRequestTimeout)
-		case tt := <-second:
-			tt.check(t, sent, timedRequestTimeout)
+		case observed := <-observed1:
+			observed.check(t, sent, timedRequestTimeout)
+		case observed := <-observed2:
+			observed.check(t, sent, timedRequestTimeout)
 		case <-time.After(testTimeout):
-			t.Fatal("no second attempt")
+			t.Fatal("fewer than two attempts within testTimeout")
 		}
 	}
 }
 
-// The timeout of a request runs while it waits behind another one on its connection, or for a
-// place.
+// The timeout of a request also runs while the request waits for an earlier one on the same connection, or while
+// its connection waits for capacity.
 func TestDeadlineOfWaitingRequests(t *testing.T) {
-	t.Run("behind another one", testPipelinedRequestDeadline)
-	t.Run("for its place", testQueuedConnectionDeadline)
+	t.Run("pipelined", testPipelinedRequestDeadline)
+	t.Run("waiting for capacity", testQueuedConnectionDeadline)
 }
 
-// testPipelinedRequestDeadline sends two requests at once or in pieces.
+// testPipelinedRequestDeadline sends two pipelined requests, in one write or in several.
 func testPipelinedRequestDeadline(t *testing.T) {
-	const turn = 600 * time.Millisecond
-	both := timedRequest("first") + timedRequest("second")
-	at := len(timedRequest("first"))
+	const responseDelay = 600 * time.Millisecond
+	requests := timedRequest("first") + timedRequest("second")
+	firstLen := len(timedRequest("first"))
 	for name, cuts := range map[string][]int{
-		"at once": nil, "its first byte with the first": {at + 1}, "all of it behind": {at}, "in pieces": {at + 1, at + 30, at + 60},
+		"one write": nil, "first byte with the first request": {firstLen + 1}, "second request in one write": {firstLen},
+		"second request in pieces": {firstLen + 1, firstLen + 30, firstLen + 60},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, observed := timeoutBackend(t, http.StatusOK, turn)
+			addr, observed := timeoutBackend(t, http.StatusOK, responseDelay)
 			_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 			c, _ := dialAgent(t, base)
-			startedAt, rest := 0, both
+			offset, rest := 0, requests
 			sent := time.Now()
 			for _, cut := range cuts {
-				io.WriteString(c, both[startedAt:cut])
-				time.Sleep(20 * time.Millisecond) // within the first one's turn
-				startedAt, rest = cut, both[cut:]
+				io.WriteString(c, requests[offset:cut])
+				time.Sleep(20 * time.Millisecond) // less than the response delay of the first request
+				offset, rest = cut, requests[cut:]
 			}
 			io.WriteString(c, rest)
-			last := sent.Add(time.Duration(len(cuts)) * 20 * time.Millisecond)
-			for _, sentAt := range []time.Time{sent, last} {
+			lastSent := sent.Add(time.Duration(len(cuts)) * 20 * time.Millisecond)
+			for _, sentAt := range []time.Time{sent, lastSent} {
 				select {
-				case tt := <-observed:
-					tt.check(t, sentAt, timedRequestTimeout)
+				case got := <-observed:
+					got.check(t, sentAt, timedRequestTimeout)
 				case <-time.After(testTimeout):
-					t.Fatal("a request did not come")
+					t.Fatal("a request did not arrive within testTimeout")
 				}
 			}
 		})
 	}
 }
 
-// The timeout of a request runs from its arrival also behind several others, each larger than what
-// net/http reads at once.
+// The timeout of a pipelined request runs from its arrival, also if it waits for several others of which each is
+// larger than one read of net/http.
 func TestDeadlineBehindSeveralRequests(t *testing.T) {
-	const turn, behind = 400 * time.Millisecond, 3
-	addr, observed := timeoutBackend(t, http.StatusOK, turn)
+	const responseDelay, queued = 400 * time.Millisecond, 3
+	addr, observed := timeoutBackend(t, http.StatusOK, responseDelay)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
 	c, _ := dialAgent(t, base)
 	sent := time.Now()
 	padding := "\r\nX-Padding: " + strings.Repeat("p", 5<<10) + "\r\n"
 	io.WriteString(c, timedRequest("first"))
-	for i := range behind {
+	for i := range queued {
 		io.WriteString(c, strings.Replace(timedRequest(fmt.Sprint("behind", i)), "\r\n", padding, 1))
 	}
-	for range 1 + behind {
+	for range 1 + queued {
 		receive(t, "a request", observed).check(t, sent, timedRequestTimeout)
 	}
 }
 
-// testQueuedConnectionDeadline sends a request while idle connections occupy all places.
+// testQueuedConnectionDeadline sends a request while idle connections occupy the whole capacity.
 func testQueuedConnectionDeadline(t *testing.T) {
 	addr, observed := timeoutBackend(t, http.StatusOK, 0)
 	config := testConfig(unreachableAddr, addr)
 	config["limits"].(map[string]any)["sockets"] = minSockets
 	a, base, _, _ := startAgent(t, config)
-	for range a.clients.capacity { // nobody reads from these: they don't end by themselves
-		near, _ := connPair(t)
-		a.clients.admit(near, nil)
+	for range a.clients.capacity { // nothing reads from these connections, so they end only by eviction
+		local, _ := connPair(t)
+		a.clients.admit(local, nil)
 	}
 	c, _ := dialAgent(t, base)
 	sent := time.Now()
 	io.WriteString(c, timedRequest("waits"))
-	tt := receive(t, "the request", observed)
-	if tt.arrivedAt.Sub(sent) < minUnusedBeforeEviction/2 {
-		t.Fatalf("it waited for %v only", tt.arrivedAt.Sub(sent))
+	got := receive(t, "the request", observed)
+	if got.arrivedAt.Sub(sent) < minUnusedBeforeEviction/2 {
+		t.Fatalf("the request waited only %v", got.arrivedAt.Sub(sent))
 	}
-	tt.check(t, sent, timedRequestTimeout)
+	got.check(t, sent, timedRequestTimeout)
 }
 
-// The timeout of a request on an idle connection runs from the request's arrival and not from the
-// connection's.
+// The timeout of a request on an idle connection runs from the arrival of the request, not from when the connection
+// was opened or became idle.
 func TestDeadlineAfterIdleTime(t *testing.T) {
 	addr, observed := timeoutBackend(t, http.StatusOK, 0)
 	_, base, _, _ := startAgent(t, testConfig(unreachableAddr, addr))
@@ -171,8 +172,8 @@
 	for i := range 2 {
 		time.Sleep(300 * time.Millisecond)
 		io.WriteString(c, timedRequest(fmt.Sprint(i)))
-		if tt := receive(t, "the request", observed); tt.timeout < timedRequestTimeout-100*time.Millisecond {
-			t.Errorf("request %d: the server was told %v of %v", i, tt.timeout, timedRequestTimeout)
+		if got := receive(t, "the request", observed); got.timeout < timedRequestTimeout-100*time.Millisecond {
+			t.Errorf("request %d: the server received a timeout of %v, the client sent %v", i, got.timeout, timedRequestTimeout)
 		}
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
