--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -13,7 +13,7 @@
 
 // Terminal writes a table without a frame. Its cells are aligned to the right if they are numbers, and
 // to the left otherwise. It returns an error if the table can't be laid out, or the first one of w.
-func Terminal(w io.Writer, numbers bool, header []string, rows [][]string) error {
+func Terminal(w io.Writer, numeric bool, header []string, rows [][]string) error {
 	rendition := tw.Rendition{
 		Symbols: tw.NewSymbols(tw.StyleLight),
 		Borders: tw.BorderNone,
@@ -23,7 +23,7 @@
 		},
 	}
 	alignment := tw.AlignLeft
-	if numbers {
+	if numeric {
 		alignment = tw.AlignRight
 	}
 	return write(w, renderer.NewBlueprint(rendition), alignment, header, rows)
@@ -37,7 +37,7 @@
 
 // write lays a table out for a renderer and writes it.
 func write(w io.Writer, r tw.Renderer, alignment tw.Align, header []string, rows [][]string) error {
-	out := &failureRecorder{w: w}
+	out := &errorRecorder{w: w}
 	t := tablewriter.NewTable(out, tablewriter.WithRenderer(r), tablewriter.WithHeaderAutoFormat(tw.Off),
 		tablewriter.WithRowAlignment(alignment), tablewriter.WithHeaderAlignment(alignment))
 	t.Header(header)
@@ -50,14 +50,14 @@
 	return nil
 }
 
-// failureRecorder is a writer that keeps the first error of another one, as the renderer drops it.
-type failureRecorder struct {
+// errorRecorder is a writer that keeps the first error of another one, as the renderer drops it.
+type errorRecorder struct {
 	w   io.Writer
 	err error
 }
 
 // Write implements io.Writer.
-func (r *failureRecorder) Write(p []byte) (int, error) {
+func (r *errorRecorder) Write(p []byte) (int, error) {
 	n, err := r.w.Write(p)
 	if r.err == nil {
 		r.err = err
