--- a/cmd/controlplane/members.go
+++ b/cmd/controlplane/members.go
@@ -189,7 +189,7 @@
 		for observer, state := range difference.States {
 			states = append(states, observer+": "+state)
 		}
-		for _, observer := range difference.Absent {
+		for _, observer := range difference.UnknownTo {
 			states = append(states, observer+": doesn't know it")
 		}
 		slices.Sort(states)
--- a/internal/control/gossip.go
+++ b/internal/control/gossip.go
@@ -110,7 +110,7 @@
 // it missed is no evidence against the server that was asked. Without gossip it returns false.
 func (s *Server) wasPaused() (paused bool) {
 	if s.gossip() != nil {
-		s.gossip().WithTracker(func(now time.Duration, t *member.Tracker) { paused = t.SelfSuspect(now) })
+		s.gossip().WithTracker(func(now time.Duration, t *member.Tracker) { paused = t.RecentlyPaused(now) })
 	}
 	return paused
 }
--- a/internal/gossip/observers_test.go
+++ b/internal/gossip/observers_test.go
@@ -76,7 +76,7 @@
 		n.tick(step.late)
 		selfSuspect := false
 		// At the Node's start, so that the result doesn't depend on how long the test takes.
-		n.WithTracker(func(_ time.Duration, t *member.Tracker) { selfSuspect = t.SelfSuspect(0) })
+		n.WithTracker(func(_ time.Duration, t *member.Tracker) { selfSuspect = t.RecentlyPaused(0) })
 		if got := n.pauses.Load(); got != step.pauses || selfSuspect != (step.pauses > 0) {
 			t.Errorf("after a tick that was %v late: %d pauses, want %d; suspects itself: %v", step.late, got, step.pauses, selfSuspect)
 		}
--- a/internal/gossip/tick_test.go
+++ b/internal/gossip/tick_test.go
@@ -15,7 +15,7 @@
 		joinMember(n, "st-2", member.RoleControlPlane)
 		n.tick(late)
 		suspectsItself := false
-		n.WithTracker(func(now time.Duration, tracker *member.Tracker) { suspectsItself = tracker.SelfSuspect(now) })
+		n.WithTracker(func(now time.Duration, tracker *member.Tracker) { suspectsItself = tracker.RecentlyPaused(now) })
 		if suspectsItself != want || (n.pauses.Load() > 0) != want {
 			t.Errorf("a tick %v late: suspects itself %v, %d pauses counted", late, suspectsItself, n.pauses.Load())
 		}
--- a/internal/member/agreement_test.go
+++ b/internal/member/agreement_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// event draws one event: a session that opens, moves or closes, or a server's heartbeat.
-func (f *agreementFleet) event(t *rapid.T) {
+// applyRandomEvent draws one event: a session that opens, moves or closes, or a server's heartbeat.
+func (f *agreementFleet) applyRandomEvent(t *rapid.T) {
 	agent, at := fmt.Sprint("n", rapid.IntRange(0, 2).Draw(t, "agent")), rapid.SampledFrom(f.names).Draw(t, "at")
 	switch rapid.SampledFrom([]string{"open", "move", "close", "server"}).Draw(t, "event") {
 	case "open", "move":
@@ -164,7 +164,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := newAgreementFleet()
 		for range rapid.IntRange(0, 30).Draw(t, "events") {
-			f.event(t)
+			f.applyRandomEvent(t)
 			for range rapid.IntRange(0, 20).Draw(t, "steps") {
 				f.step(t, true)
 			}
--- a/internal/member/compare.go
+++ b/internal/member/compare.go
@@ -12,7 +12,7 @@
 	States    map[string]string `json:"says"`             // by observer: the state of the member
 	ForMs     int64             `json:"for_ms"`           // since the last change of an observer's state
 	Dissenter string            `json:"alone,omitempty"`  // the only observer that disagrees with all others
-	Absent    []string          `json:"absent,omitempty"` // observers that do not know the member
+	UnknownTo []string          `json:"absent,omitempty"` // observers that do not know the member
 }
 
 // ownOpinion is an observer's own opinion of a member.
@@ -73,9 +73,9 @@
 		d.States[from] = string(o.State)
 	}
 	if d.Role.Gossips() {
-		d.Absent = observersWithout(views, name, opinions)
+		d.UnknownTo = observersWithoutOpinion(views, name, opinions)
 	}
-	if len(observers) < 2 && len(incarnations) < 2 && len(d.Absent) == 0 {
+	if len(observers) < 2 && len(incarnations) < 2 && len(d.UnknownTo) == 0 {
 		return Difference{}, false
 	}
 	if !d.Role.Gossips() && len(observers[Present]) > 0 && len(incarnations) < 2 {
@@ -83,13 +83,13 @@
 		// the one that has it.
 		return Difference{}, false
 	}
-	d.Dissenter = dissenter(observers, len(opinions), d.Absent)
+	d.Dissenter = dissenter(observers, len(opinions), d.UnknownTo)
 	return d, true
 }
 
-// observersWithout returns the processes, other than the member itself, that have no opinion of the
+// observersWithoutOpinion returns the processes, other than the member itself, that have no opinion of the
 // member, in the order of the views.
-func observersWithout(views []View, name string, opinions opinionsByObserver) (absent []string) {
+func observersWithoutOpinion(views []View, name string, opinions opinionsByObserver) (absent []string) {
 	for i := range views {
 		from := views[i].From
 		if _, has := opinions[from]; from != name && !has {
--- a/internal/member/compare_test.go
+++ b/internal/member/compare_test.go
@@ -40,7 +40,7 @@
 		view("b", map[string]State{"a": Present}),
 		view("c", map[string]State{"a": Present, "b": Present}),
 	})
-	if len(differences) != 1 || differences[0].Name != "c" || len(differences[0].Absent) != 1 || differences[0].Absent[0] != "b" {
+	if len(differences) != 1 || differences[0].Name != "c" || len(differences[0].UnknownTo) != 1 || differences[0].UnknownTo[0] != "b" {
 		t.Errorf("a member that one observer does not know: %+v", differences)
 	}
 }
--- a/internal/member/doc.go
+++ b/internal/member/doc.go
@@ -14,7 +14,7 @@
 //     ping just before the library reported it dead.
 //   - Agents and servers hold a session at one server of the control plane at a time. When
 //     the session ends, the member stays Present for Config.SessionGrace, as it may move to
-//     another server, then is Suspect for Config.FailTimeout, then Failed. If the member is
+//     another server, then is Suspect for Config.SuspicionTimeout, then Failed. If the member is
 //     Present for another observer meanwhile, this process drops its own observation.
 //
 // Two guards keep a fault of this process from looking like a fault of the others. If more
--- a/internal/member/expiry_test.go
+++ b/internal/member/expiry_test.go
@@ -29,9 +29,9 @@
 
 // observerCase is the three voters, of which the first leads.
 type observerCase struct {
-	reachable  [3]bool // the leader exchanges messages with the voter; always true of itself
-	slow       [3]bool
-	noEvidence [3]bool // of a version that cannot check servers
+	reachable      [3]bool // the leader exchanges messages with the voter; always true of itself
+	slow           [3]bool
+	noHealthChecks [3]bool // of a version that cannot check servers
 	// quorum may be false though the others' answers arrive: the leader has lost it meanwhile.
 	quorum bool
 }
@@ -41,7 +41,7 @@
 	switch {
 	case !c.reachable[voter]:
 		return AnswerNone
-	case c.noEvidence[voter]:
+	case c.noHealthChecks[voter]:
 		return AnswerDefersToLease
 	case s.condition == conditionAlive && s.reachableBy[voter]:
 		return AnswerAlive
@@ -56,7 +56,7 @@
 }
 
 // restricted reports whether a voter is slow or of a version that cannot check.
-func (c *observerCase) restricted() bool { return c.slow != [3]bool{} || c.noEvidence != [3]bool{} }
+func (c *observerCase) restricted() bool { return c.slow != [3]bool{} || c.noHealthChecks != [3]bool{} }
 
 func bit(n, i int) bool { return n>>i&1 == 1 }
 
@@ -68,8 +68,8 @@
 // some cannot check.
 func allObserverCases() (all []observerCase) {
 	for n := range 512 {
-		c := observerCase{reachable: [3]bool{true, bit(n, 0), bit(n, 1)}, slow: threeBits(n, 2), noEvidence: threeBits(n, 5), quorum: bit(n, 8)}
-		if c.slow == [3]bool{} || c.noEvidence == [3]bool{} {
+		c := observerCase{reachable: [3]bool{true, bit(n, 0), bit(n, 1)}, slow: threeBits(n, 2), noHealthChecks: threeBits(n, 5), quorum: bit(n, 8)}
+		if c.slow == [3]bool{} || c.noHealthChecks == [3]bool{} {
 			all = append(all, c)
 		}
 	}
@@ -153,9 +153,9 @@
 		}
 	}
 	massFailure := c.others == 0 // two of two servers
-	promised := c.observers.quorum && alive == 0 && (s.leaseExpired && against >= 2 || refused >= 2)
+	mustRemove := c.observers.quorum && alive == 0 && (s.leaseExpired && against >= 2 || refused >= 2)
 	switch {
-	case !removed[i] && promised && !massFailure:
+	case !removed[i] && mustRemove && !massFailure:
 		return "a server that has failed stays"
 	case !removed[i]:
 		return ""
--- a/internal/member/gossipevents.go
+++ b/internal/member/gossipevents.go
@@ -22,7 +22,7 @@
 }
 
 // MemberDead handles the gossip library's notification that a member has failed or left. A failure
-// during a mass failure, or while this process is SelfSuspect, is deferred: the member is Suspect
+// during a mass failure, or while this process is RecentlyPaused, is deferred: the member is Suspect
 // until all observers agree on the failure, or until most of them do and Config.MassFailureDelay is
 // over.
 func (t *Tracker) MemberDead(now time.Duration, name string) {
@@ -33,7 +33,7 @@
 	m.reportedDead = true
 	if !m.info.ShuttingDown {
 		t.recentFailures = append(t.recentFailures, failureEvent{now, name})
-		if t.massFailure(now) || now < t.selfSuspectUntil {
+		if t.massFailure(now) || now < t.suppressSuspicionUntil {
 			t.counts.Deferred++
 			m.deadline = now + t.config.MassFailureDelay
 		}
@@ -60,7 +60,7 @@
 // Paused handles a pause of this process itself, which ended now: all deadlines move by its
 // duration, and for Config.MassFailureDelay no member is suspected for unanswered pings.
 func (t *Tracker) Paused(now, duration time.Duration) {
-	t.selfSuspectUntil = max(t.selfSuspectUntil, now+t.config.MassFailureDelay)
+	t.suppressSuspicionUntil = max(t.suppressSuspicionUntil, now+t.config.MassFailureDelay)
 	for _, m := range t.members {
 		if m.lastContact > 0 {
 			m.lastContact = min(m.lastContact+duration, now)
@@ -75,9 +75,9 @@
 	}
 }
 
-// SelfSuspect reports whether this process was paused within Config.MassFailureDelay, so that an
+// RecentlyPaused reports whether this process was paused within Config.MassFailureDelay, so that an
 // answer that it missed is no evidence against another process.
-func (t *Tracker) SelfSuspect(now time.Duration) bool { return now < t.selfSuspectUntil }
+func (t *Tracker) RecentlyPaused(now time.Duration) bool { return now < t.suppressSuspicionUntil }
 
 // massFailure reports whether more than Config.MassFailureShare of the gossiping members, and more
 // than one, failed within the window. It drops the failures before the window.
@@ -135,7 +135,7 @@
 	case m.reportedDead:
 		m.deadline = 0
 		return Failed
-	case m.directPeer && now-m.lastContact >= t.config.PeerTimeout && now >= t.selfSuspectUntil:
+	case m.directPeer && now-m.lastContact >= t.config.PeerTimeout && now >= t.suppressSuspicionUntil:
 		return Suspect
 	case m.info.Incarnation == 0:
 		return Joining
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -32,7 +32,7 @@
 		t.counts.UnknownSenders++
 		return false
 	}
-	if !t.advanceObserver(r) {
+	if !t.acceptReport(r) {
 		t.counts.Stale++
 		return false
 	}
@@ -47,10 +47,10 @@
 	return changed
 }
 
-// advanceObserver updates the progress of the report's observer. It returns false, and
+// acceptReport updates the progress of the report's observer. It returns false, and
 // changes nothing, if the report is of an earlier boot of the observer or older than the
 // observer's last full report.
-func (t *Tracker) advanceObserver(r *Report) bool {
+func (t *Tracker) acceptReport(r *Report) bool {
 	progress := t.observers[r.From]
 	incarnation := r.Incarnation
 	if incarnation == 0 { // the observer has just started, and has none yet
@@ -147,7 +147,7 @@
 	if o.Role.Gossips() || len(t.members) >= MaxMembers {
 		return nil
 	}
-	return t.newRecord(now, Info{
+	return t.addRecord(now, Info{
 		ProtocolVersion: ProtocolVersion,
 		Name:            o.Name,
 		Role:            o.Role,
@@ -156,9 +156,9 @@
 	})
 }
 
-// observerEnded reports whether this process sees an observer as failed or left, so that
+// observerFailedOrLeft reports whether this process sees an observer as failed or left, so that
 // its last observations do not count any more.
-func (t *Tracker) observerEnded(observer string) bool {
+func (t *Tracker) observerFailedOrLeft(observer string) bool {
 	m := t.members[observer]
 	return m != nil && (m.ownState == Failed || m.ownState == Left)
 }
--- a/internal/member/messages_fuzz_test.go
+++ b/internal/member/messages_fuzz_test.go
@@ -11,9 +11,9 @@
 func FuzzDecodeMessages(f *testing.F) {
 	tr := newTrackerOfFive(0)
 	tr.SessionOpened(0, agentInfo("n1", "x"))
-	own, _ := json.Marshal(tr.FullReport(0))
+	fullReport, _ := json.Marshal(tr.FullReport(0))
 	info, _ := json.Marshal(controlPlaneServer("b", 3))
-	for _, seed := range [][]byte{own, info, []byte("{}"), []byte(`{"f":2,"n":"b"}`), []byte(`{"f":1,"n":"b","o":[{"n":"c","r":"steward","s":"present","t":-1}]}`), nil} {
+	for _, seed := range [][]byte{fullReport, info, []byte("{}"), []byte(`{"f":2,"n":"b"}`), []byte(`{"f":1,"n":"b","o":[{"n":"c","r":"steward","s":"present","t":-1}]}`), nil} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/member/reconfiguration_test.go
+++ b/internal/member/reconfiguration_test.go
@@ -50,8 +50,8 @@
 
 func (f *voterFleet) hasQuorum() bool { return f.presentVoters() >= len(f.Voters)/2+1 }
 
-// toggle has a server fail, or come back if it has failed.
-func (f *voterFleet) toggle(name string) {
+// toggleFailure has a server fail, or come back if it has failed.
+func (f *voterFleet) toggleFailure(name string) {
 	f.Present[name] = !f.Present[name]
 	if !f.Present[name] {
 		f.Failed[name] = 0
@@ -63,15 +63,15 @@
 	}
 }
 
-// pass lets time pass for the failed servers.
-func (f *voterFleet) pass(d time.Duration) {
+// advanceTime lets time pass for the failed servers.
+func (f *voterFleet) advanceTime(d time.Duration) {
 	for name := range f.Failed {
 		f.Failed[name] += d
 	}
 }
 
-// step carries out the next reconfiguration, if there is one, and checks it.
-func (f *voterFleet) step(t *rapid.T) {
+// reconfigure carries out the next reconfiguration, if there is one, and checks it.
+func (f *voterFleet) reconfigure(t *rapid.T) {
 	hadQuorum := f.hasQuorum()
 	r, ok := NextReconfiguration(&f.VoterSet)
 	if !ok {
@@ -80,7 +80,7 @@
 	if !hadQuorum {
 		t.Fatalf("%+v without a quorum: %+v", r, f)
 	}
-	f.check(t, r)
+	f.checkReconfiguration(t, r)
 	f.apply(r)
 	if !f.hasQuorum() {
 		t.Fatalf("no quorum after %+v: %+v", r, f)
@@ -90,8 +90,8 @@
 	}
 }
 
-// check fails if a reconfiguration is more than one change, or one that is not allowed.
-func (f *voterFleet) check(t *rapid.T, r Reconfiguration) {
+// checkReconfiguration fails if a reconfiguration is more than one change, or one that is not allowed.
+func (f *voterFleet) checkReconfiguration(t *rapid.T, r Reconfiguration) {
 	changes := slices.DeleteFunc([]string{r.Add, r.Remove, r.Demote}, func(name string) bool { return name == "" })
 	switch {
 	case len(changes) != 1:
@@ -125,15 +125,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := newVoterFleet(t)
 		for range rapid.IntRange(1, 12).Draw(t, "events") {
-			f.toggle(fmt.Sprint("st-", rapid.IntRange(0, f.size-1).Draw(t, "server")))
+			f.toggleFailure(fmt.Sprint("st-", rapid.IntRange(0, f.size-1).Draw(t, "server")))
 			for range rapid.IntRange(0, 3).Draw(t, "steps") {
-				f.pass(20 * time.Second)
-				f.step(t)
+				f.advanceTime(20 * time.Second)
+				f.reconfigure(t)
 			}
 		}
-		f.pass(time.Hour)
+		f.advanceTime(time.Hour)
 		for range 20 {
-			f.step(t)
+			f.reconfigure(t)
 		}
 		present := 0
 		for _, isPresent := range f.Present {
--- a/internal/member/sessionevents.go
+++ b/internal/member/sessionevents.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// anyTime is before every time of the caller's clock.
-const anyTime = time.Duration(math.MinInt64)
+// minTime is before every time of the caller's clock.
+const minTime = time.Duration(math.MinInt64)
 
 // SessionOpened handles the start of a member's session at this process, such as an agent's
 // watch.
@@ -51,43 +51,43 @@
 	}
 }
 
-// updateSession updates the state of a member without an open session: a deadline may have passed,
+// updateSessionState updates the state of a member without an open session: a deadline may have passed,
 // or another observer may have the member's session now.
-func (t *Tracker) updateSession(now time.Duration, m *memberRecord) {
+func (t *Tracker) updateSessionState(now time.Duration, m *memberRecord) {
 	switch {
 	case m.openSessions > 0:
 	case m.deadline > 0 && now >= m.deadline:
-		t.sessionDeadline(now, m)
-	case (m.ownState == Suspect || m.ownState == Failed || m.ownState == Left) && t.seenByOthers(m, m.ownStateSince):
+		t.handleSessionDeadline(now, m)
+	case (m.ownState == Suspect || m.ownState == Failed || m.ownState == Left) && t.presentElsewhere(m, m.ownStateSince):
 		t.dropOwnState(m) // its session has moved to another observer since
 	}
 }
 
-// sessionDeadline handles a deadline that has passed: if the member's session has moved to another
+// handleSessionDeadline handles a deadline that has passed: if the member's session has moved to another
 // observer, this process's observation is dropped; otherwise the state changes from present to
 // suspect, or from suspect to failed.
-func (t *Tracker) sessionDeadline(now time.Duration, m *memberRecord) {
+func (t *Tracker) handleSessionDeadline(now time.Duration, m *memberRecord) {
 	if m.ownState != Present && m.ownState != Suspect {
 		return
 	}
-	if t.seenByOthers(m, anyTime) {
+	if t.presentElsewhere(m, minTime) {
 		t.dropOwnState(m)
 		return
 	}
 	if m.ownState == Present {
 		t.setOwnState(now, m, Suspect)
-		m.deadline = now + t.config.FailTimeout
+		m.deadline = now + t.config.SuspicionTimeout
 		return
 	}
 	t.setOwnState(now, m, Failed)
 	m.deadline = 0
 }
 
-// seenByOthers reports whether another observer sees the member as present, in the known
+// presentElsewhere reports whether another observer sees the member as present, in the known
 // incarnation since a time after the one given, or in a later incarnation.
-func (t *Tracker) seenByOthers(m *memberRecord, after time.Duration) bool {
+func (t *Tracker) presentElsewhere(m *memberRecord, after time.Duration) bool {
 	for from, o := range m.peerObservations {
-		if t.observerEnded(from) || o.State != Present {
+		if t.observerFailedOrLeft(from) || o.State != Present {
 			continue
 		}
 		if o.Incarnation > m.info.Incarnation || o.Incarnation == m.info.Incarnation && o.since > after {
--- a/internal/member/tick.go
+++ b/internal/member/tick.go
@@ -23,14 +23,14 @@
 		if m.info.Role.Gossips() {
 			t.updateOwnState(now, m)
 		} else {
-			t.updateSession(now, m)
+			t.updateSessionState(now, m)
 		}
 		if t.tombstoneExpired(now, m) {
 			delete(t.members, name)
 			t.version++
 			continue
 		}
-		if change, ok := t.publish(now, m); ok {
+		if change, ok := t.publishState(now, m); ok {
 			changes = append(changes, change)
 		}
 	}
@@ -54,15 +54,15 @@
 	return ended && now-m.ownStateSince > t.config.TombstoneRetention && len(m.peerObservations) == 0
 }
 
-// publish records a member's state in the view, and returns its change since the last Tick. It
+// publishState records a member's state in the view, and returns its change since the last Tick. It
 // returns false if the state is the same, or if no observer has an observation of the member any
 // more.
-func (t *Tracker) publish(now time.Duration, m *memberRecord) (Change, bool) {
+func (t *Tracker) publishState(now time.Duration, m *memberRecord) (Change, bool) {
 	if t.combinedState(m) == "" && m.lastPublished == Present && !m.info.Role.Gossips() {
 		// The only observer that saw the member has ended. The member has the grace period of
 		// a session that moves, and the time of a suspicion, to appear at another observer.
 		t.setOwnState(now, m, Suspect)
-		m.deadline = now + t.config.SessionGrace + t.config.FailTimeout
+		m.deadline = now + t.config.SessionGrace + t.config.SuspicionTimeout
 	}
 	state := t.combinedState(m)
 	if state == m.lastPublished {
--- a/internal/member/tracker.go
+++ b/internal/member/tracker.go
@@ -9,9 +9,9 @@
 	// is suspected.
 	PeerTimeout time.Duration
 	// SessionGrace is how long a member may be without a session, while its session moves from one
-	// server of the control plane to another, before it is suspected. FailTimeout is how
+	// server of the control plane to another, before it is suspected. SuspicionTimeout is how
 	// long it is suspected before it counts as failed.
-	SessionGrace, FailTimeout time.Duration
+	SessionGrace, SuspicionTimeout time.Duration
 	// MassFailureShare is the share of the gossiping members, 0 to 1, that may fail within
 	// MassFailureWindow. If more of them do, each of these members is Suspect until all observers
 	// agree on its failure, or until most of them do and MassFailureDelay is over.
@@ -29,7 +29,7 @@
 		Self:               self,
 		PeerTimeout:        3 * time.Second,
 		SessionGrace:       2 * time.Second,
-		FailTimeout:        time.Second,
+		SuspicionTimeout:   time.Second,
 		MassFailureShare:   0.4,
 		MassFailureWindow:  5 * time.Second,
 		MassFailureDelay:   3 * time.Second,
@@ -42,14 +42,14 @@
 // of one monotonic clock of the caller; each method's now must not be before that of an
 // earlier call. It is pure, and not safe for concurrent use.
 type Tracker struct {
-	config           Config
-	members          map[string]*memberRecord    // by name, without this process
-	observers        map[string]observerProgress // by the observer's name
-	recentFailures   []failureEvent              // of gossiping members, within the mass failure window
-	version          int64                       // of the view
-	reportSeq        int64                       // of the last report that was made
-	selfSuspectUntil time.Duration               // until then this process counts as slow and suspects no member for unanswered pings
-	counts           Counts
+	config                 Config
+	members                map[string]*memberRecord    // by name, without this process
+	observers              map[string]observerProgress // by the observer's name
+	recentFailures         []failureEvent              // of gossiping members, within the mass failure window
+	version                int64                       // of the view
+	reportSeq              int64                       // of the last report that was made
+	suppressSuspicionUntil time.Duration               // until then this process counts as slow and suspects no member for unanswered pings
+	counts                 Counts
 }
 
 // Counts holds a Tracker's counters since its start.
@@ -146,7 +146,7 @@
 			t.counts.Overflow++
 			return nil
 		}
-		m = t.newRecord(now, info)
+		m = t.addRecord(now, info)
 	case info.Incarnation < m.info.Incarnation:
 		t.counts.Stale++
 		return nil
@@ -161,8 +161,8 @@
 	return m
 }
 
-// newRecord adds a record of a member without any observation.
-func (t *Tracker) newRecord(now time.Duration, info Info) *memberRecord {
+// addRecord adds a record of a member without any observation.
+func (t *Tracker) addRecord(now time.Duration, info Info) *memberRecord {
 	m := &memberRecord{info: info, peerObservations: map[string]peerObservation{}, ownStateSince: now}
 	t.members[info.Name] = m
 	return m
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -100,25 +100,25 @@
 func (t *Tracker) combinedState(m *memberRecord) State {
 	latest := m.info.Incarnation
 	states := map[State]int{}
-	all := 0
+	total := 0
 	count := func(state State, incarnation int64) {
 		if state != "" && incarnation >= latest {
 			states[state]++
-			all++
+			total++
 		}
 	}
 	count(m.ownState, m.info.Incarnation)
 	for from, o := range m.peerObservations {
-		if !t.observerEnded(from) {
+		if !t.observerFailedOrLeft(from) {
 			count(o.State, o.Incarnation)
 		}
 	}
 	switch {
-	case all == 0:
+	case total == 0:
 		return ""
 	case m.info.Role.Gossips():
-		seenHere := m.ownState == Present || m.ownState == Joining
-		return combineGossipStates(states, all, seenHere)
+		aliveLocally := m.ownState == Present || m.ownState == Joining
+		return combineGossipStates(states, total, aliveLocally)
 	}
 	return combineSessionStates(states)
 }
@@ -137,23 +137,23 @@
 	return Failed
 }
 
-// combineGossipStates combines the observations of a member that gossips, whose number is all. The
+// combineGossipStates combines the observations of a member that gossips, whose number is total. The
 // member has left if any observer has its announcement, and otherwise has the state that the
 // majority observes. If half of the observers observe it alive, this process's own observation that
-// it is alive, seenHere, decides. Without a majority the member is suspect.
-func combineGossipStates(states map[State]int, all int, seenHere bool) State {
+// it is alive, aliveLocally, decides. Without a majority the member is suspect.
+func combineGossipStates(states map[State]int, total int, aliveLocally bool) State {
 	alive := states[Present] + states[Joining]
-	if seenHere && 2*alive == all {
-		all--
+	if aliveLocally && 2*alive == total {
+		total--
 	}
 	switch {
 	case states[Left] > 0:
 		return Left
-	case 2*alive > all && states[Present] == 0:
+	case 2*alive > total && states[Present] == 0:
 		return Joining
-	case 2*alive > all:
+	case 2*alive > total:
 		return Present
-	case 2*states[Failed] > all:
+	case 2*states[Failed] > total:
 		return Failed
 	}
 	return Suspect
--- a/internal/member/wire_test.go
+++ b/internal/member/wire_test.go
@@ -40,7 +40,7 @@
 // TestRecordedMessagesAreRead decodes a member's Info and an observer's report that were recorded,
 // and encodes them to the same text.
 func TestRecordedMessagesAreRead(t *testing.T) {
-	same := func(file string, decode func(text []byte) (any, error)) {
+	checkRoundTrip := func(file string, decode func(text []byte) (any, error)) {
 		t.Helper()
 		text, err := os.ReadFile(golden.Path(file))
 		if err != nil {
@@ -50,14 +50,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := json.Marshal(v)
+		encoded, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if string(again) != string(text) {
-			t.Errorf("%s is encoded as\n%s, and was\n%s", file, again, text)
+		if string(encoded) != string(text) {
+			t.Errorf("%s is encoded as\n%s, and was\n%s", file, encoded, text)
 		}
 	}
-	same("info.json", func(text []byte) (any, error) { return DecodeInfo(text) })
-	same("report.json", func(text []byte) (any, error) { return DecodeReport(text) })
+	checkRoundTrip("info.json", func(text []byte) (any, error) { return DecodeInfo(text) })
+	checkRoundTrip("report.json", func(text []byte) (any, error) { return DecodeReport(text) })
 }
