--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,4 +1,4 @@
-// Package table writes tables for people, on a terminal or in a Markdown page. It keeps no state.
+// Package table renders human-readable tables for terminals and Markdown pages. It is stateless.
 package table
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/olekukonko/tablewriter/tw"
 )
 
-// Terminal writes a table without a frame. Its cells are aligned to the right if they are numbers, and
-// to the left otherwise. It returns an error if the table can't be laid out, or the first one of w.
+// Terminal writes a table without borders. Cells are aligned to the right if numeric is set, and to the
+// left otherwise. It returns an error if the layout fails, or the first write error of w.
 func Terminal(w io.Writer, numeric bool, header []string, rows [][]string) error {
 	rendition := tw.Rendition{
 		Symbols: tw.NewSymbols(tw.StyleLight),
@@ -29,13 +29,13 @@
 	return write(w, renderer.NewBlueprint(rendition), alignment, header, rows)
 }
 
-// Markdown writes a Markdown table with its cells aligned to the right. Its errors are those of
+// Markdown writes a Markdown table with cells aligned to the right. It returns the same errors as
 // Terminal.
 func Markdown(w io.Writer, header []string, rows [][]string) error {
 	return write(w, renderer.NewMarkdown(), tw.AlignRight, header, rows)
 }
 
-// write lays a table out for a renderer and writes it.
+// write lays out a table with a renderer and writes it to w.
 func write(w io.Writer, r tw.Renderer, alignment tw.Align, header []string, rows [][]string) error {
 	out := &errorRecorder{w: w}
 	t := tablewriter.NewTable(out, tablewriter.WithRenderer(r), tablewriter.WithHeaderAutoFormat(tw.Off),
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// errorRecorder is a writer that keeps the first error of another one, as the renderer drops it.
+// errorRecorder wraps a writer and records its first error, which the renderer discards.
 type errorRecorder struct {
 	w   io.Writer
 	err error
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Text is aligned to the left, numbers and the cells of Markdown to the right.
+// TestTableText checks that text is aligned to the left, and numbers and the cells of Markdown to the right.
 func TestTableText(t *testing.T) {
 	header := []string{"name", "calls"}
 	rows := [][]string{{"a", "7"}, {"bcdef", "1200"}}
@@ -41,7 +41,7 @@
 
 func (failingWriter) Write([]byte) (int, error) { return 0, errDiskFull }
 
-// The error of the writer is returned.
+// TestTableReturnsErrorOfWriter checks that a write error is returned.
 func TestTableReturnsErrorOfWriter(t *testing.T) {
 	header, rows := []string{"name"}, [][]string{{"a"}}
 	for name, err := range map[string]error{"terminal": Terminal(failingWriter{}, false, header, rows), "markdown": Markdown(failingWriter{}, header, rows)} {
