--- a/internal/member/agreement_test.go
+++ b/internal/member/agreement_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// agreementFleet is three observers that send each other reports over a network that loses
-// and delays them, and three agents and a server that they observe.
+// agreementFleet simulates three observers that send each other reports over a network that loses
+// and delays them, and the three agents and one server that they observe.
 type agreementFleet struct {
 	now          time.Duration
 	names        []string // of the observers
@@ -46,7 +46,7 @@
 	return f
 }
 
-// step lets a tenth of a second pass: reports are sent and delivered, and the Trackers tick.
+// step advances the time by 100 ms: reports are sent and delivered, and the Trackers tick.
 func (f *agreementFleet) step(t *rapid.T, lossy bool) {
 	f.now += 100 * time.Millisecond
 	for _, name := range f.names {
@@ -59,7 +59,7 @@
 	}
 }
 
-// sendReport sends what has changed at an observer, and once a second a full report.
+// sendReport sends an observer's pending report, or once a second a full report.
 func (f *agreementFleet) sendReport(t *rapid.T, observer string, lossy bool) {
 	r, pending := f.trackers[observer].PendingReport(f.now, 4)
 	if f.now%time.Second == 0 {
@@ -98,18 +98,19 @@
 	f.inFlight = later
 }
 
-// checkIncarnations fails if a member's incarnation in an observer's view has fallen.
+// checkIncarnations fails if a member's incarnation in an observer's view has decreased.
 func (f *agreementFleet) checkIncarnations(t *rapid.T, observer string) {
 	for _, e := range f.trackers[observer].View(f.now).Members {
 		key := observer + e.Name
 		if e.Role != RoleControlPlane && e.Incarnation < f.incarnations[key] {
-			t.Fatalf("%s: %s is of incarnation %d, and was of %d", observer, e.Name, e.Incarnation, f.incarnations[key])
+			t.Fatalf("%s: the incarnation of %s is %d, and was %d before", observer, e.Name, e.Incarnation, f.incarnations[key])
 		}
 		f.incarnations[key] = e.Incarnation
 	}
 }
 
-// applyRandomEvent draws one event: a session that opens, moves or closes, or a server's heartbeat.
+// applyRandomEvent draws and applies one event: a session opens, moves or closes, or a server sends a
+// heartbeat.
 func (f *agreementFleet) applyRandomEvent(t *rapid.T) {
 	agent, at := fmt.Sprint("n", rapid.IntRange(0, 2).Draw(t, "agent")), rapid.SampledFrom(f.names).Draw(t, "at")
 	switch rapid.SampledFrom([]string{"open", "move", "close", "server"}).Draw(t, "event") {
@@ -135,12 +136,12 @@
 func (f *agreementFleet) checkSessions(t *rapid.T) {
 	for agent, at := range f.sessions {
 		if v := f.trackers[at].View(f.now); v.State(agent) != Present {
-			t.Fatalf("%s has a session at %s, which has it as %q", agent, at, v.State(agent))
+			t.Fatalf("%s has an open session at %s, which sees it as %q", agent, at, v.State(agent))
 		}
 	}
 }
 
-// checkAgreement fails if the views differ, or do not show which sessions are open.
+// checkAgreement fails if the views differ, or if they do not match the open sessions.
 func (f *agreementFleet) checkAgreement(t *rapid.T) {
 	for _, name := range f.names {
 		v := f.trackers[name].View(f.now)
@@ -148,18 +149,18 @@
 			agent := fmt.Sprint("n", i)
 			state, open := v.State(agent), f.sessions[agent] != ""
 			if open != (state == Present) || f.everOpened[agent] && !open && state != Failed {
-				t.Fatalf("in the end the session of %s is open at %q, %s has it as %q: %+v", agent, f.sessions[agent], name, state, v.Members)
+				t.Fatalf("at the end the session of %s is open at %q, but %s sees it as %q: %+v", agent, f.sessions[agent], name, state, v.Members)
 			}
 		}
 		if first := f.trackers["a"].View(f.now); first.State("s") != v.State("s") {
-			t.Fatalf("in the end s is %q and %q", first.State("s"), v.State("s"))
+			t.Fatalf("at the end s is %q for one observer and %q for another", first.State("s"), v.State("s"))
 		}
 	}
 }
 
-// TestObserversAgree shows, with sessions that move and reports that are lost and late, that
-// an open session is present for its observer, that an incarnation never falls, and that
-// once nothing happens any more all views are equal and right.
+// TestObserversAgree checks, with sessions that move and reports that are lost and delayed, that a
+// member with an open session is present for the observer that has the session, and that an
+// incarnation never decreases. Once events and losses stop, all views must be equal and correct.
 func TestObserversAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newAgreementFleet()
--- a/internal/member/compare.go
+++ b/internal/member/compare.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Difference is a member about which the observers disagree.
+// Difference describes a member about which observers disagree.
 type Difference struct {
 	Name      string            `json:"name"`
 	Role      Role              `json:"role"`
-	States    map[string]string `json:"says"`             // by observer: the state of the member
-	ForMs     int64             `json:"for_ms"`           // since the last change of an observer's state
+	States    map[string]string `json:"says"`             // state of the member, by observer
+	ForMs     int64             `json:"for_ms"`           // since an observer last changed its state
 	Dissenter string            `json:"alone,omitempty"`  // the only observer that disagrees with all others
-	UnknownTo []string          `json:"absent,omitempty"` // observers that do not know the member
+	UnknownTo []string          `json:"absent,omitempty"` // observers without an opinion of the member
 }
 
 // ownOpinion is an observer's own opinion of a member.
@@ -21,9 +21,9 @@
 	role Role // of the member
 }
 
-// CompareViews returns the members about which the views of several processes differ, by
-// name. Only each process's own opinion counts: the other opinions in its view would count
-// twice.
+// CompareViews returns the members about which the views of several processes differ, sorted by
+// name. It uses only each process's own opinions: opinions that a view contains from other
+// observers would be counted twice.
 func CompareViews(views []View) (differences []Difference) {
 	for name, opinions := range ownOpinions(views) {
 		if d, differs := compareOpinions(views, name, opinions); differs {
@@ -34,10 +34,10 @@
 	return differences
 }
 
-// opinionsByObserver is the opinions of one member, by the name of the observer.
+// opinionsByObserver maps the name of an observer to its opinion of one member.
 type opinionsByObserver map[string]ownOpinion
 
-// ownOpinions returns, by member, the opinions that observers have of others.
+// ownOpinions returns the observers' own opinions of other members, by member.
 func ownOpinions(views []View) map[string]opinionsByObserver {
 	opinions := map[string]opinionsByObserver{}
 	for i := range views {
@@ -58,7 +58,7 @@
 	return opinions
 }
 
-// compareOpinions compares the opinions of one member, and reports whether they differ.
+// compareOpinions compares the opinions about one member, and reports whether they differ.
 func compareOpinions(views []View, name string, opinions opinionsByObserver) (Difference, bool) {
 	d := Difference{Name: name, States: map[string]string{}, ForMs: -1}
 	observers := map[State][]string{}
@@ -79,16 +79,16 @@
 		return Difference{}, false
 	}
 	if !d.Role.Gossips() && len(observers[Present]) > 0 && len(incarnations) < 2 {
-		// The member's session has moved: an observer that has lost it does not contradict
-		// the one that has it.
+		// The member's session has moved: the observer that had it before does not contradict
+		// the one that has it now.
 		return Difference{}, false
 	}
 	d.Dissenter = dissenter(observers, len(opinions), d.UnknownTo)
 	return d, true
 }
 
-// observersWithoutOpinion returns the processes, other than the member itself, that have no opinion of the
-// member, in the order of the views.
+// observersWithoutOpinion returns the processes, other than the member itself, that have no opinion
+// of the member, in the order of the views.
 func observersWithoutOpinion(views []View, name string, opinions opinionsByObserver) (absent []string) {
 	for i := range views {
 		from := views[i].From
@@ -99,8 +99,9 @@
 	return absent
 }
 
-// dissenter returns the only observer that disagrees with all others, or "". observers holds, by
-// state, the observers with that opinion, whose number is total; absent has those without any.
+// dissenter returns the only observer that disagrees with all others, or "". observers maps a state
+// to the observers that see the member in it, total is the number of these observers, and absent
+// lists the observers without an opinion.
 func dissenter(observers map[State][]string, total int, absent []string) string {
 	if len(observers) == 2 && total > 2 {
 		for _, names := range observers {
--- a/internal/member/compare_test.go
+++ b/internal/member/compare_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// TestCompareViews shows which members differ between views, since when, and which observer
-// disagrees alone.
+// TestCompareViews checks which members differ between views, for how long, and which observer
+// disagrees with all others.
 func TestCompareViews(t *testing.T) {
-	// view returns the view of an observer, with its own opinions and those of another one.
-	// The observer a has had its opinions for 1 s, b for 2 s, and so on.
+	// view returns the view of an observer, with its own opinions and those of another observer, x.
+	// The observer a has held its opinions for 1 s, b for 2 s, and so on.
 	view := func(observer string, states map[string]State) View {
 		v := View{From: observer}
 		for name, state := range states {
--- a/internal/member/expiry_test.go
+++ b/internal/member/expiry_test.go
@@ -9,17 +9,17 @@
 	"knotrouter/internal/endpoints"
 )
 
-// serverCondition is the true condition of a server.
+// serverCondition is the actual condition of a server, whether or not the observers detect it.
 type serverCondition int
 
 const (
 	conditionAlive        serverCondition = iota
 	conditionProcessEnded                 // its machine refuses connections
-	conditionMachineDown                  // nobody answers
+	conditionMachineDown                  // connections get no answer
 	conditionStarting                     // one observer gets an answer, the others are refused
 )
 
-// serverCase is a server: its condition, which observers have a network path to it, and
+// serverCase describes a server: its condition, which observers have a network path to it, and
 // whether its lease has expired or its renewal is only late.
 type serverCase struct {
 	condition    serverCondition
@@ -27,12 +27,12 @@
 	leaseExpired bool
 }
 
-// observerCase is the three voters, of which the first leads.
+// observerCase describes the three voters, of which the first is the leader.
 type observerCase struct {
-	reachable      [3]bool // the leader exchanges messages with the voter; always true of itself
+	reachable      [3]bool // the leader can exchange messages with the voter; always true for itself
 	slow           [3]bool
-	noHealthChecks [3]bool // of a version that cannot check servers
-	// quorum may be false though the others' answers arrive: the leader has lost it meanwhile.
+	noHealthChecks [3]bool // its version does not support health checks
+	// quorum may be false although the other voters answer: the leader has lost it in the meantime.
 	quorum bool
 }
 
@@ -55,7 +55,7 @@
 	return AnswerSilent
 }
 
-// restricted reports whether a voter is slow or of a version that cannot check.
+// restricted reports whether a voter is slow or does not support health checks.
 func (c *observerCase) restricted() bool { return c.slow != [3]bool{} || c.noHealthChecks != [3]bool{} }
 
 func bit(n, i int) bool { return n>>i&1 == 1 }
@@ -64,8 +64,8 @@
 	return [3]bool{bit(n, first), bit(n, first+1), bit(n, first+2)}
 }
 
-// allObserverCases returns all cases of the voters, without those in which some are slow and
-// some cannot check.
+// allObserverCases returns all cases of the voters, except those with both slow voters and voters
+// without health checks.
 func allObserverCases() (all []observerCase) {
 	for n := range 512 {
 		c := observerCase{reachable: [3]bool{true, bit(n, 0), bit(n, 1)}, slow: threeBits(n, 2), noHealthChecks: threeBits(n, 5), quorum: bit(n, 8)}
@@ -89,7 +89,7 @@
 
 var threeVoters = []string{"a", "b", "c"}
 
-// expiryCase is one decision about two servers, beside others that are alive.
+// expiryCase is one decision about two servers, in a fleet with a number of others that are alive.
 type expiryCase struct {
 	observers observerCase
 	servers   [2]serverCase
@@ -112,8 +112,8 @@
 	return answers
 }
 
-// decide returns the servers that the leader removes when the lease of a server that never
-// renewed expires.
+// decide returns the servers that the leader removes at the time when the lease of a server that
+// never renewed it expires.
 func (c *expiryCase) decide(state *catalog.State, answers [2]map[string]Answer) []catalog.InstanceRef {
 	config := catalog.LeaseConfig{TTL: expiryTTL, MassFailureShare: 0.5, MassFailureWindow: 10 * time.Second}
 	leases := catalog.NewRegistrationLeases(config, state, 0)
@@ -137,7 +137,7 @@
 	return decision.Expire
 }
 
-// violation returns which promise a decision about one server breaks, or "".
+// violation returns the rule that the decision about one server violates, or "".
 func (c *expiryCase) violation(i int, answers map[string]Answer, removed [2]bool) string {
 	s := c.servers[i]
 	alive, against, refused := 0, 0, 0
@@ -156,24 +156,24 @@
 	mustRemove := c.observers.quorum && alive == 0 && (s.leaseExpired && against >= 2 || refused >= 2)
 	switch {
 	case !removed[i] && mustRemove && !massFailure:
-		return "a server that has failed stays"
+		return "a failed server was not removed"
 	case !removed[i]:
 		return ""
 	case !c.observers.quorum:
-		return "removed without the quorum"
+		return "removed without a quorum"
 	case against < 2:
-		return "removed by one observer alone"
+		return "removed by a single observer"
 	case alive >= 2:
-		return "removed though most see it"
+		return "removed although most voters see it alive"
 	case !s.leaseExpired && (refused < 2 || alive > 0 || s.condition == conditionAlive):
-		return "removed before its lease expired, and not refused by most"
+		return "removed before its lease expired, without refused connections from most voters"
 	case massFailure && removed[1-i]:
-		return "all removed at once"
+		return "all servers removed at once"
 	}
 	return ""
 }
 
-// newRegistrations returns a state with that many registered servers.
+// newRegistrations returns a state with n registered servers.
 func newRegistrations(n int) *catalog.State {
 	state := catalog.New()
 	for i := range n {
@@ -183,14 +183,14 @@
 	return state
 }
 
-// allExpiryCases yields all cases of two servers beside that many others.
+// allExpiryCases calls yield for all cases of two servers in a fleet with the given number of others.
 func allExpiryCases(others int, yield func(c *expiryCase)) {
 	servers := allServerCases()
 	for _, observers := range allObserverCases() {
 		for _, a := range servers {
 			for _, b := range servers {
 				if (others == 0 || b.condition == conditionStarting) && observers.restricted() {
-					continue // the other conditions beside others show what restricted voters do
+					continue // restricted voters are covered by the other conditions, in a fleet with others
 				}
 				yield(&expiryCase{observers, [2]serverCase{a, b}, others})
 			}
@@ -198,13 +198,13 @@
 	}
 }
 
-// TestExpiryNeedsAMajorityOfVoters decides for each state of three observers and two servers,
-// with the guard against mass failures and without: a server that most see stays, one
-// observer alone removes none, without the quorum none is removed, and a server that has
-// failed is removed where that is promised, with its lease expired or its renewal late.
+// TestExpiryNeedsAMajorityOfVoters checks the decisions for each state of three observers and two
+// servers, with and without the guard against mass failures: a server that most voters see alive
+// stays, a single observer removes none, without a quorum none is removed, and a server that has
+// failed is removed when the evidence suffices, with its lease expired or its renewal late.
 func TestExpiryNeedsAMajorityOfVoters(t *testing.T) {
 	cases, removals, retained := 0, 0, 0
-	for _, others := range []int{0, 4} { // without others, both servers at once are a mass failure
+	for _, others := range []int{0, 4} { // without others, removing both servers at once is a mass failure
 		state := newRegistrations(2 + others)
 		allExpiryCases(others, func(c *expiryCase) {
 			cases++
@@ -227,7 +227,7 @@
 		})
 	}
 	if cases < 300_000 || removals < 10_000 || retained < 10_000 {
-		t.Errorf("%d cases, %d removed, %d retained: that shows little", cases, removals, retained)
+		t.Errorf("%d cases, %d removed, %d retained: too few for a meaningful test", cases, removals, retained)
 	}
 	t.Logf("%d cases, %d removed, %d retained", cases, removals, retained)
 }
--- a/internal/member/gossipevents.go
+++ b/internal/member/gossipevents.go
@@ -3,11 +3,11 @@
 import "time"
 
 // MemberAlive handles the gossip library's notification that a member is alive or has
-// changed its Info. An Info of an earlier incarnation is counted as stale and changes nothing.
+// changed its Info. An Info of an earlier incarnation is counted as stale and ignored.
 func (t *Tracker) MemberAlive(now time.Duration, info Info) {
 	if m := t.members[info.Name]; m != nil && info.Incarnation == 0 {
-		// The member has restarted and the catalog has not assigned its incarnation yet. The
-		// library orders its own messages, so this one is the latest.
+		// The member has restarted and the catalog has not assigned its new incarnation yet. The
+		// library orders its messages, so this one is the latest.
 		info.Incarnation = m.info.Incarnation
 	}
 	m := t.upsert(now, info)
@@ -22,9 +22,9 @@
 }
 
 // MemberDead handles the gossip library's notification that a member has failed or left. A failure
-// during a mass failure, or while this process is RecentlyPaused, is deferred: the member is Suspect
-// until all observers agree on the failure, or until most of them do and Config.MassFailureDelay is
-// over.
+// during a mass failure, or while RecentlyPaused returns true, is deferred: the member is Suspect
+// until all observers agree on the failure, or until most of them agree and Config.MassFailureDelay
+// has passed.
 func (t *Tracker) MemberDead(now time.Duration, name string) {
 	m := t.members[name]
 	if m == nil || m.reportedDead {
@@ -41,15 +41,15 @@
 	t.updateOwnState(now, m)
 }
 
-// ExpectPeer records that this process pings a member from now on. The member is Suspect once it
-// has not answered for Config.PeerTimeout.
+// ExpectPeer records that this process pings a member from now on. The member becomes Suspect when
+// it has not answered for Config.PeerTimeout.
 func (t *Tracker) ExpectPeer(now time.Duration, name string) {
 	if m := t.members[name]; m != nil && !m.directPeer {
 		m.directPeer, m.lastContact = true, now
 	}
 }
 
-// PeerAnswered handles a member's answer to a ping of this process.
+// PeerAnswered handles a member's answer to a ping from this process.
 func (t *Tracker) PeerAnswered(now time.Duration, name string) {
 	if m := t.members[name]; m != nil {
 		m.lastContact = max(m.lastContact, now)
@@ -57,7 +57,7 @@
 	}
 }
 
-// Paused handles a pause of this process itself, which ended now: all deadlines move by its
+// Paused handles a pause of this process that has just ended. All deadlines are extended by its
 // duration, and for Config.MassFailureDelay no member is suspected for unanswered pings.
 func (t *Tracker) Paused(now, duration time.Duration) {
 	t.suppressSuspicionUntil = max(t.suppressSuspicionUntil, now+t.config.MassFailureDelay)
@@ -75,12 +75,12 @@
 	}
 }
 
-// RecentlyPaused reports whether this process was paused within Config.MassFailureDelay, so that an
-// answer that it missed is no evidence against another process.
+// RecentlyPaused reports whether this process was paused within the last Config.MassFailureDelay. If
+// so, an answer that it missed is no evidence against another process.
 func (t *Tracker) RecentlyPaused(now time.Duration) bool { return now < t.suppressSuspicionUntil }
 
 // massFailure reports whether more than Config.MassFailureShare of the gossiping members, and more
-// than one, failed within the window. It drops the failures before the window.
+// than one, failed within Config.MassFailureWindow. It discards failures before the window.
 func (t *Tracker) massFailure(now time.Duration) bool {
 	for len(t.recentFailures) > 0 && now-t.recentFailures[0].at > t.config.MassFailureWindow {
 		t.recentFailures = t.recentFailures[1:]
@@ -90,8 +90,8 @@
 	return len(failed) > allowed
 }
 
-// recentlyFailed returns the names of the members that failed within the window and have not come
-// back.
+// recentlyFailed returns the names of the members that failed within the window and have not
+// recovered.
 func (t *Tracker) recentlyFailed() map[string]bool {
 	failed := map[string]bool{}
 	for _, failure := range t.recentFailures {
@@ -102,8 +102,8 @@
 	return failed
 }
 
-// countGossiping returns the number of the gossiping members, this process included, that are
-// alive here or have recently failed.
+// countGossiping returns the number of gossiping members, including this process, that this process
+// sees as present, suspect or joining, or that are in failed.
 func (t *Tracker) countGossiping(failed map[string]bool) int {
 	members := 1 // this process
 	for name, m := range t.members {
@@ -114,7 +114,7 @@
 	return members
 }
 
-// updateOwnState derives this process's observation of a gossiping member.
+// updateOwnState updates this process's observation of a gossiping member, and ignores other members.
 func (t *Tracker) updateOwnState(now time.Duration, m *memberRecord) {
 	if m.info.Role.Gossips() {
 		t.setOwnState(now, m, t.gossipState(now, m))
@@ -122,13 +122,13 @@
 }
 
 // gossipState returns the state of a gossiping member as this process observes it. It clears the
-// deadline of a failure that is believed.
+// deadline of a confirmed failure.
 func (t *Tracker) gossipState(now time.Duration, m *memberRecord) State {
 	switch {
 	case m.info.ShuttingDown && m.reportedDead:
 		return Left
 	case m.reportedDead && m.directPeer && now-m.lastContact < t.config.PeerTimeout/2:
-		// It has just answered a ping, so it may have been its earlier incarnation that died.
+		// It has just answered a ping, so the report may be about its earlier incarnation.
 		return Suspect
 	case m.reportedDead && m.deadline > 0 && !t.failureConfirmed(now, m):
 		return Suspect
@@ -143,13 +143,13 @@
 	return Present
 }
 
-// minAgreeingObservers is the least number of observers, this process included, that confirm a
-// deferred failure.
+// minAgreeingObservers is the minimum number of observers, including this process, that must agree
+// to confirm a deferred failure.
 const minAgreeingObservers = 2
 
-// failureConfirmed reports whether a deferred failure is believed: most of the observers
-// that are present, and at least minAgreeingObservers, have to agree. Before the deadline
-// all of them have to.
+// failureConfirmed reports whether a deferred failure is confirmed: most of the observers that are
+// present or joining, and at least minAgreeingObservers, must agree. Before the deadline all of them
+// must agree.
 func (t *Tracker) failureConfirmed(now time.Duration, m *memberRecord) bool {
 	agreeing, observers := 1, 1 // this process
 	for name, observer := range t.members {
--- a/internal/member/info.go
+++ b/internal/member/info.go
@@ -7,19 +7,19 @@
 	"knotrouter/internal/endpoints"
 )
 
-// ProtocolVersion is the version of the messages that members send each other.
+// ProtocolVersion is the version of the messages between members.
 const ProtocolVersion = 1
 
-// MaxMembers bounds the members of a Tracker and of a Report.
+// MaxMembers is the maximum number of members of a Tracker and of observations in a Report.
 const MaxMembers = 4096
 
-// maxTextBytes bounds the fields of an Info that are not names.
+// maxTextBytes is the maximum length of an Info's ProgramVersion and InstanceID.
 const maxTextBytes = 64
 
-// Role is the part that a member plays in the fleet. Its values stand on the wire.
+// Role is the kind of process that a member is. The values are part of the wire format.
 type Role string
 
-// The roles. Servers of the control plane and workers gossip; an agent or a server has a
+// Values of Role. Servers of the control plane and workers gossip; an agent or a server has a
 // session at a server of the control plane.
 const (
 	RoleControlPlane Role = "steward"
@@ -31,30 +31,30 @@
 // Gossips reports whether members of the role take part in gossip themselves.
 func (r Role) Gossips() bool { return r == RoleControlPlane || r == RoleWorker }
 
-// known reports whether the role is one that this build reads.
+// known reports whether this build knows the role.
 func (r Role) known() bool {
 	return r == RoleControlPlane || r == RoleWorker || r == RoleAgent || r == RoleServer
 }
 
-// State is the state of a member as an observer sees it. Its values stand on the wire. The
+// State is the state of a member as an observer sees it. The values are part of the wire format. The
 // empty state means that the observer has no observation of the member.
 type State string
 
-// The states.
+// Values of State.
 const (
-	Joining State = "joining" // alive, and without an incarnation from the catalog yet
+	Joining State = "joining" // alive, but without an incarnation from the catalog yet
 	Present State = "present"
 	Suspect State = "suspect" // it doesn't answer, or observers disagree
 	Left    State = "left"    // it announced its shutdown
 	Failed  State = "failed"
 )
 
-// known reports whether the state is one that this build reads.
+// known reports whether this build knows the state.
 func (s State) known() bool {
 	return s == Joining || s == Present || s == Suspect || s == Left || s == Failed
 }
 
-// ProtocolVersions holds the latest versions that a process reads: of the messages between
+// ProtocolVersions holds the highest versions that a process supports: of the messages between
 // members and of the catalog's commands.
 type ProtocolVersions struct {
 	Gossip  int `json:"g"`
@@ -69,26 +69,25 @@
 	Zone            string           `json:"z,omitempty"`
 	ProgramVersion  string           `json:"v,omitempty"`
 	Versions        ProtocolVersions `json:"s"`
-	// Incarnation is a number from the catalog that grows with each start of the process.
-	// It is 0 until the catalog has assigned one.
+	// Incarnation is a number that the catalog assigns and that grows with each start of the
+	// process. It is 0 until the catalog has assigned one.
 	Incarnation  int64 `json:"i,omitempty"`
 	ShuttingDown bool  `json:"l,omitempty"` // a planned shutdown has begun
-	// InstanceID distinguishes processes of the same name. For a member that gossips it
-	// belongs to the folder with its state, and so survives a restart; for an agent it is
-	// drawn at each start.
+	// InstanceID distinguishes processes of the same name. A member that gossips stores it in
+	// its state folder, so it survives a restart; an agent generates it at each start.
 	InstanceID string `json:"d,omitempty"`
 }
 
-// UnsupportedVersionError means that a message has a version that this build does not read.
+// UnsupportedVersionError means that this build does not support the version of a message.
 type UnsupportedVersionError struct{ Version int }
 
 // Error names both versions.
 func (e *UnsupportedVersionError) Error() string {
-	return fmt.Sprintf("form %d, this build reads form %d", e.Version, ProtocolVersion)
+	return fmt.Sprintf("message version %d is not supported, this build reads version %d", e.Version, ProtocolVersion)
 }
 
-// InvalidMessageError means that an Info or a Report was decoded and breaks a rule of its form. JSON
-// that can't be decoded is not an InvalidMessageError.
+// InvalidMessageError means that an Info or a Report is too large or has an invalid field. JSON that
+// can't be decoded is not an InvalidMessageError.
 type InvalidMessageError struct{ Problem string }
 
 // Error names the invalid part of the message and says what is wrong.
@@ -99,7 +98,7 @@
 	return &InvalidMessageError{fmt.Sprintf(format, args...)}
 }
 
-// Validate returns an *UnsupportedVersionError if this build does not read the version, and an
+// Validate returns an *UnsupportedVersionError if this build does not support the version, and an
 // *InvalidMessageError for the first invalid field.
 func (i *Info) Validate() error {
 	switch {
@@ -108,7 +107,7 @@
 	case !endpoints.IsToken(i.Name, endpoints.MaxName):
 		return invalidMessage("name: must be a word")
 	case !i.Role.known():
-		return invalidMessage("role: unknown word %q", i.Role)
+		return invalidMessage("role: unknown role %q", i.Role)
 	case i.Zone != "" && !endpoints.IsToken(i.Zone, endpoints.MaxLabel),
 		len(i.ProgramVersion) > maxTextBytes, len(i.InstanceID) > maxTextBytes:
 		return invalidMessage("zone, program, id: must be words")
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -8,15 +8,15 @@
 // peerObservation is the last observation of a member that another observer reported.
 type peerObservation struct {
 	Observation
-	since      time.Duration // since when the observer has seen the state, by this process's clock
+	since      time.Duration // when the observer first saw the state, by this process's clock
 	receivedAt time.Duration
-	// seq is that of the report. Partial reports arrive in any order, so each observation is
-	// compared with the last one about the same member.
+	// seq is the sequence number of the report. Partial reports arrive in any order, so each
+	// observation is compared with the last one about the same member.
 	seq int64
 }
 
-// observerProgress identifies the latest boot of an observer, and its last full report, that were
-// received.
+// observerProgress identifies the latest boot of an observer and the last full report received from
+// it.
 type observerProgress struct {
 	incarnation int64
 	bootID      string
@@ -24,8 +24,8 @@
 }
 
 // MergeReport stores the observations of another observer, and reports whether any of them
-// was new, so that the report is worth passing on. Reports of a sender that is not a known
-// server of the control plane, and stale ones, are counted and change nothing.
+// was new, in which case the report is worth forwarding. Stale reports, and reports of a sender
+// that is not a known server of the control plane, are counted and ignored.
 func (t *Tracker) MergeReport(now time.Duration, r *Report) (changed bool) {
 	sender := t.members[r.From]
 	if sender == nil || sender.info.Role != RoleControlPlane {
@@ -47,13 +47,13 @@
 	return changed
 }
 
-// acceptReport updates the progress of the report's observer. It returns false, and
-// changes nothing, if the report is of an earlier boot of the observer or older than the
-// observer's last full report.
+// acceptReport updates the progress of the report's observer. It returns false, and changes
+// nothing, if the report is from an earlier boot of the observer or not newer than the observer's
+// last full report.
 func (t *Tracker) acceptReport(r *Report) bool {
 	progress := t.observers[r.From]
 	incarnation := r.Incarnation
-	if incarnation == 0 { // the observer has just started, and has none yet
+	if incarnation == 0 { // the observer has just started and has no incarnation yet
 		incarnation = progress.incarnation
 	}
 	sameBoot := r.BootID == progress.bootID
@@ -63,9 +63,9 @@
 	case sameBoot && r.Seq <= progress.fullSeq:
 		return false
 	case incarnation == progress.incarnation && !sameBoot && progress.bootID != "" && !r.Full:
-		// The order of two boots with one incarnation is not known. A full report
-		// comes from the observer itself, so its boot is the current one; a partial report is
-		// passed on by others and may be of the earlier boot.
+		// Two boots with the same incarnation can't be ordered. A full report comes from the
+		// observer itself, so its boot is the current one; a partial report is forwarded by
+		// other members and may be from the earlier boot.
 		return false
 	}
 	if !sameBoot {
@@ -79,8 +79,8 @@
 	return true
 }
 
-// resetSequence has any report of the observer count as newer than its stored observations:
-// the sequence numbers of a new boot begin again.
+// resetSequence makes any report of the observer newer than its stored observations, as a new
+// boot restarts the sequence numbers.
 func (t *Tracker) resetSequence(observer string) {
 	for _, m := range t.members {
 		if o, ok := m.peerObservations[observer]; ok {
@@ -91,7 +91,7 @@
 }
 
 // dropOmitted removes the sender's earlier observations of members that its full report
-// does not contain.
+// omits.
 func (t *Tracker) dropOmitted(r *Report) {
 	for _, m := range t.members {
 		o, ok := m.peerObservations[r.From]
@@ -156,8 +156,8 @@
 	})
 }
 
-// observerFailedOrLeft reports whether this process sees an observer as failed or left, so that
-// its last observations do not count any more.
+// observerFailedOrLeft reports whether this process sees an observer as failed or left. The
+// observations of such an observer no longer count.
 func (t *Tracker) observerFailedOrLeft(observer string) bool {
 	m := t.members[observer]
 	return m != nil && (m.ownState == Failed || m.ownState == Left)
--- a/internal/member/messages_fuzz_test.go
+++ b/internal/member/messages_fuzz_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// FuzzDecodeMessages shows that any text from the network is rejected or leaves the Tracker
-// in order.
+// FuzzDecodeMessages checks that any text from the network is either rejected or leaves the Tracker
+// in a consistent state.
 func FuzzDecodeMessages(f *testing.F) {
 	tr := newTrackerOfFive(0)
 	tr.SessionOpened(0, agentInfo("n1", "x"))
--- a/internal/member/reconfiguration.go
+++ b/internal/member/reconfiguration.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// VoterSet is the control plane's servers as the leader sees them.
+// VoterSet describes the servers of the control plane as the leader sees them.
 type VoterSet struct {
 	Voters        []string
-	NonVoters     []string                 // replicas that do not vote and have caught up with the log
+	NonVoters     []string                 // non-voting replicas that have caught up with the log
 	Failed        map[string]time.Duration // for how long the view has shown a server as failed
 	Present       map[string]bool          // whether the view shows a server as present
 	Leader        string
@@ -16,7 +16,7 @@
 	ReplaceAfter  time.Duration // how long a voter has to have failed before it is replaced
 }
 
-// Reconfiguration is one change of the voters; exactly one field is set.
+// Reconfiguration is a single change of the set of voters; exactly one field is set.
 type Reconfiguration struct {
 	Add    string // a non-voter that becomes a voter
 	Remove string // a failed voter that is removed from the quorum
@@ -24,9 +24,9 @@
 }
 
 // NextReconfiguration returns the next change towards the desired number of voters, all of
-// them present, and whether there is one. It proposes one change at a time, and only one
-// before and after which the servers that are present make a quorum. A failed voter is
-// replaced by adding a non-voter first and removing the failed one then.
+// them present, and whether there is one. It proposes one change at a time, and only if the
+// present voters form a quorum before and after the change. To replace a failed voter, it
+// first adds a non-voter and then removes the failed voter.
 func NextReconfiguration(set *VoterSet) (Reconfiguration, bool) {
 	if set.DesiredVoters <= 0 {
 		return Reconfiguration{}, false
@@ -46,7 +46,7 @@
 	case n > set.DesiredVoters && failed != "" && present >= (n-1)/2+1:
 		return Reconfiguration{Remove: failed}, true
 	case n > set.DesiredVoters && present == n:
-		// A voter that was being replaced has come back, so one is left over.
+		// A voter that was being replaced has recovered, so there is one voter too many.
 		if voter := set.lastFollower(); voter != "" {
 			return Reconfiguration{Demote: voter}, true
 		}
@@ -56,8 +56,8 @@
 	return Reconfiguration{}, false
 }
 
-// longestFailedVoter returns the voter that failed first, of those that failed long enough
-// ago to be replaced, or "". Of equal ones it is the first by name.
+// longestFailedVoter returns the voter that has been failed for the longest time, if that is at
+// least ReplaceAfter, or "". Ties are broken by name.
 func (set *VoterSet) longestFailedVoter() (failed string) {
 	for _, voter := range slices.Sorted(slices.Values(set.Voters)) {
 		duration, isFailed := set.Failed[voter]
--- a/internal/member/reconfiguration_test.go
+++ b/internal/member/reconfiguration_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// voterFleet is a control plane whose servers fail and come back.
+// voterFleet simulates a control plane whose servers fail and recover.
 type voterFleet struct {
 	VoterSet
 	size int
 }
 
-// newVoterFleet draws a fleet of present servers.
+// newVoterFleet returns a fleet of random size in which all servers are present.
 func newVoterFleet(t *rapid.T) *voterFleet {
 	size := rapid.IntRange(3, 9).Draw(t, "servers")
 	desired := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "desired voters")
@@ -50,7 +50,7 @@
 
 func (f *voterFleet) hasQuorum() bool { return f.presentVoters() >= len(f.Voters)/2+1 }
 
-// toggleFailure has a server fail, or come back if it has failed.
+// toggleFailure makes a server fail, or recover if it has failed.
 func (f *voterFleet) toggleFailure(name string) {
 	f.Present[name] = !f.Present[name]
 	if !f.Present[name] {
@@ -59,18 +59,18 @@
 	}
 	delete(f.Failed, name)
 	if !slices.Contains(f.Voters, name) && !slices.Contains(f.NonVoters, name) {
-		f.NonVoters = append(f.NonVoters, name) // it was replaced while it was away
+		f.NonVoters = append(f.NonVoters, name) // it was replaced after it had failed
 	}
 }
 
-// advanceTime lets time pass for the failed servers.
+// advanceTime adds d to how long each failed server has been failed.
 func (f *voterFleet) advanceTime(d time.Duration) {
 	for name := range f.Failed {
 		f.Failed[name] += d
 	}
 }
 
-// reconfigure carries out the next reconfiguration, if there is one, and checks it.
+// reconfigure checks and applies the next reconfiguration, if there is one.
 func (f *voterFleet) reconfigure(t *rapid.T) {
 	hadQuorum := f.hasQuorum()
 	r, ok := NextReconfiguration(&f.VoterSet)
@@ -90,12 +90,12 @@
 	}
 }
 
-// checkReconfiguration fails if a reconfiguration is more than one change, or one that is not allowed.
+// checkReconfiguration fails if a reconfiguration is not exactly one change, or is not allowed.
 func (f *voterFleet) checkReconfiguration(t *rapid.T, r Reconfiguration) {
 	changes := slices.DeleteFunc([]string{r.Add, r.Remove, r.Demote}, func(name string) bool { return name == "" })
 	switch {
 	case len(changes) != 1:
-		t.Fatalf("not one change: %+v", r)
+		t.Fatalf("not exactly one change: %+v", r)
 	case r.Demote != "" && (f.presentVoters() < len(f.Voters) || r.Demote == f.Leader):
 		t.Fatalf("demoted %s: %+v", r.Demote, f)
 	case r.Add != "" && (!f.Present[r.Add] || slices.Contains(f.Voters, r.Add)):
@@ -117,10 +117,10 @@
 	}
 }
 
-// TestReconfigurationKeepsTheQuorum shows that, however servers fail and come back, voters
-// are changed one at a time, with a quorum of present ones before and after each change; and
-// that, once nothing fails any more, as many servers vote as are desired and all of them are
-// present, if there are enough.
+// TestReconfigurationKeepsTheQuorum checks that, however servers fail and recover, voters are
+// changed one at a time, with a quorum of present voters before and after each change. Once
+// failures stop, the number of voters must be the desired one and all voters must be present, if
+// enough servers are.
 func TestReconfigurationKeepsTheQuorum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newVoterFleet(t)
@@ -143,7 +143,7 @@
 		}
 		settled := len(f.Voters) == f.DesiredVoters && f.presentVoters() == f.DesiredVoters
 		if f.hasQuorum() && present > f.DesiredVoters && !settled {
-			t.Fatalf("in the end %v vote, present are %v, %d desired", f.Voters, f.Present, f.DesiredVoters)
+			t.Fatalf("at the end the voters are %v, present servers are %v, %d voters are desired", f.Voters, f.Present, f.DesiredVoters)
 		}
 	})
 }
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -7,7 +7,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-// maxReportBytes bounds the text of a Report.
+// maxReportBytes is the maximum size of the text of a Report.
 const maxReportBytes = 1 << 20
 
 // Observation is the state of a member as one observer sees it. An empty state withdraws
@@ -21,7 +21,7 @@
 	ForMs       int64  `json:"t"` // for how long the observer has seen this state
 }
 
-// valid reports whether all fields are within their bounds.
+// valid reports whether all fields are valid.
 func (o *Observation) valid() bool {
 	return endpoints.IsToken(o.Name, endpoints.MaxName) &&
 		o.Role.known() &&
@@ -36,18 +36,18 @@
 	ProtocolVersion int           `json:"f"`
 	From            string        `json:"n"` // name of the observer
 	Incarnation     int64         `json:"i,omitempty"`
-	Seq             int64         `json:"q"` // grows with each report of one boot of the observer
-	BootID          string        `json:"b"` // drawn at each start of the observer
+	Seq             int64         `json:"q"` // increases with each report within one boot of the observer
+	BootID          string        `json:"b"` // generated at each start of the observer
 	Full            bool          `json:"w,omitempty"`
 	Observations    []Observation `json:"o,omitempty"`
 }
 
 // DecodeReport decodes and validates the JSON text of a Report. On failure it returns the zero
-// Report and an error that wraps an *UnsupportedVersionError if this build does not read the
+// Report and an error that wraps an *UnsupportedVersionError if this build does not support the
 // version, and otherwise an *InvalidMessageError or the error of package json.
 func DecodeReport(text []byte) (Report, error) {
 	if len(text) > maxReportBytes {
-		return Report{}, fmt.Errorf("report: %w", invalidMessage("over %d bytes", maxReportBytes))
+		return Report{}, fmt.Errorf("report: %w", invalidMessage("longer than %d bytes", maxReportBytes))
 	}
 	var r Report
 	if err := json.Unmarshal(text, &r); err != nil {
@@ -59,11 +59,11 @@
 	case !endpoints.IsToken(r.From, endpoints.MaxName):
 		return Report{}, fmt.Errorf("report: %w", invalidMessage("from: must be a word"))
 	case len(r.Observations) > MaxMembers:
-		return Report{}, fmt.Errorf("report: %w", invalidMessage("%d members of at most %d", len(r.Observations), MaxMembers))
+		return Report{}, fmt.Errorf("report: %w", invalidMessage("%d observations exceed the limit of %d", len(r.Observations), MaxMembers))
 	}
 	for i := range r.Observations {
 		if !r.Observations[i].valid() {
-			return Report{}, fmt.Errorf("report: %w", invalidMessage("member %d makes no sense", i))
+			return Report{}, fmt.Errorf("report: %w", invalidMessage("observation %d is invalid", i))
 		}
 	}
 	return r, nil
--- a/internal/member/reporting.go
+++ b/internal/member/reporting.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// FullReport returns all observations of this process, by name. The caller sets the report's boot ID.
+// FullReport returns a report of all observations of this process, sorted by name. The caller sets
+// the report's boot ID.
 func (t *Tracker) FullReport(now time.Duration) Report {
 	r := t.newReport(true)
 	for _, m := range t.members {
@@ -18,9 +19,9 @@
 	return r
 }
 
-// PendingReport returns a partial report of the observations whose states have changed since the
-// last partial report that had them, at most maxObservations, and whether there are any. The caller
-// sets the report's boot ID.
+// PendingReport returns a partial report of the observations whose states have changed since they
+// were last in a partial report, at most maxObservations, and whether there are any. The caller sets
+// the report's boot ID.
 func (t *Tracker) PendingReport(now time.Duration, maxObservations int) (r Report, pending bool) {
 	var names []string
 	for name, m := range t.members {
@@ -41,7 +42,7 @@
 	return r, true
 }
 
-// newReport returns a report without observations, under the next sequence number.
+// newReport returns a report without observations, with the next sequence number.
 func (t *Tracker) newReport(full bool) Report {
 	t.reportSeq++
 	return Report{
--- a/internal/member/sessionevents.go
+++ b/internal/member/sessionevents.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// minTime is before every time of the caller's clock.
+// minTime is earlier than any time of the caller's clock.
 const minTime = time.Duration(math.MinInt64)
 
 // SessionOpened handles the start of a member's session at this process, such as an agent's
@@ -18,8 +18,8 @@
 	}
 }
 
-// SessionClosed handles the end of a session that was open at this process. The grace period of the
-// member begins with the end of its last session. Without an open session it does nothing.
+// SessionClosed handles the end of a session that was open at this process. The member's grace
+// period starts when its last session ends. Without an open session, SessionClosed does nothing.
 func (t *Tracker) SessionClosed(now time.Duration, name string) {
 	if m := t.members[name]; m != nil && m.openSessions > 0 {
 		if m.openSessions--; m.openSessions == 0 {
@@ -29,7 +29,7 @@
 	}
 }
 
-// Heartbeat handles a renewal by a member that has no session: the member is Present for the
+// Heartbeat handles a renewal by a member that has no session. The member is Present for the
 // duration validFor.
 func (t *Tracker) Heartbeat(now time.Duration, info Info, validFor time.Duration) {
 	if m := t.upsert(now, info); m != nil {
@@ -38,8 +38,8 @@
 	}
 }
 
-// Leave handles a member's own announcement that it shuts down. An announcement of an earlier
-// instance is counted as stale and changes nothing.
+// Leave handles a member's announcement of its own shutdown. An announcement of an earlier instance
+// is counted as stale and ignored.
 func (t *Tracker) Leave(now time.Duration, info Info) {
 	if m := t.members[info.Name]; m != nil && m.info.InstanceID != info.InstanceID {
 		t.counts.Stale++ // a late announcement of an earlier instance
@@ -59,13 +59,13 @@
 	case m.deadline > 0 && now >= m.deadline:
 		t.handleSessionDeadline(now, m)
 	case (m.ownState == Suspect || m.ownState == Failed || m.ownState == Left) && t.presentElsewhere(m, m.ownStateSince):
-		t.dropOwnState(m) // its session has moved to another observer since
+		t.dropOwnState(m) // its session has since moved to another observer
 	}
 }
 
-// handleSessionDeadline handles a deadline that has passed: if the member's session has moved to another
-// observer, this process's observation is dropped; otherwise the state changes from present to
-// suspect, or from suspect to failed.
+// handleSessionDeadline handles a deadline that has passed: if the member's session has moved to
+// another observer, this process's observation is dropped; otherwise the state changes from present
+// to suspect, or from suspect to failed.
 func (t *Tracker) handleSessionDeadline(now time.Duration, m *memberRecord) {
 	if m.ownState != Present && m.ownState != Suspect {
 		return
@@ -83,8 +83,8 @@
 	m.deadline = 0
 }
 
-// presentElsewhere reports whether another observer sees the member as present, in the known
-// incarnation since a time after the one given, or in a later incarnation.
+// presentElsewhere reports whether another observer sees the member as present: either in the known
+// incarnation, since a time later than after, or in a later incarnation.
 func (t *Tracker) presentElsewhere(m *memberRecord, after time.Duration) bool {
 	for from, o := range m.peerObservations {
 		if t.observerFailedOrLeft(from) || o.State != Present {
--- a/internal/member/tick.go
+++ b/internal/member/tick.go
@@ -16,7 +16,7 @@
 // Tick updates everything that depends on the time: it expires old observations, changes the states
 // whose deadlines have passed, and removes the records of members that failed or left longer than
 // Config.TombstoneRetention ago. It returns the members whose state in the view has changed since
-// the last Tick, by name. It has to be called a few times a second.
+// the last Tick, sorted by name. It must be called a few times a second.
 func (t *Tracker) Tick(now time.Duration) (changes []Change) {
 	for name, m := range t.members {
 		t.expireObservations(now, m)
@@ -55,12 +55,13 @@
 }
 
 // publishState records a member's state in the view, and returns its change since the last Tick. It
-// returns false if the state is the same, or if no observer has an observation of the member any
+// returns false if the state is unchanged, or if no observer has an observation of the member any
 // more.
 func (t *Tracker) publishState(now time.Duration, m *memberRecord) (Change, bool) {
 	if t.combinedState(m) == "" && m.lastPublished == Present && !m.info.Role.Gossips() {
-		// The only observer that saw the member has ended. The member has the grace period of
-		// a session that moves, and the time of a suspicion, to appear at another observer.
+		// No remaining observer sees the member, for instance because the only one has failed. The
+		// member may still appear at another observer, as when a session moves, until the grace
+		// period and the suspicion timeout have passed.
 		t.setOwnState(now, m, Suspect)
 		m.deadline = now + t.config.SessionGrace + t.config.SuspicionTimeout
 	}
--- a/internal/member/tracker.go
+++ b/internal/member/tracker.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Config configures a Tracker. All durations are required; Defaults has them.
+// Config configures a Tracker. All durations are required; Defaults sets them.
 type Config struct {
 	Self Info
 	// PeerTimeout is how long a peer may leave this process's own pings unanswered before it
@@ -10,11 +10,12 @@
 	PeerTimeout time.Duration
 	// SessionGrace is how long a member may be without a session, while its session moves from one
 	// server of the control plane to another, before it is suspected. SuspicionTimeout is how
-	// long it is suspected before it counts as failed.
+	// long it is suspected before it is considered failed.
 	SessionGrace, SuspicionTimeout time.Duration
 	// MassFailureShare is the share of the gossiping members, 0 to 1, that may fail within
-	// MassFailureWindow. If more of them do, each of these members is Suspect until all observers
-	// agree on its failure, or until most of them do and MassFailureDelay is over.
+	// MassFailureWindow. If more of them fail, each of these members is Suspect until all observers
+	// agree on its failure, or until most of them agree and MassFailureDelay has passed. After a
+	// pause of this process, no member is suspected for unanswered pings for MassFailureDelay.
 	MassFailureShare                    float64
 	MassFailureWindow, MassFailureDelay time.Duration
 	// ReportRetention is how long another observer's observation counts after its last report.
@@ -38,27 +39,27 @@
 	}
 }
 
-// Tracker holds what one process knows about the members of the fleet. Its times are those
-// of one monotonic clock of the caller; each method's now must not be before that of an
-// earlier call. It is pure, and not safe for concurrent use.
+// Tracker holds what one process knows about the members of the fleet. All times are those of one
+// monotonic clock of the caller; now must not be earlier than in a previous call. A Tracker does no
+// I/O and is not safe for concurrent use.
 type Tracker struct {
 	config                 Config
 	members                map[string]*memberRecord    // by name, without this process
 	observers              map[string]observerProgress // by the observer's name
 	recentFailures         []failureEvent              // of gossiping members, within the mass failure window
 	version                int64                       // of the view
-	reportSeq              int64                       // of the last report that was made
-	suppressSuspicionUntil time.Duration               // until then this process counts as slow and suspects no member for unanswered pings
+	reportSeq              int64                       // of the last report
+	suppressSuspicionUntil time.Duration               // after a pause, no member is suspected for unanswered pings until then
 	counts                 Counts
 }
 
 // Counts holds a Tracker's counters since its start.
 type Counts struct {
 	Stale          int64 // messages of an earlier incarnation, or out of order
-	Deferred       int64 // failures that were not believed at once: a mass failure, or this process was paused
+	Deferred       int64 // failures deferred by a mass failure or after a pause of this process
 	Suspects       int64 // times that a gossiping member became suspect
 	FalsePositives int64 // times that a suspect gossiping member became present again
-	Overflow       int64 // new members that were ignored, as there were MaxMembers already
+	Overflow       int64 // new members ignored because there were already MaxMembers
 	UnknownSenders int64 // reports from a sender that is not a known server of the control plane
 }
 
@@ -68,28 +69,28 @@
 	name string
 }
 
-// memberRecord is what the Tracker knows about one member.
+// memberRecord holds what the Tracker knows about one member.
 type memberRecord struct {
 	info          Info
 	ownState      State // as this process observes it; empty without an observation
 	ownStateSince time.Duration
 	openSessions  int // sessions of the member at this process
-	// lastContact is when the member last answered a ping of this process, renewed or had a session
-	// here. It also starts, without a contact, when this process first learns of the member or begins
-	// to ping it, and moves with a pause of this process.
+	// lastContact is when the member last answered a ping from this process, sent it a heartbeat, or
+	// opened or closed a session at it. It is also set, without any contact, when this process first
+	// learns of the member or starts to ping it, and is shifted by a pause of this process.
 	lastContact  time.Duration
 	directPeer   bool // this process pings the member itself
 	reportedDead bool // by the gossip library
-	// deadline is the time, or 0 for none, at which a deferred failure of a member that gossips may
-	// be believed, or at which the own state of a member that has sessions changes from present to
-	// suspect or from suspect to failed.
+	// deadline is 0 if there is none. For a member that gossips, it is when agreement of most
+	// observers starts to suffice to confirm a deferred failure. For other members, it is when the
+	// own state changes from present to suspect or from suspect to failed.
 	deadline         time.Duration
 	peerObservations map[string]peerObservation // by the observer's name
 	lastReported     State                      // the own state in the last partial report
 	lastPublished    State                      // the combined state at the last Tick
 }
 
-// NewTracker returns a Tracker that knows no member but this process.
+// NewTracker returns a Tracker that knows only this process.
 func NewTracker(c Config) *Tracker {
 	return &Tracker{config: c, members: map[string]*memberRecord{}, observers: map[string]observerProgress{}}
 }
@@ -97,10 +98,11 @@
 // Counts returns the counters.
 func (t *Tracker) Counts() Counts { return t.counts }
 
-// UpdateSelf replaces what this process announces about itself.
+// UpdateSelf replaces the Info that this process announces.
 func (t *Tracker) UpdateSelf(info Info) {
 	if info.Incarnation != t.config.Self.Incarnation {
-		// The others may have ignored reports under the earlier incarnation: all are repeated.
+		// Other observers may have ignored reports of the earlier incarnation, so all observations are
+		// reported again.
 		for _, m := range t.members {
 			m.lastReported = ""
 		}
@@ -108,7 +110,7 @@
 	t.config.Self = info
 }
 
-// InstanceID returns the instance ID of the process with a name, and whether that process
+// InstanceID returns the instance ID of the process with the given name, and whether that process
 // may be alive. Both are zero if no such member is known.
 func (t *Tracker) InstanceID(name string) (id string, mayBeAlive bool) {
 	if name == t.config.Self.Name {
@@ -122,8 +124,7 @@
 	return m.info.InstanceID, state != Failed && state != Left
 }
 
-// AddAbsent adds to the set names the gossiping members that are neither present nor joining in the
-// view.
+// AddAbsent adds to names the gossiping members that are neither present nor joining in the view.
 func (t *Tracker) AddAbsent(names map[string]bool) {
 	for name, m := range t.members {
 		if state := t.combinedState(m); m.info.Role.Gossips() && state != Present && state != Joining {
@@ -132,9 +133,9 @@
 	}
 }
 
-// upsert returns the record of a member, created if it is new, and stores info in it. It
-// returns nil if info is about this process or of an earlier incarnation, or if there are
-// too many members.
+// upsert stores info in the member's record, which it adds if the member is new, and returns the
+// record. It returns nil if info is about this process or of an earlier incarnation, or if there
+// are too many members.
 func (t *Tracker) upsert(now time.Duration, info Info) *memberRecord {
 	if info.Name == t.config.Self.Name && info.Role == t.config.Self.Role {
 		return nil
@@ -151,8 +152,8 @@
 		t.counts.Stale++
 		return nil
 	case info.Incarnation > m.info.Incarnation:
-		// A failure of the earlier incarnation does not concern this one, unless the member
-		// was joining and has only now received its number.
+		// A failure of the earlier incarnation does not apply to this one, unless the member
+		// was joining and has only now been assigned its incarnation.
 		if m.info.Incarnation > 0 || info.Incarnation > 0 && m.ownState != Joining {
 			m.reportedDead, m.deadline = false, 0
 		}
@@ -173,7 +174,7 @@
 	if m.ownState == state {
 		return
 	}
-	// A session that moves is suspected each time, so sessions are not counted.
+	// A member may become suspect each time its session moves, so members with sessions are not counted.
 	if m.info.Role.Gossips() {
 		switch {
 		case state == Suspect:
--- a/internal/member/tracker_test.go
+++ b/internal/member/tracker_test.go
@@ -13,8 +13,8 @@
 	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleAgent, InstanceID: bootID}
 }
 
-// newTrackerOfFive returns the Tracker of the server a, for which four others are present and have
-// answered its pings just now.
+// newTrackerOfFive returns the Tracker of the server a. Four other servers are present and have just
+// answered its pings.
 func newTrackerOfFive(now time.Duration) *Tracker {
 	t := NewTracker(Defaults(controlPlaneServer("a", 1)))
 	for _, name := range []string{"b", "c", "d", "e"} {
@@ -25,7 +25,7 @@
 	return t
 }
 
-// newReportFrom returns a partial report in which an observer sees each member in one state.
+// newReportFrom returns a partial report in which an observer sees each member in the given state.
 // Members whose name begins with n are agents, the others servers of the control plane.
 func newReportFrom(observer string, seq int64, state State, incarnation int64, members ...string) *Report {
 	r := &Report{ProtocolVersion: ProtocolVersion, From: observer, Incarnation: 1, Seq: seq, BootID: observer}
@@ -39,10 +39,10 @@
 	return r
 }
 
-// trackerEvent is an event at a time of a Tracker.
+// trackerEvent applies an event to a Tracker at the time now.
 type trackerEvent func(t *testing.T, tracker *Tracker, now time.Duration)
 
-// trackerEvents are the events of a Tracker by time.
+// trackerEvents holds the events of a Tracker by time.
 type trackerEvents map[time.Duration][]trackerEvent
 
 // dead returns the event that the gossip library reports members as dead, in this order.
@@ -73,7 +73,7 @@
 	return func(_ *testing.T, tracker *Tracker, now time.Duration) { tracker.MergeReport(now, r) }
 }
 
-// reportedBy returns the event that each observer sees a member in one state.
+// reportedBy returns the event that each observer reports a member in the given state.
 func reportedBy(observers []string, state State, incarnation int64, member string) trackerEvent {
 	return func(_ *testing.T, tracker *Tracker, now time.Duration) {
 		for i, from := range observers {
@@ -129,7 +129,7 @@
 	return r
 }
 
-// wantedState is the state of a member that the view has to show at a time.
+// wantedState is the state that the view must show for a member at a time.
 type wantedState struct {
 	at    time.Duration
 	name  string
@@ -141,9 +141,9 @@
 	want   []wantedState
 }
 
-// trackerCases are sequences of events at the server a of five, and the states that follow.
+// trackerCases are sequences of events at the server a of five, and the resulting states in its view.
 var trackerCases = map[string]trackerCase{
-	"a failure is believed after a while without answers to pings, and a return at once": {
+	"a failure is confirmed once pings are unanswered for a while, and a recovery at once": {
 		trackerEvents{
 			1 * time.Second:  {dead("b")},
 			10 * time.Second: {alive(controlPlaneServer("b", 2)), answered("b")},
@@ -154,19 +154,19 @@
 		trackerEvents{1 * time.Second: {answered("c", "d", "e")}},
 		[]wantedState{{2 * time.Second, "b", Present}, {3 * time.Second, "b", Suspect}, {3 * time.Second, "c", Present}, {30 * time.Second, "b", Suspect}},
 	},
-	"suspected by one of four observers, it is present": {
+	"a member suspected by one of four observers is present": {
 		trackerEvents{1 * time.Second: {reportedBy([]string{"c", "d", "e"}, Present, 1, "b")}},
 		[]wantedState{{3 * time.Second, "b", Present}, {9 * time.Second, "b", Present}},
 	},
-	"failed for most observers": {
+	"a member that most observers see as failed is failed": {
 		trackerEvents{1 * time.Second: {reported(newReportFrom("c", 1, Failed, 1, "b")), reported(newReportFrom("d", 1, Failed, 1, "b"))}},
 		[]wantedState{{1 * time.Second, "b", Failed}},
 	},
-	"a mass failure is not believed, however long it lasts": {
+	"a mass failure without agreement is not confirmed, however long it lasts": {
 		trackerEvents{4 * time.Second: {dead("b", "c", "d", "e")}},
 		[]wantedState{{5 * time.Second, "e", Suspect}, {60 * time.Second, "e", Suspect}, {60 * time.Second, "d", Suspect}},
 	},
-	"a mass failure is believed once most remaining observers agree": {
+	"a mass failure is confirmed once most remaining observers agree": {
 		trackerEvents{
 			4 * time.Second: {answered("e"), dead("b", "c", "d")},
 			5 * time.Second: {answered("e"), reported(newReportFrom("e", 1, Suspect, 1, "b", "c", "d"))},
@@ -192,7 +192,7 @@
 		trackerEvents{1 * time.Second: {alive(shuttingDown(controlPlaneServer("b", 1)))}, 2 * time.Second: {dead("b")}},
 		[]wantedState{{1 * time.Second, "b", Present}, {2 * time.Second, "b", Left}},
 	},
-	"restarted and without an incarnation, it is present": {
+	"a restarted member without an incarnation is present": {
 		trackerEvents{
 			1 * time.Second: {dead("b")},
 			3 * time.Second: {
@@ -251,7 +251,7 @@
 	},
 }
 
-// TestTrackerStates shows the states that one observer derives from its events.
+// TestTrackerStates checks the states that one observer derives from its events.
 func TestTrackerStates(t *testing.T) {
 	for name, c := range trackerCases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -10,8 +10,8 @@
 // View is the state of all members as one process sees them.
 type View struct {
 	From    string  `json:"from"`    // the process
-	Version int64   `json:"version"` // grows with each change, and starts again with the process
-	Members []Entry `json:"members"` // by role and name
+	Version int64   `json:"version"` // increases with each change, and restarts with the process
+	Members []Entry `json:"members"` // sorted by role and name
 }
 
 // Entry is one member in a View.
@@ -22,12 +22,12 @@
 	ProgramVersion string           `json:"program,omitempty"`
 	Versions       ProtocolVersions `json:"speaks,omitzero"`
 	Incarnation    int64            `json:"incarnation"`
-	State          State            `json:"state"`     // all opinions combined
-	Observers      []Opinion        `json:"observers"` // this process's own first, if it has one, then by name
+	State          State            `json:"state"`     // combined from all opinions
+	Observers      []Opinion        `json:"observers"` // this process's own first, if there is one, then sorted by name
 }
 
 // Opinion is the state of a member as one observer sees it, and for how long the observer
-// has seen it.
+// has seen that state.
 type Opinion struct {
 	Observer    string `json:"observer"`
 	State       State  `json:"state"`
@@ -95,8 +95,8 @@
 	return e
 }
 
-// combinedState returns a member's state by all observations of its latest incarnation, or
-// "" if there are none. Observers that have failed or left do not count.
+// combinedState combines all observations of a member's latest incarnation into its state, or
+// returns "" if there are none. Observers that have failed or left do not count.
 func (t *Tracker) combinedState(m *memberRecord) State {
 	latest := m.info.Incarnation
 	states := map[State]int{}
@@ -124,7 +124,7 @@
 }
 
 // combineSessionStates combines the observations of a member that has sessions. A session is
-// at one observer, so the member is present if it is for one of them.
+// open at one observer only, so the member is present if any observer sees it as present.
 func combineSessionStates(states map[State]int) State {
 	switch {
 	case states[Present]+states[Joining] > 0:
@@ -137,10 +137,10 @@
 	return Failed
 }
 
-// combineGossipStates combines the observations of a member that gossips, whose number is total. The
-// member has left if any observer has its announcement, and otherwise has the state that the
-// majority observes. If half of the observers observe it alive, this process's own observation that
-// it is alive, aliveLocally, decides. Without a majority the member is suspect.
+// combineGossipStates combines the observations of a member that gossips; total is their number. The
+// member has left if any observer has received its announcement, and otherwise has the state that
+// the majority observes. If exactly half of the observers see it alive and this process is one of
+// them, which aliveLocally says, the member is alive. Without a majority the member is suspect.
 func combineGossipStates(states map[State]int, total int, aliveLocally bool) State {
 	alive := states[Present] + states[Joining]
 	if aliveLocally && 2*alive == total {
--- a/internal/member/wire_test.go
+++ b/internal/member/wire_test.go
@@ -9,11 +9,11 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// The files in testdata were written by the program of commit d25b370. They stand for members of
-// other builds, which send and read them: a name in Go may change, these files may not.
+// The files in testdata were written by the build of commit d25b370. They represent messages
+// exchanged with members of other builds: Go names may change, these files must not.
 
-// TestMessagesKeepTheirKeys holds the JSON form of members' messages and of the views that
-// operators read, with every field.
+// TestMessagesKeepTheirKeys checks that the JSON encoding of members' messages and of the views that
+// operators read has not changed, with every field set.
 func TestMessagesKeepTheirKeys(t *testing.T) {
 	golden.Messages(t, "messages.txt", []golden.Message{
 		golden.Of[Info]("info"),
@@ -27,8 +27,8 @@
 	})
 }
 
-// TestConstantsKeepTheirValues holds the values of roles and states, of observers' answers and of
-// the decisions.
+// TestConstantsKeepTheirValues checks that the values of roles and states, of observers' answers and
+// of decisions have not changed.
 func TestConstantsKeepTheirValues(t *testing.T) {
 	var quoted []string
 	for _, value := range golden.StringConstants(t, ".") {
@@ -37,8 +37,8 @@
 	golden.Includes(t, "constants.txt", quoted)
 }
 
-// TestRecordedMessagesAreRead decodes a member's Info and an observer's report that were recorded,
-// and encodes them to the same text.
+// TestRecordedMessagesAreRead checks that a recorded Info of a member and a recorded report of an
+// observer can be decoded, and are encoded to the same text.
 func TestRecordedMessagesAreRead(t *testing.T) {
 	checkRoundTrip := func(file string, decode func(text []byte) (any, error)) {
 		t.Helper()
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 		if string(encoded) != string(text) {
-			t.Errorf("%s is encoded as\n%s, and was\n%s", file, encoded, text)
+			t.Errorf("%s is encoded as\n%s, want\n%s", file, encoded, text)
 		}
 	}
 	checkRoundTrip("info.json", func(text []byte) (any, error) { return DecodeInfo(text) })
