--- a/cmd/agent/clientconn_test.go
+++ b/cmd/agent/clientconn_test.go
@@ -20,7 +20,7 @@
 			waitReady(t, listen, p.stderr)
 			p.setFaults(true)
 			status, _ := postKey(listen, "u1", "1000m")
-			if n, _ := received.after(time.Time{}); (n == 1) != served || n > 1 || (status == http.StatusOK) != served {
+			if n, _ := received.countAfter(time.Time{}); (n == 1) != served || n > 1 || (status == http.StatusOK) != served {
 				t.Errorf("answered %d after %d attempts; stderr: %s", status, n, p.stderr)
 			}
 			p.requireRunning()
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -57,7 +57,7 @@
 // On SIGHUP the program calls discovery at the address that its configuration names now, and keeps
 // serving.
 func TestSIGHUPChangesDiscovery(t *testing.T) {
-	watched := func() (string, chan string) {
+	startDiscovery := func() (string, chan string) {
 		requests := make(chan string, 100)
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			requests <- r.URL.RawQuery
@@ -68,8 +68,8 @@
 		t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 		return s.Listener.Addr().String(), requests
 	}
-	before, requestsBefore := watched()
-	after, requestsAfter := watched()
+	before, requestsBefore := startDiscovery()
+	after, requestsAfter := startDiscovery()
 	listen, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
 	config := func(discovery string) string {
 		return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f",
@@ -194,7 +194,7 @@
 // Idle clients use up all file descriptors while discovery is unavailable: the program gets ready,
 // serves requests, is notified when discovery returns, and connects to the servers listed then.
 func TestDescriptorExhaustion(t *testing.T) {
-	const files, maxStart, maxNotification = 64, 10 * time.Second, 6 * time.Second
+	const files, maxStartTime, maxNotificationTime = 64, 10 * time.Second, 6 * time.Second
 	backend, discovery, listen := okServer(t), freeAddr(t), freeAddr(t)
 	cmd, stderr := newProgram(t, filepath.Join(t.TempDir(), "config.json"), programConfig(listen, discovery, "", files))
 	limitFiles(cmd, files)
@@ -203,12 +203,12 @@
 	dialListening(t, listen, stderr)
 	connectIdle(t, listen, 2*files)
 	waitReady(t, listen, stderr)
-	if took := time.Since(startedAt); took > maxStart {
+	if took := time.Since(startedAt); took > maxStartTime {
 		t.Errorf("ready after %v", took)
 	}
 	serveDiscovery(t, discovery, backend)
 	connectIdle(t, listen, 2*files)
-	waitServed(t, listen, maxNotification, stderr)
+	waitServed(t, listen, maxNotificationTime, stderr)
 	for i := range 100 {
 		if status, err := post(listen); status != http.StatusOK {
 			t.Fatalf("request %d: %d, %v; stderr: %s", i, status, err, stderr)
--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -28,16 +28,16 @@
 			}
 			p := startFaulty(t, injected, programConfig(listen, "127.0.0.1:1", server, 1024), false)
 			waitReady(t, listen, p.stderr)
-			next := programConfig(listen, discovery.Listener.Addr().String(), server, 1024)
-			write := func(text string) {
+			newConfig := programConfig(listen, discovery.Listener.Addr().String(), server, 1024)
+			writeConfig := func(text string) {
 				if err := os.WriteFile(p.configPath, []byte(text), 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if fault == "half a file" {
-				write(next[:len(next)/2])
+				writeConfig(newConfig[:len(newConfig)/2])
 			} else {
-				write(next)
+				writeConfig(newConfig)
 				p.setFaults(true)
 			}
 			if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
@@ -45,7 +45,7 @@
 			}
 			time.Sleep(500 * time.Millisecond)
 			p.setFaults(false)
-			write(next)
+			writeConfig(newConfig)
 			select {
 			case <-requests:
 			case <-time.After(2 * time.Second):
--- a/cmd/agent/response_test.go
+++ b/cmd/agent/response_test.go
@@ -68,7 +68,7 @@
 // never when the connection is reset or stays open.
 func TestResponseEndsWithItsConnection(t *testing.T) {
 	long := strings.Repeat("x", 64<<10)
-	const head = "HTTP/1.1 200 OK\r\n"
+	const statusLine = "HTTP/1.1 200 OK\r\n"
 	write := func(texts ...string) func(c *net.TCPConn, r *http.Request) {
 		return func(c *net.TCPConn, _ *http.Request) {
 			for i, text := range texts {
@@ -80,30 +80,30 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		serve  func(c *net.TCPConn, r *http.Request)
-		served string // the body that the client gets with status 200; "": the answer fails
+		serve    func(c *net.TCPConn, r *http.Request)
+		wantBody string // the body that the client gets with status 200; "": the answer fails
 	}{
-		"closed":             {write(head + "\r\ndone"), "done"},
-		"closed, said so":    {write(head + "Connection: close\r\n\r\ndone"), "done"},
+		"closed":             {write(statusLine + "\r\ndone"), "done"},
+		"closed, said so":    {write(statusLine + "Connection: close\r\n\r\ndone"), "done"},
 		"HTTP/1.0":           {write("HTTP/1.0 200 OK\r\n\r\ndone"), "done"},
-		"in pieces":          {write(head+"\r\nd", "on", "e"), "done"},
-		"close comes later":  {write(head+"\r\ndone", ""), "done"},
-		"64 KiB":             {write(head + "\r\n" + long), long},
-		"over 64 KiB":        {write(head + "\r\n" + long + "x"), ""},
-		"half a head":        {write(head + "Content-Ty"), ""},
-		"cut, with a length": {write(head + "Content-Length: 9\r\n\r\ndone"), ""},
-		"cut, in chunks":     {write(head + "Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"), ""},
+		"in pieces":          {write(statusLine+"\r\nd", "on", "e"), "done"},
+		"close comes later":  {write(statusLine+"\r\ndone", ""), "done"},
+		"64 KiB":             {write(statusLine + "\r\n" + long), long},
+		"over 64 KiB":        {write(statusLine + "\r\n" + long + "x"), ""},
+		"half a head":        {write(statusLine + "Content-Ty"), ""},
+		"cut, with a length": {write(statusLine + "Content-Length: 9\r\n\r\ndone"), ""},
+		"cut, in chunks":     {write(statusLine + "Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"), ""},
 		"reset": {func(c *net.TCPConn, _ *http.Request) {
-			_, _ = io.WriteString(c, head+"\r\ndone")
+			_, _ = io.WriteString(c, statusLine+"\r\ndone")
 			time.Sleep(50 * time.Millisecond)
 			_ = c.SetLinger(0)
 		}, ""},
 		"reset at once": {func(c *net.TCPConn, _ *http.Request) {
-			_, _ = io.WriteString(c, head+"\r\ndone")
+			_, _ = io.WriteString(c, statusLine+"\r\ndone")
 			_ = c.SetLinger(0)
 		}, ""},
 		"never closed": {func(c *net.TCPConn, _ *http.Request) {
-			_, _ = io.WriteString(c, head+"\r\ndone")
+			_, _ = io.WriteString(c, statusLine+"\r\ndone")
 			time.Sleep(3 * time.Second)
 		}, ""},
 	} {
@@ -115,7 +115,7 @@
 			startedAt := time.Now()
 			status, body, err := postForBody(listen, "1500m")
 			took := time.Since(startedAt)
-			if got := status == http.StatusOK; got != (c.served != "") || got && (err != nil || body != c.served) {
+			if got := status == http.StatusOK; got != (c.wantBody != "") || got && (err != nil || body != c.wantBody) {
 				t.Errorf("answered %d with %d bytes, %v, after %v; stderr: %s", status, len(body), err, took, stderr)
 			}
 			if err != nil || took > 1600*time.Millisecond {
@@ -128,12 +128,12 @@
 // A server that rejects a request without a length and keeps the connection open delays neither the
 // request nor its next attempt.
 func TestRejectionWithoutALength(t *testing.T) {
-	turnsAway := rawServer(t, func(c *net.TCPConn, _ *http.Request) {
+	rejectingAddr := rawServer(t, func(c *net.TCPConn, _ *http.Request) {
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\n\r\n")
 		time.Sleep(3 * time.Second)
 	})
 	listen := freeAddr(t)
-	_, stderr := startProgram(t, programConfig(listen, "127.0.0.1:1", turnsAway, 1024))
+	_, stderr := startProgram(t, programConfig(listen, "127.0.0.1:1", rejectingAddr, 1024))
 	waitReady(t, listen, stderr)
 	startedAt := time.Now()
 	status, err := postKey(listen, "u1", "2000m")
--- a/cmd/agent/services_test.go
+++ b/cmd/agent/services_test.go
@@ -21,14 +21,14 @@
 type scopedControlPlane struct {
 	addr    string
 	queries chan string
-	hold    chan struct{}
+	release chan struct{}
 	hosts   []endpoints.Endpoint
 }
 
 // startScopedControlPlane starts a control-plane server that lists hosts.
 func startScopedControlPlane(t *testing.T, hosts []endpoints.Endpoint) *scopedControlPlane {
 	t.Helper()
-	s := &scopedControlPlane{queries: make(chan string, 100), hold: make(chan struct{}), hosts: hosts}
+	s := &scopedControlPlane{queries: make(chan string, 100), release: make(chan struct{}), hosts: hosts}
 	server := httptest.NewServer(s)
 	t.Cleanup(server.Close)
 	t.Cleanup(server.CloseClientConnections)
@@ -41,7 +41,7 @@
 	s.queries <- r.URL.RawQuery
 	services := q[endpoints.ServiceParam]
 	if !slices.Contains(services, "a") {
-		<-s.hold
+		<-s.release
 	}
 	w.Header().Set(endpoints.ScopeHeader, fmt.Sprint(len(services)))
 	l := endpoints.List{Seq: 7, Full: q.Get("since") == "" || q.Get("since") == "0", Endpoints: []endpoints.Endpoint{}}
@@ -67,13 +67,13 @@
 // awaitQuery waits for a call with exactly this query.
 func (s *scopedControlPlane) awaitQuery(t *testing.T, want string) {
 	t.Helper()
-	for limit := time.After(30 * time.Second); ; {
+	for timeout := time.After(30 * time.Second); ; {
 		select {
 		case got := <-s.queries:
 			if got == want {
 				return
 			}
-		case <-limit:
+		case <-timeout:
 			t.Fatalf("never called with %s", want)
 		}
 	}
@@ -93,13 +93,13 @@
 		Weight: 1, Service: service}, count
 }
 
-// waitForMore waits until count has grown by more.
-func waitForMore(t *testing.T, what string, count *atomic.Int64, more int64) {
+// waitForRequests waits until count has grown by more.
+func waitForRequests(t *testing.T, description string, count *atomic.Int64, additional int64) {
 	t.Helper()
-	want := count.Load() + more
-	for limit := time.Now().Add(30 * time.Second); count.Load() < want; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatalf("%s: %d requests of %d", what, count.Load(), want)
+	want := count.Load() + additional
+	for deadline := time.Now().Add(30 * time.Second); count.Load() < want; time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("%s: %d requests of %d", description, count.Load(), want)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 // requestLoad is clients that send requests one after the other, each for another key.
 type requestLoad struct {
 	clients          sync.WaitGroup
-	end              chan struct{}
+	stopping         chan struct{}
 	requests, failed atomic.Int64
 	stop             func() // ends the load and waits for its last responses
 }
@@ -115,9 +115,9 @@
 // startLoad starts clients that send requests. Each request that is not served fails the test.
 func startLoad(t *testing.T, listen string, clients int) *requestLoad {
 	t.Helper()
-	l := &requestLoad{end: make(chan struct{})}
+	l := &requestLoad{stopping: make(chan struct{})}
 	l.stop = sync.OnceFunc(func() {
-		close(l.end)
+		close(l.stopping)
 		l.clients.Wait()
 	})
 	t.Cleanup(l.stop) // before the agent is killed, also where the test fails
@@ -125,7 +125,7 @@
 		l.clients.Go(func() {
 			for {
 				select {
-				case <-l.end:
+				case <-l.stopping:
 					return
 				default:
 				}
@@ -143,48 +143,48 @@
 // servicesConfig returns a configuration that subscribes to services, a JSON list, at a control
 // plane. On a busy machine one server for four clients is overloaded by the times of the settings.
 func servicesConfig(listen string, controlPlane *scopedControlPlane, services string) string {
-	patient := strings.Replace(settings, `"aimMs":500,"giveUpMs":1000`, `"aimMs":20000,"giveUpMs":30000`, 1)
+	longTimeouts := strings.Replace(settings, `"aimMs":500,"giveUpMs":1000`, `"aimMs":20000,"giveUpMs":30000`, 1)
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"stewards":[%q],"services":%s,"seed":"1f",
- "limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s}`, listen, controlPlane.addr, services, patient)
+ "limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s}`, listen, controlPlane.addr, services, longTimeouts)
 }
 
 // SIGHUP changes the services under load: the known servers keep serving until the list of the new
 // services arrives, and no request fails, also if the address changes at the same time.
 func TestServicesChangeUnderLoad(t *testing.T) {
-	a, ofA := countingServer(t, "s-a", "a")
-	b, ofB := countingServer(t, "s-b", "b")
-	x, ofX := countingServer(t, "s-x", "x")
+	a, requestsA := countingServer(t, "s-a", "a")
+	b, requestsB := countingServer(t, "s-b", "b")
+	x, requestsX := countingServer(t, "s-x", "x")
 	hosts := []endpoints.Endpoint{a, b, x}
 	first, second := startScopedControlPlane(t, hosts), startScopedControlPlane(t, hosts)
 	listen, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
 	cmd, stderr := startProgramAt(t, path, servicesConfig(listen, first, `["a"]`))
 	waitReady(t, listen, stderr)
 	load := startLoad(t, listen, 4)
-	waitForMore(t, "service a", ofA, 20)
+	waitForRequests(t, "service a", requestsA, 20)
 
 	reloadProgram(t, cmd, path, servicesConfig(listen, first, `["b"]`))
 	first.awaitQuery(t, "follow=1&since=0&service=b")
-	waitForMore(t, "service a, while the list of b is not there", ofA, 50)
-	if ofB.Load() > 0 {
+	waitForRequests(t, "service a, while the list of b is not there", requestsA, 50)
+	if requestsB.Load() > 0 {
 		t.Error("service b received requests before its list came")
 	}
-	close(first.hold)
-	waitForMore(t, "service b", ofB, 50)
-	before := ofA.Load()
-	waitForMore(t, "service b", ofB, 50)
-	if ofA.Load() > before {
-		t.Errorf("service a received %d requests after it was unsubscribed", ofA.Load()-before)
+	close(first.release)
+	waitForRequests(t, "service b", requestsB, 50)
+	before := requestsA.Load()
+	waitForRequests(t, "service b", requestsB, 50)
+	if requestsA.Load() > before {
+		t.Errorf("service a received %d requests after it was unsubscribed", requestsA.Load()-before)
 	}
 
 	reloadProgram(t, cmd, path, servicesConfig(listen, second, `["b", "a"]`))
 	second.awaitQuery(t, "follow=1&since=0&service=a&service=b")
-	waitForMore(t, "service a again", ofA, 20)
-	waitForMore(t, "service b still", ofB, 20)
+	waitForRequests(t, "service a again", requestsA, 20)
+	waitForRequests(t, "service b still", requestsB, 20)
 	load.stop()
-	close(second.hold)
-	if load.failed.Load() > 0 || ofX.Load() > 0 {
+	close(second.release)
+	if load.failed.Load() > 0 || requestsX.Load() > 0 {
 		t.Errorf("%d of %d requests failed, %d reached a service that is not subscribed to",
-			load.failed.Load(), load.requests.Load(), ofX.Load())
+			load.failed.Load(), load.requests.Load(), requestsX.Load())
 	}
 	stopGracefully(t, cmd, stderr)
 }
--- a/cmd/agent/syscallfault_test.go
+++ b/cmd/agent/syscallfault_test.go
@@ -115,7 +115,7 @@
 			p := startFaulty(t, "accept4:"+errno, programConfig(listen, "127.0.0.1:1", okServer(t), 1024), false)
 			waitReady(t, listen, p.stderr)
 			p.setFaults(true)
-			const lasts = 1200 * time.Millisecond
+			const faultTime = 1200 * time.Millisecond
 			statuses := make(chan string, 4)
 			for i := range 4 {
 				go func() {
@@ -123,15 +123,15 @@
 					statuses <- fmt.Sprint(status, err)
 				}()
 			}
-			time.Sleep(lasts)
+			time.Sleep(faultTime)
 			p.setFaults(false)
-			back := time.Now()
+			succeedingSince := time.Now()
 			for range 4 {
 				if got := <-statuses; got != "200 <nil>" {
 					t.Errorf("answered %s; stderr: %s", got, p.stderr)
 				}
 			}
-			if took := time.Since(back); took > 250*time.Millisecond {
+			if took := time.Since(succeedingSince); took > 250*time.Millisecond {
 				t.Errorf("the requests that waited were answered %v after the calls went well again", took)
 			}
 			p.requireRunning()
@@ -156,11 +156,11 @@
 
 // runQueuedRequest sends a request while accepts fail, and checks the timeout that the server is told.
 // It returns false if the server was told before accepts succeeded again.
-func runQueuedRequest(t *testing.T) (queuedAsIntended bool) {
+func runQueuedRequest(t *testing.T) (wasQueued bool) {
 	t.Helper()
-	observed := make(chan string, 1)
+	receivedTimeout := make(chan string, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		observed <- r.Header.Get("Request-Timeout")
+		receivedTimeout <- r.Header.Get("Request-Timeout")
 	}))
 	t.Cleanup(s.Close)
 	listen := freeAddr(t)
@@ -173,19 +173,19 @@
 		_, _ = postKey(listen, "u1", "3000m")
 	}()
 	<-sending
-	const queued = 600 * time.Millisecond
-	time.Sleep(queued)
-	if len(observed) > 0 {
+	const queueTime = 600 * time.Millisecond
+	time.Sleep(queueTime)
+	if len(receivedTimeout) > 0 {
 		return false
 	}
 	p.setFaults(false)
-	text := <-observed
+	text := <-receivedTimeout
 	var ms int
 	if _, err := fmt.Sscanf(text, "%dm", &ms); err != nil {
 		t.Fatalf("received timeout %q: %v", text, err)
 	}
-	if left := 3*time.Second - queued; time.Duration(ms)*time.Millisecond > left+graceSlack {
-		t.Errorf("the server was told %s, the client had %v left", text, left)
+	if remaining := 3*time.Second - queueTime; time.Duration(ms)*time.Millisecond > remaining+timingTolerance {
+		t.Errorf("the server was told %s, the client had %v left", text, remaining)
 	}
 	return true
 }
@@ -250,7 +250,7 @@
 // request gets its final response, and the server is used again as soon as connects succeed: the failures
 // are not the server's, and nothing was sent.
 func TestConnectsFailLocallyForLong(t *testing.T) {
-	const lasts, interval = 600 * time.Millisecond, 20 * time.Millisecond
+	const faultTime, interval = 600 * time.Millisecond, 20 * time.Millisecond
 	for _, fault := range []string{"connect:EADDRNOTAVAIL", "connect:ENOBUFS", "connect:ENOMEM"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
@@ -260,7 +260,7 @@
 			p.setFaults(true)
 			failingSince := time.Now()
 			var requests sync.WaitGroup
-			for i := 0; time.Since(failingSince) < lasts; i++ {
+			for i := 0; time.Since(failingSince) < faultTime; i++ {
 				requests.Go(func() { checkFinalResponse(t, listen, i) })
 				time.Sleep(interval)
 			}
