--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -19,7 +19,7 @@
 	listEntrySize   = 24
 	maxFrameSize    = 1 << 30 // no legal batch comes near it
 	maxReportValues = 4
-	serverLists     = 16 // numbers of lists: 0 to 15
+	serverListCount = 16 // numbers of lists: 0 to 15
 )
 
 // Codes of event records.
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -35,7 +35,7 @@
 type Decoder struct {
 	r     io.Reader
 	buf   []byte // of the batch at hand
-	lists [serverLists][]policy.Entry
+	lists [serverListCount][]policy.Entry
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -89,12 +89,12 @@
 	if uint64(records)*EventSize > uint64(size)-clockSize {
 		return 0, formatError("batch header", "number of records: %d do not fit into %d bytes", records, size)
 	}
-	return int(records), d.fill(int(size))
+	return int(records), d.readBody(int(size))
 }
 
-// fill reads size bytes in steps, so that a false length allocates no more than about twice what really
+// readBody reads size bytes in steps, so that a false length allocates no more than about twice what really
 // arrives.
-func (d *Decoder) fill(size int) error {
+func (d *Decoder) readBody(size int) error {
 	const step = 1 << 20
 	d.buf = d.buf[:0]
 	for len(d.buf) < size {
@@ -119,7 +119,7 @@
 	switch raw[0] {
 	case codeBoot:
 		rec.Kind, rec.Seed = Boot, be.Uint64(raw[5:])
-		rec.Settings, err = span("boot: settings", raw[13:], tail, 1)
+		rec.Settings, err = sliceTail("boot: settings", raw[13:], tail, 1)
 	case codeKilled:
 		rec.Kind = Killed
 	case codeServerList:
@@ -144,7 +144,7 @@
 		ev.Kind, ev.Token = policy.EvTimer, be.Uint32(raw[5:])
 	case codePeerMessage:
 		ev.Kind = policy.EvPeer
-		_, err = span("peer_data: msg", raw[9:], tail, 1)
+		_, err = sliceTail("peer_data: msg", raw[9:], tail, 1)
 	default:
 		err = formatError("code", "unknown event %d", raw[0])
 	}
@@ -198,23 +198,23 @@
 	if int64(number) >= int64(len(d.lists)) {
 		return formatError("pool: table", "%d is out of range", number)
 	}
-	lines, err := span("pool: hosts", raw[5:], tail, listEntrySize)
+	entryBytes, err := sliceTail("pool: hosts", raw[5:], tail, listEntrySize)
 	if err != nil {
 		return err
 	}
-	entries := make([]policy.Entry, 0, len(lines)/listEntrySize)
-	for ; len(lines) > 0; lines = lines[listEntrySize:] {
-		if lines[10] > uint8(policy.Gone) {
-			return formatError("pool: health", "unknown value %d", lines[10])
+	entries := make([]policy.Entry, 0, len(entryBytes)/listEntrySize)
+	for ; len(entryBytes) > 0; entryBytes = entryBytes[listEntrySize:] {
+		if entryBytes[10] > uint8(policy.Gone) {
+			return formatError("pool: health", "unknown value %d", entryBytes[10])
 		}
 		entries = append(entries, policy.Entry{
-			Zone:      int(be.Uint16(lines)),
-			StartedMs: getF64(lines[2:]),
-			Health:    policy.Health(lines[10]),
-			Server:    policy.Addr(lines[11:17]),
-			Weight:    float64(math.Float32frombits(be.Uint32(lines[17:]))),
-			Cell:      int(be.Uint16(lines[21:])),
-			Kind:      int(lines[23]),
+			Zone:      int(be.Uint16(entryBytes)),
+			StartedMs: getF64(entryBytes[2:]),
+			Health:    policy.Health(entryBytes[10]),
+			Server:    policy.Addr(entryBytes[11:17]),
+			Weight:    float64(math.Float32frombits(be.Uint32(entryBytes[17:]))),
+			Cell:      int(be.Uint16(entryBytes[21:])),
+			Kind:      int(entryBytes[23]),
 		})
 	}
 	d.lists[number] = entries // a new slice: events that refer to the old list keep theirs
@@ -236,8 +236,8 @@
 	return values, nil
 }
 
-// span resolves a field of an offset and a length, the length in units of the given size.
-func span(field string, raw, tail []byte, unit int) ([]byte, error) {
+// sliceTail resolves a field of an offset and a length, the length in units of the given size.
+func sliceTail(field string, raw, tail []byte, unit int) ([]byte, error) {
 	off, n := uint64(binary.BigEndian.Uint32(raw)), uint64(binary.BigEndian.Uint32(raw[4:]))
 	if off+n*uint64(unit) > uint64(len(tail)) {
 		return nil, formatError(field, "offset %d and length %d pass the tail's %d bytes", off, n, len(tail))
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -17,8 +17,8 @@
 // Reset empties the reply, to build the next one.
 func (e *Encoder) Reset() { e.count, e.records, e.tail = 0, e.records[:0], e.tail[:0] }
 
-// record appends a record and returns its bytes, to set the fields behind the instance.
-func (e *Encoder) record(code byte, instance uint32) []byte {
+// addRecord appends a record and returns its bytes, to set the fields behind the instance.
+func (e *Encoder) addRecord(code byte, instance uint32) []byte {
 	at := len(e.records)
 	e.records = append(e.records, make([]byte, ActionSize)...)
 	e.count++
@@ -28,50 +28,50 @@
 	return raw
 }
 
-// text appends a record with a text in the tail.
-func (e *Encoder) text(code byte, instance uint32, text string) {
-	raw := e.record(code, instance)
+// addText appends a record with a text in the tail.
+func (e *Encoder) addText(code byte, instance uint32, text string) {
+	raw := e.addRecord(code, instance)
 	binary.BigEndian.PutUint32(raw[5:], uint32(len(e.tail)))
 	binary.BigEndian.PutUint32(raw[9:], uint32(len(text)))
 	e.tail = append(e.tail, text...)
 }
 
 // Crash appends the statement that an instance's decision code failed.
-func (e *Encoder) Crash(instance uint32, text string) { e.text(codeCrash, instance, text) }
+func (e *Encoder) Crash(instance uint32, text string) { e.addText(codeCrash, instance, text) }
 
 // Add appends one action of an instance. An action that the wire lacks (ActWithdraw) is left out.
 func (e *Encoder) Add(instance uint32, a *policy.Action) {
 	be := binary.BigEndian
 	switch a.Kind {
 	case policy.ActSend:
-		raw := e.record(codeSend, instance)
+		raw := e.addRecord(codeSend, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		copy(raw[9:15], a.Server[:])
 		putF64(raw[15:], a.Ms)
 	case policy.ActCancel:
-		raw := e.record(codeCancel, instance)
+		raw := e.addRecord(codeCancel, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		be.PutUint16(raw[9:], uint16(a.Attempt))
 	case policy.ActReject:
-		raw := e.record(codeReject, instance)
+		raw := e.addRecord(codeReject, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		putF64(raw[9:], a.Ms)
 	case policy.ActFail:
-		be.PutUint32(e.record(codeFail, instance)[5:], uint32(a.Request))
+		be.PutUint32(e.addRecord(codeFail, instance)[5:], uint32(a.Request))
 	case policy.ActProbe:
-		copy(e.record(codeProbe, instance)[5:11], a.Server[:])
+		copy(e.addRecord(codeProbe, instance)[5:11], a.Server[:])
 	case policy.ActTimer:
-		raw := e.record(codeSetTimer, instance)
+		raw := e.addRecord(codeSetTimer, instance)
 		putF64(raw[5:], a.Ms)
 		be.PutUint32(raw[13:], a.Token)
 	case policy.ActWatchList:
-		e.record(codeWatchList, instance)[5] = 1
+		e.addRecord(codeWatchList, instance)[5] = 1
 	case policy.ActFetchList:
-		e.record(codeFetchList, instance)
+		e.addRecord(codeFetchList, instance)
 	case policy.ActClose:
-		copy(e.record(codeCloseIdle, instance)[5:11], a.Server[:])
+		copy(e.addRecord(codeCloseIdle, instance)[5:11], a.Server[:])
 	case policy.ActLog:
-		e.text(codeLog, instance, a.Text)
+		e.addText(codeLog, instance, a.Text)
 	}
 }
 
--- a/internal/simwire/formats_test.go
+++ b/internal/simwire/formats_test.go
@@ -25,8 +25,8 @@
 
 // sampleEvents has every event of the wire with a distinct value in each of its fields.
 var sampleEvents = []struct {
-	frame string // of a record, behind code and instance; the rest is zero
-	want  Record
+	record string // of a record, behind code and instance; the rest is zero
+	want   Record
 }{
 	{"19 00000009 0102030405060708 00000000 00000002", Record{Kind: Boot, Seed: 0x0102030405060708, Settings: []byte("{}")}},
 	{"15 00000009", Record{Kind: Killed}},
@@ -55,8 +55,8 @@
 	{"17 00000009 00000001 00000000 00000002", Record{Kind: Event, Event: policy.Event{Kind: policy.EvPeer}}},
 }
 
-// sampleLines are the bytes of sampleEntries, the tail of the batch behind the settings.
-const sampleLines = "0102 4059000000000000 00 010203040506 3f800000 0304 05" +
+// sampleEntryHex are the bytes of sampleEntries, the tail of the batch behind the settings.
+const sampleEntryHex = "0102 4059000000000000 00 010203040506 3f800000 0304 05" +
 	"0102 4059000000000000 01 010203040506 40000000 0304 06" +
 	"0102 4059000000000000 02 010203040506 40400000 0304 07"
 
@@ -66,20 +66,20 @@
 	{Zone: 0x0102, StartedMs: 100, Health: policy.Gone, Server: sampleAddr, Weight: 3, Cell: 0x0304, Kind: 7},
 }
 
-func TestEveryEventAndFieldHasItsPlace(t *testing.T) {
+func TestDecodeEveryEventField(t *testing.T) {
 	records := []string{"13 00000001 00000002 00000003"} // a pool: the lines behind the settings
 	for _, e := range sampleEvents {
-		records = append(records, e.frame)
+		records = append(records, e.record)
 	}
 	var data []byte
 	for _, r := range records {
-		raw := frame(t, r)
+		raw := fromHex(t, r)
 		data = append(data, append(raw, make([]byte, EventSize-len(raw))...)...)
 	}
-	data = append(data, append([]byte("{}"), frame(t, sampleLines)...)...)
+	data = append(data, append([]byte("{}"), fromHex(t, sampleEntryHex)...)...)
 	head := binary.BigEndian.AppendUint32(nil, uint32(len(records)))
 	head = binary.BigEndian.AppendUint32(head, uint32(8+len(data)))
-	_, got, err := decodeAll(append(append(head, frame(t, "40c06e2000000000")...), data...))
+	_, got, err := decodeAll(append(append(head, fromHex(t, "40c06e2000000000")...), data...))
 	if err != nil || len(got) != len(sampleEvents) {
 		t.Fatalf("%d records of %d, error %v", len(got), len(sampleEvents), err)
 	}
@@ -87,14 +87,14 @@
 	for i, e := range sampleEvents {
 		e.want.Instance = 9
 		if !reflect.DeepEqual(got[i], e.want) {
-			t.Errorf("%s: decoded as\n%+v\nwant\n%+v", e.frame, got[i], e.want)
+			t.Errorf("%s: decoded as\n%+v\nwant\n%+v", e.record, got[i], e.want)
 		}
-		noteSet(set, got[i].Event)
+		markSetFields(set, got[i].Event)
 	}
-	checkAllSet(t, set, policy.Event{AgeMs: 1, Local: true}) // only the real agent knows ages and local failures
+	checkAllFieldsSet(t, set, policy.Event{AgeMs: 1, Local: true}) // only the real agent knows ages and local failures
 }
 
-func TestEveryActionAndFieldHasItsPlace(t *testing.T) {
+func TestEncodeEveryActionField(t *testing.T) {
 	set := map[int]bool{}
 	for _, c := range []struct {
 		action policy.Action
@@ -112,37 +112,37 @@
 		{policy.Action{Kind: policy.ActLog, Text: "text"}, "5b 00000009 00000000 00000004"},
 		{policy.Action{Kind: policy.ActWithdraw, Server: sampleAddr}, ""}, // the simulator has no such action
 	} {
-		noteSet(set, c.action)
+		markSetFields(set, c.action)
 		var e Encoder
 		e.Add(9, &c.action)
 		var out bytes.Buffer
 		if _, err := e.WriteTo(&out); err != nil {
 			t.Fatal(err)
 		}
-		want := frame(t, "00000000 00000000")
+		want := fromHex(t, "00000000 00000000")
 		if c.want != "" {
-			record := frame(t, c.want)
+			record := fromHex(t, c.want)
 			record = append(record, make([]byte, ActionSize-len(record))...)
 			record = append(record, c.action.Text...)
-			want = append(frame(t, fmt.Sprintf("00000001 %08x", len(record))), record...)
+			want = append(fromHex(t, fmt.Sprintf("00000001 %08x", len(record))), record...)
 		}
 		if !bytes.Equal(out.Bytes(), want) {
 			t.Errorf("%s: encoded as\n%s\nwant\n%s", c.want, hex.EncodeToString(out.Bytes()), hex.EncodeToString(want))
 		}
 	}
-	checkAllSet(t, set, policy.Action{})
+	checkAllFieldsSet(t, set, policy.Action{})
 }
 
-// noteSet notes the fields of a struct that are not zero.
-func noteSet(set map[int]bool, x any) {
+// markSetFields notes the fields of a struct that are not zero.
+func markSetFields(set map[int]bool, x any) {
 	v := reflect.ValueOf(x)
 	for i := range v.NumField() {
 		set[i] = set[i] || !v.Field(i).IsZero()
 	}
 }
 
-// checkAllSet reports the fields that no sample sets, but for those that are set in except.
-func checkAllSet(t *testing.T, set map[int]bool, except any) {
+// checkAllFieldsSet reports the fields that no sample sets, but for those that are set in except.
+func checkAllFieldsSet(t *testing.T, set map[int]bool, except any) {
 	t.Helper()
 	v := reflect.ValueOf(except)
 	for i := range v.NumField() {
@@ -174,7 +174,7 @@
 func TestGoldenSettings(t *testing.T) {
 	var filled policy.Settings
 	next := 0
-	fill(reflect.ValueOf(&filled).Elem(), &next)
+	fillFields(reflect.ValueOf(&filled).Elem(), &next)
 	text, err := json.MarshalIndent(filled, "", " ")
 	if err != nil {
 		t.Fatal(err)
@@ -199,17 +199,17 @@
 	}
 }
 
-// fill sets every field below v to a value of its own.
-func fill(v reflect.Value, next *int) {
+// fillFields sets every field below v to a value of its own.
+func fillFields(v reflect.Value, next *int) {
 	*next++
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i), next)
+			fillFields(v.Field(i), next)
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(v.Index(0), next)
+		fillFields(v.Index(0), next)
 	case reflect.String:
 		v.SetString(fmt.Sprint("text ", *next))
 	case reflect.Bool:
@@ -227,14 +227,14 @@
 func TestValidationNamesTheKeys(t *testing.T) {
 	const class = `"classes":[{"name":"a","aimMs":100,"giveUpMs":500,"effect":"guarded","group":"all","keyTtlMs":1,"credit":1}]`
 	good := `{` + class + `,"membershipMode":"pushed"}`
-	refuse := func(text string) string {
+	validationError := func(text string) string {
 		s, err := ParseSettings([]byte(text))
 		if err == nil {
 			_, err = policy.New(s, 1)
 		}
 		return fmt.Sprint(err)
 	}
-	if got := refuse(good); got != "<nil>" {
+	if got := validationError(good); got != "<nil>" {
 		t.Fatal(got)
 	}
 	for from, to := range map[string]string{
@@ -245,7 +245,7 @@
 		if key != "membershipMode" {
 			key = "classes[0]." + key
 		}
-		if got := refuse(strings.Replace(good, from, to, 1)); !strings.HasPrefix(got, "settings: "+key+": ") {
+		if got := validationError(strings.Replace(good, from, to, 1)); !strings.HasPrefix(got, "settings: "+key+": ") {
 			t.Errorf("%s: complaint %q", to, got)
 		}
 	}
@@ -258,7 +258,7 @@
 		for _, key := range slices.Backward(keys) {
 			text = fmt.Sprintf(`{%q:%s}`, key, text)
 		}
-		got := refuse(`{` + class + `,"membershipMode":"pushed",` + text[1:])
+		got := validationError(`{` + class + `,"membershipMode":"pushed",` + text[1:])
 		if want := "settings: " + path + ": must be 0 or above, is -1"; got != want {
 			t.Errorf("%s: complaint %q, want %q", path, got, want)
 		}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -10,8 +10,8 @@
 	"knotrouter/policy"
 )
 
-// frame builds a batch from hex text; blanks and newlines are for the reader.
-func frame(t testing.TB, text string) []byte {
+// fromHex builds a batch from hex text; blanks and newlines are for the reader.
+func fromHex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
 	if err != nil {
@@ -39,7 +39,7 @@
 }
 
 func TestDecodeEvents(t *testing.T) {
-	data := frame(t, `00000003 00000098 40c06e2000000000
+	data := fromHex(t, `00000003 00000098 40c06e2000000000
 		11 00000003 5d3a91c4 0000 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 01`+zeros(8)+`
 		1a 00000003 0000004d`+zeros(39)+`
 		10 00000005 0e6f2b19`+zeros(39))
@@ -64,7 +64,7 @@
 }
 
 func TestOutcomeAndProbe(t *testing.T) {
-	data := frame(t, `00000002 00000068 40c06e2000000000
+	data := fromHex(t, `00000002 00000068 40c06e2000000000
 		12 00000003 5d3a91c4 0002 0a124a07 138b 0064 4032800000000000 01 02 3f800000 40000000 00000000 00000000`+zeros(3)+`
 		18 00000003 0a9011f2 13b4 0064 3ff6666666666666 00`+zeros(16)+zeros(10))
 	_, recs, err := decodeAll(data)
@@ -86,7 +86,7 @@
 	entry := func(port string) string {
 		return "0001 40b7d40000000000 01 0a9011f2" + port + "3fc00000 0002 01"
 	}
-	data := frame(t, `00000004 000000f8 40c06e2000000000
+	data := fromHex(t, `00000004 000000f8 40c06e2000000000
 		13 00000000 00000000 00000001`+zeros(35)+`
 		16 00000003 02 00000029 00000000`+zeros(34)+`
 		13 00000000 00000018 00000001`+zeros(35)+`
@@ -106,7 +106,7 @@
 }
 
 func TestBootAndKilled(t *testing.T) {
-	data := frame(t, `00000002 0000006a 40c06e2000000000
+	data := fromHex(t, `00000002 0000006a 40c06e2000000000
 		15 00000003`+zeros(43)+`
 		19 00000003 0000000000000007 00000000 00000002`+zeros(27)+`7b7d`)
 	_, recs, err := decodeAll(data)
@@ -140,7 +140,7 @@
 	if _, err := e.WriteTo(&out); err != nil {
 		t.Fatal(err)
 	}
-	want := frame(t, `0000000b 0000011b
+	want := fromHex(t, `0000000b 0000011b
 		54 00000003 5d3a91c4 0a124a07 138b 4054000000000000 00
 		58 00000003 407f400000000000 0000004d`+zeros(7)+`
 		51 00000003 0e6f2b19 406f400000000000`+zeros(7)+`
@@ -172,7 +172,7 @@
 		"bad settings":   {"00000001 00000038 40c06e2000000000 19 00000003 0000000000000007 00000001 00000001" + zeros(27), "boot: settings"},
 		"bad ending":     {"00000001 00000038 40c06e2000000000 12 00000003 5d3a91c4 0000 0a124a07 138b 0063" + zeros(29), "verdict: ending"},
 	} {
-		_, _, err := decodeAll(frame(t, c.text))
+		_, _, err := decodeAll(fromHex(t, c.text))
 		if err == nil || !strings.Contains(err.Error(), c.field) {
 			t.Errorf("%s: error %v does not name %q", name, err, c.field)
 		}
@@ -193,9 +193,9 @@
 }
 
 func FuzzDecoder(f *testing.F) {
-	f.Add(frame(f, "00000000 00000008 40c06e2000000000"))
-	f.Add(frame(f, "00000001 00000038 40c06e2000000000 1a 00000003 0000004d"+zeros(39)))
-	f.Add(frame(f, "00000001 00000050 40c06e2000000000 13 00000000 00000000 00000001"+zeros(35)+zeros(24)))
+	f.Add(fromHex(f, "00000000 00000008 40c06e2000000000"))
+	f.Add(fromHex(f, "00000001 00000038 40c06e2000000000 1a 00000003 0000004d"+zeros(39)))
+	f.Add(fromHex(f, "00000001 00000050 40c06e2000000000 13 00000000 00000000 00000001"+zeros(35)+zeros(24)))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		d := NewDecoder(bytes.NewReader(data))
 		for range 100 {
