--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -24,23 +24,23 @@
 	return append(out, tail...)
 }
 
-func bootRecord(who uint32, textLen int) []byte {
+func bootRecord(instance uint32, settingsLen int) []byte {
 	be := binary.BigEndian
-	r := be.AppendUint32([]byte{25}, who)
+	r := be.AppendUint32([]byte{25}, instance)
 	r = be.AppendUint64(r, 7)
 	r = be.AppendUint32(r, 0)
-	return be.AppendUint32(r, uint32(textLen))
+	return be.AppendUint32(r, uint32(settingsLen))
 }
 
-func requestRecord(who, id uint32) []byte {
+func requestRecord(instance, id uint32) []byte {
 	be := binary.BigEndian
-	r := be.AppendUint32([]byte{17}, who)
+	r := be.AppendUint32([]byte{17}, instance)
 	r = be.AppendUint32(r, id)
 	r = append(r, make([]byte, 14)...)
 	return be.AppendUint64(r, math.Float64bits(400))
 }
 
-func killedRecord(who uint32) []byte { return binary.BigEndian.AppendUint32([]byte{21}, who) }
+func killedRecord(instance uint32) []byte { return binary.BigEndian.AppendUint32([]byte{21}, instance) }
 
 func TestKillAndBootInOneBatch(t *testing.T) {
 	in := batch(1000, settings, bootRecord(3, len(settings)), requestRecord(3, 9))
@@ -85,22 +85,22 @@
 
 // Whatever comes in, the adapter answers or stops with one line; it never panics.
 func FuzzAdapter(f *testing.F) {
-	list := func(since, weight float64) []byte {
+	listEntry := func(since, weight float64) []byte {
 		e := append([]byte{0, 0}, binary.BigEndian.AppendUint64(nil, math.Float64bits(since))...)
 		e = append(e, 1, 10, 0, 0, 1, 0x13, 0x8b)
 		return append(e, append(binary.BigEndian.AppendUint32(nil, math.Float32bits(float32(weight))), 0, 0, 0)...)
 	}
-	targets := func(n uint32) []byte {
+	listUpdateRecord := func(n uint32) []byte {
 		return append(binary.BigEndian.AppendUint32([]byte{22}, n), 1, 0, 0, 0, 1, 0, 0, 0, 0)
 	}
-	pool := append([]byte{19, 0, 0, 0, 0}, 0, 0, 0, 0, 0, 0, 0, 1)
+	serverListRecord := append([]byte{19, 0, 0, 0, 0}, 0, 0, 0, 0, 0, 0, 0, 1)
 	outcome := append(binary.BigEndian.AppendUint32([]byte{18, 0, 0, 0, 3}, 9), 0, 0, 10, 0, 0, 1, 0x13, 0x8b, 0, 100)
 	for _, x := range []float64{0, -1, math.NaN(), math.Inf(1), 1e300} {
-		odd := binary.BigEndian.AppendUint64(requestRecord(3, 9)[:23], math.Float64bits(x))
-		late := binary.BigEndian.AppendUint64(outcome[:19:19], math.Float64bits(x))
+		badRequest := binary.BigEndian.AppendUint64(requestRecord(3, 9)[:23], math.Float64bits(x))
+		badOutcome := binary.BigEndian.AppendUint64(outcome[:19:19], math.Float64bits(x))
 		in := batch(1000, settings, bootRecord(3, len(settings)))
-		in = append(in, batch(1000, string(list(x, x)), pool, targets(3), odd, requestRecord(3, 10))...)
-		f.Add(append(in, batch(1010, "", late, killedRecord(3))...))
+		in = append(in, batch(1000, string(listEntry(x, x)), serverListRecord, listUpdateRecord(3), badRequest, requestRecord(3, 10))...)
+		f.Add(append(in, batch(1010, "", badOutcome, killedRecord(3))...))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if err := run(bytes.NewReader(data), io.Discard); err != nil && strings.Contains(err.Error(), "\n") {
--- a/cmd/simadapter/replay_actions_amd64_test.go
+++ b/cmd/simadapter/replay_actions_amd64_test.go
@@ -8,8 +8,8 @@
 
 // This file holds what the simulator does with the actions of the adapter.
 
-// takeReply carries out the actions of the last reply.
-func (s *simulator) takeReply() {
+// applyReply carries out the actions of the last reply.
+func (s *simulator) applyReply() {
 	be := binary.BigEndian
 	for s.out.Len() > 0 {
 		head := s.out.Next(8)
@@ -19,13 +19,13 @@
 			s.t.Fatalf("reply of %d records and %d bytes is cut", n, size)
 		}
 		for i := range n {
-			s.act(body[actionSize*i : actionSize*(i+1)])
+			s.applyAction(body[actionSize*i : actionSize*(i+1)])
 		}
 	}
 }
 
-// act carries out one action.
-func (s *simulator) act(raw []byte) {
+// applyAction carries out one action.
+func (s *simulator) applyAction(raw []byte) {
 	be := binary.BigEndian
 	var a *simAgent
 	for _, x := range s.agents {
@@ -42,24 +42,24 @@
 	case actionCloseIdle:
 		s.counts.Closes++
 	case actionReject:
-		s.counts.Refusals++
+		s.counts.Rejects++
 		a.requests[id].end(s.batch)
 	case actionProbe:
 		s.counts.Probes++
 		s.probe(a, s.server(raw[5:11]))
 	case actionWatchList:
-		s.counts.Follows++
-		s.follow(a, raw[5] == 1)
+		s.counts.Watches++
+		s.watchList(a, raw[5] == 1)
 	case actionSend:
 		s.counts.Sends++
 		s.send(a, id, s.server(raw[9:15]), math.Float64frombits(be.Uint64(raw[15:])))
 	case actionFetchList:
 		s.counts.Fetches++
-		s.fetch(a)
+		s.fetchList(a)
 	case actionSetTimer:
 		s.counts.Timers++
 		incarnation, token := a.incarnation, be.Uint32(raw[13:])
-		s.later(math.Float64frombits(be.Uint64(raw[5:])), func() []byte {
+		s.schedule(math.Float64frombits(be.Uint64(raw[5:])), func() []byte {
 			if a.incarnation != incarnation {
 				return nil
 			}
@@ -72,7 +72,7 @@
 		s.counts.Failures++
 		a.requests[id].end(s.batch)
 	case actionLog:
-		s.counts.Traces++
+		s.counts.Logs++
 	default:
 		s.t.Fatalf("unexpected action: %x", raw)
 	}
@@ -89,38 +89,38 @@
 	return nil
 }
 
-// follow answers a subscription: sometimes late, sometimes not at all.
-func (s *simulator) follow(a *simAgent, on bool) {
+// watchList answers a subscription: sometimes late, sometimes not at all.
+func (s *simulator) watchList(a *simAgent, on bool) {
 	if !on {
 		a.subscribed = false
 		return
 	}
 	incarnation := a.incarnation
-	down := s.batch%1500 > 1100 // discovery is unavailable
-	s.later(3+40*s.rng.Float64(), func() []byte {
+	unavailable := s.batch%1500 > 1100 // discovery is unavailable
+	s.schedule(3+40*s.rng.Float64(), func() []byte {
 		if a.incarnation != incarnation {
 			return nil
 		}
-		if down || s.rng.IntN(4) == 0 {
+		if unavailable || s.rng.IntN(4) == 0 {
 			return record(eventListUpdate, a.number, byte(listFailed), s.listSeq, uint32(0))
 		}
 		a.subscribed = true
-		s.list(a, listFull, s.servers)
+		s.addList(a, listFull, s.servers)
 		return nil
 	})
 }
 
-// fetch answers a call for the full list: sometimes with an error.
-func (s *simulator) fetch(a *simAgent) {
+// fetchList answers a call for the full list: sometimes with an error.
+func (s *simulator) fetchList(a *simAgent) {
 	incarnation := a.incarnation
-	s.later(3+40*s.rng.Float64(), func() []byte {
+	s.schedule(3+40*s.rng.Float64(), func() []byte {
 		if a.incarnation != incarnation {
 			return nil
 		}
 		if s.rng.IntN(3) == 0 {
 			return record(eventListUpdate, a.number, byte(listFailed), s.listSeq, uint32(0))
 		}
-		s.list(a, listFull, s.servers)
+		s.addList(a, listFull, s.servers)
 		return nil
 	})
 }
--- a/cmd/simadapter/replay_attempts_amd64_test.go
+++ b/cmd/simadapter/replay_attempts_amd64_test.go
@@ -6,22 +6,22 @@
 
 // This file holds how the attempts and probes of the adapter end.
 
-// outcome draws how an attempt that is sent to the server now ends, and after how long.
-func (s *simulator) outcome(v *simServer) (status uint16, ms float64) {
+// drawOutcome draws how an attempt that is sent to the server now ends, and after how long.
+func (s *simulator) drawOutcome(v *simServer) (status uint16, ms float64) {
 	ms = (5 + 15*s.rng.ExpFloat64()) * v.slow * (1 + float64(v.open)/6)
-	hit := s.rng.IntN(4) > 0
+	affected := s.rng.IntN(4) > 0
 	switch {
-	case v.health == healthRemoved && hit:
+	case v.health == healthRemoved && affected:
 		return outcomeConnectFailed, 1
-	case v.fault == faultErrors && hit:
+	case v.fault == faultErrors && affected:
 		return outcomeError, 4
-	case v.fault == faultRejects && hit:
+	case v.fault == faultRejects && affected:
 		return outcomeFull, 2
 	case v.fault == faultHangs:
 		return outcomeTimeout, math.Inf(1)
 	case v.fault == faultConnectTimeouts:
 		return outcomeConnectFailed, 100
-	case v.fault == faultResets && hit:
+	case v.fault == faultResets && affected:
 		return outcomeReset, ms / 2
 	case v.fault == faultSlow:
 		return outcomeOK, 12 * ms
@@ -31,8 +31,8 @@
 	return outcomeOK, ms
 }
 
-// report is a load report, as the day has them.
-func (s *simulator) report(v *simServer, probe bool) []any {
+// loadReport is a load report, as the day has them.
+func (s *simulator) loadReport(v *simServer, probe bool) []any {
 	if s.day.report == "on_probe" && probe || s.day.report == "inline" {
 		inFlight := float64(v.open) + s.rng.Float64()
 		switch {
@@ -48,7 +48,7 @@
 
 // send makes an attempt of a request at the server. The attempt times out after within ms, if that is
 // above 0, and at the deadline of the request.
-func (s *simulator) send(a *simAgent, id uint32, v *simServer, within float64) {
+func (s *simulator) send(a *simAgent, id uint32, v *simServer, timeoutMs float64) {
 	r := a.requests[id]
 	if r == nil || r.ended && r.endedInBatch < s.batch {
 		s.t.Fatalf("request %d is sent after its end", id)
@@ -59,20 +59,20 @@
 	t := &simAttempt{server: v, sentAt: s.clock}
 	n, incarnation := len(r.attempts), a.incarnation
 	r.attempts = append(r.attempts, t)
-	status, ms := s.outcome(v)
+	status, ms := s.drawOutcome(v)
 	if r.ended {
 		status, ms = outcomeWithdrawn, 0 // the batch that the action answers carried the end of the request
 	}
 	v.open++
 	limit := r.deadline - s.clock
-	if within > 0 {
-		limit = min(limit, within)
+	if timeoutMs > 0 {
+		limit = min(limit, timeoutMs)
 	}
 	if ms >= limit {
 		status, ms = outcomeTimeout, limit
 	}
 	if r.class == 5 && status == outcomeOK {
-		s.later(ms, func() []byte {
+		s.schedule(ms, func() []byte {
 			if a.incarnation != incarnation || t.ended || t.canceled || r.ended {
 				return nil
 			}
@@ -84,7 +84,7 @@
 			status = outcomeReset
 		}
 	}
-	s.later(ms, func() []byte {
+	s.schedule(ms, func() []byte {
 		if a.incarnation != incarnation || t.ended {
 			return nil
 		}
@@ -100,7 +100,7 @@
 	t.ended = true
 	t.server.open--
 	fields := []any{a.number, id, uint16(n), t.server.addr, status, s.clock - t.sentAt, a.requests[id].ended}
-	return record(eventOutcome, append(fields, s.report(t.server, false)...)...)
+	return record(eventOutcome, append(fields, s.loadReport(t.server, false)...)...)
 }
 
 // cancel cancels attempt n of a request, unless it has ended or its response has begun.
@@ -114,7 +114,7 @@
 		return
 	}
 	t.canceled = true
-	s.later(2, func() []byte {
+	s.schedule(2, func() []byte {
 		if a.incarnation != incarnation || t.ended {
 			return nil
 		}
@@ -124,15 +124,15 @@
 
 // probe answers a probe of the server.
 func (s *simulator) probe(a *simAgent, v *simServer) {
-	status, ms := s.outcome(v)
+	status, ms := s.drawOutcome(v)
 	if ms > 200 {
 		status, ms = outcomeTimeout, 200
 	}
 	incarnation, sent := a.incarnation, s.clock
-	s.later(ms, func() []byte {
+	s.schedule(ms, func() []byte {
 		if a.incarnation != incarnation {
 			return nil
 		}
-		return record(eventProbeResult, append([]any{a.number, v.addr, status, s.clock - sent}, s.report(v, true)...)...)
+		return record(eventProbeResult, append([]any{a.number, v.addr, status, s.clock - sent}, s.loadReport(v, true)...)...)
 	})
 }
--- a/cmd/simadapter/replay_events_amd64_test.go
+++ b/cmd/simadapter/replay_events_amd64_test.go
@@ -9,7 +9,7 @@
 // boot starts an agent. If it runs already, its process is killed first, with its attempts.
 func (s *simulator) boot(a *simAgent) {
 	if a.incarnation > 0 {
-		s.add(record(eventKilled, a.number))
+		s.addEvent(record(eventKilled, a.number))
 		for _, id := range sortedIDs(a.requests) {
 			for _, t := range a.requests[id].attempts {
 				if !t.ended {
@@ -21,9 +21,9 @@
 	}
 	a.incarnation++
 	a.subscribed, a.requests = !s.day.onRequest, map[uint32]*simRequest{}
-	s.add(record(eventBoot, a.number, s.rng.Uint64(), uint32(len(s.tail)), uint32(len(s.set))))
-	s.tail = append(s.tail, s.set...)
-	s.list(a, listCached, s.servers)
+	s.addEvent(record(eventBoot, a.number, s.rng.Uint64(), uint32(len(s.tail)), uint32(len(s.settingsJSON))))
+	s.tail = append(s.tail, s.settingsJSON...)
+	s.addList(a, listCached, s.servers)
 }
 
 // sortedIDs returns the ids of the requests in ascending order.
@@ -36,19 +36,19 @@
 	return ids
 }
 
-// list adds a list of servers and the event that hands it to the agent.
-func (s *simulator) list(a *simAgent, mode byte, servers []*simServer) {
-	s.pool = (s.pool + 1) % 16
+// addList adds a list of servers and the event that hands it to the agent.
+func (s *simulator) addList(a *simAgent, mode byte, servers []*simServer) {
+	s.listNumber = (s.listNumber + 1) % 16
 	n, at := 0, len(s.tail)
 	for _, v := range servers {
 		if v.health == healthRemoved && mode != listChange {
 			continue // a full list leaves out servers that are gone
 		}
-		s.tail = append(s.tail, record(0, uint16(v.zone), v.since, v.health, v.addr, float32(v.weight), uint16(v.cell), uint8(v.kind))[1:]...)
+		s.tail = append(s.tail, record(0, uint16(v.zone), v.startedAt, v.health, v.addr, float32(v.weight), uint16(v.cell), uint8(v.kind))[1:]...)
 		n++
 	}
-	s.add(record(eventServerList, s.pool, uint32(at), uint32(n)))
-	s.add(record(eventListUpdate, a.number, mode, s.listSeq, s.pool))
+	s.addEvent(record(eventServerList, s.listNumber, uint32(at), uint32(n)))
+	s.addEvent(record(eventListUpdate, a.number, mode, s.listSeq, s.listNumber))
 }
 
 // changeServers lets servers fail, recover, drain, go and restart.
@@ -72,15 +72,15 @@
 	case 2:
 		v.weight = 0.5 + 2*s.rng.Float64()
 	default:
-		v.health, v.since, v.fault = healthReady, s.clock-50*s.rng.Float64(), faultNone
+		v.health, v.startedAt, v.fault = healthReady, s.clock-50*s.rng.Float64(), faultNone
 	}
 	s.listSeq++
 	for _, a := range s.agents {
 		if a.subscribed {
-			s.list(a, listChange, []*simServer{v})
+			s.addList(a, listChange, []*simServer{v})
 			if s.day.onRequest && s.rng.IntN(6) == 0 {
 				a.subscribed = false
-				s.add(record(eventListUpdate, a.number, byte(listFailed), s.listSeq, uint32(0)))
+				s.addEvent(record(eventListUpdate, a.number, byte(listFailed), s.listSeq, uint32(0)))
 			}
 		}
 	}
@@ -95,7 +95,7 @@
 	case phase > 820 && phase < 980:
 		rate *= 0.05
 	}
-	if s.batch > dayBatches-300 {
+	if s.batch > batchesPerDay-300 {
 		return // the day ends with the requests that are in flight
 	}
 	for _, a := range s.agents {
@@ -109,8 +109,8 @@
 func (s *simulator) addRequest(a *simAgent) {
 	s.nextID++
 	id, class := s.nextID, s.rng.IntN(6)
-	left := 40 + 600*s.rng.Float64()
-	r := &simRequest{class: class, deadline: s.clock + left}
+	remaining := 40 + 600*s.rng.Float64()
+	r := &simRequest{class: class, deadline: s.clock + remaining}
 	a.requests[id] = r
 	key := uint64(s.rng.IntN(40))
 	if s.rng.IntN(4) == 0 {
@@ -123,13 +123,13 @@
 	if s.rng.IntN(6) == 0 {
 		flags |= 2
 	}
-	s.add(record(eventRequest, a.number, id, uint16(class), uint32(s.rng.IntN(2)), key*0x9e3779b97f4a7c15, left, hint, flags))
+	s.addEvent(record(eventRequest, a.number, id, uint16(class), uint32(s.rng.IntN(2)), key*0x9e3779b97f4a7c15, remaining, hint, flags))
 	incarnation := a.incarnation
-	leave := left + 20
+	leaveAfter := remaining + 20
 	if s.rng.IntN(30) == 0 {
-		leave = left * s.rng.Float64()
+		leaveAfter = remaining * s.rng.Float64()
 	}
-	s.later(leave, func() []byte {
+	s.schedule(leaveAfter, func() []byte {
 		if a.incarnation != incarnation || r.ended {
 			return nil
 		}
--- a/cmd/simadapter/replay_simulator_amd64_test.go
+++ b/cmd/simadapter/replay_simulator_amd64_test.go
@@ -15,11 +15,11 @@
 // This file holds the state of the simulator, and how it puts events into batches.
 
 const (
-	dayBatches        = 9000 // batches in a day
-	batchGapMs        = 5.0  // simulated time between two batches
-	agents            = 2    // instances in the process
-	defaultServers    = 12
-	maxProcessDelayMs = 300 // longest time for which the process does not run
+	batchesPerDay  = 9000 // batches in a day
+	batchGapMs     = 5.0  // simulated time between two batches
+	agentCount     = 2    // instances in the process
+	defaultServers = 12
+	maxStallMs     = 300 // longest time for which the process does not run
 )
 
 // The faults of a simulated server.
@@ -35,11 +35,11 @@
 
 // simServer is a server of the simulated fleet. Its latency is multiplied by slow.
 type simServer struct {
-	addr                [6]byte
-	zone, cell, kind    int
-	since, weight, slow float64
-	health, fault       byte
-	open                int
+	addr                    [6]byte
+	zone, cell, kind        int
+	startedAt, weight, slow float64
+	health, fault           byte
+	open                    int
 }
 
 // simAttempt is an attempt that the adapter made.
@@ -83,18 +83,18 @@
 
 // simulator is the input and the output of one adapter.
 type simulator struct {
-	t       *testing.T
-	rng     *rand.Rand
-	day     dayOptions
-	set     []byte
-	clock   float64
-	batch   int
-	agents  []*simAgent
-	servers []*simServer
-	pending []pendingEvent
-	nextID  uint32
-	listSeq uint32
-	pool    uint32
+	t            *testing.T
+	rng          *rand.Rand
+	day          dayOptions
+	settingsJSON []byte
+	clock        float64
+	batch        int
+	agents       []*simAgent
+	servers      []*simServer
+	pending      []pendingEvent
+	nextID       uint32
+	listSeq      uint32
+	listNumber   uint32
 
 	in, out bytes.Buffer
 	records [][]byte
@@ -106,7 +106,7 @@
 // newSimulator returns the simulator of a day, which draws everything from the seed.
 func newSimulator(t *testing.T, seed uint64, day dayOptions) *simulator {
 	s := &simulator{t: t, rng: rand.New(rand.NewPCG(seed, 2026)), day: day, clock: 7000, sum: sha256.New()}
-	s.set = day.settings(t)
+	s.settingsJSON = day.settings(t)
 	n := day.servers
 	if n == 0 {
 		n = defaultServers
@@ -115,7 +115,7 @@
 		s.servers = append(s.servers, &simServer{addr: [6]byte{10, 0, byte(i / 7), byte(i + 1), 0x13, byte(0x80 + i)},
 			zone: i % 3, cell: i / 3, kind: i % 2, weight: 1 + float64(i%4)/2, slow: 1 + float64(i%2), health: healthReady})
 	}
-	for i := range agents {
+	for i := range agentCount {
 		s.agents = append(s.agents, &simAgent{number: uint32(3 + 4*i)})
 	}
 	return s
@@ -124,8 +124,8 @@
 // Read gives the adapter its next batch once it has answered the last one.
 func (s *simulator) Read(p []byte) (int, error) {
 	if s.in.Len() == 0 {
-		s.takeReply()
-		if s.batch == dayBatches {
+		s.applyReply()
+		if s.batch == batchesPerDay {
 			return 0, io.EOF
 		}
 		s.nextBatch()
@@ -139,15 +139,15 @@
 	return s.out.Write(p)
 }
 
-// add puts an event into the batch. It ignores nil.
-func (s *simulator) add(event []byte) {
+// addEvent puts an event into the batch. It ignores nil.
+func (s *simulator) addEvent(event []byte) {
 	if event != nil {
 		s.records = append(s.records, append(event, make([]byte, eventSize-len(event))...))
 	}
 }
 
-// later puts the event that encode returns into the batch that is due in ms.
-func (s *simulator) later(ms float64, encode func() []byte) {
+// schedule puts the event that encode returns into the batch that is due in ms.
+func (s *simulator) schedule(ms float64, encode func() []byte) {
 	s.pending = append(s.pending, pendingEvent{s.clock + ms, encode})
 }
 
@@ -156,7 +156,7 @@
 	s.batch++
 	s.clock += batchGapMs
 	if s.rng.IntN(400) == 0 {
-		s.clock += maxProcessDelayMs * s.rng.Float64()
+		s.clock += maxStallMs * s.rng.Float64()
 	}
 	s.records, s.tail = s.records[:0], s.tail[:0]
 	for _, a := range s.agents {
@@ -165,7 +165,7 @@
 		}
 	}
 	s.changeServers()
-	s.fire()
+	s.addDueEvents()
 	s.drawRequests()
 	head := binary.BigEndian.AppendUint32(nil, uint32(len(s.records)))
 	head = binary.BigEndian.AppendUint32(head, uint32(8+eventSize*len(s.records)+len(s.tail)))
@@ -176,8 +176,8 @@
 	s.in.Write(s.tail)
 }
 
-// fire adds the events that are due, in the order of their times.
-func (s *simulator) fire() {
+// addDueEvents adds the events that are due, in the order of their times.
+func (s *simulator) addDueEvents() {
 	slices.SortStableFunc(s.pending, func(a, b pendingEvent) int {
 		switch {
 		case a.at < b.at:
@@ -190,6 +190,6 @@
 	for len(s.pending) > 0 && s.pending[0].at <= s.clock {
 		d := s.pending[0]
 		s.pending = s.pending[1:]
-		s.add(d.encode())
+		s.addEvent(d.encode())
 	}
 }
