--- a/cmd/agent/clientconn_test.go
+++ b/cmd/agent/clientconn_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The operating system is asked whether the client is still connected before an attempt begins. A
-// permanent error means that it is not; a temporary one says nothing.
+// Before an attempt begins, the agent asks the operating system whether the client is still connected.
+// A permanent error means that it is not; after a temporary error the request is served.
 func TestClientConnectionIsChecked(t *testing.T) {
 	for errno, served := range map[string]bool{"EINTR": true, "ENOMEM": true, "ENOBUFS": true,
 		"ETIMEDOUT": false, "EHOSTUNREACH": false} {
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -43,18 +43,18 @@
 	stopGracefully(t, cmd, stderr)
 }
 
-// An invalid configuration ends the program with one line that names the key.
+// An invalid configuration stops the program with an error of one line that names the key.
 func TestInvalidConfigStopsTheProgram(t *testing.T) {
 	cmd, stderr := startProgram(t, `{"name":"n0","listen":"127.0.0.1"}`)
 	if err := cmd.Wait(); err == nil {
-		t.Fatal("started with a bad configuration")
+		t.Fatal("exit code 0 with an invalid configuration")
 	}
 	if got := stderr.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "config: listen:") {
 		t.Fatalf("stderr %q, want one line that names listen", got)
 	}
 }
 
-// On SIGHUP the program calls discovery at the address that its configuration names now, and keeps
+// On SIGHUP the program reads its configuration again, calls discovery at the new address and keeps
 // serving.
 func TestSIGHUPChangesDiscovery(t *testing.T) {
 	startDiscovery := func() (string, chan string) {
@@ -80,25 +80,25 @@
 	cmd, stderr := startProgramAt(t, path, config(before))
 	waitReady(t, listen, stderr)
 	<-requestsBefore
-	for _, text := range []string{"{", config(after)} { // half a file changes nothing
+	for _, text := range []string{"{", config(after)} { // a truncated file changes nothing
 		reloadProgram(t, cmd, path, text)
 		waitReady(t, listen, stderr)
 	}
 	if q := <-requestsAfter; q != "follow=1&since=1" {
-		t.Fatalf("query %q", q)
+		t.Fatalf("first query at the new address: %q", q)
 	}
 	waitReady(t, listen, stderr)
 	stopGracefully(t, cmd, stderr)
 }
 
-// Signals in any order, during a request: two SIGTERMs, SIGHUP and SIGTERM. The program shuts down
-// gracefully each time, and the request is answered.
+// Several signals arrive during a request, in different orders: two SIGTERMs, SIGHUP and SIGTERM, SIGINT.
+// The program shuts down gracefully each time, and the request is answered.
 func TestConcurrentSignalsShutDownGracefully(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
-		"twice":           {syscall.SIGTERM, syscall.SIGTERM},
-		"reconfigured":    {syscall.SIGHUP, syscall.SIGTERM},
-		"and configured":  {syscall.SIGTERM, syscall.SIGHUP},
-		"again and again": {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT},
+		"two SIGTERMs":      {syscall.SIGTERM, syscall.SIGTERM},
+		"reload, then stop": {syscall.SIGHUP, syscall.SIGTERM},
+		"stop, then reload": {syscall.SIGTERM, syscall.SIGHUP},
+		"five signals":      {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -123,7 +123,7 @@
 					t.Fatal(err)
 				}
 			}
-			time.Sleep(100 * time.Millisecond) // both are taken, and the request is still out
+			time.Sleep(100 * time.Millisecond) // the signals have arrived, and the request is still in flight
 			close(release)
 			if got := <-answered; got != "200 <nil>" {
 				t.Errorf("answered %s; stderr: %s", got, stderr)
@@ -135,7 +135,7 @@
 	}
 }
 
-// A SIGTERM before the program can be ready ends it gracefully.
+// SIGTERM stops the program gracefully even before it is ready.
 func TestSignalBeforeReady(t *testing.T) {
 	listen := freeAddr(t)
 	cmd, stderr := startProgram(t, programConfig(listen, "127.0.0.1:1", "", 1024))
@@ -143,7 +143,7 @@
 	stopGracefully(t, cmd, stderr)
 }
 
-// limitFiles lets the program run with a limit of open files.
+// limitFiles sets the program's limit of open files.
 func limitFiles(cmd *exec.Cmd, files int) {
 	const shell = "/bin/sh"
 	cmd.Args = []string{shell, "-c", fmt.Sprintf("ulimit -n %d; exec %s", files, cmd.Path)}
@@ -160,7 +160,7 @@
 	}
 }
 
-// serveDiscovery serves discovery at addr until the test ends, which lists one backend.
+// serveDiscovery serves a discovery that lists one backend, at addr until the test ends.
 func serveDiscovery(t *testing.T, addr, backend string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", addr)
@@ -191,8 +191,8 @@
 	}
 }
 
-// Idle clients use up all file descriptors while discovery is unavailable: the program gets ready,
-// serves requests, is notified when discovery returns, and connects to the servers listed then.
+// Idle clients use up all file descriptors while discovery is unavailable: the program becomes ready,
+// is notified when discovery returns, connects to the server that is listed then, and serves requests.
 func TestDescriptorExhaustion(t *testing.T) {
 	const files, maxStartTime, maxNotificationTime = 64, 10 * time.Second, 6 * time.Second
 	backend, discovery, listen := okServer(t), freeAddr(t), freeAddr(t)
--- a/cmd/agent/notification_test.go
+++ b/cmd/agent/notification_test.go
@@ -16,18 +16,18 @@
 
 const (
 	drainGrace = 500 * time.Millisecond
-	// timingTolerance is what a rule's time may be exceeded by on sockets (PROTOCOL).
+	// timingTolerance is by how much a time limit may be exceeded on sockets (PROTOCOL).
 	timingTolerance = 50 * time.Millisecond
 )
 
-// rawDiscovery answers the n-th call, from 0, with what serve writes. A connection is closed when
-// serve returns.
+// rawDiscovery starts a discovery that calls serve to answer the n-th call, counted from 0. The
+// connection is closed when serve returns.
 func rawDiscovery(t *testing.T, serve func(c net.Conn, n int)) string {
 	t.Helper()
 	return rawListener(t, func(c *net.TCPConn, n int, _ *http.Request) { serve(c, n) })
 }
 
-// chunk returns one chunk of a chunked response.
+// chunk encodes text as one chunk of a chunked response.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 const watchResponseHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -45,7 +45,7 @@
 	a.times = append(a.times, time.Now())
 }
 
-// countAfter returns the number of arrivals after a moment, and how long after it the last one was.
+// countAfter returns the number of arrivals after a moment, and the time from then to the last one.
 func (a *arrivals) countAfter(moment time.Time) (n int, last time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -57,7 +57,7 @@
 	return n, last
 }
 
-// recordingServer answers at once and records each request.
+// recordingServer starts a server that answers at once and records when requests arrive.
 func recordingServer(t *testing.T) (addr string, received *arrivals) {
 	t.Helper()
 	received = &arrivals{}
@@ -71,22 +71,22 @@
 
 // drainRun is an agent under load with two servers, of which the first begins to drain.
 type drainRun struct {
-	partialChange string // the change, as far as the end of the entry of the server that drains
-	changeLine    string // the whole change, with the end of its line
+	partialChange string // the change up to the end of the draining server's entry
+	changeLine    string // the whole change, with its newline
 
 	watchOpened   chan struct{}  // closed when the first watch is open
 	changeMade    chan struct{}  // closed when the change is made
-	referenceTime chan time.Time // the moment from which the test counts
-	arrivals      *arrivals      // at the server that drains
+	referenceTime chan time.Time // the time from which notification and drain grace are counted
+	arrivals      *arrivals      // at the draining server
 	stderr        *stderrBuffer  // of the agent
 
 	cmd           *exec.Cmd
-	configPath    string // the path of the configuration
-	discoveryAddr string // its address
+	configPath    string
+	discoveryAddr string
 }
 
-// openWatch answers a watch with an empty change of the version that the agent has, and waits until
-// the change is made. It returns that moment.
+// openWatch answers a watch with an empty change at the agent's list version, waits until the change is
+// made and returns the time at which it was.
 func (d *drainRun) openWatch(c net.Conn) time.Time {
 	fmt.Fprint(c, watchResponseHeader+chunk(`{"seq":1,"whole":false,"hosts":[]}`+"\n"))
 	close(d.watchOpened)
@@ -94,7 +94,7 @@
 	return time.Now()
 }
 
-// startDrainRun starts the agent with four clients. Its discovery answers the n-th call with serve.
+// startDrainRun starts an agent with four clients. Its discovery calls serve to answer the n-th call.
 func startDrainRun(t *testing.T, serve func(d *drainRun, c net.Conn, n int)) *drainRun {
 	t.Helper()
 	d := &drainRun{watchOpened: make(chan struct{}), changeMade: make(chan struct{}), referenceTime: make(chan time.Time, 1)}
@@ -137,45 +137,45 @@
 	})
 	time.Sleep(500 * time.Millisecond)
 	if n, _ := received.countAfter(time.Time{}); n == 0 {
-		t.Fatalf("nothing was sent to the server before it drains; stderr: %s", d.stderr)
+		t.Fatalf("no request reached the server before it began to drain; stderr: %s", d.stderr)
 	}
 	return d
 }
 
-// check makes the change, runs for a time after the marked moment, and reports requests that
-// arrived at the draining server later than the grace after notificationDelay.
+// check makes the change and waits for runTime after the reference time. It fails the test if requests
+// arrived at the draining server more than notificationDelay and the drain grace after that time.
 func (d *drainRun) check(t *testing.T, runTime, notificationDelay time.Duration) {
 	t.Helper()
 	close(d.changeMade)
 	referenceTime := <-d.referenceTime
 	time.Sleep(runTime)
 	if n, last := d.arrivals.countAfter(referenceTime.Add(notificationDelay + drainGrace + timingTolerance)); n > 0 {
-		t.Errorf("%d requests came after the grace, the last %v after it; stderr: %s", n, last, d.stderr)
+		t.Errorf("%d requests arrived after the drain grace, the last %v after it; stderr: %s", n, last, d.stderr)
 	}
 }
 
-// A draining server gets nothing new once the grace is over, counted from the moment in which
-// discovery wrote the change, however much of the response arrives and when.
+// A draining server gets no new requests once the drain grace is over. The grace is counted from the
+// moment at which discovery wrote the change, even if a part of the change arrives late or never.
 func TestPartialChangeStartsDrainGrace(t *testing.T) {
-	const longDelay = 3 * time.Second // after the grace, within the test
+	const longDelay = 3 * time.Second // longer than the drain grace
 	for name, response := range map[string]struct {
 		writeChange   func(d *drainRun, c net.Conn) // writes the change
-		nextCallDelay time.Duration                 // how long discovery holds the calls after it
+		nextCallDelay time.Duration                 // how long discovery delays its answers to later calls
 	}{
-		"cut behind the entry": {func(d *drainRun, c net.Conn) {
+		"closed after the entry": {func(d *drainRun, c net.Conn) {
 			fmt.Fprint(c, chunk(d.partialChange))
 		}, longDelay},
-		"reset behind the entry": {func(d *drainRun, c net.Conn) {
+		"reset after the entry": {func(d *drainRun, c net.Conn) {
 			fmt.Fprint(c, chunk(d.partialChange))
 			time.Sleep(20 * time.Millisecond)
 			_ = c.(*net.TCPConn).SetLinger(0)
 		}, longDelay},
-		"the rest comes late": {func(d *drainRun, c net.Conn) {
+		"the rest arrives late": {func(d *drainRun, c net.Conn) {
 			fmt.Fprint(c, chunk(d.partialChange))
 			time.Sleep(longDelay)
 			fmt.Fprint(c, chunk(strings.TrimPrefix(d.changeLine, d.partialChange)))
 		}, longDelay},
-		"the line ends late": {func(d *drainRun, c net.Conn) {
+		"the newline arrives late": {func(d *drainRun, c net.Conn) {
 			fmt.Fprint(c, chunk(strings.TrimSuffix(d.changeLine, "\n")))
 			time.Sleep(longDelay)
 			fmt.Fprint(c, chunk("\n"))
@@ -184,10 +184,10 @@
 			fmt.Fprint(c, chunk(strings.Replace(d.changeLine, `"hosts":[`, `"hosts":[{"host":"s-9","dial":"nowhere","health":7},`, 1)))
 			time.Sleep(longDelay)
 		}, longDelay},
-		"cut before the entry, the next call is served": {func(d *drainRun, c net.Conn) {
+		"closed before the entry, the next call is served": {func(d *drainRun, c net.Conn) {
 			fmt.Fprint(c, chunk(d.changeLine[:20]))
 		}, 0},
-		"cut before the entry, the next call is held": {func(d *drainRun, c net.Conn) {
+		"closed before the entry, the next call is delayed": {func(d *drainRun, c net.Conn) {
 			fmt.Fprint(c, chunk(d.changeLine[:20]))
 		}, longDelay},
 		"stalled before the entry": {func(d *drainRun, c net.Conn) {
@@ -212,20 +212,20 @@
 	}
 }
 
-// missedChangeNotificationDelay is when a change counts as notified that a watch ended instead of
-// delivering, from the end of the watch: measured in replays of issue 26 (2.0 s), and the 2 s that
-// STANDING allows for a long poll.
+// missedChangeNotificationDelay is the time from the end of a watch until a change that it did not
+// deliver counts as notified: 2.0 s as measured in replays of issue 26, and the 2 s that STANDING allows
+// for a long poll.
 const missedChangeNotificationDelay = 2 * time.Second
 
-// A watch that ends instead of delivering a change is reopened at once: the change counts as
-// notified two seconds later, and a discovery that serves calls in turn may need most of them.
+// A watch that ends without delivering a change is reopened at once: the change counts as notified two
+// seconds later, and a discovery that serves one call after the other may take most of that time to answer.
 func TestEndedWatchIsReopenedAtOnce(t *testing.T) {
-	const callDelay = 1850 * time.Millisecond // how long discovery holds a call
+	const callDelay = 1850 * time.Millisecond // how long discovery delays its answer to a call
 	for name, endWatch := range map[string]func(c *net.TCPConn){
-		"closed":               func(c *net.TCPConn) {},
-		"reset":                func(c *net.TCPConn) { _ = c.SetLinger(0) },
-		"ended in order":       func(c *net.TCPConn) { fmt.Fprint(c, "0\r\n\r\n") },
-		"closed behind a line": func(c *net.TCPConn) { fmt.Fprint(c, chunk("\n")) },
+		"closed":                     func(c *net.TCPConn) {},
+		"reset":                      func(c *net.TCPConn) { _ = c.SetLinger(0) },
+		"last chunk":                 func(c *net.TCPConn) { fmt.Fprint(c, "0\r\n\r\n") },
+		"closed after an empty line": func(c *net.TCPConn) { fmt.Fprint(c, chunk("\n")) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -244,12 +244,12 @@
 	}
 }
 
-// What discovery writes at its previous address, until it closes the watch there, is applied also
-// while the call at the new address waits for its turn.
+// After a change of discovery's address, the agent applies what discovery writes at the previous address
+// until it closes the watch there, while the call to the new address waits for an answer.
 func TestPreviousWatchIsReadToItsEnd(t *testing.T) {
 	for name, writeChange := range map[string]func(d *drainRun, c net.Conn){
-		"whole":    func(d *drainRun, c net.Conn) { fmt.Fprint(c, chunk(d.changeLine)) },
-		"the part": func(d *drainRun, c net.Conn) { fmt.Fprint(c, chunk(d.partialChange)) },
+		"whole change":       func(d *drainRun, c net.Conn) { fmt.Fprint(c, chunk(d.changeLine)) },
+		"part of the change": func(d *drainRun, c net.Conn) { fmt.Fprint(c, chunk(d.partialChange)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/agent/program_test.go
+++ b/cmd/agent/program_test.go
@@ -17,9 +17,9 @@
 	"knotrouter/internal/lab/syscallfault"
 )
 
-// This file starts and stops the program for the tests, and sends requests to it.
+// This file has helpers that start and stop the program and send requests to it.
 
-// readyTimeout is how long the program may take to listen or to get ready where a test has no limit of its own.
+// readyTimeout limits the time until the program listens or is ready, in tests without a limit of their own.
 const readyTimeout = time.Minute
 
 // TestMain runs the program itself if the test binary was started by startProgram.
@@ -34,7 +34,7 @@
 	os.Exit(m.Run())
 }
 
-// stderrBuffer is the standard error of a program. It can be read while the program runs.
+// stderrBuffer collects the standard error of a program. It can be read while the program runs.
 type stderrBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -57,7 +57,8 @@
  "contract":{"answerSlackMs":20,"askWithinMs":10000,"coldFrom":0.3,"coldMs":8000,"drainGraceMs":250,"fallMultiple":2.5,"tipAfterMs":1000},
  "replicasOfMe":1,"roundMs":5,"weights":"nominal","failureDomains":["a"],"shapes":["k"]}`
 
-// newProgram writes the configuration to path and returns the program with it, not yet started.
+// newProgram writes the configuration to path and returns a command, not yet started, that runs the program
+// with it.
 func newProgram(t *testing.T, path, config string) (*exec.Cmd, *stderrBuffer) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -99,7 +100,7 @@
 	})
 }
 
-// reloadProgram gives the program another configuration at path, and the signal to read it.
+// reloadProgram writes another configuration to path and sends the program SIGHUP, the signal to read it.
 func reloadProgram(t *testing.T, cmd *exec.Cmd, path, config string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -132,7 +133,7 @@
 	return free.Addr().String()
 }
 
-// dialListening connects to the program as soon as it listens, until the test ends.
+// dialListening connects to the program as soon as it listens. The connection is closed when the test ends.
 func dialListening(t *testing.T, listen string, stderr *stderrBuffer) {
 	t.Helper()
 	for deadline := time.Now().Add(readyTimeout); ; time.Sleep(time.Millisecond) {
@@ -142,7 +143,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("does not listen: %v; stderr: %s", err, stderr)
+			t.Fatalf("the program does not listen: %v; stderr: %s", err, stderr)
 		}
 	}
 }
@@ -159,7 +160,7 @@
 			}
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("not ready: %v; stderr: %s", err, stderr)
+			t.Fatalf("the program is not ready: %v; stderr: %s", err, stderr)
 		}
 	}
 }
--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -12,7 +12,7 @@
 // A configuration that is unreadable or incomplete when the signal arrives is read again until it
 // is valid.
 func TestReconfigureWhileReadsFail(t *testing.T) {
-	for _, fault := range []string{"openat:ENFILE", "openat:EIO", "half a file"} {
+	for _, fault := range []string{"openat:ENFILE", "openat:EIO", "truncated file"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			requests := make(chan struct{}, 10)
@@ -23,7 +23,7 @@
 			t.Cleanup(func() { discovery.CloseClientConnections(); discovery.Close() })
 			listen, server := freeAddr(t), okServer(t)
 			injected := fault
-			if fault == "half a file" {
+			if fault == "truncated file" {
 				injected = "openat:EIO"
 			}
 			p := startFaulty(t, injected, programConfig(listen, "127.0.0.1:1", server, 1024), false)
@@ -34,7 +34,7 @@
 					t.Fatal(err)
 				}
 			}
-			if fault == "half a file" {
+			if fault == "truncated file" {
 				writeConfig(newConfig[:len(newConfig)/2])
 			} else {
 				writeConfig(newConfig)
@@ -49,7 +49,7 @@
 			select {
 			case <-requests:
 			case <-time.After(2 * time.Second):
-				t.Errorf("the new address of discovery was not asked; stderr: %s", p.stderr)
+				t.Errorf("discovery was not called at its new address; stderr: %s", p.stderr)
 			}
 			p.requireRunning()
 		})
--- a/cmd/agent/response_test.go
+++ b/cmd/agent/response_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// rawListener passes the head of the first request on each connection to serve, with the number of
-// the connection. The connection is closed when serve returns.
+// rawListener starts a listener that reads the header of the first request on each connection and calls
+// serve with it and the number of the connection. The connection is closed when serve returns.
 func rawListener(t *testing.T, serve func(c *net.TCPConn, n int, r *http.Request)) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,7 +37,7 @@
 	return ln.Addr().String()
 }
 
-// rawServer passes each complete request to serve.
+// rawServer starts a server that calls serve once it has read a complete request.
 func rawServer(t *testing.T, serve func(c *net.TCPConn, r *http.Request)) string {
 	t.Helper()
 	return rawListener(t, func(c *net.TCPConn, _ int, r *http.Request) {
@@ -64,8 +64,8 @@
 	return resp.StatusCode, string(body), err
 }
 
-// A response without a length ends with the connection: it is complete when the server closes, and
-// never when the connection is reset or stays open.
+// A response without a length ends with its connection: it is complete when the server closes the
+// connection, and never if the connection is reset or stays open.
 func TestResponseEndsWithItsConnection(t *testing.T) {
 	long := strings.Repeat("x", 64<<10)
 	const statusLine = "HTTP/1.1 200 OK\r\n"
@@ -81,18 +81,18 @@
 	}
 	for name, c := range map[string]struct {
 		serve    func(c *net.TCPConn, r *http.Request)
-		wantBody string // the body that the client gets with status 200; "": the answer fails
+		wantBody string // the body of a response with status 200; "" if the request must not be served
 	}{
-		"closed":             {write(statusLine + "\r\ndone"), "done"},
-		"closed, said so":    {write(statusLine + "Connection: close\r\n\r\ndone"), "done"},
-		"HTTP/1.0":           {write("HTTP/1.0 200 OK\r\n\r\ndone"), "done"},
-		"in pieces":          {write(statusLine+"\r\nd", "on", "e"), "done"},
-		"close comes later":  {write(statusLine+"\r\ndone", ""), "done"},
-		"64 KiB":             {write(statusLine + "\r\n" + long), long},
-		"over 64 KiB":        {write(statusLine + "\r\n" + long + "x"), ""},
-		"half a head":        {write(statusLine + "Content-Ty"), ""},
-		"cut, with a length": {write(statusLine + "Content-Length: 9\r\n\r\ndone"), ""},
-		"cut, in chunks":     {write(statusLine + "Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"), ""},
+		"closed":                       {write(statusLine + "\r\ndone"), "done"},
+		"Connection: close":            {write(statusLine + "Connection: close\r\n\r\ndone"), "done"},
+		"HTTP/1.0":                     {write("HTTP/1.0 200 OK\r\n\r\ndone"), "done"},
+		"in pieces":                    {write(statusLine+"\r\nd", "on", "e"), "done"},
+		"closed later":                 {write(statusLine+"\r\ndone", ""), "done"},
+		"64 KiB":                       {write(statusLine + "\r\n" + long), long},
+		"over 64 KiB":                  {write(statusLine + "\r\n" + long + "x"), ""},
+		"incomplete header":            {write(statusLine + "Content-Ty"), ""},
+		"closed before the length":     {write(statusLine + "Content-Length: 9\r\n\r\ndone"), ""},
+		"closed before the last chunk": {write(statusLine + "Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"), ""},
 		"reset": {func(c *net.TCPConn, _ *http.Request) {
 			_, _ = io.WriteString(c, statusLine+"\r\ndone")
 			time.Sleep(50 * time.Millisecond)
@@ -119,14 +119,14 @@
 				t.Errorf("answered %d with %d bytes, %v, after %v; stderr: %s", status, len(body), err, took, stderr)
 			}
 			if err != nil || took > 1600*time.Millisecond {
-				t.Errorf("no final answer in time: %v after %v", err, took)
+				t.Errorf("no complete response in time: %v after %v", err, took)
 			}
 		})
 	}
 }
 
-// A server that rejects a request without a length and keeps the connection open delays neither the
-// request nor its next attempt.
+// If a server rejects a request with a response that has no length, and keeps the connection open, this
+// delays neither the request nor its next attempt.
 func TestRejectionWithoutALength(t *testing.T) {
 	rejectingAddr := rawServer(t, func(c *net.TCPConn, _ *http.Request) {
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\n\r\n")
--- a/cmd/agent/services_test.go
+++ b/cmd/agent/services_test.go
@@ -16,8 +16,8 @@
 	"knotrouter/internal/endpoints"
 )
 
-// scopedControlPlane is a control-plane server that knows services. It reports the queries that it
-// receives, and answers those without service a once hold is closed.
+// scopedControlPlane is a control-plane server that lists the endpoints of the requested services. It sends
+// each query that it receives to queries, and answers those without service a once release is closed.
 type scopedControlPlane struct {
 	addr    string
 	queries chan string
@@ -64,7 +64,7 @@
 	}
 }
 
-// awaitQuery waits for a call with exactly this query.
+// awaitQuery waits for a call with exactly the query want.
 func (s *scopedControlPlane) awaitQuery(t *testing.T, want string) {
 	t.Helper()
 	for timeout := time.After(30 * time.Second); ; {
@@ -74,12 +74,12 @@
 				return
 			}
 		case <-timeout:
-			t.Fatalf("never called with %s", want)
+			t.Fatalf("no call with the query %s", want)
 		}
 	}
 }
 
-// countingServer returns a backend that counts its requests.
+// countingServer starts a backend that counts its requests.
 func countingServer(t *testing.T, name, service string) (endpoints.Endpoint, *atomic.Int64) {
 	t.Helper()
 	count := &atomic.Int64{}
@@ -93,7 +93,7 @@
 		Weight: 1, Service: service}, count
 }
 
-// waitForRequests waits until count has grown by more.
+// waitForRequests waits until count has grown by additional.
 func waitForRequests(t *testing.T, description string, count *atomic.Int64, additional int64) {
 	t.Helper()
 	want := count.Load() + additional
@@ -104,7 +104,7 @@
 	}
 }
 
-// requestLoad is clients that send requests one after the other, each for another key.
+// requestLoad is a group of clients, each of which sends one request after the other, every one with a new key.
 type requestLoad struct {
 	clients          sync.WaitGroup
 	stopping         chan struct{}
@@ -120,7 +120,7 @@
 		close(l.stopping)
 		l.clients.Wait()
 	})
-	t.Cleanup(l.stop) // before the agent is killed, also where the test fails
+	t.Cleanup(l.stop) // before the agent is killed, even if the test fails
 	for range clients {
 		l.clients.Go(func() {
 			for {
@@ -129,7 +129,7 @@
 					return
 				default:
 				}
-				// The policy sends the requests of one key to one server while it has room.
+				// A new key for each request: the policy sends those of one key to one server while it has capacity.
 				if status, err := postKey(listen, fmt.Sprint("u", l.requests.Add(1)), "30000m"); status != http.StatusOK {
 					l.failed.Add(1)
 					t.Errorf("answered %d, %v", status, err)
@@ -140,8 +140,8 @@
 	return l
 }
 
-// servicesConfig returns a configuration that subscribes to services, a JSON list, at a control
-// plane. On a busy machine one server for four clients is overloaded by the times of the settings.
+// servicesConfig returns a configuration that subscribes to services, a JSON list, at a control plane. Its
+// times are longer than in settings, by which one server is overloaded by four clients on a busy machine.
 func servicesConfig(listen string, controlPlane *scopedControlPlane, services string) string {
 	longTimeouts := strings.Replace(settings, `"aimMs":500,"giveUpMs":1000`, `"aimMs":20000,"giveUpMs":30000`, 1)
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"stewards":[%q],"services":%s,"seed":"1f",
@@ -149,7 +149,7 @@
 }
 
 // SIGHUP changes the services under load: the known servers keep serving until the list of the new
-// services arrives, and no request fails, also if the address changes at the same time.
+// services arrives, and no request fails, even if the control plane's address changes at the same time.
 func TestServicesChangeUnderLoad(t *testing.T) {
 	a, requestsA := countingServer(t, "s-a", "a")
 	b, requestsB := countingServer(t, "s-b", "b")
@@ -164,9 +164,9 @@
 
 	reloadProgram(t, cmd, path, servicesConfig(listen, first, `["b"]`))
 	first.awaitQuery(t, "follow=1&since=0&service=b")
-	waitForRequests(t, "service a, while the list of b is not there", requestsA, 50)
+	waitForRequests(t, "service a, before the list of b arrives", requestsA, 50)
 	if requestsB.Load() > 0 {
-		t.Error("service b received requests before its list came")
+		t.Error("service b received requests before its list arrived")
 	}
 	close(first.release)
 	waitForRequests(t, "service b", requestsB, 50)
--- a/cmd/agent/syscallfault_test.go
+++ b/cmd/agent/syscallfault_test.go
@@ -16,12 +16,12 @@
 	"knotrouter/internal/lab/syscallfault"
 )
 
-// faultyProgram is the program with system calls that fail while setFaults(true) is in force.
+// faultyProgram is the program with system calls that fail from setFaults(true) until setFaults(false).
 type faultyProgram struct {
 	t          *testing.T
-	faults     string // as syscallfault has them, or noDescriptors
-	faultFile  string // the file that stands for it
-	configPath string // the path of the configuration
+	faults     string // in the form that syscallfault reads, or noDescriptors
+	faultFile  string // system calls fail while it exists
+	configPath string
 	cmd        *exec.Cmd
 	stderr     *stderrBuffer
 	ended      chan error
@@ -48,10 +48,10 @@
 	return p
 }
 
-// noDescriptors stands for a process that can open no further descriptor (EMFILE), by its limit.
+// noDescriptors is the fault of a process that has reached its limit of open descriptors (EMFILE).
 const noDescriptors = "no descriptors"
 
-// limitDescriptors limits the program's descriptors to those in use, or to a thousand.
+// limitDescriptors limits the program's descriptors to those in use if on is set, and to a thousand otherwise.
 func (p *faultyProgram) limitDescriptors(on bool) {
 	p.t.Helper()
 	limit := unix.Rlimit{Cur: 1000, Max: 1000}
@@ -64,8 +64,8 @@
 }
 
 // oneMallocArena keeps the C library, which the test binary may be linked with, from opening
-// /sys/devices/system/cpu/online in a new thread. The thread holds a processor of the Go scheduler
-// meanwhile, and where the program has only one, syscallfault can't decide on the call.
+// /sys/devices/system/cpu/online in a new thread. Meanwhile the thread holds a processor (P) of the Go
+// scheduler, and if the program has only one, syscallfault can't decide on the call.
 const oneMallocArena = "MALLOC_ARENA_MAX=1"
 
 // setFaults switches the faults on or off.
@@ -104,8 +104,8 @@
 	return s.Listener.Addr().String()
 }
 
-// If accept fails temporarily, with any error that accept(2) names, the connection is accepted
-// right after and its request is answered in time.
+// If accept fails temporarily, with any error that accept(2) documents, the connection is accepted as soon
+// as accept succeeds again, and its request is answered in time.
 func TestAcceptFailsTemporarily(t *testing.T) {
 	for _, errno := range []string{"ECONNABORTED", "EINTR", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPROTO", "EPERM",
 		"ENETDOWN", "EHOSTUNREACH", "ENETUNREACH", "ETIMEDOUT"} {
@@ -132,7 +132,7 @@
 				}
 			}
 			if took := time.Since(succeedingSince); took > 250*time.Millisecond {
-				t.Errorf("the requests that waited were answered %v after the calls went well again", took)
+				t.Errorf("the waiting requests were answered %v after accept succeeded again", took)
 			}
 			p.requireRunning()
 		})
@@ -142,20 +142,20 @@
 // maxQueuedRequestRuns bounds the runs of TestDeadlineOfAQueuedRequest.
 const maxQueuedRequestRuns = 10
 
-// A request whose connection could not be accepted at first is forwarded with the time that is left. A
-// run in which it was not queued is repeated: an accept that was let through before the fault, and
-// executed after the client's connect, has taken its connection.
+// A request whose connection could not be accepted at first is forwarded with the time that remains of its
+// timeout. A run in which it was not queued is repeated: an accept that was let through before the fault,
+// and executed after the client's connect, has accepted its connection.
 func TestDeadlineOfAQueuedRequest(t *testing.T) {
 	for range maxQueuedRequestRuns {
 		if runQueuedRequest(t) {
 			return
 		}
 	}
-	t.Fatalf("in none of %d runs the request was queued", maxQueuedRequestRuns)
+	t.Fatalf("the request was queued in none of %d runs", maxQueuedRequestRuns)
 }
 
-// runQueuedRequest sends a request while accepts fail, and checks the timeout that the server is told.
-// It returns false if the server was told before accepts succeeded again.
+// runQueuedRequest sends a request while accepts fail, and checks the timeout that the server receives. It
+// returns false if the server received the request before accepts succeeded again.
 func runQueuedRequest(t *testing.T) (wasQueued bool) {
 	t.Helper()
 	receivedTimeout := make(chan string, 1)
@@ -185,26 +185,26 @@
 		t.Fatalf("received timeout %q: %v", text, err)
 	}
 	if remaining := 3*time.Second - queueTime; time.Duration(ms)*time.Millisecond > remaining+timingTolerance {
-		t.Errorf("the server was told %s, the client had %v left", text, remaining)
+		t.Errorf("the server received the timeout %s; the client had %v left", text, remaining)
 	}
 	return true
 }
 
 const (
-	// connectFaultTime is for how long connects are to fail in TestConnectFailsTemporarily: two attempts
+	// connectFaultTime is how long connects are to fail in TestConnectFailsTemporarily: two attempts
 	// fail after one connect timeout of the settings (150 ms), and one more after two. The fourth
 	// attempt, which ends at 450 ms, is under way when connects succeed again.
 	connectFaultTime = 400 * time.Millisecond
-	// maxConnectFaultTime is three connect timeouts. In a longer fault by the network the fourth attempt
-	// fails too, which uses up the retry budget: the agent sends nothing for a second, as it is meant to.
+	// maxConnectFaultTime is three connect timeouts. In a longer network fault the fourth attempt fails
+	// too, which uses up the retry budget: the agent then sends nothing for a second, as intended.
 	maxConnectFaultTime = 3 * 150 * time.Millisecond
-	// maxConnectFaultRuns bounds the runs of one fault.
+	// maxConnectFaultRuns bounds the runs with one fault.
 	maxConnectFaultRuns = 10
 )
 
 // If connects to servers fail temporarily, every request still gets a final response, and the
 // servers are used again once connects succeed: they are not at fault. A run in which the test
-// itself was held up, so that connects failed for maxConnectFaultTime or longer, is repeated.
+// itself was delayed, so that connects failed for maxConnectFaultTime or longer, is repeated.
 func TestConnectFailsTemporarily(t *testing.T) {
 	for _, fault := range []string{noDescriptors, "connect:EADDRNOTAVAIL", "connect:ENETUNREACH", "connect:EHOSTUNREACH",
 		"connect:ENOBUFS", "connect:ENOMEM"} {
@@ -215,14 +215,14 @@
 					return
 				}
 			}
-			t.Fatalf("in %d runs connects failed for %v or longer", maxConnectFaultRuns, maxConnectFaultTime)
+			t.Fatalf("in each of %d runs connects failed for %v or longer", maxConnectFaultRuns, maxConnectFaultTime)
 		})
 	}
 }
 
 // runConnectFault starts the program and sends it twenty requests while connects fail. It checks the
 // responses, and that the backend is used again soon after connects succeed if connects failed for
-// less than maxConnectFaultTime. It returns for how long they failed.
+// less than maxConnectFaultTime. It returns how long they failed.
 func runConnectFault(t *testing.T, fault string) (faultTime time.Duration) {
 	t.Helper()
 	const requestCount = 20
@@ -246,9 +246,9 @@
 	return faultTime
 }
 
-// While connects fail for lack of a local resource for as many attempts as use up the retry budget, every
-// request gets its final response, and the server is used again as soon as connects succeed: the failures
-// are not the server's, and nothing was sent.
+// If connects fail for lack of a local resource, in enough attempts to use up the retry budget, every
+// request still gets a final response, and the server is used again as soon as connects succeed: the
+// failures are not the server's, and nothing was sent.
 func TestConnectsFailLocallyForLong(t *testing.T) {
 	const faultTime, interval = 600 * time.Millisecond, 20 * time.Millisecond
 	for _, fault := range []string{"connect:EADDRNOTAVAIL", "connect:ENOBUFS", "connect:ENOMEM"} {
@@ -284,7 +284,7 @@
 	}
 }
 
-// checkServedAgain sends requests until one is served, and checks that this is soon after calls
+// checkServedAgain sends requests until one is served, and checks that this is soon after connects
 // began to succeed again.
 func (p *faultyProgram) checkServedAgain(listen string, succeedingSince time.Time) {
 	p.t.Helper()
@@ -293,7 +293,7 @@
 		status, err = postKey(listen, "after", "300m")
 	}
 	if took := time.Since(succeedingSince); took > 700*time.Millisecond {
-		p.t.Errorf("served %v after the calls went well again: %d, %v; stderr: %s", took, status, err, p.stderr)
+		p.t.Errorf("served %v after connects succeeded again: %d, %v; stderr: %s", took, status, err, p.stderr)
 	}
 }
 
