--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -28,7 +28,7 @@
 	errClientCanceled        = errors.New("nobody waits for the answer")
 	errResponseBeforeRequest = errors.New("an answer to a request that has not gone out whole")
 	errDedupWindowExpired    = errors.New("too late for a repeat to be known as one")
-	errUpgraded              = errors.New("answer: a protocol that was not asked for")
+	errUnexpectedUpgrade     = errors.New("answer: a protocol that was not asked for")
 	errUnboundedBody         = errors.New("a body that ends with the connection was not waited for")
 )
 
@@ -59,18 +59,18 @@
 	reuseDelay time.Duration // from the last response on its connection until it may use that
 	singleUse  bool          // its connection is new and carries no other attempt
 	slot       *connSlot     // of its connection, while it runs
-	waited     time.Duration // for the reuse delay of its connection
+	reuseWait  time.Duration // for the reuse delay of its connection
 
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	stage        atomic.Int32
 	header       http.Header                 // of the outgoing request
 	conn         atomic.Pointer[backendConn] // the only one that it may be written to
-	connGaveWay  atomic.Bool                 // the last connection was used before and can't be used any more
+	connStale    atomic.Bool                 // the last connection was used before and can't be used any more
 	writeFailed  atomic.Bool                 // a write failed: the request was not sent completely
 	bodyConsumed atomic.Bool                 // the transport has read the last byte of the body
-	// firstByte is the time in ns from the start until the first byte was allowed; 0: it was not.
-	firstByte atomic.Int64
+	// firstByteNs is the time in ns from the start until the first byte was allowed; 0: it was not.
+	firstByteNs atomic.Int64
 }
 
 // allowWrite reports whether the attempt may write on c. It is called before each write. An attempt
@@ -96,12 +96,12 @@
 		c.reportUnsolicited()
 		return false
 	}
-	// mayChooseAnotherConn, which may give up c at the same time, sees the stage or is seen here.
+	// canSwitchConn, which may give up c at the same time, sees the stage or is seen here.
 	if !a.stage.CompareAndSwap(attemptWaiting, attemptSending) || a.conn.Load() != c {
 		c.framing.cancelResponse()
 		return false
 	}
-	a.firstByte.Store(max(int64(time.Since(a.started)), 1))
+	a.firstByteNs.Store(max(int64(time.Since(a.started)), 1))
 	return true
 }
 
@@ -137,7 +137,7 @@
 	c.attempt.Store(nil) // so that nothing is written in the name of the attempt before
 	a.conn.CompareAndSwap(c, nil)
 	if c.wasUsed() {
-		a.connGaveWay.Store(true)
+		a.connStale.Store(true)
 	}
 }
 
@@ -178,12 +178,12 @@
 		if err != nil || a.singleUse {
 			c.Close()
 		}
-		c.endUse(ended)
+		c.setIdleSince(ended)
 		c.dialer.idle.add(c)
 	}
 	a.transport.release(a.slot)
 	a.cancel(nil)
-	res.latency = ended.Sub(a.started) - a.waited
+	res.latency = ended.Sub(a.started) - a.reuseWait
 	return res
 }
 
@@ -200,7 +200,7 @@
 		}
 	}
 	res, err := a.roundTrip()
-	for retries := 0; err != nil && retries < maxConnRetries && a.mayChooseAnotherConn(); retries++ {
+	for retries := 0; err != nil && retries < maxConnRetries && a.canSwitchConn(); retries++ {
 		res, err = a.roundTrip()
 	}
 	return res, err
@@ -213,7 +213,7 @@
 		return nil
 	}
 	began := time.Now()
-	defer func() { a.waited = time.Since(began) }()
+	defer func() { a.reuseWait = time.Since(began) }()
 	timer := time.NewTimer(left)
 	defer timer.Stop()
 	select {
@@ -227,10 +227,10 @@
 	return errNotReusableYet
 }
 
-// mayChooseAnotherConn reports whether a round trip failed only because its connection had given way
+// canSwitchConn reports whether a round trip failed only because its connection had given way
 // to a dial, or was used before and had ended or got unsolicited bytes: no byte was written, and the
 // attempt is still wanted.
-func (a *attempt) mayChooseAnotherConn() bool {
+func (a *attempt) canSwitchConn() bool {
 	if a.stage.Load() != attemptWaiting || a.ctx.Err() != nil {
 		return false
 	}
@@ -239,7 +239,7 @@
 		a.abandonConn(c)
 		c.Close()
 	}
-	return a.connGaveWay.Swap(false) && a.conn.Load() == nil && a.stage.Load() == attemptWaiting
+	return a.connStale.Swap(false) && a.conn.Load() == nil && a.stage.Load() == attemptWaiting
 }
 
 // roundTrip sends the request and reads the response. It returns an error if no complete response
@@ -253,7 +253,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusSwitchingProtocols {
-		return res, errUpgraded // its body is the connection, whose reads end with no context
+		return res, errUnexpectedUpgrade // its body is the connection, whose reads end with no context
 	}
 	res.loadReport = resp.Header.Get("Server-Load")
 	if resp.StatusCode == http.StatusOK && !a.bodyConsumed.Load() {
@@ -289,7 +289,7 @@
 	switch {
 	case notSent && (a.req.abandoned.Load() || a.sendWindowExpired()):
 		return policy.Withdrawn // not the backend's fault
-	case notSent && (errors.Is(err, errNoSockets) || errors.Is(err, errNotReusableYet) || a.connGaveWay.Load() || errors.Is(cause, errBackendDrained)):
+	case notSent && (errors.Is(err, errNoSockets) || errors.Is(err, errNotReusableYet) || a.connStale.Load() || errors.Is(cause, errBackendDrained)):
 		return policy.Full
 	case errors.Is(cause, errAttemptCanceled):
 		return policy.Cancelled
--- a/internal/agent/backendconn.go
+++ b/internal/agent/backendconn.go
@@ -15,15 +15,15 @@
 // connection carries.
 type backendConn struct {
 	net.Conn
-	raw       syscall.RawConn // of Conn; nil: it has no descriptor
-	dialer    *dialer
-	transport *backendTransport
-	slot      *connSlot
-	attempt   atomic.Pointer[attempt]
-	framing   responseFraming
-	idleSince atomic.Pointer[time.Time] // when its last attempt ended; nil: it has carried none
-	reported  atomic.Bool               // the transport knows of unsolicited bytes
-	closed    sync.Once
+	raw                 syscall.RawConn // of Conn; nil: it has no descriptor
+	dialer              *dialer
+	transport           *backendTransport
+	slot                *connSlot
+	attempt             atomic.Pointer[attempt]
+	framing             responseFraming
+	idleSince           atomic.Pointer[time.Time] // when its last attempt ended; nil: it has carried none
+	unsolicitedReported atomic.Bool               // the transport knows of unsolicited bytes
+	closed              sync.Once
 
 	// The fields below are guarded by dialer.idle.mu.
 
@@ -43,8 +43,8 @@
 	return conn
 }
 
-// endUse notes that an attempt on the connection ended at the time now.
-func (c *backendConn) endUse(now time.Time) { c.idleSince.Store(&now) }
+// setIdleSince notes that an attempt on the connection ended at the time now.
+func (c *backendConn) setIdleSince(now time.Time) { c.idleSince.Store(&now) }
 
 // wasUsed reports whether the connection has carried an attempt that has ended.
 func (c *backendConn) wasUsed() bool { return c.idleSince.Load() != nil }
@@ -132,7 +132,7 @@
 
 // reportUnsolicited tells the transport that the backend sent bytes that no request had asked for.
 func (c *backendConn) reportUnsolicited() {
-	if c.framing.hasUnsolicited() && !c.reported.Swap(true) && c.transport.onUnsolicited != nil {
+	if c.framing.hasUnsolicited() && !c.unsolicitedReported.Swap(true) && c.transport.onUnsolicited != nil {
 		c.transport.onUnsolicited()
 	}
 }
--- a/internal/agent/backendtransport_test.go
+++ b/internal/agent/backendtransport_test.go
@@ -11,7 +11,7 @@
 	for _, since := range idleSince {
 		slot := t.acquireEmpty()
 		slot.conn = &backendConn{transport: t, slot: slot}
-		slot.conn.endUse(since)
+		slot.conn.setIdleSince(since)
 		slots = append(slots, slot)
 	}
 	for _, slot := range slots {
--- a/internal/agent/clientclose.go
+++ b/internal/agent/clientclose.go
@@ -54,8 +54,8 @@
 		return
 	}
 	c.lingerUntil = time.Now().Add(lingerTimeout)
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite()
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		_ = halfCloser.CloseWrite()
 	}
 	_ = c.Conn.SetReadDeadline(c.lingerUntil)
 }
@@ -83,8 +83,8 @@
 func (c *clientConn) Close() error {
 	c.stopReadAhead()
 	c.owner.mu.Lock()
-	_, here := c.owner.conns[c]
-	if c.closed || !here { // or it was evicted or aborted, and is closed
+	_, registered := c.owner.conns[c]
+	if c.closed || !registered { // or it was evicted or aborted, and is closed
 		c.closed = true
 		c.owner.mu.Unlock()
 		return c.Conn.Close()
--- a/internal/agent/clientconn.go
+++ b/internal/agent/clientconn.go
@@ -52,7 +52,7 @@
 		if c.stage == connIdle {
 			c.beginRequest(arrivedAt)
 		}
-		c.noteRead(n, len(p), arrivedAt)
+		c.recordRead(n, len(p), arrivedAt)
 		c.owner.mu.Unlock()
 		return n, nil
 	}
@@ -81,7 +81,7 @@
 		c.beginRequest(arrivedAt)
 	}
 	c.head.scan(p[:n])
-	c.noteRead(n, len(p), time.Now())
+	c.recordRead(n, len(p), time.Now())
 	c.owner.mu.Unlock()
 	return n, err
 }
--- a/internal/agent/clientconns.go
+++ b/internal/agent/clientconns.go
@@ -18,11 +18,11 @@
 	// A connection is evicted for a waiting one after minIdleBeforeEviction between requests,
 	// minUnusedBeforeEviction without any request, or minReadingBeforeEviction within a head or body.
 	// The last two count from the arrival in the kernel's queue, so that a crowd which has waited there
-	// gives way quickly; but what has arrived with a connection is read for minServedBeforeEviction.
+	// gives way quickly; but what has arrived with a connection is read for minInStageBeforeEviction.
 	minIdleBeforeEviction    = 100 * time.Millisecond
 	minUnusedBeforeEviction  = 250 * time.Millisecond
 	minReadingBeforeEviction = 500 * time.Millisecond
-	minServedBeforeEviction  = 50 * time.Millisecond
+	minInStageBeforeEviction = 50 * time.Millisecond
 	// maxReadAheadBuf is how many bytes behind the current request are kept: those of a request of the
 	// largest size. maxReadAheadTotal is how many are kept of all connections together.
 	maxReadAheadBuf   = maxBodyBytes + 8<<10
@@ -55,8 +55,8 @@
 }
 
 // newClientConns returns an empty set for at most capacity connections.
-func newClientConns(most int) *clientConns {
-	return &clientConns{capacity: most, conns: map[*clientConn]struct{}{}, slotFreed: make(chan struct{}, 1)}
+func newClientConns(capacity int) *clientConns {
+	return &clientConns{capacity: capacity, conns: map[*clientConn]struct{}{}, slotFreed: make(chan struct{}, 1)}
 }
 
 // count returns the number of connections.
@@ -110,9 +110,9 @@
 	case c.stage == connIdle && c.answered:
 		return inStage >= minIdleBeforeEviction
 	case c.stage == connIdle:
-		return inStage >= minServedBeforeEviction && max(inStage, sinceArrival(c.connectedAt, now)) >= minUnusedBeforeEviction
+		return inStage >= minInStageBeforeEviction && max(inStage, sinceArrival(c.connectedAt, now)) >= minUnusedBeforeEviction
 	case c.stage == connReading:
-		return inStage >= minServedBeforeEviction && max(inStage, sinceArrival(c.requestArrivedAt, now)) >= minReadingBeforeEviction
+		return inStage >= minInStageBeforeEviction && max(inStage, sinceArrival(c.requestArrivedAt, now)) >= minReadingBeforeEviction
 	}
 	return false
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -86,9 +86,9 @@
 func ParseConfig(text []byte) (*Config, error) {
 	var raw rawConfig
 	if err := json.Unmarshal(text, &raw); err != nil {
-		var bad *json.UnmarshalTypeError
-		if errors.As(err, &bad) {
-			return nil, fmt.Errorf("config: %s: cannot be a %s", bad.Field, bad.Value)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return nil, fmt.Errorf("config: %s: cannot be a %s", typeErr.Field, typeErr.Value)
 		}
 		return nil, fmt.Errorf("config: no JSON: %w", err)
 	}
@@ -163,18 +163,18 @@
 		return fmt.Errorf("config: %w", err)
 	}
 	// Anonymous, because encoding/json would write a type's name into its errors.
-	var vocabulary struct {
+	var nameLists struct {
 		Zones []string `json:"failureDomains"`
 		Kinds []string `json:"shapes"`
 	}
-	if err := json.Unmarshal(text, &vocabulary); err != nil {
+	if err := json.Unmarshal(text, &nameLists); err != nil {
 		return fmt.Errorf("config: settings: failureDomains or shapes: %w", err)
 	}
 	// The balancer validates its settings itself; creating one reports errors now.
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	c.Names = nameIndex{zones: indexNames(vocabulary.Zones), kinds: indexNames(vocabulary.Kinds),
+	c.Names = nameIndex{zones: indexNames(nameLists.Zones), kinds: indexNames(nameLists.Kinds),
 		classes: map[string]int{}, tenants: map[string]int{}}
 	for i, class := range c.Settings.Classes {
 		if class.Name == "" {
@@ -257,9 +257,9 @@
 
 // indexNames returns the index of each name.
 func indexNames(names []string) map[string]int {
-	m := make(map[string]int, len(names))
-	for i, w := range names {
-		m[w] = i
+	indices := make(map[string]int, len(names))
+	for i, name := range names {
+		indices[name] = i
 	}
-	return m
+	return indices
 }
--- a/internal/agent/discoverychange.go
+++ b/internal/agent/discoverychange.go
@@ -44,13 +44,13 @@
 	if l.controlPlane == nil && services != nil {
 		l.log.Warn("services ignored: the agent started without a control plane", "services", len(services))
 	}
-	rescoped := l.controlPlane != nil && !l.scope.equals(services)
-	if slices.Equal(addrs, l.discovery.addrs) && !rescoped {
+	servicesChanged := l.controlPlane != nil && !l.scope.equals(services)
+	if slices.Equal(addrs, l.discovery.addrs) && !servicesChanged {
 		return
 	}
 	if l.controlPlane != nil {
 		l.discovery.addrs = addrs
-		if rescoped {
+		if servicesChanged {
 			l.changeServices(services)
 		} else {
 			l.discovery.client.SetAddresses(addrs)
@@ -83,7 +83,7 @@
 // handlePreviousDiscovery applies a list of a previous discovery service if it is newer than the
 // current one. How its calls end does not matter.
 func (l *loop) handlePreviousDiscovery(e *event) {
-	known := slices.ContainsFunc(l.previousDiscoveries, func(f previousDiscovery) bool { return f.discovery == e.source })
+	known := slices.ContainsFunc(l.previousDiscoveries, func(previous previousDiscovery) bool { return previous.discovery == e.source })
 	if !known || e.list.Seq <= l.listVersion {
 		return
 	}
@@ -100,13 +100,13 @@
 // changeServices changes the subscribed services, at the current addresses. The known servers stay
 // in use until the full list of the new services arrives.
 func (l *loop) changeServices(services []string) {
-	number, err := l.discovery.client.Reconfigure(l.discovery.addrs, services, l.listVersion)
+	subscription, err := l.discovery.client.Reconfigure(l.discovery.addrs, services, l.listVersion)
 	if err != nil {
 		l.log.Error("discovery: subscription failed, the services stay", "err", err)
 		return
 	}
-	l.scope.update(services, number)
-	l.log.Info("discovery: subscribed", "services", len(services), "subscription", number)
+	l.scope.update(services, subscription)
+	l.log.Info("discovery: subscribed", "services", len(services), "subscription", subscription)
 }
 
 // resubscribe requests the full list of the same services again.
--- a/internal/agent/endpointlist.go
+++ b/internal/agent/endpointlist.go
@@ -58,9 +58,9 @@
 		return // of an earlier subscription, or nothing new
 	}
 	knownEntries := endpoints.List{Seq: l.listVersion}
-	for _, h := range list.Endpoints {
-		if l.backends[policyAddr(h.Name)] != nil {
-			knownEntries.Endpoints = append(knownEntries.Endpoints, h)
+	for _, ep := range list.Endpoints {
+		if l.backends[policyAddr(ep.Name)] != nil {
+			knownEntries.Endpoints = append(knownEntries.Endpoints, ep)
 		}
 	}
 	l.warnDiscovery("discovery: incomplete list", "reason", reasonListIncomplete,
@@ -123,7 +123,7 @@
 }
 
 // applyEntry applies one entry to its backend and the connections to it.
-func (l *loop) applyEntry(h *endpoints.Endpoint, entry *policy.Entry, version int64) {
+func (l *loop) applyEntry(ep *endpoints.Endpoint, entry *policy.Entry, version int64) {
 	b := l.backends[entry.Server]
 	added := b == nil
 	if added {
@@ -133,18 +133,18 @@
 		b = &backend{addr: entry.Server, attempts: map[*attempt]struct{}{}}
 		l.backends[entry.Server] = b
 	}
-	if entry.Health != policy.Gone && (b.transport == nil || b.dialAddr != h.Dial || b.listedStartMs != h.StartedMs) {
+	if entry.Health != policy.Gone && (b.transport == nil || b.dialAddr != ep.Dial || b.listedStartMs != ep.StartedMs) {
 		// Connections to another address or to the previous process are useless, and
 		// attempts that have not begun there must not begin.
 		if b.transport != nil {
 			b.withdrawAttempts()
 		}
-		b.dialAddr, b.listedStartMs, b.loopStartMs, b.transport = h.Dial, h.StartedMs, entry.StartedMs, l.newTransport(b)
+		b.dialAddr, b.listedStartMs, b.loopStartMs, b.transport = ep.Dial, ep.StartedMs, entry.StartedMs, l.newTransport(b)
 	}
 	if usable := entry.Health == policy.Ready; usable != b.usable {
 		b.usable = usable
 		if !added {
-			l.logHealthChange(h, version)
+			l.logHealthChange(ep, version)
 		}
 	}
 }
--- a/internal/agent/failedconn_test.go
+++ b/internal/agent/failedconn_test.go
@@ -22,7 +22,7 @@
 	defer a.cancel(nil)
 	a.header = http.Header{}
 	a.gotConn(httptrace.GotConnInfo{Conn: conn})
-	if a.mayChooseAnotherConn() {
+	if a.canSwitchConn() {
 		t.Error("the attempt may use another connection")
 	}
 }
@@ -30,11 +30,11 @@
 // A timeout after the attempt's connection was evicted does not count as a failed connect of the backend.
 func TestTimeoutAfterEvictionIsNotConnectFailed(t *testing.T) {
 	conn, _ := connectedBackendConn(t)
-	conn.endUse(time.Now())
+	conn.setIdleSince(time.Now())
 	a := newAttempt(conn.transport, "", http.MethodPost, time.Millisecond)
 	a.abandonConn(conn)
 	<-a.ctx.Done()
-	if a.mayChooseAnotherConn() {
+	if a.canSwitchConn() {
 		t.Fatal("the attempt may use another connection after its timeout")
 	}
 	if got := a.failureStatus(context.DeadlineExceeded); got != policy.Full {
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -59,11 +59,11 @@
 			a.handlePanic(w, p, r, answered)
 		}
 	}()
-	r, problem := a.readRequest(w, httpRequest, arrivedAt)
-	if problem != nil {
+	r, reqErr := a.readRequest(w, httpRequest, arrivedAt)
+	if reqErr != nil {
 		answered = true
 		w.Header().Set("Connection", "close") // the place is for clients that send valid requests
-		a.writeResponse(w, problem.status, "text/plain", []byte(problem.text+"\n"))
+		a.writeResponse(w, reqErr.status, "text/plain", []byte(reqErr.text+"\n"))
 		return
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
@@ -74,8 +74,8 @@
 		}
 		canceled = client.canceled
 	}
-	guard := time.NewTimer(time.Until(r.deadline) - guardMargin)
-	defer guard.Stop()
+	guardTimer := time.NewTimer(time.Until(r.deadline) - guardMargin)
+	defer guardTimer.Stop()
 	a.loop.post(event{kind: eventRequest, req: r})
 	select {
 	case ans := <-r.answers:
@@ -84,9 +84,9 @@
 		return
 	case <-httpRequest.Context().Done():
 	case <-canceled:
-	case <-guard.C:
+	case <-guardTimer.C:
 		answered = true
-		a.endUnlessReadable(w, client)
+		a.setCloseIfTruncated(w, client)
 		r.abandoned.Store(true)
 		a.log.Debug("request answered", "request_id", r.wireID, "reason", reasonDeadline)
 		a.writeResponse(w, http.StatusGatewayTimeout, "", nil)
@@ -207,14 +207,14 @@
 }
 
 // writeAnswer writes the response for a final answer.
-func (a *Agent) writeAnswer(w http.ResponseWriter, r *request, result answer) {
-	a.endUnlessReadable(w, r.client)
-	switch result.status {
+func (a *Agent) writeAnswer(w http.ResponseWriter, r *request, ans answer) {
+	a.setCloseIfTruncated(w, r.client)
+	switch ans.status {
 	case policy.OK:
-		a.writeResponse(w, http.StatusOK, result.contentType, result.body)
+		a.writeResponse(w, http.StatusOK, ans.contentType, ans.body)
 	case policy.Full:
-		if result.retryAfter > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(result.retryAfter.Seconds(), 'f', -1, 64))
+		if ans.retryAfter > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(ans.retryAfter.Seconds(), 'f', -1, 64))
 		}
 		a.writeResponse(w, http.StatusServiceUnavailable, "", nil)
 	default:
@@ -222,9 +222,9 @@
 	}
 }
 
-// endUnlessReadable announces that the connection ends with the answer that is about to be written, if
+// setCloseIfTruncated announces that the connection ends with the answer that is about to be written, if
 // no request behind it can be read any more. client is nil in tests without a connection.
-func (a *Agent) endUnlessReadable(w http.ResponseWriter, client *clientConn) {
+func (a *Agent) setCloseIfTruncated(w http.ResponseWriter, client *clientConn) {
 	if client != nil && !client.sealReadAhead() {
 		w.Header().Set("Connection", "close")
 	}
--- a/internal/agent/listener.go
+++ b/internal/agent/listener.go
@@ -47,7 +47,7 @@
 	}
 	c.connectedAt = connectedAt
 	if now := time.Now(); now.Sub(accepted) >= minBlockingWait {
-		l.queue.noteStall(accepted, now)
+		l.queue.recordStall(accepted, now)
 	}
 	return c, nil
 }
@@ -65,13 +65,13 @@
 			// The duration of an accept does not tell whether the queue was empty: a process that
 			// got no processor for a moment looks the same.
 			if l.queue.stalled() && !mayBeReadable(l.Listener) {
-				l.queue.noteEmpty()
+				l.queue.markEmpty()
 			}
 		},
 		OnError: func(err error, began time.Time) {
 			failed = true
 			l.logFailure(err)
-			l.queue.noteStall(began, time.Now())
+			l.queue.recordStall(began, time.Now())
 		},
 	}
 	raw, err := accepting.Accept()
@@ -95,8 +95,8 @@
 	stalledFrom, stalledUntil time.Time // the last stall; zero: none that still matters
 }
 
-// noteStall records that no connection was accepted between from and to.
-func (q *acceptQueue) noteStall(from, to time.Time) {
+// recordStall records that no connection was accepted between from and to.
+func (q *acceptQueue) recordStall(from, to time.Time) {
 	if !q.stalled() || from.Sub(q.stalledUntil) > queueDrainTime {
 		q.stalledFrom = from
 	}
@@ -113,8 +113,8 @@
 // stalled reports whether there was a stall since the queue was last known to be empty.
 func (q *acceptQueue) stalled() bool { return !q.stalledFrom.IsZero() }
 
-// noteEmpty records that no connection was queued.
-func (q *acceptQueue) noteEmpty() { q.stalledFrom, q.stalledUntil = time.Time{}, time.Time{} }
+// markEmpty records that no connection was queued.
+func (q *acceptQueue) markEmpty() { q.stalledFrom, q.stalledUntil = time.Time{}, time.Time{} }
 
 // earliestArrival returns the earliest time at which a connection that is accepted now may have
 // arrived: not before the stall, and no longer ago than the stall lasted.
--- a/internal/agent/listener_test.go
+++ b/internal/agent/listener_test.go
@@ -31,10 +31,10 @@
 	} {
 		var q acceptQueue
 		for _, s := range c.stalls {
-			q.noteStall(at(s[0]), at(s[1]))
+			q.recordStall(at(s[0]), at(s[1]))
 		}
 		if c.drained {
-			q.noteEmpty()
+			q.markEmpty()
 		}
 		if got := q.earliestArrival(at(c.accepted)); !got.Equal(at(c.earliest)) {
 			t.Errorf("%s: earliest arrival %v, want %d ms", c.name, got.Sub(begin), c.earliest)
--- a/internal/agent/log.go
+++ b/internal/agent/log.go
@@ -37,9 +37,9 @@
 // attemptReason returns why an attempt got no complete response, from its context's cause and its
 // error.
 func attemptReason(cause, err error) reason {
-	for _, known := range []struct {
-		err error
-		why reason
+	for _, entry := range []struct {
+		err    error
+		reason reason
 	}{
 		{errClientCanceled, reasonClientCanceled},
 		{errAttemptCanceled, reasonCancelled},
@@ -50,8 +50,8 @@
 		{errResponseBeforeRequest, reasonResponseBeforeRequest},
 		{context.DeadlineExceeded, reasonDeadline},
 	} {
-		if errors.Is(cause, known.err) || errors.Is(err, known.err) {
-			return known.why
+		if errors.Is(cause, entry.err) || errors.Is(err, entry.err) {
+			return entry.reason
 		}
 	}
 	return reasonTransportError
@@ -95,7 +95,7 @@
 	}
 	args := []any{"request_id", a.req.wireID, "attempt", a.index, "backend", a.dialAddr, "status", int(res.status),
 		"took", res.latency, "list_version", l.listVersion}
-	if first := a.firstByte.Load(); first > 0 {
+	if first := a.firstByteNs.Load(); first > 0 {
 		args = append(args, "first_byte_after", time.Duration(first))
 	}
 	if res.err != nil {
@@ -114,9 +114,9 @@
 
 // logHealthChange logs that a server's health or process changed, within the rate limit of the
 // lines about discovery.
-func (l *loop) logHealthChange(host *endpoints.Endpoint, version int64) {
+func (l *loop) logHealthChange(ep *endpoints.Endpoint, version int64) {
 	if l.log.Enabled(l.ctx, slog.LevelInfo) && l.logLimiter.Take(time.Since(l.startedAt)) {
-		l.log.Info("backend changed", "backend", host.Name, "health", host.Health, "list_version", version)
+		l.log.Info("backend changed", "backend", ep.Name, "health", ep.Health, "list_version", version)
 	}
 }
 
@@ -129,8 +129,8 @@
 // endAttrs returns the log attributes of a watch that ended with err.
 func (w *watchStats) endAttrs(err error, version int64) []any {
 	args := []any{"err", err, "list_version", version, "lists", w.lists, "open", time.Since(w.openedAt)}
-	if cut := new(endpoints.IncompleteError); errors.As(err, &cut) {
-		args = append(args, "reason", reasonListIncomplete, "pending_bytes", cut.Pending, "pending_for", cut.Age)
+	if incomplete := new(endpoints.IncompleteError); errors.As(err, &incomplete) {
+		args = append(args, "reason", reasonListIncomplete, "pending_bytes", incomplete.Pending, "pending_for", incomplete.Age)
 	}
 	return args
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -100,8 +100,8 @@
 	l.connectDiscovery(c.addresses())
 	l.actions = l.balancer.Start(l.nowMs(), l.actions[:0])
 	l.executeActions()
-	known := l.scope.seed(c.CachedList)
-	l.applyList(policy.ListCached, &known)
+	cached := l.scope.filterCached(c.CachedList)
+	l.applyList(policy.ListCached, &cached)
 	if pushed { // a pushed list counts as notified from the start of a process
 		l.openWatch()
 	}
--- a/internal/agent/policyentry.go
+++ b/internal/agent/policyentry.go
@@ -15,15 +15,15 @@
 
 // policyEntry converts a listed server for the balancer. A zone or kind that the settings don't
 // name becomes -1, a number that no configured one has.
-func (n *nameIndex) policyEntry(h *endpoints.Endpoint) policy.Entry {
-	at := func(m map[string]int, name string) int {
+func (n *nameIndex) policyEntry(ep *endpoints.Endpoint) policy.Entry {
+	indexOf := func(m map[string]int, name string) int {
 		if i, ok := m[name]; ok {
 			return i
 		}
 		return -1
 	}
-	return policy.Entry{Server: policyAddr(h.Name), Zone: at(n.zones, h.Site), Cell: h.Block,
-		Kind: at(n.kinds, h.Class), StartedMs: h.StartedMs, Health: policyHealth[h.Health], Weight: h.Weight}
+	return policy.Entry{Server: policyAddr(ep.Name), Zone: indexOf(n.zones, ep.Site), Cell: ep.Block,
+		Kind: indexOf(n.kinds, ep.Class), StartedMs: ep.StartedMs, Health: policyHealth[ep.Health], Weight: ep.Weight}
 }
 
 // policyAddr returns the address that stands for a server in the balancer. It is derived from the
--- a/internal/agent/readahead.go
+++ b/internal/agent/readahead.go
@@ -12,8 +12,8 @@
 	// discardPause, so that a client that sends without end takes little processor time.
 	discardedPerPause = 256 << 10
 	discardPause      = 5 * time.Millisecond
-	// chunkPeriod is the longest time between the arrivals of the bytes of one chunk.
-	chunkPeriod = 10 * time.Millisecond
+	// maxChunkSpan is the longest time between the arrivals of the bytes of one chunk.
+	maxChunkSpan = 10 * time.Millisecond
 )
 
 // readAheadState is what a connection has read behind its current request.
@@ -35,7 +35,7 @@
 // add keeps bytes that have just arrived.
 func (s *readAheadState) add(p []byte, now time.Time) {
 	s.size += len(p)
-	if last := len(s.chunks) - 1; last >= 0 && now.Sub(s.chunks[last].arrivedAt) < chunkPeriod {
+	if last := len(s.chunks) - 1; last >= 0 && now.Sub(s.chunks[last].arrivedAt) < maxChunkSpan {
 		s.chunks[last].bytes = append(s.chunks[last].bytes, p...)
 		return
 	}
@@ -80,10 +80,10 @@
 	return !c.readAhead.truncated
 }
 
-// noteRead is called after each read with the number of bytes read, the size of the buffer and when the bytes
+// recordRead is called after each read with the number of bytes read, the size of the buffer and when the bytes
 // arrived. net/http reads with a buffer of one byte only while a request is handled, so such a byte belongs to a pipelined
 // request. The lock must be held.
-func (c *clientConn) noteRead(n, capacity int, arrivedAt time.Time) {
+func (c *clientConn) recordRead(n, capacity int, arrivedAt time.Time) {
 	if n == 1 && capacity == 1 {
 		c.pipelined = true
 		if c.nextArrivedAt.IsZero() {
--- a/internal/agent/responseframing.go
+++ b/internal/agent/responseframing.go
@@ -17,9 +17,9 @@
 type responseFraming struct {
 	mu sync.Mutex
 	framingState
-	violated    bool // bytes arrived after the end or before a request, or the end is ambiguous
-	begun       bool // a response was expected at some time
-	unsolicited bool // bytes arrived after the end of a response
+	violated         bool // bytes arrived after the end or before a request, or the end is ambiguous
+	responseExpected bool // a response was expected at some time
+	unsolicited      bool // bytes arrived after the end of a response
 }
 
 // framingState is the parser's progress in a response.
@@ -51,7 +51,7 @@
 func (f *responseFraming) beginResponse() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.framingState, f.begun = framingState{line: f.line[:0]}, true
+	f.framingState, f.responseExpected = framingState{line: f.line[:0]}, true
 	return !f.violated
 }
 
@@ -88,7 +88,7 @@
 			f.remaining -= n
 			p = p[n:]
 		case f.complete:
-			f.violated, f.unsolicited = true, f.begun
+			f.violated, f.unsolicited = true, f.responseExpected
 			return total - len(p)
 		default:
 			text, rest, lineComplete := bytes.Cut(p, []byte("\n"))
@@ -98,17 +98,17 @@
 			}
 			line := strings.TrimSuffix(string(f.line), "\r")
 			f.line, p = f.line[:0], rest
-			f.acceptLine(line)
+			f.parseLine(line)
 		}
 	}
 	return total
 }
 
-// acceptLine parses one line of the response. net/http rejects what is malformed.
-func (f *responseFraming) acceptLine(line string) {
+// parseLine parses one line of the response. net/http rejects what is malformed.
+func (f *responseFraming) parseLine(line string) {
 	switch f.section {
 	case sectionHead:
-		f.acceptHeadLine(line)
+		f.parseHeadLine(line)
 	case sectionChunkSize:
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
@@ -125,8 +125,8 @@
 	}
 }
 
-// acceptHeadLine parses one line of the head. net/http rejects what is malformed.
-func (f *responseFraming) acceptHeadLine(line string) {
+// parseHeadLine parses one line of the head. net/http rejects what is malformed.
+func (f *responseFraming) parseHeadLine(line string) {
 	name, value, _ := strings.Cut(line, ":")
 	switch {
 	case !f.statusSeen:
--- a/internal/agent/scope.go
+++ b/internal/agent/scope.go
@@ -16,8 +16,8 @@
 
 // update changes the services, nil for no scope; subscription is the number of the client's
 // subscription.
-func (s *scope) update(services []string, number uint64) {
-	s.services, s.subscription = services, number
+func (s *scope) update(services []string, subscription uint64) {
+	s.services, s.subscription = services, subscription
 	switch {
 	case services == nil:
 		s.table = nil
@@ -36,8 +36,8 @@
 	return slices.Equal(slices.Sorted(slices.Values(s.services)), slices.Sorted(slices.Values(services)))
 }
 
-// seed returns the servers of a cached list that belong to the services.
-func (s *scope) seed(list endpoints.List) endpoints.List {
+// filterCached returns the servers of a cached list that belong to the services.
+func (s *scope) filterCached(list endpoints.List) endpoints.List {
 	if s.table == nil {
 		return list
 	}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -37,17 +37,17 @@
 )
 
 // backendSockets returns how many of the process's sockets are for connections to backends.
-func backendSockets(all int) int { return (all - reservedSockets) / 2 }
+func backendSockets(sockets int) int { return (sockets - reservedSockets) / 2 }
 
 // clientSockets returns how many of the process's sockets are for connections of clients.
-func clientSockets(all int) int { return all - reservedSockets - backendSockets(all) }
+func clientSockets(sockets int) int { return sockets - reservedSockets - backendSockets(sockets) }
 
 // maxOpenRequests returns how many requests the balancer may hold at once; it rejects the others.
 // The remaining client connections are kept for the next clients: a client without one waits in the
 // kernel's queue, where its timeout runs and nobody answers it.
-func maxOpenRequests(all int) int {
-	places := clientSockets(all)
-	return places - max(places/8, 8)
+func maxOpenRequests(sockets int) int {
+	maxClients := clientSockets(sockets)
+	return maxClients - max(maxClients/8, 8)
 }
 
 // Agent is one load-balancing agent: the loop with the decisions, and the HTTP server for the
--- a/internal/agent/startclock.go
+++ b/internal/agent/startclock.go
@@ -40,14 +40,14 @@
 
 // startOnLoopClock returns when the process of a listed server started, in ms of the loop's clock;
 // 0 means long ago. A start time that was computed once for a process stays.
-func (l *loop) startOnLoopClock(h *endpoints.Endpoint) float64 {
-	if b := l.backends[policyAddr(h.Name)]; b != nil && b.listedStartMs == h.StartedMs {
+func (l *loop) startOnLoopClock(ep *endpoints.Endpoint) float64 {
+	if b := l.backends[policyAddr(ep.Name)]; b != nil && b.listedStartMs == ep.StartedMs {
 		return b.loopStartMs
 	}
-	if h.StartedMs <= 0 {
+	if ep.StartedMs <= 0 {
 		return 0
 	}
-	return h.StartedMs + l.startClock.offsetMs
+	return ep.StartedMs + l.startClock.offsetMs
 }
 
 // observeStarts passes a list to the start clock, unless the list is from before the process.
--- a/internal/agent/unsolicited_test.go
+++ b/internal/agent/unsolicited_test.go
@@ -28,7 +28,7 @@
 func carryRequest(conn *backendConn) {
 	conn.framing.beginResponse()
 	conn.framing.scan([]byte(okAnswer))
-	conn.endUse(time.Now())
+	conn.setIdleSince(time.Now())
 }
 
 // Bytes that arrived before a request was written are not its response, even if this process has not read them yet
@@ -46,7 +46,7 @@
 	if a.allowWrite(conn) {
 		t.Fatal("the request may be written on a connection with unread bytes")
 	}
-	if !a.mayChooseAnotherConn() || reports != 1 {
+	if !a.canSwitchConn() || reports != 1 {
 		t.Errorf("%d reports of unsolicited bytes, want 1 and an attempt that may use another connection", reports)
 	}
 	if _, err := conn.Read(make([]byte, 10)); err != errTrailingBytes || reports != 1 {
@@ -68,14 +68,14 @@
 // A connection that the backend has closed is not written to, and its end is not reported as unsolicited bytes.
 func TestClosedConnectionIsNotWrittenTo(t *testing.T) {
 	conn, peer := connectedBackendConn(t)
-	conn.endUse(time.Now())
+	conn.setIdleSince(time.Now())
 	conn.transport.onUnsolicited = func() { t.Error("unsolicited bytes were reported") }
 	peer.Close()
 	waitUntil(t, "the end of the connection arrives", func() bool { return mayBeReadable(conn.Conn) })
 	a := newAttempt(conn.transport, "", http.MethodPost, noTimeout)
 	defer a.cancel(nil)
 	a.conn.Store(conn)
-	if a.allowWrite(conn) || !a.mayChooseAnotherConn() {
+	if a.allowWrite(conn) || !a.canSwitchConn() {
 		t.Error("the attempt may write on a closed connection or may not use another one")
 	}
 }
@@ -86,12 +86,12 @@
 	for _, used := range []bool{true, false} {
 		conn, _ := connectedBackendConn(t)
 		if used {
-			conn.endUse(time.Time{})
+			conn.setIdleSince(time.Time{})
 		}
 		a := newAttempt(conn.transport, "", http.MethodPost, noTimeout)
 		defer a.cancel(nil)
 		a.conn.Store(conn)
-		if a.mayChooseAnotherConn() != used || a.allowWrite(conn) == used {
+		if a.canSwitchConn() != used || a.allowWrite(conn) == used {
 			t.Errorf("connection used before: %v; want another connection only in that case", used)
 		}
 	}
@@ -133,13 +133,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			conn, _ := connectedBackendConn(t)
 			if c.used {
-				conn.endUse(time.Now())
+				conn.setIdleSince(time.Now())
 			}
 			a := newAttempt(conn.transport, "", http.MethodPost, noTimeout)
 			defer a.cancel(nil)
 			a.reuseDelay, a.singleUse, a.header = c.delay, c.singleUse, http.Header{}
 			a.gotConn(httptrace.GotConnInfo{Conn: conn})
-			if got := a.allowWrite(conn); got != c.want || a.mayChooseAnotherConn() == c.want {
+			if got := a.allowWrite(conn); got != c.want || a.canSwitchConn() == c.want {
 				t.Errorf("may write: %v, want %v, and another connection only if not", got, c.want)
 			}
 		})
