--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -19,8 +19,8 @@
 	"knotrouter/internal/transient"
 )
 
-// startTimeout is how long system calls of the start are retried: an agent has to be ready within
-// 10 s, or to report why it can't start.
+// startTimeout is how long failing system calls are retried at startup: an agent has to be ready
+// within 10 s, or to report why it can't start.
 const startTimeout = 5 * time.Second
 
 func main() {
@@ -30,7 +30,7 @@
 	}
 }
 
-// run starts the agent and serves until a signal ends it.
+// run starts the agent and serves until a signal shuts it down.
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -45,9 +45,9 @@
 	if err != nil {
 		return err
 	}
-	// The machine may have more cores than the agent may use; more threads than cores
-	// would only wait for each other. The live heap is a few MB, so it may grow well
-	// past the usual twice, which saves collections, but not near the limit.
+	// The machine may have more cores than the agent may use; threads beyond that number
+	// would only wait for each other. The live heap is a few MB, so it may grow well past
+	// the default of twice its size, which saves collections, but must stay below the limit.
 	runtime.GOMAXPROCS(max(int(math.Ceil(config.Limits.Cores)), 1))
 	debug.SetGCPercent(400)
 	debug.SetMemoryLimit(int64(config.Limits.MemoryMB * 0.6 * (1 << 20)))
--- a/cmd/agent/reload.go
+++ b/cmd/agent/reload.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// reloadTimeout is how long reading an invalid or unreadable configuration is retried after the
-	// signal: changes at the new discovery address count as notified 4 s after it (TERMS).
+	// reloadTimeout is how long after the signal an invalid or unreadable configuration is read again:
+	// changes at the new discovery address count as notified 4 s after the signal (TERMS).
 	reloadTimeout       = 3 * time.Second
 	reloadRetryInterval = 50 * time.Millisecond
 )
@@ -42,7 +42,7 @@
 			a.Reconfigure(config)
 			retryUntil = time.Time{}
 		case time.Now().After(retryUntil):
-			log.Error("configuration reload failed, the old one stays", "err", err)
+			log.Error("configuration reload failed, keeping the previous configuration", "err", err)
 			retryUntil = time.Time{}
 		}
 	}
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -75,7 +75,8 @@
 	r.attempts = append(r.attempts, a)
 	r.openAttempts++
 	if !b.usable || r.answered || r.abandoned.Load() {
-		// The balancer sends only to servers that are listed as ready; if it ever does not, nothing is written.
+		// The balancer sends only to servers that are listed as ready. If it chooses another one, or the
+		// request is answered or abandoned by now, nothing is written.
 		a.cancel(nil)
 		l.deferredEvents = append(l.deferredEvents,
 			event{kind: eventOutcome, attempt: a, result: result{status: policy.Withdrawn}})
@@ -116,14 +117,14 @@
 	if l.settings.Report.Mode == "off" {
 		path = "/health"
 	}
-	// A health check bypasses the server's queue: without a response within two connect timeouts it has failed.
+	// A server answers health checks outside its queue: no response within two connect timeouts is a failure.
 	a := l.newAttempt(&request{method: http.MethodGet, url: &url.URL{Path: path}}, b, 2*l.dialer.connectTimeout)
 	a.reuseDelay, a.singleUse = milliseconds(action.ReuseDelayMs), action.SingleUse
 	b.attempts[a] = struct{}{}
 	go func() { l.post(event{kind: eventProbeResult, attempt: a, result: a.run()}) }()
 }
 
-// handleOutcome processes the end of an attempt.
+// handleOutcome answers the request of an ended attempt if it succeeded, and dispatches the outcome.
 func (l *loop) handleOutcome(a *attempt, res *result) {
 	r, b := a.req, a.backend
 	l.releaseAttempt(a)
@@ -133,7 +134,7 @@
 		l.answerRequest(r, answer{status: policy.OK, body: res.body, contentType: res.contentType})
 	}
 	if res.status == policy.Timeout {
-		// The machine may be down; its other connections would be as unresponsive.
+		// The machine may be down; its other connections would be unresponsive too.
 		b.transport.CloseIdleConnections()
 	}
 	l.dispatch(&policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: a.index, Server: b.addr,
@@ -142,7 +143,7 @@
 	l.removeIfDone(r)
 }
 
-// handleProbeResult processes the end of a health check.
+// handleProbeResult dispatches the result of a health check with the load report in its response.
 func (l *loop) handleProbeResult(a *attempt, res *result) {
 	l.releaseAttempt(a)
 	text := res.loadReport
@@ -160,6 +161,6 @@
 	delete(b.attempts, a)
 	l.removeUnused(b)
 	if a.transport != b.transport {
-		a.transport.CloseIdleConnections() // to the previous address or process
+		a.transport.CloseIdleConnections() // they lead to the previous address or process
 	}
 }
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -16,23 +16,24 @@
 	"knotrouter/policy"
 )
 
-const maxBodyBytes = 64 << 10 // of a request and of a response
+const maxBodyBytes = 64 << 10 // limit of request and response bodies
 
 var (
 	errAttemptWithdrawn      = errors.New("attempt withdrawn before its first byte")
-	errNoSockets             = errors.New("no socket left for a new connection")
-	errNotReusableYet        = errors.New("the time ended before a connection could be used again")
+	errNoSockets             = errors.New("no socket available for a new connection")
+	errNotReusableYet        = errors.New("attempt timed out during the reuse delay of its connection")
 	errAttemptCanceled       = errors.New("attempt cancelled")
-	errTrailingBytes         = errors.New("answer: bytes behind its end, or an end in doubt")
-	errBackendDrained        = errors.New("backend drains or is gone")
-	errClientCanceled        = errors.New("nobody waits for the answer")
-	errResponseBeforeRequest = errors.New("an answer to a request that has not gone out whole")
-	errDedupWindowExpired    = errors.New("too late for a repeat to be known as one")
-	errUnexpectedUpgrade     = errors.New("answer: a protocol that was not asked for")
-	errUnboundedBody         = errors.New("a body that ends with the connection was not waited for")
+	errTrailingBytes         = errors.New("response: trailing bytes, or an ambiguous end")
+	errBackendDrained        = errors.New("backend draining, removed or replaced")
+	errClientCanceled        = errors.New("client no longer waits for the response")
+	errResponseBeforeRequest = errors.New("response before the request was sent completely")
+	errDedupWindowExpired    = errors.New("deduplication window expired before the request was sent")
+	errUnexpectedUpgrade     = errors.New("response: unrequested protocol switch")
+	errUnboundedBody         = errors.New("response: body without a length was not read")
 )
 
-// maxConnRetries bounds how often an attempt whose connection can't be used any more chooses another one.
+// maxConnRetries limits how often an attempt switches to another connection because the chosen one has
+// become unusable.
 const maxConnRetries = 3
 
 // attemptKey is the context key of the attempt that a dial serves.
@@ -52,31 +53,31 @@
 	index   int
 	backend *backend
 	started time.Time
-	sendBy  time.Time // the latest time for its last byte; zero: no limit
+	sendBy  time.Time // when its last byte must be written at the latest; zero: no limit
 
-	transport  *backendTransport // the backend's when the attempt began, like dialAddr
+	transport  *backendTransport // the backend's at the start of the attempt, like dialAddr
 	dialAddr   string
-	reuseDelay time.Duration // from the last response on its connection until it may use that
+	reuseDelay time.Duration // minimum time from the last attempt on a connection to its reuse
 	singleUse  bool          // its connection is new and carries no other attempt
-	slot       *connSlot     // of its connection, while it runs
-	reuseWait  time.Duration // for the reuse delay of its connection
+	slot       *connSlot     // holds its connection while the attempt runs
+	reuseWait  time.Duration // time spent waiting for the reuse delay of its connection
 
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	stage        atomic.Int32
 	header       http.Header                 // of the outgoing request
-	conn         atomic.Pointer[backendConn] // the only one that it may be written to
-	connStale    atomic.Bool                 // the last connection was used before and can't be used any more
+	conn         atomic.Pointer[backendConn] // the only connection that the attempt may be written to
+	connStale    atomic.Bool                 // the last connection had been used before and has become unusable
 	writeFailed  atomic.Bool                 // a write failed: the request was not sent completely
 	bodyConsumed atomic.Bool                 // the transport has read the last byte of the body
-	// firstByteNs is the time in ns from the start until the first byte was allowed; 0: it was not.
+	// firstByteNs is the time in ns from the start until the first byte might be written; 0: never.
 	firstByteNs atomic.Int64
 }
 
 // allowWrite reports whether the attempt may write on c. It is called before each write. An attempt
-// writes on one connection only, which also stops a resend by net/http itself. Before the first
-// byte, allowWrite checks that the client is still connected and that the deduplication window is
-// open.
+// writes on one connection only, which also prevents net/http from resending the request on its own.
+// Before the first byte, allowWrite checks that the client is still connected and that the
+// deduplication window is open.
 func (a *attempt) allowWrite(c *backendConn) bool {
 	if a.conn.Load() != c {
 		return false
@@ -96,7 +97,8 @@
 		c.reportUnsolicited()
 		return false
 	}
-	// canSwitchConn, which may give up c at the same time, sees the stage or is seen here.
+	// canSwitchConn may abandon c concurrently: either it sees the new stage, or its change of a.conn is
+	// seen here.
 	if !a.stage.CompareAndSwap(attemptWaiting, attemptSending) || a.conn.Load() != c {
 		c.framing.cancelResponse()
 		return false
@@ -114,8 +116,8 @@
 	return a.stage.CompareAndSwap(attemptWaiting, attemptWithdrawn) || a.stage.Load() == attemptWithdrawn
 }
 
-// gotConn binds the attempt to the first connection that the transport chose for it and that it may use:
-// one that has not given way to a dial, and whose reuse delay is over.
+// gotConn binds the attempt to the first connection chosen by the transport that it may use: one that
+// has not been evicted for a dial, and whose reuse delay is over.
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*backendConn)
 	if !ok {
@@ -127,14 +129,15 @@
 	}
 	if a.conn.CompareAndSwap(nil, c) {
 		c.attempt.Store(a)
-		a.setTimeoutHeader() // now, and not before a slow connect: the transport writes it next
+		a.setTimeoutHeader() // now, because the connect may have taken long; the transport writes it next
 	}
 }
 
-// abandonConn gives up a connection on which the attempt has not written and must not write. Another one
-// may do if it was used before; one that was opened for the attempt shows what the backend does to it.
+// abandonConn gives up a connection on which the attempt has not written and must not write. If the
+// connection was used before, another one may work; if it was opened for this attempt, its failure is the
+// backend's.
 func (a *attempt) abandonConn(c *backendConn) {
-	c.attempt.Store(nil) // so that nothing is written in the name of the attempt before
+	c.attempt.Store(nil) // so that nothing is written on behalf of the previous attempt
 	a.conn.CompareAndSwap(c, nil)
 	if c.wasUsed() {
 		a.connStale.Store(true)
@@ -154,8 +157,8 @@
 	body        []byte
 	contentType string // the response's Content-Type
 	loadReport  string // the response's load report
-	local       bool   // it failed for lack of a resource of this machine, before a byte was written
-	err         error  // why no complete response arrived; nil: one did
+	local       bool   // a resource of this machine ran out before a byte was written
+	err         error  // why no complete response arrived; nil if one did
 }
 
 // run sends the attempt and waits for its end. When it returns, the connection is closed or idle,
@@ -187,8 +190,8 @@
 	return res
 }
 
-// send sends the request once its connection may be used, and again on another connection while the
-// transport's choice can't be used.
+// send waits until the attempt's connection may be reused and sends the request. While the connection
+// that the transport chose has become unusable, it tries another one.
 func (a *attempt) send() (result, error) {
 	if a.singleUse {
 		a.slot = a.transport.acquireEmpty()
@@ -206,8 +209,8 @@
 	return res, err
 }
 
-// waitForReuse waits until the reuse delay of the attempt's connection is over. It returns an error if the
-// attempt ends before.
+// waitForReuse waits for the rest of the reuse delay of the attempt's connection. It returns an error if
+// the attempt ends first.
 func (a *attempt) waitForReuse(left time.Duration) error {
 	if left <= 0 {
 		return nil
@@ -227,9 +230,9 @@
 	return errNotReusableYet
 }
 
-// canSwitchConn reports whether a round trip failed only because its connection had given way
-// to a dial, or was used before and had ended or got unsolicited bytes: no byte was written, and the
-// attempt is still wanted.
+// canSwitchConn reports whether the attempt may try another connection: it is still wanted, no byte was
+// written, and the round trip failed only because the connection was evicted for a dial, or was a reused
+// one that had ended or received unsolicited bytes.
 func (a *attempt) canSwitchConn() bool {
 	if a.stage.Load() != attemptWaiting || a.ctx.Err() != nil {
 		return false
@@ -253,7 +256,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusSwitchingProtocols {
-		return res, errUnexpectedUpgrade // its body is the connection, whose reads end with no context
+		return res, errUnexpectedUpgrade // its body is the connection itself, whose reads a context does not end
 	}
 	res.loadReport = resp.Header.Get("Server-Load")
 	if resp.StatusCode == http.StatusOK && !a.bodyConsumed.Load() {
@@ -261,7 +264,7 @@
 	}
 	body, err := readResponseBody(resp)
 	if err != nil && resp.StatusCode == http.StatusOK {
-		return res, fmt.Errorf("answer: %w", err)
+		return res, fmt.Errorf("response: %w", err)
 	}
 	if a.conn.Load().framing.hasTrailingBytes() {
 		return res, errTrailingBytes
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -33,8 +33,8 @@
 	return t
 }
 
-// handleUnsolicited processes that a backend sent bytes that no request had asked for. The line is logged
-// once for each connection.
+// handleUnsolicited logs that a backend sent bytes that belong to no response, and informs the balancer.
+// It is called at most once for each connection.
 func (l *loop) handleUnsolicited(b *backend, t *backendTransport) {
 	if l.backends[b.addr] != b || b.transport != t {
 		return // a previous process or address
--- a/internal/agent/backendconn.go
+++ b/internal/agent/backendconn.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// backendConn is a connection to a backend. Each write needs the permission of the attempt that the
+// backendConn is a connection to a backend. Each write has to be allowed by the attempt that the
 // connection carries.
 type backendConn struct {
 	net.Conn
@@ -22,7 +22,7 @@
 	attempt             atomic.Pointer[attempt]
 	framing             responseFraming
 	idleSince           atomic.Pointer[time.Time] // when its last attempt ended; nil: it has carried none
-	unsolicitedReported atomic.Bool               // the transport knows of unsolicited bytes
+	unsolicitedReported atomic.Bool               // unsolicited bytes were reported to the transport
 	closed              sync.Once
 
 	// The fields below are guarded by dialer.idle.mu.
@@ -43,14 +43,14 @@
 	return conn
 }
 
-// setIdleSince notes that an attempt on the connection ended at the time now.
+// setIdleSince records that an attempt on the connection ended at the time now.
 func (c *backendConn) setIdleSince(now time.Time) { c.idleSince.Store(&now) }
 
 // wasUsed reports whether the connection has carried an attempt that has ended.
 func (c *backendConn) wasUsed() bool { return c.idleSince.Load() != nil }
 
-// reuseDelayLeft returns how much of a delay after the last attempt on the connection is left at the time
-// now.
+// reuseDelayLeft returns how much of a delay that began with the end of the last attempt on the
+// connection is left at the time now.
 func (c *backendConn) reuseDelayLeft(now time.Time, delay time.Duration) time.Duration {
 	since := c.idleSince.Load()
 	if since == nil {
@@ -73,8 +73,9 @@
 	return n, err
 }
 
-// receive waits for bytes and returns how many came and how many of them belong to the response. Reading
-// and scanning are one step, so that nothing is read before beginResponse and scanned after it.
+// receive waits for bytes and returns how many were read and how many of them belong to the response.
+// Reading and scanning are one atomic step, so that no byte is read before beginResponse but scanned
+// after it.
 func (c *backendConn) receive(p []byte) (n, accepted int, err error) {
 	if c.raw == nil {
 		n, err = c.Conn.Read(p)
@@ -93,7 +94,7 @@
 	return n, accepted, err
 }
 
-// readNow reads what there is. It returns EAGAIN if there is nothing yet, and io.EOF at the end.
+// readNow reads the bytes that are available. It returns EAGAIN if there are none yet, and io.EOF at the end.
 func readNow(fd uintptr, p []byte) (int, error) {
 	for {
 		n, err := syscall.Read(int(fd), p)
@@ -110,14 +111,14 @@
 }
 
 // beginResponse prepares for the response to a request that is about to be written. It returns false
-// if the connection has ended or the backend has sent bytes that no request had asked for, also if this
-// process has not read them yet.
+// if the connection has ended or the backend has sent unsolicited bytes, including bytes that are still
+// in the kernel's buffer.
 func (c *backendConn) beginResponse() bool {
 	return !c.hasUnread() && c.framing.beginResponse()
 }
 
-// hasUnread reports whether the connection has unread bytes, which no request had asked for, or has
-// ended. If so, nothing can be read from it any more.
+// hasUnread reports whether the connection has unread bytes, which are unsolicited, or has ended. If so,
+// no response can be read from it any more.
 func (c *backendConn) hasUnread() bool {
 	if c.raw == nil {
 		return false
@@ -130,7 +131,7 @@
 	return controlErr != nil || err != syscall.EAGAIN
 }
 
-// reportUnsolicited tells the transport that the backend sent bytes that no request had asked for.
+// reportUnsolicited reports unsolicited bytes to the transport, once.
 func (c *backendConn) reportUnsolicited() {
 	if c.framing.hasUnsolicited() && !c.unsolicitedReported.Swap(true) && c.transport.onUnsolicited != nil {
 		c.transport.onUnsolicited()
--- a/internal/agent/backendtransport.go
+++ b/internal/agent/backendtransport.go
@@ -10,38 +10,38 @@
 	"knotrouter/policy"
 )
 
-// preferredIdleTime is how long a connection has been idle that is preferred to others.
+// preferredIdleTime is the idle time from which a connection is preferred to less idle ones.
 const preferredIdleTime = policy.CautiousReuseDelayMs * time.Millisecond
 
-// backendTransport sends attempts to one backend and chooses the connection of each. HTTP/1.1 has no
-// sign by which a second response to one request could be told from the response to the next, so a
-// connection is used again only after a delay: what arrives meanwhile is unsolicited, and ends it.
+// backendTransport sends attempts to one backend and chooses the connection of each. In HTTP/1.1 a second
+// response to one request can't be told from the response to the next request, so a connection is reused
+// only after a delay: bytes that arrive in the meantime are unsolicited, and the connection is given up.
 //
-// net/http keeps idle connections by the host of the URL, and hands out the one used last. Here each
-// connection has a slot with a host name of its own, so that the agent chooses.
+// net/http pools idle connections by the host of the URL and reuses the most recently used one. Here each
+// connection has a slot with a host name of its own, so that the agent chooses the connection.
 type backendTransport struct {
 	*http.Transport
-	// onUnsolicited is called when the backend has sent bytes that no request had asked for, at most
-	// once for each connection. It may be nil.
+	// onUnsolicited is called when the backend has sent bytes that belong to no response, at most once
+	// for each connection. It may be nil.
 	onUnsolicited func()
 
 	mu    sync.Mutex
-	idle  []*connSlot // with a connection and without an attempt, the longest idle first
-	empty []*connSlot // without an attempt and, but for one whose dial came late, without a connection
-	slots int         // created, each with its number as its name
+	idle  []*connSlot // with a connection but no attempt, the longest idle first
+	empty []*connSlot // without an attempt, and without a connection unless its dial ended late
+	slots int         // number of slots created; each slot's host is its number
 }
 
 // connSlot is a place for one connection to a backend.
 type connSlot struct {
 	host string       // of the URLs of its requests
-	conn *backendConn // guarded by the lock of the transport; nil: none
+	conn *backendConn // guarded by the transport's mu; nil: none
 }
 
-// acquire returns the slot for an attempt that begins at the time now, and how much of the delay since
-// the last attempt on its connection is left. It prefers the connection that was used last of those that
-// have been idle for long, so that others can expire, and then the longest idle one: a short wait costs
-// less than one more connection, which takes capacity of the backend as long as it is open. Where no
-// connection is idle the slot is empty.
+// acquire returns the slot for an attempt that begins at the time now, and how much of the reuse delay of
+// its connection is left. It prefers the most recently used of the connections that have been idle for
+// preferredIdleTime, so that the others can expire. If there is none, it returns the longest idle one: a
+// short wait costs less than another connection, which takes capacity of the backend while it is open.
+// If no connection is idle, the slot is empty.
 func (t *backendTransport) acquire(now time.Time, delay time.Duration) (slot *connSlot, left time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,7 +106,7 @@
 	defer t.mu.Unlock()
 	slot := c.slot
 	if slot.conn != c {
-		return // another connection was opened in its place
+		return // the slot has another connection by now
 	}
 	slot.conn = nil
 	if i := slices.Index(t.idle, slot); i >= 0 {
--- a/internal/agent/clientclose.go
+++ b/internal/agent/clientclose.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// shutdownWrite sends the end of the stream and limits the time for which the client's end is
-// awaited. The lock must be held.
+// shutdownWrite ends the agent's side of the connection and limits how long it waits for the client
+// to end the other. The lock must be held.
 func (c *clientConn) shutdownWrite() {
 	if !c.lingerUntil.IsZero() {
 		return
@@ -84,7 +84,7 @@
 	c.stopReadAhead()
 	c.owner.mu.Lock()
 	_, registered := c.owner.conns[c]
-	if c.closed || !registered { // or it was evicted or aborted, and is closed
+	if c.closed || !registered { // not registered: it was evicted or aborted
 		c.closed = true
 		c.owner.mu.Unlock()
 		return c.Conn.Close()
--- a/internal/agent/clientconn.go
+++ b/internal/agent/clientconn.go
@@ -26,17 +26,17 @@
 	connectedAt      time.Time // earliest arrival of the connection, which may have been queued in the kernel
 	requestArrivedAt time.Time // earliest arrival of the current request
 	nextArrivedAt    time.Time // arrival of the first pipelined byte; zero: none has arrived
-	pipelined        bool      // a byte arrived behind the current request
+	pipelined        bool      // a byte arrived after the current request
 	readAhead        readAheadState
 
 	canceled chan struct{} // closed when readAhead detects a disconnect
 }
 
-// Read reads what the client sends. It returns nothing that arrives after the close has begun.
-// While a request is handled, net/http reads a single byte in order to detect a disconnect; once
-// that byte has arrived, net/http would detect nothing more, and the connection is read ahead here
-// for the same purpose. What was read ahead is returned before what the client sends later; once a
-// part of it was dropped, nothing more is returned.
+// Read reads what the client sends. It returns no bytes that arrive after the close has begun.
+// While a request is handled, net/http reads a single byte in order to detect a disconnect. Once
+// that byte has arrived, net/http can't detect a disconnect any more, so a goroutine here reads
+// ahead for the same purpose. Bytes that were read ahead are returned before later ones; if any of
+// them were dropped, nothing more is returned.
 func (c *clientConn) Read(p []byte) (int, error) {
 	c.owner.mu.Lock()
 	if c.stage == connClosing {
@@ -97,9 +97,9 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// wasQueued reports whether the connection has waited before its first read, in the kernel or for
-// its place. Only then is the operating system asked whether bytes had arrived meanwhile; on a
-// fresh connection the duration of the read tells.
+// wasQueued reports whether the connection has waited before its first read, in the kernel's queue or
+// for admission. Only then is the operating system asked whether bytes have arrived by now; otherwise
+// the duration of the read shows it.
 func (c *clientConn) wasQueued(readAt time.Time) bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -168,7 +168,7 @@
 }
 
 // disconnected reports whether the client has closed its connection. It asks the operating system,
-// because the request may have been queued there for long with the client's end behind it.
+// because the request and, after it, the end of the client's side may have been queued there for long.
 func (c *clientConn) disconnected() bool {
 	select {
 	case <-c.canceled:
--- a/internal/agent/clientconns.go
+++ b/internal/agent/clientconns.go
@@ -15,16 +15,17 @@
 	maxLingerBytes = 4 << 20
 	// rejectTimeout limits the write of a rejection, which fits into the kernel's buffer.
 	rejectTimeout = 5 * time.Millisecond
-	// A connection is evicted for a waiting one after minIdleBeforeEviction between requests,
+	// A connection may be evicted for a waiting one after minIdleBeforeEviction between requests,
 	// minUnusedBeforeEviction without any request, or minReadingBeforeEviction within a head or body.
-	// The last two count from the arrival in the kernel's queue, so that a crowd which has waited there
-	// gives way quickly; but what has arrived with a connection is read for minInStageBeforeEviction.
+	// The last two count from the arrival in the kernel's queue, so that connections that have waited
+	// there in large numbers are evicted quickly. minInStageBeforeEviction leaves time to read what has
+	// arrived with a connection.
 	minIdleBeforeEviction    = 100 * time.Millisecond
 	minUnusedBeforeEviction  = 250 * time.Millisecond
 	minReadingBeforeEviction = 500 * time.Millisecond
 	minInStageBeforeEviction = 50 * time.Millisecond
-	// maxReadAheadBuf is how many bytes behind the current request are kept: those of a request of the
-	// largest size. maxReadAheadTotal is how many are kept of all connections together.
+	// maxReadAheadBuf limits the bytes after the current request that a connection keeps: enough for a
+	// request of the largest size. maxReadAheadTotal limits those of all connections together.
 	maxReadAheadBuf   = maxBodyBytes + 8<<10
 	maxReadAheadTotal = 2 << 20
 )
@@ -35,7 +36,7 @@
 const (
 	connIdle    connStage = iota // no byte of the next request has arrived
 	connReading                  // some bytes have arrived, and the request is not accepted
-	connActive                   // the request is accepted: the client is owed a response
+	connActive                   // the request is accepted and must be answered
 	connClosing                  // nothing is read as a request any more
 )
 
@@ -49,7 +50,7 @@
 	conns     map[*clientConn]struct{}
 	slotFreed chan struct{} // notified when a connection is released; buffer of one
 	draining  bool
-	// readAheadBytes is how many bytes all connections have read ahead and keep.
+	// readAheadBytes is the number of bytes that all connections have read ahead and keep.
 	readAheadBytes int
 	log            *slog.Logger // nil: no logging
 }
@@ -87,7 +88,7 @@
 		cs.mu.Unlock()
 		select {
 		case <-cs.slotFreed:
-		case <-time.After(minIdleBeforeEviction / 4): // some may have been idle for long enough
+		case <-time.After(minIdleBeforeEviction / 4): // a connection may have become evictable
 		case <-done:
 			raw.Close()
 			return nil
@@ -103,7 +104,7 @@
 	}
 }
 
-// mayBeEvicted reports whether the connection may give way to a waiting one. The lock must be held.
+// mayBeEvicted reports whether the connection may be closed for a waiting one. The lock must be held.
 func (c *clientConn) mayBeEvicted(now time.Time) bool {
 	inStage := now.Sub(c.stageSince)
 	switch {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -1,6 +1,6 @@
-// Package agent runs the policy module on real sockets: it converts what happens there into the
-// balancer's events and executes its actions. It does not decide where, when or whether a request is
-// sent.
+// Package agent runs the policy module on real sockets: it converts requests, responses, timers and
+// lists of servers into the balancer's events and executes the balancer's actions. The balancer alone
+// decides where, when and whether a request is sent.
 package agent
 
 import (
@@ -18,7 +18,7 @@
 	"knotrouter/policy"
 )
 
-// Limits is the resources that the process may use.
+// Limits holds the limits of the resources that the process may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -35,9 +35,9 @@
 	Settings      policy.Settings
 	Names         nameIndex
 	CachedList    endpoints.List
-	CachedListErr error // the first invalid entry of the cached list, all of which are skipped; nil: none
+	CachedListErr error // the first invalid entry of the cached list; all invalid ones are skipped; nil: none
 
-	// Extensions that the platform doesn't know; off unless the configuration has them.
+	// Extensions that the platform doesn't know; off unless configured.
 	ControlPlane []string // addresses of the control-plane servers, in place of Discovery
 	Services     []string // the services to subscribe to at the control plane; nil: all
 	LogLevel     slog.Level
@@ -68,7 +68,7 @@
 	return ParseConfig(text)
 }
 
-// rawConfig is the text of a configuration before its validation.
+// rawConfig is the JSON form of a configuration, before validation.
 type rawConfig struct {
 	Name         string          `json:"name"`
 	Listen       string          `json:"listen"`
@@ -90,7 +90,7 @@
 		if errors.As(err, &typeErr) {
 			return nil, fmt.Errorf("config: %s: cannot be a %s", typeErr.Field, typeErr.Value)
 		}
-		return nil, fmt.Errorf("config: no JSON: %w", err)
+		return nil, fmt.Errorf("config: invalid JSON: %w", err)
 	}
 	c := &Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Limits: raw.Limits,
 		ControlPlane: raw.ControlPlane, Services: raw.Services}
@@ -170,7 +170,7 @@
 	if err := json.Unmarshal(text, &nameLists); err != nil {
 		return fmt.Errorf("config: settings: failureDomains or shapes: %w", err)
 	}
-	// The balancer validates its settings itself; creating one reports errors now.
+	// The balancer validates its own settings; creating one reports invalid settings early.
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
@@ -188,9 +188,9 @@
 	return nil
 }
 
-// parseCachedList parses the list that the agent had last. It only speeds up the start: invalid
-// entries are skipped and named by the error, since discovery has the list in any case and an agent
-// that does not start serves nobody.
+// parseCachedList parses the last list that the agent had before a restart. Invalid entries are skipped
+// and reported by the error instead of preventing the start: the list only speeds it up, and discovery
+// serves the complete one.
 func parseCachedList(text json.RawMessage) (l endpoints.List, firstErr error) {
 	if len(text) == 0 {
 		return l, nil
@@ -220,7 +220,7 @@
 		l.Endpoints = append(l.Endpoints, h)
 	}
 	if firstErr != nil || len(l.Endpoints) == 0 {
-		l.Seq = 0 // skipped entries come with the full list only, not with changes
+		l.Seq = 0 // only a full list contains the skipped entries, a list of changes does not
 	}
 	if skipped > 1 {
 		firstErr = fmt.Errorf("%w, and %d more", firstErr, skipped-1)
@@ -232,7 +232,7 @@
 // and as many more while they are replaced.
 const maxControlPlaneAddresses = 16
 
-// checkServices validates the services; nil, without the key, is valid.
+// checkServices validates the services; nil means that the key is absent, which is valid.
 func checkServices(services, controlPlane []string) error {
 	if services == nil {
 		return nil
--- a/internal/agent/dialer.go
+++ b/internal/agent/dialer.go
@@ -57,8 +57,8 @@
 
 // dialForAttempt opens a connection for the attempt in ctx. http.Transport detaches its dials from
 // the request and keeps the connection for a later request; here the dial ends with its attempt, so
-// that none goes on to a backend that was given up. If the limit of open connections is reached, the one that has been idle for
-// longest gives way; it returns errNoSockets if none is idle.
+// that it does not go on to a backend that was given up. At the limit of open connections, the one that
+// has been idle for longest is closed; dialForAttempt returns errNoSockets if none is idle.
 func (d *dialer) dialForAttempt(ctx context.Context, network string, t *backendTransport) (net.Conn, error) {
 	a, _ := ctx.Value(attemptKey{}).(*attempt)
 	if a == nil {
@@ -70,7 +70,7 @@
 	ctx, cancel := context.WithTimeout(a.ctx, d.connectTimeout)
 	defer cancel()
 	c, err := connectWithRetry(ctx, func(ctx context.Context) (net.Conn, error) { return d.connect(ctx, network, a.dialAddr) })
-	if err == nil && a.ctx.Err() != nil { // established in the moment in which it was cancelled
+	if err == nil && a.ctx.Err() != nil { // the attempt ended while the connection was established
 		c.Close()
 		err = a.ctx.Err()
 	}
@@ -83,8 +83,8 @@
 	return conn, nil
 }
 
-// reserve counts a connection that is about to be opened. Idle connections give way to it where the
-// limit is reached; it returns false if there are too few.
+// reserve counts a connection that is about to be opened. At the limit it closes idle connections to
+// make room, and returns false if there are too few.
 func (d *dialer) reserve() bool {
 	for d.open.Add(1) > d.maxOpen {
 		d.open.Add(-1)
@@ -98,9 +98,9 @@
 }
 
 // connectWithRetry calls connect again while it fails for lack of a local resource or of a network
-// route, with a backoff, until ctx ends. The error is joined with errNoSockets and the last local error
-// if a local resource was missing until ctx ended: the attempt that ran into that end had no time of its
-// own.
+// route, with a backoff, until ctx ends. If a local resource was missing until ctx ended, the error is
+// joined with errNoSockets and the last local error: the last call of connect had too little time left
+// for its own error to count.
 func connectWithRetry(ctx context.Context, connect func(ctx context.Context) (net.Conn, error)) (net.Conn, error) {
 	var localErr error
 	for retries := 0; ; retries++ {
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// watch reads the changes after version since until no address is left to try.
+// watch reads the changes after the version since, until no address is left to try.
 func (d *discovery) watch(ctx context.Context, since int64) {
 	reported := since
 	err := d.client.Watch(ctx, since, func(l endpoints.List) {
--- a/internal/agent/discoverychange.go
+++ b/internal/agent/discoverychange.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// previousDiscoveryTimeout is how long the calls to a replaced discovery service are read: it
-	// closes its watches 1.5 s after the signal (TERMS).
+	// previousDiscoveryTimeout is how long responses of a replaced discovery service are still read:
+	// it closes its watches 1.5 s after the signal (TERMS).
 	previousDiscoveryTimeout = 2 * time.Second
 	// maxPreviousDiscoveries limits how many of them are read at once, after reloads in a row.
 	maxPreviousDiscoveries = 4
@@ -35,8 +35,8 @@
 	l.discoveryCtx, l.cancelDiscovery = context.WithCancel(l.ctx)
 }
 
-// changeDiscovery moves the calls in flight to new addresses or services; the balancer regards them
-// as its own calls. The watch is opened at once even if the balancer is in a backoff: that backoff
+// changeDiscovery moves the calls in flight to new addresses or services; for the balancer they stay
+// the same calls. The watch is opened at once even if the balancer is in a backoff: that backoff
 // was for the old address, and changes at the new one count as notified after 4 s. With several
 // addresses, only a watch at an address that is not configured any more ends, or every watch if the
 // services change.
@@ -69,8 +69,8 @@
 }
 
 // retireDiscovery replaces the current discovery service but keeps reading its open calls for a
-// while: what it writes until it closes them counts as notified, and the new one's first response
-// may take long.
+// while: changes that it sends until it closes them count as notified, and the first response of the
+// new one may take long.
 func (l *loop) retireDiscovery() {
 	l.previousDiscoveries = append(l.previousDiscoveries, previousDiscovery{l.discovery, l.cancelDiscovery})
 	time.AfterFunc(previousDiscoveryTimeout, l.cancelDiscovery)
--- a/internal/agent/endpointlist.go
+++ b/internal/agent/endpointlist.go
@@ -24,13 +24,14 @@
 // handleListChanged processes a list that the watch delivered.
 func (l *loop) handleListChanged(e *event) {
 	l.watchStats.lists++
-	// A full list is outdated if another call delivered a newer one while its call was open. A
-	// list that is older than what its own call named is of a discovery whose versions restarted.
+	// A full list is outdated if another call delivered a newer one while its call was open. But
+	// without a control plane, a list older than the version that its own call began with comes from
+	// a discovery service whose versions have restarted.
 	outdated := e.list.Seq < l.listVersion && (l.controlPlane != nil || e.list.Seq >= e.since)
 	switch {
 	case e.list.Full && !outdated:
 		l.receiveList(policy.ListFull, &e.list)
-	case e.list.Seq >= l.listVersion: // the same version: nothing changed, but the call was answered
+	case e.list.Seq >= l.listVersion: // the same version: nothing changed, but discovery has responded
 		l.receiveList(policy.ListChange, &e.list)
 	case l.scope.needsFullList(&e.list):
 		l.resubscribe()
@@ -68,7 +69,7 @@
 	l.applyPartialList(&knownEntries, list.Age)
 }
 
-// openWatch opens the watch unless it is open.
+// openWatch opens the watch unless it is already open.
 func (l *loop) openWatch() {
 	if !l.watching {
 		l.watching, l.watchStats = true, watchStats{openedAt: time.Now()}
--- a/internal/agent/event.go
+++ b/internal/agent/event.go
@@ -17,11 +17,11 @@
 	eventListFetched                       // list or err
 	eventListChanged                       // list
 	eventWatchEnded                        // err
-	eventDiscoveryChanged                  // addrs: the new ones of discovery; services: the new ones to subscribe to
-	eventShutdown                          // the agent shuts down
-	eventFailover                          // addr: the one that is not called any more; err
+	eventDiscoveryChanged                  // addrs: the new addresses of discovery; services: the new services
+	eventShutdown                          // none
+	eventFailover                          // addr: the address that is not called any more; err
 	eventListPartial                       // list: the received entries of an incomplete list
-	eventUnsolicited                       // backend, transport: it sent bytes that no request had asked for
+	eventUnsolicited                       // backend, transport: the backend sent bytes that belong to no response
 )
 
 // event is one message to the loop. Which fields are set depends on the kind. It is one struct
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -25,7 +25,7 @@
 func (a *Agent) ServeHTTP(w http.ResponseWriter, httpRequest *http.Request) {
 	arrivedAt := time.Now()
 	if httpRequest.ContentLength != 0 {
-		// Also if the body is not read here: net/http reads up to the next request.
+		// Set even if this handler does not read the body: net/http then skips it to reach the next request.
 		_ = http.NewResponseController(w).SetReadDeadline(arrivedAt.Add(bodyTimeout))
 	}
 	client, _ := httpRequest.Context().Value(clientConnKey{}).(*clientConn)
@@ -39,7 +39,7 @@
 	}
 	if len(httpRequest.TransferEncoding) > 0 {
 		// If the head was read together with the previous request, requestHead has not seen it. Closing
-		// the connection still prevents that a part of the body is read as a request.
+		// the connection still prevents a part of the body from being read as a request.
 		w.Header().Set("Connection", "close")
 	}
 	if httpRequest.URL.Path == "/ready" {
@@ -62,7 +62,7 @@
 	r, reqErr := a.readRequest(w, httpRequest, arrivedAt)
 	if reqErr != nil {
 		answered = true
-		w.Header().Set("Connection", "close") // the place is for clients that send valid requests
+		w.Header().Set("Connection", "close") // frees the place for clients that send valid requests
 		a.writeResponse(w, reqErr.status, "text/plain", []byte(reqErr.text+"\n"))
 		return
 	}
@@ -93,16 +93,16 @@
 		a.loop.post(event{kind: eventClientCanceled, req: r})
 		return
 	}
-	// The client has disconnected. A client that has only ended its sending could still read
-	// whatever is written now as a response.
+	// The client has disconnected, or has ended only its sending side: then it would read whatever is
+	// written now as a response.
 	r.abandoned.Store(true)
 	a.log.Debug("request canceled", "request_id", r.wireID, "reason", reasonClientCanceled)
 	a.loop.post(event{kind: eventClientCanceled, req: r})
 	panic(http.ErrAbortHandler)
 }
 
-// handlePanic is called with the value of a recovered panic. The panic must neither leave the request
-// unanswered nor its state in the balancer.
+// handlePanic is called with the value of a recovered panic. It answers the request and removes its state
+// from the balancer.
 func (a *Agent) handlePanic(w http.ResponseWriter, p any, r *request, answered bool) {
 	if p == http.ErrAbortHandler {
 		panic(p) // closes the connection without a response, as intended
@@ -222,8 +222,9 @@
 	}
 }
 
-// setCloseIfTruncated announces that the connection ends with the answer that is about to be written, if
-// no request behind it can be read any more. client is nil in tests without a connection.
+// setCloseIfTruncated sets "Connection: close" in the response that is about to be written if bytes after
+// the current request were dropped, so that no further request can be read. From then on none are
+// dropped. client is nil in tests without a connection.
 func (a *Agent) setCloseIfTruncated(w http.ResponseWriter, client *clientConn) {
 	if client != nil && !client.sealReadAhead() {
 		w.Header().Set("Connection", "close")
--- a/internal/agent/idleconns.go
+++ b/internal/agent/idleconns.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// idleConns holds the connections to backends that carry no attempt, longest idle first. One of them
-// gives way to a dial when the limit of connections is reached. A connection that an attempt has claimed
-// is never among them; one whose reuse delay an attempt waits for may be.
+// idleConns holds the connections to backends that carry no attempt, longest idle first. When the limit
+// of connections is reached, the first one is evicted to make room for a dial. It never contains a
+// connection that an attempt has claimed, but may contain one whose reuse delay an attempt waits for.
 type idleConns struct {
 	mu    sync.Mutex
 	order list.List // of *backendConn
@@ -22,8 +22,8 @@
 	}
 }
 
-// claim removes a connection that an attempt is going to use. It returns false if the connection has
-// given way to a dial or is closed.
+// claim removes a connection that an attempt is going to use. It returns false if the connection was
+// evicted for a dial or is closed.
 func (s *idleConns) claim(c *backendConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,8 +31,8 @@
 	return !c.unusable
 }
 
-// takeOldest removes the connection that has been idle for longest, so that no attempt can claim it
-// any more. It returns nil if none is idle. The caller closes the connection.
+// takeOldest evicts the connection that has been idle for longest, so that no attempt can claim it any
+// more. It returns nil if none is idle. The caller closes the connection.
 func (s *idleConns) takeOldest() *backendConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/agent/listener.go
+++ b/internal/agent/listener.go
@@ -12,14 +12,14 @@
 const (
 	// acceptLogInterval is the shortest time between two log lines about failed accepts.
 	acceptLogInterval = time.Second
-	// minBlockingWait is the shortest duration of a wait for a connection's place that counts as a
-	// stall, and of a first read on a fresh connection that found no request.
+	// minBlockingWait is the shortest wait for admission that counts as a stall of the accept queue,
+	// and the shortest first read on a new connection that shows that no request had arrived with it.
 	minBlockingWait = 2 * time.Millisecond
-	// queueDrainTime is how long the queue takes to drain after a stall, at most.
+	// queueDrainTime is the longest time that the accept queue takes to drain after a stall.
 	queueDrainTime = time.Second
 )
 
-// listener gives each client a place in clients before it is served. It retries temporary errors of
+// listener admits each connection to clients before it is served. It retries temporary errors of
 // accept.
 type listener struct {
 	net.Listener
@@ -63,7 +63,7 @@
 				l.queue.extendStall(began)
 			}
 			// The duration of an accept does not tell whether the queue was empty: a process that
-			// got no processor for a moment looks the same.
+			// was not scheduled for a moment looks the same.
 			if l.queue.stalled() && !mayBeReadable(l.Listener) {
 				l.queue.markEmpty()
 			}
@@ -92,7 +92,7 @@
 // acceptQueue estimates how long connections have waited in the kernel's accept queue. The queue
 // stalls while none is accepted, and is drained within queueDrainTime after that.
 type acceptQueue struct {
-	stalledFrom, stalledUntil time.Time // the last stall; zero: none that still matters
+	stalledFrom, stalledUntil time.Time // the last stall; zero: none since the queue was last empty
 }
 
 // recordStall records that no connection was accepted between from and to.
@@ -103,7 +103,7 @@
 	q.stalledUntil = to
 }
 
-// extendStall records that the last stall goes on until to, if there is one.
+// extendStall records that the last stall, if there is one, goes on until to.
 func (q *acceptQueue) extendStall(to time.Time) {
 	if q.stalled() {
 		q.stalledUntil = to
@@ -113,7 +113,7 @@
 // stalled reports whether there was a stall since the queue was last known to be empty.
 func (q *acceptQueue) stalled() bool { return !q.stalledFrom.IsZero() }
 
-// markEmpty records that no connection was queued.
+// markEmpty records that no connection is queued.
 func (q *acceptQueue) markEmpty() { q.stalledFrom, q.stalledUntil = time.Time{}, time.Time{} }
 
 // earliestArrival returns the earliest time at which a connection that is accepted now may have
--- a/internal/agent/log.go
+++ b/internal/agent/log.go
@@ -10,15 +10,15 @@
 	"knotrouter/policy"
 )
 
-// reason says why a connection was closed or why an attempt, a request or a watch ended. It is the
-// log's only vocabulary for that; the values are fixed.
+// reason says why a connection was closed or why an attempt, a request or a watch ended. The log gives
+// such reasons with these values only, and the values don't change.
 type reason string
 
 // The reasons that are logged.
 const (
 	reasonClientCanceled        reason = "client_left"
-	reasonIdleEvicted           reason = "idle_evicted"    // its place was needed for another client
-	reasonSlowEvicted           reason = "slow_evicted"    // the same, within a request's head or body
+	reasonIdleEvicted           reason = "idle_evicted"    // idle, and closed to make room for another client
+	reasonSlowEvicted           reason = "slow_evicted"    // the same, but within a request's head or body
 	reasonShutdown              reason = "shutdown"        // the agent shuts down
 	reasonDeadline              reason = "deadline"        // the client's timeout expired
 	reasonServed                reason = "served"          // a server's complete response
@@ -85,7 +85,7 @@
 	l.log.Warn(text, args...)
 }
 
-// debugEnabled reports whether the lines for each request are logged.
+// debugEnabled reports whether a line is logged for each request and attempt.
 func (l *loop) debugEnabled() bool { return l.log.Enabled(l.ctx, slog.LevelDebug) }
 
 // logAttempt logs the end of an attempt at debug level.
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -30,12 +30,12 @@
 	startedAtMs         float64
 	dialer              *dialer
 	discovery           *discovery
-	controlPlane        *endpoints.ClientConfig // of the control plane's client; nil: one discovery address
+	controlPlane        *endpoints.ClientConfig // configuration of the control plane's client; nil: one discovery address
 	scope               scope                   // the subscribed services
 	logLimiter          endpoints.TokenBucket   // for the lines about discovery
 	suppressedLines     int                     // since the last line that was logged
 	cancelDiscovery     context.CancelFunc      // cancels the calls to discovery
-	previousDiscoveries []previousDiscovery     // replaced ones that are still read
+	previousDiscoveries []previousDiscovery     // replaced services whose responses are still read
 	discoveryCtx        context.Context
 	requests            map[policy.RequestID]*request
 	backends            map[policy.Addr]*backend
@@ -88,7 +88,7 @@
 		backends:    map[policy.Addr]*backend{},
 		dialer:      newBackendDialer(c),
 	}
-	// All agents see the same fault of discovery, so the rate of lines is for all of them together.
+	// A fault of discovery is logged by all agents, so the limit on the rate of lines is shared among them.
 	l.logLimiter = endpoints.TokenBucket{Burst: 10, Rate: min(1, 20/float64(max(settings.Replicas, 1)))}
 	if len(c.ControlPlane) > 0 {
 		l.controlPlane = &endpoints.ClientConfig{OrderSeed: c.Seed, Fleet: settings.Replicas, RejectOlder: true, Services: c.Services}
@@ -102,7 +102,7 @@
 	l.executeActions()
 	cached := l.scope.filterCached(c.CachedList)
 	l.applyList(policy.ListCached, &cached)
-	if pushed { // a pushed list counts as notified from the start of a process
+	if pushed { // changes of a pushed list count as notified from the start of a process
 		l.openWatch()
 	}
 	return l, nil
--- a/internal/agent/readable.go
+++ b/internal/agent/readable.go
@@ -16,7 +16,7 @@
 }
 
 // mayBeReadable asks poll(2), without waiting, whether a read from a connection or an accept from a
-// listener would return at once. It returns true if that is unknown, so that false is certain.
+// listener would return at once. It returns true if that is unknown, so only false is certain.
 func mayBeReadable(socket any) bool {
 	descriptors, ok := socket.(syscall.Conn)
 	if !ok {
--- a/internal/agent/readahead.go
+++ b/internal/agent/readahead.go
@@ -8,31 +8,31 @@
 const (
 	// readAheadSize is how many bytes are read ahead at once.
 	readAheadSize = 4 << 10
-	// After discardedPerPause bytes that were read only to detect a disconnect, the next ones wait for
-	// discardPause, so that a client that sends without end takes little processor time.
+	// After every discardedPerPause bytes that were read only to detect a disconnect, reading pauses for
+	// discardPause, so that a client that never stops sending takes little processor time.
 	discardedPerPause = 256 << 10
 	discardPause      = 5 * time.Millisecond
-	// maxChunkSpan is the longest time between the arrivals of the bytes of one chunk.
+	// maxChunkSpan limits the time between the arrivals of the first and the last byte of a chunk.
 	maxChunkSpan = 10 * time.Millisecond
 )
 
-// readAheadState is what a connection has read behind its current request.
+// readAheadState holds what a connection has read after its current request.
 type readAheadState struct {
 	chunks    []readAheadChunk
 	size      int  // of all chunks, in bytes
-	truncated bool // bytes were dropped: nothing behind the chunks may be read as a request
-	sealed    bool // the answer is being written: nothing may be dropped any more
+	truncated bool // bytes were dropped: nothing after the chunks may be read as a request
+	sealed    bool // the response is being written: nothing may be dropped any more
 	err       error
 	done      chan struct{} // closed when the goroutine ends; nil: it does not run
 }
 
-// readAheadChunk is bytes that arrived together.
+// readAheadChunk holds bytes that arrived together.
 type readAheadChunk struct {
 	bytes     []byte
 	arrivedAt time.Time // of its first byte
 }
 
-// add keeps bytes that have just arrived.
+// add appends bytes that have just arrived.
 func (s *readAheadState) add(p []byte, now time.Time) {
 	s.size += len(p)
 	if last := len(s.chunks) - 1; last >= 0 && now.Sub(s.chunks[last].arrivedAt) < maxChunkSpan {
@@ -70,9 +70,9 @@
 	c.readAhead.chunks, c.readAhead.size, c.readAhead.truncated = nil, 0, true
 }
 
-// sealReadAhead is called before the answer to the current request is written, and reports whether
-// another request may follow on the connection: none of the bytes behind the current one was dropped,
-// and from now on none will be.
+// sealReadAhead is called before the response to the current request is written. It reports whether
+// another request may follow on the connection: no byte after the current one was dropped, and from now
+// on none will be.
 func (c *clientConn) sealReadAhead() (mayFollow bool) {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -80,9 +80,9 @@
 	return !c.readAhead.truncated
 }
 
-// recordRead is called after each read with the number of bytes read, the size of the buffer and when the bytes
-// arrived. net/http reads with a buffer of one byte only while a request is handled, so such a byte belongs to a pipelined
-// request. The lock must be held.
+// recordRead is called after each read with the number of bytes read, the size of the buffer and when
+// the bytes arrived. net/http reads with a buffer of one byte only while a request is handled, so such a
+// byte belongs to a pipelined request. The lock must be held.
 func (c *clientConn) recordRead(n, capacity int, arrivedAt time.Time) {
 	if n == 1 && capacity == 1 {
 		c.pipelined = true
@@ -93,7 +93,7 @@
 	}
 }
 
-// startReadAhead starts runReadAhead if a byte of a pipelined request has arrived behind the accepted
+// startReadAhead starts runReadAhead if a byte of a pipelined request has arrived after the accepted
 // one. The lock must be held.
 func (c *clientConn) startReadAhead() {
 	if c.stage == connActive && c.pipelined && c.readAhead.done == nil && c.readAhead.err == nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-// runReadAhead reads what the client sends behind the current request until that request is answered,
+// runReadAhead reads what the client sends after the current request until that request is answered,
 // in order to detect a disconnect. It closes finished on return.
 func (c *clientConn) runReadAhead(finished chan struct{}) {
 	defer close(finished)
@@ -130,10 +130,10 @@
 	}
 }
 
-// keepReadAhead keeps bytes that were read ahead, or drops them and all that is kept if there are
-// more than the bounds allow: the answer to the current request then says that the connection ends
-// with it, so that the client knows that none of the requests behind it was begun. It returns whether
-// the bytes are kept. The lock must be held.
+// keepReadAhead keeps bytes that were read ahead. If they exceed the limits, it drops them and all that
+// were kept before: the response to the current request then announces the close of the connection, so
+// that the client knows that no later request was begun. It returns whether the bytes are kept. The lock
+// must be held.
 func (c *clientConn) keepReadAhead(p []byte) bool {
 	switch {
 	case c.readAhead.truncated:
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -66,7 +66,7 @@
 		HintMs: r.hintMs, HasHint: r.hasHint, Retry: r.retry})
 }
 
-// handleClientCanceled withdraws the attempts of a request for which its handler waits no longer.
+// handleClientCanceled withdraws the attempts of a request that its handler no longer waits for.
 func (l *loop) handleClientCanceled(r *request) {
 	if r.id == 0 || r.answered {
 		return
@@ -81,7 +81,7 @@
 	l.removeIfDone(r)
 }
 
-// answerRequest sends the final response to the handler, unless the request has one.
+// answerRequest sends the final response to the handler, unless the request is already answered.
 func (l *loop) answerRequest(r *request, a answer) {
 	if !r.answered {
 		r.answered = true
--- a/internal/agent/requesthead.go
+++ b/internal/agent/requesthead.go
@@ -15,8 +15,7 @@
 // net/http reads as the next request for a part of the body (request smuggling).
 //
 // net/http may have read the beginning of a pipelined request together with the previous one. The first
-// line that is read after that may be the end of a header line, and is not judged, as a request line is
-// not.
+// line after that may be the end of a header line, and is ignored just as a request line is.
 type requestHead struct {
 	mu                                    sync.Mutex // net/http may read while the handler runs
 	firstLineEnded                        bool
--- a/internal/agent/responseframing.go
+++ b/internal/agent/responseframing.go
@@ -18,7 +18,7 @@
 	mu sync.Mutex
 	framingState
 	violated         bool // bytes arrived after the end or before a request, or the end is ambiguous
-	responseExpected bool // a response was expected at some time
+	responseExpected bool // a response has been expected before
 	unsolicited      bool // bytes arrived after the end of a response
 }
 
@@ -55,7 +55,7 @@
 	return !f.violated
 }
 
-// cancelResponse takes back that a response is expected: no request was written.
+// cancelResponse reverts beginResponse if no request was written.
 func (f *responseFraming) cancelResponse() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,8 +69,9 @@
 	return f.scanLocked(p)
 }
 
-// receive calls read and scans what it read in one step, of which beginResponse is before or after. It
-// returns how many bytes were read, and how many of them belong to the response.
+// receive calls read and scans the bytes that it read. Both happen under the lock, so that beginResponse
+// runs either before or after both. It returns how many bytes were read, and how many of them belong to
+// the response.
 func (f *responseFraming) receive(p []byte, read func([]byte) (int, error)) (n, accepted int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -161,8 +162,8 @@
 	return f.violated
 }
 
-// hasUnsolicited reports whether bytes arrived after the end of a response. What a backend sends on a
-// connection that has carried no request is not the second response to one.
+// hasUnsolicited reports whether bytes arrived after the end of a response. Bytes on a connection that
+// has carried no request don't count: they can't be a second response to one.
 func (f *responseFraming) hasUnsolicited() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/agent/scope.go
+++ b/internal/agent/scope.go
@@ -6,7 +6,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-// scope is the services that the agent subscribes to. The zero value is no scope: every listed
+// scope holds the services that the agent subscribes to. The zero value is no scope: every listed
 // server is used.
 type scope struct {
 	services     []string
@@ -52,8 +52,8 @@
 	return s.table.Apply(list)
 }
 
-// needsFullList reports whether a list that is skipped, because it is older than another one, may
-// have servers that the other one could not contain.
+// needsFullList reports whether a list that is skipped as outdated may contain servers that the newer
+// list could not contain.
 func (s *scope) needsFullList(list *endpoints.List) bool {
 	return s.table != nil && list.Subscription == s.subscription && list.Scoped && !s.table.Synced()
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -22,13 +22,13 @@
 	shutdownAcceptPeriod = 450 * time.Millisecond
 	// headTimeout is how long a request's head may take to arrive, the first one counted from the
 	// connect, and bodyTimeout how long its body may: a peer that sends no valid request is owed an
-	// error or a close within 3 s of connecting, and occupies a client's place until then.
+	// error or a close within 3 s of connecting, and takes the place of another client until then.
 	headTimeout, bodyTimeout = 1500 * time.Millisecond, time.Second
 	// idleTimeout is how long a connection without a request stays open: as long as clients may
 	// rely on and no longer, because idle connections occupy the places of others.
 	idleTimeout = 2100 * time.Millisecond
-	// readyDeadline is when a new process reports that it is ready at the latest: without a known
-	// backend it rejects requests at once, which tells clients more than a wait for discovery.
+	// readyDeadline is how long after its start a process reports that it is ready, even without a known
+	// backend: it then rejects requests at once, which tells clients more than a wait for discovery.
 	readyDeadline = 2 * time.Second
 	// writeTimeout is how long a client may take to read its response.
 	writeTimeout = 2 * time.Second
@@ -50,7 +50,7 @@
 	return maxClients - max(maxClients/8, 8)
 }
 
-// Agent is one load-balancing agent: the loop with the decisions, and the HTTP server for the
+// Agent is one load-balancing agent: the loop that runs the balancer, and the HTTP server for the
 // clients.
 type Agent struct {
 	loop     *loop
@@ -62,7 +62,7 @@
 	stop     context.CancelFunc
 }
 
-// New returns an agent that knows the list of its configuration. It returns an error if the
+// New returns an agent that starts with the cached list of its configuration. It returns an error if the
 // settings are invalid.
 func New(c *Config, log *slog.Logger) (*Agent, error) {
 	ctx, stop := context.WithCancel(context.Background())
@@ -124,9 +124,9 @@
 	a.loop.post(event{kind: eventDiscoveryChanged, addrs: c.addresses(), services: c.Services})
 }
 
-// shutdown shuts the agent down gracefully. Clients go on connecting for a while after the signal,
-// so idle connections are closed first, and a request that crosses that close can still come on a
-// new connection; then stopAccepting is called; then all requests in flight are answered.
+// shutdown shuts the agent down gracefully. Clients go on connecting for a while after the signal. It
+// closes idle connections first, so that a client whose request crosses the close can still send it on a
+// new connection; then it calls stopAccepting; then all requests in flight are answered.
 func (a *Agent) shutdown(stopAccepting func()) {
 	a.draining.Store(true)
 	a.loop.post(event{kind: eventShutdown})
--- a/internal/agent/startclock.go
+++ b/internal/agent/startclock.go
@@ -12,17 +12,17 @@
 const maxListingDelay = 8 * time.Second
 
 // startClock converts the start times of servers, which discovery gives in wall-clock time, to the
-// loop's clock. The loop's clock begins at the process's wall clock, which may have been stepped
-// before; a start time shows the offset, because it can neither be in the future nor much older
-// than the list before it.
+// loop's clock. The loop's clock starts at the wall clock of this process, which may have been stepped
+// before. The listed start times show the offset between the clocks, because a server can't have
+// started in the future, nor much earlier than the previous list.
 type startClock struct {
 	latestStartMs float64   // the latest listed start, in ms of discovery's clock
 	offsetMs      float64   // the loop's clock minus discovery's, in ms
 	lastListAt    time.Time // when the last list of discovery was applied; zero: none was
 }
 
-// observe learns the clocks' offset from a list of discovery that was received at nowMs of the
-// loop's clock.
+// observe derives the offset between the clocks from a list of discovery that was received at nowMs of
+// the loop's clock.
 func (c *startClock) observe(list *endpoints.List, nowMs float64) {
 	latest := c.latestStartMs
 	for i := range list.Endpoints {
