--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -232,7 +232,7 @@
 
 // canSwitchConn reports whether the attempt may try another connection: it is still wanted, no byte was
 // written, and the round trip failed only because the connection was evicted for a dial, or was a reused
-// one that had ended or received unsolicited bytes.
+// one that had ended or received unsolicited bytes. It closes a reused connection that is still bound.
 func (a *attempt) canSwitchConn() bool {
 	if a.stage.Load() != attemptWaiting || a.ctx.Err() != nil {
 		return false
--- a/internal/agent/clientconn.go
+++ b/internal/agent/clientconn.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// acceptRequest accepts the request that was read; from then on the client is owed a response. It
-// returns false if the connection is being closed.
+// acceptRequest accepts the request that was read; from then on it must be answered. It returns false
+// if the connection is being closed.
 func (c *clientConn) acceptRequest() bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
--- a/internal/agent/clientconns.go
+++ b/internal/agent/clientconns.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// lingerTimeout and maxLingerBytes limit what is read from a client after the agent has ended
+	// lingerTimeout and maxLingerBytes limit the reading from a client after the agent has ended
 	// its side of the connection. A close with unread bytes resets the connection, and the client
-	// loses what it has not read of its last response.
+	// loses the part of its last response that it has not read yet.
 	lingerTimeout  = 300 * time.Millisecond
 	maxLingerBytes = 4 << 20
 	// rejectTimeout limits the write of a rejection, which fits into the kernel's buffer.
--- a/internal/agent/dialer.go
+++ b/internal/agent/dialer.go
@@ -11,7 +11,7 @@
 	"knotrouter/internal/transient"
 )
 
-// dialer opens connections to backends within the process's limit of file descriptors for them.
+// dialer opens connections to backends within the limit of the file descriptors that are for them.
 type dialer struct {
 	connect           func(ctx context.Context, network, addr string) (net.Conn, error)
 	connectTimeout    time.Duration
@@ -39,7 +39,7 @@
 }
 
 // newTransport returns a transport for one backend. Each backend has its own, so that its idle
-// connections can be closed without touching those of others.
+// connections can be closed without closing those of others.
 func (d *dialer) newTransport() *backendTransport {
 	t := &backendTransport{}
 	t.Transport = &http.Transport{
--- a/internal/agent/discoverychange.go
+++ b/internal/agent/discoverychange.go
@@ -13,7 +13,7 @@
 	// previousDiscoveryTimeout is how long responses of a replaced discovery service are still read:
 	// it closes its watches 1.5 s after the signal (TERMS).
 	previousDiscoveryTimeout = 2 * time.Second
-	// maxPreviousDiscoveries limits how many of them are read at once, after reloads in a row.
+	// maxPreviousDiscoveries limits how many replaced services are read at once, after several reloads.
 	maxPreviousDiscoveries = 4
 )
 
@@ -24,7 +24,7 @@
 	cancel    context.CancelFunc // cancels the calls to it
 }
 
-// connectDiscovery makes addrs the addresses of the discovery service from now on.
+// connectDiscovery creates the client of the discovery service at addrs.
 func (l *loop) connectDiscovery(addrs []string) {
 	var c endpoints.ClientConfig
 	if l.controlPlane != nil {
--- a/internal/agent/endpointlist.go
+++ b/internal/agent/endpointlist.go
@@ -13,7 +13,7 @@
 	switch {
 	case e.err != nil:
 		l.warnDiscovery("discovery: fetch failed", "err", e.err)
-		if !l.watching { // an open watch delivers the same, and its end is an event of its own
+		if !l.watching { // an open watch delivers the same list, and reports its own end
 			l.dispatch(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
 		}
 	case e.list.Seq >= l.listVersion: // the watch may have delivered a newer list meanwhile
@@ -38,7 +38,7 @@
 	}
 }
 
-// receiveList applies what a list says about the subscribed services. A list of an earlier
+// receiveList applies the part of a list that is about the subscribed services. A list of an earlier
 // subscription is ignored.
 func (l *loop) receiveList(kind policy.ListKind, list *endpoints.List) {
 	if list.Subscription != l.scope.subscription {
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -49,8 +49,8 @@
 	a.serveRequest(w, httpRequest, client, arrivedAt)
 }
 
-// serveRequest reads a request and answers it with the balancer's decision, at the deadline at the
-// latest. It aborts the connection without a response if the client has disconnected.
+// serveRequest reads a request and answers it with the balancer's decision, or with a timeout shortly
+// before its deadline. It aborts the connection without a response if the client has disconnected.
 func (a *Agent) serveRequest(w http.ResponseWriter, httpRequest *http.Request, client *clientConn, arrivedAt time.Time) {
 	var r *request
 	answered := false
@@ -242,7 +242,7 @@
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	h["Date"] = nil
 	if contentType == "" {
-		h["Content-Type"] = nil // net/http must not guess it
+		h["Content-Type"] = nil // keeps net/http from guessing it
 	} else {
 		h.Set("Content-Type", contentType)
 	}
--- a/internal/agent/log.go
+++ b/internal/agent/log.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// watchStats is what is logged when a watch ends.
+// watchStats holds the statistics of a watch that are logged when it ends.
 type watchStats struct {
 	openedAt time.Time
 	lists    int
--- a/internal/agent/requesthead.go
+++ b/internal/agent/requesthead.go
@@ -11,8 +11,8 @@
 const maxFieldName = len("transfer-encoding:")
 
 // requestHead detects which header fields that define the body's length occur in the current
-// request. If both occur, net/http uses one and hides the other, and another reader could take what
-// net/http reads as the next request for a part of the body (request smuggling).
+// request. If both occur, net/http uses one and hides the other, and another parser could treat bytes
+// that net/http reads as the next request as a part of the body (request smuggling).
 //
 // net/http may have read the beginning of a pipelined request together with the previous one. The first
 // line after that may be the end of a header line, and is ignored just as a request line is.
--- a/internal/agent/responseframing.go
+++ b/internal/agent/responseframing.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// maxLinePrefix is how many bytes of a line of a response's head are kept: enough for what is
-// parsed.
+// maxLinePrefix is how many bytes of a line of a response's head are kept: enough for the parts that
+// are parsed.
 const maxLinePrefix = 64
 
 // responseFraming tracks where the response on a backend's connection ends, in order to detect
@@ -105,7 +105,7 @@
 	return total
 }
 
-// parseLine parses one line of the response. net/http rejects what is malformed.
+// parseLine parses one line of the response. It leaves the rejection of malformed lines to net/http.
 func (f *responseFraming) parseLine(line string) {
 	switch f.section {
 	case sectionHead:
@@ -126,7 +126,7 @@
 	}
 }
 
-// parseHeadLine parses one line of the head. net/http rejects what is malformed.
+// parseHeadLine parses one line of the head. It leaves the rejection of malformed lines to net/http.
 func (f *responseFraming) parseHeadLine(line string) {
 	name, value, _ := strings.Cut(line, ":")
 	switch {
--- a/internal/agent/scope.go
+++ b/internal/agent/scope.go
@@ -44,7 +44,8 @@
 	return s.table.Seed(list)
 }
 
-// filter returns what a list says about the services, and the changes of the services themselves.
+// filter returns the part of a list that is about the services, and the changes of the services
+// themselves.
 func (s *scope) filter(list endpoints.List) (endpoints.List, []endpoints.ServiceEvent) {
 	if s.table == nil {
 		return list, nil
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// minSockets is the smallest limit that an agent can work with; reservedSockets are for
-	// discovery, the listener and the runtime.
+	// minSockets is the smallest limit of sockets that an agent can work with. reservedSockets is
+	// how many of them are for discovery, the listener and the runtime.
 	minSockets, reservedSockets = 64, 16
-	// guardMargin is how long before the client's deadline the guard timer answers: later than
-	// the balancer's own last decision.
+	// guardMargin is how long before the client's deadline the guard timer answers the request. It
+	// is short enough that the balancer's own last decision comes first.
 	guardMargin = 2 * time.Millisecond
 	// shutdownAcceptPeriod is how long connections are accepted after SIGTERM: clients go on
 	// connecting for up to 0.4 s.
 	shutdownAcceptPeriod = 450 * time.Millisecond
 	// headTimeout is how long a request's head may take to arrive, the first one counted from the
-	// connect, and bodyTimeout how long its body may: a peer that sends no valid request is owed an
+	// connect, and bodyTimeout how long its body may: a peer that sends no valid request must get an
 	// error or a close within 3 s of connecting, and takes the place of another client until then.
 	headTimeout, bodyTimeout = 1500 * time.Millisecond, time.Second
 	// idleTimeout is how long a connection without a request stays open: as long as clients may
@@ -43,8 +43,8 @@
 func clientSockets(sockets int) int { return sockets - reservedSockets - backendSockets(sockets) }
 
 // maxOpenRequests returns how many requests the balancer may hold at once; it rejects the others.
-// The remaining client connections are kept for the next clients: a client without one waits in the
-// kernel's queue, where its timeout runs and nobody answers it.
+// The remaining client connections are reserved for new clients: a client without one waits in the
+// kernel's queue, where its timeout runs and no rejection reaches it.
 func maxOpenRequests(sockets int) int {
 	maxClients := clientSockets(sockets)
 	return maxClients - max(maxClients/8, 8)
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// Reconfigure applies what may change while the agent runs: the addresses of discovery and the
-// subscribed services.
+// Reconfigure applies the settings that may change while the agent runs: the addresses of discovery and
+// the subscribed services.
 func (a *Agent) Reconfigure(c *Config) {
 	a.loop.post(event{kind: eventDiscoveryChanged, addrs: c.addresses(), services: c.Services})
 }
--- a/internal/agent/startclock.go
+++ b/internal/agent/startclock.go
@@ -7,7 +7,7 @@
 	"knotrouter/policy"
 )
 
-// maxListingDelay is how long after its start a reachable server is listed at the latest, with a
+// maxListingDelay is the longest time from the start of a reachable server until it is listed, with a
 // margin.
 const maxListingDelay = 8 * time.Second
 
@@ -39,7 +39,7 @@
 }
 
 // startOnLoopClock returns when the process of a listed server started, in ms of the loop's clock;
-// 0 means long ago. A start time that was computed once for a process stays.
+// 0 means long ago. The start time of a process is computed once and does not change after that.
 func (l *loop) startOnLoopClock(ep *endpoints.Endpoint) float64 {
 	if b := l.backends[policyAddr(ep.Name)]; b != nil && b.listedStartMs == ep.StartedMs {
 		return b.loopStartMs
