--- a/internal/agent/backendtransport.go
+++ b/internal/agent/backendtransport.go
@@ -31,7 +31,7 @@
 	slots int         // number of slots created; each slot's host is its number
 }
 
-// connSlot is a place for one connection to a backend.
+// connSlot holds at most one connection to a backend, and the host name that selects it in net/http.
 type connSlot struct {
 	host string       // of the URLs of its requests
 	conn *backendConn // guarded by the transport's mu; nil: none
--- a/internal/agent/clientclose.go
+++ b/internal/agent/clientclose.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Close performs a lingering close and releases the connection's place.
+// Close performs a lingering close and releases the connection's slot.
 func (c *clientConn) Close() error {
 	c.stopReadAhead()
 	c.owner.mu.Lock()
--- a/internal/agent/clientconns.go
+++ b/internal/agent/clientconns.go
@@ -48,7 +48,7 @@
 	mu        sync.Mutex
 	capacity  int
 	conns     map[*clientConn]struct{}
-	slotFreed chan struct{} // notified when a connection is released; buffer of one
+	slotFreed chan struct{} // notified when a connection releases its slot; buffer of one
 	draining  bool
 	// readAheadBytes is the number of bytes that all connections have read ahead and keep.
 	readAheadBytes int
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -62,7 +62,7 @@
 	r, reqErr := a.readRequest(w, httpRequest, arrivedAt)
 	if reqErr != nil {
 		answered = true
-		w.Header().Set("Connection", "close") // frees the place for clients that send valid requests
+		w.Header().Set("Connection", "close") // frees the slot for clients that send valid requests
 		a.writeResponse(w, reqErr.status, "text/plain", []byte(reqErr.text+"\n"))
 		return
 	}
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -8,8 +8,8 @@
 	"knotrouter/policy"
 )
 
-// request is a client's request. The handler fills it in; the fields after answers belong to the
-// loop.
+// request is a client's request. The handler sets the fields up to answers; the later ones belong to
+// the loop.
 type request struct {
 	client         *clientConn // nil: no client waits
 	abandoned      atomic.Bool // set by the handler when it stops waiting: no attempt may begin
@@ -35,9 +35,9 @@
 	openAttempts int
 }
 
-// isAbandoned reports whether no client waits for the response any more. It is checked last before
-// an attempt begins, because the client may disconnect while the request is queued or a connection
-// is established.
+// isAbandoned reports whether no client waits for the response any more. It is checked immediately
+// before the first byte of an attempt is written, because the client may disconnect while the request
+// is queued or a connection is established.
 func (r *request) isAbandoned() bool {
 	if !r.abandoned.Load() && r.client != nil && r.client.disconnected() {
 		r.abandoned.Store(true)
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -22,10 +22,10 @@
 	shutdownAcceptPeriod = 450 * time.Millisecond
 	// headTimeout is how long a request's head may take to arrive, the first one counted from the
 	// connect, and bodyTimeout how long its body may: a peer that sends no valid request must get an
-	// error or a close within 3 s of connecting, and takes the place of another client until then.
+	// error or a close within 3 s of connecting, and occupies a slot until then.
 	headTimeout, bodyTimeout = 1500 * time.Millisecond, time.Second
 	// idleTimeout is how long a connection without a request stays open: as long as clients may
-	// rely on and no longer, because idle connections occupy the places of others.
+	// rely on and no longer, because idle connections occupy slots that others need.
 	idleTimeout = 2100 * time.Millisecond
 	// readyDeadline is how long after its start a process reports that it is ready, even without a known
 	// backend: it then rejects requests at once, which tells clients more than a wait for discovery.
