--- a/internal/agent/clientclose.go
+++ b/internal/agent/clientclose.go
@@ -47,15 +47,15 @@
 	}
 }
 
-// shutdownWrite sends the end of the stream and limits the time for which the client's end is
-// awaited. The lock must be held.
+// shutdownWrite ends the agent's side of the connection and limits how long it waits for the client
+// to end the other. The lock must be held.
 func (c *clientConn) shutdownWrite() {
 	if !c.lingerUntil.IsZero() {
 		return
 	}
 	c.lingerUntil = time.Now().Add(lingerTimeout)
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite()
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		_ = halfCloser.CloseWrite()
 	}
 	_ = c.Conn.SetReadDeadline(c.lingerUntil)
 }
@@ -79,12 +79,12 @@
 	}
 }
 
-// Close performs a lingering close and releases the connection's place.
+// Close performs a lingering close and releases the connection's slot.
 func (c *clientConn) Close() error {
 	c.stopReadAhead()
 	c.owner.mu.Lock()
-	_, here := c.owner.conns[c]
-	if c.closed || !here { // or it was evicted or aborted, and is closed
+	_, registered := c.owner.conns[c]
+	if c.closed || !registered { // not registered: it was evicted or aborted
 		c.closed = true
 		c.owner.mu.Unlock()
 		return c.Conn.Close()
--- a/internal/agent/clientconns.go
+++ b/internal/agent/clientconns.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// lingerTimeout and maxLingerBytes limit what is read from a client after the agent has ended
+	// lingerTimeout and maxLingerBytes limit the reading from a client after the agent has ended
 	// its side of the connection. A close with unread bytes resets the connection, and the client
-	// loses what it has not read of its last response.
+	// loses the part of its last response that it has not read yet.
 	lingerTimeout  = 300 * time.Millisecond
 	maxLingerBytes = 4 << 20
 	// rejectTimeout limits the write of a rejection, which fits into the kernel's buffer.
 	rejectTimeout = 5 * time.Millisecond
-	// A connection is evicted for a waiting one after minIdleBeforeEviction between requests,
+	// A connection may be evicted for a waiting one after minIdleBeforeEviction between requests,
 	// minUnusedBeforeEviction without any request, or minReadingBeforeEviction within a head or body.
-	// The last two count from the arrival in the kernel's queue, so that a crowd which has waited there
-	// gives way quickly; but what has arrived with a connection is read for minServedBeforeEviction.
+	// The last two count from the arrival in the kernel's queue, so that connections that have waited
+	// there in large numbers are evicted quickly. minInStageBeforeEviction leaves time to read what has
+	// arrived with a connection.
 	minIdleBeforeEviction    = 100 * time.Millisecond
 	minUnusedBeforeEviction  = 250 * time.Millisecond
 	minReadingBeforeEviction = 500 * time.Millisecond
-	minServedBeforeEviction  = 50 * time.Millisecond
-	// maxReadAheadBuf is how many bytes behind the current request are kept: those of a request of the
-	// largest size. maxReadAheadTotal is how many are kept of all connections together.
+	minInStageBeforeEviction = 50 * time.Millisecond
+	// maxReadAheadBuf limits the bytes after the current request that a connection keeps: enough for a
+	// request of the largest size. maxReadAheadTotal limits those of all connections together.
 	maxReadAheadBuf   = maxBodyBytes + 8<<10
 	maxReadAheadTotal = 2 << 20
 )
@@ -35,7 +36,7 @@
 const (
 	connIdle    connStage = iota // no byte of the next request has arrived
 	connReading                  // some bytes have arrived, and the request is not accepted
-	connActive                   // the request is accepted: the client is owed a response
+	connActive                   // the request is accepted and must be answered
 	connClosing                  // nothing is read as a request any more
 )
 
@@ -47,16 +48,16 @@
 	mu        sync.Mutex
 	capacity  int
 	conns     map[*clientConn]struct{}
-	slotFreed chan struct{} // notified when a connection is released; buffer of one
+	slotFreed chan struct{} // notified when a connection releases its slot; buffer of one
 	draining  bool
-	// readAheadBytes is how many bytes all connections have read ahead and keep.
+	// readAheadBytes is the number of bytes that all connections have read ahead and keep.
 	readAheadBytes int
 	log            *slog.Logger // nil: no logging
 }
 
 // newClientConns returns an empty set for at most capacity connections.
-func newClientConns(most int) *clientConns {
-	return &clientConns{capacity: most, conns: map[*clientConn]struct{}{}, slotFreed: make(chan struct{}, 1)}
+func newClientConns(capacity int) *clientConns {
+	return &clientConns{capacity: capacity, conns: map[*clientConn]struct{}{}, slotFreed: make(chan struct{}, 1)}
 }
 
 // count returns the number of connections.
@@ -87,7 +88,7 @@
 		cs.mu.Unlock()
 		select {
 		case <-cs.slotFreed:
-		case <-time.After(minIdleBeforeEviction / 4): // some may have been idle for long enough
+		case <-time.After(minIdleBeforeEviction / 4): // a connection may have become evictable
 		case <-done:
 			raw.Close()
 			return nil
@@ -103,16 +104,16 @@
 	}
 }
 
-// mayBeEvicted reports whether the connection may give way to a waiting one. The lock must be held.
+// mayBeEvicted reports whether the connection may be closed for a waiting one. The lock must be held.
 func (c *clientConn) mayBeEvicted(now time.Time) bool {
 	inStage := now.Sub(c.stageSince)
 	switch {
 	case c.stage == connIdle && c.answered:
 		return inStage >= minIdleBeforeEviction
 	case c.stage == connIdle:
-		return inStage >= minServedBeforeEviction && max(inStage, sinceArrival(c.connectedAt, now)) >= minUnusedBeforeEviction
+		return inStage >= minInStageBeforeEviction && max(inStage, sinceArrival(c.connectedAt, now)) >= minUnusedBeforeEviction
 	case c.stage == connReading:
-		return inStage >= minServedBeforeEviction && max(inStage, sinceArrival(c.requestArrivedAt, now)) >= minReadingBeforeEviction
+		return inStage >= minInStageBeforeEviction && max(inStage, sinceArrival(c.requestArrivedAt, now)) >= minReadingBeforeEviction
 	}
 	return false
 }
--- a/internal/agent/discoverychange.go
+++ b/internal/agent/discoverychange.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// previousDiscoveryTimeout is how long the calls to a replaced discovery service are read: it
-	// closes its watches 1.5 s after the signal (TERMS).
+	// previousDiscoveryTimeout is how long responses of a replaced discovery service are still read:
+	// it closes its watches 1.5 s after the signal (TERMS).
 	previousDiscoveryTimeout = 2 * time.Second
-	// maxPreviousDiscoveries limits how many of them are read at once, after reloads in a row.
+	// maxPreviousDiscoveries limits how many replaced services are read at once, after several reloads.
 	maxPreviousDiscoveries = 4
 )
 
@@ -24,7 +24,7 @@
 	cancel    context.CancelFunc // cancels the calls to it
 }
 
-// connectDiscovery makes addrs the addresses of the discovery service from now on.
+// connectDiscovery creates the client of the discovery service at addrs.
 func (l *loop) connectDiscovery(addrs []string) {
 	var c endpoints.ClientConfig
 	if l.controlPlane != nil {
@@ -35,8 +35,8 @@
 	l.discoveryCtx, l.cancelDiscovery = context.WithCancel(l.ctx)
 }
 
-// changeDiscovery moves the calls in flight to new addresses or services; the balancer regards them
-// as its own calls. The watch is opened at once even if the balancer is in a backoff: that backoff
+// changeDiscovery moves the calls in flight to new addresses or services; for the balancer they stay
+// the same calls. The watch is opened at once even if the balancer is in a backoff: that backoff
 // was for the old address, and changes at the new one count as notified after 4 s. With several
 // addresses, only a watch at an address that is not configured any more ends, or every watch if the
 // services change.
@@ -44,13 +44,13 @@
 	if l.controlPlane == nil && services != nil {
 		l.log.Warn("services ignored: the agent started without a control plane", "services", len(services))
 	}
-	rescoped := l.controlPlane != nil && !l.scope.equals(services)
-	if slices.Equal(addrs, l.discovery.addrs) && !rescoped {
+	servicesChanged := l.controlPlane != nil && !l.scope.equals(services)
+	if slices.Equal(addrs, l.discovery.addrs) && !servicesChanged {
 		return
 	}
 	if l.controlPlane != nil {
 		l.discovery.addrs = addrs
-		if rescoped {
+		if servicesChanged {
 			l.changeServices(services)
 		} else {
 			l.discovery.client.SetAddresses(addrs)
@@ -69,8 +69,8 @@
 }
 
 // retireDiscovery replaces the current discovery service but keeps reading its open calls for a
-// while: what it writes until it closes them counts as notified, and the new one's first response
-// may take long.
+// while: changes that it sends until it closes them count as notified, and the first response of the
+// new one may take long.
 func (l *loop) retireDiscovery() {
 	l.previousDiscoveries = append(l.previousDiscoveries, previousDiscovery{l.discovery, l.cancelDiscovery})
 	time.AfterFunc(previousDiscoveryTimeout, l.cancelDiscovery)
@@ -83,7 +83,7 @@
 // handlePreviousDiscovery applies a list of a previous discovery service if it is newer than the
 // current one. How its calls end does not matter.
 func (l *loop) handlePreviousDiscovery(e *event) {
-	known := slices.ContainsFunc(l.previousDiscoveries, func(f previousDiscovery) bool { return f.discovery == e.source })
+	known := slices.ContainsFunc(l.previousDiscoveries, func(previous previousDiscovery) bool { return previous.discovery == e.source })
 	if !known || e.list.Seq <= l.listVersion {
 		return
 	}
@@ -100,13 +100,13 @@
 // changeServices changes the subscribed services, at the current addresses. The known servers stay
 // in use until the full list of the new services arrives.
 func (l *loop) changeServices(services []string) {
-	number, err := l.discovery.client.Reconfigure(l.discovery.addrs, services, l.listVersion)
+	subscription, err := l.discovery.client.Reconfigure(l.discovery.addrs, services, l.listVersion)
 	if err != nil {
 		l.log.Error("discovery: subscription failed, the services stay", "err", err)
 		return
 	}
-	l.scope.update(services, number)
-	l.log.Info("discovery: subscribed", "services", len(services), "subscription", number)
+	l.scope.update(services, subscription)
+	l.log.Info("discovery: subscribed", "services", len(services), "subscription", subscription)
 }
 
 // resubscribe requests the full list of the same services again.
--- a/internal/agent/endpointlist.go
+++ b/internal/agent/endpointlist.go
@@ -13,7 +13,7 @@
 	switch {
 	case e.err != nil:
 		l.warnDiscovery("discovery: fetch failed", "err", e.err)
-		if !l.watching { // an open watch delivers the same, and its end is an event of its own
+		if !l.watching { // an open watch delivers the same list, and reports its own end
 			l.dispatch(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
 		}
 	case e.list.Seq >= l.listVersion: // the watch may have delivered a newer list meanwhile
@@ -24,20 +24,21 @@
 // handleListChanged processes a list that the watch delivered.
 func (l *loop) handleListChanged(e *event) {
 	l.watchStats.lists++
-	// A full list is outdated if another call delivered a newer one while its call was open. A
-	// list that is older than what its own call named is of a discovery whose versions restarted.
+	// A full list is outdated if another call delivered a newer one while its call was open. But
+	// without a control plane, a list older than the version that its own call began with comes from
+	// a discovery service whose versions have restarted.
 	outdated := e.list.Seq < l.listVersion && (l.controlPlane != nil || e.list.Seq >= e.since)
 	switch {
 	case e.list.Full && !outdated:
 		l.receiveList(policy.ListFull, &e.list)
-	case e.list.Seq >= l.listVersion: // the same version: nothing changed, but the call was answered
+	case e.list.Seq >= l.listVersion: // the same version: nothing changed, but discovery has responded
 		l.receiveList(policy.ListChange, &e.list)
 	case l.scope.needsFullList(&e.list):
 		l.resubscribe()
 	}
 }
 
-// receiveList applies what a list says about the subscribed services. A list of an earlier
+// receiveList applies the part of a list that is about the subscribed services. A list of an earlier
 // subscription is ignored.
 func (l *loop) receiveList(kind policy.ListKind, list *endpoints.List) {
 	if list.Subscription != l.scope.subscription {
@@ -58,9 +59,9 @@
 		return // of an earlier subscription, or nothing new
 	}
 	knownEntries := endpoints.List{Seq: l.listVersion}
-	for _, h := range list.Endpoints {
-		if l.backends[policyAddr(h.Name)] != nil {
-			knownEntries.Endpoints = append(knownEntries.Endpoints, h)
+	for _, ep := range list.Endpoints {
+		if l.backends[policyAddr(ep.Name)] != nil {
+			knownEntries.Endpoints = append(knownEntries.Endpoints, ep)
 		}
 	}
 	l.warnDiscovery("discovery: incomplete list", "reason", reasonListIncomplete,
@@ -68,7 +69,7 @@
 	l.applyPartialList(&knownEntries, list.Age)
 }
 
-// openWatch opens the watch unless it is open.
+// openWatch opens the watch unless it is already open.
 func (l *loop) openWatch() {
 	if !l.watching {
 		l.watching, l.watchStats = true, watchStats{openedAt: time.Now()}
@@ -123,7 +124,7 @@
 }
 
 // applyEntry applies one entry to its backend and the connections to it.
-func (l *loop) applyEntry(h *endpoints.Endpoint, entry *policy.Entry, version int64) {
+func (l *loop) applyEntry(ep *endpoints.Endpoint, entry *policy.Entry, version int64) {
 	b := l.backends[entry.Server]
 	added := b == nil
 	if added {
@@ -133,18 +134,18 @@
 		b = &backend{addr: entry.Server, attempts: map[*attempt]struct{}{}}
 		l.backends[entry.Server] = b
 	}
-	if entry.Health != policy.Gone && (b.transport == nil || b.dialAddr != h.Dial || b.listedStartMs != h.StartedMs) {
+	if entry.Health != policy.Gone && (b.transport == nil || b.dialAddr != ep.Dial || b.listedStartMs != ep.StartedMs) {
 		// Connections to another address or to the previous process are useless, and
 		// attempts that have not begun there must not begin.
 		if b.transport != nil {
 			b.withdrawAttempts()
 		}
-		b.dialAddr, b.listedStartMs, b.loopStartMs, b.transport = h.Dial, h.StartedMs, entry.StartedMs, l.newTransport(b)
+		b.dialAddr, b.listedStartMs, b.loopStartMs, b.transport = ep.Dial, ep.StartedMs, entry.StartedMs, l.newTransport(b)
 	}
 	if usable := entry.Health == policy.Ready; usable != b.usable {
 		b.usable = usable
 		if !added {
-			l.logHealthChange(h, version)
+			l.logHealthChange(ep, version)
 		}
 	}
 }
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -25,7 +25,7 @@
 func (a *Agent) ServeHTTP(w http.ResponseWriter, httpRequest *http.Request) {
 	arrivedAt := time.Now()
 	if httpRequest.ContentLength != 0 {
-		// Also if the body is not read here: net/http reads up to the next request.
+		// Set even if this handler does not read the body: net/http then skips it to reach the next request.
 		_ = http.NewResponseController(w).SetReadDeadline(arrivedAt.Add(bodyTimeout))
 	}
 	client, _ := httpRequest.Context().Value(clientConnKey{}).(*clientConn)
@@ -39,7 +39,7 @@
 	}
 	if len(httpRequest.TransferEncoding) > 0 {
 		// If the head was read together with the previous request, requestHead has not seen it. Closing
-		// the connection still prevents that a part of the body is read as a request.
+		// the connection still prevents a part of the body from being read as a request.
 		w.Header().Set("Connection", "close")
 	}
 	if httpRequest.URL.Path == "/ready" {
@@ -49,8 +49,8 @@
 	a.serveRequest(w, httpRequest, client, arrivedAt)
 }
 
-// serveRequest reads a request and answers it with the balancer's decision, at the deadline at the
-// latest. It aborts the connection without a response if the client has disconnected.
+// serveRequest reads a request and answers it with the balancer's decision, or with a timeout shortly
+// before its deadline. It aborts the connection without a response if the client has disconnected.
 func (a *Agent) serveRequest(w http.ResponseWriter, httpRequest *http.Request, client *clientConn, arrivedAt time.Time) {
 	var r *request
 	answered := false
@@ -59,11 +59,11 @@
 			a.handlePanic(w, p, r, answered)
 		}
 	}()
-	r, problem := a.readRequest(w, httpRequest, arrivedAt)
-	if problem != nil {
+	r, reqErr := a.readRequest(w, httpRequest, arrivedAt)
+	if reqErr != nil {
 		answered = true
-		w.Header().Set("Connection", "close") // the place is for clients that send valid requests
-		a.writeResponse(w, problem.status, "text/plain", []byte(problem.text+"\n"))
+		w.Header().Set("Connection", "close") // frees the slot for clients that send valid requests
+		a.writeResponse(w, reqErr.status, "text/plain", []byte(reqErr.text+"\n"))
 		return
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
@@ -74,8 +74,8 @@
 		}
 		canceled = client.canceled
 	}
-	guard := time.NewTimer(time.Until(r.deadline) - guardMargin)
-	defer guard.Stop()
+	guardTimer := time.NewTimer(time.Until(r.deadline) - guardMargin)
+	defer guardTimer.Stop()
 	a.loop.post(event{kind: eventRequest, req: r})
 	select {
 	case ans := <-r.answers:
@@ -84,25 +84,25 @@
 		return
 	case <-httpRequest.Context().Done():
 	case <-canceled:
-	case <-guard.C:
+	case <-guardTimer.C:
 		answered = true
-		a.endUnlessReadable(w, client)
+		a.setCloseIfTruncated(w, client)
 		r.abandoned.Store(true)
 		a.log.Debug("request answered", "request_id", r.wireID, "reason", reasonDeadline)
 		a.writeResponse(w, http.StatusGatewayTimeout, "", nil)
 		a.loop.post(event{kind: eventClientCanceled, req: r})
 		return
 	}
-	// The client has disconnected. A client that has only ended its sending could still read
-	// whatever is written now as a response.
+	// The client has disconnected, or has ended only its sending side: then it would read whatever is
+	// written now as a response.
 	r.abandoned.Store(true)
 	a.log.Debug("request canceled", "request_id", r.wireID, "reason", reasonClientCanceled)
 	a.loop.post(event{kind: eventClientCanceled, req: r})
 	panic(http.ErrAbortHandler)
 }
 
-// handlePanic is called with the value of a recovered panic. The panic must neither leave the request
-// unanswered nor its state in the balancer.
+// handlePanic is called with the value of a recovered panic. It answers the request and removes its state
+// from the balancer.
 func (a *Agent) handlePanic(w http.ResponseWriter, p any, r *request, answered bool) {
 	if p == http.ErrAbortHandler {
 		panic(p) // closes the connection without a response, as intended
@@ -207,14 +207,14 @@
 }
 
 // writeAnswer writes the response for a final answer.
-func (a *Agent) writeAnswer(w http.ResponseWriter, r *request, result answer) {
-	a.endUnlessReadable(w, r.client)
-	switch result.status {
+func (a *Agent) writeAnswer(w http.ResponseWriter, r *request, ans answer) {
+	a.setCloseIfTruncated(w, r.client)
+	switch ans.status {
 	case policy.OK:
-		a.writeResponse(w, http.StatusOK, result.contentType, result.body)
+		a.writeResponse(w, http.StatusOK, ans.contentType, ans.body)
 	case policy.Full:
-		if result.retryAfter > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(result.retryAfter.Seconds(), 'f', -1, 64))
+		if ans.retryAfter > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(ans.retryAfter.Seconds(), 'f', -1, 64))
 		}
 		a.writeResponse(w, http.StatusServiceUnavailable, "", nil)
 	default:
@@ -222,9 +222,10 @@
 	}
 }
 
-// endUnlessReadable announces that the connection ends with the answer that is about to be written, if
-// no request behind it can be read any more. client is nil in tests without a connection.
-func (a *Agent) endUnlessReadable(w http.ResponseWriter, client *clientConn) {
+// setCloseIfTruncated sets "Connection: close" in the response that is about to be written if bytes after
+// the current request were dropped, so that no further request can be read. From then on none are
+// dropped. client is nil in tests without a connection.
+func (a *Agent) setCloseIfTruncated(w http.ResponseWriter, client *clientConn) {
 	if client != nil && !client.sealReadAhead() {
 		w.Header().Set("Connection", "close")
 	}
@@ -241,7 +242,7 @@
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	h["Date"] = nil
 	if contentType == "" {
-		h["Content-Type"] = nil // net/http must not guess it
+		h["Content-Type"] = nil // keeps net/http from guessing it
 	} else {
 		h.Set("Content-Type", contentType)
 	}
--- a/internal/agent/log.go
+++ b/internal/agent/log.go
@@ -10,15 +10,15 @@
 	"knotrouter/policy"
 )
 
-// reason says why a connection was closed or why an attempt, a request or a watch ended. It is the
-// log's only vocabulary for that; the values are fixed.
+// reason says why a connection was closed or why an attempt, a request or a watch ended. The log gives
+// such reasons with these values only, and the values don't change.
 type reason string
 
 // The reasons that are logged.
 const (
 	reasonClientCanceled        reason = "client_left"
-	reasonIdleEvicted           reason = "idle_evicted"    // its place was needed for another client
-	reasonSlowEvicted           reason = "slow_evicted"    // the same, within a request's head or body
+	reasonIdleEvicted           reason = "idle_evicted"    // idle, and closed to make room for another client
+	reasonSlowEvicted           reason = "slow_evicted"    // the same, but within a request's head or body
 	reasonShutdown              reason = "shutdown"        // the agent shuts down
 	reasonDeadline              reason = "deadline"        // the client's timeout expired
 	reasonServed                reason = "served"          // a server's complete response
@@ -37,9 +37,9 @@
 // attemptReason returns why an attempt got no complete response, from its context's cause and its
 // error.
 func attemptReason(cause, err error) reason {
-	for _, known := range []struct {
-		err error
-		why reason
+	for _, entry := range []struct {
+		err    error
+		reason reason
 	}{
 		{errClientCanceled, reasonClientCanceled},
 		{errAttemptCanceled, reasonCancelled},
@@ -50,8 +50,8 @@
 		{errResponseBeforeRequest, reasonResponseBeforeRequest},
 		{context.DeadlineExceeded, reasonDeadline},
 	} {
-		if errors.Is(cause, known.err) || errors.Is(err, known.err) {
-			return known.why
+		if errors.Is(cause, entry.err) || errors.Is(err, entry.err) {
+			return entry.reason
 		}
 	}
 	return reasonTransportError
@@ -85,7 +85,7 @@
 	l.log.Warn(text, args...)
 }
 
-// debugEnabled reports whether the lines for each request are logged.
+// debugEnabled reports whether a line is logged for each request and attempt.
 func (l *loop) debugEnabled() bool { return l.log.Enabled(l.ctx, slog.LevelDebug) }
 
 // logAttempt logs the end of an attempt at debug level.
@@ -95,7 +95,7 @@
 	}
 	args := []any{"request_id", a.req.wireID, "attempt", a.index, "backend", a.dialAddr, "status", int(res.status),
 		"took", res.latency, "list_version", l.listVersion}
-	if first := a.firstByte.Load(); first > 0 {
+	if first := a.firstByteNs.Load(); first > 0 {
 		args = append(args, "first_byte_after", time.Duration(first))
 	}
 	if res.err != nil {
@@ -114,13 +114,13 @@
 
 // logHealthChange logs that a server's health or process changed, within the rate limit of the
 // lines about discovery.
-func (l *loop) logHealthChange(host *endpoints.Endpoint, version int64) {
+func (l *loop) logHealthChange(ep *endpoints.Endpoint, version int64) {
 	if l.log.Enabled(l.ctx, slog.LevelInfo) && l.logLimiter.Take(time.Since(l.startedAt)) {
-		l.log.Info("backend changed", "backend", host.Name, "health", host.Health, "list_version", version)
+		l.log.Info("backend changed", "backend", ep.Name, "health", ep.Health, "list_version", version)
 	}
 }
 
-// watchStats is what is logged when a watch ends.
+// watchStats holds the statistics of a watch that are logged when it ends.
 type watchStats struct {
 	openedAt time.Time
 	lists    int
@@ -129,8 +129,8 @@
 // endAttrs returns the log attributes of a watch that ended with err.
 func (w *watchStats) endAttrs(err error, version int64) []any {
 	args := []any{"err", err, "list_version", version, "lists", w.lists, "open", time.Since(w.openedAt)}
-	if cut := new(endpoints.IncompleteError); errors.As(err, &cut) {
-		args = append(args, "reason", reasonListIncomplete, "pending_bytes", cut.Pending, "pending_for", cut.Age)
+	if incomplete := new(endpoints.IncompleteError); errors.As(err, &incomplete) {
+		args = append(args, "reason", reasonListIncomplete, "pending_bytes", incomplete.Pending, "pending_for", incomplete.Age)
 	}
 	return args
 }
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -8,8 +8,8 @@
 	"knotrouter/policy"
 )
 
-// request is a client's request. The handler fills it in; the fields after answers belong to the
-// loop.
+// request is a client's request. The handler sets the fields up to answers; the later ones belong to
+// the loop.
 type request struct {
 	client         *clientConn // nil: no client waits
 	abandoned      atomic.Bool // set by the handler when it stops waiting: no attempt may begin
@@ -35,9 +35,9 @@
 	openAttempts int
 }
 
-// isAbandoned reports whether no client waits for the response any more. It is checked last before
-// an attempt begins, because the client may disconnect while the request is queued or a connection
-// is established.
+// isAbandoned reports whether no client waits for the response any more. It is checked immediately
+// before the first byte of an attempt is written, because the client may disconnect while the request
+// is queued or a connection is established.
 func (r *request) isAbandoned() bool {
 	if !r.abandoned.Load() && r.client != nil && r.client.disconnected() {
 		r.abandoned.Store(true)
@@ -66,7 +66,7 @@
 		HintMs: r.hintMs, HasHint: r.hasHint, Retry: r.retry})
 }
 
-// handleClientCanceled withdraws the attempts of a request for which its handler waits no longer.
+// handleClientCanceled withdraws the attempts of a request that its handler no longer waits for.
 func (l *loop) handleClientCanceled(r *request) {
 	if r.id == 0 || r.answered {
 		return
@@ -81,7 +81,7 @@
 	l.removeIfDone(r)
 }
 
-// answerRequest sends the final response to the handler, unless the request has one.
+// answerRequest sends the final response to the handler, unless the request is already answered.
 func (l *loop) answerRequest(r *request, a answer) {
 	if !r.answered {
 		r.answered = true
--- a/internal/agent/responseframing.go
+++ b/internal/agent/responseframing.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// maxLinePrefix is how many bytes of a line of a response's head are kept: enough for what is
-// parsed.
+// maxLinePrefix is how many bytes of a line of a response's head are kept: enough for the parts that
+// are parsed.
 const maxLinePrefix = 64
 
 // responseFraming tracks where the response on a backend's connection ends, in order to detect
@@ -17,9 +17,9 @@
 type responseFraming struct {
 	mu sync.Mutex
 	framingState
-	violated    bool // bytes arrived after the end or before a request, or the end is ambiguous
-	begun       bool // a response was expected at some time
-	unsolicited bool // bytes arrived after the end of a response
+	violated         bool // bytes arrived after the end or before a request, or the end is ambiguous
+	responseExpected bool // a response has been expected before
+	unsolicited      bool // bytes arrived after the end of a response
 }
 
 // framingState is the parser's progress in a response.
@@ -51,11 +51,11 @@
 func (f *responseFraming) beginResponse() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.framingState, f.begun = framingState{line: f.line[:0]}, true
+	f.framingState, f.responseExpected = framingState{line: f.line[:0]}, true
 	return !f.violated
 }
 
-// cancelResponse takes back that a response is expected: no request was written.
+// cancelResponse reverts beginResponse if no request was written.
 func (f *responseFraming) cancelResponse() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,8 +69,9 @@
 	return f.scanLocked(p)
 }
 
-// receive calls read and scans what it read in one step, of which beginResponse is before or after. It
-// returns how many bytes were read, and how many of them belong to the response.
+// receive calls read and scans the bytes that it read. Both happen under the lock, so that beginResponse
+// runs either before or after both. It returns how many bytes were read, and how many of them belong to
+// the response.
 func (f *responseFraming) receive(p []byte, read func([]byte) (int, error)) (n, accepted int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,7 +89,7 @@
 			f.remaining -= n
 			p = p[n:]
 		case f.complete:
-			f.violated, f.unsolicited = true, f.begun
+			f.violated, f.unsolicited = true, f.responseExpected
 			return total - len(p)
 		default:
 			text, rest, lineComplete := bytes.Cut(p, []byte("\n"))
@@ -98,17 +99,17 @@
 			}
 			line := strings.TrimSuffix(string(f.line), "\r")
 			f.line, p = f.line[:0], rest
-			f.acceptLine(line)
+			f.parseLine(line)
 		}
 	}
 	return total
 }
 
-// acceptLine parses one line of the response. net/http rejects what is malformed.
-func (f *responseFraming) acceptLine(line string) {
+// parseLine parses one line of the response. It leaves the rejection of malformed lines to net/http.
+func (f *responseFraming) parseLine(line string) {
 	switch f.section {
 	case sectionHead:
-		f.acceptHeadLine(line)
+		f.parseHeadLine(line)
 	case sectionChunkSize:
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
@@ -125,8 +126,8 @@
 	}
 }
 
-// acceptHeadLine parses one line of the head. net/http rejects what is malformed.
-func (f *responseFraming) acceptHeadLine(line string) {
+// parseHeadLine parses one line of the head. It leaves the rejection of malformed lines to net/http.
+func (f *responseFraming) parseHeadLine(line string) {
 	name, value, _ := strings.Cut(line, ":")
 	switch {
 	case !f.statusSeen:
@@ -161,8 +162,8 @@
 	return f.violated
 }
 
-// hasUnsolicited reports whether bytes arrived after the end of a response. What a backend sends on a
-// connection that has carried no request is not the second response to one.
+// hasUnsolicited reports whether bytes arrived after the end of a response. Bytes on a connection that
+// has carried no request don't count: they can't be a second response to one.
 func (f *responseFraming) hasUnsolicited() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/agent/scope.go
+++ b/internal/agent/scope.go
@@ -6,7 +6,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-// scope is the services that the agent subscribes to. The zero value is no scope: every listed
+// scope holds the services that the agent subscribes to. The zero value is no scope: every listed
 // server is used.
 type scope struct {
 	services     []string
@@ -16,8 +16,8 @@
 
 // update changes the services, nil for no scope; subscription is the number of the client's
 // subscription.
-func (s *scope) update(services []string, number uint64) {
-	s.services, s.subscription = services, number
+func (s *scope) update(services []string, subscription uint64) {
+	s.services, s.subscription = services, subscription
 	switch {
 	case services == nil:
 		s.table = nil
@@ -36,15 +36,16 @@
 	return slices.Equal(slices.Sorted(slices.Values(s.services)), slices.Sorted(slices.Values(services)))
 }
 
-// seed returns the servers of a cached list that belong to the services.
-func (s *scope) seed(list endpoints.List) endpoints.List {
+// filterCached returns the servers of a cached list that belong to the services.
+func (s *scope) filterCached(list endpoints.List) endpoints.List {
 	if s.table == nil {
 		return list
 	}
 	return s.table.Seed(list)
 }
 
-// filter returns what a list says about the services, and the changes of the services themselves.
+// filter returns the part of a list that is about the services, and the changes of the services
+// themselves.
 func (s *scope) filter(list endpoints.List) (endpoints.List, []endpoints.ServiceEvent) {
 	if s.table == nil {
 		return list, nil
@@ -52,8 +53,8 @@
 	return s.table.Apply(list)
 }
 
-// needsFullList reports whether a list that is skipped, because it is older than another one, may
-// have servers that the other one could not contain.
+// needsFullList reports whether a list that is skipped as outdated may contain servers that the newer
+// list could not contain.
 func (s *scope) needsFullList(list *endpoints.List) bool {
 	return s.table != nil && list.Subscription == s.subscription && list.Scoped && !s.table.Synced()
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// minSockets is the smallest limit that an agent can work with; reservedSockets are for
-	// discovery, the listener and the runtime.
+	// minSockets is the smallest limit of sockets that an agent can work with. reservedSockets is
+	// how many of them are for discovery, the listener and the runtime.
 	minSockets, reservedSockets = 64, 16
-	// guardMargin is how long before the client's deadline the guard timer answers: later than
-	// the balancer's own last decision.
+	// guardMargin is how long before the client's deadline the guard timer answers the request. It
+	// is short enough that the balancer's own last decision comes first.
 	guardMargin = 2 * time.Millisecond
 	// shutdownAcceptPeriod is how long connections are accepted after SIGTERM: clients go on
 	// connecting for up to 0.4 s.
 	shutdownAcceptPeriod = 450 * time.Millisecond
 	// headTimeout is how long a request's head may take to arrive, the first one counted from the
-	// connect, and bodyTimeout how long its body may: a peer that sends no valid request is owed an
-	// error or a close within 3 s of connecting, and occupies a client's place until then.
+	// connect, and bodyTimeout how long its body may: a peer that sends no valid request must get an
+	// error or a close within 3 s of connecting, and occupies a slot until then.
 	headTimeout, bodyTimeout = 1500 * time.Millisecond, time.Second
 	// idleTimeout is how long a connection without a request stays open: as long as clients may
-	// rely on and no longer, because idle connections occupy the places of others.
+	// rely on and no longer, because idle connections occupy slots that others need.
 	idleTimeout = 2100 * time.Millisecond
-	// readyDeadline is when a new process reports that it is ready at the latest: without a known
-	// backend it rejects requests at once, which tells clients more than a wait for discovery.
+	// readyDeadline is how long after its start a process reports that it is ready, even without a known
+	// backend: it then rejects requests at once, which tells clients more than a wait for discovery.
 	readyDeadline = 2 * time.Second
 	// writeTimeout is how long a client may take to read its response.
 	writeTimeout = 2 * time.Second
@@ -37,20 +37,20 @@
 )
 
 // backendSockets returns how many of the process's sockets are for connections to backends.
-func backendSockets(all int) int { return (all - reservedSockets) / 2 }
+func backendSockets(sockets int) int { return (sockets - reservedSockets) / 2 }
 
 // clientSockets returns how many of the process's sockets are for connections of clients.
-func clientSockets(all int) int { return all - reservedSockets - backendSockets(all) }
+func clientSockets(sockets int) int { return sockets - reservedSockets - backendSockets(sockets) }
 
 // maxOpenRequests returns how many requests the balancer may hold at once; it rejects the others.
-// The remaining client connections are kept for the next clients: a client without one waits in the
-// kernel's queue, where its timeout runs and nobody answers it.
-func maxOpenRequests(all int) int {
-	places := clientSockets(all)
-	return places - max(places/8, 8)
+// The remaining client connections are reserved for new clients: a client without one waits in the
+// kernel's queue, where its timeout runs and no rejection reaches it.
+func maxOpenRequests(sockets int) int {
+	maxClients := clientSockets(sockets)
+	return maxClients - max(maxClients/8, 8)
 }
 
-// Agent is one load-balancing agent: the loop with the decisions, and the HTTP server for the
+// Agent is one load-balancing agent: the loop that runs the balancer, and the HTTP server for the
 // clients.
 type Agent struct {
 	loop     *loop
@@ -62,7 +62,7 @@
 	stop     context.CancelFunc
 }
 
-// New returns an agent that knows the list of its configuration. It returns an error if the
+// New returns an agent that starts with the cached list of its configuration. It returns an error if the
 // settings are invalid.
 func New(c *Config, log *slog.Logger) (*Agent, error) {
 	ctx, stop := context.WithCancel(context.Background())
@@ -118,15 +118,15 @@
 	return nil
 }
 
-// Reconfigure applies what may change while the agent runs: the addresses of discovery and the
-// subscribed services.
+// Reconfigure applies the settings that may change while the agent runs: the addresses of discovery and
+// the subscribed services.
 func (a *Agent) Reconfigure(c *Config) {
 	a.loop.post(event{kind: eventDiscoveryChanged, addrs: c.addresses(), services: c.Services})
 }
 
-// shutdown shuts the agent down gracefully. Clients go on connecting for a while after the signal,
-// so idle connections are closed first, and a request that crosses that close can still come on a
-// new connection; then stopAccepting is called; then all requests in flight are answered.
+// shutdown shuts the agent down gracefully. Clients go on connecting for a while after the signal. It
+// closes idle connections first, so that a client whose request crosses the close can still send it on a
+// new connection; then it calls stopAccepting; then all requests in flight are answered.
 func (a *Agent) shutdown(stopAccepting func()) {
 	a.draining.Store(true)
 	a.loop.post(event{kind: eventShutdown})
--- a/internal/agent/startclock.go
+++ b/internal/agent/startclock.go
@@ -7,22 +7,22 @@
 	"knotrouter/policy"
 )
 
-// maxListingDelay is how long after its start a reachable server is listed at the latest, with a
+// maxListingDelay is the longest time from the start of a reachable server until it is listed, with a
 // margin.
 const maxListingDelay = 8 * time.Second
 
 // startClock converts the start times of servers, which discovery gives in wall-clock time, to the
-// loop's clock. The loop's clock begins at the process's wall clock, which may have been stepped
-// before; a start time shows the offset, because it can neither be in the future nor much older
-// than the list before it.
+// loop's clock. The loop's clock starts at the wall clock of this process, which may have been stepped
+// before. The listed start times show the offset between the clocks, because a server can't have
+// started in the future, nor much earlier than the previous list.
 type startClock struct {
 	latestStartMs float64   // the latest listed start, in ms of discovery's clock
 	offsetMs      float64   // the loop's clock minus discovery's, in ms
 	lastListAt    time.Time // when the last list of discovery was applied; zero: none was
 }
 
-// observe learns the clocks' offset from a list of discovery that was received at nowMs of the
-// loop's clock.
+// observe derives the offset between the clocks from a list of discovery that was received at nowMs of
+// the loop's clock.
 func (c *startClock) observe(list *endpoints.List, nowMs float64) {
 	latest := c.latestStartMs
 	for i := range list.Endpoints {
@@ -39,15 +39,15 @@
 }
 
 // startOnLoopClock returns when the process of a listed server started, in ms of the loop's clock;
-// 0 means long ago. A start time that was computed once for a process stays.
-func (l *loop) startOnLoopClock(h *endpoints.Endpoint) float64 {
-	if b := l.backends[policyAddr(h.Name)]; b != nil && b.listedStartMs == h.StartedMs {
+// 0 means long ago. The start time of a process is computed once and does not change after that.
+func (l *loop) startOnLoopClock(ep *endpoints.Endpoint) float64 {
+	if b := l.backends[policyAddr(ep.Name)]; b != nil && b.listedStartMs == ep.StartedMs {
 		return b.loopStartMs
 	}
-	if h.StartedMs <= 0 {
+	if ep.StartedMs <= 0 {
 		return 0
 	}
-	return h.StartedMs + l.startClock.offsetMs
+	return ep.StartedMs + l.startClock.offsetMs
 }
 
 // observeStarts passes a list to the start clock, unless the list is from before the process.
