--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -44,7 +44,7 @@
 	if err := s.startGossip(); err != nil {
 		return err
 	}
-	hasState, err := raft.HasExistingState(s.store, s.store.bolt, s.store.snaps)
+	hasState, err := raft.HasExistingState(s.store, s.store.bolt, s.store.snapshots)
 	if err != nil {
 		return fmt.Errorf("data: %w", err)
 	}
@@ -82,7 +82,7 @@
 	})
 	s.transport = &recordingTransport{transport, s.confirmedAppends}
 	stable := &stableStore{s.store.bolt, s.fail}
-	r, err := raft.NewRaft(s.raftConfig(rl), s.fsm, s.config.WrapLogStore(s.store), stable, s.store.snaps, s.transport)
+	r, err := raft.NewRaft(s.raftConfig(rl), s.fsm, s.config.WrapLogStore(s.store), stable, s.store.snapshots, s.transport)
 	if err != nil {
 		return fmt.Errorf("raft: %w", err)
 	}
@@ -148,7 +148,7 @@
 	for first := true; ; first = false {
 		empty := 0
 		for _, name := range others {
-			status, err := s.statusOf(ctx, name)
+			status, err := s.requestStatus(ctx, name)
 			switch {
 			case err != nil:
 				continue
--- a/internal/control/listhandler.go
+++ b/internal/control/listhandler.go
@@ -93,7 +93,7 @@
 		return true
 	}
 	if s.stale() || movable && s.draining.Load() {
-		return s.betterElsewhere()
+		return s.peerCanServe()
 	}
 	return false
 }
--- a/internal/control/listrevision.go
+++ b/internal/control/listrevision.go
@@ -44,7 +44,7 @@
 		select {
 		case <-ticker.C:
 		case <-timeout.C:
-			return !s.betterElsewhere()
+			return !s.peerCanServe()
 		case <-ctx.Done():
 			return false
 		}
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	revisionDigits = 12 // of a revision that are shown
-	maxDataIDBytes = 64
+	shownRevisionDigits = 12 // of a revision that are shown
+	maxDataIDBytes      = 64
 )
 
 // BuildRevision returns the first digits of the revision that this program was built from, or
@@ -28,7 +28,7 @@
 	if b, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range b.Settings {
 			if s.Key == "vcs.revision" {
-				return s.Value[:min(len(s.Value), revisionDigits)]
+				return s.Value[:min(len(s.Value), shownRevisionDigits)]
 			}
 		}
 	}
@@ -64,16 +64,16 @@
 
 // ReadMemberViews reads the membership views of the control-plane servers at the given addresses,
 // and returns them in the order of the servers' names. It returns the addresses that didn't answer
-// within the timeout, or answered with an error, as silent.
-func ReadMemberViews(ctx context.Context, addrs []string, timeout time.Duration) (views []member.View, silent []string) {
+// within the timeout, or answered with an error, as unreachable.
+func ReadMemberViews(ctx context.Context, addrs []string, timeout time.Duration) (views []member.View, unreachable []string) {
 	for _, addr := range addrs {
 		var v member.View
 		if err := NewClient([]string{addr}, timeout).do(ctx, http.MethodGet, endpoints.MembersPath, nil, &v); err != nil {
-			silent = append(silent, addr)
+			unreachable = append(unreachable, addr)
 			continue
 		}
 		views = append(views, v)
 	}
 	slices.SortFunc(views, func(a, b member.View) int { return strings.Compare(a.From, b.From) })
-	return views, silent
+	return views, unreachable
 }
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -17,19 +17,19 @@
 // metrics holds the counters that the server's code increments. All other metrics are read from
 // the server when they are collected.
 type metrics struct {
-	registry        *prometheus.Registry
-	electionsWon    prometheus.Counter
-	commitSeconds   prometheus.Histogram
-	leaseDecisions  *prometheus.CounterVec // by command
-	taskDecisions   *prometheus.CounterVec // by command
-	calls           *prometheus.CounterVec // by kind and outcome
-	watchesMigrated prometheus.Counter
-	savedCopies     prometheus.Counter
-	audits          prometheus.Counter
-	auditMismatches prometheus.Gauge
-	memberChanges   *prometheus.CounterVec // by role and state
-	nameConflicts   prometheus.Counter
-	voterSteps      prometheus.Counter
+	registry         *prometheus.Registry
+	electionsWon     prometheus.Counter
+	commitSeconds    prometheus.Histogram
+	leaseDecisions   *prometheus.CounterVec // by command
+	taskDecisions    *prometheus.CounterVec // by command
+	calls            *prometheus.CounterVec // by kind and outcome
+	watchesMigrated  prometheus.Counter
+	savedCopies      prometheus.Counter
+	audits           prometheus.Counter
+	auditMismatches  prometheus.Gauge
+	memberChanges    *prometheus.CounterVec // by role and state
+	nameConflicts    prometheus.Counter
+	reconfigurations prometheus.Counter
 }
 
 // newMetrics returns the metrics of a server in a registry of their own.
@@ -45,19 +45,19 @@
 	addLeaseMetrics(f, s)
 	r.MustRegister(newServiceCollector(s.broadcaster), newMemberCollector(s))
 	return &metrics{
-		registry:        r,
-		memberChanges:   newCounterVec(f, "member_changes_total", "Changes of members' states in the view.", "role", "state"),
-		nameConflicts:   newCounter(f, "name_conflicts_total", "Times that a second process of a name was heard."),
-		voterSteps:      newCounter(f, "voter_steps_total", "Steps by which voters were replaced."),
-		taskDecisions:   newCounterVec(f, "duties_decided_total", "What the leader decided on duties, by command.", "command"),
-		savedCopies:     newCounter(f, "copies_saved_total", "Copies of the state that were kept."),
-		audits:          newCounter(f, "audits_total", "Times that the list was compared with what servers say."),
-		auditMismatches: f.NewGauge(prometheus.GaugeOpts{Name: metricPrefix + "audit_unlike", Help: "Servers that are listed as ready and did not say so at the last audit."}),
-		electionsWon:    newCounter(f, "terms_led_total", "Times that this steward began to lead."),
-		watchesMigrated: newCounter(f, "watches_moved_total", "Watches that were sent to other stewards, a few at a time."),
-		commitSeconds:   f.NewHistogram(prometheus.HistogramOpts{Name: metricPrefix + "commit_seconds", Help: "From a proposal to its result.", Buckets: commitBuckets}),
-		leaseDecisions:  newCounterVec(f, "decided_total", "Servers that the leader decided on, by command.", "command"),
-		calls:           newCounterVec(f, "calls_total", "Calls by kind and status.", "kind", "status"),
+		registry:         r,
+		memberChanges:    newCounterVec(f, "member_changes_total", "Changes of members' states in the view.", "role", "state"),
+		nameConflicts:    newCounter(f, "name_conflicts_total", "Times that a second process of a name was heard."),
+		reconfigurations: newCounter(f, "voter_steps_total", "Steps by which voters were replaced."),
+		taskDecisions:    newCounterVec(f, "duties_decided_total", "What the leader decided on duties, by command.", "command"),
+		savedCopies:      newCounter(f, "copies_saved_total", "Copies of the state that were kept."),
+		audits:           newCounter(f, "audits_total", "Times that the list was compared with what servers say."),
+		auditMismatches:  f.NewGauge(prometheus.GaugeOpts{Name: metricPrefix + "audit_unlike", Help: "Servers that are listed as ready and did not say so at the last audit."}),
+		electionsWon:     newCounter(f, "terms_led_total", "Times that this steward began to lead."),
+		watchesMigrated:  newCounter(f, "watches_moved_total", "Watches that were sent to other stewards, a few at a time."),
+		commitSeconds:    f.NewHistogram(prometheus.HistogramOpts{Name: metricPrefix + "commit_seconds", Help: "From a proposal to its result.", Buckets: commitBuckets}),
+		leaseDecisions:   newCounterVec(f, "decided_total", "Servers that the leader decided on, by command.", "command"),
+		calls:            newCounterVec(f, "calls_total", "Calls by kind and status.", "kind", "status"),
 	}
 }
 
@@ -160,7 +160,7 @@
 		}
 		return float64(runner.Overdue())
 	})
-	for state, is := range map[string]func(t *catalog.LeasedTask) bool{
+	for state, inState := range map[string]func(t *catalog.LeasedTask) bool{
 		"held":   func(t *catalog.LeasedTask) bool { return t.Holder != "" },
 		"free":   func(t *catalog.LeasedTask) bool { return t.Holder == "" && t.SuspendReason == "" },
 		"parked": func(t *catalog.LeasedTask) bool { return t.SuspendReason != "" },
@@ -168,7 +168,7 @@
 		addGauge(f, "duties_"+state, "Duties that are "+state+".", func() (count float64) {
 			s.fsm.read(func(replicated *catalog.State) {
 				for _, t := range replicated.LeasedTasks {
-					count += boolValue(is(t))
+					count += boolValue(inState(t))
 				}
 			})
 			return count
@@ -247,8 +247,8 @@
 }
 
 // boolValue returns 1 for true and 0 for false.
-func boolValue(is bool) float64 {
-	if is {
+func boolValue(b bool) float64 {
+	if b {
 		return 1
 	}
 	return 0
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -26,16 +26,16 @@
 
 // statusCache holds the last statuses of the peers.
 type statusCache struct {
-	mu    sync.Mutex
-	at    time.Time
-	found []Status
+	mu          sync.Mutex
+	requestedAt time.Time
+	statuses    []Status
 }
 
 // fresh reports whether the cached statuses may still be used. If no peer can serve, they are
 // requested again after statusMinAge, as this server serves a stale list only while no peer can.
 func (c *statusCache) fresh(maxAge time.Duration) bool {
-	age := time.Since(c.at)
-	return age < statusMinAge || age < maxAge && anyCanServe(c.found)
+	age := time.Since(c.requestedAt)
+	return age < statusMinAge || age < maxAge && anyCanServe(c.statuses)
 }
 
 // peerStatuses returns the statuses of the peers, from the cache while it is fresh. Peers
@@ -45,22 +45,22 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.fresh(s.statusInterval() / 2) {
-		return c.found
+		return c.statuses
 	}
-	c.found = s.requestStatuses()
-	c.at = time.Now()
-	return c.found
+	c.statuses = s.requestPeerStatuses()
+	c.requestedAt = time.Now()
+	return c.statuses
 }
 
-// requestStatuses asks all peers at once and waits for each to answer or time out.
-func (s *Server) requestStatuses() (statuses []Status) {
+// requestPeerStatuses asks all peers at once and waits for each to answer or time out.
+func (s *Server) requestPeerStatuses() (statuses []Status) {
 	ctx, cancel := context.WithTimeout(s.ctx, peerTimeout)
 	defer cancel()
 	names := s.config.otherServers()
 	answers := make(chan *Status)
 	for _, name := range names {
 		go func() {
-			st, err := s.statusOf(ctx, name)
+			st, err := s.requestStatus(ctx, name)
 			if err != nil {
 				answers <- nil
 				return
@@ -83,9 +83,9 @@
 	return p, ok
 }
 
-// statusOf requests the status of one peer. It returns an error that wraps errNotInPeerTable if the
+// requestStatus requests the status of one peer. It returns an error that wraps errNotInPeerTable if the
 // peer table has no address for the name, and the errors of call.
-func (s *Server) statusOf(ctx context.Context, name string) (Status, error) {
+func (s *Server) requestStatus(ctx context.Context, name string) (Status, error) {
 	var st Status
 	p, ok := s.peer(name)
 	if !ok {
@@ -94,9 +94,9 @@
 	return st, call(ctx, s.peerClient, http.MethodGet, "http://"+p.HTTP+"/v1/status", nil, &st)
 }
 
-// betterElsewhere reports whether a peer can serve. If none can, this server's list is as good as
+// peerCanServe reports whether a peer can serve. If none can, this server's list is as good as
 // any other, even if it is stale.
-func (s *Server) betterElsewhere() bool { return anyCanServe(s.peerStatuses()) }
+func (s *Server) peerCanServe() bool { return anyCanServe(s.peerStatuses()) }
 
 // canServe reports whether a server has a current list to serve.
 func canServe(st *Status) bool { return st.HasState && !st.Stale && !st.Draining }
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -20,12 +20,12 @@
 		return catalog.Result{}, errNoLeader
 	}
 	command.FormatVersion, command.At = catalog.FormatVersion, at
-	text, err := json.Marshal(command)
+	encoded, err := json.Marshal(command)
 	if err != nil {
 		return catalog.Result{}, fmt.Errorf("%s: %w", command.Kind, err)
 	}
 	startedAt := time.Now()
-	future := s.raft().Apply(text, applyTimeout)
+	future := s.raft().Apply(encoded, applyTimeout)
 	switch err := future.Error(); {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		return catalog.Result{}, errNoLeader
--- a/internal/control/raftlogger.go
+++ b/internal/control/raftlogger.go
@@ -23,7 +23,7 @@
 		Name:        "raft",
 		Level:       hclog.Info,
 		DisableTime: true,
-		Output:      &raftLogWriter{log: log, limit: rate.NewLimiter(raftLogLinesPerSecond, raftLogBurst)},
+		Output:      &raftLogWriter{log: log, limiter: rate.NewLimiter(raftLogLinesPerSecond, raftLogBurst)},
 	})
 }
 
@@ -31,17 +31,17 @@
 // library's, so they have its parameters in them.
 type raftLogWriter struct {
 	log        *slog.Logger
-	limit      *rate.Limiter
+	limiter    *rate.Limiter
 	mu         sync.Mutex
 	suppressed int // lines since the last one that was logged; guarded by mu
 }
 
 // Write implements io.Writer for one line. It never fails.
-func (l *raftLogWriter) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.limit.Allow() {
-		l.suppressed++
+func (w *raftLogWriter) Write(p []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if !w.limiter.Allow() {
+		w.suppressed++
 		return len(p), nil
 	}
 	text := strings.TrimSpace(string(p))
@@ -57,9 +57,9 @@
 		}
 	}
 	args := []any{}
-	if l.suppressed > 0 {
-		args, l.suppressed = append(args, "suppressed_lines", l.suppressed), 0
+	if w.suppressed > 0 {
+		args, w.suppressed = append(args, "suppressed_lines", w.suppressed), 0
 	}
-	l.log.Log(context.Background(), level, text, args...)
+	w.log.Log(context.Background(), level, text, args...)
 	return len(p), nil
 }
--- a/internal/control/raftstream.go
+++ b/internal/control/raftstream.go
@@ -10,9 +10,9 @@
 	"github.com/hashicorp/raft"
 )
 
-// callPreamble is the byte before the name of the server that is dialled. No message of raft's
+// namePreamble is the byte before the name of the server that is dialled. No message of raft's
 // begins with it.
-const callPreamble = 0xfe
+const namePreamble = 0xfe
 
 // errWrongServer means that a peer dialled this server for another one, as its peer table has a
 // wrong address.
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &addressedConn{Conn: conn, name: s.name}, nil
+	return &preambleConn{Conn: conn, name: s.name}, nil
 }
 
 // Addr implements net.Listener. It returns this server's name, which each peer resolves by its
@@ -58,27 +58,27 @@
 		return nil, err
 	}
 	_ = conn.SetWriteDeadline(time.Now().Add(timeout))
-	if _, err := conn.Write(append([]byte{callPreamble, byte(len(name))}, name...)); err != nil {
+	if _, err := conn.Write(append([]byte{namePreamble, byte(len(name))}, name...)); err != nil {
 		conn.Close()
 		return nil, err
 	}
 	return conn, conn.SetWriteDeadline(time.Time{})
 }
 
-// addressedConn is an accepted connection. Its first read verifies that the peer dialled this
+// preambleConn is an accepted connection. Its first read verifies that the peer dialled this
 // server. A connection without a preamble is from a program of before names were sent.
-type addressedConn struct {
+type preambleConn struct {
 	net.Conn
-	name         string
-	preambleRead bool
-	unread       []byte // the first byte, if it was no preamble
+	name            string
+	preambleChecked bool
+	unread          []byte // the first byte, if it was no preamble
 }
 
 // Read implements net.Conn. If the peer dialled another server, it closes the connection and returns
 // an error that wraps errWrongServer.
-func (c *addressedConn) Read(p []byte) (int, error) {
-	if !c.preambleRead {
-		c.preambleRead = true
+func (c *preambleConn) Read(p []byte) (int, error) {
+	if !c.preambleChecked {
+		c.preambleChecked = true
 		if err := c.readPreamble(); err != nil {
 			return 0, err
 		}
@@ -93,19 +93,19 @@
 
 // readPreamble reads the name that the peer sent, if it sent one, and compares it with this
 // server's.
-func (c *addressedConn) readPreamble() error {
-	var head [2]byte
-	if _, err := io.ReadFull(c.Conn, head[:1]); err != nil {
+func (c *preambleConn) readPreamble() error {
+	var header [2]byte
+	if _, err := io.ReadFull(c.Conn, header[:1]); err != nil {
 		return err
 	}
-	if head[0] != callPreamble {
-		c.unread = append(c.unread, head[0])
+	if header[0] != namePreamble {
+		c.unread = append(c.unread, header[0])
 		return nil
 	}
-	if _, err := io.ReadFull(c.Conn, head[1:]); err != nil {
+	if _, err := io.ReadFull(c.Conn, header[1:]); err != nil {
 		return err
 	}
-	name := make([]byte, head[1])
+	name := make([]byte, header[1])
 	if _, err := io.ReadFull(c.Conn, name); err != nil {
 		return err
 	}
--- a/internal/control/rebalance.go
+++ b/internal/control/rebalance.go
@@ -11,8 +11,8 @@
 func (s *Server) watchLoop() {
 	ticker := time.NewTicker(s.statusInterval())
 	defer ticker.Stop()
-	var leaderProgress commitProgress
-	var rebalanced time.Time
+	var leaderCommits commitHistory
+	var lastRebalance time.Time
 	for {
 		select {
 		case <-ticker.C:
@@ -20,26 +20,26 @@
 			return
 		}
 		statuses := s.peerStatuses()
-		s.recordCommitted(&leaderProgress, statuses)
+		s.recordLeaderCommitIndex(&leaderCommits, statuses)
 		s.rejoinIfRemoved(statuses)
-		s.replicationLag.Store(int64(leaderProgress.lag(time.Since(s.startedAt), s.raft().AppliedIndex())))
+		s.replicationLag.Store(int64(leaderCommits.lag(time.Since(s.startedAt), s.raft().AppliedIndex())))
 		if s.stale() && anyCanServe(statuses) {
 			s.endWatches()
 			continue
 		}
-		if time.Since(rebalanced) < statusMaxAge {
+		if time.Since(lastRebalance) < statusMaxAge {
 			continue
 		}
-		rebalanced = time.Now()
+		lastRebalance = time.Now()
 		s.rebalance(statuses)
 	}
 }
 
-// recordCommitted records the leader's commit index, against which this server's lag is measured.
-func (s *Server) recordCommitted(leaderProgress *commitProgress, statuses []Status) {
+// recordLeaderCommitIndex records the leader's commit index, against which this server's lag is measured.
+func (s *Server) recordLeaderCommitIndex(leaderCommits *commitHistory, statuses []Status) {
 	for i := range statuses {
 		if st := &statuses[i]; st.State == stateLeader && st.Term >= s.raft().CurrentTerm() {
-			leaderProgress.record(time.Since(s.startedAt), st.Committed)
+			leaderCommits.record(time.Since(s.startedAt), st.Committed)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 // flag if no other server can serve.
 func (s *Server) drain() {
 	s.draining.Store(true)
-	if s.config.Drain <= 0 || !s.betterElsewhere() {
+	if s.config.Drain <= 0 || !s.peerCanServe() {
 		return
 	}
 	movable := s.broadcaster.load().movable
--- a/internal/control/renewals.go
+++ b/internal/control/renewals.go
@@ -17,13 +17,13 @@
 	if s.gossip() == nil {
 		return nil
 	}
-	text, err := readBody(w, r)
+	body, err := readBody(w, r)
 	if err != nil {
 		return err
 	}
-	r.Body = io.NopCloser(bytes.NewReader(text))
+	r.Body = io.NopCloser(bytes.NewReader(body))
 	var b RenewalBatch
-	if r.Header.Get(forwardedByHeader) == "" && json.Unmarshal(text, &b) == nil && len(b.Refs) <= maxRefsPerCall {
+	if r.Header.Get(forwardedByHeader) == "" && json.Unmarshal(body, &b) == nil && len(b.Refs) <= maxRefsPerCall {
 		s.recordRenewals(b.Refs)
 	}
 	return nil
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// newVoterTimeout is how long a server may take to catch up before it becomes a voter, and
-	// newVoterInterval the time between two looks at whether it has.
-	newVoterTimeout  = 30 * time.Second
-	newVoterInterval = 20 * time.Millisecond
+	// voterCatchUpTimeout is how long a server may take to catch up before it becomes a voter, and
+	// voterCatchUpPollInterval the time between two looks at whether it has.
+	voterCatchUpTimeout      = 30 * time.Second
+	voterCatchUpPollInterval = 20 * time.Millisecond
 	// maxReplicaLag is the number of log entries by which a server may lag and still become a
 	// voter.
 	maxReplicaLag = 16
@@ -58,16 +58,16 @@
 // awaitCaughtUp waits until another server has applied nearly all that is committed. It returns
 // an error that wraps errNotCaughtUp if that takes too long or the context ends.
 func (s *Server) awaitCaughtUp(ctx context.Context, name string) error {
-	deadline := time.Now().Add(newVoterTimeout)
+	deadline := time.Now().Add(voterCatchUpTimeout)
 	for {
-		status, err := s.statusOf(ctx, name)
+		status, err := s.requestStatus(ctx, name)
 		if err == nil && caughtUp(&status, s.raft().CommitIndex()) {
 			return nil
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			return fmt.Errorf("peer %s: %w", name, errNotCaughtUp)
 		}
-		time.Sleep(newVoterInterval)
+		time.Sleep(voterCatchUpPollInterval)
 	}
 }
 
--- a/internal/control/routes.go
+++ b/internal/control/routes.go
@@ -75,7 +75,7 @@
 	mux.HandleFunc("POST /v1/duties/{name}/park", s.leaderWrites(s.taskCommandHandler(catalog.Suspend)))
 	mux.HandleFunc("POST /v1/duties/{name}/unpark", s.leaderWrites(s.taskCommandHandler(catalog.Resume)))
 	mux.HandleFunc("POST /v1/terms", s.leaderWrites(s.handleTerms))
-	mux.HandleFunc("POST /v1/voters", s.leaderWrites(s.handleVoterStep))
+	mux.HandleFunc("POST /v1/voters", s.leaderWrites(s.handleReconfigureVoters))
 }
 
 // addMemberRoutes adds the routes of the membership view.
--- a/internal/control/servicelists.go
+++ b/internal/control/servicelists.go
@@ -58,18 +58,18 @@
 		}
 		for _, name := range services {
 			version := state.ServiceVersion(name)
-			if cached, is := l.byService[name]; is && cached.version == version {
+			if cached, ok := l.byService[name]; ok && cached.version == version {
 				entries = append(entries, cached.entries)
 			} else if state.ServiceSize(name) > 0 {
 				outdated = append(outdated, outdatedService{name, version, state.ServiceEndpoints(name)})
 			}
 		}
 	})
-	for _, o := range outdated {
-		text := encodeEntries(o.entries)
+	for _, service := range outdated {
+		encoded := encodeEntries(service.entries)
 		l.encodedCount++
-		l.add(o.name, encodedService{o.version, text})
-		entries = append(entries, text)
+		l.add(service.name, encodedService{service.version, encoded})
+		entries = append(entries, encoded)
 	}
 	return revision, entries
 }
--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -18,8 +18,8 @@
 
 // renewalBody renews a session. Rev is the revision of the assignments that the process knows.
 type renewalBody struct {
-	ID  string `json:"id"`
-	Rev int64  `json:"rev"`
+	ID       string `json:"id"`
+	Revision int64  `json:"rev"`
 }
 
 // handleOpenSession opens a session, which lets a process hold leased tasks.
@@ -65,13 +65,13 @@
 		return renewalRejection(code, process)
 	}
 	// Leadership in another term would say nothing of the assignments read above.
-	switch proven, err := s.verifyLeader(r.Context()); {
+	switch verifiedTerm, err := s.verifyLeader(r.Context()); {
 	case err != nil:
 		return err
-	case proven != term:
+	case verifiedTerm != term:
 		return errNoLeader
 	}
-	if update.Revision <= request.Rev {
+	if update.Revision <= request.Revision {
 		update.Assignments = nil
 	}
 	writeJSON(w, update)
--- a/internal/control/snapshots.go
+++ b/internal/control/snapshots.go
@@ -16,34 +16,34 @@
 
 // handleSnapshot answers with the replicated state.
 func (s *Server) handleSnapshot(w http.ResponseWriter, _ *http.Request) {
-	var text []byte
+	var data []byte
 	var err error
-	s.fsm.read(func(state *catalog.State) { text, err = state.Encode() })
+	s.fsm.read(func(state *catalog.State) { data, err = state.Encode() })
 	if err != nil {
 		writeError(w, err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(text)
+	_, _ = w.Write(data)
 }
 
 // handleRestore replaces the replicated state by a snapshot and answers with this server's
 // status. The version of the list goes on from the later of the two.
 func (s *Server) handleRestore(w http.ResponseWriter, r *http.Request) error {
-	text, err := readBody(w, r)
+	data, err := readBody(w, r)
 	if err != nil {
 		return err
 	}
-	restored, err := catalog.Decode(text)
+	restored, err := catalog.Decode(data)
 	if err != nil {
 		return newBadRequest("%v", err)
 	}
-	seen := max(s.fsm.revision(), restored.Seq)
-	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(len(text))}
-	if err := s.raft().Restore(meta, bytes.NewReader(text), restoreTimeout); err != nil {
+	minRevision := max(s.fsm.revision(), restored.Seq)
+	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(len(data))}
+	if err := s.raft().Restore(meta, bytes.NewReader(data), restoreTimeout); err != nil {
 		return fmt.Errorf("%w: %v", errUnknownOutcome, err)
 	}
-	s.raiseRevision(seen)
+	s.raiseRevision(minRevision)
 	s.restartLeases()
 	s.log.Warn("state replaced by a snapshot", "entries", len(restored.Entries), "list_version", s.fsm.revision())
 	writeJSON(w, s.status())
--- a/internal/control/staleness.go
+++ b/internal/control/staleness.go
@@ -28,13 +28,13 @@
 	return s.sinceLeaderContact() > s.config.StaleAfter || time.Duration(s.replicationLag.Load()) > s.config.StaleAfter
 }
 
-// maxCommitSamples bounds the samples of a commitProgress. A lag that is older than the oldest
+// maxCommitSamples bounds the samples of a commitHistory. A lag that is older than the oldest
 // of them is reported as shorter than it is.
 const maxCommitSamples = 128
 
-// commitProgress records the leader's commit index over time, from which follows for how long
+// commitHistory records the leader's commit index over time, from which follows for how long
 // this server has not applied what was committed.
-type commitProgress struct {
+type commitHistory struct {
 	samples []commitSample // in the order of time and commit index
 }
 
@@ -45,24 +45,24 @@
 }
 
 // record adds the leader's commit index at a time.
-func (p *commitProgress) record(now time.Duration, committed uint64) {
-	if n := len(p.samples); n > 0 && p.samples[n-1].committed >= committed {
+func (h *commitHistory) record(now time.Duration, committed uint64) {
+	if n := len(h.samples); n > 0 && h.samples[n-1].committed >= committed {
 		return
 	}
-	if len(p.samples) == maxCommitSamples {
-		p.samples = p.samples[1:]
+	if len(h.samples) == maxCommitSamples {
+		h.samples = h.samples[1:]
 	}
-	p.samples = append(p.samples, commitSample{now, committed})
+	h.samples = append(h.samples, commitSample{now, committed})
 }
 
 // lag returns for how long an entry that the leader had committed has not been applied here, and
 // drops the samples that no longer matter.
-func (p *commitProgress) lag(now time.Duration, applied uint64) time.Duration {
-	for len(p.samples) > 0 && p.samples[0].committed <= applied {
-		p.samples = p.samples[1:]
+func (h *commitHistory) lag(now time.Duration, applied uint64) time.Duration {
+	for len(h.samples) > 0 && h.samples[0].committed <= applied {
+		h.samples = h.samples[1:]
 	}
-	if len(p.samples) == 0 {
+	if len(h.samples) == 0 {
 		return 0
 	}
-	return now - p.samples[0].at
+	return now - h.samples[0].at
 }
--- a/internal/control/statecopies.go
+++ b/internal/control/statecopies.go
@@ -26,7 +26,7 @@
 			return nil
 		}
 		for sleep(ctx, s.config.SaveEvery) {
-			text, err := c.Snapshot(ctx)
+			data, err := c.Snapshot(ctx)
 			if err != nil {
 				s.log.Warn("reading the state for a copy failed", "err", err)
 				continue
@@ -34,7 +34,7 @@
 			if ctx.Err() != nil {
 				return nil
 			}
-			if err := s.saveStateCopy(text, fence); err != nil {
+			if err := s.saveStateCopy(data, fence); err != nil {
 				return fmt.Errorf("keep a copy of the state: %w", err)
 			}
 			s.metrics.savedCopies.Inc()
@@ -45,13 +45,13 @@
 
 // saveStateCopy writes a copy of the state, named by the time and the fencing token, and removes
 // the oldest copies beyond maxStateCopies.
-func (s *Server) saveStateCopy(text []byte, fence int64) error {
+func (s *Server) saveStateCopy(data []byte, fence int64) error {
 	dir := filepath.Join(s.config.Data, stateCopyFolder)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	name := filepath.Join(dir, fmt.Sprintf("%020d-%d.json", s.config.Now().UnixMicro(), fence))
-	if err := WriteFileAtomic(name, text); err != nil {
+	if err := WriteFileAtomic(name, data); err != nil {
 		return err
 	}
 	copies, err := filepath.Glob(filepath.Join(dir, stateCopyPattern))
@@ -59,17 +59,17 @@
 		return err
 	}
 	slices.Sort(copies)
-	for _, oldest := range copies[:max(len(copies)-maxStateCopies, 0)] {
-		if err := os.Remove(oldest); err != nil {
+	for _, old := range copies[:max(len(copies)-maxStateCopies, 0)] {
+		if err := os.Remove(old); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// WriteFileAtomic replaces the file of this name by one with the given text and mode 0600. A
+// WriteFileAtomic replaces the file of this name by one with the given data and mode 0600. A
 // reader finds either the old file or the complete new one, also after a crash of this process:
-// the text is written and synced under the name with ".part" appended, and then renamed. The
+// the data is written and synced under the name with ".part" appended, and then renamed. The
 // folder is synced after the rename, so that a power failure does not bring the old file back. Two calls
 // for one name must not run at the same time. On an error the ".part" file may be left, or the new file be
 // in place without having reached the disk.
@@ -77,16 +77,16 @@
 // This is not github.com/google/renameio, which would be a new dependency for the sake of one
 // function and differs: it writes under random names, so that files that a crash left behind
 // add up instead of being overwritten, and it keeps the mode of the old file.
-func WriteFileAtomic(name string, text []byte) error { return writeFileAtomic(name, text, syncFolder) }
+func WriteFileAtomic(name string, data []byte) error { return writeFileAtomic(name, data, syncFolder) }
 
 // writeFileAtomic is WriteFileAtomic with the function that syncs a folder.
-func writeFileAtomic(name string, text []byte, syncFolder func(dir string) error) error {
+func writeFileAtomic(name string, data []byte, syncFolder func(dir string) error) error {
 	part := name + ".part"
 	f, err := os.OpenFile(part, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(text)
+	_, err = f.Write(data)
 	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
 		return err
 	}
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -25,8 +25,8 @@
 	lockTimeout = 2 * time.Second
 	// checksumBytes is the size of the checksum at the end of each entry's data.
 	checksumBytes = 4
-	// entryHeadBytes is the size of what the checksum covers besides the data: index, term and type.
-	entryHeadBytes = 8 + 8 + 1
+	// entryHeaderBytes is the size of what the checksum covers besides the data: index, term and type.
+	entryHeaderBytes = 8 + 8 + 1
 )
 
 // errDataFolderInUse means that another process uses the data folder. The folder's name follows its
@@ -51,8 +51,8 @@
 // snapshots.
 type store struct {
 	*checksumLogStore
-	bolt  *boltdb.BoltStore
-	snaps *raft.FileSnapshotStore
+	bolt      *boltdb.BoltStore
+	snapshots *raft.FileSnapshotStore
 }
 
 // openStore opens the data folder, and creates it if it doesn't exist. It returns an error that
@@ -77,12 +77,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("data: the log in %s: %w", dir, err)
 	}
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, log)
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, log)
 	if err != nil {
 		bolt.Close()
 		return nil, fmt.Errorf("data: snapshots: %w", err)
 	}
-	s = &store{checksumLogStore: &checksumLogStore{bolt}, bolt: bolt, snaps: snaps}
+	s = &store{checksumLogStore: &checksumLogStore{bolt}, bolt: bolt, snapshots: snapshots}
 	if err := s.verifyLog(); err != nil {
 		bolt.Close()
 		return nil, &damagedLogError{dir, err}
@@ -109,13 +109,13 @@
 // Entries that a snapshot covers may be missing, as they are after the leader has sent a snapshot
 // and before the log is compacted.
 func (s *store) verifyLog() error {
-	var covered uint64
-	metas, err := s.snaps.List()
+	var snapshotIndex uint64
+	metas, err := s.snapshots.List()
 	if err != nil {
 		return err
 	}
 	for _, m := range metas {
-		covered = max(covered, m.Index)
+		snapshotIndex = max(snapshotIndex, m.Index)
 	}
 	first, err := s.FirstIndex()
 	if err != nil {
@@ -128,7 +128,7 @@
 	for i := first; i > 0 && i <= last; i++ {
 		var entry raft.Log
 		err := s.GetLog(i, &entry)
-		if errors.Is(err, raft.ErrLogNotFound) && i <= covered {
+		if errors.Is(err, raft.ErrLogNotFound) && i <= snapshotIndex {
 			continue
 		}
 		if err != nil {
@@ -152,11 +152,11 @@
 
 // entryChecksum returns the checksum of an entry's index, term, type and data.
 func entryChecksum(entry *raft.Log) uint32 {
-	head := make([]byte, 0, entryHeadBytes)
-	head = binary.BigEndian.AppendUint64(head, entry.Index)
-	head = binary.BigEndian.AppendUint64(head, entry.Term)
-	head = append(head, byte(entry.Type))
-	return crc32.Update(crc32.Checksum(head, castagnoli), castagnoli, entry.Data)
+	header := make([]byte, 0, entryHeaderBytes)
+	header = binary.BigEndian.AppendUint64(header, entry.Index)
+	header = binary.BigEndian.AppendUint64(header, entry.Term)
+	header = append(header, byte(entry.Type))
+	return crc32.Update(crc32.Checksum(header, castagnoli), castagnoli, entry.Data)
 }
 
 // GetLog implements raft.LogStore. It returns errChecksumMismatch for a damaged entry.
--- a/internal/control/tasks.go
+++ b/internal/control/tasks.go
@@ -27,15 +27,15 @@
 
 // taskCommandBody is an operator's command on a leased task.
 type taskCommandBody struct {
-	To  string `json:"to,omitempty"`  // the process that a transfer goes to
-	Why string `json:"why,omitempty"` // the reason, for the task's history
+	To     string `json:"to,omitempty"`  // the process that a transfer goes to
+	Reason string `json:"why,omitempty"` // the reason, for the task's history
 }
 
 // termsBody reports that terms were released, or that their transfers were accepted.
 type termsBody struct {
-	Kind catalog.Kind      `json:"kind"`
-	Ties []catalog.TermRef `json:"ties"`
-	Why  string            `json:"why,omitempty"`
+	Kind   catalog.Kind      `json:"kind"`
+	Terms  []catalog.TermRef `json:"ties"`
+	Reason string            `json:"why,omitempty"`
 }
 
 // releaseReasons are the reasons that a holder can give.
@@ -98,18 +98,18 @@
 	if b.Kind != catalog.ReleaseTerm && b.Kind != catalog.AcceptTransfer {
 		return newBadRequest("kind: must be %q or %q", catalog.ReleaseTerm, catalog.AcceptTransfer)
 	}
-	if len(b.Ties) == 0 || len(b.Ties) > maxRefsPerCall {
+	if len(b.Terms) == 0 || len(b.Terms) > maxRefsPerCall {
 		return newBadRequest("ties: must be 1 to %d", maxRefsPerCall)
 	}
-	if !slices.Contains(releaseReasons, b.Why) {
-		return newBadRequest("why: unknown word %q", b.Why)
+	if !slices.Contains(releaseReasons, b.Reason) {
+		return newBadRequest("why: unknown word %q", b.Reason)
 	}
-	for _, term := range b.Ties {
+	for _, term := range b.Terms {
 		if term.Session == "" {
 			return newBadRequest("ties: one without its session")
 		}
 	}
-	return s.commitAndAnswer(w, catalog.Command{Kind: b.Kind, Terms: b.Ties, Reason: b.Why})
+	return s.commitAndAnswer(w, catalog.Command{Kind: b.Kind, Terms: b.Terms, Reason: b.Reason})
 }
 
 // handleDefineTask defines a leased task, or changes the definition of one.
@@ -150,16 +150,16 @@
 				return err
 			}
 		}
-		if len(b.Why) > endpoints.MaxName || strings.ContainsAny(b.Why, "\n\r") {
+		if len(b.Reason) > endpoints.MaxName || strings.ContainsAny(b.Reason, "\n\r") {
 			return newBadRequest("why: must be one line of at most %d bytes", endpoints.MaxName)
 		}
 		name := r.PathValue("name")
-		s.log.Info("operator command on a task", "task", name, "command", kind, "reason", b.Why)
+		s.log.Info("operator command on a task", "task", name, "command", kind, "reason", b.Reason)
 		if kind == catalog.Suspend {
 			s.suspendMu.Lock()
 			defer s.suspendMu.Unlock()
 		}
-		return s.commitAndAnswer(w, catalog.Command{Kind: kind, Name: name, Reason: b.Why})
+		return s.commitAndAnswer(w, catalog.Command{Kind: kind, Name: name, Reason: b.Reason})
 	}
 }
 
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -17,24 +17,24 @@
 
 // memberFailures holds since when the leader has seen each failed member as failed.
 type memberFailures struct {
-	mu    sync.Mutex
-	since map[string]time.Time // guarded by mu
+	mu          sync.Mutex
+	failedSince map[string]time.Time // guarded by mu
 }
 
 // recordFailed records that a member has failed at present, and returns for how long it has. The
 // caller holds the lock.
 func (f *memberFailures) recordFailed(name string) time.Duration {
-	if f.since == nil {
-		f.since = map[string]time.Time{}
+	if f.failedSince == nil {
+		f.failedSince = map[string]time.Time{}
 	}
-	if f.since[name].IsZero() {
-		f.since[name] = time.Now()
+	if f.failedSince[name].IsZero() {
+		f.failedSince[name] = time.Now()
 	}
-	return time.Since(f.since[name])
+	return time.Since(f.failedSince[name])
 }
 
 // clear records that a member has not failed at present. The caller holds the lock.
-func (f *memberFailures) clear(name string) { delete(f.since, name) }
+func (f *memberFailures) clear(name string) { delete(f.failedSince, name) }
 
 // voterSet returns what the leader knows of the servers in the raft configuration: which vote,
 // which are present and caught up, and for how long others have failed.
@@ -46,15 +46,15 @@
 		DesiredVoters: s.config.Voters,
 		ReplaceAfter:  s.config.ReplaceAfter,
 	}
-	conf := s.raft().GetConfiguration()
-	if conf.Error() != nil {
+	future := s.raft().GetConfiguration()
+	if future.Error() != nil {
 		return set
 	}
 	upToDate := s.upToDateServers()
 	view := s.gossip().View()
 	s.memberFailures.mu.Lock()
 	defer s.memberFailures.mu.Unlock()
-	for _, replica := range conf.Configuration().Servers {
+	for _, replica := range future.Configuration().Servers {
 		name := string(replica.ID)
 		state := view.State(name)
 		if name == s.config.Name {
@@ -86,9 +86,9 @@
 	return upToDate
 }
 
-// handleVoterStep changes the raft configuration by one step towards the desired number of
+// handleReconfigureVoters changes the raft configuration by one step towards the desired number of
 // voters, all of them alive, and answers with that step. It rejects an outdated fencing token.
-func (s *Server) handleVoterStep(w http.ResponseWriter, r *http.Request) error {
+func (s *Server) handleReconfigureVoters(w http.ResponseWriter, r *http.Request) error {
 	var b fenceBody
 	if err := decodeBody(w, r, &b); err != nil {
 		return err
@@ -114,7 +114,7 @@
 	if err := s.reconfigure(step); err != nil {
 		return configurationError(err)
 	}
-	s.metrics.voterSteps.Inc()
+	s.metrics.reconfigurations.Inc()
 	s.log.Warn("voters changed", "added", step.Add, "removed", step.Remove, "demoted", step.Demote,
 		"desired_voters", voters.DesiredVoters, "fence", b.Fence)
 	writeJSON(w, step)
--- a/internal/control/watchbroadcaster.go
+++ b/internal/control/watchbroadcaster.go
@@ -150,19 +150,19 @@
 func (b *watchBroadcaster) eventsSince(version int64) listEvents {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	found := listEvents{complete: true, changed: b.changed, endAll: b.endAllSignal}
+	result := listEvents{complete: true, changed: b.changed, endAll: b.endAllSignal}
 	for i := range b.events {
 		if b.events[i].to > version {
 			// For a version in the middle of an event, that event repeats some of what the reader
 			// has, which does no harm.
-			found.events, found.complete = slices.Clone(b.events[i:]), b.events[i].from <= version
+			result.events, result.complete = slices.Clone(b.events[i:]), b.events[i].from <= version
 			break
 		}
 	}
-	if len(found.events) == 0 && b.publishedRevision > version {
-		found.complete = false
+	if len(result.events) == 0 && b.publishedRevision > version {
+		result.complete = false
 	}
-	return found
+	return result
 }
 
 // watch writes the changes after a version until the context ends, the reader doesn't read in
--- a/internal/control/watchload.go
+++ b/internal/control/watchload.go
@@ -7,16 +7,16 @@
 
 const (
 	minLoadTolerance     = 2  // watches
-	loadToleranceDivisor = 10 // of a server's share
+	loadToleranceDivisor = 10 // of a server's fair share
 	// migrationDivisor divides a server's watches. The quotient is the number of watches that migrate
 	// at a time.
 	migrationDivisor = 20
 )
 
-// loadTolerance returns by how many watches a server may be above its share before it ends any:
-// a tenth of the share, or minLoadTolerance if that is more. Readers choose among the other servers by themselves,
+// loadTolerance returns by how many watches a server may be above its fair share before it ends any:
+// a tenth of the fair share, or minLoadTolerance if that is more. Readers choose among the other servers by themselves,
 // so with exact shares, watches would migrate again and again.
-func loadTolerance(share int) int { return max(minLoadTolerance, share/loadToleranceDivisor) }
+func loadTolerance(fairShare int) int { return max(minLoadTolerance, fairShare/loadToleranceDivisor) }
 
 // excessWatches returns how many watches a server should end now, so that their readers go to
 // others that have fewer. It is a small step: at most a twentieth of its watches, or one.
@@ -28,9 +28,9 @@
 	for _, o := range others {
 		sum, fewest = sum+o.watches, min(fewest, o.watches)
 	}
-	share := (sum + len(others)) / (len(others) + 1) // rounded up
-	excess := own.watches - share - loadTolerance(share)
-	if excess <= 0 || fewest >= share {
+	fairShare := (sum + len(others)) / (len(others) + 1) // rounded up
+	excess := own.watches - fairShare - loadTolerance(fairShare)
+	if excess <= 0 || fewest >= fairShare {
 		return 0
 	}
 	return min(excess, max(own.watches/migrationDivisor, 1), own.movable)
--- a/internal/control/watchload_test.go
+++ b/internal/control/watchload_test.go
@@ -97,7 +97,7 @@
 // The lag is the age of the oldest entry that the leader had committed and is not applied.
 func TestLagIsAgeOfOldestUnappliedEntry(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var p commitProgress
+		var p commitHistory
 		type seen struct {
 			at        time.Duration
 			committed uint64
--- a/internal/control/watchwriter.go
+++ b/internal/control/watchwriter.go
@@ -29,7 +29,7 @@
 // watchTermination holds what ends a watch other than its reader.
 type watchTermination struct {
 	ctx      context.Context
-	all      <-chan struct{} // closed to end all watches
+	endAll   <-chan struct{} // closed to end all watches
 	migrated <-chan struct{} // closed to have this watch's reader go to another server
 }
 
@@ -44,7 +44,7 @@
 			if !w.write([]byte("\n")) {
 				return false
 			}
-		case <-end.all:
+		case <-end.endAll:
 			return false
 		case <-end.migrated:
 			return false
--- a/internal/control/wire_test.go
+++ b/internal/control/wire_test.go
@@ -195,12 +195,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { s.Close() })
-	snapshots, err := s.snaps.List()
+	snapshots, err := s.snapshots.List()
 	if err != nil || len(snapshots) == 0 {
 		t.Fatalf("%d snapshots: %v", len(snapshots), err)
 	}
 	last := snapshots[0]
-	_, text, err := s.snaps.Open(last.ID)
+	_, text, err := s.snapshots.Open(last.ID)
 	if err != nil {
 		t.Fatal(err)
 	}
