--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	shownRevisionDigits = 12 // of a revision that are shown
+	shownRevisionDigits = 12 // leading digits of the VCS revision
 	maxDataIDBytes      = 64
 )
 
-// BuildRevision returns the first digits of the revision that this program was built from, or
-// "unknown".
+// BuildRevision returns the first digits of the VCS revision that this program was built from, or
+// "unknown" if the build information has none.
 func BuildRevision() string {
 	if b, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range b.Settings {
@@ -35,8 +35,8 @@
 	return "unknown"
 }
 
-// loadDataID returns the identity of a data folder, which is drawn at random when the folder is
-// first used. It distinguishes a restart of this process from another process with its name.
+// loadDataID returns the identity of a data folder, a random token that is created when the folder is
+// first used. It distinguishes a restart of this process from another process of the same name.
 func loadDataID(dir string) (string, error) {
 	path := filepath.Join(dir, "identity")
 	text, err := os.ReadFile(path)
@@ -63,8 +63,8 @@
 }
 
 // ReadMemberViews reads the membership views of the control-plane servers at the given addresses,
-// and returns them in the order of the servers' names. It returns the addresses that didn't answer
-// within the timeout, or answered with an error, as unreachable.
+// and returns them sorted by server name. Addresses that didn't answer within the timeout, or
+// answered with an error, are returned as unreachable.
 func ReadMemberViews(ctx context.Context, addrs []string, timeout time.Duration) (views []member.View, unreachable []string) {
 	for _, addr := range addrs {
 		var v member.View
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -8,14 +8,14 @@
 	"knotrouter/internal/catalog"
 )
 
-// metricPrefix begins the names of all metrics.
+// metricPrefix is the prefix of the names of all metrics.
 const metricPrefix = "steward_"
 
 // commitBuckets are the upper bounds of the histogram of commit times, in seconds.
 var commitBuckets = prometheus.ExponentialBuckets(0.0005, 2, 14)
 
-// metrics holds the counters that the server's code increments. All other metrics are read from
-// the server when they are collected.
+// metrics holds the metrics that the server updates as it runs. All others are read from the
+// server at collection.
 type metrics struct {
 	registry         *prometheus.Registry
 	electionsWon     prometheus.Counter
@@ -32,7 +32,7 @@
 	reconfigurations prometheus.Counter
 }
 
-// newMetrics returns the metrics of a server in a registry of their own.
+// newMetrics returns the metrics of a server, in a registry of its own.
 func newMetrics(s *Server) *metrics {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -69,12 +69,12 @@
 	return f.NewCounterVec(prometheus.CounterOpts{Name: metricPrefix + name, Help: help}, labels)
 }
 
-// addGauge adds a gauge that is read when it is collected.
+// addGauge adds a gauge whose value is read at collection.
 func addGauge(f promauto.Factory, name, help string, read func() float64) {
 	f.NewGaugeFunc(prometheus.GaugeOpts{Name: metricPrefix + name, Help: help}, read)
 }
 
-// addCounter adds a counter that is read when it is collected.
+// addCounter adds a counter whose value is read at collection.
 func addCounter(f promauto.Factory, name, help string, read func() float64) {
 	f.NewCounterFunc(prometheus.CounterOpts{Name: metricPrefix + name, Help: help}, read)
 }
@@ -116,7 +116,7 @@
 		func() float64 { return float64(s.admission.rejectedCalls.Load()) })
 }
 
-// addServiceWatchMetrics adds the metrics of the watches of services.
+// addServiceWatchMetrics adds the metrics of the watches that subscribe to services.
 func addServiceWatchMetrics(f promauto.Factory, s *Server) {
 	topics := s.broadcaster.services
 	locked := func(read func(t *serviceTopics) int64) func() float64 {
@@ -143,8 +143,8 @@
 	})
 }
 
-// addTaskMetrics adds the metrics of leased tasks: of the control plane's own that run here, and
-// of all by their state.
+// addTaskMetrics adds the metrics of leased tasks: those of the control plane's own tasks that run
+// on this server, and the number of all tasks by state.
 func addTaskMetrics(f promauto.Factory, s *Server) {
 	addGauge(f, "duties_held_here", "Duties whose functions run here.", func() float64 {
 		runner := s.taskRunner.Load()
@@ -176,7 +176,7 @@
 	}
 }
 
-// gossipHelp describes the counters of gossip, by their names in the metrics.
+// gossipHelp holds the help texts of the gossip counters, by the name in the metric.
 var gossipHelp = map[string]string{
 	"old":        "News of an earlier life of a member, which changed nothing.",
 	"held":       "Ends that were not believed at first: too many at once, or this process was slow.",
@@ -200,7 +200,7 @@
 	}
 }
 
-// addLeaseMetrics adds the numbers of servers whose leases have expired and that stay listed.
+// addLeaseMetrics adds gauges of the servers that stay listed although their leases have expired.
 func addLeaseMetrics(f promauto.Factory, s *Server) {
 	for name, read := range map[string]func(l *catalog.RegistrationLeases) int{
 		"kept":    func(l *catalog.RegistrationLeases) int { return l.Retained },
@@ -217,7 +217,7 @@
 	}
 }
 
-// memberCollector is a prometheus.Collector of the number of members by role and state.
+// memberCollector is a prometheus.Collector that counts members by role and state.
 type memberCollector struct {
 	server *Server
 	desc   *prometheus.Desc
--- a/internal/control/openwatches.go
+++ b/internal/control/openwatches.go
@@ -14,8 +14,8 @@
 	return watchLoad{b.openWatches, len(b.movable)}
 }
 
-// register counts a watch and returns the channel that is closed to end it. It returns false if
-// limit watches are open.
+// register adds a watch to the open ones and returns the channel that is closed to end it. It
+// returns false if limit watches are already open.
 func (b *watchBroadcaster) register(limit int, movable bool) (chan struct{}, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -30,7 +30,7 @@
 	return end, true
 }
 
-// unregister uncounts a watch that has ended.
+// unregister removes a watch that has ended from the open ones.
 func (b *watchBroadcaster) unregister(end chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -38,8 +38,8 @@
 	delete(b.movable, end)
 }
 
-// migrate ends up to count of the watches whose readers know other servers, chosen by the order
-// of the map's iteration, and returns how many it ended.
+// migrate ends up to count of the watches whose readers know other servers, chosen in map iteration
+// order, and returns how many it ended.
 func (b *watchBroadcaster) migrate(count int) (migrated int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -54,7 +54,7 @@
 	return migrated
 }
 
-// endAll ends all watches and returns how many are open.
+// endAll signals all watches to end and returns how many are open.
 func (b *watchBroadcaster) endAll() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	// statusMaxAge is the longest time for which the statuses of the peers are cached.
+	// statusMaxAge is the longest time for which the peers' statuses are cached.
 	statusMaxAge = time.Second
-	// statusMinAge is the shortest time between two requests for them.
+	// statusMinAge is the shortest time between two requests for the peers' statuses.
 	statusMinAge = 100 * time.Millisecond
 )
 
-// staleAfterDivisor divides the time after which a server is stale: the statuses of the peers are
-// requested that often, so that a stale server is noticed in time.
+// staleAfterDivisor is how many times the peers' statuses are requested within the time after which
+// a server is stale, so that a stale server is noticed in time.
 const staleAfterDivisor = 4
 
-// statusInterval returns the time between two requests for the statuses of the peers.
+// statusInterval returns the interval at which the peers' statuses are requested.
 func (s *Server) statusInterval() time.Duration {
 	return min(s.config.StaleAfter/staleAfterDivisor, statusMaxAge)
 }
 
-// statusCache holds the last statuses of the peers.
+// statusCache holds the peers' statuses as of the last request.
 type statusCache struct {
 	mu          sync.Mutex
 	requestedAt time.Time
 	statuses    []Status
 }
 
-// fresh reports whether the cached statuses may still be used. If no peer can serve, they are
-// requested again after statusMinAge, as this server serves a stale list only while no peer can.
+// fresh reports whether the cached statuses may still be used. If no peer can serve, they expire
+// after statusMinAge, because this server serves a stale list only while no peer can serve.
 func (c *statusCache) fresh(maxAge time.Duration) bool {
 	age := time.Since(c.requestedAt)
 	return age < statusMinAge || age < maxAge && anyCanServe(c.statuses)
 }
 
-// peerStatuses returns the statuses of the peers, from the cache while it is fresh. Peers
-// that don't answer within peerTimeout are left out.
+// peerStatuses returns the peers' statuses, from the cache while it is fresh. Peers that don't
+// answer within peerTimeout are left out.
 func (s *Server) peerStatuses() []Status {
 	c := &s.statusCache
 	c.mu.Lock()
@@ -52,7 +52,8 @@
 	return c.statuses
 }
 
-// requestPeerStatuses asks all peers at once and waits for each to answer or time out.
+// requestPeerStatuses requests the statuses of all peers concurrently and waits until each has
+// answered or timed out.
 func (s *Server) requestPeerStatuses() (statuses []Status) {
 	ctx, cancel := context.WithTimeout(s.ctx, peerTimeout)
 	defer cancel()
@@ -76,8 +77,8 @@
 	return statuses
 }
 
-// peer returns the addresses of a control-plane server in the peer table. It returns false if the
-// table doesn't have it.
+// peer returns the addresses of a control-plane server from the peer table. It returns false if the
+// table has no entry for the name.
 func (s *Server) peer(name string) (Peer, bool) {
 	p, ok := (*s.peerTable.Load())[name]
 	return p, ok
@@ -94,14 +95,14 @@
 	return st, call(ctx, s.peerClient, http.MethodGet, "http://"+p.HTTP+"/v1/status", nil, &st)
 }
 
-// peerCanServe reports whether a peer can serve. If none can, this server's list is as good as
+// peerCanServe reports whether any peer can serve. If none can, this server's list is as good as
 // any other, even if it is stale.
 func (s *Server) peerCanServe() bool { return anyCanServe(s.peerStatuses()) }
 
 // canServe reports whether a server has a current list to serve.
 func canServe(st *Status) bool { return st.HasState && !st.Stale && !st.Draining }
 
-// anyCanServe reports whether one of the control-plane servers can serve.
+// anyCanServe reports whether any of the control-plane servers can serve.
 func anyCanServe(statuses []Status) bool {
 	for i := range statuses {
 		if canServe(&statuses[i]) {
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -11,9 +11,9 @@
 	"knotrouter/internal/catalog"
 )
 
-// propose commits a command and returns its result, whose code may still reject it. It returns
-// errNoLeader if the command was certainly not applied, and an error that wraps errUnknownOutcome
-// if that is unknown.
+// propose commits a command and returns its result, whose code may be a rejection by the catalog. It
+// returns errNoLeader if the command was certainly not applied, and an error that wraps
+// errUnknownOutcome if it may have been.
 func (s *Server) propose(command catalog.Command) (catalog.Result, error) {
 	at, leads := s.leaderClock()
 	if !leads {
--- a/internal/control/raftlogger.go
+++ b/internal/control/raftlogger.go
@@ -15,9 +15,9 @@
 	raftLogBurst          = 50
 )
 
-// newRaftLogger returns a logger for the raft library that writes its lines to log, at most
-// raftLogLinesPerSecond after a burst of raftLogBurst. Each line that follows suppressed ones has
-// their number as suppressed_lines.
+// newRaftLogger returns a logger for the raft library that writes its lines to log, limited to
+// raftLogLinesPerSecond with bursts of raftLogBurst. The first line after suppressed ones has their
+// number as suppressed_lines.
 func newRaftLogger(log *slog.Logger) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
 		Name:        "raft",
@@ -27,8 +27,8 @@
 	})
 }
 
-// raftLogWriter is an io.Writer that turns lines of hclog into messages of slog. Their texts are the
-// library's, so they have its parameters in them.
+// raftLogWriter is an io.Writer that turns lines of hclog into messages of slog. The parameters of a
+// line stay part of its text, as the library formats them.
 type raftLogWriter struct {
 	log        *slog.Logger
 	limiter    *rate.Limiter
--- a/internal/control/raftstream.go
+++ b/internal/control/raftstream.go
@@ -10,22 +10,22 @@
 	"github.com/hashicorp/raft"
 )
 
-// namePreamble is the byte before the name of the server that is dialled. No message of raft's
-// begins with it.
+// namePreamble is the first byte that a dialling server sends, followed by the name of the server
+// that it dials. No raft message begins with this byte.
 const namePreamble = 0xfe
 
-// errWrongServer means that a peer dialled this server for another one, as its peer table has a
-// wrong address.
+// errWrongServer means that a peer reached this server when it dialled another one, because its peer
+// table has a wrong address.
 var errWrongServer = errors.New("the call was for another steward")
 
-// raftStreamLayer is the raft.StreamLayer of this server. Servers know one another by name, and
-// each dials the others by its own peer table.
+// raftStreamLayer is the raft.StreamLayer of this server. Servers address one another by name, and
+// each resolves the names by its own peer table.
 type raftStreamLayer struct {
 	peerDialer
 	name string
 }
 
-// Accept implements net.Listener. The preamble of the connection is verified at its first read.
+// Accept implements net.Listener. The preamble is verified at the first read of the connection.
 func (s *raftStreamLayer) Accept() (net.Conn, error) {
 	conn, err := s.Listener.Accept()
 	if err != nil {
@@ -34,8 +34,8 @@
 	return &preambleConn{Conn: conn, name: s.name}, nil
 }
 
-// Addr implements net.Listener. It returns this server's name, which each peer resolves by its
-// own table.
+// Addr implements net.Listener. It returns this server's name, which each peer resolves by its own
+// peer table.
 func (s *raftStreamLayer) Addr() net.Addr { return serverName(s.name) }
 
 // peerDialer dials the raft transports of peers.
@@ -44,10 +44,10 @@
 	resolve func(name string) (addr string, known bool)
 }
 
-// Dial implements raft.StreamLayer. It sends the name of the dialled server, which refuses the
-// connection if it has another name: if the peer table led to a wrong server, that server's votes
-// and acknowledgements would be counted twice towards a quorum. It returns an error that wraps
-// errNotInPeerTable if the table has no address for the name.
+// Dial implements raft.StreamLayer. It sends the name of the dialled server, which closes the
+// connection if that is not its own name: with a wrong address in the peer table, the votes and
+// acknowledgements of one server would otherwise be counted twice towards a quorum. It returns an
+// error that wraps errNotInPeerTable if the table has no address for the name.
 func (s *peerDialer) Dial(name raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	addr, known := s.resolve(string(name))
 	if !known {
@@ -66,16 +66,16 @@
 }
 
 // preambleConn is an accepted connection. Its first read verifies that the peer dialled this
-// server. A connection without a preamble is from a program of before names were sent.
+// server. Connections without a preamble are accepted: older versions of the program send none.
 type preambleConn struct {
 	net.Conn
 	name            string
 	preambleChecked bool
-	unread          []byte // the first byte, if it was no preamble
+	unread          []byte // the first byte, if it was not namePreamble
 }
 
-// Read implements net.Conn. If the peer dialled another server, it closes the connection and returns
-// an error that wraps errWrongServer.
+// Read implements net.Conn. If the peer meant to dial another server, it closes the connection and
+// returns an error that wraps errWrongServer.
 func (c *preambleConn) Read(p []byte) (int, error) {
 	if !c.preambleChecked {
 		c.preambleChecked = true
@@ -91,8 +91,7 @@
 	return c.Conn.Read(p)
 }
 
-// readPreamble reads the name that the peer sent, if it sent one, and compares it with this
-// server's.
+// readPreamble reads the preamble, if the peer sent one, and compares its name with this server's.
 func (c *preambleConn) readPreamble() error {
 	var header [2]byte
 	if _, err := io.ReadFull(c.Conn, header[:1]); err != nil {
@@ -116,7 +115,7 @@
 	return nil
 }
 
-// serverName is a net.Addr that is the name of a control-plane server.
+// serverName is the net.Addr of a control-plane server: its name.
 type serverName string
 
 // Network implements net.Addr.
--- a/internal/control/rebalance.go
+++ b/internal/control/rebalance.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// drainSteps is the number of steps in which Close migrates the watches to other servers.
+// drainSteps is the number of steps in which drain migrates the watches to other servers.
 const drainSteps = 20
 
 // watchLoop migrates watches to other servers: all of them once this server is stale and another
-// one can serve them, and a few at a time when others have fewer. It also measures the lag
-// behind the leader that makes a server stale. It returns when the server stops.
+// one can serve, and a few at a time while others have fewer. It also measures this server's
+// replication lag, and rejoins the raft configuration if this server was removed from it. It
+// returns when the server stops.
 func (s *Server) watchLoop() {
 	ticker := time.NewTicker(s.statusInterval())
 	defer ticker.Stop()
@@ -35,7 +36,8 @@
 	}
 }
 
-// recordLeaderCommitIndex records the leader's commit index, against which this server's lag is measured.
+// recordLeaderCommitIndex records the leader's commit index, against which this server's replication
+// lag is measured.
 func (s *Server) recordLeaderCommitIndex(leaderCommits *commitHistory, statuses []Status) {
 	for i := range statuses {
 		if st := &statuses[i]; st.State == stateLeader && st.Term >= s.raft().CurrentTerm() {
@@ -44,29 +46,30 @@
 	}
 }
 
-// endWatches ends all watches of this server, which is stale, so that their readers go to
+// endWatches ends all watches because this server is stale, so that their readers reconnect to
 // another one.
 func (s *Server) endWatches() {
 	ended := s.broadcaster.endAll()
 	if ended == 0 {
 		return
 	}
-	s.log.Warn("stale: all watches ended, for their readers to go to another server", "watches", ended,
+	s.log.Warn("stale: ended all watches so that their readers switch to another server", "watches", ended,
 		"since_leader_contact", s.sinceLeaderContact().Round(time.Millisecond),
 		"replication_lag", time.Duration(s.replicationLag.Load()).Round(time.Millisecond))
 }
 
-// rebalance ends a small part of the watches if other servers have fewer.
+// rebalance ends a small part of the watches if other servers have fewer, so that their readers
+// reconnect to those.
 func (s *Server) rebalance(statuses []Status) {
 	migrated := s.broadcaster.migrate(excessWatches(s.broadcaster.load(), peerLoads(statuses)))
 	if migrated == 0 {
 		return
 	}
 	s.metrics.watchesMigrated.Add(float64(migrated))
-	s.log.Info("watches ended, for their readers to go to less loaded servers", "watches", migrated, "remaining", s.broadcaster.watchCount())
+	s.log.Info("ended some watches so that their readers switch to less loaded servers", "watches", migrated, "remaining", s.broadcaster.watchCount())
 }
 
-// peerLoads returns the loads of the servers that a watch can migrate to.
+// peerLoads returns the loads of the servers that watches can migrate to.
 func peerLoads(statuses []Status) (loads []watchLoad) {
 	for i := range statuses {
 		if st := &statuses[i]; canServe(st) {
@@ -76,9 +79,9 @@
 	return loads
 }
 
-// drain ends the watches whose readers know other servers, in steps spread over the configured
-// time, so that the others don't get all of them at once. It does nothing but set the draining
-// flag if no other server can serve.
+// drain sets the draining flag and, if a drain time is configured and another server can serve, ends
+// the watches whose readers know other servers. It does so in steps spread over that time, so that
+// the other servers don't get all of the watches at once.
 func (s *Server) drain() {
 	s.draining.Store(true)
 	if s.config.Drain <= 0 || !s.peerCanServe() {
@@ -94,5 +97,5 @@
 		s.metrics.watchesMigrated.Add(float64(s.broadcaster.migrate((movable + drainSteps - 1) / drainSteps)))
 		<-ticker.C
 	}
-	s.log.Info("drained", "watches", movable, "remaining", s.broadcaster.watchCount())
+	s.log.Info("drained the watches", "watches", movable, "remaining", s.broadcaster.watchCount())
 }
--- a/internal/control/registrations.go
+++ b/internal/control/registrations.go
@@ -8,26 +8,26 @@
 	"knotrouter/internal/endpoints"
 )
 
-// maxRefsPerCall bounds the servers or terms that one request names.
+// maxRefsPerCall bounds the servers or terms that one request refers to.
 const maxRefsPerCall = 2000
 
-// RenewalBatch is a request to renew the leases of servers, with Refs set, or the answer to it,
-// with Codes and TTLMs set.
+// RenewalBatch is a request to renew the leases of servers (Refs) or the answer to such a request
+// (Codes and TTLMs).
 type RenewalBatch struct {
 	Refs  []catalog.InstanceRef `json:"refs"`
 	Codes []catalog.Code        `json:"codes,omitempty"`  // the result for each of Refs, in their order
 	TTLMs int64                 `json:"ttl_ms,omitempty"` // the time to live of a lease, in milliseconds
 }
 
-// ServerOverride is an operator's override of a server's weight and health. A field that is nil
-// stays as it is.
+// ServerOverride is an operator's override of a server's weight and health. A nil field leaves that
+// part of the override unchanged.
 type ServerOverride struct {
 	Weight    *float64 `json:"share,omitempty"`
 	Health    *string  `json:"health,omitempty"` // "" withdraws the override
-	IfVersion int64    `json:"if,omitempty"`     // if set, the version that the entry must have
+	IfVersion int64    `json:"if,omitempty"`     // if not 0, the override is rejected unless the entry has this version
 }
 
-// handleRegister registers a server, whose lease begins.
+// handleRegister registers a server and starts its lease.
 func (s *Server) handleRegister(w http.ResponseWriter, r *http.Request) error {
 	var endpoint endpoints.Endpoint
 	if err := decodeBody(w, r, &endpoint); err != nil {
@@ -45,8 +45,8 @@
 	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.Register, Endpoint: &endpoint})
 }
 
-// registrationEndHandler returns a handler that has a server drain or takes it off the list,
-// by the kind of command.
+// registrationEndHandler returns a handler that drains a server or removes it from the list, depending
+// on the kind of command.
 func (s *Server) registrationEndHandler(kind catalog.Kind) commandHandler {
 	return func(w http.ResponseWriter, r *http.Request) error {
 		startedMs, err := strconv.ParseFloat(r.URL.Query().Get("born_ms"), 64)
@@ -58,7 +58,7 @@
 	}
 }
 
-// handleRenewals renews leases and answers with a code for each.
+// handleRenewals renews leases and answers with a result code for each.
 func (s *Server) handleRenewals(w http.ResponseWriter, r *http.Request) error {
 	var b RenewalBatch
 	if err := decodeBody(w, r, &b); err != nil {
@@ -93,7 +93,7 @@
 	})
 }
 
-// handleConfirmRemovals removes the servers that the mass-failure guard keeps on the list.
+// handleConfirmRemovals removes the servers that the mass-failure guard has quarantined.
 func (s *Server) handleConfirmRemovals(w http.ResponseWriter, _ *http.Request) error {
 	s.log.Warn("operator confirmed the removal of quarantined servers")
 	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.ConfirmRemoval})
@@ -110,12 +110,12 @@
 	writeJSONOrNotFound(w, entry, "no server of this name")
 }
 
-// fenceBody carries the fencing token under which a control-plane task acts.
+// fenceBody carries the fencing token of the holder of a control-plane task.
 type fenceBody struct {
 	Fence int64 `json:"fence"`
 }
 
-// handleSweep decides on expired leases, for the holder of the sweep task.
+// handleSweep acts on expired leases, on behalf of the holder of the sweep task.
 func (s *Server) handleSweep(w http.ResponseWriter, r *http.Request) error {
 	var b fenceBody
 	if err := decodeBody(w, r, &b); err != nil {
--- a/internal/control/renewals.go
+++ b/internal/control/renewals.go
@@ -11,8 +11,8 @@
 	"knotrouter/internal/member"
 )
 
-// observeRenewals records which servers renewed at this server, before the renewals are
-// forwarded to the leader. It leaves the body of the request readable.
+// observeRenewals records which servers renewed their leases through this control-plane server, before
+// the renewals are forwarded to the leader. The body of the request can be read again afterwards.
 func (s *Server) observeRenewals(w http.ResponseWriter, r *http.Request) error {
 	if s.gossip() == nil {
 		return nil
@@ -29,7 +29,8 @@
 	return nil
 }
 
-// recordRenewals records in the membership tracker the instances among refs that the catalog has.
+// recordRenewals records a heartbeat in the membership tracker for each instance in refs that the
+// catalog has.
 func (s *Server) recordRenewals(refs []catalog.InstanceRef) {
 	var known []catalog.InstanceRef
 	zones := map[string]string{}
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -13,15 +13,16 @@
 
 const (
 	// voterCatchUpTimeout is how long a server may take to catch up before it becomes a voter, and
-	// voterCatchUpPollInterval the time between two looks at whether it has.
+	// voterCatchUpPollInterval is how often that is checked.
 	voterCatchUpTimeout      = 30 * time.Second
 	voterCatchUpPollInterval = 20 * time.Millisecond
-	// maxReplicaLag is the number of log entries by which a server may lag and still become a
-	// voter.
+	// maxReplicaLag is the number of log entries by which a server may lag behind the commit index
+	// and still become a voter.
 	maxReplicaLag = 16
 )
 
-// errNotCaughtUp means that a server was added as a non-voter but lagged too far to vote.
+// errNotCaughtUp means that a server was added as a non-voter but lagged too far behind to become a
+// voter.
 var errNotCaughtUp = errors.New("it did not catch up within 30 s; it hears all and doesn't vote")
 
 // handleAddPeer adds a control-plane server to the raft configuration, first as a non-voter and,
@@ -55,8 +56,8 @@
 	return nil
 }
 
-// awaitCaughtUp waits until another server has applied nearly all that is committed. It returns
-// an error that wraps errNotCaughtUp if that takes too long or the context ends.
+// awaitCaughtUp waits until another server has caught up. It returns an error that wraps
+// errNotCaughtUp if that takes longer than voterCatchUpTimeout or the context ends.
 func (s *Server) awaitCaughtUp(ctx context.Context, name string) error {
 	deadline := time.Now().Add(voterCatchUpTimeout)
 	for {
@@ -71,13 +72,13 @@
 	}
 }
 
-// caughtUp reports whether a server has applied nearly all that is committed.
+// caughtUp reports whether a server lags at most maxReplicaLag entries behind the commit index.
 func caughtUp(status *Status, committed uint64) bool {
 	return status.Applied > 0 && status.Applied+maxReplicaLag >= committed
 }
 
 // handleRemovePeer removes a control-plane server from the raft configuration. It rejects the
-// request if another process than the one that asks is present under the name.
+// request if a process other than the requesting one is present under the name.
 func (s *Server) handleRemovePeer(w http.ResponseWriter, r *http.Request) error {
 	name := r.PathValue("name")
 	if name == s.config.Name && len(s.voters()) == 1 {
--- a/internal/control/routes.go
+++ b/internal/control/routes.go
@@ -13,8 +13,8 @@
 // bodyTimeout is how long a client may take to send the body of a request.
 const bodyTimeout = 3 * time.Second
 
-// commandHandler handles a request that may fail. The error that it returns is written as the
-// answer by writeError; if it returns nil, it has written the answer itself.
+// commandHandler handles a request. If it returns an error, writeError writes the answer; if it
+// returns nil, it has written the answer itself.
 type commandHandler func(http.ResponseWriter, *http.Request) error
 
 // handler returns the handler of the whole HTTP API.
@@ -34,7 +34,8 @@
 	mux.Handle("GET /metrics", promhttp.HandlerFor(s.metrics.registry, promhttp.HandlerOpts{}))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength != 0 {
-			// Also for a body that no handler reads: net/http reads it to its end otherwise.
+			// This also covers a body that no handler reads: net/http reads it to its end after the
+			// handler, and would wait for it without a deadline.
 			_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 		}
 		mux.ServeHTTP(w, r)
@@ -54,7 +55,7 @@
 	mux.HandleFunc("POST /v1/sweep", s.leaderWrites(s.handleSweep))
 }
 
-// addSessionRoutes adds the routes of the processes that can hold leased tasks.
+// addSessionRoutes adds the routes of the sessions of processes that can hold leased tasks.
 func (s *Server) addSessionRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET /v1/sessions", s.leaderReads(s.handleSessions))
 	mux.HandleFunc("PUT /v1/sessions/{process}", s.leaderWrites(s.handleOpenSession))
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	applyTimeout = 3 * time.Second // for a command to be committed
+	applyTimeout = 3 * time.Second // for raft to accept a command, barrier or configuration change
 	peerTimeout  = time.Second     // for a request to a peer
 
 	readHeaderTimeout = 2 * time.Second
@@ -44,13 +44,13 @@
 	bootID    string                          // identity of this start of the process
 	peerTable atomic.Pointer[map[string]Peer] // replaced by Reload
 	metrics   *metrics
-	// logLimiter limits log messages that one fault can repeat.
+	// logLimiter limits log messages that a persisting fault repeats.
 	logLimiter *rate.Limiter
 
 	goroutines  sync.WaitGroup // started by startGoroutine
 	ctx         context.Context
 	cancel      context.CancelFunc
-	fatalErrors chan error // has the first error that ends the process
+	fatalErrors chan error // buffers the first error that ends the process
 
 	httpServer  *http.Server
 	admission   *admission
@@ -62,19 +62,19 @@
 	store     *store
 	raftNode  atomic.Pointer[raft.Raft] // nil until raft has started
 	transport *recordingTransport
-	// confirmedAppends is what the other servers have confirmed of this one's leadership.
+	// confirmedAppends holds the last append that each peer has confirmed, as proof of leadership.
 	confirmedAppends *confirmedAppends
 	readBarriers     barriers
 	leaderChecks     barriers
 
 	leaderMu           sync.Mutex                  // guards the fields of this group
 	registrationLeases *catalog.RegistrationLeases // nil unless this server leads and has applied all earlier entries
-	taskLeases         *catalog.TaskLeases         // nil when registrationLeases is
-	leaderTerm         uint64                      // raft's term for which these are
+	taskLeases         *catalog.TaskLeases         // nil if registrationLeases is nil
+	leaderTerm         uint64                      // the raft term to which the leases belong
 	clockAtElection    time.Duration               // the state's clock at electedAt
 	electedAt          time.Time
 
-	gossipNode     atomic.Pointer[gossip.Node] // nil if gossip is not configured, and while it has not started
+	gossipNode     atomic.Pointer[gossip.Node] // nil if gossip is not configured or has not started
 	observations   failureObservations
 	evidenceCalls  atomic.Int64 // evidence requests in flight
 	memberFailures memberFailures
@@ -82,9 +82,10 @@
 	taskRunner       atomic.Pointer[leaderelection.Runner] // nil while it has not started
 	cancelTaskRunner context.CancelFunc
 	taskRunnerDone   chan struct{}
-	openPolls        atomic.Int64 // requests that wait for a change of assignments
-	// suspendMu orders the operators' suspensions of tasks and the leader's own resumptions, so that
-	// the leader undoes none of the former. It is held over a proposal, and taken before leaderMu.
+	openPolls        atomic.Int64 // requests waiting for a change of assignments
+	// suspendMu serializes suspensions of tasks by operators and automatic resumptions by the leader, so
+	// that the leader doesn't undo an operator's suspension. It is held over a proposal, and locked
+	// before leaderMu.
 	suspendMu sync.Mutex
 
 	statusCache    statusCache
@@ -92,9 +93,9 @@
 	draining       atomic.Bool
 }
 
-// Start opens the data folder, starts raft and serves the API. It returns once raft runs, which
-// on an empty data folder may take until the peers answer; the context bounds that wait. On an
-// error everything that was started has been stopped.
+// Start opens the data folder, starts raft and serves the API. It returns once raft runs. With an
+// empty data folder it may have to wait for answers of the peers; the context bounds that wait. If
+// it returns an error, it has stopped everything that it had started.
 func Start(ctx context.Context, c *Config, log *slog.Logger) (*Server, error) {
 	s := newServer(c, log)
 	if err := s.start(ctx); err != nil {
@@ -105,7 +106,7 @@
 	return s, nil
 }
 
-// newServer returns a Server that has opened nothing yet.
+// newServer returns a Server that has not opened any file or connection yet.
 func newServer(c *Config, log *slog.Logger) *Server {
 	s := &Server{
 		config:           c,
@@ -131,8 +132,8 @@
 	return s
 }
 
-// start starts everything. It listens before raft runs, as the first start of a peer asks this
-// server for its status.
+// start starts all components. It serves HTTP before raft runs, because a peer that starts with an
+// empty data folder requests this server's status.
 func (s *Server) start(ctx context.Context) error {
 	ln, err := net.Listen("tcp", s.config.Listen)
 	if err != nil {
@@ -162,7 +163,7 @@
 	return nil
 }
 
-// logAcceptError logs that a connection could not be accepted, which will be retried.
+// logAcceptError logs that accepting a connection failed; the listener retries.
 func (s *Server) logAcceptError(err error, _ time.Time) {
 	if s.logLimiter.Allow() {
 		s.log.Warn("accept failed", "err", err)
@@ -178,7 +179,7 @@
 // raft returns the raft instance, or nil while it has not been started.
 func (s *Server) raft() *raft.Raft { return s.raftNode.Load() }
 
-// fail reports an error that ends the process; Wait returns the first one.
+// fail reports a fatal error. Wait returns the first one; later ones are dropped.
 func (s *Server) fail(err error) {
 	select {
 	case s.fatalErrors <- err:
@@ -186,15 +187,15 @@
 	}
 }
 
-// Reload applies the part of a new configuration that can change at run time: the peer table.
+// Reload applies the peer table of a new configuration, the only part that can change at run time.
 func (s *Server) Reload(c *Config) {
 	table := c.Peers
 	s.peerTable.Store(&table)
 	s.log.Info("peer table reloaded", "peers", len(table))
 }
 
-// Wait blocks until the context ends, and then returns nil, or until the server meets an error
-// that it can't recover from, and then returns that.
+// Wait blocks until the context ends, and then returns nil, or until a fatal error occurs, and then
+// returns that error.
 func (s *Server) Wait(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -212,7 +213,8 @@
 	if s.raft() != nil {
 		s.drain()
 	}
-	// Not earlier, as until here this server gossips for the agents whose watches have migrated.
+	// Leave comes after drain, because until then this server gossips for the agents whose watches have
+	// migrated.
 	if s.gossip() != nil {
 		s.gossip().Leave()
 	}
@@ -220,7 +222,7 @@
 	s.log.Info("ended")
 }
 
-// close releases everything that was started, whichever part of start has run.
+// close releases all resources, however far start has come.
 func (s *Server) close() {
 	s.cancel()
 	if s.httpServer != nil {
--- a/internal/control/servicelists.go
+++ b/internal/control/servicelists.go
@@ -7,7 +7,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-// maxCachedBytes bounds the encoded entries that are cached of all services.
+// maxCachedBytes bounds the total size of the cached entries of all services.
 const maxCachedBytes = 32 << 20
 
 // serviceLists caches the full lists of services, each encoded once per version of the service.
@@ -15,7 +15,7 @@
 	fsm *fsm
 
 	mu           sync.Mutex     // guards the fields below
-	state        *catalog.State // the state that the cached lists are of
+	state        *catalog.State // the state from which the cached lists were encoded
 	byService    map[string]encodedService
 	cachedBytes  int
 	encodedCount int64 // for the metrics
@@ -31,21 +31,21 @@
 	return &serviceLists{fsm: f, byService: map[string]encodedService{}}
 }
 
-// encodedList returns the full list of some services as a line, and its version.
+// encodedList returns the full list of the given services as a line, and its version.
 func (l *serviceLists) encodedList(services []string) ([]byte, int64) {
 	revision, entries := l.collect(services)
 	return assembleList(revision, true, entries), revision
 }
 
-// outdatedService is a service whose cached entries are missing or of an earlier version.
+// outdatedService is a service whose entries are not cached or are cached for an earlier version.
 type outdatedService struct {
 	name    string
 	version int64
 	entries []endpoints.Endpoint
 }
 
-// collect returns the encoded entries of some services, all as of one version of the list.
-// Services that changed are encoded under the lock, so that concurrent calls encode them once.
+// collect returns the encoded entries of the given services, all as of one version of the list.
+// Services that changed are encoded under the lock, so that concurrent calls encode them only once.
 func (l *serviceLists) collect(services []string) (revision int64, entries [][]byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,8 +74,8 @@
 	return revision, entries
 }
 
-// add caches the entries of a service, and evicts those of others in any order while the cache
-// is too large.
+// add caches the entries of a service. While the cache exceeds maxCachedBytes, it evicts services in
+// map iteration order.
 func (l *serviceLists) add(name string, e encodedService) {
 	l.cachedBytes += len(e.entries) - len(l.byService[name].entries)
 	l.byService[name] = e
--- a/internal/control/servicemetrics.go
+++ b/internal/control/servicemetrics.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// maxServiceLabels is how many services have a label of their own; all others share one.
+	// maxServiceLabels is how many services have their own label value; all others share one.
 	maxServiceLabels = 20
-	// The labels that are no service's name contain a space, which no name does.
+	// These label values contain a space, which no service name does.
 	defaultServiceLabel = "default service"
 	otherServicesLabel  = "other services"
 )
 
-// serviceCollector is a prometheus.Collector of the sizes and watches of the largest services.
+// serviceCollector is a prometheus.Collector of the number of servers and watches of the largest
+// services.
 type serviceCollector struct {
 	broadcaster     *watchBroadcaster
 	listed, watches *prometheus.Desc
@@ -55,8 +56,8 @@
 	}
 }
 
-// largestServices returns the names of up to limit services with the most servers; of equal
-// ones, the first by name.
+// largestServices returns the names of up to limit services with the most servers. Ties are broken by
+// name.
 func largestServices(sizes map[string]int, limit int) []string {
 	names := make([]string, 0, len(sizes))
 	for name := range sizes {
@@ -71,8 +72,8 @@
 	return names[:min(len(names), limit)]
 }
 
-// sumByLabel adds up the counts of services that share a label. labelled names the services that
-// have their own.
+// sumByLabel sums the counts of the services by label value. labelled are the services that have
+// their own label value.
 func sumByLabel(counts map[string]int, labelled []string) map[string]int {
 	sums := map[string]int{}
 	for name, count := range counts {
--- a/internal/control/servicetopics.go
+++ b/internal/control/servicetopics.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// maxTopicEvents and maxTopicEventBytes bound the events that one topic retains for readers
-	// that lag, and maxAllTopicBytes those of all topics; a reader that lags further is sent the
-	// full list of its services.
+	// maxTopicEvents and maxTopicEventBytes bound the events that one topic retains for lagging
+	// readers, and maxAllTopicBytes bounds those of all topics. A reader that lags further is sent
+	// the full list of its services.
 	maxTopicEvents     = 64
 	maxTopicEventBytes = 256 << 10
 	maxAllTopicBytes   = 32 << 20
 )
 
-// serviceEvent is a change of one service up to a version: the entries that changed, as encoded
-// by encodeEntries, once for all subscriptions.
+// serviceEvent is a change of one service: the entries that changed up to a version. They are encoded
+// by encodeEntries once for all subscriptions.
 type serviceEvent struct {
 	revision int64
 	entries  []byte
@@ -30,29 +30,29 @@
 // serviceTopic is a service that has subscriptions.
 type serviceTopic struct {
 	service       string
-	startRevision int64 // the events lead on from this version
+	startRevision int64 // the events hold all changes after this version
 	events        []serviceEvent
 	eventBytes    int
 	subscriptions map[*subscription]struct{}
 }
 
-// subscription is the interest of one watch in some services.
+// subscription is the set of services that one watch subscribes to.
 type subscription struct {
 	services []string
 	topics   []*serviceTopic
-	notify   chan struct{} // has one element if any of the topics changed
+	notify   chan struct{} // buffers one signal that any of the topics changed
 }
 
-// serviceTopics sends changes of services to watches of them. The cost of a change depends on
-// the services that changed and their subscriptions, and not on the other watches.
+// serviceTopics sends changes of services to the watches that subscribe to them. The cost of a change
+// depends on the services that changed and their subscriptions, not on the other watches.
 type serviceTopics struct {
 	fsm       *fsm
 	fullLists *serviceLists
 
-	mu                sync.Mutex // guards the fields below, also those of the topics
-	publishedRevision int64      // the events lead up to this version
+	mu                sync.Mutex // guards the fields below and those of the topics
+	publishedRevision int64      // the events hold all changes up to this version
 	byService         map[string]*serviceTopic
-	eventBytes        int // of the events of all topics
+	eventBytes        int // total size of the events of all topics
 	watchCount        int
 
 	encodedCount, sentCount, sentBytes, laggedCount int64 // for the metrics
@@ -62,8 +62,8 @@
 	return &serviceTopics{fsm: f, fullLists: newServiceLists(f), byService: map[string]*serviceTopic{}}
 }
 
-// subscribe begins a subscription. Events that are published from then on lead on from any list
-// that is read after it.
+// subscribe starts a subscription. A list that is read after this call has no gap to the events that
+// the subscription gets.
 func (t *serviceTopics) subscribe(services []string) *subscription {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,7 +81,7 @@
 	return sub
 }
 
-// unsubscribe ends a subscription and drops the topics that have no other.
+// unsubscribe ends a subscription and drops the topics that have no subscription left.
 func (t *serviceTopics) unsubscribe(sub *subscription) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,15 +95,15 @@
 	t.watchCount--
 }
 
-// topicChange is what changed in a topic's service since the last event.
+// topicChange holds the entries of a topic's service that changed since the last published version.
 type topicChange struct {
 	topic   *serviceTopic
 	entries []endpoints.Endpoint
 }
 
-// publish makes an event for each topic of what changed since the last call, and notifies the
-// subscriptions. It holds the lock throughout, so that a subscription began before all events of
-// one call, or its first list is read after them.
+// publish appends an event with the changes since the last call to each topic that changed, and
+// notifies the subscriptions. It holds the lock throughout, so that a subscription either starts
+// before all events of one call, or reads its first list after them.
 func (t *serviceTopics) publish() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,8 +123,8 @@
 	}
 }
 
-// changesSince returns what changed in the topics after a version, and takes the state's version
-// as the published one. known is false if the state doesn't have that version's history.
+// changesSince returns the changes of the topics after a version, and sets publishedRevision to the
+// state's version. known is false if the state's history doesn't reach back to the given version.
 func (t *serviceTopics) changesSince(since int64) (changes []topicChange, known bool) {
 	known = true
 	t.fsm.read(func(state *catalog.State) {
@@ -144,7 +144,7 @@
 	return changes, known
 }
 
-// appendEvent adds an event to a topic, drops the oldest ones beyond the topic's bounds, and
+// appendEvent appends an event to a topic, drops the oldest ones beyond the topic's bounds, and
 // notifies the topic's subscriptions.
 func (t *serviceTopics) appendEvent(topic *serviceTopic, e serviceEvent) {
 	topic.events = append(topic.events, e)
@@ -159,8 +159,8 @@
 	topic.notifyAll()
 }
 
-// dropAllEvents drops the events of all topics, after the state was replaced or its history
-// dropped, so that none leads to the present version.
+// dropAllEvents drops the events of all topics. It is called if the state was replaced or its history
+// was dropped, because the retained events then don't lead to the current version.
 func (t *serviceTopics) dropAllEvents() {
 	for _, topic := range t.byService {
 		topic.events, topic.eventBytes, topic.startRevision = nil, 0, t.publishedRevision
@@ -169,7 +169,8 @@
 	t.eventBytes = 0
 }
 
-// evictEvents drops the events of topics in any order until half of maxAllTopicBytes is left.
+// evictEvents drops the events of topics, in map iteration order, until at most half of
+// maxAllTopicBytes is left.
 func (t *serviceTopics) evictEvents() {
 	for _, topic := range t.byService {
 		if t.eventBytes <= maxAllTopicBytes/2 {
@@ -193,9 +194,9 @@
 	}
 }
 
-// eventsSince returns the lines that lead a subscription on from a version, one for each
-// published version, and the version that they lead to. ok is false if an event that is needed
-// is no longer retained.
+// eventsSince returns the changes of a subscription's services after a version, as one line for each
+// published version, and the version of the last line. ok is false if a required event is no longer
+// retained.
 func (t *serviceTopics) eventsSince(sub *subscription, since int64) (lines [][]byte, to int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -221,9 +222,9 @@
 	return lines, to, true
 }
 
-// encodedChanges returns what changed in some services after a version, as a line, and the version
-// that it leads to. It returns the full list of the services if the state doesn't have the history
-// for that, or if the changes would be much longer than the full list.
+// encodedChanges returns the changes of the given services after a version, as a line, and the version
+// of that line. It returns the full list of the services if the state's history doesn't reach back
+// that far, or if the changes would be much longer than the full list.
 func (t *serviceTopics) encodedChanges(services []string, since int64) (line []byte, revision int64) {
 	list := endpoints.List{Full: true}
 	t.fsm.read(func(state *catalog.State) {
@@ -237,7 +238,7 @@
 	return encodeList(&list), list.Seq
 }
 
-// watch writes the changes of some services after a version until the reader doesn't read in
+// watch writes the changes of the given services after a version until the reader fails to read in
 // time or the watch is ended.
 func (t *serviceTopics) watch(w http.ResponseWriter, services []string, since int64, end watchTermination) {
 	out := newWatchWriter(w)
@@ -252,7 +253,7 @@
 	for out.awaitChange(sub.notify, end) {
 		lines, to, ok := t.eventsSince(sub, revision)
 		if !ok {
-			// The full list is of the last published version or a later one.
+			// The full list has the last published version or a later one.
 			var full []byte
 			full, to = t.fullLists.encodedList(services)
 			lines = [][]byte{full}
@@ -267,7 +268,7 @@
 	}
 }
 
-// recordSent counts lines that were written.
+// recordSent counts lines that were written, and their bytes.
 func (t *serviceTopics) recordSent(lines [][]byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -12,11 +12,11 @@
 const (
 	// pollTimeout is how long a request for assignments waits for a change.
 	pollTimeout = 10 * time.Second
-	// maxOpenPolls bounds the requests for assignments that wait at one server.
+	// maxOpenPolls bounds the requests for assignments that wait on one server.
 	maxOpenPolls = 4 * catalog.MaxSessions
 )
 
-// renewalBody renews a session. Rev is the revision of the assignments that the process knows.
+// renewalBody renews a session. Revision is that of the assignments that the process has.
 type renewalBody struct {
 	ID       string `json:"id"`
 	Revision int64  `json:"rev"`
@@ -32,8 +32,8 @@
 	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.OpenSession, Session: &session})
 }
 
-// handleEndSession closes a session, or with rest=1 has it drain, which keeps it open while its
-// tasks move to other processes.
+// handleEndSession closes a session. With rest=1 it drains the session instead, which keeps it open
+// while its tasks are transferred to other processes.
 func (s *Server) handleEndSession(w http.ResponseWriter, r *http.Request) error {
 	kind := catalog.CloseSession
 	if r.URL.Query().Get("rest") == "1" {
@@ -44,9 +44,9 @@
 }
 
 // handleRenewSession renews a session and answers with its assignments. It answers only after a
-// quorum has confirmed that this server led when it renewed the session: the process may rely on
-// the answer for the whole time to live of its terms, and a later leader grants its tasks to
-// others only after that time.
+// quorum has confirmed that this server was the leader when it renewed the session: the process may
+// rely on the answer for the whole time to live of its terms, and a later leader grants its tasks to
+// other processes only after that time.
 func (s *Server) handleRenewSession(w http.ResponseWriter, r *http.Request) error {
 	var request renewalBody
 	if err := decodeBody(w, r, &request); err != nil {
@@ -64,7 +64,8 @@
 	if code != catalog.Done {
 		return renewalRejection(code, process)
 	}
-	// Leadership in another term would say nothing of the assignments read above.
+	// The assignments were read as the leader of this term. Proof of leadership in another term doesn't
+	// confirm them.
 	switch verifiedTerm, err := s.verifyLeader(r.Context()); {
 	case err != nil:
 		return err
@@ -90,8 +91,8 @@
 	return &rejectedError{catalog.Result{Code: code, Text: text}}
 }
 
-// renewSession renews a session at a time of the leader's clock and returns its assignments, and raft's
-// term in which this server has become the leader. It returns errNoLeader if this server doesn't lead.
+// renewSession renews a session at a time of the leader's clock. It returns the session's assignments
+// and the raft term in which this server became the leader, or errNoLeader if it is not the leader.
 func (s *Server) renewSession(process, id string, now time.Duration) (code catalog.Code, update leaderelection.AssignmentUpdate, term uint64, err error) {
 	s.leaderMu.Lock()
 	defer s.leaderMu.Unlock()
@@ -106,8 +107,8 @@
 	return code, update, s.leaderTerm, nil
 }
 
-// handleAssignments answers with the assignments of a session once their revision is later than
-// the one in the query, or without any after pollTimeout.
+// handleAssignments is a long poll. It answers with the assignments of a session once their revision
+// is later than the one in the query, or without assignments after pollTimeout.
 func (s *Server) handleAssignments(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	known, err := strconv.ParseInt(query.Get("rev"), 10, 64)
@@ -124,9 +125,9 @@
 	s.awaitAssignments(w, r, query.Get("id"), known)
 }
 
-// awaitAssignments answers once the assignments of a session are later than the known revision,
-// the poll times out, or the client or this server ends it. A session that this server doesn't
-// know may be opened while it waits.
+// awaitAssignments answers once the assignments of a session have a later revision than known, the
+// poll times out, the client gives up or this server stops. It also waits for a session that this
+// server doesn't know, as the session may be opened meanwhile.
 func (s *Server) awaitAssignments(w http.ResponseWriter, r *http.Request, id string, known int64) {
 	process := r.PathValue("process")
 	timeout := time.NewTimer(pollTimeout)
--- a/internal/control/snapshots.go
+++ b/internal/control/snapshots.go
@@ -11,7 +11,7 @@
 	"knotrouter/internal/catalog"
 )
 
-// restoreTimeout is how long a restored snapshot may take to be replicated.
+// restoreTimeout bounds the replication of a restored snapshot.
 const restoreTimeout = 30 * time.Second
 
 // handleSnapshot answers with the replicated state.
@@ -27,8 +27,9 @@
 	_, _ = w.Write(data)
 }
 
-// handleRestore replaces the replicated state by a snapshot and answers with this server's
-// status. The version of the list goes on from the later of the two.
+// handleRestore replaces the replicated state with a snapshot and answers with this server's status.
+// The version of the list continues from the higher of the versions of the old state and the
+// snapshot, so that it never goes back.
 func (s *Server) handleRestore(w http.ResponseWriter, r *http.Request) error {
 	data, err := readBody(w, r)
 	if err != nil {
@@ -50,7 +51,8 @@
 	return nil
 }
 
-// restartLeases gives all servers and sessions of a restored state their full time.
+// restartLeases restarts the leases of all servers and sessions of a restored state at their full
+// time to live.
 func (s *Server) restartLeases() {
 	s.leaderMu.Lock()
 	defer s.leaderMu.Unlock()
--- a/internal/control/staleness.go
+++ b/internal/control/staleness.go
@@ -6,8 +6,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// sinceLeaderContact returns the time since the last message of a leader, or since the start if there
-// was none. It is zero if this server leads.
+// sinceLeaderContact returns the time since the last message from a leader, or since the start if
+// there was none. It is zero if this server is the leader.
 func (s *Server) sinceLeaderContact() time.Duration {
 	if s.raft() == nil {
 		return time.Since(s.startedAt)
@@ -28,14 +28,14 @@
 	return s.sinceLeaderContact() > s.config.StaleAfter || time.Duration(s.replicationLag.Load()) > s.config.StaleAfter
 }
 
-// maxCommitSamples bounds the samples of a commitHistory. A lag that is older than the oldest
-// of them is reported as shorter than it is.
+// maxCommitSamples bounds the samples of a commitHistory. A lag that reaches back beyond the oldest
+// sample is underestimated.
 const maxCommitSamples = 128
 
-// commitHistory records the leader's commit index over time, from which follows for how long
-// this server has not applied what was committed.
+// commitHistory records the leader's commit index over time. It shows how long this server has lagged
+// behind what the leader had committed.
 type commitHistory struct {
-	samples []commitSample // in the order of time and commit index
+	samples []commitSample // in ascending order of both time and commit index
 }
 
 // commitSample is a commit index at a time since the start of the server.
@@ -55,8 +55,8 @@
 	h.samples = append(h.samples, commitSample{now, committed})
 }
 
-// lag returns for how long an entry that the leader had committed has not been applied here, and
-// drops the samples that no longer matter.
+// lag returns for how long the oldest commit index that is not applied here has been known, or zero
+// if all are applied. It drops the samples up to the applied index.
 func (h *commitHistory) lag(now time.Duration, applied uint64) time.Duration {
 	for len(h.samples) > 0 && h.samples[0].committed <= applied {
 		h.samples = h.samples[1:]
--- a/internal/control/statecopies.go
+++ b/internal/control/statecopies.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxStateCopies   = 8       // kept in a data folder
+	maxStateCopies   = 8       // retained in a data folder
 	stateCopyFolder  = "saved" // in the data folder
 	stateCopyPattern = "*.json"
 )
@@ -35,7 +35,7 @@
 				return nil
 			}
 			if err := s.saveStateCopy(data, fence); err != nil {
-				return fmt.Errorf("keep a copy of the state: %w", err)
+				return fmt.Errorf("save a copy of the state: %w", err)
 			}
 			s.metrics.savedCopies.Inc()
 		}
@@ -67,19 +67,19 @@
 	return nil
 }
 
-// WriteFileAtomic replaces the file of this name by one with the given data and mode 0600. A
-// reader finds either the old file or the complete new one, also after a crash of this process:
-// the data is written and synced under the name with ".part" appended, and then renamed. The
-// folder is synced after the rename, so that a power failure does not bring the old file back. Two calls
-// for one name must not run at the same time. On an error the ".part" file may be left, or the new file be
-// in place without having reached the disk.
+// WriteFileAtomic replaces the named file with one that has the given data and mode 0600. A reader
+// finds either the old file or the complete new one, even after a crash of this process: the data is
+// written and synced under the name with ".part" appended, and then renamed. The folder is synced
+// after the rename, so that a power failure does not bring the old file back. Concurrent calls for
+// the same name are not allowed. After an error, the ".part" file may remain, or the new file may be
+// in place without being synced to disk.
 //
-// This is not github.com/google/renameio, which would be a new dependency for the sake of one
-// function and differs: it writes under random names, so that files that a crash left behind
-// add up instead of being overwritten, and it keeps the mode of the old file.
+// github.com/google/renameio would be a new dependency for one function, and it differs: it uses
+// random temporary names, so that files left by crashes accumulate instead of being overwritten, and
+// it keeps the mode of the old file.
 func WriteFileAtomic(name string, data []byte) error { return writeFileAtomic(name, data, syncFolder) }
 
-// writeFileAtomic is WriteFileAtomic with the function that syncs a folder.
+// writeFileAtomic is WriteFileAtomic with the given function to sync the folder.
 func writeFileAtomic(name string, data []byte, syncFolder func(dir string) error) error {
 	part := name + ".part"
 	f, err := os.OpenFile(part, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
@@ -96,7 +96,7 @@
 	return syncFolder(filepath.Dir(name))
 }
 
-// syncFolder writes the entries of a folder to the disk.
+// syncFolder syncs the directory entries of a folder to disk.
 func syncFolder(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -26,32 +26,32 @@
 	raft.Shutdown:  stateEnded,
 }
 
-// Status describes a control-plane server as it sees itself.
+// Status is the status of a control-plane server, as reported by that server.
 type Status struct {
 	Name                 string            `json:"name"`
 	State                string            `json:"state"` // "leader", "follower", "candidate", "ended" or "starting"
 	Leader               string            `json:"leader"`
 	Term                 uint64            `json:"term"`      // raft's
 	Seq                  int64             `json:"seq"`       // version of the list
-	Applied              uint64            `json:"applied"`   // index of the last log entry that is applied here
-	Committed            uint64            `json:"committed"` // index of the last log entry that is known here to be committed
-	HasState             bool              `json:"has_state"` // its raft log holds more than the first configuration
+	Applied              uint64            `json:"applied"`   // index of the last log entry that this server has applied
+	Committed            uint64            `json:"committed"` // highest log index that this server knows to be committed
+	HasState             bool              `json:"has_state"` // its raft log holds more than the initial configuration
 	Stale                bool              `json:"stale"`
 	SinceLeaderContactMs int64             `json:"silent_ms"` // see sinceLeaderContact
 	Voters               []string          `json:"voters"`
-	Peers                map[string]string `json:"peers"`    // suffrage by name
-	LagMs                int64             `json:"lag_ms"`   // behind what the leader had committed
+	Peers                map[string]string `json:"peers"`    // raft suffrage by server name
+	LagMs                int64             `json:"lag_ms"`   // replication lag behind the leader's commit index
 	Draining             bool              `json:"draining"` // it is about to stop
 	Watches              int               `json:"watches"`
 	Movable              int               `json:"movable"` // watches that can migrate to another server
 	Listed               int               `json:"listed"`  // servers that are listed
-	Quarantined          int               `json:"held"`    // servers that the mass-failure guard keeps although their leases expired
-	Damped               int               `json:"damped"`  // servers that are kept off the list for restarting too often
+	Quarantined          int               `json:"held"`    // servers that the mass-failure guard keeps listed although their leases have expired
+	Damped               int               `json:"damped"`  // servers that are not listed because they restart too often
 	QuarantinedForMs     int64             `json:"held_for_ms"`
 }
 
-// status returns this server's status. Without raft only the fields about the state and the
-// watches are set.
+// status returns this server's status. Before raft has started, only the fields about the
+// replicated state and the watches are set.
 func (s *Server) status() Status {
 	st := Status{
 		Name:     s.config.Name,
@@ -69,7 +69,7 @@
 	return st
 }
 
-// countEntries fills in what the replicated state holds.
+// countEntries sets the fields that are derived from the replicated state.
 func countEntries(st *Status, state *catalog.State) {
 	st.Seq = state.Seq
 	for _, e := range state.Entries {
@@ -89,7 +89,7 @@
 	}
 }
 
-// addRaftStatus fills in the state of raft. It requires that raft has started.
+// addRaftStatus sets the fields about raft, which must have started.
 func (s *Server) addRaftStatus(st *Status) {
 	r := s.raft()
 	st.State, st.Leader, st.Term = stateNames[r.State()], s.leader(), r.CurrentTerm()
@@ -104,7 +104,7 @@
 			}
 		}
 	}
-	// The first entry is the configuration that each server writes at bootstrap; any later one
-	// took a quorum.
+	// The first entry is the configuration that each server writes by itself at bootstrap. Later
+	// entries come from a leader that a quorum elected.
 	st.HasState = r.LastIndex() > 1
 }
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -18,22 +18,23 @@
 )
 
 const (
-	// retainedSnapshots is how many snapshots stay on the disk. If the last one is unreadable, the
-	// one before it and the log from there have the whole state.
+	// retainedSnapshots is how many snapshots are kept on disk. If the last one is unreadable, the
+	// previous one and the log after it still hold the whole state.
 	retainedSnapshots = 2
 	// lockTimeout is how long openStore waits for another process to release the data folder.
 	lockTimeout = 2 * time.Second
 	// checksumBytes is the size of the checksum at the end of each entry's data.
 	checksumBytes = 4
-	// entryHeaderBytes is the size of what the checksum covers besides the data: index, term and type.
+	// entryHeaderBytes is the size of the fields that the checksum covers besides the data: index, term
+	// and type.
 	entryHeaderBytes = 8 + 8 + 1
 )
 
-// errDataFolderInUse means that another process uses the data folder. The folder's name follows its
-// text.
+// errDataFolderInUse means that another process has locked the data folder. Errors that wrap it append
+// the name of the folder.
 var errDataFolderInUse = errors.New("another process uses")
 
-// damagedLogError is a log on the disk that can't be read, with the reason.
+// damagedLogError means that the raft log in a data folder is damaged, with the cause.
 type damagedLogError struct {
 	dir   string
 	cause error
@@ -47,7 +48,7 @@
 // Unwrap returns the cause.
 func (e *damagedLogError) Unwrap() error { return e.cause }
 
-// store is what raft keeps in the data folder: the log with checksums, its term and vote, and
+// store is raft's storage in the data folder: the log with checksums, the term and vote, and the
 // snapshots.
 type store struct {
 	*checksumLogStore
@@ -56,14 +57,14 @@
 }
 
 // openStore opens the data folder, and creates it if it doesn't exist. It returns an error that
-// wraps errDataFolderInUse if another process uses the folder, a *damagedLogError if the log in it
-// is damaged, and another error if the folder can't be written.
+// wraps errDataFolderInUse if another process uses the folder, a *damagedLogError if its log is
+// damaged, and another error if the folder can't be written.
 func openStore(dir string, log hclog.Logger) (s *store, err error) {
 	if err := ensureWritable(dir); err != nil {
 		return nil, err
 	}
 	// bbolt maps the file into memory and panics on invalid pages. An access beyond the end of a
-	// truncated file raises a signal, which is turned into a panic too.
+	// truncated file raises a signal, which SetPanicOnFault turns into a panic too.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -105,9 +106,9 @@
 }
 
 // verifyLog reads the whole log once, and returns an error for the first entry that is missing or
-// damaged: a server that can't start is better than one that lost entries it had acknowledged.
-// Entries that a snapshot covers may be missing, as they are after the leader has sent a snapshot
-// and before the log is compacted.
+// damaged: refusing to start is better than running without entries that this server has
+// acknowledged. Entries that a snapshot covers may be missing, as happens after the leader has sent
+// a snapshot and before the log is compacted.
 func (s *store) verifyLog() error {
 	var snapshotIndex uint64
 	metas, err := s.snapshots.List()
@@ -148,7 +149,7 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // errChecksumMismatch means that an entry of the log is damaged.
-var errChecksumMismatch = errors.New("its checksum is wrong")
+var errChecksumMismatch = errors.New("checksum mismatch")
 
 // entryChecksum returns the checksum of an entry's index, term, type and data.
 func entryChecksum(entry *raft.Log) uint32 {
@@ -179,7 +180,7 @@
 // StoreLog implements raft.LogStore.
 func (s *checksumLogStore) StoreLog(entry *raft.Log) error { return s.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs implements raft.LogStore. It leaves the entries as they are.
+// StoreLogs implements raft.LogStore. It doesn't modify the given entries.
 func (s *checksumLogStore) StoreLogs(logs []*raft.Log) error {
 	out := make([]*raft.Log, len(logs))
 	for i, entry := range logs {
@@ -191,9 +192,9 @@
 	return s.LogStore.StoreLogs(out)
 }
 
-// stableStore is a raft.StableStore of the term and the vote. Raft panics if they can't be
-// written, as on a full disk. This store calls fail, which ends the server with one line that says
-// why, before raft acts on a vote that is not on the disk.
+// stableStore is a raft.StableStore for the term and the vote. Raft panics if a write fails, for
+// example on a full disk. This store instead calls fail, which ends the server with a single error
+// line, before raft acts on a vote that is not on disk.
 type stableStore struct {
 	raft.StableStore
 	fail func(error)
@@ -209,8 +210,8 @@
 	return s.mustPersist(s.StableStore.SetUint64(key, value))
 }
 
-// mustPersist returns nil if err is nil. Otherwise it reports the write that failed and doesn't
-// return: it ends the calling goroutine, which is raft's, and runs its deferred calls.
+// mustPersist returns nil if err is nil. Otherwise it reports the failed write and doesn't return: it
+// ends the calling goroutine, which is raft's, after running its deferred calls.
 func (s *stableStore) mustPersist(err error) error {
 	if err != nil {
 		s.fail(fmt.Errorf("data: the log can't be written: %w", err))
--- a/internal/control/tasks.go
+++ b/internal/control/tasks.go
@@ -15,11 +15,11 @@
 // TaskDefinition defines a leased task.
 type TaskDefinition struct {
 	TTLMs   int64  `json:"ttl_ms"`            // the time to live of a term, in milliseconds
-	Zone    string `json:"zone,omitempty"`    // the zone whose processes are preferred; "": any
-	Process string `json:"process,omitempty"` // the process that is preferred; "": any
+	Zone    string `json:"zone,omitempty"`    // zone whose processes are preferred; "" means any
+	Process string `json:"process,omitempty"` // process that is preferred; "" means any
 }
 
-// claimBody claims a task that has no holder for a session.
+// claimBody claims a task that has no holder, on behalf of a session.
 type claimBody struct {
 	Process string `json:"process"`
 	ID      string `json:"id"`
@@ -27,22 +27,22 @@
 
 // taskCommandBody is an operator's command on a leased task.
 type taskCommandBody struct {
-	To     string `json:"to,omitempty"`  // the process that a transfer goes to
+	To     string `json:"to,omitempty"`  // target process of a transfer
 	Reason string `json:"why,omitempty"` // the reason, for the task's history
 }
 
-// termsBody reports that terms were released, or that their transfers were accepted.
+// termsBody is a holder's report that it released terms or accepted their transfer.
 type termsBody struct {
 	Kind   catalog.Kind      `json:"kind"`
 	Terms  []catalog.TermRef `json:"ties"`
 	Reason string            `json:"why,omitempty"`
 }
 
-// releaseReasons are the reasons that a holder can give.
+// releaseReasons are the reasons that a holder may give for a release.
 var releaseReasons = []string{"", catalog.ReasonCompleted, catalog.ReasonFailed, catalog.ReasonTransferred, catalog.ReasonExpired, catalog.ReasonRevoked}
 
-// assignTasks proposes what sessions and leased tasks call for at this time: which sessions have
-// expired, and which process is granted which task. It does nothing on a follower.
+// assignTasks proposes the commands that are due for sessions and leased tasks, such as the expiry of
+// sessions and the grants of tasks to processes. It does nothing unless this server is the leader.
 func (s *Server) assignTasks() {
 	now, leads := s.leaderClock()
 	if !leads {
@@ -65,7 +65,7 @@
 	}
 }
 
-// proposeTaskCommand commits a decision of catalog.TaskLeases.
+// proposeTaskCommand commits a command that catalog.TaskLeases decided on.
 func (s *Server) proposeTaskCommand(command catalog.Command) error {
 	if command.Kind == catalog.Resume {
 		return s.resumeControlTask(command)
@@ -74,8 +74,8 @@
 	return err
 }
 
-// logTaskCommand logs a committed command of catalog.TaskLeases, which is on terms, on a session or on
-// a task. Of several terms it logs the number and the first.
+// logTaskCommand logs a committed command of catalog.TaskLeases, which concerns terms, a session or a
+// task. For several terms it logs their number and the first one.
 func (s *Server) logTaskCommand(command *catalog.Command) {
 	if command.Kind == catalog.Resume {
 		s.log.Info("task command committed", "command", command.Kind, "task", command.Name)
@@ -89,7 +89,7 @@
 	s.log.Info("task command committed", "command", command.Kind, "count", len(command.Terms), "task", first.Name, "process", first.Process)
 }
 
-// handleTerms takes a holder's report that terms were released or their transfer accepted.
+// handleTerms handles a holder's report that it released terms or accepted their transfer.
 func (s *Server) handleTerms(w http.ResponseWriter, r *http.Request) error {
 	var b termsBody
 	if err := decodeBody(w, r, &b); err != nil {
@@ -112,7 +112,7 @@
 	return s.commitAndAnswer(w, catalog.Command{Kind: b.Kind, Terms: b.Terms, Reason: b.Reason})
 }
 
-// handleDefineTask defines a leased task, or changes the definition of one.
+// handleDefineTask defines a leased task or changes its definition.
 func (s *Server) handleDefineTask(w http.ResponseWriter, r *http.Request) error {
 	var b TaskDefinition
 	if err := decodeBody(w, r, &b); err != nil {
@@ -129,8 +129,8 @@
 	}})
 }
 
-// handleClaimTask grants a task without a holder to a session. It is idempotent: a repeated
-// claim of the same session gets the same answer.
+// handleClaimTask grants a task that has no holder to a session. It is idempotent: a repeated claim
+// by the same session gets the same answer.
 func (s *Server) handleClaimTask(w http.ResponseWriter, r *http.Request) error {
 	var b claimBody
 	if err := decodeBody(w, r, &b); err != nil {
@@ -140,8 +140,8 @@
 	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.GrantTerm, Terms: []catalog.TermRef{term}})
 }
 
-// taskCommandHandler returns a handler that carries out an operator's command on a task. The
-// body of the request may be empty.
+// taskCommandHandler returns a handler that executes an operator's command on a task. The body of the
+// request may be empty.
 func (s *Server) taskCommandHandler(kind catalog.Kind) commandHandler {
 	return func(w http.ResponseWriter, r *http.Request) error {
 		var b taskCommandBody
@@ -163,8 +163,8 @@
 	}
 }
 
-// handleTransferTask transfers a task to the process that the request names, or to the best
-// other one.
+// handleTransferTask transfers a task to the process named in the request or, if none is named, to
+// the preferred successor.
 func (s *Server) handleTransferTask(w http.ResponseWriter, r *http.Request) error {
 	var b taskCommandBody
 	if err := decodeBody(w, r, &b); err != nil {
@@ -181,8 +181,8 @@
 	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.TransferTask, Terms: []catalog.TermRef{{Name: name, Process: b.To}}})
 }
 
-// preferredSuccessor returns the process to which a task is best transferred, or "" if there is
-// none or this server doesn't lead.
+// preferredSuccessor returns the process to which a task is best transferred, or "" if there is none
+// or this server is not the leader.
 func (s *Server) preferredSuccessor(task string) (process string) {
 	s.leaderMu.Lock()
 	defer s.leaderMu.Unlock()
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -12,16 +12,16 @@
 	"knotrouter/internal/member"
 )
 
-// votersInterval is the time between two steps of the voters task.
+// votersInterval is the time between two reconfiguration steps of the voters task.
 const votersInterval = time.Second
 
-// memberFailures holds since when the leader has seen each failed member as failed.
+// memberFailures holds the time since which the leader has seen each failed member as failed.
 type memberFailures struct {
 	mu          sync.Mutex
 	failedSince map[string]time.Time // guarded by mu
 }
 
-// recordFailed records that a member has failed at present, and returns for how long it has. The
+// recordFailed records that a member currently counts as failed, and returns for how long it has. The
 // caller holds the lock.
 func (f *memberFailures) recordFailed(name string) time.Duration {
 	if f.failedSince == nil {
@@ -33,11 +33,11 @@
 	return time.Since(f.failedSince[name])
 }
 
-// clear records that a member has not failed at present. The caller holds the lock.
+// clear records that a member currently doesn't count as failed. The caller holds the lock.
 func (f *memberFailures) clear(name string) { delete(f.failedSince, name) }
 
-// voterSet returns what the leader knows of the servers in the raft configuration: which vote,
-// which are present and caught up, and for how long others have failed.
+// voterSet returns the leader's view of the servers in the raft configuration: which ones vote,
+// which ones are present and caught up, and for how long others have failed.
 func (s *Server) voterSet() member.VoterSet {
 	set := member.VoterSet{
 		Failed:        map[string]time.Duration{},
@@ -75,8 +75,8 @@
 	return set
 }
 
-// upToDateServers returns which servers have applied nearly all that is committed, by name: this
-// server, which leads, and those of the peers that answer.
+// upToDateServers returns by name which servers have caught up: this server, which is the leader, and
+// the peers that answer and have caught up.
 func (s *Server) upToDateServers() map[string]bool {
 	committed := s.raft().CommitIndex()
 	upToDate := map[string]bool{s.config.Name: true}
@@ -87,7 +87,7 @@
 }
 
 // handleReconfigureVoters changes the raft configuration by one step towards the desired number of
-// voters, all of them alive, and answers with that step. It rejects an outdated fencing token.
+// live voters, and answers with that step. It rejects an outdated fencing token.
 func (s *Server) handleReconfigureVoters(w http.ResponseWriter, r *http.Request) error {
 	var b fenceBody
 	if err := decodeBody(w, r, &b); err != nil {
@@ -103,7 +103,8 @@
 		writeJSON(w, step)
 		return nil
 	}
-	// A committed entry shows that the fencing token is valid and that this server leads.
+	// Once this command is committed with the code Done, the fencing token is valid and this server is
+	// the leader.
 	result, err := s.propose(catalog.Command{Kind: catalog.CheckTerm, UnderTask: votersTask, Fence: b.Fence})
 	if err != nil {
 		return err
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// reconfigure applies one step to the raft configuration. It returns raft's error.
+// reconfigure applies one step to the raft configuration and returns raft's error, if any.
 func (s *Server) reconfigure(step member.Reconfiguration) error {
 	switch {
 	case step.Add != "":
@@ -134,7 +135,7 @@
 }
 
 // rejoinIfRemoved asks the leader to add this server as a non-voter if it was removed from the
-// raft configuration while it was away.
+// raft configuration while it was down or unreachable.
 func (s *Server) rejoinIfRemoved(statuses []Status) {
 	if s.config.Voters == 0 || s.raft() == nil {
 		return
@@ -159,8 +160,9 @@
 	s.log.Info("rejoined as a non-voter after a replacement")
 }
 
-// findLeader returns the status of the first server that leads, or nil if there is none. The
-// leader of an earlier term counts only if this server is without one of its own.
+// findLeader returns the status of the first server that is the leader, or nil if there is none. A
+// leader of an earlier term than this server's counts only if this server has been without contact
+// with a leader for StaleAfter.
 func (s *Server) findLeader(statuses []Status) *Status {
 	for i := range statuses {
 		st := &statuses[i]
--- a/internal/control/watchbroadcaster.go
+++ b/internal/control/watchbroadcaster.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// maxListEvents and maxListEventBytes bound the events that are retained for readers that
-	// lag; a reader that lags further is sent the full list.
+	// maxListEvents and maxListEventBytes bound the events that are retained for lagging readers. A
+	// reader that lags further is sent the full list.
 	maxListEvents     = 256
 	maxListEventBytes = 4 << 20
 )
 
-// watchBroadcaster sends changes of the endpoint list to watches. Watches of the full list share
-// its events, each encoded once; watches of services are left to serviceTopics.
+// watchBroadcaster sends changes of the endpoint list to watches. Watches of the full list share its
+// events, each encoded once. Watches of services are handled by serviceTopics.
 type watchBroadcaster struct {
 	fsm          *fsm
-	coalesce     time.Duration // changes within it become one event
-	changeSignal chan struct{} // has one element if the list may have changed since the last event
+	coalesce     time.Duration // changes within this time are published as one event
+	changeSignal chan struct{} // buffers one signal that the list may have changed since the last event
 	services     *serviceTopics
 
 	mu                sync.Mutex // guards the fields below
-	publishedRevision int64      // the events lead up to this version
+	publishedRevision int64      // the events hold all changes up to this version
 	events            []listEvent
 	eventBytes        int
 	changed           chan struct{} // closed at the next event
 	endAllSignal      chan struct{} // closed to end all watches
 	openWatches       int
-	movable           map[chan struct{}]bool // signals that end the watches of readers that know other servers
+	movable           map[chan struct{}]bool // channels that end the watches of readers that know other servers
 	fullList          listEvent              // the full list as last encoded; from is not used
 
 	encodedCount, sentCount, laggedCount int64 // for the metrics
@@ -54,7 +54,7 @@
 	}
 }
 
-// notifyChanged has run publish the changes of the list. It never blocks.
+// notifyChanged signals run to publish the changes of the list. It never blocks.
 func (b *watchBroadcaster) notifyChanged() {
 	select {
 	case b.changeSignal <- struct{}{}:
@@ -62,7 +62,7 @@
 	}
 }
 
-// run publishes changes until the context ends. Changes that follow one another within coalesce
+// run publishes changes until the context ends. Changes within the time coalesce after the first one
 // are published together.
 func (b *watchBroadcaster) run(ctx context.Context) {
 	for {
@@ -83,7 +83,7 @@
 	}
 }
 
-// publish makes an event of what changed since the last one, if anything did, and wakes the
+// publish appends an event with the changes since the last one, if there are any, and wakes the
 // watches of the full list.
 func (b *watchBroadcaster) publish() {
 	b.mu.Lock()
@@ -97,7 +97,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.encodedCount++
-	if list.Full { // the state was replaced or its history dropped: no event leads there
+	if list.Full { // the state was replaced or its history dropped, so the changes are not known
 		b.events, b.eventBytes = nil, 0
 		b.fullList = event
 	} else {
@@ -108,7 +108,7 @@
 	b.changed = make(chan struct{})
 }
 
-// appendEvent adds an event and drops the oldest ones beyond the bounds. The caller holds the
+// appendEvent appends an event and drops the oldest ones beyond the bounds. The caller holds the
 // lock.
 func (b *watchBroadcaster) appendEvent(event listEvent) {
 	b.events = append(b.events, event)
@@ -136,25 +136,24 @@
 	return encoded
 }
 
-// listEvents is what eventsSince returns.
+// listEvents is the result of eventsSince.
 type listEvents struct {
 	events   []listEvent
-	complete bool            // the events lead on from the version without a gap
+	complete bool            // the events hold all changes after the version
 	changed  <-chan struct{} // closed at the next event
 	endAll   <-chan struct{} // closed to end all watches
 }
 
-// eventsSince returns the events that lead on from a version. They are not complete if an event
-// that is needed is no longer retained, or no event leads on from that version; the reader then
-// needs the full list.
+// eventsSince returns the events after a version. They are not complete if a required event is no
+// longer retained, or if no event continues from that version; the reader then needs the full list.
 func (b *watchBroadcaster) eventsSince(version int64) listEvents {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	result := listEvents{complete: true, changed: b.changed, endAll: b.endAllSignal}
 	for i := range b.events {
 		if b.events[i].to > version {
-			// For a version in the middle of an event, that event repeats some of what the reader
-			// has, which does no harm.
+			// If the version lies within the first event, the reader has some of that event's changes
+			// already. Applying them again is harmless.
 			result.events, result.complete = slices.Clone(b.events[i:]), b.events[i].from <= version
 			break
 		}
@@ -165,13 +164,13 @@
 	return result
 }
 
-// watch writes the changes after a version until the context ends, the reader doesn't read in
-// time, all watches are ended, or migrated is closed.
+// watch writes the changes after a version until the context ends, the reader fails to read in time,
+// all watches are ended, or migrated is closed.
 func (b *watchBroadcaster) watch(ctx context.Context, w http.ResponseWriter, since int64, migrated <-chan struct{}) {
 	out := newWatchWriter(w)
 	defer out.close()
-	// The channels are taken before the list is read, so that no change between the two is missed;
-	// one that the reader gets twice does no harm. The events are not used: the list has them.
+	// The channels are read before the list, so that no change in between is missed. A change that the
+	// reader gets twice is harmless. The events are not used, because the list contains them.
 	next := b.eventsSince(since)
 	list := b.fsm.changesSince(since)
 	revision := list.Seq
@@ -198,7 +197,7 @@
 }
 
 // fullListEvent returns the full list, of the last published version or a later one, for a reader
-// that lags too far for the retained events, and counts that reader.
+// that lags beyond the retained events. It counts the event as a lag.
 func (b *watchBroadcaster) fullListEvent() listEvent {
 	b.mu.Lock()
 	b.laggedCount++
@@ -214,7 +213,7 @@
 	b.sentCount += int64(events)
 }
 
-// watchServices is watch for the changes of some services.
+// watchServices is like watch, but for the changes of the given services.
 func (b *watchBroadcaster) watchServices(ctx context.Context, w http.ResponseWriter, services []string, since int64, migrated <-chan struct{}) {
 	b.mu.Lock()
 	endAll := b.endAllSignal
--- a/internal/control/watchload.go
+++ b/internal/control/watchload.go
@@ -1,6 +1,6 @@
 package control
 
-// watchLoad is the number of open watches of a server, and how many of them can migrate.
+// watchLoad is the number of open watches of a server, and how many of them can migrate to another.
 type watchLoad struct {
 	watches, movable int
 }
@@ -8,18 +8,17 @@
 const (
 	minLoadTolerance     = 2  // watches
 	loadToleranceDivisor = 10 // of a server's fair share
-	// migrationDivisor divides a server's watches. The quotient is the number of watches that migrate
-	// at a time.
+	// migrationDivisor limits how many watches migrate at a time: a server's watches divided by it.
 	migrationDivisor = 20
 )
 
-// loadTolerance returns by how many watches a server may be above its fair share before it ends any:
-// a tenth of the fair share, or minLoadTolerance if that is more. Readers choose among the other servers by themselves,
-// so with exact shares, watches would migrate again and again.
+// loadTolerance returns by how many watches a server may exceed its fair share before it ends any: a
+// tenth of the fair share, or minLoadTolerance if that is more. Readers choose among the other servers
+// by themselves, so with no tolerance watches would keep migrating.
 func loadTolerance(fairShare int) int { return max(minLoadTolerance, fairShare/loadToleranceDivisor) }
 
-// excessWatches returns how many watches a server should end now, so that their readers go to
-// others that have fewer. It is a small step: at most a twentieth of its watches, or one.
+// excessWatches returns how many watches a server should end now, so that their readers reconnect to
+// servers that have fewer. That is at most a twentieth of its watches, or one if that is more.
 func excessWatches(own watchLoad, others []watchLoad) int {
 	if len(others) == 0 {
 		return 0
--- a/internal/control/watchwriter.go
+++ b/internal/control/watchwriter.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// heartbeatInterval is how often an idle watch is sent an empty line, which shows the reader
+	// heartbeatInterval is how often an empty line is sent on an idle watch, which shows the reader
 	// that the connection works.
 	heartbeatInterval = 2 * time.Second
-	// writeTimeout is how long a reader may take for a line before its watch ends.
+	// writeTimeout is how long a reader may take to receive a line before its watch is ended.
 	writeTimeout = 10 * time.Second
 )
 
-// watchWriter writes the lines of one watch, each within writeTimeout, and heartbeats between
-// them. One goroutine uses it.
+// watchWriter writes the lines of one watch, each within writeTimeout, and heartbeats between them.
+// It is not safe for concurrent use.
 type watchWriter struct {
 	w          http.ResponseWriter
 	controller *http.ResponseController
@@ -26,15 +26,15 @@
 	return &watchWriter{w, http.NewResponseController(w), time.NewTimer(heartbeatInterval)}
 }
 
-// watchTermination holds what ends a watch other than its reader.
+// watchTermination holds the signals, other than the reader's, that end a watch.
 type watchTermination struct {
 	ctx      context.Context
 	endAll   <-chan struct{} // closed to end all watches
-	migrated <-chan struct{} // closed to have this watch's reader go to another server
+	migrated <-chan struct{} // closed to make this watch's reader reconnect to another server
 }
 
-// awaitChange writes heartbeats until changed has an element or is closed. It returns false if
-// the watch has ended.
+// awaitChange writes heartbeats until it receives from changed or changed is closed. It returns false
+// if the watch has ended.
 func (w *watchWriter) awaitChange(changed <-chan struct{}, end watchTermination) bool {
 	for {
 		select {
@@ -54,10 +54,10 @@
 	}
 }
 
-// close stops the heartbeat's timer.
+// close stops the heartbeat timer.
 func (w *watchWriter) close() { w.heartbeat.Stop() }
 
-// write sends a line at once. It returns false if the reader didn't take it in time.
+// write writes a line and flushes it. It returns false if the reader didn't receive it in time.
 func (w *watchWriter) write(line []byte) bool {
 	if w.controller.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 		return false
