--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -11,21 +11,21 @@
 	"knotrouter/internal/catalog"
 )
 
-// propose commits a command and returns its result, whose code may still reject it. It returns
-// errNoLeader if the command was certainly not applied, and an error that wraps errUnknownOutcome
-// if that is unknown.
+// propose commits a command and returns its result, whose code may be a rejection by the catalog. It
+// returns errNoLeader if the command was certainly not applied, and an error that wraps
+// errUnknownOutcome if it may have been.
 func (s *Server) propose(command catalog.Command) (catalog.Result, error) {
 	at, leads := s.leaderClock()
 	if !leads {
 		return catalog.Result{}, errNoLeader
 	}
 	command.FormatVersion, command.At = catalog.FormatVersion, at
-	text, err := json.Marshal(command)
+	encoded, err := json.Marshal(command)
 	if err != nil {
 		return catalog.Result{}, fmt.Errorf("%s: %w", command.Kind, err)
 	}
 	startedAt := time.Now()
-	future := s.raft().Apply(text, applyTimeout)
+	future := s.raft().Apply(encoded, applyTimeout)
 	switch err := future.Error(); {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		return catalog.Result{}, errNoLeader
--- a/internal/control/raftlogger.go
+++ b/internal/control/raftlogger.go
@@ -15,33 +15,33 @@
 	raftLogBurst          = 50
 )
 
-// newRaftLogger returns a logger for the raft library that writes its lines to log, at most
-// raftLogLinesPerSecond after a burst of raftLogBurst. Each line that follows suppressed ones has
-// their number as suppressed_lines.
+// newRaftLogger returns a logger for the raft library that writes its lines to log, limited to
+// raftLogLinesPerSecond with bursts of raftLogBurst. The first line after suppressed ones has their
+// number as suppressed_lines.
 func newRaftLogger(log *slog.Logger) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
 		Name:        "raft",
 		Level:       hclog.Info,
 		DisableTime: true,
-		Output:      &raftLogWriter{log: log, limit: rate.NewLimiter(raftLogLinesPerSecond, raftLogBurst)},
+		Output:      &raftLogWriter{log: log, limiter: rate.NewLimiter(raftLogLinesPerSecond, raftLogBurst)},
 	})
 }
 
-// raftLogWriter is an io.Writer that turns lines of hclog into messages of slog. Their texts are the
-// library's, so they have its parameters in them.
+// raftLogWriter is an io.Writer that turns lines of hclog into messages of slog. The parameters of a
+// line stay part of its text, as the library formats them.
 type raftLogWriter struct {
 	log        *slog.Logger
-	limit      *rate.Limiter
+	limiter    *rate.Limiter
 	mu         sync.Mutex
 	suppressed int // lines since the last one that was logged; guarded by mu
 }
 
 // Write implements io.Writer for one line. It never fails.
-func (l *raftLogWriter) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.limit.Allow() {
-		l.suppressed++
+func (w *raftLogWriter) Write(p []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if !w.limiter.Allow() {
+		w.suppressed++
 		return len(p), nil
 	}
 	text := strings.TrimSpace(string(p))
@@ -57,9 +57,9 @@
 		}
 	}
 	args := []any{}
-	if l.suppressed > 0 {
-		args, l.suppressed = append(args, "suppressed_lines", l.suppressed), 0
+	if w.suppressed > 0 {
+		args, w.suppressed = append(args, "suppressed_lines", w.suppressed), 0
 	}
-	l.log.Log(context.Background(), level, text, args...)
+	w.log.Log(context.Background(), level, text, args...)
 	return len(p), nil
 }
--- a/internal/control/raftstream.go
+++ b/internal/control/raftstream.go
@@ -10,32 +10,32 @@
 	"github.com/hashicorp/raft"
 )
 
-// callPreamble is the byte before the name of the server that is dialled. No message of raft's
-// begins with it.
-const callPreamble = 0xfe
+// namePreamble is the first byte that a dialling server sends, followed by the name of the server
+// that it dials. No raft message begins with this byte.
+const namePreamble = 0xfe
 
-// errWrongServer means that a peer dialled this server for another one, as its peer table has a
-// wrong address.
+// errWrongServer means that a peer reached this server when it dialled another one, because its peer
+// table has a wrong address.
 var errWrongServer = errors.New("the call was for another steward")
 
-// raftStreamLayer is the raft.StreamLayer of this server. Servers know one another by name, and
-// each dials the others by its own peer table.
+// raftStreamLayer is the raft.StreamLayer of this server. Servers address one another by name, and
+// each resolves the names by its own peer table.
 type raftStreamLayer struct {
 	peerDialer
 	name string
 }
 
-// Accept implements net.Listener. The preamble of the connection is verified at its first read.
+// Accept implements net.Listener. The preamble is verified at the first read of the connection.
 func (s *raftStreamLayer) Accept() (net.Conn, error) {
 	conn, err := s.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &addressedConn{Conn: conn, name: s.name}, nil
+	return &preambleConn{Conn: conn, name: s.name}, nil
 }
 
-// Addr implements net.Listener. It returns this server's name, which each peer resolves by its
-// own table.
+// Addr implements net.Listener. It returns this server's name, which each peer resolves by its own
+// peer table.
 func (s *raftStreamLayer) Addr() net.Addr { return serverName(s.name) }
 
 // peerDialer dials the raft transports of peers.
@@ -44,10 +44,10 @@
 	resolve func(name string) (addr string, known bool)
 }
 
-// Dial implements raft.StreamLayer. It sends the name of the dialled server, which refuses the
-// connection if it has another name: if the peer table led to a wrong server, that server's votes
-// and acknowledgements would be counted twice towards a quorum. It returns an error that wraps
-// errNotInPeerTable if the table has no address for the name.
+// Dial implements raft.StreamLayer. It sends the name of the dialled server, which closes the
+// connection if that is not its own name: with a wrong address in the peer table, the votes and
+// acknowledgements of one server would otherwise be counted twice towards a quorum. It returns an
+// error that wraps errNotInPeerTable if the table has no address for the name.
 func (s *peerDialer) Dial(name raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	addr, known := s.resolve(string(name))
 	if !known {
@@ -58,27 +58,27 @@
 		return nil, err
 	}
 	_ = conn.SetWriteDeadline(time.Now().Add(timeout))
-	if _, err := conn.Write(append([]byte{callPreamble, byte(len(name))}, name...)); err != nil {
+	if _, err := conn.Write(append([]byte{namePreamble, byte(len(name))}, name...)); err != nil {
 		conn.Close()
 		return nil, err
 	}
 	return conn, conn.SetWriteDeadline(time.Time{})
 }
 
-// addressedConn is an accepted connection. Its first read verifies that the peer dialled this
-// server. A connection without a preamble is from a program of before names were sent.
-type addressedConn struct {
+// preambleConn is an accepted connection. Its first read verifies that the peer dialled this
+// server. Connections without a preamble are accepted: older versions of the program send none.
+type preambleConn struct {
 	net.Conn
-	name         string
-	preambleRead bool
-	unread       []byte // the first byte, if it was no preamble
+	name            string
+	preambleChecked bool
+	unread          []byte // the first byte, if it was not namePreamble
 }
 
-// Read implements net.Conn. If the peer dialled another server, it closes the connection and returns
-// an error that wraps errWrongServer.
-func (c *addressedConn) Read(p []byte) (int, error) {
-	if !c.preambleRead {
-		c.preambleRead = true
+// Read implements net.Conn. If the peer meant to dial another server, it closes the connection and
+// returns an error that wraps errWrongServer.
+func (c *preambleConn) Read(p []byte) (int, error) {
+	if !c.preambleChecked {
+		c.preambleChecked = true
 		if err := c.readPreamble(); err != nil {
 			return 0, err
 		}
@@ -91,21 +91,20 @@
 	return c.Conn.Read(p)
 }
 
-// readPreamble reads the name that the peer sent, if it sent one, and compares it with this
-// server's.
-func (c *addressedConn) readPreamble() error {
-	var head [2]byte
-	if _, err := io.ReadFull(c.Conn, head[:1]); err != nil {
+// readPreamble reads the preamble, if the peer sent one, and compares its name with this server's.
+func (c *preambleConn) readPreamble() error {
+	var header [2]byte
+	if _, err := io.ReadFull(c.Conn, header[:1]); err != nil {
 		return err
 	}
-	if head[0] != callPreamble {
-		c.unread = append(c.unread, head[0])
+	if header[0] != namePreamble {
+		c.unread = append(c.unread, header[0])
 		return nil
 	}
-	if _, err := io.ReadFull(c.Conn, head[1:]); err != nil {
+	if _, err := io.ReadFull(c.Conn, header[1:]); err != nil {
 		return err
 	}
-	name := make([]byte, head[1])
+	name := make([]byte, header[1])
 	if _, err := io.ReadFull(c.Conn, name); err != nil {
 		return err
 	}
@@ -116,7 +115,7 @@
 	return nil
 }
 
-// serverName is a net.Addr that is the name of a control-plane server.
+// serverName is the net.Addr of a control-plane server: its name.
 type serverName string
 
 // Network implements net.Addr.
--- a/internal/control/rebalance.go
+++ b/internal/control/rebalance.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// drainSteps is the number of steps in which Close migrates the watches to other servers.
+// drainSteps is the number of steps in which drain migrates the watches to other servers.
 const drainSteps = 20
 
 // watchLoop migrates watches to other servers: all of them once this server is stale and another
-// one can serve them, and a few at a time when others have fewer. It also measures the lag
-// behind the leader that makes a server stale. It returns when the server stops.
+// one can serve, and a few at a time while others have fewer. It also measures this server's
+// replication lag, and rejoins the raft configuration if this server was removed from it. It
+// returns when the server stops.
 func (s *Server) watchLoop() {
 	ticker := time.NewTicker(s.statusInterval())
 	defer ticker.Stop()
-	var leaderProgress commitProgress
-	var rebalanced time.Time
+	var leaderCommits commitHistory
+	var lastRebalance time.Time
 	for {
 		select {
 		case <-ticker.C:
@@ -20,53 +21,55 @@
 			return
 		}
 		statuses := s.peerStatuses()
-		s.recordCommitted(&leaderProgress, statuses)
+		s.recordLeaderCommitIndex(&leaderCommits, statuses)
 		s.rejoinIfRemoved(statuses)
-		s.replicationLag.Store(int64(leaderProgress.lag(time.Since(s.startedAt), s.raft().AppliedIndex())))
+		s.replicationLag.Store(int64(leaderCommits.lag(time.Since(s.startedAt), s.raft().AppliedIndex())))
 		if s.stale() && anyCanServe(statuses) {
 			s.endWatches()
 			continue
 		}
-		if time.Since(rebalanced) < statusMaxAge {
+		if time.Since(lastRebalance) < statusMaxAge {
 			continue
 		}
-		rebalanced = time.Now()
+		lastRebalance = time.Now()
 		s.rebalance(statuses)
 	}
 }
 
-// recordCommitted records the leader's commit index, against which this server's lag is measured.
-func (s *Server) recordCommitted(leaderProgress *commitProgress, statuses []Status) {
+// recordLeaderCommitIndex records the leader's commit index, against which this server's replication
+// lag is measured.
+func (s *Server) recordLeaderCommitIndex(leaderCommits *commitHistory, statuses []Status) {
 	for i := range statuses {
 		if st := &statuses[i]; st.State == stateLeader && st.Term >= s.raft().CurrentTerm() {
-			leaderProgress.record(time.Since(s.startedAt), st.Committed)
+			leaderCommits.record(time.Since(s.startedAt), st.Committed)
 		}
 	}
 }
 
-// endWatches ends all watches of this server, which is stale, so that their readers go to
+// endWatches ends all watches because this server is stale, so that their readers reconnect to
 // another one.
 func (s *Server) endWatches() {
 	ended := s.broadcaster.endAll()
 	if ended == 0 {
 		return
 	}
-	s.log.Warn("stale: all watches ended, for their readers to go to another server", "watches", ended,
+	s.log.Warn("stale: ended all watches so that their readers switch to another server", "watches", ended,
 		"since_leader_contact", s.sinceLeaderContact().Round(time.Millisecond),
 		"replication_lag", time.Duration(s.replicationLag.Load()).Round(time.Millisecond))
 }
 
-// rebalance ends a small part of the watches if other servers have fewer.
+// rebalance ends a small part of the watches if other servers have fewer, so that their readers
+// reconnect to those.
 func (s *Server) rebalance(statuses []Status) {
 	migrated := s.broadcaster.migrate(excessWatches(s.broadcaster.load(), peerLoads(statuses)))
 	if migrated == 0 {
 		return
 	}
 	s.metrics.watchesMigrated.Add(float64(migrated))
-	s.log.Info("watches ended, for their readers to go to less loaded servers", "watches", migrated, "remaining", s.broadcaster.watchCount())
+	s.log.Info("ended some watches so that their readers switch to less loaded servers", "watches", migrated, "remaining", s.broadcaster.watchCount())
 }
 
-// peerLoads returns the loads of the servers that a watch can migrate to.
+// peerLoads returns the loads of the servers that watches can migrate to.
 func peerLoads(statuses []Status) (loads []watchLoad) {
 	for i := range statuses {
 		if st := &statuses[i]; canServe(st) {
@@ -76,12 +79,12 @@
 	return loads
 }
 
-// drain ends the watches whose readers know other servers, in steps spread over the configured
-// time, so that the others don't get all of them at once. It does nothing but set the draining
-// flag if no other server can serve.
+// drain sets the draining flag and, if a drain time is configured and another server can serve, ends
+// the watches whose readers know other servers. It does so in steps spread over that time, so that
+// the other servers don't get all of the watches at once.
 func (s *Server) drain() {
 	s.draining.Store(true)
-	if s.config.Drain <= 0 || !s.betterElsewhere() {
+	if s.config.Drain <= 0 || !s.peerCanServe() {
 		return
 	}
 	movable := s.broadcaster.load().movable
@@ -94,5 +97,5 @@
 		s.metrics.watchesMigrated.Add(float64(s.broadcaster.migrate((movable + drainSteps - 1) / drainSteps)))
 		<-ticker.C
 	}
-	s.log.Info("drained", "watches", movable, "remaining", s.broadcaster.watchCount())
+	s.log.Info("drained the watches", "watches", movable, "remaining", s.broadcaster.watchCount())
 }
--- a/internal/control/renewals.go
+++ b/internal/control/renewals.go
@@ -11,25 +11,26 @@
 	"knotrouter/internal/member"
 )
 
-// observeRenewals records which servers renewed at this server, before the renewals are
-// forwarded to the leader. It leaves the body of the request readable.
+// observeRenewals records which servers renewed their leases through this control-plane server, before
+// the renewals are forwarded to the leader. The body of the request can be read again afterwards.
 func (s *Server) observeRenewals(w http.ResponseWriter, r *http.Request) error {
 	if s.gossip() == nil {
 		return nil
 	}
-	text, err := readBody(w, r)
+	body, err := readBody(w, r)
 	if err != nil {
 		return err
 	}
-	r.Body = io.NopCloser(bytes.NewReader(text))
+	r.Body = io.NopCloser(bytes.NewReader(body))
 	var b RenewalBatch
-	if r.Header.Get(forwardedByHeader) == "" && json.Unmarshal(text, &b) == nil && len(b.Refs) <= maxRefsPerCall {
+	if r.Header.Get(forwardedByHeader) == "" && json.Unmarshal(body, &b) == nil && len(b.Refs) <= maxRefsPerCall {
 		s.recordRenewals(b.Refs)
 	}
 	return nil
 }
 
-// recordRenewals records in the membership tracker the instances among refs that the catalog has.
+// recordRenewals records a heartbeat in the membership tracker for each instance in refs that the
+// catalog has.
 func (s *Server) recordRenewals(refs []catalog.InstanceRef) {
 	var known []catalog.InstanceRef
 	zones := map[string]string{}
