--- a/internal/leaderelection/exclusion_test.go
+++ b/internal/leaderelection/exclusion_test.go
@@ -43,7 +43,7 @@
 
 // runAllCombinations runs all combinations without some mechanisms, until one violates a
 // promise.
-func runAllCombinations(without mechanisms, stride int) *outcome {
+func runAllCombinations(disabled mechanisms, stride int) *outcome {
 	var result outcome
 	var workers sync.WaitGroup
 	batches := make(chan []faults, 64)
@@ -51,7 +51,7 @@
 		workers.Go(func() {
 			for batch := range batches {
 				for _, f := range batch {
-					s := newSimulation(f, without)
+					s := newSimulation(f, disabled)
 					if result.add(s, s.run(), f) {
 						break
 					}
@@ -59,7 +59,7 @@
 			}
 		})
 	}
-	for batch := range slices.Chunk(combinations(stride), runsPerBatch) {
+	for batch := range slices.Chunk(faultCombinations(stride), runsPerBatch) {
 		batches <- batch
 		if result.violated() {
 			break
@@ -92,13 +92,13 @@
 		t.Errorf("%d terms in %d runs: the task is hardly ever transferred", result.terms, result.runs)
 	}
 	t.Logf("%d runs, %d terms", result.runs, result.terms)
-	for mechanism, without := range map[string]mechanisms{
+	for mechanism, disabled := range map[string]mechanisms{
 		"safety margin":       {safetyMargin: true},
 		"fencing":             {fencing: true},
 		"new leader's wait":   {newLeaderWait: true},
 		"check of leadership": {leadershipCheck: true},
 	} {
-		result := runAllCombinations(without, stride)
+		result := runAllCombinations(disabled, stride)
 		if result.violation == "" {
 			t.Errorf("without the %s nothing was violated in %d runs", mechanism, result.runs)
 		} else {
--- a/internal/leaderelection/runner.go
+++ b/internal/leaderelection/runner.go
@@ -29,9 +29,9 @@
 	minRetryDelay     = 50 * time.Millisecond
 	maxRetryDelay     = time.Second
 	drainPollInterval = 10 * time.Millisecond
-	// idleDeadline is how long enforceDeadlines waits while no term can end. A new term ends the
+	// maxDeadlineWait is how long enforceDeadlines waits while no term can end. A new term ends the
 	// wait, so its duration does not matter.
-	idleDeadline = time.Hour
+	maxDeadlineWait = time.Hour
 	// deadlineCheckPercent is the part of the time until the next term ends after which
 	// enforceDeadlines looks again, as a timer may fire later than it should.
 	deadlineCheckPercent = 90
@@ -91,10 +91,10 @@
 // processes, and returns once all functions have returned.
 func (r *Runner) Run(ctx context.Context) {
 	// The goroutines are needed until the transfer is complete, so ctx does not end them.
-	background, stop := context.WithCancel(context.Background())
+	backgroundCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	r.goroutines.Go(func() { r.enforceDeadlines(background) })
-	r.goroutines.Go(func() { r.sendReports(background) })
+	r.goroutines.Go(func() { r.enforceDeadlines(backgroundCtx) })
+	r.goroutines.Go(func() { r.sendReports(backgroundCtx) })
 	for ctx.Err() == nil {
 		if err := r.runSession(ctx); err != nil && ctx.Err() == nil {
 			r.log.Warn("leader election session ended", "err", err)
--- a/internal/leaderelection/simulation_test.go
+++ b/internal/leaderelection/simulation_test.go
@@ -12,7 +12,7 @@
 // message that is lost or late, one change of leaders, and clocks of different rates.
 type simulation struct {
 	faults
-	without         mechanisms
+	disabled        mechanisms
 	state           *catalog.State
 	leader          *leader // nil between two leaders
 	deposedLeader   *leader // does not know that it was deposed
@@ -26,30 +26,30 @@
 }
 
 const (
-	step           = 50 * time.Millisecond
-	modelTTL       = 2 * time.Second
-	horizon        = 130 // steps of a run
-	coarseStride   = 10
-	deposedFor     = 50 // steps that a deposed leader goes on
-	electionSteps  = 3
-	taskName       = "d"
-	runsPerBatch   = 200 // that a worker takes at a time
-	lostMessage    = -1  // as messageDelay
-	slowWriteSteps = 45  // that each write of the first holder takes
-	transferStep   = 40  // at which an operator transfers the task, in the runs that have it
+	stepDuration       = 50 * time.Millisecond
+	leaseTTL           = 2 * time.Second
+	simulationSteps    = 130 // steps of a run
+	coarseStride       = 10
+	deposedLeaderSteps = 50 // steps that a deposed leader goes on
+	electionSteps      = 3
+	taskName           = "d"
+	runsPerBatch       = 200 // that a worker takes at a time
+	lostMessage        = -1  // as messageDelay
+	slowWriteSteps     = 45  // that each write of the first holder takes
+	transferStep       = 40  // at which an operator transfers the task, in the runs that have it
 )
 
 // leader is a leader of the control plane, with its own clock.
 type leader struct {
-	leases        *catalog.TaskLeases
-	base          time.Duration // of the clock at startedAtStep
-	startedAtStep int
-	rate          float64
-	decided       []catalog.Command // not in the log yet
+	leases          *catalog.TaskLeases
+	base            time.Duration // of the clock at startedAtStep
+	startedAtStep   int
+	rate            float64
+	pendingCommands []catalog.Command // not in the log yet
 }
 
 func (l *leader) now(at int) time.Duration {
-	return l.base + time.Duration(float64(at-l.startedAtStep)*float64(step)*l.rate)
+	return l.base + time.Duration(float64(at-l.startedAtStep)*float64(stepDuration)*l.rate)
 }
 
 // holder is a process that competes for the task, with its own clock.
@@ -63,7 +63,7 @@
 }
 
 func (h *holder) now(at int) time.Duration {
-	return time.Duration(float64(at) * float64(step) * h.rate)
+	return time.Duration(float64(at) * float64(stepDuration) * h.rate)
 }
 
 // The recipients of messages beside the holders, which are 0 and 1.
@@ -92,13 +92,13 @@
 }
 
 // newSimulation returns a simulation whose sessions are an hour old.
-func newSimulation(f faults, without mechanisms) *simulation {
-	s := &simulation{faults: f, without: without, state: catalog.New(), deposedEndsAt: -1}
+func newSimulation(f faults, disabled mechanisms) *simulation {
+	s := &simulation{faults: f, disabled: disabled, state: catalog.New(), deposedEndsAt: -1}
 	s.leader = &leader{rate: f.rateLeader}
-	s.apply(0, catalog.Command{Kind: catalog.DefineTask, LeasedTask: &catalog.LeasedTask{Name: taskName, TTL: modelTTL}})
+	s.apply(0, catalog.Command{Kind: catalog.DefineTask, LeasedTask: &catalog.LeasedTask{Name: taskName, TTL: leaseTTL}})
 	for i := range s.holders {
 		h := &holder{name: string(rune('a' + i)), id: fmt.Sprint("id-", i), participant: NewParticipant(), rate: []float64{f.rateA, f.rateB}[i]}
-		if without.safetyMargin {
+		if disabled.safetyMargin {
 			h.participant.safetyMargin = func(time.Duration) time.Duration { return 0 }
 		}
 		s.holders[i] = h
@@ -121,7 +121,7 @@
 
 // run runs the simulation to its end, and returns the violation of a promise, or "".
 func (s *simulation) run() string {
-	for at := 0; at < horizon && s.violation == ""; at++ {
+	for at := 0; at < simulationSteps && s.violation == ""; at++ {
 		s.stepLeader(at)
 		s.deliverDue(at)
 		for i := range s.holders {
@@ -130,7 +130,7 @@
 				s.stepHolder(at, i)
 			}
 		}
-		s.checkExclusive(at)
+		s.checkMutualExclusion(at)
 	}
 	return s.violation
 }
@@ -172,9 +172,9 @@
 		return
 	}
 	// The commands that were decided a step ago are in the log now.
-	decided := s.leader.decided
-	s.leader.decided = nil
-	for _, c := range decided {
+	commands := s.leader.pendingCommands
+	s.leader.pendingCommands = nil
+	for _, c := range commands {
 		s.apply(at, c)
 	}
 	if at%8 == 0 {
@@ -184,26 +184,26 @@
 	if at == s.transferAt {
 		s.transferTask(at)
 	}
-	s.leader.decided = s.leader.leases.Decide(s.state, s.leader.now(at))
+	s.leader.pendingCommands = s.leader.leases.Decide(s.state, s.leader.now(at))
 	if s.lag == 0 {
-		for _, c := range s.leader.decided {
+		for _, c := range s.leader.pendingCommands {
 			s.apply(at, c)
 		}
-		s.leader.decided = nil
+		s.leader.pendingCommands = nil
 	}
 }
 
 // changeLeader deposes the leader, elects the next one, or ends the deposed one.
 func (s *simulation) changeLeader(at int) {
 	if at == s.leaderChangeAt {
-		s.deposedLeader, s.deposedEndsAt = s.leader, at+deposedFor
+		s.deposedLeader, s.deposedEndsAt = s.leader, at+deposedLeaderSteps
 		s.leader = nil
 	}
 	if s.leaderChangeAt >= 0 && at == s.leaderChangeAt+electionSteps {
 		s.leader = &leader{base: s.state.Clock, startedAtStep: at, rate: s.rateLeader}
 		leasesFrom := s.state.Clock
-		if s.without.newLeaderWait {
-			leasesFrom -= modelTTL + 100*time.Millisecond
+		if s.disabled.newLeaderWait {
+			leasesFrom -= leaseTTL + 100*time.Millisecond
 		}
 		s.leader.leases = catalog.NewTaskLeases(leasesFrom)
 	}
@@ -252,7 +252,7 @@
 		s.deliverToLeader(at, m, s.leader)
 	case toDeposedLeader:
 		// A deposed leader cannot confirm that it leads, so it answers no renewal.
-		if s.without.leadershipCheck {
+		if s.disabled.leadershipCheck {
 			s.deliverToLeader(at, m, s.deposedLeader)
 		}
 	default:
@@ -262,7 +262,7 @@
 
 // write is a write to the resource, which rejects a fencing token lower than the highest.
 func (s *simulation) write(at int, fence int64) {
-	if fence < s.highestFence && !s.without.fencing {
+	if fence < s.highestFence && !s.disabled.fencing {
 		return
 	}
 	if fence < s.highestFence {
@@ -322,22 +322,22 @@
 	}
 }
 
-// checkExclusive checks that at most one process believes, by its own clock, that it holds
+// checkMutualExclusion checks that at most one process believes, by its own clock, that it holds
 // the task. Each that does writes to the resource.
-func (s *simulation) checkExclusive(at int) {
-	believers := 0
+func (s *simulation) checkMutualExclusion(at int) {
+	activeHolders := 0
 	for i, h := range s.holders {
 		if h.runningFence == 0 || h.now(at) >= h.participant.ValidUntil(taskName) {
 			continue
 		}
-		believers++
+		activeHolders++
 		due := at + s.lag
 		if i == 0 {
 			due += s.writeDelay
 		}
 		s.post(message{due: due, to: toResource, revision: h.runningFence})
 	}
-	if believers > 1 {
+	if activeHolders > 1 {
 		s.violation = fmt.Sprintf("step %d: two processes believe that they hold the task, under fences %d and %d", at, s.holders[0].runningFence, s.holders[1].runningFence)
 	}
 }
--- a/internal/leaderelection/simulationfaults_test.go
+++ b/internal/leaderelection/simulationfaults_test.go
@@ -14,15 +14,15 @@
 	lag                               int     // of each message, and of a command from its decision to the log
 }
 
-// combinations returns the faults of all runs. stride is the number of steps between the
+// faultCombinations returns the faults of all runs. stride is the number of steps between the
 // times at which a fault is tried.
-func combinations(stride int) (all []faults) {
-	none := faults{pausedHolder: -1, faultyMessage: -1, leaderChangeAt: -1, transferAt: -1, rateA: 1, rateB: 1, rateLeader: 1}
+func faultCombinations(stride int) (all []faults) {
+	noFaults := faults{pausedHolder: -1, faultyMessage: -1, leaderChangeAt: -1, transferAt: -1, rateA: 1, rateB: 1, rateLeader: 1}
 	clocks := [][3]float64{{0.95, 1, 1.05}, {1, 1, 1}, {1, 0.95, 1.05}, {1.05, 0.95, 0.95}}
 	if stride == coarseStride {
 		clocks = clocks[:2]
 	}
-	pauses, changes, losses := pauseFaults(none, stride), leaderFaults(none, stride), messageFaults(none, stride)
+	pauses, changes, losses := pauseFaults(noFaults, stride), leaderFaults(noFaults, stride), messageFaults(noFaults, stride)
 	for _, rates := range clocks {
 		for _, pause := range pauses {
 			for _, change := range changes {
@@ -53,12 +53,12 @@
 	return f
 }
 
-func pauseFaults(none faults, stride int) []faults {
-	all := []faults{none}
+func pauseFaults(noFaults faults, stride int) []faults {
+	all := []faults{noFaults}
 	for holder := range 2 {
 		for at := 2; at < 60; at += stride {
 			for _, length := range []int{8, 38, 46, 90} {
-				f := none
+				f := noFaults
 				f.pausedHolder, f.pauseAt, f.pauseSteps = holder, at, length
 				all = append(all, f)
 			}
@@ -67,21 +67,21 @@
 	return all
 }
 
-func leaderFaults(none faults, stride int) []faults {
-	all := []faults{none}
+func leaderFaults(noFaults faults, stride int) []faults {
+	all := []faults{noFaults}
 	for at := 4; at < 46; at += stride {
-		f := none
+		f := noFaults
 		f.leaderChangeAt = at
 		all = append(all, f)
 	}
 	return all
 }
 
-func messageFaults(none faults, stride int) []faults {
-	all := []faults{none}
+func messageFaults(noFaults faults, stride int) []faults {
+	all := []faults{noFaults}
 	for n := 3; n < 40; n += stride {
 		for _, delay := range []int{lostMessage, 6, 36} {
-			f := none
+			f := noFaults
 			f.faultyMessage, f.messageDelay = n, delay
 			all = append(all, f)
 		}
--- a/internal/leaderelection/term.go
+++ b/internal/leaderelection/term.go
@@ -127,7 +127,7 @@
 		case <-r.deadlineChanged:
 		default:
 		}
-		wait := idleDeadline
+		wait := maxDeadlineWait
 		if pending {
 			wait = max((next-r.clock.Now())*deadlineCheckPercent/100, 0) + time.Millisecond
 		}
