--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -28,15 +28,15 @@
 
 // NodeMeta returns the text of this process's Info, or nil if it is longer than limit.
 func (d *delegate) NodeMeta(limit int) []byte {
-	text, err := json.Marshal(d.node.Self())
-	if err != nil || len(text) > limit {
+	encoded, err := json.Marshal(d.node.Self())
+	if err != nil || len(encoded) > limit {
 		return nil
 	}
-	return text
+	return encoded
 }
 
 // NotifyMsg handles a report that another member sent or broadcast.
-func (d *delegate) NotifyMsg(text []byte) { d.node.mergeReport(text) }
+func (d *delegate) NotifyMsg(message []byte) { d.node.mergeReport(message) }
 
 // GetBroadcasts returns reports that fit into limit bytes, with overhead bytes for each.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
@@ -53,7 +53,7 @@
 }
 
 // MergeRemoteState handles the full report of the other member of an exchange.
-func (d *delegate) MergeRemoteState(text []byte, _ bool) { d.node.mergeReport(text) }
+func (d *delegate) MergeRemoteState(message []byte, _ bool) { d.node.mergeReport(message) }
 
 // NotifyAlive returns an error if the member is not in the table of peers or its Info is invalid.
 // The library then ignores the member.
--- a/internal/gossip/delegate_test.go
+++ b/internal/gossip/delegate_test.go
@@ -31,18 +31,18 @@
 	return n
 }
 
-// meta returns the text of the Info that a member announces.
-func meta(name string, role member.Role) []byte {
+// metaJSON returns the text of the Info that a member announces.
+func metaJSON(name string, role member.Role) []byte {
 	return fmt.Appendf(nil, `{"f":1,"n":%q,"r":%q,"s":{"g":1,"c":1},"i":2}`, name, role)
 }
 
 // joinMember has the library report a member as alive.
 func joinMember(n *Node, name string, role member.Role) {
-	(&delegate{n}).NotifyJoin(&memberlist.Node{Name: name, Meta: meta(name, role)})
+	(&delegate{n}).NotifyJoin(&memberlist.Node{Name: name, Meta: metaJSON(name, role)})
 }
 
-// reportText returns the text of a partial report in which an observer sees the agent n-1 as present.
-func reportText(from string, seq int) []byte {
+// reportJSON returns the text of a partial report in which an observer sees the agent n-1 as present.
+func reportJSON(from string, seq int) []byte {
 	return fmt.Appendf(nil, `{"f":1,"n":%q,"i":2,"q":%d,"b":"boot","o":[{"n":"n-1","r":"agent","s":"present","t":1}]}`, from, seq)
 }
 
@@ -52,8 +52,8 @@
 	return c
 }
 
-// requireNoEffect fails the test if the agent n-1 is in the view or a report is queued to be passed on.
-func requireNoEffect(t *testing.T, n *Node) {
+// requireReportIgnored fails the test if the agent n-1 is in the view or a report is queued to be passed on.
+func requireReportIgnored(t *testing.T, n *Node) {
 	t.Helper()
 	if v := n.View(); v.State("n-1") != "" {
 		t.Errorf("the report was merged: %+v", v.Members)
@@ -70,15 +70,15 @@
 	texts := map[string]string{
 		"no JSON":             "{",
 		"no object":           "[]",
-		"unknown version":     strings.Replace(string(reportText("st-2", 1)), `"f":1`, `"f":2`, 1),
-		"no sender":           strings.Replace(string(reportText("st-2", 1)), `"st-2"`, `""`, 1),
-		"unknown state":       strings.Replace(string(reportText("st-2", 1)), `"present"`, `"odd"`, 1),
-		"negative duration":   strings.Replace(string(reportText("st-2", 1)), `"t":1`, `"t":-1`, 1),
+		"unknown version":     strings.Replace(string(reportJSON("st-2", 1)), `"f":1`, `"f":2`, 1),
+		"no sender":           strings.Replace(string(reportJSON("st-2", 1)), `"st-2"`, `""`, 1),
+		"unknown state":       strings.Replace(string(reportJSON("st-2", 1)), `"present"`, `"odd"`, 1),
+		"negative duration":   strings.Replace(string(reportJSON("st-2", 1)), `"t":1`, `"t":-1`, 1),
 		"too many members":    `{"f":1,"n":"st-2","q":1,"b":"boot","o":[` + tooMany + `]}`,
-		"longer than allowed": string(reportText("st-2", 1)) + strings.Repeat(" ", 1<<20),
+		"longer than allowed": string(reportJSON("st-2", 1)) + strings.Repeat(" ", 1<<20),
 	}
-	for what, text := range texts {
-		t.Run(what, func(t *testing.T) {
+	for name, text := range texts {
+		t.Run(name, func(t *testing.T) {
 			n := newTestNode(t, member.RoleControlPlane)
 			joinMember(n, "st-2", member.RoleControlPlane)
 			d := &delegate{n}
@@ -87,7 +87,7 @@
 			if got := n.malformed.Load(); got != 2 {
 				t.Errorf("%d of 2 malformed reports were counted", got)
 			}
-			requireNoEffect(t, n)
+			requireReportIgnored(t, n)
 		})
 	}
 }
@@ -98,11 +98,11 @@
 	n := newTestNode(t, member.RoleControlPlane)
 	d := &delegate{n}
 	d.NotifyMsg(nil)
-	d.NotifyMsg(reportText("st-1", 1))
+	d.NotifyMsg(reportJSON("st-1", 1))
 	if malformed, unknown := n.malformed.Load(), trackerCounts(n).UnknownSenders; malformed != 0 || unknown != 0 {
 		t.Errorf("counted as malformed: %d, as of unknown senders: %d", malformed, unknown)
 	}
-	requireNoEffect(t, n)
+	requireReportIgnored(t, n)
 }
 
 // TestReportsOfUnknownSendersAreCounted shows that reports are merged from servers of the control plane
@@ -111,15 +111,15 @@
 	n := newTestNode(t, member.RoleControlPlane)
 	joinMember(n, "w-1", member.RoleWorker)
 	d := &delegate{n}
-	d.NotifyMsg(reportText("st-2", 1)) // not alive yet
-	d.NotifyMsg(reportText("w-1", 1))
+	d.NotifyMsg(reportJSON("st-2", 1)) // not alive yet
+	d.NotifyMsg(reportJSON("w-1", 1))
 	if got := trackerCounts(n).UnknownSenders; got != 2 {
 		t.Errorf("%d of 2 reports of unknown senders were counted", got)
 	}
 	if got := n.malformed.Load(); got != 0 {
 		t.Errorf("%d reports were counted as malformed", got)
 	}
-	requireNoEffect(t, n)
+	requireReportIgnored(t, n)
 }
 
 // TestNewPartialReportsArePassedOnOnce shows that a partial report is queued for the other members when
@@ -132,10 +132,10 @@
 		text   []byte
 		queued int
 	}{
-		{reportText("st-2", 1), 1},
-		{reportText("st-2", 1), 1},
-		{[]byte(strings.Replace(string(reportText("st-2", 2)), `"b":`, `"w":true,"b":`, 1)), 1},
-		{reportText("st-2", 3), 2},
+		{reportJSON("st-2", 1), 1},
+		{reportJSON("st-2", 1), 1},
+		{[]byte(strings.Replace(string(reportJSON("st-2", 2)), `"b":`, `"w":true,"b":`, 1)), 1},
+		{reportJSON("st-2", 3), 2},
 	} {
 		d.NotifyMsg(step.text)
 		if queued := n.broadcasts.NumQueued(); queued != step.queued {
@@ -153,7 +153,7 @@
 	n := newTestNode(t, member.RoleControlPlane)
 	joinMember(n, "st-2", member.RoleControlPlane)
 	d := &delegate{n}
-	message := reportText("st-2", 1)
+	message := reportJSON("st-2", 1)
 	want := string(message)
 	d.NotifyMsg(message)
 	clear(message)
@@ -195,20 +195,20 @@
 	n := newTestNode(t, member.RoleControlPlane)
 	d := &delegate{n}
 	for _, name := range []string{"st-1", "st-2"} {
-		if err := d.NotifyAlive(&memberlist.Node{Name: name, Meta: meta(name, member.RoleControlPlane)}); err != nil {
+		if err := d.NotifyAlive(&memberlist.Node{Name: name, Meta: metaJSON(name, member.RoleControlPlane)}); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	var unknownPeer *unknownPeerError
-	if err := d.NotifyAlive(&memberlist.Node{Name: "other", Meta: meta("other", member.RoleControlPlane)}); !errors.As(err, &unknownPeer) {
+	if err := d.NotifyAlive(&memberlist.Node{Name: "other", Meta: metaJSON("other", member.RoleControlPlane)}); !errors.As(err, &unknownPeer) {
 		t.Errorf("a member that is not in the table: %v", err)
 	}
 	var mismatch *nameMismatchError
-	if err := d.NotifyAlive(&memberlist.Node{Name: "st-2", Meta: meta("st-3", member.RoleControlPlane)}); !errors.As(err, &mismatch) {
+	if err := d.NotifyAlive(&memberlist.Node{Name: "st-2", Meta: metaJSON("st-3", member.RoleControlPlane)}); !errors.As(err, &mismatch) {
 		t.Errorf("a member with the Info of another one: %v", err)
 	}
 	var invalid *member.InvalidMessageError
-	if err := d.NotifyAlive(&memberlist.Node{Name: "st-2", Meta: meta("st-2", "odd")}); !errors.As(err, &invalid) {
+	if err := d.NotifyAlive(&memberlist.Node{Name: "st-2", Meta: metaJSON("st-2", "odd")}); !errors.As(err, &invalid) {
 		t.Errorf("a member with an unknown role: %v", err)
 	}
 	if rejected, malformed := n.rejected.Load(), n.malformed.Load(); rejected != 1 || malformed != 2 {
--- a/internal/gossip/librarylog.go
+++ b/internal/gossip/librarylog.go
@@ -10,21 +10,21 @@
 
 // The library's lines beyond this rate are dropped.
 const (
-	libraryLinesPerSecond = 5
-	libraryLinesBurst     = 20
+	libraryLogLinesPerSecond = 5
+	libraryLogBurst          = 20
 )
 
 // libraryLog writes the library's log lines to the process's log, at a limited rate.
 type libraryLog struct {
-	log   *slog.Logger
-	limit *rate.Limiter
+	log     *slog.Logger
+	limiter *rate.Limiter
 }
 
 var _ io.Writer = (*libraryLog)(nil)
 
 // Write logs one line without its newline, or drops it if the rate is exceeded. It never fails.
 func (l *libraryLog) Write(line []byte) (int, error) {
-	if l.limit.Allow() {
+	if l.limiter.Allow() {
 		l.log.Debug("gossip", "line", string(slices.Clone(line[:max(len(line)-1, 0)])))
 	}
 	return len(line), nil
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -45,7 +45,7 @@
 	minSuspicionMultiple = 3 // of the probe interval
 	gossipInterval       = 100 * time.Millisecond
 	streamTimeout        = time.Second
-	spreadTimeout        = time.Second // for an update or a leave to reach another member
+	propagationTimeout   = time.Second // for an update or a leave to reach another member
 	deadNodeReclaimTime  = time.Second
 )
 
@@ -62,7 +62,7 @@
 // Bounds of what one step does or keeps.
 const (
 	maxRejoinsPerInterval       = 2
-	maxPingedPeers              = 16
+	maxContactedServers         = 16
 	maxObservationsPerBroadcast = 16 // a broadcast has to fit into one datagram
 	maxQueuedBroadcasts         = 256
 )
@@ -143,7 +143,7 @@
 	c.SuspicionMaxTimeoutMult = suspicionMaxMultiple
 	c.DeadNodeReclaimTime = deadNodeReclaimTime
 	c.EnableCompression = false
-	c.Logger = log.New(&libraryLog{log: n.log, limit: rate.NewLimiter(libraryLinesPerSecond, libraryLinesBurst)}, "", 0)
+	c.Logger = log.New(&libraryLog{log: n.log, limiter: rate.NewLimiter(libraryLogLinesPerSecond, libraryLogBurst)}, "", 0)
 	c.LogOutput = nil
 	d := &delegate{n}
 	c.Delegate, c.Events, c.Conflict, c.Alive, c.Ping = d, d, d, d, d
@@ -155,8 +155,8 @@
 // number of members. The multiple, a whole number, makes that about suspicionTimeout for up to 100
 // members, and longer for more.
 func suspicionMultiple(members int) int {
-	magnitude := math.Max(1, math.Log10(float64(max(members, 1))))
-	return max(minSuspicionMultiple, int(float64(suspicionTimeout)/float64(probeInterval)/magnitude+0.5))
+	nodeScale := math.Max(1, math.Log10(float64(max(members, 1))))
+	return max(minSuspicionMultiple, int(float64(suspicionTimeout)/float64(probeInterval)/nodeScale+0.5))
 }
 
 // countAlive returns the number of members that are alive, this process included.
@@ -194,7 +194,7 @@
 }
 
 // UpdateSelf changes what this process announces about itself, and spreads the change. It
-// waits for up to spreadTimeout until another member has it.
+// waits for up to propagationTimeout until another member has it.
 func (n *Node) UpdateSelf(change func(i *member.Info)) {
 	n.mu.Lock()
 	before := n.self
@@ -205,16 +205,16 @@
 	if unchanged || n.ctx.Err() != nil {
 		return
 	}
-	if err := n.memberlist.UpdateNode(spreadTimeout); err != nil {
+	if err := n.memberlist.UpdateNode(propagationTimeout); err != nil {
 		n.log.Debug("gossip update did not spread in time", "err", err)
 	}
 }
 
 // Leave announces to the others that this process shuts down as planned. It waits up to twice
-// spreadTimeout until another member has the announcement.
+// propagationTimeout until another member has the announcement.
 func (n *Node) Leave() {
 	n.UpdateSelf(func(i *member.Info) { i.ShuttingDown = true })
-	if err := n.memberlist.Leave(spreadTimeout); err != nil {
+	if err := n.memberlist.Leave(propagationTimeout); err != nil {
 		n.log.Debug("gossip leave did not spread in time", "err", err)
 	}
 }
--- a/internal/gossip/observers.go
+++ b/internal/gossip/observers.go
@@ -72,7 +72,7 @@
 }
 
 // otherServers returns the other servers of the control plane that have not left: all of
-// them, or maxPingedPeers drawn at random.
+// them, or maxContactedServers drawn at random.
 func (n *Node) otherServers() (names []string) {
 	v := n.View()
 	for i := range v.Members {
@@ -81,9 +81,9 @@
 			names = append(names, e.Name)
 		}
 	}
-	if len(names) > maxPingedPeers {
+	if len(names) > maxContactedServers {
 		rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-		names = names[:maxPingedPeers]
+		names = names[:maxContactedServers]
 	}
 	return names
 }
--- a/internal/gossip/observers_test.go
+++ b/internal/gossip/observers_test.go
@@ -35,10 +35,10 @@
 	}
 }
 
-// TestPingedServersAreBounded shows that of many servers of the control plane maxPingedPeers are pinged,
+// TestPingedServersAreBounded shows that of many servers of the control plane maxContactedServers are pinged,
 // and of few all: each once, and neither this process, nor workers, nor servers that have left.
 func TestPingedServersAreBounded(t *testing.T) {
-	for _, servers := range []int{0, 1, maxPingedPeers, 3 * maxPingedPeers} {
+	for _, servers := range []int{0, 1, maxContactedServers, 3 * maxContactedServers} {
 		n := newTestNode(t, member.RoleControlPlane)
 		joinMember(n, "w-1", member.RoleWorker)
 		var all []string
@@ -47,14 +47,14 @@
 			joinMember(n, name, member.RoleControlPlane)
 			all = append(all, name)
 		}
-		stopped := member.Info{ProtocolVersion: member.ProtocolVersion, Name: "left", Role: member.RoleControlPlane, Incarnation: 2, ShuttingDown: true}
+		leftServer := member.Info{ProtocolVersion: member.ProtocolVersion, Name: "left", Role: member.RoleControlPlane, Incarnation: 2, ShuttingDown: true}
 		n.WithTracker(func(now time.Duration, t *member.Tracker) {
-			t.MemberAlive(now, stopped)
-			t.MemberDead(now, stopped.Name)
+			t.MemberAlive(now, leftServer)
+			t.MemberDead(now, leftServer.Name)
 		})
 		pinged := n.otherServers()
 		slices.Sort(pinged)
-		if len(pinged) != min(servers, maxPingedPeers) || len(slices.Compact(slices.Clone(pinged))) != len(pinged) {
+		if len(pinged) != min(servers, maxContactedServers) || len(slices.Compact(slices.Clone(pinged))) != len(pinged) {
 			t.Errorf("%d of %d servers are pinged: %v", len(pinged), servers, pinged)
 		}
 		for _, name := range pinged {
@@ -70,15 +70,15 @@
 func TestLateTickCountsAsPause(t *testing.T) {
 	n := newTestNode(t, member.RoleControlPlane)
 	for _, step := range []struct {
-		late   time.Duration
+		delay  time.Duration
 		pauses int64
 	}{{0, 0}, {pauseThreshold, 0}, {pauseThreshold + 1, 1}, {time.Minute, 2}} {
-		n.tick(step.late)
+		n.tick(step.delay)
 		selfSuspect := false
 		// At the Node's start, so that the result doesn't depend on how long the test takes.
 		n.WithTracker(func(_ time.Duration, t *member.Tracker) { selfSuspect = t.RecentlyPaused(0) })
 		if got := n.pauses.Load(); got != step.pauses || selfSuspect != (step.pauses > 0) {
-			t.Errorf("after a tick that was %v late: %d pauses, want %d; suspects itself: %v", step.late, got, step.pauses, selfSuspect)
+			t.Errorf("after a tick that was %v late: %d pauses, want %d; suspects itself: %v", step.delay, got, step.pauses, selfSuspect)
 		}
 	}
 }
@@ -145,8 +145,8 @@
 // member for suspicionTimeout, give or take one probe interval.
 func TestSuspicionLastsAboutItsTimeout(t *testing.T) {
 	for members := 1; members <= 100; members++ {
-		magnitude := max(1, math.Log10(float64(members)))
-		duration := time.Duration(float64(suspicionMultiple(members)) * magnitude * float64(probeInterval))
+		nodeScale := max(1, math.Log10(float64(members)))
+		duration := time.Duration(float64(suspicionMultiple(members)) * nodeScale * float64(probeInterval))
 		if off := (duration - suspicionTimeout).Abs(); off > probeInterval {
 			t.Errorf("%d members: %v, want about %v", members, duration, suspicionTimeout)
 		}
--- a/internal/gossip/reports.go
+++ b/internal/gossip/reports.go
@@ -55,21 +55,21 @@
 // encode returns the text of a report of this process, or nil if it cannot be encoded.
 func (n *Node) encode(r *member.Report) []byte {
 	r.BootID = n.bootID
-	text, err := json.Marshal(r)
+	encoded, err := json.Marshal(r)
 	if err != nil {
 		return nil
 	}
-	return text
+	return encoded
 }
 
 // mergeReport has the Tracker merge the text of a report that was received. A malformed report is
 // counted and dropped. A partial report that was new is broadcast again, since the library passes on
 // its own messages only. Members that have the report already do not broadcast it, so it dies out.
-func (n *Node) mergeReport(text []byte) {
-	if len(text) == 0 {
+func (n *Node) mergeReport(message []byte) {
+	if len(message) == 0 {
 		return
 	}
-	r, err := member.DecodeReport(text)
+	r, err := member.DecodeReport(message)
 	if err != nil {
 		n.malformed.Add(1)
 		n.log.Debug("malformed gossip report ignored", "err", err)
@@ -81,6 +81,6 @@
 	changed := false
 	n.WithTracker(func(now time.Duration, t *member.Tracker) { changed = t.MergeReport(now, &r) })
 	if changed && !r.Full {
-		n.queueBroadcast(slices.Clone(text)) // the library reuses text
+		n.queueBroadcast(slices.Clone(message)) // the library reuses message
 	}
 }
--- a/internal/gossip/tick.go
+++ b/internal/gossip/tick.go
@@ -17,29 +17,29 @@
 		case <-n.ctx.Done():
 			return
 		}
-		late := time.Since(last) - tickInterval
+		delay := time.Since(last) - tickInterval
 		last = time.Now()
-		n.tick(late)
+		n.tick(delay)
 	}
 }
 
 // tick ticks the Tracker, broadcasts the observations that have changed, and calls Config.OnChange
-// for the members whose states have changed in the view. late is the delay of the tick; beyond
+// for the members whose states have changed in the view. delay is how late the tick is; beyond
 // pauseThreshold it counts as a pause of this process.
-func (n *Node) tick(late time.Duration) {
-	paused := late > pauseThreshold
+func (n *Node) tick(delay time.Duration) {
+	paused := delay > pauseThreshold
 	var changes []member.Change
 	var report []byte
 	n.WithTracker(func(now time.Duration, t *member.Tracker) {
 		if paused {
 			n.pauses.Add(1)
-			t.Paused(now, late)
+			t.Paused(now, delay)
 		}
 		changes = t.Tick(now)
 		report = n.pendingReport(now, t)
 	})
 	if paused {
-		n.log.Warn("process was paused", "duration", late.Round(time.Millisecond))
+		n.log.Warn("process was paused", "duration", delay.Round(time.Millisecond))
 	}
 	if report != nil {
 		n.queueBroadcast(report)
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -48,8 +48,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	bound := tcp.Addr().(*net.TCPAddr)
-	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: bound.IP, Port: bound.Port})
+	tcpAddr := tcp.Addr().(*net.TCPAddr)
+	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: tcpAddr.IP, Port: tcpAddr.Port})
 	if err != nil {
 		tcp.Close()
 		return nil, fmt.Errorf("gossip: %w", err)
@@ -119,8 +119,8 @@
 // FinalAdvertiseAddr returns the address that the library announces to other members. None
 // of them dials it.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	bound := t.tcp.Addr().(*net.TCPAddr)
-	return bound.IP, bound.Port, nil
+	tcpAddr := t.tcp.Addr().(*net.TCPAddr)
+	return tcpAddr.IP, tcpAddr.Port, nil
 }
 
 // PacketCh returns the queue of received datagrams.
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -31,9 +31,9 @@
 	if v := n.View(); v.State("s-1") != member.Present {
 		t.Errorf("the recorded report was not merged: %+v", v.Members)
 	}
-	varies := regexp.MustCompile(`"(b|q|t)":("[A-Z2-7]{26}"|\d+)`) // random, a counter, a time
+	varyingFields := regexp.MustCompile(`"(b|q|t)":("[A-Z2-7]{26}"|\d+)`) // random, a counter, a time
 	golden.Lines(t, "told.txt", []string{
 		string(d.NodeMeta(512)),
-		varies.ReplaceAllString(string(d.LocalState(true)), `"$1":(varies)`),
+		varyingFields.ReplaceAllString(string(d.LocalState(true)), `"$1":(varies)`),
 	})
 }
