--- a/cmd/controlplane/tasks_test.go
+++ b/cmd/controlplane/tasks_test.go
@@ -235,7 +235,7 @@
 	twin.Log = filepath.Join(cluster.dir, "twin.log")
 	startProcess(t, twin)
 	cluster.waitUntil("the second process of the name reports the first", func() bool {
-		return strings.Contains(processLog(twin), "another process is called so")
+		return strings.Contains(processLog(twin), "process name already in use, waiting for the other session to end")
 	})
 	workers.kill(holder)
 	twin.Kill()
--- a/internal/leaderelection/exclusion_test.go
+++ b/internal/leaderelection/exclusion_test.go
@@ -10,21 +10,21 @@
 	"testing"
 )
 
-// mechanisms is a set of safety mechanisms: those that a run goes without.
+// mechanisms is a set of safety mechanisms that are disabled in a run.
 type mechanisms struct {
 	safetyMargin, fencing, newLeaderWait, leadershipCheck bool
 }
 
-// outcome sums up the runs of all combinations.
+// outcome aggregates the runs of all fault combinations.
 type outcome struct {
 	mu        sync.Mutex
 	runs      int
-	terms     int    // that were started in all runs
-	violation string // the first one
+	terms     int    // started in all runs
+	violation string // the first one found, or empty
 }
 
-// add counts one run, and reports whether a violation is known, so that no further run is
-// needed.
+// add records one run, and reports whether any run has found a violation, so that the caller
+// can stop.
 func (o *outcome) add(s *simulation, violation string, f faults) (stop bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -41,8 +41,8 @@
 	return o.violation != ""
 }
 
-// runAllCombinations runs all combinations without some mechanisms, until one violates a
-// promise.
+// runAllCombinations runs all fault combinations with some mechanisms disabled, until a run
+// violates an invariant.
 func runAllCombinations(disabled mechanisms, stride int) *outcome {
 	var result outcome
 	var workers sync.WaitGroup
@@ -70,18 +70,19 @@
 	return &result
 }
 
-// TestLeasesExcludeTwoHoldersUnderFaults shows that, for each combination of a pause, a lost
-// or late message, a change of leaders and clocks that are 5 % off, no two processes believe
-// that they hold the task, each by its own clock, and that a resource which keeps the highest
-// fencing token accepts no write of an older term. Without the safety margin, the fencing,
-// the new leader's wait or the check of leadership, one at a time, that is violated. The
-// environment variable EXPLORE sets the steps between the times that are tried.
+// TestLeasesExcludeTwoHoldersUnderFaults checks two invariants for each combination of a
+// process pause, a lost or late message, a leader change and clocks that run 5 % fast or slow:
+// no two processes believe at the same time, each by its own clock, that they hold the task,
+// and a resource that remembers the highest fencing token accepts no write of an older term.
+// With the safety margin, the fencing, the new leader's wait or the leadership check disabled,
+// one at a time, some run must violate an invariant. The environment variable EXPLORE sets the
+// number of steps between the times at which a fault is tried.
 func TestLeasesExcludeTwoHoldersUnderFaults(t *testing.T) {
 	stride := coarseStride
 	if text := os.Getenv("EXPLORE"); text != "" {
 		var err error
 		if stride, err = strconv.Atoi(text); err != nil || stride < 1 {
-			t.Fatalf("EXPLORE: no number of steps: %q", text)
+			t.Fatalf("EXPLORE is %q, want a positive number of steps", text)
 		}
 	}
 	result := runAllCombinations(mechanisms{}, stride)
@@ -89,7 +90,7 @@
 		t.Fatalf("after %d runs: %s", result.runs, result.violation)
 	}
 	if 4*result.terms < 5*result.runs {
-		t.Errorf("%d terms in %d runs: the task is hardly ever transferred", result.terms, result.runs)
+		t.Errorf("%d terms in %d runs, want at least 5 terms in 4 runs: the task is hardly ever transferred", result.terms, result.runs)
 	}
 	t.Logf("%d runs, %d terms", result.runs, result.terms)
 	for mechanism, disabled := range map[string]mechanisms{
@@ -100,7 +101,7 @@
 	} {
 		result := runAllCombinations(disabled, stride)
 		if result.violation == "" {
-			t.Errorf("without the %s nothing was violated in %d runs", mechanism, result.runs)
+			t.Errorf("without the %s, no invariant was violated in %d runs", mechanism, result.runs)
 		} else {
 			t.Logf("without the %s, after %d runs: %s", mechanism, result.runs, result.violation)
 		}
--- a/internal/leaderelection/participant.go
+++ b/internal/leaderelection/participant.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// maxRenewInterval is the longest interval between renewals, also of a session without tasks.
+	// maxRenewInterval is the longest interval between renewals. It also applies to a session
+	// without tasks.
 	maxRenewInterval = 500 * time.Millisecond
 	// renewalsPerLease is how often a session is renewed within its shortest lease.
 	renewalsPerLease = 3
-	// clockDriftDivisor divides a lease's duration: the clocks of the leader and of the holder may
-	// each run 5 % too fast or too slow, so they differ by up to that part of the lease.
+	// clockDriftDivisor sets the part of a lease that is reserved for clock drift, a tenth: the
+	// clocks of the leader and of the holder may each run up to 5 % fast or slow.
 	clockDriftDivisor = 10
-	// cancelAllowance is the time that a function is given to notice that its context has ended.
+	// cancelAllowance is the time allowed for a function to notice that its context has ended.
 	cancelAllowance = 20 * time.Millisecond
 )
 
-// SafetyMargin returns how long before the end of a lease of the duration ttl its holder stops: the
-// longest possible difference of the clocks, and cancelAllowance.
+// SafetyMargin returns how long before the end of a lease of duration ttl its holder stops: the
+// maximum clock drift plus cancelAllowance.
 func SafetyMargin(ttl time.Duration) time.Duration { return ttl/clockDriftDivisor + cancelAllowance }
 
 // Action is a step that the Participant wants its caller to perform.
 type Action struct {
 	Kind   ActionKind
-	Name   string // of the task
+	Name   string // the task's name
 	Fence  int64  // the term's fencing token; 0 for Accept
 	Reason string // why the term ends, one of catalog's Reason constants; empty for Start and Accept
 }
 
-// ActionKind is the kind of an Action.
+// ActionKind identifies the step that an Action stands for.
 type ActionKind uint8
 
 // The kinds of actions.
@@ -43,27 +44,28 @@
 	Accept                    // report to the control plane that this process is ready to take over the task
 )
 
-// Participant decides which functions run during one session. It is pure: the control
-// plane's answers, the functions' results and the time go in, Actions come out. All times
-// are those of one monotonic clock. It is not safe for concurrent use.
+// Participant decides which functions run during one session. It has no side effects: it
+// takes the control plane's answers, the functions' results and the time, and returns Actions.
+// All times are readings of one monotonic clock. It is not safe for concurrent use.
 //
-// A term is valid until the lease's duration less the safety margin has passed since the
-// last renewal that was answered was sent. Assignments may arrive by renewals and by watch
-// events, in any order; a revision that is not newer than the known one changes nothing.
+// A term's validity starts when the last answered renewal was sent, and lasts for the lease's
+// duration less the safety margin. Assignments arrive with renewals and watch events, in any
+// order; those whose revision is not newer than the known one are ignored.
 type Participant struct {
-	lastRenewalSent time.Duration // when the last renewal that was answered was sent
-	renewed         bool          // whether any renewal was answered
+	lastRenewalSent time.Duration // when the last answered renewal was sent
+	renewed         bool          // whether any renewal has been answered
 	revision        int64
 	assignments     []catalog.Assignment
 	terms           map[string]*term // by task
-	// endedFences is, by task, the highest fencing token whose term has ended here.
+	// endedFences maps a task to the highest fencing token whose term has ended in this process.
 	endedFences map[string]int64
-	// acceptedRevisions is, by task, the revision at which this process last accepted it.
+	// acceptedRevisions maps a task to the revision at which this process last accepted it.
 	acceptedRevisions map[string]int64
 	safetyMargin      func(ttl time.Duration) time.Duration
 }
 
-// term is a term whose function runs, or has been cancelled and has not returned yet.
+// term is a term whose function is running. The function may have been cancelled without having
+// returned yet.
 type term struct {
 	catalog.Assignment
 	cancelled bool
@@ -110,9 +112,9 @@
 	return actions
 }
 
-// FunctionReturned handles the return of a term's function: it releases the term. failed is
-// whether the function returned an error before its context was cancelled. If the term is not
-// known, it does nothing and returns nil.
+// FunctionReturned handles the return of a term's function: it releases the term. failed
+// tells whether the function returned an error before its context was cancelled. If the term is not
+// known, FunctionReturned does nothing and returns nil.
 func (p *Participant) FunctionReturned(now time.Duration, name string, fence int64, failed bool) []Action {
 	t := p.terms[name]
 	if t == nil || t.Fence != fence {
@@ -169,10 +171,10 @@
 	return interval
 }
 
-// Active returns how many functions run, including cancelled ones that have not returned.
+// Active returns the number of running functions, including cancelled ones that have not returned.
 func (p *Participant) Active() int { return len(p.terms) }
 
-// termNames returns the tasks of the running terms, sorted: actions have a stable order.
+// termNames returns the tasks of the running terms, sorted so that actions have a stable order.
 func (p *Participant) termNames() []string {
 	return slices.Sorted(maps.Keys(p.terms))
 }
@@ -186,7 +188,7 @@
 	return append(actions, Action{Kind: Cancel, Name: t.Name, Fence: t.Fence, Reason: reason})
 }
 
-// reconcile returns the actions that change the running terms to what the assignments say.
+// reconcile returns the actions that bring the running terms in line with the assignments.
 func (p *Participant) reconcile(now time.Duration) []Action {
 	actions := p.cancelTerms(nil, now)
 	for _, task := range p.assignments {
@@ -195,7 +197,7 @@
 	return actions
 }
 
-// cancelTerms cancels the terms that have ended, that are not assigned to this process any more, or
+// cancelTerms cancels the terms that have ended, that are no longer assigned to this process, or
 // that the control plane asks this process to stop.
 func (p *Participant) cancelTerms(actions []Action, now time.Duration) []Action {
 	assignments := map[string]catalog.Assignment{}
@@ -221,13 +223,13 @@
 	case p.terms[task.Name] != nil:
 		// The function of the running term has to return first.
 	case task.Ready:
-		// Reported once for each revision, so that a lost report is repeated with the next change.
+		// Accepted once for each revision, so that a lost report is repeated at the next revision.
 		if p.acceptedRevisions[task.Name] != p.revision {
 			p.acceptedRevisions[task.Name] = p.revision
 			actions = append(actions, Action{Kind: Accept, Name: task.Name})
 		}
 	case task.Fence <= p.endedFences[task.Name], task.Stop:
-		// The term has ended here, and the control plane has not applied its release yet.
+		// The term has ended in this process, and the control plane has not applied its release yet.
 		p.endedFences[task.Name] = max(p.endedFences[task.Name], task.Fence)
 		actions = append(actions, Action{Kind: Release, Name: task.Name, Fence: task.Fence, Reason: catalog.ReasonTransferred})
 	case p.renewed && now < p.validUntil(task.TTL):
--- a/internal/leaderelection/reports.go
+++ b/internal/leaderelection/reports.go
@@ -6,17 +6,17 @@
 	"knotrouter/internal/catalog"
 )
 
-// maxTermsPerReport bounds the terms of one call to ReportTerms.
+// maxTermsPerReport is the maximum number of terms in one call to ReportTerms.
 const maxTermsPerReport = 256
 
-// reportKey is what the terms of one call to ReportTerms have in common.
+// reportKey identifies the terms that can be reported in one call to ReportTerms.
 type reportKey struct {
 	kind   catalog.Kind // ReleaseTerm or AcceptTransfer
 	reason string       // of a release
 }
 
 // queueReport queues a report of a term. If catalog.MaxTasks reports are queued, the report is
-// dropped; the participant returns the action again. The caller holds r.mu.
+// dropped; the participant will return the action again. The caller holds r.mu.
 func (r *Runner) queueReport(key reportKey, ref catalog.TermRef) {
 	if len(r.pendingReports[key]) < catalog.MaxTasks {
 		r.pendingReports[key] = append(r.pendingReports[key], ref)
@@ -24,7 +24,7 @@
 	signal(r.reportQueued)
 }
 
-// sendReports sends the queued reports until ctx ends, each batch with one call.
+// sendReports sends the queued reports until ctx ends, one call for each batch.
 func (r *Runner) sendReports(ctx context.Context) {
 	for {
 		select {
@@ -57,8 +57,9 @@
 	}
 }
 
-// requeueRelease queues releases again whose report failed, as another process may wait for
-// the task. An acceptance is dropped: the participant repeats it with the next revision.
+// requeueRelease puts releases whose report failed back into the queue, as another process may
+// be waiting for the task. Acceptances are dropped: the participant repeats them at the next
+// revision.
 func (r *Runner) requeueRelease(key reportKey, refs []catalog.TermRef) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/leaderelection/runner.go
+++ b/internal/leaderelection/runner.go
@@ -12,32 +12,33 @@
 
 // Config configures a Runner.
 type Config struct {
-	Process  string // a name that no other process has
+	Process  string // unique name of this process
 	Zone     string
-	MaxTasks int // the largest number of tasks that the process holds at a time
-	// Functions holds the functions by the first part of the tasks' names, up to a dot.
+	MaxTasks int // maximum number of tasks that the process holds at a time
+	// Functions maps a kind of task to its function. The kind is the part of a task's name
+	// before the first dot, or the whole name if there is none.
 	Functions map[string]Function
 	Service   Service
 	Log       *slog.Logger
-	Clock     Clock // nil: the machine's
+	Clock     Clock // nil means the system clock
 }
 
 const (
-	callTimeout       = 2 * time.Second // of a call to the control plane
+	callTimeout       = 2 * time.Second // for one call to the control plane
 	returnTimeout     = time.Second     // for a cancelled function to return before it is reported as overdue
 	shutdownTimeout   = 10 * time.Second
 	minRetryDelay     = 50 * time.Millisecond
 	maxRetryDelay     = time.Second
 	drainPollInterval = 10 * time.Millisecond
-	// maxDeadlineWait is how long enforceDeadlines waits while no term can end. A new term ends the
-	// wait, so its duration does not matter.
+	// maxDeadlineWait is how long enforceDeadlines waits while no term is valid. A new term ends
+	// the wait early, so its length does not matter.
 	maxDeadlineWait = time.Hour
 	// deadlineCheckPercent is the part of the time until the next term ends after which
-	// enforceDeadlines looks again, as a timer may fire later than it should.
+	// enforceDeadlines checks again, as a timer may fire late.
 	deadlineCheckPercent = 90
 )
 
-// Runner runs the functions of the tasks whose lease this process holds. Its methods are
+// Runner runs the functions of the tasks whose leases this process holds. Its methods are
 // safe for concurrent use; Run is called once.
 type Runner struct {
 	config Config
@@ -50,7 +51,7 @@
 	running        map[string]*runningTerm // by task
 	pendingReports map[reportKey][]catalog.TermRef
 
-	// Each channel has room for one signal; a second one before the first was received is dropped.
+	// Each channel buffers one signal; a signal sent while another is pending is dropped.
 	deadlineChanged chan struct{} // the participant's next deadline may have changed
 	reportQueued    chan struct{} // pendingReports has grown
 	renewNow        chan struct{} // the session has to be renewed at once
@@ -77,14 +78,15 @@
 	}
 }
 
-// Active returns how many functions run, including cancelled ones that have not returned.
+// Active returns the number of running functions, including cancelled ones that have not returned.
 func (r *Runner) Active() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.participant.Active()
 }
 
-// Overdue returns how many functions have not returned in time since the Runner was made.
+// Overdue returns how many cancelled functions did not return within returnTimeout since the Runner
+// was created.
 func (r *Runner) Overdue() int64 { return r.overdueCount.Load() }
 
 // Run takes part in leader election until ctx ends. Then it transfers its tasks to other
@@ -103,7 +105,7 @@
 			break // shutDown transfers the session's tasks
 		}
 		r.withParticipant(func(p *Participant) []Action { return p.SessionExpired() })
-		// A function of the next session must not run beside one of this session.
+		// A function of the next session must not run concurrently with one of this session.
 		r.awaitFunctions(ctx, minRetryDelay)
 	}
 	r.shutDown()
@@ -130,7 +132,7 @@
 	// to other processes before the leases end.
 }
 
-// drain keeps the session open until each of its tasks was transferred, for at most half of
+// drain keeps the session open until all of its tasks have been transferred, for at most half of
 // shutdownTimeout.
 func (r *Runner) drain(ctx context.Context, id string) {
 	sessionCtx, stop := context.WithCancel(ctx)
@@ -161,7 +163,7 @@
 	}
 }
 
-// withParticipant calls decide under the lock, and performs the actions that it returns.
+// withParticipant calls decide while holding r.mu, and performs the actions that it returns.
 func (r *Runner) withParticipant(decide func(p *Participant) []Action) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -189,7 +191,7 @@
 	}
 }
 
-// signal sends on a channel of capacity one, unless a signal already waits in it.
+// signal sends on a channel of capacity one, unless a signal is already pending.
 func signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/leaderelection/service.go
+++ b/internal/leaderelection/service.go
@@ -10,7 +10,7 @@
 // AssignmentUpdate is a session's list of assignments at a revision.
 type AssignmentUpdate struct {
 	Revision int64 `json:"rev"`
-	// Assignments is nil if nothing has changed since the revision that the caller knew.
+	// Assignments is nil if nothing has changed since the revision known to the caller.
 	Assignments []catalog.Assignment `json:"tasks"`
 }
 
@@ -36,9 +36,9 @@
 
 // The errors of a Service after which a session has ended.
 var (
-	// ErrSessionExpired means that the control plane has no such session: it has ended or lost it, or
-	// never had it.
-	ErrSessionExpired = errors.New("the session is over")
+	// ErrSessionExpired means that the control plane has no such session: it has ended or lost the
+	// session, or never had it.
+	ErrSessionExpired = errors.New("session expired or unknown")
 	// ErrNameTaken means that another process has a session under this process's name.
-	ErrNameTaken = errors.New("another process has the name")
+	ErrNameTaken = errors.New("process name in use by another session")
 )
--- a/internal/leaderelection/session.go
+++ b/internal/leaderelection/session.go
@@ -12,10 +12,10 @@
 	"knotrouter/internal/catalog"
 )
 
-// minRenewTimeout is the shortest timeout of a renewal, also if the interval is shorter.
+// minRenewTimeout is the minimum timeout of a renewal, even if the interval between renewals is shorter.
 const minRenewTimeout = 100 * time.Millisecond
 
-// runSession opens a session and keeps it until it expires or ctx ends. It returns the
+// runSession opens a session and renews it until it expires or ctx ends. It returns the
 // error that ended the session.
 func (r *Runner) runSession(ctx context.Context) error {
 	id := rand.Text()
@@ -34,8 +34,8 @@
 	return r.renewSession(sessionCtx, id)
 }
 
-// openSession opens the session, and retries until that succeeds. It returns the error of ctx if
-// ctx ends first.
+// openSession opens the session, retrying until it succeeds. It returns the error of ctx if ctx
+// ends first.
 func (r *Runner) openSession(ctx context.Context, id string) error {
 	session := catalog.Session{
 		Process:   r.config.Process,
@@ -52,7 +52,7 @@
 			return nil
 		}
 		if errors.Is(err, ErrNameTaken) && delay < maxRetryDelay { // only the first attempts are logged
-			r.log.Warn("another process is called so: waiting until its time is over", "process", r.config.Process)
+			r.log.Warn("process name already in use, waiting for the other session to end", "process", r.config.Process)
 		}
 		if r.sleep(ctx, delay); ctx.Err() != nil {
 			return ctx.Err()
@@ -118,9 +118,9 @@
 	return nil
 }
 
-// watchSession gives the participant each change of the assignments, until ctx ends. A
-// change that arrives before the first renewal was answered causes a renewal at once, as no
-// term can start without one.
+// watchSession passes each change to the assignments to the participant, until ctx ends. A
+// change that arrives before the first renewal was answered triggers an immediate renewal, as
+// no term can start without one.
 func (r *Runner) watchSession(ctx context.Context, id string) {
 	retryDelay := minRetryDelay
 	for ctx.Err() == nil {
@@ -145,7 +145,7 @@
 	}
 }
 
-// callWithTimeout runs one call to the control plane with callTimeout.
+// callWithTimeout makes one call to the control plane, limited to callTimeout.
 func callWithTimeout(ctx context.Context, call func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/leaderelection/simulation_test.go
+++ b/internal/leaderelection/simulation_test.go
@@ -7,20 +7,21 @@
 	"knotrouter/internal/catalog"
 )
 
-// simulation has two processes that compete for one task, a leader, and a resource that the
-// holder writes to, in steps of model time. One run has at most one pause, one renewal
-// message that is lost or late, one change of leaders, and clocks of different rates.
+// simulation models, in discrete time steps, two processes that compete for one task, a
+// control-plane leader, and a resource that the holder of the task writes to. A run has at most
+// one process pause, one renewal message that is lost or late, and one leader change; the
+// clocks may run at different rates.
 type simulation struct {
 	faults
 	disabled        mechanisms
 	state           *catalog.State
-	leader          *leader // nil between two leaders
-	deposedLeader   *leader // does not know that it was deposed
-	deposedEndsAt   int     // step at which the deposed leader ends
+	leader          *leader // nil during an election
+	deposedLeader   *leader // does not know that it was deposed; nil if there is none
+	deposedEndsAt   int     // step at which the deposed leader stops
 	holders         [2]*holder
 	inFlight        []message
 	renewalMessages int   // sent so far, renewals and their answers
-	highestFence    int64 // that the resource has seen
+	highestFence    int64 // highest fencing token that the resource has seen
 	violation       string
 	termsStarted    int
 }
@@ -28,24 +29,24 @@
 const (
 	stepDuration       = 50 * time.Millisecond
 	leaseTTL           = 2 * time.Second
-	simulationSteps    = 130 // steps of a run
+	simulationSteps    = 130 // in one run
 	coarseStride       = 10
-	deposedLeaderSteps = 50 // steps that a deposed leader goes on
+	deposedLeaderSteps = 50 // for which a deposed leader keeps running
 	electionSteps      = 3
 	taskName           = "d"
-	runsPerBatch       = 200 // that a worker takes at a time
-	lostMessage        = -1  // as messageDelay
-	slowWriteSteps     = 45  // that each write of the first holder takes
-	transferStep       = 40  // at which an operator transfers the task, in the runs that have it
+	runsPerBatch       = 200 // runs that a worker takes at a time
+	lostMessage        = -1  // value of faults.messageDelay
+	slowWriteSteps     = 45  // delay of each write by the first holder
+	transferStep       = 40  // when an operator transfers the task, in the runs that include a transfer
 )
 
 // leader is a leader of the control plane, with its own clock.
 type leader struct {
 	leases          *catalog.TaskLeases
-	base            time.Duration // of the clock at startedAtStep
+	base            time.Duration // clock reading at startedAtStep
 	startedAtStep   int
 	rate            float64
-	pendingCommands []catalog.Command // not in the log yet
+	pendingCommands []catalog.Command // decided, but not in the log yet
 }
 
 func (l *leader) now(at int) time.Duration {
@@ -58,7 +59,7 @@
 	participant  *Participant
 	rate         float64
 	nextRenewal  time.Duration
-	runningFence int64 // of the function that runs; 0: none
+	runningFence int64 // fencing token of the running function, or 0
 	inbox        []message
 }
 
@@ -66,14 +67,14 @@
 	return time.Duration(float64(at) * float64(stepDuration) * h.rate)
 }
 
-// The recipients of messages beside the holders, which are 0 and 1.
+// The recipients of messages other than the holders, which are 0 and 1.
 const (
 	toLeader = iota + 2
 	toDeposedLeader
 	toResource
 )
 
-// The kinds of messages beside those of catalog's commands.
+// The kinds of messages other than those of catalog's commands.
 const (
 	renewalRequest = "renew"
 	renewalAnswer  = "renewed"
@@ -81,7 +82,7 @@
 )
 
 type message struct {
-	due         int // step of its delivery
+	due         int // step at which it is delivered
 	to, from    int
 	kind        string
 	sent        time.Duration
@@ -119,7 +120,8 @@
 // post sends a message.
 func (s *simulation) post(m message) { s.inFlight = append(s.inFlight, m) }
 
-// run runs the simulation to its end, and returns the violation of a promise, or "".
+// run runs the simulation to its end or the first violation of an invariant. It returns the
+// violation, or "".
 func (s *simulation) run() string {
 	for at := 0; at < simulationSteps && s.violation == ""; at++ {
 		s.stepLeader(at)
@@ -135,7 +137,7 @@
 	return s.violation
 }
 
-// deliverDue delivers the messages that are due, in the order of their sending.
+// deliverDue delivers the messages that are due, in the order in which they were sent.
 func (s *simulation) deliverDue(at int) {
 	for i := 0; i < len(s.inFlight); i++ {
 		if m := s.inFlight[i]; m.due <= at {
@@ -165,20 +167,20 @@
 	}
 }
 
-// stepLeader changes the leader if it is time, and has the leader decide.
+// stepLeader performs a leader change that is due, and has the leader make its decisions.
 func (s *simulation) stepLeader(at int) {
 	s.changeLeader(at)
 	if s.leader == nil {
 		return
 	}
-	// The commands that were decided a step ago are in the log now.
+	// The commands decided in the previous step are in the log now.
 	commands := s.leader.pendingCommands
 	s.leader.pendingCommands = nil
 	for _, c := range commands {
 		s.apply(at, c)
 	}
 	if at%8 == 0 {
-		// Commands of other parts of the control plane carry the time too.
+		// Commands of other parts of the control plane carry the leader's time too.
 		s.apply(at, catalog.Command{Kind: catalog.RaiseRevision})
 	}
 	if at == s.transferAt {
@@ -193,7 +195,7 @@
 	}
 }
 
-// changeLeader deposes the leader, elects the next one, or ends the deposed one.
+// changeLeader deposes the leader, elects the next one, or stops the deposed one.
 func (s *simulation) changeLeader(at int) {
 	if at == s.leaderChangeAt {
 		s.deposedLeader, s.deposedEndsAt = s.leader, at+deposedLeaderSteps
@@ -222,11 +224,11 @@
 	}
 }
 
-// sendRenewal sends a renewal to the leader that the holder knows.
+// sendRenewal sends a renewal to the server that the holder believes is the leader.
 func (s *simulation) sendRenewal(at, i int) {
 	m := message{due: at + s.lag, to: toLeader, from: i, kind: renewalRequest, sent: s.holders[i].now(at), revision: s.holders[i].participant.Revision()}
 	if s.deposedLeader != nil && i == 0 {
-		m.to = toDeposedLeader // the first holder does not know of the change yet
+		m.to = toDeposedLeader // the first holder does not know the new leader yet
 	}
 	s.postRenewal(m)
 }
@@ -260,13 +262,14 @@
 	}
 }
 
-// write is a write to the resource, which rejects a fencing token lower than the highest.
+// write handles a write to the resource, which rejects a fencing token lower than the highest that it
+// has seen.
 func (s *simulation) write(at int, fence int64) {
 	if fence < s.highestFence && !s.disabled.fencing {
 		return
 	}
 	if fence < s.highestFence {
-		s.violation = fmt.Sprintf("step %d: the resource accepted a write under fence %d after one under %d", at, fence, s.highestFence)
+		s.violation = fmt.Sprintf("step %d: the resource accepted a write with fencing token %d after one with token %d", at, fence, s.highestFence)
 	}
 	s.highestFence = max(s.highestFence, fence)
 }
@@ -323,7 +326,7 @@
 }
 
 // checkMutualExclusion checks that at most one process believes, by its own clock, that it holds
-// the task. Each that does writes to the resource.
+// the task. Each process that does sends a write to the resource.
 func (s *simulation) checkMutualExclusion(at int) {
 	activeHolders := 0
 	for i, h := range s.holders {
@@ -338,6 +341,6 @@
 		s.post(message{due: due, to: toResource, revision: h.runningFence})
 	}
 	if activeHolders > 1 {
-		s.violation = fmt.Sprintf("step %d: two processes believe that they hold the task, under fences %d and %d", at, s.holders[0].runningFence, s.holders[1].runningFence)
+		s.violation = fmt.Sprintf("step %d: two processes believe that they hold the task, with fencing tokens %d and %d", at, s.holders[0].runningFence, s.holders[1].runningFence)
 	}
 }
--- a/internal/leaderelection/simulationfaults_test.go
+++ b/internal/leaderelection/simulationfaults_test.go
@@ -1,17 +1,17 @@
 package leaderelection
 
-// faults are the faults of one run. Times are steps. For pausedHolder, faultyMessage, leaderChangeAt
+// faults describes the faults of one run. Times are in steps. For pausedHolder, faultyMessage, leaderChangeAt
 // and transferAt, -1 means that the fault does not occur.
 type faults struct {
 	pausedHolder, pauseAt, pauseSteps int
-	faultyMessage                     int // the number of the renewal message that is lost or late
-	messageDelay                      int // by how much faultyMessage is late; lostMessage: it never arrives
+	faultyMessage                     int // sequence number of the renewal message that is lost or late
+	messageDelay                      int // delay of faultyMessage, or lostMessage if it never arrives
 	leaderChangeAt                    int
-	rateA, rateB, rateLeader          float64 // of the clocks
-	writeDelay                        int     // of each write of the first holder
+	rateA, rateB, rateLeader          float64 // clock rates; 1 is exact
+	writeDelay                        int     // delay of each write by the first holder
 	transferAt                        int     // when an operator transfers the task
-	noWatch                           bool    // the first holder learns its assignments by renewals only
-	lag                               int     // of each message, and of a command from its decision to the log
+	noWatch                           bool    // the first holder learns its assignments from renewals only
+	lag                               int     // delay of each message, and of each command between its decision and the log
 }
 
 // faultCombinations returns the faults of all runs. stride is the number of steps between the
@@ -35,10 +35,10 @@
 	return all
 }
 
-// combine returns the faults of one run. noWatch, lag and transferAt are no dimensions of their own,
+// combine returns the faults of one run. noWatch, lag and transferAt are not varied independently,
 // which would multiply the number of runs by eight. Each is derived from the parity of a sum of the
-// other faults' values, so that some runs have it and others don't, the same ones each time. The sums
-// themselves have no meaning.
+// other faults' values, so that it is set in some runs and not in others, and in the same runs each
+// time. The sums themselves have no meaning.
 func combine(pause, change, loss faults, rates [3]float64) faults {
 	f := pause
 	f.leaderChangeAt, f.faultyMessage, f.messageDelay = change.leaderChangeAt, loss.faultyMessage, loss.messageDelay
--- a/internal/leaderelection/term.go
+++ b/internal/leaderelection/term.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// Function performs a leased task until its context ends. It has to send the fencing token with
-// each of its writes, and to check ctx.Err before each write: Err reads the clock, so a process
-// that was suspended notices that its term has ended. A function that returns an error before its
-// context ends has failed.
+// Function performs a leased task until its context ends. It must send the fencing token with each
+// write, and check ctx.Err before each write: Err reads the clock, so a process that was suspended
+// notices that its term has ended. A function that returns an error before its context ends counts
+// as failed.
 type Function func(ctx context.Context, name string, fence int64) error
 
-// errNoFunction is the failure of a task for which Config.Functions has no function.
-var errNoFunction = errors.New("this process has no function for it")
+// errNoFunction is the error of a term whose task has no function in Config.Functions.
+var errNoFunction = errors.New("no function for this kind of task")
 
-// panicError is the failure of a function that panicked.
+// panicError is the error of a function that panicked.
 type panicError struct{ value any }
 
-// Error returns the text of the panic's value.
+// Error formats the value of the panic.
 func (e *panicError) Error() string { return fmt.Sprintf("panic: %v", e.value) }
 
 // runningTerm is a term whose function has been started and has not returned.
@@ -29,20 +29,20 @@
 	name       string
 	fence      int64
 	cancel     context.CancelFunc
-	validUntil atomic.Int64 // a time.Duration of clock
+	validUntil atomic.Int64 // a time.Duration on clock
 	clock      Clock
 }
 
-// termContext ends with its term by the clock, not only once another goroutine has
-// cancelled it: after a suspension of the process, the timer that cancels the term may fire
-// later than the function continues.
+// termContext is the context of a term's function. Its Err method compares the end of the term
+// with the clock rather than rely on another goroutine to cancel the context: after the process
+// was suspended, the function may resume before the timer that cancels the term fires.
 type termContext struct {
 	context.Context
 	term *runningTerm
 }
 
-// Err returns context.DeadlineExceeded once the term has ended by the clock, and otherwise the error
-// of the context that it wraps.
+// Err returns the error of the wrapped context, if any. Otherwise, if the term has ended by the clock,
+// it cancels the wrapped context and returns context.DeadlineExceeded.
 func (c termContext) Err() error {
 	if err := c.Context.Err(); err != nil {
 		return err
@@ -86,7 +86,7 @@
 }
 
 // callFunction calls the function of a term. It returns the function's error, a *panicError
-// if the function panics, and errNoFunction if there is none.
+// if the function panics, and errNoFunction if there is no function for the task.
 func (r *Runner) callFunction(ctx context.Context, t *runningTerm) (err error) {
 	defer func() {
 		if value := recover(); value != nil {
@@ -101,8 +101,8 @@
 	return function(ctx, t.name, t.fence)
 }
 
-// reportOverdue counts and logs a cancelled function that has not returned within returnTimeout. Its
-// writes are rejected by their fencing token once the task is granted again.
+// reportOverdue counts and logs a cancelled function that has not returned within returnTimeout. The
+// function's writes are rejected by their fencing token once the task is granted again.
 func (r *Runner) reportOverdue(t *runningTerm) {
 	r.mu.Lock()
 	runs := r.running[t.name] == t
@@ -123,7 +123,7 @@
 			actions, next, pending = p.Tick(r.clock.Now())
 			return actions
 		})
-		select { // the signal of this call itself
+		select { // discard the signal that withParticipant has just sent
 		case <-r.deadlineChanged:
 		default:
 		}
--- a/internal/leaderelection/term_test.go
+++ b/internal/leaderelection/term_test.go
@@ -10,8 +10,8 @@
 	"knotrouter/internal/catalog"
 )
 
-// manualClock is a clock that the test advances. Its timers do not fire until the test lets
-// them, so a function can run after a pause of the process before any timer has.
+// manualClock is a clock that the test advances. Its timers do not fire until the test enables
+// them, so a function can resume after a pause of the process before any timer fires.
 type manualClock struct {
 	mu         sync.Mutex
 	now        time.Duration
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// contextErrorAfterPause runs a function under a term of the duration ttl, pauses the process
-// before any timer can fire, and returns what the function's context says then.
+// contextErrorAfterPause runs a function under a lease of duration ttl, simulates a pause of the
+// process in which no timer fires, and returns the error of the function's context after it.
 func contextErrorAfterPause(t *testing.T, ttl, pause time.Duration) error {
 	t.Helper()
 	clock := &manualClock{}
@@ -80,7 +80,7 @@
 		Log:       slog.New(slog.DiscardHandler),
 		Functions: map[string]Function{"d": function},
 	})
-	// Not t.Context, which ends before the cleanup lets the timers fire.
+	// Not t.Context, which is cancelled before the cleanup lets the timers fire.
 	ctx, cancel := context.WithCancel(context.Background())
 	returned := make(chan struct{})
 	go func() {
@@ -99,8 +99,8 @@
 	return <-contextErr
 }
 
-// TestTermContextEndsByTheClockAfterAPause shows that after a pause of the process the
-// context of a function has ended if the term is over, although no timer has fired yet.
+// TestTermContextEndsByTheClockAfterAPause checks that after a pause of the process the context
+// of a function reports an error if the term has ended, although no timer has fired yet.
 func TestTermContextEndsByTheClockAfterAPause(t *testing.T) {
 	const ttl = 2 * time.Second
 	for _, c := range []struct {
@@ -114,7 +114,7 @@
 	} {
 		t.Run(c.pause.String(), func(t *testing.T) {
 			if err := contextErrorAfterPause(t, ttl, c.pause); (err != nil) != c.ended {
-				t.Errorf("after %v of %v: %v", c.pause, ttl, err)
+				t.Errorf("after a pause of %v under a lease of %v, the context error is %v", c.pause, ttl, err)
 			}
 		})
 	}
--- a/internal/leaderelection/wire_test.go
+++ b/internal/leaderelection/wire_test.go
@@ -6,8 +6,8 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// TestMessagesKeepTheirKeys holds the JSON form of a session's assignments, with every field,
-// as the program of commit d25b370 wrote it.
+// TestMessagesKeepTheirKeys compares the JSON encoding of a session's assignments, with every
+// field set, with the encoding of commit d25b370.
 func TestMessagesKeepTheirKeys(t *testing.T) {
 	golden.Messages(t, "messages.txt", []golden.Message{golden.Of[AssignmentUpdate]("tasks")})
 }
