--- a/internal/gossip/counts.go
+++ b/internal/gossip/counts.go
@@ -9,15 +9,15 @@
 // Counts holds a Node's counters since its start, and two gauges.
 type Counts struct {
 	member.Counts
-	Pauses       int64 // pauses of this process
-	Malformed    int64 // messages that could not be decoded, or of a version that is not read
-	Rejected     int64 // members that are not in the table of peers
-	Conflicts    int64 // other processes under the name of a member
+	Pauses       int64 // detected pauses of this process
+	Malformed    int64 // messages that could not be decoded, or have an unsupported version
+	Rejected     int64 // announcements of members that are not in the table of peers
+	Conflicts    int64 // announcements of another process under a member's name
 	UnknownPeers int64 // sends to names that are not in the table of peers, or without a name
-	Dropped      int64 // datagrams and streams that arrived while the queue was full
+	Dropped      int64 // datagrams and streams that arrived while their queue was full
 	SentBytes    int64
 
-	HealthScore      int // of this process as the library measures it; 0 is healthy
+	HealthScore      int // the library's health score of this process; 0 is healthy
 	QueuedBroadcasts int
 }
 
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -13,20 +13,21 @@
 // unknownPeerError means that a name is not in this process's table of peers.
 type unknownPeerError struct{ name string }
 
-// Error names the peer.
+// Error returns the peer's name and the reason for the rejection.
 func (e *unknownPeerError) Error() string { return e.name + ": not in the table of peers" }
 
-// nameMismatchError means that a member announces an Info with a name other than its own.
+// nameMismatchError means that the name in a member's Info differs from the name under which the
+// library knows the member.
 type nameMismatchError struct{ announced string }
 
-// Error names the announced name.
-func (e *nameMismatchError) Error() string { return "it calls itself " + e.announced }
+// Error returns a message with the announced name.
+func (e *nameMismatchError) Error() string { return "member announces the name " + e.announced }
 
-// delegate handles the library's events and requests. The library calls it with its own lock
-// held, so its methods must not block and must not call the library's member list.
+// delegate implements the library's callbacks. The library calls them with its own lock held, so
+// they must not block and must not call the library's member list.
 type delegate struct{ node *Node }
 
-// NodeMeta returns the text of this process's Info, or nil if it is longer than limit.
+// NodeMeta returns the JSON encoding of this process's Info, or nil if it is longer than limit bytes.
 func (d *delegate) NodeMeta(limit int) []byte {
 	encoded, err := json.Marshal(d.node.Self())
 	if err != nil || len(encoded) > limit {
@@ -35,16 +36,16 @@
 	return encoded
 }
 
-// NotifyMsg handles a report that another member sent or broadcast.
+// NotifyMsg handles a report that another member has sent or broadcast.
 func (d *delegate) NotifyMsg(message []byte) { d.node.mergeReport(message) }
 
-// GetBroadcasts returns reports that fit into limit bytes, with overhead bytes for each.
+// GetBroadcasts returns queued reports that fit into limit bytes, counting overhead bytes for each.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.node.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState returns a full report for the library's exchange with one member, or nil if
-// this process is no observer.
+// LocalState returns a full report for the library's push/pull exchange with one member, or nil
+// if this process is not an observer.
 func (d *delegate) LocalState(bool) []byte {
 	if d.node.config.Self.Role != member.RoleControlPlane {
 		return nil
@@ -52,7 +53,7 @@
 	return d.node.fullReport()
 }
 
-// MergeRemoteState handles the full report of the other member of an exchange.
+// MergeRemoteState handles the full report of the other member of a push/pull exchange.
 func (d *delegate) MergeRemoteState(message []byte, _ bool) { d.node.mergeReport(message) }
 
 // NotifyAlive returns an error if the member is not in the table of peers or its Info is invalid.
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// NotifyJoin handles a member that is alive and was not before.
+// NotifyJoin handles a member that has become alive.
 func (d *delegate) NotifyJoin(peer *memberlist.Node) {
 	d.node.aliveNames.Store(peer.Name, true)
 	d.NotifyUpdate(peer)
@@ -90,7 +91,7 @@
 	d.node.WithTracker(func(now time.Duration, t *member.Tracker) { t.MemberDead(now, peer.Name) })
 }
 
-// NotifyConflict handles a second process under the name of a member.
+// NotifyConflict counts and reports another process that uses the name of a member.
 func (d *delegate) NotifyConflict(existing, other *memberlist.Node) {
 	d.node.conflicts.Add(1)
 	if d.node.config.OnConflict != nil {
@@ -98,7 +99,7 @@
 	}
 }
 
-// AckPayload returns nothing: an answer to a ping carries no data.
+// AckPayload returns nil: the answer to a ping carries no data.
 func (d *delegate) AckPayload() []byte { return nil }
 
 // NotifyPingComplete handles a member's answer to a probe or ping of this process.
@@ -106,8 +107,8 @@
 	d.node.WithTracker(func(now time.Duration, t *member.Tracker) { t.PeerAnswered(now, other.Name) })
 }
 
-// decodeMeta returns a member's Info. It returns an error of member.DecodeInfo if the Info is
-// invalid, and a *nameMismatchError if it has another name than the member.
+// decodeMeta returns a member's Info. It returns the error of member.DecodeInfo if the Info is
+// invalid, and a *nameMismatchError if its name differs from the member's.
 func decodeMeta(peer *memberlist.Node) (member.Info, error) {
 	info, err := member.DecodeInfo(peer.Meta)
 	if err == nil && info.Name != peer.Name {
--- a/internal/gossip/delegate_test.go
+++ b/internal/gossip/delegate_test.go
@@ -17,7 +17,7 @@
 // testPeers are the names in the table of peers of the Nodes under test.
 var testPeers = map[string]string{"st-1": "", "st-2": "", "st-3": "", "w-1": ""}
 
-// newTestNode returns the Node st-1 of a role, without sockets and goroutines.
+// newTestNode returns the Node st-1 with the given role, without sockets or goroutines.
 func newTestNode(t *testing.T, role member.Role) *Node {
 	t.Helper()
 	self := member.Info{Name: "st-1", Role: role, Incarnation: 1, InstanceID: "folder"}
@@ -31,17 +31,17 @@
 	return n
 }
 
-// metaJSON returns the text of the Info that a member announces.
+// metaJSON returns the encoded Info that a member announces.
 func metaJSON(name string, role member.Role) []byte {
 	return fmt.Appendf(nil, `{"f":1,"n":%q,"r":%q,"s":{"g":1,"c":1},"i":2}`, name, role)
 }
 
-// joinMember has the library report a member as alive.
+// joinMember notifies the Node that the library reports a member as alive.
 func joinMember(n *Node, name string, role member.Role) {
 	(&delegate{n}).NotifyJoin(&memberlist.Node{Name: name, Meta: metaJSON(name, role)})
 }
 
-// reportJSON returns the text of a partial report in which an observer sees the agent n-1 as present.
+// reportJSON returns an encoded partial report in which an observer reports the agent n-1 as present.
 func reportJSON(from string, seq int) []byte {
 	return fmt.Appendf(nil, `{"f":1,"n":%q,"i":2,"q":%d,"b":"boot","o":[{"n":"n-1","r":"agent","s":"present","t":1}]}`, from, seq)
 }
@@ -52,19 +52,20 @@
 	return c
 }
 
-// requireReportIgnored fails the test if the agent n-1 is in the view or a report is queued to be passed on.
+// requireReportIgnored fails the test if the agent n-1 is in the view or a report is queued for broadcast.
 func requireReportIgnored(t *testing.T, n *Node) {
 	t.Helper()
 	if v := n.View(); v.State("n-1") != "" {
 		t.Errorf("the report was merged: %+v", v.Members)
 	}
 	if queued := n.broadcasts.NumQueued(); queued != 0 {
-		t.Errorf("%d reports are queued to be passed on", queued)
+		t.Errorf("%d reports are queued for broadcast", queued)
 	}
 }
 
-// TestMalformedReportsAreCountedAndDropped shows that a report that can't be decoded, is out of its
-// bounds, or is of an unknown version changes nothing but a counter, by whichever way it arrives.
+// TestMalformedReportsAreCountedAndDropped checks that a report that cannot be decoded, exceeds a
+// limit or has an unknown version only increments a counter, both as a message and in a push/pull
+// exchange.
 func TestMalformedReportsAreCountedAndDropped(t *testing.T) {
 	tooMany := strings.TrimSuffix(strings.Repeat(`{"n":"n-1","r":"agent","s":"present","t":1},`, member.MaxMembers+1), ",")
 	texts := map[string]string{
@@ -92,21 +93,21 @@
 	}
 }
 
-// TestEmptyAndOwnReportsAreIgnored shows that a message without a text, and a report of this process
-// that comes back, are not counted as malformed or unknown.
+// TestEmptyAndOwnReportsAreIgnored checks that an empty message, and a report of this process that
+// comes back to it, are not counted as malformed or as reports of an unknown sender.
 func TestEmptyAndOwnReportsAreIgnored(t *testing.T) {
 	n := newTestNode(t, member.RoleControlPlane)
 	d := &delegate{n}
 	d.NotifyMsg(nil)
 	d.NotifyMsg(reportJSON("st-1", 1))
 	if malformed, unknown := n.malformed.Load(), trackerCounts(n).UnknownSenders; malformed != 0 || unknown != 0 {
-		t.Errorf("counted as malformed: %d, as of unknown senders: %d", malformed, unknown)
+		t.Errorf("%d reports were counted as malformed and %d as of unknown senders, want 0 of each", malformed, unknown)
 	}
 	requireReportIgnored(t, n)
 }
 
-// TestReportsOfUnknownSendersAreCounted shows that reports are merged from servers of the control plane
-// only, and not before the library has reported the server as alive.
+// TestReportsOfUnknownSendersAreCounted checks that reports are merged only from control-plane servers,
+// and only after the library has reported the server as alive.
 func TestReportsOfUnknownSendersAreCounted(t *testing.T) {
 	n := newTestNode(t, member.RoleControlPlane)
 	joinMember(n, "w-1", member.RoleWorker)
@@ -122,8 +123,8 @@
 	requireReportIgnored(t, n)
 }
 
-// TestNewPartialReportsArePassedOnOnce shows that a partial report is queued for the other members when
-// it is new, and neither when it arrives again nor if it is a full one.
+// TestNewPartialReportsArePassedOnOnce checks that a partial report is queued for the other members when
+// it is new, but not when it arrives again, and that a full report is never queued.
 func TestNewPartialReportsArePassedOnOnce(t *testing.T) {
 	n := newTestNode(t, member.RoleControlPlane)
 	joinMember(n, "st-2", member.RoleControlPlane)
@@ -147,8 +148,8 @@
 	}
 }
 
-// TestPassedOnReportIsACopy shows that a report that is passed on keeps its text when the library uses
-// the memory of the message again.
+// TestPassedOnReportIsACopy checks that a queued report is unchanged when the library reuses the buffer
+// of the received message.
 func TestPassedOnReportIsACopy(t *testing.T) {
 	n := newTestNode(t, member.RoleControlPlane)
 	joinMember(n, "st-2", member.RoleControlPlane)
@@ -163,8 +164,8 @@
 	}
 }
 
-// TestQueuedBroadcastsAreBounded shows that the queue keeps the newest maxQueuedBroadcasts of reports of
-// one length that have not been sent yet.
+// TestQueuedBroadcastsAreBounded checks that, of unsent reports of equal length, the queue keeps the
+// newest maxQueuedBroadcasts.
 func TestQueuedBroadcastsAreBounded(t *testing.T) {
 	n := newTestNode(t, member.RoleControlPlane)
 	want := map[string]bool{}
@@ -181,7 +182,7 @@
 	kept := (&delegate{n}).GetBroadcasts(0, 1<<20)
 	for _, message := range kept {
 		if !want[string(message)] {
-			t.Errorf("%s is kept, older than others that were dropped", message)
+			t.Errorf("%s was kept although newer reports were dropped", message)
 		}
 	}
 	if len(kept) != maxQueuedBroadcasts {
@@ -189,8 +190,8 @@
 	}
 }
 
-// TestOnlyKnownPeersAreAccepted shows which members the library may take in: those of the table, and
-// this process itself, with a valid Info of their own name.
+// TestOnlyKnownPeersAreAccepted checks that the library may add only the members in the table of peers
+// and this process itself, and only with a valid Info that has the member's own name.
 func TestOnlyKnownPeersAreAccepted(t *testing.T) {
 	n := newTestNode(t, member.RoleControlPlane)
 	d := &delegate{n}
@@ -205,7 +206,7 @@
 	}
 	var mismatch *nameMismatchError
 	if err := d.NotifyAlive(&memberlist.Node{Name: "st-2", Meta: metaJSON("st-3", member.RoleControlPlane)}); !errors.As(err, &mismatch) {
-		t.Errorf("a member with the Info of another one: %v", err)
+		t.Errorf("a member with the Info of another member: %v", err)
 	}
 	var invalid *member.InvalidMessageError
 	if err := d.NotifyAlive(&memberlist.Node{Name: "st-2", Meta: metaJSON("st-2", "odd")}); !errors.As(err, &invalid) {
@@ -216,7 +217,7 @@
 	}
 }
 
-// TestConflictsAreCountedAndReported shows that a second process under the name of a member is counted,
+// TestConflictsAreCountedAndReported checks that a second process with the name of a member is counted,
 // and reported with its address.
 func TestConflictsAreCountedAndReported(t *testing.T) {
 	n := newTestNode(t, member.RoleControlPlane)
@@ -229,14 +230,14 @@
 	}
 }
 
-// TestAnnouncementKeepsToLimit shows that an Info that is longer than the library's limit is left out.
+// TestAnnouncementKeepsToLimit checks that an Info that is longer than the library's limit is omitted.
 func TestAnnouncementKeepsToLimit(t *testing.T) {
 	d := &delegate{newTestNode(t, member.RoleControlPlane)}
 	text := d.NodeMeta(1 << 10)
 	if len(text) == 0 || len(d.NodeMeta(len(text))) != len(text) {
-		t.Errorf("an Info of %d bytes is left out", len(text))
+		t.Errorf("an Info of %d bytes is omitted although it fits the limit", len(text))
 	}
 	if short := d.NodeMeta(len(text) - 1); short != nil {
-		t.Errorf("within %d bytes: %s", len(text)-1, short)
+		t.Errorf("with a limit of %d bytes, the Info is %s, want none", len(text)-1, short)
 	}
 }
--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -1,28 +1,28 @@
-// Package gossip connects a member.Tracker to the network for processes that gossip, which
-// are the servers of the control plane and workers. It holds the gossip library
-// (hashicorp/memberlist), its sockets and its timers, and makes no decisions: what an event
-// means for a member's state is decided by package member.
+// Package gossip connects a member.Tracker to the network, for the processes that gossip:
+// control-plane servers and workers. It owns the gossip library (hashicorp/memberlist), its
+// sockets and its timers, and makes no decisions: package member decides how an event changes
+// a member's state.
 //
 // # Evidence
 //
-// The library's probes tell which members are alive or dead. The servers of the control
-// plane are also observers: each pings the others itself, broadcasts the changes of its
-// observations, and sends each of the others a full report every fullReportInterval. A
-// partial report that was new to a receiver is broadcast again, so it reaches every member
-// even if some links are down, and dies out once all have it.
+// The library's probes detect which members are alive or dead. The control-plane servers are
+// also observers: each pings the others itself, broadcasts changes to its observations, and
+// sends each of the others a full report every fullReportInterval. A receiver broadcasts a
+// partial report again if the report was new to it. The report therefore reaches every member
+// even if some links are down, and is no longer sent once all members have it.
 //
 // # Goroutines
 //
-// A Node starts these and waits for them in Close:
+// A Node starts these goroutines and waits for them in Close:
 //
-//   - runTracker: ticks the Tracker, broadcasts changed observations, and notices by late
-//     ticks that this process was paused;
-//   - joinMissing: connects to configured peers that the library does not know as alive;
-//   - pingServers and sendFullReports, on servers of the control plane only, each with one
-//     goroutine for each call in progress;
-//   - two of the transport, which receive datagrams and accept streams.
+//   - runTracker: ticks the Tracker, broadcasts changed observations, and detects pauses of
+//     this process by late ticks;
+//   - joinMissing: joins configured peers that the library does not report as alive;
+//   - pingServers and sendFullReports, on control-plane servers only, each with one goroutine
+//     for each call in progress;
+//   - two in the transport, which receive datagrams and accept streams.
 //
-// The library has goroutines of its own. They call the delegate's methods.
+// The library has its own goroutines, which call the delegate's methods.
 //
 // # Locks
 //
--- a/internal/gossip/join.go
+++ b/internal/gossip/join.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// joinMissing connects to peers of the table that the library does not know as alive, until the
-// Node is closed: maxRejoinsPerInterval in each interval, and all in turn. They are missing at the
-// start, after a long network partition, and when a member has restarted.
+// joinMissing joins the peers in the table that the library does not report as alive, until the
+// Node is closed. It tries up to maxRejoinsPerInterval peers in each interval, in rotation. Peers
+// are missing after the start, after a long network partition, and after a member has restarted.
 func (n *Node) joinMissing() {
 	ticker := time.NewTicker(rejoinInterval)
 	defer ticker.Stop()
@@ -37,13 +37,13 @@
 	return missing
 }
 
-// join exchanges the members' states with one peer.
+// join exchanges member states with one peer.
 func (n *Node) join(name string) {
 	addr := n.config.Peers()[name]
 	if addr == "" {
 		return
 	}
 	if _, err := n.memberlist.Join([]string{name + "/" + addr}); err != nil {
-		n.log.Debug("gossip peer not reached", "member", name, "err", err)
+		n.log.Debug("could not join gossip peer", "member", name, "err", err)
 	}
 }
--- a/internal/gossip/librarylog.go
+++ b/internal/gossip/librarylog.go
@@ -8,7 +8,7 @@
 	"golang.org/x/time/rate"
 )
 
-// The library's lines beyond this rate are dropped.
+// Log lines of the library that exceed this rate are dropped.
 const (
 	libraryLogLinesPerSecond = 5
 	libraryLogBurst          = 20
@@ -22,10 +22,10 @@
 
 var _ io.Writer = (*libraryLog)(nil)
 
-// Write logs one line without its newline, or drops it if the rate is exceeded. It never fails.
+// Write logs one line without its newline, or drops it if the rate limit is exceeded. It never fails.
 func (l *libraryLog) Write(line []byte) (int, error) {
 	if l.limiter.Allow() {
-		l.log.Debug("gossip", "line", string(slices.Clone(line[:max(len(line)-1, 0)])))
+		l.log.Debug("gossip library", "line", string(slices.Clone(line[:max(len(line)-1, 0)])))
 	}
 	return len(line), nil
 }
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -34,40 +34,40 @@
 	OnConflict func(name, address string)
 }
 
-// Durations of the library's protocol. A member is suspected after one or two missed probes.
-// It is reported dead after suspicionTimeout, or up to suspicionMaxMultiple times that if
-// few other members confirm the suspicion.
+// Timing of the library's protocol. A member is suspected after one or two missed probes. It is
+// reported dead after suspicionTimeout, or after up to suspicionMaxMultiple times as long if few
+// other members confirm the suspicion.
 const (
 	probeInterval        = 250 * time.Millisecond
 	probeTimeout         = 125 * time.Millisecond
 	suspicionTimeout     = 1700 * time.Millisecond
 	suspicionMaxMultiple = 2
-	minSuspicionMultiple = 3 // of the probe interval
+	minSuspicionMultiple = 3 // in probe intervals
 	gossipInterval       = 100 * time.Millisecond
 	streamTimeout        = time.Second
-	propagationTimeout   = time.Second // for an update or a leave to reach another member
+	propagationTimeout   = time.Second // for an update or a leave to reach one other member
 	deadNodeReclaimTime  = time.Second
 )
 
-// Durations of this package's own exchanges.
+// Timing of this package's own exchanges.
 const (
 	tickInterval = 100 * time.Millisecond // of the Tracker
-	// pauseThreshold is how late a tick has to be for this process to count as paused.
+	// pauseThreshold is the delay beyond which a tick counts as a pause of this process.
 	pauseThreshold     = 400 * time.Millisecond
 	fullReportInterval = 4 * time.Second
-	pingInterval       = 500 * time.Millisecond // between servers of the control plane
+	pingInterval       = 500 * time.Millisecond // between control-plane servers
 	rejoinInterval     = 500 * time.Millisecond
 )
 
-// Bounds of what one step does or keeps.
+// Limits on the work of one step and on the queue of broadcasts.
 const (
 	maxRejoinsPerInterval       = 2
 	maxContactedServers         = 16
-	maxObservationsPerBroadcast = 16 // a broadcast has to fit into one datagram
+	maxObservationsPerBroadcast = 16 // a broadcast must fit into one datagram
 	maxQueuedBroadcasts         = 256
 )
 
-// Node is this process's membership in the gossip. Its methods are safe for concurrent use.
+// Node is this process's member of the gossip group. Its methods are safe for concurrent use.
 type Node struct {
 	config     Config
 	log        *slog.Logger
@@ -75,7 +75,7 @@
 	transport  *transport
 	broadcasts *memberlist.TransmitLimitedQueue
 	startedAt  time.Time
-	bootID     string // of this process's reports
+	bootID     string // sent in this process's reports
 	ctx        context.Context
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
@@ -84,7 +84,7 @@
 	tracker *member.Tracker
 	self    member.Info
 
-	aliveNames sync.Map // names of the members that the library knows as alive
+	aliveNames sync.Map // names of the members that the library reports as alive
 
 	pauses    atomic.Int64
 	malformed atomic.Int64
@@ -93,8 +93,8 @@
 }
 
 // Start opens the sockets and begins to gossip. It returns an error if the address cannot be
-// bound. Peers that cannot be reached are no error: Start returns, and the Node goes on to try them.
-// The caller has to Close the Node.
+// bound. Unreachable peers are not an error: the Node keeps trying to join them in the background.
+// The caller must Close the Node.
 func Start(c Config) (*Node, error) {
 	n := newNode(c)
 	var err error
@@ -119,7 +119,7 @@
 	return n, nil
 }
 
-// newNode returns a Node without sockets and goroutines.
+// newNode returns a Node without sockets or goroutines.
 func newNode(c Config) *Node {
 	n := &Node{config: c, log: c.Log, startedAt: time.Now(), bootID: crand.Text(), self: c.Self}
 	n.self.ProtocolVersion = member.ProtocolVersion
@@ -130,7 +130,7 @@
 	return n
 }
 
-// libraryConfig returns the configuration of the gossip library. It requires the transport.
+// libraryConfig returns the configuration of the gossip library. n.transport must be set.
 func (n *Node) libraryConfig() *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Transport = n.config.Self.Name, n.transport
@@ -151,15 +151,15 @@
 }
 
 // suspicionMultiple returns the library's suspicion multiple for a number of members. The library
-// suspects a member for the multiple times the probe interval times the decimal logarithm of the
-// number of members. The multiple, a whole number, makes that about suspicionTimeout for up to 100
-// members, and longer for more.
+// suspects a member for a duration that is the product of the multiple, the probe interval and the
+// decimal logarithm of the number of members. The multiple is an integer chosen so that the duration
+// is about suspicionTimeout for up to 100 members; it is longer for more members.
 func suspicionMultiple(members int) int {
 	nodeScale := math.Max(1, math.Log10(float64(max(members, 1))))
 	return max(minSuspicionMultiple, int(float64(suspicionTimeout)/float64(probeInterval)/nodeScale+0.5))
 }
 
-// countAlive returns the number of members that are alive, this process included.
+// countAlive returns the number of members that are alive, including this process.
 func (n *Node) countAlive() int {
 	count := 1
 	n.aliveNames.Range(func(any, any) bool { count++; return true })
@@ -169,32 +169,32 @@
 // Addr returns the address on which the Node listens.
 func (n *Node) Addr() string { return n.transport.tcp.Addr().String() }
 
-// now returns the time of the Tracker's clock.
+// now returns the time on the Tracker's clock.
 func (n *Node) now() time.Duration { return time.Since(n.startedAt) }
 
-// WithTracker calls do with the Tracker and its time, under the lock. do must not block, and
-// must not keep the Tracker.
+// WithTracker calls do with the current time and the Tracker while holding n.mu. do must not block,
+// and must not retain the Tracker.
 func (n *Node) WithTracker(do func(now time.Duration, t *member.Tracker)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do(n.now(), n.tracker)
 }
 
-// View returns the current view of this process.
+// View returns this process's current view of the members.
 func (n *Node) View() (v member.View) {
 	n.WithTracker(func(now time.Duration, t *member.Tracker) { v = t.View(now) })
 	return v
 }
 
-// Self returns what this process announces about itself.
+// Self returns the Info that this process announces.
 func (n *Node) Self() member.Info {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.self
 }
 
-// UpdateSelf changes what this process announces about itself, and spreads the change. It
-// waits for up to propagationTimeout until another member has it.
+// UpdateSelf changes the Info that this process announces, and broadcasts the change. It waits up
+// to propagationTimeout for the change to reach another member.
 func (n *Node) UpdateSelf(change func(i *member.Info)) {
 	n.mu.Lock()
 	before := n.self
@@ -206,21 +206,21 @@
 		return
 	}
 	if err := n.memberlist.UpdateNode(propagationTimeout); err != nil {
-		n.log.Debug("gossip update did not spread in time", "err", err)
+		n.log.Debug("gossip update did not propagate in time", "err", err)
 	}
 }
 
-// Leave announces to the others that this process shuts down as planned. It waits up to twice
-// propagationTimeout until another member has the announcement.
+// Leave announces to the other members that this process is shutting down as planned. It waits up to
+// twice propagationTimeout for the announcement to reach another member.
 func (n *Node) Leave() {
 	n.UpdateSelf(func(i *member.Info) { i.ShuttingDown = true })
 	if err := n.memberlist.Leave(propagationTimeout); err != nil {
-		n.log.Debug("gossip leave did not spread in time", "err", err)
+		n.log.Debug("gossip leave did not propagate in time", "err", err)
 	}
 }
 
-// Close ends all goroutines and closes the sockets. It announces nothing: the others observe a Node
-// that was closed without Leave as failed.
+// Close ends all goroutines and closes the sockets. It announces nothing: the other members observe a
+// Node that is closed without Leave as failed.
 func (n *Node) Close() {
 	n.cancel()
 	n.goroutines.Wait()
--- a/internal/gossip/observers.go
+++ b/internal/gossip/observers.go
@@ -11,7 +11,7 @@
 	"knotrouter/internal/member"
 )
 
-// pingServers pings the other servers of the control plane until the Node is closed.
+// pingServers pings the other control-plane servers until the Node is closed.
 func (n *Node) pingServers() {
 	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
@@ -33,16 +33,16 @@
 	}
 }
 
-// ping pings one member. The transport dials by the name; the address does not matter.
+// ping pings one member. The transport looks up the address by name; the address passed here is ignored.
 func (n *Node) ping(name string) {
 	if _, err := n.memberlist.Ping(name, &net.UDPAddr{IP: net.IPv4zero}); err == nil {
 		n.WithTracker(func(now time.Duration, t *member.Tracker) { t.PeerAnswered(now, name) })
 	}
 }
 
-// sendFullReports sends a full report to each of the other servers of the control plane in
-// each interval, until the Node is closed. The library's own exchange, with one member
-// drawn at random, reaches each server too seldom.
+// sendFullReports sends a full report to each of the other control-plane servers in each interval,
+// until the Node is closed. The library's push/pull exchange, with one randomly chosen member at a
+// time, reaches each server too rarely.
 func (n *Node) sendFullReports() {
 	ticker := time.NewTicker(fullReportInterval)
 	defer ticker.Stop()
@@ -64,15 +64,15 @@
 	if _, alive := n.aliveNames.Load(name); !alive {
 		return
 	}
-	// The transport dials by the name; the address does not matter.
+	// The transport looks up the address by name; the address passed here is ignored.
 	to := &memberlist.Node{Name: name, Addr: net.IPv4zero}
 	if err := n.memberlist.SendReliable(to, report); err != nil {
 		n.log.Debug("full gossip report not sent", "member", name, "err", err)
 	}
 }
 
-// otherServers returns the other servers of the control plane that have not left: all of
-// them, or maxContactedServers drawn at random.
+// otherServers returns the other control-plane servers that have not left: all of them, or a random
+// selection of maxContactedServers.
 func (n *Node) otherServers() (names []string) {
 	v := n.View()
 	for i := range v.Members {
@@ -88,13 +88,13 @@
 	return names
 }
 
-// callGroup runs calls in goroutines of their own, one for each name at a time.
+// callGroup runs each call in its own goroutine, with at most one call per name at a time.
 type callGroup struct {
 	inProgress sync.Map // by name
 	goroutines sync.WaitGroup
 }
 
-// start starts call for each name, except for those whose earlier call is still in progress.
+// start starts call for each name, except for names whose earlier call is still in progress.
 func (g *callGroup) start(names []string, call func(name string)) {
 	for _, name := range names {
 		if _, busy := g.inProgress.LoadOrStore(name, true); busy {
--- a/internal/gossip/observers_test.go
+++ b/internal/gossip/observers_test.go
@@ -13,11 +13,11 @@
 	"knotrouter/internal/member"
 )
 
-// startTimeout is how long a call that should be started may take to start.
+// startTimeout is the time allowed for a call to start.
 const startTimeout = 20 * time.Second
 
-// TestOnlyControlPlaneServersReport shows that a worker sends no reports, full or partial, although it
-// observes the same members as a server of the control plane.
+// TestOnlyControlPlaneServersReport checks that a worker sends no reports, full or partial, although it
+// observes the same members as a control-plane server.
 func TestOnlyControlPlaneServersReport(t *testing.T) {
 	for role, reports := range map[member.Role]bool{member.RoleControlPlane: true, member.RoleWorker: false} {
 		n := newTestNode(t, role)
@@ -35,8 +35,9 @@
 	}
 }
 
-// TestPingedServersAreBounded shows that of many servers of the control plane maxContactedServers are pinged,
-// and of few all: each once, and neither this process, nor workers, nor servers that have left.
+// TestPingedServersAreBounded checks that all other control-plane servers are pinged if there are at most
+// maxContactedServers, and otherwise that many of them, each once. This process, workers and servers that
+// have left are never pinged.
 func TestPingedServersAreBounded(t *testing.T) {
 	for _, servers := range []int{0, 1, maxContactedServers, 3 * maxContactedServers} {
 		n := newTestNode(t, member.RoleControlPlane)
@@ -65,7 +66,7 @@
 	}
 }
 
-// TestLateTickCountsAsPause shows that a tick that is later than pauseThreshold counts as a pause of
+// TestLateTickCountsAsPause checks that a tick that is later than pauseThreshold counts as a pause of
 // this process, which then suspects itself.
 func TestLateTickCountsAsPause(t *testing.T) {
 	n := newTestNode(t, member.RoleControlPlane)
@@ -75,7 +76,7 @@
 	}{{0, 0}, {pauseThreshold, 0}, {pauseThreshold + 1, 1}, {time.Minute, 2}} {
 		n.tick(step.delay)
 		selfSuspect := false
-		// At the Node's start, so that the result doesn't depend on how long the test takes.
+		// Evaluated at the Node's start time, so that the result does not depend on how long the test takes.
 		n.WithTracker(func(_ time.Duration, t *member.Tracker) { selfSuspect = t.RecentlyPaused(0) })
 		if got := n.pauses.Load(); got != step.pauses || selfSuspect != (step.pauses > 0) {
 			t.Errorf("after a tick that was %v late: %d pauses, want %d; suspects itself: %v", step.delay, got, step.pauses, selfSuspect)
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestSendsWithoutKnownPeerAreCounted shows that the transport dials members by their names in the table
-// only, and counts all other sends.
+// TestSendsWithoutKnownPeerAreCounted checks that the transport sends only to names in the table of
+// peers, and counts all other sends.
 func TestSendsWithoutKnownPeerAreCounted(t *testing.T) {
 	transport := &transport{lookup: func(name string) (string, bool) { return "127.0.0.1:7000", name == "st-2" }}
 	if addr, err := transport.address("st-2"); err != nil || addr != "127.0.0.1:7000" {
@@ -108,8 +109,8 @@
 	}
 }
 
-// TestCallsToOneMemberDoNotOverlap shows that a call to a member is left out while an earlier one to it is
-// running, that calls to others are not, and that a later call is made once the earlier one has returned.
+// TestCallsToOneMemberDoNotOverlap checks that a call to a member is skipped while an earlier call to it is
+// running, that calls to other members are not, and that a new call is made once the earlier one has returned.
 func TestCallsToOneMemberDoNotOverlap(t *testing.T) {
 	var calls callGroup
 	blocked, started := make(chan struct{}), make(chan string, 10)
@@ -132,17 +133,17 @@
 	close(blocked)
 	calls.wait()
 	if got := []string{first, second}; !slices.Contains(got, "a") || !slices.Contains(got, "b") || len(started) != 0 {
-		t.Errorf("calls to %v and %d more were started at a time", got, len(started))
+		t.Errorf("calls to %v and %d more were started, want one call each to a and b", got, len(started))
 	}
 	calls.start([]string{"a"}, call)
 	calls.wait()
 	if got := receive(); got != "a" {
-		t.Errorf("the call to %s was started, want that to a", got)
+		t.Errorf("a call to %s was started, want a call to a", got)
 	}
 }
 
-// TestSuspicionLastsAboutItsTimeout shows that for any number of members up to 100 the library suspects a
-// member for suspicionTimeout, give or take one probe interval.
+// TestSuspicionLastsAboutItsTimeout checks that for up to 100 members the library suspects a member for
+// suspicionTimeout, plus or minus at most one probe interval.
 func TestSuspicionLastsAboutItsTimeout(t *testing.T) {
 	for members := 1; members <= 100; members++ {
 		nodeScale := max(1, math.Log10(float64(members)))
--- a/internal/gossip/reports.go
+++ b/internal/gossip/reports.go
@@ -14,7 +14,8 @@
 // members.
 type broadcast []byte
 
-// Invalidates reports that no broadcast replaces another: each carries other members.
+// Invalidates returns false: no broadcast replaces another, as each carries observations of different
+// members.
 func (broadcast) Invalidates(memberlist.Broadcast) bool { return false }
 
 // Message returns the report.
@@ -24,16 +25,16 @@
 func (broadcast) Finished() {}
 
 // queueBroadcast queues a report. If the queue is full, the library drops the reports that it has
-// sent most often, among them the shortest first and then the oldest; the observers' next full
-// reports contain their observations.
+// sent most often, among those the shortest first and then the oldest. Their observations are
+// contained in the observers' next full reports.
 func (n *Node) queueBroadcast(report []byte) {
 	n.broadcasts.QueueBroadcast(broadcast(report))
 	n.broadcasts.Prune(maxQueuedBroadcasts)
 }
 
-// pendingReport returns the text of a partial report, or nil if nothing has changed. Only
-// servers of the control plane are observers: with all members, the number of observations
-// would grow with the square of the number of members.
+// pendingReport returns an encoded partial report, or nil if nothing has changed or this process is
+// not an observer. Only control-plane servers are observers: if all members were, the number of
+// observations would grow with the square of the number of members.
 func (n *Node) pendingReport(now time.Duration, t *member.Tracker) []byte {
 	if n.config.Self.Role != member.RoleControlPlane {
 		return nil
@@ -45,14 +46,14 @@
 	return n.encode(&r)
 }
 
-// fullReport returns the text of a full report.
+// fullReport returns an encoded full report.
 func (n *Node) fullReport() []byte {
 	var r member.Report
 	n.WithTracker(func(now time.Duration, t *member.Tracker) { r = t.FullReport(now) })
 	return n.encode(&r)
 }
 
-// encode returns the text of a report of this process, or nil if it cannot be encoded.
+// encode returns the JSON encoding of a report of this process, or nil if it cannot be encoded.
 func (n *Node) encode(r *member.Report) []byte {
 	r.BootID = n.bootID
 	encoded, err := json.Marshal(r)
@@ -62,9 +63,9 @@
 	return encoded
 }
 
-// mergeReport has the Tracker merge the text of a report that was received. A malformed report is
-// counted and dropped. A partial report that was new is broadcast again, since the library passes on
-// its own messages only. Members that have the report already do not broadcast it, so it dies out.
+// mergeReport decodes a received report and has the Tracker merge it. A malformed report is counted and
+// dropped. A partial report that was new is broadcast again, since the library relays only its own
+// messages. Members that already have the report do not broadcast it again, so the broadcasts end.
 func (n *Node) mergeReport(message []byte) {
 	if len(message) == 0 {
 		return
@@ -81,6 +82,6 @@
 	changed := false
 	n.WithTracker(func(now time.Duration, t *member.Tracker) { changed = t.MergeReport(now, &r) })
 	if changed && !r.Full {
-		n.queueBroadcast(slices.Clone(message)) // the library reuses message
+		n.queueBroadcast(slices.Clone(message)) // the library reuses the buffer
 	}
 }
--- a/internal/gossip/tick.go
+++ b/internal/gossip/tick.go
@@ -24,8 +24,8 @@
 }
 
 // tick ticks the Tracker, broadcasts the observations that have changed, and calls Config.OnChange
-// for the members whose states have changed in the view. delay is how late the tick is; beyond
-// pauseThreshold it counts as a pause of this process.
+// with the members whose states have changed in the view. delay is how late the tick is; a delay of
+// more than pauseThreshold counts as a pause of this process.
 func (n *Node) tick(delay time.Duration) {
 	paused := delay > pauseThreshold
 	var changes []member.Change
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -15,13 +15,13 @@
 	maxQueuedPackets = 1024
 	maxQueuedStreams = 64
 	maxDatagramBytes = 64 << 10
-	// acceptRetryDelay is the wait after a failed accept, such as one without free file
-	// descriptors.
+	// acceptRetryDelay is the wait after a failed accept, for example when no file descriptors are
+	// free.
 	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// errNoPeerName is the failure of a send to an address without a member's name.
-var errNoPeerName = errors.New("gossip: no name to dial by")
+// errNoPeerName is the error of a send to an address without a member's name.
+var errNoPeerName = errors.New("gossip: address has no member name")
 
 // transport carries the library's datagrams and streams. It sends to members by name,
 // through this process's own table of peers, and never dials an address that another process
@@ -34,15 +34,15 @@
 	streams      chan net.Conn
 	closed       chan struct{}
 	goroutines   sync.WaitGroup
-	unknownPeers atomic.Int64 // sends to names that are not in the table, or without a name
-	dropped      atomic.Int64 // datagrams and streams that arrived while the queue was full
+	unknownPeers atomic.Int64 // sends without a name, or to names that are not in the table
+	dropped      atomic.Int64 // datagrams and streams that arrived while their queue was full
 	sentBytes    atomic.Int64 // in datagrams, and in streams that this process opened
 }
 
 var _ memberlist.NodeAwareTransport = (*transport)(nil)
 
 // newTransport listens on an address for TCP, and on the same port for UDP. It returns an error if
-// one of them can't be bound. lookup is called by several goroutines.
+// one of them cannot be bound. lookup is called from several goroutines.
 func newTransport(listen string, lookup func(name string) (addr string, known bool)) (*transport, error) {
 	tcp, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -67,8 +67,8 @@
 	return t, nil
 }
 
-// receive queues datagrams until the socket is closed. It drops those for which the queue
-// has no space.
+// receive queues datagrams until the socket is closed. It drops datagrams that arrive while the
+// queue is full.
 func (t *transport) receive() {
 	buf := make([]byte, maxDatagramBytes)
 	for {
@@ -76,7 +76,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // an ICMP answer to a datagram that was sent to a closed port
+		if err != nil { // for example an ICMP error for a datagram that was sent to a closed port
 			continue
 		}
 		if n == 0 {
@@ -91,8 +91,8 @@
 	}
 }
 
-// accept queues streams until the socket is closed. It closes those for which the queue has
-// no space.
+// accept queues streams until the socket is closed. It closes streams that arrive while the queue is
+// full.
 func (t *transport) accept() {
 	for {
 		conn, err := t.tcp.Accept()
@@ -116,8 +116,8 @@
 	}
 }
 
-// FinalAdvertiseAddr returns the address that the library announces to other members. None
-// of them dials it.
+// FinalAdvertiseAddr returns the address that the library announces to other members. No member
+// dials it.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	tcpAddr := t.tcp.Addr().(*net.TCPAddr)
 	return tcpAddr.IP, tcpAddr.Port, nil
@@ -142,7 +142,7 @@
 }
 
 // WriteToAddress sends a datagram to a member by its name, and returns the time at which it was
-// sent. It returns the errors of address, of the resolution of the address and of the socket.
+// sent. It returns the errors of address, of resolving the address and of the socket.
 func (t *transport) WriteToAddress(datagram []byte, to memberlist.Address) (time.Time, error) {
 	addr, err := t.address(to.Name)
 	if err != nil {
@@ -171,7 +171,7 @@
 	return &countedConn{conn, &t.sentBytes}, nil
 }
 
-// address returns the address of a member from the table. It returns errNoPeerName without a
+// address returns the address of a member from the table. It returns errNoPeerName for an empty
 // name, and an error that wraps an *unknownPeerError for a name that is not in the table.
 func (t *transport) address(name string) (string, error) {
 	if name == "" {
@@ -186,8 +186,8 @@
 	return addr, nil
 }
 
-// Shutdown closes the sockets and waits for the transport's goroutines. The library calls
-// it; all calls but the first do nothing. It returns the errors of closing the sockets.
+// Shutdown closes the sockets and waits for the transport's goroutines. The library calls it too;
+// all calls but the first do nothing. It returns the errors of closing the sockets.
 func (t *transport) Shutdown() error {
 	select {
 	case <-t.closed:
@@ -206,7 +206,7 @@
 	sentBytes *atomic.Int64
 }
 
-// Write writes to the stream and counts what was written.
+// Write writes to the stream and counts the bytes written.
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.sentBytes.Add(int64(n))
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -11,11 +11,11 @@
 	"knotrouter/internal/member"
 )
 
-// The file in testdata was sent by the program of commit d25b370 to other members, which may be
-// of another build: a name in Go may change, this file may not.
+// The file in testdata holds messages that the build of commit d25b370 sent to other members. Members
+// may run different builds, so renaming a Go identifier must not change this file.
 
-// TestAnnouncementsKeepTheirForm holds the text of the Info that a member announces and of its
-// full report. Package member holds the other messages.
+// TestAnnouncementsKeepTheirForm compares the encoded Info that a member announces, and its full report,
+// with the recorded ones. Package member tests the other messages.
 func TestAnnouncementsKeepTheirForm(t *testing.T) {
 	self := member.Info{Name: "st-1", Role: member.RoleControlPlane, Zone: "zone-a", ProgramVersion: "v1",
 		Versions: member.ProtocolVersions{Gossip: 1, Catalog: 1}, Incarnation: 7, InstanceID: "folder"}
