--- a/cmd/controlplane/mixedtransfers_test.go
+++ b/cmd/controlplane/mixedtransfers_test.go
@@ -55,7 +55,7 @@
 	task := m.waitForTask(transferTask, "is held", func(task *catalog.LeasedTask) bool { return task.Holder != "" && task.Successor == "" })
 	successor := map[string]string{"w-1": "w-2", "w-2": "w-1"}[task.Holder]
 	m.retryThrough(through, "transfer", func(ctx context.Context, c *control.Client) error {
-		return c.CommandTask(ctx, transferTask, control.CommandMove, successor, "")
+		return c.CommandTask(ctx, transferTask, control.CommandTransfer, successor, "")
 	})
 	m.retryThrough(through, "acceptance", func(ctx context.Context, c *control.Client) error {
 		ref := catalog.TermRef{Name: transferTask, Process: successor, Session: sessionID(successor)}
@@ -76,7 +76,7 @@
 	task := m.waitForTask(transferTask, "is held", func(task *catalog.LeasedTask) bool { return task.Holder != "" && task.Successor == "" })
 	successor := map[string]string{"w-1": "w-2", "w-2": "w-1"}[task.Holder]
 	m.retryThrough(through, "transfer", func(ctx context.Context, c *control.Client) error {
-		return c.CommandTask(ctx, transferTask, control.CommandMove, successor, "")
+		return c.CommandTask(ctx, transferTask, control.CommandTransfer, successor, "")
 	})
 	m.waitForTask(transferTask, "has no successor again", func(now *catalog.LeasedTask) bool {
 		return now.Successor == "" && now.Holder == task.Holder && now.Fence == task.Fence
@@ -103,7 +103,7 @@
 		}
 	}
 	m.retryThrough(through, "resumption", func(ctx context.Context, c *control.Client) error {
-		return c.CommandTask(ctx, crashTask, control.CommandUnpark, "", "")
+		return c.CommandTask(ctx, crashTask, control.CommandResume, "", "")
 	})
 }
 
--- a/cmd/controlplane/peers.go
+++ b/cmd/controlplane/peers.go
@@ -26,7 +26,7 @@
 // newChangePeerCommand returns the command that adds a server to the voters or removes one.
 func newChangePeerCommand(out io.Writer, newClient newClientFunc, use, short string, add bool) *cobra.Command {
 	return newArgumentCommand(use, short, func(ctx context.Context, name string) error {
-		status, err := newClient().ChangePeer(ctx, name, add)
+		status, err := newClient().ChangeVoter(ctx, name, add)
 		if err != nil {
 			return err
 		}
--- a/cmd/controlplane/quorum_test.go
+++ b/cmd/controlplane/quorum_test.go
@@ -158,7 +158,7 @@
 		cluster.waitUntil(oldServer+" is off the voters", func() bool {
 			ctx, cancel := context.WithTimeout(t.Context(), readTimeout)
 			defer cancel()
-			_, err := cluster.client(cluster.names...).ChangePeer(ctx, oldServer, false)
+			_, err := cluster.client(cluster.names...).ChangeVoter(ctx, oldServer, false)
 			status, statusErr := cluster.status(newServer)
 			return err == nil && statusErr == nil && !slices.Contains(status.Voters, oldServer)
 		})
--- a/cmd/controlplane/tasks.go
+++ b/cmd/controlplane/tasks.go
@@ -21,11 +21,11 @@
 }
 
 var taskCommands = []taskCommand{
-	{control.CommandMove, "Have a duty go to another process", "is to go to another process"},
+	{control.CommandTransfer, "Have a duty go to another process", "is to go to another process"},
 	{control.CommandRevoke, "Have a duty's holder stop", "is taken from its holder"},
-	{control.CommandPark, "Have nobody hold a duty", "is nobody's from now on"},
-	{control.CommandUnpark, "Let a parked duty be held again", "may be held again"},
-	{control.CommandDrop, "Forget a duty that nobody holds", "is forgotten"},
+	{control.CommandSuspend, "Have nobody hold a duty", "is nobody's from now on"},
+	{control.CommandResume, "Let a parked duty be held again", "may be held again"},
+	{control.CommandDelete, "Forget a duty that nobody holds", "is forgotten"},
 }
 
 // newTasksCommand returns the commands that show, define and command leased tasks, which the operators
@@ -111,9 +111,9 @@
 		return nil
 	})
 	switch command.name {
-	case control.CommandMove:
+	case control.CommandTransfer:
 		cmd.Flags().StringVar(&to, "to", "", "the process; none: the best other one")
-	case control.CommandPark:
+	case control.CommandSuspend:
 		cmd.Flags().StringVar(&why, "why", "", "what to tell those who ask")
 	}
 	return cmd
--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -25,9 +25,9 @@
 	retryJitterRange = 0.5
 	// bytesPerCall is the number of bytes of a list that use up as much of the rate as a request.
 	bytesPerCall = 24_000
-	// burstsPerSecond divides the rate. The quotient is the number of requests that are admitted at
+	// burstDivisor divides the rate. The quotient is the number of requests that are admitted at
 	// once.
-	burstsPerSecond = 4
+	burstDivisor = 4
 	// reservedDescriptors are left to the log, the other servers and requests that are no watches.
 	reservedDescriptors = 1024
 )
@@ -41,8 +41,8 @@
 	writeSlots    chan struct{}
 	rejectedCalls atomic.Int64 // for the metrics
 
-	mu       sync.Mutex
-	nextSlot time.Time // when the retries that clients were asked for so far are all admitted; guarded by mu
+	mu            sync.Mutex
+	nextRetrySlot time.Time // when the retries that clients were asked for so far are all admitted; guarded by mu
 }
 
 // newAdmission returns an admission with the bounds of the configuration.
@@ -50,7 +50,7 @@
 	return &admission{
 		config:      c,
 		maxWatches:  availableWatches(c.MaxWatches),
-		callLimiter: rate.NewLimiter(rate.Limit(c.CallRate), max(int(c.CallRate/burstsPerSecond), 1)),
+		callLimiter: rate.NewLimiter(rate.Limit(c.CallRate), max(int(c.CallRate/burstDivisor), 1)),
 		writeSlots:  make(chan struct{}, c.MaxWrites),
 	}
 }
@@ -74,26 +74,26 @@
 	if a.callLimiter.AllowN(time.Now(), cost) {
 		return true
 	}
-	a.reject(w, a.reserveSlot(time.Duration(float64(cost)/a.config.CallRate*float64(time.Second))))
+	a.reject(w, a.reserveRetrySlot(time.Duration(float64(cost)/a.config.CallRate*float64(time.Second))))
 	return false
 }
 
-// reserveSlot reserves the next time at which a rejected request can be admitted, and returns the
+// reserveRetrySlot reserves the next time at which a rejected request can be admitted, and returns the
 // time until then, at most maxRetryAfter. The cost is the time in which the configured rate admits as
 // many requests as this one counts for.
-func (a *admission) reserveSlot(cost time.Duration) time.Duration {
+func (a *admission) reserveRetrySlot(cost time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	if a.nextSlot.Before(now) {
-		a.nextSlot = now
+	if a.nextRetrySlot.Before(now) {
+		a.nextRetrySlot = now
 	}
 	// No client is asked to wait for longer than maxRetryAfter. A client that retries before there
 	// is room for it is rejected again.
-	if a.nextSlot = a.nextSlot.Add(cost); a.nextSlot.After(now.Add(maxRetryAfter)) {
-		a.nextSlot = now.Add(maxRetryAfter)
+	if a.nextRetrySlot = a.nextRetrySlot.Add(cost); a.nextRetrySlot.After(now.Add(maxRetryAfter)) {
+		a.nextRetrySlot = now.Add(maxRetryAfter)
 	}
-	return a.nextSlot.Sub(now)
+	return a.nextRetrySlot.Sub(now)
 }
 
 // admitWrite admits a write, which has slots of its own, so that reads can't keep it waiting. It
--- a/internal/control/audit.go
+++ b/internal/control/audit.go
@@ -59,7 +59,7 @@
 		slots <- struct{}{}
 		running.Go(func() {
 			defer func() { <-slots }()
-			if !reportsOtherThanReady(ctx, client, endpoint.Dial) {
+			if !failsHealthCheck(ctx, client, endpoint.Dial) {
 				return
 			}
 			mu.Lock()
@@ -72,9 +72,9 @@
 	return mismatches
 }
 
-// reportsOtherThanReady reports whether a server answers a health check with anything but
+// failsHealthCheck reports whether a server answers a health check with anything but
 // status 200, or not at all. It is false if no request can be made of the address.
-func reportsOtherThanReady(ctx context.Context, client *http.Client, address string) bool {
+func failsHealthCheck(ctx context.Context, client *http.Client, address string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/health", nil)
 	if err != nil {
 		return false
--- a/internal/control/call.go
+++ b/internal/control/call.go
@@ -22,9 +22,9 @@
 func (e *HTTPError) Error() string { return e.Text }
 
 // call sends a request with a JSON body, or none if body is nil, and decodes the JSON answer
-// into the value that into points to. A *[]byte takes the answer as it is, and nil drops it.
+// into the value that dest points to. A *[]byte takes the answer as it is, and nil drops it.
 // An answer with a status other than 2xx is returned as an *HTTPError.
-func call(ctx context.Context, c *http.Client, method, url string, body, into any) error {
+func call(ctx context.Context, c *http.Client, method, url string, body, dest any) error {
 	req, err := newRequest(ctx, method, url, body)
 	if err != nil {
 		return fmt.Errorf("%s %s: %w", method, url, err)
@@ -41,14 +41,14 @@
 	if resp.StatusCode/100 != 2 {
 		return &HTTPError{Status: resp.StatusCode, Text: string(bytes.TrimSpace(text)), NotApplied: resp.Header.Get("Not-Applied") == "1"}
 	}
-	if raw, ok := into.(*[]byte); ok {
+	if raw, ok := dest.(*[]byte); ok {
 		*raw = text
 		return nil
 	}
-	if into == nil {
+	if dest == nil {
 		return nil
 	}
-	if err := json.Unmarshal(text, into); err != nil {
+	if err := json.Unmarshal(text, dest); err != nil {
 		return fmt.Errorf("%s %s: %w", method, url, err)
 	}
 	return nil
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -36,7 +36,7 @@
 
 // do sends a request to one address after the other. After an answer, even a rejection, it tries
 // the next only if the request certainly had no effect.
-func (c *Client) do(ctx context.Context, method, path string, body, into any) error {
+func (c *Client) do(ctx context.Context, method, path string, body, dest any) error {
 	err := errNoAddress
 	first := c.preferred.Load()
 	addrs := c.Addrs
@@ -45,7 +45,7 @@
 	}
 	for i := range addrs {
 		addr := addrs[(int(first)+i)%len(addrs)]
-		err = call(ctx, c.HTTP, method, "http://"+addr+path, body, into)
+		err = call(ctx, c.HTTP, method, "http://"+addr+path, body, dest)
 		var rejected *HTTPError
 		if err != nil && !errors.As(err, &rejected) {
 			c.preferred.CompareAndSwap(first+int64(i), first+int64(i)+1)
@@ -80,17 +80,17 @@
 // Server returns the entry of a server. If consistent is true, the leader answers, with all that
 // was acknowledged before the call.
 func (c *Client) Server(ctx context.Context, name string, consistent bool) (e catalog.Entry, err error) {
-	return e, c.do(ctx, http.MethodGet, "/v1/servers/"+name+query(consistent), nil, &e)
+	return e, c.do(ctx, http.MethodGet, "/v1/servers/"+name+consistentQuery(consistent), nil, &e)
 }
 
 // Servers returns all entries, including those that were removed recently. For consistent, see
 // Server.
 func (c *Client) Servers(ctx context.Context, consistent bool) (all []catalog.Entry, err error) {
-	return all, c.do(ctx, http.MethodGet, "/v1/servers"+query(consistent), nil, &all)
+	return all, c.do(ctx, http.MethodGet, "/v1/servers"+consistentQuery(consistent), nil, &all)
 }
 
-// query returns the query of a read.
-func query(consistent bool) string {
+// consistentQuery returns the query of a read.
+func consistentQuery(consistent bool) string {
 	if consistent {
 		return "?consistent=1"
 	}
@@ -108,13 +108,13 @@
 }
 
 // Snapshot returns the encoded state of the leader.
-func (c *Client) Snapshot(ctx context.Context) (text []byte, err error) {
-	return text, c.do(ctx, http.MethodGet, "/v1/snapshot?consistent=1", nil, &text)
+func (c *Client) Snapshot(ctx context.Context) (encoded []byte, err error) {
+	return encoded, c.do(ctx, http.MethodGet, "/v1/snapshot?consistent=1", nil, &encoded)
 }
 
 // Restore replaces the replicated state by a snapshot, and returns the status of the leader.
-func (c *Client) Restore(ctx context.Context, text []byte) (st Status, err error) {
-	return st, c.do(ctx, http.MethodPut, "/v1/snapshot", rawJSON(text), &st)
+func (c *Client) Restore(ctx context.Context, encoded []byte) (st Status, err error) {
+	return st, c.do(ctx, http.MethodPut, "/v1/snapshot", rawJSON(encoded), &st)
 }
 
 // rawJSON is a request body that is already encoded.
@@ -123,9 +123,9 @@
 // MarshalJSON implements json.Marshaler.
 func (r rawJSON) MarshalJSON() ([]byte, error) { return r, nil }
 
-// ChangePeer adds a control-plane server to the voters, or removes it from them, and returns the
+// ChangeVoter adds a control-plane server to the voters, or removes it from them, and returns the
 // status of the leader.
-func (c *Client) ChangePeer(ctx context.Context, name string, add bool) (st Status, err error) {
+func (c *Client) ChangeVoter(ctx context.Context, name string, add bool) (st Status, err error) {
 	method := http.MethodDelete
 	if add {
 		method = http.MethodPut
@@ -144,25 +144,25 @@
 	return sessionError(c.do(ctx, http.MethodPut, "/v1/sessions/"+s.Process, s, nil))
 }
 
-// RenewSession renews a session, and returns its assignments if their revision is later than rev.
+// RenewSession renews a session, and returns its assignments if their revision is later than the given one.
 // It returns an error that wraps leaderelection.ErrSessionExpired if there is no such session.
-func (c *Client) RenewSession(ctx context.Context, process, id string, rev int64) (u leaderelection.AssignmentUpdate, err error) {
-	return u, sessionError(c.do(ctx, http.MethodPost, "/v1/sessions/"+process+"/renewal", renewalBody{id, rev}, &u))
+func (c *Client) RenewSession(ctx context.Context, process, id string, revision int64) (u leaderelection.AssignmentUpdate, err error) {
+	return u, sessionError(c.do(ctx, http.MethodPost, "/v1/sessions/"+process+"/renewal", renewalBody{id, revision}, &u))
 }
 
-// WatchSession waits until the assignments of a session have a later revision than rev, or until
+// WatchSession waits until the assignments of a session have a later revision than the given one, or until
 // the server answers without any. Errors are as for RenewSession.
-func (c *Client) WatchSession(ctx context.Context, process, id string, rev int64) (u leaderelection.AssignmentUpdate, err error) {
-	return u, sessionError(c.do(ctx, http.MethodGet, fmt.Sprintf("/v1/sessions/%s/tasks?id=%s&rev=%d", process, id, rev), nil, &u))
+func (c *Client) WatchSession(ctx context.Context, process, id string, revision int64) (u leaderelection.AssignmentUpdate, err error) {
+	return u, sessionError(c.do(ctx, http.MethodGet, fmt.Sprintf("/v1/sessions/%s/tasks?id=%s&rev=%d", process, id, revision), nil, &u))
 }
 
 // EndSession closes a session, or if drain is true has it drain: its tasks go to other processes.
 func (c *Client) EndSession(ctx context.Context, process, id string, drain bool) error {
-	query := ""
+	drainParam := ""
 	if drain {
-		query = "&rest=1"
+		drainParam = "&rest=1"
 	}
-	return sessionError(c.do(ctx, http.MethodDelete, "/v1/sessions/"+process+"?id="+id+query, nil, nil))
+	return sessionError(c.do(ctx, http.MethodDelete, "/v1/sessions/"+process+"?id="+id+drainParam, nil, nil))
 }
 
 // ReportTerms reports that terms were released or their transfer accepted, by kind. It returns no
@@ -223,22 +223,22 @@
 	return c.do(ctx, http.MethodPost, "/v1/terms", termsBody{catalog.ReleaseTerm, []catalog.TermRef{t}, catalog.ReasonCompleted}, nil)
 }
 
-// Operators' commands on a leased task. All but CommandDrop are the last element of a path of the HTTP
+// Operators' commands on a leased task. All but CommandDelete are the last element of a path of the HTTP
 // API.
 const (
-	CommandMove   = "move"   // transfer the task to another process
-	CommandRevoke = "revoke" // have the holder stop
-	CommandPark   = "park"   // suspend the task
-	CommandUnpark = "unpark" // resume the task
-	CommandDrop   = "drop"   // delete the task
+	CommandTransfer = "move"   // transfer the task to another process
+	CommandRevoke   = "revoke" // have the holder stop
+	CommandSuspend  = "park"   // suspend the task
+	CommandResume   = "unpark" // resume the task
+	CommandDelete   = "drop"   // delete the task
 )
 
-// CommandTask carries out an operator's command on a task. The process to is that of a CommandMove, or
-// "" for the best one. The reason, which may be "", is shown as that of a CommandPark; other commands
+// CommandTask carries out an operator's command on a task. The target is the process of a CommandTransfer, or
+// "" for the best one. The reason, which may be "", is shown as that of a CommandSuspend; other commands
 // ignore it.
-func (c *Client) CommandTask(ctx context.Context, name, command, to, reason string) error {
-	if command == CommandDrop {
+func (c *Client) CommandTask(ctx context.Context, name, command, target, reason string) error {
+	if command == CommandDelete {
 		return c.do(ctx, http.MethodDelete, "/v1/duties/"+name, nil, nil)
 	}
-	return c.do(ctx, http.MethodPost, "/v1/duties/"+name+"/"+command, taskCommandBody{to, reason}, nil)
+	return c.do(ctx, http.MethodPost, "/v1/duties/"+name+"/"+command, taskCommandBody{target, reason}, nil)
 }
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -189,9 +189,9 @@
 	}{
 		{"name", !endpoints.IsToken(c.Name, 64), "must be a word"},
 		{"data", c.Data == "", "missing: the folder that holds the log and the snapshots"},
-		{"listen", !endpoints.IsAddress(c.Listen), noAddress(c.Listen)},
-		{"raft", !endpoints.IsAddress(c.Raft), noAddress(c.Raft)},
-		{"gossip", c.Gossip != "" && !endpoints.IsAddress(c.Gossip), noAddress(c.Gossip)},
+		{"listen", !endpoints.IsAddress(c.Listen), describeInvalidAddress(c.Listen)},
+		{"raft", !endpoints.IsAddress(c.Raft), describeInvalidAddress(c.Raft)},
+		{"gossip", c.Gossip != "" && !endpoints.IsAddress(c.Gossip), describeInvalidAddress(c.Gossip)},
 		{"zone", c.Zone != "" && !endpoints.IsToken(c.Zone, endpoints.MaxLabel), "must be a word"},
 		{"voters", c.Voters < 0 || c.Voters > 9, fmt.Sprintf("must be 0 to 9, is %d", c.Voters)},
 		{"voters", c.Voters > 0 && c.Gossip == "", "needs gossip, which tells who has failed"},
@@ -226,26 +226,28 @@
 		case !endpoints.IsToken(name, 64):
 			return &configError{"peers", fmt.Sprintf("%q is no name", name)}
 		case !endpoints.IsAddress(peer.HTTP):
-			return &configError{"peers." + name + ".http", noAddress(peer.HTTP)}
+			return &configError{"peers." + name + ".http", describeInvalidAddress(peer.HTTP)}
 		case !endpoints.IsAddress(peer.Raft):
-			return &configError{"peers." + name + ".raft", noAddress(peer.Raft)}
+			return &configError{"peers." + name + ".raft", describeInvalidAddress(peer.Raft)}
 		case peer.Gossip != "" && !endpoints.IsAddress(peer.Gossip):
-			return &configError{"peers." + name + ".gossip", noAddress(peer.Gossip)}
+			return &configError{"peers." + name + ".gossip", describeInvalidAddress(peer.Gossip)}
 		}
 	}
 	return nil
 }
 
-// noAddress describes a value that is not an address.
-func noAddress(value string) string { return fmt.Sprintf("no address with a port: %q", value) }
+// describeInvalidAddress describes a value that is not an address.
+func describeInvalidAddress(value string) string {
+	return fmt.Sprintf("no address with a port: %q", value)
+}
 
 // leaseConfig returns the settings of registration leases.
 func (c *Config) leaseConfig() catalog.LeaseConfig {
 	return catalog.LeaseConfig{TTL: c.LeaseTTL, MassFailureShare: c.GuardShare, MassFailureWindow: c.GuardWindow}
 }
 
-// otherServers returns the names of the peers, sorted.
-func (c *Config) otherServers() []string {
+// otherPeerNames returns the names of the peers, sorted.
+func (c *Config) otherPeerNames() []string {
 	var names []string
 	for name := range c.Peers {
 		if name != c.Name {
--- a/internal/control/controltasks.go
+++ b/internal/control/controltasks.go
@@ -61,9 +61,9 @@
 // defineControlTasks defines the control plane's own tasks that aren't defined yet.
 func (s *Server) defineControlTasks() {
 	for _, name := range controlTasks {
-		known := false
-		s.fsm.read(func(state *catalog.State) { known = state.LeasedTasks[name] != nil })
-		if known {
+		defined := false
+		s.fsm.read(func(state *catalog.State) { defined = state.LeasedTasks[name] != nil })
+		if defined {
 			continue
 		}
 		task := &catalog.LeasedTask{Name: name, TTL: controlTaskTTL}
--- a/internal/control/controltasks_test.go
+++ b/internal/control/controltasks_test.go
@@ -56,7 +56,7 @@
 	}
 	client := NewClient([]string{addr}, 5*time.Second)
 	const reason = "until tomorrow"
-	if err := client.CommandTask(t.Context(), auditTask, CommandPark, "", reason); err != nil {
+	if err := client.CommandTask(t.Context(), auditTask, CommandSuspend, "", reason); err != nil {
 		t.Fatal(err)
 	}
 	waitForTask(t, s, auditTask, "stopped", func(task *catalog.LeasedTask) bool { return task.Holder == "" })
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -13,7 +13,7 @@
 // # Life of a server
 //
 // Start listens for HTTP, opens the data folder, joins gossip and starts raft. On an empty data
-// folder it first asks the peers what that means (see classifyEmptyFolder). Reload replaces the
+// folder it first asks the peers what that means (see chooseStartMode). Reload replaces the
 // peer table. Close releases the leased tasks, transfers leadership, migrates the watches,
 // leaves gossip and stops. All exported methods may be called from any goroutine; Close once.
 //
@@ -28,8 +28,8 @@
 //   - incarnationLoop, with gossip, obtains this process's incarnation number
 //   - the task runner (package leaderelection) runs the control plane's own tasks that this
 //     server holds: the sweep of leases, copies of the state, the audit, the replacement of voters
-//   - requestAdmission, after a start on an empty folder, until this server is readmitted
-//   - runBarriers, while a request waits for a confirmation by a quorum
+//   - requestReadmission, after a start on an empty folder, until this server is readmitted
+//   - runSharedChecks, while a request waits for a confirmation by a quorum
 //
 // All of them end soon after Server.ctx does, and Close waits for them. The task runner has a
 // context of its own, as Close ends it first.
@@ -45,7 +45,7 @@
 //   - Server.leaderMu guards what only a leader has: the leases and the clock
 //   - watchBroadcaster.mu guards the events of the full list and the open watches
 //   - serviceTopics.mu guards events and subscriptions of services, serviceLists.mu their cache
-//   - failureObservations.mu, memberFailures.mu, statusCache.mu, barriers.mu and admission.mu
+//   - failureObservations.mu, memberFailures.mu, statusCache.mu, sharedChecks.mu and admission.mu
 //     guard the fields of their structs
 //
 // The fields of Server outside the group of leaderMu are atomic, or are set before the goroutines
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -81,9 +81,9 @@
 	http.Error(w, text, http.StatusServiceUnavailable)
 }
 
-// configurationError translates an error of a change of the raft configuration: it returns
+// raftConfigurationError translates an error of a change of the raft configuration: it returns
 // errNoLeader if the change was certainly not made, and wraps errUnknownOutcome otherwise.
-func configurationError(err error) error {
+func raftConfigurationError(err error) error {
 	if errors.Is(err, raft.ErrNotLeader) {
 		return errNoLeader
 	}
--- a/internal/control/evidence.go
+++ b/internal/control/evidence.go
@@ -57,7 +57,7 @@
 func (s *Server) probeServers(ctx context.Context, refs []catalog.InstanceRef) answersByServer {
 	ctx, cancel := context.WithTimeout(ctx, evidenceTimeout-evidenceReserve)
 	defer cancel()
-	addresses := s.addressesOf(refs)
+	addresses := s.instanceAddresses(refs)
 	startedAt := time.Now()
 	observed := make([]member.Answer, len(refs))
 	slots := make(chan struct{}, maxProbes)
@@ -86,9 +86,9 @@
 	return answers
 }
 
-// addressesOf returns the address of each instance, in the order of refs, or "" if the catalog
+// instanceAddresses returns the address of each instance, in the order of refs, or "" if the catalog
 // doesn't have that instance.
-func (s *Server) addressesOf(refs []catalog.InstanceRef) []string {
+func (s *Server) instanceAddresses(refs []catalog.InstanceRef) []string {
 	addresses := make([]string, len(refs))
 	s.fsm.read(func(state *catalog.State) {
 		for i, ref := range refs {
--- a/internal/control/failureobservations.go
+++ b/internal/control/failureobservations.go
@@ -112,17 +112,17 @@
 
 // update replaces the observations of the servers of a round that ended at a time, and drops those
 // of other servers that are older than observationMaxAge.
-func (o *failureObservations) update(at time.Time, round evidenceRound) {
+func (o *failureObservations) update(endedAt time.Time, round evidenceRound) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	byServer := map[string]observationSet{} // a new map: deciders read the old one without the lock
 	for name, set := range o.byServer {
-		if at.Sub(set.observedAt) <= observationMaxAge {
+		if endedAt.Sub(set.observedAt) <= observationMaxAge {
 			byServer[name] = set
 		}
 	}
 	for _, ref := range round.refs {
-		byServer[ref.Name] = observationSet{ref.StartedMs, at, round.answers[ref.Name]}
+		byServer[ref.Name] = observationSet{ref.StartedMs, endedAt, round.answers[ref.Name]}
 	}
 	o.byServer, o.voters = byServer, round.voters
 }
--- a/internal/control/forwarding.go
+++ b/internal/control/forwarding.go
@@ -24,14 +24,14 @@
 // leaderWritesAfter is leaderWrites with a step that runs at the server where the request arrived,
 // after the request was admitted and before the leader carries it out. An error of that step is the
 // answer.
-func (s *Server) leaderWritesAfter(observe, do commandHandler) http.HandlerFunc {
+func (s *Server) leaderWritesAfter(before, do commandHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		release, ok := s.admission.admitWrite(w)
 		if !ok {
 			return
 		}
 		defer release()
-		if err := observe(w, r); err != nil {
+		if err := before(w, r); err != nil {
 			writeError(w, err)
 			return
 		}
@@ -75,14 +75,14 @@
 		writeError(w, errNoLeader)
 		return
 	}
-	text, err := readBody(w, r)
+	body, err := readBody(w, r)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), applyTimeout+peerTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+leader.HTTP+r.URL.RequestURI(), bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+leader.HTTP+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		writeError(w, err)
 		return
--- a/internal/control/fsm.go
+++ b/internal/control/fsm.go
@@ -88,25 +88,25 @@
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	text, err := f.state.Encode()
+	encoded, err := f.state.Encode()
 	if err != nil {
 		return nil, err
 	}
-	return encodedState(text), nil
+	return encodedState(encoded), nil
 }
 
 // Restore implements raft.FSM: it replaces the state by a snapshot. If it returns an error, such
 // as errSnapshotTooLarge or one of catalog.Decode, the state is as it was.
 func (f *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
-	text, err := io.ReadAll(io.LimitReader(r, maxSnapshotBytes+1))
+	encoded, err := io.ReadAll(io.LimitReader(r, maxSnapshotBytes+1))
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	if len(text) > maxSnapshotBytes {
+	if len(encoded) > maxSnapshotBytes {
 		return fmt.Errorf("snapshot: %w", errSnapshotTooLarge)
 	}
-	state, err := catalog.Decode(text)
+	state, err := catalog.Decode(encoded)
 	if err != nil {
 		return err
 	}
--- a/internal/control/incarnation.go
+++ b/internal/control/incarnation.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	incarnationInterval = 500 * time.Millisecond // between checks of this process's incarnation
+	incarnationCheckInterval = 500 * time.Millisecond // between checks of this process's incarnation
 	// nameConflictTimeout is for how long requests may be rejected because another process has this
 	// server's name before this process gives up: after a restart with an empty data folder, the
 	// peers need some time to notice that the earlier process has ended.
 	nameConflictTimeout = 10 * time.Second
 )
 
-// memberArrivalBody requests the incarnation number of a start of a process: it has the identity of
+// incarnationRequestBody requests the incarnation number of a start of a process: it has the identity of
 // the data folder and that of the start.
-type memberArrivalBody struct {
+type incarnationRequestBody struct {
 	ID     string `json:"id"`
 	BootID string `json:"life"`
 }
@@ -45,11 +45,11 @@
 func (s *Server) incarnationLoop() {
 	client := NewClient(nil, applyTimeout+peerTimeout)
 	client.AddressSource = s.serverAddresses
-	ticker := time.NewTicker(incarnationInterval)
+	ticker := time.NewTicker(incarnationCheckInterval)
 	defer ticker.Stop()
-	request := incarnationRequest{client: client}
+	requester := incarnationRequester{client: client}
 	for {
-		if err := s.checkIncarnation(&request); err != nil {
+		if err := s.checkIncarnation(&requester); err != nil {
 			s.fail(err)
 			return
 		}
@@ -65,16 +65,16 @@
 // requests one until then. It returns a supersededError if the catalog has given this server's name
 // to another process since, and an error that wraps the rejection if another present process has
 // had the name for nameConflictTimeout.
-func (s *Server) checkIncarnation(request *incarnationRequest) error {
+func (s *Server) checkIncarnation(requester *incarnationRequester) error {
 	registered := s.registeredMember()
 	if registered.ID == s.dataID && registered.BootID == s.bootID {
-		s.takeIncarnation(registered.Incarnation)
+		s.adoptIncarnation(registered.Incarnation)
 		return nil
 	}
 	if current := s.gossip().Self().Incarnation; current > 0 && registered.Incarnation > current {
 		return &supersededError{s.config.Name, registered.ID == s.dataID}
 	}
-	return s.requestIncarnation(request)
+	return s.requestIncarnation(requester)
 }
 
 // registeredMember returns what the catalog has under this server's name, or the zero Member.
@@ -87,8 +87,8 @@
 	return registered
 }
 
-// takeIncarnation gossips this process's incarnation number, if it is new.
-func (s *Server) takeIncarnation(incarnation int64) {
+// adoptIncarnation gossips this process's incarnation number, if it is new.
+func (s *Server) adoptIncarnation(incarnation int64) {
 	if s.gossip().Self().Incarnation == incarnation {
 		return
 	}
@@ -96,8 +96,8 @@
 	s.log.Info("incarnation number obtained", "incarnation", incarnation)
 }
 
-// incarnationRequest is a process's repeated request for its incarnation number.
-type incarnationRequest struct {
+// incarnationRequester is a process's repeated request for its incarnation number.
+type incarnationRequester struct {
 	client *Client
 	// conflictSince is the time of the first of the requests in a row that were rejected because
 	// another process has the name; zero if the last request was not.
@@ -106,25 +106,25 @@
 
 // requestIncarnation sends the request once. It returns an error only if the request has been
 // rejected for longer than nameConflictTimeout because another process has the name.
-func (s *Server) requestIncarnation(request *incarnationRequest) error {
+func (s *Server) requestIncarnation(requester *incarnationRequester) error {
 	path := endpoints.MembersPath + "/" + s.config.Name + "/arrival"
 	var result catalog.Result
-	err := request.client.do(s.ctx, http.MethodPost, path, memberArrivalBody{s.dataID, s.bootID}, &result)
+	err := requester.client.do(s.ctx, http.MethodPost, path, incarnationRequestBody{s.dataID, s.bootID}, &result)
 	switch {
 	case !isConflict(err):
-		request.conflictSince = time.Time{}
-	case request.conflictSince.IsZero():
-		request.conflictSince = time.Now()
-	case time.Since(request.conflictSince) > nameConflictTimeout:
+		requester.conflictSince = time.Time{}
+	case requester.conflictSince.IsZero():
+		requester.conflictSince = time.Now()
+	case time.Since(requester.conflictSince) > nameConflictTimeout:
 		return fmt.Errorf("name: %w", err)
 	}
 	return nil
 }
 
-// presentMember reports whether a process of this name may be alive by the membership view, which
+// memberPresence reports whether a process of this name may be alive by the membership view, which
 // includes one that is suspect or joining. It returns the identity of its data folder, "" if that is
 // not known.
-func (s *Server) presentMember(name string) (dataID string, present bool) {
+func (s *Server) memberPresence(name string) (dataID string, present bool) {
 	if s.gossip() == nil {
 		return "", false
 	}
@@ -135,7 +135,7 @@
 // checkNameConflict returns a rejectedError if a process with another data folder than the one with
 // this identity is present under the name. An identity that is not known, "", is no conflict.
 func (s *Server) checkNameConflict(name, dataID string) error {
-	other, present := s.presentMember(name)
+	other, present := s.memberPresence(name)
 	if present && dataID != "" && other != "" && other != dataID {
 		if s.logLimiter.Allow() {
 			s.log.Error("request of a second process with the name of a present one", "member", name)
@@ -146,10 +146,10 @@
 	return nil
 }
 
-// handleMemberArrival gives a control-plane server its incarnation number. It rejects a name that
+// handleIncarnationRequest gives a control-plane server its incarnation number. It rejects a name that
 // isn't in the peer table or that another present process has.
-func (s *Server) handleMemberArrival(w http.ResponseWriter, r *http.Request) error {
-	var b memberArrivalBody
+func (s *Server) handleIncarnationRequest(w http.ResponseWriter, r *http.Request) error {
+	var b incarnationRequestBody
 	if err := decodeBody(w, r, &b); err != nil {
 		return err
 	}
@@ -160,7 +160,7 @@
 	if err := s.checkNameConflict(name, b.ID); err != nil {
 		return err
 	}
-	dataID, present := s.presentMember(name)
+	dataID, present := s.memberPresence(name)
 	return s.commitAndAnswer(w, catalog.Command{Kind: catalog.RegisterMember, Member: &catalog.Member{
 		Name:              name,
 		ID:                b.ID,
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -16,17 +16,17 @@
 type startMode int
 
 const (
-	resume           startMode = iota // go on with the state in the data folder
+	resumeState      startMode = iota // go on with the state in the data folder
 	bootstrapCluster                  // write the first configuration of a new cluster
 	rejoinCluster                     // have itself added to the cluster that it was part of
 )
 
 const (
-	firstStartInterval = 100 * time.Millisecond // between rounds of status requests on an empty folder
-	admissionInterval  = 500 * time.Millisecond // between requests to be added to the configuration
-	raftTimeout        = 5 * time.Second        // of the raft transport's connections
-	raftPoolSize       = 3                      // idle connections kept per peer
-	commitTimeout      = 5 * time.Millisecond
+	peerStatusInterval  = 100 * time.Millisecond // between rounds of status requests on an empty folder
+	readmissionInterval = 500 * time.Millisecond // between requests to be added to the configuration
+	raftTimeout         = 5 * time.Second        // of the raft transport's connections
+	raftPoolSize        = 3                      // idle connections kept per peer
+	commitTimeout       = 5 * time.Millisecond
 )
 
 // startRaft opens the data folder, starts gossip and then raft. A server with an empty data
@@ -48,9 +48,9 @@
 	if err != nil {
 		return fmt.Errorf("data: %w", err)
 	}
-	mode := resume
+	mode := resumeState
 	if !hasState {
-		if mode, err = s.classifyEmptyFolder(ctx); err != nil {
+		if mode, err = s.chooseStartMode(ctx); err != nil {
 			return err
 		}
 	}
@@ -63,7 +63,7 @@
 		}
 	}
 	if mode == rejoinCluster {
-		s.startGoroutine(s.requestAdmission)
+		s.startGoroutine(s.requestReadmission)
 	}
 	return nil
 }
@@ -113,7 +113,7 @@
 		return nil
 	}
 	var conf raft.Configuration
-	for _, name := range append([]string{s.config.Name}, s.config.otherServers()...) {
+	for _, name := range append([]string{s.config.Name}, s.config.otherPeerNames()...) {
 		replica := raft.Server{ID: raft.ServerID(name), Address: raft.ServerAddress(name)}
 		if s.config.Peers[name].NonVoter {
 			replica.Suffrage = raft.Nonvoter
@@ -138,13 +138,13 @@
 	return p.Raft, ok
 }
 
-// classifyEmptyFolder asks the peers, until it is certain, what an empty data folder means. If
+// chooseStartMode asks the peers, until it is certain, what an empty data folder means. If
 // all of them are empty too, the cluster is new and is to be bootstrapped. If one has a state,
 // this server was replaced or lost its data: it has itself removed from the voters, as it may
 // have voted, and is to rejoin. It returns an error if the context ends or if another process
 // goes by this server's name.
-func (s *Server) classifyEmptyFolder(ctx context.Context) (startMode, error) {
-	others := s.config.otherServers()
+func (s *Server) chooseStartMode(ctx context.Context) (startMode, error) {
+	others := s.config.otherPeerNames()
 	for first := true; ; first = false {
 		empty := 0
 		for _, name := range others {
@@ -162,7 +162,7 @@
 				return rejoinCluster, nil
 			}
 			if isConflict(err) && time.Since(s.startedAt) > nameConflictTimeout {
-				return resume, fmt.Errorf("name: %w", err)
+				return resumeState, fmt.Errorf("name: %w", err)
 			}
 		}
 		if empty == len(others) {
@@ -172,9 +172,9 @@
 			s.log.Info("data folder is empty: waiting until all peers answer, or one that has a state", "waiting_for", others)
 		}
 		select {
-		case <-time.After(firstStartInterval):
+		case <-time.After(peerStatusInterval):
 		case <-ctx.Done():
-			return resume, fmt.Errorf("first start: %w", ctx.Err())
+			return resumeState, fmt.Errorf("first start: %w", ctx.Err())
 		}
 	}
 }
@@ -187,9 +187,9 @@
 	})
 }
 
-// requestAdmission asks the cluster to add this server again, and repeats that until it succeeds
+// requestReadmission asks the cluster to add this server again, and repeats that until it succeeds
 // or the server stops. It requires that raft listens.
-func (s *Server) requestAdmission() {
+func (s *Server) requestReadmission() {
 	query := ""
 	if self, _ := s.peer(s.config.Name); self.NonVoter {
 		query = "?spare=1"
@@ -203,7 +203,7 @@
 		}
 		s.log.Warn("admission to the cluster failed, will be retried", "err", err)
 		select {
-		case <-time.After(admissionInterval):
+		case <-time.After(readmissionInterval):
 		case <-s.ctx.Done():
 			return
 		}
@@ -217,7 +217,7 @@
 // answers with a conflict or the context ends. It returns nil, the last error, or errNoOtherPeer.
 func (s *Server) tryPeers(ctx context.Context, do func(base string) error) error {
 	err := errNoOtherPeer
-	for _, name := range s.config.otherServers() {
+	for _, name := range s.config.otherPeerNames() {
 		p, _ := s.peer(name)
 		err = do("http://" + p.HTTP)
 		if err == nil || ctx.Err() != nil || isConflict(err) {
--- a/internal/control/json.go
+++ b/internal/control/json.go
@@ -31,25 +31,25 @@
 	if r.URL.Path == "/v1/snapshot" || r.URL.Path == "/v1/renewals" {
 		limit = maxSnapshotBytes
 	}
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err != nil {
 		w.Header().Set("Connection", "close") // so that net/http doesn't wait for the rest of the body
 		return nil, newBadRequest("body: %v", err)
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
-	return text, nil
+	return body, nil
 }
 
 // decodeBody reads the body of a request as one JSON value without unknown keys. It returns a
 // badRequestError for any other body.
-func decodeBody(w http.ResponseWriter, r *http.Request, into any) error {
-	text, err := readBody(w, r)
+func decodeBody(w http.ResponseWriter, r *http.Request, dest any) error {
+	body, err := readBody(w, r)
 	if err != nil {
 		return err
 	}
-	dec := json.NewDecoder(bytes.NewReader(text))
+	dec := json.NewDecoder(bytes.NewReader(body))
 	dec.DisallowUnknownFields()
-	if err := dec.Decode(into); err != nil {
+	if err := dec.Decode(dest); err != nil {
 		return newBadRequest("body: %v", err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
--- a/internal/control/leaderproof.go
+++ b/internal/control/leaderproof.go
@@ -55,13 +55,13 @@
 }
 
 // record records a confirmed append, unless one that was sent later is known.
-func (c *confirmedAppends) record(id raft.ServerID, append confirmedAppend) {
+func (c *confirmedAppends) record(id raft.ServerID, latest confirmedAppend) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !append.sentAt.After(c.byServer[id].sentAt) {
+	if !latest.sentAt.After(c.byServer[id].sentAt) {
 		return
 	}
-	c.byServer[id] = append
+	c.byServer[id] = latest
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -14,12 +14,12 @@
 // voters returns the names of the voters in the latest raft configuration that this server has,
 // or nil if there is none.
 func (s *Server) voters() []string {
-	f := s.raft().GetConfiguration()
-	if f.Error() != nil {
+	future := s.raft().GetConfiguration()
+	if future.Error() != nil {
 		return nil
 	}
 	var names []string
-	for _, replica := range f.Configuration().Servers {
+	for _, replica := range future.Configuration().Servers {
 		if replica.Suffrage == raft.Voter {
 			names = append(names, string(replica.ID))
 		}
--- a/internal/control/listhandler.go
+++ b/internal/control/listhandler.go
@@ -13,21 +13,21 @@
 
 // Labels of the metric that counts requests for the list, by how they were answered.
 const (
-	callList          = "list"
-	callRejected      = "away"
-	callSentElsewhere = "elsewhere"
-	callFullList      = "whole"
-	callLagging       = "behind"
-	callWatch         = "watch"
+	listCallKind          = "list"
+	outcomeRejected       = "away"
+	outcomeDeferredToPeer = "elsewhere"
+	outcomeFullList       = "whole"
+	outcomeLagging        = "behind"
+	outcomeWatch          = "watch"
 )
 
 // listRequest is a request for the endpoint list, or for a watch of it.
 type listRequest struct {
 	services   []string // the services that it is limited to, sorted; nil: the whole list
-	follow     bool     // a watch
+	watch      bool     // a watch
 	since      int64    // for a watch: the version of the list that the reader has
 	consistent bool     // the list must contain all that was acknowledged before
-	movable    bool     // the reader knows other control-plane servers
+	canMigrate bool     // the reader knows other control-plane servers
 }
 
 // parseListRequest returns a badRequestError if the query is invalid.
@@ -39,11 +39,11 @@
 	}
 	request := listRequest{
 		services:   services,
-		follow:     query.Get("follow") == "1",
+		watch:      query.Get("follow") == "1",
 		consistent: query.Get("consistent") == "1",
-		movable:    r.Header.Get(endpoints.OtherAddressesHeader) != "",
+		canMigrate: r.Header.Get(endpoints.OtherAddressesHeader) != "",
 	}
-	if request.follow {
+	if request.watch {
 		request.since, err = strconv.ParseInt(query.Get("since"), 10, 64)
 		if err != nil || request.since < 0 {
 			return listRequest{}, newBadRequest("since: no version")
@@ -60,21 +60,21 @@
 		writeError(w, err)
 		return
 	}
-	if request.consistent && !request.follow {
+	if request.consistent && !request.watch {
 		s.leaderReads(func(w http.ResponseWriter, _ *http.Request) { s.writeFullList(w, request.services) })(w, r)
 		return
 	}
-	if !s.admission.admitCall(w, s.estimateListBytes(request.services, request.follow, request.since)) {
-		s.countListCall(callRejected)
+	if !s.admission.admitCall(w, s.estimateListBytes(request.services, request.watch, request.since)) {
+		s.countListCall(outcomeRejected)
 		return
 	}
-	if s.shouldSendElsewhere(request.movable) {
-		s.countListCall(callSentElsewhere)
+	if s.shouldDeferToPeer(request.canMigrate) {
+		s.countListCall(outcomeDeferredToPeer)
 		writeUnavailable(w, "this steward has no list of now; another may")
 		return
 	}
-	if !request.follow {
-		s.countListCall(callFullList)
+	if !request.watch {
+		s.countListCall(outcomeFullList)
 		s.writeFullList(w, request.services)
 		return
 	}
@@ -82,17 +82,17 @@
 }
 
 func (s *Server) countListCall(outcome string) {
-	s.metrics.calls.WithLabelValues(callList, outcome).Inc()
+	s.metrics.calls.WithLabelValues(listCallKind, outcome).Inc()
 }
 
-// shouldSendElsewhere reports whether a reader is better off at another control-plane server.
+// shouldDeferToPeer reports whether a reader is better off at another control-plane server.
 // A stale list is served as long as no other server has a current one: agents without any list
-// can't work. movable is whether the reader knows other servers.
-func (s *Server) shouldSendElsewhere(movable bool) bool {
+// can't work. canMigrate is whether the reader knows other servers.
+func (s *Server) shouldDeferToPeer(canMigrate bool) bool {
 	if s.raft() == nil || s.fsm.revision() == 0 {
 		return true
 	}
-	if s.stale() || movable && s.draining.Load() {
+	if s.stale() || canMigrate && s.draining.Load() {
 		return s.peerCanServe()
 	}
 	return false
@@ -101,18 +101,18 @@
 // serveWatch writes the events of a watch until the reader or this server ends it.
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request, request listRequest) {
 	if !s.awaitRevision(r.Context(), request.since) {
-		s.countListCall(callLagging)
+		s.countListCall(outcomeLagging)
 		writeUnavailable(w, "this steward lags behind what the reader knows")
 		return
 	}
-	end, ok := s.broadcaster.register(s.admission.maxWatches, request.movable)
+	end, ok := s.broadcaster.register(s.admission.maxWatches, request.canMigrate)
 	if !ok {
 		s.admission.reject(w, maxRetryAfter)
 		return
 	}
 	defer s.broadcaster.unregister(end)
 	defer s.openAgentSession(r)()
-	s.countListCall(callWatch)
+	s.countListCall(outcomeWatch)
 	w.Header().Set("Content-Type", "application/json")
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
@@ -138,11 +138,11 @@
 }
 
 // estimateListBytes returns about how many bytes of a list the answer to a request begins with.
-func (s *Server) estimateListBytes(services []string, follow bool, since int64) int {
+func (s *Server) estimateListBytes(services []string, watch bool, since int64) int {
 	switch {
 	case services != nil:
-		return s.broadcaster.services.estimateListBytes(services, since, !follow)
-	case follow:
+		return s.broadcaster.services.estimateListBytes(services, since, !watch)
+	case watch:
 		return 0
 	}
 	return s.broadcaster.estimateFullListBytes()
--- a/internal/control/listrevision.go
+++ b/internal/control/listrevision.go
@@ -90,24 +90,24 @@
 // there. A follower may have applied entries that this leader has committed but not applied yet,
 // so all committed entries are applied first: raising the version drops the history, so that every
 // reader is sent the full list, which must not happen without need.
-func (s *Server) raiseRevisionAbove(ctx context.Context, seen int64) error {
-	if s.fsm.revision() >= seen {
+func (s *Server) raiseRevisionAbove(ctx context.Context, reported int64) error {
+	if s.fsm.revision() >= reported {
 		return nil
 	}
 	if err := s.barrier(ctx); err != nil {
 		return err
 	}
-	if s.fsm.revision() < seen {
-		s.raiseRevision(seen)
+	if s.fsm.revision() < reported {
+		s.raiseRevision(reported)
 	}
 	return nil
 }
 
 // raiseRevision advances the version past every one that a reader can have seen, so that
 // versions never decrease after the state was lost or restored. The wall clock in microseconds
-// is a first guess; seen, the highest version that a reader reported, is a lower bound.
-func (s *Server) raiseRevision(seen int64) {
-	version := max(s.config.Now().UnixMicro(), seen+1)
+// is a first guess; the version after the highest that a reader reported is a lower bound.
+func (s *Server) raiseRevision(reported int64) {
+	version := max(s.config.Now().UnixMicro(), reported+1)
 	if version > maxRevision {
 		return // no server has ever issued such a version
 	}
@@ -115,5 +115,5 @@
 		s.log.Warn("raising the list version failed", "list_version", version, "err", err)
 		return
 	}
-	s.log.Info("list version raised", "list_version", version, "reader_list_version", seen)
+	s.log.Info("list version raised", "list_version", version, "reader_list_version", reported)
 }
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -57,7 +57,7 @@
 func (s *Server) requestPeerStatuses() (statuses []Status) {
 	ctx, cancel := context.WithTimeout(s.ctx, peerTimeout)
 	defer cancel()
-	names := s.config.otherServers()
+	names := s.config.otherPeerNames()
 	answers := make(chan *Status)
 	for _, name := range names {
 		go func() {
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -38,7 +38,7 @@
 	}
 	id, addr := raft.ServerID(name), raft.ServerAddress(name)
 	if err := s.raft().AddNonvoter(id, addr, 0, applyTimeout).Error(); err != nil {
-		return configurationError(err)
+		return raftConfigurationError(err)
 	}
 	if r.URL.Query().Get("spare") == "1" {
 		s.log.Info("non-voter added", "peer", name)
@@ -49,7 +49,7 @@
 		return err
 	}
 	if err := s.raft().AddVoter(id, addr, 0, applyTimeout).Error(); err != nil {
-		return configurationError(err)
+		return raftConfigurationError(err)
 	}
 	s.log.Info("voter added", "peer", name)
 	writeJSON(w, s.status())
@@ -88,7 +88,7 @@
 		return err
 	}
 	if err := s.raft().RemoveServer(raft.ServerID(name), 0, applyTimeout).Error(); err != nil {
-		return configurationError(err)
+		return raftConfigurationError(err)
 	}
 	s.log.Info("peer removed from the raft configuration", "peer", name)
 	writeJSON(w, s.status())
--- a/internal/control/requests_test.go
+++ b/internal/control/requests_test.go
@@ -54,8 +54,8 @@
 	_, _ = c.Status(ctx)
 	_, _ = c.Snapshot(ctx)
 	_, _ = c.Restore(ctx, []byte(`{"form":1}`))
-	_, _ = c.ChangePeer(ctx, "st-2", true)
-	_, _ = c.ChangePeer(ctx, "st-2", false)
+	_, _ = c.ChangeVoter(ctx, "st-2", true)
+	_, _ = c.ChangeVoter(ctx, "st-2", false)
 	_ = c.ConfirmRemovals(ctx)
 	_ = c.OpenSession(ctx, session)
 	_, _ = c.RenewSession(ctx, "w-1", "one", 7)
@@ -69,7 +69,7 @@
 	_ = c.DefineTask(ctx, "job.a", task)
 	_, _ = c.ClaimTask(ctx, "job.a", "w-1", "one")
 	_ = c.ReleaseTerm(ctx, term)
-	for _, command := range []string{CommandMove, CommandRevoke, CommandPark, CommandUnpark, CommandDrop} {
+	for _, command := range []string{CommandTransfer, CommandRevoke, CommandSuspend, CommandResume, CommandDelete} {
 		_ = c.CommandTask(ctx, "job.a", command, "w-2", "until tomorrow")
 	}
 	_, _ = ReadMemberViews(ctx, c.Addrs, time.Second)
--- a/internal/control/routes.go
+++ b/internal/control/routes.go
@@ -82,7 +82,7 @@
 // addMemberRoutes adds the routes of the membership view.
 func (s *Server) addMemberRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+endpoints.MembersPath, s.handleMemberView)
-	mux.HandleFunc("POST "+endpoints.MembersPath+"/{name}/arrival", s.leaderWrites(s.handleMemberArrival))
+	mux.HandleFunc("POST "+endpoints.MembersPath+"/{name}/arrival", s.leaderWrites(s.handleIncarnationRequest))
 	mux.HandleFunc("DELETE "+endpoints.MembersPath+"/{name}", s.handleAgentLeave)
 	mux.HandleFunc("POST /v1/evidence", s.handleEvidence)
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -64,8 +64,8 @@
 	transport *recordingTransport
 	// confirmedAppends holds the last append that each peer has confirmed, as proof of leadership.
 	confirmedAppends *confirmedAppends
-	readBarriers     barriers
-	leaderChecks     barriers
+	readBarriers     sharedChecks
+	leaderChecks     sharedChecks
 
 	leaderMu           sync.Mutex                  // guards the fields of this group
 	registrationLeases *catalog.RegistrationLeases // nil unless this server leads and has applied all earlier entries
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -113,7 +113,7 @@
 		return &rejectedError{result}
 	}
 	if err := s.reconfigure(step); err != nil {
-		return configurationError(err)
+		return raftConfigurationError(err)
 	}
 	s.metrics.reconfigurations.Inc()
 	s.log.Warn("voters changed", "added", step.Add, "removed", step.Remove, "demoted", step.Demote,
--- a/internal/control/wire_test.go
+++ b/internal/control/wire_test.go
@@ -39,7 +39,7 @@
 		golden.Of[RenewalBatch]("renewals"),
 		golden.Of[ServerOverride]("override of a server"),
 		golden.Of[revisionBody]("seen"),
-		golden.Of[memberArrivalBody]("arrival"),
+		golden.Of[incarnationRequestBody]("arrival"),
 		golden.Of[fenceBody]("sweep and voters"),
 		golden.Of[renewalBody]("renewal of a session"),
 		golden.Of[termsBody]("terms"),
