--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -13,27 +13,29 @@
 )
 
 const (
-	// minRetryAfter is the shortest time after which a rejected client is asked to retry, and
-	// maxRetryAfter the longest delay that is added to it, before the jitter.
+	// minRetryAfter is the shortest delay after which a rejected client is asked to retry.
+	// maxRetryAfter is the longest delay that is added to it, before jitter.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
-	// writeRetryAfter is about the time after which a rejected write is retried.
+	// writeRetryAfter is the delay that is added to minRetryAfter for a rejected write, before jitter.
 	writeRetryAfter = 200 * time.Millisecond
-	// minRetryJitter is the least factor by which the delay of a rejected client is multiplied,
-	// and retryJitterRange what is added to it at most.
+	// The added delay is multiplied by a random factor from minRetryJitter to
+	// minRetryJitter+retryJitterRange.
 	minRetryJitter   = 0.75
 	retryJitterRange = 0.5
-	// bytesPerCall is the number of bytes of a list that use up as much of the rate as a request.
+	// bytesPerCall is the number of bytes of a list that cost as much of the call rate as one request.
 	bytesPerCall = 24_000
-	// burstDivisor divides the rate. The quotient is the number of requests that are admitted at
-	// once.
+	// burstDivisor is the ratio of the call rate, in requests per second, to the burst: the number of
+	// requests that are admitted at once.
 	burstDivisor = 4
-	// reservedDescriptors are left to the log, the other servers and requests that are no watches.
+	// reservedDescriptors is the number of file descriptors left for the log, the connections to other
+	// servers, and requests other than watches.
 	reservedDescriptors = 1024
 )
 
-// admission bounds the requests that are served at a time, and sheds the load beyond that: each
-// rejected client is given a time to retry such that the retries arrive at the admitted rate.
+// admission limits the rate of reads and the number of concurrent watches and writes, and sheds
+// the load beyond that. Rejected clients are told when to retry, spread such that the retries arrive
+// at the admitted rate.
 type admission struct {
 	config        *Config
 	maxWatches    int // the configured number, or fewer if there are not enough file descriptors
@@ -42,10 +44,10 @@
 	rejectedCalls atomic.Int64 // for the metrics
 
 	mu            sync.Mutex
-	nextRetrySlot time.Time // when the retries that clients were asked for so far are all admitted; guarded by mu
+	nextRetrySlot time.Time // by when all retries that clients were asked for so far can be admitted; guarded by mu
 }
 
-// newAdmission returns an admission with the bounds of the configuration.
+// newAdmission returns an admission with the limits of the configuration.
 func newAdmission(c *Config) *admission {
 	return &admission{
 		config:      c,
@@ -55,7 +57,8 @@
 	}
 }
 
-// availableWatches returns how many of the configured watches there are file descriptors for.
+// availableWatches returns the configured number of watches, or as many as the limit of file
+// descriptors allows.
 func availableWatches(configured int) int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -67,8 +70,8 @@
 	return max(int(limit.Cur)-reservedDescriptors, int(limit.Cur)/2)
 }
 
-// admitCall admits a read whose answer has about this many bytes of a list. If it returns false,
-// it has answered the request with a rejection.
+// admitCall admits a read whose answer contains about the given number of bytes of a list. If it
+// returns false, it has already rejected the request.
 func (a *admission) admitCall(w http.ResponseWriter, bytes int) bool {
 	cost := min(1+bytes/bytesPerCall, a.callLimiter.Burst())
 	if a.callLimiter.AllowN(time.Now(), cost) {
@@ -79,7 +82,7 @@
 }
 
 // reserveRetrySlot reserves the next time at which a rejected request can be admitted, and returns the
-// time until then, at most maxRetryAfter. The cost is the time in which the configured rate admits as
+// delay until then, at most maxRetryAfter. cost is the time in which the configured rate admits as
 // many requests as this one counts for.
 func (a *admission) reserveRetrySlot(cost time.Duration) time.Duration {
 	a.mu.Lock()
@@ -88,17 +91,17 @@
 	if a.nextRetrySlot.Before(now) {
 		a.nextRetrySlot = now
 	}
-	// No client is asked to wait for longer than maxRetryAfter. A client that retries before there
-	// is room for it is rejected again.
+	// No client is asked to wait longer than maxRetryAfter. A client that retries before it can be
+	// admitted is rejected again.
 	if a.nextRetrySlot = a.nextRetrySlot.Add(cost); a.nextRetrySlot.After(now.Add(maxRetryAfter)) {
 		a.nextRetrySlot = now.Add(maxRetryAfter)
 	}
 	return a.nextRetrySlot.Sub(now)
 }
 
-// admitWrite admits a write, which has slots of its own, so that reads can't keep it waiting. It
-// returns a function that releases the slot. If ok is false, it has answered the request with a
-// rejection, and the function is nil.
+// admitWrite admits a write. Writes have slots of their own, so that reads can't delay them. It
+// returns a function that releases the slot. If ok is false, it has already rejected the request
+// and the function is nil.
 func (a *admission) admitWrite(w http.ResponseWriter) (release func(), ok bool) {
 	select {
 	case a.writeSlots <- struct{}{}:
@@ -109,8 +112,8 @@
 	}
 }
 
-// reject answers with status 503 and asks the client to retry after about the delay. The time is
-// drawn at random, so that clients that were rejected together don't retry together.
+// reject answers with status 503 and asks the client to retry after about the given delay. The
+// delay is jittered, so that clients that were rejected together don't retry together.
 func (a *admission) reject(w http.ResponseWriter, delay time.Duration) {
 	a.rejectedCalls.Add(1)
 	wait := minRetryAfter + time.Duration((minRetryJitter+rand.Float64()*retryJitterRange)*float64(delay))
--- a/internal/control/audit.go
+++ b/internal/control/audit.go
@@ -13,12 +13,12 @@
 
 const (
 	auditTimeout        = time.Second // for a server's answer
-	maxConcurrentAudits = 16          // servers that are asked at once
+	maxConcurrentAudits = 16          // concurrent health checks
 )
 
-// auditFunction returns the function of the audit task, which asks each listed server for its
-// health at the configured interval and logs where the list differs. It changes nothing: one
-// observer is not enough evidence against a server.
+// auditFunction returns the function of the audit task. At the configured interval, the task checks
+// the health of each server that is listed as ready and logs the mismatches. It doesn't change the
+// list: one observer is not enough evidence against a server.
 func (s *Server) auditFunction(c *Client) leaderelection.Function {
 	client := &http.Client{Timeout: auditTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	return func(ctx context.Context, _ string, fence int64) error {
@@ -46,8 +46,8 @@
 	}
 }
 
-// findMismatches returns the names of the servers that are listed as ready and don't report so
-// themselves, sorted.
+// findMismatches returns the sorted names of the servers that are listed as ready but fail a health
+// check.
 func findMismatches(ctx context.Context, client *http.Client, listed []endpoints.Endpoint) (mismatches []string) {
 	slots := make(chan struct{}, maxConcurrentAudits)
 	var mu sync.Mutex
@@ -72,8 +72,8 @@
 	return mismatches
 }
 
-// failsHealthCheck reports whether a server answers a health check with anything but
-// status 200, or not at all. It is false if no request can be made of the address.
+// failsHealthCheck reports whether a server answers a health check with a status other than 200, or
+// not at all. It returns false if the address is invalid.
 func failsHealthCheck(ctx context.Context, client *http.Client, address string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/health", nil)
 	if err != nil {
--- a/internal/control/call.go
+++ b/internal/control/call.go
@@ -11,7 +11,7 @@
 	"net/http"
 )
 
-// HTTPError is an answer of a control-plane server with a status other than 2xx.
+// HTTPError is the error for an answer of a control-plane server with a status other than 2xx.
 type HTTPError struct {
 	Status     int
 	Text       string
@@ -21,9 +21,10 @@
 // Error returns the text of the answer.
 func (e *HTTPError) Error() string { return e.Text }
 
-// call sends a request with a JSON body, or none if body is nil, and decodes the JSON answer
-// into the value that dest points to. A *[]byte takes the answer as it is, and nil drops it.
-// An answer with a status other than 2xx is returned as an *HTTPError.
+// call sends a request with a JSON body, or without a body if body is nil, and decodes the JSON
+// answer into the value that dest points to. If dest is a *[]byte, it is set to the answer as
+// received; if dest is nil, the answer is discarded. An answer with a status other than 2xx is
+// returned as an *HTTPError.
 func call(ctx context.Context, c *http.Client, method, url string, body, dest any) error {
 	req, err := newRequest(ctx, method, url, body)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// newRequest returns a request with a JSON body, or none if body is nil.
+// newRequest returns a request with a JSON body, or without a body if body is nil.
 func newRequest(ctx context.Context, method, url string, body any) (*http.Request, error) {
 	if body == nil {
 		return http.NewRequestWithContext(ctx, method, url, nil)
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -14,17 +14,17 @@
 )
 
 // errNoAddress means that a Client has no address to send a request to.
-var errNoAddress = errors.New("no address of a steward")
+var errNoAddress = errors.New("no address of a control-plane server is known")
 
 // Client calls the HTTP API of the control plane. It tries one address after the other until a
-// server answers; one that doesn't answer is tried last from then on. A Client may be used by
-// several goroutines.
+// server answers; an address that doesn't answer is tried last from then on. A Client is safe for
+// concurrent use.
 //
 // Each method returns an *HTTPError if a server rejected the request, and any other error if no
 // server answered. A write whose answer was lost is not retried, as it may have had an effect.
 type Client struct {
 	Addrs         []string
-	AddressSource func() []string // if not nil, returns the present addresses, which replace Addrs
+	AddressSource func() []string // if not nil, returns the current addresses, which replace Addrs
 	HTTP          *http.Client
 	preferred     atomic.Int64 // the index of the address that is tried first, modulo their number
 }
@@ -35,7 +35,7 @@
 }
 
 // do sends a request to one address after the other. After an answer, even a rejection, it tries
-// the next only if the request certainly had no effect.
+// the next address only if the request certainly had no effect.
 func (c *Client) do(ctx context.Context, method, path string, body, dest any) error {
 	err := errNoAddress
 	first := c.preferred.Load()
@@ -62,7 +62,7 @@
 	return err
 }
 
-// Register registers a server, whose lease begins.
+// Register registers a server and starts its lease.
 func (c *Client) Register(ctx context.Context, e endpoints.Endpoint) (r catalog.Result, err error) {
 	return r, c.do(ctx, http.MethodPut, "/v1/servers/"+e.Name, e, &r)
 }
@@ -77,19 +77,18 @@
 	return r, c.do(ctx, http.MethodPatch, "/v1/servers/"+name, override, &r)
 }
 
-// Server returns the entry of a server. If consistent is true, the leader answers, with all that
-// was acknowledged before the call.
+// Server returns the entry of a server. If consistent is true, the leader answers, and the entry
+// reflects every write that was acknowledged before the call.
 func (c *Client) Server(ctx context.Context, name string, consistent bool) (e catalog.Entry, err error) {
 	return e, c.do(ctx, http.MethodGet, "/v1/servers/"+name+consistentQuery(consistent), nil, &e)
 }
 
-// Servers returns all entries, including those that were removed recently. For consistent, see
-// Server.
+// Servers returns all entries, including recently removed ones. For consistent, see Server.
 func (c *Client) Servers(ctx context.Context, consistent bool) (all []catalog.Entry, err error) {
 	return all, c.do(ctx, http.MethodGet, "/v1/servers"+consistentQuery(consistent), nil, &all)
 }
 
-// consistentQuery returns the query of a read.
+// consistentQuery returns the query string of a read.
 func consistentQuery(consistent bool) string {
 	if consistent {
 		return "?consistent=1"
@@ -112,7 +111,7 @@
 	return encoded, c.do(ctx, http.MethodGet, "/v1/snapshot?consistent=1", nil, &encoded)
 }
 
-// Restore replaces the replicated state by a snapshot, and returns the status of the leader.
+// Restore replaces the replicated state with a snapshot and returns the status of the leader.
 func (c *Client) Restore(ctx context.Context, encoded []byte) (st Status, err error) {
 	return st, c.do(ctx, http.MethodPut, "/v1/snapshot", rawJSON(encoded), &st)
 }
@@ -138,25 +137,27 @@
 	return c.do(ctx, http.MethodPost, "/v1/guard/confirm", nil, nil)
 }
 
-// OpenSession opens the session of a process, which lets it hold leased tasks. It returns an error
-// that wraps leaderelection.ErrNameTaken if another process has the name.
+// OpenSession opens a session that lets a process hold leased tasks. It returns an error that wraps
+// leaderelection.ErrNameTaken if another process has the name.
 func (c *Client) OpenSession(ctx context.Context, s catalog.Session) error {
 	return sessionError(c.do(ctx, http.MethodPut, "/v1/sessions/"+s.Process, s, nil))
 }
 
-// RenewSession renews a session, and returns its assignments if their revision is later than the given one.
-// It returns an error that wraps leaderelection.ErrSessionExpired if there is no such session.
+// RenewSession renews a session, and returns its assignments if their revision is later than the
+// given one. It returns an error that wraps leaderelection.ErrSessionExpired if there is no such
+// session.
 func (c *Client) RenewSession(ctx context.Context, process, id string, revision int64) (u leaderelection.AssignmentUpdate, err error) {
 	return u, sessionError(c.do(ctx, http.MethodPost, "/v1/sessions/"+process+"/renewal", renewalBody{id, revision}, &u))
 }
 
-// WatchSession waits until the assignments of a session have a later revision than the given one, or until
-// the server answers without any. Errors are as for RenewSession.
+// WatchSession waits until the assignments of a session have a later revision than the given one,
+// or until the server answers without any assignments. Errors are as for RenewSession.
 func (c *Client) WatchSession(ctx context.Context, process, id string, revision int64) (u leaderelection.AssignmentUpdate, err error) {
 	return u, sessionError(c.do(ctx, http.MethodGet, fmt.Sprintf("/v1/sessions/%s/tasks?id=%s&rev=%d", process, id, revision), nil, &u))
 }
 
-// EndSession closes a session, or if drain is true has it drain: its tasks go to other processes.
+// EndSession closes a session. If drain is true, the session stays open while its tasks are
+// transferred to other processes.
 func (c *Client) EndSession(ctx context.Context, process, id string, drain bool) error {
 	drainParam := ""
 	if drain {
@@ -165,8 +166,8 @@
 	return sessionError(c.do(ctx, http.MethodDelete, "/v1/sessions/"+process+"?id="+id+drainParam, nil, nil))
 }
 
-// ReportTerms reports that terms were released or their transfer accepted, by kind. It returns no
-// error for a term that has ended already.
+// ReportTerms reports that terms were released or that their transfer was accepted, depending on
+// kind. A term that has already ended is not an error.
 func (c *Client) ReportTerms(ctx context.Context, kind catalog.Kind, terms []catalog.TermRef, reason string) error {
 	err := c.do(ctx, http.MethodPost, "/v1/terms", termsBody{kind, terms, reason}, nil)
 	var rejected *HTTPError
@@ -176,7 +177,7 @@
 	return err
 }
 
-// sessionError translates a rejection to the errors of package leaderelection.
+// sessionError translates a rejection into the errors of package leaderelection.
 func sessionError(err error) error {
 	var rejected *HTTPError
 	if !errors.As(err, &rejected) {
@@ -206,25 +207,25 @@
 	return all, c.do(ctx, http.MethodGet, "/v1/sessions?consistent=1", nil, &all)
 }
 
-// DefineTask defines a leased task, or changes its definition. The time to live of a task that is held
-// can't be changed.
+// DefineTask defines a leased task or changes its definition. The time to live of a task can't be
+// changed while the task is held.
 func (c *Client) DefineTask(ctx context.Context, name string, b TaskDefinition) error {
 	return c.do(ctx, http.MethodPut, "/v1/duties/"+name, b, nil)
 }
 
-// ClaimTask requests a task that has no holder for a session. Result.Fence is the fencing token. It is
-// idempotent: a repeated call returns the same token.
+// ClaimTask claims a task that has no holder for a session. Result.Fence is the fencing token. The
+// call is idempotent: a repeated call returns the same token.
 func (c *Client) ClaimTask(ctx context.Context, name, process, id string) (r catalog.Result, err error) {
 	return r, c.do(ctx, http.MethodPost, "/v1/duties/"+name+"/claim", claimBody{process, id}, &r)
 }
 
-// ReleaseTerm ends a term whose work is completed.
+// ReleaseTerm ends a term because its work is completed.
 func (c *Client) ReleaseTerm(ctx context.Context, t catalog.TermRef) error {
 	return c.do(ctx, http.MethodPost, "/v1/terms", termsBody{catalog.ReleaseTerm, []catalog.TermRef{t}, catalog.ReasonCompleted}, nil)
 }
 
-// Operators' commands on a leased task. All but CommandDelete are the last element of a path of the HTTP
-// API.
+// Operators' commands on a leased task. All except CommandDelete are also the last element of their
+// path in the HTTP API.
 const (
 	CommandTransfer = "move"   // transfer the task to another process
 	CommandRevoke   = "revoke" // have the holder stop
@@ -233,9 +234,9 @@
 	CommandDelete   = "drop"   // delete the task
 )
 
-// CommandTask carries out an operator's command on a task. The target is the process of a CommandTransfer, or
-// "" for the best one. The reason, which may be "", is shown as that of a CommandSuspend; other commands
-// ignore it.
+// CommandTask carries out an operator's command on a task. For CommandTransfer, target is the process
+// that receives the task, or "" for the best one. For CommandSuspend, reason, which may be "", is shown
+// as the reason of the suspension. Other commands ignore both.
 func (c *Client) CommandTask(ctx context.Context, name, command, target, reason string) error {
 	if command == CommandDelete {
 		return c.do(ctx, http.MethodDelete, "/v1/duties/"+name, nil, nil)
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -18,16 +18,16 @@
 	"knotrouter/internal/endpoints"
 )
 
-// maxWatchesSetting bounds max_watches: no machine has file descriptors for more.
+// maxWatchesSetting is the upper limit of max_watches: no machine has file descriptors for more.
 const maxWatchesSetting = 1_000_000
 
-// Peer is the addresses of a control-plane server in the peer table. Each server has a table of
-// its own.
+// Peer holds the addresses of a control-plane server in the peer table. Each server has its own
+// table.
 type Peer struct {
 	HTTP     string `koanf:"http"`
 	Raft     string `koanf:"raft"`
-	Gossip   string `koanf:"gossip"` // "": it doesn't gossip
-	NonVoter bool   `koanf:"spare"`  // in the first configuration of a new cluster
+	Gossip   string `koanf:"gossip"` // "": the server doesn't gossip
+	NonVoter bool   `koanf:"spare"`  // whether it is a non-voter in the first raft configuration of a new cluster
 }
 
 // Config is the configuration of a control-plane server. See Defaults for the values of settings
@@ -35,27 +35,27 @@
 type Config struct {
 	Name   string          `koanf:"name"`   // unique among the peers
 	Data   string          `koanf:"data"`   // the data folder
-	Listen string          `koanf:"listen"` // address of HTTP
-	Raft   string          `koanf:"raft"`   // address of raft's transport
-	Gossip string          `koanf:"gossip"` // address of gossip, UDP and TCP; "": no gossip
+	Listen string          `koanf:"listen"` // listen address of the HTTP API
+	Raft   string          `koanf:"raft"`   // listen address of raft's transport
+	Gossip string          `koanf:"gossip"` // listen address of gossip, UDP and TCP; "": no gossip
 	Zone   string          `koanf:"zone"`
 	Peers  map[string]Peer `koanf:"peers"` // the peer table, by name; this server may be in it
 
-	Evidence     bool          `koanf:"evidence"`      // voters are asked before a server with an expired lease is taken off the list
-	Voters       int           `koanf:"voters"`        // desired number: a voter that failed is replaced by a non-voter; 0: none is
+	Evidence     bool          `koanf:"evidence"`      // ask the voters before a server with an expired lease is removed from the list
+	Voters       int           `koanf:"voters"`        // desired number of voters: a failed one is replaced by a non-voter; 0: no replacement
 	ReplaceAfter time.Duration `koanf:"replace_after"` // the time from a voter's failure to its replacement
 
 	LeaseTTL    time.Duration `koanf:"lease_ttl"`
-	GuardShare  float64       `koanf:"guard_share"` // the part of the listed servers that may expire within the window
+	GuardShare  float64       `koanf:"guard_share"` // the fraction of the listed servers that may expire within the window
 	GuardWindow time.Duration `koanf:"guard_window"`
 
-	Heartbeat  time.Duration `koanf:"heartbeat"`   // a follower that gets no message of the leader for longer starts an election
-	StaleAfter time.Duration `koanf:"stale_after"` // after this time without the quorum, watches are sent to peers
-	Coalesce   time.Duration `koanf:"coalesce"`    // changes within it are one event of a watch
+	Heartbeat  time.Duration `koanf:"heartbeat"`   // a follower that hears nothing from the leader for longer starts an election
+	StaleAfter time.Duration `koanf:"stale_after"` // after this time without a quorum, watches are migrated to peers
+	Coalesce   time.Duration `koanf:"coalesce"`    // changes within this time are sent as one event of a watch
 	Drain      time.Duration `koanf:"drain"`       // the time over which Close migrates the watches
 	MaxWatches int           `koanf:"max_watches"` // fewer if there are not enough file descriptors
-	CallRate   float64       `koanf:"call_rate"`   // full lists and new watches a second; a full list counts as one for each 24,000 bytes
-	MaxWrites  int           `koanf:"max_writes"`  // at a time
+	CallRate   float64       `koanf:"call_rate"`   // full lists and new watches per second; a full list counts as one for each 24,000 bytes
+	MaxWrites  int           `koanf:"max_writes"`  // concurrent writes
 
 	SnapshotEvery uint64        `koanf:"snapshot_every"` // log entries
 	SnapshotCheck time.Duration `koanf:"snapshot_check"` // the time between checks whether a snapshot is due
@@ -63,12 +63,12 @@
 	AuditEvery    time.Duration `koanf:"audit_every"`    // the time between audits by the audit task; 0: none
 	LogLevel      string        `koanf:"log_level"`
 
-	Now          func() time.Time                  `koanf:"-"` // the wall clock, which is only used as a hint
+	Now          func() time.Time                  `koanf:"-"` // the wall clock, which is used only as a hint
 	WrapLogStore func(raft.LogStore) raft.LogStore `koanf:"-"` // for tests: wraps the log on the disk
 }
 
-// Defaults returns the configuration of a server without peers on this machine. Data must still
-// be set.
+// Defaults returns the default configuration: a server on this machine without peers. Data must
+// still be set.
 func Defaults() Config {
 	return Config{
 		Name:          "steward",
@@ -94,19 +94,19 @@
 	}
 }
 
-// EnvPrefix begins the names of the environment variables: STEWARD_LEASE_TTL is lease_ttl.
+// EnvPrefix is the prefix of the environment variables: STEWARD_LEASE_TTL is the setting lease_ttl.
 const EnvPrefix = "STEWARD_"
 
-// configError is a setting with an invalid value.
+// configError reports an unknown setting or a setting with an invalid value.
 type configError struct{ key, problem string }
 
-// Error names the key and says what is wrong.
+// Error returns the key and the problem.
 func (e *configError) Error() string { return "configuration: " + e.key + ": " + e.problem }
 
-// configFileError is a configuration file that can't be read or parsed.
+// configFileError reports a configuration file that can't be read or parsed.
 type configFileError struct{ cause error }
 
-// Error returns the cause in one line; the parser's text can have several.
+// Error returns the cause in one line; the text of the parser can have several lines.
 func (e *configFileError) Error() string {
 	return "--config: " + strings.ReplaceAll(e.cause.Error(), "\n", " ")
 }
@@ -114,10 +114,10 @@
 // Unwrap returns the cause.
 func (e *configFileError) Unwrap() error { return e.cause }
 
-// configValueError is a setting whose value doesn't have the setting's type.
+// configValueError reports settings whose values don't have the type of the setting.
 type configValueError struct{ cause error }
 
-// Error returns the first line of the cause, which is about the first of such settings.
+// Error returns the first line of the cause, which describes the first such setting.
 func (e *configValueError) Error() string {
 	text := strings.TrimPrefix(e.cause.Error(), "decoding failed due to the following error(s):\n\n")
 	first, _, _ := strings.Cut(text, "\n")
@@ -194,7 +194,7 @@
 		{"gossip", c.Gossip != "" && !endpoints.IsAddress(c.Gossip), describeInvalidAddress(c.Gossip)},
 		{"zone", c.Zone != "" && !endpoints.IsToken(c.Zone, endpoints.MaxLabel), "must be a word"},
 		{"voters", c.Voters < 0 || c.Voters > 9, fmt.Sprintf("must be 0 to 9, is %d", c.Voters)},
-		{"voters", c.Voters > 0 && c.Gossip == "", "needs gossip, which tells who has failed"},
+		{"voters", c.Voters > 0 && c.Gossip == "", "requires gossip, which detects failed voters"},
 		{"replace_after", c.ReplaceAfter < time.Second, fmt.Sprintf("must be 1s or above, is %v", c.ReplaceAfter)},
 		{"lease_ttl", c.LeaseTTL < 300*time.Millisecond, fmt.Sprintf("must be 300ms or above, is %v", c.LeaseTTL)},
 		{"guard_share", !(c.GuardShare >= 0) || c.GuardShare > 1, fmt.Sprintf("must be 0 to 1, is %v", c.GuardShare)},
@@ -224,7 +224,7 @@
 	for name, peer := range c.Peers {
 		switch {
 		case !endpoints.IsToken(name, 64):
-			return &configError{"peers", fmt.Sprintf("%q is no name", name)}
+			return &configError{"peers", fmt.Sprintf("%q is not a valid name", name)}
 		case !endpoints.IsAddress(peer.HTTP):
 			return &configError{"peers." + name + ".http", describeInvalidAddress(peer.HTTP)}
 		case !endpoints.IsAddress(peer.Raft):
@@ -236,7 +236,7 @@
 	return nil
 }
 
-// describeInvalidAddress describes a value that is not an address.
+// describeInvalidAddress returns the problem of a value that is not an address with a port.
 func describeInvalidAddress(value string) string {
 	return fmt.Sprintf("no address with a port: %q", value)
 }
@@ -246,7 +246,7 @@
 	return catalog.LeaseConfig{TTL: c.LeaseTTL, MassFailureShare: c.GuardShare, MassFailureWindow: c.GuardWindow}
 }
 
-// otherPeerNames returns the names of the peers, sorted.
+// otherPeerNames returns the sorted names of the servers in the peer table other than this one.
 func (c *Config) otherPeerNames() []string {
 	var names []string
 	for name := range c.Peers {
--- a/internal/control/controltasks.go
+++ b/internal/control/controltasks.go
@@ -12,8 +12,8 @@
 	"knotrouter/internal/leaderelection"
 )
 
-// The leased tasks of the control plane itself. Each runs at one server at a time, whichever
-// holds its term; the names stand in the replicated state.
+// The control plane's own leased tasks. Each runs on the one server that holds its term. Their
+// names are stored in the replicated state.
 const (
 	sweepTask     = "sweep"     // has the leader expire the leases of servers that don't renew
 	stateCopyTask = "snapshots" // keeps copies of the replicated state
@@ -24,16 +24,16 @@
 const (
 	controlTaskTTL  = 2 * time.Second
 	sweepInterval   = 100 * time.Millisecond
-	maxControlTasks = 16 // that one server holds
-	// pollMargin is how much longer the task runner's requests may take than a poll.
+	maxControlTasks = 16 // held by one server at a time
+	// pollMargin is how much longer than a poll the requests of the task runner may take.
 	pollMargin = 5 * time.Second
 )
 
-// controlTasks are the names of the control plane's own tasks.
+// controlTasks is the names of the control plane's own tasks.
 var controlTasks = []string{sweepTask, stateCopyTask, auditTask, votersTask}
 
-// newTaskLeases returns the task leases of a leader whose clock is at now. The control plane's own
-// tasks are essential.
+// newTaskLeases returns the task leases of a new leader whose clock reads now. The control plane's
+// own tasks are marked as essential.
 func newTaskLeases(now time.Duration) *catalog.TaskLeases {
 	leases := catalog.NewTaskLeases(now)
 	leases.Essential = map[string]bool{}
@@ -43,8 +43,8 @@
 	return leases
 }
 
-// resumeControlTask proposes a decision to resume one of the control plane's own tasks, unless an
-// operator has suspended the task meanwhile.
+// resumeControlTask proposes a command that resumes one of the control plane's own tasks, unless an
+// operator has suspended the task in the meantime.
 func (s *Server) resumeControlTask(command catalog.Command) error {
 	s.suspendMu.Lock()
 	defer s.suspendMu.Unlock()
@@ -53,7 +53,7 @@
 	if !suspended {
 		return nil
 	}
-	s.log.Warn("resuming a control-plane task that was suspended for its holders' deaths", "task", command.Name)
+	s.log.Warn("resuming a control-plane task that was suspended because its holders died", "task", command.Name)
 	_, err := s.propose(command)
 	return err
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// serverAddresses returns the HTTP addresses of all control-plane servers in the present peer
+// serverAddresses returns the HTTP addresses of all control-plane servers in the current peer
 // table, this server's own first.
 func (s *Server) serverAddresses() []string {
 	table := *s.peerTable.Load()
@@ -121,10 +121,10 @@
 	return addrs
 }
 
-// leaderCallFunction returns a task function that sends a request to the leader at an interval,
-// with the term's fencing token. The work itself is the leader's, as only the leader knows when
-// each server renewed its lease, and may change the voters. The function returns when its
-// context ends or the token is no longer valid.
+// leaderCallFunction returns a task function that sends a request with the term's fencing token to
+// the leader at an interval. The leader does the actual work, as only the leader knows when each
+// server renewed its lease, and only the leader may change the voters. The function returns when
+// its context ends or the token is no longer valid.
 func leaderCallFunction(c *Client, path string, interval time.Duration) leaderelection.Function {
 	return func(ctx context.Context, _ string, fence int64) error {
 		for sleep(ctx, interval) {
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -21,14 +21,14 @@
 	errNotInPeerTable = errors.New("not in the table of peers")
 )
 
-// retryAfterNoLeader is the Retry-After value, in seconds, of an answer to a request that this
-// server could not serve: an election takes about as long.
+// retryAfterNoLeader is the Retry-After value, in seconds, of the answer to a request that this
+// server could not serve: an election takes about that long.
 const retryAfterNoLeader = "0.2"
 
 // notAppliedHeader marks an answer to a request that certainly had no effect.
 const notAppliedHeader = "Not-Applied"
 
-// badRequestError is a request that no state of the catalog would accept.
+// badRequestError reports an invalid request, which is rejected whatever the state of the catalog.
 type badRequestError struct{ text string }
 
 // Error returns the text of the answer.
@@ -39,7 +39,7 @@
 	return &badRequestError{fmt.Sprintf(format, args...)}
 }
 
-// rejectedError is a command that the catalog rejected in its present state.
+// rejectedError reports a command that the catalog rejected in its current state.
 type rejectedError struct{ catalog.Result }
 
 // Error returns the text of the answer: the code of the result and its text.
@@ -57,8 +57,8 @@
 	catalog.Unsupported: http.StatusNotImplemented,
 }
 
-// writeError answers with an error as one line of text. An answer to a request that certainly
-// had no effect, as there is no leader, has the header Not-Applied.
+// writeError answers with an error as one line of text. If the request certainly had no effect,
+// because there is no leader, the answer has the header Not-Applied.
 func writeError(w http.ResponseWriter, err error) {
 	var badRequest *badRequestError
 	var rejected *rejectedError
@@ -82,7 +82,8 @@
 }
 
 // raftConfigurationError translates an error of a change of the raft configuration: it returns
-// errNoLeader if the change was certainly not made, and wraps errUnknownOutcome otherwise.
+// errNoLeader if the change was certainly not made, and an error that wraps errUnknownOutcome
+// otherwise.
 func raftConfigurationError(err error) error {
 	if errors.Is(err, raft.ErrNotLeader) {
 		return errNoLeader
--- a/internal/control/evidence.go
+++ b/internal/control/evidence.go
@@ -14,12 +14,12 @@
 
 const (
 	evidenceTimeout  = 1200 * time.Millisecond // for another voter's answer
-	evidenceReserve  = 100 * time.Millisecond  // the part of evidenceTimeout left for the transfer of the answer
+	evidenceReserve  = 100 * time.Millisecond  // part of evidenceTimeout, reserved for the transfer of the answer
 	probeTimeout     = 500 * time.Millisecond  // for a server's answer
 	maxEvidence      = 256                     // servers of one request
-	maxEvidenceCalls = 4                       // requests served at once; one leader sends one at a time
-	// maxProbes is the number of servers probed at once. All servers of a request are, so that
-	// unresponsive ones cost one probe's timeout and not the whole request's.
+	maxEvidenceCalls = 4                       // concurrent requests; one leader sends one at a time
+	// maxProbes is the number of concurrent probes. It covers all servers of a request, so that
+	// unresponsive servers take the timeout of one probe and not that of the whole request.
 	maxProbes = maxEvidence
 )
 
@@ -28,10 +28,10 @@
 type ObservationMessage struct {
 	From    string                   `json:"from,omitempty"`
 	Refs    []catalog.InstanceRef    `json:"refs,omitempty"`
-	Answers map[string]member.Answer `json:"answers,omitempty"` // by the server's name
+	Answers map[string]member.Answer `json:"answers,omitempty"` // by server name
 }
 
-// handleEvidence probes the servers of a request and answers with what it observed.
+// handleEvidence probes the servers of a request and answers with its observations.
 func (s *Server) handleEvidence(w http.ResponseWriter, r *http.Request) {
 	var b ObservationMessage
 	if err := decodeBody(w, r, &b); err != nil {
@@ -44,15 +44,15 @@
 	}
 	if s.evidenceCalls.Add(1) > maxEvidenceCalls {
 		s.evidenceCalls.Add(-1)
-		s.admission.reject(w, evidenceTimeout) // the leader goes on without this voter's observations
+		s.admission.reject(w, evidenceTimeout) // the leader continues without this voter's observations
 		return
 	}
 	defer s.evidenceCalls.Add(-1)
 	writeJSON(w, ObservationMessage{From: s.config.Name, Answers: s.probeServers(r.Context(), b.Refs)})
 }
 
-// probeServers checks the health of servers and returns an observation of each that this server
-// knows and had the time to probe. If this process itself was slow, it doesn't report any server
+// probeServers checks the health of servers and returns an observation of each server that is known
+// here and could be probed in time. If this process itself was slow, it doesn't report any server
 // as unresponsive.
 func (s *Server) probeServers(ctx context.Context, refs []catalog.InstanceRef) answersByServer {
 	ctx, cancel := context.WithTimeout(ctx, evidenceTimeout-evidenceReserve)
@@ -77,7 +77,7 @@
 	answers := answersByServer{}
 	for i, answer := range observed {
 		if slow && answer == member.AnswerSilent {
-			answer = member.AnswerUnsure // the delay may be this process's own
+			answer = member.AnswerUnsure // the delay may have been in this process
 		}
 		if answer != member.AnswerNone {
 			answers[refs[i].Name] = answer
@@ -110,11 +110,11 @@
 	return e
 }
 
-// probe checks the health of a server. Any answer shows that the server is alive, whatever its
-// status. It returns AnswerNone if the context ended first or the address is not valid.
+// probe checks the health of a server. Any answer, whatever its status, shows that the server is
+// alive. It returns AnswerNone if the context ended first or the address is invalid.
 func (s *Server) probe(ctx context.Context, address string) member.Answer {
 	if ctx.Err() != nil {
-		return member.AnswerNone // no time was left to probe, which is not the server's fault
+		return member.AnswerNone // no time was left to probe, which is no evidence against the server
 	}
 	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/control/failureobservations.go
+++ b/internal/control/failureobservations.go
@@ -16,37 +16,37 @@
 	observationMaxAge = 3 * time.Second        // older observations are dropped
 )
 
-// answersByServer is one voter's answers, by the name of the server that it was asked about.
+// answersByServer holds one voter's answers by the name of the server that it was asked about.
 type answersByServer map[string]member.Answer
 
-// answersByVoter is the answers about one server, by the name of the voter that gave them.
+// answersByVoter holds the answers about one server by the name of the voter that gave them.
 type answersByVoter map[string]member.Answer
 
-// failureObservations holds what the voters observed of servers whose leases are suspected to
-// have expired.
+// failureObservations holds the voters' observations of servers whose leases are late or have
+// expired.
 type failureObservations struct {
-	mu       sync.Mutex                // guards the fields, but not what they refer to, which never changes
-	byServer map[string]observationSet // by the server's name
+	mu       sync.Mutex                // guards the fields; the map and the slice themselves are never modified
+	byServer map[string]observationSet // by server name
 	voters   []string                  // the voters that were asked last
 }
 
-// observationSet is what each voter observed of one instance of a server.
+// observationSet holds the voters' observations of one instance of a server.
 type observationSet struct {
 	startedMs  float64
 	observedAt time.Time
 	answers    answersByVoter
 }
 
-// evidenceRound is one round of requests: which voters were asked about which servers, and what
-// they answered.
+// evidenceRound is one round of evidence requests: the voters that were asked, the servers that they
+// were asked about, and their answers.
 type evidenceRound struct {
 	voters  []string
 	refs    []catalog.InstanceRef
-	answers map[string]answersByVoter // by the server's name
+	answers map[string]answersByVoter // by server name
 }
 
-// expiryDecider returns the rule by which expired leases are decided on: by the majority of the
-// voters' recent observations, or by the lease alone if evidence is turned off.
+// expiryDecider returns the rule that decides whether a server with an expired lease has failed: by
+// the majority of the voters' recent observations, or by the lease alone if evidence is turned off.
 func (s *Server) expiryDecider() catalog.ExpiryDecider {
 	if !s.config.Evidence {
 		return catalog.ExpireByLeaseOnly
@@ -71,8 +71,8 @@
 	}
 }
 
-// evidenceLoop has the voters asked about suspected servers while this server leads. It returns
-// when the server stops.
+// evidenceLoop asks the voters about suspected servers while this server leads. It returns when the
+// server stops.
 func (s *Server) evidenceLoop() {
 	ticker := time.NewTicker(evidenceInterval)
 	defer ticker.Stop()
@@ -87,7 +87,7 @@
 			continue
 		}
 		round := s.collectEvidence(s.voters(), refs)
-		// The answers count only if this server still led after they were given.
+		// The answers count only if this server still led after it received them.
 		if _, err := s.verifyLeader(s.ctx); err != nil {
 			continue
 		}
@@ -95,8 +95,8 @@
 	}
 }
 
-// suspectedServers returns the servers that evidence is needed about. It returns nil on a
-// follower and if evidence is turned off.
+// suspectedServers returns the servers whose leases are late or have expired, about which the voters
+// are asked. It returns nil on a follower or if evidence is turned off.
 func (s *Server) suspectedServers() (refs []catalog.InstanceRef) {
 	now, leads := s.leaderClock()
 	if !leads || !s.config.Evidence {
@@ -110,8 +110,8 @@
 	return refs
 }
 
-// update replaces the observations of the servers of a round that ended at a time, and drops those
-// of other servers that are older than observationMaxAge.
+// update replaces the observations of the servers of a round that ended at endedAt, and drops
+// observations of other servers that are older than observationMaxAge.
 func (o *failureObservations) update(endedAt time.Time, round evidenceRound) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -127,8 +127,8 @@
 	o.byServer, o.voters = byServer, round.voters
 }
 
-// collectEvidence asks all voters at once about the servers and returns their answers. Voters that
-// don't answer within evidenceTimeout are left out of the answers.
+// collectEvidence asks all voters concurrently about the servers and returns their answers. Voters
+// that don't answer within evidenceTimeout are left out of the answers.
 func (s *Server) collectEvidence(voters []string, refs []catalog.InstanceRef) evidenceRound {
 	ctx, cancel := context.WithTimeout(s.ctx, evidenceTimeout)
 	defer cancel()
@@ -155,8 +155,8 @@
 	return round
 }
 
-// requestEvidence returns one voter's answers, or nil if the voter gave none. A voter whose program
-// is of a version without evidence is taken to defer to the leases.
+// requestEvidence returns one voter's answers, or nil if the voter gave none. A voter whose version
+// doesn't support evidence requests is treated as deferring to the leases.
 func (s *Server) requestEvidence(ctx context.Context, voter string, refs []catalog.InstanceRef) answersByServer {
 	if voter == s.config.Name {
 		return s.probeServers(ctx, refs)
@@ -166,7 +166,7 @@
 		return nil
 	}
 	var e ObservationMessage
-	// The context bounds the request: peerClient's own timeout is too short for a voter that has
+	// The context limits the request: the timeout of peerClient is too short for a voter that has
 	// many unresponsive servers to probe.
 	client := &http.Client{Transport: s.peerClient.Transport}
 	err := call(ctx, client, http.MethodPost, "http://"+p.HTTP+"/v1/evidence", ObservationMessage{Refs: refs}, &e)
@@ -180,7 +180,7 @@
 	return e.Answers
 }
 
-// allDeferToLease returns the answer about each server that its lease alone decides.
+// allDeferToLease returns, for each server, the answer that its lease alone decides.
 func allDeferToLease(refs []catalog.InstanceRef) answersByServer {
 	answers := answersByServer{}
 	for _, ref := range refs {
--- a/internal/control/forwarding.go
+++ b/internal/control/forwarding.go
@@ -15,15 +15,15 @@
 // forwarded again.
 const forwardedByHeader = "Forwarded-By"
 
-// leaderWrites returns a handler that has the leader carry out a write, at whichever server the
-// request arrived.
+// leaderWrites returns a handler for a write, which the leader carries out; any other server forwards
+// the request to it.
 func (s *Server) leaderWrites(do commandHandler) http.HandlerFunc {
 	return s.leaderWritesAfter(func(http.ResponseWriter, *http.Request) error { return nil }, do)
 }
 
-// leaderWritesAfter is leaderWrites with a step that runs at the server where the request arrived,
-// after the request was admitted and before the leader carries it out. An error of that step is the
-// answer.
+// leaderWritesAfter is like leaderWrites, but calls before on the server where the request arrived,
+// after the request was admitted and before the leader carries it out. If before returns an error,
+// that is the answer.
 func (s *Server) leaderWritesAfter(before, do commandHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		release, ok := s.admission.admitWrite(w)
@@ -45,9 +45,9 @@
 	}
 }
 
-// leaderReads returns a handler for a read. A request with consistent=1 is answered by the
-// leader, with all that was acknowledged before it; any other is answered here, with what this
-// server has applied.
+// leaderReads returns a handler for a read. A request with consistent=1 is answered by the leader
+// and reflects every write acknowledged before it. Any other request is answered by this server
+// from the state that it has applied.
 func (s *Server) leaderReads(do http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("consistent") != "1" {
@@ -101,8 +101,8 @@
 	relayAnswer(w, resp)
 }
 
-// relayAnswer answers with another server's answer, and closes it. If it can't be read to its end,
-// the client gets the part that was read.
+// relayAnswer copies another server's answer to the client and closes it. If the answer can't be
+// read to its end, the client gets the part that was read.
 func relayAnswer(w http.ResponseWriter, resp *http.Response) {
 	defer resp.Body.Close()
 	for _, key := range []string{"Content-Type", "Retry-After", notAppliedHeader, endpoints.ScopeHeader} {
@@ -115,7 +115,7 @@
 }
 
 // commitAndAnswer proposes a command and answers with its result. It returns a rejectedError if
-// the catalog rejected the command, and the errors of propose.
+// the catalog rejected the command, or the error of propose.
 func (s *Server) commitAndAnswer(w http.ResponseWriter, c catalog.Command) error {
 	result, err := s.propose(c)
 	if err != nil {
--- a/internal/control/fsm.go
+++ b/internal/control/fsm.go
@@ -14,20 +14,21 @@
 	"knotrouter/internal/leaderelection"
 )
 
-// maxSnapshotBytes bounds a snapshot. It is far above what the bounds of the state allow.
+// maxSnapshotBytes is the maximum size of a snapshot. It is far above what the limits of the state
+// allow.
 const maxSnapshotBytes = 256 << 20
 
-// errSnapshotTooLarge means that a snapshot was not restored, as it is larger than
+// errSnapshotTooLarge means that a snapshot was not restored because it is larger than
 // maxSnapshotBytes.
 var errSnapshotTooLarge = fmt.Errorf("over %d bytes", maxSnapshotBytes)
 
-// fsm is raft's state machine: it applies committed entries to the replicated state and lets the
-// rest of the server read that state.
+// fsm is raft's state machine: it applies committed entries to the replicated state and gives the
+// rest of the server access to it.
 type fsm struct {
 	onChange func()      // called without the lock when the version of the list has changed
 	onFatal  func(error) // called for an entry that this program can't apply
 
-	mu              sync.RWMutex // guards the fields below and everything that state leads to
+	mu              sync.RWMutex // guards the fields below and everything reachable from state
 	state           *catalog.State
 	sessionsChanged chan struct{} // closed when assignments may have changed; nil if no request waits
 }
@@ -49,8 +50,8 @@
 	}
 	f.mu.Unlock()
 	if result.Code == catalog.Unsupported {
-		// Other servers may run a program that supports the entry. If this one went on, its state
-		// would differ from theirs.
+		// Other servers may run a version that supports the entry. If this server continued, its
+		// state would diverge from theirs.
 		f.onFatal(logEntryError(entry, errors.New(result.Text)))
 	}
 	if after != before {
@@ -59,7 +60,7 @@
 	return result
 }
 
-// logEntryError wraps the reason why an entry can't be applied.
+// logEntryError adds the index of an entry to the error for which it can't be applied.
 func logEntryError(entry *raft.Log, err error) error {
 	return fmt.Errorf("entry %d of the log: %w", entry.Index, err)
 }
@@ -95,8 +96,8 @@
 	return encodedState(encoded), nil
 }
 
-// Restore implements raft.FSM: it replaces the state by a snapshot. If it returns an error, such
-// as errSnapshotTooLarge or one of catalog.Decode, the state is as it was.
+// Restore implements raft.FSM: it replaces the state with a snapshot. If it returns an error, such
+// as errSnapshotTooLarge or one of catalog.Decode, the state is unchanged.
 func (f *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	encoded, err := io.ReadAll(io.LimitReader(r, maxSnapshotBytes+1))
@@ -133,7 +134,7 @@
 // Release implements raft.FSMSnapshot.
 func (encodedState) Release() {}
 
-// read calls do with the state, which do must neither change nor keep.
+// read calls do with the state, which do must neither modify nor retain.
 func (f *fsm) read(do func(state *catalog.State)) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -147,7 +148,7 @@
 }
 
 // changesSince returns the entries of the list that changed after a version, or the full list if
-// the state doesn't have the history for that.
+// the history of the state doesn't reach back that far.
 func (f *fsm) changesSince(version int64) (list endpoints.List) {
 	f.read(func(state *catalog.State) { list = state.ListSince(version) })
 	return list
--- a/internal/control/gossip.go
+++ b/internal/control/gossip.go
@@ -10,11 +10,11 @@
 	"knotrouter/internal/member"
 )
 
-// maxBootIDBytes bounds the boot identity that is taken from an agent's request.
+// maxBootIDBytes is the length to which the boot identity of an agent's request is truncated.
 const maxBootIDBytes = 64
 
-// startGossip joins the gossip protocol, if it is configured. It returns the error of gossip.Start,
-// such as that the address is in use.
+// startGossip starts gossip if it is configured. It returns the error of gossip.Start, for example
+// if the address is in use.
 func (s *Server) startGossip() error {
 	if s.config.Gossip == "" {
 		return nil
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// gossipPeers returns the gossip addresses in the table of peers, by name.
+// gossipPeers returns the gossip addresses of the peer table by server name.
 func (s *Server) gossipPeers() map[string]string {
 	addrs := map[string]string{}
 	for name, p := range *s.peerTable.Load() {
@@ -55,8 +55,8 @@
 	return addrs
 }
 
-// logMemberChanges counts and logs changes of members' states. Those of members that don't gossip,
-// agents and registered servers, are logged at level debug only, as there are many.
+// logMemberChanges counts and logs changes of members' states. Changes of members that don't gossip,
+// agents and registered servers, are logged at level debug only, as there are many of them.
 func (s *Server) logMemberChanges(changes []member.Change) {
 	for _, c := range changes {
 		s.metrics.memberChanges.WithLabelValues(string(c.Role), string(c.To)).Inc()
@@ -68,10 +68,10 @@
 	}
 }
 
-// logNameConflict counts and logs that a second process, at an address, uses a member's name.
+// logNameConflict counts and logs that a second process, at the given address, uses a member's name.
 func (s *Server) logNameConflict(name, address string) {
 	if s.metrics.nameConflicts.Inc(); s.logLimiter.Allow() {
-		s.log.Error("two processes use one name: the one whose data folder the catalog has keeps it", "member", name, "address", address)
+		s.log.Error("two processes use one name: the one whose data folder is recorded in the catalog keeps it", "member", name, "address", address)
 	}
 }
 
@@ -106,8 +106,9 @@
 	writeJSON(w, struct{}{})
 }
 
-// wasPaused reports whether this process was recently suspended or starved, so that an answer that
-// it missed is no evidence against the server that was asked. Without gossip it returns false.
+// wasPaused reports whether this process was recently suspended or starved of CPU time, so that an
+// answer that it missed is no evidence against the server that was asked. Without gossip it returns
+// false.
 func (s *Server) wasPaused() (paused bool) {
 	if s.gossip() != nil {
 		s.gossip().WithTracker(func(now time.Duration, t *member.Tracker) { paused = t.RecentlyPaused(now) })
@@ -115,8 +116,8 @@
 	return paused
 }
 
-// absentProcesses returns the names of the processes that gossip and aren't present in the
-// membership view. Without gossip it returns nil.
+// absentProcesses returns the names of the processes that take part in gossip but aren't present in
+// the membership view. Without gossip it returns nil.
 func (s *Server) absentProcesses() map[string]bool {
 	if s.gossip() == nil {
 		return nil
@@ -126,7 +127,7 @@
 	return absent
 }
 
-// gossipCounts returns the gossip counters by their name in the metrics, or nil without gossip.
+// gossipCounts returns the gossip counters by their names in the metrics, or nil without gossip.
 func (s *Server) gossipCounts() map[string]float64 {
 	if s.gossip() == nil {
 		return nil
--- a/internal/control/incarnation.go
+++ b/internal/control/incarnation.go
@@ -12,36 +12,36 @@
 
 const (
 	incarnationCheckInterval = 500 * time.Millisecond // between checks of this process's incarnation
-	// nameConflictTimeout is for how long requests may be rejected because another process has this
-	// server's name before this process gives up: after a restart with an empty data folder, the
-	// peers need some time to notice that the earlier process has ended.
+	// nameConflictTimeout is how long this process retries requests that are rejected because
+	// another process has its name, before it gives up. After a restart with an empty data folder,
+	// the peers need some time to notice that the earlier process has ended.
 	nameConflictTimeout = 10 * time.Second
 )
 
-// incarnationRequestBody requests the incarnation number of a start of a process: it has the identity of
-// the data folder and that of the start.
+// incarnationRequestBody is the body of a request for a process's incarnation number: the identity
+// of its data folder, and that of this start of the process.
 type incarnationRequestBody struct {
 	ID     string `json:"id"`
 	BootID string `json:"life"`
 }
 
-// supersededError ends a process whose name the catalog has given to another one since.
+// supersededError means that the catalog has since given this process's name to another process, so
+// that this process must stop.
 type supersededError struct {
 	name           string
-	sameDataFolder bool // the other process has a copy of this one's data folder
+	sameDataFolder bool // whether the other process has a copy of this one's data folder
 }
 
-// Error says which process keeps the name, and that this one ends.
+// Error returns which process keeps the name, and that this one stops.
 func (e *supersededError) Error() string {
 	if e.sameDataFolder {
-		return fmt.Sprintf("name: a later process is called %s and has a copy of this folder: this one yields", e.name)
+		return fmt.Sprintf("name: a later process is called %s and has a copy of this data folder: this one stops", e.name)
 	}
-	return fmt.Sprintf("name: another process is called %s, and this one was thought to be gone: it yields", e.name)
+	return fmt.Sprintf("name: another process has been given the name %s, as this one was considered failed: this one stops", e.name)
 }
 
 // incarnationLoop obtains this process's incarnation number from the catalog and gossips it. It
-// ends the process if its name belongs to another one, and returns then or when the server
-// stops.
+// stops the server if its name belongs to another process. It returns when the server stops.
 func (s *Server) incarnationLoop() {
 	client := NewClient(nil, applyTimeout+peerTimeout)
 	client.AddressSource = s.serverAddresses
@@ -61,10 +61,10 @@
 	}
 }
 
-// checkIncarnation takes over this process's incarnation number once the catalog has it, and
-// requests one until then. It returns a supersededError if the catalog has given this server's name
-// to another process since, and an error that wraps the rejection if another present process has
-// had the name for nameConflictTimeout.
+// checkIncarnation adopts this process's incarnation number once the catalog has it, and requests
+// one until then. It returns a supersededError if the catalog has since given this server's name to
+// another process, and an error that wraps the rejection if another present process has had the
+// name for nameConflictTimeout.
 func (s *Server) checkIncarnation(requester *incarnationRequester) error {
 	registered := s.registeredMember()
 	if registered.ID == s.dataID && registered.BootID == s.bootID {
@@ -77,7 +77,7 @@
 	return s.requestIncarnation(requester)
 }
 
-// registeredMember returns what the catalog has under this server's name, or the zero Member.
+// registeredMember returns the catalog's member of this server's name, or the zero Member.
 func (s *Server) registeredMember() (registered catalog.Member) {
 	s.fsm.read(func(state *catalog.State) {
 		if m := state.Members[s.config.Name]; m != nil {
@@ -96,11 +96,11 @@
 	s.log.Info("incarnation number obtained", "incarnation", incarnation)
 }
 
-// incarnationRequester is a process's repeated request for its incarnation number.
+// incarnationRequester requests this process's incarnation number until the catalog has it.
 type incarnationRequester struct {
 	client *Client
-	// conflictSince is the time of the first of the requests in a row that were rejected because
-	// another process has the name; zero if the last request was not.
+	// conflictSince is the time of the first of the latest consecutive requests that were rejected
+	// because another process has the name; zero if the last request was not.
 	conflictSince time.Time
 }
 
@@ -121,9 +121,9 @@
 	return nil
 }
 
-// memberPresence reports whether a process of this name may be alive by the membership view, which
-// includes one that is suspect or joining. It returns the identity of its data folder, "" if that is
-// not known.
+// memberPresence reports whether a process of this name may be alive according to the membership
+// view, which includes one that is suspect or joining, and returns the identity of its data folder,
+// or "" if it is not known.
 func (s *Server) memberPresence(name string) (dataID string, present bool) {
 	if s.gossip() == nil {
 		return "", false
@@ -132,8 +132,8 @@
 	return dataID, present
 }
 
-// checkNameConflict returns a rejectedError if a process with another data folder than the one with
-// this identity is present under the name. An identity that is not known, "", is no conflict.
+// checkNameConflict returns a rejectedError if a process of this name whose data folder has another
+// identity is present. An unknown identity, "", is not a conflict.
 func (s *Server) checkNameConflict(name, dataID string) error {
 	other, present := s.memberPresence(name)
 	if present && dataID != "" && other != "" && other != dataID {
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// handleIncarnationRequest gives a control-plane server its incarnation number. It rejects a name that
-// isn't in the peer table or that another present process has.
+// handleIncarnationRequest assigns an incarnation number to a control-plane server. It rejects a name
+// that isn't in the peer table or that another present process has.
 func (s *Server) handleIncarnationRequest(w http.ResponseWriter, r *http.Request) error {
 	var b incarnationRequestBody
 	if err := decodeBody(w, r, &b); err != nil {
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -8,8 +8,9 @@
 	"knotrouter/internal/catalog"
 )
 
-// Handlers that show the replicated state to operators copy what they answer while the state is
-// locked, and encode the copy after it has been unlocked, so that commands don't wait for it.
+// Handlers that show the replicated state to operators copy the values of the answer while the state
+// is locked, and encode the copies after it has been unlocked, so that commands don't wait for the
+// encoding.
 
 // stateTable selects one table of the replicated state.
 type stateTable[T any] func(*catalog.State) map[string]*T
@@ -28,8 +29,8 @@
 	return c
 }
 
-// copyAll returns copies of all values of a table in the order of their names. It never returns
-// nil, which would be encoded as null.
+// copyAll returns copies of all values of a table, sorted by name. It never returns nil, which would
+// be encoded as null.
 func copyAll[T any](f *fsm, table stateTable[T], clone func(*T) T) []T {
 	all := []T{}
 	f.read(func(state *catalog.State) {
@@ -41,7 +42,7 @@
 	return all
 }
 
-// copyOne returns a copy of the value of a name, or nil if the table has none.
+// copyOne returns a copy of the value with the given name, or nil if the table has none.
 func copyOne[T any](f *fsm, table stateTable[T], name string, clone func(*T) T) (found *T) {
 	f.read(func(state *catalog.State) {
 		if v := table(state)[name]; v != nil {
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -12,26 +12,26 @@
 	"github.com/hashicorp/raft"
 )
 
-// startMode is what a server does when raft has started.
+// startMode is what a server does once raft has started.
 type startMode int
 
 const (
-	resumeState      startMode = iota // go on with the state in the data folder
+	resumeState      startMode = iota // continue with the state in the data folder
 	bootstrapCluster                  // write the first configuration of a new cluster
-	rejoinCluster                     // have itself added to the cluster that it was part of
+	rejoinCluster                     // request readmission to the cluster that it was part of
 )
 
 const (
-	peerStatusInterval  = 100 * time.Millisecond // between rounds of status requests on an empty folder
-	readmissionInterval = 500 * time.Millisecond // between requests to be added to the configuration
+	peerStatusInterval  = 100 * time.Millisecond // between rounds of status requests to the peers, on an empty data folder
+	readmissionInterval = 500 * time.Millisecond // between requests to be added to the raft configuration
 	raftTimeout         = 5 * time.Second        // of the raft transport's connections
 	raftPoolSize        = 3                      // idle connections kept per peer
 	commitTimeout       = 5 * time.Millisecond
 )
 
-// startRaft opens the data folder, starts gossip and then raft. A server with an empty data
-// folder may have voted before it lost its data, so it bootstraps only a new cluster, and
-// otherwise has itself removed from the voters before it joins again.
+// startRaft opens the data folder, starts gossip and then raft. A server with an empty data folder
+// may have voted before it lost its data, so it bootstraps only a new cluster, and otherwise has
+// itself removed from the voters before it rejoins.
 func (s *Server) startRaft(ctx context.Context) error {
 	rl := newRaftLogger(s.log)
 	var err error
@@ -138,11 +138,11 @@
 	return p.Raft, ok
 }
 
-// chooseStartMode asks the peers, until it is certain, what an empty data folder means. If
-// all of them are empty too, the cluster is new and is to be bootstrapped. If one has a state,
-// this server was replaced or lost its data: it has itself removed from the voters, as it may
-// have voted, and is to rejoin. It returns an error if the context ends or if another process
-// goes by this server's name.
+// chooseStartMode returns the start mode for an empty data folder. It polls the peers until the mode
+// is certain. If the data folders of all peers are empty too, the cluster is new and is to be
+// bootstrapped. If one peer has state, this server was replaced or lost its data: it has itself
+// removed from the voters, as it may have voted, and is to rejoin. It returns an error if the context
+// ends or if another process has this server's name.
 func (s *Server) chooseStartMode(ctx context.Context) (startMode, error) {
 	others := s.config.otherPeerNames()
 	for first := true; ; first = false {
@@ -169,12 +169,12 @@
 			return bootstrapCluster, nil
 		}
 		if first {
-			s.log.Info("data folder is empty: waiting until all peers answer, or one that has a state", "waiting_for", others)
+			s.log.Info("data folder is empty: waiting for answers of all peers, or of one that has state", "waiting_for", others)
 		}
 		select {
 		case <-time.After(peerStatusInterval):
 		case <-ctx.Done():
-			return resumeState, fmt.Errorf("first start: %w", ctx.Err())
+			return resumeState, fmt.Errorf("start with an empty data folder: %w", ctx.Err())
 		}
 	}
 }
@@ -187,8 +187,8 @@
 	})
 }
 
-// requestReadmission asks the cluster to add this server again, and repeats that until it succeeds
-// or the server stops. It requires that raft listens.
+// requestReadmission asks the cluster to add this server again, and retries until it succeeds or the
+// server stops. Raft must already be listening.
 func (s *Server) requestReadmission() {
 	query := ""
 	if self, _ := s.peer(s.config.Name); self.NonVoter {
@@ -201,7 +201,7 @@
 		if err == nil {
 			return
 		}
-		s.log.Warn("admission to the cluster failed, will be retried", "err", err)
+		s.log.Warn("rejoining the cluster failed, will be retried", "err", err)
 		select {
 		case <-time.After(readmissionInterval):
 		case <-s.ctx.Done():
@@ -210,10 +210,10 @@
 	}
 }
 
-// errNoOtherPeer means that the peer table has no server but this one.
-var errNoOtherPeer = errors.New("no other steward in the table")
+// errNoOtherPeer means that the peer table has no server other than this one.
+var errNoOtherPeer = errors.New("no other control-plane server in the peer table")
 
-// tryPeers calls do with the base URL of one peer after the other, until one succeeds, one
+// tryPeers calls do with the base URL of one peer after the other, until a call succeeds, a peer
 // answers with a conflict or the context ends. It returns nil, the last error, or errNoOtherPeer.
 func (s *Server) tryPeers(ctx context.Context, do func(base string) error) error {
 	err := errNoOtherPeer
--- a/internal/control/json.go
+++ b/internal/control/json.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// maxBodyBytes bounds the body of a request that has no larger bound of its own.
+// maxBodyBytes is the maximum size of a request body, except for routes with a larger limit.
 const maxBodyBytes = 64 << 10
 
 // writeJSON answers with a value as one line of JSON.
@@ -23,9 +23,9 @@
 	_, _ = w.Write(append(text, '\n'))
 }
 
-// readBody reads the body of a request within the read deadline that the handler of all
-// requests has set, and clears that deadline. It returns a badRequestError for a body that is
-// too long or didn't arrive in time.
+// readBody reads the body of a request within the read deadline that Server.handler has set, and
+// clears the deadline. It returns a badRequestError for a body that is too long or didn't arrive in
+// time.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	limit := int64(maxBodyBytes)
 	if r.URL.Path == "/v1/snapshot" || r.URL.Path == "/v1/renewals" {
--- a/internal/control/leaderproof.go
+++ b/internal/control/leaderproof.go
@@ -7,19 +7,19 @@
 	"github.com/hashicorp/raft"
 )
 
-// proofCheckInterval is how often a proof of leadership that waits looks whether this server still
-// leads.
+// proofCheckInterval is how often proveLeadership, while it waits for confirmations, checks whether
+// this server still leads.
 const proofCheckInterval = 50 * time.Millisecond
 
-// networkTransport is what raft uses of its transport.
+// networkTransport is the set of transport interfaces that raft uses.
 type networkTransport interface {
 	raft.Transport
 	raft.WithPreVote
 	raft.WithClose
 }
 
-// recordingTransport is raft's transport. It records which appends, heartbeats among them, the other
-// servers have confirmed.
+// recordingTransport wraps raft's transport. It records which appends, including heartbeats, the
+// other servers have confirmed.
 type recordingTransport struct {
 	networkTransport
 	confirmed *confirmedAppends
@@ -35,8 +35,8 @@
 	return err
 }
 
-// confirmedAppend is an append that a server has confirmed: after sentAt it followed the leader of the
-// term.
+// confirmedAppend is an append that a server has confirmed: at some time after sentAt, the server
+// followed the leader of the term.
 type confirmedAppend struct {
 	term   uint64
 	sentAt time.Time
@@ -54,20 +54,20 @@
 	return &confirmedAppends{byServer: map[raft.ServerID]confirmedAppend{}, changed: make(chan struct{})}
 }
 
-// record records a confirmed append, unless one that was sent later is known.
-func (c *confirmedAppends) record(id raft.ServerID, latest confirmedAppend) {
+// record records a confirmed append, unless one that was sent later is already recorded.
+func (c *confirmedAppends) record(id raft.ServerID, confirmation confirmedAppend) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !latest.sentAt.After(c.byServer[id].sentAt) {
+	if !confirmation.sentAt.After(c.byServer[id].sentAt) {
 		return
 	}
-	c.byServer[id] = latest
+	c.byServer[id] = confirmation
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// quorumSince reports whether a majority of the voters, self counted, has confirmed an append of the
-// term that was sent at or after a time. changed is closed when that may have become true.
+// quorumSince reports whether a majority of the voters, including self, has confirmed an append of
+// the term that was sent at since or later. changed is closed when that may have become true.
 func (c *confirmedAppends) quorumSince(voters []string, self string, term uint64, since time.Time) (quorum bool, changed <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,16 +81,16 @@
 	return confirmations > len(voters)/2, c.changed
 }
 
-// proveLeadership shows that this server led at the time of the call, and returns the term in which it
-// did. It returns errNoLeader if that can't be shown.
+// proveLeadership confirms that this server led at the time of the call, and returns the term in which
+// it did. It returns errNoLeader if that can't be confirmed.
 //
-// raft.Raft.VerifyLeader alone does not show it: it counts the next response of each server, also one
+// raft.Raft.VerifyLeader alone is not sufficient: it counts the next response of each server, even one
 // to a heartbeat that was sent before the call. A process that was suspended may find such responses in
-// its sockets, though another server has been elected since.
+// its socket buffers although another server has been elected since.
 func proveLeadership(r *raft.Raft, self string, voters []string, confirmed *confirmedAppends, timeout time.Duration) (term uint64, err error) {
 	since := time.Now()
 	term = r.CurrentTerm()
-	if r.VerifyLeader().Error() != nil { // has heartbeats sent at once
+	if r.VerifyLeader().Error() != nil { // triggers immediate heartbeats
 		return 0, errNoLeader
 	}
 	for time.Since(since) < timeout && r.State() == raft.Leader && r.CurrentTerm() == term {
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -36,8 +36,8 @@
 	return string(id)
 }
 
-// leaderLoop follows raft's leadership changes and, while this server leads, proposes what
-// sessions and leased tasks call for. It returns when the server stops.
+// leaderLoop follows raft's leadership changes and, while this server leads, proposes the decisions
+// on sessions and leased tasks. It returns when the server stops.
 func (s *Server) leaderLoop() {
 	ticker := time.NewTicker(decisionInterval)
 	defer ticker.Stop()
@@ -59,7 +59,7 @@
 }
 
 // becomeLeader starts the leader's work once every entry committed by earlier leaders is applied
-// here. All leases and sessions start with their full time.
+// here. All leases and sessions start with their full duration.
 func (s *Server) becomeLeader() {
 	term := s.raft().CurrentTerm()
 	if err := s.raft().Barrier(applyTimeout).Error(); err != nil {
@@ -68,7 +68,7 @@
 	}
 	if s.raft().CurrentTerm() != term {
 		s.log.Warn("lost leadership before taking over", "term", term)
-		return // if this server has been elected again, that follows on the channel
+		return // if this server has been elected again, LeaderCh reports that next
 	}
 	s.leaderMu.Lock()
 	var version int64
@@ -98,7 +98,7 @@
 }
 
 // transferLeadership transfers leadership to another voter, if this server leads and there is
-// one.
+// another voter.
 func (s *Server) transferLeadership() {
 	if s.raft() == nil || s.raft().State() != raft.Leader || len(s.voters()) <= 1 {
 		return
@@ -108,8 +108,8 @@
 	}
 }
 
-// leaderClock returns the state's clock as the leader continues it by its monotonic time, and
-// whether this server leads. The time is meaningless if it doesn't.
+// leaderClock returns the clock of the replicated state, which the leader advances by its own
+// monotonic clock, and whether this server leads. The time is meaningless if it doesn't.
 func (s *Server) leaderClock() (now time.Duration, leads bool) {
 	s.leaderMu.Lock()
 	defer s.leaderMu.Unlock()
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -4,10 +4,10 @@
 	"knotrouter/internal/catalog"
 )
 
-// sweep decides which server leases have expired, which of those the mass-failure guard keeps,
-// and which servers are released from damping, and proposes that with the fencing token of the
-// sweep task. It returns a rejectedError if the token is no longer valid, and errNoLeader if this
-// server doesn't lead.
+// sweep decides which servers' leases have expired, which of those servers the mass-failure guard
+// quarantines, which quarantined servers recover and which servers' damping ends, and proposes the
+// decisions with the fencing token of the sweep task. It returns a rejectedError if the token is no
+// longer valid, and errNoLeader if this server doesn't lead.
 func (s *Server) sweep(fence int64) error {
 	now, leads := s.leaderClock()
 	if !leads {
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// proposeFenced commits a decision of the sweep task and counts it.
+// proposeFenced commits a decision of the sweep task, and counts and logs it. It returns a
+// rejectedError if the command's fencing token is no longer valid.
 func (s *Server) proposeFenced(c catalog.Command) error {
 	r, err := s.propose(c)
 	if err != nil {
@@ -52,9 +53,8 @@
 	return nil
 }
 
-// renew extends the leases of servers and returns a code for each. Renewals are kept in the
-// leader's memory only and are not replicated. It returns errNoLeader if this server doesn't
-// lead.
+// renew extends the leases of servers and returns a code for each. Renewals are kept only in the
+// leader's memory and are not replicated. It returns errNoLeader if this server doesn't lead.
 func (s *Server) renew(refs []catalog.InstanceRef) ([]catalog.Code, error) {
 	now, leads := s.leaderClock()
 	if !leads {
--- a/internal/control/listencoding.go
+++ b/internal/control/listencoding.go
@@ -14,20 +14,20 @@
 	estimatedScopedEntryBytes = 140 // of an entry in a list of services
 )
 
-// encodeList returns a list as a line of a watch.
+// encodeList returns a list encoded as a line of a watch.
 func encodeList(l *endpoints.List) []byte {
-	text, _ := json.Marshal(l) // has only numbers, strings and booleans, which can't fail
+	text, _ := json.Marshal(l) // can't fail: numbers, strings and booleans only
 	return append(text, '\n')
 }
 
-// encodeEntries returns entries as they stand between the brackets of an encoded list.
+// encodeEntries returns entries encoded as in a list, without the surrounding brackets.
 func encodeEntries(entries []endpoints.Endpoint) []byte {
-	text, _ := json.Marshal(entries) // has only numbers, strings and booleans, which can't fail
+	text, _ := json.Marshal(entries) // can't fail: numbers, strings and booleans only
 	return bytes.TrimSuffix(bytes.TrimPrefix(text, []byte("[")), []byte("]"))
 }
 
-// assembleList returns a list of encoded entries as a line of a watch, byte for byte as
-// encodeList would of the decoded ones.
+// assembleList returns a list of already encoded entries as a line of a watch, byte for byte the same
+// as encodeList returns for the decoded entries.
 func assembleList(revision int64, full bool, entries [][]byte) []byte {
 	const envelopeBytes = len(`{"seq":-9223372036854775808,"whole":false,"hosts":[]}`) + 1
 	size := envelopeBytes
@@ -49,14 +49,14 @@
 	return append(text, "]}\n"...)
 }
 
-// estimateFullListBytes returns about how many bytes the full list takes.
+// estimateFullListBytes returns the approximate size of the encoded full list.
 func (b *watchBroadcaster) estimateFullListBytes() int {
 	listed := 0
 	b.fsm.read(func(state *catalog.State) { listed = state.ListedCount() })
 	return listed * estimatedEntryBytes
 }
 
-// estimateListBytes returns about how many bytes encodedList would return.
+// estimateListBytes returns the approximate size of the list that encodedList would return.
 func (t *serviceTopics) estimateListBytes(services []string, since int64, full bool) int {
 	entries := 0
 	t.fsm.read(func(state *catalog.State) {
--- a/internal/control/listhandler.go
+++ b/internal/control/listhandler.go
@@ -11,7 +11,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-// Labels of the metric that counts requests for the list, by how they were answered.
+// Labels of the metric that counts requests for the list: the kind of call and the outcomes.
 const (
 	listCallKind          = "list"
 	outcomeRejected       = "away"
@@ -24,13 +24,14 @@
 // listRequest is a request for the endpoint list, or for a watch of it.
 type listRequest struct {
 	services   []string // the services that it is limited to, sorted; nil: the whole list
-	watch      bool     // a watch
-	since      int64    // for a watch: the version of the list that the reader has
-	consistent bool     // the list must contain all that was acknowledged before
-	canMigrate bool     // the reader knows other control-plane servers
+	watch      bool     // a watch, not just the full list
+	since      int64    // for a watch: the version of the list that the reader already has
+	consistent bool     // the list must reflect every write acknowledged before the request
+	canMigrate bool     // the reader knows other control-plane servers, to which its watch can be migrated
 }
 
-// parseListRequest returns a badRequestError if the query is invalid.
+// parseListRequest parses a request for the list. It returns a badRequestError if the query is
+// invalid.
 func parseListRequest(r *http.Request) (listRequest, error) {
 	query := r.URL.Query()
 	services, err := parseServices(r.URL.RawQuery)
@@ -52,8 +53,8 @@
 	return request, nil
 }
 
-// handleList answers with the endpoint list in the form that agents read: the full list, or a
-// watch, which goes on until the reader or this server ends it.
+// handleList answers with the endpoint list in the form that agents read: the full list, or a watch,
+// which continues until the reader or this server ends it.
 func (s *Server) handleList(w http.ResponseWriter, r *http.Request) {
 	request, err := parseListRequest(r)
 	if err != nil {
@@ -85,9 +86,9 @@
 	s.metrics.calls.WithLabelValues(listCallKind, outcome).Inc()
 }
 
-// shouldDeferToPeer reports whether a reader is better off at another control-plane server.
-// A stale list is served as long as no other server has a current one: agents without any list
-// can't work. canMigrate is whether the reader knows other servers.
+// shouldDeferToPeer reports whether a reader should use another control-plane server instead. A stale
+// list is served as long as no other server has a current one, because agents can't work without any
+// list. canMigrate tells whether the reader knows other servers.
 func (s *Server) shouldDeferToPeer(canMigrate bool) bool {
 	if s.raft() == nil || s.fsm.revision() == 0 {
 		return true
@@ -137,7 +138,8 @@
 	_, _ = w.Write(text)
 }
 
-// estimateListBytes returns about how many bytes of a list the answer to a request begins with.
+// estimateListBytes returns the approximate size of the list with which the answer to a request
+// begins.
 func (s *Server) estimateListBytes(services []string, watch bool, since int64) int {
 	switch {
 	case services != nil:
@@ -149,8 +151,8 @@
 }
 
 // parseServices returns the services that a query names, sorted and without duplicates, or nil
-// if it names none. The empty name is the default service. It returns a badRequestError if a
-// name is invalid or there are too many.
+// if it names none. The empty name is the default service. It returns a badRequestError if the query
+// or a name is invalid, or if there are too many names.
 func parseServices(query string) ([]string, error) {
 	q, err := url.ParseQuery(query)
 	if err != nil && strings.Contains(query, endpoints.ServiceParam) {
@@ -170,7 +172,7 @@
 	return slices.Compact(services), nil
 }
 
-// setScope sets the header that shows the reader that the list is limited to these services.
+// setScope sets the header that tells the reader that the list is limited to these services.
 func setScope(w http.ResponseWriter, services []string) {
 	w.Header().Set(endpoints.ScopeHeader, strconv.Itoa(len(services)))
 }
--- a/internal/control/listrevision.go
+++ b/internal/control/listrevision.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// catchUpTimeout is how long a reader with a later version than this server's waits until
-	// this server has caught up.
+	// catchUpTimeout is how long a reader whose version is later than this server's waits for this
+	// server to catch up.
 	catchUpTimeout = 1500 * time.Millisecond
-	// catchUpInterval is the time between two looks at whether it has.
+	// catchUpInterval is the interval at which this server's version is checked during that time.
 	catchUpInterval = 5 * time.Millisecond
-	// maxRevisionLead is how far beyond the clock's microseconds a version can be that a reader
-	// truly has: one version a microsecond for a day.
+	// maxRevisionLead is how far a version that a reader really has can be ahead of the wall clock in
+	// microseconds: one version per microsecond for a day.
 	maxRevisionLead = int64(24 * time.Hour / time.Microsecond)
-	// maxRevision is the highest version that is accepted from a reader. JSON numbers are exact
-	// up to it, and it keeps one reader with an invalid version from exhausting the range.
+	// maxRevision is the highest version that is accepted from a reader. JSON numbers are exact up
+	// to it, and the limit keeps a reader with an invalid version from exhausting the range.
 	maxRevision = 1 << 52
 )
 
-// revisionBody reports a version of the list, or answers with one.
+// revisionBody is the body of a report of a version of the list, and of the answer to it.
 type revisionBody struct {
 	Seq int64 `json:"seq"`
 }
 
-// awaitRevision waits until this server has the version that a reader has. This server may lag
-// and catch up; or the version is from an earlier state of the service, which was lost, and the
-// leader raises its own beyond it. It returns false if this server still lags after
+// awaitRevision waits until this server has reached the version that a reader has. Either this server
+// lags and catches up, or the version is from an earlier state of the control plane that was lost, and
+// the leader raises the current version above it. It returns false if this server still lags after
 // catchUpTimeout and another one can serve, or if the context ends.
 func (s *Server) awaitRevision(ctx context.Context, since int64) bool {
 	if since <= s.fsm.revision() || since > s.config.Now().UnixMicro()+maxRevisionLead {
@@ -52,13 +52,13 @@
 	return true
 }
 
-// reportRevision reports a version that a reader has to the leader, which may be this server.
+// reportRevision reports the version that a reader has to the leader, which may be this server.
 func (s *Server) reportRevision(revision int64) {
 	ctx, cancel := context.WithTimeout(s.ctx, catchUpTimeout)
 	defer cancel()
 	if _, leads := s.leaderClock(); leads {
 		if err := s.raiseRevisionAbove(ctx, revision); err != nil {
-			s.log.Debug("raising the list version above a reader's failed", "list_version", revision, "err", err)
+			s.log.Debug("raising the list version above the reader's version failed", "list_version", revision, "err", err)
 		}
 		return
 	}
@@ -70,7 +70,7 @@
 }
 
 // handleReportedRevision raises the version above the one that a reader reported to another
-// server, and answers with the version then.
+// server, and answers with the resulting version.
 func (s *Server) handleReportedRevision(w http.ResponseWriter, r *http.Request) error {
 	var b revisionBody
 	if err := decodeBody(w, r, &b); err != nil {
@@ -86,10 +86,10 @@
 	return nil
 }
 
-// raiseRevisionAbove raises the version above the one that a reader has, unless the log leads
-// there. A follower may have applied entries that this leader has committed but not applied yet,
-// so all committed entries are applied first: raising the version drops the history, so that every
-// reader is sent the full list, which must not happen without need.
+// raiseRevisionAbove raises the version above the one that a reader reported, unless it gets there by
+// applying the log. A follower may have applied entries that this leader has committed but not applied
+// yet, so all committed entries are applied first: raising the version drops the history, so that every
+// reader is sent the full list, which must not happen needlessly.
 func (s *Server) raiseRevisionAbove(ctx context.Context, reported int64) error {
 	if s.fsm.revision() >= reported {
 		return nil
@@ -103,9 +103,9 @@
 	return nil
 }
 
-// raiseRevision advances the version past every one that a reader can have seen, so that
-// versions never decrease after the state was lost or restored. The wall clock in microseconds
-// is a first guess; the version after the highest that a reader reported is a lower bound.
+// raiseRevision advances the version past every version that a reader can have seen, so that versions
+// never decrease after the state was lost or restored. The new version is the wall clock in
+// microseconds, but at least one above reported, the highest version that a reader reported.
 func (s *Server) raiseRevision(reported int64) {
 	version := max(s.config.Now().UnixMicro(), reported+1)
 	if version > maxRevision {
