--- a/internal/control/incarnation.go
+++ b/internal/control/incarnation.go
@@ -41,7 +41,8 @@
 }
 
 // incarnationLoop obtains this process's incarnation number from the catalog and gossips it. It
-// stops the server if its name belongs to another process. It returns when the server stops.
+// reports an error that ends this process if its name belongs to another one. It returns then or
+// when the server stops.
 func (s *Server) incarnationLoop() {
 	client := NewClient(nil, applyTimeout+peerTimeout)
 	client.AddressSource = s.serverAddresses
