--- a/internal/control/admission_test.go
+++ b/internal/control/admission_test.go
@@ -18,40 +18,40 @@
 		c := Defaults()
 		c.CallRate, c.MaxWrites = 400, 2
 		a := newAdmission(&c)
-		admitted, late := 0, 0
+		admitted, overOneSecond := 0, 0
 		for range 1000 {
 			w := httptest.NewRecorder()
 			if a.admitCall(w, 0) {
 				admitted++
 				continue
 			}
-			s, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
-			if w.Code != http.StatusServiceUnavailable || err != nil || s < minRetryAfter.Seconds() || s > (minRetryAfter+2*maxRetryAfter).Seconds() {
+			retryAfter, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
+			if w.Code != http.StatusServiceUnavailable || err != nil || retryAfter < minRetryAfter.Seconds() || retryAfter > (minRetryAfter+2*maxRetryAfter).Seconds() {
 				t.Fatalf("%d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 			}
-			if s > 1 {
-				late++
+			if retryAfter > 1 {
+				overOneSecond++
 			}
 		}
 		if admitted != 100 {
 			t.Errorf("%d admitted at once, of a burst of 100", admitted)
 		}
 		// 900 at 400 a second take 2.25 s, so six in ten must retry later than in a second.
-		if late < 450 || late > 650 {
-			t.Errorf("%d of 900 asked to retry later than in a second", late)
+		if overOneSecond < 450 || overOneSecond > 650 {
+			t.Errorf("%d of 900 asked to retry later than in a second", overOneSecond)
 		}
 		if w := httptest.NewRecorder(); a.admitCall(w, 0) {
 			t.Error("admitted at the bound")
 		}
 		time.Sleep(3 * time.Second)
-		heavy := 0
+		fullLists := 0
 		for range 1000 {
 			if a.admitCall(httptest.NewRecorder(), 10*bytesPerCall) {
-				heavy++
+				fullLists++
 			}
 		}
-		if heavy != 100/11 {
-			t.Errorf("%d full lists admitted in the place of 100 requests, each of the cost of eleven", heavy)
+		if fullLists != 100/11 {
+			t.Errorf("%d full lists admitted in the place of 100 requests, each of the cost of eleven", fullLists)
 		}
 		var releases []func()
 		for i := range 3 {
@@ -81,18 +81,18 @@
 	}
 	for _, c := range []struct {
 		services []string
-		follow   bool
+		watch    bool
 		since    int64
-		least    int
-		most     int
+		minBytes int
+		maxBytes int
 	}{
 		{nil, false, 0, 2000 * 100, 2000 * 160}, {nil, true, 0, 0, 0},
 		{[]string{"small"}, false, 0, 100, 160}, {[]string{"large"}, false, 0, 2000 * 100, 2000 * 160}, {[]string{"none"}, false, 0, 0, 0},
 		{[]string{"large"}, true, fixture.revision() + 1, 2000 * 100, 2000 * 160}, {[]string{"large"}, true, fixture.revision() - 1, 0, 0},
 	} {
-		got := s.estimateListBytes(c.services, c.follow, c.since)
-		if got < c.least || got > c.most {
-			t.Errorf("%q, follow %v from %d: %d bytes, want %d to %d", c.services, c.follow, c.since, got, c.least, c.most)
+		got := s.estimateListBytes(c.services, c.watch, c.since)
+		if got < c.minBytes || got > c.maxBytes {
+			t.Errorf("%q, follow %v from %d: %d bytes, want %d to %d", c.services, c.watch, c.since, got, c.minBytes, c.maxBytes)
 		}
 	}
 	synctest.Test(t, func(t *testing.T) { // in a bubble, where no time passes while they are admitted
--- a/internal/control/apitester_test.go
+++ b/internal/control/apitester_test.go
@@ -42,11 +42,11 @@
 		s.t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	read, err := io.ReadAll(resp.Body)
+	responseBody, err := io.ReadAll(resp.Body)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	return resp.StatusCode, resp.Header, string(read)
+	return resp.StatusCode, resp.Header, string(responseBody)
 }
 
 // get returns the answer to a read. A status other than 200 fails the test.
@@ -65,8 +65,8 @@
 	return text
 }
 
-// serveFolder starts a server on a data folder and waits until it leads.
-func serveFolder(t *testing.T, dir string) *apiTester {
+// startServerOnFolder starts a server on a data folder and waits until it leads.
+func startServerOnFolder(t *testing.T, dir string) *apiTester {
 	t.Helper()
 	addrs, err := loopback.Claim()
 	if err != nil {
@@ -99,17 +99,17 @@
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), leadershipTimeout)
 	defer cancel()
-	answer := "none"
+	lastResponse := "none"
 	for ctx.Err() == nil {
 		// Only a leader that has applied its log and takes writes answers a consistent read.
 		status, _, text := s.doContext(ctx, http.MethodGet, "/v1/servers?consistent=1", "")
 		if status == http.StatusOK && s.revision(ctx) > 0 {
 			return
 		}
-		answer = fmt.Sprint(status, " ", text)
+		lastResponse = fmt.Sprint(status, " ", text)
 		time.Sleep(10 * time.Millisecond)
 	}
-	s.t.Fatalf("it never led, the last answer was: %s", answer)
+	s.t.Fatalf("it never led, the last answer was: %s", lastResponse)
 }
 
 // revision returns the revision of the list.
--- a/internal/control/controltasks_test.go
+++ b/internal/control/controltasks_test.go
@@ -8,9 +8,9 @@
 	"knotrouter/internal/catalog"
 )
 
-// expireAsDeath has the current term of a task expire with its holder's death counted, as a leader
+// expireCountingDeath has the current term of a task expire with its holder's death counted, as a leader
 // of an earlier build proposes it.
-func expireAsDeath(t *testing.T, s *Server, task string) {
+func expireCountingDeath(t *testing.T, s *Server, task string) {
 	t.Helper()
 	var fence int64
 	s.fsm.read(func(state *catalog.State) { fence = state.LeasedTasks[task].Fence })
@@ -21,36 +21,36 @@
 }
 
 // waitForTask waits until a task is in a state.
-func waitForTask(t *testing.T, s *Server, name, what string, reached func(task *catalog.LeasedTask) bool) {
+func waitForTask(t *testing.T, s *Server, name, condition string, reached func(task *catalog.LeasedTask) bool) {
 	t.Helper()
 	var last string
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		found := false
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		done := false
 		s.fsm.read(func(state *catalog.State) {
 			if task := state.LeasedTasks[name]; task != nil {
-				found, last = reached(task), fmt.Sprintf("%+v", task)
+				done, last = reached(task), fmt.Sprintf("%+v", task)
 			}
 		})
-		if found {
+		if done {
 			return
 		}
 	}
-	t.Fatalf("%s: %s: not reached; %s", name, what, last)
+	t.Fatalf("%s: %s: not reached; %s", name, condition, last)
 }
 
 // hasHolder reports whether a process holds a task.
 func hasHolder(task *catalog.LeasedTask) bool { return task.Holder != "" }
 
-// TestControlTasksComeBackAfterDeaths holds that each of the control plane's own tasks which an
+// TestControlTasksAreHeldAgainAfterDeaths holds that each of the control plane's own tasks which an
 // earlier build has suspended for its holders' deaths is held again, and that an operator's
 // suspension stays.
-func TestControlTasksComeBackAfterDeaths(t *testing.T) {
+func TestControlTasksAreHeldAgainAfterDeaths(t *testing.T) {
 	const deaths = 3 // after which an earlier build suspends a task
 	s, addr := startSingleServer(t)
 	for _, name := range controlTasks {
 		for range deaths {
 			waitForTask(t, s, name, "held", hasHolder)
-			expireAsDeath(t, s, name)
+			expireCountingDeath(t, s, name)
 		}
 		waitForTask(t, s, name, "held after the deaths", hasHolder)
 	}
--- a/internal/control/fixture_test.go
+++ b/internal/control/fixture_test.go
@@ -56,12 +56,12 @@
 func (f *fsmFixture) apply(t *testing.T, c catalog.Command) catalog.Result {
 	t.Helper()
 	c.FormatVersion = catalog.FormatVersion
-	text, err := json.Marshal(c)
+	encoded, err := json.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.index++
-	return f.Apply(&raft.Log{Index: f.index, Data: text}).(catalog.Result)
+	return f.Apply(&raft.Log{Index: f.index, Data: encoded}).(catalog.Result)
 }
 
 // register registers a server of the default service that started at startedMs, in milliseconds.
@@ -105,8 +105,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	for end := time.Now().Add(time.Minute); s.fsm.revision() == 0; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(time.Minute); s.fsm.revision() == 0; time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("the server never became leader")
 		}
 	}
--- a/internal/control/leaderproof_test.go
+++ b/internal/control/leaderproof_test.go
@@ -14,25 +14,25 @@
 // fail.
 type delayedTransport struct {
 	networkTransport
-	mu       sync.Mutex
-	delaying bool
-	cut      bool
-	delayed  chan struct{} // receives a value for each response that is held back
-	released chan struct{} // closed to release them
+	mu            sync.Mutex
+	holdResponses bool
+	failAppends   bool
+	held          chan struct{} // receives a value for each response that is held back
+	release       chan struct{} // closed to release them
 }
 
 // AppendEntries implements raft.Transport.
 func (t *delayedTransport) AppendEntries(id raft.ServerID, target raft.ServerAddress, args *raft.AppendEntriesRequest, resp *raft.AppendEntriesResponse) error {
 	t.mu.Lock()
-	delaying, cut := t.delaying, t.cut
+	holdResponses, failAppends := t.holdResponses, t.failAppends
 	t.mu.Unlock()
-	if cut {
+	if failAppends {
 		return errors.New("cut off")
 	}
 	err := t.networkTransport.AppendEntries(id, target, args, resp)
-	if delaying {
-		t.delayed <- struct{}{}
-		<-t.released
+	if holdResponses {
+		t.held <- struct{}{}
+		<-t.release
 	}
 	return err
 }
@@ -42,11 +42,11 @@
 	return nil, raft.ErrPipelineReplicationNotSupported
 }
 
-// set changes what happens to appends from now on.
-func (t *delayedTransport) set(delaying, cut bool) {
+// setFaults changes what happens to appends from now on.
+func (t *delayedTransport) setFaults(holdResponses, failAppends bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.delaying, t.cut = delaying, cut
+	t.holdResponses, t.failAppends = holdResponses, failAppends
 }
 
 // delayedCluster is three raft instances whose transports can be held.
@@ -62,18 +62,18 @@
 	t.Helper()
 	cluster := &delayedCluster{names: []string{"a", "b", "c"}, instances: map[string]*raft.Raft{},
 		transports: map[string]*delayedTransport{}, confirmed: map[string]*confirmedAppends{}}
-	inner := map[string]*raft.InmemTransport{}
+	inmem := map[string]*raft.InmemTransport{}
 	var configuration raft.Configuration
 	for _, name := range cluster.names {
-		_, inner[name] = raft.NewInmemTransport(raft.ServerAddress(name))
-		for other, transport := range inner {
-			transport.Connect(raft.ServerAddress(name), inner[name])
-			inner[name].Connect(raft.ServerAddress(other), transport)
+		_, inmem[name] = raft.NewInmemTransport(raft.ServerAddress(name))
+		for other, transport := range inmem {
+			transport.Connect(raft.ServerAddress(name), inmem[name])
+			inmem[name].Connect(raft.ServerAddress(other), transport)
 		}
 		configuration.Servers = append(configuration.Servers, raft.Server{ID: raft.ServerID(name), Address: raft.ServerAddress(name)})
 	}
 	for _, name := range cluster.names {
-		cluster.transports[name] = &delayedTransport{networkTransport: inner[name], delayed: make(chan struct{}, 100), released: make(chan struct{})}
+		cluster.transports[name] = &delayedTransport{networkTransport: inmem[name], held: make(chan struct{}, 100), release: make(chan struct{})}
 		cluster.confirmed[name] = newConfirmedAppends()
 		cluster.start(t, name, configuration)
 	}
@@ -102,7 +102,7 @@
 // leader waits until an instance leads, and returns its name.
 func (cluster *delayedCluster) leader(t *testing.T) string {
 	t.Helper()
-	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(time.Minute); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		for _, name := range cluster.names {
 			if r := cluster.instances[name]; r.State() == raft.Leader && r.VerifyLeader().Error() == nil {
 				return name
@@ -128,20 +128,20 @@
 	if term, err := cluster.prove(leader); err != nil || term != r.CurrentTerm() {
 		t.Fatalf("with all responses: term %d, %v, want %d", term, err, r.CurrentTerm())
 	}
-	transport.set(true, false)
+	transport.setFaults(true, false)
 	for range len(cluster.names) - 1 { // one heartbeat of each follower
-		<-transport.delayed
+		<-transport.held
 	}
-	transport.set(false, true) // all that is sent from now on fails
-	libraryCheck := r.VerifyLeader()
+	transport.setFaults(false, true) // all that is sent from now on fails
+	raftCheck := r.VerifyLeader()
 	proof := make(chan error, 1)
 	go func() {
 		_, err := cluster.prove(leader)
 		proof <- err
 	}()
 	time.Sleep(20 * time.Millisecond) // both checks wait for responses
-	close(transport.released)
-	if err := libraryCheck.Error(); err != nil {
+	close(transport.release)
+	if err := raftCheck.Error(); err != nil {
 		t.Logf("the library's check does not count the held responses: %v", err)
 	}
 	if err := <-proof; !errors.Is(err, errNoLeader) {
--- a/internal/control/listhandler_test.go
+++ b/internal/control/listhandler_test.go
@@ -12,7 +12,7 @@
 
 // A query names up to 256 services; duplicates are dropped, and invalid names are rejected.
 func TestServicesOfQueryAreParsed(t *testing.T) {
-	many := func(n int) string {
+	distinctServices := func(n int) string {
 		q := url.Values{}
 		for i := range n {
 			q.Add(endpoints.ServiceParam, fmt.Sprint("s-", i))
@@ -25,11 +25,11 @@
 			t.Errorf("%q: %q, %v; want %q", query, got, err, want)
 		}
 	}
-	if got, err := parseServices(many(endpoints.MaxServices)); err != nil || len(got) != endpoints.MaxServices {
+	if got, err := parseServices(distinctServices(endpoints.MaxServices)); err != nil || len(got) != endpoints.MaxServices {
 		t.Errorf("%d services, %v", len(got), err)
 	}
 	for _, query := range []string{"service=a%20b", "service=a/b", "service=a&service=%0a", "service=" + strings.Repeat("x", endpoints.MaxLabel+1),
-		"service=%zz", "service=a;service=b", many(endpoints.MaxServices + 1)} {
+		"service=%zz", "service=a;service=b", distinctServices(endpoints.MaxServices + 1)} {
 		got, err := parseServices(query)
 		if err == nil || !strings.HasPrefix(err.Error(), "service: ") || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%.80q: %q, %v", query, got, err)
--- a/internal/control/requests_test.go
+++ b/internal/control/requests_test.go
@@ -20,18 +20,18 @@
 func TestClientKeepsItsRequests(t *testing.T) {
 	var mu sync.Mutex
 	var got []string
-	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		text, err := io.ReadAll(r.Body)
+	stub := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			t.Error(err)
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		got = append(got, strings.TrimSpace(r.Method+" "+r.URL.RequestURI()+" "+string(text)))
+		got = append(got, strings.TrimSpace(r.Method+" "+r.URL.RequestURI()+" "+string(body)))
 		w.WriteHeader(http.StatusTeapot)
 	}))
-	t.Cleanup(service.Close)
-	c := NewClient([]string{strings.TrimPrefix(service.URL, "http://")}, 5*time.Second)
+	t.Cleanup(stub.Close)
+	c := NewClient([]string{strings.TrimPrefix(stub.URL, "http://")}, 5*time.Second)
 	ctx := t.Context()
 	var endpoint endpoints.Endpoint
 	var override ServerOverride
@@ -78,14 +78,14 @@
 	golden.Lines(t, "requests.txt", got)
 }
 
-// TestRefusalsKeepTheirHeaders holds the headers that tell a client when to retry and that a rejected
+// TestRejectionsKeepTheirHeaders holds the headers that tell a client when to retry and that a rejected
 // write had no effect: without a leader, and with too many requests.
-func TestRefusalsKeepTheirHeaders(t *testing.T) {
+func TestRejectionsKeepTheirHeaders(t *testing.T) {
 	s := newUnstartedServer(t)
-	check := func(what string, status int, w *httptest.ResponseRecorder, notApplied string) {
+	check := func(name string, status int, w *httptest.ResponseRecorder, notApplied string) {
 		t.Helper()
 		if w.Code != status || w.Header().Get("Retry-After") == "" || w.Header().Get("Not-Applied") != notApplied {
-			t.Errorf("%s: %d %v", what, w.Code, w.Header())
+			t.Errorf("%s: %d %v", name, w.Code, w.Header())
 		}
 	}
 	for _, r := range []apiRequest{{"PUT", "/v1/servers/s-a", "{}"}, {"POST", "/v1/terms", "{}"}, {"PUT", "/v1/duties/job.a", "{}"},
@@ -102,14 +102,14 @@
 	check("unknown outcome", http.StatusServiceUnavailable, w, "")
 }
 
-// TestSessionsKeepTheirQuery holds the query parameter rest, with which a request to end a session
+// TestEndSessionKeepsRestParameter holds the query parameter rest, with which a request to end a session
 // drains it instead, and the header of a request that another server forwarded.
-func TestSessionsKeepTheirQuery(t *testing.T) {
+func TestEndSessionKeepsRestParameter(t *testing.T) {
 	if forwardedByHeader != "Forwarded-By" {
 		t.Errorf("the header of a forwarded request is %q", forwardedByHeader)
 	}
 
-	s := serveFolder(t, t.TempDir())
+	s := startServerOnFolder(t, t.TempDir())
 	session := func() string {
 		return strings.Join(itemsExcept(t, s.get("/v1/sessions?consistent=1"), regexp.MustCompile(`"process":"st-1"`)), "")
 	}
--- a/internal/control/revision_test.go
+++ b/internal/control/revision_test.go
@@ -17,8 +17,8 @@
 	const changes = 300
 	before := s.fsm.revision()
 	for i := range changes {
-		text := registration(t, s, fmt.Sprint("s-", i))
-		s.raft().Apply(text, applyTimeout) // which is not waited for
+		encoded := encodeRegistration(t, s, fmt.Sprint("s-", i))
+		s.raft().Apply(encoded, applyTimeout) // which is not waited for
 	}
 	if err := s.raiseRevisionAbove(context.Background(), before+changes); err != nil {
 		t.Fatal(err)
@@ -38,17 +38,17 @@
 	}
 }
 
-// registration encodes a command that registers a server.
-func registration(t *testing.T, s *Server, name string) []byte {
+// encodeRegistration encodes a command that registers a server.
+func encodeRegistration(t *testing.T, s *Server, name string) []byte {
 	t.Helper()
 	at, leads := s.leaderClock()
 	if !leads {
 		t.Fatal("the server doesn't lead")
 	}
 	endpoint := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 1, StartedMs: 1}
-	text, err := json.Marshal(catalog.Command{FormatVersion: catalog.FormatVersion, Kind: catalog.Register, At: at, Endpoint: &endpoint})
+	encoded, err := json.Marshal(catalog.Command{FormatVersion: catalog.FormatVersion, Kind: catalog.Register, At: at, Endpoint: &endpoint})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return text
+	return encoded
 }
--- a/internal/control/routes_test.go
+++ b/internal/control/routes_test.go
@@ -14,9 +14,9 @@
 // Any request gets an answer of one line with a status that the API uses; the server goes on
 // leading, and a request that it rejects changes nothing.
 func FuzzHTTP(f *testing.F) {
-	good := `{"host":"x","dial":"127.0.0.1:9","site":"a","class":"k","block":0,"health":"ready","share":1,"born_ms":5}`
+	validEntry := `{"host":"x","dial":"127.0.0.1:9","site":"a","class":"k","block":0,"health":"ready","share":1,"born_ms":5}`
 	for _, seed := range []apiRequest{
-		{"PUT", "/v1/servers/x", good}, {"PUT", "/v1/servers/x", strings.Replace(good, "1,", "1e999,", 1)},
+		{"PUT", "/v1/servers/x", validEntry}, {"PUT", "/v1/servers/x", strings.Replace(validEntry, "1,", "1e999,", 1)},
 		{"PATCH", "/v1/servers/x", `{"share":2,"if":-1}`}, {"PATCH", "/v1/servers/x", `{"health":"draining"}`},
 		{"DELETE", "/v1/servers/x?born_ms=NaN", ""}, {"POST", "/v1/servers/x/drain?born_ms=5", ""},
 		{"POST", "/v1/renewals", `{"refs":[{"name":"x","born_ms":5}]}`}, {"POST", "/v1/seen", `{"seq":9007199254740993}`},
@@ -28,8 +28,8 @@
 	}
 	server, _ := startSingleServer(f)
 	handler := server.handler()
-	f.Fuzz(func(t *testing.T, method, path, text string) {
-		req, err := http.NewRequest(method, "http://a/"+strings.TrimPrefix(path, "/"), strings.NewReader(text))
+	f.Fuzz(func(t *testing.T, method, path, body string) {
+		req, err := http.NewRequest(method, "http://a/"+strings.TrimPrefix(path, "/"), strings.NewReader(body))
 		if err != nil || req.URL.Query().Get("follow") == "1" {
 			return // not a valid request, or a watch, which doesn't end by itself
 		}
@@ -37,24 +37,24 @@
 		before := server.fsm.revision()
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, req)
-		answer := w.Body.String()
+		response := w.Body.String()
 		switch {
 		case w.Code/100 == 4:
-			if strings.Count(answer, "\n") != 1 || len(answer) > 2000 {
-				t.Errorf("%s %q %q: %d %q", method, path, text, w.Code, answer)
+			if strings.Count(response, "\n") != 1 || len(response) > 2000 {
+				t.Errorf("%s %q %q: %d %q", method, path, body, w.Code, response)
 			}
 			if server.fsm.revision() != before {
-				t.Errorf("%s %q %q: rejected with %d, and the revision went from %d to %d", method, path, text, w.Code, before, server.fsm.revision())
+				t.Errorf("%s %q %q: rejected with %d, and the revision went from %d to %d", method, path, body, w.Code, before, server.fsm.revision())
 			}
 		case w.Code/100 == 5 && w.Code != http.StatusServiceUnavailable && w.Code != http.StatusInsufficientStorage:
-			t.Errorf("%s %q %q: %d %q", method, path, text, w.Code, answer)
+			t.Errorf("%s %q %q: %d %q", method, path, body, w.Code, response)
 		}
 		if server.fsm.revision() < before || server.fsm.revision() > maxRevision {
-			t.Fatalf("%s %q %q: the revision went from %d to %d", method, path, text, before, server.fsm.revision())
+			t.Fatalf("%s %q %q: the revision went from %d to %d", method, path, body, before, server.fsm.revision())
 		}
 		select {
 		case err := <-server.fatalErrors:
-			t.Fatalf("%s %q %q ended the server: %v", method, path, text, err)
+			t.Fatalf("%s %q %q ended the server: %v", method, path, body, err)
 		default:
 		}
 	})
@@ -66,20 +66,20 @@
 	server, addr := startSingleServer(t)
 	before := server.fsm.revision()
 	body := `{"host":"x","dial":"127.0.0.1:9","site":"a","class":"k","block":0,"health":"ready","share":1,"born_ms":5}`
-	head := fmt.Sprintf("PUT /v1/servers/x HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", len(body))
+	header := fmt.Sprintf("PUT /v1/servers/x HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", len(body))
 	type outcome struct {
 		name     string
 		response string
-		took     time.Duration
+		elapsed  time.Duration
 	}
 	outcomes := make(chan outcome)
-	for name, pieces := range map[string][]string{
-		"half a head": {head[:30]}, "half a body": {head, body[:40]}, "no body": {head},
-		"drop by drop": append([]string{head}, strings.Split(body, "")...), // 100 ms each: longer than a body may take
+	for name, chunks := range map[string][]string{
+		"half a head": {header[:30]}, "half a body": {header, body[:40]}, "no body": {header},
+		"drop by drop": append([]string{header}, strings.Split(body, "")...), // 100 ms each: longer than a body may take
 		"no request":   {"\x16\x03\x01\r\n\r\n"},
 	} {
 		go func() {
-			began := time.Now()
+			start := time.Now()
 			conn, err := net.Dial("tcp", addr)
 			if err != nil {
 				outcomes <- outcome{name, err.Error(), 0}
@@ -87,16 +87,16 @@
 			}
 			defer conn.Close()
 			go func() {
-				for _, p := range pieces {
-					if _, err := io.WriteString(conn, p); err != nil {
+				for _, chunk := range chunks {
+					if _, err := io.WriteString(conn, chunk); err != nil {
 						return
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
 			}()
-			_ = conn.SetReadDeadline(began.Add(30 * time.Second))
+			_ = conn.SetReadDeadline(start.Add(30 * time.Second))
 			text, _ := io.ReadAll(conn)
-			outcomes <- outcome{name, string(text), time.Since(began)}
+			outcomes <- outcome{name, string(text), time.Since(start)}
 		}()
 	}
 	// Other clients are served meanwhile.
@@ -109,8 +109,8 @@
 	}
 	for range 5 {
 		got := <-outcomes
-		if got.took > 20*time.Second || got.response != "" && !strings.Contains(got.response, " 400 ") && !strings.Contains(got.response, " 408 ") {
-			t.Errorf("%s: after %v %q", got.name, got.took, got.response)
+		if got.elapsed > 20*time.Second || got.response != "" && !strings.Contains(got.response, " 400 ") && !strings.Contains(got.response, " 408 ") {
+			t.Errorf("%s: after %v %q", got.name, got.elapsed, got.response)
 		}
 	}
 	if server.fsm.revision() != before {
--- a/internal/control/servicetopics_test.go
+++ b/internal/control/servicetopics_test.go
@@ -19,9 +19,9 @@
 )
 
 // subscribe starts a watch of services for a reader that has the revision since.
-func (f *fsmFixture) subscribe(since int64, services ...string) *scopedReader {
+func (f *fsmFixture) subscribe(since int64, services ...string) *serviceWatchReader {
 	slices.Sort(services)
-	r := &scopedReader{services: services}
+	r := &serviceWatchReader{services: services}
 	go f.broadcaster.watchServices(f.ctx, r, services, since, nil)
 	return r
 }
@@ -34,41 +34,41 @@
 		fixture.registerInService(t, "b", "b-1", 1)
 		fixture.register(t, "plain", 1)
 		time.Sleep(time.Second)
-		readers := make([]*scopedReader, 50)
+		readers := make([]*serviceWatchReader, 50)
 		for i := range readers {
 			readers[i] = fixture.subscribe(0, "a", "none")
 		}
 		other, both, plain := fixture.subscribe(0, "b"), fixture.subscribe(0, "a", "b"), fixture.subscribe(0, "")
 		synctest.Wait()
-		for what, r := range map[string]*scopedReader{"a-1@a": readers[0], "b-1@b": other, "a-1@a b-1@b": both, "plain@": plain} {
-			if got := r.names(); got != what || len(r.lists) != 1 {
-				t.Fatalf("a reader of %q has %q after %d lists, want %q", r.services, got, len(r.lists), what)
+		for want, r := range map[string]*serviceWatchReader{"a-1@a": readers[0], "b-1@b": other, "a-1@a b-1@b": both, "plain@": plain} {
+			if got := r.serverNames(); got != want || len(r.lists) != 1 {
+				t.Fatalf("a reader of %q has %q after %d lists, want %q", r.services, got, len(r.lists), want)
 			}
 		}
 		topics := fixture.broadcaster.services
-		encoded, before, heartbeats := topics.encodedCount, other.bytes, other.heartbeats
+		encodedBefore, bytesBefore, heartbeatsBefore := topics.encodedCount, other.bytes, other.heartbeats
 		for i := range 3 {
 			fixture.registerInService(t, "a", "a-2", float64(i+1))
 		}
 		fixture.awaitPublished()
-		if n := topics.encodedCount - encoded; n != 1 {
+		if n := topics.encodedCount - encodedBefore; n != 1 {
 			t.Errorf("three changes of one service at once were encoded %d times", n)
 		}
 		for _, r := range append(readers, both) {
-			if !strings.HasPrefix(r.names(), "a-1@a a-2@a") || len(r.lists) != 2 || r.revision != fixture.revision() || r.lists[1].Full || len(r.lists[1].Endpoints) != 1 {
-				t.Fatalf("a reader of %q has %q at revision %d of %d after %d lists", r.services, r.names(), r.revision, fixture.revision(), len(r.lists))
+			if !strings.HasPrefix(r.serverNames(), "a-1@a a-2@a") || len(r.lists) != 2 || r.revision != fixture.revision() || r.lists[1].Full || len(r.lists[1].Endpoints) != 1 {
+				t.Fatalf("a reader of %q has %q at revision %d of %d after %d lists", r.services, r.serverNames(), r.revision, fixture.revision(), len(r.lists))
 			}
 		}
-		if len(other.lists) != 1 || other.bytes != before || len(plain.lists) != 1 {
-			t.Errorf("a reader of another service was sent %d lists, %d bytes", len(other.lists), other.bytes-before)
+		if len(other.lists) != 1 || other.bytes != bytesBefore || len(plain.lists) != 1 {
+			t.Errorf("a reader of another service was sent %d lists, %d bytes", len(other.lists), other.bytes-bytesBefore)
 		}
 		time.Sleep(6100 * time.Millisecond)
 		synctest.Wait()
-		if n := other.heartbeats - heartbeats; n != 3 {
+		if n := other.heartbeats - heartbeatsBefore; n != 3 {
 			t.Errorf("%d heartbeats in six idle seconds", n)
 		}
 		for _, r := range append(readers, other, both, plain) {
-			r.check(t)
+			r.checkViolations(t)
 		}
 		fixture.stop()
 		if len(topics.byService) != 0 || topics.eventBytes != 0 || topics.watchCount != 0 {
@@ -85,7 +85,7 @@
 		time.Sleep(time.Second)
 		both, a, b := fixture.subscribe(0, "a", "b"), fixture.subscribe(0, "a"), fixture.subscribe(0, "b")
 		synctest.Wait()
-		for _, r := range []*scopedReader{both, a, b} {
+		for _, r := range []*serviceWatchReader{both, a, b} {
 			r.block()
 		}
 		for _, service := range []string{"b", "a", "b", "a"} {
@@ -93,20 +93,20 @@
 			time.Sleep(publishDelay)
 		}
 		synctest.Wait()
-		for _, r := range []*scopedReader{both, a, b} {
+		for _, r := range []*serviceWatchReader{both, a, b} {
 			r.unblock()
 		}
 		synctest.Wait()
-		if both.names() != "s@a" || a.names() != "s@a" || b.names() != "" {
-			t.Errorf("readers of both, a and b have %q, %q and %q", both.names(), a.names(), b.names())
+		if both.serverNames() != "s@a" || a.serverNames() != "s@a" || b.serverNames() != "" {
+			t.Errorf("readers of both, a and b have %q, %q and %q", both.serverNames(), a.serverNames(), b.serverNames())
 		}
 		fixture.registerInService(t, "b", "s", 2) // a new instance, of the other service
 		fixture.awaitPublished()
-		if both.names() != "s@b" || a.names() != "" || b.names() != "s@b" {
-			t.Errorf("readers of both, a and b have %q, %q and %q", both.names(), a.names(), b.names())
+		if both.serverNames() != "s@b" || a.serverNames() != "" || b.serverNames() != "s@b" {
+			t.Errorf("readers of both, a and b have %q, %q and %q", both.serverNames(), a.serverNames(), b.serverNames())
 		}
-		for _, r := range []*scopedReader{both, a, b} {
-			r.check(t)
+		for _, r := range []*serviceWatchReader{both, a, b} {
+			r.checkViolations(t)
 		}
 	})
 }
@@ -139,8 +139,8 @@
 		}
 		fixture.registerInService(t, "a", "last", 1)
 		fixture.awaitPublished()
-		if slow.names() != fast.names() || !strings.Contains(slow.names(), "last@a") || slow.lists[len(slow.lists)-1].Full {
-			t.Errorf("the slow reader gets no later events: %q", slow.names())
+		if slow.serverNames() != fast.serverNames() || !strings.Contains(slow.serverNames(), "last@a") || slow.lists[len(slow.lists)-1].Full {
+			t.Errorf("the slow reader gets no later events: %q", slow.serverNames())
 		}
 		if len(idle.lists) != 1 {
 			t.Errorf("a reader of another service was sent %d lists", len(idle.lists))
@@ -163,7 +163,7 @@
 		synctest.Wait()
 		fixture.apply(t, catalog.Command{Kind: catalog.RaiseRevision, Seq: 1000})
 		fixture.awaitPublished()
-		if last := r.lists[len(r.lists)-1]; !last.Full || last.Seq != 1000 || r.names() != "a@a" {
+		if last := r.lists[len(r.lists)-1]; !last.Full || last.Seq != 1000 || r.serverNames() != "a@a" {
 			t.Errorf("after the revision was raised to 1000: %+v", last)
 		}
 		behind := fixture.subscribe(500, "a")
@@ -173,7 +173,7 @@
 		if !behind.lists[0].Full || !ahead.lists[0].Full || current.lists[0].Full || len(current.lists[0].Endpoints) != 0 {
 			t.Errorf("full lists for readers at the revisions 500, 2000 and 1000: %v, %v, %v", behind.lists[0].Full, ahead.lists[0].Full, current.lists[0].Full)
 		}
-		r.check(t)
+		r.checkViolations(t)
 	})
 }
 
@@ -186,15 +186,15 @@
 	fixture.broadcaster.coalesce = 200 * time.Microsecond
 	var running sync.WaitGroup
 	running.Go(func() { fixture.broadcaster.run(ctx) })
-	readers := make([]*scopedReader, watches)
+	readers := make([]*serviceWatchReader, watches)
 	running.Go(func() {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		for i := range readers {
-			scope := []string{fmt.Sprint(rng.IntN(services)), fmt.Sprint(rng.IntN(services))}
-			slices.Sort(scope)
-			scope = slices.Compact(scope)
-			readers[i] = &scopedReader{services: scope}
-			running.Go(func() { fixture.broadcaster.watchServices(ctx, readers[i], scope, 0, nil) })
+			watched := []string{fmt.Sprint(rng.IntN(services)), fmt.Sprint(rng.IntN(services))}
+			slices.Sort(watched)
+			watched = slices.Compact(watched)
+			readers[i] = &serviceWatchReader{services: watched}
+			running.Go(func() { fixture.broadcaster.watchServices(ctx, readers[i], watched, 0, nil) })
 			time.Sleep(time.Duration(rng.IntN(1000)) * time.Microsecond)
 		}
 	})
@@ -209,14 +209,14 @@
 	}
 	caughtUp := func() bool {
 		for _, r := range readers {
-			if r == nil || !strings.Contains(r.names(), "last-"+r.services[0]) {
+			if r == nil || !strings.Contains(r.serverNames(), "last-"+r.services[0]) {
 				return false
 			}
 		}
 		return true
 	}
-	for end := time.Now().Add(time.Minute); !caughtUp(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(time.Minute); !caughtUp(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("a reader never caught up")
 		}
 	}
@@ -232,10 +232,10 @@
 			}
 		})
 		slices.Sort(want)
-		if got := r.names(); got != strings.Join(want, " ") {
+		if got := r.serverNames(); got != strings.Join(want, " ") {
 			t.Errorf("reader %d of %q has %q, want %q", i, r.services, got, want)
 		}
-		r.check(t)
+		r.checkViolations(t)
 	}
 }
 
@@ -286,9 +286,9 @@
 	fixture.onChange = func() {}
 	register := func(i int, startedMs float64) {
 		endpoint := endpoints.Endpoint{Name: fmt.Sprint("server-", i), Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 1, StartedMs: startedMs, Service: fmt.Sprint("service-", i%1900)}
-		text, _ := json.Marshal(catalog.Command{FormatVersion: catalog.FormatVersion, Kind: catalog.Register, Endpoint: &endpoint})
+		encoded, _ := json.Marshal(catalog.Command{FormatVersion: catalog.FormatVersion, Kind: catalog.Register, Endpoint: &endpoint})
 		fixture.index++
-		fixture.Apply(&raft.Log{Index: fixture.index, Data: text})
+		fixture.Apply(&raft.Log{Index: fixture.index, Data: encoded})
 	}
 	for i := range 39_000 {
 		register(i, 1)
--- a/internal/control/statecopies_test.go
+++ b/internal/control/statecopies_test.go
@@ -18,8 +18,8 @@
 		}
 		synced := ""
 		err := writeFileAtomic(name, []byte("new"), func(dir string) error {
-			text, _ := os.ReadFile(name)
-			synced = dir + " with " + string(text)
+			content, _ := os.ReadFile(name)
+			synced = dir + " with " + string(content)
 			return want
 		})
 		if !errors.Is(err, want) || synced != filepath.Dir(name)+" with new" {
--- a/internal/control/store_test.go
+++ b/internal/control/store_test.go
@@ -8,16 +8,18 @@
 	"github.com/hashicorp/raft"
 )
 
-// fullDisk is a raft.StableStore whose writes fail.
-type fullDisk struct{ raft.StableStore }
+// fullDiskStore is a raft.StableStore whose writes fail.
+type fullDiskStore struct{ raft.StableStore }
 
-func (fullDisk) Set(_, _ []byte) error              { return errors.New("no space left on device") }
-func (fullDisk) SetUint64(_ []byte, _ uint64) error { return errors.New("no space left on device") }
+func (fullDiskStore) Set(_, _ []byte) error { return errors.New("no space left on device") }
+func (fullDiskStore) SetUint64(_ []byte, _ uint64) error {
+	return errors.New("no space left on device")
+}
 
 // A term or vote that can't be written ends the server with an error that says why, and ends
 // raft's goroutine before it acts on them.
 func TestUnwrittenVoteEndsServer(t *testing.T) {
-	for key, write := range map[string]func(p *stableStore){
+	for name, write := range map[string]func(p *stableStore){
 		"vote": func(p *stableStore) { _ = p.Set([]byte("LastVoteCand"), []byte("st-1")) },
 		"term": func(p *stableStore) { _ = p.SetUint64([]byte("CurrentTerm"), 7) },
 	} {
@@ -26,12 +28,12 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			write(&stableStore{fullDisk{}, func(err error) { errs = append(errs, err) }})
+			write(&stableStore{fullDiskStore{}, func(err error) { errs = append(errs, err) }})
 			continued = true
 		}()
 		<-done
 		if continued || len(errs) != 1 || !strings.Contains(errs[0].Error(), "the log can't be written: no space left") {
-			t.Errorf("%s: continued %v, reported %v", key, continued, errs)
+			t.Errorf("%s: continued %v, reported %v", name, continued, errs)
 		}
 	}
 }
--- a/internal/control/watchbroadcaster_test.go
+++ b/internal/control/watchbroadcaster_test.go
@@ -30,12 +30,12 @@
 			t.Errorf("three changes at once were encoded %d times", n)
 		}
 		for _, r := range append(readers, between) {
-			if r.servers["b"] != 3 || r.revision != fixture.revision() || r.count() > 2 {
-				t.Errorf("a reader has %v at revision %d after %d lines", r.servers, r.revision, r.count())
+			if r.servers["b"] != 3 || r.revision != fixture.revision() || r.lineCount() > 2 {
+				t.Errorf("a reader has %v at revision %d after %d lines", r.servers, r.revision, r.lineCount())
 				break
 			}
 		}
-		n := readers[0].count()
+		n := readers[0].lineCount()
 		time.Sleep(6100 * time.Millisecond)
 		synctest.Wait()
 		if got := readers[0].lines[n:]; len(got) != 3 || got[0] != "\n" {
@@ -65,8 +65,8 @@
 		}
 		slow.unblock()
 		synctest.Wait()
-		if slow.revision != fixture.revision() || len(slow.servers) != 2*maxListEvents+1 || slow.count() > 10 || fixture.broadcaster.laggedCount != 1 {
-			t.Errorf("the slow reader is at %d of %d with %d servers after %d lines, lagged %d", slow.revision, fixture.revision(), len(slow.servers), slow.count(), fixture.broadcaster.laggedCount)
+		if slow.revision != fixture.revision() || len(slow.servers) != 2*maxListEvents+1 || slow.lineCount() > 10 || fixture.broadcaster.laggedCount != 1 {
+			t.Errorf("the slow reader is at %d of %d with %d servers after %d lines, lagged %d", slow.revision, fixture.revision(), len(slow.servers), slow.lineCount(), fixture.broadcaster.laggedCount)
 		}
 		fixture.register(t, "last", 1)
 		fixture.awaitPublished()
--- a/internal/control/watchlines_test.go
+++ b/internal/control/watchlines_test.go
@@ -12,8 +12,8 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// registerRecorded registers a server with every field set, started at startedMs, in milliseconds.
-func registerRecorded(t *testing.T, fixture *fsmFixture, name, service string, startedMs float64) {
+// registerWithAllFields registers a server with every field set, started at startedMs, in milliseconds.
+func registerWithAllFields(t *testing.T, fixture *fsmFixture, name, service string, startedMs float64) {
 	t.Helper()
 	endpoint := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Block: 3, Health: endpoints.Ready, Weight: 1, StartedMs: startedMs, Service: service}
 	if r := fixture.apply(t, catalog.Command{Kind: catalog.Register, Endpoint: &endpoint}); r.Code != catalog.Done {
@@ -21,8 +21,8 @@
 	}
 }
 
-// linesOf returns the lines of a watch, given the text of each of its writes.
-func linesOf(writes []string) []string {
+// splitLines returns the lines of a watch, given the text of each of its writes.
+func splitLines(writes []string) []string {
 	return strings.Split(strings.TrimSuffix(strings.Join(writes, ""), "\n"), "\n")
 }
 
@@ -33,14 +33,14 @@
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
 		register := func(name, service string, startedMs float64) {
 			t.Helper()
-			registerRecorded(t, fixture, name, service, startedMs)
+			registerWithAllFields(t, fixture, name, service, startedMs)
 			time.Sleep(time.Second)
 		}
 		register("s-a", "", 1000)
 		register("s-b", "web", 1000)
-		all, scoped := newWatchReader(), newWatchReader()
+		all, services := newWatchReader(), newWatchReader()
 		go fixture.broadcaster.watch(fixture.ctx, all, 0, nil)
-		go fixture.broadcaster.watchServices(fixture.ctx, scoped, []string{"", "web"}, 0, nil)
+		go fixture.broadcaster.watchServices(fixture.ctx, services, []string{"", "web"}, 0, nil)
 		time.Sleep(100 * time.Millisecond)
 		register("s-c", "web", 1000)
 		register("s-a", "mail", 2000)
@@ -49,7 +49,7 @@
 		fixture.apply(t, catalog.Command{Kind: catalog.Deregister, Refs: []catalog.InstanceRef{{Name: "s-b", StartedMs: 1000}}})
 		time.Sleep(2500 * time.Millisecond)
 		synctest.Wait()
-		golden.Lines(t, "watch-lines.txt", slices.Concat([]string{"all"}, linesOf(all.lines), []string{"services"}, linesOf(scoped.lines)))
+		golden.Lines(t, "watch-lines.txt", slices.Concat([]string{"all"}, splitLines(all.lines), []string{"services"}, splitLines(services.lines)))
 	})
 }
 
@@ -71,8 +71,8 @@
 func TestFullListsOfWatchesKeepTheirForm(t *testing.T) {
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
 		const raisedRevision = 1000
-		registerRecorded(t, fixture, "s-a", "", 1000)
-		registerRecorded(t, fixture, "s-b", "web", 1000)
+		registerWithAllFields(t, fixture, "s-a", "", 1000)
+		registerWithAllFields(t, fixture, "s-b", "web", 1000)
 		fixture.apply(t, catalog.Command{Kind: catalog.Drain, Refs: []catalog.InstanceRef{{Name: "s-b", StartedMs: 1000}}})
 		fixture.awaitPublished()
 		all, services := openWatch(fixture, nil, 0), openWatch(fixture, []string{"", "web"}, 0)
@@ -80,15 +80,15 @@
 		synctest.Wait()
 		fixture.apply(t, catalog.Command{Kind: catalog.RaiseRevision, Seq: raisedRevision})
 		fixture.awaitPublished()
-		allLater := openWatch(fixture, nil, raisedRevision+1)
-		servicesLater := openWatch(fixture, []string{"", "web"}, raisedRevision+1)
+		allAhead := openWatch(fixture, nil, raisedRevision+1)
+		servicesAhead := openWatch(fixture, []string{"", "web"}, raisedRevision+1)
 		synctest.Wait()
 		golden.Lines(t, "watch-full-lists.txt", slices.Concat(
-			[]string{"all, open when the revision is raised"}, linesOf(all.lines),
-			[]string{"services, open when the revision is raised"}, linesOf(services.lines),
-			[]string{"service without servers, open when the revision is raised"}, linesOf(noServers.lines),
-			[]string{"all, opened by a reader at a later revision"}, linesOf(allLater.lines),
-			[]string{"services, opened by a reader at a later revision"}, linesOf(servicesLater.lines),
+			[]string{"all, open when the revision is raised"}, splitLines(all.lines),
+			[]string{"services, open when the revision is raised"}, splitLines(services.lines),
+			[]string{"service without servers, open when the revision is raised"}, splitLines(noServers.lines),
+			[]string{"all, opened by a reader at a later revision"}, splitLines(allAhead.lines),
+			[]string{"services, opened by a reader at a later revision"}, splitLines(servicesAhead.lines),
 		))
 	})
 }
--- a/internal/control/watchload_test.go
+++ b/internal/control/watchload_test.go
@@ -98,11 +98,11 @@
 func TestLagIsAgeOfOldestUnappliedEntry(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var p commitHistory
-		type seen struct {
+		type sample struct {
 			at        time.Duration
 			committed uint64
 		}
-		var all []seen
+		var samples []sample
 		var now time.Duration
 		var committed, applied uint64
 		for range rapid.IntRange(1, maxCommitSamples-1).Draw(rt, "steps") {
@@ -110,9 +110,9 @@
 			committed += uint64(rapid.IntRange(0, 3).Draw(rt, "committed"))
 			applied = min(committed, applied+uint64(rapid.IntRange(0, 4).Draw(rt, "applied")))
 			p.record(now, committed)
-			all = append(all, seen{now, committed})
+			samples = append(samples, sample{now, committed})
 			want := time.Duration(0)
-			for _, s := range all {
+			for _, s := range samples {
 				if s.committed > applied {
 					want = now - s.at
 					break
--- a/internal/control/watchreader_test.go
+++ b/internal/control/watchreader_test.go
@@ -14,30 +14,30 @@
 	"knotrouter/internal/endpoints"
 )
 
-// blockableResponse is what the response writers of watches have in common. It can be made to
+// blockableWriter is what the response writers of watches have in common. It can be made to
 // block.
-type blockableResponse struct {
+type blockableWriter struct {
 	mu      sync.Mutex    // also guards the fields of the types that embed it
 	blocked chan struct{} // if not nil, writes wait until it is closed
 }
 
-func (r *blockableResponse) Header() http.Header { return http.Header{} }
+func (r *blockableWriter) Header() http.Header { return http.Header{} }
 
-func (r *blockableResponse) WriteHeader(int) {}
+func (r *blockableWriter) WriteHeader(int) {}
 
-func (r *blockableResponse) Flush() {}
+func (r *blockableWriter) Flush() {}
 
-func (r *blockableResponse) SetWriteDeadline(time.Time) error { return nil }
+func (r *blockableWriter) SetWriteDeadline(time.Time) error { return nil }
 
 // block has all writes from now on wait for unblock.
-func (r *blockableResponse) block() {
+func (r *blockableWriter) block() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.blocked = make(chan struct{})
 }
 
 // unblock lets the writes that wait, and all later ones, go on.
-func (r *blockableResponse) unblock() {
+func (r *blockableWriter) unblock() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	close(r.blocked)
@@ -45,7 +45,7 @@
 }
 
 // awaitUnblocked returns at once unless writes are blocked.
-func (r *blockableResponse) awaitUnblocked() {
+func (r *blockableWriter) awaitUnblocked() {
 	r.mu.Lock()
 	blocked := r.blocked
 	r.mu.Unlock()
@@ -57,7 +57,7 @@
 // watchReader is the response writer of a watch of the full list. It records what is written, and
 // can be made to block.
 type watchReader struct {
-	blockableResponse
+	blockableWriter
 	lines    []string
 	servers  map[string]float64
 	revision int64
@@ -86,27 +86,27 @@
 	return len(p), nil
 }
 
-// count returns the number of lines that were written.
-func (r *watchReader) count() int {
+// lineCount returns the number of lines that were written.
+func (r *watchReader) lineCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.lines)
 }
 
-// scopedReader is the response writer of a watch of services. It applies the lines as a reader must,
-// records violations of the contract as faults, and can be made to block.
-type scopedReader struct {
+// serviceWatchReader is the response writer of a watch of services. It applies the lines as a reader must,
+// records violations of the watch contract, and can be made to block.
+type serviceWatchReader struct {
 	services []string
-	blockableResponse
+	blockableWriter
 	lists      []endpoints.List
 	bytes      int
 	heartbeats int
 	servers    map[string]endpoints.Endpoint
 	revision   int64
-	faults     []string
+	violations []string
 }
 
-func (r *scopedReader) Write(p []byte) (int, error) {
+func (r *serviceWatchReader) Write(p []byte) (int, error) {
 	r.awaitUnblocked()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,7 +117,7 @@
 	r.bytes += len(p)
 	l, err := endpoints.Parse(p)
 	if err != nil || bytes.Count(p, []byte("\n")) != 1 || l.Seq < r.revision {
-		r.faults = append(r.faults, fmt.Sprintf("%q after revision %d: %v", p, r.revision, err))
+		r.violations = append(r.violations, fmt.Sprintf("%q after revision %d: %v", p, r.revision, err))
 	}
 	r.lists, r.revision = append(r.lists, l), l.Seq
 	if l.Full || r.servers == nil {
@@ -126,7 +126,7 @@
 	for _, endpoint := range l.Endpoints {
 		switch {
 		case !slices.Contains(r.services, endpoint.Service):
-			r.faults = append(r.faults, fmt.Sprintf("a reader of %q was sent %+v", r.services, endpoint))
+			r.violations = append(r.violations, fmt.Sprintf("a reader of %q was sent %+v", r.services, endpoint))
 		case endpoint.Health != endpoints.Removed:
 			r.servers[endpoint.Name] = endpoint
 		case r.servers[endpoint.Name].Service == endpoint.Service:
@@ -136,8 +136,8 @@
 	return len(p), nil
 }
 
-// names returns the servers that the reader has, as name@service, sorted.
-func (r *scopedReader) names() string {
+// serverNames returns the servers that the reader has, as name@service, sorted.
+func (r *serviceWatchReader) serverNames() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
@@ -148,12 +148,12 @@
 	return strings.Join(out, " ")
 }
 
-// check fails the test if the reader recorded faults.
-func (r *scopedReader) check(t *testing.T) {
+// checkViolations fails the test if the reader recorded violations.
+func (r *serviceWatchReader) checkViolations(t *testing.T) {
 	t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.faults) > 0 {
-		t.Errorf("a reader of %q: %s", r.services, strings.Join(r.faults, "; "))
+	if len(r.violations) > 0 {
+		t.Errorf("a reader of %q: %s", r.services, strings.Join(r.violations, "; "))
 	}
 }
--- a/internal/control/wire_test.go
+++ b/internal/control/wire_test.go
@@ -81,13 +81,13 @@
 
 // TestMetricsKeepTheirNames holds the name and the labels of each metric.
 func TestMetricsKeepTheirNames(t *testing.T) {
-	described := make(chan *prometheus.Desc, 1000)
-	newUnstartedServer(t).metrics.registry.Describe(described)
-	close(described)
-	description := regexp.MustCompile(`^Desc\{fqName: "([^"]*)", .*variableLabels: \{([^}]*)\}\}$`)
+	descriptions := make(chan *prometheus.Desc, 1000)
+	newUnstartedServer(t).metrics.registry.Describe(descriptions)
+	close(descriptions)
+	descPattern := regexp.MustCompile(`^Desc\{fqName: "([^"]*)", .*variableLabels: \{([^}]*)\}\}$`)
 	var got []string
-	for d := range described {
-		m := description.FindStringSubmatch(d.String())
+	for d := range descriptions {
+		m := descPattern.FindStringSubmatch(d.String())
 		if m == nil {
 			t.Fatalf("unknown form of a description: %s", d)
 		}
@@ -122,20 +122,20 @@
 // environment. No key may be unknown, and none be left at its default.
 func TestConfigurationKeepsItsKeys(t *testing.T) {
 	defaults := Defaults()
-	unset := settingLines("", reflect.ValueOf(defaults))
-	golden.Lines(t, "defaults.txt", unset)
+	defaultLines := settingLines("", reflect.ValueOf(defaults))
+	golden.Lines(t, "defaults.txt", defaultLines)
 	fromFile, err := LoadConfig(golden.Path("every-key.toml"), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := settingLines("", reflect.ValueOf(*fromFile))
-	golden.Lines(t, "settings.txt", got)
-	for _, line := range got {
-		if slices.Contains(unset, line) {
+	fileLines := settingLines("", reflect.ValueOf(*fromFile))
+	golden.Lines(t, "settings.txt", fileLines)
+	for _, line := range fileLines {
+		if slices.Contains(defaultLines, line) {
 			t.Errorf("every-key.toml leaves a key at its default: %s", line)
 		}
 	}
-	for _, line := range got {
+	for _, line := range fileLines {
 		if key, value, _ := strings.Cut(line, " = "); !strings.Contains(key, ".") {
 			t.Setenv("STEWARD_"+strings.ToUpper(key), value)
 		}
@@ -145,26 +145,26 @@
 		t.Fatal(err)
 	}
 	fromEnvironment.Peers = fromFile.Peers // no variable sets a table
-	if again := settingLines("", reflect.ValueOf(*fromEnvironment)); !slices.Equal(again, got) {
-		t.Errorf("from the environment:\n%s\nfrom the file:\n%s", strings.Join(again, "\n"), strings.Join(got, "\n"))
+	if environmentLines := settingLines("", reflect.ValueOf(*fromEnvironment)); !slices.Equal(environmentLines, fileLines) {
+		t.Errorf("from the environment:\n%s\nfrom the file:\n%s", strings.Join(environmentLines, "\n"), strings.Join(fileLines, "\n"))
 	}
 }
 
-// recordedFolder unpacks the data folder of a server that was killed with entries in its log
+// unpackRecordedFolder unpacks the data folder of a server that was killed with entries in its log
 // after its last snapshot, and returns the path.
-func recordedFolder(t *testing.T) string {
+func unpackRecordedFolder(t *testing.T) string {
 	t.Helper()
 	file, err := os.Open(golden.Path("folder.tar.gz"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer file.Close()
-	unzipped, err := gzip.NewReader(file)
+	decompressed, err := gzip.NewReader(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	for archive := tar.NewReader(unzipped); ; {
+	for archive := tar.NewReader(decompressed); ; {
 		h, err := archive.Next()
 		if errors.Is(err, io.EOF) {
 			return dir
@@ -176,9 +176,9 @@
 		if h.Typeflag == tar.TypeDir {
 			err = os.MkdirAll(path, 0o755)
 		} else {
-			var text []byte
-			if text, err = io.ReadAll(archive); err == nil {
-				err = os.WriteFile(path, text, 0o600)
+			var content []byte
+			if content, err = io.ReadAll(archive); err == nil {
+				err = os.WriteFile(path, content, 0o600)
 			}
 		}
 		if err != nil {
@@ -190,7 +190,7 @@
 // TestRecordedFolderReplaysToRecordedState reads the snapshot and the log after it. The state is, byte
 // for byte, what the program that wrote them answered before it was killed.
 func TestRecordedFolderReplaysToRecordedState(t *testing.T) {
-	s, err := openStore(recordedFolder(t), hclog.NewNullLogger())
+	s, err := openStore(unpackRecordedFolder(t), hclog.NewNullLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,34 +199,34 @@
 	if err != nil || len(snapshots) == 0 {
 		t.Fatalf("%d snapshots: %v", len(snapshots), err)
 	}
-	last := snapshots[0]
-	_, text, err := s.snapshots.Open(last.ID)
+	latest := snapshots[0]
+	_, snapshot, err := s.snapshots.Open(latest.ID)
 	if err != nil {
 		t.Fatal(err)
 	}
-	machine := &fsm{state: catalog.New(), onChange: func() {}, onFatal: func(err error) { t.Error(err) }}
-	if err := machine.Restore(text); err != nil {
+	replayed := &fsm{state: catalog.New(), onChange: func() {}, onFatal: func(err error) { t.Error(err) }}
+	if err := replayed.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	end, err := s.LastIndex()
+	lastIndex, err := s.LastIndex()
 	if err != nil {
 		t.Fatal(err)
 	}
 	commands := 0
-	for i := last.Index + 1; i <= end; i++ {
+	for i := latest.Index + 1; i <= lastIndex; i++ {
 		var l raft.Log
 		if err := s.GetLog(i, &l); err != nil {
 			t.Fatal(err)
 		}
 		if l.Type == raft.LogCommand {
-			machine.Apply(&l)
+			replayed.Apply(&l)
 			commands++
 		}
 	}
 	if commands == 0 {
 		t.Error("the recorded log has no command after the snapshot")
 	}
-	got, err := machine.state.Encode()
+	got, err := replayed.state.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -238,7 +238,7 @@
 // comparison leaves out the server's own session, st-1, and the tasks that it holds, as each start opens
 // a new session; and the session w-2, which holds no task and ends soon.
 func TestServerReadsRecordedFolder(t *testing.T) {
-	s := serveFolder(t, recordedFolder(t))
+	s := startServerOnFolder(t, unpackRecordedFolder(t))
 	var got []string
 	for _, path := range []string{"/v1/servers?consistent=1", "/v1/servers", "/v1/sessions?consistent=1", "/v1/duties?consistent=1"} {
 		got = append(got, path)
@@ -313,15 +313,15 @@
 	{"POST", "/v1/evidence", `{"refs":[]}`},
 }
 
-// describeAnswer returns an answer's status, its keys or the first word of a rejection, and its headers.
-func describeAnswer(r apiRequest, status int, header http.Header, text string) string {
-	first, rest, isText := strings.Cut(strings.TrimSpace(text), ": ")
+// describeResponse returns an answer's status, its keys or the first word of a rejection, and its headers.
+func describeResponse(r apiRequest, status int, header http.Header, text string) string {
+	summary, detail, hasDetail := strings.Cut(strings.TrimSpace(text), ": ")
 	if status == http.StatusOK {
-		first = zeroNumbers([]byte(text))
-	} else if !isText || rest == "" {
-		first = "(text)"
+		summary = zeroNumbers([]byte(text))
+	} else if !hasDetail || detail == "" {
+		summary = "(text)"
 	}
-	line := fmt.Sprintf("%s %s %s\n\t%d %s", r.method, r.path, r.body, status, first)
+	line := fmt.Sprintf("%s %s %s\n\t%d %s", r.method, r.path, r.body, status, summary)
 	for _, key := range []string{"Content-Type", "Retry-After", "Not-Applied", "Service-Scope"} {
 		if v := header.Get(key); v != "" {
 			line += fmt.Sprintf("\n\t%s: %s", key, v)
@@ -333,11 +333,11 @@
 // TestAnswersKeepStatusAndHeaders holds the status, the headers and the first word of each rejection, and
 // the status, the headers and the JSON keys of each other answer.
 func TestAnswersKeepStatusAndHeaders(t *testing.T) {
-	s := serveFolder(t, t.TempDir())
+	s := startServerOnFolder(t, t.TempDir())
 	var got []string
 	for _, r := range recordedRequests {
 		status, header, text := s.do(r.method, r.path, r.body)
-		got = append(got, describeAnswer(r, status, header, text))
+		got = append(got, describeResponse(r, status, header, text))
 	}
 	golden.Lines(t, "answers.txt", got)
 }
