--- a/internal/control/admission_test.go
+++ b/internal/control/admission_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// A thousand requests at once are admitted up to the bound; the rest are asked to retry at times
-// spread over as long as the bound needs for all of them, and writes have slots of their own.
+// Of a thousand simultaneous requests, those within the rate limit's burst are admitted. The others are
+// asked to retry at times spread over the period that the rate limit needs to admit all of them. Writes
+// have their own limit on concurrent requests.
 func TestAdmissionBoundsCallsAndWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := Defaults()
@@ -34,14 +35,14 @@
 			}
 		}
 		if admitted != 100 {
-			t.Errorf("%d admitted at once, of a burst of 100", admitted)
+			t.Errorf("%d admitted at once, want the burst of 100", admitted)
 		}
-		// 900 at 400 a second take 2.25 s, so six in ten must retry later than in a second.
+		// 900 at 400 a second take 2.25 s, so about six in ten must be asked to wait for more than 1 s.
 		if overOneSecond < 450 || overOneSecond > 650 {
-			t.Errorf("%d of 900 asked to retry later than in a second", overOneSecond)
+			t.Errorf("%d of 900 asked to wait for more than a second before a retry, want 450 to 650", overOneSecond)
 		}
 		if w := httptest.NewRecorder(); a.admitCall(w, 0) {
-			t.Error("admitted at the bound")
+			t.Error("a request was admitted beyond the burst")
 		}
 		time.Sleep(3 * time.Second)
 		fullLists := 0
@@ -51,7 +52,7 @@
 			}
 		}
 		if fullLists != 100/11 {
-			t.Errorf("%d full lists admitted in the place of 100 requests, each of the cost of eleven", fullLists)
+			t.Errorf("%d full lists admitted, each of the cost of 11 requests, of a burst of 100", fullLists)
 		}
 		var releases []func()
 		for i := range 3 {
@@ -65,13 +66,13 @@
 		}
 		releases[0]()
 		if _, ok := a.admitWrite(httptest.NewRecorder()); !ok {
-			t.Error("a released slot is not reused")
+			t.Error("a write was rejected although a slot had been released")
 		}
 	})
 }
 
-// The cost of a request depends on the bytes of its answer: that for a small service doesn't depend
-// on the number of all servers, and a small list costs one request.
+// The cost of a request depends on the estimated size of its response: the list of a small service costs
+// the same however many servers there are in total, and a small list costs one request.
 func TestAdmissionCostsByBytes(t *testing.T) {
 	fixture := newFSMFixture(t)
 	s := &Server{broadcaster: fixture.broadcaster, fsm: fixture.fsm}
@@ -92,10 +93,10 @@
 	} {
 		got := s.estimateListBytes(c.services, c.watch, c.since)
 		if got < c.minBytes || got > c.maxBytes {
-			t.Errorf("%q, follow %v from %d: %d bytes, want %d to %d", c.services, c.watch, c.since, got, c.minBytes, c.maxBytes)
+			t.Errorf("%q, watch %v from %d: %d bytes, want %d to %d", c.services, c.watch, c.since, got, c.minBytes, c.maxBytes)
 		}
 	}
-	synctest.Test(t, func(t *testing.T) { // in a bubble, where no time passes while they are admitted
+	synctest.Test(t, func(t *testing.T) { // in a synctest bubble, so that no time passes while requests are admitted
 		c := Defaults()
 		c.CallRate = 400
 		for bytes, want := range map[int]int{0: 100, 30 * estimatedEntryBytes: 100, 2000 * estimatedEntryBytes: 9, 39_000 * estimatedEntryBytes: 1} {
@@ -110,13 +111,13 @@
 	})
 }
 
-// No more watches are admitted than there are file descriptors for.
+// The limit on watches never exceeds what the available file descriptors allow.
 func TestWatchLimitFollowsDescriptors(t *testing.T) {
 	if got := availableWatches(1); got != 1 {
-		t.Errorf("of 1 configured watch, %d are available", got)
+		t.Errorf("1 watch configured: %d available", got)
 	}
 	if got := availableWatches(1 << 40); got < 1 || got >= 1<<40 {
-		t.Errorf("of more configured watches than descriptors, %d are available", got)
+		t.Errorf("more watches configured than file descriptors: %d available", got)
 	}
 	for _, watches := range []int{0, -1, maxWatchesSetting + 1} {
 		c := Defaults()
--- a/internal/control/apitester_test.go
+++ b/internal/control/apitester_test.go
@@ -18,19 +18,19 @@
 // apiRequest is a request to the HTTP API.
 type apiRequest struct{ method, path, body string }
 
-// apiTester sends requests to a running server. A request without an answer fails the test.
+// apiTester sends requests to a running server. A request that gets no response fails the test.
 type apiTester struct {
 	t    *testing.T
 	addr string
 }
 
-// do sends a request and returns the answer.
+// do sends a request and returns the response.
 func (s *apiTester) do(method, path, body string) (status int, header http.Header, text string) {
 	s.t.Helper()
 	return s.doContext(s.t.Context(), method, path, body)
 }
 
-// doContext is do with a context, whose end fails the test.
+// doContext is do with a context. If the context ends first, the test fails.
 func (s *apiTester) doContext(ctx context.Context, method, path, body string) (status int, header http.Header, text string) {
 	s.t.Helper()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.addr+path, strings.NewReader(body))
@@ -49,13 +49,13 @@
 	return resp.StatusCode, resp.Header, string(responseBody)
 }
 
-// get returns the answer to a read. A status other than 200 fails the test.
+// get returns the response body of a GET request. A status other than 200 fails the test.
 func (s *apiTester) get(path string) string {
 	s.t.Helper()
 	return s.getContext(s.t.Context(), path)
 }
 
-// getContext is get with a context, whose end fails the test.
+// getContext is get with a context. If the context ends first, the test fails.
 func (s *apiTester) getContext(ctx context.Context, path string) string {
 	s.t.Helper()
 	status, _, text := s.doContext(ctx, http.MethodGet, path, "")
@@ -65,7 +65,7 @@
 	return text
 }
 
-// startServerOnFolder starts a server on a data folder and waits until it leads.
+// startServerOnFolder starts a server on a data folder and waits until it is the leader.
 func startServerOnFolder(t *testing.T, dir string) *apiTester {
 	t.Helper()
 	addrs, err := loopback.Claim()
@@ -90,18 +90,18 @@
 	return s
 }
 
-// leadershipTimeout is how long a server may take until it leads, with all requests that ask it.
+// leadershipTimeout bounds the time until a server leads, including the requests that poll for it.
 const leadershipTimeout = 30 * time.Second
 
-// awaitLeadership waits until the server leads. A request that fails, or that isn't answered before
-// leadershipTimeout, fails the test.
+// awaitLeadership waits until the server is the leader. A request that fails, or that gets no response
+// before leadershipTimeout, fails the test.
 func (s *apiTester) awaitLeadership() {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), leadershipTimeout)
 	defer cancel()
 	lastResponse := "none"
 	for ctx.Err() == nil {
-		// Only a leader that has applied its log and takes writes answers a consistent read.
+		// Only a leader that has applied its log and accepts writes serves a consistent read.
 		status, _, text := s.doContext(ctx, http.MethodGet, "/v1/servers?consistent=1", "")
 		if status == http.StatusOK && s.revision(ctx) > 0 {
 			return
@@ -109,7 +109,7 @@
 		lastResponse = fmt.Sprint(status, " ", text)
 		time.Sleep(10 * time.Millisecond)
 	}
-	s.t.Fatalf("it never led, the last answer was: %s", lastResponse)
+	s.t.Fatalf("the server did not become leader, last response: %s", lastResponse)
 }
 
 // revision returns the revision of the list.
@@ -124,8 +124,8 @@
 	return status.Seq
 }
 
-// itemsExcept returns the JSON text of each element of a JSON array, unchanged and in order, except for
-// the elements whose text matches excluded.
+// itemsExcept returns the JSON text of the elements of a JSON array, unchanged and in order, without
+// those that match excluded.
 func itemsExcept(t *testing.T, text string, excluded *regexp.Regexp) (items []string) {
 	t.Helper()
 	var all []json.RawMessage
@@ -140,7 +140,7 @@
 	return items
 }
 
-// zeroNumbers returns a JSON text with each number behind a colon replaced by 0, also the port of an
+// zeroNumbers replaces each number after a colon in a JSON text by 0. This includes the port of an
 // address.
 func zeroNumbers(text []byte) string {
 	numbers := regexp.MustCompile(`:-?\d+(\.\d+)?`)
--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A client whose first address hangs tries another first from then on. A write that may have had an
-// effect is not retried.
+// After a request to a client's first address times out, the client tries another address first from then
+// on. A write that may have taken effect is not retried.
 func TestClientPrefersAnsweringAddress(t *testing.T) {
 	requested := make(chan int, 10)
 	release := make(chan struct{})
@@ -33,6 +33,6 @@
 		}
 	}
 	if a, b, c := <-requested, <-requested, <-requested; a != 0 || b != 1 || c != 1 || len(requested) > 0 {
-		t.Errorf("the servers %d, %d, %d got the requests, and %d more followed", a, b, c, len(requested))
+		t.Errorf("the requests went to the servers %d, %d, %d and %d more, want 0, 1, 1 and no more", a, b, c, len(requested))
 	}
 }
--- a/internal/control/config_test.go
+++ b/internal/control/config_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The environment overrides the file, and flags override both; an invalid setting is reported in
-// one line that names the key.
+// Environment variables override the file, and flags override both. An invalid setting is reported in one
+// line that names the key.
 func TestConfigPrecedenceAndErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "steward.toml")
 	load := func(text string, flags map[string]any) (*Config, error) {
@@ -39,7 +39,7 @@
 		"data = \"d\"\n[peers.\"a b\"]\nhttp = \"\"": "peers",
 	} {
 		if _, err := load(text, nil); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: the error is %v, want one line with %q", text, err, want)
+			t.Errorf("%q: error %v, want one line that contains %q", text, err, want)
 		}
 	}
 }
--- a/internal/control/controltasks_test.go
+++ b/internal/control/controltasks_test.go
@@ -8,8 +8,8 @@
 	"knotrouter/internal/catalog"
 )
 
-// expireCountingDeath has the current term of a task expire with its holder's death counted, as a leader
-// of an earlier build proposes it.
+// expireCountingDeath proposes to expire the current term of a task and to count a death of its holder, as
+// a leader of an earlier build does.
 func expireCountingDeath(t *testing.T, s *Server, task string) {
 	t.Helper()
 	var fence int64
@@ -20,7 +20,7 @@
 	}
 }
 
-// waitForTask waits until a task is in a state.
+// waitForTask waits until reached returns true for a task, and fails the test after 20 s.
 func waitForTask(t *testing.T, s *Server, name, condition string, reached func(task *catalog.LeasedTask) bool) {
 	t.Helper()
 	var last string
@@ -35,17 +35,17 @@
 			return
 		}
 	}
-	t.Fatalf("%s: %s: not reached; %s", name, condition, last)
+	t.Fatalf("task %s is not %s; last seen as %s", name, condition, last)
 }
 
-// hasHolder reports whether a process holds a task.
+// hasHolder reports whether a process holds the task.
 func hasHolder(task *catalog.LeasedTask) bool { return task.Holder != "" }
 
-// TestControlTasksAreHeldAgainAfterDeaths holds that each of the control plane's own tasks which an
-// earlier build has suspended for its holders' deaths is held again, and that an operator's
-// suspension stays.
+// TestControlTasksAreHeldAgainAfterDeaths checks that each of the control plane's own tasks gets a holder
+// again after an earlier build has suspended it because its holders died, and that a suspension by an
+// operator stays in effect.
 func TestControlTasksAreHeldAgainAfterDeaths(t *testing.T) {
-	const deaths = 3 // after which an earlier build suspends a task
+	const deaths = 3 // an earlier build suspends a task after this many
 	s, addr := startSingleServer(t)
 	for _, name := range controlTasks {
 		for range deaths {
@@ -59,7 +59,7 @@
 	if err := client.CommandTask(t.Context(), auditTask, CommandSuspend, "", reason); err != nil {
 		t.Fatal(err)
 	}
-	waitForTask(t, s, auditTask, "stopped", func(task *catalog.LeasedTask) bool { return task.Holder == "" })
+	waitForTask(t, s, auditTask, "without a holder", func(task *catalog.LeasedTask) bool { return task.Holder == "" })
 	time.Sleep(5 * decisionInterval)
 	waitForTask(t, s, auditTask, "still suspended", func(task *catalog.LeasedTask) bool {
 		return task.SuspendReason == reason && task.Holder == ""
--- a/internal/control/fixture_test.go
+++ b/internal/control/fixture_test.go
@@ -15,16 +15,16 @@
 	"knotrouter/internal/endpoints"
 )
 
-// fsmFixture is a state machine and a broadcaster without raft.
+// fsmFixture is a state machine with a watch broadcaster, without raft.
 type fsmFixture struct {
 	*fsm
 	broadcaster *watchBroadcaster
-	index       uint64          // of the last applied entry
-	ctx         context.Context // of a broadcaster that runs and its watches; see runBroadcaster
-	stop        func()          // ends ctx, and waits for the broadcaster and the watches
+	index       uint64          // index of the last applied log entry
+	ctx         context.Context // context of a running broadcaster and its watches; see runBroadcaster
+	stop        func()          // cancels ctx and waits until the broadcaster and the watches have ended
 }
 
-// newFSMFixture returns a fixture whose broadcaster doesn't run yet. An entry that can't be applied
+// newFSMFixture returns a fixture whose broadcaster isn't running yet. A log entry that can't be applied
 // fails the test.
 func newFSMFixture(t *testing.T) *fsmFixture {
 	t.Helper()
@@ -34,8 +34,8 @@
 	return fixture
 }
 
-// runBroadcaster runs a test in a bubble of its own time, with a fixture whose broadcaster runs. It
-// ends the broadcaster and the watches after the test.
+// runBroadcaster runs a test in a synctest bubble with a fixture whose broadcaster is running. It ends the
+// broadcaster and the watches after the test.
 func runBroadcaster(t *testing.T, test func(t *testing.T, fixture *fsmFixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -52,7 +52,7 @@
 	})
 }
 
-// apply applies a command as if it were committed, and returns its result.
+// apply applies a command as a committed log entry and returns its result.
 func (f *fsmFixture) apply(t *testing.T, c catalog.Command) catalog.Result {
 	t.Helper()
 	c.FormatVersion = catalog.FormatVersion
@@ -64,13 +64,13 @@
 	return f.Apply(&raft.Log{Index: f.index, Data: encoded}).(catalog.Result)
 }
 
-// register registers a server of the default service that started at startedMs, in milliseconds.
+// register registers a server of the default service with the start time startedMs, in milliseconds.
 func (f *fsmFixture) register(t *testing.T, name string, startedMs float64) {
 	t.Helper()
 	f.registerInService(t, "", name, startedMs)
 }
 
-// registerInService registers a server of a service that started at startedMs, in milliseconds.
+// registerInService registers a server of a service with the start time startedMs, in milliseconds.
 func (f *fsmFixture) registerInService(t *testing.T, service, name string, startedMs float64) {
 	t.Helper()
 	endpoint := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:1", Health: endpoints.Ready, Weight: 1, StartedMs: startedMs, Service: service}
@@ -79,17 +79,17 @@
 	}
 }
 
-// awaitPublished waits until the changes so far are written to all watches that don't block. It is for
-// tests that run in a bubble of their own time.
+// awaitPublished waits until all changes so far are written to the watches that aren't blocked. It is for
+// tests in a synctest bubble.
 func (f *fsmFixture) awaitPublished() {
 	time.Sleep(publishDelay)
 	synctest.Wait()
 }
 
-const publishDelay = 20 * time.Millisecond // the time after a change within which its event is written
+const publishDelay = 20 * time.Millisecond // bounds the time from a change until its event is written
 
-// startSingleServer starts a server without peers, waits until it leads, and returns the address of
-// its API.
+// startSingleServer starts a server without peers, waits until it is the leader, and returns it with the
+// address of its API.
 func startSingleServer(t testing.TB) (*Server, string) {
 	t.Helper()
 	c := Defaults()
--- a/internal/control/fsm_test.go
+++ b/internal/control/fsm_test.go
@@ -9,7 +9,7 @@
 	"knotrouter/internal/catalog"
 )
 
-// An entry of the log that this program can't apply ends the server and leaves the state as it is.
+// A log entry that this program can't apply is reported as a fatal error and leaves the state unchanged.
 func TestUnreadableEntriesAreFatal(t *testing.T) {
 	var fatalErrors []error
 	f := &fsm{state: catalog.New(), onChange: func() {}, onFatal: func(err error) { fatalErrors = append(fatalErrors, err) }}
@@ -17,7 +17,7 @@
 		before := len(fatalErrors)
 		f.Apply(&raft.Log{Index: 7, Data: []byte(text)})
 		if len(fatalErrors) != before+1 || !strings.Contains(fatalErrors[before].Error(), "entry 7 of the log") || f.revision() != 0 {
-			t.Errorf("%s: %v, revision %d", text, fatalErrors, f.revision())
+			t.Errorf("entry %s: fatal errors %v, revision %d", text, fatalErrors, f.revision())
 		}
 	}
 }
--- a/internal/control/leaderproof_test.go
+++ b/internal/control/leaderproof_test.go
@@ -10,15 +10,14 @@
 	"github.com/hashicorp/raft"
 )
 
-// delayedTransport is a raft transport on which responses to appends can be held back, and later appends
-// fail.
+// delayedTransport is a raft transport that can hold back the responses to appends and fail later appends.
 type delayedTransport struct {
 	networkTransport
 	mu            sync.Mutex
 	holdResponses bool
 	failAppends   bool
 	held          chan struct{} // receives a value for each response that is held back
-	release       chan struct{} // closed to release them
+	release       chan struct{} // closed to release the held responses
 }
 
 // AppendEntries implements raft.Transport.
@@ -27,7 +26,7 @@
 	holdResponses, failAppends := t.holdResponses, t.failAppends
 	t.mu.Unlock()
 	if failAppends {
-		return errors.New("cut off")
+		return errors.New("append failed by the test")
 	}
 	err := t.networkTransport.AppendEntries(id, target, args, resp)
 	if holdResponses {
@@ -37,19 +36,19 @@
 	return err
 }
 
-// AppendEntriesPipeline implements raft.Transport. There is none, so that all appends are held.
+// AppendEntriesPipeline implements raft.Transport. It is unsupported, so that all appends can be held back.
 func (t *delayedTransport) AppendEntriesPipeline(raft.ServerID, raft.ServerAddress) (raft.AppendPipeline, error) {
 	return nil, raft.ErrPipelineReplicationNotSupported
 }
 
-// setFaults changes what happens to appends from now on.
+// setFaults sets whether the responses to later appends are held back, and whether later appends fail.
 func (t *delayedTransport) setFaults(holdResponses, failAppends bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.holdResponses, t.failAppends = holdResponses, failAppends
 }
 
-// delayedCluster is three raft instances whose transports can be held.
+// delayedCluster is three raft instances on delayed transports.
 type delayedCluster struct {
 	names      []string
 	instances  map[string]*raft.Raft
@@ -57,7 +56,7 @@
 	confirmed  map[string]*confirmedAppends
 }
 
-// newDelayedCluster starts the instances.
+// newDelayedCluster starts a cluster whose transports don't delay anything yet.
 func newDelayedCluster(t *testing.T) *delayedCluster {
 	t.Helper()
 	cluster := &delayedCluster{names: []string{"a", "b", "c"}, instances: map[string]*raft.Raft{},
@@ -99,7 +98,7 @@
 	cluster.instances[name] = r
 }
 
-// leader waits until an instance leads, and returns its name.
+// leader waits until an instance is the leader and returns its name.
 func (cluster *delayedCluster) leader(t *testing.T) string {
 	t.Helper()
 	for deadline := time.Now().Add(time.Minute); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -109,47 +108,48 @@
 			}
 		}
 	}
-	t.Fatal("no instance leads")
+	t.Fatal("no instance became leader")
 	return ""
 }
 
-// prove has an instance prove its leadership.
+// prove checks the leadership of an instance with a quorum and returns its term.
 func (cluster *delayedCluster) prove(name string) (term uint64, err error) {
 	return proveLeadership(cluster.instances[name], name, cluster.names, cluster.confirmed[name], applyTimeout)
 }
 
-// TestDelayedResponsesDoNotProveLeadership holds back the responses of all followers over the beginning of
-// a check, as a suspension of the leader's process does. They were given before the check, so they prove
-// nothing about the time after it.
+// TestDelayedResponsesDoNotProveLeadership holds back the responses of all followers until after a
+// leadership check has begun, as happens when the leader's process is suspended. The responses are to
+// appends that were sent before the check, so they don't prove leadership at the time of the check.
 func TestDelayedResponsesDoNotProveLeadership(t *testing.T) {
 	cluster := newDelayedCluster(t)
 	leader := cluster.leader(t)
 	r, transport := cluster.instances[leader], cluster.transports[leader]
 	if term, err := cluster.prove(leader); err != nil || term != r.CurrentTerm() {
-		t.Fatalf("with all responses: term %d, %v, want %d", term, err, r.CurrentTerm())
+		t.Fatalf("without held responses: term %d, error %v, want term %d", term, err, r.CurrentTerm())
 	}
 	transport.setFaults(true, false)
-	for range len(cluster.names) - 1 { // one heartbeat of each follower
+	for range len(cluster.names) - 1 { // one heartbeat response of each follower
 		<-transport.held
 	}
-	transport.setFaults(false, true) // all that is sent from now on fails
+	transport.setFaults(false, true) // all later appends fail
 	raftCheck := r.VerifyLeader()
 	proof := make(chan error, 1)
 	go func() {
 		_, err := cluster.prove(leader)
 		proof <- err
 	}()
-	time.Sleep(20 * time.Millisecond) // both checks wait for responses
+	time.Sleep(20 * time.Millisecond) // gives both checks time to wait for responses
 	close(transport.release)
 	if err := raftCheck.Error(); err != nil {
-		t.Logf("the library's check does not count the held responses: %v", err)
+		t.Logf("raft.VerifyLeader doesn't count the held responses: %v", err)
 	}
 	if err := <-proof; !errors.Is(err, errNoLeader) {
-		t.Errorf("leadership is proven by responses to what was sent before: %v", err)
+		t.Errorf("leadership check with only responses to earlier appends returned error %v, want errNoLeader", err)
 	}
 }
 
-// TestProofNeedsAMajorityOfTheTerm holds which confirmed appends count.
+// TestProofNeedsAMajorityOfTheTerm checks that only appends of the current term that were sent to voters
+// since the start of the check count toward the quorum.
 func TestProofNeedsAMajorityOfTheTerm(t *testing.T) {
 	since := time.Now()
 	voters := []string{"self", "a", "b", "c", "d"}
@@ -167,13 +167,13 @@
 		appends := newConfirmedAppends()
 		for id, confirmed := range c.confirmed {
 			appends.record(id, confirmed)
-			appends.record(id, confirmedAppend{confirmed.term, confirmed.sentAt.Add(-time.Minute)}) // an older one changes nothing
+			appends.record(id, confirmedAppend{confirmed.term, confirmed.sentAt.Add(-time.Minute)}) // an older one is ignored
 		}
 		if got, _ := appends.quorumSince(voters, "self", 7, since); got != c.want {
 			t.Errorf("case %d: quorum %v, want %v", i, got, c.want)
 		}
 	}
 	if quorum, _ := newConfirmedAppends().quorumSince([]string{"self"}, "self", 7, since); !quorum {
-		t.Error("a single voter is no majority of itself")
+		t.Error("a single voter is not a quorum by itself")
 	}
 }
--- a/internal/control/listhandler_test.go
+++ b/internal/control/listhandler_test.go
@@ -10,7 +10,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-// A query names up to 256 services; duplicates are dropped, and invalid names are rejected.
+// A query names up to 256 services. Duplicates are dropped, and invalid names are rejected.
 func TestServicesOfQueryAreParsed(t *testing.T) {
 	distinctServices := func(n int) string {
 		q := url.Values{}
@@ -26,13 +26,13 @@
 		}
 	}
 	if got, err := parseServices(distinctServices(endpoints.MaxServices)); err != nil || len(got) != endpoints.MaxServices {
-		t.Errorf("%d services, %v", len(got), err)
+		t.Errorf("%d services parsed, error %v", len(got), err)
 	}
 	for _, query := range []string{"service=a%20b", "service=a/b", "service=a&service=%0a", "service=" + strings.Repeat("x", endpoints.MaxLabel+1),
 		"service=%zz", "service=a;service=b", distinctServices(endpoints.MaxServices + 1)} {
 		got, err := parseServices(query)
 		if err == nil || !strings.HasPrefix(err.Error(), "service: ") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%.80q: %q, %v", query, got, err)
+			t.Errorf("%.80q: services %q, error %v, want a one-line error", query, got, err)
 		}
 	}
 }
--- a/internal/control/requests_test.go
+++ b/internal/control/requests_test.go
@@ -15,8 +15,8 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// TestClientKeepsItsRequests holds the method, the path with its query, and the body of each
-// call of the client, as the program of commit d25b370 sent them.
+// TestClientKeepsItsRequests checks that each client method sends the same HTTP method, path, query and
+// body as the program of commit d25b370.
 func TestClientKeepsItsRequests(t *testing.T) {
 	var mu sync.Mutex
 	var got []string
@@ -42,7 +42,7 @@
 	for _, v := range []any{&endpoint, &override, &session, &task, &ref, &term} {
 		golden.Fill(t, v)
 	}
-	// The stub rejects each request. Only the requests that it received are compared, so results are ignored.
+	// The stub rejects every request. Only the requests that it received are compared, so results are ignored.
 	_, _ = c.Register(ctx, endpoint)
 	_, _ = c.Renew(ctx, []catalog.InstanceRef{ref})
 	_, _ = c.SetOverride(ctx, "s-a", override)
@@ -78,8 +78,9 @@
 	golden.Lines(t, "requests.txt", got)
 }
 
-// TestRejectionsKeepTheirHeaders holds the headers that tell a client when to retry and that a rejected
-// write had no effect: without a leader, and with too many requests.
+// TestRejectionsKeepTheirHeaders checks the headers of a rejected request, without a leader and at the
+// request limit: they tell the client when to retry and that the request had no effect. A write with an
+// unknown outcome must not claim the latter.
 func TestRejectionsKeepTheirHeaders(t *testing.T) {
 	s := newUnstartedServer(t)
 	check := func(name string, status int, w *httptest.ResponseRecorder, notApplied string) {
@@ -96,14 +97,14 @@
 	}
 	w := httptest.NewRecorder()
 	s.admission.reject(w, time.Second)
-	check("too many calls", http.StatusServiceUnavailable, w, "1")
+	check("too many requests", http.StatusServiceUnavailable, w, "1")
 	w = httptest.NewRecorder()
 	writeError(w, errUnknownOutcome)
 	check("unknown outcome", http.StatusServiceUnavailable, w, "")
 }
 
-// TestEndSessionKeepsRestParameter holds the query parameter rest, with which a request to end a session
-// drains it instead, and the header of a request that another server forwarded.
+// TestEndSessionKeepsRestParameter checks the query parameter rest, which makes a request to end a session
+// drain it instead, and the name of the header that marks a forwarded request.
 func TestEndSessionKeepsRestParameter(t *testing.T) {
 	if forwardedByHeader != "Forwarded-By" {
 		t.Errorf("the header of a forwarded request is %q", forwardedByHeader)
@@ -115,7 +116,7 @@
 	}
 	for _, step := range []struct {
 		request apiRequest
-		want    string // the sessions after it, with all numbers 0
+		want    string // the sessions after the request, with all numbers replaced by 0
 	}{
 		{apiRequest{http.MethodPut, "/v1/sessions/w-1", `{"process":"w-1","id":"one","cap":0,"rev":0}`}, `{"process":"w-1","id":"one","cap":0,"opened":0,"rev":0}`},
 		{apiRequest{http.MethodDelete, "/v1/sessions/w-1?id=one&rest=1", ""}, `{"process":"w-1","id":"one","cap":0,"resting":true,"opened":0,"rev":0}`},
--- a/internal/control/routes_test.go
+++ b/internal/control/routes_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Any request gets an answer of one line with a status that the API uses; the server goes on
-// leading, and a request that it rejects changes nothing.
+// Whatever the request, the server doesn't fail: it answers with a status that the API uses, and with one
+// line if it rejects the request. A rejected request changes nothing.
 func FuzzHTTP(f *testing.F) {
 	validEntry := `{"host":"x","dial":"127.0.0.1:9","site":"a","class":"k","block":0,"health":"ready","share":1,"born_ms":5}`
 	for _, seed := range []apiRequest{
@@ -31,7 +31,7 @@
 	f.Fuzz(func(t *testing.T, method, path, body string) {
 		req, err := http.NewRequest(method, "http://a/"+strings.TrimPrefix(path, "/"), strings.NewReader(body))
 		if err != nil || req.URL.Query().Get("follow") == "1" {
-			return // not a valid request, or a watch, which doesn't end by itself
+			return // an invalid request, or a watch, which doesn't end on its own
 		}
 		req.RequestURI = req.URL.RequestURI()
 		before := server.fsm.revision()
@@ -41,27 +41,27 @@
 		switch {
 		case w.Code/100 == 4:
 			if strings.Count(response, "\n") != 1 || len(response) > 2000 {
-				t.Errorf("%s %q %q: %d %q", method, path, body, w.Code, response)
+				t.Errorf("%s %q %q: status %d, response %q, want one line of at most 2000 bytes", method, path, body, w.Code, response)
 			}
 			if server.fsm.revision() != before {
-				t.Errorf("%s %q %q: rejected with %d, and the revision went from %d to %d", method, path, body, w.Code, before, server.fsm.revision())
+				t.Errorf("%s %q %q: rejected with status %d, but the revision went from %d to %d", method, path, body, w.Code, before, server.fsm.revision())
 			}
 		case w.Code/100 == 5 && w.Code != http.StatusServiceUnavailable && w.Code != http.StatusInsufficientStorage:
-			t.Errorf("%s %q %q: %d %q", method, path, body, w.Code, response)
+			t.Errorf("%s %q %q: unexpected status %d, response %q", method, path, body, w.Code, response)
 		}
 		if server.fsm.revision() < before || server.fsm.revision() > maxRevision {
 			t.Fatalf("%s %q %q: the revision went from %d to %d", method, path, body, before, server.fsm.revision())
 		}
 		select {
 		case err := <-server.fatalErrors:
-			t.Fatalf("%s %q %q ended the server: %v", method, path, body, err)
+			t.Fatalf("%s %q %q: fatal error: %v", method, path, body, err)
 		default:
 		}
 	})
 }
 
-// Clients that send slowly, stop half way or send no valid request don't delay others and are cut off
-// within a bounded time; nothing that they sent has an effect.
+// Clients that send slowly, stop in the middle of a request or send an invalid request don't delay other
+// clients, and are disconnected within a bounded time. Nothing that they sent has an effect.
 func TestSlowSendersAreCutOff(t *testing.T) {
 	server, addr := startSingleServer(t)
 	before := server.fsm.revision()
@@ -74,9 +74,9 @@
 	}
 	outcomes := make(chan outcome)
 	for name, chunks := range map[string][]string{
-		"half a head": {header[:30]}, "half a body": {header, body[:40]}, "no body": {header},
-		"drop by drop": append([]string{header}, strings.Split(body, "")...), // 100 ms each: longer than a body may take
-		"no request":   {"\x16\x03\x01\r\n\r\n"},
+		"half a header": {header[:30]}, "half a body": {header, body[:40]}, "no body": {header},
+		"byte by byte": append([]string{header}, strings.Split(body, "")...), // at 100 ms a byte, longer than a body may take
+		"not HTTP":     {"\x16\x03\x01\r\n\r\n"},
 	} {
 		go func() {
 			start := time.Now()
@@ -99,21 +99,21 @@
 			outcomes <- outcome{name, string(text), time.Since(start)}
 		}()
 	}
-	// Other clients are served meanwhile.
+	// Other clients are served in the meantime.
 	client := NewClient([]string{addr}, 5*time.Second)
 	for range 20 {
 		if _, err := client.List(t.Context()); err != nil {
-			t.Errorf("while others send slowly: %v", err)
+			t.Errorf("request while other clients send slowly: %v", err)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	for range 5 {
 		got := <-outcomes
 		if got.elapsed > 20*time.Second || got.response != "" && !strings.Contains(got.response, " 400 ") && !strings.Contains(got.response, " 408 ") {
-			t.Errorf("%s: after %v %q", got.name, got.elapsed, got.response)
+			t.Errorf("%s: after %v, response %q; want status 400 or 408 or a closed connection within 20 s", got.name, got.elapsed, got.response)
 		}
 	}
 	if server.fsm.revision() != before {
-		t.Errorf("the revision went from %d to %d", before, server.fsm.revision())
+		t.Errorf("slow senders changed the revision from %d to %d", before, server.fsm.revision())
 	}
 }
--- a/internal/control/servicelists_test.go
+++ b/internal/control/servicelists_test.go
@@ -9,7 +9,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-// Full lists of services are encoded once per revision of the service, and the cache is bounded.
+// The full list of a service is encoded once per revision of the service, and the cache is bounded.
 func TestServiceListsAreCached(t *testing.T) {
 	fixture := newFSMFixture(t)
 	lists := fixture.broadcaster.services.fullLists
@@ -27,7 +27,7 @@
 	}
 	fixture.registerInService(t, "a", "a-2", 1)
 	if text, revision := lists.encodedList([]string{"a", "b"}); lists.encodedCount != 3 || revision != fixture.revision() || bytes.Count(text, []byte(`"host"`)) != 3 {
-		t.Errorf("after a change of one: encoded %d times, %s", lists.encodedCount, text)
+		t.Errorf("after a change of one service: encoded %d times, list %s", lists.encodedCount, text)
 	}
 	for i := range 9 {
 		lists.add(fmt.Sprint("large-", i), encodedService{1, make([]byte, maxCachedBytes/4)})
@@ -40,12 +40,12 @@
 		sum += len(cached.entries)
 	}
 	if sum != lists.cachedBytes {
-		t.Errorf("%d bytes cached, counted as %d", sum, lists.cachedBytes)
+		t.Errorf("%d bytes cached, but cachedBytes is %d", sum, lists.cachedBytes)
 	}
 }
 
-// Lists that were cached of one state are not served after another has replaced it, even if the
-// revisions are equal.
+// Lists that were cached from one state are not served after another state has replaced it, even if both
+// have the same revision.
 func TestReplacedStateEmptiesServiceListCache(t *testing.T) {
 	fixture, other := newFSMFixture(t), newFSMFixture(t)
 	fixture.registerInService(t, "a", "before", 1)
--- a/internal/control/servicemetrics_test.go
+++ b/internal/control/servicemetrics_test.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// The largest services have labels of their own, whatever their names; all others share one.
+// The largest services have their own label values, whatever their names. All others share one.
 func TestServiceMetricsLabelLargestServices(t *testing.T) {
 	fixture := newFSMFixture(t)
 	for i := range 30 {
@@ -42,7 +42,7 @@
 		"steward_service_listed service-29": 30, "steward_service_listed other services": 12 * 13 / 2, "steward_service_watches other": 1, "steward_service_watches other services": 2}
 	for key, value := range want {
 		if got[key] != value {
-			t.Errorf("%s is %v, want %v", key, got[key], value)
+			t.Errorf("metric %s is %v, want %v", key, got[key], value)
 		}
 	}
 	labels := 0
@@ -52,6 +52,6 @@
 		}
 	}
 	if labels != maxServiceLabels+1 {
-		t.Errorf("%d labels of services", labels)
+		t.Errorf("%d label values for services", labels)
 	}
 }
--- a/internal/control/servicetopics_test.go
+++ b/internal/control/servicetopics_test.go
@@ -18,7 +18,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-// subscribe starts a watch of services for a reader that has the revision since.
+// subscribe starts a watch of services for a reader at the revision since.
 func (f *fsmFixture) subscribe(since int64, services ...string) *serviceWatchReader {
 	slices.Sort(services)
 	r := &serviceWatchReader{services: services}
@@ -26,8 +26,8 @@
 	return r
 }
 
-// A watch is sent the changes of its services only: a change is encoded once for all subscriptions
-// to the service, and an idle watch gets heartbeats.
+// A watch is sent only the changes of its services. A change is encoded once for all subscriptions to the
+// service, and an idle watch is sent heartbeats.
 func TestServiceWatchesShareEvents(t *testing.T) {
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
 		fixture.registerInService(t, "a", "a-1", 1)
@@ -42,7 +42,7 @@
 		synctest.Wait()
 		for want, r := range map[string]*serviceWatchReader{"a-1@a": readers[0], "b-1@b": other, "a-1@a b-1@b": both, "plain@": plain} {
 			if got := r.serverNames(); got != want || len(r.lists) != 1 {
-				t.Fatalf("a reader of %q has %q after %d lists, want %q", r.services, got, len(r.lists), want)
+				t.Fatalf("a reader of %q has %q after %d lists, want %q after one", r.services, got, len(r.lists), want)
 			}
 		}
 		topics := fixture.broadcaster.services
@@ -52,7 +52,7 @@
 		}
 		fixture.awaitPublished()
 		if n := topics.encodedCount - encodedBefore; n != 1 {
-			t.Errorf("three changes of one service at once were encoded %d times", n)
+			t.Errorf("three simultaneous changes of one service were encoded %d times", n)
 		}
 		for _, r := range append(readers, both) {
 			if !strings.HasPrefix(r.serverNames(), "a-1@a a-2@a") || len(r.lists) != 2 || r.revision != fixture.revision() || r.lists[1].Full || len(r.lists[1].Endpoints) != 1 {
@@ -65,19 +65,19 @@
 		time.Sleep(6100 * time.Millisecond)
 		synctest.Wait()
 		if n := other.heartbeats - heartbeatsBefore; n != 3 {
-			t.Errorf("%d heartbeats in six idle seconds", n)
+			t.Errorf("%d heartbeats in 6.1 idle seconds, want 3", n)
 		}
 		for _, r := range append(readers, other, both, plain) {
 			r.checkViolations(t)
 		}
 		fixture.stop()
 		if len(topics.byService) != 0 || topics.eventBytes != 0 || topics.watchCount != 0 {
-			t.Errorf("after the last watch: %d topics, %d bytes, %d watches", len(topics.byService), topics.eventBytes, topics.watchCount)
+			t.Errorf("after the end of the last watch: %d topics, %d bytes, %d watches", len(topics.byService), topics.eventBytes, topics.watchCount)
 		}
 	})
 }
 
-// A reader of two services that blocks while a server changes between them ends with the server in
+// A reader of two services that is blocked while a server moves between them ends up with the server in
 // its last service.
 func TestServiceEventsKeepVersionOrder(t *testing.T) {
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
@@ -100,7 +100,7 @@
 		if both.serverNames() != "s@a" || a.serverNames() != "s@a" || b.serverNames() != "" {
 			t.Errorf("readers of both, a and b have %q, %q and %q", both.serverNames(), a.serverNames(), b.serverNames())
 		}
-		fixture.registerInService(t, "b", "s", 2) // a new instance, of the other service
+		fixture.registerInService(t, "b", "s", 2) // a new instance, in the other service
 		fixture.awaitPublished()
 		if both.serverNames() != "s@b" || a.serverNames() != "" || b.serverNames() != "s@b" {
 			t.Errorf("readers of both, a and b have %q, %q and %q", both.serverNames(), a.serverNames(), b.serverNames())
@@ -111,8 +111,8 @@
 	})
 }
 
-// A reader of services that lags makes a topic retain no more than its bound, then gets the full list
-// of its services and later events.
+// A topic retains no more than its maximum number of events for a reader of services that lags. The reader
+// is then sent the full list of its services and the events after it.
 func TestLaggingServiceReaderGetsFullList(t *testing.T) {
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
 		fixture.registerInService(t, "a", "a", 1)
@@ -135,12 +135,12 @@
 		synctest.Wait()
 		last := slow.lists[len(slow.lists)-1]
 		if !last.Full || len(last.Endpoints) != 1+2*maxTopicEvents || len(slow.lists) > 3 || fixture.broadcaster.services.laggedCount != 1 {
-			t.Errorf("the slow reader was sent %d lists, the last of %d entries, full %v; lagged %d", len(slow.lists), len(last.Endpoints), last.Full, fixture.broadcaster.services.laggedCount)
+			t.Errorf("the slow reader was sent %d lists, the last with %d entries, full %v; lagged %d times", len(slow.lists), len(last.Endpoints), last.Full, fixture.broadcaster.services.laggedCount)
 		}
 		fixture.registerInService(t, "a", "last", 1)
 		fixture.awaitPublished()
 		if slow.serverNames() != fast.serverNames() || !strings.Contains(slow.serverNames(), "last@a") || slow.lists[len(slow.lists)-1].Full {
-			t.Errorf("the slow reader gets no later events: %q", slow.serverNames())
+			t.Errorf("the slow reader didn't get the later event: %q", slow.serverNames())
 		}
 		if len(idle.lists) != 1 {
 			t.Errorf("a reader of another service was sent %d lists", len(idle.lists))
@@ -148,12 +148,12 @@
 		fixture.broadcaster.endAll()
 		synctest.Wait()
 		if fixture.broadcaster.services.watchCount != 0 {
-			t.Errorf("%d watches left", fixture.broadcaster.services.watchCount)
+			t.Errorf("%d watches open after endAll", fixture.broadcaster.services.watchCount)
 		}
 	})
 }
 
-// After the revision was raised, each reader is sent the full list of its services.
+// After the revision has been raised, each reader is sent the full list of its services.
 func TestRaisedRevisionSendsFullServiceLists(t *testing.T) {
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
 		fixture.registerInService(t, "a", "a", 1)
@@ -171,13 +171,13 @@
 		current := fixture.subscribe(1000, "a")
 		synctest.Wait()
 		if !behind.lists[0].Full || !ahead.lists[0].Full || current.lists[0].Full || len(current.lists[0].Endpoints) != 0 {
-			t.Errorf("full lists for readers at the revisions 500, 2000 and 1000: %v, %v, %v", behind.lists[0].Full, ahead.lists[0].Full, current.lists[0].Full)
+			t.Errorf("full lists for readers at the revisions 500, 2000 and 1000: %v, %v, %v, want true, true, false", behind.lists[0].Full, ahead.lists[0].Full, current.lists[0].Full)
 		}
 		r.checkViolations(t)
 	})
 }
 
-// Subscriptions that begin while the list changes miss no change.
+// Subscriptions that start while the list is changing miss no changes.
 func TestSubscriptionsDuringChangesMissNothing(t *testing.T) {
 	const seed, services, changes, watches = 23, 5, 400, 60
 	t.Logf("seed %d", seed)
@@ -204,7 +204,7 @@
 		fixture.registerInService(t, fmt.Sprint(rng.IntN(services)), name, float64(i))
 		time.Sleep(time.Duration(rng.IntN(200)) * time.Microsecond)
 	}
-	for i := range services { // so that each watch gets a last change
+	for i := range services { // so that every watch gets a final change to wait for
 		fixture.registerInService(t, fmt.Sprint(i), fmt.Sprint("last-", i), changes)
 	}
 	caughtUp := func() bool {
@@ -217,7 +217,7 @@
 	}
 	for deadline := time.Now().Add(time.Minute); !caughtUp(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("a reader never caught up")
+			t.Fatal("a reader didn't get its last change within a minute")
 		}
 	}
 	cancel()
@@ -239,8 +239,8 @@
 	}
 }
 
-// The events of all topics together are bounded; a reader that needs a dropped event is sent a full
-// list.
+// The total size of the events of all topics is bounded. A reader that needs a dropped event is sent a
+// full list.
 func TestServiceEventsAreBounded(t *testing.T) {
 	fixture := newFSMFixture(t)
 	topics := fixture.broadcaster.services
@@ -265,7 +265,7 @@
 		}
 	}
 	if lagging == 0 || lagging == len(subs) {
-		t.Errorf("%d of %d need full lists", lagging, len(subs))
+		t.Errorf("%d of %d subscriptions need full lists, want some but not all", lagging, len(subs))
 	}
 	topic := subs[1].topics[0]
 	topics.mu.Lock()
@@ -274,12 +274,12 @@
 	}
 	topics.mu.Unlock()
 	if len(topic.events) != 1 || topic.startRevision != 11 {
-		t.Errorf("%d events of one topic retained, from revision %d", len(topic.events), topic.startRevision)
+		t.Errorf("%d events of one topic retained, from revision %d, want 1 from revision 11", len(topic.events), topic.startRevision)
 	}
 }
 
-// BenchmarkServicePublish measures a change of one of 1,900 services, until its subscriptions are
-// notified, while 13,000 watches of 20 services each are open.
+// BenchmarkServicePublish measures the time from a change of one of 1,900 services until its subscriptions
+// are notified, with 13,000 open watches of 20 services each.
 func BenchmarkServicePublish(b *testing.B) {
 	fixture := &fsmFixture{fsm: &fsm{state: catalog.New(), onFatal: func(err error) { b.Error(err) }}}
 	fixture.broadcaster = newWatchBroadcaster(fixture.fsm, 0)
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// freeAddress returns an address of this machine that nobody listens at.
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -22,8 +22,9 @@
 	return ln.Addr().String()
 }
 
-// TestRequestsDuringStart has clients read metrics and members while the server starts: what the start
-// sets after it listens is published to their handlers. The race detector judges it.
+// TestRequestsDuringStart has clients request metrics, members and the status while the server starts.
+// Fields that are set after the server has begun to listen must be published safely to the handlers. Only
+// the race detector can detect a violation.
 func TestRequestsDuringStart(t *testing.T) {
 	c := Defaults()
 	c.Data, c.Raft, c.Listen, c.Heartbeat = t.TempDir(), "127.0.0.1:0", freeAddress(t), 100*time.Millisecond
--- a/internal/control/statecopies_test.go
+++ b/internal/control/statecopies_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestFolderIsSyncedAfterTheRename holds that the folder is synced once the new file has its name, and
-// that a failure of that is returned.
+// TestFolderIsSyncedAfterTheRename checks that the folder is synced after the new file has been renamed,
+// and that an error of the sync is returned.
 func TestFolderIsSyncedAfterTheRename(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "copy")
 	errSync := errors.New("input/output error")
@@ -23,7 +23,7 @@
 			return want
 		})
 		if !errors.Is(err, want) || synced != filepath.Dir(name)+" with new" {
-			t.Errorf("synced %q, returned %v, want %v", synced, err, want)
+			t.Errorf("synced %q, returned error %v, want error %v", synced, err, want)
 		}
 	}
 	if err := WriteFileAtomic(name, []byte("newer")); err != nil {
--- a/internal/control/store_test.go
+++ b/internal/control/store_test.go
@@ -16,8 +16,8 @@
 	return errors.New("no space left on device")
 }
 
-// A term or vote that can't be written ends the server with an error that says why, and ends
-// raft's goroutine before it acts on them.
+// A term or vote that can't be written is a fatal error of the server that gives the cause. Raft's goroutine
+// ends before it can act on the unwritten value.
 func TestUnwrittenVoteEndsServer(t *testing.T) {
 	for name, write := range map[string]func(p *stableStore){
 		"vote": func(p *stableStore) { _ = p.Set([]byte("LastVoteCand"), []byte("st-1")) },
@@ -33,7 +33,7 @@
 		}()
 		<-done
 		if continued || len(errs) != 1 || !strings.Contains(errs[0].Error(), "the log can't be written: no space left") {
-			t.Errorf("%s: continued %v, reported %v", name, continued, errs)
+			t.Errorf("%s: goroutine continued: %v, reported errors %v", name, continued, errs)
 		}
 	}
 }
--- a/internal/control/watchbroadcaster_test.go
+++ b/internal/control/watchbroadcaster_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Changes within a few milliseconds are one event, encoded once for all watches; an idle watch gets
-// an empty line every two seconds; a reader between two revisions misses nothing.
+// Changes within a few milliseconds are combined into one event, which is encoded once for all watches. An
+// idle watch is sent an empty line every two seconds. A reader whose revision is in the middle of such an
+// event misses nothing.
 func TestWatchesShareEvents(t *testing.T) {
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
 		fixture.register(t, "a", 1)
@@ -23,11 +24,11 @@
 		for i := range 3 {
 			fixture.register(t, "b", float64(i+1))
 		}
-		between := newWatchReader() // starts before the event, and has two of the three changes
+		between := newWatchReader() // starts before the event with two of its three changes
 		go fixture.broadcaster.watch(fixture.ctx, between, fixture.revision()-1, nil)
 		fixture.awaitPublished()
 		if n := fixture.broadcaster.encodedCount - before; n != 1 {
-			t.Errorf("three changes at once were encoded %d times", n)
+			t.Errorf("three simultaneous changes were encoded %d times", n)
 		}
 		for _, r := range append(readers, between) {
 			if r.servers["b"] != 3 || r.revision != fixture.revision() || r.lineCount() > 2 {
@@ -39,13 +40,13 @@
 		time.Sleep(6100 * time.Millisecond)
 		synctest.Wait()
 		if got := readers[0].lines[n:]; len(got) != 3 || got[0] != "\n" {
-			t.Errorf("in six idle seconds: %q", got)
+			t.Errorf("in 6.1 idle seconds the watch was sent %q, want three empty lines", got)
 		}
 	})
 }
 
-// A reader that lags makes the broadcaster retain no more than its bound, then gets the full list
-// and later events; the others don't wait for it.
+// The broadcaster retains no more than its maximum number of events for a reader that lags. The reader is
+// then sent the full list and the events after it. Other readers don't wait for it.
 func TestLaggingReaderGetsFullList(t *testing.T) {
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
 		fixture.register(t, "a", 1)
@@ -66,12 +67,12 @@
 		slow.unblock()
 		synctest.Wait()
 		if slow.revision != fixture.revision() || len(slow.servers) != 2*maxListEvents+1 || slow.lineCount() > 10 || fixture.broadcaster.laggedCount != 1 {
-			t.Errorf("the slow reader is at %d of %d with %d servers after %d lines, lagged %d", slow.revision, fixture.revision(), len(slow.servers), slow.lineCount(), fixture.broadcaster.laggedCount)
+			t.Errorf("the slow reader is at %d of %d with %d servers after %d lines; lagged %d times", slow.revision, fixture.revision(), len(slow.servers), slow.lineCount(), fixture.broadcaster.laggedCount)
 		}
 		fixture.register(t, "last", 1)
 		fixture.awaitPublished()
 		if slow.servers["last"] != 1 {
-			t.Error("the slow reader gets no later events")
+			t.Error("the slow reader didn't get the later event")
 		}
 		fixture.broadcaster.endAll()
 		synctest.Wait()
--- a/internal/control/watchlines_test.go
+++ b/internal/control/watchlines_test.go
@@ -12,7 +12,7 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// registerWithAllFields registers a server with every field set, started at startedMs, in milliseconds.
+// registerWithAllFields registers a server with every field set and the start time startedMs, in milliseconds.
 func registerWithAllFields(t *testing.T, fixture *fsmFixture, name, service string, startedMs float64) {
 	t.Helper()
 	endpoint := endpoints.Endpoint{Name: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Block: 3, Health: endpoints.Ready, Weight: 1, StartedMs: startedMs, Service: service}
@@ -21,14 +21,14 @@
 	}
 }
 
-// splitLines returns the lines of a watch, given the text of each of its writes.
+// splitLines joins the writes of a watch and returns its lines.
 func splitLines(writes []string) []string {
 	return strings.Split(strings.TrimSuffix(strings.Join(writes, ""), "\n"), "\n")
 }
 
-// TestWatchLinesKeepTheirForm holds what a watch of all services and a watch of two services write, as
-// the program of commit d25b370 wrote it: the changes since revision 0, a new server, a change of service,
-// a drain, a removal, and the heartbeat of an idle watch.
+// TestWatchLinesKeepTheirForm checks that a watch of all services and a watch of two services write the
+// same lines as the program of commit d25b370: for the changes since revision 0, a new server, a change of
+// service, a drain, a removal, and the heartbeat of an idle watch.
 func TestWatchLinesKeepTheirForm(t *testing.T) {
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
 		register := func(name, service string, startedMs float64) {
@@ -53,7 +53,7 @@
 	})
 }
 
-// openWatch opens a watch of services, or of all with nil services, for a reader that has the revision since.
+// openWatch opens a watch of services, or of all if services is nil, for a reader at the revision since.
 func openWatch(fixture *fsmFixture, services []string, since int64) *watchReader {
 	r := newWatchReader()
 	if services == nil {
@@ -64,10 +64,10 @@
 	return r
 }
 
-// TestFullListsOfWatchesKeepTheirForm holds the full list as a watch writes it: to watches that are open
-// when the revision is raised, which drops the history of changes, and to readers that have a later
-// revision than the server. watch-full-lists.txt was written by hand, after the form of watch-lines.txt, and
-// is what the program of commit d25b370 writes to the same watches.
+// TestFullListsOfWatchesKeepTheirForm checks the full lists that watches write: to watches that are open
+// when the revision is raised, which drops the history of changes, and to readers with a later revision than
+// the server. watch-full-lists.txt was written by hand in the format of watch-lines.txt, and the program of
+// commit d25b370 writes the same to these watches.
 func TestFullListsOfWatchesKeepTheirForm(t *testing.T) {
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
 		const raisedRevision = 1000
--- a/internal/control/watchload_test.go
+++ b/internal/control/watchload_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// maxRebalanceSteps is far above the number of steps that any drawn distribution takes.
+// maxRebalanceSteps is far more steps than any generated distribution takes.
 const maxRebalanceSteps = 3000
 
-// drawLoads draws the loads of up to five servers. In about half of the servers, all watches can
+// drawLoads generates the loads of up to five servers. On about half of the servers, all watches can
 // migrate.
 func drawLoads(rt *rapid.T) []watchLoad {
 	loads := make([]watchLoad, rapid.IntRange(1, 5).Draw(rt, "servers"))
@@ -25,8 +25,8 @@
 	return loads
 }
 
-// fairShare returns the watches of each server if all had the same, rounded up, and how many
-// watches are beyond that at their servers and thus have to migrate.
+// fairShare returns the number of watches per server in an even distribution, rounded up, and how many
+// watches exceed it on their servers and so have to migrate.
 func fairShare(loads []watchLoad) (share, excess int) {
 	sum := 0
 	for _, load := range loads {
@@ -39,14 +39,14 @@
 	return share, excess
 }
 
-// endingWatches returns how many watches each server ends in one step, and their sum. It fails the
-// test if a server ends more than it may.
+// endingWatches returns how many watches each server ends in one step, and the total. It fails the test if
+// a server ends more than it is allowed to.
 func endingWatches(rt *rapid.T, loads []watchLoad) (ending []int, total int) {
 	for i, load := range loads {
 		others := slices.Delete(slices.Clone(loads), i, i+1)
 		count := excessWatches(load, others)
 		if count < 0 || count > load.movable || count > max(load.watches/20, 1) {
-			rt.Fatalf("ends %d of %+v", count, load)
+			rt.Fatalf("ends %d watches of a server with %+v", count, load)
 		}
 		ending = append(ending, count)
 		total += count
@@ -54,7 +54,7 @@
 	return ending, total
 }
 
-// migrateWatches has the reader of each ended watch go to any other server.
+// migrateWatches moves the reader of each ended watch to a random other server.
 func migrateWatches(rt *rapid.T, loads []watchLoad, ending []int) {
 	for i := range loads {
 		loads[i].watches, loads[i].movable = loads[i].watches-ending[i], loads[i].movable-ending[i]
@@ -68,8 +68,8 @@
 	}
 }
 
-// From any distribution, repeated rebalancing in small steps evens out the watches among the servers
-// and then stops; few watches migrate more often than needed.
+// From any distribution, repeated rebalancing in small steps evens out the watches among the servers and
+// then stops. Few watches migrate more often than necessary.
 func TestRebalancingConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		loads := drawLoads(rt)
@@ -78,23 +78,23 @@
 		for ending, total := endingWatches(rt, loads); total > 0; ending, total = endingWatches(rt, loads) {
 			ended += total
 			if steps++; steps > maxRebalanceSteps {
-				rt.Fatalf("never stops: %+v", loads)
+				rt.Fatalf("rebalancing doesn't stop: %+v", loads)
 			}
 			migrateWatches(rt, loads, ending)
 		}
 		for i := range loads {
 			if over := loads[i].watches - share - loadTolerance(share); over > 0 && loads[i].movable > 0 && len(loads) > 1 {
-				rt.Fatalf("stopped with %+v, the share is %d", loads, share)
+				rt.Fatalf("rebalancing stopped with %+v, the fair share is %d", loads, share)
 			}
 		}
-		// With two other servers to choose from, every other reader goes where it can stay.
+		// With two other servers to choose from, about half of the readers move to one where they can stay.
 		if ended > 8*excess+8*len(loads) {
-			rt.Fatalf("%d watches ended where %d had to be", ended, excess)
+			rt.Fatalf("%d watches were ended, with an excess of %d", ended, excess)
 		}
 	})
 }
 
-// The lag is the age of the oldest entry that the leader had committed and is not applied.
+// The lag is the age of the oldest entry that the leader has committed and this server has not applied.
 func TestLagIsAgeOfOldestUnappliedEntry(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var p commitHistory
@@ -119,7 +119,7 @@
 				}
 			}
 			if got := p.lag(now, applied); got != want {
-				rt.Fatalf("lags by %v, reported as %v", want, got)
+				rt.Fatalf("lag is %v, reported as %v", want, got)
 			}
 		}
 	})
--- a/internal/control/watchreader_test.go
+++ b/internal/control/watchreader_test.go
@@ -14,11 +14,10 @@
 	"knotrouter/internal/endpoints"
 )
 
-// blockableWriter is what the response writers of watches have in common. It can be made to
-// block.
+// blockableWriter is the common part of the response writers of watches. Its writes can be made to block.
 type blockableWriter struct {
 	mu      sync.Mutex    // also guards the fields of the types that embed it
-	blocked chan struct{} // if not nil, writes wait until it is closed
+	blocked chan struct{} // if not nil, writes block until it is closed
 }
 
 func (r *blockableWriter) Header() http.Header { return http.Header{} }
@@ -29,14 +28,14 @@
 
 func (r *blockableWriter) SetWriteDeadline(time.Time) error { return nil }
 
-// block has all writes from now on wait for unblock.
+// block makes all later writes block until unblock is called.
 func (r *blockableWriter) block() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.blocked = make(chan struct{})
 }
 
-// unblock lets the writes that wait, and all later ones, go on.
+// unblock lets blocked writes and all later ones proceed.
 func (r *blockableWriter) unblock() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,7 +43,7 @@
 	r.blocked = nil
 }
 
-// awaitUnblocked returns at once unless writes are blocked.
+// awaitUnblocked waits until writes are not blocked.
 func (r *blockableWriter) awaitUnblocked() {
 	r.mu.Lock()
 	blocked := r.blocked
@@ -54,8 +53,8 @@
 	}
 }
 
-// watchReader is the response writer of a watch of the full list. It records what is written, and
-// can be made to block.
+// watchReader is the response writer of a watch of all services. It records the writes and keeps the list
+// that they result in.
 type watchReader struct {
 	blockableWriter
 	lines    []string
@@ -86,15 +85,15 @@
 	return len(p), nil
 }
 
-// lineCount returns the number of lines that were written.
+// lineCount returns the number of lines written.
 func (r *watchReader) lineCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.lines)
 }
 
-// serviceWatchReader is the response writer of a watch of services. It applies the lines as a reader must,
-// records violations of the watch contract, and can be made to block.
+// serviceWatchReader is the response writer of a watch of services. It applies the lines as a reader must
+// and records violations of the watch protocol.
 type serviceWatchReader struct {
 	services []string
 	blockableWriter
@@ -136,7 +135,7 @@
 	return len(p), nil
 }
 
-// serverNames returns the servers that the reader has, as name@service, sorted.
+// serverNames returns the servers that the reader has as sorted name@service pairs.
 func (r *serviceWatchReader) serverNames() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,12 +147,12 @@
 	return strings.Join(out, " ")
 }
 
-// checkViolations fails the test if the reader recorded violations.
+// checkViolations fails the test if the reader has recorded violations.
 func (r *serviceWatchReader) checkViolations(t *testing.T) {
 	t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.violations) > 0 {
-		t.Errorf("a reader of %q: %s", r.services, strings.Join(r.violations, "; "))
+		t.Errorf("violations seen by a reader of %q: %s", r.services, strings.Join(r.violations, "; "))
 	}
 }
--- a/internal/control/wire_test.go
+++ b/internal/control/wire_test.go
@@ -25,14 +25,14 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// The files in testdata are what the program of commit d25b370 wrote and answered. Data folders on
-// disk, other builds, scripts and dashboards depend on what these files hold, so it must not change. The
-// names in Go may.
+// The files in testdata were recorded from the program of commit d25b370. Data folders on disk, other
+// builds, scripts and dashboards depend on these formats and names, so they must not change. Go
+// identifiers may be renamed.
 
-// TestMessagesKeepTheirKeys holds the JSON form of the bodies of requests and answers, with
-// every field. Those of the catalog, of members and of lists are held beside their types. The names
-// are only labels in messages.txt: they are the words of commit d25b370 and stay with the file, also
-// where the Go type beside them has another name today.
+// TestMessagesKeepTheirKeys checks the JSON encoding of request and response bodies with every field
+// set. The types of the catalog, of members and of lists are checked in the packages that declare them.
+// The names given here are only labels in messages.txt: they date from commit d25b370 and stay as
+// recorded, even where the Go type has been renamed since.
 func TestMessagesKeepTheirKeys(t *testing.T) {
 	golden.Messages(t, "messages.txt", []golden.Message{
 		golden.Of[Status]("status"),
@@ -53,7 +53,7 @@
 // discardLog returns a logger that drops all messages.
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// newUnstartedServer returns a server that has opened nothing yet.
+// newUnstartedServer returns a server that has opened neither its store nor a listener.
 func newUnstartedServer(t *testing.T) *Server {
 	t.Helper()
 	c := Defaults()
@@ -62,8 +62,8 @@
 	return s
 }
 
-// TestRoutesKeepTheirPaths holds the methods of each path. It sends each path a method that no route
-// accepts: the response's Allow header lists the methods that the path's routes accept.
+// TestRoutesKeepTheirPaths checks which methods each path accepts. It requests each path with a method
+// that no route accepts and reads the accepted ones from the Allow header of the response.
 func TestRoutesKeepTheirPaths(t *testing.T) {
 	handler := newUnstartedServer(t).handler()
 	var got []string
@@ -79,7 +79,7 @@
 	golden.Lines(t, "routes.txt", got)
 }
 
-// TestMetricsKeepTheirNames holds the name and the labels of each metric.
+// TestMetricsKeepTheirNames checks the name and the labels of each metric.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	descriptions := make(chan *prometheus.Desc, 1000)
 	newUnstartedServer(t).metrics.registry.Describe(descriptions)
@@ -89,7 +89,7 @@
 	for d := range descriptions {
 		m := descPattern.FindStringSubmatch(d.String())
 		if m == nil {
-			t.Fatalf("unknown form of a description: %s", d)
+			t.Fatalf("metric description has an unknown format: %s", d)
 		}
 		if strings.HasPrefix(m[1], "go_") || strings.HasPrefix(m[1], "process_") {
 			continue
@@ -100,7 +100,7 @@
 	golden.Lines(t, "metrics.txt", got)
 }
 
-// settingLines returns the keys of a configuration with their values, a line each, sorted.
+// settingLines returns the keys of a configuration with their values, one per line, sorted.
 func settingLines(prefix string, v reflect.Value) (lines []string) {
 	for i := range v.NumField() {
 		key, f := prefix+v.Type().Field(i).Tag.Get("koanf"), v.Field(i)
@@ -118,8 +118,8 @@
 	return lines
 }
 
-// TestConfigurationKeepsItsKeys reads a file with every key, then the same keys from the
-// environment. No key may be unknown, and none be left at its default.
+// TestConfigurationKeepsItsKeys loads a file that sets every key, then loads the same settings from the
+// environment. Every key must be known, and none may be left at its default.
 func TestConfigurationKeepsItsKeys(t *testing.T) {
 	defaults := Defaults()
 	defaultLines := settingLines("", reflect.ValueOf(defaults))
@@ -144,14 +144,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fromEnvironment.Peers = fromFile.Peers // no variable sets a table
+	fromEnvironment.Peers = fromFile.Peers // tables can't be set by environment variables
 	if environmentLines := settingLines("", reflect.ValueOf(*fromEnvironment)); !slices.Equal(environmentLines, fileLines) {
 		t.Errorf("from the environment:\n%s\nfrom the file:\n%s", strings.Join(environmentLines, "\n"), strings.Join(fileLines, "\n"))
 	}
 }
 
-// unpackRecordedFolder unpacks the data folder of a server that was killed with entries in its log
-// after its last snapshot, and returns the path.
+// unpackRecordedFolder unpacks the data folder of a server that was killed while its log had entries
+// after the last snapshot, and returns the folder's path.
 func unpackRecordedFolder(t *testing.T) string {
 	t.Helper()
 	file, err := os.Open(golden.Path("folder.tar.gz"))
@@ -187,8 +187,9 @@
 	}
 }
 
-// TestRecordedFolderReplaysToRecordedState reads the snapshot and the log after it. The state is, byte
-// for byte, what the program that wrote them answered before it was killed.
+// TestRecordedFolderReplaysToRecordedState restores the recorded snapshot and replays the log after it.
+// The resulting state must be byte for byte the one that the recording program returned before it was
+// killed.
 func TestRecordedFolderReplaysToRecordedState(t *testing.T) {
 	s, err := openStore(unpackRecordedFolder(t), hclog.NewNullLogger())
 	if err != nil {
@@ -224,7 +225,7 @@
 		}
 	}
 	if commands == 0 {
-		t.Error("the recorded log has no command after the snapshot")
+		t.Error("the recorded log has no commands after the snapshot")
 	}
 	got, err := replayed.state.Encode()
 	if err != nil {
@@ -233,10 +234,10 @@
 	golden.Check(t, "folder-state.json", got)
 }
 
-// TestServerReadsRecordedFolder starts a server on the recorded data folder: it answers with the same
-// lists, servers, sessions and leased tasks as the program that wrote the folder, and accepts writes. The
-// comparison leaves out the server's own session, st-1, and the tasks that it holds, as each start opens
-// a new session; and the session w-2, which holds no task and ends soon.
+// TestServerReadsRecordedFolder starts a server on the recorded data folder. It must return the same
+// lists, servers, sessions and leased tasks as the program that wrote the folder, and accept writes. The
+// comparison leaves out the server's own session, st-1, and the tasks that it holds, because each start
+// opens a new session; and the session w-2, which holds no task and ends soon.
 func TestServerReadsRecordedFolder(t *testing.T) {
 	s := startServerOnFolder(t, unpackRecordedFolder(t))
 	var got []string
@@ -255,15 +256,15 @@
 		t.Fatalf("register: %d %s", status, text)
 	}
 	if text := s.get("/v1/endpoints?service=web"); !strings.Contains(text, entry) {
-		t.Errorf("the registered server is not as it was written: %s", text)
+		t.Errorf("the list does not have the server as it was registered: %s", text)
 	}
 }
 
-// entryBody registers the server s-a.
+// entryBody is the body of a request that registers the server s-a.
 const entryBody = `{"host":"s-a","dial":"127.0.0.1:9","site":"a","class":"k","block":3,"health":"ready","share":1,"born_ms":1000}`
 
-// recordedRequests are the requests whose answers testdata/answers.txt has, in the order in which they
-// are sent to one server.
+// recordedRequests are the requests whose responses are recorded in testdata/answers.txt, in the order in
+// which they are sent to one server.
 var recordedRequests = []apiRequest{
 	{"PUT", "/v1/servers/s-a", entryBody},
 	{"PUT", "/v1/servers/s-a", strings.Replace(entryBody, "1000", "900", 1)},
@@ -313,7 +314,8 @@
 	{"POST", "/v1/evidence", `{"refs":[]}`},
 }
 
-// describeResponse returns an answer's status, its keys or the first word of a rejection, and its headers.
+// describeResponse returns the status of a response, its JSON with numbers zeroed or the text of its
+// error up to the first colon, and its headers.
 func describeResponse(r apiRequest, status int, header http.Header, text string) string {
 	summary, detail, hasDetail := strings.Cut(strings.TrimSpace(text), ": ")
 	if status == http.StatusOK {
@@ -330,8 +332,8 @@
 	return line
 }
 
-// TestAnswersKeepStatusAndHeaders holds the status, the headers and the first word of each rejection, and
-// the status, the headers and the JSON keys of each other answer.
+// TestAnswersKeepStatusAndHeaders checks the status and headers of each response, with the first word of
+// each rejection and the JSON keys of each other response.
 func TestAnswersKeepStatusAndHeaders(t *testing.T) {
 	s := startServerOnFolder(t, t.TempDir())
 	var got []string
