--- a/internal/control/admission_test.go
+++ b/internal/control/admission_test.go
@@ -11,47 +11,48 @@
 	"time"
 )
 
-// A thousand requests at once are admitted up to the bound; the rest are asked to retry at times
-// spread over as long as the bound needs for all of them, and writes have slots of their own.
+// Of a thousand simultaneous requests, those within the rate limit's burst are admitted. The others are
+// asked to retry at times spread over the period that the rate limit needs to admit all of them. Writes
+// have their own limit on concurrent requests.
 func TestAdmissionBoundsCallsAndWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := Defaults()
 		c.CallRate, c.MaxWrites = 400, 2
 		a := newAdmission(&c)
-		admitted, late := 0, 0
+		admitted, overOneSecond := 0, 0
 		for range 1000 {
 			w := httptest.NewRecorder()
 			if a.admitCall(w, 0) {
 				admitted++
 				continue
 			}
-			s, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
-			if w.Code != http.StatusServiceUnavailable || err != nil || s < minRetryAfter.Seconds() || s > (minRetryAfter+2*maxRetryAfter).Seconds() {
+			retryAfter, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
+			if w.Code != http.StatusServiceUnavailable || err != nil || retryAfter < minRetryAfter.Seconds() || retryAfter > (minRetryAfter+2*maxRetryAfter).Seconds() {
 				t.Fatalf("%d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 			}
-			if s > 1 {
-				late++
+			if retryAfter > 1 {
+				overOneSecond++
 			}
 		}
 		if admitted != 100 {
-			t.Errorf("%d admitted at once, of a burst of 100", admitted)
+			t.Errorf("%d admitted at once, want the burst of 100", admitted)
 		}
-		// 900 at 400 a second take 2.25 s, so six in ten must retry later than in a second.
-		if late < 450 || late > 650 {
-			t.Errorf("%d of 900 asked to retry later than in a second", late)
+		// 900 at 400 a second take 2.25 s, so about six in ten must be asked to wait for more than 1 s.
+		if overOneSecond < 450 || overOneSecond > 650 {
+			t.Errorf("%d of 900 asked to wait for more than a second before a retry, want 450 to 650", overOneSecond)
 		}
 		if w := httptest.NewRecorder(); a.admitCall(w, 0) {
-			t.Error("admitted at the bound")
+			t.Error("a request was admitted beyond the burst")
 		}
 		time.Sleep(3 * time.Second)
-		heavy := 0
+		fullLists := 0
 		for range 1000 {
 			if a.admitCall(httptest.NewRecorder(), 10*bytesPerCall) {
-				heavy++
+				fullLists++
 			}
 		}
-		if heavy != 100/11 {
-			t.Errorf("%d full lists admitted in the place of 100 requests, each of the cost of eleven", heavy)
+		if fullLists != 100/11 {
+			t.Errorf("%d full lists admitted, each of the cost of 11 requests, of a burst of 100", fullLists)
 		}
 		var releases []func()
 		for i := range 3 {
@@ -65,13 +66,13 @@
 		}
 		releases[0]()
 		if _, ok := a.admitWrite(httptest.NewRecorder()); !ok {
-			t.Error("a released slot is not reused")
+			t.Error("a write was rejected although a slot had been released")
 		}
 	})
 }
 
-// The cost of a request depends on the bytes of its answer: that for a small service doesn't depend
-// on the number of all servers, and a small list costs one request.
+// The cost of a request depends on the estimated size of its response: the list of a small service costs
+// the same however many servers there are in total, and a small list costs one request.
 func TestAdmissionCostsByBytes(t *testing.T) {
 	fixture := newFSMFixture(t)
 	s := &Server{broadcaster: fixture.broadcaster, fsm: fixture.fsm}
@@ -81,21 +82,21 @@
 	}
 	for _, c := range []struct {
 		services []string
-		follow   bool
+		watch    bool
 		since    int64
-		least    int
-		most     int
+		minBytes int
+		maxBytes int
 	}{
 		{nil, false, 0, 2000 * 100, 2000 * 160}, {nil, true, 0, 0, 0},
 		{[]string{"small"}, false, 0, 100, 160}, {[]string{"large"}, false, 0, 2000 * 100, 2000 * 160}, {[]string{"none"}, false, 0, 0, 0},
 		{[]string{"large"}, true, fixture.revision() + 1, 2000 * 100, 2000 * 160}, {[]string{"large"}, true, fixture.revision() - 1, 0, 0},
 	} {
-		got := s.estimateListBytes(c.services, c.follow, c.since)
-		if got < c.least || got > c.most {
-			t.Errorf("%q, follow %v from %d: %d bytes, want %d to %d", c.services, c.follow, c.since, got, c.least, c.most)
+		got := s.estimateListBytes(c.services, c.watch, c.since)
+		if got < c.minBytes || got > c.maxBytes {
+			t.Errorf("%q, watch %v from %d: %d bytes, want %d to %d", c.services, c.watch, c.since, got, c.minBytes, c.maxBytes)
 		}
 	}
-	synctest.Test(t, func(t *testing.T) { // in a bubble, where no time passes while they are admitted
+	synctest.Test(t, func(t *testing.T) { // in a synctest bubble, so that no time passes while requests are admitted
 		c := Defaults()
 		c.CallRate = 400
 		for bytes, want := range map[int]int{0: 100, 30 * estimatedEntryBytes: 100, 2000 * estimatedEntryBytes: 9, 39_000 * estimatedEntryBytes: 1} {
@@ -110,13 +111,13 @@
 	})
 }
 
-// No more watches are admitted than there are file descriptors for.
+// The limit on watches never exceeds what the available file descriptors allow.
 func TestWatchLimitFollowsDescriptors(t *testing.T) {
 	if got := availableWatches(1); got != 1 {
-		t.Errorf("of 1 configured watch, %d are available", got)
+		t.Errorf("1 watch configured: %d available", got)
 	}
 	if got := availableWatches(1 << 40); got < 1 || got >= 1<<40 {
-		t.Errorf("of more configured watches than descriptors, %d are available", got)
+		t.Errorf("more watches configured than file descriptors: %d available", got)
 	}
 	for _, watches := range []int{0, -1, maxWatchesSetting + 1} {
 		c := Defaults()
--- a/internal/control/controltasks_test.go
+++ b/internal/control/controltasks_test.go
@@ -8,9 +8,9 @@
 	"knotrouter/internal/catalog"
 )
 
-// expireAsDeath has the current term of a task expire with its holder's death counted, as a leader
-// of an earlier build proposes it.
-func expireAsDeath(t *testing.T, s *Server, task string) {
+// expireCountingDeath proposes to expire the current term of a task and to count a death of its holder, as
+// a leader of an earlier build does.
+func expireCountingDeath(t *testing.T, s *Server, task string) {
 	t.Helper()
 	var fence int64
 	s.fsm.read(func(state *catalog.State) { fence = state.LeasedTasks[task].Fence })
@@ -20,37 +20,37 @@
 	}
 }
 
-// waitForTask waits until a task is in a state.
-func waitForTask(t *testing.T, s *Server, name, what string, reached func(task *catalog.LeasedTask) bool) {
+// waitForTask waits until reached returns true for a task, and fails the test after 20 s.
+func waitForTask(t *testing.T, s *Server, name, condition string, reached func(task *catalog.LeasedTask) bool) {
 	t.Helper()
 	var last string
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		found := false
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		done := false
 		s.fsm.read(func(state *catalog.State) {
 			if task := state.LeasedTasks[name]; task != nil {
-				found, last = reached(task), fmt.Sprintf("%+v", task)
+				done, last = reached(task), fmt.Sprintf("%+v", task)
 			}
 		})
-		if found {
+		if done {
 			return
 		}
 	}
-	t.Fatalf("%s: %s: not reached; %s", name, what, last)
+	t.Fatalf("task %s is not %s; last seen as %s", name, condition, last)
 }
 
-// hasHolder reports whether a process holds a task.
+// hasHolder reports whether a process holds the task.
 func hasHolder(task *catalog.LeasedTask) bool { return task.Holder != "" }
 
-// TestControlTasksComeBackAfterDeaths holds that each of the control plane's own tasks which an
-// earlier build has suspended for its holders' deaths is held again, and that an operator's
-// suspension stays.
-func TestControlTasksComeBackAfterDeaths(t *testing.T) {
-	const deaths = 3 // after which an earlier build suspends a task
+// TestControlTasksAreHeldAgainAfterDeaths checks that each of the control plane's own tasks gets a holder
+// again after an earlier build has suspended it because its holders died, and that a suspension by an
+// operator stays in effect.
+func TestControlTasksAreHeldAgainAfterDeaths(t *testing.T) {
+	const deaths = 3 // an earlier build suspends a task after this many
 	s, addr := startSingleServer(t)
 	for _, name := range controlTasks {
 		for range deaths {
 			waitForTask(t, s, name, "held", hasHolder)
-			expireAsDeath(t, s, name)
+			expireCountingDeath(t, s, name)
 		}
 		waitForTask(t, s, name, "held after the deaths", hasHolder)
 	}
@@ -59,7 +59,7 @@
 	if err := client.CommandTask(t.Context(), auditTask, CommandSuspend, "", reason); err != nil {
 		t.Fatal(err)
 	}
-	waitForTask(t, s, auditTask, "stopped", func(task *catalog.LeasedTask) bool { return task.Holder == "" })
+	waitForTask(t, s, auditTask, "without a holder", func(task *catalog.LeasedTask) bool { return task.Holder == "" })
 	time.Sleep(5 * decisionInterval)
 	waitForTask(t, s, auditTask, "still suspended", func(task *catalog.LeasedTask) bool {
 		return task.SuspendReason == reason && task.Holder == ""
--- a/internal/control/requests_test.go
+++ b/internal/control/requests_test.go
@@ -15,23 +15,23 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// TestClientKeepsItsRequests holds the method, the path with its query, and the body of each
-// call of the client, as the program of commit d25b370 sent them.
+// TestClientKeepsItsRequests checks that each client method sends the same HTTP method, path, query and
+// body as the program of commit d25b370.
 func TestClientKeepsItsRequests(t *testing.T) {
 	var mu sync.Mutex
 	var got []string
-	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		text, err := io.ReadAll(r.Body)
+	stub := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			t.Error(err)
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		got = append(got, strings.TrimSpace(r.Method+" "+r.URL.RequestURI()+" "+string(text)))
+		got = append(got, strings.TrimSpace(r.Method+" "+r.URL.RequestURI()+" "+string(body)))
 		w.WriteHeader(http.StatusTeapot)
 	}))
-	t.Cleanup(service.Close)
-	c := NewClient([]string{strings.TrimPrefix(service.URL, "http://")}, 5*time.Second)
+	t.Cleanup(stub.Close)
+	c := NewClient([]string{strings.TrimPrefix(stub.URL, "http://")}, 5*time.Second)
 	ctx := t.Context()
 	var endpoint endpoints.Endpoint
 	var override ServerOverride
@@ -42,7 +42,7 @@
 	for _, v := range []any{&endpoint, &override, &session, &task, &ref, &term} {
 		golden.Fill(t, v)
 	}
-	// The stub rejects each request. Only the requests that it received are compared, so results are ignored.
+	// The stub rejects every request. Only the requests that it received are compared, so results are ignored.
 	_, _ = c.Register(ctx, endpoint)
 	_, _ = c.Renew(ctx, []catalog.InstanceRef{ref})
 	_, _ = c.SetOverride(ctx, "s-a", override)
@@ -78,14 +78,15 @@
 	golden.Lines(t, "requests.txt", got)
 }
 
-// TestRefusalsKeepTheirHeaders holds the headers that tell a client when to retry and that a rejected
-// write had no effect: without a leader, and with too many requests.
-func TestRefusalsKeepTheirHeaders(t *testing.T) {
+// TestRejectionsKeepTheirHeaders checks the headers of a rejected request, without a leader and at the
+// request limit: they tell the client when to retry and that the request had no effect. A write with an
+// unknown outcome must not claim the latter.
+func TestRejectionsKeepTheirHeaders(t *testing.T) {
 	s := newUnstartedServer(t)
-	check := func(what string, status int, w *httptest.ResponseRecorder, notApplied string) {
+	check := func(name string, status int, w *httptest.ResponseRecorder, notApplied string) {
 		t.Helper()
 		if w.Code != status || w.Header().Get("Retry-After") == "" || w.Header().Get("Not-Applied") != notApplied {
-			t.Errorf("%s: %d %v", what, w.Code, w.Header())
+			t.Errorf("%s: %d %v", name, w.Code, w.Header())
 		}
 	}
 	for _, r := range []apiRequest{{"PUT", "/v1/servers/s-a", "{}"}, {"POST", "/v1/terms", "{}"}, {"PUT", "/v1/duties/job.a", "{}"},
@@ -96,26 +97,26 @@
 	}
 	w := httptest.NewRecorder()
 	s.admission.reject(w, time.Second)
-	check("too many calls", http.StatusServiceUnavailable, w, "1")
+	check("too many requests", http.StatusServiceUnavailable, w, "1")
 	w = httptest.NewRecorder()
 	writeError(w, errUnknownOutcome)
 	check("unknown outcome", http.StatusServiceUnavailable, w, "")
 }
 
-// TestSessionsKeepTheirQuery holds the query parameter rest, with which a request to end a session
-// drains it instead, and the header of a request that another server forwarded.
-func TestSessionsKeepTheirQuery(t *testing.T) {
+// TestEndSessionKeepsRestParameter checks the query parameter rest, which makes a request to end a session
+// drain it instead, and the name of the header that marks a forwarded request.
+func TestEndSessionKeepsRestParameter(t *testing.T) {
 	if forwardedByHeader != "Forwarded-By" {
 		t.Errorf("the header of a forwarded request is %q", forwardedByHeader)
 	}
 
-	s := serveFolder(t, t.TempDir())
+	s := startServerOnFolder(t, t.TempDir())
 	session := func() string {
 		return strings.Join(itemsExcept(t, s.get("/v1/sessions?consistent=1"), regexp.MustCompile(`"process":"st-1"`)), "")
 	}
 	for _, step := range []struct {
 		request apiRequest
-		want    string // the sessions after it, with all numbers 0
+		want    string // the sessions after the request, with all numbers replaced by 0
 	}{
 		{apiRequest{http.MethodPut, "/v1/sessions/w-1", `{"process":"w-1","id":"one","cap":0,"rev":0}`}, `{"process":"w-1","id":"one","cap":0,"opened":0,"rev":0}`},
 		{apiRequest{http.MethodDelete, "/v1/sessions/w-1?id=one&rest=1", ""}, `{"process":"w-1","id":"one","cap":0,"resting":true,"opened":0,"rev":0}`},
--- a/internal/control/wire_test.go
+++ b/internal/control/wire_test.go
@@ -25,14 +25,14 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// The files in testdata are what the program of commit d25b370 wrote and answered. Data folders on
-// disk, other builds, scripts and dashboards depend on what these files hold, so it must not change. The
-// names in Go may.
+// The files in testdata were recorded from the program of commit d25b370. Data folders on disk, other
+// builds, scripts and dashboards depend on these formats and names, so they must not change. Go
+// identifiers may be renamed.
 
-// TestMessagesKeepTheirKeys holds the JSON form of the bodies of requests and answers, with
-// every field. Those of the catalog, of members and of lists are held beside their types. The names
-// are only labels in messages.txt: they are the words of commit d25b370 and stay with the file, also
-// where the Go type beside them has another name today.
+// TestMessagesKeepTheirKeys checks the JSON encoding of request and response bodies with every field
+// set. The types of the catalog, of members and of lists are checked in the packages that declare them.
+// The names given here are only labels in messages.txt: they date from commit d25b370 and stay as
+// recorded, even where the Go type has been renamed since.
 func TestMessagesKeepTheirKeys(t *testing.T) {
 	golden.Messages(t, "messages.txt", []golden.Message{
 		golden.Of[Status]("status"),
@@ -53,7 +53,7 @@
 // discardLog returns a logger that drops all messages.
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// newUnstartedServer returns a server that has opened nothing yet.
+// newUnstartedServer returns a server that has opened neither its store nor a listener.
 func newUnstartedServer(t *testing.T) *Server {
 	t.Helper()
 	c := Defaults()
@@ -62,8 +62,8 @@
 	return s
 }
 
-// TestRoutesKeepTheirPaths holds the methods of each path. It sends each path a method that no route
-// accepts: the response's Allow header lists the methods that the path's routes accept.
+// TestRoutesKeepTheirPaths checks which methods each path accepts. It requests each path with a method
+// that no route accepts and reads the accepted ones from the Allow header of the response.
 func TestRoutesKeepTheirPaths(t *testing.T) {
 	handler := newUnstartedServer(t).handler()
 	var got []string
@@ -79,17 +79,17 @@
 	golden.Lines(t, "routes.txt", got)
 }
 
-// TestMetricsKeepTheirNames holds the name and the labels of each metric.
+// TestMetricsKeepTheirNames checks the name and the labels of each metric.
 func TestMetricsKeepTheirNames(t *testing.T) {
-	described := make(chan *prometheus.Desc, 1000)
-	newUnstartedServer(t).metrics.registry.Describe(described)
-	close(described)
-	description := regexp.MustCompile(`^Desc\{fqName: "([^"]*)", .*variableLabels: \{([^}]*)\}\}$`)
+	descriptions := make(chan *prometheus.Desc, 1000)
+	newUnstartedServer(t).metrics.registry.Describe(descriptions)
+	close(descriptions)
+	descPattern := regexp.MustCompile(`^Desc\{fqName: "([^"]*)", .*variableLabels: \{([^}]*)\}\}$`)
 	var got []string
-	for d := range described {
-		m := description.FindStringSubmatch(d.String())
+	for d := range descriptions {
+		m := descPattern.FindStringSubmatch(d.String())
 		if m == nil {
-			t.Fatalf("unknown form of a description: %s", d)
+			t.Fatalf("metric description has an unknown format: %s", d)
 		}
 		if strings.HasPrefix(m[1], "go_") || strings.HasPrefix(m[1], "process_") {
 			continue
@@ -100,7 +100,7 @@
 	golden.Lines(t, "metrics.txt", got)
 }
 
-// settingLines returns the keys of a configuration with their values, a line each, sorted.
+// settingLines returns the keys of a configuration with their values, one per line, sorted.
 func settingLines(prefix string, v reflect.Value) (lines []string) {
 	for i := range v.NumField() {
 		key, f := prefix+v.Type().Field(i).Tag.Get("koanf"), v.Field(i)
@@ -118,24 +118,24 @@
 	return lines
 }
 
-// TestConfigurationKeepsItsKeys reads a file with every key, then the same keys from the
-// environment. No key may be unknown, and none be left at its default.
+// TestConfigurationKeepsItsKeys loads a file that sets every key, then loads the same settings from the
+// environment. Every key must be known, and none may be left at its default.
 func TestConfigurationKeepsItsKeys(t *testing.T) {
 	defaults := Defaults()
-	unset := settingLines("", reflect.ValueOf(defaults))
-	golden.Lines(t, "defaults.txt", unset)
+	defaultLines := settingLines("", reflect.ValueOf(defaults))
+	golden.Lines(t, "defaults.txt", defaultLines)
 	fromFile, err := LoadConfig(golden.Path("every-key.toml"), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := settingLines("", reflect.ValueOf(*fromFile))
-	golden.Lines(t, "settings.txt", got)
-	for _, line := range got {
-		if slices.Contains(unset, line) {
+	fileLines := settingLines("", reflect.ValueOf(*fromFile))
+	golden.Lines(t, "settings.txt", fileLines)
+	for _, line := range fileLines {
+		if slices.Contains(defaultLines, line) {
 			t.Errorf("every-key.toml leaves a key at its default: %s", line)
 		}
 	}
-	for _, line := range got {
+	for _, line := range fileLines {
 		if key, value, _ := strings.Cut(line, " = "); !strings.Contains(key, ".") {
 			t.Setenv("STEWARD_"+strings.ToUpper(key), value)
 		}
@@ -144,27 +144,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fromEnvironment.Peers = fromFile.Peers // no variable sets a table
-	if again := settingLines("", reflect.ValueOf(*fromEnvironment)); !slices.Equal(again, got) {
-		t.Errorf("from the environment:\n%s\nfrom the file:\n%s", strings.Join(again, "\n"), strings.Join(got, "\n"))
+	fromEnvironment.Peers = fromFile.Peers // tables can't be set by environment variables
+	if environmentLines := settingLines("", reflect.ValueOf(*fromEnvironment)); !slices.Equal(environmentLines, fileLines) {
+		t.Errorf("from the environment:\n%s\nfrom the file:\n%s", strings.Join(environmentLines, "\n"), strings.Join(fileLines, "\n"))
 	}
 }
 
-// recordedFolder unpacks the data folder of a server that was killed with entries in its log
-// after its last snapshot, and returns the path.
-func recordedFolder(t *testing.T) string {
+// unpackRecordedFolder unpacks the data folder of a server that was killed while its log had entries
+// after the last snapshot, and returns the folder's path.
+func unpackRecordedFolder(t *testing.T) string {
 	t.Helper()
 	file, err := os.Open(golden.Path("folder.tar.gz"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer file.Close()
-	unzipped, err := gzip.NewReader(file)
+	decompressed, err := gzip.NewReader(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	for archive := tar.NewReader(unzipped); ; {
+	for archive := tar.NewReader(decompressed); ; {
 		h, err := archive.Next()
 		if errors.Is(err, io.EOF) {
 			return dir
@@ -176,9 +176,9 @@
 		if h.Typeflag == tar.TypeDir {
 			err = os.MkdirAll(path, 0o755)
 		} else {
-			var text []byte
-			if text, err = io.ReadAll(archive); err == nil {
-				err = os.WriteFile(path, text, 0o600)
+			var content []byte
+			if content, err = io.ReadAll(archive); err == nil {
+				err = os.WriteFile(path, content, 0o600)
 			}
 		}
 		if err != nil {
@@ -187,10 +187,11 @@
 	}
 }
 
-// TestRecordedFolderReplaysToRecordedState reads the snapshot and the log after it. The state is, byte
-// for byte, what the program that wrote them answered before it was killed.
+// TestRecordedFolderReplaysToRecordedState restores the recorded snapshot and replays the log after it.
+// The resulting state must be byte for byte the one that the recording program returned before it was
+// killed.
 func TestRecordedFolderReplaysToRecordedState(t *testing.T) {
-	s, err := openStore(recordedFolder(t), hclog.NewNullLogger())
+	s, err := openStore(unpackRecordedFolder(t), hclog.NewNullLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,46 +200,46 @@
 	if err != nil || len(snapshots) == 0 {
 		t.Fatalf("%d snapshots: %v", len(snapshots), err)
 	}
-	last := snapshots[0]
-	_, text, err := s.snapshots.Open(last.ID)
+	latest := snapshots[0]
+	_, snapshot, err := s.snapshots.Open(latest.ID)
 	if err != nil {
 		t.Fatal(err)
 	}
-	machine := &fsm{state: catalog.New(), onChange: func() {}, onFatal: func(err error) { t.Error(err) }}
-	if err := machine.Restore(text); err != nil {
+	replayed := &fsm{state: catalog.New(), onChange: func() {}, onFatal: func(err error) { t.Error(err) }}
+	if err := replayed.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	end, err := s.LastIndex()
+	lastIndex, err := s.LastIndex()
 	if err != nil {
 		t.Fatal(err)
 	}
 	commands := 0
-	for i := last.Index + 1; i <= end; i++ {
+	for i := latest.Index + 1; i <= lastIndex; i++ {
 		var l raft.Log
 		if err := s.GetLog(i, &l); err != nil {
 			t.Fatal(err)
 		}
 		if l.Type == raft.LogCommand {
-			machine.Apply(&l)
+			replayed.Apply(&l)
 			commands++
 		}
 	}
 	if commands == 0 {
-		t.Error("the recorded log has no command after the snapshot")
+		t.Error("the recorded log has no commands after the snapshot")
 	}
-	got, err := machine.state.Encode()
+	got, err := replayed.state.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "folder-state.json", got)
 }
 
-// TestServerReadsRecordedFolder starts a server on the recorded data folder: it answers with the same
-// lists, servers, sessions and leased tasks as the program that wrote the folder, and accepts writes. The
-// comparison leaves out the server's own session, st-1, and the tasks that it holds, as each start opens
-// a new session; and the session w-2, which holds no task and ends soon.
+// TestServerReadsRecordedFolder starts a server on the recorded data folder. It must return the same
+// lists, servers, sessions and leased tasks as the program that wrote the folder, and accept writes. The
+// comparison leaves out the server's own session, st-1, and the tasks that it holds, because each start
+// opens a new session; and the session w-2, which holds no task and ends soon.
 func TestServerReadsRecordedFolder(t *testing.T) {
-	s := serveFolder(t, recordedFolder(t))
+	s := startServerOnFolder(t, unpackRecordedFolder(t))
 	var got []string
 	for _, path := range []string{"/v1/servers?consistent=1", "/v1/servers", "/v1/sessions?consistent=1", "/v1/duties?consistent=1"} {
 		got = append(got, path)
@@ -255,15 +256,15 @@
 		t.Fatalf("register: %d %s", status, text)
 	}
 	if text := s.get("/v1/endpoints?service=web"); !strings.Contains(text, entry) {
-		t.Errorf("the registered server is not as it was written: %s", text)
+		t.Errorf("the list does not have the server as it was registered: %s", text)
 	}
 }
 
-// entryBody registers the server s-a.
+// entryBody is the body of a request that registers the server s-a.
 const entryBody = `{"host":"s-a","dial":"127.0.0.1:9","site":"a","class":"k","block":3,"health":"ready","share":1,"born_ms":1000}`
 
-// recordedRequests are the requests whose answers testdata/answers.txt has, in the order in which they
-// are sent to one server.
+// recordedRequests are the requests whose responses are recorded in testdata/answers.txt, in the order in
+// which they are sent to one server.
 var recordedRequests = []apiRequest{
 	{"PUT", "/v1/servers/s-a", entryBody},
 	{"PUT", "/v1/servers/s-a", strings.Replace(entryBody, "1000", "900", 1)},
@@ -313,15 +314,16 @@
 	{"POST", "/v1/evidence", `{"refs":[]}`},
 }
 
-// describeAnswer returns an answer's status, its keys or the first word of a rejection, and its headers.
-func describeAnswer(r apiRequest, status int, header http.Header, text string) string {
-	first, rest, isText := strings.Cut(strings.TrimSpace(text), ": ")
+// describeResponse returns the status of a response, its JSON with numbers zeroed or the text of its
+// error up to the first colon, and its headers.
+func describeResponse(r apiRequest, status int, header http.Header, text string) string {
+	summary, detail, hasDetail := strings.Cut(strings.TrimSpace(text), ": ")
 	if status == http.StatusOK {
-		first = zeroNumbers([]byte(text))
-	} else if !isText || rest == "" {
-		first = "(text)"
+		summary = zeroNumbers([]byte(text))
+	} else if !hasDetail || detail == "" {
+		summary = "(text)"
 	}
-	line := fmt.Sprintf("%s %s %s\n\t%d %s", r.method, r.path, r.body, status, first)
+	line := fmt.Sprintf("%s %s %s\n\t%d %s", r.method, r.path, r.body, status, summary)
 	for _, key := range []string{"Content-Type", "Retry-After", "Not-Applied", "Service-Scope"} {
 		if v := header.Get(key); v != "" {
 			line += fmt.Sprintf("\n\t%s: %s", key, v)
@@ -330,14 +332,14 @@
 	return line
 }
 
-// TestAnswersKeepStatusAndHeaders holds the status, the headers and the first word of each rejection, and
-// the status, the headers and the JSON keys of each other answer.
+// TestAnswersKeepStatusAndHeaders checks the status and headers of each response, with the first word of
+// each rejection and the JSON keys of each other response.
 func TestAnswersKeepStatusAndHeaders(t *testing.T) {
-	s := serveFolder(t, t.TempDir())
+	s := startServerOnFolder(t, t.TempDir())
 	var got []string
 	for _, r := range recordedRequests {
 		status, header, text := s.do(r.method, r.path, r.body)
-		got = append(got, describeAnswer(r, status, header, text))
+		got = append(got, describeResponse(r, status, header, text))
 	}
 	golden.Lines(t, "answers.txt", got)
 }
