--- a/cmd/controlplane/agents_test.go
+++ b/cmd/controlplane/agents_test.go
@@ -79,17 +79,17 @@
 }
 
 // agentConfig returns the JSON configuration of an agent that listens at addr and is number, from 0 on, of n.
-func (cluster *testCluster) agentConfig(name, addr string, number, n int) []byte {
+func (cluster *testCluster) agentConfig(name, addr string, index, n int) []byte {
 	cluster.t.Helper()
 	config, err := json.Marshal(map[string]any{
 		"name":      name,
 		"listen":    addr,
-		"seed":      fmt.Sprintf("%016x", number+1),
+		"seed":      fmt.Sprintf("%016x", index+1),
 		"limits":    map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256},
 		"stewards":  cluster.client(cluster.names...).Addrs,
 		"log_level": "debug",
 		"settings": map[string]any{
-			"replicasOfMe": n, "replicaIndex": number, "roundMs": 5, "weights": "nominal", "membershipMode": "on_request",
+			"replicasOfMe": n, "replicaIndex": index, "roundMs": 5, "weights": "nominal", "membershipMode": "on_request",
 			"classes": []any{map[string]any{"name": "look", "aimMs": 1000, "giveUpMs": 5000, "credit": 1, "effect": "free",
 				"group": "all", "keyTtlMs": 5000}},
 			"failureDomains": []any{"a"}, "shapes": []any{"k"},
@@ -215,8 +215,8 @@
 	}
 }
 
-// allReach reports whether all agents have had an answer of a backend.
-func (traffic *agentTraffic) allReach(backend string) bool {
+// allAgentsReach reports whether all agents have had an answer of a backend.
+func (traffic *agentTraffic) allAgentsReach(backend string) bool {
 	traffic.mu.Lock()
 	defer traffic.mu.Unlock()
 	for i := range traffic.answers {
@@ -227,11 +227,11 @@
 	return true
 }
 
-// waitUntilAllReach waits until all agents send requests to a backend from now on.
-func (traffic *agentTraffic) waitUntilAllReach(cluster *testCluster, backend string) {
+// waitUntilAllAgentsReach waits until all agents send requests to a backend from now on.
+func (traffic *agentTraffic) waitUntilAllAgentsReach(cluster *testCluster, backend string) {
 	cluster.t.Helper()
 	traffic.resetAnswersOf(backend)
-	cluster.waitUntil("all agents send requests to "+backend, func() bool { return traffic.allReach(backend) })
+	cluster.waitUntil("all agents send requests to "+backend, func() bool { return traffic.allAgentsReach(backend) })
 }
 
 // Agents that stay up serve through every fault of the control plane: the leader is killed, a server is
@@ -246,12 +246,12 @@
 		waitUntilReady(t, p)
 	}
 	traffic := cluster.startTraffic(addrs)
-	registerAndReach := func(backend string) {
+	registerAndWaitForTraffic := func(backend string) {
 		t.Helper()
 		cluster.registerEndpoint(cluster.startHTTPBackend(backend))
-		traffic.waitUntilAllReach(cluster, backend)
+		traffic.waitUntilAllAgentsReach(cluster, backend)
 	}
-	traffic.waitUntilAllReach(cluster, "p-0")
+	traffic.waitUntilAllAgentsReach(cluster, "p-0")
 	saved, err := cluster.client(cluster.names...).Snapshot(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -259,22 +259,22 @@
 
 	killed := cluster.waitForLeader()
 	cluster.kill(killed)
-	registerAndReach("p-2")
+	registerAndWaitForTraffic("p-2")
 	cluster.start(killed)
 
 	suspended := cluster.waitForLeader()
 	cluster.suspend(suspended)
-	registerAndReach("p-3")
+	registerAndWaitForTraffic("p-3")
 	cluster.resume(suspended)
 
-	replaceWhileDown(cluster, traffic, "p-1")
-	registerAndReach("p-4")
+	replaceBackendDuringOutage(cluster, traffic, "p-1")
+	registerAndWaitForTraffic("p-4")
 
 	// The snapshot has neither p-2 nor any later backend.
 	if _, err := cluster.client(cluster.waitForLeader()).Restore(t.Context(), saved); err != nil {
 		t.Fatal(err)
 	}
-	registerAndReach("p-5")
+	registerAndWaitForTraffic("p-5")
 
 	// A new cluster knows no backend until one registers.
 	for _, name := range cluster.names {
@@ -282,11 +282,11 @@
 		cluster.eraseData(name)
 	}
 	cluster.startServers(cluster.names)
-	registerAndReach("p-6")
+	registerAndWaitForTraffic("p-6")
 	traffic.stopSending()
 	traffic.requireNoFailure(t)
 	for _, p := range agents {
-		requireSomeWarnings(t, p)
+		requireBoundedWarnings(t, p)
 	}
 }
 
@@ -309,9 +309,9 @@
 	}
 }
 
-// requireSomeWarnings requires that an agent has logged the faults of the control plane, and has not
+// requireBoundedWarnings requires that an agent has logged the faults of the control plane, and has not
 // flooded its log with them.
-func requireSomeWarnings(t *testing.T, agent *process.Process) {
+func requireBoundedWarnings(t *testing.T, agent *process.Process) {
 	t.Helper()
 	const maxWarnings = 60
 	if lines := strings.Count(processLog(agent), "level=WARN"); lines == 0 || lines > maxWarnings {
@@ -319,9 +319,9 @@
 	}
 }
 
-// replaceWhileDown kills all servers, has a backend replaced by one of its name at another address, waits
+// replaceBackendDuringOutage kills all servers, has a backend replaced by one of its name at another address, waits
 // until the agents have served minServed requests without any server, and starts the servers again.
-func replaceWhileDown(cluster *testCluster, traffic *agentTraffic, backend string) {
+func replaceBackendDuringOutage(cluster *testCluster, traffic *agentTraffic, backend string) {
 	cluster.t.Helper()
 	const minServed = 200
 	cluster.killServers(cluster.names)
--- a/cmd/controlplane/bench_test.go
+++ b/cmd/controlplane/bench_test.go
@@ -18,13 +18,13 @@
 )
 
 // reportPercentiles reports the median, the 99th percentile and the maximum of durations, in ms.
-func reportPercentiles(b *testing.B, what string, durations []time.Duration) {
+func reportPercentiles(b *testing.B, prefix string, durations []time.Duration) {
 	b.Helper()
 	slices.Sort(durations)
 	last := len(durations) - 1
-	b.ReportMetric(float64(durations[len(durations)/2].Milliseconds()), what+"-p50-ms")
-	b.ReportMetric(float64(durations[min(len(durations)*99/100, last)].Milliseconds()), what+"-p99-ms")
-	b.ReportMetric(float64(durations[last].Milliseconds()), what+"-max-ms")
+	b.ReportMetric(float64(durations[len(durations)/2].Milliseconds()), prefix+"-p50-ms")
+	b.ReportMetric(float64(durations[min(len(durations)*99/100, last)].Milliseconds()), prefix+"-p99-ms")
+	b.ReportMetric(float64(durations[last].Milliseconds()), prefix+"-max-ms")
 	b.ReportMetric(0, "ns/op")
 }
 
@@ -66,8 +66,8 @@
 
 // usage returns the processor time and the memory that a server has used.
 func (cluster *testCluster) usage(name string) (cpu time.Duration, rssMB float64) {
-	use, _, _ := cluster.servers[name].proc.SampleUsage()
-	return use.CPU, use.RSSMB
+	sample, _, _ := cluster.servers[name].proc.SampleUsage()
+	return sample.CPU, sample.RSSMB
 }
 
 // countingTransport counts the calls that it makes.
@@ -90,10 +90,10 @@
 	stop    context.CancelFunc
 	done    sync.WaitGroup
 
-	mu         sync.Mutex
-	firstLists []time.Duration // of each watch, since the start of all
-	lists      int             // that all watches have received
-	haveMarker int             // watches that have received the server named marker
+	mu                sync.Mutex
+	firstLists        []time.Duration // of each watch, since the start of all
+	listsReceived     int             // by all watches
+	watchesWithMarker int             // watches that have received the server named marker
 }
 
 // watchLoadMarker is a server whose arrival at each watch a watchLoad counts.
@@ -110,12 +110,12 @@
 }
 
 // watch makes the calls of one watch until the context ends, with pauses between as an agent makes.
-func (load *watchLoad) watch(ctx context.Context, number, n int) {
+func (load *watchLoad) watch(ctx context.Context, index, n int) {
 	hasList, hasMarker := false, false
 	var version int64
 	client := endpoints.NewClient(endpoints.ClientConfig{
 		Addresses:   load.cluster.client(load.cluster.names...).Addrs,
-		OrderSeed:   uint64(number),
+		OrderSeed:   uint64(index),
 		Fleet:       n,
 		RejectOlder: true,
 		Transport:   countingTransport{&http.Transport{DisableKeepAlives: true}, &load.calls},
@@ -127,22 +127,22 @@
 			defer load.mu.Unlock()
 			if !hasMarker && slices.ContainsFunc(list.Endpoints, func(e endpoints.Endpoint) bool { return e.Name == watchLoadMarker }) {
 				hasMarker = true
-				load.haveMarker++
+				load.watchesWithMarker++
 			}
-			load.lists++
+			load.listsReceived++
 			if !hasList {
 				hasList = true
 				load.firstLists = append(load.firstLists, time.Since(load.began))
 			}
 		})
-		time.Sleep(agentReconnectPause(number * 37)) // neighbors in number are apart in time
+		time.Sleep(agentReconnectPause(index * 37)) // neighbors in index are apart in time
 	}
 }
 
 // waitUntil waits until a condition on the counts holds.
-func (load *watchLoad) waitUntil(what string, condition func() bool) {
+func (load *watchLoad) waitUntil(description string, condition func() bool) {
 	load.cluster.t.Helper()
-	load.cluster.waitUntil(what, func() bool {
+	load.cluster.waitUntil(description, func() bool {
 		load.mu.Lock()
 		defer load.mu.Unlock()
 		return condition()
@@ -167,7 +167,7 @@
 				load.mu.Unlock()
 				b.ReportMetric(float64(load.calls.Load())/float64(n), "calls/watch")
 				reportChanges(b, load, n)
-				reportReturn(b, load, n)
+				reportReconnect(b, load, n)
 				load.stop()
 				load.done.Wait()
 			}
@@ -181,7 +181,7 @@
 	const changes, interval = 100, 50 * time.Millisecond
 	cluster := load.cluster
 	load.mu.Lock()
-	before := load.lists
+	before := load.listsReceived
 	load.mu.Unlock()
 	leader := cluster.waitForLeader()
 	cpuBefore, _ := cluster.usage(leader)
@@ -190,14 +190,14 @@
 		cluster.register(fmt.Sprint("s-", i%200), float64(i+2), leader)
 		time.Sleep(time.Until(next))
 	}
-	load.waitUntil("the watches have received nine tenths of the changes", func() bool { return load.lists >= before+n*changes*9/10 })
+	load.waitUntil("the watches have received nine tenths of the changes", func() bool { return load.listsReceived >= before+n*changes*9/10 })
 	cpuAfter, rss := cluster.usage(leader)
 	b.ReportMetric(float64(cpuAfter-cpuBefore)/float64(changes*interval), "cores-of-the-leader")
 	b.ReportMetric(rss, "MB-of-the-leader")
 }
 
-// reportReturn kills and starts all servers at once and reports how the watches come back.
-func reportReturn(b *testing.B, load *watchLoad, n int) {
+// reportReconnect kills and starts all servers at once and reports how the watches come back.
+func reportReconnect(b *testing.B, load *watchLoad, n int) {
 	b.Helper()
 	cluster := load.cluster
 	callsBefore := load.calls.Load()
@@ -205,23 +205,23 @@
 	killed := time.Now()
 	cluster.startServers(cluster.names)
 	cluster.register(watchLoadMarker, 1)
-	load.waitUntil("all watches are back", func() bool { return load.haveMarker == n })
+	load.waitUntil("all watches are back", func() bool { return load.watchesWithMarker == n })
 	b.ReportMetric(time.Since(killed).Seconds(), "s-until-all-are-back")
 	b.ReportMetric(float64(load.calls.Load()-callsBefore)/float64(n), "calls/watch-to-come-back")
 }
 
-// inParallel calls do with 0 to n-1, in 16 goroutines.
-func inParallel(n int, do func(i int)) {
+// runInParallel calls do with 0 to n-1, in 16 goroutines.
+func runInParallel(n int, do func(i int)) {
 	const workers = 16
-	var working sync.WaitGroup
-	for part := range workers {
-		working.Go(func() {
-			for i := part; i < n; i += workers {
+	var running sync.WaitGroup
+	for worker := range workers {
+		running.Go(func() {
+			for i := worker; i < n; i += workers {
 				do(i)
 			}
 		})
 	}
-	working.Wait()
+	running.Wait()
 }
 
 // BenchmarkRestart restarts a server with ten thousand entries and measures the time until it serves all
@@ -230,8 +230,8 @@
 	const entries = 10_000
 	cluster := newCluster(b, 1)
 	name := cluster.names[0]
-	inParallel(entries, func(i int) { cluster.register(fmt.Sprint("s-", i), 1) })
-	var took []time.Duration
+	runInParallel(entries, func(i int) { cluster.register(fmt.Sprint("s-", i), 1) })
+	var durations []time.Duration
 	for range b.N {
 		cluster.kill(name)
 		cluster.start(name)
@@ -245,9 +245,9 @@
 			status, err := cluster.status(name)
 			return resp.StatusCode == http.StatusOK && err == nil && status.Listed == entries
 		})
-		took = append(took, time.Since(began))
+		durations = append(durations, time.Since(began))
 	}
-	reportPercentiles(b, "ready", took)
+	reportPercentiles(b, "ready", durations)
 	if log := processLog(cluster.servers[name].proc); strings.Contains(log, "ERROR") {
 		b.Errorf("the server logged an error: %s", tail(log, 500))
 	}
@@ -262,17 +262,17 @@
 	workers := cluster.startWorkers(6, 10)
 	workers.defineTask("work.a", 3*time.Second)
 	operation := workers.waitForOperation("work.a", "", 0)
-	var took []time.Duration
+	var durations []time.Duration
 	for range kills {
 		workers.kill(operation.Process)
 		last := workers.operations.Last("work.a").Mono
 		next := workers.waitForOperation("work.a", operation.Process, 0)
-		took = append(took, next.Mono-last)
+		durations = append(durations, next.Mono-last)
 		workers.start(operation.Process)
 		operation = next
 		time.Sleep(stableTerm) // or the control plane would blame the task for the next end of its holder
 	}
-	reportPercentiles(b, "after-kill", took)
+	reportPercentiles(b, "after-kill", durations)
 	before := len(workers.operations.Analyze().HandoverGaps)
 	for range moves {
 		if err := workers.commandTask("work.a", "move", ""); err == nil {
@@ -290,30 +290,30 @@
 // leader writes and uses at rest, and how long it takes until all are held again after a kill.
 func BenchmarkLeasedTasks(b *testing.B) {
 	const (
-		balancing = 15 * time.Second // the tasks are spread evenly afterwards
-		rest      = 10 * time.Second
+		balancingTime = 15 * time.Second // the tasks are spread evenly afterwards
+		idleTime      = 10 * time.Second
 	)
 	for _, n := range []int{1000, 5000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			cluster := newCluster(b, 3)
 			workers := cluster.startWorkers(9, 2000)
-			inParallel(n, func(i int) { workers.defineTask(fmt.Sprint("idle.", i), 3*time.Second) })
-			free := func() int { return countFreeTasks(cluster, n) }
-			cluster.waitUntil("all tasks are held", func() bool { return free() == 0 })
-			time.Sleep(balancing)
+			runInParallel(n, func(i int) { workers.defineTask(fmt.Sprint("idle.", i), 3*time.Second) })
+			freeTasks := func() int { return countFreeTasks(cluster, n) }
+			cluster.waitUntil("all tasks are held", func() bool { return freeTasks() == 0 })
+			time.Sleep(balancingTime)
 			leader := cluster.waitForLeader()
 			before, _ := cluster.status(leader)
 			cpuBefore, _ := cluster.usage(leader)
-			time.Sleep(rest)
+			time.Sleep(idleTime)
 			after, _ := cluster.status(leader)
 			cpuAfter, rss := cluster.usage(leader)
-			b.ReportMetric(float64(after.Applied-before.Applied)/rest.Seconds(), "log-entries/s")
-			b.ReportMetric(float64(cpuAfter-cpuBefore)/float64(rest), "cores-of-the-leader")
+			b.ReportMetric(float64(after.Applied-before.Applied)/idleTime.Seconds(), "log-entries/s")
+			b.ReportMetric(float64(cpuAfter-cpuBefore)/float64(idleTime), "cores-of-the-leader")
 			b.ReportMetric(rss, "MB-of-the-leader")
 			began := time.Now()
 			workers.kill("w-1")
-			cluster.waitUntil("the killed process's tasks are free", func() bool { return free() > 0 })
-			cluster.waitUntil("all tasks are held again", func() bool { return free() == 0 })
+			cluster.waitUntil("the killed process's tasks are free", func() bool { return freeTasks() > 0 })
+			cluster.waitUntil("all tasks are held again", func() bool { return freeTasks() == 0 })
 			b.ReportMetric(time.Since(began).Seconds(), "s-until-all-are-held")
 		})
 	}
--- a/cmd/controlplane/claims_test.go
+++ b/cmd/controlplane/claims_test.go
@@ -80,7 +80,7 @@
 	},
 	Init: func() []any { return []any{termState{}} },
 	Step: func(state, input, output any) []any {
-		return stepClaim(state.(termState), input.(claimInput), output.(claimOutput))
+		return stepTermState(state.(termState), input.(claimInput), output.(claimOutput))
 	},
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
 }
@@ -98,9 +98,9 @@
 	return parts
 }
 
-// stepClaim returns the states that may follow an operation, or none if the operation can't have its output
+// stepTermState returns the states that may follow an operation, or none if the operation can't have its output
 // in the state before.
-func stepClaim(s termState, in claimInput, out claimOutput) []any {
+func stepTermState(s termState, in claimInput, out claimOutput) []any {
 	switch in.kind {
 	case readOperation:
 		if out.session == "" && s.session == "" {
@@ -114,21 +114,21 @@
 		return stepClaimOperation(s, in, out)
 	}
 	holds := s.matches(in.session, in.fence)
-	free := termState{"", 0, in.fence}
+	released := termState{"", 0, in.fence}
 	switch {
 	case out.unknownOutcome && holds:
-		return []any{s, free}
+		return []any{s, released}
 	case out.unknownOutcome:
 		return []any{s}
 	case out.ok && holds:
-		return []any{free}
+		return []any{released}
 	case !out.ok && (s.fence == 0 || !holds):
 		return []any{s}
 	}
 	return nil
 }
 
-// stepClaimOperation is stepClaim for a claim.
+// stepClaimOperation is stepTermState for a claim.
 func stepClaimOperation(s termState, in claimInput, out claimOutput) []any {
 	isFree := s.session == ""
 	switch {
@@ -147,10 +147,10 @@
 // renewSession renews a session at each server until the context ends. A server that doesn't answer
 // delays only its own renewals.
 func (cluster *testCluster) renewSession(ctx context.Context, process, id string) (wait func()) {
-	var renewers sync.WaitGroup
+	var renewals sync.WaitGroup
 	for _, name := range cluster.names {
 		client := control.NewClient([]string{cluster.servers[name].http}, sessionRenewTimeout)
-		renewers.Go(func() {
+		renewals.Go(func() {
 			ticker := time.NewTicker(sessionRenewInterval)
 			defer ticker.Stop()
 			for {
@@ -163,7 +163,7 @@
 			}
 		})
 	}
-	return renewers.Wait
+	return renewals.Wait
 }
 
 // claimHistory records the operations of several sessions.
@@ -176,7 +176,7 @@
 	mu            sync.Mutex
 	operations    []porcupine.Operation
 	counts        map[string]int // by kind and success
-	repeated      int            // calls that were sent twice
+	repeatedCalls int            // calls that were sent twice
 	endedSessions int            // calls that were rejected as their session had ended
 }
 
@@ -264,14 +264,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	counts := h.counts
-	return counts["claimtrue"] >= 10 && counts["claimfalse"] >= 10 && counts["give uptrue"] >= 5 && counts["readtrue"] >= 10 && h.repeated >= 5
+	return counts["claimtrue"] >= 10 && counts["claimfalse"] >= 10 && counts["give uptrue"] >= 5 && counts["readtrue"] >= 10 && h.repeatedCalls >= 5
 }
 
 // check requires that the history is long enough and linearizable, and that no session ended.
 func (h *claimHistory) check(t *testing.T) {
 	t.Helper()
 	if !h.isLongEnough() {
-		t.Errorf("too few operations for a verdict: %v, %d calls sent twice", h.counts, h.repeated)
+		t.Errorf("too few operations for a verdict: %v, %d calls sent twice", h.counts, h.repeatedCalls)
 	}
 	if h.endedSessions > 0 {
 		t.Errorf("%d calls were rejected as their session had ended, though it was renewed", h.endedSessions)
@@ -348,7 +348,7 @@
 func (s *claimSession) maybeRepeat(input claimInput, called time.Duration, call func(*control.Client)) {
 	h := s.history
 	h.mu.Lock()
-	enough := h.repeated >= maxRepeatedCalls
+	enough := h.repeatedCalls >= maxRepeatedCalls
 	h.mu.Unlock()
 	if enough || s.rng.IntN(4) > 0 {
 		return
@@ -356,7 +356,7 @@
 	client, delay := s.randomClient(), time.Duration(s.rng.IntN(150))*time.Millisecond
 	h.mu.Lock()
 	h.add(s.number, input, claimOutput{unknownOutcome: true}, called, math.MaxInt64)
-	h.repeated++
+	h.repeatedCalls++
 	h.mu.Unlock()
 	h.clients.Go(func() {
 		time.Sleep(delay)
--- a/cmd/controlplane/cluster_test.go
+++ b/cmd/controlplane/cluster_test.go
@@ -284,11 +284,11 @@
 }
 
 // waitUntil polls until the condition holds, and fails the test if it doesn't within waitTimeout.
-func (cluster *testCluster) waitUntil(what string, condition func() bool) {
+func (cluster *testCluster) waitUntil(description string, condition func() bool) {
 	cluster.t.Helper()
 	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			cluster.t.Fatalf("not within %v: %s", waitTimeout, what)
+			cluster.t.Fatalf("not within %v: %s", waitTimeout, description)
 		}
 	}
 }
--- a/cmd/controlplane/durability_test.go
+++ b/cmd/controlplane/durability_test.go
@@ -45,12 +45,12 @@
 func TestServerWithoutItsDataDoesNotVote(t *testing.T) {
 	const tenHeartbeats = 3 * time.Second
 	cluster := newCluster(t, 3)
-	informed := cluster.waitForLeader()
-	erased, lagging := cluster.others(informed)[0], cluster.others(informed)[1]
+	upToDate := cluster.waitForLeader()
+	erased, lagging := cluster.others(upToDate)[0], cluster.others(upToDate)[1]
 	cluster.kill(lagging)
-	cluster.register("acknowledged", 1, informed)
+	cluster.register("acknowledged", 1, upToDate)
 	cluster.kill(erased)
-	cluster.kill(informed)
+	cluster.kill(upToDate)
 	cluster.eraseData(erased)
 	cluster.start(erased)
 	cluster.start(lagging)
@@ -69,7 +69,7 @@
 			}
 		}
 	}
-	cluster.start(informed)
+	cluster.start(upToDate)
 	cluster.waitUntil("the acknowledged write is read", func() bool {
 		entry, err := cluster.client(cluster.names...).Server(t.Context(), "acknowledged", true)
 		return err == nil && entry.Endpoint.StartedMs == 1
@@ -128,7 +128,7 @@
 	if at < 0 {
 		t.Fatal("the log has no such record")
 	}
-	for what, damage := range map[string]func(b []byte) []byte{
+	for label, damage := range map[string]func(b []byte) []byte{
 		"flipped": func(b []byte) []byte { // every copy: bolt decides which of the pages counts
 			return []byte(strings.ReplaceAll(string(b), "damaged-record-29", "damaged-recorx-29"))
 		},
@@ -138,7 +138,7 @@
 		if err := os.WriteFile(path, damage(slices.Clone(intact)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		requireStartFails(t, cluster, what, data, "the log in "+data)
+		requireStartFails(t, cluster, label, data, "the log in "+data)
 	}
 	if err := os.WriteFile(path, intact, 0o600); err != nil {
 		t.Fatal(err)
@@ -157,16 +157,16 @@
 
 // requireStartFails starts a server over a data folder and requires that it ends with one line on
 // standard error that has a text.
-func requireStartFails(t *testing.T, cluster *testCluster, what, data, wantText string) {
+func requireStartFails(t *testing.T, cluster *testCluster, label, data, wantText string) {
 	t.Helper()
 	name := cluster.names[0]
 	server := cluster.supervisor.Add(cluster.servers[name].proc.Spec)
-	server.Log = filepath.Join(cluster.dir, what+".log")
+	server.Log = filepath.Join(cluster.dir, label+".log")
 	server.Args = []string{"serve", "--config", cluster.configPath(name), "--data", data, "--listen", "127.0.0.1:0", "--raft", "127.0.0.1:0"}
 	startProcess(t, server)
 	waitForEnd(t, server, server.Ended())
 	if text := processLog(server); !isOneLineWith(text, wantText) {
-		t.Errorf("%s: the server wrote %q, want one line with %q", what, text, wantText)
+		t.Errorf("%s: the server wrote %q, want one line with %q", label, text, wantText)
 	}
 }
 
--- a/cmd/controlplane/failuredetection_test.go
+++ b/cmd/controlplane/failuredetection_test.go
@@ -43,7 +43,7 @@
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			group := newGossipGroup(b, n, 0)
 			time.Sleep(gossipSettleTime)
-			reportRestUsage(b, group)
+			reportIdleUsage(b, group)
 			kills := killAndRestart(group, 100)
 			failed := group.stateTimes(member.Failed)
 			var first, spread []time.Duration
@@ -63,22 +63,22 @@
 	}
 }
 
-// reportRestUsage reports what each process sends and uses while nothing happens.
-func reportRestUsage(b *testing.B, group *gossipGroup) {
+// reportIdleUsage reports what each process sends and uses while nothing happens.
+func reportIdleUsage(b *testing.B, group *gossipGroup) {
 	b.Helper()
-	const rest = 10 * time.Second
+	const idleTime = 10 * time.Second
 	totalCPU := func() (cpu time.Duration) {
 		for _, p := range group.processes {
-			use, _, _ := p.SampleUsage()
-			cpu += use.CPU
+			sample, _, _ := p.SampleUsage()
+			cpu += sample.CPU
 		}
 		return cpu
 	}
 	n := float64(len(group.names))
 	cpuBefore, bytesBefore, began := totalCPU(), group.bytesSent(), time.Now()
-	time.Sleep(rest)
+	time.Sleep(idleTime)
 	b.ReportMetric(float64(group.bytesSent()-bytesBefore)/n/time.Since(began).Seconds(), "bytes/s/process")
-	b.ReportMetric(float64(totalCPU()-cpuBefore)/n/float64(rest)*1000, "millicores/process")
+	b.ReportMetric(float64(totalCPU()-cpuBefore)/n/float64(idleTime)*1000, "millicores/process")
 }
 
 // killAndRestart kills random processes, count in all. Each starts again after detectionWindow, and is not
@@ -88,14 +88,14 @@
 	var restarting sync.WaitGroup
 	rng := rand.New(rand.NewPCG(9, uint64(n)))
 	var mu sync.Mutex
-	recent := map[string]bool{} // killed a short time ago
+	recentlyKilled := map[string]bool{} // killed a short time ago
 	for range count {
 		mu.Lock()
 		name := group.names[rng.IntN(n)]
-		for recent[name] {
+		for recentlyKilled[name] {
 			name = group.names[rng.IntN(n)]
 		}
-		recent[name] = true
+		recentlyKilled[name] = true
 		kill := gossipKill{name, time.Now()}
 		mu.Unlock()
 		group.processes[name].Kill()
@@ -105,7 +105,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			group.start(name)
-			time.AfterFunc(restartSettleTime, func() { mu.Lock(); delete(recent, name); mu.Unlock() })
+			time.AfterFunc(restartSettleTime, func() { mu.Lock(); delete(recentlyKilled, name); mu.Unlock() })
 		})
 		time.Sleep(max(minKillPause, killSpacing/time.Duration(n)))
 	}
@@ -152,8 +152,8 @@
 	}
 	before := failures()
 	rng := rand.New(rand.NewPCG(10, 1))
-	pauses := 0
-	for end := time.Now().Add(duration); time.Now().Before(end); pauses++ {
+	suspensions := 0
+	for end := time.Now().Add(duration); time.Now().Before(end); suspensions++ {
 		p := group.processes[group.names[rng.IntN(n)]]
 		signalProcess(b, p, syscall.SIGSTOP)
 		time.Sleep(time.Duration(rng.IntN(maxSuspensionMs)) * time.Millisecond)
@@ -161,13 +161,13 @@
 		time.Sleep(recoveryPause)
 	}
 	b.ReportMetric(float64(failures()-before)/duration.Hours(), "failed/h-over-50-views")
-	b.ReportMetric(float64(pauses), "pauses")
+	b.ReportMetric(float64(suspensions), "pauses")
 	b.ReportMetric(0, "ns/op")
 }
 
 // waitForStates waits until each observer has logged each other member as in a state. It fails the test
 // after waitTimeout.
-func (group *gossipGroup) waitForStates(what string, observers, members []string, state member.State) {
+func (group *gossipGroup) waitForStates(description string, observers, members []string, state member.State) {
 	group.t.Helper()
 	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(statesPollInterval) {
 		missing := group.missingState(observers, members, state)
@@ -175,7 +175,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			group.t.Fatalf("not within %v: %s: %s", waitTimeout, what, missing)
+			group.t.Fatalf("not within %v: %s: %s", waitTimeout, description, missing)
 		}
 	}
 }
--- a/cmd/controlplane/gossipmesh_test.go
+++ b/cmd/controlplane/gossipmesh_test.go
@@ -107,11 +107,11 @@
 }
 
 // shapeBetween shapes all that goes between one set of servers and another, both ways.
-func (m *gossipMesh) shapeBetween(some, others []string, shape link.Shape) {
+func (m *gossipMesh) shapeBetween(group, otherGroup []string, shape link.Shape) {
 	m.cluster.t.Helper()
 	var pairs []serverPair
-	for _, a := range some {
-		for _, b := range others {
+	for _, a := range group {
+		for _, b := range otherGroup {
 			if a != b {
 				pairs = append(pairs, serverPair{a, b}, serverPair{b, a})
 			}
--- a/cmd/controlplane/members.go
+++ b/cmd/controlplane/members.go
@@ -21,11 +21,11 @@
 // errNoView is the failure of `members` if no server that gossips answered.
 var errNoView = errors.New("no steward answers that gossips")
 
-// noSuchViewError is the failure of `members --from` if no server of that name answered.
-type noSuchViewError struct{ name string }
+// unknownObserverError is the failure of `members --from` if no server of that name answered.
+type unknownObserverError struct{ name string }
 
 // Error names the flag and the server.
-func (e *noSuchViewError) Error() string {
+func (e *unknownObserverError) Error() string {
 	return "--from: " + e.name + " is none of the stewards that answer"
 }
 
@@ -59,7 +59,7 @@
 }
 
 // printMembers prints the addresses that did not answer, and then the views, or their differences, that
-// the options select. It returns errNoView if there is no view, and a *noSuchViewError if there is none
+// the options select. It returns errNoView if there is no view, and a *unknownObserverError if there is none
 // of the selected server.
 func printMembers(out io.Writer, views []member.View, unanswered []string, options memberOptions) error {
 	if len(views) == 0 {
@@ -74,7 +74,7 @@
 	case options.from != "":
 		i := slices.IndexFunc(views, func(view member.View) bool { return view.From == options.from })
 		if i < 0 {
-			return &noSuchViewError{options.from}
+			return &unknownObserverError{options.from}
 		}
 		return printOwnView(out, &views[i], options.all)
 	}
@@ -89,7 +89,7 @@
 	for i := range view.Members {
 		entry := &view.Members[i]
 		counts.add(entry.Role, entry.State)
-		if !hasRow(entry.Role, entry.State, all) {
+		if !isShown(entry.Role, entry.State, all) {
 			continue
 		}
 		var observations []string
@@ -108,13 +108,13 @@
 	counts := memberCounts{}
 	for i := range view.Members {
 		entry := &view.Members[i]
-		state, forMs, observed := observationBy(view.From, entry)
+		state, durationMs, observed := observationBy(view.From, entry)
 		if !observed {
 			continue
 		}
 		counts.add(entry.Role, state)
-		if hasRow(entry.Role, state, all) {
-			rows = append(rows, memberRow(entry, state, formatAge(forMs)))
+		if isShown(entry.Role, state, all) {
+			rows = append(rows, memberRow(entry, state, formatAge(durationMs)))
 		}
 	}
 	return printMemberTable(out, view, "for", rows, counts)
@@ -122,24 +122,24 @@
 
 // observationBy returns the state of a member that an observer observes, and for how many milliseconds
 // it has. observed is false if the observer has no observation of the member.
-func observationBy(observer string, entry *member.Entry) (state member.State, forMs int64, observed bool) {
+func observationBy(observer string, entry *member.Entry) (state member.State, durationMs int64, observed bool) {
 	for _, o := range entry.Observers {
 		if o.Observer == observer {
-			state, forMs, observed = o.State, o.ForMs, true
+			state, durationMs, observed = o.State, o.ForMs, true
 		}
 	}
-	return state, forMs, observed
+	return state, durationMs, observed
 }
 
-// hasRow reports whether a member gets a row. There are many members that don't gossip; those that are
+// isShown reports whether a member gets a row. There are many members that don't gossip; those that are
 // present are only counted, unless all is set.
-func hasRow(role member.Role, state member.State, all bool) bool {
+func isShown(role member.Role, state member.State, all bool) bool {
 	return role.Gossips() || all || state != member.Present
 }
 
 // memberRow returns the columns of a member. The last one depends on the kind of the view.
-func memberRow(entry *member.Entry, state member.State, last string) []string {
-	return []string{entry.Name, string(entry.Role), string(state), entry.Zone, fmt.Sprint(entry.Incarnation), entry.ProgramVersion, last}
+func memberRow(entry *member.Entry, state member.State, detail string) []string {
+	return []string{entry.Name, string(entry.Role), string(state), entry.Zone, fmt.Sprint(entry.Incarnation), entry.ProgramVersion, detail}
 }
 
 // roleAndState is what members are counted by.
@@ -156,18 +156,18 @@
 
 // String returns the counts, sorted as texts that begin with the number, with commas between.
 func (c memberCounts) String() string {
-	var sums []string
+	var parts []string
 	for key, n := range c {
-		sums = append(sums, fmt.Sprintf("%d %ss %s", n, key.role, key.state))
+		parts = append(parts, fmt.Sprintf("%d %ss %s", n, key.role, key.state))
 	}
-	slices.Sort(sums)
-	return strings.Join(sums, ", ")
+	slices.Sort(parts)
+	return strings.Join(parts, ", ")
 }
 
 // printMemberTable prints a view's rows, whose last column depends on the kind of the view, and the
 // counts of all its members.
-func printMemberTable(out io.Writer, view *member.View, lastColumn string, rows [][]string, counts memberCounts) error {
-	columns := []string{"member", "role", "state", "zone", "life", "program", lastColumn}
+func printMemberTable(out io.Writer, view *member.View, detailColumn string, rows [][]string, counts memberCounts) error {
+	columns := []string{"member", "role", "state", "zone", "life", "program", detailColumn}
 	if err := table.Terminal(out, false, columns, rows); err != nil {
 		return err
 	}
--- a/cmd/controlplane/snapshot.go
+++ b/cmd/controlplane/snapshot.go
@@ -22,14 +22,14 @@
 // is replaced once the state is complete.
 func newSaveSnapshotCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
 	return newArgumentCommand("save FILE", "Save the state as it is now", func(ctx context.Context, file string) error {
-		text, err := newClient().Snapshot(ctx)
+		state, err := newClient().Snapshot(ctx)
 		if err != nil {
 			return err
 		}
-		if err := control.WriteFileAtomic(file, text); err != nil {
+		if err := control.WriteFileAtomic(file, state); err != nil {
 			return fmt.Errorf("snapshot: %w", err)
 		}
-		fmt.Fprintf(out, "%d bytes in %s\n", len(text), file)
+		fmt.Fprintf(out, "%d bytes in %s\n", len(state), file)
 		return nil
 	})
 }
@@ -38,11 +38,11 @@
 func newRestoreSnapshotCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
 	const short = "Put a saved state in place of the present one; versions go on"
 	return newArgumentCommand("restore FILE", short, func(ctx context.Context, file string) error {
-		text, err := os.ReadFile(file)
+		state, err := os.ReadFile(file)
 		if err != nil {
 			return fmt.Errorf("snapshot: %w", err)
 		}
-		status, err := newClient().Restore(ctx, text)
+		status, err := newClient().Restore(ctx, state)
 		if err != nil {
 			return err
 		}
--- a/cmd/controlplane/tasks.go
+++ b/cmd/controlplane/tasks.go
@@ -15,9 +15,9 @@
 
 // taskCommand is an operator's command on one leased task.
 type taskCommand struct {
-	name  string // one of control's Command constants; also on the command line
-	short string // the help text
-	done  string // what is printed after the task's name
+	name         string // one of control's Command constants; also on the command line
+	short        string // the help text
+	confirmation string // what is printed after the task's name
 }
 
 var taskCommands = []taskCommand{
@@ -107,7 +107,7 @@
 		if err := newClient().CommandTask(ctx, name, command.name, to, why); err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "%s %s\n", name, command.done)
+		fmt.Fprintf(out, "%s %s\n", name, command.confirmation)
 		return nil
 	})
 	switch command.name {
