--- a/cmd/controlplane/agents_test.go
+++ b/cmd/controlplane/agents_test.go
@@ -22,14 +22,13 @@
 	"knotrouter/internal/lab/process"
 )
 
-// agentMain is an agent, as cmd/agent starts one. It never returns: it exits with status 1 once the agent
-// has ended.
+// agentMain runs an agent as cmd/agent does. It never returns: it exits with status 1 once the agent has ended.
 func agentMain() {
 	fmt.Fprintln(os.Stderr, runAgent())
 	os.Exit(1)
 }
 
-// runAgent runs an agent with the configuration at the path that EDGE_CONFIG names, and returns why it ended.
+// runAgent runs an agent with the configuration file that EDGE_CONFIG names, and returns the error that ended it.
 func runAgent() error {
 	config, err := agent.LoadConfig(os.Getenv("EDGE_CONFIG"))
 	if err != nil {
@@ -46,8 +45,8 @@
 	return a.Serve(context.Background(), listener)
 }
 
-// startAgents starts n agents that know all servers of the control plane, and returns the addresses that
-// they listen at and their processes. It doesn't wait until they are ready.
+// startAgents starts n agents that are configured with all servers of the control plane, and returns their
+// listen addresses and their processes. It doesn't wait until they are ready.
 func (cluster *testCluster) startAgents(n int) (addrs []string, processes []*process.Process) {
 	cluster.t.Helper()
 	for i := range n {
@@ -78,7 +77,8 @@
 	return addrs, processes
 }
 
-// agentConfig returns the JSON configuration of an agent that listens at addr and is number, from 0 on, of n.
+// agentConfig returns the JSON configuration of the agent with an index, from 0 on, among n agents. It listens
+// at addr.
 func (cluster *testCluster) agentConfig(name, addr string, index, n int) []byte {
 	cluster.t.Helper()
 	config, err := json.Marshal(map[string]any{
@@ -105,7 +105,7 @@
 	return config
 }
 
-// startHTTPBackend starts a server that answers requests with its name, and returns its endpoint.
+// startHTTPBackend starts a backend that answers requests with its name, and returns its endpoint.
 func (cluster *testCluster) startHTTPBackend(name string) endpoints.Endpoint {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, name) }))
 	cluster.t.Cleanup(server.Close)
@@ -128,10 +128,11 @@
 	})
 }
 
-// requestPause is how long agentTraffic waits between an answer of an agent and its next request there.
+// requestPause is how long agentTraffic waits after an agent's answer before it sends the agent the next
+// request.
 const requestPause = 5 * time.Millisecond
 
-// agentTraffic sends requests to agents, one after the other to each, and counts the answers.
+// agentTraffic sends requests to agents, one at a time to each agent, and counts the answers.
 type agentTraffic struct {
 	addrs          []string
 	senders        sync.WaitGroup
@@ -144,7 +145,7 @@
 	answers      []map[string]int // counts, by index of the agent and by name of the backend
 }
 
-// startTraffic sends requests to the agents at the addresses until stop, or the end of the test.
+// startTraffic sends requests to the agents at the addresses until stopSending is called or the test ends.
 func (cluster *testCluster) startTraffic(addrs []string) *agentTraffic {
 	ctx, cancel := context.WithCancel(cluster.t.Context())
 	traffic := &agentTraffic{addrs: addrs, stop: cancel}
@@ -170,7 +171,7 @@
 }
 
 // send sends a request to an agent and returns the name of the backend that answered. It returns an error
-// if the request fails or its answer has another status than 200.
+// if the request fails or the answer's status is not 200.
 func (traffic *agentTraffic) send(agent int) (string, error) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+traffic.addrs[agent]+fmt.Sprint("/look/u", traffic.sent.Add(1)), nil)
 	if err != nil {
@@ -206,7 +207,7 @@
 	}
 }
 
-// resetAnswersOf forgets the answers of a backend.
+// resetAnswersOf sets each agent's count of a backend's answers to zero.
 func (traffic *agentTraffic) resetAnswersOf(backend string) {
 	traffic.mu.Lock()
 	defer traffic.mu.Unlock()
@@ -215,7 +216,7 @@
 	}
 }
 
-// allAgentsReach reports whether all agents have had an answer of a backend.
+// allAgentsReach reports whether all agents have had an answer from a backend.
 func (traffic *agentTraffic) allAgentsReach(backend string) bool {
 	traffic.mu.Lock()
 	defer traffic.mu.Unlock()
@@ -227,16 +228,16 @@
 	return true
 }
 
-// waitUntilAllAgentsReach waits until all agents send requests to a backend from now on.
+// waitUntilAllAgentsReach waits until each agent has had another answer from a backend.
 func (traffic *agentTraffic) waitUntilAllAgentsReach(cluster *testCluster, backend string) {
 	cluster.t.Helper()
 	traffic.resetAnswersOf(backend)
 	cluster.waitUntil("all agents send requests to "+backend, func() bool { return traffic.allAgentsReach(backend) })
 }
 
-// Agents that stay up serve through every fault of the control plane: the leader is killed, a server is
+// Agents serve without a failed request through faults of the control plane: the leader is killed, a server is
 // suspended, all servers are down while a backend is replaced, a snapshot is restored, and a new cluster
-// starts at the same addresses. The agents get the changes after each, and no request fails.
+// starts at the same addresses. After each fault the agents receive the changes to the list.
 func TestAgentsServeThroughControlPlaneFaults(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.registerEndpoint(cluster.startHTTPBackend("p-0"))
@@ -309,7 +310,7 @@
 	}
 }
 
-// requireBoundedWarnings requires that an agent has logged the faults of the control plane, and has not
+// requireBoundedWarnings requires that an agent has logged warnings of the control plane's faults, but has not
 // flooded its log with them.
 func requireBoundedWarnings(t *testing.T, agent *process.Process) {
 	t.Helper()
@@ -319,8 +320,9 @@
 	}
 }
 
-// replaceBackendDuringOutage kills all servers, has a backend replaced by one of its name at another address, waits
-// until the agents have served minServed requests without any server, and starts the servers again.
+// replaceBackendDuringOutage kills all servers, starts a backend of an existing name at another address, waits
+// until the agents have served minServed requests without any server, starts the servers again and registers
+// the new backend.
 func replaceBackendDuringOutage(cluster *testCluster, traffic *agentTraffic, backend string) {
 	cluster.t.Helper()
 	const minServed = 200
--- a/cmd/controlplane/backends_test.go
+++ b/cmd/controlplane/backends_test.go
@@ -16,8 +16,8 @@
 	backendRenewTimeout  = 700 * time.Millisecond
 )
 
-// backendGroup is registered servers s-0, s-1 and so on that accept health checks and renew their leases
-// with servers of the control plane, in turn. A reader watches whether any of them leaves the list.
+// backendGroup is a group of registered backends, s-0, s-1 and so on, that answer health checks and renew their
+// leases at the servers of the control plane in turn. A reader watches whether any of them leaves the list.
 type backendGroup struct {
 	cluster   *testCluster
 	names     []string
@@ -29,11 +29,12 @@
 	mu             sync.Mutex
 	renewalsPaused bool
 	renewAt        []string
-	// firstTwoRenewAt is where the first two renew, if it is not nil; the others renew at renewAt.
+	// firstTwoRenewAt is where the first two backends renew if it is not nil; the others renew at renewAt.
 	firstTwoRenewAt []string
 }
 
-// startBackends starts n backends that renew at the servers named. The reader watches at readAt.
+// startBackends starts n backends that renew their leases at the servers renewAt, and a reader that watches at
+// the server readAt. It returns once all backends are listed.
 func (cluster *testCluster) startBackends(n int, readAt string, renewAt ...string) *backendGroup {
 	cluster.t.Helper()
 	ctx, cancel := context.WithCancel(cluster.t.Context())
@@ -62,7 +63,7 @@
 	return backends
 }
 
-// startBackend starts a server that answers health checks, and registers it.
+// startBackend starts a backend that answers health checks, and registers it.
 func (backends *backendGroup) startBackend(name string) *http.Server {
 	cluster := backends.cluster
 	cluster.t.Helper()
@@ -85,8 +86,8 @@
 	return server
 }
 
-// renewUntilDone renews the leases of all backends at an interval until the context ends. It goes on after
-// renewals that fail.
+// renewUntilDone renews the leases of all backends at an interval until the context ends. It ignores failed
+// renewals.
 func (backends *backendGroup) renewUntilDone(ctx context.Context) {
 	all := instanceRefs(len(backends.names))
 	for i := 0; ctx.Err() == nil; i++ {
@@ -110,14 +111,14 @@
 	}
 }
 
-// splitRenewals has the first two backends renew at some servers, and all others elsewhere.
+// splitRenewals makes the first two backends renew at the servers firstTwoAt, and all others at othersAt.
 func (backends *backendGroup) splitRenewals(firstTwoAt, othersAt []string) {
 	backends.mu.Lock()
 	defer backends.mu.Unlock()
 	backends.renewAt, backends.firstTwoRenewAt = othersAt, firstTwoAt
 }
 
-// pauseRenewals ends the renewals. The backends still answer health checks.
+// pauseRenewals stops the renewals. The backends still answer health checks.
 func (backends *backendGroup) pauseRenewals() {
 	backends.mu.Lock()
 	defer backends.mu.Unlock()
--- a/cmd/controlplane/bench_test.go
+++ b/cmd/controlplane/bench_test.go
@@ -28,12 +28,12 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkLeaderFailover kills the leader and measures the time to the next acknowledged write, at the
+// BenchmarkLeaderFailover kills the leader and measures the time to the next acknowledged write, with the
 // default settings of servers.
 func BenchmarkLeaderFailover(b *testing.B) {
 	const (
 		callTimeout = 300 * time.Millisecond
-		writePause  = 5 * time.Millisecond // after a failed write; the precision of the gap
+		writePause  = 5 * time.Millisecond // after a failed write; limits the precision of the gap
 	)
 	cluster := newCluster(b, 3)
 	cluster.extraConfig = ""
@@ -64,7 +64,7 @@
 	reportPercentiles(b, "gap", gaps)
 }
 
-// usage returns the processor time and the memory that a server has used.
+// usage returns the processor time that a server has used and its resident memory.
 func (cluster *testCluster) usage(name string) (cpu time.Duration, rssMB float64) {
 	sample, _, _ := cluster.servers[name].proc.SampleUsage()
 	return sample.CPU, sample.RSSMB
@@ -82,7 +82,7 @@
 	return c.RoundTripper.RoundTrip(r)
 }
 
-// watchLoad is many watches, as agents have them.
+// watchLoad runs many watches like those of agents.
 type watchLoad struct {
 	cluster *testCluster
 	began   time.Time
@@ -91,12 +91,12 @@
 	done    sync.WaitGroup
 
 	mu                sync.Mutex
-	firstLists        []time.Duration // of each watch, since the start of all
+	firstLists        []time.Duration // time from the start of all watches to the first list of each
 	listsReceived     int             // by all watches
-	watchesWithMarker int             // watches that have received the server named marker
+	watchesWithMarker int             // watches that have received watchLoadMarker
 }
 
-// watchLoadMarker is a server whose arrival at each watch a watchLoad counts.
+// watchLoadMarker is the name of a server: a watchLoad counts the watches that have received it.
 const watchLoadMarker = "back"
 
 // startWatchLoad starts n watches, which run until the load's stop is called.
@@ -109,7 +109,7 @@
 	return load
 }
 
-// watch makes the calls of one watch until the context ends, with pauses between as an agent makes.
+// watch runs one watch until the context ends, with the pauses that an agent makes between calls.
 func (load *watchLoad) watch(ctx context.Context, index, n int) {
 	hasList, hasMarker := false, false
 	var version int64
@@ -135,7 +135,7 @@
 				load.firstLists = append(load.firstLists, time.Since(load.began))
 			}
 		})
-		time.Sleep(agentReconnectPause(index * 37)) // neighbors in index are apart in time
+		time.Sleep(agentReconnectPause(index * 37)) // spreads neighboring indexes over time
 	}
 }
 
@@ -149,9 +149,9 @@
 	})
 }
 
-// BenchmarkWatches opens many watches at three servers and measures the time to the first list of the
-// last. Then it makes twenty changes a second for five seconds and measures what the leader uses. Last it
-// kills all servers, starts them, and measures the time until all watches are back.
+// BenchmarkWatches opens many watches at three servers and measures how long each waits for its first list.
+// Then it makes twenty changes a second for five seconds and measures the leader's processor time and memory.
+// Finally it restarts all servers and measures the time until all watches have reconnected.
 func BenchmarkWatches(b *testing.B) {
 	for _, n := range []int{100, 300, 1000, 2000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -175,7 +175,7 @@
 	}
 }
 
-// reportChanges makes changes at the leader and reports what it uses.
+// reportChanges makes changes at the leader and reports the processor time and memory that the leader uses.
 func reportChanges(b *testing.B, load *watchLoad, n int) {
 	b.Helper()
 	const changes, interval = 100, 50 * time.Millisecond
@@ -196,7 +196,8 @@
 	b.ReportMetric(rss, "MB-of-the-leader")
 }
 
-// reportReconnect kills and starts all servers at once and reports how the watches come back.
+// reportReconnect restarts all servers at once and reports how long the watches take to reconnect, and with how
+// many calls.
 func reportReconnect(b *testing.B, load *watchLoad, n int) {
 	b.Helper()
 	cluster := load.cluster
@@ -205,7 +206,7 @@
 	killed := time.Now()
 	cluster.startServers(cluster.names)
 	cluster.register(watchLoadMarker, 1)
-	load.waitUntil("all watches are back", func() bool { return load.watchesWithMarker == n })
+	load.waitUntil("all watches have reconnected", func() bool { return load.watchesWithMarker == n })
 	b.ReportMetric(time.Since(killed).Seconds(), "s-until-all-are-back")
 	b.ReportMetric(float64(load.calls.Load()-callsBefore)/float64(n), "calls/watch-to-come-back")
 }
@@ -224,8 +225,8 @@
 	running.Wait()
 }
 
-// BenchmarkRestart restarts a server with ten thousand entries and measures the time until it serves all
-// of them.
+// BenchmarkRestart restarts a server with ten thousand entries and measures the time until the server serves
+// all of them.
 func BenchmarkRestart(b *testing.B) {
 	const entries = 10_000
 	cluster := newCluster(b, 1)
@@ -253,9 +254,9 @@
 	}
 }
 
-// BenchmarkTaskHandover kills the holder of a task with a TTL of 3 s again and again, and measures the
-// time until another acts under it. Then it moves the task as planned, and measures the gap between the
-// two holders' operations.
+// BenchmarkTaskHandover repeatedly kills the holder of a task with a TTL of 3 s, and measures the time from the
+// holder's last operation to the first one of its successor. Then it moves the task by command, and measures the
+// gap between the operations of the two holders.
 func BenchmarkTaskHandover(b *testing.B) {
 	const kills, moves = 100, 100
 	cluster := newCluster(b, 3)
@@ -270,7 +271,7 @@
 		durations = append(durations, next.Mono-last)
 		workers.start(operation.Process)
 		operation = next
-		time.Sleep(stableTerm) // or the control plane would blame the task for the next end of its holder
+		time.Sleep(stableTerm) // a holder that ends sooner counts as a failure of the task
 	}
 	reportPercentiles(b, "after-kill", durations)
 	before := len(workers.operations.Analyze().HandoverGaps)
@@ -286,8 +287,9 @@
 	}
 }
 
-// BenchmarkLeasedTasks defines many tasks for nine processes and measures, once all are held, what the
-// leader writes and uses at rest, and how long it takes until all are held again after a kill.
+// BenchmarkLeasedTasks defines many tasks for nine processes. Once all are held, it measures the leader's log
+// entries, processor time and memory while nothing happens, and how long it takes after the kill of a process
+// until all tasks are held again.
 func BenchmarkLeasedTasks(b *testing.B) {
 	const (
 		balancingTime = 15 * time.Second // the tasks are spread evenly afterwards
@@ -319,7 +321,7 @@
 	}
 }
 
-// countFreeTasks returns how many tasks nobody holds, or n if the leader doesn't answer.
+// countFreeTasks returns the number of tasks without a holder, or n if the leader doesn't answer.
 func countFreeTasks(cluster *testCluster, n int) (free int) {
 	ctx, cancel := context.WithTimeout(cluster.t.Context(), readTimeout)
 	defer cancel()
@@ -336,7 +338,7 @@
 }
 
 // BenchmarkTimeWithoutHolder injects a fault every ten seconds for ten minutes, at a TTL of 3 s, and
-// measures for what share of the time a task had no holder that acted.
+// measures the share of the time in which no holder of a task performed operations.
 func BenchmarkTimeWithoutHolder(b *testing.B) {
 	const (
 		duration = 10 * time.Minute
--- a/cmd/controlplane/claims_test.go
+++ b/cmd/controlplane/claims_test.go
@@ -27,12 +27,13 @@
 	// sessionExpiryWait is longer than the control plane keeps a session without tasks that is not renewed.
 	sessionExpiryWait = 4 * time.Second
 
-	// maxRepeatedCalls bounds the calls that are sent twice: the checker tries each both ways.
+	// maxRepeatedCalls bounds the calls that are sent twice, as the checker has to try each second call both
+	// with and without an effect.
 	maxRepeatedCalls = 10
 
-	// A session pauses after each operation that was recorded, for minClaimPause and up to
-	// claimPauseSpreadMs more, and for failedClaimPause after any other. The pauses bound the length of the
-	// history that the checker has to search.
+	// A session pauses after each recorded operation, for minClaimPause and up to claimPauseSpreadMs more, and
+	// for failedClaimPause after any other operation. The pauses bound the length of the history that the
+	// checker has to search.
 	minClaimPause      = 5 * time.Millisecond
 	claimPauseSpreadMs = 10
 	failedClaimPause   = 10 * time.Millisecond
@@ -57,7 +58,7 @@
 type claimOutput struct {
 	ok             bool
 	unknownOutcome bool   // the answer was lost
-	session        string // that a read saw; empty: nobody holds the task
+	session        string // of the holder that a read returned; empty if the task has none
 	fence          int64
 }
 
@@ -73,7 +74,8 @@
 	return s.session == session && (s.fence == fence || s.fence == 0 && fence > s.fenceAbove)
 }
 
-// claimModel is a table of the holders of tasks. It knows no sessions: they are renewed, and don't end.
+// claimModel specifies a table of the holders of tasks. It doesn't model the end of sessions: they are renewed
+// and must not end.
 var claimModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		return partition(history, func(input any) string { return input.(claimInput).task })
@@ -85,7 +87,7 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
 }
 
-// partition splits a history into those of its keys.
+// partition splits a history into one history per key.
 func partition(history []porcupine.Operation, key func(input any) string) (parts [][]porcupine.Operation) {
 	byKey := map[string][]porcupine.Operation{}
 	for _, operation := range history {
@@ -128,7 +130,7 @@
 	return nil
 }
 
-// stepClaimOperation is stepTermState for a claim.
+// stepClaimOperation returns the states that may follow a claim, as stepTermState does.
 func stepClaimOperation(s termState, in claimInput, out claimOutput) []any {
 	isFree := s.session == ""
 	switch {
@@ -145,7 +147,7 @@
 }
 
 // renewSession renews a session at each server until the context ends. A server that doesn't answer
-// delays only its own renewals.
+// delays only its own renewals. The returned function waits until all renewals have stopped.
 func (cluster *testCluster) renewSession(ctx context.Context, process, id string) (wait func()) {
 	var renewals sync.WaitGroup
 	for _, name := range cluster.names {
@@ -180,7 +182,7 @@
 	endedSessions int            // calls that were rejected as their session had ended
 }
 
-// claimSession is a session that makes operations.
+// claimSession is a session under which a client operates on tasks.
 type claimSession struct {
 	history     *claimHistory
 	number      int
@@ -189,9 +191,9 @@
 	fences      map[string]int64 // by task, of the last term that was granted
 }
 
-// The history of claims, releases and reads by several sessions, under random faults of the servers, is
-// one that a table of holders could have had. The sessions are renewed and none may end: the claim of an
-// ended session is rejected though the task may be free.
+// Claims, releases and reads of tasks by several sessions are linearizable under random faults of the servers.
+// The sessions are renewed and none may end: the claim of an ended session would be rejected even if the task is
+// free, which the model doesn't allow.
 func TestClaimsLinearizable(t *testing.T) {
 	for seed := range 5 {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -243,7 +245,7 @@
 			rng:     rand.New(rand.NewPCG(seed, uint64(number))),
 			fences:  map[string]int64{},
 		}
-		// A session without capacity is granted nothing but what it claims.
+		// A session without capacity is granted only the tasks that it claims.
 		h.cluster.waitUntil(session.process+" has a session", func() bool {
 			return client.OpenSession(t.Context(), catalog.Session{Process: session.process, ID: session.id}) == nil
 		})
@@ -251,7 +253,7 @@
 		t.Cleanup(waitForRenewers)
 		sessions = append(sessions, session)
 	}
-	time.Sleep(sessionExpiryWait) // afterwards each open session is one that is renewed
+	time.Sleep(sessionExpiryWait) // afterwards each session that is still open is being renewed
 	h.cluster.waitUntil("a leader answers", func() bool {
 		_, err := client.Task(t.Context(), h.tasks[0])
 		return err == nil
@@ -279,14 +281,14 @@
 	sort.SliceStable(h.operations, func(i, j int) bool { return h.operations[i].Call < h.operations[j].Call })
 	switch result, _ := porcupine.CheckOperationsVerbose(claimModel.ToModel(), h.operations, waitTimeout); result {
 	case porcupine.Illegal:
-		t.Errorf("%d operations are not linearizable: no table of holders answers so", len(h.operations))
+		t.Errorf("%d operations are not linearizable: no sequential use of a table of holders has these results", len(h.operations))
 	case porcupine.Unknown:
 		t.Errorf("the check of %d operations did not end within %v", len(h.operations), waitTimeout)
 	}
 }
 
-// run makes random operations, each at a random server, until the context ends. A call that was begun is
-// ended, so that its outcome is known.
+// run makes random operations, each at a random server, until the context ends. A started
+// call is completed, so that its outcome is known.
 func (s *claimSession) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		client := s.randomClient()
@@ -317,7 +319,7 @@
 	return control.NewClient([]string{cluster.servers[cluster.names[s.rng.IntN(3)]].http}, historyCallTimeout)
 }
 
-// operate makes one operation. One that changes something may be sent a second time.
+// operate performs one operation. It may send a claim or a release a second time.
 func (s *claimSession) operate(ctx context.Context, client *control.Client, input claimInput, called time.Duration) (claimOutput, error) {
 	switch input.kind {
 	case claimOperation:
@@ -343,8 +345,9 @@
 	return claimOutput{ok: true, session: task.Session, fence: task.Fence}, nil
 }
 
-// maybeRepeat sends one call in four a second time, through another server, before or after the calls
-// that follow. The history has the second call as one whose answer was lost: it may take effect or not.
+// maybeRepeat sends one call in four a second time, through a random server and after a random delay, so that it
+// may arrive before or after later calls. The history records the second call as one whose answer was lost: it
+// may take effect or not.
 func (s *claimSession) maybeRepeat(input claimInput, called time.Duration, call func(*control.Client)) {
 	h := s.history
 	h.mu.Lock()
@@ -369,7 +372,7 @@
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: input, Output: output, Call: int64(called), Return: int64(returned)})
 }
 
-// record adds an operation that has returned, unless it certainly had no effect and no answer. It reports
+// record adds an operation that has returned, unless it has no result and certainly had no effect. It reports
 // whether the operation was added.
 func (s *claimSession) record(input claimInput, output claimOutput, err error, called time.Duration) bool {
 	returned := time.Since(s.history.began)
--- a/cmd/controlplane/cli_test.go
+++ b/cmd/controlplane/cli_test.go
@@ -12,8 +12,9 @@
 	"knotrouter/internal/lab/golden"
 )
 
-// TestCommandLineKeepsCommandsAndFlags requires each command with its arguments and flags, under its
-// name or an alias. Others may come beside them: the golden file has what scripts and operators use.
+// TestCommandLineKeepsCommandsAndFlags requires that the command line has each command of the golden file, under
+// its name or an alias, with its arguments and flags. The file lists those that scripts and operators use;
+// further ones may be added.
 func TestCommandLineKeepsCommandsAndFlags(t *testing.T) {
 	var got []string
 	var walk func(parent string, c *cobra.Command)
@@ -28,7 +29,7 @@
 			}
 		}
 	}
-	// The program's own name is not checked: it is called by the path to its file.
+	// The program's own name is not checked: the program is called by its path.
 	root := newRootCommand(io.Discard)
 	for _, c := range root.Commands() {
 		walk("PROGRAM", c)
--- a/cmd/controlplane/cluster_test.go
+++ b/cmd/controlplane/cluster_test.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	// waitTimeout bounds what a test waits for, also on a busy machine.
+	// waitTimeout bounds each wait of a test. It is long enough for a busy machine.
 	waitTimeout  = time.Minute
 	pollInterval = 10 * time.Millisecond
 	// retryInterval is the pause before a write that failed is sent again.
 	retryInterval = 20 * time.Millisecond
-	// rejectedWritePause is the pause between a write that failed and the next write of a test that counts
-	// on failures, so that a server which rejects all writes at once is not flooded.
+	// rejectedWritePause is the pause between a write that failed and the next write of a test that expects
+	// failures, so that a server which rejects all writes immediately is not flooded.
 	rejectedWritePause = 10 * time.Millisecond
 	// watchRestartPause is the pause between the end of a test's watch and the next call, so that a server
-	// which ends watches at once is not flooded.
+	// which ends watches immediately is not flooded.
 	watchRestartPause = 10 * time.Millisecond
 
 	// clientTimeout is how long a client of the cluster waits for one server.
@@ -41,14 +41,14 @@
 	writeTimeout = 8 * time.Second
 )
 
-// The heartbeat is long beside the delays of a busy machine, and leases outlast a test.
+// The heartbeat is long compared with the delays of a busy machine, and leases outlast a test.
 const defaultExtraConfig = "heartbeat = \"300ms\"\nlease_ttl = \"10m\"\nsnapshot_every = 64\nsnapshot_check = \"500ms\"\n"
 
 // serverPair is an ordered pair of servers: the one that connects, and the one it connects to.
 type serverPair = [2]string
 
-// testCluster is servers of the control plane, each a process, with a link for each ordered pair over
-// which the first replicates to the second.
+// testCluster is a cluster of control-plane servers, each in a process of its own, with a link for each ordered
+// pair of servers, over which the first replicates to the second.
 type testCluster struct {
 	t           testing.TB
 	dir         string
@@ -58,7 +58,7 @@
 	names       []string
 	links       map[serverPair]*link.Link
 	extraConfig string      // lines of each server's configuration
-	mesh        *gossipMesh // over which the servers gossip; nil: they don't
+	mesh        *gossipMesh // over which the servers gossip; nil if they don't
 }
 
 // serverProcess is one server of a testCluster: the addresses that it listens at, its process, and a client
@@ -69,7 +69,7 @@
 	client                   *control.Client
 }
 
-// newCluster starts n servers, named st-1 and so on, and waits until one of them leads.
+// newCluster starts n servers, named st-1, st-2 and so on, and waits until one of them leads.
 func newCluster(t testing.TB, n int) *testCluster {
 	t.Helper()
 	cluster := newUnstartedCluster(t, n)
@@ -104,7 +104,7 @@
 	return cluster
 }
 
-// close ends all processes and links, and shows the end of each server's log if the test has failed.
+// close ends all processes and links, and prints the end of each server's log if the test has failed.
 func (cluster *testCluster) close() {
 	cluster.t.Helper()
 	cluster.supervisor.Close()
@@ -120,7 +120,7 @@
 	}
 }
 
-// add makes a server that is not configured yet.
+// add adds a server, which is neither configured nor started yet.
 func (cluster *testCluster) add(name string) *serverProcess {
 	cluster.t.Helper()
 	server := &serverProcess{name: name}
@@ -152,7 +152,8 @@
 	return filepath.Join(cluster.dir, name+".data")
 }
 
-// configure writes a server's configuration, in which the peers stand at the server's links to them.
+// configure writes a server's configuration, in which the addresses of the peers are those of the server's links
+// to them.
 func (cluster *testCluster) configure(name string, peers []string) {
 	cluster.t.Helper()
 	server := cluster.servers[name]
@@ -179,8 +180,8 @@
 	}
 }
 
-// linkBetween returns the link over which one server replicates to another; it makes the link at its
-// first use.
+// linkBetween returns the link over which one server replicates to another. It creates the link at the first
+// use.
 func (cluster *testCluster) linkBetween(from, to string) *link.Link {
 	cluster.t.Helper()
 	key := serverPair{from, to}
@@ -194,8 +195,8 @@
 	return cluster.links[key]
 }
 
-// shapeLinks shapes all that a server sends to the others over the links of replication, and all that
-// the server receives. The links must exist: the servers must be configured.
+// shapeLinks shapes the replication traffic that a server sends to the others and receives from them. The links
+// must exist: the servers must be configured.
 func (cluster *testCluster) shapeLinks(name string, outbound, inbound link.Shape) {
 	cluster.t.Helper()
 	for _, other := range cluster.others(name) {
@@ -228,7 +229,8 @@
 	}
 }
 
-// startServers starts the servers named, which must not run, one after the other. It waits for none.
+// startServers starts the servers named, which must not run, one after the other. It doesn't wait until they are
+// ready.
 func (cluster *testCluster) startServers(names []string) {
 	cluster.t.Helper()
 	for _, name := range names {
@@ -243,20 +245,20 @@
 	shutDownProcess(cluster.t, cluster.servers[name].proc)
 }
 
-// suspend has a server stand still until resume.
+// suspend stops a server's process with SIGSTOP until resume is called.
 func (cluster *testCluster) suspend(name string) {
 	cluster.t.Helper()
 	signalProcess(cluster.t, cluster.servers[name].proc, syscall.SIGSTOP)
 }
 
-// resume has a suspended server go on.
+// resume lets a suspended server continue.
 func (cluster *testCluster) resume(name string) {
 	cluster.t.Helper()
 	signalProcess(cluster.t, cluster.servers[name].proc, syscall.SIGCONT)
 }
 
-// restartAll kills all servers, writes their configurations anew, and starts them. If prepare is not
-// nil it is called for each server before any is started.
+// restartAll kills all servers, writes their configurations again, and starts them. If prepare is not nil, it
+// is called for each server before any is started.
 func (cluster *testCluster) restartAll(prepare func(i int, name string)) {
 	cluster.t.Helper()
 	for i, name := range cluster.names {
@@ -293,8 +295,7 @@
 	}
 }
 
-// status returns the status that a server answers with. It returns an error if the server doesn't answer
-// within statusTimeout.
+// status asks a server for its status. It returns an error if the server doesn't answer within statusTimeout.
 func (cluster *testCluster) status(name string) (control.Status, error) {
 	ctx, cancel := context.WithTimeout(cluster.t.Context(), statusTimeout)
 	defer cancel()
@@ -313,17 +314,17 @@
 	return status
 }
 
-// isLeader reports whether a server answers that it leads.
+// isLeader reports whether a server answers with the status of a leader.
 func (cluster *testCluster) isLeader(name string) bool {
 	status, err := cluster.status(name)
 	return err == nil && status.State == "leader"
 }
 
-// waitForLeader waits until one server leads and has taken a write, and returns the server's name. It fails
+// waitForLeader waits until one server leads and has applied a write, and returns the server's name. It fails
 // the test after waitTimeout.
 func (cluster *testCluster) waitForLeader() (leader string) {
 	cluster.t.Helper()
-	cluster.waitUntil("a leader that takes writes", func() bool {
+	cluster.waitUntil("a leader has applied a write", func() bool {
 		for _, name := range cluster.names {
 			if status, err := cluster.status(name); err == nil && status.State == "leader" && status.Seq > 0 {
 				leader = name
@@ -362,12 +363,13 @@
 	return control.NewClient(addrs, clientTimeout)
 }
 
-// shortenLeases has leases end after 3 s from the next configuration on, in place of 10 minutes.
+// shortenLeases sets the lease TTL to 3 s instead of 10 minutes in the configurations that are written from now
+// on.
 func (cluster *testCluster) shortenLeases() {
 	cluster.extraConfig = strings.Replace(cluster.extraConfig, "10m", "3s", 1)
 }
 
-// newSeededRand returns a random source for a test, and shows its seed if the test fails.
+// newSeededRand returns a random source for a test, and logs its seed if the test fails.
 func newSeededRand(t *testing.T, seed uint64) *rand.Rand {
 	t.Helper()
 	t.Cleanup(func() {
--- a/cmd/controlplane/command.go
+++ b/cmd/controlplane/command.go
@@ -6,8 +6,8 @@
 	"github.com/spf13/cobra"
 )
 
-// newArgumentCommand returns a command with exactly one argument. use has its name and that of the
-// argument; run is called with the argument's value, after the flags have been parsed.
+// newArgumentCommand returns a command with exactly one argument. use names the command and the argument;
+// run is called with the argument's value after the flags have been parsed.
 func newArgumentCommand(use, short string, run func(ctx context.Context, argument string) error) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
--- a/cmd/controlplane/confirm.go
+++ b/cmd/controlplane/confirm.go
@@ -7,8 +7,8 @@
 	"github.com/spf13/cobra"
 )
 
-// newConfirmCommand returns the command that ends the quarantine of a mass failure: the servers that
-// it keeps listed are removed.
+// newConfirmCommand returns the command that confirms a mass failure: it removes the quarantined
+// servers, which stay listed until then.
 func newConfirmCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
 	return &cobra.Command{
 		Use:   "confirm",
--- a/cmd/controlplane/durability_test.go
+++ b/cmd/controlplane/durability_test.go
@@ -16,8 +16,8 @@
 	"knotrouter/internal/lab/process"
 )
 
-// A server without its data joins anew, and votes only once the others have added it. Even if the leader
-// is lost afterwards, no acknowledged write is lost and writes are accepted.
+// A server that has lost its data joins again, and votes only once the others have added it. Even if the
+// leader fails afterwards, no acknowledged write is lost and writes are accepted.
 func TestServerRejoinsWithoutItsData(t *testing.T) {
 	cluster := newCluster(t, 3)
 	writer := cluster.startWriter("s")
@@ -27,8 +27,8 @@
 	cluster.eraseData(victim)
 	cluster.start(victim)
 	cluster.waitUntil(victim+" votes again", func() bool {
-		// While the victim replays its log it reports the voters from before its loss. What counts is what
-		// the leader reports once the victim's raft runs, which it does only after the victim's removal.
+		// While the victim replays its log it reports the voters from before its loss. So the test relies on the
+		// voters that the leader reports once the victim's raft runs, which is only after the victim's removal.
 		if status, err := cluster.status(victim); err != nil || status.Applied == 0 {
 			return false
 		}
@@ -40,8 +40,8 @@
 	cluster.register("after", 1)
 }
 
-// A server without its data may have forgotten a write that it acknowledged, so it doesn't vote. If the
-// only server that knows the write is down, the two others wait for it.
+// A server that has lost its data may lack a write that it acknowledged, so it must not vote. While the only
+// server that still has the write is down, the two others elect no leader.
 func TestServerWithoutItsDataDoesNotVote(t *testing.T) {
 	const tenHeartbeats = 3 * time.Second
 	cluster := newCluster(t, 3)
@@ -76,14 +76,14 @@
 	})
 }
 
-// A server that lags behind the start of the leader's log installs a snapshot.
+// A server that lags behind the first entry of the leader's log installs a snapshot.
 func TestLaggingServerInstallsSnapshot(t *testing.T) {
 	cluster := newCluster(t, 3)
 	lagging := cluster.others(cluster.waitForLeader())[0]
 	client := cluster.servers[lagging].client
 	cluster.kill(lagging)
-	cluster.register("once", 7) // no later entry of the log has it
-	for i := range 300 {        // several times what a log keeps
+	cluster.register("once", 7) // no later log entry contains it
+	for i := range 300 {        // several times the entries that a log retains
 		cluster.register(fmt.Sprint("s-", i%20), float64(i))
 	}
 	cluster.waitUntil("the leader has a snapshot", func() bool {
@@ -96,15 +96,15 @@
 		return err == nil && entry.Endpoint.StartedMs == 299
 	})
 	if entry, err := client.Server(t.Context(), "once", false); err != nil || entry.Endpoint.StartedMs != 7 {
-		t.Errorf("the registration that only the snapshot has: %+v, %v", entry.Endpoint, err)
+		t.Errorf("registration that only the snapshot contains: %+v, %v", entry.Endpoint, err)
 	}
 	if !strings.Contains(processLog(cluster.servers[lagging].proc), "Installed remote snapshot") {
 		t.Error("no snapshot was installed")
 	}
 }
 
-// A server rejects a damaged log with one line. It also rejects a data folder that it can't write to, or
-// that another process uses. Nothing in the folder changes.
+// A server with a damaged log ends with a one-line error. So does one with a data folder that it can't write to,
+// or that another process uses. Nothing in the folder changes.
 func TestDamagedDataIsRejected(t *testing.T) {
 	cluster := newCluster(t, 1)
 	name := cluster.names[0]
@@ -129,7 +129,7 @@
 		t.Fatal("the log has no such record")
 	}
 	for label, damage := range map[string]func(b []byte) []byte{
-		"flipped": func(b []byte) []byte { // every copy: bolt decides which of the pages counts
+		"flipped": func(b []byte) []byte { // every copy, as bolt chooses the valid page
 			return []byte(strings.ReplaceAll(string(b), "damaged-record-29", "damaged-recorx-29"))
 		},
 		"torn":  func(b []byte) []byte { return b[:at] },
@@ -150,13 +150,13 @@
 	})
 }
 
-// isOneLineWith reports whether a text is one line, with its line feed, that contains a part.
+// isOneLineWith reports whether a text is a single line that ends with a line feed and contains a part.
 func isOneLineWith(text, part string) bool {
 	return strings.Count(text, "\n") == 1 && strings.Contains(text, part)
 }
 
-// requireStartFails starts a server over a data folder and requires that it ends with one line on
-// standard error that has a text.
+// requireStartFails starts a server over a data folder and requires that it ends after writing a single line on
+// standard error, which contains wantText. The label names the log file and the case in failure messages.
 func requireStartFails(t *testing.T, cluster *testCluster, label, data, wantText string) {
 	t.Helper()
 	name := cluster.names[0]
@@ -170,8 +170,8 @@
 	}
 }
 
-// runOverReadOnlyFolder starts a server over a data folder that it may only read, and returns what it
-// writes until it ends.
+// runOverReadOnlyFolder starts a server over a data folder that it may only read, and returns its output once
+// it has ended.
 func runOverReadOnlyFolder(t *testing.T, data string) string {
 	t.Helper()
 	binary, err := os.ReadFile(executable(t))
@@ -199,8 +199,8 @@
 	return string(output)
 }
 
-// A server whose disk is full rejects writes, or ends with one line that says why. The writes that it
-// acknowledged are there when the disk has capacity again. With three servers the two others go on.
+// A server whose disk is full rejects writes, or ends with a one-line error. The writes that it acknowledged are
+// still there once the disk has space again. With three servers the two others continue.
 func TestFullDiskKeepsAcknowledgedWrites(t *testing.T) {
 	for _, n := range []int{1, 3} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -220,7 +220,7 @@
 			case n == 1 && rejectedInARow == 0 && !isClosed(ended):
 				t.Fatal("the disk was never full")
 			case !strings.Contains(log, "file too large"):
-				t.Errorf("the server doesn't say why: %q", tail(log, 600))
+				t.Errorf("the server's log doesn't have the cause: %q", tail(log, 600))
 			}
 			if isClosed(ended) {
 				if !strings.Contains(log, "controlplane: data: the log can't be written: ") || strings.Contains(log, "goroutine ") {
@@ -239,8 +239,8 @@
 	}
 }
 
-// withFileSizeLimit returns a process like another whose files may grow to 256 KiB, which a program meets
-// like a full disk.
+// withFileSizeLimit returns a copy of a process whose files can't grow beyond 256 KiB. Writes past the limit fail
+// much as they do on a full disk.
 func withFileSizeLimit(cluster *testCluster, normal *process.Process) *process.Process {
 	limited := cluster.supervisor.Add(normal.Spec)
 	limited.Path = "/bin/sh"
@@ -248,8 +248,8 @@
 	return limited
 }
 
-// fillDisk registers servers with long names until the process has ended, or has rejected many writes
-// one after the other. It returns what was acknowledged.
+// fillDisk registers servers with long names until the process has ended, has rejected maxRejected writes in a row
+// or maxWrites were sent. It returns the start times of the acknowledged registrations by name.
 func fillDisk(t *testing.T, cluster *testCluster, ended <-chan struct{}) (acknowledged map[string]float64, rejectedInARow int) {
 	t.Helper()
 	const (
@@ -273,7 +273,7 @@
 	return acknowledged, rejectedInARow
 }
 
-// isClosed reports whether a channel that nothing is sent on is closed.
+// isClosed reports whether a channel on which nothing is sent has been closed.
 func isClosed(channel <-chan struct{}) bool {
 	select {
 	case <-channel:
--- a/cmd/controlplane/failuredetection_test.go
+++ b/cmd/controlplane/failuredetection_test.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// gossipSettleTime is how long a gossipGroup gets to start before a benchmark measures.
+	// gossipSettleTime is how long a gossipGroup has to start before a benchmark begins to measure.
 	gossipSettleTime = 8 * time.Second
-	// detectionWindow is how long after a kill its detection counts, and when the process starts again.
+	// detectionWindow is how long after a kill a detection counts. The process is started again afterwards.
 	detectionWindow = 6 * time.Second
-	// restartSettleTime is how long a process that has started again is not killed.
+	// restartSettleTime is how long a restarted process is not killed again.
 	restartSettleTime = 4 * time.Second
 	// The pause between two kills is killSpacing over the number of processes, but at least minKillPause, so
 	// that few processes are down at any time.
@@ -35,9 +35,9 @@
 	at   time.Time
 }
 
-// BenchmarkFailureDetection kills processes that gossip, one after the other, and measures by their logs
-// when the first and the last of the others have each as failed. It also measures what a process uses at
-// rest.
+// BenchmarkFailureDetection kills gossiping processes, one after the other, and measures from the logs of the
+// others when the first and the last of them mark each as failed. It also measures what an idle process sends and
+// uses.
 func BenchmarkFailureDetection(b *testing.B) {
 	for _, n := range []int{5, 20, 50, 100} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -81,14 +81,14 @@
 	b.ReportMetric(float64(totalCPU()-cpuBefore)/n/float64(idleTime)*1000, "millicores/process")
 }
 
-// killAndRestart kills random processes, count in all. Each starts again after detectionWindow, and is not
-// killed for restartSettleTime then.
+// killAndRestart kills random processes, count in all. Each is started again after detectionWindow, and not killed
+// again until restartSettleTime has passed.
 func killAndRestart(group *gossipGroup, count int) (kills []gossipKill) {
 	n := len(group.names)
 	var restarting sync.WaitGroup
 	rng := rand.New(rand.NewPCG(9, uint64(n)))
 	var mu sync.Mutex
-	recentlyKilled := map[string]bool{} // killed a short time ago
+	recentlyKilled := map[string]bool{} // down, or started within restartSettleTime
 	for range count {
 		mu.Lock()
 		name := group.names[rng.IntN(n)]
@@ -113,8 +113,8 @@
 	return kills
 }
 
-// detectionTimes returns how long after a kill the first and the last observer had the process as failed,
-// or zero for the last if none had.
+// detectionTimes returns how long after a kill the first and the last observer marked the process as failed.
+// latest is zero if none did.
 func detectionTimes(failed map[string]map[string][]time.Time, kill gossipKill) (earliest, latest time.Duration) {
 	earliest = detectionWindow
 	for _, byMember := range failed {
@@ -127,9 +127,9 @@
 	return earliest, latest
 }
 
-// BenchmarkFalseFailures has fifty members gossip over a network that loses a fifth of the datagrams,
-// while random ones stand still for up to 5 s. It counts how often an observer had a running member as
-// failed. WRONG_FOR is the duration.
+// BenchmarkFalseFailures runs fifty members that gossip over a network that loses a fifth of the datagrams, while
+// random members are suspended for up to 5 s. It counts how often an observer marked a member as failed, though
+// none has ended. The environment variable WRONG_FOR sets the duration.
 func BenchmarkFalseFailures(b *testing.B) {
 	const (
 		n               = 50
@@ -165,8 +165,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// waitForStates waits until each observer has logged each other member as in a state. It fails the test
-// after waitTimeout.
+// waitForStates waits until the last state that each observer has logged of each other member is the given one.
+// It fails the test after waitTimeout.
 func (group *gossipGroup) waitForStates(description string, observers, members []string, state member.State) {
 	group.t.Helper()
 	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(statesPollInterval) {
@@ -180,8 +180,8 @@
 	}
 }
 
-// missingState describes an observer whose last logged state of a member is another one. It returns "" if
-// all observers have all members in the state.
+// missingState describes an observer whose last logged state of a member is not the given one. It returns "" if
+// all observers have logged the state of all members.
 func (group *gossipGroup) missingState(observers, members []string, state member.State) (missing string) {
 	group.t.Helper()
 	for _, observer := range observers {
@@ -195,8 +195,9 @@
 	return missing
 }
 
-// Many members start at once, and one of the table ends before it gossips. Then half of the members end at
-// once, too many for one observer to believe, until most of the observers that are left report the same.
+// Many members start at once, of which one in the table of peers ends before it gossips. Then half of the members
+// end at once. These are too many for an observer to mark as failed on its own: it does so once most of the
+// remaining observers report the same.
 func TestMassFailureNeedsMajority(t *testing.T) {
 	const n = 24
 	group := newGossipGroup(t, n, 0)
--- a/cmd/controlplane/gossipgroup_test.go
+++ b/cmd/controlplane/gossipgroup_test.go
@@ -24,25 +24,25 @@
 const (
 	// gossipObservers is how many processes of a gossipGroup are observers.
 	gossipObservers = 5
-	// countsPollInterval is how often bytesSent looks for the answer of a process in the log. It is short, as
-	// the processes are asked one after the other while a benchmark measures.
+	// countsPollInterval is how often bytesSent looks for a process's answer in its log. It is short, as the
+	// processes are asked one after the other while a benchmark measures.
 	countsPollInterval = time.Millisecond
 )
 
-// memberMain is a process that gossips and does nothing else. It logs the changes that it observes, and,
-// on SIGHUP, how much it has sent.
+// memberMain is the main function of a process that only gossips. It logs the changes of members' states that it
+// observes, and on SIGHUP the number of bytes that it has sent.
 func memberMain() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	peers, err := readPeers(os.Getenv("MEMBER_PEERS"))
 	if err != nil {
-		log.Error("peers", "err", err)
+		log.Error("can't read the peers' addresses", "err", err)
 		os.Exit(1)
 	}
 	node, err := gossip.Start(memberConfig(log, peers))
 	if err != nil {
-		log.Error("gossip", "err", err)
+		log.Error("can't start the gossip", "err", err)
 		os.Exit(1)
 	}
 	hangups := make(chan os.Signal, 1)
@@ -57,7 +57,7 @@
 	node.Close()
 }
 
-// readPeers reads a JSON file of the members' addresses by their names.
+// readPeers reads the members' addresses by name from a JSON file.
 func readPeers(path string) (peers map[string]string, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return peers, nil
 }
 
-// memberConfig returns the configuration that the environment has of a process that gossips.
+// memberConfig returns the configuration of a gossiping process from environment variables.
 func memberConfig(log *slog.Logger, peers map[string]string) gossip.Config {
 	self := member.Info{
 		ProtocolVersion: member.ProtocolVersion,
@@ -91,13 +91,13 @@
 	}
 }
 
-// Lines of the log that memberMain writes.
+// Patterns of lines in the log that memberMain writes.
 var (
 	stateChangePattern = regexp.MustCompile(`(?m)^time=(\S+) level=INFO msg=member name=(\S+) to=(\S+)$`)
 	sentCountPattern   = regexp.MustCompile(`(?m)msg=counts sent=(\d+)$`)
 )
 
-// gossipGroup is processes that gossip, gossipObservers of them as observers.
+// gossipGroup is a group of gossiping processes, the first gossipObservers of which are observers.
 type gossipGroup struct {
 	t            testing.TB
 	names        []string
@@ -107,7 +107,7 @@
 	links        []*link.UDP
 }
 
-// newGossipGroup starts n processes. The share of the datagrams to each that is lost may be 0.
+// newGossipGroup starts n processes. loss is the share of the datagrams to each process that are lost, or 0.
 func newGossipGroup(t testing.TB, n int, loss float64) *gossipGroup {
 	t.Helper()
 	addrs, err := loopback.Claim()
@@ -165,7 +165,8 @@
 	return group
 }
 
-// addLossyLink returns the address of a link to a process that loses datagrams; streams lose nothing.
+// addLossyLink adds a link that loses datagrams, but nothing of streams, and returns its address. The link leads to
+// the process at target.
 func (group *gossipGroup) addLossyLink(ip, target string, loss float64, seed uint64) string {
 	group.t.Helper()
 	streams, err := link.New(ip+":0", target, 1)
@@ -191,7 +192,7 @@
 	startProcess(group.t, p)
 }
 
-// bytesSent returns how many bytes all processes have sent.
+// bytesSent returns how many bytes all processes together have sent.
 func (group *gossipGroup) bytesSent() (sum int64) {
 	group.t.Helper()
 	for _, name := range group.names {
@@ -212,8 +213,8 @@
 	return sum
 }
 
-// stateTimes returns, by observer and member, the times at which the observer came to have the member in
-// a state.
+// stateTimes returns, by observer and member, the times at which the observer logged that the member entered a
+// state.
 func (group *gossipGroup) stateTimes(state member.State) map[string]map[string][]time.Time {
 	group.t.Helper()
 	times := map[string]map[string][]time.Time{}
--- a/cmd/controlplane/gossipmesh_test.go
+++ b/cmd/controlplane/gossipmesh_test.go
@@ -8,11 +8,11 @@
 	"knotrouter/internal/lab/link"
 )
 
-// cutShape lets nothing through.
+// cutShape is the shape of a link that lets nothing through.
 var cutShape = link.Shape{Cut: true}
 
-// gossipMesh is the links over which the servers of a cluster gossip and call each other, beside those
-// of replication: for each ordered pair one for datagrams, and one for each address that is dialed.
+// gossipMesh holds the links, other than those for replication, over which the servers of a cluster gossip and call
+// each other: for each ordered pair, one for datagrams and one for each address that the first server dials.
 type gossipMesh struct {
 	cluster   *testCluster
 	streams   map[serverPair]map[string]*link.Link // by the address that they lead to
@@ -21,7 +21,7 @@
 	nonVoters map[string]bool
 }
 
-// newGossipCluster returns a cluster of configured servers that gossip. It is not started.
+// newGossipCluster returns a cluster of servers that gossip. They are configured but not started.
 func newGossipCluster(t testing.TB, n int, extraConfig string, nonVoters ...string) *testCluster {
 	t.Helper()
 	cluster := newUnstartedCluster(t, n)
@@ -62,7 +62,8 @@
 	}
 }
 
-// streamAddr returns the address at which a server dials what another listens at.
+// streamAddr returns the address of the link over which one server dials target, an address of another. It creates
+// the link at the first use.
 func (m *gossipMesh) streamAddr(from, to, target string) string {
 	m.cluster.t.Helper()
 	key := serverPair{from, to}
@@ -79,7 +80,7 @@
 	return m.streams[key][target].Addr()
 }
 
-// peerConfig returns what a server's configuration says of the gossip of a peer, or of its own.
+// peerConfig returns the gossip settings of a peer, or of the server itself, in the server's configuration.
 func (m *gossipMesh) peerConfig(from, to string) string {
 	m.cluster.t.Helper()
 	addr := m.cluster.servers[to].gossip
@@ -100,13 +101,13 @@
 	return text
 }
 
-// shapeOneWay shapes what one server sends to another, over connections that either has made.
+// shapeOneWay shapes what one server sends to another, whichever of the two has opened the connection.
 func (m *gossipMesh) shapeOneWay(from, to string, shape link.Shape) {
 	m.cluster.t.Helper()
 	m.applyShape(shape, serverPair{from, to})
 }
 
-// shapeBetween shapes all that goes between one set of servers and another, both ways.
+// shapeBetween shapes the traffic between two groups of servers in both directions.
 func (m *gossipMesh) shapeBetween(group, otherGroup []string, shape link.Shape) {
 	m.cluster.t.Helper()
 	var pairs []serverPair
@@ -120,8 +121,8 @@
 	m.applyShape(shape, pairs...)
 }
 
-// applyShape shapes what the first server of each pair sends to the second, and keeps the shapes of the
-// opposite directions. All links exist once the servers are configured.
+// applyShape shapes what the first server of each pair sends to the second, and keeps the shapes of the opposite
+// directions. The servers must be configured, as all links exist only then.
 func (m *gossipMesh) applyShape(shape link.Shape, pairs ...serverPair) {
 	m.cluster.t.Helper()
 	changed := map[serverPair]bool{}
@@ -129,7 +130,7 @@
 		m.shapes[pair] = shape
 		changed[pair], changed[reverse(pair)] = true, true
 	}
-	// All at once: a link that is cut fills a queue before Set returns.
+	// In parallel, as Set on a link that is cut returns only after it has filled a queue.
 	var setting sync.WaitGroup
 	for pair := range changed {
 		forward, back := m.shapes[pair], m.shapes[reverse(pair)]
--- a/cmd/controlplane/leases_test.go
+++ b/cmd/controlplane/leases_test.go
@@ -10,14 +10,14 @@
 	"knotrouter/internal/catalog"
 )
 
-// The leases of servers that don't renew expire by the leader's clock, and a new leader gives each its
-// full TTL again. A mass failure keeps servers listed until an operator confirms it.
+// The leases of servers that don't renew expire by the leader's clock, and a new leader renews each lease for the
+// full TTL. In a mass failure the servers stay listed until an operator confirms their removal.
 func TestLeaseExpiryAndMassFailureGuard(t *testing.T) {
 	const n = 10
 	cluster := newCluster(t, 3)
 	cluster.shortenLeases()
 	cluster.restartAll(nil)
-	var renewing atomic.Int64 // how many servers renew: the first ones
+	var renewing atomic.Int64 // how many servers renew, from s-0 on
 	renewing.Store(n)
 	cluster.renewAll(200*time.Millisecond, func() []catalog.InstanceRef { return instanceRefs(int(renewing.Load())) })
 	for i := range n {
@@ -26,9 +26,9 @@
 	cluster.waitUntil("all are listed", func() bool { return cluster.listedCount() == n })
 	cluster.kill(cluster.waitForLeader())
 	cluster.waitUntil("another leader lists all", func() bool { return cluster.listedCount() == n })
-	renewing.Store(8) // a failure of two of ten is believed
+	renewing.Store(8) // the failure of two of ten is not a mass failure
 	cluster.waitUntil("two leases have expired", func() bool { return cluster.listedCount() == 8 })
-	renewing.Store(1) // a failure of all but one is not
+	renewing.Store(1) // the failure of all but one is
 	cluster.waitUntil("the others are quarantined", func() bool {
 		status, err := cluster.status(cluster.waitForLeader())
 		return err == nil && status.Quarantined >= 6 && status.Listed == 8
--- a/cmd/controlplane/linearizability_test.go
+++ b/cmd/controlplane/linearizability_test.go
@@ -19,7 +19,7 @@
 // Kinds of operations on a server's weight, beside reads.
 const (
 	writeOperation         = "write"
-	compareAndSetOperation = "cas" // a write if the entry has a version
+	compareAndSetOperation = "cas" // a write on condition that the entry has a given version
 )
 
 const (
@@ -41,21 +41,20 @@
 
 type overrideOutput struct {
 	weight   float64
-	version  int64 // 0: unknown, the answer was lost
+	version  int64 // 0 if unknown, as the answer was lost
 	rejected bool  // of a compare-and-set: the entry has another version
 	// rejectedByUnseenWrite is set if the entry may have the version of a write whose answer was lost and
-	// that no read saw.
+	// whose weight no read returned.
 	rejectedByUnseenWrite bool
 }
 
-// overrideState is a weight with the version that it was written under, which is 0 if it is not known
-// yet.
+// overrideState is a weight and the version of its write, which is 0 as long as it is not known.
 type overrideState struct {
 	weight  float64
 	version int64
 }
 
-// overrideModel is one register for each server.
+// overrideModel specifies a register for each server.
 var overrideModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		return partition(history, func(input any) string { return input.(overrideInput).key })
@@ -77,7 +76,7 @@
 	case compareAndSetOperation:
 		fits := s.version == 0 || s.version == in.ifVersion
 		switch {
-		case out.version == 0 && fits: // it may have taken effect
+		case out.version == 0 && fits: // the write may have taken effect
 			return true, overrideState{in.weight, 0}
 		case out.version == 0:
 			return true, s
@@ -89,10 +88,10 @@
 	return out.version == 0 || out.version > s.version, overrideState{in.weight, out.version}
 }
 
-// resolveUnknownOutcomes completes the operations whose answers were lost with what is known of them.
-// Weights are unique: a write whose weight a read saw took effect, under the version of the read. A write
-// that no read saw matters only to a compare-and-set that was rejected because of the write. The write is
-// left out, as the checker would have to try it at every place.
+// resolveUnknownOutcomes completes the operations whose answers were lost with what reads show about them.
+// Weights are unique: a write whose weight a read returned took effect, under the version of the read. A write
+// that no read saw matters only to a compare-and-set that was rejected because of the write. The write is left
+// out, as the checker would have to try it at every position in the history.
 func resolveUnknownOutcomes(operations []porcupine.Operation) (resolved []porcupine.Operation) {
 	seenVersions := map[float64]int64{} // by weight
 	for _, operation := range operations {
@@ -101,7 +100,7 @@
 			seenVersions[output.weight] = output.version
 		}
 	}
-	firstUnseen := map[string]int64{} // by key, when the first write was called that no read saw
+	firstUnseen := map[string]int64{} // by key, the time of the call of the first write that no read saw
 	for _, operation := range operations {
 		input, output := operation.Input.(overrideInput), operation.Output.(overrideOutput)
 		if output.version == 0 && seenVersions[input.weight] == 0 {
@@ -149,8 +148,8 @@
 	return h.counts[readOperation] >= 20 && h.counts[writeOperation] >= 20 && h.counts[compareAndSetOperation] >= 5
 }
 
-// run makes random operations, each at a random server, until the context ends. A call that was begun is
-// ended, so that its outcome is known.
+// run makes random operations, each at a random server, until the context ends. A started
+// call is completed, so that its outcome is known.
 func (h *overrideHistory) run(ctx context.Context, cluster *testCluster, client int, rng *rand.Rand) {
 	versions := map[string]int64{} // by key, that the client saw last
 	for n := 0; ctx.Err() == nil; n++ {
@@ -177,7 +176,7 @@
 	}
 }
 
-// operateOverride makes one operation at a server.
+// operateOverride performs one operation at a server.
 func operateOverride(addr string, input overrideInput) (overrideOutput, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), historyCallTimeout)
 	defer cancel()
@@ -193,7 +192,8 @@
 	return overrideOutput{version: result.Seq}, err
 }
 
-// recordFailure adds a failed operation unless it certainly had no effect, and makes a pause.
+// recordFailure adds a failed operation unless it certainly had no effect. It pauses after a write that the
+// server answers not to have applied, and after a call without an answer.
 func (h *overrideHistory) recordFailure(client int, input overrideInput, err error, called, returned time.Duration) {
 	var rejected *control.HTTPError
 	isRejected := errors.As(err, &rejected)
@@ -203,7 +203,7 @@
 		h.add(client, input, overrideOutput{version: 1, rejected: true}, called, returned)
 	case isRejected && rejected.NotApplied:
 		time.Sleep(pauseAfterRejection)
-	default: // it may take effect at any time after its call
+	default: // the operation may take effect at any time after its call
 		h.add(client, input, overrideOutput{}, called, math.MaxInt64)
 	}
 	if !isRejected {
@@ -211,8 +211,8 @@
 	}
 }
 
-// Under random faults of the servers the history of writes and consistent reads of weights is one that
-// one register for each server could have had. LINEAR_SEEDS is the number of histories.
+// Writes and consistent reads of servers' weights are linearizable under random faults of the control plane: the
+// results are those of one register for each server. LINEAR_SEEDS is the number of histories.
 func TestOverridesLinearizable(t *testing.T) {
 	for seed := range countFromEnvironment(t, "LINEAR_SEEDS", 10) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -248,7 +248,7 @@
 	}
 	switch result, _ := porcupine.CheckOperationsVerbose(overrideModel, resolveUnknownOutcomes(history.operations), waitTimeout); result {
 	case porcupine.Illegal:
-		t.Errorf("seed %d: %d operations are not linearizable: no register answers so", seed, len(history.operations))
+		t.Errorf("seed %d: %d operations are not linearizable: no sequential use of a register has these results", seed, len(history.operations))
 	case porcupine.Unknown:
 		t.Errorf("seed %d: the check of %d operations did not end within %v", seed, len(history.operations), waitTimeout)
 	}
--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -20,11 +20,11 @@
 	"knotrouter/internal/control"
 )
 
-// callTimeout is how long the command line waits for the answer of a server.
+// callTimeout is how long the command line waits for a server's answer.
 const callTimeout = 40 * time.Second
 
-// newClientFunc returns a client of the servers that --at names. Commands call it when they run,
-// which is after the flags have been parsed.
+// newClientFunc returns a client of the servers that --at names. It must be called when a command
+// runs, as the flags are not parsed before.
 type newClientFunc func() *control.Client
 
 func main() {
@@ -37,7 +37,7 @@
 	}
 }
 
-// newRootCommand returns the command line with all its commands. They write their answers to out.
+// newRootCommand returns the command line with all its commands. They write their output to out.
 func newRootCommand(out io.Writer) *cobra.Command {
 	root := &cobra.Command{
 		Use:           "controlplane",
--- a/cmd/controlplane/members.go
+++ b/cmd/controlplane/members.go
@@ -18,10 +18,10 @@
 // viewTimeout is how long `members` waits for each server's view.
 const viewTimeout = 5 * time.Second
 
-// errNoView is the failure of `members` if no server that gossips answered.
+// errNoView is the error of `members` if no server that gossips answered.
 var errNoView = errors.New("no steward answers that gossips")
 
-// unknownObserverError is the failure of `members --from` if no server of that name answered.
+// unknownObserverError is the error of `members --from` if no server of that name answered.
 type unknownObserverError struct{ name string }
 
 // Error names the flag and the server.
@@ -29,11 +29,11 @@
 	return "--from: " + e.name + " is none of the stewards that answer"
 }
 
-// memberOptions is what `members` is to show.
+// memberOptions selects what `members` shows.
 type memberOptions struct {
 	from    string // the server whose own observations are shown; empty: the combined view
-	compare bool   // where the servers' observations differ, in place of a view
-	all     bool   // each agent and server, not only their numbers
+	compare bool   // show where the servers' observations differ, instead of a view
+	all     bool   // show each agent and server, not only how many there are
 }
 
 // newMembersCommand returns the command that shows the membership views of servers.
@@ -58,9 +58,9 @@
 	return cmd
 }
 
-// printMembers prints the addresses that did not answer, and then the views, or their differences, that
-// the options select. It returns errNoView if there is no view, and a *unknownObserverError if there is none
-// of the selected server.
+// printMembers prints the addresses that did not answer, and then the view, or the differences between the
+// views, that the options select. It returns errNoView if there is no view, and an *unknownObserverError if
+// there is none from the selected server.
 func printMembers(out io.Writer, views []member.View, unanswered []string, options memberOptions) error {
 	if len(views) == 0 {
 		return errNoView
@@ -81,8 +81,8 @@
 	return printCombinedView(out, &views[0], options.all)
 }
 
-// printCombinedView prints the state of each member by the observations of all servers, and who
-// observes what.
+// printCombinedView prints the state of each member, combined from the observations of all servers, and
+// the state that each observer reports.
 func printCombinedView(out io.Writer, view *member.View, all bool) error {
 	var rows [][]string
 	counts := memberCounts{}
@@ -101,8 +101,8 @@
 	return printMemberTable(out, view, "observers", rows, counts)
 }
 
-// printOwnView prints the members that the view's own server observes, with the state that it observes
-// and since when.
+// printOwnView prints the members that the view's own server observes, with the observed state and how long
+// the member has been in it.
 func printOwnView(out io.Writer, view *member.View, all bool) error {
 	var rows [][]string
 	counts := memberCounts{}
@@ -120,8 +120,8 @@
 	return printMemberTable(out, view, "for", rows, counts)
 }
 
-// observationBy returns the state of a member that an observer observes, and for how many milliseconds
-// it has. observed is false if the observer has no observation of the member.
+// observationBy returns the state in which an observer sees a member, and for how many milliseconds it has
+// observed this state. observed is false if the observer has no observation of the member.
 func observationBy(observer string, entry *member.Entry) (state member.State, durationMs int64, observed bool) {
 	for _, o := range entry.Observers {
 		if o.Observer == observer {
@@ -131,30 +131,30 @@
 	return state, durationMs, observed
 }
 
-// isShown reports whether a member gets a row. There are many members that don't gossip; those that are
-// present are only counted, unless all is set.
+// isShown reports whether a member gets a row. Members that don't gossip are many, so those that are present
+// are only counted unless all is set.
 func isShown(role member.Role, state member.State, all bool) bool {
 	return role.Gossips() || all || state != member.Present
 }
 
-// memberRow returns the columns of a member. The last one depends on the kind of the view.
+// memberRow returns the columns of a member. The last one, detail, depends on the kind of view.
 func memberRow(entry *member.Entry, state member.State, detail string) []string {
 	return []string{entry.Name, string(entry.Role), string(state), entry.Zone, fmt.Sprint(entry.Incarnation), entry.ProgramVersion, detail}
 }
 
-// roleAndState is what members are counted by.
+// roleAndState is the key by which members are counted.
 type roleAndState struct {
 	role  member.Role
 	state member.State
 }
 
-// memberCounts is the number of members of each role and state.
+// memberCounts holds the number of members for each role and state.
 type memberCounts map[roleAndState]int
 
 // add counts a member.
 func (c memberCounts) add(role member.Role, state member.State) { c[roleAndState{role, state}]++ }
 
-// String returns the counts, sorted as texts that begin with the number, with commas between.
+// String returns the counts, separated by commas, in the lexical order of their texts.
 func (c memberCounts) String() string {
 	var parts []string
 	for key, n := range c {
@@ -164,8 +164,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// printMemberTable prints a view's rows, whose last column depends on the kind of the view, and the
-// counts of all its members.
+// printMemberTable prints a view's rows, whose last column depends on the kind of view, and the counts of
+// all its members.
 func printMemberTable(out io.Writer, view *member.View, detailColumn string, rows [][]string, counts memberCounts) error {
 	columns := []string{"member", "role", "state", "zone", "life", "program", detailColumn}
 	if err := table.Terminal(out, false, columns, rows); err != nil {
@@ -175,7 +175,8 @@
 	return nil
 }
 
-// printDifferences prints the members about which the servers' views differ, or that there are none.
+// printDifferences prints the members whose states differ between the servers' views, or a line that says
+// that there are none.
 func printDifferences(out io.Writer, views []member.View) error {
 	differences := member.CompareViews(views)
 	if len(differences) == 0 {
--- a/cmd/controlplane/peers.go
+++ b/cmd/controlplane/peers.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 )
 
-// newPeerCommand returns the commands that change which servers vote.
+// newPeerCommand returns the commands that add servers to the voters and remove them.
 func newPeerCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "peer",
--- a/cmd/controlplane/serve.go
+++ b/cmd/controlplane/serve.go
@@ -13,10 +13,11 @@
 	"knotrouter/internal/control"
 )
 
-// errReload is the cause with which waitForReload cancels its wait for the server's end on SIGHUP.
+// errReload is the cancellation cause that tells waitForReload that a SIGHUP ended its wait.
 var errReload = errors.New("reload of the configuration requested")
 
-// adjustConfig changes what no setting can change. Tests replace it to set the clock and the log store.
+// adjustConfig changes configuration fields that no setting reaches. Tests replace it to set the clock and the
+// log store.
 var adjustConfig = func(*control.Config) {}
 
 // serveFlag is a setting of the configuration file that a flag of the same name overrides.
@@ -32,10 +33,10 @@
 	{"log_level", "debug, info, warn or error"},
 }
 
-// configSource is where the configuration is read from, at the start and at each SIGHUP.
+// configSource tells where to read the configuration from, at the start and at each SIGHUP.
 type configSource struct {
-	path      string         // of the TOML file; "": none
-	overrides map[string]any // settings that flags override, by their key
+	path      string         // of the TOML file; "" if there is none
+	overrides map[string]any // values of the settings that flags override, by key
 }
 
 // load reads the configuration. It returns the errors of control.LoadConfig.
@@ -69,8 +70,8 @@
 	return cmd
 }
 
-// serve runs a server with a configuration. It returns nil after a graceful shutdown, which begins when
-// the context is canceled, and otherwise the error that ended the server or kept it from starting.
+// serve runs a server with the configuration from source. It returns nil after a graceful shutdown, which
+// begins when the context is canceled, and otherwise the error that ended the server or kept it from starting.
 func serve(ctx context.Context, source configSource) error {
 	config, err := source.load()
 	if err != nil {
@@ -123,12 +124,12 @@
 	return false, err
 }
 
-// reloadPeers reads the configuration again and gives the server its peers. A configuration that can't
-// be loaded is logged and changes nothing.
+// reloadPeers reads the configuration again and applies its table of peers to the server. If the configuration
+// can't be loaded, reloadPeers logs the error and changes nothing.
 func reloadPeers(server *control.Server, log *slog.Logger, source configSource) {
 	config, err := source.load()
 	if err != nil {
-		log.Error("SIGHUP: the configuration stays as it was", "err", err)
+		log.Error("SIGHUP: can't load the configuration, keeping the current one", "err", err)
 		return
 	}
 	server.Reload(config)
--- a/cmd/controlplane/servers.go
+++ b/cmd/controlplane/servers.go
@@ -14,11 +14,11 @@
 	"knotrouter/internal/table"
 )
 
-// errNoOverride is the failure of `servers set` without anything to set.
+// errNoOverride is the error of `servers set` if it is given nothing to set.
 var errNoOverride = errors.New("--share, --health: neither is given")
 
-// newServersCommand returns the command that shows the registered servers, with the one that sets an
-// override.
+// newServersCommand returns the command that shows the registered servers, with the subcommand that sets
+// an override.
 func newServersCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "servers",
@@ -33,7 +33,7 @@
 	return cmd
 }
 
-// printServers prints a row for each entry, also of those that were removed recently.
+// printServers prints a row for each entry, including those that were removed recently.
 func printServers(ctx context.Context, out io.Writer, client *control.Client) error {
 	entries, err := client.Servers(ctx, true)
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// serverNote returns why an entry is not listed as its server last reported, or "" if it is.
+// serverNote explains why an entry is not listed as its server last reported. It returns "" if it is.
 func serverNote(entry *catalog.Entry) string {
 	switch {
 	case entry.Removed:
@@ -80,7 +80,7 @@
 	var weight float64
 	var health string
 	var ifVersion int64
-	var flags *pflag.FlagSet // of the command below, which runs set after it has parsed them
+	var flags *pflag.FlagSet // of the command below, which calls set after parsing them
 	set := func(ctx context.Context, server string) error {
 		override := control.ServerOverride{IfVersion: ifVersion}
 		if flags.Changed("share") {
--- a/cmd/controlplane/snapshot.go
+++ b/cmd/controlplane/snapshot.go
@@ -19,7 +19,7 @@
 }
 
 // newSaveSnapshotCommand returns the command that writes the leader's state to a file. An existing file
-// is replaced once the state is complete.
+// is replaced only once the state has been received and written in full.
 func newSaveSnapshotCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
 	return newArgumentCommand("save FILE", "Save the state as it is now", func(ctx context.Context, file string) error {
 		state, err := newClient().Snapshot(ctx)
@@ -34,7 +34,7 @@
 	})
 }
 
-// newRestoreSnapshotCommand returns the command that replaces the replicated state by that of a file.
+// newRestoreSnapshotCommand returns the command that replaces the replicated state with the state in a file.
 func newRestoreSnapshotCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
 	const short = "Put a saved state in place of the present one; versions go on"
 	return newArgumentCommand("restore FILE", short, func(ctx context.Context, file string) error {
--- a/cmd/controlplane/status.go
+++ b/cmd/controlplane/status.go
@@ -14,7 +14,7 @@
 	"knotrouter/internal/table"
 )
 
-// errNoAnswer is the failure of a command that no server answered.
+// errNoAnswer is the error of a command that no server answered.
 var errNoAnswer = errors.New("no steward answers")
 
 // newStatusCommand returns the command that shows the status of each server that --at names.
@@ -82,8 +82,8 @@
 	}
 }
 
-// quarantineNote returns a line that says how many servers the mass-failure guard keeps listed, for how
-// long, and which command removes them.
+// quarantineNote returns a line that says how many servers the mass-failure guard keeps listed, for how long
+// it has done so, and which command removes them.
 func quarantineNote(status *control.Status) string {
 	duration := (time.Duration(status.QuarantinedForMs) * time.Millisecond).Round(time.Second)
 	return fmt.Sprintf("%s: %d servers would have lapsed at once and stay listed, for %v now; 'controlplane confirm' says that they are gone",
--- a/cmd/controlplane/tasks.go
+++ b/cmd/controlplane/tasks.go
@@ -13,11 +13,11 @@
 	"knotrouter/internal/table"
 )
 
-// taskCommand is an operator's command on one leased task.
+// taskCommand describes an operator's command for one leased task.
 type taskCommand struct {
-	name         string // one of control's Command constants; also on the command line
+	name         string // one of control's Command constants, and the name on the command line
 	short        string // the help text
-	confirmation string // what is printed after the task's name
+	confirmation string // printed after the task's name on success
 }
 
 var taskCommands = []taskCommand{
@@ -28,8 +28,8 @@
 	{control.CommandDelete, "Forget a duty that nobody holds", "is forgotten"},
 }
 
-// newTasksCommand returns the commands that show, define and command leased tasks, which the operators
-// call duties.
+// newTasksCommand returns the commands that show, define and control leased tasks, which operators call
+// duties.
 func newTasksCommand(out io.Writer, newClient newClientFunc) *cobra.Command {
 	list := func(cmd *cobra.Command, _ []string) error {
 		return printTasks(cmd.Context(), out, newClient())
@@ -100,7 +100,7 @@
 	return cmd
 }
 
-// newTaskCommand returns the command line's command for an operator's command on a leased task.
+// newTaskCommand returns the command that sends an operator's command for a leased task.
 func newTaskCommand(out io.Writer, newClient newClientFunc, command taskCommand) *cobra.Command {
 	var to, why string
 	cmd := newArgumentCommand(command.name+" NAME", command.short, func(ctx context.Context, name string) error {
