--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -111,15 +111,15 @@
 	counts := map[soak.Verdict]int{}
 	for i := range seeds {
 		result := <-results[i]
-		if ctx.Err() != nil && result.Verdict == soak.Failed {
+		if ctx.Err() != nil && result.Verdict == soak.RunFailed {
 			break // interrupted
 		}
 		counts[result.Verdict]++
 		options.print(out, result)
 	}
 	fmt.Fprintf(out, "soak: %d held, %d broke, %d void, %d failed of %d seeds\n",
-		counts[soak.Passed], counts[soak.Broke], counts[soak.Void], counts[soak.Failed], len(seeds))
-	if counts[soak.Broke]+counts[soak.Failed] > 0 || counts[soak.Passed] == 0 || ctx.Err() != nil {
+		counts[soak.Passed], counts[soak.Violated], counts[soak.Void], counts[soak.RunFailed], len(seeds))
+	if counts[soak.Violated]+counts[soak.RunFailed] > 0 || counts[soak.Passed] == 0 || ctx.Err() != nil {
 		return errBroke
 	}
 	return nil
@@ -128,12 +128,12 @@
 // runSeed runs one seed, and shrinks it if it broke and that is asked for.
 func (o *soakOptions) runSeed(ctx context.Context, out io.Writer, seed uint64) soak.Result {
 	if ctx.Err() != nil {
-		return soak.Result{Seed: seed, Verdict: soak.Failed, Reason: "interrupted"}
+		return soak.Result{Seed: seed, Verdict: soak.RunFailed, Reason: "interrupted"}
 	}
 	e := soak.Draw(seed, o.duration)
 	dir := filepath.Join(o.out, e.Name)
 	result := soak.Run(ctx, e, seed, o.agent, dir)
-	if o.shrink && result.Verdict == soak.Broke {
+	if o.shrink && result.Verdict == soak.Violated {
 		smaller := soak.Shrink(ctx, e, seed, o.agent, filepath.Join(dir, "shrunk"), shrinkRuns*o.duration)
 		fmt.Fprintf(out, "seed %d still broke with:\n%s", seed, smaller.Text())
 	}
--- a/internal/lab/experiment/agents.go
+++ b/internal/lab/experiment/agents.go
@@ -98,9 +98,9 @@
 	return path, nil
 }
 
-// writeAgentConfig writes an agent's configuration file in place of the one before. With starts,
+// writeAgentConfig writes an agent's configuration file in place of the one before. With starting,
 // the agent is about to start with it, and the checker is notified of what it lists.
-func (fl *fleet) writeAgentConfig(agent *agentProcess, starts bool) error {
+func (fl *fleet) writeAgentConfig(agent *agentProcess, starting bool) error {
 	settings, err := fl.config.AgentSettings(agent.index)
 	if err != nil {
 		return err
@@ -122,7 +122,7 @@
 	if err := replaceFile(agent.configPath, text); err != nil {
 		return fmt.Errorf("agent configuration: %w", err)
 	}
-	if starts {
+	if starting {
 		fl.checker.AgentStarted(agent.index)
 		fl.discovery.RecordInitialList(agent.index, &known)
 		if fl.controlPlane != nil {
--- a/internal/lab/experiment/clients.go
+++ b/internal/lab/experiment/clients.go
@@ -13,9 +13,9 @@
 	Requests, InTime, Late, Rejected, Failed int
 }
 
-// listenSlack is how long beyond the agents' own slack a client waits for an answer, so that the
+// clientWaitSlack is how long beyond the agents' own slack a client waits for an answer, so that the
 // checker sees a late one.
-const listenSlack = 60 * time.Millisecond
+const clientWaitSlack = 60 * time.Millisecond
 
 // addClients creates a client for each agent, or for each one that a baseline takes the place of.
 func (fl *fleet) addClients(agents []string) error {
@@ -24,7 +24,7 @@
 		prefix = string(fl.policy[:2]) + "-"
 	}
 	env := &client.Env{Clock: fl.clock, Epoch: fl.epoch, Checker: fl.checker, Load: &fl.config.Load, IDPrefix: prefix,
-		ListenSlack: fl.config.Rules.AnswerSlack + listenSlack, Finished: fl.recordResult}
+		ListenSlack: fl.config.Rules.AnswerSlack + clientWaitSlack, Finished: fl.recordResult}
 	for i := range agents {
 		sender, err := fl.newSender(i)
 		if err != nil {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -174,7 +174,7 @@
 // The error of an invalid file names the key, in one line.
 func TestInvalidKeysAreNamed(t *testing.T) {
 	good := fmt.Sprintf(smallExperiment, "bin/agent", "honest")
-	for _, c := range []struct{ from, to, names string }{
+	for _, c := range []struct{ from, to, wantError string }{
 		{"rate = 90", "rate = -1", "load.rate: must be 0 or above"},
 		{"rate = 90", "rat = 150", "load.rat: unknown key"},
 		{"rate = 90", "rate = \"many\"", "load.rate"},
@@ -206,8 +206,8 @@
 			t.Fatalf("%q does not stand in the file", c.from)
 		}
 		_, err := Parse([]byte(text))
-		if err == nil || !strings.Contains(err.Error(), c.names) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: said %v, want one line with %q", c.to, err, c.names)
+		if err == nil || !strings.Contains(err.Error(), c.wantError) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: said %v, want one line with %q", c.to, err, c.wantError)
 		}
 	}
 	if _, err := Parse([]byte(good)); err != nil {
--- a/internal/lab/experiment/faults.go
+++ b/internal/lab/experiment/faults.go
@@ -21,7 +21,7 @@
 	}
 	offsets := drawPerTarget(targets, rng)
 	return len(targets), forEachTarget(ctx, targets, interval, func(target int) error {
-		return fl.faultServer(ctx, f, fl.servers[target], offsets[target])
+		return fl.applyFaultToServer(ctx, f, fl.servers[target], offsets[target])
 	})
 }
 
@@ -35,9 +35,9 @@
 	return draws
 }
 
-// faultServer injects a fault into one server, waits for its duration and ends it. offset, in
+// applyFaultToServer injects a fault into one server, waits for its duration and ends it. offset, in
 // [0, 1), is where in its interval a periodic fault begins.
-func (fl *fleet) faultServer(ctx context.Context, f *Fault, srv *server.Server, offset float64) error {
+func (fl *fleet) applyFaultToServer(ctx context.Context, f *Fault, srv *server.Server, offset float64) error {
 	switch f.Kind {
 	case faultKill:
 		srv.Kill()
@@ -180,19 +180,19 @@
 		case faultKill:
 			return fl.killAndRestartAgent(ctx, f, agent)
 		case faultStop:
-			fl.excusePause(target, f)
+			fl.notifyCheckerOfPause(target, f)
 			return fl.pauseProcess(ctx, f, agent.process)
 		case faultReload:
 			return fl.reloadAgent(agent)
-		case faultSignals, faultFlood, faultPipeline, faultNoFiles:
-			return fl.faultAgentIrregularly(ctx, f, agent, rand.New(rand.NewPCG(fl.seed, uint64(draws[target]*float64(1<<53)))))
+		case faultSignals, faultFlood, faultPipeline, faultNoDescriptors:
+			return fl.applyIrregularFault(ctx, f, agent, rand.New(rand.NewPCG(fl.seed, uint64(draws[target]*float64(1<<53)))))
 		}
 		return fl.restartAgent(ctx, agent, draws[target])
 	})
 }
 
-// faultAgentIrregularly injects one of the faults of irregular signals and clients into an agent.
-func (fl *fleet) faultAgentIrregularly(ctx context.Context, f *Fault, agent *agentProcess, rng *rand.Rand) error {
+// applyIrregularFault injects one of the faults of irregular signals and clients into an agent.
+func (fl *fleet) applyIrregularFault(ctx context.Context, f *Fault, agent *agentProcess, rng *rand.Rand) error {
 	switch f.Kind {
 	case faultSignals:
 		return fl.signalAgent(ctx, f, agent, rng)
@@ -201,7 +201,7 @@
 	case faultPipeline:
 		return fl.pipelineRequests(ctx, f, agent, rng)
 	}
-	return fl.withholdDescriptors(ctx, f, agent)
+	return fl.blockNewDescriptors(ctx, f, agent)
 }
 
 // killAndRestartAgent kills an agent and, if the fault has a duration, starts it again after it.
@@ -225,8 +225,8 @@
 	endOfRun = time.Hour
 )
 
-// excusePause has the checker excuse what an agent does late because it is paused.
-func (fl *fleet) excusePause(agent int, f *Fault) {
+// notifyCheckerOfPause has the checker excuse what an agent does late because it is paused.
+func (fl *fleet) notifyCheckerOfPause(agent int, f *Fault) {
 	from, to := fl.clock(), fl.clock()+f.Duration+catchUpTime
 	if f.Duration == 0 {
 		to = endOfRun
@@ -285,7 +285,7 @@
 	}
 	links := fl.controlledLinks(keys)
 	forward, back := linkShapes(f)
-	fl.excuseDiscoveryCut(keys, f, true)
+	fl.notifyCheckerOfDiscoveryCut(keys, f, true)
 	err := forEachLink(ctx, links, func(l controllableLink) error {
 		if f.Kind == faultRefuse {
 			return l.Refuse()
@@ -298,7 +298,7 @@
 		if err == nil {
 			err = restoreErr
 		}
-		fl.excuseDiscoveryCut(keys, f, false)
+		fl.notifyCheckerOfDiscoveryCut(keys, f, false)
 	}
 	return len(keys), err
 }
@@ -337,9 +337,9 @@
 	return forEachTarget(ctx, indexes, 0, func(i int) error { return do(links[i]) })
 }
 
-// excuseDiscoveryCut notifies the checker of agents that a fault cuts off from discovery, or of
+// notifyCheckerOfDiscoveryCut notifies the checker of agents that a fault cuts off from discovery, or of
 // the end of that.
-func (fl *fleet) excuseDiscoveryCut(keys []linkKey, f *Fault, cut bool) {
+func (fl *fleet) notifyCheckerOfDiscoveryCut(keys []linkKey, f *Fault, cut bool) {
 	if f.Kind != faultCut && f.Kind != faultRefuse {
 		return
 	}
--- a/internal/lab/experiment/irregular.go
+++ b/internal/lab/experiment/irregular.go
@@ -63,7 +63,7 @@
 			_ = agent.process.Signal(syscall.SIGHUP) // it may have ended since
 		case signalTerminate:
 			if terminatedAt.IsZero() {
-				fl.startIrregular(agent, rng)
+				fl.startIrregularClients(agent, rng)
 				sleep(ctx, splitPause/2)
 				terminatedAt = time.Now()
 			}
@@ -71,7 +71,7 @@
 		case signalKill:
 			fl.killAgent(agent)
 			<-ended
-			return fl.restartInTime(ctx, agent)
+			return fl.startWithinLimit(ctx, agent)
 		}
 	}
 	if terminatedAt.IsZero() {
@@ -97,11 +97,11 @@
 		return ctx.Err()
 	}
 	fl.clients[agent.index].StopSending()
-	return fl.restartInTime(ctx, agent)
+	return fl.startWithinLimit(ctx, agent)
 }
 
-// restartInTime starts an agent. One that is not ready within maxRestartTime breaks a rule.
-func (fl *fleet) restartInTime(ctx context.Context, agent *agentProcess) error {
+// startWithinLimit starts an agent. One that is not ready within maxRestartTime breaks a rule.
+func (fl *fleet) startWithinLimit(ctx context.Context, agent *agentProcess) error {
 	startedAt := time.Now()
 	if err := fl.startAgent(ctx, agent); err != nil {
 		return err
@@ -112,9 +112,9 @@
 	return nil
 }
 
-// drawIrregular draws the requests of one irregular connection. They are of one class, as one with a
+// drawIrregularRequests draws the requests of one irregular connection. They are of one class, as one with a
 // shorter deadline could not be answered before those in front of it.
-func (fl *fleet) drawIrregular(rng *rand.Rand, count int) []client.Arrival {
+func (fl *fleet) drawIrregularRequests(rng *rand.Rand, count int) []client.Arrival {
 	arrivals := make([]client.Arrival, count)
 	class := rng.IntN(len(fl.config.Load.Classes))
 	for i := range arrivals {
@@ -124,12 +124,12 @@
 	return arrivals
 }
 
-// startIrregular has clients pipeline requests to an agent, and others send half a request now and
+// startIrregularClients has clients pipeline requests to an agent, and others send half a request now and
 // the rest after splitPause. Their requests end by themselves.
-func (fl *fleet) startIrregular(agent *agentProcess, rng *rand.Rand) {
+func (fl *fleet) startIrregularClients(agent *agentProcess, rng *rand.Rand) {
 	for range irregularConnections {
-		pipelined := client.Irregular{Arrivals: fl.drawIrregular(rng, pipelineDepth)}
-		split := client.Irregular{Arrivals: fl.drawIrregular(rng, 1), SplitPause: splitPause}
+		pipelined := client.Irregular{Arrivals: fl.drawIrregularRequests(rng, pipelineDepth)}
+		split := client.Irregular{Arrivals: fl.drawIrregularRequests(rng, 1), SplitPause: splitPause}
 		go fl.clients[agent.index].SendIrregular(pipelined)
 		go fl.clients[agent.index].SendIrregular(split)
 	}
@@ -142,7 +142,7 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	for {
-		irregular := client.Irregular{Arrivals: fl.drawIrregular(rng, int(f.Size))}
+		irregular := client.Irregular{Arrivals: fl.drawIrregularRequests(rng, int(f.Size))}
 		running.Go(func() { fl.clients[agent.index].SendIrregular(irregular) })
 		if !sleep(ctx, f.Interval) {
 			return nil
@@ -175,9 +175,9 @@
 	return nil
 }
 
-// withholdDescriptors lets an agent open no further descriptor while the fault lasts, so that accept,
+// blockNewDescriptors lets an agent open no further descriptor while the fault lasts, so that accept,
 // socket and open fail with EMFILE.
-func (fl *fleet) withholdDescriptors(ctx context.Context, f *Fault, agent *agentProcess) error {
+func (fl *fleet) blockNewDescriptors(ctx context.Context, f *Fault, agent *agentProcess) error {
 	pid := agent.process.PID()
 	if pid == 0 {
 		return nil
--- a/internal/lab/experiment/kinds.go
+++ b/internal/lab/experiment/kinds.go
@@ -15,40 +15,40 @@
 // The kinds of faults, as experiment files name them. A fault with a duration ends after it: what
 // was killed is started again, what was changed is restored.
 const (
-	faultKill      = "kill"        // ends a process or a server at once
-	faultStop      = "stop"        // pauses a process
-	faultRestart   = "restart"     // restarts processes gracefully, one after the other
-	faultReload    = "hup"         // has agents reload a configuration with another discovery
-	faultSignals   = "signals"     // sends agents a series of signals
-	faultFlood     = "flood"       // connections that idle, or stop within a request
-	faultPipeline  = "pipeline"    // a client sends many requests at once on a connection
-	faultNoFiles   = "descriptors" // agents can open no further descriptor
-	faultIsolate   = "vanish"      // a server no longer answers, and its connections stay open
-	faultDrain     = "drain"       // a server takes no new requests
-	faultReplace   = "replace"     // servers drain, end and are started again, one after the other
-	faultMute      = "mute"        // a server's renewals are suppressed
-	faultSlow      = "slow"        // a server works, or a link transmits, more slowly
-	faultNeighbour = "neighbour"   // another process takes part of a server's machine
-	faultErrors    = "errors"      // a share of the answers are errors
-	faultResets    = "resets"      // a share of the requests end with a reset connection
-	faultLost      = "lost"        // a share of the requests get no answer
-	faultTruncated = "spoilt"      // a share of the answers end in the middle
-	faultRepeated  = "repeated"    // a share of the answers are sent a second time some milliseconds later
-	faultDown      = "down"        // discovery does not answer
-	faultBurst     = "burst"       // the rate of the load is multiplied
-	faultHeavy     = "heavy"       // a share of the requests need more work
-	faultCut       = "cut"         // a link transmits nothing
-	faultRefuse    = "refuse"      // a link refuses connections
-	faultDelay     = "delay"       // a link delays what it transmits
-	faultReset     = "reset"       // a link resets a connection after a number of bytes
-	faultLoss      = "loss"        // a link loses datagrams
+	faultKill          = "kill"        // ends a process or a server at once
+	faultStop          = "stop"        // pauses a process
+	faultRestart       = "restart"     // restarts processes gracefully, one after the other
+	faultReload        = "hup"         // has agents reload a configuration with another discovery
+	faultSignals       = "signals"     // sends agents a series of signals
+	faultFlood         = "flood"       // connections that idle, or stop within a request
+	faultPipeline      = "pipeline"    // a client sends many requests at once on a connection
+	faultNoDescriptors = "descriptors" // agents can open no further descriptor
+	faultIsolate       = "vanish"      // a server no longer answers, and its connections stay open
+	faultDrain         = "drain"       // a server takes no new requests
+	faultReplace       = "replace"     // servers drain, end and are started again, one after the other
+	faultMute          = "mute"        // a server's renewals are suppressed
+	faultSlow          = "slow"        // a server works, or a link transmits, more slowly
+	faultNeighbour     = "neighbour"   // another process takes part of a server's machine
+	faultErrors        = "errors"      // a share of the answers are errors
+	faultResets        = "resets"      // a share of the requests end with a reset connection
+	faultLost          = "lost"        // a share of the requests get no answer
+	faultTruncated     = "spoilt"      // a share of the answers end in the middle
+	faultRepeated      = "repeated"    // a share of the answers are sent a second time some milliseconds later
+	faultDown          = "down"        // discovery does not answer
+	faultBurst         = "burst"       // the rate of the load is multiplied
+	faultHeavy         = "heavy"       // a share of the requests need more work
+	faultCut           = "cut"         // a link transmits nothing
+	faultRefuse        = "refuse"      // a link refuses connections
+	faultDelay         = "delay"       // a link delays what it transmits
+	faultReset         = "reset"       // a link resets a connection after a number of bytes
+	faultLoss          = "loss"        // a link loses datagrams
 )
 
 // faultKinds lists the kinds of faults by the kind of their target.
 var faultKinds = map[string][]string{
 	targetServers: {faultKill, faultIsolate, faultDrain, faultSlow, faultNeighbour, faultErrors, faultResets, faultLost, faultTruncated,
 		faultRepeated, faultReplace, faultMute},
-	targetAgents:       {faultKill, faultStop, faultRestart, faultReload, faultSignals, faultFlood, faultPipeline, faultNoFiles},
+	targetAgents:       {faultKill, faultStop, faultRestart, faultReload, faultSignals, faultFlood, faultPipeline, faultNoDescriptors},
 	targetControlPlane: {faultKill, faultStop, faultRestart},
 	targetWorkers:      {faultKill, faultStop, faultRestart},
 	targetDiscovery:    {faultDown},
--- a/internal/lab/experiment/machine.go
+++ b/internal/lab/experiment/machine.go
@@ -27,8 +27,8 @@
 	return machine
 }
 
-// unknownProgram takes the place of a program's digest that can't be computed.
-const unknownProgram = "unknown"
+// unknownDigest takes the place of a program's digest that can't be computed.
+const unknownDigest = "unknown"
 
 // digestLength is how many hexadecimal digits of the digest are kept.
 const digestLength = 12
@@ -37,12 +37,12 @@
 func programDigest(path string) string {
 	f, err := os.Open(path)
 	if err != nil {
-		return unknownProgram
+		return unknownDigest
 	}
 	defer f.Close()
 	digest := sha256.New()
 	if _, err := io.Copy(digest, f); err != nil {
-		return unknownProgram
+		return unknownDigest
 	}
 	return hex.EncodeToString(digest.Sum(nil))[:digestLength]
 }
--- a/internal/lab/experiment/notifications.go
+++ b/internal/lab/experiment/notifications.go
@@ -15,7 +15,7 @@
 // watch follows the endpoint list of one control-plane server until the control plane is
 // closed. With notifies, what it receives counts as known to the agents there.
 func (cp *controlPlane) watch(index int, notifies bool) {
-	client := endpoints.NewClient(endpoints.ClientConfig{Addresses: cp.addresses[index : index+1], SilenceTimeout: watchSilence})
+	client := endpoints.NewClient(endpoints.ClientConfig{Addresses: cp.addresses[index : index+1], SilenceTimeout: watchSilenceTimeout})
 	var version int64
 	for cp.ctx.Err() == nil {
 		_ = client.Watch(cp.ctx, version, func(list endpoints.List) {
@@ -32,9 +32,9 @@
 	}
 }
 
-// watchSilence is after how long a silent control-plane server counts as left by its agents. It
+// watchSilenceTimeout is after how long a silent control-plane server counts as left by its agents. It
 // is longer than the agents' own timeout, so that an agent has left the server by then.
-const watchSilence = endpoints.WatchSilenceTimeout + 1500*time.Millisecond
+const watchSilenceTimeout = endpoints.WatchSilenceTimeout + 1500*time.Millisecond
 
 // mayUse reports whether the agent may be connected to the control-plane server.
 func (cp *controlPlane) mayUse(agent, index int) bool {
@@ -109,7 +109,7 @@
 			view.lastUpAt = now
 			reachable = true
 		}
-		if now-view.lastUpAt < watchSilence {
+		if now-view.lastUpAt < watchSilenceTimeout {
 			views = append(views, view)
 		}
 	}
--- a/internal/lab/experiment/progress.go
+++ b/internal/lab/experiment/progress.go
@@ -47,7 +47,7 @@
 	}
 	r.status = &http.Server{ReadHeaderTimeout: time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		r.mu.Lock()
-		progress := r.last
+		progress := r.lastProgress
 		r.mu.Unlock()
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(progress)
@@ -89,7 +89,7 @@
 		}
 	}
 	r.mu.Lock()
-	r.last = progress
+	r.lastProgress = progress
 	r.mu.Unlock()
 	if r.progress != nil {
 		r.progress(progress)
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -97,8 +97,8 @@
 	peakDescriptors int // of the lab itself
 	background      sync.WaitGroup
 
-	mu   sync.Mutex
-	last Progress // that was published
+	mu           sync.Mutex
+	lastProgress Progress // that was published
 }
 
 // clock returns the time since the run began.
--- a/internal/lab/experiment/series.go
+++ b/internal/lab/experiment/series.go
@@ -10,8 +10,8 @@
 	"knotrouter/internal/lab/client"
 )
 
-// second collects the requests that were planned within one second of the run.
-type second struct {
+// secondStats collects the requests that were planned within one second of the run.
+type secondStats struct {
 	requests, inTime, rejected int
 	latencies                  []time.Duration // of those that were served
 }
@@ -31,8 +31,8 @@
 
 // groupBySecond groups the requests by the second of their planned time. Those outside the first
 // n seconds, and void ones, are left out.
-func groupBySecond(results []client.Result, n int) []second {
-	seconds := make([]second, n)
+func groupBySecond(results []client.Result, n int) []secondStats {
+	seconds := make([]secondStats, n)
 	for i := range results {
 		result := &results[i]
 		index := int(result.Planned / time.Second)
@@ -55,7 +55,7 @@
 }
 
 // addRequests fills in how the requests of the second ended.
-func (p *Point) addRequests(s *second) {
+func (p *Point) addRequests(s *secondStats) {
 	p.Requests = s.requests
 	if s.requests > 0 {
 		p.ServedShare = roundTo4Digits(float64(s.inTime) / float64(s.requests))
@@ -97,10 +97,10 @@
 }
 
 const (
-	// recoveredPart is the part of the previous served share from which a second counts as good.
-	recoveredPart = 0.9
-	// recoveredAfter is how many good seconds in a row make a recovery.
-	recoveredAfter = 3
+	// recoveredFraction is the part of the previous served share from which a second counts as good.
+	recoveredFraction = 0.9
+	// goodSecondsToRecover is how many good seconds in a row make a recovery.
+	goodSecondsToRecover = 3
 	// baselineSeconds is how many seconds before a fault give the previous served share.
 	baselineSeconds = 5
 	// notRecovered is the recovery time of a run that did not recover, or whose previous share is
@@ -108,7 +108,7 @@
 	notRecovered = -1
 )
 
-// recoverySeconds returns the time from a fault's beginning to the first of recoveredAfter good
+// recoverySeconds returns the time from a fault's beginning to the first of goodSecondsToRecover good
 // seconds in a row after a bad one. It returns 0 if no second was bad, and notRecovered if the
 // run ended before.
 func recoverySeconds(series []Point, from, warmup time.Duration) float64 {
@@ -117,23 +117,23 @@
 	if previousSeconds == 0 {
 		return notRecovered
 	}
-	threshold := recoveredPart * previousSum / float64(previousSeconds)
-	fell := false
+	threshold := recoveredFraction * previousSum / float64(previousSeconds)
+	dropped := false
 	goodSeconds := 0
 	for s := start; s < len(series); s++ {
 		if series[s].Requests == 0 {
 			continue
 		}
 		if series[s].ServedShare < threshold {
-			fell, goodSeconds = true, 0
+			dropped, goodSeconds = true, 0
 			continue
 		}
 		goodSeconds++
-		if fell && goodSeconds == recoveredAfter {
-			return math.Max(0, float64(s-recoveredAfter+1)-from.Seconds())
+		if dropped && goodSeconds == goodSecondsToRecover {
+			return math.Max(0, float64(s-goodSecondsToRecover+1)-from.Seconds())
 		}
 	}
-	if !fell {
+	if !dropped {
 		return 0
 	}
 	return notRecovered
--- a/internal/lab/experiment/validate.go
+++ b/internal/lab/experiment/validate.go
@@ -142,21 +142,21 @@
 // validateMachineTypes checks the tables "servers.kind".
 func (c *Config) validateMachineTypes() error {
 	for i := range c.Servers.MachineTypes {
-		k := &c.Servers.MachineTypes[i]
-		at := fmt.Sprintf("servers.kind[%d].", i)
+		machine := &c.Servers.MachineTypes[i]
+		prefix := fmt.Sprintf("servers.kind[%d].", i)
 		switch {
-		case k.Name == "":
-			return configfile.NewKeyError(at+"name", "missing")
-		case !(k.Share > 0):
-			return configfile.NewKeyError(at+"share", "must be above 0, is %v", k.Share)
-		case k.Spec.Cores < 1 || k.Spec.Slots < 1 || k.Spec.QueueCapacity < 0 || !(k.Spec.Speed > 0):
-			return configfile.NewKeyError(at+"spec", "cores, slots and speed must be above 0, queue 0 or above")
-		case !isFraction(k.Spec.WarmupStartFactor):
-			return configfile.NewKeyError(at+"spec.cold_from", "must be 0 to 1, is %v", k.Spec.WarmupStartFactor)
-		case !isFraction(k.ErrorRate) || k.Noise < 0 || k.SpeedCV < 0:
-			return configfile.NewKeyError(at+"error_rate, noise and speed_cv", "must be 0 or above")
-		case k.Reports.Mode != server.ReportInline && k.Reports.Mode != server.ReportOnProbe && k.Reports.Mode != server.ReportOff:
-			return configfile.NewKeyError(at+"reports.how", "must be inline, on_probe or off, is %q", k.Reports.Mode)
+		case machine.Name == "":
+			return configfile.NewKeyError(prefix+"name", "missing")
+		case !(machine.Share > 0):
+			return configfile.NewKeyError(prefix+"share", "must be above 0, is %v", machine.Share)
+		case machine.Spec.Cores < 1 || machine.Spec.Slots < 1 || machine.Spec.QueueCapacity < 0 || !(machine.Spec.Speed > 0):
+			return configfile.NewKeyError(prefix+"spec", "cores, slots and speed must be above 0, queue 0 or above")
+		case !isFraction(machine.Spec.WarmupStartFactor):
+			return configfile.NewKeyError(prefix+"spec.cold_from", "must be 0 to 1, is %v", machine.Spec.WarmupStartFactor)
+		case !isFraction(machine.ErrorRate) || machine.Noise < 0 || machine.SpeedCV < 0:
+			return configfile.NewKeyError(prefix+"error_rate, noise and speed_cv", "must be 0 or above")
+		case machine.Reports.Mode != server.ReportInline && machine.Reports.Mode != server.ReportOnProbe && machine.Reports.Mode != server.ReportOff:
+			return configfile.NewKeyError(prefix+"reports.how", "must be inline, on_probe or off, is %q", machine.Reports.Mode)
 		}
 	}
 	return nil
@@ -186,21 +186,21 @@
 // validateClasses checks the tables "load.class".
 func (c *Config) validateClasses() error {
 	for i := range c.Load.Classes {
-		cl := &c.Load.Classes[i]
-		at := fmt.Sprintf("load.class[%d].", i)
+		class := &c.Load.Classes[i]
+		prefix := fmt.Sprintf("load.class[%d].", i)
 		switch {
-		case cl.Name == "" || strings.Contains(cl.Name, "/"):
-			return configfile.NewKeyError(at+"name", "must be a word without a slash, is %q", cl.Name)
-		case !(cl.Share > 0) || !(cl.Work > 0):
-			return configfile.NewKeyError(at+"share and work", "must be above 0")
-		case cl.TargetLatency <= 0 || cl.Deadline < cl.TargetLatency || cl.Deadline > time.Minute:
-			return configfile.NewKeyError(at+"aim and give_up", "must be above 0, the aim the lower, and at most 1m")
-		case !slices.Contains([]string{client.EffectIdempotent, client.EffectDeduplicated, client.EffectNonIdempotent}, cl.Effect):
-			return configfile.NewKeyError(at+"effect", "must be free, guarded or single_shot, is %q", cl.Effect)
-		case !slices.Contains([]string{"all", "zone", "cell"}, cl.Group):
-			return configfile.NewKeyError(at+"group", "must be all, zone or cell, is %q", cl.Group)
-		case !slices.Contains([]string{"exp", "fixed", "lognormal"}, cl.Distribution):
-			return configfile.NewKeyError(at+"dist", "must be exp, fixed or lognormal, is %q", cl.Distribution)
+		case class.Name == "" || strings.Contains(class.Name, "/"):
+			return configfile.NewKeyError(prefix+"name", "must be a word without a slash, is %q", class.Name)
+		case !(class.Share > 0) || !(class.Work > 0):
+			return configfile.NewKeyError(prefix+"share and work", "must be above 0")
+		case class.TargetLatency <= 0 || class.Deadline < class.TargetLatency || class.Deadline > time.Minute:
+			return configfile.NewKeyError(prefix+"aim and give_up", "must be above 0, the aim the lower, and at most 1m")
+		case !slices.Contains([]string{client.EffectIdempotent, client.EffectDeduplicated, client.EffectNonIdempotent}, class.Effect):
+			return configfile.NewKeyError(prefix+"effect", "must be free, guarded or single_shot, is %q", class.Effect)
+		case !slices.Contains([]string{"all", "zone", "cell"}, class.Group):
+			return configfile.NewKeyError(prefix+"group", "must be all, zone or cell, is %q", class.Group)
+		case !slices.Contains([]string{"exp", "fixed", "lognormal"}, class.Distribution):
+			return configfile.NewKeyError(prefix+"dist", "must be exp, fixed or lognormal, is %q", class.Distribution)
 		}
 	}
 	return nil
@@ -211,59 +211,59 @@
 	names := map[string]bool{"": true, windowAll: true, windowOutsideFaults: true}
 	for i := range c.Faults {
 		f := &c.Faults[i]
-		at := fmt.Sprintf("fault[%d].", i)
+		prefix := fmt.Sprintf("fault[%d].", i)
 		if names[f.Name] {
-			return configfile.NewKeyError(at+"name", "%q is missing, taken, or a window of its own", f.Name)
+			return configfile.NewKeyError(prefix+"name", "%q is missing, taken, or a window of its own", f.Name)
 		}
 		names[f.Name] = true
-		if err := c.validateFault(f, at); err != nil {
+		if err := c.validateFault(f, prefix); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// validateFault checks one fault; at is the path of its table.
-func (c *Config) validateFault(f *Fault, at string) error {
+// validateFault checks one fault; prefix is the path of its table.
+func (c *Config) validateFault(f *Fault, prefix string) error {
 	kind, err := c.faultTargetKind(f)
 	if err != nil {
-		return fmt.Errorf("%s%w", at, err)
+		return fmt.Errorf("%s%w", prefix, err)
 	}
 	switch {
 	case !slices.Contains(faultKinds[kind], f.Kind):
-		return configfile.NewKeyError(at+"kind", "%q is nothing that is done to %s: one of %s", f.Kind, kind, strings.Join(faultKinds[kind], ", "))
+		return configfile.NewKeyError(prefix+"kind", "%q is nothing that is done to %s: one of %s", f.Kind, kind, strings.Join(faultKinds[kind], ", "))
 	case f.At < 0 || f.Duration < 0 || f.Interval < 0 || f.Delay < 0 || f.EventDelay < 0 || f.Jitter < 0 || f.Window < 0 || f.RiseTime < 0:
-		return configfile.NewKeyError(at+"at, for, every, delay, jitter, rise and window", "must be 0 or above")
+		return configfile.NewKeyError(prefix+"at, for, every, delay, jitter, rise and window", "must be 0 or above")
 	case f.AfterEvent == "" && f.At >= c.Duration:
-		return configfile.NewKeyError(at+"at", "%v is after the end of the run at %v", f.At, c.Duration)
+		return configfile.NewKeyError(prefix+"at", "%v is after the end of the run at %v", f.At, c.Duration)
 	case f.AfterEvent == "" && f.At+f.Duration > c.Duration:
-		return configfile.NewKeyError(at+"for", "it would end at %v, after the end of the run at %v", f.At+f.Duration, c.Duration)
+		return configfile.NewKeyError(prefix+"for", "it would end at %v, after the end of the run at %v", f.At+f.Duration, c.Duration)
 	case f.AfterEvent != "" && f.At > 0:
-		return configfile.NewKeyError(at+"after", "an event and a time can't both say when")
+		return configfile.NewKeyError(prefix+"after", "an event and a time can't both say when")
 	case f.Size < 0 || !isFraction(f.Share):
-		return configfile.NewKeyError(at+"size", "must be 0 or above, and share 0 to 1")
+		return configfile.NewKeyError(prefix+"size", "must be 0 or above, and share 0 to 1")
 	case f.Direction != "" && !slices.Contains([]string{directionForward, directionBack, directionBoth}, f.Direction):
-		return configfile.NewKeyError(at+"way", "must be forward, back or both, is %q", f.Direction)
+		return configfile.NewKeyError(prefix+"way", "must be forward, back or both, is %q", f.Direction)
 	case f.Version != "" && c.findVersion(f.Version) == nil:
-		return configfile.NewKeyError(at+"version", "no version %q", f.Version)
+		return configfile.NewKeyError(prefix+"version", "no version %q", f.Version)
 	case f.Class != "" && c.classIndex(f.Class) < 0:
-		return configfile.NewKeyError(at+"class", "no class %q", f.Class)
+		return configfile.NewKeyError(prefix+"class", "no class %q", f.Class)
 	case c.ControlPlane.Count > 0 && (kind == targetDiscovery || (f.Kind == faultReload || slices.Contains(f.Signals, signalReload)) && c.ControlPlane.AgentAccess != "all"):
-		return configfile.NewKeyError(at+"target", "with stewards the stand-in is not there")
+		return configfile.NewKeyError(prefix+"target", "with stewards the stand-in is not there")
 	case (f.Kind == faultSignals) != (len(f.Signals) > 0) || slices.ContainsFunc(f.Signals, func(name string) bool { return !slices.Contains(signalNames, name) }):
-		return configfile.NewKeyError(at+"signals", "a series of %s, for the kind %s only", strings.Join(signalNames, ", "), faultSignals)
-	case (f.Kind == faultFlood || f.Kind == faultPipeline || f.Kind == faultNoFiles) && f.Duration == 0:
-		return configfile.NewKeyError(at+"for", "missing")
+		return configfile.NewKeyError(prefix+"signals", "a series of %s, for the kind %s only", strings.Join(signalNames, ", "), faultSignals)
+	case (f.Kind == faultFlood || f.Kind == faultPipeline || f.Kind == faultNoDescriptors) && f.Duration == 0:
+		return configfile.NewKeyError(prefix+"for", "missing")
 	case f.Kind == faultPipeline && f.Interval == 0:
-		return configfile.NewKeyError(at+"every", "missing")
+		return configfile.NewKeyError(prefix+"every", "missing")
 	case f.Kind == faultMute && c.ControlPlane.Count == 0:
-		return configfile.NewKeyError(at+"kind", "mute is of renewals, and there are no stewards to hear any")
+		return configfile.NewKeyError(prefix+"kind", "mute is of renewals, and there are no stewards to hear any")
 	case kind == targetLoad && f.AfterEvent != "":
-		return configfile.NewKeyError(at+"after", "arrivals are drawn ahead, so a change of the load needs a time")
+		return configfile.NewKeyError(prefix+"after", "arrivals are drawn ahead, so a change of the load needs a time")
 	case sizedFaultKinds[f.Kind] && kind != targetLink && f.Size == 0 || kind == targetLink && sizedLinkFaultKinds[f.Kind] && f.Size == 0:
-		return configfile.NewKeyError(at+"size", "missing")
+		return configfile.NewKeyError(prefix+"size", "missing")
 	case responseFaultKinds[f.Kind] && !isFraction(f.Size):
-		return configfile.NewKeyError(at+"size", "must be a share of the answers, above 0 to 1, is %v", f.Size)
+		return configfile.NewKeyError(prefix+"size", "must be a share of the answers, above 0 to 1, is %v", f.Size)
 	}
 	return nil
 }
@@ -300,22 +300,22 @@
 func (c *Config) validateExpectations() error {
 	for i := range c.Expectations {
 		expectation := &c.Expectations[i]
-		at := fmt.Sprintf("expect[%d].", i)
+		prefix := fmt.Sprintf("expect[%d].", i)
 		windowExists := isCommonWindow(expectation.Window) ||
 			slices.ContainsFunc(c.Faults, func(f Fault) bool { return f.Name == expectation.Window })
 		switch {
 		case !slices.Contains(metricNames, expectation.Metric):
-			return configfile.NewKeyError(at+"what", "unknown figure %q: one of %s", expectation.Metric, strings.Join(metricNames, ", "))
+			return configfile.NewKeyError(prefix+"what", "unknown figure %q: one of %s", expectation.Metric, strings.Join(metricNames, ", "))
 		case expectation.AtLeast == nil && expectation.AtMost == nil:
-			return configfile.NewKeyError(at+"at_least", "neither it nor at_most is given")
+			return configfile.NewKeyError(prefix+"at_least", "neither it nor at_most is given")
 		case expectation.Class != "" && c.classIndex(expectation.Class) < 0:
-			return configfile.NewKeyError(at+"class", "no class %q", expectation.Class)
+			return configfile.NewKeyError(prefix+"class", "no class %q", expectation.Class)
 		case !windowExists:
-			return configfile.NewKeyError(at+"window", "no fault %q", expectation.Window)
+			return configfile.NewKeyError(prefix+"window", "no fault %q", expectation.Window)
 		case expectation.Metric == "recovery_s" && isCommonWindow(expectation.Window):
-			return configfile.NewKeyError(at+"window", "recovery_s needs the name of a fault")
+			return configfile.NewKeyError(prefix+"window", "recovery_s needs the name of a fault")
 		case expectation.Metric == "worth_ratio" && !slices.Contains(c.Baselines, expectation.Baseline):
-			return configfile.NewKeyError(at+"baseline", "no baseline %q in this experiment", expectation.Baseline)
+			return configfile.NewKeyError(prefix+"baseline", "no baseline %q in this experiment", expectation.Baseline)
 		}
 	}
 	return nil
--- a/internal/lab/experiment/workers.go
+++ b/internal/lab/experiment/workers.go
@@ -82,7 +82,7 @@
 		}
 	}
 	return retry(ctx, "duties", func() error {
-		if n := w.evaluate().Terms; n < w.fleet.config.LeasedTasks.Count {
+		if n := w.analyzeOperations().Terms; n < w.fleet.config.LeasedTasks.Count {
 			return fmt.Errorf("%d of %d are done", n, w.fleet.config.LeasedTasks.Count)
 		}
 		return nil
@@ -93,25 +93,25 @@
 const retryInterval = 50 * time.Millisecond
 
 // retry calls do until it returns no error. If the context ends first, it returns the last error.
-func retry(ctx context.Context, what string, do func() error) error {
+func retry(ctx context.Context, description string, do func() error) error {
 	for {
 		err := do()
 		if err == nil {
 			return nil
 		}
 		if !sleep(ctx, retryInterval) {
-			return fmt.Errorf("%s: %w", what, err)
+			return fmt.Errorf("%s: %w", description, err)
 		}
 	}
 }
 
-// evaluate combines the analyses of the operations at all servers.
-func (w *workers) evaluate() (all check.Analysis) {
+// analyzeOperations combines the analyses of the operations at all servers.
+func (w *workers) analyzeOperations() (all check.Analysis) {
 	for _, srv := range w.fleet.servers {
-		one := srv.Operations.Analyze()
-		all.Violations = append(all.Violations, one.Violations...)
-		all.HandoverGaps = append(all.HandoverGaps, one.HandoverGaps...)
-		all.Terms, all.Rejected, all.Idle, all.Total = all.Terms+one.Terms, all.Rejected+one.Rejected, all.Idle+one.Idle, all.Total+one.Total
+		analysis := srv.Operations.Analyze()
+		all.Violations = append(all.Violations, analysis.Violations...)
+		all.HandoverGaps = append(all.HandoverGaps, analysis.HandoverGaps...)
+		all.Terms, all.Rejected, all.Idle, all.Total = all.Terms+analysis.Terms, all.Rejected+analysis.Rejected, all.Idle+analysis.Idle, all.Total+analysis.Total
 	}
 	slices.Sort(all.HandoverGaps)
 	return all
@@ -119,7 +119,7 @@
 
 // addTotals adds what the operations show. Terms that overlap are reported as breaches.
 func (w *workers) addTotals(t *Total) {
-	analysis := w.evaluate()
+	analysis := w.analyzeOperations()
 	for _, violation := range analysis.Violations {
 		w.fleet.checker.ReportBreach(check.RuleTaskOverlap, -1, violation)
 	}
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -12,15 +12,15 @@
 const (
 	// MinDuration is the shortest experiment that can be drawn: shorter ones have no time for a restart.
 	MinDuration = 15 * time.Second
-	// controlPlaneShare and quietShare are the parts of the seeds with real control-plane servers, and
+	// controlPlaneProbability and quietStartProbability are the parts of the seeds with real control-plane servers, and
 	// with a long quiet time before the first fault.
-	controlPlaneShare, quietShare = 0.25, 0.25
-	// hangShare is the part of the series of signals during which servers hang, so that requests are in
+	controlPlaneProbability, quietStartProbability = 0.25, 0.25
+	// hangProbability is the part of the series of signals during which servers hang, so that requests are in
 	// flight for long.
-	hangShare = 0.7
-	// idleClientsShare is the part of the series of signals during which idle connections fill the agent's
+	hangProbability = 0.7
+	// idleClientsProbability is the part of the series of signals during which idle connections fill the agent's
 	// descriptors.
-	idleClientsShare = 0.3
+	idleClientsProbability = 0.3
 	// firstFaultAt is when faults begin in other seeds, at the earliest.
 	firstFaultAt = 2 * time.Second
 	// processFaultPeriod is the time from one fault of an agent's process to the next: a termination and
@@ -28,9 +28,9 @@
 	processFaultPeriod = 6 * time.Second
 	// environmentFaultPeriod is the mean time between other faults.
 	environmentFaultPeriod = 4 * time.Second
-	// repeatedFactor is how much longer than other faults answers are repeated: only one whose connection
+	// repeatedDurationFactor is how much longer than other faults answers are repeated: only one whose connection
 	// is used again within some milliseconds can do harm.
-	repeatedFactor = 4
+	repeatedDurationFactor = 4
 )
 
 // Fault is one fault of a drawn experiment, as the lines of its table.
@@ -63,218 +63,220 @@
 	return smaller
 }
 
-// drawing is one experiment while it is drawn. The order of its draws is part of what a seed means.
-type drawing struct {
-	rng      *rand.Rand
-	duration time.Duration
-	agents   int
-	sockets  int // that an agent may have open
-	servers  int
-	stewards int // control-plane servers; 0: the emulated list service
-	first    time.Duration
-	faults   []Fault
+// generator is one experiment while it is drawn. The order of its draws is part of what a seed means.
+type generator struct {
+	rng                 *rand.Rand
+	duration            time.Duration
+	agents              int
+	maxSockets          int // that an agent may have open
+	servers             int
+	controlPlaneServers int // control-plane servers; 0: the emulated list service
+	faultsFrom          time.Duration
+	faults              []Fault
 }
 
 // Draw returns the experiment of a seed and a duration of at least MinDuration.
 func Draw(seed uint64, duration time.Duration) *Experiment {
-	d := &drawing{rng: rand.New(rand.NewPCG(seed, 0)), duration: duration}
-	d.agents, d.servers = 2+d.rng.IntN(3), 6+d.rng.IntN(9)
-	d.sockets = pick(d.rng, 160, 256, 512, 1024)
-	if d.rng.Float64() < controlPlaneShare {
-		d.stewards = 3
+	g := &generator{rng: rand.New(rand.NewPCG(seed, 0)), duration: duration}
+	g.agents, g.servers = 2+g.rng.IntN(3), 6+g.rng.IntN(9)
+	g.maxSockets = pick(g.rng, 160, 256, 512, 1024)
+	if g.rng.Float64() < controlPlaneProbability {
+		g.controlPlaneServers = 3
 	}
-	d.first = firstFaultAt
-	if d.rng.Float64() < quietShare {
-		d.first = duration / 2
+	g.faultsFrom = firstFaultAt
+	if g.rng.Float64() < quietStartProbability {
+		g.faultsFrom = duration / 2
 	}
 	e := &Experiment{Name: fmt.Sprint("soak-", seed)}
-	e.header = d.drawHeader(e.Name, seed)
-	d.drawProcessFaults()
-	d.drawEnvironmentFaults()
-	e.Faults = d.faults
+	e.header = g.drawHeader(e.Name, seed)
+	g.drawProcessFaults()
+	g.drawEnvironmentFaults()
+	e.Faults = g.faults
 	return e
 }
 
 // drawHeader draws the fleet, the load and the rules.
-func (d *drawing) drawHeader(name string, seed uint64) string {
+func (g *generator) drawHeader(name string, seed uint64) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "name = %q\nabout = \"drawn by lab soak\"\nseed = %d\nduration = %q\nwarmup = \"1s\"\nlateness = \"30ms\"\n", name, max(seed, 1), d.duration)
-	fmt.Fprintf(&text, "[agents]\ncount = %d\nsockets = %d\nknown = %q\n", d.agents, d.sockets, pick(d.rng, "now", "now", "empty"))
-	fmt.Fprintf(&text, "[servers]\ncount = %d\n", d.servers)
-	if d.stewards > 0 {
-		fmt.Fprintf(&text, "[stewards]\ncount = %d\nlease_ttl = %q\n", d.stewards, pick(d.rng, "3s", "6s"))
-		fmt.Fprintf(&text, "[duties]\ncount = %d\nworkers = %d\n", 2+d.rng.IntN(6), 2+d.rng.IntN(2))
+	fmt.Fprintf(&text, "name = %q\nabout = \"drawn by lab soak\"\nseed = %d\nduration = %q\nwarmup = \"1s\"\nlateness = \"30ms\"\n", name, max(seed, 1), g.duration)
+	fmt.Fprintf(&text, "[agents]\ncount = %d\nsockets = %d\nknown = %q\n", g.agents, g.maxSockets, pick(g.rng, "now", "now", "empty"))
+	fmt.Fprintf(&text, "[servers]\ncount = %d\n", g.servers)
+	if g.controlPlaneServers > 0 {
+		fmt.Fprintf(&text, "[stewards]\ncount = %d\nlease_ttl = %q\n", g.controlPlaneServers, pick(g.rng, "3s", "6s"))
+		fmt.Fprintf(&text, "[duties]\ncount = %d\nworkers = %d\n", 2+g.rng.IntN(6), 2+g.rng.IntN(2))
 	}
 	fmt.Fprintf(&text, "[rules]\nmax_attempts = %d\nparallel_tries = %v\ncancelling = %v\nprobing = %v\ndrain_grace = %q\nconnect_timeout = %q\nkeepalive = %q\n",
-		2+d.rng.IntN(4), d.draw(0.5), d.draw(0.7), d.draw(0.5), pick(d.rng, "250ms", "500ms", "1s"), pick(d.rng, "150ms", "250ms", "400ms"), pick(d.rng, "5s", "30s"))
-	fmt.Fprintf(&text, "[load]\nrate = %d\nimpatient = %.2f\nretries = %d\nbackoff = %q\nbody = %d\n", d.servers*(3+d.rng.IntN(5)), 0.1*d.rng.Float64(),
-		d.rng.IntN(3), pick(d.rng, "none", "fixed", "exp"), pick(d.rng, 20, 200, 4000))
-	text.WriteString(pick(d.rng, classes...))
+		2+g.rng.IntN(4), g.chance(0.5), g.chance(0.7), g.chance(0.5), pick(g.rng, "250ms", "500ms", "1s"), pick(g.rng, "150ms", "250ms", "400ms"), pick(g.rng, "5s", "30s"))
+	fmt.Fprintf(&text, "[load]\nrate = %d\nimpatient = %.2f\nretries = %d\nbackoff = %q\nbody = %d\n", g.servers*(3+g.rng.IntN(5)), 0.1*g.rng.Float64(),
+		g.rng.IntN(3), pick(g.rng, "none", "fixed", "exp"), pick(g.rng, 20, 200, 4000))
+	text.WriteString(pick(g.rng, classTables...))
 	return text.String()
 }
 
-// classes are the request classes of deployments: the operators' own, one with a class that must not be
+// classTables are the request classes of deployments: the operators' own, one with a class that must not be
 // repeated and one that is keyed within a cell, one with short deadlines, and one of a single class.
-var classes = []string{
+var classTables = []string{
 	"",
-	class("reading", "free", "all", "700ms", "2500ms", "1s") + class("booking", "single_shot", "all", "900ms", "3s", "1s") +
-		class("filing", "guarded", "cell", "800ms", "2500ms", "1500ms"),
-	class("look", "free", "all", "300ms", "700ms", "1s") + class("keep", "guarded", "zone", "400ms", "900ms", "2s"),
-	class("ask", "free", "all", "500ms", "1500ms", "1s"),
+	classTable("reading", "free", "all", "700ms", "2500ms", "1s") + classTable("booking", "single_shot", "all", "900ms", "3s", "1s") +
+		classTable("filing", "guarded", "cell", "800ms", "2500ms", "1500ms"),
+	classTable("look", "free", "all", "300ms", "700ms", "1s") + classTable("keep", "guarded", "zone", "400ms", "900ms", "2s"),
+	classTable("ask", "free", "all", "500ms", "1500ms", "1s"),
 }
 
-// class returns the table of a class of requests.
-func class(name, effect, group, aim, giveUp, keyTime string) string {
+// classTable returns the table of a class of requests.
+func classTable(name, effect, group, targetLatency, deadline, dedupWindow string) string {
 	return fmt.Sprintf("[[load.class]]\nname = %q\nshare = 0.5\nwork = 15.0\naim = %q\ngive_up = %q\neffect = %q\ngroup = %q\nkey_ttl = %q\n",
-		name, aim, giveUp, effect, group, keyTime)
+		name, targetLatency, deadline, effect, group, dedupWindow)
 }
 
 // pick returns one of the values.
 func pick[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
 
-// draw returns true with a probability.
-func (d *drawing) draw(probability float64) bool { return d.rng.Float64() < probability }
+// chance returns true with a probability.
+func (g *generator) chance(probability float64) bool { return g.rng.Float64() < probability }
 
 // add adds a fault.
-func (d *drawing) add(kind, target string, at time.Duration, lines ...string) {
-	name := fmt.Sprintf("%s-%d", kind, len(d.faults))
-	d.faults = append(d.faults, Fault{Name: name, lines: append([]string{fmt.Sprintf("kind = %q\ntarget = %q\nat = %q", kind, target, at)}, lines...)})
+func (g *generator) add(kind, target string, at time.Duration, lines ...string) {
+	name := fmt.Sprintf("%s-%d", kind, len(g.faults))
+	g.faults = append(g.faults, Fault{Name: name, lines: append([]string{fmt.Sprintf("kind = %q\ntarget = %q\nat = %q", kind, target, at)}, lines...)})
 }
 
-// key returns a line of a fault's table whose value is a duration.
-func key(name string, value time.Duration) string { return fmt.Sprintf("%s = %q", name, value) }
+// durationLine returns a line of a fault's table whose value is a duration.
+func durationLine(name string, value time.Duration) string {
+	return fmt.Sprintf("%s = %q", name, value)
+}
 
-// series are the series of signals that agents get.
-var series = []string{
+// signalSeries are the series of signals that agents get.
+var signalSeries = []string{
 	`["hup", "hup"]`, `["hup", "hup", "hup", "hup", "hup"]`, `["hup", "term"]`, `["term"]`, `["term"]`, `["term", "term"]`,
 	`["term", "hup"]`, `["hup", "hup", "term", "term"]`, `["term", "kill"]`, `["kill"]`, `["hup", "kill"]`,
 }
 
-// terminations are those of them that an agent gets whose control-plane servers can't be reloaded.
-var terminations = []string{`["term"]`, `["term", "term"]`, `["term", "kill"]`, `["kill"]`}
+// terminationSeries are those of them that an agent gets whose control-plane servers can't be reloaded.
+var terminationSeries = []string{`["term"]`, `["term", "term"]`, `["term", "kill"]`, `["kill"]`}
 
 // drawProcessFaults draws faults of the agents' processes and clients, one agent at a time.
-func (d *drawing) drawProcessFaults() {
-	for at := d.first; at+processFaultPeriod < d.duration; at += processFaultPeriod + d.millis(0, 1500) {
-		target := fmt.Sprintf("n%d", d.rng.IntN(d.agents))
-		switch d.rng.IntN(8) {
+func (g *generator) drawProcessFaults() {
+	for at := g.faultsFrom; at+processFaultPeriod < g.duration; at += processFaultPeriod + g.randomMillis(0, 1500) {
+		target := fmt.Sprintf("n%d", g.rng.IntN(g.agents))
+		switch g.rng.IntN(8) {
 		case 0:
-			d.add("stop", target, at, key("for", d.millis(100, 900)))
+			g.add("stop", target, at, durationLine("for", g.randomMillis(100, 900)))
 		case 1:
-			d.add("flood", target, at, key("for", d.millis(1000, 4000)), fmt.Sprintf("size = %d.0\nshare = %.1f", 50+d.rng.IntN(500), d.rng.Float64()))
+			g.add("flood", target, at, durationLine("for", g.randomMillis(1000, 4000)), fmt.Sprintf("size = %d.0\nshare = %.1f", 50+g.rng.IntN(500), g.rng.Float64()))
 		case 2:
-			d.add("pipeline", target, at, key("for", d.millis(500, 3000)), key("every", d.millis(200, 800)), fmt.Sprintf("size = %d.0", 2+d.rng.IntN(80)))
+			g.add("pipeline", target, at, durationLine("for", g.randomMillis(500, 3000)), durationLine("every", g.randomMillis(200, 800)), fmt.Sprintf("size = %d.0", 2+g.rng.IntN(80)))
 		case 3:
-			d.add("descriptors", target, at, key("for", d.millis(30, 250)))
+			g.add("descriptors", target, at, durationLine("for", g.randomMillis(30, 250)))
 		default:
-			from := series
-			if d.stewards > 0 {
-				from = terminations
+			from := signalSeries
+			if g.controlPlaneServers > 0 {
+				from = terminationSeries
 			}
-			if d.draw(idleClientsShare) {
-				d.add("flood", target, at-d.millis(100, 800), key("for", d.millis(1000, 5000)), fmt.Sprintf("size = %d.0", d.sockets))
+			if g.chance(idleClientsProbability) {
+				g.add("flood", target, at-g.randomMillis(100, 800), durationLine("for", g.randomMillis(1000, 5000)), fmt.Sprintf("size = %d.0", g.maxSockets))
 			}
-			d.add("signals", target, at, key("every", d.millis(0, 400)), "signals = "+pick(d.rng, from...))
-			if d.draw(hangShare) {
-				d.drawHangingServers(at)
+			g.add("signals", target, at, durationLine("every", g.randomMillis(0, 400)), "signals = "+pick(g.rng, from...))
+			if g.chance(hangProbability) {
+				g.drawHangingServers(at)
 			}
 		}
 	}
 }
 
 // drawHangingServers has a part of the servers hang around a time, until after the earliest SIGKILL.
-func (d *drawing) drawHangingServers(at time.Duration) {
-	target := fmt.Sprintf("servers%%%.1f", 0.2+0.4*d.rng.Float64())
-	from, lasts := at-d.millis(0, 300), d.millis(1500, 4500)
-	switch d.rng.IntN(3) {
+func (g *generator) drawHangingServers(at time.Duration) {
+	target := fmt.Sprintf("servers%%%.1f", 0.2+0.4*g.rng.Float64())
+	from, duration := at-g.randomMillis(0, 300), g.randomMillis(1500, 4500)
+	switch g.rng.IntN(3) {
 	case 0:
-		d.add("lost", target, from, key("for", lasts), fmt.Sprintf("size = %.1f", 0.3+0.7*d.rng.Float64()))
+		g.add("lost", target, from, durationLine("for", duration), fmt.Sprintf("size = %.1f", 0.3+0.7*g.rng.Float64()))
 	case 1:
-		d.add("slow", target, from, key("for", lasts), fmt.Sprintf("size = %d.0", 10+d.rng.IntN(40)))
+		g.add("slow", target, from, durationLine("for", duration), fmt.Sprintf("size = %d.0", 10+g.rng.IntN(40)))
 	default:
-		d.add("vanish", target, from, key("for", lasts))
+		g.add("vanish", target, from, durationLine("for", duration))
 	}
 }
 
-// millis draws a time of from to to milliseconds.
-func (d *drawing) millis(from, to int) time.Duration {
-	return time.Duration(from+d.rng.IntN(to-from+1)) * time.Millisecond
+// randomMillis draws a time of from to to milliseconds.
+func (g *generator) randomMillis(from, to int) time.Duration {
+	return time.Duration(from+g.rng.IntN(to-from+1)) * time.Millisecond
 }
 
 // drawEnvironmentFaults draws faults of servers, links, discovery and the load, which overlap each
 // other and the faults of processes.
-func (d *drawing) drawEnvironmentFaults() {
-	for at := d.first; ; {
-		at += time.Duration(d.rng.ExpFloat64() * float64(environmentFaultPeriod)).Round(time.Millisecond)
-		lasts := d.millis(300, 4000)
-		if at+lasts >= d.duration {
+func (g *generator) drawEnvironmentFaults() {
+	for at := g.faultsFrom; ; {
+		at += time.Duration(g.rng.ExpFloat64() * float64(environmentFaultPeriod)).Round(time.Millisecond)
+		duration := g.randomMillis(300, 4000)
+		if at+duration >= g.duration {
 			return
 		}
 		switch {
-		case d.draw(0.6):
-			d.drawServerFault(at, lasts)
-		case d.draw(0.2):
-			d.add("burst", "load", at, key("for", lasts), "size = 1.5")
-		case d.stewards > 0:
-			d.drawControlPlaneFault(at, lasts)
+		case g.chance(0.6):
+			g.drawServerFault(at, duration)
+		case g.chance(0.2):
+			g.add("burst", "load", at, durationLine("for", duration), "size = 1.5")
+		case g.controlPlaneServers > 0:
+			g.drawControlPlaneFault(at, duration)
 		default:
-			d.drawNetworkFault(at, lasts)
+			g.drawNetworkFault(at, duration)
 		}
 	}
 }
 
 // drawServerFault draws a fault of one or two servers, or of more where few would show nothing.
-func (d *drawing) drawServerFault(at, lasts time.Duration) {
-	target := fmt.Sprintf("servers#%d", 1+d.rng.IntN(2))
-	kind := pick(d.rng, "kill", "vanish", "drain", "drain", "replace", "errors", "resets", "lost", "spoilt", "slow", "mute",
+func (g *generator) drawServerFault(at, duration time.Duration) {
+	target := fmt.Sprintf("servers#%d", 1+g.rng.IntN(2))
+	kind := pick(g.rng, "kill", "vanish", "drain", "drain", "replace", "errors", "resets", "lost", "spoilt", "slow", "mute",
 		"repeated", "repeated", "repeated")
 	switch kind {
 	case "mute":
-		if d.stewards > 0 {
-			d.add(kind, target, at, key("for", lasts))
+		if g.controlPlaneServers > 0 {
+			g.add(kind, target, at, durationLine("for", duration))
 		}
 	case "errors", "resets", "lost", "spoilt":
-		d.add(kind, target, at, key("for", lasts), fmt.Sprintf("size = %.1f", 0.1+0.8*d.rng.Float64()))
+		g.add(kind, target, at, durationLine("for", duration), fmt.Sprintf("size = %.1f", 0.1+0.8*g.rng.Float64()))
 	case "slow":
-		d.add(kind, target, at, key("for", lasts), fmt.Sprintf("size = %d.0", 2+d.rng.IntN(8)))
+		g.add(kind, target, at, durationLine("for", duration), fmt.Sprintf("size = %d.0", 2+g.rng.IntN(8)))
 	case "repeated":
-		target = fmt.Sprintf("servers%%%.1f", 0.3+0.7*d.rng.Float64())
-		d.add(kind, target, at, key("for", min(repeatedFactor*lasts, d.duration-at)), fmt.Sprintf("size = %.1f", 0.2+0.8*d.rng.Float64()))
+		target = fmt.Sprintf("servers%%%.1f", 0.3+0.7*g.rng.Float64())
+		g.add(kind, target, at, durationLine("for", min(repeatedDurationFactor*duration, g.duration-at)), fmt.Sprintf("size = %.1f", 0.2+0.8*g.rng.Float64()))
 	case "replace":
-		d.add(kind, target, at, key("every", 500*time.Millisecond))
+		g.add(kind, target, at, durationLine("every", 500*time.Millisecond))
 	default:
-		d.add(kind, target, at, key("for", lasts))
+		g.add(kind, target, at, durationLine("for", duration))
 	}
 }
 
 // drawControlPlaneFault draws a fault of a control-plane server, a worker or a link between them.
-func (d *drawing) drawControlPlaneFault(at, lasts time.Duration) {
-	switch target := pick(d.rng, "stewards#1", "stewards#1", "workers#1"); d.rng.IntN(4) {
+func (g *generator) drawControlPlaneFault(at, duration time.Duration) {
+	switch target := pick(g.rng, "stewards#1", "stewards#1", "workers#1"); g.rng.IntN(4) {
 	case 0:
-		d.add("kill", target, at, key("for", lasts))
+		g.add("kill", target, at, durationLine("for", duration))
 	case 1:
-		d.add("stop", target, at, key("for", lasts))
+		g.add("stop", target, at, durationLine("for", duration))
 	case 2:
-		d.add("restart", target, at)
+		g.add("restart", target, at)
 	default:
-		d.add("cut", target, at, key("for", lasts), `to = "stewards"`)
+		g.add("cut", target, at, durationLine("for", duration), `to = "stewards"`)
 	}
 }
 
 // drawNetworkFault draws a fault of discovery, or of the links to it and to servers.
-func (d *drawing) drawNetworkFault(at, lasts time.Duration) {
-	agent := fmt.Sprintf("n%d", d.rng.IntN(d.agents))
-	to := fmt.Sprintf("to = \"s-%02d\"", d.rng.IntN(d.servers))
-	switch d.rng.IntN(6) {
+func (g *generator) drawNetworkFault(at, duration time.Duration) {
+	agent := fmt.Sprintf("n%d", g.rng.IntN(g.agents))
+	to := fmt.Sprintf("to = \"s-%02d\"", g.rng.IntN(g.servers))
+	switch g.rng.IntN(6) {
 	case 0, 1:
-		d.add("down", "discovery", at, key("for", lasts))
+		g.add("down", "discovery", at, durationLine("for", duration))
 	case 2:
-		d.add("cut", agent, at, key("for", lasts), `to = "discovery"`)
+		g.add("cut", agent, at, durationLine("for", duration), `to = "discovery"`)
 	case 3:
-		d.add("cut", agent, at, key("for", lasts), to, fmt.Sprintf("way = %q", pick(d.rng, "both", "back", "forward")))
+		g.add("cut", agent, at, durationLine("for", duration), to, fmt.Sprintf("way = %q", pick(g.rng, "both", "back", "forward")))
 	case 4:
-		d.add("reset", agent, at, key("for", lasts), to, fmt.Sprintf("size = %d.0", 500+d.rng.IntN(5000)))
+		g.add("reset", agent, at, durationLine("for", duration), to, fmt.Sprintf("size = %d.0", 500+g.rng.IntN(5000)))
 	default:
-		d.add("refuse", agent, at, key("for", lasts), to)
+		g.add("refuse", agent, at, durationLine("for", duration), to)
 	}
 }
--- a/internal/lab/soak/draw_test.go
+++ b/internal/lab/soak/draw_test.go
@@ -48,18 +48,18 @@
 // connections beside signals in one.
 func TestSeedsOfCIDrawRareFaults(t *testing.T) {
 	const lastSeed, duration = 9, 20 * time.Second // as in .ci/run
-	repeated, flooded := 0, 0
+	repeated, floods := 0, 0
 	for seed := uint64(1); seed <= lastSeed; seed++ {
 		text := Draw(seed, duration).Text()
 		if strings.Contains(text, `kind = "repeated"`) {
 			repeated++
 		}
 		if floodBesideSignals.MatchString(text) {
-			flooded++
+			floods++
 		}
 	}
-	if repeated < 2 || flooded < 1 {
-		t.Errorf("%d of the seeds repeat answers and %d have a crowd beside signals, want 2 and 1", repeated, flooded)
+	if repeated < 2 || floods < 1 {
+		t.Errorf("%d of the seeds repeat answers and %d have a crowd beside signals, want 2 and 1", repeated, floods)
 	}
 }
 
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -16,10 +16,10 @@
 
 // The verdicts.
 const (
-	Passed Verdict = "held"
-	Broke  Verdict = "broke"
-	Void   Verdict = "void"   // the machine was too busy to judge
-	Failed Verdict = "failed" // the run could not be made
+	Passed    Verdict = "held"
+	Violated  Verdict = "broke"
+	Void      Verdict = "void"   // the machine was too busy to judge
+	RunFailed Verdict = "failed" // the run could not be made
 )
 
 // Result is the result of one seed.
@@ -33,7 +33,7 @@
 // Run runs an experiment with a seed and an agent's program, and writes its file and its results into a
 // folder.
 func Run(ctx context.Context, e *Experiment, seed uint64, agent, dir string) Result {
-	result := Result{Seed: seed, Verdict: Failed, Dir: dir}
+	result := Result{Seed: seed, Verdict: RunFailed, Dir: dir}
 	config, err := experiment.Parse([]byte(e.Text()))
 	if err == nil {
 		err = os.MkdirAll(dir, 0o755)
@@ -55,13 +55,13 @@
 		result.Reason = err.Error()
 		return result
 	}
-	result.Verdict, result.Reason = judge(summary)
+	result.Verdict, result.Reason = verdictOf(summary)
 	return result
 }
 
-// judge returns the verdict on a run. One in which the lab itself was late is void: what it saw may be
+// verdictOf returns the verdict on a run. One in which the lab itself was late is void: what it saw may be
 // its own doing.
-func judge(summary *experiment.Summary) (verdict Verdict, reason string) {
+func verdictOf(summary *experiment.Summary) (verdict Verdict, reason string) {
 	lab := &summary.Lab
 	if lab.TooLate {
 		return Void, fmt.Sprintf("the lab sent requests %.1f ms late at p99", lab.LatenessP99Ms)
@@ -74,7 +74,7 @@
 		first := &examples[0]
 		reason += fmt.Sprintf("; first at %.3f s: %s %s %s: %s", first.AtS, first.Agent, first.Server, first.Request, first.Text)
 	}
-	return Broke, reason
+	return Violated, reason
 }
 
 // Shrink drops the faults of an experiment that broke, one by one, as long as it still breaks without
@@ -84,7 +84,7 @@
 	defer cancel()
 	for i := 0; i < len(e.Faults) && ctx.Err() == nil; {
 		smaller := e.Without(i)
-		if result := Run(ctx, smaller, seed, agent, filepath.Join(dir, fmt.Sprintf("without-%s", e.Faults[i].Name))); result.Verdict == Broke {
+		if result := Run(ctx, smaller, seed, agent, filepath.Join(dir, fmt.Sprintf("without-%s", e.Faults[i].Name))); result.Verdict == Violated {
 			e = smaller
 			continue
 		}
--- a/internal/lab/soak/run_test.go
+++ b/internal/lab/soak/run_test.go
@@ -18,12 +18,12 @@
 		reason  string
 	}{
 		{experiment.Summary{Passed: true}, Passed, ""},
-		{experiment.Summary{Violations: []string{"rule lost request, 1 against 0"}, Fleets: broken}, Broke,
+		{experiment.Summary{Violations: []string{"rule lost request, 1 against 0"}, Fleets: broken}, Violated,
 			"rule lost request, 1 against 0; first at 4.500 s: n1  a1-7: no answer"},
-		{experiment.Summary{Violations: []string{"fault x could not be injected"}, Fleets: make([]experiment.FleetSummary, 1)}, Broke, "fault x could not be injected"},
+		{experiment.Summary{Violations: []string{"fault x could not be injected"}, Fleets: make([]experiment.FleetSummary, 1)}, Violated, "fault x could not be injected"},
 		{experiment.Summary{Violations: []string{"rule lost request, 1 against 0"}, Fleets: broken, Lab: experiment.Lab{TooLate: true, LatenessP99Ms: 40}}, Void, "40.0 ms late"},
 	} {
-		verdict, reason := judge(&c.summary)
+		verdict, reason := verdictOf(&c.summary)
 		if verdict != c.want || !strings.Contains(reason, c.reason) {
 			t.Errorf("%v %q, want %v %q", verdict, reason, c.want, c.reason)
 		}
