--- a/internal/lab/configfile/configfile.go
+++ b/internal/lab/configfile/configfile.go
@@ -1,6 +1,6 @@
 // Package configfile reads the lab's configuration files: TOML text into structs whose fields have
-// koanf tags. Its errors are one line each and name the key, so that whoever wrote the file finds
-// the place.
+// koanf tags. Each error is a single line that names the
+// key at fault.
 package configfile
 
 import (
@@ -17,7 +17,7 @@
 
 // KeyError is an error in one key of a file or in its value.
 type KeyError struct {
-	Key     string // its path in the file, as "load.class[1].effect"
+	Key     string // path in the file, such as "load.class[1].effect"
 	Problem string
 }
 
@@ -29,11 +29,11 @@
 	return &KeyError{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
-// keySeparator separates the parts of a key within koanf. It occurs in no key, so that a key with a
-// dot stays in one piece.
+// keySeparator separates the components of a key path within koanf. No key contains it, so a key that
+// contains a dot is not split.
 const keySeparator = "\x00"
 
-// Parse parses TOML text into nested maps. Its error is one line that begins with "no TOML".
+// Parse parses TOML text into nested maps. An error is a single line that begins with "no TOML".
 func Parse(text []byte) (map[string]any, error) {
 	file := koanf.New(keySeparator)
 	if err := file.Load(rawbytes.Provider(text), toml.Parser()); err != nil {
@@ -42,16 +42,16 @@
 	return file.Raw(), nil
 }
 
-// Decode writes parsed values over the struct that result points to. A list in the file gets the
-// file's length; what one of its entries leaves out stays as in the struct's entry at the same
-// place. A map is merged into the struct's. The error is one line that names the key, a *KeyError
-// for a key that the struct doesn't have.
+// Decode writes parsed values over the struct that result points to. A list takes its
+// length from the file; a field that one of its entries leaves out keeps the value of the struct's
+// entry with the same index. A map is merged into the struct's. An error is a single line that names
+// the key; it is a *KeyError for a key that the struct doesn't have.
 func Decode(raw map[string]any, result any) error {
 	return decode(raw, result, false)
 }
 
-// DecodeReplacing is Decode, except that a list or map in the file replaces the struct's, whose
-// entries are forgotten.
+// DecodeReplacing is like Decode, except that a list or map in the file replaces the one in the struct,
+// whose entries are discarded.
 func DecodeReplacing(raw map[string]any, result any) error {
 	return decode(raw, result, true)
 }
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// firstLine returns the first of the decoder's errors, in one line.
+// firstLine returns the first of the decoder's errors as a single line.
 func firstLine(err error) string {
 	text := err.Error()
 	if joined, ok := err.(interface{ Unwrap() []error }); ok && len(joined.Unwrap()) > 0 {
--- a/internal/lab/configfile/configfile_test.go
+++ b/internal/lab/configfile/configfile_test.go
@@ -16,8 +16,8 @@
 	} `koanf:"table"`
 }
 
-// Values are written over those that the struct has, and the error of an invalid file is one line
-// that names the key.
+// Decoded values overwrite those of the struct, and the error for an invalid file is a single line that
+// names the key.
 func TestDecode(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"limit = \"3s\"\n[table]\ncount = 2\n", ""},
@@ -48,8 +48,8 @@
 	}
 }
 
-// Decode writes the entries of a file's list and map over the struct's, DecodeReplacing takes the
-// file's alone. Both keep what the file doesn't name and refuse an unknown key.
+// Decode merges the lists and maps of a file into those of the struct, and DecodeReplacing replaces
+// them. Both keep the fields that the file doesn't set and reject an unknown key.
 func TestDecodeReplacing(t *testing.T) {
 	type step struct {
 		Name  string `koanf:"name"`
@@ -84,6 +84,6 @@
 	}
 	var keyErr *KeyError
 	if err := DecodeReplacing(map[string]any{"colour": "red"}, &replaced); !errors.As(err, &keyErr) || keyErr.Key != "colour" {
-		t.Errorf("error %v, want a KeyError of colour", err)
+		t.Errorf("error %v, want a KeyError for colour", err)
 	}
 }
--- a/internal/lab/golden/constants.go
+++ b/internal/lab/golden/constants.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// StringConstants returns the values of the package-level constants of a folder that are declared as
-// string literals, sorted, each once; test files are left out. With types named, only constants that
-// are declared with one of these types count. It fails the test if a file can't be parsed.
+// StringConstants returns the values of the package-level constants in a directory that are declared as
+// string literals, sorted and without duplicates; test files are skipped. If types are given, only
+// constants declared with one of these types are included. It fails the test if a file can't be parsed.
 func StringConstants(t testing.TB, dir string, types ...string) []string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
@@ -54,13 +54,13 @@
 	return specs
 }
 
-// hasType reports whether constants are declared with one of the types.
+// hasType reports whether the constants of a declaration have one of the types.
 func hasType(spec *ast.ValueSpec, types []string) bool {
 	name, ok := spec.Type.(*ast.Ident)
 	return ok && slices.Contains(types, name.Name)
 }
 
-// stringLiterals returns the string literals that constants are declared as.
+// stringLiterals returns the values of the string literals in a constant declaration.
 func stringLiterals(t testing.TB, spec *ast.ValueSpec) []string {
 	t.Helper()
 	var values []string
--- a/internal/lab/golden/fill.go
+++ b/internal/lab/golden/fill.go
@@ -7,16 +7,16 @@
 	"testing"
 )
 
-// Fill sets every exported field of what v points to, recursively, to a value that is not the type's
-// zero value and that no other field has, except for booleans. The values depend only on the order of
-// the fields. It fails the test if v contains a type that it has no value for, or contains itself.
+// Fill recursively sets every exported field of the value that v points to. Each field gets a nonzero
+// value that no other field has, except that all booleans are true. The values depend only on the order
+// of the fields. It fails the test if v contains a type that it can't fill or a type that contains itself.
 func Fill(t testing.TB, v any) {
 	t.Helper()
 	p := reflect.ValueOf(v)
 	p.Elem().Set(filled(t, p.Type().Elem()))
 }
 
-// filled returns a value of a type, filled as by Fill.
+// filled returns a new value of a type, filled as by Fill.
 func filled(t testing.TB, typ reflect.Type) reflect.Value {
 	t.Helper()
 	v := reflect.New(typ).Elem()
@@ -29,10 +29,10 @@
 // maxDepth bounds the recursion into types that contain themselves.
 const maxDepth = 12
 
-// filler fills values. It counts the values that it has set, which makes each of them different.
+// filler fills values. It derives each value from a count of the values set so far, so that all differ.
 type filler struct{ count int }
 
-// fill sets v, which is nested in depth other values.
+// fill sets v, which is nested inside depth other values.
 func (f *filler) fill(v reflect.Value, depth int) error {
 	if depth > maxDepth {
 		return fmt.Errorf("%v is nested more than %d deep", v.Type(), maxDepth)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// fillMap sets a map to one of one entry.
+// fillMap sets a map to a new map with one entry.
 func (f *filler) fillMap(v reflect.Value, depth int) error {
 	key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
 	if err := f.fill(key, depth+1); err != nil {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// fillScalar sets a value that contains no others.
+// fillScalar sets a value that contains no other values.
 func (f *filler) fillScalar(v reflect.Value) error {
 	f.count++
 	switch {
--- a/internal/lab/golden/golden.go
+++ b/internal/lab/golden/golden.go
@@ -1,8 +1,8 @@
-// Package golden compares what a test computed with a file under testdata, and fills values of message
-// types, so that the golden file shows every key that they have. It holds formats that other programs
-// read, or that stay on disk, while the Go names are free to change. It is for tests only.
+// Package golden compares the results of a test with a golden file under testdata, and fills values of
+// message types so that the golden file shows every key they have. This detects changes to formats that
+// other programs read or that are stored on disk, while Go names can change freely. It is for tests only.
 //
-// Every function runs in the goroutine of the test that calls it, and fails that test.
+// Every function must be called from the goroutine of the test, which it fails on a mismatch.
 package golden
 
 import (
@@ -19,10 +19,10 @@
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// folder is where golden files are, from the folder of the package under test.
+// folder is the directory of the golden files, relative to that of the package under test.
 const folder = "testdata"
 
-// Path returns the path of the golden file with a name, from the folder of the package under test.
+// Path returns the path of a golden file, relative to the directory of the package under test.
 func Path(name string) string { return filepath.Join(folder, name) }
 
 // Check fails the test if got differs from the golden file, or if there is no such file. With
@@ -63,7 +63,7 @@
 }
 
 // firstDifference returns the number, from 1, of the first line in which two different texts differ,
-// and that line of each; "" of a text that ends before it.
+// and that line of each text, or "" for a text that ends before it.
 func firstDifference(want, got string) (line int, wantLine, gotLine string) {
 	wantLines, gotLines := strings.Split(want, "\n"), strings.Split(got, "\n")
 	for i := range max(len(wantLines), len(gotLines)) {
@@ -78,7 +78,7 @@
 			return i + 1, wantLine, gotLine
 		}
 	}
-	return max(len(wantLines), len(gotLines)), "", "" // the one text has an empty line more
+	return max(len(wantLines), len(gotLines)), "", "" // one text has an additional empty line at its end
 }
 
 // splitLines returns the lines of a text whose last line ends with a newline.
@@ -86,14 +86,14 @@
 	return strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 }
 
-// Lines is Check for a list with one item a line.
+// Lines is like Check for a list of items, which the file holds one per line.
 func Lines(t testing.TB, name string, items []string) {
 	t.Helper()
 	Check(t, name, []byte(strings.Join(items, "\n")+"\n"))
 }
 
-// Includes fails the test if a line of the golden file is not among the items. Items that the file
-// lacks are allowed. With -update it writes the file with all items.
+// Includes fails the test if a line of the golden file is not among the items. Items that are missing
+// from the file are allowed. With -update it writes the file with all items.
 func Includes(t testing.TB, name string, items []string) {
 	t.Helper()
 	if *update {
@@ -102,13 +102,13 @@
 	}
 	for _, line := range splitLines(read(t, name)) {
 		if !slices.Contains(items, line) {
-			t.Errorf("%s has %s, which is not there any more", Path(name), line)
+			t.Errorf("%s lists %s, which no longer exists", Path(name), line)
 		}
 	}
 }
 
-// Message is a type whose JSON form is frozen. Name is its name in the golden file, which does not
-// follow the name of the Go type.
+// Message is a type whose JSON form must not change. Name is its name in the golden file, which is
+// independent of the name of the Go type.
 type Message struct {
 	Name string
 	Type reflect.Type
@@ -117,9 +117,9 @@
 // Of returns the Message of type T.
 func Of[T any](name string) Message { return Message{name, reflect.TypeFor[T]()} }
 
-// Messages holds the JSON form of each type with every field set, one type a line: the filled value
-// encodes as the golden file has it, and the text in the golden file decodes into the type without
-// unknown keys and encodes as the same text again.
+// Messages compares the JSON form of each type, with every field set, with a golden file that has one
+// type per line. The filled value must encode to the text in the file, and that text must decode into
+// the type without unknown keys and encode to the same text again.
 func Messages(t *testing.T, file string, messages []Message) {
 	t.Helper()
 	var lines []string
@@ -137,7 +137,7 @@
 	}
 }
 
-// checkDecodes fails the test unless a text decodes into a message's type and encodes as the same text
+// checkDecodes fails the test unless a text decodes into a message's type and encodes to the same text
 // again.
 func checkDecodes(t *testing.T, m Message, text string) {
 	t.Helper()
--- a/internal/lab/golden/golden_test.go
+++ b/internal/lab/golden/golden_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// Fill sets each exported field of the JSON form to a value of its own, in the order of the fields.
+// Fill sets each exported field of the JSON form to a distinct value, in the order of the fields.
 func TestFillSetsEveryField(t *testing.T) {
 	type inner struct{ Text string }
 	type outer struct {
@@ -45,7 +45,7 @@
 	}
 }
 
-// Types that contain themselves, or kinds that JSON doesn't have, are refused.
+// Types that contain themselves and kinds without a JSON form are rejected.
 func TestFillRefusesTypesWithoutValues(t *testing.T) {
 	type recursive struct{ Next *recursive }
 	for _, v := range []any{&recursive{}, new(chan int)} {
@@ -55,7 +55,7 @@
 	}
 }
 
-// The constants of this package's program files are found by their literals, with and without a type.
+// StringConstants finds the untyped constants of this package's non-test files, and none with a type.
 func TestStringConstants(t *testing.T) {
 	if got := StringConstants(t, "."); !slices.Equal(got, []string{"testdata"}) {
 		t.Errorf("constants %q", got)
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -1,5 +1,5 @@
-// Package soak draws experiments at random: a fleet, its settings and a schedule of faults. A seed
-// always draws the same experiment, to the byte, on any machine.
+// Package soak generates random experiments: a fleet, its settings and a schedule of faults. A seed
+// always generates the same experiment, byte for byte, on any machine.
 package soak
 
 import (
@@ -10,43 +10,43 @@
 )
 
 const (
-	// MinDuration is the shortest experiment that can be drawn: shorter ones have no time for a restart.
+	// MinDuration is the duration of the shortest experiment; a shorter one leaves no time for a restart.
 	MinDuration = 15 * time.Second
-	// controlPlaneProbability and quietStartProbability are the parts of the seeds with real control-plane servers, and
-	// with a long quiet time before the first fault.
+	// controlPlaneProbability and quietStartProbability are the probabilities that an experiment has real
+	// control-plane servers, and that it has a long quiet time, half of its duration, before the first fault.
 	controlPlaneProbability, quietStartProbability = 0.25, 0.25
-	// hangProbability is the part of the series of signals during which servers hang, so that requests are in
-	// flight for long.
+	// hangProbability is the probability that servers hang while an agent gets a series of signals, so that
+	// requests stay in flight for long.
 	hangProbability = 0.7
-	// idleClientsProbability is the part of the series of signals during which idle connections fill the agent's
-	// descriptors.
+	// idleClientsProbability is the probability that idle connections use up an agent's descriptors while it
+	// gets a series of signals.
 	idleClientsProbability = 0.3
-	// firstFaultAt is when faults begin in other seeds, at the earliest.
+	// firstFaultAt is the earliest time of a fault in an experiment without a quiet start.
 	firstFaultAt = 2 * time.Second
-	// processFaultPeriod is the time from one fault of an agent's process to the next: a termination and
-	// the start after it take about 5 s.
+	// processFaultPeriod is the time from one fault of an agent's process to the next. A termination and
+	// the subsequent start take about 5 s.
 	processFaultPeriod = 6 * time.Second
-	// environmentFaultPeriod is the mean time between other faults.
+	// environmentFaultPeriod is the mean time between all other faults.
 	environmentFaultPeriod = 4 * time.Second
-	// repeatedDurationFactor is how much longer than other faults answers are repeated: only one whose connection
-	// is used again within some milliseconds can do harm.
+	// repeatedDurationFactor is how many times longer a fault that repeats answers lasts than other faults. A
+	// repeated answer can only do harm if its connection is reused within some milliseconds.
 	repeatedDurationFactor = 4
 )
 
-// Fault is one fault of a drawn experiment, as the lines of its table.
+// Fault is one fault of a generated experiment, as the lines of its TOML table.
 type Fault struct {
 	Name  string
 	lines []string
 }
 
-// Experiment is a drawn experiment.
+// Experiment is a generated experiment.
 type Experiment struct {
 	Name   string
 	header string
 	Faults []Fault
 }
 
-// Text returns the experiment as an experiment file.
+// Text returns the experiment in the format of an experiment file.
 func (e *Experiment) Text() string {
 	var text strings.Builder
 	text.WriteString(e.header)
@@ -56,26 +56,27 @@
 	return text.String()
 }
 
-// Without returns the experiment without one of its faults.
+// Without returns a copy of the experiment without the fault at an index.
 func (e *Experiment) Without(fault int) *Experiment {
 	smaller := &Experiment{Name: e.Name, header: e.header}
 	smaller.Faults = append(append(smaller.Faults, e.Faults[:fault]...), e.Faults[fault+1:]...)
 	return smaller
 }
 
-// generator is one experiment while it is drawn. The order of its draws is part of what a seed means.
+// generator generates one experiment. Changing the order of its random draws changes the experiment of every
+// seed.
 type generator struct {
 	rng                 *rand.Rand
 	duration            time.Duration
 	agents              int
-	maxSockets          int // that an agent may have open
+	maxSockets          int // limit of open descriptors of an agent
 	servers             int
-	controlPlaneServers int // control-plane servers; 0: the emulated list service
+	controlPlaneServers int // 0: the emulated list service takes their place
 	faultsFrom          time.Duration
 	faults              []Fault
 }
 
-// Draw returns the experiment of a seed and a duration of at least MinDuration.
+// Draw generates the experiment of a seed. The duration must be at least MinDuration.
 func Draw(seed uint64, duration time.Duration) *Experiment {
 	g := &generator{rng: rand.New(rand.NewPCG(seed, 0)), duration: duration}
 	g.agents, g.servers = 2+g.rng.IntN(3), 6+g.rng.IntN(9)
@@ -95,7 +96,7 @@
 	return e
 }
 
-// drawHeader draws the fleet, the load and the rules.
+// drawHeader draws the fleet, the load and the rules, and returns the file's text up to the faults.
 func (g *generator) drawHeader(name string, seed uint64) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "name = %q\nabout = \"drawn by lab soak\"\nseed = %d\nduration = %q\nwarmup = \"1s\"\nlateness = \"30ms\"\n", name, max(seed, 1), g.duration)
@@ -113,8 +114,8 @@
 	return text.String()
 }
 
-// classTables are the request classes of deployments: the operators' own, one with a class that must not be
-// repeated and one that is keyed within a cell, one with short deadlines, and one of a single class.
+// classTables are alternative sets of request classes: the defaults, a set with a non-idempotent class and one
+// that is deduplicated within a cell, a set with short deadlines, and a set of a single class.
 var classTables = []string{
 	"",
 	classTable("reading", "free", "all", "700ms", "2500ms", "1s") + classTable("booking", "single_shot", "all", "900ms", "3s", "1s") +
@@ -123,7 +124,7 @@
 	classTable("ask", "free", "all", "500ms", "1500ms", "1s"),
 }
 
-// classTable returns the table of a class of requests.
+// classTable returns the TOML table of a request class.
 func classTable(name, effect, group, targetLatency, deadline, dedupWindow string) string {
 	return fmt.Sprintf("[[load.class]]\nname = %q\nshare = 0.5\nwork = 15.0\naim = %q\ngive_up = %q\neffect = %q\ngroup = %q\nkey_ttl = %q\n",
 		name, targetLatency, deadline, effect, group, dedupWindow)
@@ -132,7 +133,7 @@
 // pick returns one of the values.
 func pick[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
 
-// chance returns true with a probability.
+// chance returns true with the given probability.
 func (g *generator) chance(probability float64) bool { return g.rng.Float64() < probability }
 
 // add adds a fault.
@@ -141,21 +142,21 @@
 	g.faults = append(g.faults, Fault{Name: name, lines: append([]string{fmt.Sprintf("kind = %q\ntarget = %q\nat = %q", kind, target, at)}, lines...)})
 }
 
-// durationLine returns a line of a fault's table whose value is a duration.
+// durationLine returns a line of a fault's table that sets a key to a duration.
 func durationLine(name string, value time.Duration) string {
 	return fmt.Sprintf("%s = %q", name, value)
 }
 
-// signalSeries are the series of signals that agents get.
+// signalSeries are the series of signals that can be sent to an agent.
 var signalSeries = []string{
 	`["hup", "hup"]`, `["hup", "hup", "hup", "hup", "hup"]`, `["hup", "term"]`, `["term"]`, `["term"]`, `["term", "term"]`,
 	`["term", "hup"]`, `["hup", "hup", "term", "term"]`, `["term", "kill"]`, `["kill"]`, `["hup", "kill"]`,
 }
 
-// terminationSeries are those of them that an agent gets whose control-plane servers can't be reloaded.
+// terminationSeries are the series for agents that cannot reload their control-plane servers.
 var terminationSeries = []string{`["term"]`, `["term", "term"]`, `["term", "kill"]`, `["kill"]`}
 
-// drawProcessFaults draws faults of the agents' processes and clients, one agent at a time.
+// drawProcessFaults draws faults of the agents' processes and clients, for one agent at a time.
 func (g *generator) drawProcessFaults() {
 	for at := g.faultsFrom; at+processFaultPeriod < g.duration; at += processFaultPeriod + g.randomMillis(0, 1500) {
 		target := fmt.Sprintf("n%d", g.rng.IntN(g.agents))
@@ -184,7 +185,8 @@
 	}
 }
 
-// drawHangingServers has a part of the servers hang around a time, until after the earliest SIGKILL.
+// drawHangingServers draws a fault that makes some servers hang from shortly before the given time until after
+// the earliest SIGKILL.
 func (g *generator) drawHangingServers(at time.Duration) {
 	target := fmt.Sprintf("servers%%%.1f", 0.2+0.4*g.rng.Float64())
 	from, duration := at-g.randomMillis(0, 300), g.randomMillis(1500, 4500)
@@ -198,12 +200,12 @@
 	}
 }
 
-// randomMillis draws a time of from to to milliseconds.
+// randomMillis draws a duration between from and to milliseconds, both included.
 func (g *generator) randomMillis(from, to int) time.Duration {
 	return time.Duration(from+g.rng.IntN(to-from+1)) * time.Millisecond
 }
 
-// drawEnvironmentFaults draws faults of servers, links, discovery and the load, which overlap each
+// drawEnvironmentFaults draws faults of servers, links, discovery and the load. They may overlap each
 // other and the faults of processes.
 func (g *generator) drawEnvironmentFaults() {
 	for at := g.faultsFrom; ; {
@@ -225,7 +227,8 @@
 	}
 }
 
-// drawServerFault draws a fault of one or two servers, or of more where few would show nothing.
+// drawServerFault draws a fault of one or two servers, or of a larger share for a kind that rarely shows an
+// effect.
 func (g *generator) drawServerFault(at, duration time.Duration) {
 	target := fmt.Sprintf("servers#%d", 1+g.rng.IntN(2))
 	kind := pick(g.rng, "kill", "vanish", "drain", "drain", "replace", "errors", "resets", "lost", "spoilt", "slow", "mute",
--- a/internal/lab/soak/draw_test.go
+++ b/internal/lab/soak/draw_test.go
@@ -9,7 +9,7 @@
 	"knotrouter/internal/lab/experiment"
 )
 
-// Every seed draws a valid experiment, and the same one each time; other seeds draw other ones.
+// Every seed draws a valid experiment and the same one each time, and different seeds draw different ones.
 func TestDrawnExperimentsAreValid(t *testing.T) {
 	texts := map[string]uint64{}
 	for seed := range uint64(300) {
@@ -19,18 +19,18 @@
 				t.Fatalf("seed %d for %v: %v in\n%s", seed, duration, err, e.Text())
 			}
 			if again := Draw(seed, duration).Text(); again != e.Text() {
-				t.Fatalf("seed %d for %v draws two experiments", seed, duration)
+				t.Fatalf("seed %d for %v draws a different experiment the second time", seed, duration)
 			}
 			text := strings.ReplaceAll(e.Text(), e.Name, "")
 			if other, known := texts[text]; known {
-				t.Errorf("seeds %d and %d draw the same", seed, other)
+				t.Errorf("seeds %d and %d draw the same experiment", seed, other)
 			}
 			texts[text] = seed
 		}
 	}
 }
 
-// An experiment without one of its faults is valid and has the others.
+// An experiment without one of its faults is valid and keeps the other faults.
 func TestWithoutDropsOneFault(t *testing.T) {
 	e := Draw(1, time.Minute)
 	for i := range e.Faults {
@@ -44,8 +44,8 @@
 	}
 }
 
-// The seeds that CI plays draw repeated answers in two of them at least, and a crowd of idle
-// connections beside signals in one.
+// Of the seeds that CI runs, at least two draw repeated answers and at least one draws a flood of idle
+// connections together with signals.
 func TestSeedsOfCIDrawRareFaults(t *testing.T) {
 	const lastSeed, duration = 9, 20 * time.Second // as in .ci/run
 	repeated, floods := 0, 0
@@ -59,9 +59,10 @@
 		}
 	}
 	if repeated < 2 || floods < 1 {
-		t.Errorf("%d of the seeds repeat answers and %d have a crowd beside signals, want 2 and 1", repeated, floods)
+		t.Errorf("%d of the seeds repeat answers and %d have a flood together with signals, want at least 2 and 1", repeated, floods)
 	}
 }
 
-// floodBesideSignals matches a flood that is drawn with a series of signals: they follow each other.
+// floodBesideSignals matches a flood that is drawn together with a series of signals: the two faults are
+// adjacent in the file.
 var floodBesideSignals = regexp.MustCompile(`kind = "flood".*\n.*\n.*\n.*\n.*\n\[\[fault\]\]\n.*\nkind = "signals"`)
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -11,27 +11,27 @@
 	"knotrouter/internal/lab/report"
 )
 
-// Verdict is how a seed's run ended.
+// Verdict is the outcome of the run of a seed.
 type Verdict string
 
 // The verdicts.
 const (
 	Passed    Verdict = "held"
 	Violated  Verdict = "broke"
-	Void      Verdict = "void"   // the machine was too busy to judge
-	RunFailed Verdict = "failed" // the run could not be made
+	Void      Verdict = "void"   // the machine was too busy for a verdict
+	RunFailed Verdict = "failed" // the experiment could not be run
 )
 
 // Result is the result of one seed.
 type Result struct {
 	Seed    uint64
 	Verdict Verdict
-	Reason  string // what broke, or why there is no verdict
-	Dir     string // of the experiment's file, logs and report
+	Reason  string // the first violation, or why there is no verdict
+	Dir     string // directory of the experiment file, logs and report
 }
 
-// Run runs an experiment with a seed and an agent's program, and writes its file and its results into a
-// folder.
+// Run runs an experiment with the given agent executable, and writes the experiment file and the results
+// into a directory. The seed only labels the result.
 func Run(ctx context.Context, e *Experiment, seed uint64, agent, dir string) Result {
 	result := Result{Seed: seed, Verdict: RunFailed, Dir: dir}
 	config, err := experiment.Parse([]byte(e.Text()))
@@ -59,8 +59,8 @@
 	return result
 }
 
-// verdictOf returns the verdict on a run. One in which the lab itself was late is void: what it saw may be
-// its own doing.
+// verdictOf returns the verdict on a run. A run in which the lab itself was late is void, because the lab
+// may have caused what it observed.
 func verdictOf(summary *experiment.Summary) (verdict Verdict, reason string) {
 	lab := &summary.Lab
 	if lab.TooLate {
@@ -77,8 +77,9 @@
 	return Violated, reason
 }
 
-// Shrink drops the faults of an experiment that broke, one by one, as long as it still breaks without
-// them and the time lasts. It returns the smallest experiment that broke.
+// Shrink minimizes an experiment whose run ended with violations. It removes the faults one by one and keeps
+// each removal after which the run still ends with violations, until the time limit. It returns the smallest
+// such experiment found.
 func Shrink(ctx context.Context, e *Experiment, seed uint64, agent, dir string, limit time.Duration) *Experiment {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
