--- a/internal/lab/experiment/agents.go
+++ b/internal/lab/experiment/agents.go
@@ -23,9 +23,9 @@
 	process           *process.Process
 	address           string // where it accepts requests
 	configPath        string
-	discoveryAddr     string     // of the one discovery endpoint that it is given
-	controlPlaneAddrs []string   // the control-plane servers in its configuration; none: it uses discoveryAddr
-	mu                sync.Mutex // held through a restart, so that faults of one agent exclude each other
+	discoveryAddr     string     // its discovery address: the emulated list service, or one control-plane server
+	controlPlaneAddrs []string   // the control-plane servers in its configuration; if empty, it uses discoveryAddr
+	mu                sync.Mutex // held during a restart, to serialize faults of one agent
 }
 
 // addAgents prepares the processes of the agents under test, and those of the control plane and
@@ -56,8 +56,7 @@
 	return nil
 }
 
-// newAgent reserves an agent's address, chooses where it discovers servers, and prepares its
-// process.
+// newAgent reserves an agent's address, chooses its discovery address, and prepares its process.
 func (fl *fleet) newAgent(index int, command string) (*agentProcess, error) {
 	address, err := fl.addresses.FreePort()
 	if err != nil {
@@ -82,11 +81,11 @@
 	return agent, nil
 }
 
-// errNoProgram is the error of a command that is no executable file.
+// errNoProgram is the error for a command that is not an executable file.
 var errNoProgram = errors.New("no program there; build it first")
 
-// findProgram returns the absolute path of the program that a key of the file names. Its error
-// names the key, also if there is no executable file.
+// findProgram returns the absolute path of the program that a key of the file names. Its error, also
+// that for a missing executable, names the key.
 func findProgram(key, command string) (string, error) {
 	path, err := filepath.Abs(command)
 	if err != nil {
@@ -98,8 +97,8 @@
 	return path, nil
 }
 
-// writeAgentConfig writes an agent's configuration file in place of the one before. With starting,
-// the agent is about to start with it, and the checker is notified of what it lists.
+// writeAgentConfig replaces an agent's configuration file. If the agent is about to start with it, as
+// starting says, the checker is notified of the endpoint list in it.
 func (fl *fleet) writeAgentConfig(agent *agentProcess, starting bool) error {
 	settings, err := fl.config.AgentSettings(agent.index)
 	if err != nil {
@@ -113,7 +112,7 @@
 		"known":  known, "settings": settings}
 	if fl.controlPlane != nil {
 		config["stewards"] = agent.controlPlaneAddrs
-		config["log_level"] = "debug" // the lab reads from the log when the agent applies a list
+		config["log_level"] = "debug" // the lab reads the times at which the agent applies a list from its log
 	}
 	text, err := json.MarshalIndent(config, "", " ")
 	if err != nil {
@@ -133,8 +132,8 @@
 	return nil
 }
 
-// initialList returns the endpoint list for an agent's configuration: empty, or the present one
-// of the control plane or, if that does not answer, of discovery.
+// initialList returns the endpoint list for an agent's configuration: an empty one, or the current list
+// of the control plane or, if that does not answer, of the emulated list service.
 func (fl *fleet) initialList(agent *agentProcess) endpoints.List {
 	if fl.config.Agents.InitialList != "now" {
 		return endpoints.List{Seq: 0, Full: true, Endpoints: []endpoints.Endpoint{}}
@@ -148,8 +147,8 @@
 	return known
 }
 
-// replaceFile writes a file, and its folder if needed, so that a reader sees the old text or the
-// new one, never a part.
+// replaceFile replaces a file atomically: a reader sees either the old text or the new one. It creates
+// the directory if needed.
 func replaceFile(path string, text []byte) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
@@ -163,8 +162,8 @@
 // readyTimeout bounds the time from starting a process to its readiness.
 const readyTimeout = 30 * time.Second
 
-// startAgent starts an agent and, once it is ready, its client. It returns an error if the agent
-// is not ready within readyTimeout.
+// startAgent starts an agent and, once it is ready, its client. It returns an error if the agent is not
+// ready within readyTimeout.
 func (fl *fleet) startAgent(ctx context.Context, a *agentProcess) error {
 	if err := fl.writeAgentConfig(a, true); err != nil {
 		return err
@@ -182,8 +181,8 @@
 	return nil
 }
 
-// processExited records the end of a process. One that was not expected breaks a rule, and the
-// client of an agent that crashed ends with it.
+// processExited records the exit of a process. An unexpected exit is a breach, and the client of an
+// agent that crashed is killed with it.
 func (fl *fleet) processExited(p *process.Process, err error, expected bool) {
 	i := slices.IndexFunc(fl.agents, func(a *agentProcess) bool { return a.process == p })
 	if fl.isClosing() {
@@ -216,17 +215,18 @@
 }
 
 const (
-	// minClientLeaveDelay and clientLeaveJitter bound how long clients go on sending after SIGTERM.
+	// minClientLeaveDelay and clientLeaveJitter bound how long clients continue to send after SIGTERM.
 	minClientLeaveDelay = 0.2 // seconds
 	clientLeaveJitter   = 0.2 // seconds
-	// minShutdownTimeout and shutdownSlack bound a graceful shutdown beside the longest request.
+	// A graceful shutdown may take the longest request duration, but at least minShutdownTimeout, plus
+	// shutdownSlack.
 	minShutdownTimeout = 3 * time.Second
 	shutdownSlack      = 700 * time.Millisecond
 )
 
-// restartAgent restarts an agent gracefully: SIGTERM, a delay in which its client goes on
-// sending, the end of the process, a new start. draw, in [0, 1), sets the delay. An agent that
-// does not end in time is killed, and breaks a rule.
+// restartAgent restarts an agent gracefully: it sends SIGTERM, lets the client continue to send for a
+// short delay, waits for the exit and starts the agent again. draw, in [0, 1), determines the delay. An
+// agent that does not exit in time is killed, which is a breach.
 func (fl *fleet) restartAgent(ctx context.Context, a *agentProcess, draw float64) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -252,9 +252,9 @@
 	return fl.startAgent(ctx, a)
 }
 
-// reloadAgent changes where an agent discovers servers and has it reload its configuration: the
-// emulated list service moves to another address, or the control-plane servers that the agent knows
-// change.
+// reloadAgent changes an agent's source of discovery and makes the agent reload its configuration: the
+// emulated list service moves to another address, or the set of configured control-plane servers
+// changes.
 func (fl *fleet) reloadAgent(a *agentProcess) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -264,8 +264,8 @@
 	return a.process.Signal(syscall.SIGHUP)
 }
 
-// moveDiscovery changes where an agent discovers servers, in its configuration file too. The caller
-// holds a.mu.
+// moveDiscovery changes an agent's source of discovery and updates the agent's configuration file. The
+// caller holds a.mu.
 func (fl *fleet) moveDiscovery(a *agentProcess) error {
 	if fl.controlPlane != nil {
 		fl.toggleControlPlaneServer(a)
@@ -279,8 +279,8 @@
 	return fl.writeAgentConfig(a, false)
 }
 
-// toggleControlPlaneServer removes one of the control-plane servers from those that the agent
-// knows, or, if one is missing already, restores all of them.
+// toggleControlPlaneServer removes one of the control-plane servers from the agent's configuration or,
+// if one has been removed already, restores all of them.
 func (fl *fleet) toggleControlPlaneServer(a *agentProcess) {
 	all := fl.controlPlane.addresses
 	if len(a.controlPlaneAddrs) != len(all) || len(all) <= 1 {
--- a/internal/lab/experiment/clients.go
+++ b/internal/lab/experiment/clients.go
@@ -8,16 +8,17 @@
 	"knotrouter/internal/lab/client"
 )
 
-// requestTally is the running count of finished requests, for progress.
+// requestTally counts the finished requests by outcome, for reports of progress.
 type requestTally struct {
 	Requests, InTime, Late, Rejected, Failed int
 }
 
-// clientWaitSlack is how long beyond the agents' own slack a client waits for an answer, so that the
-// checker sees a late one.
+// clientWaitSlack is how much longer than the agents' answer slack a client waits for an answer, so that
+// the checker sees answers that are too late.
 const clientWaitSlack = 60 * time.Millisecond
 
-// addClients creates a client for each agent, or for each one that a baseline takes the place of.
+// addClients creates a client for each agent or, in the fleet of a baseline, for each agent that the
+// baseline stands in for.
 func (fl *fleet) addClients(agents []string) error {
 	prefix := "a"
 	if fl.policy != "" {
@@ -36,7 +37,7 @@
 	return nil
 }
 
-// newSender returns what a client sends through: its agent, or the fleet's baseline.
+// newSender returns the sender of a client, which sends to the agent or runs the fleet's baseline policy.
 func (fl *fleet) newSender(agent int) (client.Sender, error) {
 	if fl.policy == "" {
 		return &client.ToAgent{Addr: fl.agents[agent].address, Clock: fl.clock}, nil
@@ -46,7 +47,7 @@
 		fl.seed+uint64(agent))
 }
 
-// recordResult records how a request ended. Clients call it from many goroutines.
+// recordResult records the result of a request. Clients call it from many goroutines.
 func (fl *fleet) recordResult(r client.Result) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -67,7 +68,7 @@
 	t.Requests++
 }
 
-// currentTally returns the count of the requests that have ended so far.
+// currentTally returns the counts of the requests that have finished so far.
 func (fl *fleet) currentTally() requestTally {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
--- a/internal/lab/experiment/config.go
+++ b/internal/lab/experiment/config.go
@@ -1,9 +1,9 @@
-// Package experiment runs an experiment file: it builds the fleets of emulated servers, runs the
-// real agents and control-plane servers, injects the faults of the timeline, and summarizes the
-// run: the requests' outcomes, the rules that were broken, and the expectations that were met.
+// Package experiment runs experiment files. It builds the fleets of emulated servers, runs the real
+// agents and control-plane servers, injects the faults of the timeline, and summarizes the run: the
+// outcomes of the requests, the rules that were broken, and the expectations that were met.
 //
-// The keys of the files (config.go, in TOML) and of the results (summary.go, in JSON) are stable
-// formats and keep older terms; the tags beside the Go fields map them.
+// The keys of experiment files (config.go, in TOML) and of results (summary.go, in JSON) are stable
+// formats that keep older terms; the tags of the Go fields map them to the current terms.
 package experiment
 
 import (
@@ -18,14 +18,14 @@
 	"knotrouter/internal/lab/server"
 )
 
-// Config is an experiment file. Parse returns valid ones.
+// Config is the content of an experiment file. Parse returns only valid ones.
 type Config struct {
 	Name         string           `koanf:"name"`
 	Description  string           `koanf:"about"`
 	Seed         uint64           `koanf:"seed"`
 	Duration     time.Duration    `koanf:"duration"`
-	Warmup       time.Duration    `koanf:"warmup"`   // at the start; not measured
-	MaxLateness  time.Duration    `koanf:"lateness"` // bound on the p99 of how late the lab sends a request
+	Warmup       time.Duration    `koanf:"warmup"`   // time at the start that is not measured
+	MaxLateness  time.Duration    `koanf:"lateness"` // limit of the p99 delay with which the lab sends requests
 	Zones        []string         `koanf:"zones"`
 	Baselines    []string         `koanf:"baselines"`
 	Listen       string           `koanf:"listen"` // HTTP address that serves the progress of the run; "": none
@@ -73,8 +73,8 @@
 	Reports     server.LoadReports      `koanf:"reports"`
 }
 
-// Rules is what the agents' settings say of the rules that the checker enforces, and of what the
-// agents may do.
+// Rules holds the part of the agents' settings that defines the rules enforced by the checker and the
+// features that the agents may use.
 type Rules struct {
 	AnswerSlack       time.Duration `koanf:"answer_slack"`
 	ListPollWithin    time.Duration `koanf:"ask_within"`
@@ -93,29 +93,29 @@
 	Keepalive         time.Duration `koanf:"keepalive"`
 }
 
-// ControlPlane describes the control-plane servers that list the emulated servers. Without them
-// the emulated list service does.
+// ControlPlane describes the control-plane servers that list the emulated servers. Without any, the
+// emulated list service lists them.
 type ControlPlane struct {
 	Count    int           `koanf:"count"` // 0: the emulated list service lists the servers
 	Command  string        `koanf:"command"`
 	LeaseTTL time.Duration `koanf:"lease_ttl"`
-	Watches  int           `koanf:"watches"` // of the lab itself, beside the agents', to measure how changes propagate; at least one a server
-	// AgentAccess says which control-plane servers an agent is configured with: "all", or "one"
-	// as its discovery address.
+	Watches  int           `koanf:"watches"` // of the lab itself, besides the agents', to measure the propagation of changes; at least one per server
+	// AgentAccess says which control-plane servers an agent is configured with: "all" of them, or "one",
+	// which is then its discovery address.
 	AgentAccess string `koanf:"agents"`
 	Gossip      bool   `koanf:"gossip"`   // the members exchange their views by gossip
 	Evidence    bool   `koanf:"evidence"` // peers are asked for evidence before a registration expires
 }
 
-// LeasedTasks describes the leased tasks of the control plane and the worker processes that run
-// them. The workers' operations land at the emulated servers, which check their fencing tokens.
+// LeasedTasks describes the leased tasks of the control plane and the worker processes that run them.
+// The workers send their operations to the emulated servers, which check the fencing tokens.
 type LeasedTasks struct {
 	Count             int           `koanf:"count"` // 0: none
 	TTL               time.Duration `koanf:"ttl"`
 	Workers           int           `koanf:"workers"`
 	MaxTasksPerWorker int           `koanf:"cap"`
 	Command           string        `koanf:"command"`
-	ClockRates        []float64     `koanf:"clocks"` // rates of the workers' clocks, assigned in turn
+	ClockRates        []float64     `koanf:"clocks"` // rates of the workers' clocks, assigned round-robin
 }
 
 // Fault is one fault of the timeline. Which fields apply depends on its kind.
@@ -125,7 +125,7 @@
 	Target     string        `koanf:"target"`
 	To         string        `koanf:"to"` // the far end of a link
 	At         time.Duration `koanf:"at"`
-	AfterEvent string        `koanf:"after"` // an event that starts it, in place of At
+	AfterEvent string        `koanf:"after"` // the event that starts the fault, instead of At
 	EventDelay time.Duration `koanf:"wait"`  // from the event to the fault
 	Delay      time.Duration `koanf:"delay"` // of a link
 	Duration   time.Duration `koanf:"for"`   // 0: to the end of the run
@@ -134,14 +134,14 @@
 	Share      float64       `koanf:"share"`
 	Class      string        `koanf:"class"`
 	RiseTime   time.Duration `koanf:"rise"`
-	Interval   time.Duration `koanf:"every"` // of periodic faults, and from one target to the next
+	Interval   time.Duration `koanf:"every"` // period of a periodic fault, or time from one target to the next
 	Jitter     time.Duration `koanf:"jitter"`
 	Version    string        `koanf:"version"`
-	Signals    []string      `koanf:"signals"` // of faultSignals, in order: "hup", "term" and "kill"
-	Window     time.Duration `koanf:"window"`  // length of its measured window; 0: Duration
+	Signals    []string      `koanf:"signals"` // for faultSignals, in order; each is "hup", "term" or "kill"
+	Window     time.Duration `koanf:"window"`  // length of its measured window; 0: as long as the fault
 }
 
-// Describe returns a fault in a few words: its kind, target and duration.
+// Describe returns a short description of a fault: its kind, target and duration.
 func (f *Fault) Describe() string {
 	text := f.Kind + " " + f.Target
 	if f.To != "" {
@@ -153,7 +153,7 @@
 	return text
 }
 
-// rng returns the random source of a fault. It depends on the seed and the fault's name alone.
+// rng returns the random source of a fault. It depends only on the seed and the fault's name.
 func (f *Fault) rng(seed uint64) *rand.Rand {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(f.Name))
--- a/internal/lab/experiment/controlplane.go
+++ b/internal/lab/experiment/controlplane.go
@@ -21,17 +21,17 @@
 // controlPlaneRequestTimeout bounds one request of the lab to the control plane.
 const controlPlaneRequestTimeout = 2 * time.Second
 
-// registerRetryInterval is the time between two attempts to register a server.
+// registerRetryInterval is the time between attempts to register a server.
 const registerRetryInterval = 200 * time.Millisecond
 
-// renewalsPerLease is how often the lab renews a registration within its lease.
+// renewalsPerLease is the number of renewals of a registration within the duration of its lease.
 const renewalsPerLease = 3
 
 func controlPlaneName(i int) string { return fmt.Sprintf("st-%d", i+1) }
 
-// controlPlane runs the control-plane servers of a fleet, registers the emulated servers with
-// them, and watches their endpoint lists. An agent counts as notified of a change once the
-// lab's own watches have received it from every control-plane server that the agent may use.
+// controlPlane runs the control-plane servers of a fleet, registers the emulated servers with them,
+// and watches their endpoint lists. An agent counts as notified of a change once the lab's own watches
+// have received it from every control-plane server that the agent may use.
 type controlPlane struct {
 	fleet      *fleet
 	processes  []*process.Process
@@ -42,20 +42,20 @@
 	background sync.WaitGroup
 
 	views    []watchView                  // by control-plane server
-	notified []map[int]endpoints.Endpoint // by agent and server: what the checker was last notified of
+	notified []map[int]endpoints.Endpoint // by agent and server: the last state that was reported to the checker
 	links    map[linkKey][]controllableLink
 	// faultyLinks are the links that a fault of the timeline applies to.
 	faultyLinks map[linkKey]bool
 
 	mu             sync.Mutex
-	registered     map[int]bool            // by server: it is up, so its registration is renewed
-	muted          map[int]bool            // by server: its renewals are suppressed
-	sentAt         map[int64]time.Duration // by list version: when its change was sent
-	propagation    *hdrhistogram.Histogram // from sending a change to a watch receiving it, in µs
-	lastWatchDelay map[int64]time.Duration // by list version: until the last watch received it
+	registered     map[int]bool            // by server: whether it is up, so that its registration is renewed
+	muted          map[int]bool            // by server: whether its renewals are suppressed
+	sentAt         map[int64]time.Duration // by list version: when the change was sent
+	propagation    *hdrhistogram.Histogram // delays from sending a change until a watch received it, in µs
+	lastWatchDelay map[int64]time.Duration // by list version: delay until the last watch received it
 }
 
-// watchView is what one control-plane server has sent to the lab's watch.
+// watchView is the state that one control-plane server has sent to the lab's watch.
 type watchView struct {
 	up        bool
 	lastUpAt  time.Duration
@@ -110,7 +110,7 @@
 	return cp, nil
 }
 
-// controlPlaneAddresses are the addresses that one control-plane server listens at.
+// controlPlaneAddresses are the addresses that one control-plane server listens on.
 type controlPlaneAddresses struct{ http, raft, gossip string }
 
 // reserveAddresses reserves the addresses of each control-plane server.
@@ -164,8 +164,8 @@
 	return filepath.Join(cp.fleet.dir, "stewards", controlPlaneName(index))
 }
 
-// writeConfig writes the configuration of one control-plane server and returns its path. The
-// data of an earlier run in the same folder is removed.
+// writeConfig writes the configuration file of one control-plane server and returns its path. It
+// removes data that an earlier run left in the same directory.
 func (cp *controlPlane) writeConfig(index int, addresses []controlPlaneAddresses) (string, error) {
 	text, err := cp.configText(index, addresses)
 	if err != nil {
@@ -198,7 +198,7 @@
 		cp.mu.Lock()
 		cp.registered[i] = true
 		cp.mu.Unlock()
-		if err := retry(ctx, "stewards: server "+srv.Name+" was not taken", func() error { return cp.register(ctx, srv) }); err != nil {
+		if err := retry(ctx, "stewards: server "+srv.Name+" could not be registered", func() error { return cp.register(ctx, srv) }); err != nil {
 			return err
 		}
 	}
@@ -218,7 +218,7 @@
 	return nil
 }
 
-// close stops the watches and renewals and closes the links; the supervisor ends the processes.
+// close stops the watches and renewals and closes the links. The supervisor ends the processes.
 func (cp *controlPlane) close() {
 	cp.cancel()
 	cp.background.Wait()
@@ -229,7 +229,7 @@
 	}
 }
 
-// endpointOf is the registration of a server.
+// endpointOf returns the registration of a server.
 func (cp *controlPlane) endpointOf(srv *server.Server) endpoints.Endpoint {
 	health := endpoints.Ready
 	if srv.Health() == endpoints.Draining {
@@ -251,8 +251,8 @@
 	return err
 }
 
-// serverChanged registers a server anew after a change of its health, in the background. A
-// removed server can't register that itself: the control plane has to detect it.
+// serverChanged registers a server again in the background after a change of its health. A removed
+// server does not, because it can't report its own failure: the control plane has to detect that.
 func (cp *controlPlane) serverChanged(srv *server.Server, health string) {
 	cp.mu.Lock()
 	cp.registered[srv.Index] = health != endpoints.Removed
@@ -271,8 +271,8 @@
 	}()
 }
 
-// renewLeases renews the registrations of all servers that are up, in one request as a host
-// does, until the control plane is closed.
+// renewLeases renews the registrations of all servers that are up until the control plane is closed.
+// Like a host, it renews them all in one request.
 func (cp *controlPlane) renewLeases() {
 	for sleep(cp.ctx, cp.fleet.config.ControlPlane.LeaseTTL/renewalsPerLease) {
 		var refs []catalog.InstanceRef
@@ -290,21 +290,21 @@
 			continue
 		}
 		for i, code := range r.Codes {
-			if code == catalog.Unknown { // its registration has expired although the server is up
+			if code == catalog.Unknown { // the registration expired although the server is up
 				_ = cp.register(cp.ctx, renewed[i])
 			}
 		}
 	}
 }
 
-// setMuted suppresses the renewals of a server, or resumes them.
+// setMuted suppresses or resumes the renewals of a server.
 func (cp *controlPlane) setMuted(server int, muted bool) {
 	cp.mu.Lock()
 	defer cp.mu.Unlock()
 	cp.muted[server] = muted
 }
 
-// fetchList returns the full endpoint list; false if no control-plane server answers in time.
+// fetchList returns the full endpoint list, or false if no control-plane server answers in time.
 func (cp *controlPlane) fetchList() (endpoints.List, bool) {
 	ctx, cancel := context.WithTimeout(cp.ctx, controlPlaneRequestTimeout)
 	defer cancel()
@@ -312,7 +312,7 @@
 	return list, err == nil
 }
 
-// applyFault injects a fault into processes of the control plane and returns how many.
+// applyFault injects a fault into control-plane servers and returns the number of targets.
 func (cp *controlPlane) applyFault(ctx context.Context, f *Fault, rng *rand.Rand) (int, error) {
 	return cp.fleet.applyProcessFault(ctx, cp.processes, f, rng)
 }
--- a/internal/lab/experiment/defaults.go
+++ b/internal/lab/experiment/defaults.go
@@ -8,7 +8,7 @@
 	"knotrouter/internal/lab/server"
 )
 
-// Default returns the experiment of an empty file: a deployment like the operators' own.
+// Default returns the experiment that an empty file describes, modeled on the operators' own deployment.
 func Default() Config {
 	return Config{
 		Seed:         1,
--- a/internal/lab/experiment/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -7,11 +7,12 @@
 	"slices"
 )
 
-// descriptorAlarmPercent is the part of the descriptor limit from which a run counts as short of them.
+// descriptorAlarmPercent is the percentage of the descriptor limit from which a run counts as out of
+// descriptors.
 const descriptorAlarmPercent = 95
 
-// evaluate compares the run with the rules and with the expectations of its file. It fills in
-// Violations, Expectations and Passed.
+// evaluate checks the run against the rules and the expectations of its file. It fills in Violations,
+// Expectations and Passed.
 func (r *run) evaluate(s *Summary) {
 	s.addRuleViolations()
 	if s.Lab.TooLate {
@@ -37,7 +38,7 @@
 	s.Violations = append(s.Violations, fmt.Sprintf(format, args...))
 }
 
-// addRuleViolations adds a violation for each rule that was broken, in the order of their names.
+// addRuleViolations adds a violation for each rule that was broken, ordered by name.
 func (s *Summary) addRuleViolations() {
 	breaches := s.Fleets[0].Breaches
 	for _, rule := range slices.Sorted(maps.Keys(breaches)) {
@@ -56,11 +57,11 @@
 	}
 }
 
-// missingValue is the value of an expectation that there was nothing to measure for.
+// missingValue is the reported value of an expectation if there was nothing to measure.
 const missingValue = -1
 
-// addExpectationResult adds a result, and a violation if it was not met. A value that is not a
-// number never meets its bound.
+// addExpectationResult adds a result, and a violation if the expectation was not met. NaN never meets a
+// bound.
 func (s *Summary) addExpectationResult(text string, value, bound float64, met bool) {
 	result := ExpectationResult{Text: text, Value: roundTo4Digits(value), Bound: bound, Met: met}
 	if math.IsNaN(value) {
@@ -72,8 +73,8 @@
 	}
 }
 
-// metricValue returns the value of the metric that an expectation bounds, in the fleet of the
-// agents; NaN where there was nothing to measure.
+// metricValue returns the value of an expectation's metric in the fleet of the agents, or NaN if there
+// was nothing to measure.
 func (s *Summary) metricValue(expectation *Expectation) float64 {
 	agents := &s.Fleets[0]
 	row := agents.findRow(expectation.Window, expectation.Class)
@@ -99,7 +100,7 @@
 	return agents.Total.metricValue(expectation.Metric)
 }
 
-// priorityShareRatio is the priority share of a row to that of the baseline's same row.
+// priorityShareRatio returns the ratio of a row's priority share to that of the same row of the baseline.
 func (s *Summary) priorityShareRatio(expectation *Expectation, row Row) float64 {
 	for i := range s.Fleets {
 		baseline := s.Fleets[i].findRow(expectation.Window, expectation.Class)
@@ -110,7 +111,7 @@
 	return math.NaN()
 }
 
-// metricValue returns a metric of one class and window; false if it is not one of a row.
+// metricValue returns a metric of one class and window, or false if rows don't have that metric.
 func (row Row) metricValue(metric string) (float64, bool) {
 	switch metric {
 	case "served":
@@ -133,7 +134,7 @@
 	return 0, false
 }
 
-// shareOf returns n as a share of the row's requests; NaN if there were none.
+// shareOf returns n as a share of the row's requests, or NaN if there were none.
 func (row Row) shareOf(n int) float64 {
 	if row.Requests == 0 {
 		return math.NaN()
@@ -141,7 +142,7 @@
 	return float64(n) / float64(row.Requests)
 }
 
-// metricValue returns a metric of the whole run; NaN if it is not one of them.
+// metricValue returns a metric of the whole run, or NaN if there is no such metric.
 func (t *Total) metricValue(metric string) float64 {
 	switch metric {
 	case "list_calls":
--- a/internal/lab/experiment/events.go
+++ b/internal/lab/experiment/events.go
@@ -8,8 +8,8 @@
 	"knotrouter/internal/lab/check"
 )
 
-// eventLog records what happens, by name, and notifies faults that wait for it. It is safe for
-// concurrent use.
+// eventLog records named events and notifies the faults that wait for one. It is safe for concurrent
+// use.
 type eventLog struct {
 	mu    sync.Mutex
 	seen  map[string]chan struct{} // by name; closed at the first event of that name
@@ -23,7 +23,7 @@
 	Name string
 }
 
-// maxRecordedEvents bounds the record; waiting faults are notified of later events too.
+// maxRecordedEvents bounds the log. Later events are not recorded, but still start waiting faults.
 const maxRecordedEvents = 20_000
 
 func newEventLog(clock check.Clock) *eventLog {
@@ -40,7 +40,7 @@
 	return e.seen[name]
 }
 
-// record records an event and notifies those who wait for the first one of its name.
+// record records an event. The first event of a name closes the channel of that name.
 func (e *eventLog) record(name string) {
 	first := e.occurred(name)
 	e.mu.Lock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// recorded returns a copy of the events so far, in order.
+// recorded returns a copy of the events recorded so far, in order.
 func (e *eventLog) recorded() []event {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -11,9 +11,9 @@
 	"knotrouter/internal/lab/check"
 )
 
-// smallExperiment is an experiment in which a server drains and is started again, short enough for
-// a test, with slack for a slow machine. Its parameters are the command and the violation of the
-// test agent.
+// smallExperiment is an experiment in which a server drains and is started again. It is short enough for
+// a test, and has slack for a slow machine. Its parameters are the command and the violation of the test
+// agent.
 const smallExperiment = `
 name = "small"
 seed = 5
@@ -34,7 +34,7 @@
 queue = 200
 [rules]
 fall_multiple = 1.2
-drain_grace = "1500ms" # an agent of a busy machine is slow to obey
+drain_grace = "1500ms" # on a busy machine, an agent reacts late
 [discovery]
 notice = ["50ms", "100ms"]
 add = ["50ms", "100ms"]
@@ -79,7 +79,7 @@
 	return s
 }
 
-// The checker reports the rule that an agent breaks and no other, and none for an honest agent.
+// The checker reports the rule that an agent breaks and no other rule, and no breach for an honest agent.
 func TestCheckerSeesEachRuleBroken(t *testing.T) {
 	exe, err := os.Executable()
 	if err != nil {
@@ -95,33 +95,33 @@
 			s := runExperiment(t, fmt.Sprintf(smallExperiment, exe, violation))
 			agents := &s.Fleets[0]
 			if all := agents.findRow("all", "all"); all.Requests < 200 && violation != "crash" {
-				t.Fatalf("only %d requests asked", all.Requests)
+				t.Fatalf("only %d requests were sent", all.Requests)
 			}
 			if rule == "" {
 				if len(agents.Breaches) > 0 || !s.Passed {
-					t.Fatalf("seed %d: an agent that keeps the rules: %v %v\n%v", s.Seed, agents.Breaches, s.Violations, agents.Examples)
+					t.Fatalf("seed %d: breaches or violations of an agent that keeps the rules: %v %v\n%v", s.Seed, agents.Breaches, s.Violations, agents.Examples)
 				}
 				return
 			}
 			if agents.Breaches[rule] == 0 || s.Passed {
-				t.Fatalf("seed %d: breaches %v, held %v; want some of %q", s.Seed, agents.Breaches, s.Passed, rule)
+				t.Fatalf("seed %d: breaches %v, passed %v; want breaches of %q", s.Seed, agents.Breaches, s.Passed, rule)
 			}
 			for other := range agents.Breaches {
 				// The requests in flight in a process that crashes are lost too.
 				if other != rule && !(rule == check.RuleCrash && other == check.RuleLost) {
-					t.Errorf("seed %d: also %q, of which this agent is innocent: %v", s.Seed, other, agents.Examples[:min(5, len(agents.Examples))])
+					t.Errorf("seed %d: breaches of %q too, which this agent does not break: %v", s.Seed, other, agents.Examples[:min(5, len(agents.Examples))])
 				}
 			}
 			for _, x := range agents.Examples {
 				if x.Rule == rule && (x.Text == "" || x.Agent == "" && x.Server == "" || x.AtS < 0) {
-					t.Errorf("a breach without its particulars: %+v", x)
+					t.Errorf("a breach without its details: %+v", x)
 				}
 			}
 		})
 	}
 }
 
-// Two faults that overlap may both start a server again: the second finds it running.
+// If two overlapping faults both start a server again, the second finds it running, and that is no error.
 func TestOverlappingFaultsOfAServer(t *testing.T) {
 	exe, err := os.Executable()
 	if err != nil {
@@ -149,7 +149,7 @@
 		s := runExperiment(t, strings.Replace(text, "seed = 5", fmt.Sprintf("seed = %d", seed), 1))
 		out := fmt.Sprint(s.Fleets[0].findRow("all", "look").Requests, s.Fleets[0].findRow("all", "order").Requests, " ")
 		for _, f := range s.Faults {
-			// Planned to the nanosecond, injected within what a timer takes.
+			// The planned time is exact; the injection may lag behind it by the delay of a timer.
 			out += fmt.Sprintf("%s@%.1f ", f.Name, f.PlannedSeconds)
 			if f.BeganSeconds < f.PlannedSeconds || f.BeganSeconds > f.PlannedSeconds+1 {
 				t.Errorf("fault %s planned at %v, injected at %v", f.Name, f.PlannedSeconds, f.BeganSeconds)
@@ -164,14 +164,14 @@
 	}
 	first, again, other := summarizeRun(5), summarizeRun(5), summarizeRun(6)
 	if first != again {
-		t.Errorf("one seed, two stories:\n%s\n%s", first, again)
+		t.Errorf("two runs with one seed differ:\n%s\n%s", first, again)
 	}
 	if first == other {
-		t.Errorf("two seeds, one story: %s", first)
+		t.Errorf("runs with different seeds are the same: %s", first)
 	}
 }
 
-// The error of an invalid file names the key, in one line.
+// The error for an invalid file is a single line that names the key.
 func TestInvalidKeysAreNamed(t *testing.T) {
 	good := fmt.Sprintf(smallExperiment, "bin/agent", "honest")
 	for _, c := range []struct{ from, to, wantError string }{
@@ -203,19 +203,19 @@
 	} {
 		text := strings.Replace(good, c.from, c.to, 1)
 		if text == good {
-			t.Fatalf("%q does not stand in the file", c.from)
+			t.Fatalf("%q does not occur in the file", c.from)
 		}
 		_, err := Parse([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), c.wantError) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: said %v, want one line with %q", c.to, err, c.wantError)
+			t.Errorf("%s: error %v, want a single line with %q", c.to, err, c.wantError)
 		}
 	}
 	if _, err := Parse([]byte(good)); err != nil {
-		t.Errorf("a good file: %v", err)
+		t.Errorf("a valid file: error %v", err)
 	}
 }
 
-// A list in the file replaces the default list, and what one of its entries leaves out is taken
+// A list in the file replaces the default list, and a field that one of its entries leaves out is taken
 // from the default.
 func TestListsReplaceDefaults(t *testing.T) {
 	c, err := Parse([]byte(fmt.Sprintf(smallExperiment, "bin/agent", "honest") + "\n"))
@@ -223,7 +223,7 @@
 		t.Fatal(err)
 	}
 	if len(c.Servers.MachineTypes) != 1 || c.Servers.MachineTypes[0].Spec.Slots != 4 || c.Servers.MachineTypes[0].Spec.Speed != 3 {
-		t.Errorf("kinds %+v", c.Servers.MachineTypes)
+		t.Errorf("machine types %+v", c.Servers.MachineTypes)
 	}
 	if len(c.Load.Classes) != 2 || c.Load.Classes[1].Effect != "single_shot" || c.Load.Classes[0].Effect != "free" {
 		t.Errorf("classes %+v", c.Load.Classes)
@@ -234,21 +234,21 @@
 	}
 }
 
-// Recovery is counted from the fault's beginning to the first of three good seconds in a row. It is
-// 0 if no second was bad, and -1 if the run did not recover.
+// The recovery time is measured from the beginning of the fault to the first of three consecutive good
+// seconds. It is 0 if no second was bad, and -1 if the run did not recover.
 func TestRecoverySeconds(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		served []float64
 		want   float64
 	}{
-		{"never fell", []float64{1, 1, 1, 1, 1, 1, 1}, 0},
-		{"fell a little", []float64{1, 1, 1, 0.95, 0.91, 1, 1}, 0},
-		{"fell at once", []float64{1, 1, 1, 0.2, 0.5, 1, 1, 1, 0}, 2},
-		{"fell later", []float64{1, 1, 1, 1, 0.5, 1, 1, 1}, 2},
-		{"two good seconds are not three", []float64{1, 1, 1, 0.2, 1, 1, 0.2, 1, 1, 1}, 4},
-		{"never came back", []float64{1, 1, 1, 0.2, 1, 1, 0.2}, -1},
-		{"half before it, half after it", []float64{0.5, 0.5, 0.5, 0.1, 0.5, 0.5, 0.5}, 1},
+		{"no drop", []float64{1, 1, 1, 1, 1, 1, 1}, 0},
+		{"drop above the threshold", []float64{1, 1, 1, 0.95, 0.91, 1, 1}, 0},
+		{"immediate drop", []float64{1, 1, 1, 0.2, 0.5, 1, 1, 1, 0}, 2},
+		{"later drop", []float64{1, 1, 1, 1, 0.5, 1, 1, 1}, 2},
+		{"two good seconds are not enough", []float64{1, 1, 1, 0.2, 1, 1, 0.2, 1, 1, 1}, 4},
+		{"no recovery", []float64{1, 1, 1, 0.2, 1, 1, 0.2}, -1},
+		{"served share of one half before and after", []float64{0.5, 0.5, 0.5, 0.1, 0.5, 0.5, 0.5}, 1},
 	} {
 		var series []Point
 		for i, x := range c.served {
@@ -259,6 +259,6 @@
 		}
 	}
 	if got := recoverySeconds([]Point{{Requests: 1, ServedShare: 1}}, 0, 0); got != -1 {
-		t.Errorf("with nothing before it: %v", got)
+		t.Errorf("without a second before the fault: %v", got)
 	}
 }
--- a/internal/lab/experiment/faults.go
+++ b/internal/lab/experiment/faults.go
@@ -12,7 +12,7 @@
 	"knotrouter/internal/lab/server"
 )
 
-// applyServerFault injects a fault into emulated servers and returns how many.
+// applyServerFault injects a fault into emulated servers and returns the number of targets.
 func (fl *fleet) applyServerFault(ctx context.Context, f *Fault, rng *rand.Rand) (int, error) {
 	targets := fl.config.selectTargets(f.Target, rng)
 	interval := time.Duration(0)
@@ -25,8 +25,8 @@
 	})
 }
 
-// drawPerTarget draws a number in [0, 1) for each target. All are drawn before the targets'
-// goroutines start, so that they don't depend on which goroutine runs first.
+// drawPerTarget draws a number in [0, 1) for each target. All are drawn before the goroutines of the
+// targets start, so that the numbers don't depend on the order in which the goroutines run.
 func drawPerTarget(targets []int, rng *rand.Rand) map[int]float64 {
 	draws := map[int]float64{}
 	for _, target := range targets {
@@ -36,7 +36,7 @@
 }
 
 // applyFaultToServer injects a fault into one server, waits for its duration and ends it. offset, in
-// [0, 1), is where in its interval a periodic fault begins.
+// [0, 1), is the phase of a periodic fault within its interval.
 func (fl *fleet) applyFaultToServer(ctx context.Context, f *Fault, srv *server.Server, offset float64) error {
 	switch f.Kind {
 	case faultKill:
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// restartServer starts a server with the version that the fault names, or else its last one. If another
-// fault that overlaps this one has started it already, it stays as it is.
+// restartServer starts a server with the version that the fault names, or else with its last version. It
+// does nothing if an overlapping fault has already started the server.
 func (fl *fleet) restartServer(srv *server.Server, f *Fault) error {
 	version := server.Version{Name: srv.VersionName()}
 	for _, name := range []string{version.Name, f.Version} {
@@ -97,7 +97,8 @@
 	return nil
 }
 
-// replaceServer drains a server for as long as a request may take, ends it, and starts it again.
+// replaceServer drains a server for the longest possible request duration, kills it, and starts it again
+// after the delay of the fault.
 func (fl *fleet) replaceServer(ctx context.Context, f *Fault, srv *server.Server) error {
 	srv.Drain()
 	if !sleep(ctx, fl.maxRequestDuration()) {
@@ -110,7 +111,7 @@
 	return fl.restartServer(srv, f)
 }
 
-// muteServer suppresses the renewals of a server. In the fleet of a baseline there are none.
+// muteServer suppresses the renewals of a server. In the fleet of a baseline, servers have none.
 func (fl *fleet) muteServer(ctx context.Context, f *Fault, srv *server.Server) {
 	if fl.controlPlane == nil {
 		return
@@ -122,7 +123,7 @@
 	}
 }
 
-// responseFaults returns the faults of responses that a fault of the timeline means.
+// responseFaults returns the server's response faults for a fault of the timeline.
 func responseFaults(f *Fault) server.Faults {
 	switch f.Kind {
 	case faultErrors:
@@ -139,8 +140,9 @@
 	return server.Faults{}
 }
 
-// runNeighbour takes part of a server's machine until the fault ends: all the time, or on and
-// off at the fault's interval, beginning at the given part of it.
+// runNeighbour emulates another process that takes a part of the server's machine until the fault ends:
+// continuously or, with an interval, alternately on and off for one interval each. offset, in [0, 1), is
+// the part of the interval that passes before the first time.
 func (fl *fleet) runNeighbour(ctx context.Context, f *Fault, srv *server.Server, offset float64) {
 	defer srv.SetNeighbourShare(0)
 	if f.Interval <= 0 {
@@ -166,7 +168,7 @@
 	}
 }
 
-// applyAgentFault injects a fault into agents under test and returns how many.
+// applyAgentFault injects a fault into agents under test and returns the number of targets.
 func (fl *fleet) applyAgentFault(ctx context.Context, f *Fault, rng *rand.Rand) (int, error) {
 	targets := fl.config.selectTargets(f.Target, rng)
 	draws := drawPerTarget(targets, rng)
@@ -191,7 +193,8 @@
 	})
 }
 
-// applyIrregularFault injects one of the faults of irregular signals and clients into an agent.
+// applyIrregularFault injects a fault into an agent that consists of signals, irregular client connections
+// or a lack of descriptors.
 func (fl *fleet) applyIrregularFault(ctx context.Context, f *Fault, agent *agentProcess, rng *rand.Rand) error {
 	switch f.Kind {
 	case faultSignals:
@@ -204,7 +207,7 @@
 	return fl.blockNewDescriptors(ctx, f, agent)
 }
 
-// killAndRestartAgent kills an agent and, if the fault has a duration, starts it again after it.
+// killAndRestartAgent kills an agent and, if the fault has a duration, starts the agent again afterwards.
 func (fl *fleet) killAndRestartAgent(ctx context.Context, f *Fault, agent *agentProcess) error {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
@@ -219,13 +222,13 @@
 }
 
 const (
-	// catchUpTime is how long a paused agent's requests are late after it goes on.
+	// catchUpTime is how long an agent's requests may still be late after the agent is resumed.
 	catchUpTime = time.Second
 	// endOfRun is later than the end of any run.
 	endOfRun = time.Hour
 )
 
-// notifyCheckerOfPause has the checker excuse what an agent does late because it is paused.
+// notifyCheckerOfPause makes the checker tolerate delays that are caused by the pause of an agent.
 func (fl *fleet) notifyCheckerOfPause(agent int, f *Fault) {
 	from, to := fl.clock(), fl.clock()+f.Duration+catchUpTime
 	if f.Duration == 0 {
@@ -234,7 +237,7 @@
 	fl.checker.AgentPaused(agent, from, to)
 }
 
-// pauseProcess stops a process and, if the fault has a duration, lets it go on after it.
+// pauseProcess stops a process and, if the fault has a duration, resumes it afterwards.
 func (fl *fleet) pauseProcess(ctx context.Context, f *Fault, p *process.Process) error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -246,7 +249,7 @@
 	return p.Signal(syscall.SIGCONT)
 }
 
-// applyProcessFault injects a fault into processes that are not agents and returns how many.
+// applyProcessFault injects a fault into processes other than agents and returns the number of targets.
 func (fl *fleet) applyProcessFault(ctx context.Context, processes []*process.Process, f *Fault, rng *rand.Rand) (int, error) {
 	targets := fl.config.selectTargets(f.Target, rng)
 	interval := time.Duration(0)
@@ -276,8 +279,8 @@
 	})
 }
 
-// applyLinkFault injects a fault into links and returns how many. The links of a baseline's fleet
-// don't exist, so there it does nothing.
+// applyLinkFault injects a fault into links and returns the number of links. In the fleet of a baseline,
+// which has no links, it does nothing.
 func (fl *fleet) applyLinkFault(ctx context.Context, f *Fault) (int, error) {
 	keys := fl.linkKeys(f)
 	if fl.policy != "" || len(keys) == 0 {
@@ -303,7 +306,7 @@
 	return len(keys), err
 }
 
-// linkShapes returns what a fault does to a link in each direction.
+// linkShapes returns the traffic shapes that a fault applies to the two directions of a link.
 func linkShapes(f *Fault) (forward, back link.Shape) {
 	shape := link.Shape{}
 	switch f.Kind {
@@ -327,8 +330,8 @@
 	return forward, back
 }
 
-// forEachLink runs do for all links at once: to fill the queue of one takes some time, and there
-// may be thousands. It returns the first error.
+// forEachLink calls do concurrently for all links, because filling the queue of a link takes some time
+// and there may be thousands of links. It returns the first error.
 func forEachLink(ctx context.Context, links []controllableLink, do func(controllableLink) error) error {
 	indexes := make([]int, len(links))
 	for i := range indexes {
@@ -337,8 +340,8 @@
 	return forEachTarget(ctx, indexes, 0, func(i int) error { return do(links[i]) })
 }
 
-// notifyCheckerOfDiscoveryCut notifies the checker of agents that a fault cuts off from discovery, or of
-// the end of that.
+// notifyCheckerOfDiscoveryCut notifies the checker which agents a fault cuts off from discovery, or that
+// they are reconnected.
 func (fl *fleet) notifyCheckerOfDiscoveryCut(keys []linkKey, f *Fault, cut bool) {
 	if f.Kind != faultCut && f.Kind != faultRefuse {
 		return
--- a/internal/lab/experiment/fleet.go
+++ b/internal/lab/experiment/fleet.go
@@ -16,10 +16,10 @@
 	"knotrouter/internal/lab/server"
 )
 
-// agentsFleetName names the fleet that has the agents under test.
+// agentsFleetName is the name of the fleet with the agents under test.
 const agentsFleetName = "agents"
 
-// serverDrawStream is the stream of the random source that the servers are drawn from.
+// serverDrawStream selects the random stream from which the servers are drawn.
 const serverDrawStream = 21
 
 // fleet is a set of emulated servers with its own discovery and clients. The first fleet of a
@@ -33,9 +33,9 @@
 	discovery    *discovery.Service
 	clients      []*client.Client // by agent
 	senders      []client.Sender  // by agent
-	agents       []*agentProcess  // none in the fleet of a baseline
-	controlPlane *controlPlane    // nil: the emulated list service lists the servers
-	workers      *workers         // nil: there are no leased tasks
+	agents       []*agentProcess  // empty in the fleet of a baseline
+	controlPlane *controlPlane    // nil if the emulated list service lists the servers
+	workers      *workers         // nil without leased tasks
 	links        map[linkKey]*link.Link
 	supervisor   *process.Supervisor // nil in the fleet of a baseline
 	events       *eventLog
@@ -46,19 +46,19 @@
 	tally   requestTally
 }
 
-// fleetOptions is what a fleet is built from.
+// fleetOptions holds the parameters of a fleet.
 type fleetOptions struct {
 	config    *Config
-	policy    string // of a baseline; "": the fleet has the agents
-	dir       string // the folder of the results
+	policy    string // the policy of a baseline; "" for the fleet with the agents
+	dir       string // directory of the results
 	seed      uint64
 	addresses *loopback.Net
 	clock     check.Clock
 	epoch     time.Time // when the clock was 0
 }
 
-// newFleet builds a fleet. Servers, discovery and links listen when it returns; no process is
-// started. On an error all that was opened is closed.
+// newFleet builds a fleet. Its servers, discovery and links are listening when it returns, but no process
+// has been started. On an error, everything that was opened is closed.
 func newFleet(options fleetOptions) (*fleet, error) {
 	fl := &fleet{fleetOptions: options, name: options.policy, effects: server.NewEffects(),
 		links: map[linkKey]*link.Link{}, events: newEventLog(options.clock), closing: make(chan struct{})}
@@ -72,7 +72,7 @@
 	return fl, nil
 }
 
-// build creates all that a fleet consists of. On an error the caller closes the fleet.
+// build creates the parts of a fleet. On an error, the caller closes the fleet.
 func (fl *fleet) build() error {
 	settings := fl.config.policySettings()
 	agents := fl.config.agentNames()
@@ -98,7 +98,7 @@
 	return fl.addClients(agents)
 }
 
-// checkedServers returns what the checker needs to know of the servers.
+// checkedServers returns the servers in the form that the checker needs.
 func checkedServers(configs []server.Config) []check.Server {
 	var servers []check.Server
 	for _, config := range configs {
@@ -107,7 +107,7 @@
 	return servers
 }
 
-// discoveryEntries returns the entries that discovery lists first.
+// discoveryEntries returns the initial entries of the emulated list service.
 func discoveryEntries(configs []server.Config) []discovery.Entry {
 	var entries []discovery.Entry
 	for _, config := range configs {
@@ -117,7 +117,7 @@
 	return entries
 }
 
-// startServers creates the emulated servers and starts them with the first version.
+// startServers creates the emulated servers and starts them with the configured version, "1" by default.
 func (fl *fleet) startServers(configs []server.Config) error {
 	env := &server.Env{Clock: fl.clock, Epoch: fl.epoch, Checker: fl.checker, Effects: fl.effects, RecordEvent: fl.events.record,
 		LinkClear: fl.linkIsClear, HealthChanged: fl.serverChanged}
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// minSpeedFactor is the least part of its type's speed that a machine is drawn with.
+// minSpeedFactor is the lowest speed that a machine is drawn with, as a fraction of the speed of its type.
 const minSpeedFactor = 0.3
 
 // drawServers draws the emulated servers from the seed.
@@ -159,7 +159,7 @@
 		if weight <= 0 {
 			weight = float64(spec.Cores) * spec.Speed
 		}
-		// The listed weight is of the nominal speed; the actual speed is drawn around it.
+		// The listed weight reflects the nominal speed, around which the actual speed is drawn.
 		spec.Speed *= max(1+machine.SpeedCV*rng.NormFloat64(), minSpeedFactor)
 		zone := i % len(c.Zones)
 		servers[i] = server.Config{Index: i, Name: serverName(i), Zone: c.Zones[zone], ZoneIndex: zone, MachineType: machine.Name,
@@ -170,8 +170,8 @@
 	return servers
 }
 
-// drawMachineTypes assigns a machine type, by its index, to each server: as many of each type as
-// its share says, shuffled.
+// drawMachineTypes returns the index of the machine type of each server. The number of servers of a type
+// follows its share, and the order is shuffled.
 func (c *Config) drawMachineTypes(rng *rand.Rand) []int {
 	totalShare := 0.0
 	for _, machine := range c.Servers.MachineTypes {
@@ -191,9 +191,9 @@
 	return types
 }
 
-// serverChanged passes on a server's new health: to the control plane or discovery, which list
-// it with their delay, and to the links at once. isolated means that the server's machine no
-// longer answers and its connections stay open.
+// serverChanged reports a server's new health to the control plane or to discovery, which list it with
+// their own delay, and applies it to the links at once. isolated means that the server's machine no
+// longer answers while its connections stay open.
 func (fl *fleet) serverChanged(srv *server.Server, health string, isolated bool) {
 	fl.events.record("server " + srv.Name + " " + health)
 	if fl.discovery == nil {
@@ -233,7 +233,7 @@
 	}
 }
 
-// maxRequestDuration is the longest deadline of all request classes.
+// maxRequestDuration returns the longest deadline of all request classes.
 func (fl *fleet) maxRequestDuration() time.Duration {
 	var longest time.Duration
 	for _, class := range fl.config.Load.Classes {
@@ -242,8 +242,8 @@
 	return longest
 }
 
-// close ends the processes of the fleet, then its links, discovery, servers and connections. It
-// must not be called by several goroutines at once.
+// close ends the processes of the fleet, then closes its links, discovery, servers and connections. It
+// must not be called concurrently.
 func (fl *fleet) close() {
 	if !fl.isClosing() {
 		close(fl.closing)
--- a/internal/lab/experiment/irregular.go
+++ b/internal/lab/experiment/irregular.go
@@ -25,27 +25,27 @@
 var signalNames = []string{signalReload, signalTerminate, signalKill}
 
 const (
-	// killDelay is the time from the longest deadline after SIGTERM to the earliest SIGKILL, and
-	// maxCountedDeadline the longest deadline that counts.
+	// The earliest SIGKILL comes killDelay after the longest deadline, counted from SIGTERM. Deadlines
+	// longer than maxCountedDeadline count as maxCountedDeadline.
 	killDelay          = 700 * time.Millisecond
 	maxCountedDeadline = 3 * time.Second
-	// maxRestartTime is how long a restarted agent may take to be ready.
+	// maxRestartTime is how long a restarted agent may take to become ready.
 	maxRestartTime = 10 * time.Second
-	// splitPause is the pause within a request that is half sent when SIGTERM comes.
+	// splitPause is the pause between the two halves of a request that is half sent when SIGTERM arrives.
 	splitPause = 120 * time.Millisecond
-	// irregularConnections is how many pipelining clients, and as many that have sent half a request,
-	// an agent has when it is terminated.
+	// irregularConnections is the number of pipelining clients, and also of clients that have sent half a
+	// request, that an agent has when it is terminated. A pipelining client sends pipelineDepth requests.
 	irregularConnections = 3
 	pipelineDepth        = 6
-	// floodSettleTime is how long after a flood of connections has ended its descriptors may still be open, and
-	// floodDescriptorSlack by how many more there may be than before.
+	// floodSettleTime after the end of a flood of connections, an agent may have at most floodDescriptorSlack
+	// more open descriptors than before the flood.
 	floodSettleTime      = 6 * time.Second
 	floodDescriptorSlack = 64
 )
 
-// signalAgent sends a series of signals to an agent at the fault's interval. Its clients go on using
-// open connections after the first SIGTERM, until the agent has ended or is killed at the earliest
-// moment that the platform allows. An agent that was terminated or killed is started again.
+// signalAgent sends a series of signals to an agent at the fault's interval. After the first SIGTERM, its
+// clients continue to use open connections until the agent has exited or is killed at the earliest time
+// that the platform allows. An agent that was terminated or killed is started again.
 func (fl *fleet) signalAgent(ctx context.Context, f *Fault, agent *agentProcess, rng *rand.Rand) error {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
@@ -60,7 +60,7 @@
 			if err := fl.moveDiscovery(agent); err != nil {
 				return err
 			}
-			_ = agent.process.Signal(syscall.SIGHUP) // it may have ended since
+			_ = agent.process.Signal(syscall.SIGHUP) // the process may have exited already
 		case signalTerminate:
 			if terminatedAt.IsZero() {
 				fl.startIrregularClients(agent, rng)
@@ -80,8 +80,8 @@
 	return fl.awaitTermination(ctx, agent, terminatedAt, ended, rng)
 }
 
-// awaitTermination has the clients of a terminated agent use open connections until its end, kills it
-// at the earliest moment, and starts it again.
+// awaitTermination limits the clients of a terminated agent to open connections until it exits, kills it
+// if it has not exited by the earliest time of a SIGKILL, and starts it again.
 func (fl *fleet) awaitTermination(ctx context.Context, agent *agentProcess, terminatedAt time.Time, ended <-chan struct{}, rng *rand.Rand) error {
 	leaveAfter := time.Duration((minClientLeaveDelay + clientLeaveJitter*rng.Float64()) * float64(time.Second))
 	sleep(ctx, time.Until(terminatedAt.Add(leaveAfter)))
@@ -100,7 +100,7 @@
 	return fl.startWithinLimit(ctx, agent)
 }
 
-// startWithinLimit starts an agent. One that is not ready within maxRestartTime breaks a rule.
+// startWithinLimit starts an agent. If it is not ready within maxRestartTime, that is a breach.
 func (fl *fleet) startWithinLimit(ctx context.Context, agent *agentProcess) error {
 	startedAt := time.Now()
 	if err := fl.startAgent(ctx, agent); err != nil {
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// drawIrregularRequests draws the requests of one irregular connection. They are of one class, as one with a
-// shorter deadline could not be answered before those in front of it.
+// drawIrregularRequests draws the requests of one irregular connection. All have the same class, because a
+// request with a shorter deadline could not be answered before the requests ahead of it.
 func (fl *fleet) drawIrregularRequests(rng *rand.Rand, count int) []client.Arrival {
 	arrivals := make([]client.Arrival, count)
 	class := rng.IntN(len(fl.config.Load.Classes))
@@ -124,8 +124,8 @@
 	return arrivals
 }
 
-// startIrregularClients has clients pipeline requests to an agent, and others send half a request now and
-// the rest after splitPause. Their requests end by themselves.
+// startIrregularClients starts clients that pipeline requests to an agent, and clients that send half a
+// request now and the rest after splitPause. It does not wait for their requests, which end on their own.
 func (fl *fleet) startIrregularClients(agent *agentProcess, rng *rand.Rand) {
 	for range irregularConnections {
 		pipelined := client.Irregular{Arrivals: fl.drawIrregularRequests(rng, pipelineDepth)}
@@ -135,7 +135,7 @@
 	}
 }
 
-// pipelineRequests has a client pipeline f.Size requests at the fault's interval while the fault lasts.
+// pipelineRequests makes a client pipeline f.Size requests at the fault's interval while the fault lasts.
 func (fl *fleet) pipelineRequests(ctx context.Context, f *Fault, agent *agentProcess, rng *rand.Rand) error {
 	ctx, cancel := context.WithTimeout(ctx, f.Duration)
 	defer cancel()
@@ -150,8 +150,8 @@
 	}
 }
 
-// floodAgent opens f.Size connections to an agent and keeps them idle while the fault lasts; f.Share
-// of them have sent a part of a request. The agent's descriptors must be released after that.
+// floodAgent opens f.Size connections to an agent and keeps them idle while the fault lasts; a share of
+// f.Share of them have sent a part of a request. Afterwards, the agent must release their descriptors.
 func (fl *fleet) floodAgent(ctx context.Context, f *Fault, agent *agentProcess) error {
 	before, _, _ := agent.process.SampleUsage()
 	partial := int(f.Size * f.Share)
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// blockNewDescriptors lets an agent open no further descriptor while the fault lasts, so that accept,
+// blockNewDescriptors prevents an agent from opening descriptors while the fault lasts, so that accept,
 // socket and open fail with EMFILE.
 func (fl *fleet) blockNewDescriptors(ctx context.Context, f *Fault, agent *agentProcess) error {
 	pid := agent.process.PID()
@@ -191,7 +191,7 @@
 	}
 	sleep(ctx, f.Duration)
 	if agent.process.PID() != pid {
-		return nil // it was started again meanwhile
+		return nil // the agent was restarted in the meantime
 	}
 	return unix.Prlimit(pid, unix.RLIMIT_NOFILE, &previous, nil)
 }
--- a/internal/lab/experiment/kinds.go
+++ b/internal/lab/experiment/kinds.go
@@ -1,7 +1,7 @@
 package experiment
 
-// The kinds of targets that a fault can have, as experiment files name them. All but targetLink
-// are selectors too.
+// The kinds of targets of a fault, as experiment files name them. All except targetLink are also
+// selectors.
 const (
 	targetServers      = "servers"
 	targetAgents       = "agents"
@@ -9,23 +9,23 @@
 	targetWorkers      = "workers"
 	targetDiscovery    = "discovery"
 	targetLoad         = "load"
-	targetLink         = "link" // of a fault that has a far end
+	targetLink         = "link" // the target of a fault that sets a far end
 )
 
-// The kinds of faults, as experiment files name them. A fault with a duration ends after it: what
-// was killed is started again, what was changed is restored.
+// The kinds of faults, as experiment files name them. When the duration of a fault has passed, killed
+// processes are started again and changed settings are restored.
 const (
 	faultKill          = "kill"        // ends a process or a server at once
 	faultStop          = "stop"        // pauses a process
 	faultRestart       = "restart"     // restarts processes gracefully, one after the other
-	faultReload        = "hup"         // has agents reload a configuration with another discovery
+	faultReload        = "hup"         // makes agents reload a configuration with another source of discovery
 	faultSignals       = "signals"     // sends agents a series of signals
-	faultFlood         = "flood"       // connections that idle, or stop within a request
+	faultFlood         = "flood"       // clients open connections that stay idle or send only part of a request
 	faultPipeline      = "pipeline"    // a client sends many requests at once on a connection
-	faultNoDescriptors = "descriptors" // agents can open no further descriptor
+	faultNoDescriptors = "descriptors" // agents can't open descriptors
 	faultIsolate       = "vanish"      // a server no longer answers, and its connections stay open
 	faultDrain         = "drain"       // a server takes no new requests
-	faultReplace       = "replace"     // servers drain, end and are started again, one after the other
+	faultReplace       = "replace"     // servers drain, are killed and are started again, one after the other
 	faultMute          = "mute"        // a server's renewals are suppressed
 	faultSlow          = "slow"        // a server works, or a link transmits, more slowly
 	faultNeighbour     = "neighbour"   // another process takes part of a server's machine
@@ -44,7 +44,7 @@
 	faultLoss          = "loss"        // a link loses datagrams
 )
 
-// faultKinds lists the kinds of faults by the kind of their target.
+// faultKinds lists the kinds of faults that each kind of target supports.
 var faultKinds = map[string][]string{
 	targetServers: {faultKill, faultIsolate, faultDrain, faultSlow, faultNeighbour, faultErrors, faultResets, faultLost, faultTruncated,
 		faultRepeated, faultReplace, faultMute},
@@ -56,17 +56,17 @@
 	targetLink:         {faultCut, faultRefuse, faultDelay, faultSlow, faultReset, faultLoss},
 }
 
-// sizedFaultKinds are the kinds of faults, other than of links, that need a size.
+// sizedFaultKinds are the kinds of faults that need a size if their target is not a link.
 var sizedFaultKinds = map[string]bool{faultSlow: true, faultNeighbour: true, faultErrors: true, faultResets: true, faultLost: true,
 	faultTruncated: true, faultRepeated: true, faultBurst: true, faultHeavy: true, faultFlood: true, faultPipeline: true}
 
 // responseFaultKinds are the kinds of faults whose size is a share of a server's responses.
 var responseFaultKinds = map[string]bool{faultErrors: true, faultResets: true, faultLost: true, faultTruncated: true, faultRepeated: true}
 
-// sizedLinkFaultKinds are the kinds of faults of links that need a size.
+// sizedLinkFaultKinds are the kinds of link faults that need a size.
 var sizedLinkFaultKinds = map[string]bool{faultSlow: true, faultReset: true, faultLoss: true}
 
-// The directions of a link in which a fault applies, seen from its target; "" means both.
+// The directions of a link that a fault applies to, as seen from its target. "" means both.
 const (
 	directionForward = "forward"
 	directionBack    = "back"
--- a/internal/lab/experiment/links.go
+++ b/internal/lab/experiment/links.go
@@ -12,26 +12,26 @@
 	linkControlPlanePeers
 )
 
-// discoveryIndex is the index of the emulated list service as the end of a link.
+// discoveryIndex stands for the emulated list service as the far end of a link.
 const discoveryIndex = -1
 
 // linkKey identifies a link by its kind and the indexes of the processes at its ends.
 type linkKey struct{ kind, from, to int }
 
-// controllableLink is a link that a fault can be injected into. There may be several with one
-// linkKey, for streams and datagrams.
+// controllableLink is a link that faults can be injected into. One linkKey may have several, for streams
+// and datagrams.
 type controllableLink interface {
 	// Set shapes the traffic in both directions from now on.
 	Set(forward, back link.Shape) error
-	// Refuse has new connections refused.
+	// Refuse refuses new connections.
 	Refuse() error
 	Close()
 }
 
-// udpLink makes a link for datagrams a controllableLink.
+// udpLink adapts a link for datagrams to controllableLink.
 type udpLink struct{ *link.UDP }
 
-// Set shapes the datagrams in both directions. Its error is nil.
+// Set shapes the datagrams in both directions. It always returns nil.
 func (d udpLink) Set(forward, back link.Shape) error {
 	d.UDP.Set(forward, back)
 	return nil
@@ -40,8 +40,9 @@
 // Refuse drops all datagrams, because there are no connections to refuse.
 func (d udpLink) Refuse() error { return d.Set(link.Shape{Cut: true}, link.Shape{Cut: true}) }
 
-// createLinks creates the links of agents that a fault of the timeline applies to. Those to
-// control-plane servers are created with them. A baseline runs within the lab, without links.
+// createLinks creates the links from agents to servers and discovery that a fault of the timeline applies
+// to. Links to control-plane servers are created together with those. A baseline runs within the lab and
+// has no links.
 func (fl *fleet) createLinks() error {
 	if fl.policy != "" {
 		return nil
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// linkTarget returns the address that an agent's link leads to.
+// linkTarget returns the address that an agent's link forwards to.
 func (fl *fleet) linkTarget(key linkKey) string {
 	if key.to == discoveryIndex {
 		return fl.discovery.Addr(key.from)
@@ -71,7 +72,7 @@
 	return fl.servers[key.to].Addr()
 }
 
-// linkKeys returns the links that fromIndex fault applies to; none, if it is not fromIndex fault of links.
+// linkKeys returns the keys of the links that a fault applies to, or none for a fault of another target.
 func (fl *fleet) linkKeys(f *Fault) []linkKey {
 	if targetKind, err := fl.config.faultTargetKind(f); err != nil || targetKind != targetLink {
 		return nil
@@ -103,8 +104,8 @@
 	return keys
 }
 
-// serverDialAddr returns the address at which an agent reaches a server: that of their link, or
-// the server's own.
+// serverDialAddr returns the address at which an agent reaches a server: the address of the link between
+// them, or the server's own if there is no link.
 func (fl *fleet) serverDialAddr(agent, server int) string {
 	if l := fl.links[linkKey{linkAgentToServer, agent, server}]; l != nil {
 		return l.Addr()
@@ -112,16 +113,16 @@
 	return fl.servers[server].Addr()
 }
 
-// linkIsClear reports whether no link can have delayed what an agent sent to a server within
-// twice the longest request.
+// linkIsClear reports whether the link between an agent and a server, if there is one, has not shaped their
+// traffic, and so not delayed it, for at least twice the longest request duration.
 func (fl *fleet) linkIsClear(agent, server int) bool {
 	l := fl.links[linkKey{linkAgentToServer, agent, server}]
 	return l == nil || l.ClearFor(2*fl.maxRequestDuration())
 }
 
-// linkedAddress returns the address at which a process reaches a control-plane server: that of a
-// new link, if a fault of the timeline applies to the two, or else the target itself. With
-// datagrams, the link carries UDP at the same address too.
+// linkedAddress returns the address at which a process reaches a control-plane server: the address of a
+// new link if a fault of the timeline applies to the pair, or else target itself. With datagrams, the
+// link also forwards UDP at the same address.
 func (cp *controlPlane) linkedAddress(key linkKey, target string, datagrams bool) (string, error) {
 	if !cp.faultyLinks[key] {
 		return target, nil
@@ -142,7 +143,7 @@
 	return stream.Addr(), nil
 }
 
-// controlledLinks returns all links with the given keys.
+// controlledLinks returns the existing links with the given keys.
 func (fl *fleet) controlledLinks(keys []linkKey) (links []controllableLink) {
 	for _, key := range keys {
 		if l := fl.links[key]; l != nil {
--- a/internal/lab/experiment/machine.go
+++ b/internal/lab/experiment/machine.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// Machine describes the machine of a run.
+// Machine describes the machine that a run was made on.
 type Machine struct {
 	CPUs   int    `json:"cpus"`
 	Go     string `json:"go"`
 	Kernel string `json:"kernel"`
 }
 
-// describeMachine describes this machine. A kernel release that can't be read is left out.
+// describeMachine describes this machine. It leaves out a kernel release that can't be read.
 func describeMachine() Machine {
 	machine := Machine{CPUs: runtime.NumCPU(), Go: runtime.Version()}
 	if text, err := os.ReadFile("/proc/sys/kernel/osrelease"); err == nil {
@@ -27,13 +27,13 @@
 	return machine
 }
 
-// unknownDigest takes the place of a program's digest that can't be computed.
+// unknownDigest stands for the digest of a program that can't be read.
 const unknownDigest = "unknown"
 
-// digestLength is how many hexadecimal digits of the digest are kept.
+// digestLength is the number of hexadecimal digits to which the digest is truncated.
 const digestLength = 12
 
-// programDigest returns the beginning of the SHA-256 of a program's file.
+// programDigest returns the truncated SHA-256 digest of a program's file.
 func programDigest(path string) string {
 	f, err := os.Open(path)
 	if err != nil {
@@ -47,11 +47,11 @@
 	return hex.EncodeToString(digest.Sum(nil))[:digestLength]
 }
 
-// wantedDescriptors is how many descriptors the servers of a large fleet need.
+// wantedDescriptors is the number of descriptors that the servers of a large fleet need.
 const wantedDescriptors = 200_000
 
-// raiseDescriptorLimit raises the limit of this process's descriptors to wantedDescriptors, or,
-// where that is not permitted, to its hard limit.
+// raiseDescriptorLimit raises the descriptor limit of this process to wantedDescriptors or, if that is
+// not permitted, to the hard limit.
 func raiseDescriptorLimit() {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil || limit.Cur >= wantedDescriptors {
@@ -62,7 +62,7 @@
 	}
 }
 
-// descriptorLimit returns how many descriptors this process may have open; 0 if unknown.
+// descriptorLimit returns the number of descriptors that this process may have open, or 0 if unknown.
 func descriptorLimit() int {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil {
@@ -71,7 +71,7 @@
 	return int(limit.Cur)
 }
 
-// openDescriptors returns how many descriptors this process has open; 0 if unknown.
+// openDescriptors returns the number of descriptors that this process has open, or 0 if unknown.
 func openDescriptors() int {
 	dir, err := os.Open("/proc/self/fd")
 	if err != nil {
@@ -82,7 +82,7 @@
 	return len(names)
 }
 
-// processorTime returns the processor time that this process has used; 0 if unknown.
+// processorTime returns the processor time that this process has used, or 0 if unknown.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/internal/lab/experiment/notifications.go
+++ b/internal/lab/experiment/notifications.go
@@ -9,11 +9,11 @@
 	"knotrouter/internal/lab/server"
 )
 
-// watchRetryInterval is the time before an ended watch is opened again.
+// watchRetryInterval is the time until an ended watch is reopened.
 const watchRetryInterval = 100 * time.Millisecond
 
-// watch follows the endpoint list of one control-plane server until the control plane is
-// closed. With notifies, what it receives counts as known to the agents there.
+// watch follows the endpoint list of one control-plane server until the control plane is closed. If
+// notifies is set, the agents that use this server count as notified of the changes it receives.
 func (cp *controlPlane) watch(index int, notifies bool) {
 	client := endpoints.NewClient(endpoints.ClientConfig{Addresses: cp.addresses[index : index+1], SilenceTimeout: watchSilenceTimeout})
 	var version int64
@@ -32,23 +32,23 @@
 	}
 }
 
-// watchSilenceTimeout is after how long a silent control-plane server counts as left by its agents. It
-// is longer than the agents' own timeout, so that an agent has left the server by then.
+// watchSilenceTimeout is how long a control-plane server must be silent until its agents are assumed to
+// have switched to another one. It is longer than the agents' own timeout, so that they have done so.
 const watchSilenceTimeout = endpoints.WatchSilenceTimeout + 1500*time.Millisecond
 
-// mayUse reports whether the agent may be connected to the control-plane server.
+// mayUse reports whether the configuration lets the agent use the control-plane server.
 func (cp *controlPlane) mayUse(agent, index int) bool {
 	return cp.fleet.config.ControlPlane.AgentAccess == "all" || agent%len(cp.addresses) == index
 }
 
-// applyList records a list or a change that a control-plane server sent to its watch, and
-// updates the checker.
+// applyList records a full list or a change that a control-plane server sent on a watch, and updates the
+// checker.
 func (cp *controlPlane) applyList(index int, list *endpoints.List) {
 	cp.mu.Lock()
 	view := &cp.views[index]
 	view.up, view.lastUpAt = true, cp.fleet.clock()
 	if list.Full {
-		for i, endpoint := range view.endpoints { // a full list removes the servers that it does not name
+		for i, endpoint := range view.endpoints { // a full list removes the servers that are missing from it
 			endpoint.Health = endpoints.Removed
 			view.endpoints[i] = endpoint
 		}
@@ -74,8 +74,8 @@
 	cp.updateChecker()
 }
 
-// updateChecker notifies the checker of what each agent knows: what all control-plane servers
-// have sent that the agent may use, including those that it may have left only just now.
+// updateChecker notifies the checker of the endpoints that each agent must know: those on which the views
+// of all control-plane servers agree that the agent uses or may have used until recently.
 func (cp *controlPlane) updateChecker() {
 	cp.mu.Lock()
 	defer cp.mu.Unlock()
@@ -88,7 +88,7 @@
 		}
 		for srv := range views[0].endpoints {
 			endpoint, agreed := cp.agreedEndpoint(agent, srv, views)
-			// Once only: an agent that has started since learns it again in its own time.
+			// Each state is reported only once. An agent that starts later gets it again with some delay.
 			if agreed && cp.notified[agent][srv] != endpoint {
 				cp.notified[agent][srv] = endpoint
 				cp.fleet.checker.RecordNotified(agent, srv, endpoint.Health, int64(endpoint.StartedMs))
@@ -97,8 +97,8 @@
 	}
 }
 
-// viewsOf returns the views that the agent's knowledge may come from, and whether any of them
-// is up. The caller holds cp.mu.
+// viewsOf returns the views from which the agent may have received endpoints, and whether any of them is
+// up. The caller holds cp.mu.
 func (cp *controlPlane) viewsOf(agent int, now time.Duration) (views []*watchView, reachable bool) {
 	for i := range cp.views {
 		view := &cp.views[i]
@@ -116,9 +116,9 @@
 	return views, reachable
 }
 
-// agreedEndpoint returns what the agent must know of a server; false while the views differ.
-// A server that was not ready for the agent counts as ready once any view lists it as ready,
-// because the agent may have received it from that one. The caller holds cp.mu.
+// agreedEndpoint returns the state of a server that the agent must know, or false while the views differ.
+// A server that the agent knew as not ready counts as ready as soon as one view lists it as ready, because
+// the agent may have received that view. The caller holds cp.mu.
 func (cp *controlPlane) agreedEndpoint(agent, srv int, views []*watchView) (endpoints.Endpoint, bool) {
 	endpoint := views[0].endpoints[srv]
 	agreed := true
@@ -138,8 +138,8 @@
 	return endpoint, agreed
 }
 
-// agentStarted forgets which servers a newly started agent was notified of as ready: its
-// configuration may list fewer, so the checker is notified again as soon as they are known.
+// agentStarted discards which servers a newly started agent was notified of as ready. Its configuration
+// may list fewer servers, so the checker must be notified again once the agent knows them.
 func (cp *controlPlane) agentStarted(agent int) {
 	cp.mu.Lock()
 	defer cp.mu.Unlock()
--- a/internal/lab/experiment/parse.go
+++ b/internal/lab/experiment/parse.go
@@ -9,10 +9,10 @@
 	"knotrouter/internal/lab/configfile"
 )
 
-// Load reads an experiment file. Its error is one line that names the file and the key.
+// Load reads an experiment file. Its error is a single line that names the file and the key.
 func Load(path string) (*Config, error) { return LoadFile(path, Parse) }
 
-// LoadFile reads a file and parses its text. Its error names the file, or wraps that of reading it.
+// LoadFile reads a file and parses its text. Its error names the file.
 func LoadFile[T any](path string, parse func(text []byte) (*T, error)) (*T, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -25,8 +25,8 @@
 	return config, nil
 }
 
-// Parse reads the text of an experiment file over the defaults. Its error is one line that names
-// the key; it is a *configfile.KeyError where the key or its value is invalid.
+// Parse parses the text of an experiment file over the defaults. Its error is a single line that names
+// the key; it is a *configfile.KeyError if the key or its value is invalid.
 func Parse(text []byte) (*Config, error) {
 	raw, err := configfile.Parse(text)
 	if err != nil {
@@ -43,9 +43,9 @@
 	return &config, nil
 }
 
-// prepareLists makes room for the machine types and classes of the file. A list in the file
-// replaces the default's, but what one of its entries leaves out is taken from the default's
-// entry at the same place, or else the last.
+// prepareLists resizes the lists of machine types and classes to their lengths in the file. A list in the
+// file replaces the default list, but a field that one of its entries leaves out is taken from the default
+// entry with the same index, or from the last one.
 func (c *Config) prepareLists(raw map[string]any) {
 	machineTypes, classes := c.Servers.MachineTypes, c.Load.Classes
 	if n, ok := listLength(raw, "servers", "kind"); ok {
@@ -63,7 +63,7 @@
 	}
 }
 
-// listLength returns the length of a list within a table; false if it is missing or empty.
+// listLength returns the length of a list within a table, or false if the list is missing or empty.
 func listLength(raw map[string]any, table, list string) (int, bool) {
 	entries, _ := raw[table].(map[string]any)
 	values, ok := entries[list].([]any)
--- a/internal/lab/experiment/progress.go
+++ b/internal/lab/experiment/progress.go
@@ -20,7 +20,7 @@
 	Rejected       int      `json:"refused"`
 	Failed         int      `json:"failed"`
 	Breaches       int      `json:"breaches"`
-	ActiveFaults   []string `json:"faults"` // names of those in progress
+	ActiveFaults   []string `json:"faults"` // names of the faults in progress
 }
 
 // The phases of a run.
@@ -32,11 +32,11 @@
 
 const (
 	progressInterval = 250 * time.Millisecond
-	// descriptorCheckEvery is after how many reports of progress the descriptors are counted.
+	// descriptorCheckEvery is the number of progress reports per count of the open descriptors.
 	descriptorCheckEvery = 4
 )
 
-// serveStatus serves the progress of the run as JSON, if the file sets an address for it.
+// serveStatus serves the progress of the run as JSON over HTTP if the file sets an address for it.
 func (r *run) serveStatus() error {
 	if r.config.Listen == "" {
 		return nil
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// reportProgress publishes the progress at an interval until the context ends.
+// reportProgress publishes the progress periodically until the context ends.
 func (r *run) reportProgress(ctx context.Context) {
 	for n := 0; sleep(ctx, progressInterval); n++ {
 		r.publishProgress(phaseRunning)
@@ -70,8 +70,8 @@
 	}
 }
 
-// publishProgress makes the present progress the one that is served, and reports it to the caller
-// of Run.
+// publishProgress updates the progress that is served over HTTP and passes it to the callback of the
+// caller of Run.
 func (r *run) publishProgress(phase string) {
 	tally := r.fleets[0].currentTally()
 	_, breaches := r.fleets[0].checker.Breaches()
@@ -96,8 +96,8 @@
 	}
 }
 
-// plannedAt reports whether a fault is planned to be in progress at a time of the run. One that
-// waits for an event has no planned time.
+// plannedAt reports whether a fault is planned to be in progress at a time of the run. A fault that waits
+// for an event has no planned time.
 func (f *Fault) plannedAt(elapsedSeconds float64) bool {
 	return f.AfterEvent == "" && elapsedSeconds >= f.At.Seconds() && elapsedSeconds < (f.At+max(f.Duration, time.Second)).Seconds()
 }
--- a/internal/lab/experiment/propagation.go
+++ b/internal/lab/experiment/propagation.go
@@ -15,11 +15,11 @@
 	"knotrouter/internal/member"
 )
 
-// maxVersionsPerEvent bounds the list versions that are attributed to one watch event.
+// maxVersionsPerEvent bounds the number of list versions for which one watch event is recorded.
 const maxVersionsPerEvent = 1000
 
-// recordPropagation records the delays of the changes after version from, up to version to,
-// which a watch has just received. It does nothing for a watch's first list.
+// recordPropagation records the propagation delays of the changes from version from (exclusive) to version
+// to (inclusive), which a watch has just received. It does nothing for a watch's first list.
 func (cp *controlPlane) recordPropagation(from, to int64) {
 	if from == 0 {
 		return
@@ -35,16 +35,16 @@
 	}
 }
 
-// listAppliedLine matches the line of an agent's log which says that it applied a list.
+// listAppliedLine matches the line that an agent logs when it applies a list.
 var listAppliedLine = regexp.MustCompile(`^time=(\S+) level=DEBUG msg="list taken" .*version=(\d+)`)
 
-// listApplied is one application of a list by an agent.
+// listApplied is the event of an agent applying a list version.
 type listApplied struct {
 	at      time.Time
 	version int64
 }
 
-// parseListApplied reads a line of an agent's log; false if it is about something else.
+// parseListApplied parses a line of an agent's log. It returns false for a line about something else.
 func parseListApplied(line []byte) (listApplied, bool) {
 	match := listAppliedLine.FindSubmatch(line)
 	if match == nil {
@@ -55,8 +55,8 @@
 	return listApplied{at, version}, timeErr == nil && versionErr == nil
 }
 
-// agentPropagation reads from the agents' logs when each of them applied each change after the
-// warm-up. It returns the delays of all of them, and those of the last agent of each change.
+// agentPropagation reads from the agents' logs when each agent applied each change after the warm-up. It
+// returns the delays of all agents, and the delays until the last agent had applied each change.
 func (cp *controlPlane) agentPropagation() (each, last *hdrhistogram.Histogram) {
 	each, last = newLatencyHistogram(), newLatencyHistogram()
 	cp.mu.Lock()
@@ -77,8 +77,8 @@
 	return each, last
 }
 
-// readAgentLog calls record with the index and the delay of each version that the log shows as
-// applied. A log that can't be read has none. The caller holds cp.mu.
+// readAgentLog calls record with the index and the delay of each version that the agent applied according
+// to its log. A log that can't be read counts as empty. The caller holds cp.mu.
 func (cp *controlPlane) readAgentLog(path string, versions []int64, record func(i int, delay time.Duration)) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// addTotals adds how changes propagated to watches and agents.
+// addTotals fills in the propagation delays of changes to watches and agents.
 func (cp *controlPlane) addTotals(t *Total) {
 	eachAgent, lastAgent := cp.agentPropagation()
 	cp.mu.Lock()
@@ -120,7 +120,7 @@
 		return
 	}
 	views, _ := control.ReadMemberViews(cp.ctx, cp.addresses, controlPlaneRequestTimeout)
-	for i := range views { // the view with the fewest agents counts
+	for i := range views { // the view with the fewest agents determines the result
 		if n := views[i].Count(member.RoleAgent, member.Present); i == 0 || n < t.AgentsPresent {
 			t.AgentsPresent = n
 		}
@@ -135,12 +135,12 @@
 	return hdrhistogram.New(1, maxLatency.Microseconds(), 3)
 }
 
-// recordLatency adds a latency; a larger one than maxLatency is left out.
+// recordLatency adds a latency. Latencies above maxLatency are dropped.
 func recordLatency(h *hdrhistogram.Histogram, latency time.Duration) {
 	_ = h.RecordValue(max(latency.Microseconds(), 1))
 }
 
-// millisAt returns a quantile, 0 to 100, of a histogram of latencies in milliseconds.
+// millisAt returns a quantile, from 0 to 100, of a histogram of latencies, in milliseconds.
 func millisAt(h *hdrhistogram.Histogram, quantile float64) float64 {
 	return float64(h.ValueAtQuantile(quantile)) / 1000
 }
--- a/internal/lab/experiment/rows.go
+++ b/internal/lab/experiment/rows.go
@@ -7,16 +7,16 @@
 	"knotrouter/internal/lab/client"
 )
 
-// Names of the windows that every run has.
+// The names of the windows that every run has.
 const (
-	windowAll           = "all"  // all after the warm-up
-	windowOutsideFaults = "calm" // all after the warm-up that is in no fault's window
+	windowAll           = "all"  // the time after the warm-up
+	windowOutsideFaults = "calm" // the time after the warm-up that is in no fault's window
 )
 
-// classAll names all classes together.
+// classAll is the name for all classes together.
 const classAll = "all"
 
-// allClasses takes the place of a class's index.
+// allClasses stands for all classes in place of the index of one.
 const allClasses = -1
 
 // countRows counts the requests of each class in each window.
@@ -53,7 +53,7 @@
 	return windows[name].contains(planned)
 }
 
-// countRow counts the requests of one class, or of allClasses, whose planned time is within the
+// countRow counts the requests of one class, or of all classes, whose planned time is within the named
 // window.
 func (r *run) countRow(results []client.Result, window string, class int, within func(planned time.Duration) bool) Row {
 	row := Row{Window: window, Class: classAll}
@@ -94,7 +94,7 @@
 	return row
 }
 
-// count counts a request by how it ended.
+// count counts a request by its outcome.
 func (row *Row) count(result *client.Result) {
 	row.Requests++
 	switch {
@@ -109,7 +109,7 @@
 	}
 }
 
-// isVoid reports whether a request doesn't count, because it ended with its client.
+// isVoid reports whether a request doesn't count because it ended together with its client.
 func isVoid(result *client.Result) bool {
 	return result.Outcome == check.Void || result.Outcome == check.ClientCanceled
 }
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -16,19 +16,19 @@
 	"knotrouter/internal/lab/loopback"
 )
 
-// Options says how an experiment is run.
+// Options holds the options of a run.
 type Options struct {
-	Seed      uint64         // 0: that of the file
-	OutputDir string         // the folder of the results
+	Seed      uint64         // 0: the seed of the experiment file
+	OutputDir string         // directory of the results
 	Progress  func(Progress) // called several times a second; may be nil
 }
 
 // loadStartDelay is the time from the readiness of the last agent to the beginning of the load.
 const loadStartDelay = 200 * time.Millisecond
 
-// Run runs an experiment and returns its summary, also if a rule was broken or an expectation not
-// met. It returns an error if the experiment could not be set up, or was interrupted: see
-// Interrupted. All processes that it started have ended when it returns.
+// Run runs an experiment and returns its summary, even if a rule was broken or an expectation was not
+// met. It returns an error if the experiment could not be set up or was interrupted (see Interrupted).
+// When it returns, all processes that it started have exited.
 func Run(ctx context.Context, config *Config, options Options) (*Summary, error) {
 	seed := options.Seed
 	if seed == 0 {
@@ -58,7 +58,7 @@
 	return current.summarize(), nil
 }
 
-// prepareOutputDir creates the folder of the results. It returns an error if it is not writable.
+// prepareOutputDir creates the directory of the results. It returns an error if that is not writable.
 func prepareOutputDir(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -71,10 +71,10 @@
 	return nil
 }
 
-// errInterrupted says that the context ended before the load began.
+// errInterrupted is the error of a run whose context ended before the load began.
 var errInterrupted = errors.New("interrupted")
 
-// Interrupted reports whether the error of Run says that its context ended.
+// Interrupted reports whether an error of Run means that its context ended.
 func Interrupted(err error) bool {
 	return errors.Is(err, errInterrupted) || errors.Is(err, context.Canceled)
 }
@@ -86,25 +86,25 @@
 	outputDir string
 	progress  func(Progress)
 	epoch     time.Time     // when the clock was 0
-	loadStart time.Duration // by the clock, when the load begins; 0: not known yet
+	loadStart time.Duration // by the clock, when the load begins; 0 until that is known
 	addresses *loopback.Net
-	fleets    []*fleet          // that of the agents first
+	fleets    []*fleet          // the fleet of the agents is the first
 	samples   [][]sample        // by fleet
 	applied   [][]InjectedFault // by fleet and fault
 	status    *http.Server
-	coresUsed float64 // processors that the lab itself used, on average, under load
+	coresUsed float64 // processor cores that the lab itself used on average under load
 
-	peakDescriptors int // of the lab itself
+	peakDescriptors int // highest number of descriptors that the lab itself had open
 	background      sync.WaitGroup
 
 	mu           sync.Mutex
-	lastProgress Progress // that was published
+	lastProgress Progress // the last one published
 }
 
 // clock returns the time since the run began.
 func (r *run) clock() time.Duration { return time.Since(r.epoch) }
 
-// close ends all that the run started, and waits for it.
+// close ends everything that the run started, and waits for it.
 func (r *run) close() {
 	var all sync.WaitGroup
 	for _, fl := range r.fleets {
@@ -140,12 +140,12 @@
 	return nil
 }
 
-// maxParallelStarts bounds how many agents start at once: hundreds of them starting together would
-// keep each other from being ready in time.
+// maxParallelStarts bounds how many agents start concurrently. Hundreds that start together would slow each
+// other down so much that they are not ready in time.
 const maxParallelStarts = 24
 
-// start starts the processes of all fleets, the control plane and the workers first, and returns
-// once all are ready.
+// start starts the processes of all fleets, with the control plane and the workers first. It returns once
+// all are ready.
 func (r *run) start(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(maxParallelStarts)
@@ -172,8 +172,8 @@
 	return group.Wait()
 }
 
-// execute runs the load and the faults in all fleets. It returns when the last request and the
-// last fault have ended, with the error of the context if that ended first.
+// execute runs the load and the faults in all fleets. It returns when the last request and the last fault
+// have ended. Its error is that of the context, if the context ended before.
 func (r *run) execute(ctx context.Context) error {
 	arrivals := client.DrawArrivals(&r.config.Load, r.config.Agents.Count, r.config.Duration, r.config.loadChanges(), r.seed)
 	r.loadStart = r.clock() + loadStartDelay
--- a/internal/lab/experiment/samples.go
+++ b/internal/lab/experiment/samples.go
@@ -11,12 +11,11 @@
 
 const (
 	sampleInterval = 500 * time.Millisecond
-	// sweepInterval is how often the checker drops requests that ended long ago.
+	// sweepInterval is the interval at which the checker drops requests that ended long ago.
 	sweepInterval = 5 * time.Second
 )
 
-// sample is the state of a fleet at one time. The counts that are int64 are totals since the
-// fleet was built.
+// sample is the state of a fleet at one time. The int64 counts are totals since the fleet was built.
 type sample struct {
 	at time.Duration // since the load began
 
@@ -32,8 +31,8 @@
 	agents          int // whose process runs
 }
 
-// collectSamples takes a sample at an interval until the context ends, and a last one then. It
-// also has the checker drop requests that ended long ago.
+// collectSamples takes samples periodically until the context ends, and a last one at that time. It also
+// makes the checker drop requests that ended long ago.
 func (fl *fleet) collectSamples(ctx context.Context, loadStart time.Duration) []sample {
 	var samples []sample
 	swept := time.Duration(0)
@@ -49,7 +48,7 @@
 	}
 }
 
-// takeSample returns the present state of the fleet, and reports agents that are over their limits.
+// takeSample returns the current state of the fleet, and reports agents that exceed their limits.
 func (fl *fleet) takeSample(loadStart time.Duration) sample {
 	var s sample
 	for _, srv := range fl.servers {
@@ -78,7 +77,7 @@
 	return s
 }
 
-// checkLimits reports a breach if an agent uses more than its limits allow.
+// checkLimits reports a breach if an agent exceeds its memory or descriptor limit.
 func (fl *fleet) checkLimits(agent *agentProcess) {
 	usage, _, killed := agent.process.SampleUsage()
 	if killed {
--- a/internal/lab/experiment/selector.go
+++ b/internal/lab/experiment/selector.go
@@ -12,33 +12,33 @@
 // A selector is the target of a fault, parsed from its text:
 //
 //	servers, agents, stewards, workers, discovery, load
-//	servers@ZONE       those in a zone
-//	servers%0.3        three in ten of them, drawn from the seed
-//	servers#2          two of them, drawn from the seed
-//	agents@ZONE%0.5    both
-//	s-03, n7           one by its name; several are separated by commas
+//	servers@ZONE       the servers in a zone
+//	servers%0.3        30 % of the servers, drawn from the seed
+//	servers#2          two servers, drawn from the seed
+//	agents@ZONE%0.5    half of the agents in a zone
+//	s-03, n7           a process by its name; several names are separated by commas
 type selector struct {
 	kind  string   // a key of faultKinds; "" if names are given
-	names []string // of single processes
+	names []string // of individual processes
 	zone  string   // "": all zones
-	share float64  // of those that match, in (0, 1]
-	count int      // of those that match; 0: share counts
+	share float64  // share of the matching processes, in (0, 1]
+	count int      // number of the matching processes; 0: share applies
 }
 
-// parseSelector parses the text of a selector. It does not check that what it names exists.
+// parseSelector parses the text of a selector. It does not check that the named zone and processes exist.
 func parseSelector(text string) (selector, error) {
 	s := selector{share: 1}
 	rest := text
 	var err error
 	if head, n, ok := strings.Cut(rest, "#"); ok {
 		if s.count, err = strconv.Atoi(n); err != nil || s.count < 1 {
-			return s, &selectorError{text, "no number above 0 behind #"}
+			return s, &selectorError{text, "the number after # must be 1 or above"}
 		}
 		rest = head
 	}
 	if head, p, ok := strings.Cut(rest, "%"); ok {
 		if s.share, err = strconv.ParseFloat(p, 64); err != nil || !(s.share > 0) || s.share > 1 {
-			return s, &selectorError{text, "no share from above 0 to 1 behind %"}
+			return s, &selectorError{text, "the share after % must be above 0 and at most 1"}
 		}
 		rest = head
 	}
@@ -66,7 +66,7 @@
 	return names
 }
 
-// selectorKind returns the kind of target that a selector means, a key of faultKinds. It returns
+// selectorKind returns the kind of target that a selector selects, which is a key of faultKinds. It returns
 // an error if the text is invalid or names something that the experiment doesn't have.
 func (c *Config) selectorKind(text string) (string, error) {
 	if text == "" {
@@ -88,7 +88,7 @@
 		case kind == "":
 			return "", fmt.Errorf("%w %q", errUnknownProcess, name)
 		case s.kind != "" && s.kind != kind:
-			return "", &selectorError{text, "processes of two sorts"}
+			return "", &selectorError{text, "the processes are of different kinds"}
 		}
 		s.kind = kind
 	}
@@ -101,14 +101,14 @@
 	errUnknownProcess  = errors.New("unknown process")
 )
 
-// selectorError is the error of a selector that is invalid or means nothing in its experiment.
+// selectorError is the error for a selector that is invalid or selects nothing in its experiment.
 type selectorError struct{ text, problem string }
 
-// Error quotes the selector and says what is wrong with it.
+// Error returns the quoted selector and its problem.
 func (e *selectorError) Error() string { return fmt.Sprintf("%q: %s", e.text, e.problem) }
 
-// processes returns how many processes of a kind there are, and how they are named. All that is
-// not another kind is a server.
+// processes returns the number of processes of a kind and the function that names them. Any kind other
+// than agents, control-plane servers and workers counts as servers.
 func (c *Config) processes(kind string) (count int, name func(index int) string) {
 	switch kind {
 	case targetAgents:
@@ -121,7 +121,7 @@
 	return c.Servers.Count, serverName
 }
 
-// processKind returns the kind of the process of that name; "" if there is none.
+// processKind returns the kind of the process with the given name, or "" if there is none.
 func (c *Config) processKind(name string) string {
 	for _, kind := range []string{targetServers, targetAgents, targetControlPlane, targetWorkers} {
 		count, nameOf := c.processes(kind)
@@ -134,8 +134,8 @@
 	return ""
 }
 
-// selectTargets returns the indexes, in order, of the processes that a valid selector means. Its
-// random choice is drawn from rng alone, so that one seed always selects the same ones.
+// selectTargets returns the sorted indexes of the processes that a valid selector selects. Random choices
+// depend only on rng, so that a seed always selects the same processes.
 func (c *Config) selectTargets(text string, rng *rand.Rand) []int {
 	s, _ := parseSelector(text)
 	kind, _ := c.selectorKind(text)
--- a/internal/lab/experiment/series.go
+++ b/internal/lab/experiment/series.go
@@ -10,10 +10,10 @@
 	"knotrouter/internal/lab/client"
 )
 
-// secondStats collects the requests that were planned within one second of the run.
+// secondStats holds statistics of the requests that were planned within one second of the run.
 type secondStats struct {
 	requests, inTime, rejected int
-	latencies                  []time.Duration // of those that were served
+	latencies                  []time.Duration // of the served requests
 }
 
 // series returns one point for each second of the run.
@@ -29,8 +29,8 @@
 	return points
 }
 
-// groupBySecond groups the requests by the second of their planned time. Those outside the first
-// n seconds, and void ones, are left out.
+// groupBySecond groups the requests by the second of their planned time. It leaves out void requests and
+// those outside the first n seconds.
 func groupBySecond(results []client.Result, n int) []secondStats {
 	seconds := make([]secondStats, n)
 	for i := range results {
@@ -54,7 +54,7 @@
 	return seconds
 }
 
-// addRequests fills in how the requests of the second ended.
+// addRequests fills in the outcomes and latencies of the requests of the second.
 func (p *Point) addRequests(s *secondStats) {
 	p.Requests = s.requests
 	if s.requests > 0 {
@@ -67,8 +67,8 @@
 	}
 }
 
-// addSamples fills in the rates between the samples around the second that begins at from, and
-// the states in its middle.
+// addSamples fills in the rates between the samples around the second that begins at from, and the states
+// in the middle of that second.
 func (p *Point) addSamples(samples []sample, from time.Duration) {
 	first, last := samplesAround(samples, from, from+time.Second)
 	if span := (last.at - first.at).Seconds(); span > 0 {
@@ -83,8 +83,8 @@
 	p.WarmingUp, p.Overloaded, p.Down = middle.warmingUp, middle.overloaded, middle.down
 }
 
-// samplesAround returns the first samples at or after the two times, or the last sample if there
-// is none.
+// samplesAround returns, for each of the two times, the first sample at or after it, or the last sample if
+// there is none.
 func samplesAround(samples []sample, from, to time.Duration) (a, b sample) {
 	if len(samples) == 0 {
 		return
@@ -97,20 +97,21 @@
 }
 
 const (
-	// recoveredFraction is the part of the previous served share from which a second counts as good.
+	// recoveredFraction is the fraction of the served share before the fault from which a second counts as
+	// good.
 	recoveredFraction = 0.9
-	// goodSecondsToRecover is how many good seconds in a row make a recovery.
+	// goodSecondsToRecover is how many consecutive good seconds count as a recovery.
 	goodSecondsToRecover = 3
-	// baselineSeconds is how many seconds before a fault give the previous served share.
+	// baselineSeconds is how many seconds before a fault determine the served share to recover to.
 	baselineSeconds = 5
-	// notRecovered is the recovery time of a run that did not recover, or whose previous share is
-	// unknown.
+	// notRecovered is the recovery time of a run that did not recover, or whose served share before the
+	// fault is unknown.
 	notRecovered = -1
 )
 
-// recoverySeconds returns the time from a fault's beginning to the first of goodSecondsToRecover good
-// seconds in a row after a bad one. It returns 0 if no second was bad, and notRecovered if the
-// run ended before.
+// recoverySeconds returns the time from the beginning of a fault to the first of goodSecondsToRecover
+// consecutive good seconds after a bad one. It returns 0 if no second was bad, and notRecovered if the run
+// ended before the recovery.
 func recoverySeconds(series []Point, from, warmup time.Duration) float64 {
 	start := int(from / time.Second)
 	previousSum, previousSeconds := sumServedShare(series, max(int(warmup/time.Second), start-baselineSeconds), start)
@@ -139,8 +140,8 @@
 	return notRecovered
 }
 
-// sumServedShare returns the sum of the served shares of the seconds in [from, to), and how many
-// seconds that are.
+// sumServedShare returns the sum of the served shares of the seconds in [from, to), and the number of these
+// seconds.
 func sumServedShare(series []Point, from, to int) (sum float64, seconds int) {
 	for s := from; s < min(to, len(series)); s++ {
 		sum += series[s].ServedShare
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -8,7 +8,7 @@
 	"knotrouter/policy"
 )
 
-// policySettings returns the settings of the agents that the experiment asks for.
+// policySettings returns the agent settings that the experiment configures, without those of a single agent.
 func (c *Config) policySettings() policy.Settings {
 	rules := &c.Rules
 	settings := policy.Settings{Replicas: c.Agents.Count, RoundMs: 5, Weights: "nominal", WeightBy: "request",
@@ -33,7 +33,7 @@
 // millis returns a duration in milliseconds.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// AgentSettings returns the "settings" object of the configuration of one agent.
+// AgentSettings returns the "settings" object in the configuration of one agent.
 func (c *Config) AgentSettings(index int) (map[string]any, error) {
 	agent := c.policySettings()
 	agent.Index, agent.Zone = index, index%len(c.Zones)
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -11,8 +11,8 @@
 	"knotrouter/internal/lab/check"
 )
 
-// Summary is the result of a run. It is written as summary.json; its keys are a stable format,
-// which the Go names need not follow.
+// Summary is the result of a run. It is written as summary.json. The JSON keys are a stable format and may
+// differ from the Go names.
 type Summary struct {
 	Name            string              `json:"name"`
 	Description     string              `json:"about"`
@@ -31,14 +31,14 @@
 	RequestRate     float64             `json:"rate"`
 }
 
-// Lab is the load that the lab itself caused, and how late it was.
+// Lab describes the resource use of the lab itself and the delays with which it sent requests.
 type Lab struct {
 	LatenessP50Ms    float64 `json:"lateness_p50_ms"`
 	LatenessP99Ms    float64 `json:"lateness_p99_ms"`
 	LatenessMaxMs    float64 `json:"lateness_max_ms"`
 	TooLate          bool    `json:"too_late"`
 	CPUSeconds       float64 `json:"cpu_s"`
-	CoresUsed        float64 `json:"cores"` // processors in use, on average, while requests were sent
+	CoresUsed        float64 `json:"cores"` // processor cores used on average while requests were sent
 	PeakDescriptors  int     `json:"peak_descriptors"`
 	DescriptorLimit  int     `json:"descriptor_limit"`
 	PeakRSSMB        float64 `json:"peak_rss_mb"`
@@ -48,19 +48,19 @@
 // ExpectationResult is the measured value of an expectation and whether it met its bound.
 type ExpectationResult struct {
 	Text  string  `json:"text"`
-	Value float64 `json:"figure"` // -1: there was nothing to measure
+	Value float64 `json:"figure"` // -1 if there was nothing to measure
 	Bound float64 `json:"bound"`
 	Met   bool    `json:"held"`
 }
 
-// FleetSummary is the result of one fleet: that of the agents, or of a baseline.
+// FleetSummary is the result of one fleet: the fleet of the agents or of a baseline.
 type FleetSummary struct {
 	Name     string             `json:"name"`
 	Rows     []Row              `json:"rows"` // by window and class
 	Total    Total              `json:"total"`
 	Breaches map[string]int     `json:"breaches"`
 	Examples []check.Breach     `json:"breach_examples"`
-	Recovery map[string]float64 `json:"recovery_s"` // by fault; -1: it did not recover within the run
+	Recovery map[string]float64 `json:"recovery_s"` // by fault; -1 if the run ended before the recovery
 	Series   []Point            `json:"series"`
 	Events   []EventLine        `json:"events"`
 }
@@ -74,13 +74,13 @@
 // Row counts the requests of one class that were planned within one window of the run.
 type Row struct {
 	Window             string  `json:"window"`
-	Class              string  `json:"class"` // "all": all classes together
+	Class              string  `json:"class"` // "all" for all classes together
 	Requests           int     `json:"asked"`
 	InTime             int     `json:"in_time"`
 	Late               int     `json:"late"`
 	Rejected           int     `json:"refused"`
 	Failed             int     `json:"failed"`
-	Void               int     `json:"void"` // killed or canceled with their client; not in Requests
+	Void               int     `json:"void"` // killed or canceled together with their client; not in Requests
 	ServedShare        float64 `json:"served_share"`
 	PriorityShare      float64 `json:"worth_share"`
 	MeanMs             float64 `json:"mean_ms"`
@@ -89,7 +89,7 @@
 	AttemptsPerRequest float64 `json:"attempts_per_request"`
 }
 
-// Total counts over the whole run.
+// Total holds the counts and measurements of the whole run.
 type Total struct {
 	Connections           int64   `json:"connections_to_servers"`
 	ClientConnections     int64   `json:"connections_of_clients"`
@@ -106,20 +106,20 @@
 	DuplicatedEffects     int64   `json:"effects_doubled"`
 	Overloads             int     `json:"chokes"`
 	Crashes               int     `json:"crashes"`
-	PropagationP50Ms      float64 `json:"spread_p50_ms"` // from sending a change to each of the lab's watches receiving it
+	PropagationP50Ms      float64 `json:"spread_p50_ms"` // from sending a change until each of the lab's watches received it
 	PropagationP99Ms      float64 `json:"spread_p99_ms"`
-	LastWatchP99Ms        float64 `json:"spread_last_p99_ms"` // to the last watch, p99 of the changes
+	LastWatchP99Ms        float64 `json:"spread_last_p99_ms"` // until the last watch received it, p99 of the changes
 	PropagationSamples    int64   `json:"spread_samples"`
-	AgentPropagationP50Ms float64 `json:"learnt_p50_ms"` // from sending a change to each agent applying it
+	AgentPropagationP50Ms float64 `json:"learnt_p50_ms"` // from sending a change until each agent applied it
 	AgentPropagationP99Ms float64 `json:"learnt_p99_ms"`
-	LastAgentP50Ms        float64 `json:"last_agent_p50_ms"` // to the last agent, p50 of the changes
+	LastAgentP50Ms        float64 `json:"last_agent_p50_ms"` // until the last agent applied it, p50 of the changes
 	LastAgentP99Ms        float64 `json:"last_agent_p99_ms"`
 	Changes               int64   `json:"changes"`
-	AgentsPresent         int     `json:"agents_present"` // at the end, in the member view that has the fewest
+	AgentsPresent         int     `json:"agents_present"` // at the end, in the member view with the fewest agents
 	TaskTerms             int     `json:"duty_terms"`
-	FencedOperations      int     `json:"duty_acts_refused"` // for an outdated fencing token
-	TaskIdleShare         float64 `json:"duty_idle_share"`   // part of the time from the first operation to the last that lies between terms
-	HandoverGapP50Ms      float64 `json:"duty_gap_p50_ms"`   // from a holder's last operation to the next holder's first
+	FencedOperations      int     `json:"duty_acts_refused"` // rejected for an outdated fencing token
+	TaskIdleShare         float64 `json:"duty_idle_share"`   // share of the time between terms, from the first operation to the last
+	HandoverGapP50Ms      float64 `json:"duty_gap_p50_ms"`   // from the last operation of a holder to the first of the next holder
 	HandoverGapP99Ms      float64 `json:"duty_gap_p99_ms"`
 	HandoverGapMaxMs      float64 `json:"duty_gap_max_ms"`
 	AgentPeakRSSMB        float64 `json:"agent_peak_rss_mb"`
@@ -128,7 +128,8 @@
 	ServerWorkSeconds     float64 `json:"server_work_s"`
 }
 
-// Point is one second of a run. Counts of servers, agents and open connections are of its middle.
+// Point describes one second of a run. The counts of servers, agents and open connections are taken in the
+// middle of the second.
 type Point struct {
 	AtS                  float64 `json:"at_s"`
 	Requests             int     `json:"asked"`
@@ -172,7 +173,7 @@
 	return s
 }
 
-// summarizeLab returns the lab's own load and its lateness.
+// summarizeLab returns the resource use of the lab itself and the delays with which it sent requests.
 func (r *run) summarizeLab(lateness *hdrhistogram.Histogram) Lab {
 	lab := Lab{
 		LatenessP50Ms:    millisAt(lateness, 50),
@@ -192,8 +193,7 @@
 	return lab
 }
 
-// findRow returns the row of a window and a class, where "" means all; an empty one if there is
-// none.
+// findRow returns the row of a window and a class, where "" means "all", or an empty row if there is none.
 func (s *FleetSummary) findRow(window, class string) Row {
 	window, class = cmp.Or(window, windowAll), cmp.Or(class, classAll)
 	for _, row := range s.Rows {
@@ -204,15 +204,16 @@
 	return Row{}
 }
 
-// summarizeFleet returns the result of one fleet and adds the lateness of its requests. It counts
-// the results' planned times from the beginning of the load, so it must be called once.
+// summarizeFleet returns the result of one fleet and adds the lateness of its requests to the histogram. It
+// must be called only once, because it changes the planned times of the results to count from the beginning
+// of the load.
 func (r *run) summarizeFleet(index int, fl *fleet, lateness *hdrhistogram.Histogram) FleetSummary {
 	for i := range fl.results {
 		fl.results[i].Planned -= r.loadStart
 		recordLatency(lateness, fl.results[i].SendDelay)
 	}
 	summary := FleetSummary{Name: fl.name, Recovery: map[string]float64{}, Events: []EventLine{}}
-	summary.Total = fl.totals() // before the breaches: it may report some
+	summary.Total = fl.totals() // must come before Breaches, because it may report some
 	summary.Examples, summary.Breaches = fl.checker.Breaches()
 	for i := range summary.Examples {
 		summary.Examples[i].AtS = roundTo4Digits(summary.Examples[i].AtS - r.loadStart.Seconds())
@@ -233,7 +234,7 @@
 	return summary
 }
 
-// totals counts over the whole run what the servers, discovery, clients and agents show.
+// totals returns the totals of the servers, discovery, clients and agents over the whole run.
 func (fl *fleet) totals() Total {
 	var t Total
 	for _, srv := range fl.servers {
@@ -269,5 +270,5 @@
 	return t
 }
 
-// roundTo4Digits rounds to four digits after the point.
+// roundTo4Digits rounds to four decimal places.
 func roundTo4Digits(x float64) float64 { return math.Round(x*1e4) / 1e4 }
--- a/internal/lab/experiment/testagent_test.go
+++ b/internal/lab/experiment/testagent_test.go
@@ -22,8 +22,8 @@
 	"knotrouter/internal/endpoints"
 )
 
-// TestMain makes the test binary an agent when it is started as one: "agent honest", or
-// "agent" and the rule that it breaks on purpose.
+// TestMain runs the test binary as an agent if its arguments are "agent" and either "honest" or the
+// violation that the agent commits on purpose.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "agent" {
 		if err := runTestAgent(os.Args[2]); err != nil {
@@ -35,19 +35,19 @@
 	os.Exit(m.Run())
 }
 
-// testAgent is a plain agent: it sends one attempt for each request, to each server in turn that is
-// ready and has not just started. It breaks one rule on purpose.
+// testAgent is a minimal agent. It sends one attempt for each request, round-robin to the servers that are
+// ready and have not started during the run. It commits one violation on purpose.
 type testAgent struct {
-	violation    string // "honest": none
+	violation    string // "honest" for none
 	transport    *http.Transport
 	nextIndex    atomic.Int64
 	mu           sync.Mutex
 	endpoints    map[string]endpoints.Endpoint // by server name
-	drainingAddr string                        // of a draining server; "": none
-	warmingAddr  string                        // of a server that started during the run; "": none
+	drainingAddr string                        // of a draining server; "" if there is none
+	warmingAddr  string                        // of a server that started during the run; "" if there is none
 }
 
-// runTestAgent runs a test agent until SIGTERM, configured as an agent is.
+// runTestAgent runs a test agent until SIGTERM. It reads the same configuration as an agent.
 func runTestAgent(violation string) error {
 	text, err := os.ReadFile(os.Getenv("EDGE_CONFIG"))
 	if err != nil {
@@ -111,8 +111,8 @@
 	}
 }
 
-// nextServer returns the address of the next server, or that of the one that breaks the rule; "" if
-// there is none.
+// nextServer returns the address of the next server, or of a server whose use is the violation. It returns
+// "" if there is no server.
 func (a *testAgent) nextServer() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -131,9 +131,10 @@
 	return ""
 }
 
-// sendAttempt sends one attempt; the second result is false where no answer came.
+// sendAttempt sends one attempt and returns the status and the body of the answer, or false without a
+// complete answer.
 func (a *testAgent) sendAttempt(r *http.Request, address string, id string, body []byte) (int, string, bool) {
-	// Without GetBody the transport can't repeat the request.
+	// Without GetBody, the transport can't send the request again.
 	out, _ := http.NewRequest(r.Method, "http://"+address+r.RequestURI, io.NopCloser(bytes.NewReader(body)))
 	out.ContentLength = int64(len(body))
 	out.Header = http.Header{"Request-Id": {id}, "Request-Timeout": {r.Header.Get("Request-Timeout")}}
@@ -152,7 +153,8 @@
 	return resp.StatusCode, string(text), err == nil
 }
 
-// ServeHTTP forwards a request once, and breaks the rule with it or with one request in ten.
+// ServeHTTP forwards a request once. It commits the violation with each request to which that applies, or
+// with one request in ten.
 func (a *testAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/ready" {
 		return
@@ -164,7 +166,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	violates := a.nextIndex.Load()%10 == 0 // one in ten is where the rule is broken
+	violates := a.nextIndex.Load()%10 == 0
 	if a.violation == "stranger" && violates {
 		a.sendAttempt(r, address, "made-up-"+id, body)
 	}
--- a/internal/lab/experiment/timeline.go
+++ b/internal/lab/experiment/timeline.go
@@ -13,13 +13,13 @@
 	Name           string  `json:"name"`
 	Kind           string  `json:"kind"`
 	Targets        int     `json:"targets"`
-	PlannedSeconds float64 `json:"plan_s"` // since the load began; -1: it waited for an event
-	BeganSeconds   float64 `json:"from_s"` // since the load began; -1: never
+	PlannedSeconds float64 `json:"plan_s"` // since the load began; -1 if it waited for an event
+	BeganSeconds   float64 `json:"from_s"` // since the load began; -1 if it never began
 	EndedSeconds   float64 `json:"to_s"`
 	Error          string  `json:"error,omitempty"`
 }
 
-// loadChanges returns the faults of the load, which the arrivals are drawn with.
+// loadChanges returns the faults of the load, which take effect when the arrivals are drawn.
 func (c *Config) loadChanges() []client.LoadChange {
 	var changes []client.LoadChange
 	for i := range c.Faults {
@@ -38,8 +38,8 @@
 	return changes
 }
 
-// runTimeline injects the faults of the timeline at their times, counted from loadStart. It
-// returns, by fault, what was injected, once all have ended.
+// runTimeline injects the faults of the timeline at their times, counted from loadStart. Once all have
+// ended, it returns the record of each fault.
 func (fl *fleet) runTimeline(ctx context.Context, loadStart time.Duration) []InjectedFault {
 	results := make([]InjectedFault, len(fl.config.Faults))
 	var running sync.WaitGroup
@@ -57,8 +57,8 @@
 	return results
 }
 
-// runFault waits for a fault's time or event, injects it, and records in injected what happened.
-// If the context ends before that, nothing is injected.
+// runFault waits for a fault's time or event, injects the fault, and records the result in injected. If the
+// context ends first, it injects nothing.
 func (fl *fleet) runFault(ctx context.Context, loadStart time.Duration, f *Fault, injected *InjectedFault) {
 	if f.AfterEvent != "" {
 		injected.PlannedSeconds = -1
@@ -86,9 +86,9 @@
 	fl.events.record("fault " + f.Name + " ends")
 }
 
-// applyFault injects a fault into all its targets, waits for its duration and ends it. It returns
-// how many targets there were, and the first error; an error at one target does not keep the
-// fault from the others. In the fleet of a baseline, faults of processes have no targets.
+// applyFault injects a fault into all its targets, waits for its duration and ends it. It returns the number
+// of targets and the first error; an error at one target does not prevent the fault at the others. In the
+// fleet of a baseline, faults of processes have no targets.
 func (fl *fleet) applyFault(ctx context.Context, f *Fault) (int, error) {
 	kind, err := fl.config.faultTargetKind(f)
 	if err != nil {
@@ -96,7 +96,7 @@
 	}
 	rng := f.rng(fl.seed)
 	switch kind {
-	case targetLoad: // drawn with the arrivals
+	case targetLoad: // took effect when the arrivals were drawn
 		fl.waitDuration(ctx, f)
 		return 1, nil
 	case targetDiscovery:
@@ -127,14 +127,14 @@
 	return fl.applyServerFault(ctx, f, rng)
 }
 
-// waitDuration waits for the fault's duration; not at all if it lasts to the end of the run.
+// waitDuration waits for the fault's duration. It returns at once for a fault that lasts to the end of the run.
 func (fl *fleet) waitDuration(ctx context.Context, f *Fault) {
 	if f.Duration > 0 {
 		sleep(ctx, f.Duration)
 	}
 }
 
-// firstError keeps the first error of several goroutines.
+// firstError holds the first error that one of several goroutines added.
 type firstError struct {
 	mu  sync.Mutex
 	err error
@@ -148,9 +148,9 @@
 	}
 }
 
-// forEachTarget calls apply for each target, all at once or, with an interval above 0, one after
-// the other at that interval without waiting for the one before. It returns the first error once
-// all have returned.
+// forEachTarget calls apply for each target in a goroutine of its own. With an interval above 0, it starts
+// the calls at that interval, without waiting for the previous ones. Once all have returned, it returns the
+// first error.
 func forEachTarget(ctx context.Context, targets []int, interval time.Duration, apply func(int) error) error {
 	var running sync.WaitGroup
 	var firstErr firstError
@@ -171,10 +171,10 @@
 // timeWindow is a span of the run, counted from the beginning of the load.
 type timeWindow struct{ from, to time.Duration }
 
-// contains reports whether t lies within the window; its end does not.
+// contains reports whether t lies in [from, to).
 func (w timeWindow) contains(t time.Duration) bool { return t >= w.from && t < w.to }
 
-// faultWindows returns, by the name of the fault, the windows that are measured separately.
+// faultWindows returns the separately measured window of each injected fault, by the fault's name.
 func (c *Config) faultWindows(applied []InjectedFault) map[string]timeWindow {
 	windows := map[string]timeWindow{}
 	for i := range c.Faults {
@@ -192,5 +192,5 @@
 	return windows
 }
 
-// defaultWindow is the least length of a fault's window where its file sets none.
+// defaultWindow is the minimum length of a fault's window if the file sets none.
 const defaultWindow = 5 * time.Second
--- a/internal/lab/experiment/validate.go
+++ b/internal/lab/experiment/validate.go
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// runChecks checks the keys of the run itself.
+// runChecks checks the top-level keys, which describe the run itself.
 func (c *Config) runChecks() []keyCheck {
 	return []keyCheck{
 		{"name", c.Name == "" || strings.ContainsAny(c.Name, " \t\n/"), "must be one word without a slash"},
@@ -78,7 +78,7 @@
 func (c *Config) taskChecks() []keyCheck {
 	return []keyCheck{
 		{"duties.count", c.LeasedTasks.Count < 0 || c.LeasedTasks.Count > 5000, fmt.Sprintf("must be 0 to 5000, is %d", c.LeasedTasks.Count)},
-		{"duties.count", c.LeasedTasks.Count > 0 && c.ControlPlane.Count == 0, "duties are the stewards': there are none in this experiment"},
+		{"duties.count", c.LeasedTasks.Count > 0 && c.ControlPlane.Count == 0, "duties need stewards, and there are none in this experiment"},
 		{"duties.ttl", c.LeasedTasks.TTL < catalog.MinTTL || c.LeasedTasks.TTL > catalog.MaxTTL, fmt.Sprintf("must be %v to %v, is %v", catalog.MinTTL, catalog.MaxTTL, c.LeasedTasks.TTL)},
 		{"duties.workers", c.LeasedTasks.Workers < 1 || c.LeasedTasks.Workers > 50, fmt.Sprintf("must be 1 to 50, is %d", c.LeasedTasks.Workers)},
 		{"duties.cap", c.LeasedTasks.MaxTasksPerWorker < 1, fmt.Sprintf("must be 1 or above, is %d", c.LeasedTasks.MaxTasksPerWorker)},
@@ -86,7 +86,7 @@
 	}
 }
 
-// serverChecks checks the counts of the table "servers".
+// serverChecks checks the numbers in the table "servers".
 func (c *Config) serverChecks() []keyCheck {
 	return []keyCheck{
 		{"servers.count", c.Servers.Count < 1 || c.Servers.Count > 200, fmt.Sprintf("must be 1 to 200, is %d", c.Servers.Count)},
@@ -94,7 +94,7 @@
 	}
 }
 
-// loadChecks checks the table "load" without its classes.
+// loadChecks checks the table "load" except for its classes.
 func (c *Config) loadChecks() []keyCheck {
 	return []keyCheck{
 		{"load.rate", !(c.Load.Rate >= 0), fmt.Sprintf("must be 0 or above, is %v", c.Load.Rate)},
@@ -134,7 +134,7 @@
 // isFraction reports whether x is in [0, 1].
 func isFraction(x float64) bool { return x >= 0 && x <= 1 }
 
-// isRange reports whether the values are a lower and an upper bound.
+// isRange reports whether the values are a lower and an upper bound, neither below 0.
 func isRange(values []time.Duration) bool {
 	return len(values) == 2 && values[0] >= 0 && values[0] <= values[1]
 }
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// validateVersions checks the servers' versions and the one that they start with.
+// validateVersions checks the tables "version" and the version that the servers start with.
 func (c *Config) validateVersions() error {
 	for i := range c.Versions {
 		if c.Versions[i].Name == "" {
@@ -213,7 +213,7 @@
 		f := &c.Faults[i]
 		prefix := fmt.Sprintf("fault[%d].", i)
 		if names[f.Name] {
-			return configfile.NewKeyError(prefix+"name", "%q is missing, taken, or a window of its own", f.Name)
+			return configfile.NewKeyError(prefix+"name", "%q is missing, used twice, or the name of a window that every run has", f.Name)
 		}
 		names[f.Name] = true
 		if err := c.validateFault(f, prefix); err != nil {
@@ -223,7 +223,7 @@
 	return nil
 }
 
-// validateFault checks one fault; prefix is the path of its table.
+// validateFault checks one fault. prefix is the path of its table, with a dot at the end.
 func (c *Config) validateFault(f *Fault, prefix string) error {
 	kind, err := c.faultTargetKind(f)
 	if err != nil {
@@ -231,7 +231,7 @@
 	}
 	switch {
 	case !slices.Contains(faultKinds[kind], f.Kind):
-		return configfile.NewKeyError(prefix+"kind", "%q is nothing that is done to %s: one of %s", f.Kind, kind, strings.Join(faultKinds[kind], ", "))
+		return configfile.NewKeyError(prefix+"kind", "%q is not a fault of %s: one of %s", f.Kind, kind, strings.Join(faultKinds[kind], ", "))
 	case f.At < 0 || f.Duration < 0 || f.Interval < 0 || f.Delay < 0 || f.EventDelay < 0 || f.Jitter < 0 || f.Window < 0 || f.RiseTime < 0:
 		return configfile.NewKeyError(prefix+"at, for, every, delay, jitter, rise and window", "must be 0 or above")
 	case f.AfterEvent == "" && f.At >= c.Duration:
@@ -239,7 +239,7 @@
 	case f.AfterEvent == "" && f.At+f.Duration > c.Duration:
 		return configfile.NewKeyError(prefix+"for", "it would end at %v, after the end of the run at %v", f.At+f.Duration, c.Duration)
 	case f.AfterEvent != "" && f.At > 0:
-		return configfile.NewKeyError(prefix+"after", "an event and a time can't both say when")
+		return configfile.NewKeyError(prefix+"after", "can't be set together with at")
 	case f.Size < 0 || !isFraction(f.Share):
 		return configfile.NewKeyError(prefix+"size", "must be 0 or above, and share 0 to 1")
 	case f.Direction != "" && !slices.Contains([]string{directionForward, directionBack, directionBoth}, f.Direction):
@@ -249,7 +249,7 @@
 	case f.Class != "" && c.classIndex(f.Class) < 0:
 		return configfile.NewKeyError(prefix+"class", "no class %q", f.Class)
 	case c.ControlPlane.Count > 0 && (kind == targetDiscovery || (f.Kind == faultReload || slices.Contains(f.Signals, signalReload)) && c.ControlPlane.AgentAccess != "all"):
-		return configfile.NewKeyError(prefix+"target", "with stewards the stand-in is not there")
+		return configfile.NewKeyError(prefix+"target", "with stewards, there is no emulated list service")
 	case (f.Kind == faultSignals) != (len(f.Signals) > 0) || slices.ContainsFunc(f.Signals, func(name string) bool { return !slices.Contains(signalNames, name) }):
 		return configfile.NewKeyError(prefix+"signals", "a series of %s, for the kind %s only", strings.Join(signalNames, ", "), faultSignals)
 	case (f.Kind == faultFlood || f.Kind == faultPipeline || f.Kind == faultNoDescriptors) && f.Duration == 0:
@@ -257,9 +257,9 @@
 	case f.Kind == faultPipeline && f.Interval == 0:
 		return configfile.NewKeyError(prefix+"every", "missing")
 	case f.Kind == faultMute && c.ControlPlane.Count == 0:
-		return configfile.NewKeyError(prefix+"kind", "mute is of renewals, and there are no stewards to hear any")
+		return configfile.NewKeyError(prefix+"kind", "mute suppresses lease renewals, which need stewards")
 	case kind == targetLoad && f.AfterEvent != "":
-		return configfile.NewKeyError(prefix+"after", "arrivals are drawn ahead, so a change of the load needs a time")
+		return configfile.NewKeyError(prefix+"after", "a fault of the load needs a time, because arrivals are drawn in advance")
 	case sizedFaultKinds[f.Kind] && kind != targetLink && f.Size == 0 || kind == targetLink && sizedLinkFaultKinds[f.Kind] && f.Size == 0:
 		return configfile.NewKeyError(prefix+"size", "missing")
 	case responseFaultKinds[f.Kind] && !isFraction(f.Size):
@@ -268,8 +268,8 @@
 	return nil
 }
 
-// faultTargetKind returns the kind of a fault's target: targetLink if it has a far end, or else that of
-// its selector. Its error names the key within the fault.
+// faultTargetKind returns the kind of a fault's target: targetLink if the fault has a far end, or else the
+// kind of its selector. Its error names the key within the fault.
 func (c *Config) faultTargetKind(f *Fault) (string, error) {
 	kind, err := c.selectorKind(f.Target)
 	if err != nil {
@@ -284,9 +284,9 @@
 		return "", fmt.Errorf("to: %w", err)
 	case to == targetControlPlane && (kind == targetWorkers || kind == targetControlPlane):
 	case c.ControlPlane.Count > 0:
-		return "", errors.New("to: with stewards, links lead from workers and stewards to stewards: their list has one address for all agents")
+		return "", errors.New("to: with stewards, links lead only from workers and stewards to stewards, because their list has one address for all agents")
 	case kind != targetAgents || to != targetServers && to != targetDiscovery:
-		return "", errors.New("to: links lead from agents to servers or to discovery")
+		return "", errors.New("to: links lead only from agents to servers or to discovery")
 	}
 	return targetLink, nil
 }
@@ -305,9 +305,9 @@
 			slices.ContainsFunc(c.Faults, func(f Fault) bool { return f.Name == expectation.Window })
 		switch {
 		case !slices.Contains(metricNames, expectation.Metric):
-			return configfile.NewKeyError(prefix+"what", "unknown figure %q: one of %s", expectation.Metric, strings.Join(metricNames, ", "))
+			return configfile.NewKeyError(prefix+"what", "unknown metric %q: one of %s", expectation.Metric, strings.Join(metricNames, ", "))
 		case expectation.AtLeast == nil && expectation.AtMost == nil:
-			return configfile.NewKeyError(prefix+"at_least", "neither it nor at_most is given")
+			return configfile.NewKeyError(prefix+"at_least", "missing, and at_most too")
 		case expectation.Class != "" && c.classIndex(expectation.Class) < 0:
 			return configfile.NewKeyError(prefix+"class", "no class %q", expectation.Class)
 		case !windowExists:
@@ -321,7 +321,7 @@
 	return nil
 }
 
-// isCommonWindow reports whether every run has the window; "" means windowAll.
+// isCommonWindow reports whether every run has the named window. "" means windowAll.
 func isCommonWindow(name string) bool {
 	return name == "" || name == windowAll || name == windowOutsideFaults
 }
--- a/internal/lab/experiment/workers.go
+++ b/internal/lab/experiment/workers.go
@@ -17,7 +17,7 @@
 // workerName returns the name of the worker with an index.
 func workerName(i int) string { return fmt.Sprintf("w-%d", i+1) }
 
-// workers runs the processes of a fleet that hold leased tasks.
+// workers runs the worker processes of a fleet, which hold leased tasks.
 type workers struct {
 	fleet     *fleet
 	processes []*process.Process
@@ -62,8 +62,8 @@
 	return addresses, nil
 }
 
-// start starts the workers and defines the leased tasks. It returns once an operation has been
-// recorded for each task, or with an error after readyTimeout.
+// start starts the workers and defines the leased tasks. It returns once operations have been recorded for
+// as many terms as there are tasks, or with an error after readyTimeout.
 func (w *workers) start(ctx context.Context) error {
 	for _, p := range w.processes {
 		if err := p.Start(); err != nil {
@@ -74,7 +74,7 @@
 	defer cancel()
 	for i := range w.fleet.config.LeasedTasks.Count {
 		name := fmt.Sprint("work.", i)
-		err := retry(ctx, "duty "+name+" was not taken", func() error {
+		err := retry(ctx, "duty "+name+" could not be defined", func() error {
 			return w.fleet.controlPlane.client.DefineTask(ctx, name, control.TaskDefinition{TTLMs: w.fleet.config.LeasedTasks.TTL.Milliseconds()})
 		})
 		if err != nil {
@@ -83,16 +83,17 @@
 	}
 	return retry(ctx, "duties", func() error {
 		if n := w.analyzeOperations().Terms; n < w.fleet.config.LeasedTasks.Count {
-			return fmt.Errorf("%d of %d are done", n, w.fleet.config.LeasedTasks.Count)
+			return fmt.Errorf("operations were recorded for %d of %d", n, w.fleet.config.LeasedTasks.Count)
 		}
 		return nil
 	})
 }
 
-// retryInterval is the time between two calls of retry.
+// retryInterval is the time between two calls that retry makes.
 const retryInterval = 50 * time.Millisecond
 
-// retry calls do until it returns no error. If the context ends first, it returns the last error.
+// retry calls do until it succeeds. If the context ends first, it returns the last error, prefixed with the
+// description.
 func retry(ctx context.Context, description string, do func() error) error {
 	for {
 		err := do()
@@ -105,7 +106,7 @@
 	}
 }
 
-// analyzeOperations combines the analyses of the operations at all servers.
+// analyzeOperations combines the analyses of the operations recorded by all servers.
 func (w *workers) analyzeOperations() (all check.Analysis) {
 	for _, srv := range w.fleet.servers {
 		analysis := srv.Operations.Analyze()
@@ -117,7 +118,7 @@
 	return all
 }
 
-// addTotals adds what the operations show. Terms that overlap are reported as breaches.
+// addTotals fills in the results of the analysis of the operations. It reports overlapping terms as breaches.
 func (w *workers) addTotals(t *Total) {
 	analysis := w.analyzeOperations()
 	for _, violation := range analysis.Violations {
@@ -132,7 +133,7 @@
 	}
 }
 
-// applyFault injects a fault into worker processes and returns how many.
+// applyFault injects a fault into worker processes and returns the number of targets.
 func (w *workers) applyFault(ctx context.Context, f *Fault, rng *rand.Rand) (int, error) {
 	return w.fleet.applyProcessFault(ctx, w.processes, f, rng)
 }
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -210,45 +210,45 @@
 func (g *generator) drawEnvironmentFaults() {
 	for at := g.faultsFrom; ; {
 		at += time.Duration(g.rng.ExpFloat64() * float64(environmentFaultPeriod)).Round(time.Millisecond)
-		duration := g.randomMillis(300, 4000)
-		if at+duration >= g.duration {
+		faultDuration := g.randomMillis(300, 4000)
+		if at+faultDuration >= g.duration {
 			return
 		}
 		switch {
 		case g.chance(0.6):
-			g.drawServerFault(at, duration)
+			g.drawServerFault(at, faultDuration)
 		case g.chance(0.2):
-			g.add("burst", "load", at, durationLine("for", duration), "size = 1.5")
+			g.add("burst", "load", at, durationLine("for", faultDuration), "size = 1.5")
 		case g.controlPlaneServers > 0:
-			g.drawControlPlaneFault(at, duration)
+			g.drawControlPlaneFault(at, faultDuration)
 		default:
-			g.drawNetworkFault(at, duration)
+			g.drawNetworkFault(at, faultDuration)
 		}
 	}
 }
 
 // drawServerFault draws a fault of one or two servers, or of a larger share for a kind that rarely shows an
 // effect.
-func (g *generator) drawServerFault(at, duration time.Duration) {
+func (g *generator) drawServerFault(at, faultDuration time.Duration) {
 	target := fmt.Sprintf("servers#%d", 1+g.rng.IntN(2))
 	kind := pick(g.rng, "kill", "vanish", "drain", "drain", "replace", "errors", "resets", "lost", "spoilt", "slow", "mute",
 		"repeated", "repeated", "repeated")
 	switch kind {
 	case "mute":
 		if g.controlPlaneServers > 0 {
-			g.add(kind, target, at, durationLine("for", duration))
+			g.add(kind, target, at, durationLine("for", faultDuration))
 		}
 	case "errors", "resets", "lost", "spoilt":
-		g.add(kind, target, at, durationLine("for", duration), fmt.Sprintf("size = %.1f", 0.1+0.8*g.rng.Float64()))
+		g.add(kind, target, at, durationLine("for", faultDuration), fmt.Sprintf("size = %.1f", 0.1+0.8*g.rng.Float64()))
 	case "slow":
-		g.add(kind, target, at, durationLine("for", duration), fmt.Sprintf("size = %d.0", 2+g.rng.IntN(8)))
+		g.add(kind, target, at, durationLine("for", faultDuration), fmt.Sprintf("size = %d.0", 2+g.rng.IntN(8)))
 	case "repeated":
 		target = fmt.Sprintf("servers%%%.1f", 0.3+0.7*g.rng.Float64())
-		g.add(kind, target, at, durationLine("for", min(repeatedDurationFactor*duration, g.duration-at)), fmt.Sprintf("size = %.1f", 0.2+0.8*g.rng.Float64()))
+		g.add(kind, target, at, durationLine("for", min(repeatedDurationFactor*faultDuration, g.duration-at)), fmt.Sprintf("size = %.1f", 0.2+0.8*g.rng.Float64()))
 	case "replace":
 		g.add(kind, target, at, durationLine("every", 500*time.Millisecond))
 	default:
-		g.add(kind, target, at, durationLine("for", duration))
+		g.add(kind, target, at, durationLine("for", faultDuration))
 	}
 }
 
