--- a/internal/lab/server/affinity.go
+++ b/internal/lab/server/affinity.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// keyCache remembers the keys that a server used last.
+// keyCache is an LRU cache of the keys that a server used most recently.
 type keyCache struct {
 	capacity   int
 	lastUsedAt map[uint64]time.Duration
-	order      []uint64 // by last use, the oldest first
+	order      []uint64 // the keys by last use, oldest first
 }
 
 func newKeyCache(capacity int) keyCache {
 	return keyCache{capacity: max(capacity, 1), lastUsedAt: map[uint64]time.Duration{}}
 }
 
-// usedWithin reports whether the key was used at most ttl before now.
+// usedWithin reports whether the last use of the key is at most ttl before now.
 func (c *keyCache) usedWithin(key uint64, ttl, now time.Duration) bool {
 	lastUsedAt, ok := c.lastUsedAt[key]
 	return ok && now-lastUsedAt <= ttl
 }
 
-// use records a use of the key. If the cache is full it drops the key with the oldest use.
+// use records a use of the key. A new key evicts the least recently used one if the cache is full.
 func (c *keyCache) use(key uint64, now time.Duration) {
 	if _, ok := c.lastUsedAt[key]; ok {
 		c.removeFromOrder(key)
--- a/internal/lab/server/connection.go
+++ b/internal/lab/server/connection.go
@@ -17,18 +17,18 @@
 type conn struct {
 	net.Conn
 	server             *Server
-	firstByteAt        atomic.Int64 // time of the first byte of the present request, by the clock
-	used               atomic.Bool  // a request has arrived
-	delayedByIsolation atomic.Bool  // a read was held up while the machine was isolated
-	overLimit          bool         // more connections were open than the policy allows
+	firstByteAt        atomic.Int64 // clock time of the first byte of the current request
+	used               atomic.Bool  // a request has arrived on it
+	delayedByIsolation atomic.Bool  // a read was blocked while the machine was isolated
+	overLimit          bool         // it was accepted above the policy's limit of open connections
 	closeOnce          sync.Once
 	closed             chan struct{}
-	// repeatDelay is the time from the present response to its repetition; 0: it is not repeated. It
-	// belongs to the goroutine that serves the connection.
+	// repeatDelay is the time from the end of the current response to its repetition; 0: it is not
+	// repeated. Only the goroutine that serves the connection accesses it.
 	repeatDelay time.Duration
 
-	mu       sync.Mutex // held through a write
-	response []byte     // what was written of the present response; empty between two responses
+	mu       sync.Mutex // held during a write
+	response []byte     // bytes written of the current response; empty between responses
 }
 
 // connListener wraps the connections that it accepts in a conn.
@@ -54,8 +54,8 @@
 	}, nil
 }
 
-// Read reads from the connection. While the machine is isolated it does not return; it returns
-// net.ErrClosed if the connection is closed meanwhile.
+// Read reads from the connection. It blocks while the machine is isolated, and returns net.ErrClosed
+// if the connection is closed meanwhile.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	waited, open := c.server.network.wait(c.closed)
@@ -68,8 +68,8 @@
 	return n, err
 }
 
-// Write writes to the connection once the machine is not isolated. It returns net.ErrClosed if the
-// connection is closed before.
+// Write writes to the connection. It blocks while the machine is isolated, and returns net.ErrClosed
+// if the connection is closed meanwhile.
 func (c *conn) Write(p []byte) (int, error) {
 	if _, open := c.server.network.wait(c.closed); !open {
 		return 0, net.ErrClosed
@@ -80,8 +80,8 @@
 	return c.Conn.Write(p)
 }
 
-// endResponse notes that the present response was written completely, and has it repeated if a fault
-// wants that.
+// endResponse marks the current response as completely written, and schedules its repetition if a
+// fault requires one.
 func (c *conn) endResponse() {
 	c.mu.Lock()
 	response := c.response
@@ -92,9 +92,10 @@
 	}
 }
 
-// repeat writes a response that ended at a time again after the delay, with one write. It writes nothing if
-// the connection is closed before, if the machine is isolated then, within another response, or if the lab
-// was held up for so long that the repetition would come later than any that can be drawn.
+// repeat writes the response a second time, in one write, after the delay. endedAt is when the response
+// was completely written. It writes nothing if the connection is closed meanwhile, if the machine is
+// isolated at that time, if another response is being written, or if the lab itself ran so late that the
+// repetition would come later than the longest delay that can be drawn.
 func (c *conn) repeat(response []byte, endedAt time.Time, delay time.Duration) {
 	select {
 	case <-time.After(delay):
@@ -112,7 +113,8 @@
 	}
 }
 
-// Close closes the connection and ends reads and writes that wait. It may be called repeatedly.
+// Close closes the connection and unblocks reads and writes that wait for the network. It may be called
+// more than once.
 func (c *conn) Close() error {
 	c.closeOnce.Do(func() {
 		close(c.closed)
@@ -121,8 +123,8 @@
 	return c.Conn.Close()
 }
 
-// reset resets the connection, as when the server's process dies, and aborts the handler of the
-// request: it does not return.
+// reset resets the connection, as the end of the server's process does, and aborts the handler of the
+// request by a panic, so it does not return.
 func (c *conn) reset() {
 	loopback.Reset(c.Conn)
 	panic(http.ErrAbortHandler)
--- a/internal/lab/server/effects.go
+++ b/internal/lab/server/effects.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// maxRememberedKeys bounds the keys that Effects remembers. It forgets the oldest first.
+// maxRememberedKeys bounds the number of keys that Effects remembers. The oldest key is evicted first.
 const maxRememberedKeys = 1 << 18
 
-// Effects remembers the idempotency keys of the requests that were carried out, for all servers of
-// a fleet together. It is safe for concurrent use.
+// Effects remembers the idempotency keys of the requests that were executed by any server of a fleet.
+// It is safe for concurrent use.
 type Effects struct {
 	mu              sync.Mutex
 	lastCommittedAt map[string]time.Duration
-	order           []string // the keys, by their first effect
+	order           []string // the keys in the order of their first effect
 
 	droppedRepeats    atomic.Int64
 	duplicatedEffects atomic.Int64
 }
 
-// NewEffects returns an Effects that remembers no key.
+// NewEffects returns an Effects without keys.
 func NewEffects() *Effects { return &Effects{lastCommittedAt: map[string]time.Duration{}} }
 
-// Counts returns how many repeats of a key were dropped within its deduplication window, and how
-// many had an effect again after it.
+// Counts returns how many repeats of a key were dropped within its deduplication window, and how many
+// had an effect again after the window.
 func (e *Effects) Counts() (dropped, duplicated int64) {
 	return e.droppedRepeats.Load(), e.duplicatedEffects.Load()
 }
 
-// commit records that the request with the key was carried out at now. A repeat within the window
-// of the last effect has no effect.
+// commit records that a request with the key was executed at now. A repeat within the window after the
+// key's last effect is dropped.
 func (e *Effects) commit(key string, now, window time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -47,7 +47,8 @@
 	e.lastCommittedAt[key] = now
 }
 
-// addKey makes room for a new key. The caller holds e.mu.
+// addKey adds a new key to the order and evicts the oldest one if there are maxRememberedKeys. The
+// caller holds e.mu.
 func (e *Effects) addKey(key string) {
 	if len(e.order) >= maxRememberedKeys {
 		delete(e.lastCommittedAt, e.order[0])
--- a/internal/lab/server/effects_test.go
+++ b/internal/lab/server/effects_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A repeat of a key is answered like the first request, and has no effect.
+// A request with a repeated idempotency key is answered like the first one and has no effect.
 func TestRepeatedKeysAreDropped(t *testing.T) {
 	ts := newTestServer(t, nil).start(Version{}, false)
 	for _, id := range []string{"v1", "v2", "v3"} {
@@ -26,7 +26,8 @@
 	}{{0, 0, 0}, {window, 1, 0}, {window + 1, 1, 1}} {
 		effects.commit("k", repeat.at, window)
 		if dropped, duplicated := effects.Counts(); dropped != repeat.dropped || duplicated != repeat.duplicated {
-			t.Errorf("after %v: %d dropped, %d duplicated, want %d and %d", repeat.at, dropped, duplicated, repeat.dropped, repeat.duplicated)
+			t.Errorf("after %v: %d dropped, %d duplicated, want %d and %d",
+				repeat.at, dropped, duplicated, repeat.dropped, repeat.duplicated)
 		}
 	}
 }
--- a/internal/lab/server/http.go
+++ b/internal/lab/server/http.go
@@ -12,11 +12,11 @@
 	"knotrouter/internal/lab/check"
 )
 
-// Paths that are not of requests.
+// Paths of probes and operations. All other paths belong to requests.
 const (
 	healthPath    = "/health"
 	loadPath      = "/status/load"
-	operationPath = "/admin/act" // operations of the holders of leased tasks
+	operationPath = "/admin/act" // operations by the holders of leased tasks
 )
 
 // Headers of the agents' wire protocol.
@@ -30,15 +30,15 @@
 
 const (
 	maxBodyBytes = 64 << 10
-	// minWorkNoise bounds how much less work an attempt is than its request says.
+	// minWorkNoise is the smallest factor between the work of an attempt and that of its request.
 	minWorkNoise = 0.2
-	// minRepeatDelay and maxRepeatDelay bound the time from a response to its repetition by a fault.
+	// minRepeatDelay and maxRepeatDelay bound the delay between a response and its repetition by a fault.
 	minRepeatDelay, maxRepeatDelay = time.Millisecond, 8 * time.Millisecond
-	// maxRepeatLateness is how much later the lab may be itself; a repetition that would be later is not sent.
+	// maxRepeatLateness is how late the lab may run beyond maxRepeatDelay; a later repetition is not sent.
 	maxRepeatLateness = time.Millisecond
 )
 
-// ServeHTTP answers a request, which has an ID, or else an operation or a probe.
+// ServeHTTP answers a request, which is recognized by its ID, an operation or a probe.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := r.Context().Value(connContextKey{}).(*conn)
 	w.Header()["Date"] = nil
@@ -98,14 +98,15 @@
 	s.executeRequest(w, r, c, attempt, faults)
 }
 
-// matchesSentRequest reports whether a request arrived as its client sent it. sent is nil if no client did.
+// matchesSentRequest reports whether r is the request that its client sent. sent is nil if the ID is
+// unknown.
 func matchesSentRequest(sent *check.Request, r *http.Request, body []byte) bool {
 	return sent != nil && sent.Method == r.Method && sent.Path == r.RequestURI &&
 		sent.IdempotencyKey == r.Header.Get(headerIdempotencyKey) && sent.Body == string(body)
 }
 
-// handshake does the handshake of a connection, for which its first request waits. It returns
-// false if the context ends before.
+// handshake adds the work of a new connection's handshake and waits for its delay. The first request on
+// the connection waits for it. It returns false if the context ends first.
 func (s *Server) handshake(ctx context.Context) bool {
 	policy := &s.ConnectionPolicy
 	if policy.HandshakeWork > 0 {
@@ -122,7 +123,7 @@
 	}
 }
 
-// executeRequest does the work of a request and answers it.
+// executeRequest submits the work of a request to the model, waits for its end and sends the response.
 func (s *Server) executeRequest(w http.ResponseWriter, r *http.Request, c *conn, attempt *check.Attempt, faults Faults) {
 	job := s.newJob(r, attempt)
 	if s.submit(job) == Rejected {
@@ -147,7 +148,7 @@
 	s.writeResponse(w, r, c, attempt, faults)
 }
 
-// newJob returns the job of an attempt. Its work varies around that of the request.
+// newJob returns the job of an attempt. Its work is that of the request with random noise.
 func (s *Server) newJob(r *http.Request, attempt *check.Attempt) *Job {
 	request := attempt.Request
 	job := &Job{
@@ -162,8 +163,8 @@
 	return job
 }
 
-// submit adds the job to the model. If that crashes the server it reports the crash and ends the
-// process in the background.
+// submit adds the job to the model. If the job crashes the server, submit reports the crash and ends
+// the process in the background.
 func (s *Server) submit(job *Job) Admission {
 	admission, incarnation := Rejected, 0
 	var crash *WarmupCrash
@@ -176,20 +177,20 @@
 	})
 	if crash != nil {
 		s.env.RecordEvent("server " + s.Name + " pushed over")
-		// The checker's rule covers any overload of a warming server; the crash is its effect here.
+		// The checker's rule is about the overload of a warming server; the crash is its consequence here.
 		s.env.Checker.WarmupOverload(s.Index, crash.NotifiedShare, crash.Work, crash.Limit)
 		go s.endProcess(incarnation)
 	}
 	return admission
 }
 
-// writeResponse sends the response to a request whose work is done, or what a fault makes of it.
+// writeResponse sends the response to a request whose work is done, and applies the response faults.
 func (s *Server) writeResponse(w http.ResponseWriter, r *http.Request, c *conn, attempt *check.Attempt, faults Faults) {
 	switch {
 	case s.drawFault(faults.ResetShare):
 		s.Aborted.Add(1)
-		attempt.MarkFinished() // before the agent sees the reset and may send the next attempt
-		c.reset()              // it panics, so that nothing below runs
+		attempt.MarkFinished() // before the agent sees the reset and sends its next attempt
+		c.reset()              // panics, so nothing below runs
 	case s.drawFault(faults.LostShare):
 		s.Aborted.Add(1)
 		<-r.Context().Done()
@@ -209,12 +210,14 @@
 		attempt.MarkFinished()
 		c.reset() // as above
 	}
-	// Once the agent has the response it may send the next attempt, so this one ends before.
+	// The attempt is finished before the response is sent: the agent may send its next attempt as soon as
+	// it has the response.
 	attempt.MarkFinished()
 	_, _ = io.WriteString(w, body)
 }
 
-// reject answers that the request was not started, so that the agent may retry it elsewhere.
+// reject answers with the status and the header that marks the request as not started, so that the agent
+// may retry it elsewhere.
 func (s *Server) reject(w http.ResponseWriter, attempt *check.Attempt, status int) {
 	s.Rejected.Add(1)
 	attempt.MarkRejected()
@@ -223,7 +226,7 @@
 	w.WriteHeader(status)
 }
 
-// writeError answers with 500.
+// writeError responds with status 500.
 func (s *Server) writeError(w http.ResponseWriter) {
 	s.Errors.Add(1)
 	w.Header().Set("Content-Length", "0")
@@ -238,7 +241,7 @@
 	_, _ = io.WriteString(w, body)
 }
 
-// drawFault reports whether a fault of the given share concerns the present response.
+// drawFault draws whether a fault with the given share of responses affects the current one.
 func (s *Server) drawFault(share float64) bool {
 	if share <= 0 {
 		return false
@@ -248,7 +251,8 @@
 	return s.rng.Float64() < share
 }
 
-// drawRepeatDelay returns the time after which the present response is repeated, or 0 if it is not.
+// drawRepeatDelay draws the delay after which the current response is repeated, or returns 0 if it is
+// not repeated.
 func (s *Server) drawRepeatDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -258,7 +262,7 @@
 	return minRepeatDelay + time.Duration(s.rng.Int64N(int64(maxRepeatDelay-minRepeatDelay)+1))
 }
 
-// drawWorkNoise returns the factor between the work of an attempt and that of its request.
+// drawWorkNoise draws the factor between the work of an attempt and that of its request.
 func (s *Server) drawWorkNoise() float64 {
 	if s.WorkNoise <= 0 {
 		return 1
--- a/internal/lab/server/http_test.go
+++ b/internal/lab/server/http_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("answered %q", body)
 	}
 	if all, started := request.Attempts(); all != 1 || started != 1 {
-		t.Errorf("%d attempts, %d may have run", all, started)
+		t.Errorf("%d attempts, %d possibly started, want 1 and 1", all, started)
 	}
 }
 
@@ -48,8 +48,8 @@
 	ts.sendAndExpect("without an id", "404", r)
 }
 
-// The server has one slot and one place in its queue. A rejected request has not been started; one
-// that is canceled while it is worked on may have been.
+// The server has one slot and a queue of one. A rejected request counts as not started; one that is
+// canceled while it runs counts as possibly started.
 func TestRejectsRequestsBeyondTheQueue(t *testing.T) {
 	ts := newTestServer(t, nil).start(Version{Name: "1"}, false)
 	running, r := ts.newRequest("running", classLook, 1e6)
@@ -62,14 +62,14 @@
 	rejected, r := ts.newRequest("rejected", classLook, 1)
 	ts.sendAndExpect("beyond the queue", outcomeNotStarted+"503", r)
 	if _, started := rejected.Attempts(); started != 0 {
-		t.Error("a rejected request may have run")
+		t.Error("a rejected request counts as possibly started")
 	}
 
 	cancelRunning()
 	cancelQueued()
-	ts.waitUntil("idle after the cancellation", func() bool { return ts.State().InFlight == 0 })
+	ts.waitUntil("without requests after the cancellation", func() bool { return ts.State().InFlight == 0 })
 	if _, started := running.Attempts(); started != 1 {
-		t.Error("a request that was canceled while running may not have run")
+		t.Error("a request that was canceled while it ran counts as not started")
 	}
 }
 
@@ -102,12 +102,12 @@
 	ts.Kill()
 	_, r = ts.newRequest("killed", classLook, 1)
 	if got, _ := ts.send(r); got != outcomeRefused && got != outcomeBroken {
-		t.Errorf("a killed server: %s", got)
+		t.Errorf("request to a killed server: %s", got)
 	}
 }
 
-// Each answer, also that to a health check, comes a second time on its connection, unchanged and not
-// before minRepeatDelay. Without the fault nothing follows an answer.
+// With the fault each response, including that to a health check, is sent a second time on its
+// connection, unchanged and not before minRepeatDelay. Without the fault nothing follows a response.
 func TestRepeatedResponses(t *testing.T) {
 	ts := newTestServer(t, nil).start(Version{Name: "1"}, false)
 	c := ts.dial()
@@ -134,12 +134,12 @@
 		}
 		first, at := readResponse(), time.Now()
 		if second := readResponse(); second != first {
-			t.Errorf("%s: first\n%s\nthen\n%s", r.URL.Path, first, second)
+			t.Errorf("%s: first response\n%s\nsecond response\n%s", r.URL.Path, first, second)
 		}
 		if took := time.Since(at); took < minRepeatDelay/2 {
-			t.Errorf("%s: the second answer came %v after the first one", r.URL.Path, took)
+			t.Errorf("%s: the second response came %v after the first", r.URL.Path, took)
 		}
-		ts.waitUntil("counted", func() bool { return ts.Repeated.Load() == int64(i+1) })
+		ts.waitUntil("counted as repeated", func() bool { return ts.Repeated.Load() == int64(i+1) })
 	}
 	ts.SetFaults(Faults{})
 	_, r := ts.newRequest("once", classLook, 1)
@@ -149,11 +149,11 @@
 	readResponse()
 	_ = c.SetReadDeadline(time.Now().Add(5 * maxRepeatDelay))
 	if n, err := reader.Read(make([]byte, 1)); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("without the fault %d bytes follow an answer, error %v", n, err)
+		t.Errorf("without the fault %d bytes follow a response, error %v", n, err)
 	}
 }
 
-// The seed determines which answers are repeated and when.
+// The seed determines which responses are repeated and after what delay.
 func TestSeedDeterminesRepeats(t *testing.T) {
 	const draws = 1000
 	first, second := newTestServer(t, nil), newTestServer(t, nil)
@@ -163,17 +163,17 @@
 	for range draws {
 		delay := first.drawRepeatDelay()
 		if other := second.drawRepeatDelay(); other != delay {
-			t.Fatalf("one seed draws %v and %v", delay, other)
+			t.Fatalf("the same seed draws %v and %v", delay, other)
 		}
 		if delay == 0 {
 			continue
 		}
 		repeated++
 		if delay < minRepeatDelay || delay > maxRepeatDelay {
-			t.Errorf("repeated after %v", delay)
+			t.Errorf("a delay of %v is out of bounds", delay)
 		}
 	}
 	if repeated < draws/5 || repeated > 2*draws/5 {
-		t.Errorf("%d of %d answers are repeated, want three in ten", repeated, draws)
+		t.Errorf("%d of %d responses are repeated, want about 30 %%", repeated, draws)
 	}
 }
--- a/internal/lab/server/job.go
+++ b/internal/lab/server/job.go
@@ -5,8 +5,8 @@
 // Job is the work of one request in a Model.
 type Job struct {
 	Work           float64       // milliseconds of a standard core
-	Key            uint64        // a recently used key makes the work less; 0: none
-	ExpiresAt      time.Duration // a job that has not started by then is dropped; 0: never
+	Key            uint64        // if it was used recently the job takes less work; 0: no key
+	ExpiresAt      time.Duration // a job that has not started by this time is dropped; 0: it never expires
 	SenderNotified bool          // the sender had been notified of the server's start
 
 	ArrivedAt time.Duration
@@ -18,7 +18,7 @@
 	done          chan struct{} // closed by the Server when the job ends
 }
 
-// jobState says where in the model a job is.
+// jobState is the state of a job in the model.
 type jobState uint8
 
 const (
@@ -27,19 +27,19 @@
 	jobRunning
 )
 
-// Expired reports whether a job that has ended did so without being started.
+// Expired reports whether a job that has ended was dropped before it was started.
 func (j *Job) Expired() bool { return j.StartedAt == 0 && j.remainingWork > 0 }
 
 // Admission is the model's decision about a job that arrives.
 type Admission uint8
 
-// The decisions.
+// The possible decisions.
 const (
 	Admitted Admission = iota
-	Rejected           // all slots and queue places are taken, or the server has crashed
+	Rejected           // the slots and the queue are full, or the server has crashed
 )
 
-// removeJob returns the jobs without j, in their order. It reuses the slice.
+// removeJob returns the jobs without j, in the same order. It modifies the slice.
 func removeJob(jobs []*Job, j *Job) []*Job {
 	for i := range jobs {
 		if jobs[i] == j {
--- a/internal/lab/server/loadreport.go
+++ b/internal/lab/server/loadreport.go
@@ -17,11 +17,11 @@
 	metricQueued      = "queue"
 )
 
-// maxLoadSamples bounds the samples that are kept: enough for the longest delay over the shortest
-// interval.
+// maxLoadSamples bounds the number of samples that are kept. It is enough for the longest delay at the
+// shortest interval.
 const maxLoadSamples = 32
 
-// loadSample is the load of a server at one time.
+// loadSample is the load of a server at a point in time.
 type loadSample struct {
 	at               time.Duration
 	utilization      float64
@@ -46,7 +46,7 @@
 	}
 }
 
-// addLoadSample adds the model's present load to the samples. The caller holds s.mu.
+// addLoadSample adds the model's current load to the samples. The caller holds s.mu.
 func (s *Server) addLoadSample(m *Model, now time.Duration) {
 	inFlight, queued := m.InFlight()
 	if len(s.loadSamples) >= maxLoadSamples {
@@ -55,8 +55,8 @@
 	s.loadSamples = append(s.loadSamples, loadSample{now, m.Utilization(), inFlight, queued})
 }
 
-// loadReport returns the text of a load report, with noise, from the newest sample that is as old
-// as the delay; "" before the first sample.
+// loadReport returns the text of a load report with noise, from the newest sample that is at least as
+// old as the delay; "" before the first sample.
 func (s *Server) loadReport() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,8 +78,8 @@
 	return "TEXT " + strings.Join(parts, ", ")
 }
 
-// reportedSample returns the newest sample that is as old as the delay of the reports, or the
-// oldest one. The caller holds s.mu and there is a sample.
+// reportedSample returns the newest sample that is at least as old as the delay of the reports, or the
+// oldest sample. The caller holds s.mu, and there must be a sample.
 func (s *Server) reportedSample() loadSample {
 	reported := 0
 	latest := s.env.Clock() - s.LoadReports.Delay
@@ -91,12 +91,12 @@
 	return s.loadSamples[reported]
 }
 
-// addReportNoise returns the value as a report says it. The caller holds s.mu.
+// addReportNoise returns the value with random noise. The caller holds s.mu.
 func (s *Server) addReportNoise(value float64) float64 {
 	return max(value*(1+s.LoadReports.Noise*s.rng.NormFloat64()), 0)
 }
 
-// serveProbe answers a probe of the health or the load. Its work does not wait in the queue.
+// serveProbe answers a probe of the health or the load. The work of a probe does not wait in the queue.
 func (s *Server) serveProbe(w http.ResponseWriter, r *http.Request) {
 	load := r.URL.Path == loadPath
 	if r.Method != http.MethodGet || !s.LoadReports.ProbesEnabled || !load && r.URL.Path != healthPath || load && s.LoadReports.Mode == ReportOff {
--- a/internal/lab/server/loadreport_test.go
+++ b/internal/lab/server/loadreport_test.go
@@ -19,11 +19,11 @@
 	ts.sendAndExpect("health", "200", ts.newProbe("/health"))
 	ts.waitUntil("a report", func() bool { return ts.loadReport() != "" })
 	if body := ts.sendAndExpect("load", "200", ts.newProbe("/status/load")); !strings.HasPrefix(body, "TEXT util=0.000, inflight=0") {
-		t.Errorf("reports %q", body)
+		t.Errorf("load report %q", body)
 	}
 	ts.sendAndExpect("any other path", "404", ts.newProbe("/status"))
 	if n := ts.Probes.Load(); n != 3 {
-		t.Errorf("%d probes counted", n)
+		t.Errorf("%d probes counted, want 3", n)
 	}
 }
 
--- a/internal/lab/server/model.go
+++ b/internal/lab/server/model.go
@@ -5,25 +5,25 @@
 const (
 	// msPerSecond is the work that a standard core does in a second.
 	msPerSecond = 1000
-	// maxNeighbourShare bounds the part of a machine that another program takes.
+	// maxNeighbourShare bounds the share of a machine that another program can take.
 	maxNeighbourShare = 0.99
-	// minSlowdown bounds how much a slowdown below 1 speeds a server up.
+	// minSlowdown is the smallest slowdown factor; a factor below 1 speeds the server up.
 	minSlowdown = 0.01
 )
 
-// Model is the queue of one server. It has no clock: each call that takes a time moves the model
-// there, and the times must not decrease. It is not safe for concurrent use.
+// Model simulates the queue of one server. It has no clock: each call with a time argument advances the
+// model to that time, and the times must not decrease. It is not safe for concurrent use.
 type Model struct {
 	spec           Spec
 	now            time.Duration
 	startedAt      time.Duration
-	neighbourShare float64 // part of the machine that another program takes
-	slowdown       float64 // factor on the time of all work, by the version or a fault
+	neighbourShare float64 // share of the machine that another program takes
+	slowdown       float64 // factor by which all work takes longer, due to the version or a fault
 
 	running      []*Job
 	queue        []*Job
-	ended        []*Job  // not yet returned by Advance
-	workDone     float64 // for requests since the start
+	ended        []*Job  // ended jobs that Advance has not returned yet
+	workDone     float64 // work done for requests since the start
 	overheadWork float64 // remaining work of handshakes and probes
 	utilization  float64
 	pausedUntil  time.Duration
@@ -33,12 +33,12 @@
 	recentKeys keyCache
 
 	warmingUp      bool
-	warmupArrivals []warmupArrival // within the last window
+	warmupArrivals []warmupArrival // within the last CrashWindow
 	crash          *WarmupCrash    // nil: the server has not crashed
 }
 
-// NewModel returns the model of a server that starts at the given time. A cold server begins with
-// its warm-up; any other one has its full capacity.
+// NewModel returns the model of a server that starts at the given time. A cold server starts with its
+// warm-up; any other server has its full capacity at once.
 func NewModel(spec Spec, now time.Duration, cold bool) *Model {
 	return &Model{
 		spec:        spec,
@@ -53,38 +53,37 @@
 }
 
 // Capacity returns the work that the server does in a second with all cores busy, in standard-core
-// milliseconds. It leaves out overload and thrashing.
+// milliseconds. It does not account for overload and thrashing.
 func (m *Model) Capacity() float64 {
 	return msPerSecond * float64(m.spec.Cores) * m.spec.Speed * m.WarmupFactor() * (1 - m.neighbourShare) / m.slowdown
 }
 
-// InFlight returns the number of requests in the server, and how many of them are queued.
+// InFlight returns the number of requests in the server, running or queued, and the number of queued ones.
 func (m *Model) InFlight() (total, queued int) { return len(m.running) + len(m.queue), len(m.queue) }
 
 // Utilization returns the busy share of the cores, as an exponential moving average.
 func (m *Model) Utilization() float64 { return m.utilization }
 
-// SetNeighbourShare sets the part of the machine that another program takes from now on.
+// SetNeighbourShare sets the share of the machine that another program takes from now on.
 func (m *Model) SetNeighbourShare(now time.Duration, share float64) {
 	m.advance(now)
 	m.neighbourShare = min(max(share, 0), maxNeighbourShare)
 }
 
-// SetSlowdown multiplies the time that all work takes from now on by a factor; 1 is the normal
-// speed.
+// SetSlowdown sets the factor by which all work takes longer from now on; 1 is the normal speed.
 func (m *Model) SetSlowdown(now time.Duration, factor float64) {
 	m.advance(now)
 	m.slowdown = max(factor, minSlowdown)
 }
 
-// AddOverhead adds work that belongs to no request: a handshake or a probe.
+// AddOverhead adds work outside of requests: that of a handshake or a probe.
 func (m *Model) AddOverhead(now time.Duration, work float64) {
 	m.advance(now)
 	m.overheadWork += work
 }
 
-// Arrive adds a job, or rejects it if there is no room or the server has crashed. The work of a
-// rejected job counts towards a crash during the warm-up too.
+// Arrive adds a job, or rejects it if the slots and the queue are full or the server has crashed. The
+// work of rejected jobs also counts towards a crash during the warm-up.
 func (m *Model) Arrive(now time.Duration, j *Job) Admission {
 	m.advance(now)
 	m.recordWarmupArrival(j)
@@ -104,7 +103,7 @@
 	return Admitted
 }
 
-// Cancel removes a job whose result nobody waits for; its work stops. It does nothing to a job
+// Cancel removes a job whose result is no longer needed and stops its work. It has no effect on a job
 // that has ended.
 func (m *Model) Cancel(now time.Duration, j *Job) {
 	m.advance(now)
@@ -119,8 +118,8 @@
 	m.checkOverloadThreshold()
 }
 
-// Advance moves the model to now and returns the jobs that have ended since the last call, those
-// that expired in the queue included.
+// Advance advances the model to now and returns the jobs that have ended since the last call, including
+// those that expired in the queue.
 func (m *Model) Advance(now time.Duration) []*Job {
 	m.advance(now)
 	ended := m.ended
@@ -128,7 +127,7 @@
 	return ended
 }
 
-// startJob begins the work on a job. A recently used key makes the work less.
+// startJob starts the work on a job. A recently used key reduces the work by the affinity gain.
 func (m *Model) startJob(j *Job) {
 	j.state, j.StartedAt = jobRunning, max(m.now, 1)
 	if j.Key != 0 && m.spec.AffinityGain > 0 {
@@ -140,7 +139,7 @@
 	m.running = append(m.running, j)
 }
 
-// startQueuedJobs fills the free slots from the queue. Expired jobs end without being started.
+// startQueuedJobs moves jobs from the queue to free slots. Expired jobs end without being started.
 func (m *Model) startQueuedJobs() {
 	for len(m.queue) > 0 && len(m.running) < m.spec.Slots {
 		j := m.queue[0]
--- a/internal/lab/server/model_test.go
+++ b/internal/lab/server/model_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// runJobs lets jobs arrive at the given times and advances the model to their end. It returns them.
+// runJobs adds a job at each of the given times, advances the model until all have ended, and returns them.
 func runJobs(m *Model, arrivals []time.Duration, work func(i int) float64) []*Job {
 	jobs := make([]*Job, len(arrivals))
 	for i, at := range arrivals {
@@ -25,7 +25,8 @@
 	}
 }
 
-// erlangCMeanWait is the mean wait of an M/M/c queue, in units of the mean service time.
+// erlangCMeanWait returns the mean wait of an M/M/c queue by Erlang's C formula, in units of the mean
+// service time.
 func erlangCMeanWait(c int, load float64) float64 {
 	a := load * float64(c)
 	sum, term := 0.0, 1.0
@@ -48,8 +49,8 @@
 	return total / float64(len(jobs))
 }
 
-// The mean waiting time under Poisson arrivals is that of Erlang's C formula for M/M/c, and of
-// Pollaczek and Khinchine's for M/D/1.
+// Under Poisson arrivals the mean waiting time agrees with Erlang's C formula for M/M/c and with the
+// Pollaczek-Khinchine formula for M/D/1.
 func TestWaitingTimesMatchQueueingTheory(t *testing.T) {
 	const n, meanWork, speed = 400_000, 10.0, 2
 	for _, queue := range []struct {
@@ -75,15 +76,15 @@
 			if queue.fixedWork {
 				want = queue.load / (2 * (1 - queue.load)) * meanWork / speed
 			}
-			t.Logf("mean wait %.3f ms, known %.3f ms", got, want)
+			t.Logf("mean wait %.3f ms, theory %.3f ms", got, want)
 			if math.Abs(got-want) > 0.05*want {
-				t.Errorf("mean wait %.3f ms, known %.3f ms: more than 5 %% apart", got, want)
+				t.Errorf("mean wait %.3f ms, theory %.3f ms: more than 5 %% apart", got, want)
 			}
 		})
 	}
 }
 
-// With work always waiting, the work done by a time is the integral of the warm-up factor up to it.
+// While the queue is never empty, the work done up to a time is the integral of the warm-up factor over it.
 func TestWarmupByTime(t *testing.T) {
 	spec := Spec{Cores: 2, Speed: 1.5, Slots: 4, QueueCapacity: 1 << 20, WarmupStartFactor: 0.2, WarmupDuration: 10 * time.Second}
 	m := NewModel(spec, 0, true)
@@ -98,11 +99,11 @@
 		x := min(float64(s), 10)
 		want := 3000 * (0.2*x + 0.8*x*x/20 + float64(s) - x)
 		if math.Abs(done-want) > 0.01*want+40 {
-			t.Errorf("after %d s %.0f ms of work done, the warm-up factor says %.0f", s, done, want)
+			t.Errorf("after %d s %.0f ms of work done, want %.0f by the warm-up factor", s, done, want)
 		}
 	}
 	if m.WarmupFactor() != 1 {
-		t.Errorf("warm-up factor %v after its duration", m.WarmupFactor())
+		t.Errorf("warm-up factor %v after the warm-up duration, want 1", m.WarmupFactor())
 	}
 }
 
@@ -112,7 +113,7 @@
 	for range 20 {
 		m.Arrive(0, &Job{Work: 100})
 	}
-	// With work w done the rate is 0.5+0.5w/1000, so w(t) = 1000(e^(t/2)-1): warm at 2 ln 2 s.
+	// After work w the rate is 0.5+0.5w/1000, so w(t) = 1000(e^(t/2)-1), and the server is warm at 2 ln 2 s.
 	warmAt := 2 * math.Ln2 * float64(time.Second)
 	m.Advance(time.Duration(0.98 * warmAt))
 	if factor := m.WarmupFactor(); factor >= 1 || factor < 0.96 {
@@ -124,11 +125,11 @@
 	}
 }
 
-// overloadSpec is of a server that is overloaded after 2 s with more than four requests.
+// overloadSpec describes a server that becomes overloaded after 2 s with more than four requests.
 var overloadSpec = Spec{Cores: 1, Speed: 1, Slots: 20, QueueCapacity: 20, Overload: Overload{RequestsPerCore: 4, After: 2 * time.Second,
 	Slowdown: 3, RecoveryUtilization: 0.3, RecoveryPeriod: 3 * time.Second, MaxDuration: 20 * time.Second}}
 
-// arriveTogether lets n jobs arrive at once and returns them.
+// arriveTogether adds n jobs at time 0 and returns them.
 func arriveTogether(m *Model, n int, work float64) []*Job {
 	jobs := make([]*Job, n)
 	for i := range jobs {
@@ -143,20 +144,20 @@
 	jobs := arriveTogether(m, 5, 1000)
 	m.Advance(1999 * ms)
 	if m.Overloaded() {
-		t.Fatal("overloaded before its time")
+		t.Fatal("overloaded before 2 s above the threshold")
 	}
 	m.Advance(2001 * ms)
 	if !m.Overloaded() {
 		t.Fatal("not overloaded after 2 s above the threshold")
 	}
-	// 5000 ms of work: 2000 done, the rest at a third of the speed takes 9 s.
+	// Of 5000 ms of work 2000 are done; the rest takes 9 s at a third of the speed.
 	m.Advance(12 * time.Second)
 	if end := jobs[0].EndedAt; end < 10990*ms || end > 11010*ms {
 		t.Errorf("the jobs ended at %v, want 11 s", end)
 	}
 	for now := 12 * time.Second; m.Overloaded(); now += 100 * ms {
 		if m.Advance(now); now > 15*time.Second {
-			t.Fatal("still overloaded after an idle recovery period")
+			t.Fatal("still overloaded after a recovery period without load")
 		}
 	}
 }
@@ -166,19 +167,19 @@
 	arriveTogether(m, 5, 1e9)
 	m.Advance(21 * time.Second)
 	if !m.Overloaded() {
-		t.Error("a busy server has recovered")
+		t.Error("a busy server recovered before the maximum duration")
 	}
 	m.Advance(22*time.Second + ms)
 	if m.Overloads() != 1 || m.Overloaded() {
-		t.Errorf("overloaded %d times, still %v, after the longest time", m.Overloads(), m.Overloaded())
+		t.Errorf("after the maximum duration: overloaded %d times, want 1; still overloaded: %v", m.Overloads(), m.Overloaded())
 	}
 }
 
-// A server crashes when more work arrives than its limit while it warms up, and only then.
+// A server crashes if the work that arrives during its warm-up exceeds the limit, and only then.
 func TestCrashDuringWarmup(t *testing.T) {
 	spec := Spec{Cores: 1, Speed: 1, Slots: 2, QueueCapacity: 2, WarmupStartFactor: 0.25, WarmupDuration: 100 * time.Second,
 		CrashLoadMultiple: 4, CrashWindow: time.Second, CrashSlack: 100}
-	// Three quarters of the jobs are from senders that were notified of the start.
+	// Three quarters of the jobs come from senders that were notified of the start.
 	crashUnder := func(jobsPerSecond int, cold bool) *WarmupCrash {
 		m := NewModel(spec, 0, cold)
 		for i := range jobsPerSecond * 3 {
@@ -187,17 +188,17 @@
 		return m.Crash()
 	}
 	if crash := crashUnder(10, true); crash != nil {
-		t.Errorf("crashed under 1000 ms a second, which is the limit: %+v", crash)
+		t.Errorf("crashed at 1000 ms a second, which is the limit: %+v", crash)
 	}
 	if crash := crashUnder(16, true); crash == nil || crash.NotifiedShare < 0.6 || crash.NotifiedShare > 0.8 {
-		t.Errorf("no crash under 1600 ms a second, or another share of notified senders: %+v", crash)
+		t.Errorf("crash at 1600 ms a second: %+v, want one with a notified share of 0.6 to 0.8", crash)
 	}
 	if crash := crashUnder(50, false); crash != nil {
 		t.Errorf("a warm server crashed: %+v", crash)
 	}
 }
 
-// A job that is still queued at its expiry ends unstarted, once it would get a slot.
+// A job that is still queued at its expiry ends without being started when a slot becomes free for it.
 func TestQueuedJobsExpire(t *testing.T) {
 	m := NewModel(Spec{Cores: 1, Speed: 1, Slots: 1, QueueCapacity: 2}, 0, false)
 	for _, j := range []*Job{{Work: 100}, {Work: 10, ExpiresAt: 99 * ms}, {Work: 10, ExpiresAt: 200 * ms}} {
@@ -208,6 +209,6 @@
 		expired = append(expired, j.Expired())
 	}
 	if want := []bool{false, true, false}; !slices.Equal(expired, want) {
-		t.Errorf("the jobs that ended have expired: %v, want %v", expired, want)
+		t.Errorf("Expired of the ended jobs: %v, want %v", expired, want)
 	}
 }
--- a/internal/lab/server/modelinvariants_test.go
+++ b/internal/lab/server/modelinvariants_test.go
@@ -9,24 +9,24 @@
 
 const (
 	invariantSpeed = 2
-	// invariantAffinityGain is the most that a recently used key saves of a job's work.
+	// invariantAffinityGain is the share of a job's work that a recently used key saves.
 	invariantAffinityGain = 0.5
-	// maxInvariantEvents bounds the events from the last arrival to the last job's end.
+	// maxInvariantEvents bounds the number of events between the last operation and the end of the last job.
 	maxInvariantEvents = 10_000
 )
 
-// modelRun is a sequence of random operations on a model, with what is known of its jobs.
+// modelRun applies random operations to a model and tracks the jobs.
 type modelRun struct {
 	t     *rapid.T
 	spec  Spec
 	model *Model
 	now   time.Duration
 
-	admitted  []*Job        // in order
+	admitted  []*Job        // in the order of arrival
 	inFlight  map[*Job]bool // admitted, and neither ended nor canceled
 	canceled  int
 	ended     int
-	leastWork float64 // of the ended jobs, if each had saved the affinity gain
+	leastWork float64 // work of the ended jobs if each saved the affinity gain
 }
 
 func newModelRun(t *rapid.T) *modelRun {
@@ -45,7 +45,7 @@
 	return &modelRun{t: t, spec: spec, model: model, inFlight: map[*Job]bool{}}
 }
 
-// step draws an operation and the time until it, and checks the jobs in flight after it.
+// step applies a random operation after a random time, and checks the number of jobs in flight after it.
 func (r *modelRun) step() {
 	r.now += time.Duration(rapid.IntRange(0, 80).Draw(r.t, "ms")) * ms
 	switch rapid.IntRange(0, 9).Draw(r.t, "operation") {
@@ -60,11 +60,11 @@
 	}
 	r.endJobs(r.model.Advance(r.now))
 	if total, _ := r.model.InFlight(); total != len(r.inFlight) {
-		r.t.Fatalf("%d jobs in flight, of the admitted ones %d have not ended", total, len(r.inFlight))
+		r.t.Fatalf("the model has %d jobs in flight, want %d", total, len(r.inFlight))
 	}
 }
 
-// cancelJob cancels one of the admitted jobs, which may have ended.
+// cancelJob cancels one of the admitted jobs, which may have ended already.
 func (r *modelRun) cancelJob() {
 	if len(r.admitted) == 0 {
 		return
@@ -89,11 +89,11 @@
 	}
 }
 
-// endJobs checks that the jobs were in flight and took at least their least time.
+// endJobs checks that each job was in flight and took at least the shortest possible time.
 func (r *modelRun) endJobs(jobs []*Job) {
 	for _, j := range jobs {
 		if !r.inFlight[j] {
-			r.t.Fatal("a job ended twice, or was never admitted")
+			r.t.Fatal("a job ended twice or was never admitted")
 		}
 		delete(r.inFlight, j)
 		r.ended++
@@ -108,7 +108,7 @@
 	}
 }
 
-// finish advances the model until no jobs are left, or for maxInvariantEvents.
+// finish advances the model until no jobs are left, for at most maxInvariantEvents events.
 func (r *modelRun) finish() {
 	for range maxInvariantEvents {
 		next, ok := r.model.NextEvent()
@@ -120,8 +120,8 @@
 	}
 }
 
-// Under any operations no job is done sooner than its work takes on an idle machine, none is lost,
-// and the work done is not more than the cores can do.
+// Under any operations no job ends earlier than it would on an idle machine, no job is lost, and the work
+// done does not exceed the capacity of the cores.
 func TestModelInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := newModelRun(t)
@@ -130,11 +130,11 @@
 		}
 		run.finish()
 		if len(run.inFlight) > 0 || run.ended+run.canceled != len(run.admitted) {
-			t.Fatalf("%d admitted, %d ended, %d canceled, %d left", len(run.admitted), run.ended, run.canceled, len(run.inFlight))
+			t.Fatalf("%d admitted, %d ended, %d canceled, %d still in flight", len(run.admitted), run.ended, run.canceled, len(run.inFlight))
 		}
 		capacity := run.now.Seconds() * 1000 * float64(run.spec.Cores) * invariantSpeed
 		if run.leastWork > capacity+1 {
-			t.Fatalf("%.0f ms of work done, the cores can do %.0f", run.leastWork, capacity)
+			t.Fatalf("%.0f ms of work done, the capacity of the cores is %.0f", run.leastWork, capacity)
 		}
 	})
 }
--- a/internal/lab/server/modeltime.go
+++ b/internal/lab/server/modeltime.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// utilizationTimeConstant is the time constant of the average utilization that load reports say.
+	// utilizationTimeConstant is the time constant of the moving average of the utilization in load reports.
 	utilizationTimeConstant = 200 * time.Millisecond
-	// minRemainingWork is the work below which a job is done: less is a rounding error.
+	// minRemainingWork is the remaining work up to which a job counts as done, to absorb rounding errors.
 	minRemainingWork = 1e-9
-	// noChange takes the place of the time of a change that is not ahead.
+	// noChange is the time of a change that will not happen.
 	noChange time.Duration = math.MaxInt64
 )
 
-// rates is how fast the work goes on until the next change.
+// rates are the speeds at which work proceeds until the next change.
 type rates struct {
-	job      float64 // of each running job, in standard-core milliseconds a second
+	job      float64 // of each running job, in standard-core milliseconds per second
 	overhead float64 // of the work of handshakes and probes
 	busy     float64 // busy share of the cores
 }
 
-// currentRates returns the present rates.
+// currentRates returns the rates at the model's current time. They are 0 while the server is idle or paused.
 func (m *Model) currentRates() rates {
 	tasks := float64(len(m.running))
 	if m.overheadWork > 0 {
@@ -51,8 +51,8 @@
 	return rate
 }
 
-// NextEvent returns the time to which to advance the model next if no job arrives before; false
-// while there are no jobs.
+// NextEvent returns the time to which the model has to be advanced next unless a job arrives earlier. It
+// returns false while there are no jobs.
 func (m *Model) NextEvent() (time.Duration, bool) {
 	if len(m.running) == 0 && len(m.queue) == 0 {
 		return 0, false
@@ -60,7 +60,7 @@
 	return m.nextChange(noChange), true
 }
 
-// nextChange returns the time until which the present rates are valid, but at most limit.
+// nextChange returns the time until which the current rates are valid, but at most limit.
 func (m *Model) nextChange(limit time.Duration) time.Duration {
 	next := min(limit, m.nextCompletion(), m.nextPauseChange(), m.nextOverloadChange())
 	if m.warmingUp {
@@ -69,8 +69,8 @@
 	return next
 }
 
-// nextCompletion returns when the first running job, or the overhead work, is done at the present
-// rates; noChange if nothing goes on.
+// nextCompletion returns when the first of the running jobs and the overhead work is done at the current
+// rates, or noChange if no work proceeds.
 func (m *Model) nextCompletion() time.Duration {
 	r := m.currentRates()
 	next := noChange
@@ -85,16 +85,16 @@
 	return next
 }
 
-// completionAt returns the time by which the work is certainly done at the rate: it rounds up.
+// completionAt returns a time at which the work is certainly done at the rate; it rounds up.
 func (m *Model) completionAt(work, rate float64) time.Duration {
 	return m.now + time.Duration(math.Ceil(work/rate*1e9)) + 1
 }
 
-// hasPauses reports whether the server stands still at times.
+// hasPauses reports whether the server pauses at intervals.
 func (m *Model) hasPauses() bool { return m.spec.PauseInterval > 0 && m.spec.PauseDuration > 0 }
 
-// nextPauseChange returns when the present pause ends or the next one begins; noChange if the
-// server has no pauses.
+// nextPauseChange returns when the current pause ends or the next one begins, or noChange if the server
+// has no pauses.
 func (m *Model) nextPauseChange() time.Duration {
 	if !m.hasPauses() {
 		return noChange
@@ -106,7 +106,7 @@
 	return next
 }
 
-// startPause begins a pause when its time has come.
+// startPause starts a pause if one is due.
 func (m *Model) startPause() {
 	if m.hasPauses() && m.now >= m.nextPauseAt {
 		m.pausedUntil = m.now + m.spec.PauseDuration
@@ -114,7 +114,7 @@
 	}
 }
 
-// advance moves the model to now, from one change of the rates to the next.
+// advance advances the model to now in steps from one change of the rates to the next.
 func (m *Model) advance(now time.Duration) {
 	for m.now < now {
 		if m.isIdle() {
@@ -127,12 +127,12 @@
 	m.endWarmup()
 }
 
-// isIdle reports whether nothing changes by itself, apart from the warm-up by time.
+// isIdle reports whether the state can't change without a new job, apart from the warm-up by time.
 func (m *Model) isIdle() bool {
 	return len(m.running) == 0 && m.overheadWork <= 0 && !m.Overloaded() && m.spec.PauseInterval <= 0
 }
 
-// advanceToChange moves the model to a time until which the present rates are valid.
+// advanceToChange advances the model to a time until which the current rates are valid.
 func (m *Model) advanceToChange(end time.Duration) {
 	r := m.currentRates()
 	seconds := (end - m.now).Seconds()
@@ -148,8 +148,8 @@
 	m.updateOverload()
 }
 
-// recordUtilization adds the time up to end, with the given busy share of the cores, to the
-// average utilization and to the recovery period of an overload.
+// recordUtilization adds the time up to end, with the given busy share of the cores, to the average
+// utilization and, during an overload, to the current recovery period.
 func (m *Model) recordUtilization(end time.Duration, busy float64) {
 	decay := math.Exp(-float64(end-m.now) / float64(utilizationTimeConstant))
 	m.utilization = m.utilization*decay + busy*(1-decay)
@@ -158,7 +158,7 @@
 	}
 }
 
-// finishJobs ends the running jobs that are done, and starts queued ones in their place.
+// finishJobs ends the running jobs that are done and starts queued jobs in the free slots.
 func (m *Model) finishJobs() {
 	remaining := m.running[:0]
 	for _, j := range m.running {
--- a/internal/lab/server/networkgate.go
+++ b/internal/lab/server/networkgate.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// networkGate holds up what a server's connections read and write while its machine is isolated.
+// networkGate blocks reads and writes on a server's connections while its machine is isolated.
 type networkGate struct {
 	mu   sync.Mutex
 	open chan struct{} // closed while the gate is open
@@ -42,8 +42,8 @@
 	}
 }
 
-// wait waits until the gate is open or the connection is closed, and returns which: open is false
-// if the connection was closed first. waited reports whether the gate was closed at the call.
+// wait blocks until the gate is open or the connection is closed. open is false if the connection was
+// closed first. waited reports whether the gate was closed at the time of the call.
 func (g *networkGate) wait(connClosed <-chan struct{}) (waited, open bool) {
 	g.mu.Lock()
 	opened := g.open
--- a/internal/lab/server/overload.go
+++ b/internal/lab/server/overload.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// notSet takes the place of a time at which something began that is not the case.
+// notSet is the start time of a state that does not apply.
 const notSet = -1
 
-// overloadState is whether a server is overloaded, or about to be.
+// overloadState tracks whether a server is overloaded or above the threshold of an overload.
 type overloadState struct {
 	exceededSince       time.Duration // when the requests in flight rose above the threshold, or notSet
-	overloadedSince     time.Duration // or notSet
-	recoveryPeriodStart time.Duration // while the server is overloaded
-	recoveryBusySeconds float64       // busy share of the cores in this recovery period, times its length
-	count               int           // of overloads
+	overloadedSince     time.Duration // when the overload began, or notSet
+	recoveryPeriodStart time.Duration // valid while the server is overloaded
+	recoveryBusySeconds float64       // integral of the busy share of the cores over this recovery period
+	count               int           // number of overloads
 }
 
-// Overloaded reports whether the server is slower because too many requests were in flight.
+// Overloaded reports whether the server is slowed down because too many requests were in flight.
 func (m *Model) Overloaded() bool { return m.overload.overloadedSince >= 0 }
 
 // Overloads returns how often the server has become overloaded.
 func (m *Model) Overloads() int { return m.overload.count }
 
-// checkOverloadThreshold records since when the requests in flight are above the threshold.
+// checkOverloadThreshold records when the requests in flight rose above the threshold, or that they are not
+// above it.
 func (m *Model) checkOverloadThreshold() {
 	spec, state := &m.spec.Overload, &m.overload
 	inFlight := float64(len(m.running) + len(m.queue))
@@ -33,8 +34,8 @@
 	}
 }
 
-// nextOverloadChange returns when the server becomes overloaded, or when its recovery is checked
-// next; noChange if neither is ahead.
+// nextOverloadChange returns when the server becomes overloaded or its recovery is checked next, or
+// noChange if it is neither overloaded nor above the threshold.
 func (m *Model) nextOverloadChange() time.Duration {
 	spec, state := &m.spec.Overload, &m.overload
 	switch {
@@ -48,7 +49,7 @@
 	return noChange
 }
 
-// updateOverload begins or ends the overload when its time has come.
+// updateOverload starts or ends an overload if the conditions are met.
 func (m *Model) updateOverload() {
 	spec, state := &m.spec.Overload, &m.overload
 	if !m.Overloaded() {
--- a/internal/lab/server/process.go
+++ b/internal/lab/server/process.go
@@ -9,15 +9,16 @@
 	"knotrouter/internal/endpoints"
 )
 
-// healthStarting is the health of a process that is not ready yet, and of a server that was never
-// started. The other values are those of the endpoint list.
+// healthStarting is the health of a process that is not ready yet and of a server that was never started.
+// The other values are those of the endpoint list.
 const healthStarting = ""
 
-// ErrAlreadyRunning is the error of Start while there is a process that is ready or drains.
-var ErrAlreadyRunning = errors.New("it runs already")
+// ErrAlreadyRunning is returned by Start while the server is ready or draining.
+var ErrAlreadyRunning = errors.New("already running")
 
-// Start starts a process of the version. A cold one starts now and warms up; any other one counts
-// as started long ago. It returns an error if the server is ready or draining, or can't listen.
+// Start starts a process of the version. A cold process has a start time of now and warms up; any other
+// process counts as started long ago. It returns an error if the server is ready or draining, or can't
+// listen.
 func (s *Server) Start(version Version, cold bool) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	incarnation, err := s.beginIncarnation(version, cold, cancel)
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// beginIncarnation sets up the state of a new process and returns its number. cancel ends what
-// runs in the process's context. It returns ErrAlreadyRunning if the server is ready or draining.
+// beginIncarnation sets up the state of a new process and returns its incarnation number. cancel cancels
+// the context of the process. It returns ErrAlreadyRunning if the server is ready or draining.
 func (s *Server) beginIncarnation(version Version, cold bool, cancel context.CancelFunc) (int, error) {
 	now := s.env.Clock()
 	s.mu.Lock()
@@ -72,29 +73,29 @@
 	return s.incarnation, nil
 }
 
-// isServing reports whether a server of that health has a process that was ready.
+// isServing reports whether a server with the health has a process that became ready.
 func isServing(health string) bool {
 	return health == endpoints.Ready || health == endpoints.Draining
 }
 
-// callLater calls f in a goroutine of its own after the delay, unless the context ends before.
+// callLater calls f in its own goroutine after the delay, unless the context ends first.
 func callLater(ctx context.Context, delay time.Duration, f func()) {
 	timer := time.AfterFunc(delay, f)
 	context.AfterFunc(ctx, func() { timer.Stop() })
 }
 
-// markReady makes the process ready if it is still the present one and is starting.
+// markReady makes the process ready if it is still the current one and is starting.
 func (s *Server) markReady(incarnation int) {
 	s.changeHealth(endpoints.Ready, func() bool { return s.incarnation == incarnation && s.health == healthStarting })
 }
 
-// Drain makes a ready server reject new requests. It completes those that it has.
+// Drain makes a ready server reject new requests. It completes the requests in flight.
 func (s *Server) Drain() {
 	s.changeHealth(endpoints.Draining, func() bool { return s.health == endpoints.Ready })
 }
 
-// changeHealth sets the health and notifies of it if the condition, which is called with s.mu held,
-// is met.
+// changeHealth sets the health and calls Env.HealthChanged if the condition is met. The condition is
+// evaluated with s.mu held.
 func (s *Server) changeHealth(health string, condition func() bool) {
 	s.mu.Lock()
 	changed := condition()
@@ -107,8 +108,8 @@
 	}
 }
 
-// Kill ends the process: its connections are reset and new ones refused. Without a process it does
-// nothing.
+// Kill ends the process: its connections are reset and new connections are refused. Without a process
+// it has no effect.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	incarnation := s.incarnation
@@ -116,7 +117,7 @@
 	s.endProcess(incarnation)
 }
 
-// endProcess ends the process if it is still the present one.
+// endProcess ends the process if it is still the current one.
 func (s *Server) endProcess(incarnation int) {
 	s.mu.Lock()
 	if s.incarnation != incarnation || s.cancelIncarnation == nil {
@@ -136,8 +137,9 @@
 	s.notifyHealthChanged(endpoints.Removed, false)
 }
 
-// Isolate cuts the machine off from the network: open connections stay open and silent, and new
-// ones never come up. The process goes on. It returns an error if the listener can't be silenced.
+// Isolate cuts the machine off from the network: open connections stay open without traffic, and new
+// ones are never established. The process continues to run. It returns an error if the listener can't be
+// silenced.
 func (s *Server) Isolate() error {
 	s.network.setOpen(false)
 	if err := s.listener.Silence(); err != nil {
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -16,15 +16,15 @@
 	"knotrouter/internal/lab/loopback"
 )
 
-// Counters counts since the server was created.
+// Counters are the totals since the server was created.
 type Counters struct {
-	Arrived     atomic.Int64 // requests
+	Arrived     atomic.Int64 // requests that arrived
 	Served      atomic.Int64 // complete responses, and truncated ones
 	Rejected    atomic.Int64 // requests that were rejected without being started
 	Errors      atomic.Int64 // responses with 500
 	Aborted     atomic.Int64 // requests that were canceled, and responses that a fault broke
 	Repeated    atomic.Int64 // responses that a fault sent a second time
-	Connections atomic.Int64 // accepted
+	Connections atomic.Int64 // accepted connections
 	Probes      atomic.Int64
 	WorkMicros  atomic.Int64 // work of completed requests, in standard-core microseconds
 }
@@ -34,37 +34,36 @@
 	Config
 	Counters
 
-	// Operations records the operations that the holders of leased tasks did at this server. It
-	// belongs to the machine: a new process has it too.
+	// Operations records the operations that the holders of leased tasks performed at this server. It
+	// belongs to the machine, so a new process keeps it.
 	Operations *check.OperationLog
 
 	env        *Env
 	listener   *loopback.Listener
-	accepted   *loopback.Conns // connections on their way from the listener to the HTTP server
+	accepted   *loopback.Conns // passes connections from the listener to the HTTP server
 	openConns  loopback.Set
 	httpServer *http.Server
 	network    *networkGate
 	background sync.WaitGroup
 
 	mu                sync.Mutex
-	model             *Model // nil: the server was never started or looked at
+	model             *Model // nil until the first start or query
 	version           Version
 	faults            Faults
 	health            string
 	startedMs         int64
-	incarnation       int                // number of the present or last process; 0: none yet
+	incarnation       int                // number of the current or last process; 0: none yet
 	cancelIncarnation context.CancelFunc // nil: there is no process
 	jobTimer          *time.Timer        // advances the model to its next event; nil before the first
 	loadSamples       []loadSample
 	rng               *rand.Rand
 	neighbourShare    float64
-	slowdown          float64 // by a fault, beside the version's
+	slowdown          float64 // slowdown by a fault, in addition to the version's
 }
 
 // New returns a server that listens at the address and is not started: it refuses connections
-// until Start. The seed, with the server's index, determines the noise of its work and reports and
-// which responses its faults concern. It returns an error if it can't listen. The caller closes
-// the server.
+// until Start. The seed and the server's index determine the noise of its work and reports and which
+// responses its faults affect. It returns an error if it can't listen. The caller must close the server.
 func New(config Config, env *Env, addr string, seed uint64) (*Server, error) {
 	s := &Server{
 		Config:     config,
@@ -90,8 +89,8 @@
 	return s, nil
 }
 
-// newHTTPServer returns the HTTP front. It hands each request its conn in the context, and tells the
-// conn when the first byte of a request arrived and when a response was written completely.
+// newHTTPServer returns the HTTP server. It passes each request its conn in the context, and notifies
+// the conn when the first byte of a request arrived and when a response was completely written.
 func (s *Server) newHTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           s,
@@ -123,33 +122,33 @@
 	s.background.Wait()
 }
 
-// Addr returns the address at which the server listens. It stays the same for all its processes.
+// Addr returns the address on which the server listens. It is the same for all its processes.
 func (s *Server) Addr() string { return s.listener.Addr() }
 
-// StartedMs returns when the present or last process started, in Unix milliseconds; 0 if that is
-// long ago.
+// StartedMs returns when the current or last process started, in Unix milliseconds, or 0 if it counts
+// as started long ago.
 func (s *Server) StartedMs() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.startedMs
 }
 
-// Health returns the health as the endpoint list would say it, or "" before the server is ready.
+// Health returns the health as in the endpoint list, or "" before the server is ready.
 func (s *Server) Health() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.health
 }
 
-// VersionName returns the name of the present or last process's version.
+// VersionName returns the name of the version of the current or last process.
 func (s *Server) VersionName() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version.Name
 }
 
-// SetNeighbourShare gives a part of the machine to another program from now on, also under later
-// processes. 0 gives it back.
+// SetNeighbourShare sets the share of the machine that another program takes from now on, for the
+// current and later processes. 0 ends it.
 func (s *Server) SetNeighbourShare(share float64) {
 	s.updateModel(func(m *Model, now time.Duration) {
 		s.neighbourShare = share
@@ -157,8 +156,8 @@
 	})
 }
 
-// SetSlowdown multiplies the time that work takes by the factor from now on, also under later
-// processes and beside the slowdown of their versions. 1 ends it.
+// SetSlowdown multiplies the time that work takes by the factor from now on, for the current and later
+// processes and in addition to the slowdown of their versions. 1 ends it.
 func (s *Server) SetSlowdown(factor float64) {
 	s.updateModel(func(_ *Model, now time.Duration) {
 		s.slowdown = factor
@@ -175,19 +174,19 @@
 	s.model.SetSlowdown(now, factor)
 }
 
-// SetFaults sets which shares of the responses go wrong from now on.
+// SetFaults sets the shares of the responses that faults affect from now on.
 func (s *Server) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-// State is the state of a server at one time.
+// State is the state of a server at a point in time.
 type State struct {
 	Name            string
 	Health          string
 	Version         string
-	InFlight        int // requests, the queued ones included
+	InFlight        int // requests, including queued ones
 	Queued          int
 	Utilization     float64
 	WarmupFactor    float64
@@ -196,7 +195,7 @@
 	OpenConnections int
 }
 
-// State returns the present state.
+// State returns the current state.
 func (s *Server) State() State {
 	state := State{Name: s.Name, OpenConnections: s.openConns.Len()}
 	s.updateModel(func(m *Model, _ time.Duration) {
@@ -208,8 +207,8 @@
 	return state
 }
 
-// updateModel calls update with the model and the present time under s.mu. It then completes the
-// jobs that have ended and sets the timer for the model's next event.
+// updateModel calls update with the model and the current time while it holds s.mu. It then signals the
+// end of the jobs that have ended and sets the timer for the model's next event.
 func (s *Server) updateModel(update func(m *Model, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,8 +223,8 @@
 	s.setJobTimer(now)
 }
 
-// setJobTimer sets the timer for the model's next event, or stops it if there is none or no
-// process. The caller holds s.mu.
+// setJobTimer sets the timer for the model's next event, or stops it if there is no event or no process.
+// The caller holds s.mu.
 func (s *Server) setJobTimer(now time.Duration) {
 	next, ok := s.model.NextEvent()
 	switch {
@@ -240,5 +239,5 @@
 	}
 }
 
-// advanceModel moves the model to the present time.
+// advanceModel advances the model to the current time.
 func (s *Server) advanceModel() { s.updateModel(func(*Model, time.Duration) {}) }
--- a/internal/lab/server/testserver_test.go
+++ b/internal/lab/server/testserver_test.go
@@ -31,11 +31,11 @@
 	classVote // deduplicated
 )
 
-// Outcomes of a request, beside the status of its response.
+// Outcomes of a request other than the status of its response.
 const (
 	outcomeRefused = "connection refused"
 	outcomeBroken  = "connection broken"
-	// outcomeNotStarted is the beginning of the outcome of a rejected request; its status follows.
+	// outcomeNotStarted is the prefix of the outcome of a rejected request; the status follows.
 	outcomeNotStarted = "not started, "
 )
 
@@ -47,11 +47,11 @@
 	transport *http.Transport
 
 	mu            sync.Mutex
-	healthChanges []string // "isolated" in place of a health
+	healthChanges []string // health values; "isolated" for an isolation
 }
 
-// newTestServer creates a server that is not started. configure, if not nil, changes its
-// configuration before.
+// newTestServer creates a server that is not started. configure, if not nil, modifies its configuration
+// first.
 func newTestServer(t *testing.T, configure func(c *Config)) *testServer {
 	t.Helper()
 	ts := &testServer{t: t, transport: &http.Transport{}}
@@ -118,7 +118,7 @@
 	return ts
 }
 
-// newRequest registers a request with the checker and returns it with its HTTP form.
+// newRequest registers a request with the checker and returns it together with the HTTP request.
 func (ts *testServer) newRequest(id string, class int, work float64) (*check.Request, *http.Request) {
 	ts.t.Helper()
 	now := ts.env.Clock()
@@ -136,7 +136,7 @@
 	r.Header.Set("Request-Id", id)
 	if class == classVote {
 		r.Header.Set("Idempotency-Key", request.IdempotencyKey)
-		r.GetBody = nil // the transport must not repeat it
+		r.GetBody = nil // prevents a retry by the transport
 	}
 	return request, r
 }
@@ -151,7 +151,7 @@
 	return r
 }
 
-// send sends the request and returns its outcome, and the body of the response or the error.
+// send sends the request and returns its outcome, with the body of the response or the text of the error.
 func (ts *testServer) send(r *http.Request) (outcome, body string) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -184,8 +184,8 @@
 	return body
 }
 
-// sendInBackground sends the request and returns a function that cancels it and waits for its end.
-// The test calls the function at its end in any case.
+// sendInBackground sends the request and returns a function that cancels it and waits for its end. The
+// function is also called at the end of the test.
 func (ts *testServer) sendInBackground(r *http.Request) (cancel func()) {
 	ctx, cancelRequest := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -203,12 +203,12 @@
 	return cancel
 }
 
-// waitUntil polls until the condition is met, and fails the test if it is not in time.
+// waitUntil polls until the condition is met, and fails the test after testTimeout.
 func (ts *testServer) waitUntil(what string, isMet func() bool) {
 	ts.t.Helper()
 	for deadline := time.Now().Add(testTimeout); !isMet(); time.Sleep(ms) {
 		if time.Now().After(deadline) {
-			ts.t.Fatalf("never %s", what)
+			ts.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
--- a/internal/lab/server/warmup.go
+++ b/internal/lab/server/warmup.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// warmupStep is how long a rate counts as constant while the warm-up raises it.
+// warmupStep is the time step during which the rate is taken as constant while the server warms up.
 const warmupStep = 20 * time.Millisecond
 
 // warmupArrival is a job that arrived while the server warmed up.
@@ -12,15 +12,15 @@
 	senderNotified bool
 }
 
-// WarmupCrash is the crash of a server that got too much work while it warmed up.
+// WarmupCrash describes the crash of a server that got too much work while it warmed up.
 type WarmupCrash struct {
-	Work          float64 // that arrived within the window, in standard-core milliseconds
-	Limit         float64 // of the work that the server withstands in a window
-	NotifiedShare float64 // part of the work whose senders had been notified of the server's start
+	Work          float64 // work that arrived within the window, in standard-core milliseconds
+	Limit         float64 // work that the server withstands in a window
+	NotifiedShare float64 // share of the work whose senders had been notified of the server's start
 }
 
-// WarmupFactor returns the part of its capacity that the server has reached since its start: 1
-// once it is warm.
+// WarmupFactor returns the share of its capacity that the server has reached since its start; 1 if it is
+// warm.
 func (m *Model) WarmupFactor() float64 {
 	if !m.warmingUp {
 		return 1
@@ -32,11 +32,11 @@
 	return min(m.spec.WarmupStartFactor+(1-m.spec.WarmupStartFactor)*progress, 1)
 }
 
-// Crash returns how the server crashed, or nil if it has not.
+// Crash returns the server's crash, or nil if it has not crashed.
 func (m *Model) Crash() *WarmupCrash { return m.crash }
 
-// recordWarmupArrival adds a job to the work that reached a warming server within the window, and
-// crashes the server if that is above the limit.
+// recordWarmupArrival adds a job to the work that arrived at a warming server within the window, and
+// crashes the server if the sum exceeds the limit.
 func (m *Model) recordWarmupArrival(j *Job) {
 	if m.spec.CrashLoadMultiple <= 0 || m.crash != nil || m.WarmupFactor() >= 1 {
 		return
