--- a/internal/lab/discovery/agentlist.go
+++ b/internal/lab/discovery/agentlist.go
@@ -2,14 +2,14 @@
 
 import "knotrouter/internal/endpoints"
 
-// List returns the list for an agent: with full, or if the changes since the revision are not known
-// any more, the full list, and else the changes.
+// List returns the endpoint list for an agent: the changes since the revision, or the full list if full is
+// set or the history does not cover those changes.
 func (s *Service) List(agent int, since int64, full bool) endpoints.List {
 	list, _ := s.listAndChanged(agent, since, full)
 	return list
 }
 
-// listAndChanged returns the list as List does, and a channel that is closed at the next change.
+// listAndChanged returns the same list as List, and a channel that is closed at the next change.
 func (s *Service) listAndChanged(agent int, since int64, full bool) (endpoints.List, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,10 +26,10 @@
 	return list, s.changed
 }
 
-// RecordInitialList records that an agent starts with the list in its configuration.
+// RecordInitialList records with the checker that an agent starts with the list in its configuration.
 func (s *Service) RecordInitialList(agent int, list *endpoints.List) { s.recordNotified(agent, list) }
 
-// recordNotified records with the checker that an agent gets the list.
+// recordNotified records with the checker that the list is sent to an agent.
 func (s *Service) recordNotified(agent int, list *endpoints.List) {
 	s.EntriesSent.Add(int64(len(list.Endpoints)))
 	listed := make(map[int]bool, len(list.Endpoints))
--- a/internal/lab/discovery/agentlistener.go
+++ b/internal/lab/discovery/agentlistener.go
@@ -8,10 +8,11 @@
 	"knotrouter/internal/lab/loopback"
 )
 
-// previousAddressRetention is how long after a move the connections to the old address stay open.
+// previousAddressRetention is how long connections to an agent's previous address stay open after
+// MoveAddress.
 const previousAddressRetention = 1500 * time.Millisecond
 
-// agentListener is the address at which one agent reaches the service.
+// agentListener listens on the address at which one agent reaches the service.
 type agentListener struct {
 	tcp       *loopback.Listener
 	openConns loopback.Set
@@ -32,13 +33,13 @@
 	agent    int
 }
 
-// Close closes the connection and removes it from the open ones of its listener.
+// Close closes the connection and removes it from the listener's open connections.
 func (c *conn) Close() error {
 	c.listener.openConns.Drop(c.Conn)
 	return c.Conn.Close()
 }
 
-// listen opens a new address for the agent.
+// listen starts to listen on a new address for the agent.
 func (s *Service) listen(agent int) (*agentListener, error) {
 	listener := &agentListener{}
 	tcp, err := loopback.Listen(s.addresses.IP()+":0", func(nc net.Conn) {
@@ -52,12 +53,12 @@
 	return listener, nil
 }
 
-// Addr returns the agent's present address of the service.
+// Addr returns the current address of the service for the agent.
 func (s *Service) Addr(agent int) string { return s.allListeners()[agent].tcp.Addr() }
 
-// MoveAddress gives the agent a new address and returns it. The old one refuses new connections at once
-// and closes the open ones after previousAddressRetention. It returns an error if the service can't
-// listen at another address.
+// MoveAddress moves the service to a new address for the agent and returns it. The previous address
+// refuses new connections at once, and its open connections are closed after previousAddressRetention.
+// It returns an error if the service can't listen on another address.
 func (s *Service) MoveAddress(agent int) (string, error) {
 	next, err := s.listen(agent)
 	if err != nil {
--- a/internal/lab/discovery/discovery.go
+++ b/internal/lab/discovery/discovery.go
@@ -1,9 +1,9 @@
-// Package discovery emulates the platform's list service, which tells the agents which servers
-// there are. It speaks the service's protocol: full lists, and watches of the changes.
+// Package discovery emulates the platform's discovery service, which lists the servers for the agents.
+// It implements the service's protocol: full lists, and watches of changes.
 //
-// Like the platform's own, the service learns of changes late (Config), works on few calls at once
-// and fails those that would wait too long, and can have outages. Each agent reaches it at an
-// address of its own, which can move.
+// Like the platform's own service, it learns of changes with a delay (Config), handles a limited number
+// of calls at the same time, fails calls that would wait too long, and can have outages. Each agent
+// reaches it at its own address, which can change.
 //
 // The methods of Service are safe for concurrent use. Service.mu guards the list and the agents'
 // listeners; each call and watch runs in a goroutine of net/http. The callbacks of Env, apart from
@@ -27,57 +27,57 @@
 	"knotrouter/internal/lab/loopback"
 )
 
-// Config is the behaviour of the service. The delays are ranges, a lower and an upper bound, from
-// which each delay is drawn.
+// Config configures the behaviour of the service. Each delay is a range, a lower and an upper bound, from
+// which the delay of a change is drawn.
 type Config struct {
-	RemovalDelay        []time.Duration `koanf:"notice"`        // from a server's end or drain to its listing
-	SilentRemovalDelay  []time.Duration `koanf:"silent_notice"` // from a machine's isolation to its listing
-	StartDelay          []time.Duration `koanf:"add"`           // from a server's start to its listing
-	BatchInterval       time.Duration   `koanf:"period"`        // changes within it are one line of a watch
-	ServiceTime         time.Duration   `koanf:"call"`          // that the service works on a call
-	ServiceTimePerEntry time.Duration   `koanf:"line"`          // in addition for each entry of its answer
-	QueueTimeout        time.Duration   `koanf:"timeout"`       // a call that would wait longer fails; 0: none does
+	RemovalDelay        []time.Duration `koanf:"notice"`        // from a server's end or drain to the change of the list
+	SilentRemovalDelay  []time.Duration `koanf:"silent_notice"` // from a machine's isolation to the change of the list
+	StartDelay          []time.Duration `koanf:"add"`           // from a server's start to the change of the list
+	BatchInterval       time.Duration   `koanf:"period"`        // changes within it are sent in one line of a watch
+	ServiceTime         time.Duration   `koanf:"call"`          // base service time of a call
+	ServiceTimePerEntry time.Duration   `koanf:"line"`          // additional service time per entry of the response
+	QueueTimeout        time.Duration   `koanf:"timeout"`       // a call that would wait longer fails; 0: no timeout
 	MaxConcurrentCalls  int             `koanf:"capacity"`
 }
 
 const (
-	// firstRevision is the revision of the first list: that of a service that has run before.
+	// firstRevision is the revision of the first list. It is not 0, as if the service had run before.
 	firstRevision = 41
-	// delayDrawStream is the stream of the random source that the delays are drawn from.
+	// delayDrawStream selects the stream of the random source from which the delays are drawn.
 	delayDrawStream = 7
 )
 
-// Env is what the service needs to know of the experiment.
+// Env is the environment that the experiment provides to the service.
 type Env struct {
 	Clock   check.Clock
 	Checker *check.Checker
-	Agents  []string // their names
-	// DialAddr returns the address by which the agent reaches the server.
+	Agents  []string // names of the agents
+	// DialAddr returns the address at which the agent reaches the server.
 	DialAddr func(agent, server int) string
-	// RecordEvent adds an event to the record of the run.
+	// RecordEvent adds an event to the log of the run.
 	RecordEvent func(name string)
 }
 
-// Counters counts since the service was created.
+// Counters are the totals since the service was created.
 type Counters struct {
-	Calls       atomic.Int64 // lists and watches
-	FullLists   atomic.Int64 // answers with a list, apart from watches
-	OpenWatches atomic.Int64 // that are open now
-	EntriesSent atomic.Int64 // entries of lists and watches
-	FailedCalls atomic.Int64 // that waited too long, or were canceled while they waited
+	Calls       atomic.Int64 // calls for lists and watches
+	FullLists   atomic.Int64 // full lists sent in response to calls other than watches
+	OpenWatches atomic.Int64 // watches that are open now
+	EntriesSent atomic.Int64 // entries sent in lists and watches
+	FailedCalls atomic.Int64 // calls that timed out in the queue or were canceled while they waited
 }
 
-// Service is the list service of one fleet.
+// Service is the emulated discovery service of one fleet.
 type Service struct {
 	Counters
 
 	config     Config
 	env        Env
 	addresses  *loopback.Net
-	accepted   *loopback.Conns // connections on their way from the agents' listeners to the HTTP server
+	accepted   *loopback.Conns // passes connections from the agents' listeners to the HTTP server
 	httpServer *http.Server
 	calls      *callQueue
-	ctx        context.Context // ends with the service
+	ctx        context.Context // canceled by Close
 	cancel     context.CancelFunc
 	background sync.WaitGroup
 
@@ -86,12 +86,12 @@
 	available      bool             // false during an outage
 	list           serverList
 	changed        chan struct{} // closed at the next change of the list
-	latestReport   map[int]int   // by server: how many changes of its health were reported
+	latestReport   map[int]int   // by server: number of its latest health report, from 1
 	rng            *rand.Rand
 }
 
-// New starts a service that lists the entries, which are in the order of the servers' indexes. The
-// seed determines the delays. It returns an error if it can't listen. The caller closes the service.
+// New starts a service that lists the entries, which are indexed by server. The seed determines the
+// delays. It returns an error if it can't listen. The caller must close the service.
 func New(config Config, env Env, addresses *loopback.Net, entries []Entry, seed uint64) (*Service, error) {
 	s := &Service{
 		config:       config,
@@ -134,8 +134,8 @@
 	return s, nil
 }
 
-// Close ends the service: it closes the listeners, resets all connections and waits for the
-// service's goroutines. Health reports whose delay has not passed are dropped.
+// Close stops the service: it closes the listeners, resets all connections and waits for the service's
+// goroutines. Health reports whose delay has not passed are dropped.
 func (s *Service) Close() {
 	s.cancel()
 	for _, listener := range s.allListeners() {
@@ -146,8 +146,8 @@
 	s.background.Wait()
 }
 
-// StartOutage makes the service unavailable: watches end and new connections are refused. It goes
-// on to learn of changes.
+// StartOutage makes the service unavailable: watches end and new connections are refused. The list is
+// still updated.
 func (s *Service) StartOutage() {
 	s.mu.Lock()
 	s.available = false
@@ -160,8 +160,8 @@
 	s.env.RecordEvent("discovery down")
 }
 
-// EndOutage makes the service available again, at the same addresses. It returns an error if it
-// can't listen.
+// EndOutage makes the service available again at the same addresses. It returns an error if it can't
+// listen.
 func (s *Service) EndOutage() error {
 	s.mu.Lock()
 	s.available = true
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// allListeners returns the agents' present listeners.
+// allListeners returns the current listeners of all agents.
 func (s *Service) allListeners() []*agentListener {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/discovery/discovery_test.go
+++ b/internal/lab/discovery/discovery_test.go
@@ -21,12 +21,12 @@
 	}
 }
 
-// An agent counts as notified of the removal of a server that its full list does not name.
+// An agent counts as notified of the removal of a server that is missing from its full list.
 func TestFullListNotifiesOfRemovedServers(t *testing.T) {
 	ts := newTestService(t, Config{})
 	ts.ReportHealth(1, endpoints.Removed, 0, false)
 	ts.waitForRevision(firstRevision + 1)
-	for agent, breaches := range []int{0, 1} { // only the second agent gets a list
+	for agent, breaches := range []int{0, 1} { // only the second agent requests a list
 		if breaches > 0 {
 			ts.getList(agent)
 		}
@@ -35,12 +35,12 @@
 		arrival := ts.env.Clock() + time.Second
 		ts.checker.RecordAttempt(request, 1, arrival, arrival, true)
 		if _, count := ts.checker.Breaches(); count[check.RuleDrain] != breaches {
-			t.Errorf("agent %d: breaches %v, want %d of %q", agent, count, breaches, check.RuleDrain)
+			t.Errorf("agent %d: breaches %v, want %d of rule %q", agent, count, breaches, check.RuleDrain)
 		}
 	}
 }
 
-// A watch sends what has changed since its revision, and changes that come together as one list.
+// A watch sends the changes since its revision, and changes within the batch interval in one list.
 func TestWatchSendsChanges(t *testing.T) {
 	const batchInterval = 100 * ms
 	ts := newTestService(t, Config{BatchInterval: batchInterval})
@@ -54,26 +54,26 @@
 	for list := (endpoints.List{}); list.Seq < firstRevision+2; sentLists++ {
 		list = nextList(t, lists)
 		if list.Full || len(list.Endpoints) > 0 && list.Endpoints[0].Name == "s-02" && list.Endpoints[0].StartedMs != 77 {
-			t.Errorf("a change: %+v", list)
+			t.Errorf("list of a change: %+v", list)
 		}
 		sent += summary(list)
 	}
 	if took := time.Since(began); took < batchInterval {
-		t.Errorf("sent after %v, changes within %v are sent together", took, batchInterval)
+		t.Errorf("sent after %v, before the end of the batch interval of %v", took, batchInterval)
 	}
 	if sent != "s-02 ready;s-01 draining;" || sentLists > 2 {
 		t.Errorf("two changes in %d lists: %s", sentLists, sent)
 	}
 	ts.ReportHealth(1, endpoints.Removed, 0, false)
 	if list := nextList(t, lists); summary(list) != "s-01 gone;" {
-		t.Errorf("a removal: %+v", list)
+		t.Errorf("list of a removal: %+v", list)
 	}
 	if list := ts.List(0, 0, true); summary(list) != "s-00 ready;s-02 ready;" {
-		t.Errorf("a full list names a removed server: %s", summary(list))
+		t.Errorf("full list after a removal: %s", summary(list))
 	}
 }
 
-// reportTwoChanges reports that s-02 has started and then, once that is listed, that s-01 drains.
+// reportTwoChanges reports that s-02 has started and, after that is listed, that s-01 drains.
 func (ts *testService) reportTwoChanges() {
 	ts.t.Helper()
 	ts.ReportHealth(2, endpoints.Ready, 77, false)
@@ -91,7 +91,7 @@
 		}
 	}
 	if list := nextList(t, ts.watch(0, firstRevision+1)); list.Full || summary(list) != "s-01 draining;" {
-		t.Errorf("one change behind: %+v", list)
+		t.Errorf("list from the previous revision: %+v", list)
 	}
 }
 
@@ -106,7 +106,7 @@
 	}
 	select {
 	case list := <-lists:
-		t.Errorf("the older report was listed after it: %+v", list)
+		t.Errorf("the older report was listed after the newer one: %+v", list)
 	case <-time.After(500 * ms):
 	}
 }
@@ -132,7 +132,7 @@
 	}
 }
 
-// During an outage calls are refused and watches have ended; after it the address is the same.
+// An outage ends watches and refuses calls; after it the address is the same as before.
 func TestOutageEndsWatchesAndRefusesCalls(t *testing.T) {
 	ts := newTestService(t, Config{})
 	lists := ts.watch(0, firstRevision)
@@ -140,23 +140,23 @@
 	addr, began := ts.Addr(0), time.Now()
 	ts.StartOutage()
 	if _, open := <-lists; open || time.Since(began) > testTimeout/2 {
-		t.Error("a watch outlives the service")
+		t.Error("a watch continues during the outage")
 	}
 	if resp, err := ts.get(t.Context(), 0, ""); err == nil {
 		resp.Body.Close()
-		t.Errorf("answers during the outage: %s", resp.Status)
+		t.Errorf("response during the outage: %s", resp.Status)
 	}
 	if err := ts.EndOutage(); err != nil {
 		t.Fatal(err)
 	}
 	nextList(t, ts.watch(0, firstRevision))
 	if ts.Addr(0) != addr {
-		t.Errorf("at %s after the outage, was at %s", ts.Addr(0), addr)
+		t.Errorf("address %s after the outage, want %s", ts.Addr(0), addr)
 	}
 }
 
-// After a move the old address refuses new connections, and the open ones end after a while. The
-// service has been down before, so that its listeners are not the first ones.
+// After a move the previous address refuses new connections, and its open connections are closed later.
+// An outage before the move makes sure that reopened listeners can move too.
 func TestMoveGivesAnAgentANewAddress(t *testing.T) {
 	ts := newTestService(t, Config{})
 	ts.StartOutage()
@@ -172,15 +172,16 @@
 	}
 	if resp, err := http.Get("http://" + previous + "/v1/endpoints"); err == nil {
 		resp.Body.Close()
-		t.Error("the old address takes new calls")
+		t.Error("the previous address accepts new calls")
 	}
 	nextList(t, ts.watch(0, firstRevision))
 	if _, open := <-lists; open {
-		t.Error("a watch stays at the old address")
+		t.Error("a watch at the previous address stays open")
 	}
 }
 
-// Calls are worked on in turn, and those that would wait too long fail.
+// The service handles a limited number of calls at the same time, and calls that would wait longer than the
+// timeout fail.
 func TestOverloadedServiceFailsCalls(t *testing.T) {
 	ts := newTestService(t, Config{MaxConcurrentCalls: 1, ServiceTime: 300 * ms, QueueTimeout: 400 * ms})
 	const callers = 6
@@ -201,9 +202,9 @@
 		count[<-statuses]++
 	}
 	if count[200] < 1 || count[200] > 3 || count[503] != callers-count[200] {
-		t.Errorf("statuses %v: with 300 ms a call and a timeout of 400 ms one to three are served", count)
+		t.Errorf("statuses %v: with 300 ms a call and a timeout of 400 ms one to three calls succeed", count)
 	}
 	if ts.FailedCalls.Load() != int64(count[503]) {
-		t.Errorf("%d counted as failed of %d", ts.FailedCalls.Load(), count[503])
+		t.Errorf("%d calls counted as failed, want %d", ts.FailedCalls.Load(), count[503])
 	}
 }
--- a/internal/lab/discovery/healthreports.go
+++ b/internal/lab/discovery/healthreports.go
@@ -7,8 +7,9 @@
 	"knotrouter/internal/endpoints"
 )
 
-// ReportHealth reports a server's new health to the service, which lists it after a delay, unless a
-// newer report of the server arrives before. isolated means that the server's machine fell silent.
+// ReportHealth reports a server's new health to the service, which lists it after a delay unless a newer
+// report of the same server arrives first. isolated means that the server's machine was cut off from the
+// network.
 func (s *Service) ReportHealth(server int, health string, startedMs int64, isolated bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -19,7 +20,7 @@
 	context.AfterFunc(s.ctx, func() { timer.Stop() })
 }
 
-// drawDelay returns how late the service learns of a change. The caller holds s.mu.
+// drawDelay draws the delay after which the service lists a change. The caller holds s.mu.
 func (s *Service) drawDelay(health string, isolated bool) time.Duration {
 	delays := s.config.RemovalDelay
 	switch {
@@ -35,8 +36,8 @@
 	return shortest + time.Duration(s.rng.Float64()*float64(longest-shortest))
 }
 
-// applyHealth lists a server's health if the report is still the latest of the server, and
-// notifies the watches.
+// applyHealth updates a server's health in the list and wakes up the watches, if the report is still the
+// server's latest one.
 func (s *Service) applyHealth(server, report int, health string, startedMs int64) {
 	s.mu.Lock()
 	if s.latestReport[server] != report || !s.list.setHealth(server, health, startedMs) {
--- a/internal/lab/discovery/http.go
+++ b/internal/lab/discovery/http.go
@@ -10,13 +10,13 @@
 	"knotrouter/internal/endpoints"
 )
 
-// endpointsPath is the path of lists and watches.
+// endpointsPath is the path of calls for lists and watches.
 const endpointsPath = "/v1/endpoints"
 
-// heartbeatInterval is the time after which a watch without changes sends an empty line.
+// heartbeatInterval is the time after which a watch sends an empty line if there are no changes.
 const heartbeatInterval = 2 * time.Second
 
-// ServeHTTP answers a call with the full list, or with a watch if it asks to follow the list.
+// ServeHTTP serves the full list, or a watch if the query has follow=1.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	agent := r.Context().Value(agentContextKey{}).(int)
 	w.Header()["Date"] = nil
@@ -32,7 +32,7 @@
 		http.Error(w, "since: not a number", http.StatusBadRequest)
 		return
 	}
-	// The work on the call depends on the length of the list at its arrival.
+	// The service time depends on the length of the list when the call arrives.
 	entryCount := len(s.List(agent, since, !follow).Endpoints)
 	if !s.waitForCapacity(r.Context(), entryCount) {
 		s.FailedCalls.Add(1)
@@ -47,8 +47,9 @@
 	}
 }
 
-// waitForCapacity waits until the service has worked on a call whose answer has that many entries.
-// It returns false if the call would wait too long, after that time, or if the context ends.
+// waitForCapacity queues a call whose response has the given number of entries, and waits until its service
+// time has passed. It returns false if the call would wait longer than the queue timeout, after that
+// timeout, or if the context ends first.
 func (s *Service) waitForCapacity(ctx context.Context, entryCount int) bool {
 	serviceTime := s.config.ServiceTime + time.Duration(entryCount)*s.config.ServiceTimePerEntry
 	if serviceTime <= 0 {
@@ -66,7 +67,7 @@
 	}
 }
 
-// serveList writes the full list. The agent counts as notified before it can have read the list.
+// serveList writes the full list. The agent is recorded as notified before it can have read the list.
 func (s *Service) serveList(w http.ResponseWriter, agent int) {
 	s.FullLists.Add(1)
 	list := s.List(agent, 0, true)
@@ -75,8 +76,8 @@
 	_, _ = w.Write(text)
 }
 
-// serveWatch writes the changes since the revision, or the full list, and then each batch of
-// changes until the connection ends.
+// serveWatch writes the changes since the revision, or the full list, and then each batch of changes until
+// the connection ends.
 func (s *Service) serveWatch(w http.ResponseWriter, r *http.Request, agent int, since int64) {
 	s.OpenWatches.Add(1)
 	defer s.OpenWatches.Add(-1)
@@ -106,15 +107,15 @@
 	}
 }
 
-// watchLine returns the list as a line of a watch and records that the agent gets it.
+// watchLine encodes the list as a line of a watch and records that it is sent to the agent.
 func (s *Service) watchLine(agent int, list *endpoints.List) []byte {
 	text, _ := json.Marshal(list)
 	s.recordNotified(agent, list)
 	return append(text, '\n')
 }
 
-// waitForBatch waits for the changes that go into one line with the first. It returns false if the
-// context ends before.
+// waitForBatch waits for BatchInterval, so that changes within it are sent in one line. It returns false if
+// the context ends first.
 func (s *Service) waitForBatch(ctx context.Context) bool {
 	select {
 	case <-time.After(s.config.BatchInterval):
--- a/internal/lab/discovery/serverlist.go
+++ b/internal/lab/discovery/serverlist.go
@@ -5,27 +5,28 @@
 const (
 	// unlisted is the health of a server that the service has not listed yet.
 	unlisted = ""
-	// maxHistory bounds the changes that are kept. A watch from before them gets the full list.
+	// maxHistory bounds the number of changes that are kept. A watch from an older revision gets the full
+	// list.
 	maxHistory = 1024
 )
 
-// Entry is a server as the service lists it, but for its address.
+// Entry is a server in the list, without its address, which depends on the agent.
 type Entry struct {
 	Name        string
 	Zone        string
 	MachineType string
 	Cell        int
 	Weight      float64
-	Health      string // of the endpoint list; "": the server is not listed
-	StartedMs   int64  // Unix milliseconds; 0: long ago
+	Health      string // as in the endpoint list; "": the server is not listed
+	StartedMs   int64  // Unix milliseconds; 0: counts as started long ago
 }
 
-// serverList is the list of the servers and its latest changes.
+// serverList holds the servers and the latest changes of the list.
 type serverList struct {
 	revision int64
-	entries  []Entry        // by server
-	servers  map[string]int // by name; it does not change
-	history  []change       // the oldest first
+	entries  []Entry        // by server index
+	servers  map[string]int // server indexes by name; immutable
+	history  []change       // oldest first
 }
 
 // change is one revision of the list.
@@ -42,8 +43,8 @@
 	return l
 }
 
-// setHealth makes a new revision of the list in which the server has the health and start time. It
-// returns false, and does nothing, if it has them already.
+// setHealth creates a new revision of the list in which the server has the health and start time. If the
+// server already has them, it changes nothing and returns false.
 func (l *serverList) setHealth(server int, health string, startedMs int64) bool {
 	entry := &l.entries[server]
 	if entry.Health == health && entry.StartedMs == startedMs {
@@ -58,7 +59,8 @@
 	return true
 }
 
-// needsFull reports whether the changes since the revision are not known.
+// needsFull reports whether the history does not cover the changes since the revision, so that a full list
+// is required.
 func (l *serverList) needsFull(since int64) bool {
 	oldest := l.revision
 	if len(l.history) > 0 {
@@ -67,7 +69,7 @@
 	return since > l.revision || since < oldest
 }
 
-// listed returns the servers that a full list names.
+// listed returns the servers that a full list contains.
 func (l *serverList) listed() []int {
 	var servers []int
 	for server, entry := range l.entries {
@@ -78,8 +80,8 @@
 	return servers
 }
 
-// changedSince returns the servers that changed after the revision, each once, in the order of
-// their first change.
+// changedSince returns the servers that changed after the revision, each once, in the order of their first
+// change.
 func (l *serverList) changedSince(revision int64) []int {
 	var servers []int
 	seen := map[int]bool{}
@@ -92,7 +94,7 @@
 	return servers
 }
 
-// endpoint returns the server in the form of the endpoint list, with the address to dial.
+// endpoint returns the server's entry in the endpoint list, with the address to dial.
 func (l *serverList) endpoint(server int, dialAddr string) endpoints.Endpoint {
 	entry := &l.entries[server]
 	return endpoints.Endpoint{
--- a/internal/lab/discovery/testservice_test.go
+++ b/internal/lab/discovery/testservice_test.go
@@ -25,7 +25,7 @@
 	testTimeout = 20 * time.Second
 )
 
-// testService is a service with two agents and three servers, of which the third is not listed.
+// testService is a service with two agents and three servers. The third server is not listed at first.
 type testService struct {
 	*Service
 	t         *testing.T
@@ -64,7 +64,7 @@
 	return &testService{Service: s, t: t, checker: env.Checker, transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// get sends an agent's call. The caller closes the body of the response.
+// get sends a call of an agent. The caller must close the body of the response.
 func (ts *testService) get(ctx context.Context, agent int, query string) (*http.Response, error) {
 	r, err := http.NewRequestWithContext(ctx, "GET", "http://"+ts.Addr(agent)+"/v1/endpoints"+query, nil)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return ts.transport.RoundTrip(r)
 }
 
-// getList returns the full list that an agent gets.
+// getList requests the full list for an agent.
 func (ts *testService) getList(agent int) endpoints.List {
 	ts.t.Helper()
 	resp, err := ts.get(ts.t.Context(), agent, "")
@@ -88,7 +88,7 @@
 	return list
 }
 
-// watch opens an agent's watch and returns its lists. The channel is closed when the watch ends.
+// watch opens a watch of an agent and returns a channel of its lists, which is closed when the watch ends.
 func (ts *testService) watch(agent int, since int64) <-chan endpoints.List {
 	ts.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -121,7 +121,7 @@
 	}
 }
 
-// nextList returns the next list of a watch, which must not have ended.
+// nextList returns the next list of a watch. It fails the test if the watch has ended.
 func nextList(t *testing.T, lists <-chan endpoints.List) endpoints.List {
 	t.Helper()
 	list, ok := <-lists
@@ -131,7 +131,7 @@
 	return list
 }
 
-// summary returns the names and health of the listed servers.
+// summary returns the names and health of the servers in the list.
 func summary(list endpoints.List) (text string) {
 	for _, endpoint := range list.Endpoints {
 		text += endpoint.Name + " " + endpoint.Health + ";"
