--- a/internal/lab/hollow/agent.go
+++ b/internal/lab/hollow/agent.go
@@ -10,28 +10,28 @@
 	"knotrouter/policy"
 )
 
-// Agent is a reader of the list as a real agent has it, without a data path: the real
-// endpoints.Client reads, the real policy.Balancer decides when a watch begins again, and
-// each entry is parsed and kept in a table by name. The balancer gets the events that lists came
-// and failed, but not their entries: it has no servers to choose from.
+// Agent reads the list as a real agent does, but has no data path. It uses the real endpoints.Client to
+// read the list and the real policy.Balancer to decide when to start a watch again, and keeps each parsed
+// entry in a table by name. The balancer is notified of received lists and failed watches, but does not
+// get the entries, so it has no servers to choose from.
 type Agent struct {
 	process  *Agents
-	services []string // that it subscribes to; nil: all
+	services []string // services that it subscribes to; nil: all
 	client   *endpoints.Client
 
 	mu        sync.Mutex
 	balancer  *policy.Balancer
 	actions   []policy.Action
 	table     map[string]endpoints.Endpoint
-	scope     *endpoints.ServiceTable // as the real agent's; nil: it reads the full list
-	version   int64                   // of the list in the table; 0: no list has come
+	scope     *endpoints.ServiceTable // as in a real agent; nil: it reads the full list
+	version   int64                   // version of the list in the table; 0: no list received yet
 	updatedAt time.Time               // when the last list or change was applied
-	watching  bool                    // a watch is under way, at one address or the next
-	watchOpen bool                    // the watch has been served at the present address
+	watching  bool                    // a watch is active, at any of the addresses
+	watchOpen bool                    // the watch has received a list at its current address
 }
 
-// clientConfig returns the configuration of the agent's reader, as the real agent's. Order is the
-// seed of the order in which the reader tries the addresses.
+// clientConfig returns the configuration of the agent's list client, which equals a real agent's.
+// orderSeed determines the order in which the client tries the addresses.
 func (a *Agent) clientConfig(orderSeed uint64, transport http.RoundTripper) endpoints.ClientConfig {
 	return endpoints.ClientConfig{
 		Addresses:   a.process.config.ControlPlane,
@@ -44,7 +44,7 @@
 	}
 }
 
-// policySettings are the settings of a real agent that decide when it asks for the list. Fleet is
+// policySettings returns the settings of a real agent that determine when it requests the list. fleet is
 // the number of agents.
 func policySettings(fleet int) policy.Settings {
 	return policy.Settings{
@@ -58,8 +58,8 @@
 	}
 }
 
-// newAgent makes the agent with an index in the fleet; transport makes its calls. It returns an
-// error if the policy refuses its settings.
+// newAgent creates the agent with the index in the fleet, which sends its calls through the transport. It
+// returns an error if the policy rejects its settings.
 func newAgent(process *Agents, index int, services []string, transport http.RoundTripper) (*Agent, error) {
 	seed := AgentSeed(process.config.Seed, index)
 	balancer, err := policy.New(policySettings(process.config.Fleet), seed)
@@ -79,7 +79,7 @@
 	return a, nil
 }
 
-// start begins the policy, which draws the time of the first call.
+// start starts the balancer, which draws the time of the first call.
 func (a *Agent) start() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -87,13 +87,13 @@
 	a.runActions()
 }
 
-// handleEvent hands the policy an event and carries out what it decides. The caller holds the lock.
+// handleEvent passes an event to the balancer and executes its actions. The caller holds a.mu.
 func (a *Agent) handleEvent(event *policy.Event) {
 	a.actions = a.balancer.Handle(a.process.nowMs(), event, a.actions[:0])
 	a.runActions()
 }
 
-// runActions carries out what the policy decided last. The caller holds the lock.
+// runActions executes the balancer's latest actions. The caller holds a.mu.
 func (a *Agent) runActions() {
 	for i := range a.actions {
 		switch action := &a.actions[i]; action.Kind {
@@ -106,7 +106,7 @@
 	}
 }
 
-// fireTimer hands the policy a timer that it asked for, unless the process ends.
+// fireTimer passes the event of an expired timer to the balancer, unless the process is ending.
 func (a *Agent) fireTimer(token uint32) {
 	if a.process.ctx.Err() != nil {
 		return
@@ -116,7 +116,7 @@
 	a.handleEvent(&policy.Event{Kind: policy.EvTimer, Token: token})
 }
 
-// openWatch begins a watch, if none is under way. The caller holds the lock.
+// openWatch starts a watch if none is active. The caller holds a.mu.
 func (a *Agent) openWatch() {
 	if a.watching || !a.process.beginWatch() {
 		return
@@ -125,8 +125,8 @@
 	go a.watch(a.process.ctx, a.version)
 }
 
-// watch reads the list from a version on until the watch has failed at all addresses, which it
-// reports to the policy, or the context ends.
+// watch follows the list from the version since until the watch has failed at all addresses or the context
+// ends. It reports the failure to the balancer.
 func (a *Agent) watch(ctx context.Context, since int64) {
 	defer a.process.watches.Done()
 	_ = a.client.Watch(ctx, since, a.applyList)
@@ -140,7 +140,7 @@
 	a.handleEvent(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
 }
 
-// recordFailover counts that the watch goes on to another address.
+// recordFailover counts a failover of the watch to another address.
 func (a *Agent) recordFailover() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -148,8 +148,8 @@
 	a.process.counts.failovers.Add(1)
 }
 
-// applyList applies a list or a change that the watch read to the table; one older than the table
-// is only counted.
+// applyList applies a received list or change to the table. One that is older than the table is counted but
+// not applied.
 func (a *Agent) applyList(list endpoints.List) {
 	now := time.Now()
 	a.mu.Lock()
@@ -178,7 +178,7 @@
 	a.handleEvent(&policy.Event{Kind: policy.EvList, List: policy.ListChange})
 }
 
-// merge merges a list into the table and returns the ages of what changed.
+// merge merges a list into the table and returns the ages of the changes.
 func (a *Agent) merge(list *endpoints.List, now time.Time) []time.Duration {
 	var ages []time.Duration
 	if list.Full {
@@ -197,7 +197,7 @@
 	return ages
 }
 
-// removeUnlisted removes from the table the entries that a full list does not name.
+// removeUnlisted removes the entries from the table that are missing from a full list.
 func (a *Agent) removeUnlisted(list *endpoints.List) {
 	if len(a.table) == 0 {
 		return
--- a/internal/lab/hollow/agents.go
+++ b/internal/lab/hollow/agents.go
@@ -11,32 +11,32 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxAge is the longest age that the histogram of ages holds; an older change counts as that old.
+// maxAge is the highest age in the histogram of ages. Higher ages are recorded as maxAge.
 const maxAge = 10 * time.Minute
 
-// Agents is a process of hollow agents.
+// Agents runs the hollow agents of one process.
 type Agents struct {
 	config    AgentsConfig
-	ctx       context.Context // of Run
+	ctx       context.Context // the context of Run
 	log       *slog.Logger
 	meter     *meteredTransport
 	agents    []*Agent
 	started   time.Time
-	startedMs float64 // the same by the wall clock
+	startedMs float64 // started by the wall clock, in Unix milliseconds
 	counts    struct {
 		lines, entries, fullLists, versions, watchesEnded, failovers atomic.Int64
 	}
 
 	watches sync.WaitGroup // goroutines of the agents' watches
 	stopMu  sync.Mutex
-	stopped bool // no watch is begun any more
+	stopped bool // no new watch may start
 
 	mu   sync.Mutex
-	ages *hdrhistogram.Histogram // of changes on receipt, in ms
+	ages *hdrhistogram.Histogram // ages of changes on receipt, in ms
 }
 
-// NewAgents makes hollow agents that do nothing before Run. Its error names the flag of the first
-// value of the configuration that is out of bounds.
+// NewAgents creates hollow agents, which are idle until Run. Its error names the flag of the first invalid
+// value in the configuration.
 func NewAgents(config AgentsConfig, log *slog.Logger) (*Agents, error) {
 	if config.Fleet == 0 {
 		config.Fleet = config.Count
@@ -52,7 +52,7 @@
 		startedMs: float64(started.UnixMicro()) / 1000,
 		ages:      hdrhistogram.New(1, maxAge.Milliseconds(), 3),
 	}
-	// A connection a call, as the real agent's reader.
+	// Each call uses its own connection, as in the real agent's list client.
 	p.meter = newMeteredTransport(&http.Transport{DisableKeepAlives: true, DisableCompression: true}, config.Sources)
 	for i := range config.Count {
 		index := config.First + i
@@ -65,7 +65,7 @@
 	return p, nil
 }
 
-// Run starts the agents and returns when the context has ended and all watches with it.
+// Run starts the agents. It returns after the context and all watches have ended.
 func (p *Agents) Run(ctx context.Context) {
 	p.ctx = ctx
 	p.log.Info("hollow agents start", "count", p.config.Count, "first", p.config.First, "control_plane", p.config.ControlPlane)
@@ -83,8 +83,8 @@
 	p.log.Info("hollow agents end", "lines", state.Lines, "versions", state.Versions, "calls", state.Total.Calls, "bytes_in", state.Total.BytesIn)
 }
 
-// beginWatch counts the goroutine of a watch that is about to begin. It returns false if none may
-// begin, as the process ends; else the goroutine calls watches.Done at its end.
+// beginWatch registers the goroutine of a new watch. It returns false if the process is ending and no watch
+// may start. Otherwise the goroutine must call watches.Done at its end.
 func (p *Agents) beginWatch() bool {
 	p.stopMu.Lock()
 	defer p.stopMu.Unlock()
@@ -95,15 +95,15 @@
 	return true
 }
 
-// stopNewWatches has beginWatch return false from now on.
+// stopNewWatches makes beginWatch return false from now on.
 func (p *Agents) stopNewWatches() {
 	p.stopMu.Lock()
 	defer p.stopMu.Unlock()
 	p.stopped = true
 }
 
-// nowMs returns the time as the real agent gives it to the policy: in ms since 1970 by a clock
-// that is monotonic.
+// nowMs returns the time that a real agent passes to the balancer: milliseconds since 1970 by a monotonic
+// clock.
 func (p *Agents) nowMs() float64 {
 	return p.startedMs + float64(time.Since(p.started))/float64(time.Millisecond)
 }
@@ -120,7 +120,7 @@
 	}
 }
 
-// resetAges begins a new measurement of ages.
+// resetAges discards the recorded ages.
 func (p *Agents) resetAges() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/hollow/agentsstate.go
+++ b/internal/lab/hollow/agentsstate.go
@@ -6,16 +6,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// ExpectedList is the list that all agents should have: servers 0 to Servers-1 without the Absent
-// ones that begin at FirstAbsent.
+// ExpectedList describes the list that all agents should have: the servers 0 to Servers-1 without the
+// Absent servers from FirstAbsent on.
 type ExpectedList struct {
 	Servers     int
 	FirstAbsent int
 	Absent      int
-	Version     int64 // agents at this version, or a later one, are counted
+	Version     int64 // agents at this version or a later one are counted
 }
 
-// serverCount returns how many servers an agent with the subscription should know.
+// serverCount returns the number of servers that an agent with the subscription should have in its table.
 func (e *ExpectedList) serverCount(services []string, byService map[string]int) int {
 	if len(services) == 0 {
 		return e.Servers - e.Absent
@@ -27,8 +27,7 @@
 	return total
 }
 
-// countByService returns the number of servers that should be listed for each service, of a number of
-// services.
+// countByService returns the number of servers that should be listed for each of the services.
 func (e *ExpectedList) countByService(services int) map[string]int {
 	counts := map[string]int{}
 	for i := range e.Servers {
@@ -39,35 +38,36 @@
 	return counts
 }
 
-// AgentsState is what the hollow agents of a process did, as sent to the process of a scale run.
+// AgentsState is the state and the totals of the hollow agents of a process, as sent to the process of a
+// scale run.
 type AgentsState struct {
 	Agents          int                    `json:"agents"`
-	WatchesOpen     int                    `json:"watches_open"` // served at their present address
+	WatchesOpen     int                    `json:"watches_open"` // watches that have received a list at their current address
 	WatchesEnded    int64                  `json:"watches_ended"`
-	Lines           int64                  `json:"lines"`   // lists and changes, not the empty lines of a quiet watch
-	Entries         int64                  `json:"entries"` // parsed and taken into tables
+	Lines           int64                  `json:"lines"`   // received lists and changes, without the empty lines of an idle watch
+	Entries         int64                  `json:"entries"` // entries parsed and merged into tables
 	FullLists       int64                  `json:"whole_lists"`
-	Versions        int64                  `json:"versions"` // lines that brought a later version
+	Versions        int64                  `json:"versions"` // lines with a newer version
 	Failovers       int64                  `json:"failovers"`
-	BudgetExhausted int64                  `json:"held_back"` // rounds that the client's retry budget ended
+	BudgetExhausted int64                  `json:"held_back"` // rounds that ended because the client's retry budget was exhausted
 	VersionMin      int64                  `json:"version_min"`
 	VersionMax      int64                  `json:"version_max"`
 	ListedMin       int                    `json:"listed_min"`
 	ListedMax       int                    `json:"listed_max"`
 	AsExpected      int                    `json:"as_expected"` // agents whose table has the size of the ExpectedList
-	AtVersion       int                    `json:"at_version"`  // agents at the version of the ExpectedList, or a later one
+	AtVersion       int                    `json:"at_version"`  // agents at the version of the ExpectedList or a later one
 	ListAgeMaxSec   float64                `json:"list_age_max_s"`
 	ListAgeMeanSec  float64                `json:"list_age_mean_s"`
 	Total           Traffic                `json:"total"`
 	ByAddress       map[string]Traffic     `json:"by_address"`
-	Changes         int64                  `json:"changes"` // receipts of changes, over all agents
+	Changes         int64                  `json:"changes"` // received changes, summed over all agents
 	ChangeP50Ms     int64                  `json:"change_p50_ms"`
 	ChangeP99Ms     int64                  `json:"change_p99_ms"`
 	ChangeLastMs    int64                  `json:"change_last_ms"`
 	Ages            *hdrhistogram.Snapshot `json:"ages,omitempty"`
 }
 
-// SetAges sets the figures of changes from a histogram of their ages in ms.
+// SetAges sets the statistics of changes from a histogram of their ages in ms.
 func (s *AgentsState) SetAges(ages *hdrhistogram.Histogram) {
 	s.Changes = ages.TotalCount()
 	s.ChangeP50Ms = ages.ValueAtQuantile(50)
@@ -75,7 +75,7 @@
 	s.ChangeLastMs = ages.Max()
 }
 
-// State returns what the agents did so far, compared with the list that they should have.
+// State returns the state and the totals of the agents, compared with the expected list.
 func (p *Agents) State(expected ExpectedList) AgentsState {
 	state := AgentsState{
 		Agents:       len(p.agents),
@@ -98,8 +98,8 @@
 	return state
 }
 
-// addToState adds an agent to the state of its process; the means of the state are sums until all
-// agents are added.
+// addToState adds an agent to the state of its process. The means in the state are sums until all agents
+// are added.
 func (a *Agent) addToState(state *AgentsState, first bool, expected *ExpectedList, byService map[string]int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lab/hollow/changeage.go
+++ b/internal/lab/hollow/changeage.go
@@ -7,23 +7,23 @@
 	"knotrouter/internal/endpoints"
 )
 
-// A change carries the time at which it was sent, so that each reader can compute its age on
-// receipt. A restart carries it in the start of the new process (born_ms of the list). A
-// configuration change carries it in the server's weight (share of the list), which is baseWeight
-// plus the time in milliseconds modulo weightWindow, in units of weightUnit. Both have a
-// resolution of 1 ms and use the machine's wall clock, which all processes of a run share.
+// Each change encodes the time at which it was sent, so that each reader can compute its age on receipt. A
+// restart encodes it in the start time of the new process (born_ms in the list). A configuration change
+// encodes it in the server's weight (share in the list), which is baseWeight plus the time in milliseconds
+// modulo weightWindow, in units of weightUnit. Both have a resolution of 1 ms and use the machine's wall
+// clock, which all processes of a run share.
 const (
 	baseWeight   = 1.0
 	weightUnit   = 1e-9
-	weightWindow = 1_000_000 // ms; an older change is dated wrongly
+	weightWindow = 1_000_000 // ms; the age of an older change is wrong
 )
 
-// weightForTime returns the weight of a configuration change that is sent at a time.
+// weightForTime returns the weight of a configuration change that is sent at the given time.
 func weightForTime(at time.Time) float64 {
 	return baseWeight + float64(max(at.UnixMilli()%weightWindow, 1))*weightUnit
 }
 
-// ageFromWeight returns how long ago a weight was sent; ok is false if it carries no time.
+// ageFromWeight returns how long ago a weight was sent. ok is false if the weight does not encode a time.
 func ageFromWeight(weight float64, now time.Time) (age time.Duration, ok bool) {
 	sent := int64(math.Round((weight - baseWeight) / weightUnit))
 	if sent <= 0 || sent >= weightWindow {
@@ -33,9 +33,9 @@
 	return time.Duration(elapsed) * time.Millisecond, true
 }
 
-// changeAges returns the ages of the changes from the entry known before to the one after. A server
-// that was not known has no entry before; its start is a change too, unless it was longer ago than
-// any change of a run. Only an entry that is ready after the change has ages.
+// changeAges returns the ages of the changes between a server's entry before and after an update. A server
+// that was unknown has an empty entry before; its start also counts as a change, unless it is at least
+// maxAge ago and thus older than any change of a run. Only a server that is ready after the update has ages.
 func changeAges(before, after *endpoints.Endpoint, now time.Time) []time.Duration {
 	if after.Health != endpoints.Ready {
 		return nil
--- a/internal/lab/hollow/changeage_test.go
+++ b/internal/lab/hollow/changeage_test.go
@@ -7,25 +7,25 @@
 	"knotrouter/internal/endpoints"
 )
 
-// The age of a weight is exact to the millisecond, also across the wrap of its window.
+// The age that a weight encodes is exact to the millisecond, also across a wrap of the window.
 func TestAgeOfWeight(t *testing.T) {
 	wrap := time.UnixMilli(1_796_186_000_000) // a multiple of the window
 	for _, sent := range []time.Time{wrap.Add(-3 * time.Millisecond), wrap.Add(time.Millisecond), wrap.Add(123_456 * time.Millisecond)} {
 		for _, age := range []time.Duration{0, time.Millisecond, 7 * time.Second, 10 * time.Minute} {
 			got, ok := ageFromWeight(weightForTime(sent), sent.Add(age))
 			if !ok || got != age {
-				t.Errorf("sent at %v, read %v later: age %v, %v", sent.UnixMilli(), age, got, ok)
+				t.Errorf("sent at %v, read %v later: got age %v, ok %v", sent.UnixMilli(), age, got, ok)
 			}
 		}
 	}
 	for _, weight := range []float64{baseWeight, 0, 0.5, 2, 100} {
 		if age, ok := ageFromWeight(weight, wrap); ok {
-			t.Errorf("weight %v carries no time, read as %v ago", weight, age)
+			t.Errorf("weight %v encodes no time, got age %v", weight, age)
 		}
 	}
 }
 
-// Ages are given for restarts, configuration changes and returns, and of nothing else.
+// Restarts, configuration changes and servers that come back have ages; other updates have none.
 func TestAgesOf(t *testing.T) {
 	now := time.UnixMilli(1_796_186_400_000)
 	old := endpoints.Endpoint{Name: "a", Health: endpoints.Ready, Weight: baseWeight, StartedMs: float64(now.Add(-time.Hour).UnixMilli())}
@@ -39,14 +39,14 @@
 		before, after endpoints.Endpoint
 		want          []time.Duration
 	}{
-		{"nothing", old, old, nil},
+		{"no change", old, old, nil},
 		{"a restart", old, restarted, []time.Duration{40 * time.Millisecond}},
 		{"a configuration change", old, configured, []time.Duration{30 * time.Millisecond}},
 		{"both in one line", old, both, []time.Duration{40 * time.Millisecond, 30 * time.Millisecond}},
-		{"an end", old, removed, nil},
-		{"a return", endpoints.Endpoint{}, restarted, []time.Duration{40 * time.Millisecond}},
-		{"a return with a weight from before", endpoints.Endpoint{}, both, []time.Duration{40 * time.Millisecond}},
-		{"an old server that was not known", endpoints.Endpoint{}, old, nil},
+		{"a removal", old, removed, nil},
+		{"a server that comes back", endpoints.Endpoint{}, restarted, []time.Duration{40 * time.Millisecond}},
+		{"a server that comes back with an earlier weight", endpoints.Endpoint{}, both, []time.Duration{40 * time.Millisecond}},
+		{"a long-running server that was unknown", endpoints.Endpoint{}, old, nil},
 	} {
 		got := changeAges(&c.before, &c.after, now)
 		if len(got) != len(c.want) {
--- a/internal/lab/hollow/changes.go
+++ b/internal/lab/hollow/changes.go
@@ -11,11 +11,11 @@
 
 const (
 	maxChangesPerSecond = 1000
-	// idlePollInterval is the time between two looks at the rates while these are 0.
+	// idlePollInterval is the interval at which the rates are read while they are 0.
 	idlePollInterval = 50 * time.Millisecond
 )
 
-// Rates is how often servers change.
+// Rates are the rates at which servers change.
 type Rates struct {
 	ConfigurationsPerSecond float64 `json:"configurations_per_second"`
 	RestartsPerSecond       float64 `json:"restarts_per_second"`
@@ -23,7 +23,7 @@
 
 func (r Rates) total() float64 { return r.ConfigurationsPerSecond + r.RestartsPerSecond }
 
-// valid returns whether the rates are numbers of 0 or above and within the bound of their total.
+// valid reports whether the rates are numbers of at least 0 and their total is within the bound.
 func (r Rates) valid() bool {
 	return r.ConfigurationsPerSecond >= 0 && r.RestartsPerSecond >= 0 && !(r.total() > maxChangesPerSecond)
 }
@@ -40,8 +40,8 @@
 	return p.rates
 }
 
-// generateChanges makes configuration changes and restarts at the current rates until the context ends,
-// each of another server, in an order drawn from the seed. It returns when all changes have ended.
+// generateChanges performs configuration changes and restarts at the current rates until the context ends.
+// It takes the servers in turn, in an order drawn from the seed, and returns when all changes have ended.
 func (p *Servers) generateChanges(ctx context.Context) {
 	random := rand.New(rand.NewPCG(p.config.Seed, 1))
 	order := random.Perm(p.config.Count)
@@ -73,7 +73,7 @@
 	}
 }
 
-// overrideWeight overrides the weight of a server that renews, as an operator does.
+// overrideWeight overrides the weight of a server that renews its lease, as an operator does.
 func (p *Servers) overrideWeight(ctx context.Context, index int) {
 	endpoint, renewing := p.endpointOf(index)
 	if !renewing {
@@ -88,7 +88,7 @@
 	}
 }
 
-// restart registers a new process, under the same name, of a server that renews.
+// restart registers a new process of a server that renews its lease, under the same name.
 func (p *Servers) restart(ctx context.Context, index int) {
 	p.mu.Lock()
 	s := &p.servers[index]
--- a/internal/lab/hollow/config.go
+++ b/internal/lab/hollow/config.go
@@ -9,9 +9,9 @@
 	"knotrouter/internal/endpoints"
 )
 
-// Bounds of one process.
+// Limits of one process.
 const (
-	MaxAgents  = 19_000 // a descriptor each, of 20,000 a process
+	MaxAgents  = 19_000 // each needs a descriptor, of 20,000 per process
 	MaxServers = 100_000
 
 	maxSources         = 250
@@ -19,17 +19,17 @@
 	maxRenewBatch      = 2000
 )
 
-// AgentsConfig describes hollow agents of one process.
+// AgentsConfig configures the hollow agents of one process.
 type AgentsConfig struct {
 	ControlPlane []string      // HTTP addresses of the control-plane servers
 	Count        int           // hollow agents in this process
-	First        int           // index of the first one in the fleet
-	Fleet        int           // readers of the whole fleet; 0: Count
-	Seed         uint64        // of the order of addresses, the jitter and the subscriptions
-	StartSpread  time.Duration // agents are started evenly over that time; 0: at once
-	Services     int           // services that there are
-	Subscribed   int           // services that each agent subscribes to; 0: the full list
-	Sources      []string      // local addresses, taken in turn; none: the kernel's choice
+	First        int           // index of the first hollow agent in the fleet
+	Fleet        int           // number of agents in the whole fleet; 0: Count
+	Seed         uint64        // seed of the order of addresses, the jitter and the subscriptions
+	StartSpread  time.Duration // the agents are started evenly over this time; 0: at once
+	Services     int           // number of services in the fleet
+	Subscribed   int           // number of services that each agent subscribes to; 0: the full list
+	Sources      []string      // local addresses of connections, used in turn; empty: chosen by the kernel
 }
 
 // Validate returns an error that names the flag of the first value out of bounds, or nil.
@@ -59,16 +59,16 @@
 	return nil
 }
 
-// ServersConfig describes hollow servers of one process.
+// ServersConfig configures the hollow servers of one process.
 type ServersConfig struct {
 	ControlPlane    []string      // HTTP addresses of the control-plane servers
-	Count           int           // hollow servers
-	Services        int           // services that they are spread over evenly
-	Seed            uint64        // of the order in which servers change
-	RenewInterval   time.Duration // between two renewals of a server
-	RenewBatch      int           // servers that one call renews
-	EmulatedPerZone int           // HTTP servers that answer for the servers of a zone; 0: nothing answers
-	ServiceTime     time.Duration // that an emulated server takes for a request
+	Count           int           // hollow servers in this process
+	Services        int           // number of services that the servers are spread over evenly
+	Seed            uint64        // seed of the order in which servers change
+	RenewInterval   time.Duration // time between two renewals of a server
+	RenewBatch      int           // number of servers that one call renews
+	EmulatedPerZone int           // HTTP servers that answer for the servers of a zone; 0: none
+	ServiceTime     time.Duration // time that an emulated server takes for a request
 }
 
 // Validate returns an error that names the flag of the first value out of bounds, or nil.
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// validateProcess checks what both kinds of processes have: addresses and a number of simulated
-// agents or servers.
+// validateProcess validates the settings that both kinds of processes have: the addresses and the number of
+// simulated agents or servers.
 func validateProcess(controlPlane []string, count, maxCount int) error {
 	if len(controlPlane) == 0 {
 		return errors.New("--stewards: missing")
--- a/internal/lab/hollow/doc.go
+++ b/internal/lab/hollow/doc.go
@@ -1,21 +1,21 @@
-// Package hollow runs processes that load the control plane as a fleet does, with many simulated
+// Package hollow runs processes that put the load of a fleet on the control plane, with many simulated
 // agents or servers in one process.
 //
-// A hollow agent reads the list with the real client (endpoints.Client), lets the real
-// policy.Balancer decide when a watch begins again and keeps a real table of the list, but has no
-// data path. A hollow server is an entry that the process registers, renews, changes, drains,
-// removes and replaces; a few HTTP servers a zone may answer requests for all of them.
+// A hollow agent reads the list with the real client (endpoints.Client), uses the real policy.Balancer to
+// decide when to start a watch again and keeps a real table of the list, but has no data path. A hollow
+// server is an entry that the process registers, renews, changes, drains, removes and replaces. A few HTTP
+// servers per zone can answer requests for all hollow servers of the zone.
 //
-// Agents is one process of hollow agents. Run starts the agents and waits; a watch has a goroutine
-// of its own, which reads lists and takes them into the agent's table, and the policy's timers run
-// in the goroutines of time.AfterFunc. All of these hold the agent's lock while they use its
-// balancer or its table. Counts of the process are atomic; the histogram of ages has a lock.
+// Agents runs the hollow agents of one process. Run starts the agents and waits for the end. Each watch
+// has its own goroutine, which reads lists and merges them into the agent's table, and the balancer's
+// timers run in the goroutines of time.AfterFunc. All of these hold the agent's lock while they use its
+// balancer or its table. The counters of the process are atomic; the histogram of ages has its own lock.
 //
-// Servers is one process of hollow servers. Run starts writerCount goroutines, each of which renews
-// a fixed part of the servers through a client of its own, one goroutine that draws changes, with
-// one more for each change under way, and the emulated HTTP servers. The lock of Servers guards
-// what is known of each server and the rates of changes.
+// Servers runs the hollow servers of one process. Run starts writerCount goroutines, each of which renews a
+// fixed partition of the servers through its own client, one goroutine that draws changes, with another one
+// for each change in progress, and the emulated HTTP servers. The lock of Servers guards the state of each
+// server and the rates of changes.
 //
-// Both offer their state as JSON and take commands on a loopback address (Serve, Call), by which
-// the process of a scale run (package scale) reads and controls them.
+// Both serve their state as JSON and accept commands on a loopback address (Serve, Call). The process of a
+// scale run (package scale) uses these to monitor and control them.
 package hollow
--- a/internal/lab/hollow/emulated.go
+++ b/internal/lab/hollow/emulated.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// discardAddress is where hollow servers are listed if there are no emulated servers: the
-	// discard port, at which nothing answers.
+	// discardAddress is the address of all hollow servers if there are no emulated servers: the discard
+	// port, at which nothing answers.
 	discardAddress = "127.0.0.1:9"
-	// readHeaderTimeout bounds the time in which an emulated server reads a request's headers.
+	// readHeaderTimeout limits how long an emulated server reads a request's headers.
 	readHeaderTimeout = time.Minute
 )
 
-// listenEmulated begins to listen for the emulated servers and returns their addresses, zone by
-// zone, or only discardAddress if there are none.
+// listenEmulated starts to listen for the emulated servers and returns their addresses in the order of the
+// zones, or only discardAddress if there are none.
 func (p *Servers) listenEmulated() ([]string, error) {
 	if p.config.EmulatedPerZone == 0 {
 		return []string{discardAddress}, nil
@@ -35,7 +35,7 @@
 	return addresses, nil
 }
 
-// emulatedIndex returns the index of the emulated server that answers for a hollow one.
+// emulatedIndex returns the index of the emulated server that answers for a hollow server.
 func (p *Servers) emulatedIndex(index int) int {
 	if p.config.EmulatedPerZone == 0 {
 		return 0
@@ -52,9 +52,9 @@
 	}
 }
 
-// emulatedHandler returns the handler of the emulated servers of a zone. It answers a request
-// after the service time and a health check at once, and neither while no server of the zone
-// renews.
+// emulatedHandler returns the handler of the emulated servers of a zone. It answers requests after the
+// service time and health checks at once. While no server of the zone renews its lease, it answers
+// neither.
 func (p *Servers) emulatedHandler(zone int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxBody))
--- a/internal/lab/hollow/handlers.go
+++ b/internal/lab/hollow/handlers.go
@@ -9,9 +9,9 @@
 	"strconv"
 )
 
-// Handler serves the state as JSON at GET /v1/state, compared with the list that the query's
-// servers, first_absent, absent and version describe, and with the histogram of ages if the query
-// has ages=1. POST /v1/reset begins a new measurement of ages.
+// Handler serves the state as JSON at GET /v1/state, compared with the expected list, which the query
+// parameters servers, first_absent, absent and version describe. With ages=1 the state includes the
+// histogram of ages. POST /v1/reset discards the recorded ages.
 func (p *Agents) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/state", p.serveState)
@@ -35,7 +35,7 @@
 	writeJSON(w, state)
 }
 
-// parseExpectedList reads the ExpectedList of a request's query. Its error names the parameter.
+// parseExpectedList parses the ExpectedList in a request's query. Its error names the invalid parameter.
 func parseExpectedList(r *http.Request) (ExpectedList, error) {
 	var e ExpectedList
 	query := r.URL.Query()
@@ -58,9 +58,9 @@
 	return e, nil
 }
 
-// Handler serves the state at GET /v1/state, and takes commands: POST /v1/register, /v1/silence,
-// /v1/drain and /v1/leave with a Range of servers, and /v1/rates with Rates. The calls that a
-// command leads to end with the context.
+// Handler serves the state at GET /v1/state and accepts commands: POST /v1/register, /v1/silence, /v1/drain
+// and /v1/leave with a Range of servers, and /v1/rates with Rates. The context bounds the control-plane
+// calls that a command causes.
 func (p *Servers) Handler(ctx context.Context) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.State()) })
@@ -75,8 +75,8 @@
 	return mux
 }
 
-// rangeHandler returns the handler of a command on a range of servers; its answer is what the
-// command returns, as JSON.
+// rangeHandler returns the handler of a command on a range of servers. It responds with the command's result
+// as JSON.
 func (p *Servers) rangeHandler(command func(Range) any) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		var r Range
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -21,7 +21,7 @@
 	return ServersConfig{ControlPlane: []string{"127.0.0.1:1"}, Count: 100, Services: 10, RenewInterval: time.Second, RenewBatch: 1}
 }
 
-// The error of a value out of bounds is one line that begins with the flag.
+// The error for an invalid value is one line that begins with the flag.
 func TestValidateNamesTheFlag(t *testing.T) {
 	agents := func(change func(*AgentsConfig)) error {
 		c := validAgentsConfig()
@@ -50,7 +50,7 @@
 		"--service-time": servers(func(c *ServersConfig) { c.ServiceTime = -1 }),
 	} {
 		if err == nil || !strings.HasPrefix(err.Error(), flag) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: said %v", flag, err)
+			t.Errorf("%s: error %v", flag, err)
 		}
 	}
 	if err := agents(func(*AgentsConfig) {}); err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Subscriptions are drawn from the seed, as many as asked for, each service once.
+// Subscriptions are determined by the seed, have the configured number of services and no duplicates.
 func TestSubscriptionsAreDrawnFromTheSeed(t *testing.T) {
 	first, err := NewAgents(validAgentsConfig(), discardLog)
 	if err != nil {
@@ -73,40 +73,40 @@
 	}
 	for i, agent := range first.agents {
 		if !slices.Equal(agent.services, again.agents[i].services) {
-			t.Errorf("agent %d subscribes to %v and to %v", i, agent.services, again.agents[i].services)
+			t.Errorf("agent %d subscribes to %v and, with the same seed, to %v", i, agent.services, again.agents[i].services)
 		}
 		if unique := slices.Compact(slices.Clone(agent.services)); len(unique) != 4 {
-			t.Errorf("agent %d subscribes to %v", i, agent.services)
+			t.Errorf("agent %d subscribes to %v, want 4 different services", i, agent.services)
 		}
 	}
 	if slices.Equal(first.agents[0].services, first.agents[1].services) {
-		t.Errorf("two agents subscribe to the same %v", first.agents[0].services)
+		t.Errorf("two agents subscribe to the same services %v", first.agents[0].services)
 	}
 }
 
-// Each zone is a range of servers, and the ranges hold each server once.
+// Each zone is a range of servers, and each server is in exactly one zone.
 func TestZonesHoldEachServerOnce(t *testing.T) {
 	for _, count := range []int{22, 100, 220, 1000, 39_000} {
 		next := 0
 		for zone := range Zones {
 			r := ZoneRange(zone, count)
 			if r.First != next || r.Count < count/Zones || r.Count > count/Zones+1 {
-				t.Errorf("of %d servers zone %d has %+v after %d", count, zone, r, next)
+				t.Errorf("with %d servers zone %d is %+v, want it to start at %d", count, zone, r, next)
 			}
 			for i := r.First; i < r.First+r.Count; i++ {
 				if zoneOf(i, count) != zone {
-					t.Errorf("of %d servers %d is in zone %d, not %d", count, i, zoneOf(i, count), zone)
+					t.Errorf("with %d servers, server %d is in zone %d, want %d", count, i, zoneOf(i, count), zone)
 				}
 			}
 			next = r.First + r.Count
 		}
 		if next != count {
-			t.Errorf("zones hold %d of %d servers", next, count)
+			t.Errorf("the zones contain %d of %d servers", next, count)
 		}
 	}
 }
 
-// A full list replaces the table, a change is merged into it.
+// A full list replaces the table; a change is merged into it.
 func TestListsAreMergedIntoTheTable(t *testing.T) {
 	a := &Agent{table: map[string]endpoints.Endpoint{}}
 	merge := func(full bool, entries ...endpoints.Endpoint) {
--- a/internal/lab/hollow/http.go
+++ b/internal/lab/hollow/http.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// maxBody is the longest body of a command, in bytes.
+// maxBody is the largest body of a command, in bytes.
 const maxBody = 64 << 10
 
-// writeJSON answers a call with a value as JSON.
+// writeJSON responds with the value as JSON.
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// Serve offers a process's state and commands on a loopback address until the context ends. It
-// returns once it listens; its error names the flag --listen.
+// Serve serves a process's state and commands on a loopback address until the context ends. It returns as
+// soon as it listens. Its error names the flag --listen.
 func Serve(ctx context.Context, address string, handler http.Handler) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// Call sends a command to a hollow process, or asks for its state, and decodes the answer into
-// into. It returns an error if there is no answer, or none with status 200.
+// Call sends a command or a query for the state to a hollow process and decodes the response into the value
+// that into points to. It returns an error if there is no response or its status is not 200.
 func Call(ctx context.Context, method, url string, body, into any) error {
 	request, err := newRequest(ctx, method, url, body)
 	if err != nil {
@@ -55,12 +55,12 @@
 		return fmt.Errorf("hollow process: %s %s: %s", method, request.URL.Path, response.Status)
 	}
 	if err := json.NewDecoder(response.Body).Decode(into); err != nil {
-		return fmt.Errorf("hollow process: answer: %w", err)
+		return fmt.Errorf("hollow process: invalid response: %w", err)
 	}
 	return nil
 }
 
-// newRequest makes a request with a JSON body, if there is one.
+// newRequest creates a request. A body that is not nil is encoded as JSON.
 func newRequest(ctx context.Context, method, url string, body any) (*http.Request, error) {
 	var text []byte
 	if body != nil {
--- a/internal/lab/hollow/registration.go
+++ b/internal/lab/hollow/registration.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// maxCallAttempts bounds how often a registration or a change is attempted, retryPause apart.
+	// maxCallAttempts bounds the attempts of a registration or a change, which are retryPause apart.
 	maxCallAttempts = 100
 	retryPause      = 200 * time.Millisecond
 
-	// initialAge is the age of the processes that register for the first time: they count as warm.
+	// initialAge is the age of a process that registers for the first time, so that it counts as warm.
 	initialAge = time.Hour
 )
 
 // RegistrationResult is the outcome of the registrations of a Range.
 type RegistrationResult struct {
-	Servers       int     `json:"servers"` // that are registered
-	RefusalReason string  `json:"refused"` // why the first one was not; "": all are
+	Servers       int     `json:"servers"` // number of servers that were registered
+	RefusalReason string  `json:"refused"` // why the first refused registration failed; "": all succeeded
 	Seconds       float64 `json:"seconds"`
 }
 
-// Register registers servers as fast as it goes, and stops at the first that is refused for good
-// or fails too often. A server that registers for the first time has run for initialAge; one that
-// was registered before is a process that starts now.
+// Register registers servers as fast as possible, and stops at the first registration that is permanently
+// refused or fails maxCallAttempts times. A server that registers for the first time counts as started
+// initialAge ago; for a server that was registered before, a new process starts now.
 func (p *Servers) Register(ctx context.Context, r Range) RegistrationResult {
 	began := time.Now()
 	var next, done atomic.Int64
@@ -61,7 +61,7 @@
 	return result
 }
 
-// registerProcess registers a new process of a server.
+// registerProcess registers a new process of a server, with retries.
 func (p *Servers) registerProcess(ctx context.Context, writer, index int) error {
 	p.mu.Lock()
 	startedAt := time.Now()
@@ -76,7 +76,7 @@
 	})
 }
 
-// register registers the present process of a server, which then renews.
+// register registers the current process of a server, whose lease is renewed from then on.
 func (p *Servers) register(ctx context.Context, writer, index int) (catalog.Result, error) {
 	endpoint, _ := p.endpointOf(index)
 	result, err := p.clients[writer].Register(ctx, endpoint)
@@ -92,7 +92,8 @@
 	return result, nil
 }
 
-// StopRenewing has servers stop renewing without another call, as in a zone that is cut off.
+// StopRenewing stops the renewals of servers without any call, as in a zone that is cut off from the
+// network.
 func (p *Servers) StopRenewing(r Range) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,17 +102,17 @@
 	}
 }
 
-// Drain drains servers, which renew on, and returns how many drain.
+// Drain drains servers, which continue to renew their leases, and returns how many calls succeeded.
 func (p *Servers) Drain(ctx context.Context, r Range) int {
 	return p.drainOrRemove(ctx, r, true)
 }
 
-// Deregister has servers remove themselves from the list, and returns how many did.
+// Deregister removes servers from the list and returns how many calls succeeded.
 func (p *Servers) Deregister(ctx context.Context, r Range) int {
 	return p.drainOrRemove(ctx, r, false)
 }
 
-// drainOrRemove drains servers, which go on renewing, or removes them from the list, which ends their
+// drainOrRemove drains servers, whose renewals continue, or removes them from the list, which ends their
 // renewals. It returns how many calls succeeded.
 func (p *Servers) drainOrRemove(ctx context.Context, r Range, drain bool) int {
 	ended := 0
@@ -128,7 +129,7 @@
 	return ended
 }
 
-// drainOrRemoveServer calls the control-plane servers in turn until one takes the drain or the removal.
+// drainOrRemoveServer calls the control-plane servers in turn until one accepts the drain or the removal.
 func (p *Servers) drainOrRemoveServer(ctx context.Context, ref catalog.InstanceRef, drain bool) error {
 	var err error
 	for _, address := range p.config.ControlPlane {
@@ -144,7 +145,7 @@
 	return err
 }
 
-// call makes one call without a body. It returns an error unless the answer has status 200.
+// call sends one call without a body. It returns an error unless the response has status 200.
 func (p *Servers) call(ctx context.Context, method, url string) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -163,7 +164,8 @@
 	return nil
 }
 
-// retryChange retries a call and counts a change that failed. It returns whether the call succeeded.
+// retryChange makes a call with retries and counts the change as failed if they fail. It reports whether
+// the call succeeded.
 func (p *Servers) retryChange(ctx context.Context, call func() error) bool {
 	if err := retry(ctx, call); err != nil {
 		p.counts.changesFailed.Add(1)
@@ -172,8 +174,8 @@
 	return true
 }
 
-// retry makes a call until it succeeds. It returns the call's error if that is permanent or the
-// last attempt's, or the context's.
+// retry repeats a call until it succeeds. It returns the call's error if that is permanent or the call has
+// failed maxCallAttempts times, or the context's error if the context ends.
 func retry(ctx context.Context, call func() error) error {
 	var err error
 	for range maxCallAttempts {
@@ -187,8 +189,8 @@
 	return err
 }
 
-// isPermanent returns whether the control plane refused a call with a status other than 503, so
-// that it would refuse the call again.
+// isPermanent reports whether the control plane refused a call with a status other than 503, so that a retry
+// would be refused too.
 func isPermanent(err error) bool {
 	var refused *control.HTTPError
 	return errors.As(err, &refused) && refused.Status != http.StatusServiceUnavailable
--- a/internal/lab/hollow/renewal.go
+++ b/internal/lab/hollow/renewal.go
@@ -7,8 +7,8 @@
 	"knotrouter/internal/catalog"
 )
 
-// renewPartition renews the servers of one writer, a fixed part of all, evenly over the interval
-// between renewals until the context ends.
+// renewPartition renews the servers of one writer, a fixed partition of all, until the context ends. The
+// batches are spread evenly over the renewal interval.
 func (p *Servers) renewPartition(ctx context.Context, writer int) {
 	perWriter := (p.config.Count + writerCount - 1) / writerCount
 	first, end := min(writer*perWriter, p.config.Count), min((writer+1)*perWriter, p.config.Count)
@@ -17,19 +17,19 @@
 		return
 	}
 	pause := p.config.RenewInterval / time.Duration(batches)
-	// Writers begin at different times of the interval.
+	// The writers start at different times within the interval.
 	next := time.Now().Add(p.config.RenewInterval * time.Duration(writer) / writerCount)
 	for batch := 0; Sleep(ctx, time.Until(next)) && ctx.Err() == nil; batch = (batch + 1) % batches {
 		from := first + batch*p.config.RenewBatch
 		p.renewBatch(ctx, writer, from, min(from+p.config.RenewBatch, end))
 		if next = next.Add(pause); time.Since(next) > p.config.RenewInterval {
-			next = time.Now() // renewals that are an interval late are skipped
+			next = time.Now() // renewals more than an interval late are skipped
 		}
 	}
 }
 
-// renewBatch renews by one call those of the servers from an index up to another that renew, and
-// registers those whose lease was lost.
+// renewBatch renews, in one call, the servers in [from, to) that renew their leases, and registers those
+// again whose leases were lost.
 func (p *Servers) renewBatch(ctx context.Context, writer, from, to int) {
 	refs, indexes := p.renewingRefs(from, to)
 	if len(refs) == 0 {
@@ -49,8 +49,7 @@
 	}
 }
 
-// renewingRefs returns those of the servers from an index up to another that renew, with their
-// indexes.
+// renewingRefs returns the references and the indexes of the servers in [from, to) that renew their leases.
 func (p *Servers) renewingRefs(from, to int) (refs []catalog.InstanceRef, indexes []int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/hollow/servers.go
+++ b/internal/lab/hollow/servers.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// writerCount is the number of goroutines that register and renew, each through a client that
-	// calls another control-plane server first.
+	// writerCount is the number of goroutines that register and renew servers. Each has its own client, and
+	// successive clients start with successive control-plane servers.
 	writerCount = 64
-	// callTimeout bounds one call of the control plane.
+	// callTimeout limits one call to the control plane.
 	callTimeout = 2 * time.Second
 )
 
 // server is one hollow server.
 type server struct {
 	endpoint endpoints.Endpoint
-	renewing bool // it is registered and renews; false: it has not registered, left or stopped renewing
+	renewing bool // it is registered and renews its lease; false before registration and after removal or StopRenewing
 }
 
-// ref names the server's present process.
+// ref returns the reference to the server's current process.
 func (s *server) ref() catalog.InstanceRef {
 	return catalog.InstanceRef{Name: s.endpoint.Name, StartedMs: s.endpoint.StartedMs}
 }
 
-// Servers is a process of hollow servers.
+// Servers runs the hollow servers of one process.
 type Servers struct {
 	config    ServersConfig
 	log       *slog.Logger
 	meter     *meteredTransport
 	clients   []*control.Client // by writer
-	listeners []net.Listener    // of the emulated servers, zone by zone
+	listeners []net.Listener    // of the emulated servers, in the order of the zones
 	reachable [Zones]atomic.Bool
 	counts    struct {
 		renewals, renewalsFailed, registrations, configurations, restarts, changesFailed, leasesLost, served atomic.Int64
@@ -52,8 +52,8 @@
 	rates          Rates
 }
 
-// NewServers makes hollow servers, none of them registered. Its error names the flag of the first
-// value of the configuration that is out of bounds, or says that an emulated server can't listen.
+// NewServers creates hollow servers, which are not registered yet. Its error names the flag of the first
+// invalid value in the configuration, or reports that an emulated server can't listen.
 func NewServers(config ServersConfig, log *slog.Logger) (*Servers, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 	return p, nil
 }
 
-// rotate returns the addresses in the same cyclic order, beginning with the one at an index.
+// rotate returns the addresses rotated so that the one at index first, modulo their number, comes first.
 func rotate(addresses []string, first int) []string {
 	rotated := make([]string, len(addresses))
 	for i := range addresses {
@@ -93,7 +93,7 @@
 	return rotated
 }
 
-// Run serves requests, renews and changes servers until the context ends.
+// Run serves requests and renews and changes servers until the context ends.
 func (p *Servers) Run(ctx context.Context) {
 	p.serveEmulated(ctx)
 	var running sync.WaitGroup
@@ -107,7 +107,7 @@
 	p.log.Info("hollow servers end", "renewals", state.Renewals, "calls", state.Total.Calls)
 }
 
-// endpointOf returns what a server registers, and whether it renews.
+// endpointOf returns the endpoint that a server registers, and whether it renews its lease.
 func (p *Servers) endpointOf(index int) (endpoint endpoints.Endpoint, renewing bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,7 +115,7 @@
 	return s.endpoint, s.renewing
 }
 
-// setRenewing sets whether a server renews. The caller holds the lock.
+// setRenewing sets whether a server renews its lease. The caller holds p.mu.
 func (p *Servers) setRenewing(index int, renewing bool) {
 	s, zone := &p.servers[index], zoneOf(index, p.config.Count)
 	switch {
@@ -128,23 +128,24 @@
 	p.reachable[zone].Store(p.renewingInZone[zone] > 0)
 }
 
-// ServersState is what the hollow servers of a process did, as sent to the process of a scale run.
+// ServersState is the state and the totals of the hollow servers of a process, as sent to the process of a
+// scale run.
 type ServersState struct {
 	Servers        int                `json:"servers"`
-	Renewing       int                `json:"renewed"` // servers that are registered and renew
+	Renewing       int                `json:"renewed"` // servers that are registered and renew their leases
 	Renewals       int64              `json:"renewals"`
-	RenewalsFailed int64              `json:"renewals_failed"` // calls
+	RenewalsFailed int64              `json:"renewals_failed"` // failed calls
 	Registrations  int64              `json:"registrations"`
-	LeasesLost     int64              `json:"lapsed"` // servers that were unknown at a renewal
+	LeasesLost     int64              `json:"lapsed"` // renewals of servers that the control plane did not know
 	Configurations int64              `json:"configurations"`
 	Restarts       int64              `json:"restarts"`
 	ChangesFailed  int64              `json:"changes_failed"`
-	Served         int64              `json:"served"` // requests, by the emulated servers
+	Served         int64              `json:"served"` // requests that the emulated servers answered
 	Total          Traffic            `json:"total"`
 	ByAddress      map[string]Traffic `json:"by_address"`
 }
 
-// State returns what the servers did so far.
+// State returns the state and the totals of the servers.
 func (p *Servers) State() ServersState {
 	state := ServersState{
 		Servers:        p.config.Count,
--- a/internal/lab/hollow/sleep.go
+++ b/internal/lab/hollow/sleep.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Sleep waits for a time or until the context ends, and reports whether the time passed first. With
-// a time of 0 or below it returns at once and reports whether the context is still active.
+// Sleep waits for the pause or until the context ends, and reports whether the pause passed first. With a
+// pause of 0 or less it returns at once and reports whether the context is still active.
 func Sleep(ctx context.Context, pause time.Duration) bool {
 	if pause <= 0 {
 		return ctx.Err() == nil
--- a/internal/lab/hollow/traffic.go
+++ b/internal/lab/hollow/traffic.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// Traffic counts what went over connections to one address.
+// Traffic counts the calls and the bytes on connections to an address.
 type Traffic struct {
-	Calls    int64 `json:"calls"`     // HTTP calls that were begun
-	Refused  int64 `json:"refused"`   // calls that were answered with 503
-	Failed   int64 `json:"failed"`    // calls without an answer
+	Calls    int64 `json:"calls"`     // HTTP calls that were started
+	Refused  int64 `json:"refused"`   // calls with a response of status 503
+	Failed   int64 `json:"failed"`    // calls without a response
 	BytesIn  int64 `json:"bytes_in"`  // payload of TCP, HTTP headers included
 	BytesOut int64 `json:"bytes_out"` // payload of TCP, HTTP headers included
 }
@@ -28,7 +28,7 @@
 	t.BytesOut += other.BytesOut
 }
 
-// Sub returns what was counted since earlier.
+// Sub returns t minus the earlier counts.
 func (t Traffic) Sub(earlier Traffic) Traffic {
 	return Traffic{
 		Calls:    t.Calls - earlier.Calls,
@@ -39,7 +39,7 @@
 	}
 }
 
-// trafficCounter is a Traffic that many goroutines may count in at once.
+// trafficCounter counts Traffic. It is safe for concurrent use.
 type trafficCounter struct {
 	calls, refused, failed, bytesIn, bytesOut atomic.Int64
 }
@@ -54,11 +54,11 @@
 	}
 }
 
-// dialTimeout bounds the time to establish a connection.
+// dialTimeout limits the time to establish a connection.
 const dialTimeout = 2 * time.Second
 
-// meteredTransport is an http.RoundTripper that counts calls and bytes by the address that they go to. It may
-// be used by many goroutines at once.
+// meteredTransport is an http.RoundTripper that counts calls and bytes by address. It is safe for concurrent
+// use.
 type meteredTransport struct {
 	transport http.RoundTripper
 
@@ -66,9 +66,8 @@
 	byAddress map[string]*trafficCounter
 }
 
-// newMeteredTransport returns a meter of the connections that a transport makes; it replaces the transport's
-// dialer. Connections are made from the local addresses in sources, taken in turn, or from the
-// kernel's choice if there are none.
+// newMeteredTransport returns a meteredTransport that wraps the transport and replaces its dialer. Connections
+// use the local addresses in sources in turn, or one chosen by the kernel if sources is empty.
 func newMeteredTransport(transport *http.Transport, sources []string) *meteredTransport {
 	m := &meteredTransport{transport: transport, byAddress: map[string]*trafficCounter{}}
 	var dialed atomic.Int64
@@ -112,8 +111,8 @@
 	return byAddress, total
 }
 
-// RoundTrip makes a call through the transport and counts it, with its outcome. A call that was
-// canceled is not counted as failed.
+// RoundTrip makes a call through the transport and counts it and its outcome. A canceled call is not counted
+// as failed.
 func (m *meteredTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	counter := m.counterFor(request.URL.Host)
 	counter.calls.Add(1)
@@ -133,14 +132,14 @@
 	counter *trafficCounter
 }
 
-// Read reads from the connection and counts what arrived.
+// Read reads from the connection and counts the received bytes.
 func (c *countedConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	c.counter.bytesIn.Add(int64(n))
 	return n, err
 }
 
-// Write writes to the connection and counts what was sent.
+// Write writes to the connection and counts the sent bytes.
 func (c *countedConn) Write(buffer []byte) (int, error) {
 	n, err := c.Conn.Write(buffer)
 	c.counter.bytesOut.Add(int64(n))
