--- a/internal/lab/discovery/agentlist.go
+++ b/internal/lab/discovery/agentlist.go
@@ -45,7 +45,7 @@
 	if !list.Full {
 		return
 	}
-	for _, server := range s.list.servers { // a full list removes the servers that it does not name
+	for _, server := range s.list.servers { // a full list removes the servers that are missing from it
 		if !listed[server] {
 			s.env.Checker.RecordNotified(agent, server, endpoints.Removed, 0)
 		}
--- a/internal/lab/discovery/serverlist.go
+++ b/internal/lab/discovery/serverlist.go
@@ -29,7 +29,7 @@
 	history  []change       // oldest first
 }
 
-// change is one revision of the list.
+// change is the change of one server that created a revision of the list.
 type change struct {
 	revision int64
 	server   int
--- a/internal/lab/hollow/changeage_test.go
+++ b/internal/lab/hollow/changeage_test.go
@@ -8,7 +8,7 @@
 )
 
 // The age that a weight encodes is exact to the millisecond, also across a wrap of the window.
-func TestAgeOfWeight(t *testing.T) {
+func TestAgeFromWeight(t *testing.T) {
 	wrap := time.UnixMilli(1_796_186_000_000) // a multiple of the window
 	for _, sent := range []time.Time{wrap.Add(-3 * time.Millisecond), wrap.Add(time.Millisecond), wrap.Add(123_456 * time.Millisecond)} {
 		for _, age := range []time.Duration{0, time.Millisecond, 7 * time.Second, 10 * time.Minute} {
@@ -26,7 +26,7 @@
 }
 
 // Restarts, configuration changes and servers that come back have ages; other updates have none.
-func TestAgesOf(t *testing.T) {
+func TestChangeAges(t *testing.T) {
 	now := time.UnixMilli(1_796_186_400_000)
 	old := endpoints.Endpoint{Name: "a", Health: endpoints.Ready, Weight: baseWeight, StartedMs: float64(now.Add(-time.Hour).UnixMilli())}
 	restarted, configured, both, removed := old, old, old, old
--- a/internal/lab/hollow/config.go
+++ b/internal/lab/hollow/config.go
@@ -32,7 +32,7 @@
 	Sources      []string      // local addresses of connections, used in turn; empty: chosen by the kernel
 }
 
-// Validate returns an error that names the flag of the first value out of bounds, or nil.
+// Validate returns an error that names the flag of the first invalid value, or nil.
 func (c *AgentsConfig) Validate() error {
 	if err := validateProcess(c.ControlPlane, c.Count, MaxAgents); err != nil {
 		return err
@@ -71,7 +71,7 @@
 	ServiceTime     time.Duration // time that an emulated server takes for a request
 }
 
-// Validate returns an error that names the flag of the first value out of bounds, or nil.
+// Validate returns an error that names the flag of the first invalid value, or nil.
 func (c *ServersConfig) Validate() error {
 	if err := validateProcess(c.ControlPlane, c.Count, MaxServers); err != nil {
 		return err
--- a/internal/lab/server/http.go
+++ b/internal/lab/server/http.go
@@ -208,7 +208,7 @@
 		_, _ = io.WriteString(w, body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
 		attempt.MarkFinished()
-		c.reset() // as above
+		c.reset() // panics
 	}
 	// The attempt is finished before the response is sent: the agent may send its next attempt as soon as
 	// it has the response.
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -19,10 +19,10 @@
 // Counters are the totals since the server was created.
 type Counters struct {
 	Arrived     atomic.Int64 // requests that arrived
-	Served      atomic.Int64 // complete responses, and truncated ones
+	Served      atomic.Int64 // complete and truncated responses
 	Rejected    atomic.Int64 // requests that were rejected without being started
 	Errors      atomic.Int64 // responses with 500
-	Aborted     atomic.Int64 // requests that were canceled, and responses that a fault broke
+	Aborted     atomic.Int64 // canceled requests, and responses that a fault lost or broke
 	Repeated    atomic.Int64 // responses that a fault sent a second time
 	Connections atomic.Int64 // accepted connections
 	Probes      atomic.Int64
--- a/internal/lab/server/spec.go
+++ b/internal/lab/server/spec.go
@@ -6,7 +6,7 @@
 // then, and when it recovers.
 type Overload struct {
 	RequestsPerCore     float64       `koanf:"at"`      // threshold of the requests in flight per core; 0: never overloaded
-	After               time.Duration `koanf:"over"`    // time above the threshold from which the server is overloaded
+	After               time.Duration `koanf:"over"`    // the server becomes overloaded after this time above the threshold
 	Slowdown            float64       `koanf:"slower"`  // factor by which work takes longer during an overload
 	RecoveryUtilization float64       `koanf:"below"`   // the overload ends below this utilization in a RecoveryPeriod
 	RecoveryPeriod      time.Duration `koanf:"rest"`    // interval of the checks of the utilization
@@ -16,13 +16,13 @@
 // Spec describes the capacity of a server and the effects that change it. Work is in milliseconds of a standard core.
 type Spec struct {
 	Cores             int           `koanf:"cores"`
-	Speed             float64       `koanf:"speed"`        // of each core; that of a standard core is 1
+	Speed             float64       `koanf:"speed"`        // speed of each core; a standard core has 1
 	Slots             int           `koanf:"slots"`        // requests that run at the same time
 	QueueCapacity     int           `koanf:"queue"`        // requests that can wait for a slot
 	ThrashFactor      float64       `koanf:"thrash"`       // slowdown added per ThrashThreshold of requests above it
 	ThrashThreshold   float64       `koanf:"thrash_at"`    // requests in flight per core; 0: no thrashing
 	WarmupStartFactor float64       `koanf:"cold_from"`    // share of its capacity that a server has when it starts
-	WarmupDuration    time.Duration `koanf:"cold_for"`     // 0: a server starts with its full capacity
+	WarmupDuration    time.Duration `koanf:"cold_for"`     // 0: no warm-up
 	WarmupWork        float64       `koanf:"warm_by_work"` // work that ends the warm-up sooner; 0: time alone ends it
 	Overload          Overload      `koanf:"choke"`
 	AffinityGain      float64       `koanf:"affinity_gain"` // share of the work that a recently used key saves
--- a/internal/lab/server/testserver_test.go
+++ b/internal/lab/server/testserver_test.go
@@ -175,11 +175,11 @@
 }
 
 // sendAndExpect sends the request, checks its outcome, and returns the body of the response.
-func (ts *testServer) sendAndExpect(what, outcome string, r *http.Request) string {
+func (ts *testServer) sendAndExpect(label, outcome string, r *http.Request) string {
 	ts.t.Helper()
 	got, body := ts.send(r)
 	if got != outcome {
-		ts.t.Errorf("%s: %s %q, want %s", what, got, body, outcome)
+		ts.t.Errorf("%s: %s %q, want %s", label, got, body, outcome)
 	}
 	return body
 }
@@ -204,11 +204,11 @@
 }
 
 // waitUntil polls until the condition is met, and fails the test after testTimeout.
-func (ts *testServer) waitUntil(what string, isMet func() bool) {
+func (ts *testServer) waitUntil(condition string, isMet func() bool) {
 	ts.t.Helper()
 	for deadline := time.Now().Add(testTimeout); !isMet(); time.Sleep(ms) {
 		if time.Now().After(deadline) {
-			ts.t.Fatalf("timed out waiting for: %s", what)
+			ts.t.Fatalf("timed out waiting for: %s", condition)
 		}
 	}
 }
