--- a/cmd/lab/capacity.go
+++ b/cmd/lab/capacity.go
@@ -62,7 +62,7 @@
 
 // checkPage prints whether the page has the tables as they are. It returns errBroke if one differs.
 func checkPage(out io.Writer, path, page string, tables []capacity.Table) error {
-	differing, err := capacity.Differing(page, tables)
+	differing, err := capacity.OutdatedTable(page, tables)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/lab/capacity/comparison.go
+++ b/internal/lab/capacity/comparison.go
@@ -34,7 +34,7 @@
 		targetBefore, targetAfter := before.At(target.Servers), after.At(target.Servers)
 		rows = append(rows, []string{experiment, role.Name, load, figure.Name, formatNumber(size),
 			before.At(size).String(), after.At(size).String(), targetBefore.String(), targetAfter.String(),
-			ratio(targetAfter, targetBefore), orNone(figure.Limit.Text)})
+			ratio(targetAfter, targetBefore), orEmptyCell(figure.Limit.Text)})
 	}
 	return rows
 }
@@ -43,7 +43,7 @@
 // an empty cell where one is unknown, or where a fitted line is below zero.
 func ratio(numerator, denominator Estimate) string {
 	if numerator.Basis == Unknown || denominator.Basis == Unknown || denominator.Value <= 0 || numerator.Value < 0 {
-		return none
+		return emptyCell
 	}
 	quotient := numerator
 	quotient.Value /= denominator.Value
--- a/internal/lab/capacity/dataset.go
+++ b/internal/lab/capacity/dataset.go
@@ -58,8 +58,8 @@
 	After  = "after"
 )
 
-// variantOf chooses the variant of an experiment.
-type variantOf func(experiment string) string
+// variantSelector chooses the variant of an experiment.
+type variantSelector func(experiment string) string
 
 // latestVariant returns the variant of an experiment that shows the system as it is now: After,
 // else Before, else the last by name. It returns "" for an experiment without results.
@@ -135,10 +135,10 @@
 	return strings.Compare(a, b)
 }
 
-// resolve returns the series of a figure under a load, over the role's first variable and of its
+// bestSeries returns the series of a figure under a load, over the role's first variable and of its
 // first experiment that have enough sizes for a fit. Without any such, it returns the series with
 // the most sizes.
-func (d Dataset) resolve(role Role, figure Figure, load string, variant variantOf) Series {
+func (d Dataset) bestSeries(role Role, figure Figure, load string, variant variantSelector) Series {
 	var best Series
 	for _, variable := range role.Variables {
 		for _, experiment := range role.Experiments {
@@ -168,7 +168,7 @@
 	for _, role := range roles(t) {
 		for _, load := range d.loads(role.Experiments) {
 			for _, figure := range role.Figures {
-				series := d.resolve(role, figure, load, d.latestVariant)
+				series := d.bestSeries(role, figure, load, d.latestVariant)
 				if len(series.Points) > 0 && !seen[series.Key] {
 					seen[series.Key] = true
 					used = append(used, series)
--- a/internal/lab/capacity/derived.go
+++ b/internal/lab/capacity/derived.go
@@ -24,8 +24,8 @@
 	readersPerSlowReader = 100
 )
 
-// derivation is a figure that is computed from others instead of being measured.
-type derivation struct {
+// derivedFigure is a figure that is computed from others instead of being measured.
+type derivedFigure struct {
 	name    string // with the unit, as the table prints it
 	formula string // as the table prints it
 	value   Estimate
@@ -67,7 +67,7 @@
 	earliest, latest := derive(target, data, data.earliestVariant), derive(target, data, data.latestVariant)
 	var rows [][]string
 	for i, now := range latest {
-		before := none
+		before := emptyCell
 		if earliest[i].value != now.value {
 			before = earliest[i].value.String()
 		}
@@ -78,7 +78,7 @@
 
 // derive computes all derived figures from the chosen variant of each experiment. Their number and
 // order depend only on the loads of the data, not on the variant.
-func derive(t *Target, data Dataset, variant variantOf) []derivation {
+func derive(t *Target, data Dataset, variant variantSelector) []derivedFigure {
 	return slices.Concat(
 		deriveOrdinaryDay(t),
 		deriveLosses(t),
@@ -89,9 +89,9 @@
 }
 
 // deriveOrdinaryDay computes the rates of a day without mass failures.
-func deriveOrdinaryDay(t *Target) []derivation {
+func deriveOrdinaryDay(t *Target) []derivedFigure {
 	r := t.rates()
-	return []derivation{
+	return []derivedFigure{
 		{"configuration changes a second, mean", "changes a day / 86,400", exact(r.configPerSecond)},
 		{"all changes of the list a second, mean", "(configuration + 2 x (restarts + failures)) / 86,400", exact(r.changesPerSecond)},
 		{"renewals a second at one leader", "servers / (`lease_ttl` / 3)", exact(r.renewalsPerSecond)},
@@ -105,9 +105,9 @@
 }
 
 // deriveLosses computes the number of watches or list changes that each kind of loss causes.
-func deriveLosses(t *Target) []derivation {
+func deriveLosses(t *Target) []derivedFigure {
 	zone, region := t.Servers/t.Zones, t.Servers/t.Regions
-	return []derivation{
+	return []derivedFigure{
 		{"steward killed: watches that move, spread over all control machines", "agents / control machines", exact(t.Servers / t.ControlMachines)},
 		{"slow readers, one in a hundred", "agents / 100", exact(t.Servers / readersPerSlowReader)},
 		{"rack lost: changes at once", "servers of a rack", exact(rackServers)},
@@ -120,10 +120,10 @@
 
 // deriveListTransfer computes the bytes of lists and the seconds that an agent takes to receive them
 // at its limit of bytes a second.
-func deriveListTransfer(t *Target, data Dataset, variant variantOf) []derivation {
+func deriveListTransfer(t *Target, data Dataset, variant variantSelector) []derivedFigure {
 	zone, region := t.Servers/t.Zones, t.Servers/t.Regions
 	firstList, perServer := data.firstList(t, variant), data.listBytesPerServer(t, variant)
-	return []derivation{
+	return []derivedFigure{
 		{"bytes of the whole list", "`list_bytes` at the target", data.fullList(t, variant)},
 		{"bytes of a reader's first list", "that x its services / services, where it reads services", firstList},
 		{"seconds for that at an agent's limit", "that / limit", firstList.times(1 / t.AgentBytesPerSecond)},
@@ -146,9 +146,9 @@
 func (t *Target) shareOutsideRegion() float64 { return (t.Regions - 1) / t.Regions }
 
 // deriveRegionPartition computes the changes that each side misses while a region is cut off.
-func deriveRegionPartition(t *Target) []derivation {
+func deriveRegionPartition(t *Target) []derivedFigure {
 	changes, outside := t.changesInPartition(), t.shareOutsideRegion()
-	return []derivation{
+	return []derivedFigure{
 		{"region cut off: configuration changes meanwhile", "rate x time", exact(t.rates().configPerSecond * t.partitionSeconds())},
 		{"region cut off: all changes meanwhile", "rate x time", exact(changes)},
 		{"of them outside of it, which it misses", "that x (regions - 1) / regions", exact(changes * outside)},
@@ -159,12 +159,12 @@
 }
 
 // deriveRegionReturn computes what it takes to bring a region's agents up to date after a partition.
-func deriveRegionReturn(t *Target, data Dataset, variant variantOf) []derivation {
+func deriveRegionReturn(t *Target, data Dataset, variant variantSelector) []derivedFigure {
 	region := t.Servers / t.Regions
 	missed := t.changesInPartition() * t.shareOutsideRegion()
 	callsPerSecond := control.Defaults().CallRate * controlPlaneServersToday
 	_, callsPerList := readerShare(t, variant)
-	return []derivation{
+	return []derivedFigure{
 		{"region back: bytes to each of its agents, changes only", "changes missed x bytes of its list / servers",
 			data.listBytesPerServer(t, variant).times(missed)},
 		{"region back: bytes out of control, first lists", "agents of the region x bytes of its list",
@@ -176,7 +176,7 @@
 
 // readerShare returns the share of the full list that a reader receives, and the number of calls
 // that admission counts for its first list. Only the variant After has lists by service.
-func readerShare(t *Target, variant variantOf) (share, calls float64) {
+func readerShare(t *Target, variant variantSelector) (share, calls float64) {
 	if variant(fleetAhead) == After {
 		return subscribedServices / t.Services, t.firstListCost()
 	}
@@ -185,10 +185,10 @@
 
 // fullList estimates the bytes of the full list at the target, under the first load that has an
 // estimate. Without one, the result is Unknown with the largest number of measured sizes.
-func (d Dataset) fullList(t *Target, variant variantOf) Estimate {
+func (d Dataset) fullList(t *Target, variant variantSelector) Estimate {
 	var tooFew Estimate
 	for _, load := range d.loads(fleetRuns) {
-		estimate := d.resolve(fullListRole, fullListBytes, load, variant).At(t.Servers)
+		estimate := d.bestSeries(fullListRole, fullListBytes, load, variant).At(t.Servers)
 		if estimate.Basis != Unknown {
 			return estimate
 		}
@@ -198,21 +198,21 @@
 }
 
 // firstList estimates the bytes of a reader's first list at the target.
-func (d Dataset) firstList(t *Target, variant variantOf) Estimate {
+func (d Dataset) firstList(t *Target, variant variantSelector) Estimate {
 	share, _ := readerShare(t, variant)
 	return d.fullList(t, variant).times(share)
 }
 
 // listBytesPerServer estimates the bytes of a change to one server at the target, as the mean over
 // all readers: most readers by service don't receive it.
-func (d Dataset) listBytesPerServer(t *Target, variant variantOf) Estimate {
+func (d Dataset) listBytesPerServer(t *Target, variant variantSelector) Estimate {
 	return d.firstList(t, variant).times(1 / t.Servers)
 }
 
 // deriveCallCosts computes what the agents on a call's path add to it, under each measured load.
-func deriveCallCosts(t *Target, data Dataset, variant variantOf) []derivation {
+func deriveCallCosts(t *Target, data Dataset, variant variantSelector) []derivedFigure {
 	callsPerAgent := t.CallsPerSecond / t.Servers
-	derivations := []derivation{
+	figures := []derivedFigure{
 		{"calls a second and agent", "calls / agents", exact(callsPerAgent)},
 		{"ms that the agents may add to the deepest call", "depth x limit", exact(t.CallDepth * t.AddedLatencyP99Ms)},
 	}
@@ -221,17 +221,17 @@
 		loads = []string{"any load"}
 	}
 	for _, load := range loads {
-		cpuMs := data.resolve(callRole, cpuPerCall, load, variant)
-		addedMs := data.resolve(callRole, addedMedian, load, variant)
+		cpuMs := data.bestSeries(callRole, cpuPerCall, load, variant)
+		addedMs := data.bestSeries(callRole, addedMedian, load, variant)
 		coresPerMs := callsPerAgent / 1000
 		fewServers := fmt.Sprintf("the same with %d servers known", referenceServers)
-		derivations = append(derivations,
-			derivation{"cores that an agent spends on calls, all servers known, at " + load, "CPU a call x calls a second and agent",
+		figures = append(figures,
+			derivedFigure{"cores that an agent spends on calls, all servers known, at " + load, "CPU a call x calls a second and agent",
 				cpuMs.At(t.Servers).times(coresPerMs)},
-			derivation{fewServers, "CPU a call x calls a second and agent", cpuMs.At(referenceServers).times(coresPerMs)},
-			derivation{"ms added to the deepest call at p50, all servers known, at " + load, "depth x added p50",
+			derivedFigure{fewServers, "CPU a call x calls a second and agent", cpuMs.At(referenceServers).times(coresPerMs)},
+			derivedFigure{"ms added to the deepest call at p50, all servers known, at " + load, "depth x added p50",
 				addedMs.At(t.Servers).times(t.CallDepth)},
-			derivation{fewServers, "depth x added p50", addedMs.At(referenceServers).times(t.CallDepth)})
+			derivedFigure{fewServers, "depth x added p50", addedMs.At(referenceServers).times(t.CallDepth)})
 	}
-	return derivations
+	return figures
 }
--- a/internal/lab/capacity/doc.go
+++ b/internal/lab/capacity/doc.go
@@ -10,7 +10,7 @@
 //   - Series.At estimates the value at a size: measured, fitted, extrapolated or unknown.
 //   - roles lists the parts of the system with their figures and limits. The tables are made from it:
 //     Tables in tables.go, placement.go, order.go and derived.go.
-//   - Render puts the tables between the markers of the page; Differing finds an outdated one.
+//   - Render puts the tables between the markers of the page; OutdatedTable finds an outdated one.
 //
 // Experiments may have results of two variants, Before and After a mechanism was built. All tables
 // show the latest variant; the comparison and the columns "before the last mechanism" show both.
--- a/internal/lab/capacity/estimate.go
+++ b/internal/lab/capacity/estimate.go
@@ -9,7 +9,7 @@
 const (
 	Unknown Basis = iota
 	Measured
-	Fitted       // by the line, up to farFactor times the largest measured size
+	Fitted       // by the line, up to extrapolationFactor times the largest measured size
 	Extrapolated // by the line, beyond that
 )
 
@@ -38,13 +38,13 @@
 
 // basis returns the basis of the line's value at a size.
 func (f Fit) basis(size float64) Basis {
-	if size > farFactor*f.Largest {
+	if size > extrapolationFactor*f.LargestSize {
 		return Extrapolated
 	}
 	return Fitted
 }
 
-// String returns the value as the tables print it, with farMark and belowMark.
+// String returns the value as the tables print it, with extrapolatedMark and belowZeroMark.
 func (e Estimate) String() string {
 	if e.Basis == Unknown {
 		if e.Sizes == 0 {
@@ -54,10 +54,10 @@
 	}
 	text := formatNumber(e.Value)
 	if e.Basis != Measured && e.Value < 0 {
-		text = "0" + belowMark
+		text = "0" + belowZeroMark
 	}
 	if e.Basis == Extrapolated {
-		text += farMark
+		text += extrapolatedMark
 	}
 	return text
 }
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -27,17 +27,17 @@
 
 // Fit is a straight line through points by least squares.
 type Fit struct {
-	Slope      float64
-	Intercept  float64
-	SlopeError float64 // standard error of the slope
-	RSquared   float64 // coefficient of determination
-	Sizes      int     // number of different sizes of the points
-	Largest    float64 // largest size of the points
-	Bend       float64 // largest size whose point is off the line, or 0 if no point is
+	Slope          float64
+	Intercept      float64
+	SlopeError     float64 // standard error of the slope
+	RSquared       float64 // coefficient of determination
+	Sizes          int     // number of different sizes of the points
+	LargestSize    float64 // largest size of the points
+	LargestOutlier float64 // largest size whose point is off the line, or 0 if no point is
 }
 
 // FitLine fits a line to the points. With fewer than MinSizes different sizes, only Sizes and
-// Largest of the result are set, and Known is false.
+// LargestSize of the result are set, and Known is false.
 func FitLine(points []Point) Fit {
 	var sizes, values []float64
 	for _, point := range points {
@@ -46,7 +46,7 @@
 	}
 	fit := Fit{Sizes: countDistinct(sizes)}
 	if len(sizes) > 0 {
-		fit.Largest = slices.Max(sizes)
+		fit.LargestSize = slices.Max(sizes)
 	}
 	if !fit.Known() {
 		return fit
@@ -58,7 +58,7 @@
 	if math.IsNaN(fit.RSquared) { // all values are equal, and the line goes through them
 		fit.RSquared = 1
 	}
-	fit.Bend = fit.bend(points, residualError)
+	fit.LargestOutlier = fit.largestOutlier(points, residualError)
 	return fit
 }
 
@@ -96,24 +96,24 @@
 		sum += residual * residual
 	}
 	residualError := math.Sqrt(sum / float64(len(points)-2))
-	if residualError <= roundingShare*math.Abs(f.At(f.Largest)) {
+	if residualError <= roundingShare*math.Abs(f.At(f.LargestSize)) {
 		return 0
 	}
 	return residualError
 }
 
-// bend returns the largest size whose point is off the line, or 0 if no point is.
-func (f Fit) bend(points []Point, residualError float64) float64 {
+// largestOutlier returns the largest size whose point is off the line, or 0 if no point is.
+func (f Fit) largestOutlier(points []Point, residualError float64) float64 {
 	var largest float64
 	for _, point := range points {
-		if f.isOffLine(point, residualError) {
+		if f.isOutlier(point, residualError) {
 			largest = max(largest, point.Size)
 		}
 	}
 	return largest
 }
 
-func (f Fit) isOffLine(point Point, residualError float64) bool {
+func (f Fit) isOutlier(point Point, residualError float64) bool {
 	fitted := f.At(point.Size)
 	residual := math.Abs(point.Value - fitted)
 	if residual <= roundingShare*math.Abs(point.Value) {
--- a/internal/lab/capacity/fit_test.go
+++ b/internal/lab/capacity/fit_test.go
@@ -22,11 +22,11 @@
 	checkNear(t, "standard error of the slope", fit.SlopeError, math.Sqrt(0.35/5))
 	checkNear(t, "R²", fit.RSquared, 1-0.7/22.75)
 	checkNear(t, "value at 10", fit.At(10), 21)
-	if fit.Sizes != 4 || fit.Largest != 4 || !fit.Known() {
+	if fit.Sizes != 4 || fit.LargestSize != 4 || !fit.Known() {
 		t.Errorf("4 sizes up to 4, got %+v", fit)
 	}
-	if fit.Bend != 0 {
-		t.Errorf("bends at %v, though no point is a quarter off the line", fit.Bend)
+	if fit.LargestOutlier != 0 {
+		t.Errorf("bends at %v, though no point is a quarter off the line", fit.LargestOutlier)
 	}
 	size, rises := fit.SizeAt(42)
 	if checkNear(t, "size at 42", size, 20); !rises {
@@ -50,8 +50,8 @@
 	checkNear(t, "slope", fit.Slope, 0)
 	checkNear(t, "intercept", fit.Intercept, 5)
 	checkNear(t, "R²", fit.RSquared, 1)
-	if fit.Bend != 0 {
-		t.Errorf("a constant bends at %v", fit.Bend)
+	if fit.LargestOutlier != 0 {
+		t.Errorf("a constant bends at %v", fit.LargestOutlier)
 	}
 	if _, reached := fit.SizeAt(6); reached {
 		t.Error("a constant 5 reaches 6")
@@ -61,12 +61,12 @@
 func TestFitLineFindsBend(t *testing.T) {
 	// Straight up to 4, then nine times as steep.
 	fit := FitLine([]Point{{1, 10}, {2, 20}, {3, 30}, {4, 40}, {8, 400}})
-	if fit.Bend == 0 {
+	if fit.LargestOutlier == 0 {
 		t.Fatalf("no bend found: %+v", fit)
 	}
 	// Size 8 pulls the line, so that size 4 is the largest that is a quarter off it.
-	if fit.Bend != 4 {
-		t.Errorf("off the line up to %v, want 4", fit.Bend)
+	if fit.LargestOutlier != 4 {
+		t.Errorf("off the line up to %v, want 4", fit.LargestOutlier)
 	}
 	// One point of twenty lies apart by more than three standard errors, and under a quarter.
 	var points []Point
@@ -74,8 +74,8 @@
 		points = append(points, Point{size, 1000 + size})
 	}
 	points[9].Value += 100
-	if fit := FitLine(points); fit.Bend != 10 {
-		t.Errorf("off the line at %v, want 10", fit.Bend)
+	if fit := FitLine(points); fit.LargestOutlier != 10 {
+		t.Errorf("off the line at %v, want 10", fit.LargestOutlier)
 	}
 }
 
--- a/internal/lab/capacity/format.go
+++ b/internal/lab/capacity/format.go
@@ -9,12 +9,12 @@
 const (
 	significantDigits = 3
 	unknown           = "unknown" // a value that is neither measured nor derived
-	none              = "–"       // an empty cell
-	// farMark follows a value that is extrapolated beyond farFactor times the largest measured size.
-	farMark   = "*"
-	farFactor = 3.0
-	// belowMark follows the value of a fitted line that is below zero, printed as 0.
-	belowMark = "†"
+	emptyCell         = "–"       // an empty cell
+	// extrapolatedMark follows a value that is extrapolated beyond extrapolationFactor times the largest measured size.
+	extrapolatedMark    = "*"
+	extrapolationFactor = 3.0
+	// belowZeroMark follows the value of a fitted line that is below zero, printed as 0.
+	belowZeroMark = "†"
 	// minPlainValue is the absolute value below which a number is printed with an exponent.
 	minPlainValue = 1e-4
 )
@@ -53,7 +53,7 @@
 
 // markdownTable returns a table in Markdown. Within a cell, white space becomes single spaces and
 // "|" is escaped.
-func markdownTable(head []string, rows [][]string) string {
+func markdownTable(header []string, rows [][]string) string {
 	var table strings.Builder
 	writeRow := func(cells []string) {
 		for _, cell := range cells {
@@ -62,8 +62,8 @@
 		}
 		table.WriteString("|\n")
 	}
-	writeRow(head)
-	table.WriteString(strings.Repeat("| --- ", len(head)) + "|\n")
+	writeRow(header)
+	table.WriteString(strings.Repeat("| --- ", len(header)) + "|\n")
 	for _, row := range rows {
 		writeRow(row)
 	}
--- a/internal/lab/capacity/limits.go
+++ b/internal/lab/capacity/limits.go
@@ -35,17 +35,17 @@
 // constantLimits returns the limits that follow from constants of the code.
 func constantLimits(target *Target) []ScalingLimit {
 	config := control.Defaults()
-	atConstant := func(name, source string, size float64, needs ...Mechanism) ScalingLimit {
+	constantLimit := func(name, source string, size float64, needs ...Mechanism) ScalingLimit {
 		threshold := thresholdAt(target, size, Fitted, source)
 		return ScalingLimit{Name: name, Needs: needs, Before: threshold, Now: threshold}
 	}
 	return append([]ScalingLimit{
-		atConstant("names in the replicated state", "`catalog.MaxEntries`", catalog.MaxEntries, mechanismEntries),
-		atConstant("a zone lost is more than the changes kept: each reader gets its whole list",
+		constantLimit("names in the replicated state", "`catalog.MaxEntries`", catalog.MaxEntries, mechanismEntries),
+		constantLimit("a zone lost is more than the changes kept: each reader gets its whole list",
 			"`catalog.MaxHistory`, servers over zones", catalog.MaxHistory*target.Zones, mechanismHistory),
-		atConstant("a region lost is more than the changes kept: each reader gets its whole list",
+		constantLimit("a region lost is more than the changes kept: each reader gets its whole list",
 			"`catalog.MaxHistory`, servers over regions", catalog.MaxHistory*target.Regions, mechanismHistory),
-		atConstant(fmt.Sprintf("watches a steward, one of %d stewards lost", controlPlaneServersToday),
+		constantLimit(fmt.Sprintf("watches a steward, one of %d stewards lost", controlPlaneServersToday),
 			"`control.Defaults().MaxWatches`", float64(config.MaxWatches*(controlPlaneServersToday-1)), mechanismReplicas),
 		firstListsLimit(target, config.CallRate),
 	}, controlPlaneLimits(target)...)
@@ -136,10 +136,10 @@
 
 // firstThreshold returns the smallest threshold of a figure over all loads. Where no load has one,
 // its text says how many sizes were measured.
-func (d Dataset) firstThreshold(target *Target, role Role, figure Figure, limit float64, variant variantOf) Threshold {
+func (d Dataset) firstThreshold(target *Target, role Role, figure Figure, limit float64, variant variantSelector) Threshold {
 	first := unmeasuredThreshold()
 	for _, load := range d.loads(role.Experiments) {
-		series := d.resolve(role, figure, load, variant)
+		series := d.bestSeries(role, figure, load, variant)
 		threshold := series.threshold(target, limit)
 		if threshold.before(first) {
 			first = threshold
@@ -176,8 +176,8 @@
 }
 
 // callCostThreshold returns the threshold of callCostLimit under one load.
-func (d Dataset) callCostThreshold(target *Target, load string, variant variantOf) Threshold {
-	series := d.resolve(callRole, cpuPerCall, load, variant)
+func (d Dataset) callCostThreshold(target *Target, load string, variant variantSelector) Threshold {
+	series := d.bestSeries(callRole, cpuPerCall, load, variant)
 	reference := series.At(referenceServers)
 	if reference.Basis == Unknown {
 		return unmeasuredThreshold()
--- a/internal/lab/capacity/order.go
+++ b/internal/lab/capacity/order.go
@@ -20,15 +20,15 @@
 	slices.SortStableFunc(limits, compareLimits)
 	var rows [][]string
 	for i, limit := range limits {
-		before := none
+		before := emptyCell
 		if limit.Before != limit.Now {
 			before = limit.Before.Text
 		}
 		rank := fmt.Sprint(i + 1)
 		rows = append(rows, []string{rank, limit.Name, limit.Now.Text, before, limit.remedy(data), limit.Now.Source})
 	}
-	head := []string{"", "limit", "met at a fleet of", "before the last mechanism", "mechanism", "source"}
-	return markdownTable(head, rows)
+	header := []string{"", "limit", "met at a fleet of", "before the last mechanism", "mechanism", "source"}
+	return markdownTable(header, rows)
 }
 
 // compareLimits orders limits by status, and by size within one status.
@@ -41,7 +41,7 @@
 func (l ScalingLimit) remedy(data Dataset) string {
 	switch {
 	case l.Now.Status == NotReached:
-		return none
+		return emptyCell
 	case l.Now.Status == Reached && l.Now.Size == 0:
 		return "the constant part of the cost first; " + data.describe(l.Needs)
 	}
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -16,7 +16,7 @@
 // returns an error for a table that doesn't have exactly one pair of markers in the page.
 func Render(page string, tables []Table) (string, error) {
 	for _, table := range tables {
-		before, _, after, err := cutTable(page, table.Name)
+		before, _, after, err := splitAtTable(page, table.Name)
 		if err != nil {
 			return "", err
 		}
@@ -25,11 +25,11 @@
 	return page, nil
 }
 
-// Differing returns the name of the first table whose text in the page differs, or "" if none does.
+// OutdatedTable returns the name of the first table whose text in the page differs, or "" if none does.
 // Its errors are those of Render.
-func Differing(page string, tables []Table) (string, error) {
+func OutdatedTable(page string, tables []Table) (string, error) {
 	for _, table := range tables {
-		_, text, _, err := cutTable(page, table.Name)
+		_, text, _, err := splitAtTable(page, table.Name)
 		if err != nil {
 			return "", err
 		}
@@ -40,9 +40,9 @@
 	return "", nil
 }
 
-// cutTable splits the page at a table: the text up to and including the begin marker, the table's
+// splitAtTable splits the page at a table: the text up to and including the begin marker, the table's
 // text, and the rest from the end marker on.
-func cutTable(page, name string) (before, text, after string, err error) {
+func splitAtTable(page, name string) (before, text, after string, err error) {
 	begin := beginMarkerPrefix + name + beginMarkerSuffix
 	if strings.Count(page, begin+"\n") != 1 {
 		return "", "", "", fmt.Errorf("page: needs one line %q", begin)
--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -21,10 +21,10 @@
 	if again, err := Render(page, tables); err != nil || again != page {
 		t.Errorf("a second time the page is %q (%v)", again, err)
 	}
-	if name, err := Differing(page, tables); err != nil || name != "" {
+	if name, err := OutdatedTable(page, tables); err != nil || name != "" {
 		t.Errorf("table %q differs from itself (%v)", name, err)
 	}
-	if name, err := Differing(strings.Replace(page, "| b |", "| c |", 1), tables); err != nil || name != "two" {
+	if name, err := OutdatedTable(strings.Replace(page, "| b |", "| c |", 1), tables); err != nil || name != "two" {
 		t.Errorf("%q differs, want two (%v)", name, err)
 	}
 }
--- a/internal/lab/capacity/placement.go
+++ b/internal/lab/capacity/placement.go
@@ -31,9 +31,9 @@
 
 // placementTable compares the arrangements at the target.
 func placementTable(t *Target) string {
-	head := []string{"derived"}
+	header := []string{"derived"}
 	for _, arrangement := range arrangements {
-		head = append(head, arrangement.Name)
+		header = append(header, arrangement.Name)
 	}
 	var table [][]string
 	for _, row := range placementRows(t) {
@@ -43,7 +43,7 @@
 		}
 		table = append(table, cells)
 	}
-	return markdownTable(head, table)
+	return markdownTable(header, table)
 }
 
 func placementRows(t *Target) []placementRow {
@@ -53,26 +53,26 @@
 	rows = append(rows, regionPartitionRows(t)...)
 	rows = append(rows, ordinaryDayRows(t)...)
 	return append(rows, placementRow{"has to be built", func(a Arrangement) string {
-		return a.choose(string(mechanismReplicas+"; "+mechanismRegions), string(mechanismReplicas))
+		return a.chooseText(string(mechanismReplicas+"; "+mechanismRegions), string(mechanismReplicas))
 	}})
 }
 
 // sizeRows compares the sizes and loads of quorums and replicas.
 func sizeRows(t *Target) []placementRow {
 	return []placementRow{
-		{"voters", func(a Arrangement) string { return formatNumber(a.allVoters(t)) }},
-		{"replicas that don't vote, and spares", func(a Arrangement) string { return formatNumber(t.ControlMachines - a.allVoters(t)) }},
-		{"entries in a voter's state", func(a Arrangement) string { return formatNumber(t.Servers/a.quorums(t)) + a.summaries() }},
+		{"voters", func(a Arrangement) string { return formatNumber(a.totalVoters(t)) }},
+		{"replicas that don't vote, and spares", func(a Arrangement) string { return formatNumber(t.ControlMachines - a.totalVoters(t)) }},
+		{"entries in a voter's state", func(a Arrangement) string { return formatNumber(t.Servers/a.quorums(t)) + a.summariesSuffix() }},
 		{"renewals a second at a leader, one call each", func(a Arrangement) string {
 			return formatNumber(t.rates().renewalsPerSecond / a.quorums(t))
 		}},
 		{"log entries a second at a leader", func(a Arrangement) string {
-			return formatNumber(t.rates().changesPerSecond/a.quorums(t)) + a.summaries()
+			return formatNumber(t.rates().changesPerSecond/a.quorums(t)) + a.summariesSuffix()
 		}},
 		{"watches a machine, in the region that has fewest", func(Arrangement) string { return formatNumber(t.watchesPerMachine(0)) }},
 		{"the same with one of its machines lost", func(Arrangement) string { return formatNumber(t.watchesPerMachine(1)) }},
 		{"a write waits for", func(a Arrangement) string {
-			return a.choose("a zone of its region: unknown", "the nearest two other regions: unknown")
+			return a.chooseText("a zone of its region: unknown", "the nearest two other regions: unknown")
 		}},
 	}
 }
@@ -90,18 +90,20 @@
 func regionPartitionRows(t *Target) []placementRow {
 	return []placementRow{
 		{"**a region cut off**: servers in it that can't register or renew", func(a Arrangement) string {
-			return a.choose("0", formatNumber(t.Servers/t.Regions))
+			return a.chooseText("0", formatNumber(t.Servers/t.Regions))
 		}},
-		{"its servers, for all others", func(a Arrangement) string { return a.choose("kept as of the last summary", t.partitionedServers()) }},
-		{"restarts in it that aren't listed in it", func(a Arrangement) string { return a.choose("0", formatNumber(t.restartsInPartition())) }},
+		{"its servers, for all others", func(a Arrangement) string {
+			return a.chooseText("kept as of the last summary", t.partitionedServersText())
+		}},
+		{"restarts in it that aren't listed in it", func(a Arrangement) string { return a.chooseText("0", formatNumber(t.restartsInPartition())) }},
 		{"watches in it", func(a Arrangement) string {
-			return a.choose("go on, its own changes arrive", "stand still, nothing arrives")
+			return a.chooseText("go on, its own changes arrive", "stand still, nothing arrives")
 		}},
 		{"exclusive leases in it", func(a Arrangement) string {
-			return a.choose("go on for leases of the region; one for all regions has to live in one", "none is granted or renewed")
+			return a.chooseText("go on for leases of the region; one for all regions has to live in one", "none is granted or renewed")
 		}},
 		{"quorums that go on elsewhere", func(a Arrangement) string {
-			return a.choose(formatNumber(a.quorums(t)-1)+" of "+formatNumber(a.quorums(t)), "1 of 1")
+			return a.chooseText(formatNumber(a.quorums(t)-1)+" of "+formatNumber(a.quorums(t)), "1 of 1")
 		}},
 	}
 }
@@ -126,19 +128,19 @@
 	return 1
 }
 
-// allVoters is the number of voters of all quorums together.
-func (a Arrangement) allVoters(t *Target) float64 { return a.quorums(t) * a.Voters }
+// totalVoters is the number of voters of all quorums together.
+func (a Arrangement) totalVoters(t *Target) float64 { return a.quorums(t) * a.Voters }
 
-// choose returns the first text for quorums per region, else the second.
-func (a Arrangement) choose(perRegion, acrossRegions string) string {
+// chooseText returns the first text for quorums per region, else the second.
+func (a Arrangement) chooseText(perRegion, acrossRegions string) string {
 	if a.PerRegion {
 		return perRegion
 	}
 	return acrossRegions
 }
 
-// summaries is the part of a cell that quorums per region add for the summaries that they exchange.
-func (a Arrangement) summaries() string { return a.choose(", and summaries: unknown", "") }
+// summariesSuffix is the part of a cell that quorums per region add for the summaries that they exchange.
+func (a Arrangement) summariesSuffix() string { return a.chooseText(", and summaries: unknown", "") }
 
 // toleratedFailures is the number of voters of a quorum that may be down at the same time.
 func (a Arrangement) toleratedFailures() float64 { return math.Floor((a.Voters - 1) / 2) }
@@ -161,9 +163,9 @@
 	return t.Servers / t.Regions / (machines - lost)
 }
 
-// partitionedServers says whether a single quorum removes the servers of a region that is cut off
+// partitionedServersText says whether a single quorum removes the servers of a region that is cut off
 // from the list, or its guard against mass failure keeps them.
-func (t *Target) partitionedServers() string {
+func (t *Target) partitionedServersText() string {
 	share, guard := 1/t.Regions, control.Defaults().GuardShare
 	if share > guard {
 		return fmt.Sprintf("held by the guard: %s of the list, guard at %s", formatNumber(share), formatNumber(guard))
--- a/internal/lab/capacity/role.go
+++ b/internal/lab/capacity/role.go
@@ -157,7 +157,7 @@
 func (d Dataset) measuredQuantities(role Role, load string) map[Quantity]bool {
 	measured := map[Quantity]bool{}
 	for _, figure := range role.Figures {
-		if len(d.resolve(role, figure, load, d.latestVariant).Points) > 0 {
+		if len(d.bestSeries(role, figure, load, d.latestVariant).Points) > 0 {
 			measured[figure.Quantity] = true
 		}
 	}
--- a/internal/lab/capacity/roletables.go
+++ b/internal/lab/capacity/roletables.go
@@ -38,20 +38,20 @@
 			rows = append(rows, unknownRow(strings.Join(loads, ", "), "all"))
 		}
 	}
-	return markdownTable(roleTableHead(fleets), rows)
+	return markdownTable(roleTableHeader(fleets), rows)
 }
 
-func roleTableHead(fleets []Fleet) []string {
-	head := []string{"load", "quantity", "figure"}
+func roleTableHeader(fleets []Fleet) []string {
+	header := []string{"load", "quantity", "figure"}
 	for _, fleet := range fleets {
-		head = append(head, fleet.Name)
+		header = append(header, fleet.Name)
 	}
-	return append(head, "limit", "factor to it at the target", "source")
+	return append(header, "limit", "factor to it at the target", "source")
 }
 
 // unknownRow says that quantities were not measured under loads.
 func unknownRow(loads, quantities string) []string {
-	return []string{loads, quantities, none, unknown, unknown, unknown, none, unknown, "not measured"}
+	return []string{loads, quantities, emptyCell, unknown, unknown, unknown, emptyCell, unknown, "not measured"}
 }
 
 // quotedRows lists the quoted figures of a role. A figure that doesn't hold for each fleet is unknown
@@ -65,7 +65,7 @@
 		}
 		value := estimate.String()
 		rows = append(rows, []string{"as quoted", string(quoted.Quantity), name, value, value, value,
-			orNone(quoted.Limit.Text), limitFactor(estimate, quoted.Limit), quoted.Source})
+			orEmptyCell(quoted.Limit.Text), limitFactor(estimate, quoted.Limit), quoted.Source})
 	}
 	return rows
 }
@@ -77,7 +77,7 @@
 	var rows [][]string
 	measured := map[Quantity]bool{}
 	for _, figure := range role.Figures {
-		series := data.resolve(role, figure, load, data.latestVariant)
+		series := data.bestSeries(role, figure, load, data.latestVariant)
 		if len(series.Points) == 0 {
 			continue
 		}
@@ -107,14 +107,14 @@
 		atTarget = series.At(fleet.size(series.Variable))
 		row = append(row, atTarget.String())
 	}
-	return append(row, orNone(figure.Limit.Text), limitFactor(atTarget, figure.Limit), series.source(role))
+	return append(row, orEmptyCell(figure.Limit.Text), limitFactor(atTarget, figure.Limit), series.source(role))
 }
 
 // limitFactor returns the value as a multiple of its limit.
 func limitFactor(value Estimate, limit Limit) string {
 	switch {
 	case limit.Value == 0:
-		return none
+		return emptyCell
 	case value.Basis == Unknown:
 		return unknown
 	}
--- a/internal/lab/capacity/tables.go
+++ b/internal/lab/capacity/tables.go
@@ -39,8 +39,8 @@
 	for _, source := range data {
 		rows = append(rows, sourceRow(source))
 	}
-	head := []string{"file", "experiment", "variant", "command", "commit", "seed", "machine", "sizes run", "sizes not run, and why"}
-	table := markdownTable(head, rows)
+	header := []string{"file", "experiment", "variant", "command", "commit", "seed", "machine", "sizes run", "sizes not run, and why"}
+	table := markdownTable(header, rows)
 	if unused := data.unusedMeasurements(target); len(unused) > 0 {
 		table += "\nMeasured and in no table: " + strings.Join(unused, "; ") + ".\n"
 	}
@@ -61,8 +61,8 @@
 	if source.Dirty {
 		commit += ", with uncommitted changes"
 	}
-	return []string{source.File, source.Experiment, orNone(source.Variant), "`" + source.Command + "`", commit,
-		fmt.Sprint(source.Seed), source.Machine, orNone(strings.Join(run, "; ")), orNone(strings.Join(notRun, "; "))}
+	return []string{source.File, source.Experiment, orEmptyCell(source.Variant), "`" + source.Command + "`", commit,
+		fmt.Sprint(source.Seed), source.Machine, orEmptyCell(strings.Join(run, "; ")), orEmptyCell(strings.Join(notRun, "; "))}
 }
 
 // unusedMeasurements returns "experiment, role: metric" of the measurements that no role has a
@@ -103,22 +103,22 @@
 	if len(rows) == 0 {
 		return "No slope is known: no results yet.\n"
 	}
-	head := []string{"run", "measured on", "load", "metric", "over", "slope per 1,000", "its standard error", "at 0", "R²", "sizes", "largest", "bends"}
-	return markdownTable(head, rows)
+	header := []string{"run", "measured on", "load", "metric", "over", "slope per 1,000", "its standard error", "at 0", "R²", "sizes", "largest", "bends"}
+	return markdownTable(header, rows)
 }
 
 // fitCells returns the cells of the slopes table from the slope on.
 func fitCells(fit Fit) []string {
-	sizes, largest := fmt.Sprint(fit.Sizes), formatNumber(fit.Largest)
+	sizes, largest := fmt.Sprint(fit.Sizes), formatNumber(fit.LargestSize)
 	if !fit.Known() {
-		return []string{tooFewSizes(fit.Sizes), none, none, none, sizes, largest, none}
+		return []string{tooFewSizes(fit.Sizes), emptyCell, emptyCell, emptyCell, sizes, largest, emptyCell}
 	}
-	bend := "no"
-	if fit.Bend > 0 {
-		bend = "off the line at " + formatNumber(fit.Bend)
+	outlierText := "no"
+	if fit.LargestOutlier > 0 {
+		outlierText = "off the line at " + formatNumber(fit.LargestOutlier)
 	}
 	return []string{formatNumber(1000 * fit.Slope), formatNumber(1000 * fit.SlopeError), formatNumber(fit.Intercept),
-		formatNumber(fit.RSquared), sizes, largest, bend}
+		formatNumber(fit.RSquared), sizes, largest, outlierText}
 }
 
 // label names the results of a series as "experiment, variant".
@@ -129,10 +129,10 @@
 	return key.Experiment + ", " + key.Variant
 }
 
-// orNone returns a text, or the mark of an empty cell in place of "".
-func orNone(text string) string {
+// orEmptyCell returns a text, or the mark of an empty cell in place of "".
+func orEmptyCell(text string) string {
 	if text == "" {
-		return none
+		return emptyCell
 	}
 	return text
 }
--- a/internal/lab/capacity/tables_test.go
+++ b/internal/lab/capacity/tables_test.go
@@ -11,7 +11,7 @@
 
 var targetPath = filepath.Join("..", "..", "..", "docs", "capacity", "target.toml")
 
-func target(t *testing.T) *Target {
+func loadTarget(t *testing.T) *Target {
 	t.Helper()
 	target, err := LoadTarget(targetPath)
 	if err != nil {
@@ -20,9 +20,9 @@
 	return target
 }
 
-// fixture returns invented results: each metric is a straight line over the number of servers, given
+// linearResults returns invented results: each metric is a straight line over the number of servers, given
 // by its value at 0 and its slope.
-func fixture(variant string, sizes []int, lines map[Measurement][2]float64) *Results {
+func linearResults(variant string, sizes []int, lines map[Measurement][2]float64) *Results {
 	results := &Results{Experiment: fleetAhead, Variant: variant, Command: "fixture", Commit: "0123456789abcdef", Seed: 7,
 		Machine: "fixture | no machine", Started: time.Unix(0, 0).UTC()}
 	for _, size := range sizes {
@@ -42,16 +42,16 @@
 	lastChange = Measurement{Role: "readers", Load: "steady", Metric: "change_last_ms"}
 )
 
-func before() *Results {
-	return fixture(Before, []int{1000, 3000, 6000, 10_000}, map[Measurement][2]float64{
+func resultsBefore() *Results {
+	return linearResults(Before, []int{1000, 3000, 6000, 10_000}, map[Measurement][2]float64{
 		agentBytes: {0, 4}, agentCores: {0.001, 1e-7}, listBytes: {20, 120}, lastChange: {10, 0.01}})
 }
 
-func after() *Results {
-	return fixture(After, []int{1000, 3000, 6000, 10_000}, map[Measurement][2]float64{agentBytes: {400, 0}})
+func resultsAfter() *Results {
+	return linearResults(After, []int{1000, 3000, 6000, 10_000}, map[Measurement][2]float64{agentBytes: {400, 0}})
 }
 
-func dataset(results ...*Results) Dataset {
+func newDataset(results ...*Results) Dataset {
 	var data Dataset
 	for i, r := range results {
 		data = append(data, Source{File: fmt.Sprintf("fixture-%d.json", i), Results: r})
@@ -59,7 +59,7 @@
 	return data
 }
 
-func text(t *testing.T, target *Target, data Dataset, name string) string {
+func tableText(t *testing.T, target *Target, data Dataset, name string) string {
 	t.Helper()
 	for _, table := range Tables(target, data) {
 		if table.Name == name {
@@ -70,8 +70,8 @@
 	return ""
 }
 
-// line returns the only line of a text that contains all parts.
-func line(t *testing.T, text string, parts ...string) string {
+// onlyLine returns the only onlyLine of a text that contains all parts.
+func onlyLine(t *testing.T, text string, parts ...string) string {
 	t.Helper()
 	var found []string
 lines:
@@ -89,7 +89,7 @@
 	return found[0]
 }
 
-func wantIn(t *testing.T, line string, parts ...string) {
+func checkContains(t *testing.T, line string, parts ...string) {
 	t.Helper()
 	for _, part := range parts {
 		if !strings.Contains(line, part) {
@@ -99,7 +99,7 @@
 }
 
 func TestEstimateMarks(t *testing.T) {
-	series := dataset(before())[:1].Series(Key{fleetAhead, Before, agentBytes.Role, agentBytes.Load, agentBytes.Metric, Servers})
+	series := newDataset(resultsBefore())[:1].Series(Key{fleetAhead, Before, agentBytes.Role, agentBytes.Load, agentBytes.Metric, Servers})
 	for size, want := range map[float64]string{3000: "12,000", 200: "800", 30_000: "120,000", 30_001: "120,000*", 39_000: "156,000*"} {
 		if got := series.At(size).String(); got != want {
 			t.Errorf("at %v: %s, want %s", size, got, want)
@@ -112,11 +112,11 @@
 }
 
 func TestRolesTable(t *testing.T) {
-	roles := text(t, target(t), dataset(before()), "roles")
-	wantIn(t, line(t, roles, "| steady |", "| bytes in/s |"), "| 800 | 15,600 | 156,000* |", "| 24,000 B/s | 6.5* |", "fleet-ahead, before")
+	roles := tableText(t, loadTarget(t), newDataset(resultsBefore()), "roles")
+	checkContains(t, onlyLine(t, roles, "| steady |", "| bytes in/s |"), "| 800 | 15,600 | 156,000* |", "| 24,000 B/s | 6.5* |", "fleet-ahead, before")
 	// Watches were open for 1,000, 3,000 and twice for 5,000 readers: three sizes, so the servers count.
-	wantIn(t, line(t, roles, "| steady |", "change to the last reader"), "over servers with 5,000 watches at most")
-	wantIn(t, line(t, roles, "| cores |", "| steady |"), "0.0049*", "0.153*")
+	checkContains(t, onlyLine(t, roles, "| steady |", "change to the last reader"), "over servers with 5,000 watches at most")
+	checkContains(t, onlyLine(t, roles, "| cores |", "| steady |"), "0.0049*", "0.153*")
 	for _, role := range []string{"Agent, control", "Agent, calls", "Programme server's registration", "Steward as voter", "Steward as leader",
 		"Steward as server of watches", "Gossip among control processes", "Exclusive leases", "Releases"} {
 		if !strings.Contains(roles, "### "+role+"\n") {
@@ -129,28 +129,28 @@
 }
 
 func TestTooFewSizesAreUnknown(t *testing.T) {
-	few := before()
+	few := resultsBefore()
 	few.Runs = few.Runs[:3]
 	few.Runs = append(few.Runs, Run{Servers: 39_000, NotRun: "descriptors ran out",
 		Measurements: []Measurement{{Role: agentBytes.Role, Load: agentBytes.Load, Metric: agentBytes.Metric, Value: 1}}})
-	data := dataset(few)
-	wantIn(t, line(t, text(t, target(t), data, "roles"), "| steady |", "| bytes in/s |"), "| unknown: 3 sizes | unknown: 3 sizes | unknown: 3 sizes |")
-	wantIn(t, line(t, text(t, target(t), data, "sources"), "fixture-0.json"), "39,000: descriptors ran out", `fixture \| no machine`, "0123456789ab |", "| 7 |")
-	wantIn(t, line(t, text(t, target(t), data, "slopes"), "bytes_in_per_second"), "unknown: 3 sizes")
+	data := newDataset(few)
+	checkContains(t, onlyLine(t, tableText(t, loadTarget(t), data, "roles"), "| steady |", "| bytes in/s |"), "| unknown: 3 sizes | unknown: 3 sizes | unknown: 3 sizes |")
+	checkContains(t, onlyLine(t, tableText(t, loadTarget(t), data, "sources"), "fixture-0.json"), "39,000: descriptors ran out", `fixture \| no machine`, "0123456789ab |", "| 7 |")
+	checkContains(t, onlyLine(t, tableText(t, loadTarget(t), data, "slopes"), "bytes_in_per_second"), "unknown: 3 sizes")
 }
 
 func TestSourcesTableListsUnusedMeasurements(t *testing.T) {
-	results := before()
-	if sources := text(t, target(t), dataset(results), "sources"); strings.Contains(sources, "in no table") {
+	results := resultsBefore()
+	if sources := tableText(t, loadTarget(t), newDataset(results), "sources"); strings.Contains(sources, "in no table") {
 		t.Errorf("all is in a table, but it says\n%s", sources)
 	}
 	results.Runs[0].Add("hollow agents", "steady", "cpu_cores", 1)
 	results.Runs[1].Add("hollow agents", "steady", "cpu_cores", 1)
-	wantIn(t, line(t, text(t, target(t), dataset(results), "sources"), "in no table"), ": fleet-ahead, hollow agents: cpu_cores.")
+	checkContains(t, onlyLine(t, tableText(t, loadTarget(t), newDataset(results), "sources"), "in no table"), ": fleet-ahead, hollow agents: cpu_cores.")
 }
 
 func TestSlopesTable(t *testing.T) {
-	row := line(t, text(t, target(t), dataset(before()), "slopes"), "bytes_in_per_second")
+	row := onlyLine(t, tableText(t, loadTarget(t), newDataset(resultsBefore()), "slopes"), "bytes_in_per_second")
 	if want := "| fleet-ahead, before | hollow agent | steady | bytes_in_per_second | servers | 4,000 |"; !strings.HasPrefix(row, want) {
 		t.Errorf("%s\nshould begin with\n%s", row, want)
 	}
@@ -160,59 +160,59 @@
 }
 
 func TestOrderTable(t *testing.T) {
-	data := dataset(before())
-	order := text(t, target(t), data, "order")
+	data := newDataset(resultsBefore())
+	order := tableText(t, loadTarget(t), data, "order")
 	first := strings.Split(order, "\n")[2]
 	// 120 bytes a server: 1,000 servers are a whole list of 24,000 B/s for 5 s.
-	wantIn(t, first, "| 1 | a whole list, for a reader without services, in 5 s at 24,000 B/s | 1,000 |")
+	checkContains(t, first, "| 1 | a whole list, for a reader without services, in 5 s at 24,000 B/s | 1,000 |")
 	// 410 entries of 140 bytes are 3 calls; 3 stewards admit 30,000 calls in 5 s. Before, a call was
 	// 200 entries of the whole list.
-	wantIn(t, line(t, order, "first lists admitted"), "| 3 |", "| 10,000 |", "| 2,350 |")
-	wantIn(t, line(t, order, "Agent, control: bytes in/s, limit"), "| 2 |", "| 6,000 |", "**missing**: "+string(mechanismScope))
-	wantIn(t, line(t, order, "which a reader without services refuses"), "35,000*")
-	wantIn(t, line(t, order, "Agent, control: cores"), "not at the target; at 310,000*")
+	checkContains(t, onlyLine(t, order, "first lists admitted"), "| 3 |", "| 10,000 |", "| 2,350 |")
+	checkContains(t, onlyLine(t, order, "Agent, control: bytes in/s, limit"), "| 2 |", "| 6,000 |", "**missing**: "+string(mechanismScope))
+	checkContains(t, onlyLine(t, order, "which a reader without services refuses"), "35,000*")
+	checkContains(t, onlyLine(t, order, "Agent, control: cores"), "not at the target; at 310,000*")
 	// After the mechanism the bytes don't rise. The column before shows the earlier threshold.
-	order = text(t, target(t), dataset(before(), after()), "order")
-	wantIn(t, line(t, order, "Agent, control: bytes in/s, limit"), "not at the target: it doesn't rise", "| 6,000 |")
+	order = tableText(t, loadTarget(t), newDataset(resultsBefore(), resultsAfter()), "order")
+	checkContains(t, onlyLine(t, order, "Agent, control: bytes in/s, limit"), "not at the target: it doesn't rise", "| 6,000 |")
 }
 
 func TestThresholdPrefersSmallerMeasuredSize(t *testing.T) {
 	series := Series{Points: []Point{{1000, 1}, {2000, 9}, {3000, 1}, {4000, 1}}}
 	series.Fit = FitLine(series.Points)
-	if threshold := series.threshold(target(t), 9); threshold.Size != 2000 || !strings.HasSuffix(threshold.Source, "measured") {
+	if threshold := series.threshold(loadTarget(t), 9); threshold.Size != 2000 || !strings.HasSuffix(threshold.Source, "measured") {
 		t.Errorf("reached at %+v, though it was measured at 2,000", threshold)
 	}
 }
 
 func TestComparisonTable(t *testing.T) {
-	comparison := text(t, target(t), dataset(before(), after()), "comparison")
-	wantIn(t, line(t, comparison, "bytes in/s"), "| 10,000 | 40,000 | 400 | 156,000* | 400* | 0.00256* | 24,000 B/s |")
+	comparison := tableText(t, loadTarget(t), newDataset(resultsBefore(), resultsAfter()), "comparison")
+	checkContains(t, onlyLine(t, comparison, "bytes in/s"), "| 10,000 | 40,000 | 400 | 156,000* | 400* | 0.00256* | 24,000 B/s |")
 }
 
 func TestDerivedTable(t *testing.T) {
-	derived := text(t, target(t), dataset(before()), "derived")
-	wantIn(t, line(t, derived, "control machines that fail a day"), "| 0.0572 |")
-	wantIn(t, line(t, derived, "renewals a second at one leader"), "| 19,500 |")
-	wantIn(t, line(t, derived, "region lost: changes at once"), "| 6,500 |")
-	wantIn(t, line(t, derived, "region cut off: configuration changes"), "| 1,420 |")
-	wantIn(t, line(t, derived, "bytes of a reader's first list"), "| 4,680,000* |")
-	wantIn(t, line(t, derived, "seconds for that at an agent's limit"), "| 195* |")
+	derived := tableText(t, loadTarget(t), newDataset(resultsBefore()), "derived")
+	checkContains(t, onlyLine(t, derived, "control machines that fail a day"), "| 0.0572 |")
+	checkContains(t, onlyLine(t, derived, "renewals a second at one leader"), "| 19,500 |")
+	checkContains(t, onlyLine(t, derived, "region lost: changes at once"), "| 6,500 |")
+	checkContains(t, onlyLine(t, derived, "region cut off: configuration changes"), "| 1,420 |")
+	checkContains(t, onlyLine(t, derived, "bytes of a reader's first list"), "| 4,680,000* |")
+	checkContains(t, onlyLine(t, derived, "seconds for that at an agent's limit"), "| 195* |")
 }
 
 func TestPlacementTable(t *testing.T) {
-	placement := text(t, target(t), nil, "placement")
-	wantIn(t, line(t, placement, "| voters |"), "| 5 | 18 |")
-	wantIn(t, line(t, placement, "register or renew"), "| 6,500 | 0 |")
+	placement := tableText(t, loadTarget(t), nil, "placement")
+	checkContains(t, onlyLine(t, placement, "| voters |"), "| 5 | 18 |")
+	checkContains(t, onlyLine(t, placement, "register or renew"), "| 6,500 | 0 |")
 	// 18 voters x 365 days x 0.002486 a day x 2 others x 0.002486 / 24.
-	wantIn(t, line(t, placement, "quorums lost a year"), "| 0.00338 |")
+	checkContains(t, onlyLine(t, placement, "quorums lost a year"), "| 0.00338 |")
 }
 
 // All figures have at most significantDigits digits, and the same inputs give the same tables.
 func TestTablesAreRoundedAndRepeatable(t *testing.T) {
-	data := dataset(before(), after())
-	again := Tables(target(t), data)
+	data := newDataset(resultsBefore(), resultsAfter())
+	again := Tables(loadTarget(t), data)
 	number := regexp.MustCompile(`[0-9][0-9,.]*`)
-	for i, table := range Tables(target(t), data) {
+	for i, table := range Tables(loadTarget(t), data) {
 		if table != again[i] {
 			t.Errorf("table %s differs when made again", table.Name)
 		}
@@ -229,12 +229,12 @@
 }
 
 func TestTablesWithoutResults(t *testing.T) {
-	for _, table := range Tables(target(t), nil) {
+	for _, table := range Tables(loadTarget(t), nil) {
 		if table.Text == "" {
 			t.Errorf("table %s is empty", table.Name)
 		}
 	}
-	wantIn(t, line(t, text(t, target(t), nil, "order"), "Agent, control: bytes in/s, limit"), "| unknown |")
+	checkContains(t, onlyLine(t, tableText(t, loadTarget(t), nil, "order"), "Agent, control: bytes in/s, limit"), "| unknown |")
 }
 
 // An agent that refuses calls spends little on them, so its figures are no point of a fit.
@@ -245,7 +245,7 @@
 		run.Add("agent", "115 calls/s", "cpu_ms_per_call", 0.5)
 		run.Add("requests", "115 calls/s", "p99_ms", 7)
 	}
-	data := dataset(&Results{Experiment: "agent-cost", Runs: []Run{served, refused}})
+	data := newDataset(&Results{Experiment: "agent-cost", Runs: []Run{served, refused}})
 	key := Key{Experiment: "agent-cost", Role: "agent", Load: "115 calls/s", Metric: "cpu_ms_per_call", Variable: Servers}
 	if points := data.Series(key).Points; len(points) != 1 || points[0].Size != 20 {
 		t.Errorf("points are %v, want the one of 20 servers", points)
--- a/internal/lab/cost/agentconfig.go
+++ b/internal/lab/cost/agentconfig.go
@@ -50,7 +50,7 @@
 		Name: "agent-cost", Listen: listen, Discovery: f.ListAddr, Seed: fmt.Sprintf("%016x", seed),
 		Limits:   agentLimits{Cores: AgentCores, MemoryMB: AgentMemoryMB, Sockets: AgentSockets},
 		Known:    f.List,
-		Settings: agentSettings{Settings: settings(), FailureDomains: sites, Shapes: []string{machineKind}},
+		Settings: agentSettings{Settings: settings(), FailureDomains: sites, Shapes: []string{machineType}},
 	})
 	if err != nil {
 		return nil, fmt.Errorf("agent configuration: %w", err)
--- a/internal/lab/cost/cell.go
+++ b/internal/lab/cost/cell.go
@@ -29,16 +29,16 @@
 	cpu       time.Duration // processor time that the agent used in the window
 	rssMB     float64       // resident memory at the window's end
 	peakRSSMB float64       // largest resident memory since the agent's start
-	counts    counts        // in the window
+	counts    eventCounts   // in the window
 	load      *summary      // of the window's calls
 }
 
-// counts are the numbers of events at the emulated servers and the list service.
-type counts struct{ probes, connections, fullLists, watches int64 }
+// eventCounts are the numbers of events at the emulated servers and the list service.
+type eventCounts struct{ probes, connections, fullLists, watches int64 }
 
 // counts returns the counts since the fleet was made, without the caller's own connections.
-func (f *Fleet) counts(c *caller) counts {
-	return counts{
+func (f *Fleet) counts(c *caller) eventCounts {
+	return eventCounts{
 		probes:      f.Counters.Probes.Load(),
 		connections: f.Counters.Connections.Load() - c.directDials.Load(),
 		fullLists:   f.Counters.FullLists.Load(),
@@ -46,8 +46,8 @@
 	}
 }
 
-func (c counts) minus(earlier counts) counts {
-	return counts{
+func (c eventCounts) sub(earlier eventCounts) eventCounts {
+	return eventCounts{
 		probes:      c.probes - earlier.probes,
 		connections: c.connections - earlier.connections,
 		fullLists:   c.fullLists - earlier.fullLists,
@@ -98,7 +98,7 @@
 	c.window, c.cpu = time.Since(start), usageAfter.CPU-usageBefore.CPU
 	c.cores = c.cpu.Seconds() / c.window.Seconds()
 	c.rssMB = usageAfter.RSSMB
-	c.counts = fleet.counts(caller).minus(countsBefore)
+	c.counts = fleet.counts(caller).sub(countsBefore)
 	c.load = summarize(results)
 	c.peakRSSMB, err = agent.PeakRSSMB()
 	if err != nil && !agent.Runs() {
--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -118,8 +118,8 @@
 	}
 	o.Agent = program
 	results := &capacity.Results{Experiment: Experiment, Variant: o.Variant, Command: o.Command, Seed: o.Seed,
-		Machine: machine(), Started: time.Now().UTC().Truncate(time.Second)}
-	results.Commit, results.Dirty = builtFrom(program)
+		Machine: describeMachine(), Started: time.Now().UTC().Truncate(time.Second)}
+	results.Commit, results.Dirty = buildCommit(program)
 	var violations []string
 	for i, servers := range o.Servers {
 		run, runViolations, err := runSize(ctx, o, servers, i*len(o.Rates))
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -52,9 +52,9 @@
 func TestScheduleIsDrawnFromSeed(t *testing.T) {
 	const rate, duration = 1000, 10 * time.Second
 	schedule := newSchedule(rate, duration, 7)
-	again := newSchedule(rate, duration, 7)
-	other := newSchedule(rate, duration, 8)
-	if !reflect.DeepEqual(schedule, again) || reflect.DeepEqual(schedule.calls, other.calls) {
+	sameSeed := newSchedule(rate, duration, 7)
+	otherSeed := newSchedule(rate, duration, 8)
+	if !reflect.DeepEqual(schedule, sameSeed) || reflect.DeepEqual(schedule.calls, otherSeed.calls) {
 		t.Error("the calls are not those of their seed")
 	}
 	if mean := rate * duration.Seconds(); math.Abs(float64(schedule.pairs)-mean) > 5*math.Sqrt(mean) {
@@ -100,8 +100,8 @@
 	if !reflect.DeepEqual(s.addedMs, []float64{-1, 1}) {
 		t.Errorf("added %v ms", s.addedMs)
 	}
-	if most := s.latency[throughAgent].Max(); most > 4000 {
-		t.Errorf("a call that was not served is in the latencies: %d us", most)
+	if maxLatency := s.latency[throughAgent].Max(); maxLatency > 4000 {
+		t.Errorf("a call that was not served is in the latencies: %d us", maxLatency)
 	}
 	if lateness := s.lateness.Max(); lateness < 900 || lateness > 1100 {
 		t.Errorf("lateness %d us", lateness)
@@ -159,7 +159,7 @@
 	for _, host := range conf.CachedList.Endpoints {
 		names[host.Name], addresses[host.Dial] = true, true
 	}
-	if conf.CachedListErr != nil || len(names) != 100 || len(addresses) != listeners {
+	if conf.CachedListErr != nil || len(names) != 100 || len(addresses) != listenerCount {
 		t.Errorf("%d names at %d addresses, left out: %v", len(names), len(addresses), conf.CachedListErr)
 	}
 	if conf.Limits.MemoryMB != 256 || conf.Limits.Sockets != 1024 {
@@ -238,10 +238,10 @@
 	if err := os.WriteFile(program, nil, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	good := func() *Options {
+	validOptions := func() *Options {
 		return &Options{Agent: program, Servers: []int{20}, Rates: []float64{50}, Window: time.Second}
 	}
-	if err := good().Validate(); err != nil {
+	if err := validOptions().Validate(); err != nil {
 		t.Fatal(err)
 	}
 	for flag, changes := range map[string][]func(o *Options){
@@ -253,7 +253,7 @@
 		"--agent": {func(o *Options) { o.Agent = filepath.Dir(program) }, func(o *Options) { o.Agent = program + "-none" }},
 	} {
 		for i, change := range changes {
-			options := good()
+			options := validOptions()
 			change(options)
 			if err := options.Validate(); err == nil || !strings.HasPrefix(err.Error(), flag+": ") {
 				t.Errorf("%s, change %d: %v", flag, i, err)
@@ -283,8 +283,8 @@
 	}
 }
 
-// metric finds a measurement of the agent.
-func metric(t *testing.T, run *capacity.Run, load, name string) float64 {
+// agentValue finds a measurement of the agent.
+func agentValue(t *testing.T, run *capacity.Run, load, name string) float64 {
 	t.Helper()
 	for _, m := range run.Measurements {
 		if m.Role == "agent" && m.Load == load && m.Metric == name {
@@ -300,13 +300,13 @@
 	for i := range pairs {
 		pairs[i] = pairResult{direct: {outcome: served, latency: 2 * time.Millisecond}, throughAgent: {outcome: served - outcome(i%2), latency: 5 * time.Millisecond}}
 	}
-	cell := &Cell{Rate: 115, cpu: 100 * time.Millisecond, cores: 0.1, counts: counts{probes: 20, connections: 400}, load: summarize(pairs)}
+	cell := &Cell{Rate: 115, cpu: 100 * time.Millisecond, cores: 0.1, counts: eventCounts{probes: 20, connections: 400}, load: summarize(pairs)}
 	var run capacity.Run
 	cell.addTo(&run)
 	for name, want := range map[string]float64{"calls": 200, "served_share": 0.5, "refused_share": 0, "failed_share": 0, "unanswered_share": 0.5, "cpu_ms_per_call": 0.5, "cpu_ms_per_served_call": 1, "cpu_cores": 0.1,
 		"idle_cpu_cores": 0, "rss_mb": 0, "peak_rss_mb": 0, "direct_p50_ms": 2, "direct_p99_ms": 2, "agent_p50_ms": 5, "agent_p99_ms": 5,
 		"added_p50_ms": 3, "added_p99_ms": 3, "added_paired_p50_ms": 3, "added_paired_p99_ms": 3, "connections_per_call": 2, "probes_per_call": 0.1} {
-		if got := metric(t, &run, "115 calls/s", name); math.Abs(got-want) > 0.01 {
+		if got := agentValue(t, &run, "115 calls/s", name); math.Abs(got-want) > 0.01 {
 			t.Errorf("%s is %v, want %v", name, got, want)
 		}
 	}
--- a/internal/lab/cost/fleet.go
+++ b/internal/lab/cost/fleet.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// listeners is the number of emulated servers. The servers of the list share their addresses.
-	listeners = 8
+	// listenerCount is the number of emulated servers. The servers of the list share their addresses.
+	listenerCount = 8
 	// serviceTime is how long an emulated server takes for a call.
 	serviceTime = time.Millisecond
 	// heartbeatPeriod is the time between the empty lines that keep a watch alive.
@@ -28,8 +28,8 @@
 	serversPerBlock = 40
 	// CallClass is the name of the only class of calls, and the first part of their path.
 	CallClass = "read"
-	// machineKind is the only kind of machine.
-	machineKind = "standard"
+	// machineType is the only kind of machine.
+	machineType = "standard"
 )
 
 // sites are the failure domains that the list's servers are spread over in turn.
@@ -67,7 +67,7 @@
 // has to Close it.
 func NewFleet(servers int) (*Fleet, error) {
 	fleet := &Fleet{done: make(chan struct{})}
-	for range min(listeners, servers) {
+	for range min(listenerCount, servers) {
 		addr, err := fleet.serve(fleet.emulatedServer(), fleet.countConnection)
 		if err != nil {
 			fleet.Close()
@@ -95,7 +95,7 @@
 	list := endpoints.List{Seq: listVersion, Full: true, Endpoints: make([]endpoints.Endpoint, servers)}
 	for i := range list.Endpoints {
 		list.Endpoints[i] = endpoints.Endpoint{Name: fmt.Sprintf("s-%05d", i), Dial: addresses[i%len(addresses)],
-			Site: sites[i%len(sites)], Class: machineKind, Block: i / serversPerBlock, Health: endpoints.Ready, Weight: 1}
+			Site: sites[i%len(sites)], Class: machineType, Block: i / serversPerBlock, Health: endpoints.Ready, Weight: 1}
 	}
 	return list
 }
--- a/internal/lab/cost/profile.go
+++ b/internal/lab/cost/profile.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// benchmark runs an agent inside a test binary, as the agent's program has no profiler.
-	benchmark        = "BenchmarkAgentCall"
+	// benchmarkName is the benchmark that runs an agent inside a test binary, as the agent's program has no profiler.
+	benchmarkName    = "BenchmarkAgentCall"
 	benchmarkPackage = "./internal/agent"
-	// serversVariable is the environment variable that tells the benchmark how many servers the
+	// serversEnvVar is the environment variable that tells the benchmark how many servers the
 	// agent knows.
-	serversVariable = "AGENT_SERVERS"
-	// callsProfiled is the number of calls that a profile covers, as -benchtime takes it.
-	callsProfiled = "5000x"
+	serversEnvVar = "AGENT_SERVERS"
+	// profileBenchtime is the number of calls that a profile covers, as -benchtime takes it.
+	profileBenchtime = "5000x"
 	// LabLabel and LabValue label the goroutines of callers and emulated servers in a profile, so
 	// that they can be excluded.
 	LabLabel, LabValue = "role", "lab"
@@ -52,8 +52,8 @@
 // profileBenchmark writes base.pprof and base.txt for one number of known servers.
 func profileBenchmark(ctx context.Context, base string, servers int) error {
 	binary := filepath.Join(filepath.Dir(base), "agent.test")
-	_, err := runGo(ctx, serversVariable+"="+strconv.Itoa(servers), "test", benchmarkPackage, "-run", "^$", "-bench", "^"+benchmark+"$",
-		"-benchtime", callsProfiled, "-cpuprofile", base+".pprof", "-o", binary)
+	_, err := runGo(ctx, serversEnvVar+"="+strconv.Itoa(servers), "test", benchmarkPackage, "-run", "^$", "-bench", "^"+benchmarkName+"$",
+		"-benchtime", profileBenchtime, "-cpuprofile", base+".pprof", "-o", binary)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/cost/provenance.go
+++ b/internal/lab/cost/provenance.go
@@ -11,10 +11,10 @@
 // unknown is the value of provenance that cannot be read.
 const unknown = "unknown"
 
-// builtFrom returns the commit that a program was built from, and whether the working tree had
+// buildCommit returns the commit that a program was built from, and whether the working tree had
 // uncommitted changes, as the Go tool recorded them in the program. The commit is unknown without
 // such a record.
-func builtFrom(program string) (commit string, dirty bool) {
+func buildCommit(program string) (commit string, dirty bool) {
 	commit = unknown
 	info, err := buildinfo.ReadFile(program)
 	if err != nil {
@@ -31,8 +31,8 @@
 	return commit, dirty
 }
 
-// machine describes the processors, the memory and the Go version of the lab.
-func machine() string {
+// describeMachine describes the processors, the memory and the Go version of the lab.
+func describeMachine() string {
 	return fmt.Sprintf("%d CPUs (%s), memory %s, %s", runtime.NumCPU(), procField("/proc/cpuinfo", "model name"),
 		procField("/proc/meminfo", "MemTotal"), runtime.Version())
 }
--- a/internal/lab/cost/schedule.go
+++ b/internal/lab/cost/schedule.go
@@ -51,7 +51,7 @@
 			break
 		}
 		first := route(rng.IntN(int(routeCount)))
-		key, server := rng.Uint64N(keyCount), rng.IntN(listeners)
+		key, server := rng.Uint64N(keyCount), rng.IntN(listenerCount)
 		s.calls = append(s.calls,
 			plannedCall{at: at, pair: s.pairs, route: first, key: key, server: server},
 			plannedCall{at: at + pairGap, pair: s.pairs, route: 1 - first, key: key, server: server})
--- a/internal/lab/cost/summary.go
+++ b/internal/lab/cost/summary.go
@@ -49,18 +49,18 @@
 }
 
 const (
-	// maxRecorded is the largest duration that a histogram distinguishes; the least is 1 µs.
-	maxRecorded = time.Minute
+	// maxRecordedDuration is the largest duration that a histogram distinguishes; the least is 1 µs.
+	maxRecordedDuration = time.Minute
 	// histogramDigits is the number of significant digits that a histogram keeps.
 	histogramDigits = 3
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxRecorded.Microseconds(), histogramDigits)
+	return hdrhistogram.New(1, maxRecordedDuration.Microseconds(), histogramDigits)
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d, 0), maxRecorded).Microseconds()) // cannot fail within the range
+	_ = h.RecordValue(min(max(d, 0), maxRecordedDuration).Microseconds()) // cannot fail within the range
 }
 
 // quantileMs returns a quantile of a histogram of microseconds, in milliseconds.
--- a/internal/lab/scale/beside_test.go
+++ b/internal/lab/scale/beside_test.go
@@ -28,21 +28,21 @@
 // TestMain makes the test binary a process of one hollow agent when it is started as one.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 4 && os.Args[1] == "hollow-agent" {
-		if err := hollowAgent(os.Args[2], os.Args[3]); err != nil {
+		if err := runHollowAgent(os.Args[2], os.Args[3]); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 		os.Exit(0)
 	}
 	code := m.Run()
-	if dir, err := programs(); err == nil {
+	if dir, err := buildPrograms(); err == nil {
 		os.RemoveAll(dir)
 	}
 	os.Exit(code)
 }
 
-// hollowAgent runs one hollow agent that reads from an address, until it is interrupted.
-func hollowAgent(controlPlane, listen string) error {
+// runHollowAgent runs one hollow agent that reads from an address, until it is interrupted.
+func runHollowAgent(controlPlane, listen string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	config := hollow.AgentsConfig{ControlPlane: []string{controlPlane}, Count: 1, Fleet: 2, Services: 1, Seed: 5}
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// programs builds the real control-plane server and the real agent once, into a folder.
-var programs = sync.OnceValues(func() (string, error) {
+// buildPrograms builds the real control-plane server and the real agent once, into a folder.
+var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "scale-programs-")
 	if err != nil {
 		return "", err
@@ -70,10 +70,10 @@
 	return dir, nil
 })
 
-// testFleet starts one control-plane server with registered hollow servers that run in this process.
-func testFleet(t *testing.T, servers int) (*fleet, *hollow.Servers) {
+// startTestFleet starts one control-plane server with registered hollow servers that run in this process.
+func startTestFleet(t *testing.T, servers int) (*fleet, *hollow.Servers) {
 	t.Helper()
-	dir, err := programs()
+	dir, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,14 +103,14 @@
 	return f, s
 }
 
-// taken is a line of the real agent's log: it took a list or a change.
-var taken = regexp.MustCompile(`msg="list taken".* version=(\d+) entries=(\d+)`)
+// listTakenLine matches a line of the real agent's log: it took a list or a change.
+var listTakenLine = regexp.MustCompile(`msg="list taken".* version=(\d+) entries=(\d+)`)
 
-// realReader is what a real agent took, by its log.
-type realReader struct{ lines, entries, version int64 }
+// realAgentLog is what a real agent took, by its log.
+type realAgentLog struct{ lines, entries, version int64 }
 
-// readRealAgent reads what a real agent took from its log.
-func readRealAgent(t *testing.T, path string) (r realReader) {
+// parseRealAgentLog reads what a real agent took from its log.
+func parseRealAgentLog(t *testing.T, path string) (r realAgentLog) {
 	t.Helper()
 	file, err := os.Open(path)
 	if err != nil {
@@ -118,7 +118,7 @@
 	}
 	defer file.Close()
 	for lines := bufio.NewScanner(file); lines.Scan(); {
-		match := taken.FindStringSubmatch(lines.Text())
+		match := listTakenLine.FindStringSubmatch(lines.Text())
 		if match != nil && match[1] != "0" { // 0 is the list of the agent's configuration
 			r.lines++
 			r.version, _ = strconv.ParseInt(match[1], 10, 64)
@@ -155,7 +155,7 @@
 	if err := os.WriteFile(path, text, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	p := f.supervisor.Add(process.Spec{Name: "agent-1", Path: f.config.Scale.AgentCommand, Log: f.log("agent-1"),
+	p := f.supervisor.Add(process.Spec{Name: "agent-1", Path: f.config.Scale.AgentCommand, Log: f.logPath("agent-1"),
 		ReadyURL: "http://" + address + "/ready", Env: []string{"EDGE_CONFIG=" + path}})
 	if err := f.startReady(t.Context(), p); err != nil {
 		t.Fatal(err)
@@ -174,7 +174,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := f.supervisor.Add(process.Spec{Name: "hollow-agent", Path: executable, Log: f.log("hollow-agent"),
+	p := f.supervisor.Add(process.Spec{Name: "hollow-agent", Path: executable, Log: f.logPath("hollow-agent"),
 		Args: []string{"hollow-agent", through.address(), address}, ReadyURL: "http://" + address + "/v1/state"})
 	if err := f.startReady(t.Context(), p); err != nil {
 		t.Fatal(err)
@@ -183,37 +183,37 @@
 	return p
 }
 
-// besidePair is a real and a hollow agent that read from one control-plane server, each through a
+// agentPair is a real and a hollow agent that read from one control-plane server, each through a
 // forwarder of its own.
-type besidePair struct {
+type agentPair struct {
 	fleet                          *fleet
 	realAgent, hollowAgent         *process.Process
 	realForwarder, hollowForwarder *forwarder
 }
 
-// startBeside starts a real and a hollow agent of a fleet and waits until the hollow one has its list.
-func startBeside(t *testing.T, f *fleet) *besidePair {
+// startAgentPair starts a real and a hollow agent of a fleet and waits until the hollow one has its list.
+func startAgentPair(t *testing.T, f *fleet) *agentPair {
 	t.Helper()
-	b := &besidePair{fleet: f}
-	for _, forwarder := range []**forwarder{&b.realForwarder, &b.hollowForwarder} {
+	pair := &agentPair{fleet: f}
+	for _, forwarder := range []**forwarder{&pair.realForwarder, &pair.hollowForwarder} {
 		var err error
 		if *forwarder, err = newForwarder("127.0.0.1:0", f.controlPlaneAddrs[0]); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup((*forwarder).close)
 	}
-	b.realAgent = startRealAgent(t, f, b.realForwarder)
-	b.hollowAgent = startHollowAgent(t, f, b.hollowForwarder)
-	if _, ok := poll(t.Context(), time.Minute, func() bool { return b.hollowState(t).AsExpected == 1 }); !ok {
-		t.Fatalf("the hollow agent has no list: %+v", b.hollowState(t))
+	pair.realAgent = startRealAgent(t, f, pair.realForwarder)
+	pair.hollowAgent = startHollowAgent(t, f, pair.hollowForwarder)
+	if _, ok := poll(t.Context(), time.Minute, func() bool { return pair.hollowState(t).AsExpected == 1 }); !ok {
+		t.Fatalf("the hollow agent has no list: %+v", pair.hollowState(t))
 	}
-	return b
+	return pair
 }
 
 // hollowState returns the state of the hollow agent, with the ages of changes.
-func (b *besidePair) hollowState(t *testing.T) hollow.AgentsState {
+func (pair *agentPair) hollowState(t *testing.T) hollow.AgentsState {
 	t.Helper()
-	state, err := b.fleet.readersState(t.Context(), hollow.ExpectedList{Servers: b.fleet.size.Servers}, true)
+	state, err := pair.fleet.readersState(t.Context(), hollow.ExpectedList{Servers: pair.fleet.size.Servers}, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -221,18 +221,18 @@
 }
 
 // logDifferences prints what both agents did and spent beside each other.
-func (b *besidePair) logDifferences(t *testing.T, read realReader, state hollow.AgentsState, realTraffic, hollowTraffic hollow.Traffic) {
+func (pair *agentPair) logDifferences(t *testing.T, realLog realAgentLog, state hollow.AgentsState, realTraffic, hollowTraffic hollow.Traffic) {
 	t.Helper()
-	realUse, _, _ := b.realAgent.SampleUsage()
-	hollowUse, _, _ := b.hollowAgent.SampleUsage()
+	realUse, _, _ := pair.realAgent.SampleUsage()
+	hollowUse, _, _ := pair.hollowAgent.SampleUsage()
 	t.Logf("%-10s %12s %12s %12s", "", "real", "hollow", "difference")
 	for _, row := range []struct {
 		name         string
 		real, hollow int64
 	}{
 		{"calls", realTraffic.Calls, hollowTraffic.Calls}, {"bytes in", realTraffic.BytesIn, hollowTraffic.BytesIn},
-		{"bytes out", realTraffic.BytesOut, hollowTraffic.BytesOut}, {"lines", read.lines, state.Lines},
-		{"entries", read.entries, state.Entries}, {"cpu ms", realUse.CPU.Milliseconds(), hollowUse.CPU.Milliseconds()},
+		{"bytes out", realTraffic.BytesOut, hollowTraffic.BytesOut}, {"lines", realLog.lines, state.Lines},
+		{"entries", realLog.entries, state.Entries}, {"cpu ms", realUse.CPU.Milliseconds(), hollowUse.CPU.Milliseconds()},
 		{"rss kB", int64(realUse.RSSMB * 1024), int64(hollowUse.RSSMB * 1024)},
 	} {
 		t.Logf("%-10s %12d %12d %12d", row.name, row.real, row.hollow, row.hollow-row.real)
@@ -243,26 +243,26 @@
 // same changes it makes the same calls, reads the same lines and entries and ends at the
 // same version. Bytes differ by the empty lines of a quiet watch. Processor time and memory
 // are printed beside each other; the real agent has a data path, though no requests here.
-func TestHollowBesideReal(t *testing.T) {
+func TestHollowAgentMatchesRealAgent(t *testing.T) {
 	const servers = 400
-	f, s := testFleet(t, servers)
-	b := startBeside(t, f)
-	setRates(t, s, 15, 5)
+	f, s := startTestFleet(t, servers)
+	pair := startAgentPair(t, f)
+	setChangeRates(t, s, 15, 5)
 	hollow.Sleep(t.Context(), 5*time.Second)
-	setRates(t, s, 0, 0)
-	b.settle(t)
+	setChangeRates(t, s, 0, 0)
+	pair.waitSameVersion(t)
 
-	read, state := readRealAgent(t, f.log("agent-1")), b.hollowState(t)
-	realTraffic, hollowTraffic := b.realForwarder.traffic(), b.hollowForwarder.traffic()
-	b.logDifferences(t, read, state, realTraffic, hollowTraffic)
+	realLog, state := parseRealAgentLog(t, f.logPath("agent-1")), pair.hollowState(t)
+	realTraffic, hollowTraffic := pair.realForwarder.traffic(), pair.hollowForwarder.traffic()
+	pair.logDifferences(t, realLog, state, realTraffic, hollowTraffic)
 	if realTraffic.Calls != hollowTraffic.Calls {
 		t.Errorf("calls: the real agent made %d, the hollow one %d", realTraffic.Calls, hollowTraffic.Calls)
 	}
-	if read.lines != state.Lines || read.entries != state.Entries || read.lines < 10 {
-		t.Errorf("the real agent took %d lines of %d entries, the hollow one %d of %d", read.lines, read.entries, state.Lines, state.Entries)
+	if realLog.lines != state.Lines || realLog.entries != state.Entries || realLog.lines < 10 {
+		t.Errorf("the real agent took %d lines of %d entries, the hollow one %d of %d", realLog.lines, realLog.entries, state.Lines, state.Entries)
 	}
-	if read.version != state.VersionMin || state.ListedMin != servers {
-		t.Errorf("the real agent is at version %d, the hollow one at %d with %d servers", read.version, state.VersionMin, state.ListedMin)
+	if realLog.version != state.VersionMin || state.ListedMin != servers {
+		t.Errorf("the real agent is at version %d, the hollow one at %d with %d servers", realLog.version, state.VersionMin, state.ListedMin)
 	}
 	// An empty line every 2 s, in a chunk of HTTP, is all that may differ.
 	if difference := realTraffic.BytesIn - hollowTraffic.BytesIn; difference < -200 || difference > 200 {
@@ -276,18 +276,18 @@
 	}
 }
 
-// setRates sets the rates of changes by the command that a scale run sends.
-func setRates(t *testing.T, s *hollow.Servers, configurations, restarts float64) {
+// setChangeRates sets the rates of changes by the command that a scale run sends.
+func setChangeRates(t *testing.T, s *hollow.Servers, configurations, restarts float64) {
 	t.Helper()
-	listener := http.NewServeMux()
-	listener.Handle("/", s.Handler(t.Context()))
+	mux := http.NewServeMux()
+	mux.Handle("/", s.Handler(t.Context()))
 	address, err := freeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	if err := hollow.Serve(ctx, address, listener); err != nil {
+	if err := hollow.Serve(ctx, address, mux); err != nil {
 		t.Fatal(err)
 	}
 	rates := hollow.Rates{ConfigurationsPerSecond: configurations, RestartsPerSecond: restarts}
@@ -306,24 +306,24 @@
 	return addresses.FreePort()
 }
 
-// settle waits until both agents have the control-plane server's last version.
-func (b *besidePair) settle(t *testing.T) {
+// waitSameVersion waits until both agents have the control-plane server's last version.
+func (pair *agentPair) waitSameVersion(t *testing.T) {
 	t.Helper()
-	realVersion := func() int64 { return readRealAgent(t, b.fleet.log("agent-1")).version }
+	realVersion := func() int64 { return parseRealAgentLog(t, pair.fleet.logPath("agent-1")).version }
 	_, ok := poll(t.Context(), time.Minute, func() bool {
 		hollow.Sleep(t.Context(), 300*time.Millisecond) // for a change that is under way
-		status, err := b.fleet.status(t.Context(), 0)
-		return err == nil && b.hollowState(t).VersionMin == status.Seq && realVersion() == status.Seq
+		status, err := pair.fleet.status(t.Context(), 0)
+		return err == nil && pair.hollowState(t).VersionMin == status.Seq && realVersion() == status.Seq
 	})
 	if !ok {
-		t.Fatalf("not at one version: hollow %+v, real %+v", b.hollowState(t), readRealAgent(t, b.fleet.log("agent-1")))
+		t.Fatalf("not at one version: hollow %+v, real %+v", pair.hollowState(t), parseRealAgentLog(t, pair.fleet.logPath("agent-1")))
 	}
 }
 
 // Hollow servers drain, leave and come back as real ones do, by the list.
 func TestServersDrainLeaveAndReturn(t *testing.T) {
 	const servers = 44
-	f, s := testFleet(t, servers)
+	f, s := startTestFleet(t, servers)
 	if n := s.Drain(t.Context(), hollow.Range{First: 3, Count: 2}); n != 2 {
 		t.Errorf("%d of 2 servers drained", n)
 	}
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -69,16 +69,16 @@
 	RegionLost     = "region lost"
 )
 
-// corePhases are run unless the file names others, of allPhases.
+// defaultPhases are run unless the file names others, of allPhases.
 var (
-	corePhases = []string{FirstStart, Steady, SteadyTen, LeaderKilled, ZoneLost}
-	allPhases  = append(slices.Clone(corePhases), ConfigBurst, FollowerKilled, RegionLost)
+	defaultPhases = []string{FirstStart, Steady, SteadyTen, LeaderKilled, ZoneLost}
+	allPhases     = append(slices.Clone(defaultPhases), ConfigBurst, FollowerKilled, RegionLost)
 )
 
 // defaults returns the configuration of an empty file.
 func defaults() Config {
 	return Config{Seed: 1, Scale: Scale{
-		ControlPlaneServers: 3, ControlPlaneSettings: map[string]any{}, Phases: slices.Clone(corePhases),
+		ControlPlaneServers: 3, ControlPlaneSettings: map[string]any{}, Phases: slices.Clone(defaultPhases),
 		RealAgents: 20, RequestRate: 10, EmulatedPerZone: 1, ServiceTime: 5 * time.Millisecond,
 		RenewInterval: 2 * time.Second, RenewBatch: 1, ConfigurationsPerDay: 34_000, RestartsPerDay: 9_200,
 		SteadyDuration: 10 * time.Second, RecoveryTimeout: 60 * time.Second,
--- a/internal/lab/scale/config_test.go
+++ b/internal/lab/scale/config_test.go
@@ -67,7 +67,7 @@
 		{"seed = 99999999999999999999", "no TOML: toml: couldn't parse decimal number: strconv.ParseInt: parsing \"99999999999999999999\": value out of range"},
 		{"stewards = []", "'scale.stewards' expected type 'int', got unconvertible type '[]interface {}'"},
 	} {
-		checkErrorText(t, good+c.line+"\n", c.want)
+		checkErrorText(t, validConfig+c.line+"\n", c.want)
 	}
 }
 
@@ -108,15 +108,15 @@
 		t.Errorf("%q:\nerror %q\nwant  %q", text, got, want)
 	}
 	var keyErr *configfile.KeyError
-	ofKey := strings.HasPrefix(want, "scale.") || strings.HasPrefix(want, "name: ") || strings.HasPrefix(want, "other: ")
-	if errors.As(err, &keyErr) != ofKey {
-		t.Errorf("%q: error %#v; want a KeyError: %v", text, err, ofKey)
+	wantKeyError := strings.HasPrefix(want, "scale.") || strings.HasPrefix(want, "name: ") || strings.HasPrefix(want, "other: ")
+	if errors.As(err, &keyErr) != wantKeyError {
+		t.Errorf("%q: error %#v; want a KeyError: %v", text, err, wantKeyError)
 	}
 }
 
 // A list in the file replaces the default's list.
 func TestListsReplaceDefaults(t *testing.T) {
-	config, err := Parse([]byte(good + "phases = [\"first start\", \"zone lost\"]\nsteward = { max_watches = 2 }\n"))
+	config, err := Parse([]byte(validConfig + "phases = [\"first start\", \"zone lost\"]\nsteward = { max_watches = 2 }\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scale/controlplane.go
+++ b/internal/lab/scale/controlplane.go
@@ -22,15 +22,15 @@
 // addControlPlane writes the configurations of the control-plane servers and prepares their
 // processes with empty data folders; startControlPlane starts them.
 func (f *fleet) addControlPlane() error {
-	command, err := program("scale.steward_command", f.config.Scale.ControlPlaneCommand)
+	command, err := programPath("scale.steward_command", f.config.Scale.ControlPlaneCommand)
 	if err != nil {
 		return err
 	}
 	count := f.config.Scale.ControlPlaneServers
-	if f.controlPlaneAddrs, err = f.freePorts(count); err != nil {
+	if f.controlPlaneAddrs, err = f.freeAddresses(count); err != nil {
 		return err
 	}
-	raft, err := f.freePorts(count)
+	raft, err := f.freeAddresses(count)
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 			return fmt.Errorf("steward's folder: %w", err)
 		}
 		f.controlPlane = append(f.controlPlane, f.supervisor.Add(process.Spec{Name: name, Path: command,
-			Args: []string{"serve", "--config", path}, Log: f.log(name)}))
+			Args: []string{"serve", "--config", path}, Log: f.logPath(name)}))
 	}
 	return nil
 }
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -35,15 +35,15 @@
 	controlPlaneAddrs []string
 	client            *control.Client
 
-	servers     *process.Process // of hollow servers
-	serversAddr string
-	readers     []*process.Process // of hollow agents
-	readerAddrs []string
-
-	agents     []*process.Process // real agents
-	agentAddrs []string
-	forwarders []*forwarder // between the real agents and each control-plane server
-	requests   *requester
+	hollowServers     *process.Process // of hollow servers
+	hollowServersAddr string
+	readers           []*process.Process // of hollow agents
+	readerAddrs       []string
+
+	agents        []*process.Process // real agents
+	agentAddrs    []string
+	forwarders    []*forwarder // between the real agents and each control-plane server
+	loadGenerator *loadGenerator
 }
 
 // newFleet prepares the fleet of a size and writes the configuration of its control plane; no
@@ -63,10 +63,10 @@
 
 // close ends all processes of the fleet.
 func (f *fleet) close() {
-	if f.requests != nil {
-		f.requests.close()
+	if f.loadGenerator != nil {
+		f.loadGenerator.close()
 	}
-	f.interrupt()
+	f.interruptHollowProcesses()
 	f.supervisor.Close()
 	for _, forwarder := range f.forwarders {
 		forwarder.close()
@@ -74,10 +74,10 @@
 	f.addresses.Close()
 }
 
-// interrupt has the hollow processes print what they did, and waits at most stopTimeout for them.
-func (f *fleet) interrupt() {
+// interruptHollowProcesses has the hollow processes print what they did, and waits at most stopTimeout for them.
+func (f *fleet) interruptHollowProcesses() {
 	var stopping []*process.Process
-	for _, p := range append(slices.Clone(f.readers), f.servers) {
+	for _, p := range append(slices.Clone(f.readers), f.hollowServers) {
 		if p != nil && p.Signal(syscall.SIGINT) == nil {
 			stopping = append(stopping, p)
 		}
@@ -92,9 +92,9 @@
 	}
 }
 
-// program returns the absolute path of the program that a key of the file names. Its error names
+// programPath returns the absolute path of the program that a key of the file names. Its error names
 // the key if there is no such program.
-func program(key, command string) (string, error) {
+func programPath(key, command string) (string, error) {
 	path, err := filepath.Abs(command)
 	if err != nil {
 		return "", fmt.Errorf("%s: %w", key, err)
@@ -105,19 +105,19 @@
 	return path, nil
 }
 
-// log returns the path of the log of a process.
-func (f *fleet) log(name string) string { return filepath.Join(f.dir, name+".log") }
+// logPath returns the path of the log of a process.
+func (f *fleet) logPath(name string) string { return filepath.Join(f.dir, name+".log") }
 
-// freePorts returns a number of addresses that are free.
-func (f *fleet) freePorts(count int) ([]string, error) {
-	ports := make([]string, count)
-	for i := range ports {
+// freeAddresses returns a number of addresses that are free.
+func (f *fleet) freeAddresses(count int) ([]string, error) {
+	addresses := make([]string, count)
+	for i := range addresses {
 		var err error
-		if ports[i], err = f.addresses.FreePort(); err != nil {
+		if addresses[i], err = f.addresses.FreePort(); err != nil {
 			return nil, err
 		}
 	}
-	return ports, nil
+	return addresses, nil
 }
 
 // startReady starts a process and waits at most startTimeout until it is ready.
--- a/internal/lab/scale/forward.go
+++ b/internal/lab/scale/forward.go
@@ -19,9 +19,9 @@
 	bytesIn  atomic.Int64 // to the agents
 	bytesOut atomic.Int64 // to the control-plane server
 
-	mu     sync.Mutex
-	open   map[net.Conn]bool
-	closed bool
+	mu        sync.Mutex
+	openConns map[net.Conn]bool
+	closed    bool
 }
 
 // newForwarder listens at an address and forwards to a target; close ends it.
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &forwarder{listener: listener, target: target, open: map[net.Conn]bool{}}
+	f := &forwarder{listener: listener, target: target, openConns: map[net.Conn]bool{}}
 	go f.accept()
 	return f, nil
 }
@@ -58,28 +58,28 @@
 		return
 	}
 	defer upstream.Close()
-	if !f.add(downstream, upstream) {
+	if !f.track(downstream, upstream) {
 		return
 	}
-	defer f.remove(downstream, upstream)
+	defer f.untrack(downstream, upstream)
 	go func() {
-		copyCounted(upstream, downstream, &f.bytesOut)
+		copyAndCount(upstream, downstream, &f.bytesOut)
 		upstream.Close()
 	}()
-	copyCounted(downstream, upstream, &f.bytesIn)
+	copyAndCount(downstream, upstream, &f.bytesIn)
 }
 
 // copyBufferBytes is the size of the buffer of one direction of a connection.
 const copyBufferBytes = 32 << 10
 
-// copyCounted copies until the first error and counts what was read.
-func copyCounted(to io.Writer, from io.Reader, count *atomic.Int64) {
+// copyAndCount copies until the first error and counts what was read.
+func copyAndCount(dst io.Writer, src io.Reader, count *atomic.Int64) {
 	buffer := make([]byte, copyBufferBytes)
 	for {
-		n, err := from.Read(buffer)
+		n, err := src.Read(buffer)
 		count.Add(int64(n))
 		if n > 0 {
-			if _, err := to.Write(buffer[:n]); err != nil {
+			if _, err := dst.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
@@ -89,22 +89,22 @@
 	}
 }
 
-// add keeps connections for close. It returns false if the forwarder is closed.
-func (f *forwarder) add(connections ...net.Conn) bool {
+// track keeps connections for close. It returns false if the forwarder is closed.
+func (f *forwarder) track(connections ...net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, connection := range connections {
-		f.open[connection] = true
+		f.openConns[connection] = true
 	}
 	return !f.closed
 }
 
-// remove forgets connections that have ended.
-func (f *forwarder) remove(connections ...net.Conn) {
+// untrack forgets connections that have ended.
+func (f *forwarder) untrack(connections ...net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, connection := range connections {
-		delete(f.open, connection)
+		delete(f.openConns, connection)
 	}
 }
 
@@ -119,7 +119,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closed = true
-	for connection := range f.open {
+	for connection := range f.openConns {
 		connection.Close()
 	}
 }
--- a/internal/lab/scale/hollowfleet.go
+++ b/internal/lab/scale/hollowfleet.go
@@ -15,17 +15,17 @@
 // startServers starts the process of hollow servers; none is registered yet.
 func (f *fleet) startServers(ctx context.Context) error {
 	s := &f.config.Scale
-	command, err := program("scale.lab_command", s.LabCommand)
+	command, err := programPath("scale.lab_command", s.LabCommand)
 	if err != nil {
 		return err
 	}
-	if f.serversAddr, err = f.addresses.FreePort(); err != nil {
+	if f.hollowServersAddr, err = f.addresses.FreePort(); err != nil {
 		return err
 	}
-	f.servers = f.addHollow("hollow-servers", command, f.serversAddr, []string{
+	f.hollowServers = f.addHollowProcess("hollow-servers", command, f.hollowServersAddr, []string{
 		"hollow", "servers",
 		"--stewards", strings.Join(f.controlPlaneAddrs, ","),
-		"--listen", f.serversAddr,
+		"--listen", f.hollowServersAddr,
 		"--count", fmt.Sprint(f.size.Servers),
 		"--services", fmt.Sprint(f.size.Services),
 		"--seed", fmt.Sprint(f.seed),
@@ -34,15 +34,15 @@
 		"--emulated", fmt.Sprint(s.EmulatedPerZone),
 		"--service-time", s.ServiceTime.String(),
 	})
-	return f.startReady(ctx, f.servers)
+	return f.startReady(ctx, f.hollowServers)
 }
 
-// addHollow prepares a hollow process, which is ready once it serves its state at an address.
-func (f *fleet) addHollow(name, command, address string, args []string) *process.Process {
+// addHollowProcess prepares a hollow process, which is ready once it serves its state at an address.
+func (f *fleet) addHollowProcess(name, command, address string, args []string) *process.Process {
 	return f.supervisor.Add(process.Spec{
 		Name:     name,
 		Path:     command,
-		Log:      f.log(name),
+		Log:      f.logPath(name),
 		ReadyURL: "http://" + address + "/v1/state",
 		Args:     args,
 	})
@@ -52,7 +52,7 @@
 // all of them serve their state.
 func (f *fleet) startReaders(ctx context.Context) error {
 	s := &f.config.Scale
-	command, err := program("scale.lab_command", s.LabCommand)
+	command, err := programPath("scale.lab_command", s.LabCommand)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 			return err
 		}
 		name := fmt.Sprintf("hollow-agents-%d", len(f.readers)+1)
-		p := f.addHollow(name, command, address, []string{
+		p := f.addHollowProcess(name, command, address, []string{
 			"hollow", "agents",
 			"--stewards", strings.Join(f.controlPlaneAddrs, ","),
 			"--listen", address,
@@ -82,35 +82,35 @@
 	return waitReady(ctx, startTimeout, f.readers...)
 }
 
-// command sends a command to the process of hollow servers and decodes its answer into into.
-func (f *fleet) command(ctx context.Context, path string, body, into any) error {
-	return hollow.Call(ctx, http.MethodPost, "http://"+f.serversAddr+path, body, into)
+// sendCommand sends a command to the process of hollow servers and decodes the response into result.
+func (f *fleet) sendCommand(ctx context.Context, path string, body, result any) error {
+	return hollow.Call(ctx, http.MethodPost, "http://"+f.hollowServersAddr+path, body, result)
 }
 
-// setRates has the hollow servers change at a multiple of the file's rates.
-func (f *fleet) setRates(ctx context.Context, multiple float64) error {
+// setChangeRates has the hollow servers change at a multiple of the file's rates.
+func (f *fleet) setChangeRates(ctx context.Context, multiple float64) error {
 	s := &f.config.Scale
 	rates := hollow.Rates{
 		ConfigurationsPerSecond: multiple * s.ConfigurationsPerDay / secondsPerDay,
 		RestartsPerSecond:       multiple * s.RestartsPerDay / secondsPerDay,
 	}
-	return f.command(ctx, "/v1/rates", rates, &rates)
+	return f.sendCommand(ctx, "/v1/rates", rates, &rates)
 }
 
 // serversState returns the state of the process of hollow servers.
 func (f *fleet) serversState(ctx context.Context) (state hollow.ServersState, err error) {
-	err = hollow.Call(ctx, http.MethodGet, "http://"+f.serversAddr+"/v1/state", nil, &state)
+	err = hollow.Call(ctx, http.MethodGet, "http://"+f.hollowServersAddr+"/v1/state", nil, &state)
 	return state, err
 }
 
 // readersState returns the state of all hollow agents together, compared with the list that they
 // should have. With ages it has the figures of changes too.
-func (f *fleet) readersState(ctx context.Context, expected hollow.ExpectedList, ages bool) (hollow.AgentsState, error) {
+func (f *fleet) readersState(ctx context.Context, expected hollow.ExpectedList, withAges bool) (hollow.AgentsState, error) {
 	total := hollow.AgentsState{ByAddress: map[string]hollow.Traffic{}}
 	var merged *hdrhistogram.Histogram
 	query := fmt.Sprintf("/v1/state?servers=%d&first_absent=%d&absent=%d&version=%d",
 		expected.Servers, expected.FirstAbsent, expected.Absent, expected.Version)
-	if ages {
+	if withAges {
 		query += "&ages=1"
 	}
 	for i, address := range f.readerAddrs {
--- a/internal/lab/scale/machine.go
+++ b/internal/lab/scale/machine.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// revision returns the commit of the working tree, "unknown" if there is none, and whether the tree
+// gitCommit returns the commit of the working tree, "unknown" if there is none, and whether the tree
 // has changes.
-func revision() (commit string, dirty bool) {
+func gitCommit() (commit string, dirty bool) {
 	text, err := exec.Command("git", "rev-parse", "HEAD").Output()
 	if err != nil {
 		return "unknown", false
@@ -19,8 +19,8 @@
 	return strings.TrimSpace(string(text)), err != nil || len(status) > 0
 }
 
-// machine describes the machine for the results: processors, memory, version of Go.
-func machine() string {
+// describeMachine describes the machine for the results: processors, memory, version of Go.
+func describeMachine() string {
 	memory := "unknown memory"
 	if text, err := os.ReadFile("/proc/meminfo"); err == nil {
 		var kib int
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -27,27 +27,27 @@
 
 // Metrics of a control-plane server that count the changes written to watches, by the kind of watch.
 const (
-	linesSent       = "steward_lines_sent_total"
-	scopedLinesSent = "steward_scoped_lines_sent_total"
+	linesSentMetric       = "steward_lines_sent_total"
+	scopedLinesSentMetric = "steward_scoped_lines_sent_total"
 )
 
 // sample is all counts at one moment.
 type sample struct {
-	at      time.Time
-	cpu     map[*process.Process]time.Duration // of all runs of the process
-	readers hollow.AgentsState
-	servers hollow.ServersState
-	agents  map[string]hollow.Traffic // of real agents, by the address of the control-plane server
-	lines   []float64                 // written to watches, by control-plane server
-	applied uint64                    // index of the last log entry that the leader has applied
+	at           time.Time
+	cpu          map[*process.Process]time.Duration // of all runs of the process
+	readers      hollow.AgentsState
+	servers      hollow.ServersState
+	agents       map[string]hollow.Traffic // of real agents, by the address of the control-plane server
+	lines        []float64                 // written to watches, by control-plane server
+	appliedIndex uint64                    // index of the last log entry that the leader has applied
 }
 
 // sample takes all counts; with ages, those of changes too. It returns an error if a hollow process
 // doesn't answer; a control-plane server that doesn't is left out.
-func (f *fleet) sample(ctx context.Context, ages bool) (*sample, error) {
+func (f *fleet) sample(ctx context.Context, withAges bool) (*sample, error) {
 	s := &sample{cpu: map[*process.Process]time.Duration{}, agents: map[string]hollow.Traffic{}, lines: make([]float64, len(f.controlPlane))}
 	var err error
-	if s.readers, err = f.readersState(ctx, hollow.ExpectedList{}, ages); err != nil {
+	if s.readers, err = f.readersState(ctx, hollow.ExpectedList{}, withAges); err != nil {
 		return nil, err
 	}
 	if s.servers, err = f.serversState(ctx); err != nil {
@@ -55,12 +55,12 @@
 	}
 	for i := range f.controlPlane {
 		if text, err := f.get(ctx, i, "/metrics"); err == nil {
-			s.lines[i] = metricValue(text, linesSent) + metricValue(text, scopedLinesSent)
+			s.lines[i] = metricValue(text, linesSentMetric) + metricValue(text, scopedLinesSentMetric)
 		}
 	}
 	if leader := f.leader(ctx); leader >= 0 {
 		if status, err := f.status(ctx, leader); err == nil {
-			s.applied = status.Applied
+			s.appliedIndex = status.Applied
 		}
 	}
 	for _, forwarder := range f.forwarders {
@@ -141,8 +141,8 @@
 	if len(followers) > 0 {
 		m.addControlPlaneRole(roleFollower, followers)
 	}
-	if m.after.applied >= m.before.applied {
-		m.add(roleLeader, "log_entries", float64(m.after.applied-m.before.applied))
+	if m.after.appliedIndex >= m.before.appliedIndex {
+		m.add(roleLeader, "log_entries", float64(m.after.appliedIndex-m.before.appliedIndex))
 	}
 }
 
@@ -154,8 +154,8 @@
 		p, address := m.fleet.controlPlane[i], m.fleet.controlPlaneAddrs[i]
 		cores += m.cores(p)
 		resident += residentMB(p)
-		if grown := m.after.lines[i] - m.before.lines[i]; grown >= 0 {
-			lines += grown
+		if delta := m.after.lines[i] - m.before.lines[i]; delta >= 0 {
+			lines += delta
 		} else {
 			lines += m.after.lines[i] // the server was started again, which began its count anew
 		}
@@ -205,8 +205,8 @@
 func (m *measurement) addServers() {
 	count := float64(m.after.servers.Servers)
 	traffic := m.after.servers.Total.Sub(m.before.servers.Total)
-	m.add(roleServer, "cpu_cores", m.cores(m.fleet.servers)/count)
-	m.add(roleServer, "rss_mb", residentMB(m.fleet.servers)/count)
+	m.add(roleServer, "cpu_cores", m.cores(m.fleet.hollowServers)/count)
+	m.add(roleServer, "rss_mb", residentMB(m.fleet.hollowServers)/count)
 	m.addTraffic(roleServer, traffic, count)
 	m.add(roleServer, "refused_calls", float64(traffic.Refused))
 }
@@ -231,13 +231,13 @@
 	m.addTraffic(roleAgent, traffic, count)
 }
 
-// addSizes adds the sizes of the snapshot and of the full list at the leader, if there is one.
-func (m *measurement) addSizes(ctx context.Context, leader int) error {
+// addPayloadSizes adds the sizes of the snapshot and of the full list at the leader, if there is one.
+func (m *measurement) addPayloadSizes(ctx context.Context, leader int) error {
 	if leader < 0 {
 		return nil
 	}
 	for path, metric := range map[string]string{"/v1/snapshot": "snapshot_bytes", "/v1/endpoints": "list_bytes"} {
-		text, err := m.fleet.getAdmitted(ctx, leader, path)
+		text, err := m.fleet.getWithRetry(ctx, leader, path)
 		if err != nil {
 			return fmt.Errorf("%s: %w", metric, err)
 		}
@@ -246,9 +246,9 @@
 	return nil
 }
 
-// getAdmitted reads a path of a control-plane server, and tries again for startTimeout while that
+// getWithRetry reads a path of a control-plane server, and tries again for startTimeout while that
 // fails, as the server admits no call.
-func (f *fleet) getAdmitted(ctx context.Context, i int, path string) (text []byte, err error) {
+func (f *fleet) getWithRetry(ctx context.Context, i int, path string) (text []byte, err error) {
 	poll(ctx, startTimeout, func() bool {
 		text, err = f.get(ctx, i, path)
 		return err == nil
--- a/internal/lab/scale/phases.go
+++ b/internal/lab/scale/phases.go
@@ -14,7 +14,7 @@
 func (r *sizeRun) firstStart(ctx context.Context) error {
 	f := r.fleet
 	var registered hollow.RegistrationResult
-	if err := f.command(ctx, "/v1/register", hollow.Range{Count: r.size.Servers}, &registered); err != nil {
+	if err := f.sendCommand(ctx, "/v1/register", hollow.Range{Count: r.size.Servers}, &registered); err != nil {
 		return err
 	}
 	r.result.Add(roleServer, FirstStart, "registrations_per_second", float64(registered.Servers)/registered.Seconds)
@@ -25,7 +25,7 @@
 	if err := f.addRealAgents(); err != nil {
 		return err
 	}
-	var took time.Duration
+	var elapsed time.Duration
 	m, err := r.measure(ctx, FirstStart, func() error {
 		if err := f.startRealAgents(); err != nil {
 			return err
@@ -34,23 +34,23 @@
 			return err
 		}
 		var err error
-		took, err = r.waitReaders(ctx, hollow.ExpectedList{Servers: r.size.Servers})
+		elapsed, err = r.waitReaders(ctx, hollow.ExpectedList{Servers: r.size.Servers})
 		return err
 	})
 	if m != nil {
-		if err := m.addSizes(ctx, f.leader(ctx)); err != nil {
+		if err := m.addPayloadSizes(ctx, f.leader(ctx)); err != nil {
 			return err
 		}
 	}
 	if err != nil {
-		return r.explainUnread(ctx, err)
+		return r.explainMissingList(ctx, err)
 	}
-	m.add(roleReaders, "recovered_s", took.Seconds())
+	m.add(roleReaders, "recovered_s", elapsed.Seconds())
 	if err := f.waitRealAgents(ctx, r.config.Scale.RecoveryTimeout); err != nil {
 		return &notRunError{"real agents: " + err.Error()}
 	}
 	if len(f.agents) > 0 {
-		f.requests = newRequester(f.agentAddrs, r.config.Scale.RequestRate)
+		f.loadGenerator = newLoadGenerator(f.agentAddrs, r.config.Scale.RequestRate)
 	}
 	return nil
 }
@@ -58,15 +58,15 @@
 // maxListBytes is the length of the longest list that a reader accepts (internal/endpoints).
 const maxListBytes = 4 << 20
 
-// explainUnread returns the error of readers that did not get the list: err, or a *notRunError that
+// explainMissingList returns the error of readers that did not get the list: err, or a *notRunError that
 // names the size of the list if that is the cause.
-func (r *sizeRun) explainUnread(ctx context.Context, err error) error {
+func (r *sizeRun) explainMissingList(ctx context.Context, err error) error {
 	var notRun *notRunError
 	leader := r.fleet.leader(ctx)
 	if !errors.As(err, &notRun) || leader < 0 || r.config.Scale.Subscribed > 0 {
 		return err
 	}
-	text, readErr := r.fleet.getAdmitted(ctx, leader, "/v1/endpoints")
+	text, readErr := r.fleet.getWithRetry(ctx, leader, "/v1/endpoints")
 	if readErr == nil && len(text) > maxListBytes {
 		return &notRunError{fmt.Sprintf("whole list of %d bytes is over %d: readers refuse it", len(text), maxListBytes)}
 	}
@@ -75,7 +75,7 @@
 
 // steady measures a fleet in which servers change at a multiple of the file's rates.
 func (r *sizeRun) steady(ctx context.Context, load string, multiple float64) error {
-	if err := r.fleet.setRates(ctx, multiple); err != nil {
+	if err := r.fleet.setChangeRates(ctx, multiple); err != nil {
 		return err
 	}
 	_, err := r.measure(ctx, load, func() error {
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	return r.fleet.setRates(ctx, 1)
+	return r.fleet.setChangeRates(ctx, 1)
 }
 
 // leaderKilled kills the control-plane server that leads, and starts it again once another one takes
@@ -102,7 +102,7 @@
 		f.controlPlane[leader].Kill()
 		<-f.controlPlane[leader].Ended()
 		var err error
-		if writable, err = r.waitWrite(ctx, leader); err != nil {
+		if writable, err = r.waitWritable(ctx, leader); err != nil {
 			return err
 		}
 		if err := f.controlPlane[leader].Start(); err != nil {
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// regionZones is the number of zones of a region: 22 in 6 regions, rounded up.
-const regionZones = 4
+// zonesPerRegion is the number of zones of a region: 22 in 6 regions, rounded up.
+const zonesPerRegion = 4
 
 // serversLost has the servers of a zone or more stop renewing, waits until the readers' lists are
 // without them, and registers them again.
@@ -129,7 +129,7 @@
 	f := r.fleet
 	var removed, recovered time.Duration
 	m, err := r.measure(ctx, load, func() error {
-		if err := f.command(ctx, "/v1/silence", lost, &lost); err != nil {
+		if err := f.sendCommand(ctx, "/v1/silence", lost, &lost); err != nil {
 			return err
 		}
 		var err error
@@ -138,7 +138,7 @@
 		}
 		began := time.Now()
 		var registered hollow.RegistrationResult
-		if err := f.command(ctx, "/v1/register", lost, &registered); err != nil {
+		if err := f.sendCommand(ctx, "/v1/register", lost, &registered); err != nil {
 			return err
 		}
 		if registered.RefusalReason != "" {
@@ -158,30 +158,30 @@
 
 // A burst of configuration changes has this rate and lasts this long.
 const (
-	burstPerSecond = 200
-	burstDuration  = 2 * time.Second
+	burstChangesPerSecond = 200
+	burstDuration         = 2 * time.Second
 )
 
 // configBurst makes configuration changes at a high rate and waits until all readers have the last.
 func (r *sizeRun) configBurst(ctx context.Context) error {
-	var took time.Duration
+	var elapsed time.Duration
 	m, err := r.measure(ctx, ConfigBurst, func() error {
-		rates := hollow.Rates{ConfigurationsPerSecond: burstPerSecond}
-		if err := r.fleet.command(ctx, "/v1/rates", rates, &rates); err != nil {
+		rates := hollow.Rates{ConfigurationsPerSecond: burstChangesPerSecond}
+		if err := r.fleet.sendCommand(ctx, "/v1/rates", rates, &rates); err != nil {
 			return err
 		}
 		hollow.Sleep(ctx, burstDuration)
-		if err := r.fleet.setRates(ctx, 1); err != nil {
+		if err := r.fleet.setChangeRates(ctx, 1); err != nil {
 			return err
 		}
 		var err error
-		took, err = r.waitReaders(ctx, hollow.ExpectedList{Servers: r.size.Servers})
+		elapsed, err = r.waitReaders(ctx, hollow.ExpectedList{Servers: r.size.Servers})
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	m.add(roleReaders, "recovered_s", took.Seconds())
+	m.add(roleReaders, "recovered_s", elapsed.Seconds())
 	return nil
 }
 
--- a/internal/lab/scale/realagents.go
+++ b/internal/lab/scale/realagents.go
@@ -17,29 +17,29 @@
 // addRealAgents prepares the real agents and the forwarders through which they reach the control
 // plane; startRealAgents starts them.
 func (f *fleet) addRealAgents() error {
-	command, err := program("scale.agent_command", f.config.Scale.AgentCommand)
+	command, err := programPath("scale.agent_command", f.config.Scale.AgentCommand)
 	if err != nil {
 		return err
 	}
-	var lists []string
+	var listAddrs []string
 	for _, target := range f.controlPlaneAddrs {
 		forwarder, err := newForwarder(f.addresses.IP()+":0", target)
 		if err != nil {
 			return err
 		}
 		f.forwarders = append(f.forwarders, forwarder)
-		lists = append(lists, forwarder.address())
+		listAddrs = append(listAddrs, forwarder.address())
 	}
-	if f.agentAddrs, err = f.freePorts(f.config.Scale.RealAgents); err != nil {
+	if f.agentAddrs, err = f.freeAddresses(f.config.Scale.RealAgents); err != nil {
 		return err
 	}
 	for i, address := range f.agentAddrs {
 		name := fmt.Sprintf("agent-%d", i+1)
 		path := filepath.Join(f.dir, name+".json")
-		if err := f.writeAgentConfig(path, name, i, address, lists); err != nil {
+		if err := f.writeAgentConfig(path, name, i, address, listAddrs); err != nil {
 			return err
 		}
-		f.agents = append(f.agents, f.supervisor.Add(process.Spec{Name: name, Path: command, Log: f.log(name),
+		f.agents = append(f.agents, f.supervisor.Add(process.Spec{Name: name, Path: command, Log: f.logPath(name),
 			ReadyURL: "http://" + address + "/ready", Env: []string{"EDGE_CONFIG=" + path}}))
 	}
 	return nil
@@ -47,7 +47,7 @@
 
 // writeAgentConfig writes the configuration of the real agent with an index to a file. Lists are the
 // addresses at which it reads the list.
-func (f *fleet) writeAgentConfig(path, name string, index int, address string, lists []string) error {
+func (f *fleet) writeAgentConfig(path, name string, index int, address string, listAddrs []string) error {
 	base := experiment.Default()
 	base.Agents.Count = f.config.Scale.RealAgents + f.size.Watches
 	base.Zones = nil
@@ -61,7 +61,7 @@
 	}
 	settings["shapes"] = []string{hollow.ServerClass}
 	configuration := map[string]any{
-		"name": name, "listen": address, "discovery": lists[0], "stewards": lists,
+		"name": name, "listen": address, "discovery": listAddrs[0], "stewards": listAddrs,
 		"seed":     fmt.Sprintf("%016x", hollow.AgentSeed(f.seed, index)),
 		"limits":   map[string]any{"cores": base.Agents.Cores, "memory_mb": base.Agents.MemoryMB, "sockets": base.Agents.Sockets},
 		"known":    endpoints.List{Full: true, Endpoints: []endpoints.Endpoint{}},
--- a/internal/lab/scale/recovery.go
+++ b/internal/lab/scale/recovery.go
@@ -17,7 +17,7 @@
 func (r *sizeRun) waitReaders(ctx context.Context, expected hollow.ExpectedList) (time.Duration, error) {
 	var state hollow.AgentsState
 	var stateErr error
-	took, ok := poll(ctx, r.config.Scale.RecoveryTimeout, func() bool {
+	elapsed, ok := poll(ctx, r.config.Scale.RecoveryTimeout, func() bool {
 		leader := r.fleet.leader(ctx)
 		if leader < 0 {
 			return false
@@ -35,30 +35,30 @@
 	})
 	switch {
 	case ctx.Err() != nil:
-		return took, ctx.Err()
+		return elapsed, ctx.Err()
 	case ok:
-		return took, nil
+		return elapsed, nil
 	case stateErr != nil:
-		return took, stateErr
+		return elapsed, stateErr
 	}
-	return took, &notRunError{fmt.Sprintf("readers: after %v, of %d readers %d had the list, %d were at the last version, %d had an open watch",
+	return elapsed, &notRunError{fmt.Sprintf("readers: after %v, of %d readers %d had the list, %d were at the last version, %d had an open watch",
 		r.config.Scale.RecoveryTimeout, state.Agents, state.AsExpected, state.AtVersion, state.WatchesOpen)}
 }
 
-// waitWrite waits until a control-plane server other than the killed one takes a write, and returns
+// waitWritable waits until a control-plane server other than the killed one takes a write, and returns
 // the time that this took. Its error is a *notRunError after the file's limit.
-func (r *sizeRun) waitWrite(ctx context.Context, killed int) (time.Duration, error) {
+func (r *sizeRun) waitWritable(ctx context.Context, killed int) (time.Duration, error) {
 	others := slices.Delete(slices.Clone(r.fleet.controlPlaneAddrs), killed, killed+1)
 	client := control.NewClient(others, statusTimeout)
 	weight := 1.0
-	took, ok := poll(ctx, r.config.Scale.RecoveryTimeout, func() bool {
+	elapsed, ok := poll(ctx, r.config.Scale.RecoveryTimeout, func() bool {
 		_, err := client.SetOverride(ctx, "hollow-00000", control.ServerOverride{Weight: &weight})
 		return err == nil
 	})
 	if !ok {
-		return took, errors.Join(ctx.Err(), &notRunError{fmt.Sprintf("no write was taken within %v of the leader's end", r.config.Scale.RecoveryTimeout)})
+		return elapsed, errors.Join(ctx.Err(), &notRunError{fmt.Sprintf("no write was taken within %v of the leader's end", r.config.Scale.RecoveryTimeout)})
 	}
-	return took, nil
+	return elapsed, nil
 }
 
 // waitFailovers waits until the readers' watches have failed over a number of times in all. Before
--- a/internal/lab/scale/requests.go
+++ b/internal/lab/scale/requests.go
@@ -17,10 +17,10 @@
 // maxIdlePerAgent is the number of idle connections that are kept to each agent.
 const maxIdlePerAgent = 32
 
-// requester sends requests to real agents at a steady rate, which doesn't wait for answers, and
+// loadGenerator sends requests to real agents at a steady rate, which doesn't wait for answers, and
 // measures their latency from the time at which each was due. Each agent has a goroutine that sends
 // and one more for each request under way.
-type requester struct {
+type loadGenerator struct {
 	client  *http.Client
 	cancel  context.CancelFunc
 	running sync.WaitGroup
@@ -31,62 +31,62 @@
 	latencies *hdrhistogram.Histogram // of those served in time, in µs
 }
 
-// newRequester starts to send requests to the agents, perAgent a second to each; close ends it.
-func newRequester(agents []string, perAgent float64) *requester {
+// newLoadGenerator starts to send requests to the agents, ratePerAgent a second to each; close ends it.
+func newLoadGenerator(agents []string, ratePerAgent float64) *loadGenerator {
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &requester{
+	r := &loadGenerator{
 		cancel:    cancel,
 		latencies: hdrhistogram.New(1, int64(requestDeadline/time.Microsecond), 3),
 		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdlePerAgent}},
 	}
-	pause := time.Duration(float64(time.Second) / perAgent)
+	interval := time.Duration(float64(time.Second) / ratePerAgent)
 	for i, agent := range agents {
-		first := pause * time.Duration(i) / time.Duration(len(agents))
-		r.running.Go(func() { r.run(ctx, agent, time.Now().Add(first), pause) })
+		first := interval * time.Duration(i) / time.Duration(len(agents))
+		r.running.Go(func() { r.run(ctx, agent, time.Now().Add(first), interval) })
 	}
 	return r
 }
 
 // run sends a request each pause, the first when it is due, until the context ends.
-func (r *requester) run(ctx context.Context, agent string, due time.Time, pause time.Duration) {
+func (r *loadGenerator) run(ctx context.Context, agent string, due time.Time, interval time.Duration) {
 	timer := time.NewTimer(time.Until(due))
 	defer timer.Stop()
-	for serial := 0; ; serial++ {
+	for sequence := 0; ; sequence++ {
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
 		at := due
-		r.running.Go(func() { r.send(ctx, agent, serial, at) })
-		due = due.Add(pause)
+		r.running.Go(func() { r.send(ctx, agent, sequence, at) })
+		due = due.Add(interval)
 		timer.Reset(time.Until(due))
 	}
 }
 
 // send sends one request and counts its outcome.
-func (r *requester) send(ctx context.Context, agent string, serial int, due time.Time) {
+func (r *loadGenerator) send(ctx context.Context, agent string, sequence int, due time.Time) {
 	deadline := due.Add(requestDeadline)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	err := r.call(ctx, agent, serial, deadline)
-	took := time.Since(due)
+	err := r.call(ctx, agent, sequence, deadline)
+	elapsed := time.Since(due)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent++
-	if err == nil && took <= requestDeadline {
+	if err == nil && elapsed <= requestDeadline {
 		r.served++
-		_ = r.latencies.RecordValue(max(took.Microseconds(), 1))
+		_ = r.latencies.RecordValue(max(elapsed.Microseconds(), 1))
 	}
 }
 
 // call makes one call. It returns an error unless the answer is read to its end and has status 200.
-func (r *requester) call(ctx context.Context, agent string, serial int, deadline time.Time) error {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/schedule-read/%d", agent, serial), nil)
+func (r *loadGenerator) call(ctx context.Context, agent string, sequence int, deadline time.Time) error {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/schedule-read/%d", agent, sequence), nil)
 	if err != nil {
 		return err
 	}
-	request.Header.Set("Request-Id", fmt.Sprintf("%s-%d", agent, serial))
+	request.Header.Set("Request-Id", fmt.Sprintf("%s-%d", agent, sequence))
 	request.Header.Set("Request-Timeout", fmt.Sprintf("%du", max(time.Until(deadline).Microseconds(), 1)))
 	response, err := r.client.Do(request)
 	if err != nil {
@@ -102,14 +102,14 @@
 	return nil
 }
 
-// requestFigures is the outcome of the requests between two calls of take.
+// requestFigures is the outcome of the requests between two calls of takeFigures.
 type requestFigures struct {
 	sent, served int64
 	p50Ms, p99Ms float64
 }
 
-// take returns the figures since its last call.
-func (r *requester) take() requestFigures {
+// takeFigures returns the figures since its last call.
+func (r *loadGenerator) takeFigures() requestFigures {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	figures := requestFigures{
@@ -124,7 +124,7 @@
 }
 
 // close ends the requests and waits for those under way.
-func (r *requester) close() {
+func (r *loadGenerator) close() {
 	r.cancel()
 	r.running.Wait()
 	r.client.CloseIdleConnections()
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -40,7 +40,7 @@
 	if err := os.MkdirAll(options.Out, 0o755); err != nil {
 		return nil, nil, fmt.Errorf("--out: %w", err)
 	}
-	commit, dirty := revision()
+	commit, dirty := gitCommit()
 	results := &capacity.Results{
 		Experiment: config.Name,
 		Variant:    config.Scale.Variant,
@@ -48,7 +48,7 @@
 		Commit:     commit,
 		Dirty:      dirty,
 		Seed:       seed,
-		Machine:    machine(),
+		Machine:    describeMachine(),
 		Started:    time.Now().UTC().Truncate(time.Second),
 	}
 	r := &runner{config: config, seed: seed, out: options.Out, progress: options.Progress, results: results}
@@ -88,7 +88,7 @@
 func (r *runner) runSize(ctx context.Context, size Size) error {
 	s := &r.config.Scale
 	wantedWatches := size.Watches
-	size.Watches = min(size.Watches, watchesThatFit(s, size))
+	size.Watches = min(size.Watches, maxWatchesInMemory(s, size))
 	result := capacity.Run{
 		Servers:          size.Servers,
 		Watches:          size.Watches,
@@ -127,9 +127,9 @@
 // servers and real agents.
 const readersMemoryShare = 0.8
 
-// watchesThatFit returns the number of readers that fit in the memory, by the entries of the list
+// maxWatchesInMemory returns the number of readers that fit in the memory, by the entries of the list
 // that each keeps, but at least 1.
-func watchesThatFit(s *Scale, size Size) int {
+func maxWatchesInMemory(s *Scale, size Size) int {
 	entries := float64(size.Servers)
 	if s.Subscribed > 0 {
 		entries *= tableCopies * float64(s.Subscribed) / float64(size.Services)
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -8,7 +8,7 @@
 	"knotrouter/internal/lab/capacity"
 )
 
-const good = `
+const validConfig = `
 name = "tiny"
 [scale]
 sizes = [{ servers = 100, watches = 10, services = 5 }]
@@ -16,10 +16,10 @@
 
 // The error of a file with a fault is one line that names the key.
 func TestErrorsNameTheKey(t *testing.T) {
-	if _, err := Parse([]byte(good)); err != nil {
+	if _, err := Parse([]byte(validConfig)); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ line, says string }{
+	for _, c := range []struct{ line, want string }{
 		{"stewards = 0", "scale.stewards: must be 1 to 9"},
 		{"stewardz = 3", "scale.stewardz: unknown key"},
 		{`phases = ["steady"]`, `scale.phases: must begin with "first start"`},
@@ -34,35 +34,35 @@
 		{"request_rate = -1", "scale.request_rate: must be above 0"},
 		{"real_agents = \"many\"", "real_agents"},
 	} {
-		_, err := Parse([]byte(good + c.line + "\n"))
-		if err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: said %v, want one line with %q", c.line, err, c.says)
+		_, err := Parse([]byte(validConfig + c.line + "\n"))
+		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: said %v, want one line with %q", c.line, err, c.want)
 		}
 	}
-	for _, c := range []struct{ size, says string }{
+	for _, c := range []struct{ size, want string }{
 		{"servers = 5, watches = 10, services = 5", "scale.sizes[0].servers"},
 		{"servers = 100, watches = 0, services = 5", "scale.sizes[0].watches"},
 		{"servers = 100, watches = 10, services = 101", "scale.sizes[0].services"},
 		{"servers = 100, watches = 40000, services = 5", "scale.sizes[0].watches: with one steward lost"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, "servers = 100, watches = 10, services = 5", c.size, 1)))
-		if err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: said %v, want %q", c.size, err, c.says)
+		_, err := Parse([]byte(strings.Replace(validConfig, "servers = 100, watches = 10, services = 5", c.size, 1)))
+		if err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: said %v, want %q", c.size, err, c.want)
 		}
 	}
 }
 
 // Memory bounds the readers by the entries of the list that each keeps, never below one.
-func TestWatchesThatFitInMemory(t *testing.T) {
+func TestMaxWatchesInMemory(t *testing.T) {
 	s := &Scale{MemoryMiB: 1000, EntryBytes: 1 << 10}
-	if n := watchesThatFit(s, Size{Servers: 1024}); n != 800 {
+	if n := maxWatchesInMemory(s, Size{Servers: 1024}); n != 800 {
 		t.Errorf("1000 MiB carry %d readers of 1 MiB", n)
 	}
-	if n := watchesThatFit(s, Size{Servers: 10 << 20}); n != 1 {
+	if n := maxWatchesInMemory(s, Size{Servers: 10 << 20}); n != 1 {
 		t.Errorf("a list beyond all memory leaves %d readers", n)
 	}
 	s.Subscribed = 1
-	if n := watchesThatFit(s, Size{Servers: 1024, Services: 4}); n != 1600 {
+	if n := maxWatchesInMemory(s, Size{Servers: 1024, Services: 4}); n != 1600 {
 		t.Errorf("1000 MiB carry %d readers of a quarter of 1 MiB, held twice", n)
 	}
 }
--- a/internal/lab/scale/sizerun.go
+++ b/internal/lab/scale/sizerun.go
@@ -20,11 +20,11 @@
 // memory guard stores.
 type sizeRun struct {
 	*runner
-	name     string // in the lines of progress
-	size     Size
-	fleet    *fleet
-	result   *capacity.Run
-	canceled atomic.Pointer[string] // why the memory guard canceled the run; nil: it did not
+	name         string // in the lines of progress
+	size         Size
+	fleet        *fleet
+	result       *capacity.Run
+	cancelReason atomic.Pointer[string] // why the memory guard canceled the run; nil: it did not
 }
 
 // run starts the fleet, runs all phases and ends the fleet. Its error is a *notRunError if the size
@@ -40,11 +40,11 @@
 	}
 	defer fleet.close()
 	r.fleet = fleet
-	guarded, cancel := context.WithCancel(ctx)
+	sizeCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go r.guardMemory(guarded, cancel)
-	err = r.runPhases(guarded)
-	if reason := r.canceled.Load(); reason != nil {
+	go r.guardMemory(sizeCtx, cancel)
+	err = r.runPhases(sizeCtx)
+	if reason := r.cancelReason.Load(); reason != nil {
 		return &notRunError{*reason}
 	}
 	return err
@@ -55,7 +55,7 @@
 	for hollow.Sleep(ctx, memoryCheckInterval) {
 		if used := r.fleet.memoryMiB(); used > float64(r.config.Scale.MemoryMiB) {
 			reason := fmt.Sprintf("memory: all processes hold %.0f MiB of at most %d", used, r.config.Scale.MemoryMiB)
-			r.canceled.Store(&reason)
+			r.cancelReason.Store(&reason)
 			cancel()
 			return
 		}
@@ -105,7 +105,7 @@
 	case FollowerKilled:
 		return r.followerKilled(ctx)
 	case RegionLost:
-		return r.serversLost(ctx, phase, hollow.Range{Count: hollow.ZoneRange(regionZones, r.size.Servers).First})
+		return r.serversLost(ctx, phase, hollow.Range{Count: hollow.ZoneRange(zonesPerRegion, r.size.Servers).First})
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 	if err := r.fleet.resetAges(ctx); err != nil {
 		return nil, err
 	}
-	r.takeRequests() // drops those before the phase
+	r.takeRequestFigures() // drops those before the phase
 	before, err := r.fleet.sample(ctx, false)
 	if err != nil {
 		return nil, err
@@ -137,15 +137,15 @@
 		after:   after,
 		seconds: after.at.Sub(before.at).Seconds(),
 	}
-	m.addAll(r.fleet.leader(ctx), r.takeRequests())
+	m.addAll(r.fleet.leader(ctx), r.takeRequestFigures())
 	return m, phaseErr
 }
 
-// takeRequests returns the figures of the requests since its last call, or none before requests are
+// takeRequestFigures returns the figures of the requests since its last call, or none before requests are
 // sent.
-func (r *sizeRun) takeRequests() requestFigures {
-	if r.fleet.requests == nil {
+func (r *sizeRun) takeRequestFigures() requestFigures {
+	if r.fleet.loadGenerator == nil {
 		return requestFigures{}
 	}
-	return r.fleet.requests.take()
+	return r.fleet.loadGenerator.takeFigures()
 }
--- a/internal/lab/scale/validate.go
+++ b/internal/lab/scale/validate.go
@@ -12,16 +12,16 @@
 
 // Bounds of the machine that a file can't raise.
 const (
-	maxMemoryMiB            = 12 << 10
-	maxProcesses            = 200
-	maxDescriptors          = 20_000 // of one process
-	descriptorReserve       = 500    // of one process, for what is no watch
-	maxControlPlane         = 9
-	maxRealAgents           = 100
-	maxRequestRate          = 1000
-	maxEmulatedPerZone      = 40
-	maxRenewBatch           = 2000
-	minKillableControlPlane = 3 // control-plane servers of which one may be killed
+	maxMemoryMiB           = 12 << 10
+	maxProcesses           = 200
+	maxDescriptors         = 20_000 // of one process
+	descriptorReserve      = 500    // of one process, for what is no watch
+	maxControlPlane        = 9
+	maxRealAgents          = 100
+	maxRequestRate         = 1000
+	maxEmulatedPerZone     = 40
+	maxRenewBatch          = 2000
+	minControlPlaneForKill = 3 // control-plane servers of which one may be killed
 )
 
 const secondsPerDay = 86_400
@@ -35,7 +35,7 @@
 
 // validate returns a *configfile.KeyError for the first key whose value is invalid, or nil.
 func (c *Config) validate() error {
-	for _, check := range slices.Concat(c.runChecks(), c.loadChecks(), c.machineChecks()) {
+	for _, check := range slices.Concat(c.scenarioChecks(), c.loadChecks(), c.machineChecks()) {
 		if check.invalid {
 			return &configfile.KeyError{Key: check.key, Problem: check.problem}
 		}
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// runChecks checks what is run.
-func (c *Config) runChecks() []keyCheck {
+// scenarioChecks checks what is run.
+func (c *Config) scenarioChecks() []keyCheck {
 	s := &c.Scale
 	return []keyCheck{
 		{"name", c.Name == "" || strings.ContainsAny(c.Name, "/ "), fmt.Sprintf("must be a word without a slash, is %q", c.Name)},
@@ -101,7 +101,7 @@
 			return configfile.NewKeyError(key, "unknown phase %q: one of %s", phase, strings.Join(allPhases, ", "))
 		case position <= previous:
 			return configfile.NewKeyError(key, "%q is out of order: they are run in the order %s", phase, strings.Join(allPhases, ", "))
-		case (phase == LeaderKilled || phase == FollowerKilled) && c.Scale.ControlPlaneServers < minKillableControlPlane:
+		case (phase == LeaderKilled || phase == FollowerKilled) && c.Scale.ControlPlaneServers < minControlPlaneForKill:
 			return configfile.NewKeyError(key, "%q needs three stewards", phase)
 		}
 		previous = position
