--- a/internal/lab/scale/beside_test.go
+++ b/internal/lab/scale/beside_test.go
@@ -25,7 +25,8 @@
 	"knotrouter/internal/lab/process"
 )
 
-// TestMain makes the test binary a process of one hollow agent when it is started as one.
+// TestMain runs one hollow agent instead of the tests if the arguments ask for it, so that a test can
+// start the test binary as the process of a hollow agent.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 4 && os.Args[1] == "hollow-agent" {
 		if err := runHollowAgent(os.Args[2], os.Args[3]); err != nil {
@@ -41,7 +42,8 @@
 	os.Exit(code)
 }
 
-// runHollowAgent runs one hollow agent that reads from an address, until it is interrupted.
+// runHollowAgent runs one hollow agent that reads its list from the controlPlane address, until it is
+// interrupted.
 func runHollowAgent(controlPlane, listen string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -57,7 +59,7 @@
 	return nil
 }
 
-// buildPrograms builds the real control-plane server and the real agent once, into a folder.
+// buildPrograms builds the real control-plane server and the real agent once and returns their folder.
 var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "scale-programs-")
 	if err != nil {
@@ -103,13 +105,14 @@
 	return f, s
 }
 
-// listTakenLine matches a line of the real agent's log: it took a list or a change.
+// listTakenLine matches the line that a real agent logs when it applies a list or a change.
 var listTakenLine = regexp.MustCompile(`msg="list taken".* version=(\d+) entries=(\d+)`)
 
-// realAgentLog is what a real agent took, by its log.
+// realAgentLog holds the numbers of lines and entries and the last version that a real agent applied,
+// according to its log.
 type realAgentLog struct{ lines, entries, version int64 }
 
-// parseRealAgentLog reads what a real agent took from its log.
+// parseRealAgentLog reads the log of a real agent.
 func parseRealAgentLog(t *testing.T, path string) (r realAgentLog) {
 	t.Helper()
 	file, err := os.Open(path)
@@ -148,7 +151,7 @@
 	if err := json.Unmarshal(text, &configuration); err != nil {
 		t.Fatal(err)
 	}
-	configuration["log_level"] = "debug" // at which each list that is taken is logged
+	configuration["log_level"] = "debug" // the level at which the agent logs each list that it applies
 	if text, err = json.Marshal(configuration); err != nil {
 		t.Fatal(err)
 	}
@@ -183,15 +186,15 @@
 	return p
 }
 
-// agentPair is a real and a hollow agent that read from one control-plane server, each through a
-// forwarder of its own.
+// agentPair is a real and a hollow agent that read from the same control-plane server, each through its
+// own forwarder.
 type agentPair struct {
 	fleet                          *fleet
 	realAgent, hollowAgent         *process.Process
 	realForwarder, hollowForwarder *forwarder
 }
 
-// startAgentPair starts a real and a hollow agent of a fleet and waits until the hollow one has its list.
+// startAgentPair starts a real and a hollow agent and waits until the hollow one has its list.
 func startAgentPair(t *testing.T, f *fleet) *agentPair {
 	t.Helper()
 	pair := &agentPair{fleet: f}
@@ -220,7 +223,7 @@
 	return state
 }
 
-// logDifferences prints what both agents did and spent beside each other.
+// logDifferences logs the counts and the resource use of both agents side by side.
 func (pair *agentPair) logDifferences(t *testing.T, realLog realAgentLog, state hollow.AgentsState, realTraffic, hollowTraffic hollow.Traffic) {
 	t.Helper()
 	realUse, _, _ := pair.realAgent.SampleUsage()
@@ -239,10 +242,10 @@
 	}
 }
 
-// A hollow agent does to the list service what a real agent does: on the same list with the
-// same changes it makes the same calls, reads the same lines and entries and ends at the
-// same version. Bytes differ by the empty lines of a quiet watch. Processor time and memory
-// are printed beside each other; the real agent has a data path, though no requests here.
+// A hollow agent puts the same load on the list service as a real agent: with the same list and
+// changes it makes the same calls, reads the same lines and entries and ends at the same version.
+// Bytes may differ by the heartbeat lines of an idle watch. Processor time and memory are only logged,
+// as the real agent also has a data path, which gets no requests here.
 func TestHollowAgentMatchesRealAgent(t *testing.T) {
 	const servers = 400
 	f, s := startTestFleet(t, servers)
@@ -259,12 +262,12 @@
 		t.Errorf("calls: the real agent made %d, the hollow one %d", realTraffic.Calls, hollowTraffic.Calls)
 	}
 	if realLog.lines != state.Lines || realLog.entries != state.Entries || realLog.lines < 10 {
-		t.Errorf("the real agent took %d lines of %d entries, the hollow one %d of %d", realLog.lines, realLog.entries, state.Lines, state.Entries)
+		t.Errorf("the real agent applied %d lines with %d entries, the hollow one %d with %d", realLog.lines, realLog.entries, state.Lines, state.Entries)
 	}
 	if realLog.version != state.VersionMin || state.ListedMin != servers {
 		t.Errorf("the real agent is at version %d, the hollow one at %d with %d servers", realLog.version, state.VersionMin, state.ListedMin)
 	}
-	// An empty line every 2 s, in a chunk of HTTP, is all that may differ.
+	// The byte counts may differ only by heartbeats: an empty line in an HTTP chunk every 2 s.
 	if difference := realTraffic.BytesIn - hollowTraffic.BytesIn; difference < -200 || difference > 200 {
 		t.Errorf("the real agent read %d bytes, the hollow one %d", realTraffic.BytesIn, hollowTraffic.BytesIn)
 	}
@@ -272,11 +275,11 @@
 		t.Errorf("the hollow agent counted %+v, the forwarder %+v", state.Total, hollowTraffic)
 	}
 	if state.Changes < 10 {
-		t.Errorf("the ages of %d changes were taken", state.Changes)
+		t.Errorf("the ages of %d changes were recorded, want at least 10", state.Changes)
 	}
 }
 
-// setChangeRates sets the rates of changes by the command that a scale run sends.
+// setChangeRates sets the rates of changes with the command that a scale run sends.
 func setChangeRates(t *testing.T, s *hollow.Servers, configurations, restarts float64) {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -296,7 +299,7 @@
 	}
 }
 
-// freeAddress returns a loopback address that is free.
+// freeAddress returns a loopback address with a free port.
 func freeAddress() (string, error) {
 	addresses, err := loopback.Claim()
 	if err != nil {
@@ -306,21 +309,21 @@
 	return addresses.FreePort()
 }
 
-// waitSameVersion waits until both agents have the control-plane server's last version.
+// waitSameVersion waits until both agents have the list version of the control-plane server.
 func (pair *agentPair) waitSameVersion(t *testing.T) {
 	t.Helper()
 	realVersion := func() int64 { return parseRealAgentLog(t, pair.fleet.logPath("agent-1")).version }
 	_, ok := poll(t.Context(), time.Minute, func() bool {
-		hollow.Sleep(t.Context(), 300*time.Millisecond) // for a change that is under way
+		hollow.Sleep(t.Context(), 300*time.Millisecond) // for a change in progress
 		status, err := pair.fleet.status(t.Context(), 0)
 		return err == nil && pair.hollowState(t).VersionMin == status.Seq && realVersion() == status.Seq
 	})
 	if !ok {
-		t.Fatalf("not at one version: hollow %+v, real %+v", pair.hollowState(t), parseRealAgentLog(t, pair.fleet.logPath("agent-1")))
+		t.Fatalf("the agents are not at the version of the server: hollow %+v, real %+v", pair.hollowState(t), parseRealAgentLog(t, pair.fleet.logPath("agent-1")))
 	}
 }
 
-// Hollow servers drain, leave and come back as real ones do, by the list.
+// Hollow servers that drain, leave or return appear in the list as real ones do.
 func TestServersDrainLeaveAndReturn(t *testing.T) {
 	const servers = 44
 	f, s := startTestFleet(t, servers)
@@ -347,7 +350,7 @@
 		t.Errorf("%d servers are listed, %d of them draining, %d renewed", len(list.Endpoints), draining, s.State().Renewing)
 	}
 	if r := s.Register(t.Context(), hollow.Range{First: 10, Count: 4}); r.Servers != 4 || r.RefusalReason != "" {
-		t.Errorf("came back: %+v", r)
+		t.Errorf("registered again: %+v", r)
 	}
 	if list, err = f.client.List(t.Context()); err != nil || len(list.Endpoints) != servers {
 		t.Errorf("%d servers are listed: %v", len(list.Endpoints), err)
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -17,46 +17,46 @@
 	Scale Scale  `koanf:"scale"`
 }
 
-// Scale describes the fleets, their load and the bounds of the machine.
+// Scale describes the fleets, their load, and the limits on the resources of the machine.
 type Scale struct {
 	Variant              string         `koanf:"variant"`    // of the results, such as "before"
-	ControlPlaneServers  int            `koanf:"stewards"`   // how many there are
-	ControlPlaneSettings map[string]any `koanf:"steward"`    // as in a control-plane server's own configuration
+	ControlPlaneServers  int            `koanf:"stewards"`   // number of them
+	ControlPlaneSettings map[string]any `koanf:"steward"`    // same keys as in a control-plane server's configuration file
 	Sizes                []Size         `koanf:"sizes"`      // in the order in which they are run
 	Phases               []string       `koanf:"phases"`     // a subset of allPhases, in its order
-	Subscribed           int            `koanf:"subscribed"` // services that each reader asks for; 0: the full list
+	Subscribed           int            `koanf:"subscribed"` // number of services that each reader subscribes to; 0: the full list
 
 	RealAgents      int           `koanf:"real_agents"`
 	RequestRate     float64       `koanf:"request_rate"` // requests a second to each real agent
-	EmulatedPerZone int           `koanf:"emulated"`     // HTTP servers that answer for the listed servers of a zone
-	ServiceTime     time.Duration `koanf:"service_time"` // of an emulated server, for one request
+	EmulatedPerZone int           `koanf:"emulated"`     // HTTP servers that handle the calls to the listed servers of a zone
+	ServiceTime     time.Duration `koanf:"service_time"` // time that an emulated server takes for one request
 
-	RenewInterval        time.Duration `koanf:"renew"`       // between two renewals of a hollow server
-	RenewBatch           int           `koanf:"renew_batch"` // hollow servers that one call renews
+	RenewInterval        time.Duration `koanf:"renew"`       // time between two renewals of a hollow server
+	RenewBatch           int           `koanf:"renew_batch"` // number of hollow servers that one call renews
 	ConfigurationsPerDay float64       `koanf:"configurations_per_day"`
 	RestartsPerDay       float64       `koanf:"restarts_per_day"`
-	SteadyDuration       time.Duration `koanf:"steady"`         // of each steady phase
-	RecoveryTimeout      time.Duration `koanf:"recover_within"` // for a fleet to start or to come back
+	SteadyDuration       time.Duration `koanf:"steady"`         // length of each steady phase
+	RecoveryTimeout      time.Duration `koanf:"recover_within"` // for a fleet to start or to recover
 
-	AgentsPerProcess int  `koanf:"agents_per_process"` // hollow agents
-	MemoryMiB        int  `koanf:"memory_mib"`         // that all processes may use together
-	EntryBytes       int  `koanf:"entry_bytes"`        // estimated memory of a reader for each listed server
-	Processes        int  `koanf:"processes"`          // that may run at once
-	RequireAll       bool `koanf:"require_all"`        // a size that can't be run fails the run
+	AgentsPerProcess int  `koanf:"agents_per_process"` // hollow agents in one process
+	MemoryMiB        int  `koanf:"memory_mib"`         // limit on the memory of all processes together
+	EntryBytes       int  `koanf:"entry_bytes"`        // estimated memory of a reader per listed server
+	Processes        int  `koanf:"processes"`          // limit on the number of processes at the same time
+	RequireAll       bool `koanf:"require_all"`        // whether a size that can't be run fails the run
 
 	ControlPlaneCommand string `koanf:"steward_command"`
 	AgentCommand        string `koanf:"agent_command"`
-	LabCommand          string `koanf:"lab_command"` // that starts hollow processes
+	LabCommand          string `koanf:"lab_command"` // program that runs hollow agents and hollow servers
 }
 
 // Size is the size of one fleet.
 type Size struct {
 	Servers  int `koanf:"servers"`
-	Watches  int `koanf:"watches"` // hollow readers
+	Watches  int `koanf:"watches"` // number of hollow agents, each with one watch
 	Services int `koanf:"services"`
 }
 
-// The phases, in the order in which they are run.
+// The phases, in the order in which they run.
 const (
 	FirstStart   = "first start"
 	Steady       = "steady"
@@ -69,7 +69,7 @@
 	RegionLost     = "region lost"
 )
 
-// defaultPhases are run unless the file names others, of allPhases.
+// defaultPhases are the phases of a file that names none; a file may name any of allPhases.
 var (
 	defaultPhases = []string{FirstStart, Steady, SteadyTen, LeaderKilled, ZoneLost}
 	allPhases     = append(slices.Clone(defaultPhases), ConfigBurst, FollowerKilled, RegionLost)
@@ -87,8 +87,8 @@
 	}}
 }
 
-// IsExperiment reports whether the experiment file at path describes a scale run: it can be read,
-// is TOML and has the key scale.
+// IsExperiment reports whether the file at path describes a scale run, that is, whether it can be
+// read, is valid TOML and has the key scale.
 func IsExperiment(path string) bool {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -102,11 +102,12 @@
 	return found
 }
 
-// Load reads the experiment file at path. Its error names the file, in one line.
+// Load reads the experiment file at path. Its error is one line that names the file.
 func Load(path string) (*Config, error) { return experiment.LoadFile(path, Parse) }
 
-// Parse reads the text of an experiment file over the defaults. Its error is one line that names
-// the key; it is a *configfile.KeyError where the key is unknown or its value out of bounds.
+// Parse parses the text of an experiment file; keys that are not in the file have their default
+// values. Its error is one line that names the key, and a *configfile.KeyError if the key is unknown
+// or its value is out of bounds.
 func Parse(text []byte) (*Config, error) {
 	raw, err := configfile.Parse(text)
 	if err != nil {
--- a/internal/lab/scale/config_test.go
+++ b/internal/lab/scale/config_test.go
@@ -11,8 +11,8 @@
 	"knotrouter/internal/lab/configfile"
 )
 
-// Error texts as users see them, for lines that are added to the file "good": the key, the problem
-// and the value stay to the letter. "" is no error.
+// The exact error texts that users see for a line that is added to validConfig: key, problem and value.
+// "" means no error.
 func TestErrorTextsOfLines(t *testing.T) {
 	for _, c := range []struct{ line, want string }{
 		{"", ""},
@@ -71,7 +71,7 @@
 	}
 }
 
-// Error texts as users see them, for the text of a file as a whole.
+// The exact error texts that users see for the text of a whole file.
 func TestErrorTextsOfFiles(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"", "name: must be a word without a slash, is \"\""},
@@ -96,7 +96,8 @@
 	}
 }
 
-// checkErrorText checks the error of a file's text; one that begins with a key is a KeyError.
+// checkErrorText checks the error of Parse for a text. An error that begins with a key has to be a
+// KeyError.
 func checkErrorText(t *testing.T, text, want string) {
 	t.Helper()
 	_, err := Parse([]byte(text))
@@ -114,7 +115,7 @@
 	}
 }
 
-// A list in the file replaces the default's list.
+// A list in the file replaces the default list instead of being merged with it.
 func TestListsReplaceDefaults(t *testing.T) {
 	config, err := Parse([]byte(validConfig + "phases = [\"first start\", \"zone lost\"]\nsteward = { max_watches = 2 }\n"))
 	if err != nil {
@@ -129,7 +130,7 @@
 func TestIsExperiment(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "experiment.toml")
 	if IsExperiment(path) {
-		t.Error("a file that is not there describes a scale run")
+		t.Error("IsExperiment is true for a missing file")
 	}
 	for text, want := range map[string]bool{
 		"": false, "[scale]\n": true, "scale = 3\n": true, "[scale.x]\n": true, "[[scale]]\n": true,
--- a/internal/lab/scale/controlplane.go
+++ b/internal/lab/scale/controlplane.go
@@ -16,11 +16,12 @@
 	"knotrouter/internal/lab/process"
 )
 
-// controlPlaneName names the control-plane server with an index, in its configuration and its log.
+// controlPlaneName returns the name of the i-th control-plane server, which is used in its
+// configuration and in the names of its files.
 func controlPlaneName(i int) string { return fmt.Sprintf("steward-%d", i+1) }
 
-// addControlPlane writes the configurations of the control-plane servers and prepares their
-// processes with empty data folders; startControlPlane starts them.
+// addControlPlane writes the configurations of the control-plane servers, empties their data folders
+// and adds their processes to the supervisor. startControlPlane starts them.
 func (f *fleet) addControlPlane() error {
 	command, err := programPath("scale.steward_command", f.config.Scale.ControlPlaneCommand)
 	if err != nil {
@@ -52,7 +53,7 @@
 			return err
 		}
 		if err := os.RemoveAll(filepath.Join(f.dir, name)); err != nil {
-			return fmt.Errorf("steward's folder: %w", err)
+			return fmt.Errorf("data folder of the steward: %w", err)
 		}
 		f.controlPlane = append(f.controlPlane, f.supervisor.Add(process.Spec{Name: name, Path: command,
 			Args: []string{"serve", "--config", path}, Log: f.logPath(name)}))
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// writeControlPlaneConfig writes a control-plane server's configuration to a file and checks it as
-// the server does.
+// writeControlPlaneConfig writes the configuration of a control-plane server to a file and validates
+// it with the code that the server loads it with.
 func writeControlPlaneConfig(path string, settings map[string]any) error {
 	text, err := toml.Parser().Marshal(settings)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// startControlPlane starts the control-plane servers and waits at most startTimeout for a leader.
+// startControlPlane starts the control-plane servers and waits up to startTimeout for a leader.
 func (f *fleet) startControlPlane(ctx context.Context) error {
 	for _, p := range f.controlPlane {
 		if err := p.Start(); err != nil {
@@ -93,12 +94,12 @@
 	return nil
 }
 
-// status returns the status of the control-plane server with an index.
+// status returns the status of the i-th control-plane server.
 func (f *fleet) status(ctx context.Context, i int) (control.Status, error) {
 	return control.NewClient(f.controlPlaneAddrs[i:i+1], statusTimeout).Status(ctx)
 }
 
-// leader returns the index of the control-plane server that leads, or -1 if none does.
+// leader returns the index of the control-plane server that is the leader, or -1 if there is none.
 func (f *fleet) leader(ctx context.Context) int {
 	for i, p := range f.controlPlane {
 		if !p.Runs() {
@@ -111,8 +112,8 @@
 	return -1
 }
 
-// get reads a path of the control-plane server with an index. It returns an error unless the answer
-// has status 200.
+// get returns the response body for a GET request to a path of the i-th control-plane server. A status
+// other than 200 is an error.
 func (f *fleet) get(ctx context.Context, i int, path string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	startTimeout  = 30 * time.Second // of a process, until it is ready
-	stopTimeout   = 3 * time.Second  // of hollow processes, to print what they did
-	statusTimeout = time.Second      // of one call of a control-plane server
+	startTimeout  = 30 * time.Second // for a process to become ready
+	stopTimeout   = 3 * time.Second  // for hollow processes to print their state and exit
+	statusTimeout = time.Second      // for one call to a control-plane server
 	pollInterval  = 200 * time.Millisecond
 )
 
-// fleet is the processes of one size. Its methods are called by the goroutine that runs the size;
-// memoryMiB is safe to call beside them.
+// fleet holds the processes of one size. Its methods are for the goroutine that runs the size; only
+// memoryMiB may be called concurrently with them.
 type fleet struct {
 	config *Config
 	size   Size
 	seed   uint64
-	dir    string // of the processes' configurations, data and logs
+	dir    string // folder of the configurations, data and logs of the processes
 
 	addresses         *loopback.Net
 	supervisor        *process.Supervisor
@@ -35,19 +35,19 @@
 	controlPlaneAddrs []string
 	client            *control.Client
 
-	hollowServers     *process.Process // of hollow servers
+	hollowServers     *process.Process // the process of all hollow servers
 	hollowServersAddr string
-	readers           []*process.Process // of hollow agents
+	readers           []*process.Process // the processes of hollow agents
 	readerAddrs       []string
 
 	agents        []*process.Process // real agents
 	agentAddrs    []string
-	forwarders    []*forwarder // between the real agents and each control-plane server
+	forwarders    []*forwarder // one per control-plane server, between it and the real agents
 	loadGenerator *loadGenerator
 }
 
-// newFleet prepares the fleet of a size and writes the configuration of its control plane; no
-// process runs yet. The caller closes the fleet.
+// newFleet prepares the fleet of a size and writes the configuration of its control plane. It starts
+// no process. The caller has to close the fleet.
 func newFleet(config *Config, size Size, seed uint64, dir string) (*fleet, error) {
 	addresses, err := loopback.Claim()
 	if err != nil {
@@ -61,7 +61,7 @@
 	return f, nil
 }
 
-// close ends all processes of the fleet.
+// close stops all processes of the fleet.
 func (f *fleet) close() {
 	if f.loadGenerator != nil {
 		f.loadGenerator.close()
@@ -74,7 +74,8 @@
 	f.addresses.Close()
 }
 
-// interruptHollowProcesses has the hollow processes print what they did, and waits at most stopTimeout for them.
+// interruptHollowProcesses sends SIGINT to the hollow processes, on which they print their state
+// and exit, and waits up to stopTimeout until they have exited.
 func (f *fleet) interruptHollowProcesses() {
 	var stopping []*process.Process
 	for _, p := range append(slices.Clone(f.readers), f.hollowServers) {
@@ -92,8 +93,8 @@
 	}
 }
 
-// programPath returns the absolute path of the program that a key of the file names. Its error names
-// the key if there is no such program.
+// programPath returns the absolute path of the program that is the value of a key of the file. The
+// error names the key if there is no such program.
 func programPath(key, command string) (string, error) {
 	path, err := filepath.Abs(command)
 	if err != nil {
@@ -105,10 +106,10 @@
 	return path, nil
 }
 
-// logPath returns the path of the log of a process.
+// logPath returns the path of a process's log.
 func (f *fleet) logPath(name string) string { return filepath.Join(f.dir, name+".log") }
 
-// freeAddresses returns a number of addresses that are free.
+// freeAddresses returns count addresses with free ports.
 func (f *fleet) freeAddresses(count int) ([]string, error) {
 	addresses := make([]string, count)
 	for i := range addresses {
@@ -120,7 +121,7 @@
 	return addresses, nil
 }
 
-// startReady starts a process and waits at most startTimeout until it is ready.
+// startReady starts a process and waits up to startTimeout until it is ready.
 func (f *fleet) startReady(ctx context.Context, p *process.Process) error {
 	if err := p.Start(); err != nil {
 		return err
@@ -128,8 +129,8 @@
 	return waitReady(ctx, startTimeout, p)
 }
 
-// waitReady waits until all processes are ready. It returns the error of the first that is not by the
-// timeout or by the end of the context.
+// waitReady waits until all processes are ready. It returns the error of the first process that is not
+// ready when the timeout expires or the context ends.
 func waitReady(ctx context.Context, timeout time.Duration, processes ...*process.Process) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -141,8 +142,8 @@
 	return nil
 }
 
-// poll calls done each pollInterval until it returns true, which poll returns too, or the timeout or
-// the context ends. It returns the time that passed.
+// poll calls done every pollInterval until done returns true, the timeout expires or the context ends.
+// It returns the elapsed time and whether done returned true.
 func poll(ctx context.Context, timeout time.Duration, done func() bool) (time.Duration, bool) {
 	began := time.Now()
 	ticker := time.NewTicker(pollInterval)
@@ -162,7 +163,7 @@
 	}
 }
 
-// memoryMiB returns the resident memory of all processes together, in MiB.
+// memoryMiB returns the total resident memory of all running processes in MiB.
 func (f *fleet) memoryMiB() float64 {
 	total := 0.0
 	for _, p := range f.supervisor.All() {
--- a/internal/lab/scale/forward.go
+++ b/internal/lab/scale/forward.go
@@ -9,9 +9,9 @@
 	"knotrouter/internal/lab/hollow"
 )
 
-// forwarder forwards connections to a control-plane server and counts them, so that what real
-// agents exchange with it is known. A connection is a call, as their reader makes them. One
-// goroutine accepts, and two for each connection copy its bytes.
+// forwarder forwards connections to a control-plane server, to measure the traffic between the server
+// and real agents. It counts a connection as a call, since real agents open a connection for each
+// call. One goroutine accepts connections; two goroutines per connection copy its bytes.
 type forwarder struct {
 	listener net.Listener
 	target   string
@@ -24,7 +24,7 @@
 	closed    bool
 }
 
-// newForwarder listens at an address and forwards to a target; close ends it.
+// newForwarder listens on an address and forwards connections to a target until close is called.
 func newForwarder(address, target string) (*forwarder, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return f, nil
 }
 
-// address returns the address at which the forwarder listens.
+// address returns the address that the forwarder listens on.
 func (f *forwarder) address() string { return f.listener.Addr().String() }
 
 // accept accepts connections until the listener is closed.
@@ -50,7 +50,8 @@
 	}
 }
 
-// forward copies the bytes of a connection both ways until one end is closed, and closes the other.
+// forward copies the bytes of a connection in both directions until one end is closed, and then closes
+// the other end.
 func (f *forwarder) forward(downstream net.Conn) {
 	defer downstream.Close()
 	upstream, err := net.Dial("tcp", f.target)
@@ -69,10 +70,10 @@
 	copyAndCount(downstream, upstream, &f.bytesIn)
 }
 
-// copyBufferBytes is the size of the buffer of one direction of a connection.
+// copyBufferBytes is the size of the copy buffer for one direction of a connection.
 const copyBufferBytes = 32 << 10
 
-// copyAndCount copies until the first error and counts what was read.
+// copyAndCount copies from src to dst until the first error and adds the number of bytes read to count.
 func copyAndCount(dst io.Writer, src io.Reader, count *atomic.Int64) {
 	buffer := make([]byte, copyBufferBytes)
 	for {
@@ -89,7 +90,8 @@
 	}
 }
 
-// track keeps connections for close. It returns false if the forwarder is closed.
+// track registers connections so that close closes them. It returns false if the forwarder is already
+// closed.
 func (f *forwarder) track(connections ...net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +101,7 @@
 	return !f.closed
 }
 
-// untrack forgets connections that have ended.
+// untrack removes connections that have ended.
 func (f *forwarder) untrack(connections ...net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,7 +110,7 @@
 	}
 }
 
-// traffic returns what was counted so far, as seen by the agents.
+// traffic returns the traffic so far, with its directions as seen by the agents.
 func (f *forwarder) traffic() hollow.Traffic {
 	return hollow.Traffic{Calls: f.calls.Load(), BytesIn: f.bytesIn.Load(), BytesOut: f.bytesOut.Load()}
 }
--- a/internal/lab/scale/hollowfleet.go
+++ b/internal/lab/scale/hollowfleet.go
@@ -12,7 +12,7 @@
 	"knotrouter/internal/lab/process"
 )
 
-// startServers starts the process of hollow servers; none is registered yet.
+// startServers starts the process of hollow servers. It registers none of them.
 func (f *fleet) startServers(ctx context.Context) error {
 	s := &f.config.Scale
 	command, err := programPath("scale.lab_command", s.LabCommand)
@@ -37,7 +37,8 @@
 	return f.startReady(ctx, f.hollowServers)
 }
 
-// addHollowProcess prepares a hollow process, which is ready once it serves its state at an address.
+// addHollowProcess adds a hollow process to the supervisor. The process is ready once it serves its
+// state at the address.
 func (f *fleet) addHollowProcess(name, command, address string, args []string) *process.Process {
 	return f.supervisor.Add(process.Spec{
 		Name:     name,
@@ -48,8 +49,8 @@
 	})
 }
 
-// startReaders starts the processes of hollow agents, which begin to read at once, and waits until
-// all of them serve their state.
+// startReaders starts the processes of hollow agents and waits until all of them serve their state.
+// The agents begin to read the list as soon as their process starts.
 func (f *fleet) startReaders(ctx context.Context) error {
 	s := &f.config.Scale
 	command, err := programPath("scale.lab_command", s.LabCommand)
@@ -87,7 +88,7 @@
 	return hollow.Call(ctx, http.MethodPost, "http://"+f.hollowServersAddr+path, body, result)
 }
 
-// setChangeRates has the hollow servers change at a multiple of the file's rates.
+// setChangeRates sets the rates at which the hollow servers change to a multiple of the file's rates.
 func (f *fleet) setChangeRates(ctx context.Context, multiple float64) error {
 	s := &f.config.Scale
 	rates := hollow.Rates{
@@ -103,8 +104,8 @@
 	return state, err
 }
 
-// readersState returns the state of all hollow agents together, compared with the list that they
-// should have. With ages it has the figures of changes too.
+// readersState returns the merged state of all hollow agents, compared with the list that they are
+// expected to have. With withAges it includes the ages of the changes that they received.
 func (f *fleet) readersState(ctx context.Context, expected hollow.ExpectedList, withAges bool) (hollow.AgentsState, error) {
 	total := hollow.AgentsState{ByAddress: map[string]hollow.Traffic{}}
 	var merged *hdrhistogram.Histogram
@@ -134,8 +135,8 @@
 	return total, nil
 }
 
-// mergeState adds the state of one process of hollow agents to the total; first is whether it is
-// the first to be added.
+// mergeState adds the state of one process of hollow agents to the total. first reports whether it is
+// the first state that is added.
 func mergeState(total, state *hollow.AgentsState, first bool) {
 	if first {
 		total.VersionMin, total.ListedMin = state.VersionMin, state.ListedMin
@@ -162,7 +163,7 @@
 	}
 }
 
-// resetAges has all hollow agents begin a new measurement of the ages of changes.
+// resetAges resets the ages of changes that the hollow agents have recorded.
 func (f *fleet) resetAges(ctx context.Context) error {
 	for _, address := range f.readerAddrs {
 		var nothing struct{}
--- a/internal/lab/scale/machine.go
+++ b/internal/lab/scale/machine.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// gitCommit returns the commit of the working tree, "unknown" if there is none, and whether the tree
-// has changes.
+// gitCommit returns the commit of the working tree, or "unknown" if there is none, and whether the tree
+// has uncommitted changes.
 func gitCommit() (commit string, dirty bool) {
 	text, err := exec.Command("git", "rev-parse", "HEAD").Output()
 	if err != nil {
@@ -19,7 +19,7 @@
 	return strings.TrimSpace(string(text)), err != nil || len(status) > 0
 }
 
-// describeMachine describes the machine for the results: processors, memory, version of Go.
+// describeMachine returns the number of processors, the memory and the Go version, for the results.
 func describeMachine() string {
 	memory := "unknown memory"
 	if text, err := os.ReadFile("/proc/meminfo"); err == nil {
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -14,15 +14,15 @@
 	"knotrouter/internal/lab/process"
 )
 
-// The roles of measurements, as in the results.
+// The roles of measurements in the results.
 const (
 	roleLeader   = "steward leader"
-	roleFollower = "steward follower" // mean of them
-	roleReader   = "hollow agent"     // of one: the processes' figures divided by their number of agents
-	roleServer   = "hollow server"    // of one: the process's figures divided by its number of servers
-	roleAgent    = "real agent"       // mean
+	roleFollower = "steward follower" // mean over the followers
+	roleReader   = "hollow agent"     // per agent: the figures of the processes divided by the number of agents
+	roleServer   = "hollow server"    // per server: the figures of the process divided by the number of servers
+	roleAgent    = "real agent"       // mean over the real agents
 	roleRequests = "requests"
-	roleReaders  = "readers" // all hollow agents
+	roleReaders  = "readers" // all hollow agents together
 )
 
 // Metrics of a control-plane server that count the changes written to watches, by the kind of watch.
@@ -31,19 +31,19 @@
 	scopedLinesSentMetric = "steward_scoped_lines_sent_total"
 )
 
-// sample is all counts at one moment.
+// sample holds the values of all counters at one time.
 type sample struct {
 	at           time.Time
-	cpu          map[*process.Process]time.Duration // of all runs of the process
+	cpu          map[*process.Process]time.Duration // by process, over all its runs
 	readers      hollow.AgentsState
 	servers      hollow.ServersState
-	agents       map[string]hollow.Traffic // of real agents, by the address of the control-plane server
-	lines        []float64                 // written to watches, by control-plane server
+	agents       map[string]hollow.Traffic // traffic of the real agents, by the address of the control-plane server
+	lines        []float64                 // changes written to watches, by index of the control-plane server
 	appliedIndex uint64                    // index of the last log entry that the leader has applied
 }
 
-// sample takes all counts; with ages, those of changes too. It returns an error if a hollow process
-// doesn't answer; a control-plane server that doesn't is left out.
+// sample reads all counters and, with withAges, the ages of changes. It returns an error if a hollow
+// process doesn't respond, but leaves out a control-plane server that doesn't respond.
 func (f *fleet) sample(ctx context.Context, withAges bool) (*sample, error) {
 	s := &sample{cpu: map[*process.Process]time.Duration{}, agents: map[string]hollow.Traffic{}, lines: make([]float64, len(f.controlPlane))}
 	var err error
@@ -69,13 +69,13 @@
 	s.at = time.Now()
 	for _, p := range f.supervisor.All() {
 		_, peak, _ := p.SampleUsage()
-		s.cpu[p] = peak.CPU // of all its runs
+		s.cpu[p] = peak.CPU // over all its runs
 	}
 	return s, nil
 }
 
-// metricValue finds the value of a metric without labels in the text form of Prometheus; 0 if it is
-// not there.
+// metricValue returns the value of a metric without labels from the Prometheus text format, or 0 if
+// the metric is missing.
 func metricValue(text []byte, name string) float64 {
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	for lines.Scan() {
@@ -87,7 +87,7 @@
 	return 0
 }
 
-// measurement is the difference between two samples, as it goes into the results.
+// measurement adds the difference between two samples to the results.
 type measurement struct {
 	fleet         *fleet
 	result        *capacity.Run
@@ -100,7 +100,7 @@
 	m.result.Add(role, m.load, metric, value)
 }
 
-// cores returns the processor cores that a process used, on the mean.
+// cores returns the mean number of processor cores that a process used.
 func (m *measurement) cores(p *process.Process) float64 {
 	return (m.after.cpu[p] - m.before.cpu[p]).Seconds() / m.seconds
 }
@@ -111,8 +111,7 @@
 	return now.RSSMB
 }
 
-// addAll adds the figures of all roles. Leader is the index of the control-plane server that leads,
-// or -1.
+// addAll adds the figures of all roles. leader is the index of the leading control-plane server, or -1.
 func (m *measurement) addAll(leader int, requests requestFigures) {
 	m.addControlPlane(leader)
 	m.addReaders()
@@ -125,9 +124,9 @@
 	}
 }
 
-// addControlPlane adds what the control-plane servers spent. Bytes and calls are those of hollow
-// agents, real agents and hollow servers, as counted there; what control-plane servers send each
-// other is not among them.
+// addControlPlane adds the resource use of the control-plane servers. Bytes and calls are those that
+// hollow agents, real agents and hollow servers counted; the traffic between control-plane servers is
+// not included.
 func (m *measurement) addControlPlane(leader int) {
 	var followers []int
 	for i := range m.fleet.controlPlane {
@@ -146,7 +145,7 @@
 	}
 }
 
-// addControlPlaneRole adds the means over the control-plane servers with some indexes.
+// addControlPlaneRole adds the means over the control-plane servers with the given indexes.
 func (m *measurement) addControlPlaneRole(role string, indexes []int) {
 	var cores, resident, lines float64
 	var traffic hollow.Traffic
@@ -157,7 +156,7 @@
 		if delta := m.after.lines[i] - m.before.lines[i]; delta >= 0 {
 			lines += delta
 		} else {
-			lines += m.after.lines[i] // the server was started again, which began its count anew
+			lines += m.after.lines[i] // the server was restarted, which reset its counter
 		}
 		traffic.Add(m.after.readers.ByAddress[address].Sub(m.before.readers.ByAddress[address]))
 		traffic.Add(m.after.servers.ByAddress[address].Sub(m.before.servers.ByAddress[address]))
@@ -173,7 +172,7 @@
 	m.add(role, "refused_calls", float64(traffic.Refused)/count)
 }
 
-// addReaders adds what hollow agents spent, and the ages of the changes that they received.
+// addReaders adds the resource use of hollow agents and the ages of the changes that they received.
 func (m *measurement) addReaders() {
 	count := float64(m.after.readers.Agents)
 	var cores, resident float64
@@ -194,14 +193,14 @@
 	}
 }
 
-// addTraffic adds the calls and bytes of one of count agents or servers.
+// addTraffic adds the mean calls and bytes of one agent or server, from the traffic of count of them.
 func (m *measurement) addTraffic(role string, traffic hollow.Traffic, count float64) {
 	m.add(role, "bytes_in_per_second", float64(traffic.BytesIn)/count/m.seconds)
 	m.add(role, "bytes_out_per_second", float64(traffic.BytesOut)/count/m.seconds)
 	m.add(role, "calls_per_second", float64(traffic.Calls)/count/m.seconds)
 }
 
-// addServers adds what hollow servers spent.
+// addServers adds the resource use of hollow servers.
 func (m *measurement) addServers() {
 	count := float64(m.after.servers.Servers)
 	traffic := m.after.servers.Total.Sub(m.before.servers.Total)
@@ -211,7 +210,7 @@
 	m.add(roleServer, "refused_calls", float64(traffic.Refused))
 }
 
-// addAgents adds what real agents spent, if there are any.
+// addAgents adds the resource use of real agents, if there are any.
 func (m *measurement) addAgents() {
 	count := float64(len(m.fleet.agents))
 	if count == 0 {
@@ -231,7 +230,7 @@
 	m.addTraffic(roleAgent, traffic, count)
 }
 
-// addPayloadSizes adds the sizes of the snapshot and of the full list at the leader, if there is one.
+// addPayloadSizes adds the sizes of the leader's snapshot and full list, if there is a leader.
 func (m *measurement) addPayloadSizes(ctx context.Context, leader int) error {
 	if leader < 0 {
 		return nil
@@ -246,8 +245,8 @@
 	return nil
 }
 
-// getWithRetry reads a path of a control-plane server, and tries again for startTimeout while that
-// fails, as the server admits no call.
+// getWithRetry reads a path of a control-plane server. It retries for up to startTimeout, as the server
+// may refuse calls by admission control.
 func (f *fleet) getWithRetry(ctx context.Context, i int, path string) (text []byte, err error) {
 	poll(ctx, startTimeout, func() bool {
 		text, err = f.get(ctx, i, path)
--- a/internal/lab/scale/phases.go
+++ b/internal/lab/scale/phases.go
@@ -9,8 +9,8 @@
 	"knotrouter/internal/lab/hollow"
 )
 
-// firstStart registers all servers and starts all readers and real agents at once; then it begins to
-// send requests to the real agents.
+// firstStart registers all servers, starts all readers and real agents at the same time, and then
+// begins to send requests to the real agents.
 func (r *sizeRun) firstStart(ctx context.Context) error {
 	f := r.fleet
 	var registered hollow.RegistrationResult
@@ -55,11 +55,11 @@
 	return nil
 }
 
-// maxListBytes is the length of the longest list that a reader accepts (internal/endpoints).
+// maxListBytes is the size of the largest list that a reader accepts (internal/endpoints).
 const maxListBytes = 4 << 20
 
-// explainMissingList returns the error of readers that did not get the list: err, or a *notRunError that
-// names the size of the list if that is the cause.
+// explainMissingList returns the error for readers that did not get the list: a *notRunError with the
+// size of the list if the list is too large for them, else err.
 func (r *sizeRun) explainMissingList(ctx context.Context, err error) error {
 	var notRun *notRunError
 	leader := r.fleet.leader(ctx)
@@ -88,8 +88,7 @@
 	return r.fleet.setChangeRates(ctx, 1)
 }
 
-// leaderKilled kills the control-plane server that leads, and starts it again once another one takes
-// writes.
+// leaderKilled kills the leader of the control plane and restarts it once another server accepts writes.
 func (r *sizeRun) leaderKilled(ctx context.Context) error {
 	f := r.fleet
 	leader := f.leader(ctx)
@@ -123,8 +122,8 @@
 // zonesPerRegion is the number of zones of a region: 22 in 6 regions, rounded up.
 const zonesPerRegion = 4
 
-// serversLost has the servers of a zone or more stop renewing, waits until the readers' lists are
-// without them, and registers them again.
+// serversLost stops the renewals of the servers of one or more zones, waits until the readers' lists no
+// longer contain them, and registers them again.
 func (r *sizeRun) serversLost(ctx context.Context, load string, lost hollow.Range) error {
 	f := r.fleet
 	var removed, recovered time.Duration
@@ -156,13 +155,13 @@
 	return nil
 }
 
-// A burst of configuration changes has this rate and lasts this long.
+// Rate and length of a burst of configuration changes.
 const (
 	burstChangesPerSecond = 200
 	burstDuration         = 2 * time.Second
 )
 
-// configBurst makes configuration changes at a high rate and waits until all readers have the last.
+// configBurst makes configuration changes at a high rate and waits until all readers have the last one.
 func (r *sizeRun) configBurst(ctx context.Context) error {
 	var elapsed time.Duration
 	m, err := r.measure(ctx, ConfigBurst, func() error {
@@ -185,8 +184,8 @@
 	return nil
 }
 
-// followerKilled kills a control-plane server that doesn't lead, and starts it again once its watches
-// have moved to others.
+// followerKilled kills a follower of the control plane and restarts it once its watches have moved to
+// other servers.
 func (r *sizeRun) followerKilled(ctx context.Context) error {
 	f := r.fleet
 	killed := (f.leader(ctx) + 1) % len(f.controlPlane)
@@ -198,7 +197,7 @@
 	if err != nil {
 		return err
 	}
-	hollowWatches := status.Watches - len(f.agents) // at least: each real agent has at most one there
+	hollowWatches := status.Watches - len(f.agents) // a lower bound: each real agent has at most one watch there
 	var moved time.Duration
 	m, err := r.measure(ctx, FollowerKilled, func() error {
 		began := time.Now()
--- a/internal/lab/scale/realagents.go
+++ b/internal/lab/scale/realagents.go
@@ -14,8 +14,8 @@
 	"knotrouter/internal/lab/process"
 )
 
-// addRealAgents prepares the real agents and the forwarders through which they reach the control
-// plane; startRealAgents starts them.
+// addRealAgents starts the forwarders through which the real agents reach the control plane, writes the
+// agents' configurations and adds their processes to the supervisor. startRealAgents starts them.
 func (f *fleet) addRealAgents() error {
 	command, err := programPath("scale.agent_command", f.config.Scale.AgentCommand)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// writeAgentConfig writes the configuration of the real agent with an index to a file. Lists are the
-// addresses at which it reads the list.
+// writeAgentConfig writes the configuration of the real agent with the given index to a file.
+// listAddrs are the addresses that the agent reads the list from.
 func (f *fleet) writeAgentConfig(path, name string, index int, address string, listAddrs []string) error {
 	base := experiment.Default()
 	base.Agents.Count = f.config.Scale.RealAgents + f.size.Watches
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// startRealAgents starts the real agents and does not wait for them.
+// startRealAgents starts the real agents without waiting until they are ready.
 func (f *fleet) startRealAgents() error {
 	for _, p := range f.agents {
 		if err := p.Start(); err != nil {
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// waitRealAgents waits until all real agents have a list. It returns an error if one of them has none
-// within the timeout.
+// waitRealAgents waits until all real agents have a list. It returns an error if one of them still has
+// none when the timeout expires.
 func (f *fleet) waitRealAgents(ctx context.Context, timeout time.Duration) error {
 	return waitReady(ctx, timeout, f.agents...)
 }
--- a/internal/lab/scale/recovery.go
+++ b/internal/lab/scale/recovery.go
@@ -11,9 +11,8 @@
 	"knotrouter/internal/lab/hollow"
 )
 
-// waitReaders waits until all readers have open watches and the list that is expected, at the
-// version that the leader has. It returns the time that this took, and a *notRunError if it took
-// longer than the file's limit.
+// waitReaders waits until all readers have open watches and the expected list, at the leader's version.
+// It returns the elapsed time, and a *notRunError if the file's RecoveryTimeout expires first.
 func (r *sizeRun) waitReaders(ctx context.Context, expected hollow.ExpectedList) (time.Duration, error) {
 	var state hollow.AgentsState
 	var stateErr error
@@ -45,8 +44,8 @@
 		r.config.Scale.RecoveryTimeout, state.Agents, state.AsExpected, state.AtVersion, state.WatchesOpen)}
 }
 
-// waitWritable waits until a control-plane server other than the killed one takes a write, and returns
-// the time that this took. Its error is a *notRunError after the file's limit.
+// waitWritable waits until a control-plane server other than the killed one accepts a write, and returns
+// the elapsed time. It returns a *notRunError if the file's RecoveryTimeout expires first.
 func (r *sizeRun) waitWritable(ctx context.Context, killed int) (time.Duration, error) {
 	others := slices.Delete(slices.Clone(r.fleet.controlPlaneAddrs), killed, killed+1)
 	client := control.NewClient(others, statusTimeout)
@@ -61,9 +60,9 @@
 	return elapsed, nil
 }
 
-// waitFailovers waits until the readers' watches have failed over a number of times in all. Before
-// that their states may still count watches of a control-plane server that was killed as open. Its
-// error is a *notRunError after the file's limit.
+// waitFailovers waits until the total number of failovers of the readers' watches is at least wanted.
+// Until then the readers may still report watches of a killed control-plane server as open. It returns
+// a *notRunError if the file's RecoveryTimeout expires first.
 func (r *sizeRun) waitFailovers(ctx context.Context, wanted int64) error {
 	var state hollow.AgentsState
 	var err error
--- a/internal/lab/scale/requests.go
+++ b/internal/lab/scale/requests.go
@@ -11,15 +11,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// requestDeadline is the time from when a request is due within which it must be served.
+// requestDeadline is the time within which a request has to be served, counted from its due time.
 const requestDeadline = time.Second
 
-// maxIdlePerAgent is the number of idle connections that are kept to each agent.
+// maxIdlePerAgent is the maximum number of idle connections that are kept to each agent.
 const maxIdlePerAgent = 32
 
-// loadGenerator sends requests to real agents at a steady rate, which doesn't wait for answers, and
-// measures their latency from the time at which each was due. Each agent has a goroutine that sends
-// and one more for each request under way.
+// loadGenerator sends requests to real agents at a constant rate, without waiting for responses (an
+// open loop), and measures the latency of each request from its due time. It has one goroutine per
+// agent that starts the requests, and one goroutine per request in flight.
 type loadGenerator struct {
 	client  *http.Client
 	cancel  context.CancelFunc
@@ -28,10 +28,10 @@
 	mu        sync.Mutex
 	sent      int64
 	served    int64
-	latencies *hdrhistogram.Histogram // of those served in time, in µs
+	latencies *hdrhistogram.Histogram // of requests served within requestDeadline, in µs
 }
 
-// newLoadGenerator starts to send requests to the agents, ratePerAgent a second to each; close ends it.
+// newLoadGenerator starts to send ratePerAgent requests a second to each agent, until close is called.
 func newLoadGenerator(agents []string, ratePerAgent float64) *loadGenerator {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &loadGenerator{
@@ -47,7 +47,7 @@
 	return r
 }
 
-// run sends a request each pause, the first when it is due, until the context ends.
+// run sends the first request at the due time and then one per interval, until the context ends.
 func (r *loadGenerator) run(ctx context.Context, agent string, due time.Time, interval time.Duration) {
 	timer := time.NewTimer(time.Until(due))
 	defer timer.Stop()
@@ -64,7 +64,7 @@
 	}
 }
 
-// send sends one request and counts its outcome.
+// send sends one request and records its outcome.
 func (r *loadGenerator) send(ctx context.Context, agent string, sequence int, due time.Time) {
 	deadline := due.Add(requestDeadline)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
@@ -80,7 +80,7 @@
 	}
 }
 
-// call makes one call. It returns an error unless the answer is read to its end and has status 200.
+// call makes one call. It returns an error unless the response is complete and has status 200.
 func (r *loadGenerator) call(ctx context.Context, agent string, sequence int, deadline time.Time) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/schedule-read/%d", agent, sequence), nil)
 	if err != nil {
@@ -97,18 +97,19 @@
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("answered %s", response.Status)
+		return fmt.Errorf("response status %s", response.Status)
 	}
 	return nil
 }
 
-// requestFigures is the outcome of the requests between two calls of takeFigures.
+// requestFigures holds the counts and latencies of the requests that ended between two calls of
+// takeFigures.
 type requestFigures struct {
 	sent, served int64
 	p50Ms, p99Ms float64
 }
 
-// takeFigures returns the figures since its last call.
+// takeFigures returns the figures since the last call and resets them.
 func (r *loadGenerator) takeFigures() requestFigures {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,7 +124,7 @@
 	return figures
 }
 
-// close ends the requests and waits for those under way.
+// close stops sending, cancels the requests in flight and waits until they have ended.
 func (r *loadGenerator) close() {
 	r.cancel()
 	r.running.Wait()
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -16,19 +16,19 @@
 type Options struct {
 	Seed     uint64            // 0: the file's
 	Out      string            // folder of the results
-	Command  string            // that repeats the run
-	Progress func(line string) // is called with each step of the run; nil: none is reported
+	Command  string            // command line that repeats the run
+	Progress func(line string) // called for each step of the run; may be nil
 }
 
-// ResultsFile is the name of the results in the folder of a run.
+// ResultsFile is the name of the results file in the folder of a run.
 const ResultsFile = "results.json"
 
 // ErrInterrupted is returned by Run if its context ends first.
 var ErrInterrupted = errors.New("interrupted before its end")
 
-// Run runs all sizes one after the other, writes the results to ResultsFile in the folder
-// options.Out and returns them with one text for each size that had to be run and was not. Its error
-// is ErrInterrupted or one of setting up. All processes that it started have ended when it returns.
+// Run runs all sizes one after the other, writes the results to ResultsFile in the folder options.Out
+// and returns them, with a text for each required size that was not run. Its error is ErrInterrupted or
+// a setup error. All processes that it started have ended when it returns.
 func Run(ctx context.Context, config *Config, options Options) (*capacity.Results, []string, error) {
 	seed := options.Seed
 	if seed == 0 {
@@ -59,7 +59,7 @@
 			}
 			return nil, nil, err
 		}
-		// After each size, so that an interrupted run leaves what it measured.
+		// Written after each size, so that an interrupted run keeps the results of the completed sizes.
 		if err := capacity.Write(filepath.Join(options.Out, ResultsFile), results); err != nil {
 			return nil, nil, fmt.Errorf("--out: %w", err)
 		}
@@ -67,18 +67,18 @@
 	return results, r.failures, nil
 }
 
-// runner runs sizes and gathers their results.
+// runner runs sizes and collects their results.
 type runner struct {
 	config   *Config
 	seed     uint64
 	out      string
 	progress func(string)
 	results  *capacity.Results
-	failures []string // sizes that had to be run and were not
+	failures []string // required sizes that were not run
 }
 
-// notRunError is the error of a size that can't be run, or not to its end, as a resource or a time
-// limit ran out. The results keep its reason and the next size is run.
+// notRunError is the error of a size that can't be run to its end because a resource or a time limit
+// was exceeded. The reason is stored in the results and the run continues with the next size.
 type notRunError struct{ reason string }
 
 // Error returns the reason.
@@ -119,16 +119,16 @@
 	return nil
 }
 
-// tableCopies is the number of copies of an entry in the memory of a reader with a subscription: one
-// in its table and, as in a real agent, one in the table by service.
+// tableCopies is the number of copies of an entry that a reader with a subscription keeps in memory:
+// one in its table and, as in a real agent, one in the table by service.
 const tableCopies = 2
 
-// readersMemoryShare is the part of the memory for hollow readers; the rest is for control-plane
-// servers and real agents.
+// readersMemoryShare is the share of the memory that is for hollow readers. The rest is for
+// control-plane servers and real agents.
 const readersMemoryShare = 0.8
 
-// maxWatchesInMemory returns the number of readers that fit in the memory, by the entries of the list
-// that each keeps, but at least 1.
+// maxWatchesInMemory returns the number of readers whose lists fit in the memory limit, but at least 1.
+// It is estimated from the number of entries that each reader keeps.
 func maxWatchesInMemory(s *Scale, size Size) int {
 	entries := float64(size.Servers)
 	if s.Subscribed > 0 {
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -14,7 +14,7 @@
 sizes = [{ servers = 100, watches = 10, services = 5 }]
 `
 
-// The error of a file with a fault is one line that names the key.
+// The error of an invalid file is one line that names the key.
 func TestErrorsNameTheKey(t *testing.T) {
 	if _, err := Parse([]byte(validConfig)); err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 	} {
 		_, err := Parse([]byte(validConfig + c.line + "\n"))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: said %v, want one line with %q", c.line, err, c.want)
+			t.Errorf("%s: error %v, want one line with %q", c.line, err, c.want)
 		}
 	}
 	for _, c := range []struct{ size, want string }{
@@ -47,23 +47,24 @@
 	} {
 		_, err := Parse([]byte(strings.Replace(validConfig, "servers = 100, watches = 10, services = 5", c.size, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: said %v, want %q", c.size, err, c.want)
+			t.Errorf("%s: error %v, want %q", c.size, err, c.want)
 		}
 	}
 }
 
-// Memory bounds the readers by the entries of the list that each keeps, never below one.
+// The memory limit bounds the number of readers by the list entries that each keeps, but to no less
+// than one.
 func TestMaxWatchesInMemory(t *testing.T) {
 	s := &Scale{MemoryMiB: 1000, EntryBytes: 1 << 10}
 	if n := maxWatchesInMemory(s, Size{Servers: 1024}); n != 800 {
-		t.Errorf("1000 MiB carry %d readers of 1 MiB", n)
+		t.Errorf("1000 MiB hold %d readers of 1 MiB, want 800", n)
 	}
 	if n := maxWatchesInMemory(s, Size{Servers: 10 << 20}); n != 1 {
-		t.Errorf("a list beyond all memory leaves %d readers", n)
+		t.Errorf("with a list larger than the memory there are %d readers, want 1", n)
 	}
 	s.Subscribed = 1
 	if n := maxWatchesInMemory(s, Size{Servers: 1024, Services: 4}); n != 1600 {
-		t.Errorf("1000 MiB carry %d readers of a quarter of 1 MiB, held twice", n)
+		t.Errorf("1000 MiB hold %d readers with two copies of a quarter of 1 MiB, want 1600", n)
 	}
 }
 
--- a/internal/lab/scale/sizerun.go
+++ b/internal/lab/scale/sizerun.go
@@ -13,21 +13,21 @@
 	"knotrouter/internal/lab/hollow"
 )
 
-// memoryCheckInterval is the time between two looks of the memory guard.
+// memoryCheckInterval is the time between two checks of the memory guard.
 const memoryCheckInterval = time.Second
 
-// sizeRun is the run of one size. The goroutine that calls run owns it, but for canceled, which the
-// memory guard stores.
+// sizeRun is the run of one size. The goroutine that calls run owns it, except for cancelReason, which
+// the memory guard sets.
 type sizeRun struct {
 	*runner
-	name         string // in the lines of progress
+	name         string // of the size in progress lines
 	size         Size
 	fleet        *fleet
 	result       *capacity.Run
-	cancelReason atomic.Pointer[string] // why the memory guard canceled the run; nil: it did not
+	cancelReason atomic.Pointer[string] // why the memory guard canceled the run; nil if it did not
 }
 
-// run starts the fleet, runs all phases and ends the fleet. Its error is a *notRunError if the size
+// run starts the fleet, runs all phases and stops the fleet. It returns a *notRunError if the size
 // can't be run.
 func (r *sizeRun) run(ctx context.Context) error {
 	dir := filepath.Join(r.out, fmt.Sprintf("%d-servers", r.size.Servers))
@@ -50,7 +50,7 @@
 	return err
 }
 
-// guardMemory cancels the run of the size when its processes use more memory than the file allows.
+// guardMemory cancels the run of the size if its processes use more memory than the file allows.
 func (r *sizeRun) guardMemory(ctx context.Context, cancel context.CancelFunc) {
 	for hollow.Sleep(ctx, memoryCheckInterval) {
 		if used := r.fleet.memoryMiB(); used > float64(r.config.Scale.MemoryMiB) {
@@ -62,8 +62,8 @@
 	}
 }
 
-// runPhases starts the control plane and the hollow servers and runs the phases of the file. A
-// *notRunError of a phase names the phase.
+// runPhases starts the control plane and the hollow servers and runs the phases of the file. It adds
+// the name of the phase to a *notRunError.
 func (r *sizeRun) runPhases(ctx context.Context) error {
 	if err := r.fleet.startControlPlane(ctx); err != nil {
 		return err
@@ -110,13 +110,14 @@
 	return nil
 }
 
-// measure runs a phase between two samples and adds the difference to the results. It returns the
-// measurement also with an error of the phase; it is nil if there are no two samples.
+// measure takes a sample, runs a phase, takes another sample and adds the difference to the results. If
+// the phase fails, it returns the measurement along with the error of the phase. The measurement is nil
+// if one of the samples could not be taken.
 func (r *sizeRun) measure(ctx context.Context, load string, phase func() error) (*measurement, error) {
 	if err := r.fleet.resetAges(ctx); err != nil {
 		return nil, err
 	}
-	r.takeRequestFigures() // drops those before the phase
+	r.takeRequestFigures() // discards the figures from before the phase
 	before, err := r.fleet.sample(ctx, false)
 	if err != nil {
 		return nil, err
@@ -141,8 +142,8 @@
 	return m, phaseErr
 }
 
-// takeRequestFigures returns the figures of the requests since its last call, or none before requests are
-// sent.
+// takeRequestFigures returns the figures of the requests since the last call. They are zero until
+// firstStart has started the load generator.
 func (r *sizeRun) takeRequestFigures() requestFigures {
 	if r.fleet.loadGenerator == nil {
 		return requestFigures{}
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -15,7 +15,8 @@
 // rowKey identifies a row of a table: one metric of one role under one load.
 type rowKey struct{ load, role, metric string }
 
-// rowKeys returns the rows of all runs, by load in the order in which they were measured.
+// rowKeys returns the row keys of all runs without duplicates, ordered by the first appearance of their
+// load and then by role.
 func rowKeys(runs ...capacity.Run) []rowKey {
 	seen, order := map[rowKey]bool{}, map[string]int{}
 	var keys []rowKey
@@ -36,7 +37,7 @@
 	return keys
 }
 
-// formatValue returns the value of a row in a run, as text, or "-" if the run has none.
+// formatValue returns the formatted value of a row in a run, or "-" if the run has no value for it.
 func formatValue(run *capacity.Run, k rowKey) string {
 	for _, m := range run.Measurements {
 		if m.Load == k.load && m.Role == k.role && m.Metric == k.metric {
@@ -46,8 +47,8 @@
 	return "-"
 }
 
-// Table writes all measurements with a column for each size, then the sizes not run. It returns an
-// error if the table can't be laid out.
+// Table writes a table of all measurements with a column for each size, and below it the sizes that
+// were not run. It returns an error if the table can't be rendered.
 func Table(w io.Writer, results *capacity.Results) error {
 	header := []string{"load", "role", "metric"}
 	for i := range results.Runs {
@@ -72,8 +73,8 @@
 	return nil
 }
 
-// Compare writes the measurements of two results side by side, size by size. It returns an error if
-// a table can't be laid out.
+// Compare writes a table for each size with the measurements of two results side by side. It returns
+// an error if a table can't be rendered.
 func Compare(w io.Writer, a, b *capacity.Results) error {
 	fmt.Fprintf(w, "a: %s %s, commit %s, seed %d\nb: %s %s, commit %s, seed %d\n", a.Experiment, a.Variant, a.Commit, a.Seed,
 		b.Experiment, b.Variant, b.Commit, b.Seed)
--- a/internal/lab/scale/validate.go
+++ b/internal/lab/scale/validate.go
@@ -10,23 +10,23 @@
 	"knotrouter/internal/lab/hollow"
 )
 
-// Bounds of the machine that a file can't raise.
+// Limits that a file can't raise.
 const (
 	maxMemoryMiB           = 12 << 10
 	maxProcesses           = 200
-	maxDescriptors         = 20_000 // of one process
-	descriptorReserve      = 500    // of one process, for what is no watch
+	maxDescriptors         = 20_000 // per process
+	descriptorReserve      = 500    // per process, for descriptors other than those of watches
 	maxControlPlane        = 9
 	maxRealAgents          = 100
 	maxRequestRate         = 1000
 	maxEmulatedPerZone     = 40
 	maxRenewBatch          = 2000
-	minControlPlaneForKill = 3 // control-plane servers of which one may be killed
+	minControlPlaneForKill = 3 // least number of control-plane servers for a phase that kills one of them
 )
 
 const secondsPerDay = 86_400
 
-// keyCheck is one condition on the value of a key.
+// keyCheck is the result of checking one condition on the value of a key.
 type keyCheck struct {
 	key     string
 	invalid bool
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// scenarioChecks checks what is run.
+// scenarioChecks checks the name, the control-plane servers, the sizes, the first phase and the
+// subscription.
 func (c *Config) scenarioChecks() []keyCheck {
 	s := &c.Scale
 	return []keyCheck{
@@ -63,7 +64,7 @@
 	}
 }
 
-// loadChecks checks what the real agents and the hollow servers do.
+// loadChecks checks the load of the real agents, the rates of the hollow servers and the timeouts.
 func (c *Config) loadChecks() []keyCheck {
 	s := &c.Scale
 	return []keyCheck{
@@ -80,7 +81,7 @@
 	}
 }
 
-// machineChecks checks the bounds of the machine.
+// machineChecks checks the limits on memory and processes.
 func (c *Config) machineChecks() []keyCheck {
 	s := &c.Scale
 	return []keyCheck{
