--- a/internal/lab/capacity/comparison.go
+++ b/internal/lab/capacity/comparison.go
@@ -1,7 +1,7 @@
 package capacity
 
-// comparisonTable compares the figures of the variants Before and After, at the largest size that
-// both ran and at the target.
+// comparisonTable compares the figures of the variants Before and After, at the largest size that was
+// run with both and at the target.
 func comparisonTable(target *Target, data Dataset) string {
 	var rows [][]string
 	for _, role := range roles(target) {
@@ -18,8 +18,8 @@
 		"target, before", "target, after", "after / before there", "limit"}, rows)
 }
 
-// comparisonRows compares a figure under a load, with a row for each experiment that measured it at
-// a common size in both variants.
+// comparisonRows compares a figure under a load, in a row for each experiment that measured it at a
+// common size in both variants.
 func comparisonRows(target *Target, data Dataset, role Role, figure Figure, load string) [][]string {
 	var rows [][]string
 	for _, experiment := range role.Experiments {
@@ -39,8 +39,9 @@
 	return rows
 }
 
-// ratio returns the quotient of two estimates, marked by the less certain basis of the two. It is
-// an empty cell where one is unknown, or where a fitted line is below zero.
+// ratio returns the text of the quotient of two estimates, on the less certain basis of the two. It
+// returns an empty cell if one of them is unknown, the denominator is not above zero or the numerator
+// is below zero, as a fitted line may be.
 func ratio(numerator, denominator Estimate) string {
 	if numerator.Basis == Unknown || denominator.Basis == Unknown || denominator.Value <= 0 || numerator.Value < 0 {
 		return emptyCell
@@ -51,7 +52,7 @@
 	return quotient.String()
 }
 
-// largestCommonSize returns the largest size that both have a point of, or false without any.
+// largestCommonSize returns the largest size at which both have a point, and whether there is one.
 func largestCommonSize(a, b []Point) (float64, bool) {
 	largest, found := 0.0, false
 	for _, pointA := range a {
--- a/internal/lab/capacity/dataset.go
+++ b/internal/lab/capacity/dataset.go
@@ -10,20 +10,20 @@
 
 // Source is the content of a results file.
 type Source struct {
-	File string // its name without the folder
+	File string // base name of the file
 	*Results
 }
 
-// Dataset is all results that the page is made from, in the order of their file names.
+// Dataset holds all results that the page is generated from, in the order of their file names.
 type Dataset []Source
 
-// Folder of the results and the target, within the folder of the page.
+// Folder of the results and the target relative to the folder of the page, and the target's file name.
 const (
 	resultsFolder = "capacity"
 	targetFile    = "target.toml"
 )
 
-// ReadInputs reads the target and the results from the folder capacity within a folder of pages.
+// ReadInputs reads the target and the results from the subfolder capacity of the folder docs.
 func ReadInputs(docs string) (*Target, Dataset, error) {
 	folder := filepath.Join(docs, resultsFolder)
 	target, err := LoadTarget(filepath.Join(folder, targetFile))
@@ -34,7 +34,7 @@
 	return target, data, err
 }
 
-// ReadDataset reads all results of a folder. A folder without results gives an empty dataset.
+// ReadDataset reads all results in a folder. The dataset is empty if there are none.
 func ReadDataset(folder string) (Dataset, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
@@ -52,17 +52,18 @@
 	return data, nil
 }
 
-// Variants that the page compares: results without and with lastMechanism.
+// The variants that the page compares: results without and with lastMechanism.
 const (
 	Before = "before"
 	After  = "after"
 )
 
-// variantSelector chooses the variant of an experiment.
+// variantSelector returns the variant of an experiment that is used for the figures.
 type variantSelector func(experiment string) string
 
-// latestVariant returns the variant of an experiment that shows the system as it is now: After,
-// else Before, else the last by name. It returns "" for an experiment without results.
+// latestVariant returns the variant of an experiment that represents the current system: After if there
+// are results of it, else Before, else the last variant by name. It returns "" for an experiment without
+// results.
 func (d Dataset) latestVariant(experiment string) string {
 	var latest string
 	for _, source := range d {
@@ -73,7 +74,7 @@
 	return latest
 }
 
-// earliestVariant returns Before where an experiment has results of it, else the latest variant.
+// earliestVariant returns Before if an experiment has results of it, else the latest variant.
 func (d Dataset) earliestVariant(experiment string) string {
 	for _, source := range d {
 		if source.Experiment == experiment && source.Variant == Before {
@@ -83,7 +84,7 @@
 	return d.latestVariant(experiment)
 }
 
-// isLaterVariant reports whether a variant is preferred to another as the latest.
+// isLaterVariant reports whether variant takes precedence over other as the latest.
 func isLaterVariant(variant, other string) bool {
 	rank, otherRank := variantRank(variant), variantRank(other)
 	return rank > otherRank || rank == otherRank && variant > other
@@ -99,12 +100,12 @@
 	return 0
 }
 
-// fleetLoads are the loads of the scale runs, in the order of the page.
+// fleetLoads are the loads of the scale runs, in the order in which the page lists them.
 var fleetLoads = []string{"first start", "steady", "steady x10", "config burst", "leader killed", "steward killed",
 	"rack lost", "zone lost", "region lost", "region cut off", "slow reader"}
 
-// loads returns the loads under which any of the experiments measured: first those of fleetLoads in
-// its order, then the others by length and name.
+// loads returns the loads of the experiments' measurements: first those of fleetLoads in its order,
+// then the others by length and name.
 func (d Dataset) loads(experiments []string) []string {
 	found := map[string]bool{}
 	for _, source := range d {
@@ -135,9 +136,9 @@
 	return strings.Compare(a, b)
 }
 
-// bestSeries returns the series of a figure under a load, over the role's first variable and of its
-// first experiment that have enough sizes for a fit. Without any such, it returns the series with
-// the most sizes.
+// bestSeries returns the series of a figure under a load. It tries the role's variables and experiments
+// in order of preference and returns the first series with enough sizes for a fit, or, if there is
+// none, the series with the most sizes.
 func (d Dataset) bestSeries(role Role, figure Figure, load string, variant variantSelector) Series {
 	var best Series
 	for _, variable := range role.Variables {
@@ -161,7 +162,8 @@
 	return best
 }
 
-// usedSeries returns the series behind the figures of the page, each once, of the latest variant.
+// usedSeries returns the series of the latest variant that the page's figures are taken from, without
+// duplicates.
 func (d Dataset) usedSeries(t *Target) []Series {
 	var used []Series
 	seen := map[Key]bool{}
--- a/internal/lab/capacity/derived.go
+++ b/internal/lab/capacity/derived.go
@@ -13,14 +13,14 @@
 	secondsPerDay = 86_400
 	hoursPerDay   = 24
 	daysPerYear   = 365
-	// renewalsPerLease is the number of renewals that a server sends within its lease's time.
+	// renewalsPerLease is the number of renewals that a server sends within the TTL of its lease.
 	renewalsPerLease = 3
-	// changesPerRestart is the number of list changes of a restart: the end of one process and the
-	// registration of the next.
+	// changesPerRestart is the number of list changes per restart: the removal of the old process and
+	// the registration of the new one.
 	changesPerRestart = 2
 	// rackServers is the number of servers in a rack, from issue 23.
 	rackServers = 40
-	// readersPerSlowReader is the number of readers of which one is taken to be slow.
+	// readersPerSlowReader is the number of readers per slow reader: one in 100 is assumed to be slow.
 	readersPerSlowReader = 100
 )
 
@@ -31,8 +31,8 @@
 	value   Estimate
 }
 
-// exact returns the estimate of a value that follows from constants and the target alone. Its basis
-// is Fitted, so that the tables print it without a mark, as a value within the measured sizes.
+// exact returns the estimate for a value that depends only on constants and the target. Its basis is
+// Fitted, so that the tables print it without a mark, like a value within the measured sizes.
 func exact(value float64) Estimate { return Estimate{Value: value, Basis: Fitted} }
 
 // times returns the estimate multiplied by a factor, on the same basis.
@@ -41,7 +41,7 @@
 	return e
 }
 
-// rates are the rates of change of the target's fleet.
+// rates holds the rates of changes, renewals and failures in the target's fleet.
 type rates struct {
 	configPerSecond   float64 // configuration changes
 	changesPerSecond  float64 // list changes by configuration, restarts and failures
@@ -62,7 +62,7 @@
 	}
 }
 
-// derivedTable lists the derived figures, now and before lastMechanism.
+// derivedTable lists the derived figures with and without lastMechanism.
 func derivedTable(target *Target, data Dataset) string {
 	earliest, latest := derive(target, data, data.earliestVariant), derive(target, data, data.latestVariant)
 	var rows [][]string
@@ -76,8 +76,8 @@
 	return markdownTable([]string{"derived, not run", "arithmetic", "value", "before the last mechanism"}, rows)
 }
 
-// derive computes all derived figures from the chosen variant of each experiment. Their number and
-// order depend only on the loads of the data, not on the variant.
+// derive computes all derived figures from the selected variant of each experiment. Their number and
+// order depend on the loads in the data but not on the variant.
 func derive(t *Target, data Dataset, variant variantSelector) []derivedFigure {
 	return slices.Concat(
 		deriveOrdinaryDay(t),
@@ -88,7 +88,7 @@
 		deriveCallCosts(t, data, variant))
 }
 
-// deriveOrdinaryDay computes the rates of a day without mass failures.
+// deriveOrdinaryDay computes the rates on a day without mass failures.
 func deriveOrdinaryDay(t *Target) []derivedFigure {
 	r := t.rates()
 	return []derivedFigure{
@@ -118,8 +118,8 @@
 	}
 }
 
-// deriveListTransfer computes the bytes of lists and the seconds that an agent takes to receive them
-// at its limit of bytes a second.
+// deriveListTransfer computes the sizes of lists in bytes and the seconds that an agent takes to receive
+// them at its limit of bytes a second.
 func deriveListTransfer(t *Target, data Dataset, variant variantSelector) []derivedFigure {
 	zone, region := t.Servers/t.Zones, t.Servers/t.Regions
 	firstList, perServer := data.firstList(t, variant), data.listBytesPerServer(t, variant)
@@ -132,20 +132,20 @@
 	}
 }
 
-// partitionSeconds is how long a region is cut off.
+// partitionSeconds is the length of a region's partition in seconds.
 func (t *Target) partitionSeconds() float64 {
 	return t.Failures.RegionPartitionHours * secondsPerDay / hoursPerDay
 }
 
-// changesInPartition is the number of list changes of the whole fleet while a region is cut off.
+// changesInPartition is the number of list changes in the whole fleet during a region's partition.
 func (t *Target) changesInPartition() float64 {
 	return t.rates().changesPerSecond * t.partitionSeconds()
 }
 
-// shareOutsideRegion is the share of the fleet that is outside of one region.
+// shareOutsideRegion is the share of the fleet that is outside a given region.
 func (t *Target) shareOutsideRegion() float64 { return (t.Regions - 1) / t.Regions }
 
-// deriveRegionPartition computes the changes that each side misses while a region is cut off.
+// deriveRegionPartition computes the changes that each side misses during a region's partition.
 func deriveRegionPartition(t *Target) []derivedFigure {
 	changes, outside := t.changesInPartition(), t.shareOutsideRegion()
 	return []derivedFigure{
@@ -158,7 +158,8 @@
 	}
 }
 
-// deriveRegionReturn computes what it takes to bring a region's agents up to date after a partition.
+// deriveRegionReturn computes the bytes and the time for bringing a region's agents up to date after a
+// partition.
 func deriveRegionReturn(t *Target, data Dataset, variant variantSelector) []derivedFigure {
 	region := t.Servers / t.Regions
 	missed := t.changesInPartition() * t.shareOutsideRegion()
@@ -174,8 +175,8 @@
 	}
 }
 
-// readerShare returns the share of the full list that a reader receives, and the number of calls
-// that admission counts for its first list. Only the variant After has lists by service.
+// readerShare returns the share of the full list that a reader receives, and the number of calls that
+// admission counts for the reader's first list. Only the variant After has lists by service.
 func readerShare(t *Target, variant variantSelector) (share, calls float64) {
 	if variant(fleetAhead) == After {
 		return subscribedServices / t.Services, t.firstListCost()
@@ -183,8 +184,8 @@
 	return 1, 1 + t.Servers/entriesPerCallBefore
 }
 
-// fullList estimates the bytes of the full list at the target, under the first load that has an
-// estimate. Without one, the result is Unknown with the largest number of measured sizes.
+// fullList estimates the size of the full list at the target in bytes, from the first load that allows
+// an estimate. If none does, the result is Unknown, with the largest number of measured sizes.
 func (d Dataset) fullList(t *Target, variant variantSelector) Estimate {
 	var tooFew Estimate
 	for _, load := range d.loads(fleetRuns) {
@@ -197,19 +198,20 @@
 	return tooFew
 }
 
-// firstList estimates the bytes of a reader's first list at the target.
+// firstList estimates the size of a reader's first list at the target in bytes.
 func (d Dataset) firstList(t *Target, variant variantSelector) Estimate {
 	share, _ := readerShare(t, variant)
 	return d.fullList(t, variant).times(share)
 }
 
-// listBytesPerServer estimates the bytes of a change to one server at the target, as the mean over
-// all readers: most readers by service don't receive it.
+// listBytesPerServer estimates the bytes that a reader receives for a change to one server at the
+// target. It is the mean over all readers: with lists by service, most readers don't receive the change.
 func (d Dataset) listBytesPerServer(t *Target, variant variantSelector) Estimate {
 	return d.firstList(t, variant).times(1 / t.Servers)
 }
 
-// deriveCallCosts computes what the agents on a call's path add to it, under each measured load.
+// deriveCallCosts computes the CPU time that an agent spends on calls and the latency that the agents
+// on a call's path add to it, under each measured load.
 func deriveCallCosts(t *Target, data Dataset, variant variantSelector) []derivedFigure {
 	callsPerAgent := t.CallsPerSecond / t.Servers
 	figures := []derivedFigure{
--- a/internal/lab/capacity/estimate.go
+++ b/internal/lab/capacity/estimate.go
@@ -2,26 +2,26 @@
 
 import "fmt"
 
-// Basis says how a value was obtained.
+// Basis is the way in which a value was obtained.
 type Basis int
 
-// The bases, from the fewest assumptions to the most.
+// The bases. Of the known ones, later ones are less certain.
 const (
 	Unknown Basis = iota
 	Measured
-	Fitted       // by the line, up to extrapolationFactor times the largest measured size
-	Extrapolated // by the line, beyond that
+	Fitted       // on the fitted line, up to extrapolationFactor times the largest measured size
+	Extrapolated // on the fitted line, beyond that size
 )
 
 // Estimate is a value at one size of the fleet.
 type Estimate struct {
-	Value float64 // 0 where the basis is Unknown
+	Value float64 // 0 if the basis is Unknown
 	Basis Basis
 	Sizes int // number of measured sizes; 0 for a value that is not estimated from a series
 }
 
-// At estimates the value at a size: the measured one where that size was run, else that of the
-// fitted line. The basis is Unknown where the size was not run and there is no line.
+// At estimates the value at a size: the measured value if that size was run, else the value of the
+// fitted line. The basis is Unknown if the size was not run and there is no line.
 func (s Series) At(size float64) Estimate {
 	estimate := Estimate{Sizes: s.Fit.Sizes}
 	for _, point := range s.Points {
@@ -36,7 +36,7 @@
 	return estimate
 }
 
-// basis returns the basis of the line's value at a size.
+// basis returns the basis of the fitted value at a size.
 func (f Fit) basis(size float64) Basis {
 	if size > extrapolationFactor*f.LargestSize {
 		return Extrapolated
@@ -44,7 +44,8 @@
 	return Fitted
 }
 
-// String returns the value as the tables print it, with extrapolatedMark and belowZeroMark.
+// String returns the value as the tables print it, with extrapolatedMark or belowZeroMark where they
+// apply.
 func (e Estimate) String() string {
 	if e.Basis == Unknown {
 		if e.Sizes == 0 {
@@ -62,5 +63,5 @@
 	return text
 }
 
-// tooFewSizes is the text of a value that has too few measured sizes for a fit.
+// tooFewSizes returns the text for a value with too few measured sizes for a fit.
 func tooFewSizes(sizes int) string { return fmt.Sprintf("%s: %d sizes", unknown, sizes) }
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// MinSizes is the least number of different sizes for a fit.
+	// MinSizes is the least number of distinct sizes for a fit.
 	MinSizes = 4
-	// A point is off the line if its residual is larger than maxResidualErrors standard errors of
-	// the residuals, or larger than maxResidualShare of the fitted value.
+	// A point is an outlier if its residual is larger than maxResidualErrors standard errors of the
+	// residuals, or larger than maxResidualShare of the fitted value.
 	maxResidualErrors = 3.0
 	maxResidualShare  = 0.25
-	// roundingShare is the share of a value below which a residual counts as a rounding error.
+	// roundingShare is the share of a value up to which a residual counts as a rounding error.
 	roundingShare = 1e-9
 )
 
@@ -25,19 +25,19 @@
 	Value float64
 }
 
-// Fit is a straight line through points by least squares.
+// Fit is a least-squares line through points.
 type Fit struct {
 	Slope          float64
 	Intercept      float64
 	SlopeError     float64 // standard error of the slope
 	RSquared       float64 // coefficient of determination
-	Sizes          int     // number of different sizes of the points
+	Sizes          int     // number of distinct sizes of the points
 	LargestSize    float64 // largest size of the points
-	LargestOutlier float64 // largest size whose point is off the line, or 0 if no point is
+	LargestOutlier float64 // largest size whose point is an outlier, or 0 if there is none
 }
 
-// FitLine fits a line to the points. With fewer than MinSizes different sizes, only Sizes and
-// LargestSize of the result are set, and Known is false.
+// FitLine fits a line to the points. With fewer than MinSizes distinct sizes, only Sizes and LargestSize
+// of the result are set, and Known is false.
 func FitLine(points []Point) Fit {
 	var sizes, values []float64
 	for _, point := range points {
@@ -55,21 +55,21 @@
 	residualError := fit.residualError(points)
 	fit.SlopeError = residualError / math.Sqrt(sumOfSquaredDeviations(sizes))
 	fit.RSquared = stat.RSquared(sizes, values, nil, fit.Intercept, fit.Slope)
-	if math.IsNaN(fit.RSquared) { // all values are equal, and the line goes through them
+	if math.IsNaN(fit.RSquared) { // all values are equal and on the line
 		fit.RSquared = 1
 	}
 	fit.LargestOutlier = fit.largestOutlier(points, residualError)
 	return fit
 }
 
-// Known reports whether there were enough sizes for a line.
+// Known reports whether there were enough sizes for a fit.
 func (f Fit) Known() bool { return f.Sizes >= MinSizes }
 
 // At returns the value of the line at a size.
 func (f Fit) At(size float64) float64 { return f.Intercept + f.Slope*size }
 
-// SizeAt returns the smallest size, at least 0, at which the line is at the value or above. It
-// returns false if there is none: the line doesn't rise and begins below the value.
+// SizeAt returns the smallest size, at least 0, at which the line reaches the value. It returns false if
+// there is none, because the line doesn't rise and its intercept is below the value.
 func (f Fit) SizeAt(value float64) (float64, bool) {
 	if f.Slope <= 0 {
 		return 0, f.Intercept >= value
@@ -87,8 +87,8 @@
 	return sum
 }
 
-// residualError returns the standard error of the residuals, or 0 if it is within rounding. A line
-// has two parameters, so there are two degrees of freedom fewer than points.
+// residualError returns the standard error of the residuals, or 0 if it is within rounding errors. A
+// line has two parameters, so the number of degrees of freedom is that of the points minus two.
 func (f Fit) residualError(points []Point) float64 {
 	var sum float64
 	for _, point := range points {
@@ -102,7 +102,7 @@
 	return residualError
 }
 
-// largestOutlier returns the largest size whose point is off the line, or 0 if no point is.
+// largestOutlier returns the largest size whose point is an outlier, or 0 if there is none.
 func (f Fit) largestOutlier(points []Point, residualError float64) float64 {
 	var largest float64
 	for _, point := range points {
@@ -122,7 +122,7 @@
 	return residual > maxResidualErrors*residualError || residual > maxResidualShare*math.Abs(fitted)
 }
 
-// meanBySize returns the mean of the points of each size, in order of size.
+// meanBySize returns a point for each size with the mean of the points of that size, in order of size.
 func meanBySize(points []Point) []Point {
 	values := map[float64][]float64{}
 	for _, point := range points {
--- a/internal/lab/capacity/fit_test.go
+++ b/internal/lab/capacity/fit_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// checkNear checks a value up to rounding errors.
+// checkNear checks that two values are equal up to rounding errors.
 func checkNear(t *testing.T, name string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9*max(1, math.Abs(want)) {
@@ -13,8 +13,9 @@
 	}
 }
 
-// TestFitLine compares with values that were worked out by hand: mean size 2.5, mean value
-// 5.25, sum of squares of sizes 5, of products 10.5, of residuals 0.7, of values 22.75.
+// The expected values are calculated by hand: mean size 2.5, mean value 5.25, and sums of squared
+// deviations of the sizes 5, of products 10.5, of squared residuals 0.7, of squared deviations of the
+// values 22.75.
 func TestFitLineValues(t *testing.T) {
 	fit := FitLine([]Point{{1, 2}, {2, 4}, {3, 7}, {4, 8}})
 	checkNear(t, "slope", fit.Slope, 2.1)
@@ -26,7 +27,7 @@
 		t.Errorf("4 sizes up to 4, got %+v", fit)
 	}
 	if fit.LargestOutlier != 0 {
-		t.Errorf("bends at %v, though no point is a quarter off the line", fit.LargestOutlier)
+		t.Errorf("outlier at %v, though no point is off the line by a quarter", fit.LargestOutlier)
 	}
 	size, rises := fit.SizeAt(42)
 	if checkNear(t, "size at 42", size, 20); !rises {
@@ -38,10 +39,10 @@
 	// Five points, but three sizes.
 	fit := FitLine([]Point{{1, 1}, {1, 1}, {2, 2}, {2, 2}, {3, 3}})
 	if fit.Known() || fit.Sizes != 3 || fit.Slope != 0 {
-		t.Errorf("a line through three sizes: %+v", fit)
+		t.Errorf("a fit with three sizes: %+v", fit)
 	}
 	if fit := FitLine(nil); fit.Known() || fit.Sizes != 0 {
-		t.Errorf("a line through nothing: %+v", fit)
+		t.Errorf("a fit without points: %+v", fit)
 	}
 }
 
@@ -51,31 +52,32 @@
 	checkNear(t, "intercept", fit.Intercept, 5)
 	checkNear(t, "R²", fit.RSquared, 1)
 	if fit.LargestOutlier != 0 {
-		t.Errorf("a constant bends at %v", fit.LargestOutlier)
+		t.Errorf("outlier of a constant at %v", fit.LargestOutlier)
 	}
 	if _, reached := fit.SizeAt(6); reached {
-		t.Error("a constant 5 reaches 6")
+		t.Error("a constant of 5 reaches 6")
 	}
 }
 
 func TestFitLineFindsBend(t *testing.T) {
-	// Straight up to 4, then nine times as steep.
+	// A straight line up to size 4, then a slope nine times as steep.
 	fit := FitLine([]Point{{1, 10}, {2, 20}, {3, 30}, {4, 40}, {8, 400}})
 	if fit.LargestOutlier == 0 {
-		t.Fatalf("no bend found: %+v", fit)
+		t.Fatalf("no outlier found: %+v", fit)
 	}
-	// Size 8 pulls the line, so that size 4 is the largest that is a quarter off it.
+	// The point at size 8 pulls the line towards it, so the largest size that is off the line by a
+	// quarter is 4.
 	if fit.LargestOutlier != 4 {
-		t.Errorf("off the line up to %v, want 4", fit.LargestOutlier)
+		t.Errorf("largest outlier at %v, want 4", fit.LargestOutlier)
 	}
-	// One point of twenty lies apart by more than three standard errors, and under a quarter.
+	// One of twenty points is off the line by more than three standard errors, but by less than a quarter.
 	var points []Point
 	for size := 1.0; size <= 20; size++ {
 		points = append(points, Point{size, 1000 + size})
 	}
 	points[9].Value += 100
 	if fit := FitLine(points); fit.LargestOutlier != 10 {
-		t.Errorf("off the line at %v, want 10", fit.LargestOutlier)
+		t.Errorf("largest outlier at %v, want 10", fit.LargestOutlier)
 	}
 }
 
--- a/internal/lab/capacity/format.go
+++ b/internal/lab/capacity/format.go
@@ -10,17 +10,18 @@
 	significantDigits = 3
 	unknown           = "unknown" // a value that is neither measured nor derived
 	emptyCell         = "–"       // an empty cell
-	// extrapolatedMark follows a value that is extrapolated beyond extrapolationFactor times the largest measured size.
+	// extrapolatedMark follows a value at a size beyond extrapolationFactor times the largest measured
+	// size.
 	extrapolatedMark    = "*"
 	extrapolationFactor = 3.0
-	// belowZeroMark follows the value of a fitted line that is below zero, printed as 0.
+	// belowZeroMark follows a 0 that is printed for a fitted value below zero.
 	belowZeroMark = "†"
 	// minPlainValue is the absolute value below which a number is printed with an exponent.
 	minPlainValue = 1e-4
 )
 
-// formatNumber returns a value with at most significantDigits significant digits and with commas
-// between thousands; unknown for NaN and infinities.
+// formatNumber formats a value with at most significantDigits significant digits and with commas between
+// thousands. It returns unknown for NaN and infinities.
 func formatNumber(value float64) string {
 	if math.IsNaN(value) || math.IsInf(value, 0) {
 		return unknown
@@ -39,7 +40,7 @@
 	return groupThousands(integer) + "." + fraction
 }
 
-// groupThousands puts a comma between each three digits of an integer, which may have a minus sign.
+// groupThousands inserts thousands separators into an integer, which may have a minus sign.
 func groupThousands(digits string) string {
 	sign := ""
 	if strings.HasPrefix(digits, "-") {
@@ -51,8 +52,8 @@
 	return sign + digits
 }
 
-// markdownTable returns a table in Markdown. Within a cell, white space becomes single spaces and
-// "|" is escaped.
+// markdownTable returns a Markdown table. In cells, runs of white space become single spaces and "|" is
+// escaped.
 func markdownTable(header []string, rows [][]string) string {
 	var table strings.Builder
 	writeRow := func(cells []string) {
--- a/internal/lab/capacity/limits.go
+++ b/internal/lab/capacity/limits.go
@@ -8,11 +8,11 @@
 	"knotrouter/internal/control"
 )
 
-// Copies of constants that other packages don't export.
+// Copies of unexported constants of other packages.
 const (
 	// maxListBytes is endpoints.maxListBytes: the largest full list that a reader accepts.
 	maxListBytes = 4 << 20
-	// bytesPerCall is control.bytesPerCall: the bytes of a list that admission counts as one call.
+	// bytesPerCall is control.bytesPerCall: the number of bytes of a list that admission counts as a call.
 	bytesPerCall = 24_000
 	// entryBytes is control.estimatedScopedEntryBytes: admission's estimate of an entry's size.
 	entryBytes = 140
@@ -21,18 +21,18 @@
 const (
 	// controlPlaneServersToday is the number of control-plane servers that the operators run.
 	controlPlaneServersToday = 3
-	// entriesPerCallBefore is the number of entries of the full list that admission counted as one
-	// call before there were lists by service.
+	// entriesPerCallBefore is the number of entries of the full list that admission counted as one call
+	// before lists by service were introduced.
 	entriesPerCallBefore = 200
 	// subscribedServices is the number of services that an agent subscribes to, from issue 23.
 	subscribedServices = 20
-	// maxCallCostRatio is the goal for CPU a call, relative to an agent that knows
+	// maxCallCostRatio is the goal for the CPU time per call, relative to an agent that knows
 	// referenceServers servers.
 	maxCallCostRatio = 1.2
 	referenceServers = 20
 )
 
-// constantLimits returns the limits that follow from constants of the code.
+// constantLimits returns the limits that depend only on constants in the code and the target.
 func constantLimits(target *Target) []ScalingLimit {
 	config := control.Defaults()
 	constantLimit := func(name, source string, size float64, needs ...Mechanism) ScalingLimit {
@@ -51,8 +51,8 @@
 	}, controlPlaneLimits(target)...)
 }
 
-// controlPlaneLimits returns the limits that depend on the control plane's arrangement and not on
-// the number of servers.
+// controlPlaneLimits returns the limits that depend on the arrangement of the control plane instead of
+// on the number of servers.
 func controlPlaneLimits(target *Target) []ScalingLimit {
 	region := Threshold{Status: Structural, Text: "any size, with two regions", Source: "placement table"}
 	processes := fmt.Sprintf("not at the target: %s processes", formatNumber(target.ControlMachines))
@@ -65,9 +65,9 @@
 	}
 }
 
-// firstListsLimit returns the limit on the fleet's size above which today's control-plane servers
-// cannot admit every agent's first list within Target.ConfigInForceSeconds. Now, a first list holds
-// the servers of the agent's services; before, it held all servers.
+// firstListsLimit returns the limit on the fleet size above which the current number of control-plane
+// servers cannot admit the first lists of all agents within Target.ConfigInForceSeconds. The first list
+// now has the servers of the agent's services; before, it had all servers.
 func firstListsLimit(target *Target, callRate float64) ScalingLimit {
 	admittedCalls := callRate * controlPlaneServersToday * target.ConfigInForceSeconds
 	const source = "`control.Defaults().CallRate`, without its burst"
@@ -87,14 +87,14 @@
 	return 1 + math.Floor(entries*entryBytes/bytesPerCall)
 }
 
-// fullListsAdmitted returns the fleet size n at which n full lists of n entries each cost the given
-// number of admitted calls: the solution of n (1 + n/entriesPerCallBefore) = calls.
+// fullListsAdmitted returns the fleet size n at which n full lists of n entries each count as the given
+// number of calls, that is, the solution of n (1 + n/entriesPerCallBefore) = calls.
 func fullListsAdmitted(calls float64) float64 {
 	return entriesPerCallBefore / 2 * (math.Sqrt(1+4*calls/entriesPerCallBefore) - 1)
 }
 
-// fittedLimits returns the limits that follow from measured figures: those of the roles, those of
-// the full list, and that of the cost of a call.
+// fittedLimits returns the limits that depend on measured figures: those of the roles, those on the full
+// list, and the one on the cost of a call.
 func fittedLimits(target *Target, data Dataset) []ScalingLimit {
 	var limits []ScalingLimit
 	for _, role := range roles(target) {
@@ -110,8 +110,8 @@
 	return append(limits, data.callCostLimit(target))
 }
 
-// fullListLimits returns the limits on the bytes of the full list: the most that a reader accepts,
-// and the most that it can receive within Target.ConfigInForceSeconds.
+// fullListLimits returns the limits on the size of the full list: the largest that a reader accepts, and
+// the largest that it can receive within Target.ConfigInForceSeconds.
 func fullListLimits(target *Target, data Dataset) []ScalingLimit {
 	role := fullListRole
 	role.Needs = []Mechanism{mechanismScope}
@@ -124,7 +124,8 @@
 	}
 }
 
-// figureLimit returns where a figure reaches a limit, under the load that reaches it first.
+// figureLimit returns the fleet size at which a figure reaches a limit, under the load that reaches it
+// first.
 func (d Dataset) figureLimit(target *Target, name string, role Role, figure Figure, limit float64) ScalingLimit {
 	return ScalingLimit{
 		Name:   name,
@@ -134,8 +135,8 @@
 	}
 }
 
-// firstThreshold returns the smallest threshold of a figure over all loads. Where no load has one,
-// its text says how many sizes were measured.
+// firstThreshold returns the smallest threshold of a figure over all loads. If no load has one, the text
+// says how many sizes were measured.
 func (d Dataset) firstThreshold(target *Target, role Role, figure Figure, limit float64, variant variantSelector) Threshold {
 	first := unmeasuredThreshold()
 	for _, load := range d.loads(role.Experiments) {
@@ -156,8 +157,8 @@
 	return t.Status != Unmeasured && (other.Status == Unmeasured || t.Size < other.Size)
 }
 
-// callCostLimit returns where the CPU time of a call exceeds maxCallCostRatio times that of an agent
-// that knows referenceServers servers, under the load that reaches this first.
+// callCostLimit returns the fleet size at which the CPU time per call reaches maxCallCostRatio times
+// that of an agent that knows referenceServers servers, under the load that reaches it first.
 func (d Dataset) callCostLimit(target *Target) ScalingLimit {
 	limit := ScalingLimit{
 		Name: fmt.Sprintf("Agent, calls: CPU a call %s times that with %d servers known",
--- a/internal/lab/capacity/order.go
+++ b/internal/lab/capacity/order.go
@@ -14,7 +14,7 @@
 	Now    Threshold
 }
 
-// orderTable ranks the limits by the fleet size at which they are reached.
+// orderTable lists the limits in the order of the fleet sizes at which they are reached.
 func orderTable(target *Target, data Dataset) string {
 	limits := append(constantLimits(target), fittedLimits(target, data)...)
 	slices.SortStableFunc(limits, compareLimits)
@@ -31,13 +31,13 @@
 	return markdownTable(header, rows)
 }
 
-// compareLimits orders limits by status, and by size within one status.
+// compareLimits orders limits by status and then by size.
 func compareLimits(a, b ScalingLimit) int {
 	return cmp.Or(cmp.Compare(a.Now.Status, b.Now.Status), cmp.Compare(a.Now.Size, b.Now.Size))
 }
 
-// remedy describes the mechanisms that raise the limit. A limit that is reached at size 0 is
-// exceeded by the constant part of the cost, which no mechanism against growth reduces.
+// remedy describes the mechanisms that raise the limit. A limit that is reached at size 0 is exceeded by
+// the constant part of the cost, which mechanisms that slow its growth don't reduce.
 func (l ScalingLimit) remedy(data Dataset) string {
 	switch {
 	case l.Now.Status == NotReached:
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Lines of the page that enclose a generated table. The first has the table's name.
+// Lines of the page that enclose a generated table. The first one contains the table's name.
 const (
 	beginMarkerPrefix = "<!-- table: "
 	beginMarkerSuffix = " -->"
 	endMarker         = "<!-- end -->"
 )
 
-// Render returns the page with the tables between their markers and the other text unchanged. It
+// Render returns the page with the text between the markers of each table replaced by the table. It
 // returns an error for a table that doesn't have exactly one pair of markers in the page.
 func Render(page string, tables []Table) (string, error) {
 	for _, table := range tables {
@@ -25,8 +25,8 @@
 	return page, nil
 }
 
-// OutdatedTable returns the name of the first table whose text in the page differs, or "" if none does.
-// Its errors are those of Render.
+// OutdatedTable returns the name of the first table that differs from its text in the page, or "" if
+// there is none. Its errors are those of Render.
 func OutdatedTable(page string, tables []Table) (string, error) {
 	for _, table := range tables {
 		_, text, _, err := splitAtTable(page, table.Name)
--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -19,7 +19,7 @@
 		t.Errorf("page is %q", page)
 	}
 	if again, err := Render(page, tables); err != nil || again != page {
-		t.Errorf("a second time the page is %q (%v)", again, err)
+		t.Errorf("rendered again, the page is %q (%v)", again, err)
 	}
 	if name, err := OutdatedTable(page, tables); err != nil || name != "" {
 		t.Errorf("table %q differs from itself (%v)", name, err)
--- a/internal/lab/capacity/placement.go
+++ b/internal/lab/capacity/placement.go
@@ -7,15 +7,14 @@
 	"knotrouter/internal/control"
 )
 
-// replacementHours is the assumed time until a failed control machine is replaced where no spare
-// stands ready.
+// replacementHours is the assumed time until a failed control machine is replaced if there is no standby.
 const replacementHours = 1
 
-// Arrangement is a way to place the control machines in the regions.
+// Arrangement is a placement of the control machines in the regions.
 type Arrangement struct {
 	Name      string
-	Voters    float64 // of each quorum
-	PerRegion bool    // each region has a quorum of its own, else there is one for all regions
+	Voters    float64 // number of voters of each quorum
+	PerRegion bool    // whether each region has its own quorum; if not, there is one for all regions
 }
 
 var arrangements = []Arrangement{
@@ -23,13 +22,13 @@
 	{Name: "a quorum per region, summaries between", Voters: 3, PerRegion: true},
 }
 
-// placementRow is a row of the placement table: a property of the arrangements.
+// placementRow is a row of the placement table, with one property of the arrangements.
 type placementRow struct {
 	name  string
 	value func(Arrangement) string
 }
 
-// placementTable compares the arrangements at the target.
+// placementTable compares the arrangements for the target.
 func placementTable(t *Target) string {
 	header := []string{"derived"}
 	for _, arrangement := range arrangements {
@@ -57,7 +56,7 @@
 	}})
 }
 
-// sizeRows compares the sizes and loads of quorums and replicas.
+// sizeRows returns the rows on the sizes and loads of quorums and replicas.
 func sizeRows(t *Target) []placementRow {
 	return []placementRow{
 		{"voters", func(a Arrangement) string { return formatNumber(a.totalVoters(t)) }},
@@ -77,7 +76,7 @@
 	}
 }
 
-// zoneLossRows compares what the loss of a zone takes away.
+// zoneLossRows returns the rows on the effects of the loss of a zone.
 func zoneLossRows(t *Target) []placementRow {
 	return []placementRow{
 		{"**a zone lost**: servers gone", func(Arrangement) string { return formatNumber(t.Servers / t.Zones) }},
@@ -86,7 +85,7 @@
 	}
 }
 
-// regionPartitionRows compares what goes on while a region is cut off.
+// regionPartitionRows returns the rows on the effects of a region's partition.
 func regionPartitionRows(t *Target) []placementRow {
 	return []placementRow{
 		{"**a region cut off**: servers in it that can't register or renew", func(a Arrangement) string {
@@ -108,7 +107,7 @@
 	}
 }
 
-// ordinaryDayRows compares the effects of independent failures of single machines.
+// ordinaryDayRows returns the rows on the effects of independent failures of single machines.
 func ordinaryDayRows(t *Target) []placementRow {
 	quorumsLost := fmt.Sprintf("quorums lost a year by independent failures, replaced within %d h", replacementHours)
 	return []placementRow{
@@ -120,7 +119,7 @@
 	}
 }
 
-// quorums is the number of quorums of the target's regions together.
+// quorums is the number of quorums in all regions of the target.
 func (a Arrangement) quorums(t *Target) float64 {
 	if a.PerRegion {
 		return t.Regions
@@ -128,10 +127,10 @@
 	return 1
 }
 
-// totalVoters is the number of voters of all quorums together.
+// totalVoters is the number of voters of all quorums.
 func (a Arrangement) totalVoters(t *Target) float64 { return a.quorums(t) * a.Voters }
 
-// chooseText returns the first text for quorums per region, else the second.
+// chooseText returns perRegion if each region has its own quorum, else acrossRegions.
 func (a Arrangement) chooseText(perRegion, acrossRegions string) string {
 	if a.PerRegion {
 		return perRegion
@@ -139,14 +138,15 @@
 	return acrossRegions
 }
 
-// summariesSuffix is the part of a cell that quorums per region add for the summaries that they exchange.
+// summariesSuffix is the text that quorums per region append to a cell for the summaries that they
+// exchange.
 func (a Arrangement) summariesSuffix() string { return a.chooseText(", and summaries: unknown", "") }
 
 // toleratedFailures is the number of voters of a quorum that may be down at the same time.
 func (a Arrangement) toleratedFailures() float64 { return math.Floor((a.Voters - 1) / 2) }
 
-// quorumsLostPerYear is the rate at which any quorum loses one voter more than it tolerates, all
-// within replacementHours of each other. Failures are taken to be independent.
+// quorumsLostPerYear is the rate at which any quorum loses one voter more than it tolerates, all within
+// replacementHours of each other. Failures are assumed to be independent.
 func (a Arrangement) quorumsLostPerYear(t *Target) float64 {
 	perDay := t.rates().machinePerDay
 	rate := a.quorums(t) * a.Voters * perDay * daysPerYear
@@ -156,15 +156,15 @@
 	return rate
 }
 
-// watchesPerMachine is the number of watches of each control machine in a region with the fewest
-// machines, of which some are lost.
+// watchesPerMachine is the number of watches per control machine in a region with the fewest machines
+// after the loss of some of them.
 func (t *Target) watchesPerMachine(lost float64) float64 {
 	machines := math.Floor(t.ControlMachines / t.Regions)
 	return t.Servers / t.Regions / (machines - lost)
 }
 
-// partitionedServersText says whether a single quorum removes the servers of a region that is cut off
-// from the list, or its guard against mass failure keeps them.
+// partitionedServersText says whether a single quorum removes the servers of a partitioned region from
+// the list, or its guard against mass failures keeps them.
 func (t *Target) partitionedServersText() string {
 	share, guard := 1/t.Regions, control.Defaults().GuardShare
 	if share > guard {
@@ -173,7 +173,8 @@
 	return fmt.Sprintf("lapse: %s of the list, guard at %s", formatNumber(share), formatNumber(guard))
 }
 
-// restartsInPartition is the number of processes that start anew in a region while it is cut off.
+// restartsInPartition is the number of processes that are restarted or replaced in a region during its
+// partition.
 func (t *Target) restartsInPartition() float64 {
 	perDay := t.Failures.RestartsPerDay + t.Failures.MachinesPerDay
 	return perDay / hoursPerDay * t.Failures.RegionPartitionHours / t.Regions
--- a/internal/lab/capacity/results.go
+++ b/internal/lab/capacity/results.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// Results is what one command measured: the content of a file in docs/capacity.
+// Results holds the measurements of one command. It is the content of a file in docs/capacity.
 type Results struct {
 	Experiment string    `json:"experiment"` // name of the experiment or benchmark
-	Variant    string    `json:"variant"`    // what distinguishes two results of one experiment, such as "before" and "after"
+	Variant    string    `json:"variant"`    // distinguishes results of the same experiment, such as "before" and "after"
 	Command    string    `json:"command"`    // command line that repeats the measurement
 	Commit     string    `json:"commit"`
-	Dirty      bool      `json:"dirty,omitempty"` // the working tree had uncommitted changes
+	Dirty      bool      `json:"dirty,omitempty"` // whether the working tree had uncommitted changes
 	Seed       uint64    `json:"seed"`
 	Machine    string    `json:"machine"` // processors, memory, Go version
 	Started    time.Time `json:"started"`
 	Runs       []Run     `json:"runs"`
 }
 
-// Run holds the measurements at one size of the fleet. A run that did not reach its end has NotRun
-// and the measurements that were made until then.
+// Run holds the measurements at one size of the fleet. A run that was not completed has NotRun set and
+// holds the measurements up to that point.
 type Run struct {
 	Servers          int           `json:"servers"`            // listed servers
 	Watches          int           `json:"watches"`            // readers, each with an open watch
 	Services         int           `json:"services"`           // services that the servers belong to
-	Subscribed       int           `json:"subscribed"`         // services that each reader asks for; 0: the whole list
+	Subscribed       int           `json:"subscribed"`         // services that each reader subscribes to; 0: the full list
 	ChangesPerSecond float64       `json:"changes_per_second"` // list changes under the load "steady"
-	NotRun           string        `json:"not_run,omitempty"`  // why the run did not reach its end, in one line
+	NotRun           string        `json:"not_run,omitempty"`  // why the run was not completed, in one line
 	Measurements     []Measurement `json:"measurements"`
 }
 
@@ -47,7 +47,7 @@
 	r.Measurements = append(r.Measurements, Measurement{Role: role, Load: load, Metric: metric, Value: value})
 }
 
-// Write writes the results as indented JSON to the path. It creates the path's folder.
+// Write writes the results to path as indented JSON. It creates the folder if needed.
 func Write(path string, results *Results) error {
 	text, err := json.MarshalIndent(results, "", " ")
 	if err != nil {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// Read reads results that Write wrote. An unknown key is an error that names it.
+// Read reads results written by Write. It returns an error that names the key if a key is unknown.
 func Read(path string) (*Results, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/lab/capacity/role.go
+++ b/internal/lab/capacity/role.go
@@ -20,8 +20,8 @@
 	Service  Quantity = "service"
 )
 
-// requiredQuantities are the quantities that the page has to give for each role, as a value or as
-// unknown. A role's state is described in words instead.
+// requiredQuantities are the quantities that the page has to give for each role, either with a value or
+// as unknown. State is not among them, since Role.State describes it.
 var requiredQuantities = []Quantity{Messages, Bytes, CPU, Memory, Disk}
 
 // Limit is the upper bound of a value.
@@ -48,13 +48,13 @@
 // Figure is one measured value of a role.
 type Figure struct {
 	Quantity Quantity
-	Name     string // what is measured, with its unit, as the tables print it
+	Name     string // name of the figure with its unit, as the tables print it
 	Role     string // Measurement.Role
 	Metric   string // Measurement.Metric
 	Limit    Limit
 }
 
-// Figures that derived values and limits are computed from.
+// The figures that derived values and limits are computed from.
 var (
 	fullListBytes = Figure{Role: measuredLeader, Metric: "list_bytes"}
 	cpuPerCall    = Figure{Role: measuredAgent, Metric: "cpu_ms_per_call"}
@@ -67,34 +67,33 @@
 // fullListRole selects the measurements of the full list.
 var fullListRole = Role{Experiments: fleetRuns, Variables: overServers}
 
-// Quoted is a figure of a run that is not in the results, such as a benchmark whose figure is in
-// docs/ROADMAP.md.
+// Quoted is a figure that is not in the results, such as that of a benchmark quoted in docs/ROADMAP.md.
 type Quoted struct {
 	Quantity Quantity
 	Name     string
 	Value    float64
 	Source   string
 	Limit    Limit
-	AnyFleet bool // the value holds for each fleet of the page
+	AnyFleet bool // whether the value applies to every fleet of the page
 }
 
 // Role is a part of the system whose needs the page reports.
 type Role struct {
 	Name          string
-	State         string      // the state that it holds
-	Mechanism     string      // the mechanism that serves it at the target
-	Needs         []Mechanism // mechanisms that are missing, or that were built last
-	NotApplicable []Quantity  // quantities that the role has none of
+	State         string      // the state that the role holds
+	Mechanism     string      // the mechanism that serves the role at the target
+	Needs         []Mechanism // mechanisms that the target needs and that are missing or were built last
+	NotApplicable []Quantity  // required quantities that don't apply to the role
 	Experiments   []string    // the experiments that measure it, in order of preference
 	Variables     []Variable  // the variables to fit over, in order of preference
 	Figures       []Figure
 	Quoted        []Quoted
 }
 
-// Mechanism describes a mechanism that has to be built for the target.
+// Mechanism is the description of a mechanism that the target needs.
 type Mechanism string
 
-// The mechanisms that were missing when the page was begun.
+// The mechanisms that were missing when the page was first written.
 const (
 	mechanismScope    Mechanism = "scope: a reader gets the services that it subscribes to"
 	mechanismReplicas Mechanism = "non-voting replicas in each region, chosen by the readers of that region"
@@ -107,11 +106,10 @@
 	mechanismReleases Mechanism = "all of it"
 )
 
-// lastMechanism is the mechanism that the scale runs of variant After have and those of variant
-// Before lack.
+// lastMechanism is the mechanism that was built between the scale runs of the variants Before and After.
 const lastMechanism = mechanismScope
 
-// describe lists mechanisms and says of each whether it is missing or was built last.
+// describe lists mechanisms, each with whether it is missing or built.
 func (d Dataset) describe(mechanisms []Mechanism) string {
 	var parts []string
 	for _, mechanism := range mechanisms {
@@ -124,8 +122,8 @@
 	return strings.Join(parts, "; ")
 }
 
-// unmeasuredLoads returns the loads that the page asks for and under which no figure of the role was
-// measured. Only roles that the experiment fleetAhead measures are asked for loads.
+// unmeasuredLoads returns the loads of fleetLoads under which no figure of the role was measured. It
+// returns nil for roles that the experiment fleetAhead doesn't measure.
 func (d Dataset) unmeasuredLoads(role Role) []string {
 	if !slices.Contains(role.Experiments, fleetAhead) {
 		return nil
@@ -164,7 +162,7 @@
 	return measured
 }
 
-// unmeasuredQuantities returns the required quantities of a role that are not among the known ones.
+// unmeasuredQuantities returns the required quantities that apply to a role and are not known.
 func (r Role) unmeasuredQuantities(known map[Quantity]bool) []string {
 	var unmeasured []string
 	for _, quantity := range requiredQuantities {
--- a/internal/lab/capacity/roles.go
+++ b/internal/lab/capacity/roles.go
@@ -12,7 +12,7 @@
 	agentCost       = "agent-cost"
 )
 
-// Experiments and variables of the roles, in order of preference: the first with enough sizes for a
+// Experiments and variables of the roles, in order of preference: the first one with enough sizes for a
 // fit is used.
 var (
 	fleetRuns = []string{fleetAhead, fleetAheadSmall}
@@ -22,11 +22,11 @@
 	overWatches = []Variable{Watches, Servers}
 )
 
-// controlCores is the assumed number of cores of a control machine. The operators name none; 8 is
-// that of the machine of the measurements.
+// controlCores is the assumed number of cores of a control machine. The operators give no number; 8 is
+// that of the machine on which the measurements were made.
 const controlCores = 8
 
-// Figures of benchmark runs, quoted from docs/ROADMAP.md.
+// Benchmark results quoted from docs/ROADMAP.md.
 const (
 	failureDetectionSource = "ROADMAP, `BenchmarkFailureDetection`, 50 processes"
 	leasedTasksSource      = "ROADMAP, `BenchmarkLeasedTasks`"
@@ -63,7 +63,7 @@
 	}
 }
 
-// roles returns the roles of the page, in its order, with the limits of a target.
+// roles returns the roles with the limits of a target, in the order of the page.
 func roles(t *Target) []Role {
 	limits := newLimits(t)
 	return []Role{
@@ -79,7 +79,7 @@
 	}
 }
 
-// agentControlRole is the part of an agent that follows the list of servers.
+// agentControlRole is the part of an agent that watches the list of servers.
 func agentControlRole(limits limits) Role {
 	return Role{
 		Name:          "Agent, control",
@@ -142,7 +142,7 @@
 	}
 }
 
-// voterRole is a follower of the quorum.
+// voterRole is a control-plane server as a follower in the quorum.
 func voterRole(limits limits) Role {
 	return Role{
 		Name:        "Steward as voter",
@@ -155,7 +155,7 @@
 	}
 }
 
-// leaderRole is the quorum's leader.
+// leaderRole is a control-plane server as the leader of the quorum.
 func leaderRole(limits limits) Role {
 	return Role{
 		Name:        "Steward as leader",
@@ -170,8 +170,8 @@
 	}
 }
 
-// controlPlaneFigures returns the figures of a control-plane server's state and resources, as measured
-// on the follower or on the leader. The messages come between the state and the resources.
+// controlPlaneFigures returns the figures on the state and the resources of a control-plane server, as
+// measured on a follower or on the leader, with the given figures on messages between them.
 func controlPlaneFigures(measured string, limits limits, messages ...Figure) []Figure {
 	state := []Figure{{State, "log entries", measured, "log_entries", noLimit}}
 	resources := []Figure{
@@ -226,7 +226,7 @@
 	}
 }
 
-// leasesRole is the leader election of tasks under leases.
+// leasesRole is the leader election for leased tasks.
 func leasesRole(limits limits) Role {
 	return Role{
 		Name:      "Exclusive leases",
--- a/internal/lab/capacity/roletables.go
+++ b/internal/lab/capacity/roletables.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// rolesTable gives a section for each role: its state, its mechanism, and a table of its needs at
-// each size of Target.Fleets.
+// rolesTable returns a section for each role with its state, its mechanism, and a table of its resource
+// needs at each size of Target.Fleets.
 func rolesTable(target *Target, data Dataset) string {
 	var sections []string
 	for _, role := range roles(target) {
@@ -20,7 +20,7 @@
 	return strings.Join(sections, "\n")
 }
 
-// roleTable lists a role's quoted and measured figures, and what is unknown of it.
+// roleTable lists the quoted, measured and unknown figures of a role.
 func roleTable(target *Target, data Dataset, role Role) string {
 	fleets := target.Fleets()
 	known := data.knownQuantities(role)
@@ -49,13 +49,13 @@
 	return append(header, "limit", "factor to it at the target", "source")
 }
 
-// unknownRow says that quantities were not measured under loads.
+// unknownRow returns a row for quantities that were not measured under the given loads.
 func unknownRow(loads, quantities string) []string {
 	return []string{loads, quantities, emptyCell, unknown, unknown, unknown, emptyCell, unknown, "not measured"}
 }
 
-// quotedRows lists the quoted figures of a role. A figure that doesn't hold for each fleet is unknown
-// in the fleets' columns and has its value after its name.
+// quotedRows lists the quoted figures of a role. A figure that doesn't apply to every fleet is unknown in
+// the columns of the fleets and has its value after its name.
 func quotedRows(role Role) [][]string {
 	var rows [][]string
 	for _, quoted := range role.Quoted {
@@ -70,9 +70,9 @@
 	return rows
 }
 
-// loadRows lists the figures of a role that were measured under a load. A last row names those of
-// the known quantities, from other loads, that were not measured under this one. It returns nil
-// where the load has no figure of the role.
+// loadRows lists the figures of a role that were measured under a load. A last row names the required
+// quantities that are known from elsewhere but were not measured under this load. It returns nil if no
+// figure of the role was measured under the load.
 func loadRows(fleets []Fleet, data Dataset, role Role, load string, known map[Quantity]bool) [][]string {
 	var rows [][]string
 	measured := map[Quantity]bool{}
@@ -99,7 +99,7 @@
 	return rows
 }
 
-// figureRow gives a figure at each fleet, and its factor to its limit at the last one, the target.
+// figureRow lists a figure for each fleet, and its ratio to its limit for the last one, the target.
 func figureRow(fleets []Fleet, role Role, figure Figure, series Series) []string {
 	row := []string{series.Load, string(figure.Quantity), figure.Name}
 	var atTarget Estimate
@@ -110,7 +110,7 @@
 	return append(row, orEmptyCell(figure.Limit.Text), limitFactor(atTarget, figure.Limit), series.source(role))
 }
 
-// limitFactor returns the value as a multiple of its limit.
+// limitFactor returns the text of the value as a multiple of its limit.
 func limitFactor(value Estimate, limit Limit) string {
 	switch {
 	case limit.Value == 0:
@@ -122,8 +122,8 @@
 	return value.String()
 }
 
-// source names the results of a series in a role's table. Where the role has several variables, it
-// adds the variable, and the number of open watches where that is not the variable.
+// source names the results of a series in a role's table. For a role with several variables it adds the
+// variable and, if the variable is not the watches, the largest number of open watches.
 func (s Series) source(role Role) string {
 	switch {
 	case len(role.Variables) == 1:
--- a/internal/lab/capacity/series.go
+++ b/internal/lab/capacity/series.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Variable is the measure of the fleet's size that a value is fitted over.
+// Variable is the measure of the fleet's size that values are fitted over.
 type Variable string
 
 // The variables.
@@ -9,7 +9,7 @@
 	Watches Variable = "watches" // Run.Watches
 )
 
-// Key selects the measurements of a series.
+// Key identifies the measurements of a series.
 type Key struct {
 	Experiment string
 	Variant    string
@@ -19,16 +19,17 @@
 	Variable   Variable
 }
 
-// Series is the measured values of one key: their mean at each size, in order of size, and the line
-// through the means.
+// Series holds the measured values for a key: the mean at each size, in order of size, and the line
+// fitted to the means.
 type Series struct {
 	Key
 	Points  []Point
 	Fit     Fit
-	Watches int // the largest number of open watches of the runs
+	Watches int // largest number of open watches of the runs
 }
 
-// Series gathers the measurements of a key. Runs that did not reach their end are left out.
+// Series collects the measurements for a key. It leaves out runs that were not completed, and loads under
+// which an agent served less than minServedShare of its calls.
 func (d Dataset) Series(key Key) Series {
 	series := Series{Key: key}
 	var points []Point
@@ -45,8 +46,8 @@
 	return series
 }
 
-// points returns the measurements of a key as points, and the largest number of open watches of the
-// runs that they are from.
+// points returns the measurements for a key as points, and the largest number of open watches of their
+// runs.
 func (r *Results) points(key Key) (points []Point, watches int) {
 	for _, run := range r.Runs {
 		if run.NotRun != "" || !run.servedCalls(key.Role, key.Load) {
@@ -62,7 +63,7 @@
 	return points, watches
 }
 
-// size returns the run's size by a variable.
+// size returns the run's value of a variable.
 func (r *Run) size(variable Variable) float64 {
 	if variable == Watches {
 		return float64(r.Watches)
@@ -70,12 +71,12 @@
 	return float64(r.Servers)
 }
 
-// minServedShare is the least share of calls that an agent has to serve for its figures to count: a
-// refused call costs little, so that a smaller share would understate the cost of a call.
+// minServedShare is the least share of calls that an agent has to serve for its figures to be used. A
+// refused call costs little, so with a smaller share the figures would understate the cost of a call.
 const minServedShare = 0.99
 
-// servedCalls reports whether an agent served its calls under a load. It is true for other roles and
-// for loads without a measured share.
+// servedCalls reports whether an agent served at least minServedShare of its calls under a load. It
+// returns true for other roles and for loads without a measured share.
 func (r *Run) servedCalls(role, load string) bool {
 	if role != measuredAgent {
 		return true
--- a/internal/lab/capacity/tables.go
+++ b/internal/lab/capacity/tables.go
@@ -9,14 +9,14 @@
 
 // Table is a generated part of the page.
 type Table struct {
-	Name string // in the marker that begins the table
+	Name string // name in the begin marker of the table
 	Text string // Markdown
 }
 
-// commitDigits is the number of digits of a commit's hash that the page shows.
+// commitDigits is the number of digits of commit hashes on the page.
 const commitDigits = 12
 
-// Tables makes all tables of the page, in its order.
+// Tables generates all tables of the page, in the order of the page.
 func Tables(target *Target, data Dataset) []Table {
 	return []Table{
 		{"sources", sourcesTable(target, data)},
@@ -29,8 +29,8 @@
 	}
 }
 
-// sourcesTable lists the results files with the sizes that were run, and those that were not with
-// the reason. A line below it lists the measurements that no role uses.
+// sourcesTable lists the results files with the sizes that were run, and the sizes that were not run
+// with the reasons. A line below the table lists the measurements that no role uses.
 func sourcesTable(target *Target, data Dataset) string {
 	if len(data) == 0 {
 		return "No results yet: all that has to be measured is unknown.\n"
@@ -65,8 +65,8 @@
 		fmt.Sprint(source.Seed), source.Machine, orEmptyCell(strings.Join(run, "; ")), orEmptyCell(strings.Join(notRun, "; "))}
 }
 
-// unusedMeasurements returns "experiment, role: metric" of the measurements that no role has a
-// figure for, sorted. A misspelled name in the results or in the roles shows there.
+// unusedMeasurements returns the sorted names of the measurements that no role has a figure for, as
+// "experiment, role: metric". They reveal misspelled names in the results or in the roles.
 func (d Dataset) unusedMeasurements(target *Target) []string {
 	used := map[string]bool{}
 	for _, role := range roles(target) {
@@ -93,7 +93,7 @@
 	return experiment + ", " + role + ": " + metric
 }
 
-// slopesTable lists the fitted line of each series that the page uses.
+// slopesTable lists the fitted lines of the series that the page uses.
 func slopesTable(target *Target, data Dataset) string {
 	var rows [][]string
 	for _, series := range data.usedSeries(target) {
@@ -107,7 +107,7 @@
 	return markdownTable(header, rows)
 }
 
-// fitCells returns the cells of the slopes table from the slope on.
+// fitCells returns the cells of a row of the slopes table, from the slope to the last.
 func fitCells(fit Fit) []string {
 	sizes, largest := fmt.Sprint(fit.Sizes), formatNumber(fit.LargestSize)
 	if !fit.Known() {
@@ -121,7 +121,7 @@
 		formatNumber(fit.RSquared), sizes, largest, outlierText}
 }
 
-// label names the results of a series as "experiment, variant".
+// label returns the name of a series' results, as "experiment, variant".
 func label(key Key) string {
 	if key.Variant == "" {
 		return key.Experiment
@@ -129,7 +129,7 @@
 	return key.Experiment + ", " + key.Variant
 }
 
-// orEmptyCell returns a text, or the mark of an empty cell in place of "".
+// orEmptyCell returns the text, or emptyCell if the text is "".
 func orEmptyCell(text string) string {
 	if text == "" {
 		return emptyCell
--- a/internal/lab/capacity/tables_test.go
+++ b/internal/lab/capacity/tables_test.go
@@ -20,8 +20,8 @@
 	return target
 }
 
-// linearResults returns invented results: each metric is a straight line over the number of servers, given
-// by its value at 0 and its slope.
+// linearResults returns synthetic results in which each metric is linear in the number of servers. lines
+// has the value at 0 and the slope of each metric.
 func linearResults(variant string, sizes []int, lines map[Measurement][2]float64) *Results {
 	results := &Results{Experiment: fleetAhead, Variant: variant, Command: "fixture", Commit: "0123456789abcdef", Seed: 7,
 		Machine: "fixture | no machine", Started: time.Unix(0, 0).UTC()}
@@ -70,7 +70,8 @@
 	return ""
 }
 
-// onlyLine returns the only onlyLine of a text that contains all parts.
+// onlyLine returns the line of a text that contains all parts. It fails the test unless there is exactly
+// one.
 func onlyLine(t *testing.T, text string, parts ...string) string {
 	t.Helper()
 	var found []string
@@ -107,14 +108,15 @@
 	}
 	below := Series{Fit: FitLine([]Point{{1000, 0}, {2000, 10}, {3000, 20}, {4000, 30}})}
 	if got := below.At(200).String(); got != "0†" {
-		t.Errorf("a line below zero gives %s", got)
+		t.Errorf("a fitted value below zero is printed as %s", got)
 	}
 }
 
 func TestRolesTable(t *testing.T) {
 	roles := tableText(t, loadTarget(t), newDataset(resultsBefore()), "roles")
 	checkContains(t, onlyLine(t, roles, "| steady |", "| bytes in/s |"), "| 800 | 15,600 | 156,000* |", "| 24,000 B/s | 6.5* |", "fleet-ahead, before")
-	// Watches were open for 1,000, 3,000 and twice for 5,000 readers: three sizes, so the servers count.
+	// The runs have 1,000, 3,000 and twice 5,000 watches. These are only three sizes, so the fit is over
+	// the servers.
 	checkContains(t, onlyLine(t, roles, "| steady |", "change to the last reader"), "over servers with 5,000 watches at most")
 	checkContains(t, onlyLine(t, roles, "| cores |", "| steady |"), "0.0049*", "0.153*")
 	for _, role := range []string{"Agent, control", "Agent, calls", "Programme server's registration", "Steward as voter", "Steward as leader",
@@ -124,7 +126,7 @@
 		}
 	}
 	if !strings.Contains(roles, "leader killed, steward killed, rack lost, zone lost") {
-		t.Error("loads that were not run are not said to be unknown")
+		t.Error("loads that were not run are not listed as unknown")
 	}
 }
 
@@ -142,7 +144,7 @@
 func TestSourcesTableListsUnusedMeasurements(t *testing.T) {
 	results := resultsBefore()
 	if sources := tableText(t, loadTarget(t), newDataset(results), "sources"); strings.Contains(sources, "in no table") {
-		t.Errorf("all is in a table, but it says\n%s", sources)
+		t.Errorf("all measurements are in a table, but the sources list unused ones:\n%s", sources)
 	}
 	results.Runs[0].Add("hollow agents", "steady", "cpu_cores", 1)
 	results.Runs[1].Add("hollow agents", "steady", "cpu_cores", 1)
@@ -155,7 +157,7 @@
 		t.Errorf("%s\nshould begin with\n%s", row, want)
 	}
 	if !strings.HasSuffix(row, "| 1 | 4 | 10,000 | no |") {
-		t.Errorf("%s: not straight through 4 sizes up to 10,000", row)
+		t.Errorf("%s: want R² 1, 4 sizes up to 10,000 and no outlier", row)
 	}
 }
 
@@ -163,15 +165,15 @@
 	data := newDataset(resultsBefore())
 	order := tableText(t, loadTarget(t), data, "order")
 	first := strings.Split(order, "\n")[2]
-	// 120 bytes a server: 1,000 servers are a whole list of 24,000 B/s for 5 s.
+	// At 120 bytes a server, the full list of 1,000 servers takes 5 s at 24,000 B/s.
 	checkContains(t, first, "| 1 | a whole list, for a reader without services, in 5 s at 24,000 B/s | 1,000 |")
-	// 410 entries of 140 bytes are 3 calls; 3 stewards admit 30,000 calls in 5 s. Before, a call was
-	// 200 entries of the whole list.
+	// A first list of 410 entries of 140 bytes counts as 3 calls, and 3 control-plane servers admit 30,000
+	// calls in 5 s. Before, 200 entries of the full list counted as one call.
 	checkContains(t, onlyLine(t, order, "first lists admitted"), "| 3 |", "| 10,000 |", "| 2,350 |")
 	checkContains(t, onlyLine(t, order, "Agent, control: bytes in/s, limit"), "| 2 |", "| 6,000 |", "**missing**: "+string(mechanismScope))
 	checkContains(t, onlyLine(t, order, "which a reader without services refuses"), "35,000*")
 	checkContains(t, onlyLine(t, order, "Agent, control: cores"), "not at the target; at 310,000*")
-	// After the mechanism the bytes don't rise. The column before shows the earlier threshold.
+	// With the mechanism the bytes don't rise. The column "before" shows the earlier threshold.
 	order = tableText(t, loadTarget(t), newDataset(resultsBefore(), resultsAfter()), "order")
 	checkContains(t, onlyLine(t, order, "Agent, control: bytes in/s, limit"), "not at the target: it doesn't rise", "| 6,000 |")
 }
@@ -180,7 +182,7 @@
 	series := Series{Points: []Point{{1000, 1}, {2000, 9}, {3000, 1}, {4000, 1}}}
 	series.Fit = FitLine(series.Points)
 	if threshold := series.threshold(loadTarget(t), 9); threshold.Size != 2000 || !strings.HasSuffix(threshold.Source, "measured") {
-		t.Errorf("reached at %+v, though it was measured at 2,000", threshold)
+		t.Errorf("threshold %+v, want the measured size 2,000", threshold)
 	}
 }
 
@@ -207,14 +209,14 @@
 	checkContains(t, onlyLine(t, placement, "quorums lost a year"), "| 0.00338 |")
 }
 
-// All figures have at most significantDigits digits, and the same inputs give the same tables.
+// All numbers have at most significantDigits digits, and the same inputs give the same tables.
 func TestTablesAreRoundedAndRepeatable(t *testing.T) {
 	data := newDataset(resultsBefore(), resultsAfter())
 	again := Tables(loadTarget(t), data)
 	number := regexp.MustCompile(`[0-9][0-9,.]*`)
 	for i, table := range Tables(loadTarget(t), data) {
 		if table != again[i] {
-			t.Errorf("table %s differs when made again", table.Name)
+			t.Errorf("table %s differs when generated again", table.Name)
 		}
 		if table.Name == "sources" || table.Name == "derived" { // commits; "86,400" as arithmetic
 			continue
@@ -237,7 +239,8 @@
 	checkContains(t, onlyLine(t, tableText(t, loadTarget(t), nil, "order"), "Agent, control: bytes in/s, limit"), "| unknown |")
 }
 
-// An agent that refuses calls spends little on them, so its figures are no point of a fit.
+// A refused call costs an agent little, so the figures of an agent that refuses calls are excluded from
+// fits.
 func TestFitExcludesAgentsThatRefuseCalls(t *testing.T) {
 	served, refused := Run{Servers: 20}, Run{Servers: 2000}
 	for run, share := range map[*Run]float64{&served: 1, &refused: 0.5} {
@@ -248,7 +251,7 @@
 	data := newDataset(&Results{Experiment: "agent-cost", Runs: []Run{served, refused}})
 	key := Key{Experiment: "agent-cost", Role: "agent", Load: "115 calls/s", Metric: "cpu_ms_per_call", Variable: Servers}
 	if points := data.Series(key).Points; len(points) != 1 || points[0].Size != 20 {
-		t.Errorf("points are %v, want the one of 20 servers", points)
+		t.Errorf("points are %v, want only that of 20 servers", points)
 	}
 	key.Role, key.Metric = "requests", "p99_ms"
 	if points := data.Series(key).Points; len(points) != 2 {
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -15,26 +15,26 @@
 	"knotrouter/internal/lab/configfile"
 )
 
-// Target is the fleet that the project is designed for, as the operators give it in
+// Target is the fleet that the project is designed for, as specified by the operators in
 // docs/capacity/target.toml. All values are above 0.
 type Target struct {
 	Servers              float64  `koanf:"servers"` // each has one agent
 	Services             float64  `koanf:"services"`
-	CallsPerSecond       float64  `koanf:"calls_per_second"`     // of the whole fleet
+	CallsPerSecond       float64  `koanf:"calls_per_second"`     // total of the fleet
 	CallDepth            float64  `koanf:"call_depth"`           // length of the longest chain of calls
-	AddedLatencyP99Ms    float64  `koanf:"added_latency_p99_ms"` // that an agent may add to a call
+	AddedLatencyP99Ms    float64  `koanf:"added_latency_p99_ms"` // latency that an agent may add to a call
 	Regions              float64  `koanf:"regions"`
-	Zones                float64  `koanf:"zones"` // of all regions together
+	Zones                float64  `koanf:"zones"` // total over all regions
 	ConfigChangesPerDay  float64  `koanf:"config_changes_per_day"`
-	ConfigInForceSeconds float64  `koanf:"config_in_force_everywhere_s"`   // from a change to the last agent
+	ConfigInForceSeconds float64  `koanf:"config_in_force_everywhere_s"`   // time from a change until the last agent has it
 	AgentCoreShare       float64  `koanf:"agent_control_core_share"`       // cores that an agent may spend on control
 	AgentMemoryMB        float64  `koanf:"agent_control_memory_mb"`        // memory that an agent may spend on control
 	AgentBytesPerSecond  float64  `koanf:"agent_control_bytes_per_second"` // bytes that an agent may receive for control
-	ControlMachines      float64  `koanf:"control_machines"`               // of all regions together
+	ControlMachines      float64  `koanf:"control_machines"`               // total over all regions
 	Failures             Failures `koanf:"failures"`
 }
 
-// Failures is how often parts of the target's fleet fail.
+// Failures holds the failure rates of the target's fleet.
 type Failures struct {
 	MachinesPerDay       float64 `koanf:"machines_per_day"`
 	RestartsPerDay       float64 `koanf:"restarts_or_replacements_per_day"`
@@ -43,8 +43,8 @@
 	RegionPartitionHours float64 `koanf:"region_partition_hours"` // length of a partition
 }
 
-// LoadTarget reads a target file. Its error is one line that names the file, and the key where one
-// is invalid.
+// LoadTarget reads a target file. Its error is one line that names the file and, if a key is invalid,
+// the key.
 func LoadTarget(path string) (*Target, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return target, nil
 }
 
-// decodeTarget decodes parsed TOML. Unlike configfile.Decode, it requires each key.
+// decodeTarget decodes parsed TOML. Unlike configfile.Decode, it requires every key.
 func decodeTarget(raw map[string]any) (*Target, error) {
 	var target Target
 	var metadata mapstructure.Metadata
@@ -109,13 +109,13 @@
 }
 
 const (
-	// serversToday and agentsToday are the size of the fleet that the operators run today.
+	// serversToday and agentsToday are the size of the operators' current fleet.
 	serversToday = 200
 	agentsToday  = 300
 	tenth        = 0.1
 )
 
-// Fleets returns today's fleet, a tenth of the target, and the target as the last one.
+// Fleets returns the current fleet, a tenth of the target, and the target, in this order.
 func (t *Target) Fleets() []Fleet {
 	return []Fleet{
 		{Name: "today", Servers: serversToday, Agents: agentsToday},
@@ -124,7 +124,7 @@
 	}
 }
 
-// size returns the fleet's size by a variable. Each agent has one watch.
+// size returns the fleet's value of a variable. Each agent has one watch.
 func (f Fleet) size(variable Variable) float64 {
 	if variable == Watches {
 		return f.Agents
--- a/internal/lab/capacity/threshold.go
+++ b/internal/lab/capacity/threshold.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// ThresholdStatus says whether a limit is reached as the fleet grows. The values are in the order
-// of the limits table.
+// ThresholdStatus says whether a limit is reached as the fleet grows. The order table sorts limits by
+// it.
 type ThresholdStatus int
 
 const (
@@ -20,18 +20,18 @@
 // Threshold is the fleet size at which a limit is reached.
 type Threshold struct {
 	Status ThresholdStatus
-	Size   float64 // in servers or watches; +Inf where a fitted line never reaches the limit
+	Size   float64 // in servers or watches; +Inf if a fitted line never reaches the limit
 	Text   string  // the size as the table prints it
-	Source string  // the measurement or constant that the size follows from, as the table prints it
+	Source string  // the measurement or constant that determines the size, as the table prints it
 }
 
-// unmeasuredThreshold is the threshold of a limit without any measurement.
+// unmeasuredThreshold returns the threshold of a limit without measurements.
 func unmeasuredThreshold() Threshold {
 	return Threshold{Status: Unmeasured, Text: unknown, Source: "not measured"}
 }
 
-// thresholdAt returns the threshold at a known size: NotReached where the target is smaller than
-// the size, else Reached.
+// thresholdAt returns the threshold at a known size: NotReached if the size is above the target's, else
+// Reached.
 func thresholdAt(target *Target, size float64, basis Basis, source string) Threshold {
 	text := Estimate{Value: size, Basis: basis}.String()
 	switch {
@@ -43,9 +43,9 @@
 	return Threshold{Status: Reached, Size: size, Text: text, Source: source}
 }
 
-// threshold returns the smallest size at which the series reaches a limit: a measured size whose
-// value is at least the limit, or the size at which the fitted line reaches it. It is Unmeasured
-// where no measured value is that large and there is no line.
+// threshold returns the smallest size at which the series reaches a limit: the smallest measured size
+// with a value of at least the limit, or the size at which the fitted line reaches it. It is Unmeasured
+// if no measured value is that large and there is no fitted line.
 func (s Series) threshold(target *Target, limit float64) Threshold {
 	source := label(s.Key) + ", " + s.Load + ", over " + string(s.Variable)
 	measuredSize, measured := s.smallestSizeWith(limit)
@@ -66,8 +66,8 @@
 	return thresholdAt(target, fittedSize, s.Fit.basis(fittedSize), source)
 }
 
-// smallestSizeWith returns the smallest measured size whose value is at least the limit. It returns
-// false where no value is.
+// smallestSizeWith returns the smallest measured size with a value of at least the limit, and whether
+// there is one.
 func (s Series) smallestSizeWith(limit float64) (float64, bool) {
 	smallest, found := 0.0, false
 	for _, point := range s.Points {
--- a/internal/lab/cost/agentconfig.go
+++ b/internal/lab/cost/agentconfig.go
@@ -14,8 +14,8 @@
 	AgentCores    = 1
 	AgentMemoryMB = 256
 	AgentSockets  = 1024
-	// agentReplicas is the number of agents of the calling service: 39,000 servers in 1,900
-	// services are about 20 each.
+	// agentReplicas is the number of agents of the calling service: 39,000 servers in 1,900 services
+	// are about 20 per service.
 	agentReplicas = 20
 )
 
@@ -36,15 +36,15 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// agentSettings is the settings of package policy with those that only internal/agent reads.
+// agentSettings are the settings of package policy and those that only internal/agent reads.
 type agentSettings struct {
 	policy.Settings
 	FailureDomains []string `json:"failureDomains"`
 	Shapes         []string `json:"shapes"`
 }
 
-// AgentConfig returns the configuration file of an agent that listens at an address and knows the
-// full list from its start. The agent's random numbers are drawn from the seed.
+// AgentConfig returns the configuration file of an agent that listens on an address and knows the full
+// list from the start. The seed is that of the agent's random numbers.
 func (f *Fleet) AgentConfig(listen string, seed uint64) ([]byte, error) {
 	text, err := json.Marshal(agentConfig{
 		Name: "agent-cost", Listen: listen, Discovery: f.ListAddr, Seed: fmt.Sprintf("%016x", seed),
@@ -58,7 +58,8 @@
 	return text, nil
 }
 
-// settings returns settings close to the lab's defaults, which represent the operators' deployment.
+// settings returns settings close to the defaults of the lab, which represent the operators'
+// deployment.
 func settings() policy.Settings {
 	settings := policy.Settings{Replicas: agentReplicas, RoundMs: 5, Weights: "nominal", WeightBy: "request",
 		Membership: "on_request", OverQuotaWeight: 0.1,
--- a/internal/lab/cost/agentprocess.go
+++ b/internal/lab/cost/agentprocess.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// readyTimeout bounds the time from an agent's start until it watches the list.
+	// readyTimeout is the limit on the time from an agent's start until it watches the list.
 	readyTimeout = 30 * time.Second
-	// pollPeriod is the time between two checks for the agent's watch.
+	// pollPeriod is the time between two checks whether the agent has opened its watch.
 	pollPeriod = 10 * time.Millisecond
-	// settleTime is the pause after an agent's start, for work that belongs to the start.
+	// settleTime is the pause after an agent's start, so that startup work is not measured.
 	settleTime = time.Second
 )
 
-// startAgent starts an agent with its files in a folder, and waits until it is ready and watches the
-// list. It returns the agent's address. The supervisor stops the agent.
+// startAgent starts an agent with its files in dir and waits until it is ready and watches the list.
+// It returns the agent's process and address. The supervisor stops the agent.
 func startAgent(ctx context.Context, o *Options, fleet *Fleet, supervisor *process.Supervisor, dir string) (*process.Process, string, error) {
 	addr, err := freeAddress()
 	if err != nil {
@@ -53,7 +53,7 @@
 	return agent, addr, sleep(ctx, settleTime)
 }
 
-// freeAddress returns a loopback address with a port that nothing listens on at the moment.
+// freeAddress returns a loopback address with a currently free port.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,7 +63,7 @@
 	return listener.Addr().String(), nil
 }
 
-// measureIdleCores returns the cores that an agent uses without load, as the mean over a window.
+// measureIdleCores returns the mean number of cores that an agent uses without load over a window.
 func measureIdleCores(ctx context.Context, agent *process.Process, window time.Duration) (float64, error) {
 	before, start := usage(agent), time.Now()
 	if err := sleep(ctx, window); err != nil {
@@ -72,13 +72,13 @@
 	return (usage(agent).CPU - before.CPU).Seconds() / time.Since(start).Seconds(), nil
 }
 
-// usage returns the processor time that an agent has used so far, and its memory now.
+// usage returns the processor time that an agent has used so far and its current memory.
 func usage(agent *process.Process) process.Usage {
 	now, _, _ := agent.SampleUsage()
 	return now
 }
 
-// sleep waits for a time, or returns the context's error if the context ends first.
+// sleep waits for the duration. It returns the context's error if the context ends first.
 func sleep(ctx context.Context, duration time.Duration) error {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/lab/cost/caller.go
+++ b/internal/lab/cost/caller.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// callTimeout is how long a call may take.
+	// callTimeout is the time limit of a call.
 	callTimeout = 5 * time.Second
-	// idleTimeout is how long the caller keeps an idle connection. The agent closes idle ones after
-	// 2.1 s; the caller closes them sooner, so that no call is sent on a connection that closes.
+	// idleTimeout is the time after which the caller closes an idle connection. The agent closes idle
+	// connections after 2.1 s. The caller closes them earlier, so that it sends no call on a connection
+	// that the agent is closing.
 	idleTimeout = 1500 * time.Millisecond
-	// maxIdleConnections is the number of idle connections that the caller keeps to each address.
+	// maxIdleConnections is the maximum number of idle connections that the caller keeps to each address.
 	maxIdleConnections = 512
-	// maxResponseBytes is the number of bytes of a response that the caller reads.
+	// maxResponseBytes is the maximum number of bytes of a response that the caller reads.
 	maxResponseBytes = 64 << 10
 )
 
-// outcome says how a call ended.
+// outcome is the way in which a call ended.
 type outcome int
 
 const (
@@ -35,7 +36,7 @@
 	outcomeCount
 )
 
-// outcomeOf returns the outcome of a call that was answered with a status.
+// outcomeOf returns the outcome of a call whose response has the given status.
 func outcomeOf(status int) outcome {
 	switch status {
 	case http.StatusOK:
@@ -48,20 +49,20 @@
 
 // callResult is the result of one call.
 type callResult struct {
-	latency  time.Duration // from its send to the last byte of its response
-	lateness time.Duration // from its planned time to its send
+	latency  time.Duration // from the send to the last byte of the response
+	lateness time.Duration // from the planned time to the send
 	outcome  outcome
 }
 
-// pairResult is the results of a pair's calls.
+// pairResult holds the results of the two calls of a pair, by route.
 type pairResult [routeCount]callResult
 
-// caller sends calls to an agent and to emulated servers. It keeps connections to both.
+// caller sends calls to an agent and to emulated servers, over persistent connections.
 type caller struct {
 	agent       string   // address of the agent
 	servers     []string // addresses of the emulated servers
 	transport   *http.Transport
-	directDials atomic.Int64 // connections that it opened to emulated servers
+	directDials atomic.Int64 // connections that the caller opened to emulated servers
 }
 
 func newCaller(agent string, servers []string) *caller {
@@ -80,7 +81,7 @@
 
 func (c *caller) close() { c.transport.CloseIdleConnections() }
 
-// run sends each call of a schedule at its time, whether earlier calls have ended or not (an open
+// run sends each call of a schedule at its planned time, without waiting for earlier calls (an open
 // loop). It returns the result of each pair once all calls have ended, or the context's error if the
 // context ends first.
 func (c *caller) run(ctx context.Context, s schedule) ([]pairResult, error) {
@@ -110,8 +111,9 @@
 	return results, ctx.Err()
 }
 
-// call makes one call, planned for a time. Its latency counts from the send. The lateness of the send
-// is the lab's own and is the same on both routes, so it is kept apart from the latency.
+// call makes one call that was planned for the given time. The latency counts from the send. The
+// lateness of the send is recorded separately, because it is caused by the lab and is the same on both
+// routes.
 func (c *caller) call(ctx context.Context, call *plannedCall, planned time.Time) callResult {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -130,8 +132,8 @@
 	return callResult{latency: time.Since(sent), lateness: sent.Sub(planned), outcome: ended}
 }
 
-// roundTrip sends a request and returns once the response is complete or the request's context has
-// ended.
+// roundTrip sends a request and returns its outcome once the response is complete or the request's
+// context has ended.
 func (c *caller) roundTrip(request *http.Request) outcome {
 	response, err := c.transport.RoundTrip(request)
 	if err != nil {
--- a/internal/lab/cost/cell.go
+++ b/internal/lab/cost/cell.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// maxLateness is the p99 of the lab's own lateness above which a cell is invalid: the machine
-	// was too busy.
+	// maxLateness is the limit on the p99 of the lateness of the lab's sends. Above it the machine was
+	// too busy and the cell is invalid.
 	maxLateness = 10 * time.Millisecond
-	// minServedShare is the least share of calls through the agent that have to be served.
+	// minServedShare is the least share of the calls through the agent that has to be served.
 	minServedShare = 0.99
 )
 
-// Cell is the result of measuring one agent: a number of known servers under one rate of calls.
+// Cell is the result of measuring one agent with one number of known servers and one call rate.
 type Cell struct {
 	Servers    int
 	Rate       float64  // calls a second
-	Violations []string // why the cell is not valid, a line each
+	Violations []string // why the cell is invalid, one line each
 
 	idleCores float64       // cores that the agent used without load
-	cores     float64       // cores that the agent used in the window
-	window    time.Duration // from the first send to the last response
+	cores     float64       // mean number of cores that the agent used in the window
+	window    time.Duration // from the start of the load to the last response
 	cpu       time.Duration // processor time that the agent used in the window
 	rssMB     float64       // resident memory at the window's end
 	peakRSSMB float64       // largest resident memory since the agent's start
@@ -33,10 +33,11 @@
 	load      *summary      // of the window's calls
 }
 
-// eventCounts are the numbers of events at the emulated servers and the list service.
+// eventCounts holds numbers of events at the emulated servers and at the list service.
 type eventCounts struct{ probes, connections, fullLists, watches int64 }
 
-// counts returns the counts since the fleet was made, without the caller's own connections.
+// counts returns the counts since the start of the fleet, without the connections that the caller
+// opened itself.
 func (f *Fleet) counts(c *caller) eventCounts {
 	return eventCounts{
 		probes:      f.Counters.Probes.Load(),
@@ -55,8 +56,8 @@
 	}
 }
 
-// measure starts an agent for one cell, so that memory and connections are of this cell alone, and
-// measures it without load, then under load after a warm-up.
+// measure starts an agent and measures it without load and then, after a warm-up, under load. Each cell
+// has its own agent, so that memory and connections of earlier cells don't count.
 func measure(ctx context.Context, o *Options, fleet *Fleet, servers int, rate float64) (*Cell, error) {
 	dir, err := os.MkdirTemp("", "agent-cost-")
 	if err != nil {
@@ -85,8 +86,8 @@
 	return cell, nil
 }
 
-// measureUnderLoad makes the calls of the window and fills in the cell's figures. The window ends
-// with the last response.
+// measureUnderLoad makes the calls of the window and sets the cell's figures. The window ends with the
+// last response.
 func (c *Cell) measureUnderLoad(ctx context.Context, o *Options, fleet *Fleet, agent *process.Process, caller *caller) error {
 	schedule := newSchedule(c.Rate, o.Window, o.Seed)
 	countsBefore, usageBefore, start := fleet.counts(caller), usage(agent), time.Now()
@@ -129,5 +130,5 @@
 // servedShare returns the share of calls through the agent that were served.
 func (c *Cell) servedShare() float64 { return c.load.share(throughAgent, served) }
 
-// perCall divides a figure of the window by the number of calls that were made through the agent.
+// perCall divides a figure of the window by the number of calls made through the agent.
 func (c *Cell) perCall(figure float64) float64 { return figure / max(float64(c.load.pairs), 1) }
--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -1,16 +1,16 @@
-// Package cost measures what one real agent costs, by the number of servers that it knows: the
-// processor time of a call, memory, and the latency that it adds to a call.
+// Package cost measures the cost of one real agent as a function of the number of servers that it
+// knows: the processor time per call, the memory, and the latency that it adds to a call.
 //
-// Each call is made twice, through the agent and directly to an emulated server, in random order
-// pairGap apart, so that both see the machine in the same state. Arrivals are drawn ahead from the
-// seed and no call waits for another's response (an open loop). The direct calls keep their
-// connections and choose no server, so they take the least time that a call can take. The listed
-// servers share a few listeners; see Fleet.
+// Each call is made twice, once through the agent and once directly to an emulated server. The two
+// calls are in random order and pairGap apart, so that both see the machine in the same state. The
+// arrival times are drawn from the seed in advance and no call waits for the response to another (an
+// open loop). The direct calls reuse their connections and don't select a server, so their latency is
+// the lower bound for a call. The listed servers share a few listeners; see Fleet.
 //
-// A measurement is a matrix of cells: each number of servers with each rate of calls. Run goes
-// through the cells; measure starts an agent for one cell and gathers its figures; newSchedule
-// draws the calls, caller sends them and summarize reduces their results. The figures go to a
-// capacity.Results, which the capacity page is made from.
+// A measurement is a matrix of cells, one for each combination of a number of servers and a call
+// rate. Run iterates over the cells. For each cell, measure starts an agent and collects its figures:
+// newSchedule draws the calls, caller sends them and summarize aggregates their results. The figures
+// are added to a capacity.Results, from which the capacity page is generated.
 package cost
 
 import (
@@ -39,31 +39,30 @@
 
 // Options says what to measure.
 type Options struct {
-	Agent    string        // path of the agent's program
+	Agent    string        // path of the agent's executable
 	Servers  []int         // numbers of servers that the agent knows
 	Rates    []float64     // calls a second
 	Window   time.Duration // length of the measured load of each cell
-	Seed     uint64        // of arrivals, keys and the order of calls
+	Seed     uint64        // of arrival times, keys and the order of calls
 	Variant  string        // capacity.Results.Variant
 	Command  string        // command line that repeats the measurement
 	Progress func(Step)    // called for each step; may be nil
 }
 
-// Step says that a cell begins, or that it has ended with a result.
+// Step reports that the measurement of a cell begins or has ended.
 type Step struct {
 	Number  int // of the cell, from 1
 	Total   int // number of cells
 	Servers int
 	Rate    float64 // calls a second
-	Cell    *Cell   // the result; nil where the cell begins
+	Cell    *Cell   // the result; nil when the cell begins
 }
 
-// idleWindow is how long an agent is measured without load.
+// idleWindow is the time for which an agent is measured without load.
 func (o *Options) idleWindow() time.Duration { return max(o.Window/3, MinWindow) }
 
-// warmup is how long the load lasts before the measured window. An agent keeps idle connections
-// for 15 s: the number of its connections is steady only once warm-up and window together are
-// longer than that.
+// warmup is the length of the load before the measured window. An agent keeps idle connections for
+// 15 s, so the number of its connections is steady only if warm-up and window together are longer.
 func (o *Options) warmup() time.Duration { return o.Window }
 
 // Validate returns an error that names the flag of the first invalid option, or nil.
@@ -104,10 +103,10 @@
 	return nil
 }
 
-// Run measures each number of servers at each rate, one cell after the other. It returns the
-// results and the violations of all cells, a line each. A cell that could not be measured is a
-// violation, and the others are still measured. It returns an error for invalid options, and the
-// context's error if the context ends first; see Interrupted.
+// Run measures each number of servers at each rate, one cell after the other. It returns the results
+// and the violations of all cells, one line each. A cell that could not be measured counts as a
+// violation, and the remaining cells are still measured. Run returns an error for invalid options, and
+// the context's error if the context ends first; see Interrupted.
 func Run(ctx context.Context, o *Options) (*capacity.Results, []string, error) {
 	if err := o.Validate(); err != nil {
 		return nil, nil, err
@@ -132,8 +131,8 @@
 	return results, violations, nil
 }
 
-// runSize measures one number of servers at each rate, after a number of cells that are done. The
-// reasons for cells that could not be measured are in the run's NotRun and among the violations.
+// runSize measures one number of servers at each rate. done is the number of cells measured before.
+// The reasons for cells that could not be measured are in the run's NotRun and among the violations.
 func runSize(ctx context.Context, o *Options, servers, done int) (*capacity.Run, []string, error) {
 	run := &capacity.Run{Servers: servers, Watches: 1, Services: 1}
 	fleet, err := NewFleet(servers)
@@ -171,7 +170,7 @@
 	}
 }
 
-// Interrupted reports whether a measurement ended with err because its context had ended.
+// Interrupted reports whether a measurement returned err because its context had ended.
 func Interrupted(ctx context.Context, err error) bool {
 	return ctx.Err() != nil && errors.Is(err, ctx.Err())
 }
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -48,14 +48,14 @@
 	return resp
 }
 
-// Both calls of a pair are drawn from the seed alone, a gap apart, in either order.
+// The schedule depends only on the seed. The calls of a pair are pairGap apart, in either order.
 func TestScheduleIsDrawnFromSeed(t *testing.T) {
 	const rate, duration = 1000, 10 * time.Second
 	schedule := newSchedule(rate, duration, 7)
 	sameSeed := newSchedule(rate, duration, 7)
 	otherSeed := newSchedule(rate, duration, 8)
 	if !reflect.DeepEqual(schedule, sameSeed) || reflect.DeepEqual(schedule.calls, otherSeed.calls) {
-		t.Error("the calls are not those of their seed")
+		t.Error("schedules of the same seed differ, or those of different seeds are equal")
 	}
 	if mean := rate * duration.Seconds(); math.Abs(float64(schedule.pairs)-mean) > 5*math.Sqrt(mean) {
 		t.Errorf("%d pairs, expected about %v", schedule.pairs, mean)
@@ -78,7 +78,7 @@
 			continue
 		}
 		if call.route == first.route || call.at-first.at != pairGap || call.key != first.key || call.server != first.server {
-			t.Fatalf("no pair: %+v and %+v", first, call)
+			t.Fatalf("not a valid pair: %+v and %+v", first, call)
 		}
 	}
 	if share := float64(directFirst) / float64(schedule.pairs); share < 0.45 || share > 0.55 {
@@ -101,7 +101,7 @@
 		t.Errorf("added %v ms", s.addedMs)
 	}
 	if maxLatency := s.latency[throughAgent].Max(); maxLatency > 4000 {
-		t.Errorf("a call that was not served is in the latencies: %d us", maxLatency)
+		t.Errorf("the latencies include a call that was not served: %d us", maxLatency)
 	}
 	if lateness := s.lateness.Max(); lateness < 900 || lateness > 1100 {
 		t.Errorf("lateness %d us", lateness)
@@ -116,7 +116,7 @@
 	}
 }
 
-// Where nothing was served there is no latency, rather than one of 0.
+// If no call was served, there is no latency measurement rather than one of 0.
 func TestNoLatencyWithoutServedCalls(t *testing.T) {
 	pairs := []pairResult{{direct: {outcome: served, latency: time.Millisecond}, throughAgent: {outcome: refused}}}
 	cell := &Cell{Rate: 115, load: summarize(pairs)}
@@ -144,8 +144,8 @@
 	}
 }
 
-// The names of the list share a few addresses, and the agent takes the configuration.
-func TestAgentTakesFleetConfig(t *testing.T) {
+// The agent accepts the configuration of the fleet, and the names of the list share a few addresses.
+func TestAgentAcceptsFleetConfig(t *testing.T) {
 	fleet := newTestFleet(t, 100)
 	text, err := fleet.AgentConfig("127.0.0.1:0", 5)
 	if err != nil {
@@ -160,7 +160,7 @@
 		names[host.Name], addresses[host.Dial] = true, true
 	}
 	if conf.CachedListErr != nil || len(names) != 100 || len(addresses) != listenerCount {
-		t.Errorf("%d names at %d addresses, left out: %v", len(names), len(addresses), conf.CachedListErr)
+		t.Errorf("%d names at %d addresses, error of the list: %v", len(names), len(addresses), conf.CachedListErr)
 	}
 	if conf.Limits.MemoryMB != 256 || conf.Limits.Sockets != 1024 {
 		t.Errorf("limits are %+v", conf.Limits)
@@ -197,7 +197,7 @@
 	}
 }
 
-// violationsOf returns the violations of a cell that had none before the change.
+// violationsOf applies a change to a cell without violations and returns the cell's violations.
 func violationsOf(change func(pairs []pairResult, c *Cell)) []string {
 	pairs := make([]pairResult, 100)
 	for i := range pairs {
@@ -262,7 +262,7 @@
 	}
 }
 
-// Cells that can't be measured are reported with the reason, and the others are still measured.
+// Cells that can't be measured are reported with the reason, and the remaining cells are still measured.
 func TestCellsNotRunAreReported(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "agent")
 	if err := os.WriteFile(program, []byte("#!/bin/sh\necho no agent here\nexit 1\n"), 0o755); err != nil {
@@ -283,7 +283,7 @@
 	}
 }
 
-// agentValue finds a measurement of the agent.
+// agentValue returns the value of a metric of the agent under a load.
 func agentValue(t *testing.T, run *capacity.Run, load, name string) float64 {
 	t.Helper()
 	for _, m := range run.Measurements {
--- a/internal/lab/cost/figures.go
+++ b/internal/lab/cost/figures.go
@@ -15,7 +15,7 @@
 // loadName returns the name of a rate of calls in the results.
 func loadName(rate float64) string { return fmt.Sprintf("%g calls/s", rate) }
 
-// addTo adds the cell's figures to the run of its number of servers.
+// addTo adds the cell's figures to a run, which is the one for the cell's number of servers.
 func (c *Cell) addTo(run *capacity.Run) {
 	load := loadName(c.Rate)
 	add := func(metric string, value float64) { run.Add(agentRole, load, metric, value) }
@@ -40,8 +40,8 @@
 	run.Add(labRole, load, "late_p99_ms", quantileMs(c.load.lateness, 99))
 }
 
-// addLatencies adds quantiles of the latencies of served calls. Without a pair whose calls were both
-// served it adds none, as 0 would be a wrong latency.
+// addLatencies adds quantiles of the latencies of served calls. It adds none if there is no pair with
+// both calls served, as 0 would be a wrong latency.
 func (c *Cell) addLatencies(add func(metric string, value float64)) {
 	if len(c.load.addedMs) == 0 {
 		return
@@ -65,7 +65,7 @@
 	return quantileMs(s.latency[throughAgent], percent) - quantileMs(s.latency[direct], percent)
 }
 
-// String returns the cell's line of progress.
+// String returns the progress line of the cell.
 func (c *Cell) String() string {
 	added := "nothing served"
 	if len(c.load.addedMs) > 0 {
--- a/internal/lab/cost/fleet.go
+++ b/internal/lab/cost/fleet.go
@@ -18,7 +18,7 @@
 const (
 	// listenerCount is the number of emulated servers. The servers of the list share their addresses.
 	listenerCount = 8
-	// serviceTime is how long an emulated server takes for a call.
+	// serviceTime is the time that an emulated server takes for a call.
 	serviceTime = time.Millisecond
 	// heartbeatPeriod is the time between the empty lines that keep a watch alive.
 	heartbeatPeriod = 2 * time.Second
@@ -26,26 +26,26 @@
 	listVersion = 42
 	// serversPerBlock is the number of servers with the same endpoints.Endpoint.Block.
 	serversPerBlock = 40
-	// CallClass is the name of the only class of calls, and the first part of their path.
+	// CallClass is the name of the only class of calls and the first segment of their path.
 	CallClass = "read"
-	// machineType is the only kind of machine.
+	// machineType is the only machine type.
 	machineType = "standard"
 )
 
-// sites are the failure domains that the list's servers are spread over in turn.
+// sites are the failure domains, to which the servers of the list are assigned in turn.
 var sites = []string{"zone-a", "zone-b", "zone-c"}
 
 // Fleet is the environment of an agent under measurement: a list of many servers, the service that
-// serves the list, and a few emulated servers behind all names of the list.
+// serves the list, and a few emulated servers that handle the calls to all listed servers.
 //
-// Several names have the same address, so that 39,000 servers need no 39,000 listeners. The agent
-// keeps its connections by name, not by address, so it reuses connections, or opens new ones, as it
-// would with that many machines. Calls for the same key tend to the same server; the number of
-// connections that a call opens is measured.
+// Several names share an address, so that 39,000 servers don't need 39,000 listeners. The agent keys
+// its connections by name, not by address, so it reuses and opens connections as it would with that
+// many machines. Calls with the same key tend to go to the same server. The number of connections
+// opened per call is measured.
 type Fleet struct {
 	List      endpoints.List
-	Addresses []string // of the emulated servers
-	ListAddr  string   // of the list service
+	Addresses []string // addresses of the emulated servers
+	ListAddr  string   // address of the list service
 	Counters  Counters
 
 	servers     []*http.Server
@@ -54,17 +54,16 @@
 	serving     sync.WaitGroup
 }
 
-// Counters counts events since the fleet was made.
+// Counters counts events since the start of the fleet.
 type Counters struct {
 	// At the emulated servers: calls, probes, and accepted connections.
 	Calls, Probes, Connections atomic.Int64
-	// At the list service: full lists that were served, watches that were opened, and the watches
-	// that are open now.
+	// At the list service: full lists served, watches opened, and currently open watches.
 	FullLists, Watches, OpenWatches atomic.Int64
 }
 
-// NewFleet starts a fleet on loopback addresses, with a number of servers in its list. The caller
-// has to Close it.
+// NewFleet starts a fleet on loopback addresses with the given number of servers in its list. The
+// caller has to Close it.
 func NewFleet(servers int) (*Fleet, error) {
 	fleet := &Fleet{done: make(chan struct{})}
 	for range min(listenerCount, servers) {
@@ -90,7 +89,7 @@
 	return fleet, nil
 }
 
-// newList returns a list of servers that share the addresses in turn.
+// newList returns a list of servers to which the addresses are assigned in turn.
 func newList(servers int, addresses []string) endpoints.List {
 	list := endpoints.List{Seq: listVersion, Full: true, Endpoints: make([]endpoints.Endpoint, servers)}
 	for i := range list.Endpoints {
@@ -116,7 +115,7 @@
 	return listener.Addr().String(), nil
 }
 
-// Close stops the fleet and waits until nothing listens any more.
+// Close stops the fleet and waits until its HTTP servers have stopped.
 func (f *Fleet) Close() {
 	close(f.done)
 	for _, server := range f.servers {
@@ -131,7 +130,7 @@
 	}
 }
 
-// emulatedServer handles each call in serviceTime, and probes at once.
+// emulatedServer returns a handler that responds to calls after serviceTime and to probes at once.
 func (f *Fleet) emulatedServer() http.Handler {
 	const response = "done"
 	mux := http.NewServeMux()
@@ -148,7 +147,7 @@
 	return mux
 }
 
-// listService serves the full list, and a watch on which nothing changes.
+// listService returns a handler that serves the full list, and watches on which nothing changes.
 func (f *Fleet) listService() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+endpoints.Path, func(w http.ResponseWriter, r *http.Request) {
@@ -163,8 +162,8 @@
 	return mux
 }
 
-// serveWatch sends the full list, or an empty change to a reader that has the list's version, and
-// then heartbeats until the reader or the fleet ends the watch.
+// serveWatch sends the full list, or an empty change if the reader already has its version, and then
+// heartbeats until the reader disconnects or the fleet is closed.
 func (f *Fleet) serveWatch(w http.ResponseWriter, r *http.Request) {
 	f.Counters.Watches.Add(1)
 	f.Counters.OpenWatches.Add(1)
@@ -187,7 +186,7 @@
 	}
 }
 
-// writeLine sends a line at once.
+// writeLine writes a line and flushes it.
 func writeLine(w http.ResponseWriter, line []byte) error {
 	if _, err := w.Write(append(slices.Clip(line), '\n')); err != nil {
 		return err
--- a/internal/lab/cost/profile.go
+++ b/internal/lab/cost/profile.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// benchmarkName is the benchmark that runs an agent inside a test binary, as the agent's program has no profiler.
+	// benchmarkName is the benchmark that runs an agent inside a test binary, because the agent's
+	// executable has no profiler.
 	benchmarkName    = "BenchmarkAgentCall"
 	benchmarkPackage = "./internal/agent"
-	// serversEnvVar is the environment variable that tells the benchmark how many servers the
+	// serversEnvVar is the environment variable that sets the number of servers that the benchmark's
 	// agent knows.
 	serversEnvVar = "AGENT_SERVERS"
-	// profileBenchtime is the number of calls that a profile covers, as -benchtime takes it.
+	// profileBenchtime is the number of calls that a profile covers, in the syntax of -benchtime.
 	profileBenchtime = "5000x"
-	// LabLabel and LabValue label the goroutines of callers and emulated servers in a profile, so
-	// that they can be excluded.
+	// LabLabel and LabValue are the profiler label of the goroutines of callers and emulated servers,
+	// by which they are excluded from the profile.
 	LabLabel, LabValue = "role", "lab"
 	// topFunctions is the number of functions listed for a profile.
 	topFunctions = 40
 )
 
-// Profile runs the agent's benchmark with a CPU profile for each number of known servers. It writes
-// the profile to agent-N.pprof and the agent's most expensive functions to agent-N.txt in the
-// folder, and prints a line for each to out. It has to run at the root of the source tree, with the
-// Go tool installed.
+// Profile runs the agent's benchmark with a CPU profile for each number of known servers N. It writes
+// the profile to agent-N.pprof and the agent's most expensive functions to agent-N.txt in dir, and a
+// progress line to out. It has to run in the root of the source tree and needs the go command.
 func Profile(ctx context.Context, dir string, servers []int, out io.Writer) error {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return os.WriteFile(base+".txt", top, 0o644)
 }
 
-// runGo runs the Go tool, with a further environment variable unless env is "", and returns its
-// output. Its error has the last line of the output.
+// runGo runs the go command and returns its output. env is an additional environment variable, or "".
+// The error includes the last line of the output.
 func runGo(ctx context.Context, env string, args ...string) ([]byte, error) {
 	cmd := exec.CommandContext(ctx, "go", args...)
 	if env != "" {
--- a/internal/lab/cost/provenance.go
+++ b/internal/lab/cost/provenance.go
@@ -8,12 +8,12 @@
 	"strings"
 )
 
-// unknown is the value of provenance that cannot be read.
+// unknown stands for provenance that could not be determined.
 const unknown = "unknown"
 
 // buildCommit returns the commit that a program was built from, and whether the working tree had
-// uncommitted changes, as the Go tool recorded them in the program. The commit is unknown without
-// such a record.
+// uncommitted changes, from the build information that the go command embeds. Without build
+// information the commit is unknown.
 func buildCommit(program string) (commit string, dirty bool) {
 	commit = unknown
 	info, err := buildinfo.ReadFile(program)
@@ -31,13 +31,13 @@
 	return commit, dirty
 }
 
-// describeMachine describes the processors, the memory and the Go version of the lab.
+// describeMachine returns the processors, the memory and the Go version, for the results.
 func describeMachine() string {
 	return fmt.Sprintf("%d CPUs (%s), memory %s, %s", runtime.NumCPU(), procField("/proc/cpuinfo", "model name"),
 		procField("/proc/meminfo", "MemTotal"), runtime.Version())
 }
 
-// procField returns the first value of a key in a file of lines "key : value", or unknown.
+// procField returns the first value of a key in a file of "key : value" lines, or unknown.
 func procField(path, key string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/cost/schedule.go
+++ b/internal/lab/cost/schedule.go
@@ -10,13 +10,13 @@
 const (
 	// pairGap is the time between the two calls of a pair.
 	pairGap = 3 * time.Millisecond
-	// keyCount is the number of different keys that calls are made for.
+	// keyCount is the number of distinct keys of calls.
 	keyCount = 2000
-	// scheduleStream distinguishes the schedule's random numbers from others of the same seed.
+	// scheduleStream selects the random stream of the schedule among the streams of the same seed.
 	scheduleStream = 115
 )
 
-// route is one of the two ways of a pair's calls.
+// route is the path of a call; the two calls of a pair take different routes.
 type route int
 
 const (
@@ -27,21 +27,22 @@
 
 // plannedCall is one call of a schedule.
 type plannedCall struct {
-	at     time.Duration // since the beginning of the load
+	at     time.Duration // since the start of the load
 	pair   int           // index of its pair
 	route  route
 	key    uint64
 	server int // index of the emulated server of a direct call
 }
 
-// schedule is the calls of a load, in order of their time.
+// schedule holds the calls of a load in order of time.
 type schedule struct {
 	calls []plannedCall
 	pairs int // number of pairs; each has two calls
 }
 
-// newSchedule draws pairs of calls as a Poisson process with a rate of pairs a second, from the seed
-// alone. The two calls of a pair have the same key and are pairGap apart, in random order.
+// newSchedule draws the arrivals of pairs of calls as a Poisson process with the given rate of pairs a
+// second. The schedule depends only on the arguments. The two calls of a pair have the same key and are
+// pairGap apart, in random order.
 func newSchedule(rate float64, duration time.Duration, seed uint64) schedule {
 	rng := rand.New(rand.NewPCG(seed, scheduleStream))
 	var s schedule
--- a/internal/lab/cost/summary.go
+++ b/internal/lab/cost/summary.go
@@ -7,16 +7,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// summary is the results of a load's calls, reduced to counts and distributions.
+// summary holds the counts and the distributions of the results of a load's calls.
 type summary struct {
 	pairs    int
 	outcomes [routeCount][outcomeCount]int       // number of calls
 	latency  [routeCount]*hdrhistogram.Histogram // of served calls, in µs
 	lateness *hdrhistogram.Histogram             // of all calls, in µs
-	addedMs  []float64                           // latency through the agent minus direct latency, of each pair with both served, sorted
+	addedMs  []float64                           // latency through the agent minus direct latency, of each pair with both calls served, sorted
 }
 
-// summarize reduces the results of pairs.
+// summarize aggregates the results of pairs.
 func summarize(results []pairResult) *summary {
 	s := &summary{pairs: len(results), lateness: newHistogram()}
 	for route := range s.latency {
@@ -49,7 +49,7 @@
 }
 
 const (
-	// maxRecordedDuration is the largest duration that a histogram distinguishes; the least is 1 µs.
+	// maxRecordedDuration is the largest duration that a histogram records; the smallest is 1 µs.
 	maxRecordedDuration = time.Minute
 	// histogramDigits is the number of significant digits that a histogram keeps.
 	histogramDigits = 3
@@ -68,8 +68,8 @@
 	return float64(h.ValueAtQuantile(percent)) / 1000
 }
 
-// sortedQuantile returns a quantile of sorted values, which may be negative, unlike a histogram's. It
-// returns 0 without values.
+// sortedQuantile returns a quantile of sorted values, or 0 without values. Unlike those of a histogram,
+// the values may be negative.
 func sortedQuantile(sorted []float64, percent float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -111,14 +111,14 @@
 
 // freeAddresses returns count addresses with free ports.
 func (f *fleet) freeAddresses(count int) ([]string, error) {
-	addresses := make([]string, count)
-	for i := range addresses {
+	addrs := make([]string, count)
+	for i := range addrs {
 		var err error
-		if addresses[i], err = f.addresses.FreePort(); err != nil {
+		if addrs[i], err = f.addresses.FreePort(); err != nil {
 			return nil, err
 		}
 	}
-	return addresses, nil
+	return addrs, nil
 }
 
 // startReady starts a process and waits up to startTimeout until it is ready.
