--- a/cmd/controlplane/bench_test.go
+++ b/cmd/controlplane/bench_test.go
@@ -271,7 +271,7 @@
 		durations = append(durations, next.Mono-last)
 		workers.start(operation.Process)
 		operation = next
-		time.Sleep(stableTerm) // a holder that ends sooner counts as a failure of the task
+		time.Sleep(minStableTerm) // a holder that ends sooner counts as a failure of the task
 	}
 	reportPercentiles(b, "after-kill", durations)
 	before := len(workers.operations.Analyze().HandoverGaps)
@@ -347,7 +347,7 @@
 	cluster := newCluster(b, 3)
 	workers := cluster.startWorkers(4, 10, 0.95, 1, 1.05)
 	for i := range scheduledTasks {
-		workers.defineTask(scheduledTask(i), 3*time.Second)
+		workers.defineTask(scheduledTaskName(i), 3*time.Second)
 	}
 	rng := rand.New(rand.NewPCG(77, 1))
 	for end := time.Now().Add(duration); time.Now().Before(end); {
--- a/cmd/controlplane/main_test.go
+++ b/cmd/controlplane/main_test.go
@@ -36,7 +36,7 @@
 		if err := syscallfault.FromEnvironment(); err != nil {
 			panic(err)
 		}
-		adjustConfig = applyTestMachine
+		adjustConfig = applyTestEnvironment
 		main()
 		os.Exit(0)
 	case isChild(workerChild):
@@ -55,8 +55,8 @@
 // isChild reports whether this process was started with a variable that names another program.
 func isChild(variable string) bool { return os.Getenv(variable) == "1" }
 
-// applyTestMachine gives a server the clock and the log store that its environment asks for.
-func applyTestMachine(config *control.Config) {
+// applyTestEnvironment gives a server the clock and the log store that its environment asks for.
+func applyTestEnvironment(config *control.Config) {
 	if offset, err := time.ParseDuration(os.Getenv(clockOffsetVariable)); err == nil {
 		config.Now = func() time.Time { return time.Now().Add(offset) }
 	}
--- a/cmd/controlplane/membership_test.go
+++ b/cmd/controlplane/membership_test.go
@@ -18,14 +18,14 @@
 // them. A backend that accepts no connections any more is taken off the list.
 func TestExpiryNeedsFailureEvidence(t *testing.T) {
 	const (
-		total         = 8
-		threeLeaseTTL = 3 * 3 * time.Second
+		total          = 8
+		threeLeaseTTLs = 3 * 3 * time.Second
 	)
 	cluster := newGossipCluster(t, 3, "")
 	cluster.startAll()
 	backends := cluster.startBackends(total, "st-1", cluster.names...)
 	backends.pauseRenewals()
-	time.Sleep(threeLeaseTTL)
+	time.Sleep(threeLeaseTTLs)
 	backends.requireAllListed()
 	if retained := cluster.metric(cluster.waitForLeader(), "steward_leases_kept"); retained != total {
 		t.Errorf("%v servers are listed beyond their leases, want %d", retained, total)
@@ -38,8 +38,8 @@
 }
 
 // metric returns a metric of a server, or -1 if the server doesn't answer or has no such metric.
-func (cluster *testCluster) metric(at, name string) float64 {
-	resp, err := http.Get("http://" + cluster.servers[at].http + "/metrics")
+func (cluster *testCluster) metric(server, name string) float64 {
+	resp, err := http.Get("http://" + cluster.servers[server].http + "/metrics")
 	if err != nil {
 		return -1
 	}
@@ -103,13 +103,13 @@
 	}
 }
 
-// startAgentWatch watches the list under an agent's name until stop is called or the test ends. The order
+// startAgentWatch watches the list under an agent's name until stop is called or the test ends. The orderSeed
 // decides which server the agent calls first.
-func (cluster *testCluster) startAgentWatch(name string, order uint64) (client *endpoints.Client, stop context.CancelFunc) {
+func (cluster *testCluster) startAgentWatch(name string, orderSeed uint64) (client *endpoints.Client, stop context.CancelFunc) {
 	const agentRestartPause = 20 * time.Millisecond // between the end of a watch and the next
 	ctx, stop := context.WithCancel(cluster.t.Context())
 	cluster.t.Cleanup(stop)
-	client = endpoints.NewClient(endpoints.ClientConfig{Addresses: cluster.client(cluster.names...).Addrs, OrderSeed: order, Fleet: 1, Member: name})
+	client = endpoints.NewClient(endpoints.ClientConfig{Addresses: cluster.client(cluster.names...).Addrs, OrderSeed: orderSeed, Fleet: 1, Member: name})
 	go func() {
 		for ctx.Err() == nil {
 			_ = client.Watch(ctx, 0, func(endpoints.List) {})
--- a/cmd/controlplane/memberviews_test.go
+++ b/cmd/controlplane/memberviews_test.go
@@ -45,11 +45,11 @@
 
 // waitForState waits until the view of one server has all members named in a state, and returns how long
 // that took. It fails the test after waitTimeout.
-func (cluster *testCluster) waitForState(at string, state member.State, names ...string) time.Duration {
+func (cluster *testCluster) waitForState(observer string, state member.State, names ...string) time.Duration {
 	cluster.t.Helper()
 	began := time.Now()
-	cluster.waitUntil(fmt.Sprintf("%s has %v as %s", at, names, state), func() bool {
-		view, ok := cluster.view(at)
+	cluster.waitUntil(fmt.Sprintf("%s has %v as %s", observer, names, state), func() bool {
+		view, ok := cluster.view(observer)
 		for _, name := range names {
 			ok = ok && view.State(name) == state
 		}
@@ -113,10 +113,10 @@
 
 // waitForIncarnation waits until the view of one server has a member, and returns the member's incarnation. It
 // fails the test after waitTimeout.
-func (cluster *testCluster) waitForIncarnation(at, name string) (found int64) {
+func (cluster *testCluster) waitForIncarnation(observer, name string) (found int64) {
 	cluster.t.Helper()
-	cluster.waitUntil(fmt.Sprintf("the view of %s has %s", at, name), func() bool {
-		view, ok := cluster.view(at)
+	cluster.waitUntil(fmt.Sprintf("the view of %s has %s", observer, name), func() bool {
+		view, ok := cluster.view(observer)
 		found = incarnation(&view, name)
 		return ok && found > 0
 	})
--- a/cmd/controlplane/misconfiguration_test.go
+++ b/cmd/controlplane/misconfiguration_test.go
@@ -47,14 +47,14 @@
 		return err == nil && (status.State != "leader" || strings.Contains(processLog(cluster.servers["st-2"].proc), "the call was for another steward"))
 	})
 
-	requireTwinEnds(t, cluster, names)
+	requireDuplicateNameExits(t, cluster, names)
 
-	stranger := cluster.startTwin("st-3", "stranger", func(text string) string { return strings.Replace(text, `name = "st-3"`, `name = "st-9"`, 1) })
+	unknown := cluster.startWithChangedConfig("st-3", "stranger", func(text string) string { return strings.Replace(text, `name = "st-3"`, `name = "st-9"`, 1) })
 	cluster.waitUntil("gossip of an unknown name is rejected", func() bool { return cluster.metric("st-2", "steward_gossip_refused_total") > 0 })
 	if view := cluster.waitForView("st-2"); view.State("st-9") != "" {
 		t.Errorf("st-9, which no table names, is %q", view.State("st-9"))
 	}
-	killProcess(stranger)
+	killProcess(unknown)
 	cluster.waitForState("st-2", member.Present, "st-3")
 	entry, err := cluster.client("st-2").Server(t.Context(), "s-9", true)
 	var rejected *control.HTTPError
@@ -63,14 +63,14 @@
 	}
 }
 
-// requireTwinEnds starts a second process with the name st-3, another data folder and other addresses.
+// requireDuplicateNameExits starts a second process with the name st-3, another data folder and other addresses.
 // It requires that the second process ends with a line that says why, that a server of those named logs
 // the second process, and that the first process stays a voter.
-func requireTwinEnds(t *testing.T, cluster *testCluster, names []string) {
+func requireDuplicateNameExits(t *testing.T, cluster *testCluster, names []string) {
 	t.Helper()
-	twin := cluster.startTwin("st-3", "twin", nil)
-	waitForEnd(t, twin, twin.Ended())
-	if log := processLog(twin); !strings.Contains(log, "controlplane: name: taken: another process is called st-3, and is there") {
+	duplicate := cluster.startWithChangedConfig("st-3", "twin", nil)
+	waitForEnd(t, duplicate, duplicate.Ended())
+	if log := processLog(duplicate); !strings.Contains(log, "controlplane: name: taken: another process is called st-3, and is there") {
 		t.Errorf("the second process wrote %q", log)
 	}
 	reported := false
@@ -109,17 +109,17 @@
 	}
 }
 
-// startTwin starts another process with the configuration of a server, but a data folder and addresses
-// of its own. Its files are named by as. If change is not nil, startTwin gives change the configuration and
+// startWithChangedConfig starts another process with the configuration of a server, but a data folder and addresses
+// of its own. Its files are named by fileName. If change is not nil, startWithChangedConfig gives change the configuration and
 // starts the process with the one that change returns.
-func (cluster *testCluster) startTwin(name, as string, change func(config string) string) *process.Process {
+func (cluster *testCluster) startWithChangedConfig(name, fileName string, change func(config string) string) *process.Process {
 	cluster.t.Helper()
 	text, err := os.ReadFile(cluster.configPath(name))
 	if err != nil {
 		cluster.t.Fatal(err)
 	}
 	server := cluster.servers[name]
-	config := strings.Replace(string(text), fmt.Sprintf("data = %q", cluster.dataDir(name)), fmt.Sprintf("data = %q", cluster.dataDir(as)), 1)
+	config := strings.Replace(string(text), fmt.Sprintf("data = %q", cluster.dataDir(name)), fmt.Sprintf("data = %q", cluster.dataDir(fileName)), 1)
 	for _, setting := range []struct{ key, addr string }{{"listen", server.http}, {"\nraft", server.raft}, {"\ngossip", server.gossip}} {
 		addr, err := cluster.addrs.FreePort()
 		if err != nil {
@@ -130,13 +130,13 @@
 	if change != nil {
 		config = change(config)
 	}
-	configPath := cluster.configPath(as)
+	configPath := cluster.configPath(fileName)
 	if err := os.WriteFile(configPath, []byte(config), 0o600); err != nil {
 		cluster.t.Fatal(err)
 	}
-	twin := cluster.supervisor.Add(server.proc.Spec)
-	twin.Name = name + " as " + as
-	twin.Args, twin.Log = []string{"serve", "--config", configPath}, filepath.Join(cluster.dir, as+".log")
-	startProcess(cluster.t, twin)
-	return twin
+	proc := cluster.supervisor.Add(server.proc.Spec)
+	proc.Name = name + " as " + fileName
+	proc.Args, proc.Log = []string{"serve", "--config", configPath}, filepath.Join(cluster.dir, fileName+".log")
+	startProcess(cluster.t, proc)
+	return proc
 }
--- a/cmd/controlplane/mixedtransfers_test.go
+++ b/cmd/controlplane/mixedtransfers_test.go
@@ -15,8 +15,8 @@
 const (
 	// transferTask is transferred between two processes, whose sessions are renewed.
 	transferTask = "job.transferred"
-	// crashTask kills its holders: their sessions are not renewed after the grant.
-	crashTask = "crash.holders"
+	// unrenewedTask kills its holders: their sessions are not renewed after the grant.
+	unrenewedTask = "crash.holders"
 	// mixedRenewInterval is the interval of the renewals of the sessions that stay.
 	mixedRenewInterval = 200 * time.Millisecond
 )
@@ -70,8 +70,8 @@
 	})
 }
 
-// declineTransfer names a successor that never accepts, and waits until the leader cancels that.
-func (m *mixedCluster) declineTransfer(through string) {
+// letTransferExpire names a successor that never accepts, and waits until the leader cancels that.
+func (m *mixedCluster) letTransferExpire(through string) {
 	m.t.Helper()
 	task := m.waitForTask(transferTask, "is held", func(task *catalog.LeasedTask) bool { return task.Holder != "" && task.Successor == "" })
 	successor := map[string]string{"w-1": "w-2", "w-2": "w-1"}[task.Holder]
@@ -83,27 +83,27 @@
 	})
 }
 
-// killHolders has three holders of a task die soon after the grant, and waits until it is suspended. Then
+// expireHolders has three holders of a task die soon after the grant, and waits until it is suspended. Then
 // an operator resumes it.
-func (m *mixedCluster) killHolders(phase, through string) {
+func (m *mixedCluster) expireHolders(phase, through string) {
 	m.t.Helper()
-	for death := 0; ; death++ {
-		process := fmt.Sprintf("%s-dies-%d", phase, death)
+	for holder := 0; ; holder++ {
+		process := fmt.Sprintf("%s-dies-%d", phase, holder)
 		m.retryThrough(through, "session of "+process, func(ctx context.Context, c *control.Client) error {
 			return c.OpenSession(ctx, catalog.Session{Process: process, ID: process, TaskKinds: []string{"crash"}, MaxTasks: 1})
 		})
-		task := m.waitForTask(crashTask, "is held or suspended", func(task *catalog.LeasedTask) bool {
+		task := m.waitForTask(unrenewedTask, "is held or suspended", func(task *catalog.LeasedTask) bool {
 			return task.Holder != "" || task.SuspendReason != ""
 		})
 		if task.SuspendReason == "" {
-			task = m.waitForTask(crashTask, "is free again", func(task *catalog.LeasedTask) bool { return task.Holder == "" })
+			task = m.waitForTask(unrenewedTask, "is free again", func(task *catalog.LeasedTask) bool { return task.Holder == "" })
 		}
 		if task.SuspendReason != "" {
 			break
 		}
 	}
 	m.retryThrough(through, "resumption", func(ctx context.Context, c *control.Client) error {
-		return c.CommandTask(ctx, crashTask, control.CommandResume, "", "")
+		return c.CommandTask(ctx, unrenewedTask, control.CommandResume, "", "")
 	})
 }
 
@@ -112,9 +112,9 @@
 // server is killed and started again as the other build. The states of all servers are equal after each
 // part, byte for byte.
 func TestMixedQuorumTransfers(t *testing.T) {
-	old, present := builds(t)
+	old, current := builds(t)
 	cluster := newUnstartedCluster(t, 3)
-	m := &mixedCluster{testCluster: cluster, builds: map[string]build{"st-1": old, "st-2": old, "st-3": present}, acknowledged: map[string]float64{}}
+	m := &mixedCluster{testCluster: cluster, builds: map[string]build{"st-1": old, "st-2": old, "st-3": current}, acknowledged: map[string]float64{}}
 	for _, name := range cluster.names {
 		cluster.configure(name, cluster.names)
 		proc := cluster.servers[name].proc
@@ -127,22 +127,22 @@
 		})
 	}
 	m.renewSessions("w-1", "w-2")
-	for task, ttl := range map[string]time.Duration{transferTask: mixedTTL, crashTask: catalog.MinTTL} {
+	for task, ttl := range map[string]time.Duration{transferTask: mixedTTL, unrenewedTask: catalog.MinTTL} {
 		m.retryThrough("st-3", "definition of "+task, func(ctx context.Context, c *control.Client) error {
 			return c.DefineTask(ctx, task, control.TaskDefinition{TTLMs: ttl.Milliseconds()})
 		})
 	}
-	for phase, swapped := range []map[string]build{{}, {"st-1": present, "st-2": present, "st-3": old}} {
+	for phase, swapped := range []map[string]build{{}, {"st-1": current, "st-2": current, "st-3": old}} {
 		for _, name := range slices.Sorted(maps.Keys(swapped)) {
 			cluster.kill(name)
 			m.builds[name] = swapped[name]
 			cluster.startBuild(name, m.builds[name])
 		}
-		m.electOneOf("st-1", "st-2") // of the old build first, then of the present one
+		m.electOneOf("st-1", "st-2") // of the old build first, then of the current one
 		m.transfer("st-3")
 		m.transfer("st-1")
-		m.declineTransfer("st-2")
-		m.killHolders(fmt.Sprint("phase-", phase), "st-3")
+		m.letTransferExpire("st-2")
+		m.expireHolders(fmt.Sprint("phase-", phase), "st-3")
 		m.waitForEqualStates()
 	}
 }
--- a/cmd/controlplane/mixedversions_test.go
+++ b/cmd/controlplane/mixedversions_test.go
@@ -21,19 +21,19 @@
 	env        []string
 }
 
-// otherBuild names the environment variable with the path of another build's program, which
+// otherBuildVariable names the environment variable with the path of another build's program, which
 // TestMixedQuorum runs beside this one. Without it this build stands for both.
-const otherBuild = "OTHER_CONTROLPLANE"
+const otherBuildVariable = "OTHER_CONTROLPLANE"
 
-// builds returns the build that otherBuild names and the one of this test; without otherBuild, this one twice.
-func builds(t *testing.T) (old, present build) {
+// builds returns the build that otherBuildVariable names and the one of this test; without otherBuildVariable, this one twice.
+func builds(t *testing.T) (old, current build) {
 	t.Helper()
-	present = build{"present", executable(t), []string{serverChild + "=1"}}
-	old = present
-	if path := os.Getenv(otherBuild); path != "" {
+	current = build{"present", executable(t), []string{serverChild + "=1"}}
+	old = current
+	if path := os.Getenv(otherBuildVariable); path != "" {
 		old = build{"old", path, nil}
 	}
-	return old, present
+	return old, current
 }
 
 // startBuild starts a server that doesn't run, with the program of a build, and waits until it is part
@@ -107,8 +107,8 @@
 		}
 		first := fmt.Sprintf("%s-%d-0", phase, i)
 		m.retryThrough(name, "override", func(ctx context.Context, c *control.Client) error {
-			health, share := "draining", 0.5
-			_, err := c.SetOverride(ctx, first, control.ServerOverride{Health: &health, Weight: &share})
+			health, weight := "draining", 0.5
+			_, err := c.SetOverride(ctx, first, control.ServerOverride{Health: &health, Weight: &weight})
 			return err
 		})
 		m.retryThrough(name, "renewal of leases", func(ctx context.Context, c *control.Client) error {
@@ -197,10 +197,10 @@
 // folder with the other build. Writes and reads go through all of them; servers, leases, the
 // leased task with its fence and the versions that a watch sees stay.
 func TestMixedQuorum(t *testing.T) {
-	old, present := builds(t)
+	old, current := builds(t)
 	cluster := newGossipCluster(t, 3, "")
 	cluster.extraConfig = "heartbeat = \"300ms\"\nlease_ttl = \"10m\"\nsnapshot_every = 16\nsnapshot_check = \"200ms\"\n"
-	m := &mixedCluster{testCluster: cluster, builds: map[string]build{"st-1": old, "st-2": old, "st-3": present}, acknowledged: map[string]float64{}}
+	m := &mixedCluster{testCluster: cluster, builds: map[string]build{"st-1": old, "st-2": old, "st-3": current}, acknowledged: map[string]float64{}}
 	for _, name := range cluster.names {
 		cluster.configure(name, cluster.names)
 		proc := cluster.servers[name].proc
@@ -225,7 +225,7 @@
 	m.writeThroughAll("one")
 	m.verifyReads()
 
-	swapped := map[string]build{"st-1": present, "st-2": present, "st-3": old}
+	swapped := map[string]build{"st-1": current, "st-2": current, "st-3": old}
 	for _, name := range slices.Sorted(maps.Keys(swapped)) {
 		cluster.shutDown(name)
 		m.register("while-"+name+"-is-away", 1000, cluster.others(name)...)
--- a/cmd/controlplane/registrations_test.go
+++ b/cmd/controlplane/registrations_test.go
@@ -44,16 +44,16 @@
 
 // register sends a registration to the servers of the cluster named, or to all, until one of them
 // acknowledges it. It fails the test if none does within waitTimeout.
-func (cluster *testCluster) register(name string, startedMs float64, at ...string) catalog.Result {
+func (cluster *testCluster) register(name string, startedMs float64, servers ...string) catalog.Result {
 	cluster.t.Helper()
-	if len(at) == 0 {
-		at = cluster.names
+	if len(servers) == 0 {
+		servers = cluster.names
 	}
 	var result catalog.Result
 	var err error
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(retryInterval) {
 		ctx, cancel := context.WithTimeout(cluster.t.Context(), writeTimeout)
-		result, err = cluster.client(at...).Register(ctx, newEndpoint(name, startedMs))
+		result, err = cluster.client(servers...).Register(ctx, newEndpoint(name, startedMs))
 		cancel()
 		if err == nil {
 			return result
--- a/cmd/controlplane/services_test.go
+++ b/cmd/controlplane/services_test.go
@@ -187,9 +187,9 @@
 		}
 		scope := []string{fmt.Sprint("service-", rng.IntN(services)), fmt.Sprint("service-", rng.IntN(services))}
 		slices.Sort(scope)
-		at := slices.Clone(cluster.names)
-		rng.Shuffle(len(at), func(i, j int) { at[i], at[j] = at[j], at[i] })
-		all = append(all, cluster.watchServices(slices.Compact(scope), at...))
+		servers := slices.Clone(cluster.names)
+		rng.Shuffle(len(servers), func(i, j int) { servers[i], servers[j] = servers[j], servers[i] })
+		all = append(all, cluster.watchServices(slices.Compact(scope), servers...))
 	}
 	survivors := cluster.others(oldLeader)
 	for i := range 12 {
@@ -282,12 +282,12 @@
 	cluster.restartAll(nil)
 	sizes := map[string]int{"fails": 8, "stands": 30, "one": 1}
 	var mu sync.Mutex
-	silent := map[string]bool{}
+	stopped := map[string]bool{}
 	stopRenewing := func(names ...string) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, name := range names {
-			silent[name] = true
+			stopped[name] = true
 		}
 	}
 	cluster.renewAll(200*time.Millisecond, func() (refs []catalog.InstanceRef) {
@@ -295,7 +295,7 @@
 		defer mu.Unlock()
 		for service, size := range sizes {
 			for i := range size {
-				if name := fmt.Sprintf("%s-%d", service, i); !silent[name] {
+				if name := fmt.Sprintf("%s-%d", service, i); !stopped[name] {
 					refs = append(refs, catalog.InstanceRef{Name: name, StartedMs: 1})
 				}
 			}
--- a/cmd/controlplane/servicescale_test.go
+++ b/cmd/controlplane/servicescale_test.go
@@ -44,35 +44,35 @@
 	if list := cluster.fullList(cluster.names[0], "service=large"); len(list.Endpoints) != large {
 		t.Fatalf("%d servers of the large service are listed, want %d", len(list.Endpoints), large)
 	}
-	big, little := cluster.watchServices([]string{"large"}, cluster.names...), cluster.watchServices([]string{"small"}, cluster.names...)
-	cluster.waitUntil("both watches have their first lists", func() bool { return big.size() == large && little.size() == small })
-	_, bigFirst, _ := big.received()
-	_, littleFirst, _ := little.received()
-	if littleFirst > 200*small || bigFirst < 100*large {
-		t.Errorf("the first lists were of %d and %d bytes", bigFirst, littleFirst)
+	largeWatch, smallWatch := cluster.watchServices([]string{"large"}, cluster.names...), cluster.watchServices([]string{"small"}, cluster.names...)
+	cluster.waitUntil("both watches have their first lists", func() bool { return largeWatch.size() == large && smallWatch.size() == small })
+	_, largeFirstBytes, _ := largeWatch.received()
+	_, smallFirstBytes, _ := smallWatch.received()
+	if smallFirstBytes > 200*small || largeFirstBytes < 100*large {
+		t.Errorf("the first lists were of %d and %d bytes", largeFirstBytes, smallFirstBytes)
 	}
 	var version int64
 	for i := range changes {
 		version = cluster.registerInService("large", fmt.Sprint("large-", i), 2).Seq
 	}
-	cluster.waitUntil("the large watch has received the changes", func() bool { _, _, at := big.received(); return at >= version })
-	lists, bytes, _ := big.received()
-	if lists > 1+changes || bytes-bigFirst > 250*changes {
-		t.Errorf("%d changes were sent as %d lists and %d bytes", changes, lists-1, bytes-bigFirst)
+	cluster.waitUntil("the large watch has received the changes", func() bool { _, _, receivedVersion := largeWatch.received(); return receivedVersion >= version })
+	lists, bytes, _ := largeWatch.received()
+	if lists > 1+changes || bytes-largeFirstBytes > 250*changes {
+		t.Errorf("%d changes were sent as %d lists and %d bytes", changes, lists-1, bytes-largeFirstBytes)
 	}
-	if lists, bytes, _ := little.received(); lists != 1 || bytes != littleFirst {
-		t.Errorf("the watch of the small service received %d lists and %d bytes more", lists-1, bytes-littleFirst)
+	if lists, bytes, _ := smallWatch.received(); lists != 1 || bytes != smallFirstBytes {
+		t.Errorf("the watch of the small service received %d lists and %d bytes more", lists-1, bytes-smallFirstBytes)
 	}
 	// A watch whose services have not changed resumes at its version, however many versions ago that is.
-	_, _, at := little.received()
-	resumed := cluster.watchServicesFrom(at, []string{"small"}, cluster.names...)
+	_, _, receivedVersion := smallWatch.received()
+	resumed := cluster.watchServicesFrom(receivedVersion, []string{"small"}, cluster.names...)
 	cluster.waitUntil("the watch resumes", func() bool { n, _, _ := resumed.received(); return n > 0 })
 	first := resumed.list(0)
 	if first.Full || len(first.Endpoints) != 0 || first.Seq < version {
 		t.Errorf("the resumed watch received %+v, want a list without entries at version %d or later", first, version)
 	}
-	big.stopAndVerify(t)
-	little.stopAndVerify(t)
+	largeWatch.stopAndVerify(t)
+	smallWatch.stopAndVerify(t)
 	resumed.stopAndVerify(t)
 }
 
--- a/cmd/controlplane/servicewatch_test.go
+++ b/cmd/controlplane/servicewatch_test.go
@@ -40,16 +40,16 @@
 }
 
 // watchServices starts a watch that begins at the first server named.
-func (cluster *testCluster) watchServices(services []string, at ...string) *serviceWatch {
-	return cluster.watchServicesFrom(0, services, at...)
+func (cluster *testCluster) watchServices(services []string, servers ...string) *serviceWatch {
+	return cluster.watchServicesFrom(0, services, servers...)
 }
 
 // watchServicesFrom starts a watch whose reader has a version already.
-func (cluster *testCluster) watchServicesFrom(since int64, services []string, at ...string) *serviceWatch {
+func (cluster *testCluster) watchServicesFrom(since int64, services []string, servers ...string) *serviceWatch {
 	ctx, cancel := context.WithCancel(cluster.t.Context())
 	watch := &serviceWatch{services: services, stop: cancel, done: make(chan struct{}), version: since, entries: map[string]endpoints.Endpoint{}}
 	var addrs []string
-	for _, name := range at {
+	for _, name := range servers {
 		addrs = append(addrs, cluster.servers[name].http)
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -114,7 +114,7 @@
 // apply applies a line, and reports whether the reader goes on with the call. Servers without a quorum
 // serve the list that they have, if none is better, so a reader leaves a server whose first list is older
 // than its own. Later versions of a call must never decrease.
-func (w *serviceWatch) apply(line []byte, first bool) (goOn bool) {
+func (w *serviceWatch) apply(line []byte, first bool) (keepReading bool) {
 	list, err := endpoints.Parse(line)
 	if err != nil {
 		w.recordViolation("%.200q: %v", line, err)
@@ -200,26 +200,26 @@
 
 // registerInService sends a registration to the servers of the cluster named, or to all, until one of them
 // acknowledges it. It fails the test if none does within waitTimeout.
-func (cluster *testCluster) registerInService(service, name string, startedMs float64, at ...string) catalog.Result {
+func (cluster *testCluster) registerInService(service, name string, startedMs float64, servers ...string) catalog.Result {
 	cluster.t.Helper()
-	if len(at) == 0 {
-		at = cluster.names
+	if len(servers) == 0 {
+		servers = cluster.names
 	}
 	var result catalog.Result
 	cluster.waitUntil(name+" is registered", func() bool {
 		ctx, cancel := context.WithTimeout(cluster.t.Context(), writeTimeout)
 		defer cancel()
 		var err error
-		result, err = cluster.client(at...).Register(ctx, newServiceEndpoint(service, name, startedMs))
+		result, err = cluster.client(servers...).Register(ctx, newServiceEndpoint(service, name, startedMs))
 		return err == nil
 	})
 	return result
 }
 
 // get makes one GET call to a server and reads its answer. It fails the test if the server doesn't answer.
-func (cluster *testCluster) get(at, path string) (status int, header http.Header, text []byte) {
+func (cluster *testCluster) get(server, path string) (status int, header http.Header, text []byte) {
 	cluster.t.Helper()
-	resp, err := http.Get("http://" + cluster.servers[at].http + path)
+	resp, err := http.Get("http://" + cluster.servers[server].http + path)
 	if err != nil {
 		cluster.t.Fatal(err)
 	}
@@ -232,11 +232,11 @@
 
 // fullList waits until a server serves the list that a query names, and returns the list. It fails the test
 // if the answer is no full list or doesn't tell its scope, or after waitTimeout.
-func (cluster *testCluster) fullList(at, query string) endpoints.List {
+func (cluster *testCluster) fullList(server, query string) endpoints.List {
 	cluster.t.Helper()
 	var list endpoints.List
-	cluster.waitUntil(at+" serves a list", func() bool {
-		status, header, text := cluster.get(at, endpoints.Path+"?"+query)
+	cluster.waitUntil(server+" serves a list", func() bool {
+		status, header, text := cluster.get(server, endpoints.Path+"?"+query)
 		if status != http.StatusOK {
 			return false
 		}
--- a/cmd/controlplane/syscallfaults_test.go
+++ b/cmd/controlplane/syscallfaults_test.go
@@ -54,11 +54,11 @@
 	}
 }
 
-// writeFor registers servers for a duration, with start times from a number on, and adds the start time of
+// writeFor registers servers for a duration, with start times from firstStartedMs on, and adds the start time of
 // each acknowledged registration to the map by its name.
-func (faulty *faultyCluster) writeFor(duration time.Duration, from int, acknowledged map[string]float64) {
+func (faulty *faultyCluster) writeFor(duration time.Duration, firstStartedMs int, acknowledged map[string]float64) {
 	faulty.t.Helper()
-	for i, end := from, time.Now().Add(duration); time.Now().Before(end); i++ {
+	for i, end := firstStartedMs, time.Now().Add(duration); time.Now().Before(end); i++ {
 		name := fmt.Sprint("server-", i%50)
 		ctx, cancel := context.WithTimeout(faulty.t.Context(), time.Second)
 		_, err := faulty.client(faulty.names...).Register(ctx, newEndpoint(name, float64(i)))
@@ -115,13 +115,13 @@
 	cluster.startFault()
 	cluster.writeFor(2*time.Second, 100_000, acknowledged)
 	proc := cluster.servers[cluster.victim].proc
-	from := 150_000 // above all start times that two seconds of writes reach
+	nextStartedMs := 150_000 // above all start times that two seconds of writes reach
 	cluster.waitUntil("the disk has failed", func() bool {
 		if loggedDiskError(processLog(proc)) {
 			return true
 		}
-		cluster.writeFor(diskErrorPollInterval, from, acknowledged)
-		from += 1000 // more than the writes of one interval
+		cluster.writeFor(diskErrorPollInterval, nextStartedMs, acknowledged)
+		nextStartedMs += 1000 // more than the writes of one interval
 		return false
 	})
 	if killed {
--- a/cmd/controlplane/tasks_test.go
+++ b/cmd/controlplane/tasks_test.go
@@ -18,8 +18,8 @@
 
 const (
 	taskTTL = 1500 * time.Millisecond
-	// stableTerm is how long a process must hold a task before its end is not blamed on the task.
-	stableTerm = 2500 * time.Millisecond
+	// minStableTerm is how long a process must hold a task before its end is not blamed on the task.
+	minStableTerm = 2500 * time.Millisecond
 )
 
 // taskFault is what happens to the holder of a task, or to the servers that grant it.
@@ -28,8 +28,8 @@
 	// inject begins the fault, given the holder, and returns what ends it. A fault that ends by itself
 	// returns nil.
 	inject func(holder string) (end func())
-	// mayStay is set if the same process may hold the task afterwards.
-	mayStay bool
+	// mayKeepTask is set if the same process may hold the task afterwards.
+	mayKeepTask bool
 	// suspends is set if the holder stands still: it may then send an operation too late.
 	suspends bool
 }
@@ -47,14 +47,14 @@
 		began := monotonicNow(t)
 		rejected := workers.operations.Analyze().Rejected
 		end := fault.inject(holder)
-		exceptProcess := holder
-		if fault.mayStay {
-			exceptProcess = ""
+		excludedProcess := holder
+		if fault.mayKeepTask {
+			excludedProcess = ""
 		}
-		operation := workers.waitForOperation("work.a", exceptProcess, max(monotonicNow(t), began))
+		operation := workers.waitForOperation("work.a", excludedProcess, max(monotonicNow(t), began))
 		t.Logf("%s: %s, then %s under fencing token %d after %v", fault.name, holder, operation.Process, operation.Fence, (operation.Mono - began).Round(time.Millisecond))
 		// The former holder has time to send another operation, if it wrongly still does.
-		workers.waitForOperation("work.a", exceptProcess, operation.Mono+300*time.Millisecond)
+		workers.waitForOperation("work.a", excludedProcess, operation.Mono+300*time.Millisecond)
 		if n := workers.operations.Analyze().Rejected - rejected; n > 0 && !fault.suspends {
 			t.Errorf("%s: %d operations were rejected for their fencing token: the former holder went on after its term", fault.name, n)
 		}
@@ -69,7 +69,7 @@
 	}
 }
 
-// waitForStableHolder waits until one process has held a task for stableTerm, and returns its name.
+// waitForStableHolder waits until one process has held a task for minStableTerm, and returns its name.
 func waitForStableHolder(workers *workerGroup, task string) string {
 	workers.cluster.t.Helper()
 	firstSeen := map[int64]time.Duration{} // by fencing token
@@ -79,7 +79,7 @@
 		if firstSeen[operation.Fence] == 0 {
 			firstSeen[operation.Fence] = operation.Mono
 		}
-		return operation.Mono-firstSeen[operation.Fence] > stableTerm
+		return operation.Mono-firstSeen[operation.Fence] > minStableTerm
 	})
 	return operation.Process
 }
@@ -100,27 +100,27 @@
 			workers.kill(holder)
 			return func() { workers.start(holder) }
 		}},
-		{name: "suspended for half its TTL", inject: suspendFor(taskTTL / 2), mayStay: true, suspends: true},
-		{name: "suspended for its TTL", inject: suspendFor(taskTTL), mayStay: true, suspends: true},
+		{name: "suspended for half its TTL", inject: suspendFor(taskTTL / 2), mayKeepTask: true, suspends: true},
+		{name: "suspended for its TTL", inject: suspendFor(taskTTL), mayKeepTask: true, suspends: true},
 		{name: "suspended for three times its TTL", inject: suspendFor(3 * taskTTL), suspends: true},
 		{name: "cut off from the servers", inject: cutLinks(true, true)},
-		{name: "cut off from the servers' answers", inject: cutLinks(false, true), mayStay: true},
+		{name: "cut off from the servers' answers", inject: cutLinks(false, true), mayKeepTask: true},
 		{name: "its calls cut off", inject: cutLinks(true, false)},
 		{name: "shut down", inject: func(holder string) func() {
 			workers.shutDown(holder)
 			return func() { workers.start(holder) }
 		}},
-		{name: "the leader killed", mayStay: true, inject: func(string) func() {
+		{name: "the leader killed", mayKeepTask: true, inject: func(string) func() {
 			leader := cluster.waitForLeader()
 			cluster.kill(leader)
 			return func() { cluster.start(leader) }
 		}},
-		{name: "all servers restarted", mayStay: true, inject: func(string) func() {
+		{name: "all servers restarted", mayKeepTask: true, inject: func(string) func() {
 			cluster.restartAll(nil)
 			cluster.waitForLeader()
 			return nil
 		}},
-		{name: "revoked", mayStay: true, inject: func(string) func() {
+		{name: "revoked", mayKeepTask: true, inject: func(string) func() {
 			_ = workers.commandTask("work.a", "revoke", "")
 			return nil
 		}},
@@ -128,7 +128,7 @@
 			cluster.waitUntil("the move is accepted", func() bool { return workers.commandTask("work.a", "move", "") == nil })
 			return nil
 		}},
-		{name: "the holder's server lost, another reachable", mayStay: true, inject: func(holder string) func() {
+		{name: "the holder's server lost, another reachable", mayKeepTask: true, inject: func(holder string) func() {
 			nearest := workers.links[holder][0]
 			_ = nearest.Refuse()
 			return func() {
@@ -165,13 +165,13 @@
 		unready = workers.names[1]
 	}
 	workers.suspend(unready)
-	requireMoveIsGivenUp(t, workers, operation, unready)
+	requireMoveIsCanceled(t, workers, operation, unready)
 	workers.resume(unready)
 	workers.kill(unready)
-	requireMoveIsGivenUp(t, workers, operation, unready)
+	requireMoveIsCanceled(t, workers, operation, unready)
 	workers.start(unready)
 
-	requireTwinWorkerIsRejected(t, workers, operation.Process)
+	requireDuplicateWorkerIsRejected(t, workers, operation.Process)
 	workers.defineTask("fail.a", taskTTL)
 	cluster.waitUntil("fail.a has failed at several processes and is backed off", func() bool {
 		task, err := cluster.client(cluster.names...).Task(t.Context(), "fail.a")
@@ -208,9 +208,9 @@
 	return operation
 }
 
-// requireMoveIsGivenUp moves work.a to a process that is not ready, and requires that the task stays in
+// requireMoveIsCanceled moves work.a to a process that is not ready, and requires that the task stays in
 // the term of an earlier operation.
-func requireMoveIsGivenUp(t *testing.T, workers *workerGroup, earlier check.Operation, unready string) {
+func requireMoveIsCanceled(t *testing.T, workers *workerGroup, earlier check.Operation, unready string) {
 	t.Helper()
 	cluster := workers.cluster
 	if err := workers.commandTask("work.a", "move", unready); err != nil {
@@ -225,20 +225,20 @@
 	}
 }
 
-// requireTwinWorkerIsRejected starts a second process with the name of the holder of work.a. It waits until
+// requireDuplicateWorkerIsRejected starts a second process with the name of the holder of work.a. It waits until
 // the second process logs that the first one has the name, and until another process holds work.a after
 // both are killed. It starts the holder again.
-func requireTwinWorkerIsRejected(t *testing.T, workers *workerGroup, holder string) {
+func requireDuplicateWorkerIsRejected(t *testing.T, workers *workerGroup, holder string) {
 	t.Helper()
 	cluster := workers.cluster
-	twin := cluster.supervisor.Add(workers.processes[holder].Spec)
-	twin.Log = filepath.Join(cluster.dir, "twin.log")
-	startProcess(t, twin)
+	duplicate := cluster.supervisor.Add(workers.processes[holder].Spec)
+	duplicate.Log = filepath.Join(cluster.dir, "twin.log")
+	startProcess(t, duplicate)
 	cluster.waitUntil("the second process of the name reports the first", func() bool {
-		return strings.Contains(processLog(twin), "process name already in use, waiting for the other session to end")
+		return strings.Contains(processLog(duplicate), "process name already in use, waiting for the other session to end")
 	})
 	workers.kill(holder)
-	twin.Kill()
+	duplicate.Kill()
 	workers.waitForOperation("work.a", holder, monotonicNow(t))
 	workers.start(holder)
 }
@@ -247,8 +247,8 @@
 // does, no task changes its holder.
 func TestTasksAreBalanced(t *testing.T) {
 	const (
-		n          = 300
-		restPeriod = 3 * time.Second
+		n            = 300
+		stablePeriod = 3 * time.Second
 	)
 	cluster := newCluster(t, 3)
 	workers := cluster.startWorkers(3, 1000)
@@ -282,7 +282,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(restPeriod)
+	time.Sleep(stablePeriod)
 	after, err := cluster.client(cluster.names...).Tasks(t.Context())
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/controlplane/taskschedules_test.go
+++ b/cmd/controlplane/taskschedules_test.go
@@ -68,10 +68,10 @@
 	cluster := newCluster(t, 3)
 	workers := cluster.startWorkers(3, 10, 0.95, 1.05, 1)
 	for i := range scheduledTasks {
-		workers.defineTask(scheduledTask(i), time.Second)
+		workers.defineTask(scheduledTaskName(i), time.Second)
 	}
 	for i := range scheduledTasks {
-		workers.waitForOperation(scheduledTask(i), "", 0)
+		workers.waitForOperation(scheduledTaskName(i), "", 0)
 	}
 	for range scheduledFaults {
 		workers.injectFault(rng)
@@ -79,12 +79,12 @@
 	}
 	// A task may have been blamed for the ends of its holders, and suspended.
 	for i := range scheduledTasks {
-		name := scheduledTask(i)
+		name := scheduledTaskName(i)
 		cluster.waitUntil(name+" is not suspended", func() bool { return workers.commandTask(name, "unpark", "") == nil })
 	}
 	now := monotonicNow(t)
 	for i := range scheduledTasks {
-		workers.waitForOperation(scheduledTask(i), "", now)
+		workers.waitForOperation(scheduledTaskName(i), "", now)
 	}
 	workers.requireNoOverlap()
 	result := workers.operations.Analyze()
@@ -92,8 +92,8 @@
 	return result
 }
 
-// scheduledTask returns the name of a task of a schedule.
-func scheduledTask(i int) string { return fmt.Sprint("work.", i) }
+// scheduledTaskName returns the name of a task of a schedule.
+func scheduledTaskName(i int) string { return fmt.Sprint("work.", i) }
 
 // injectFault injects one random fault into a worker, a task or a server, and ends it.
 func (workers *workerGroup) injectFault(rng *rand.Rand) {
@@ -114,7 +114,7 @@
 		time.Sleep(duration)
 		workers.cutLinks(worker, false, false)
 	case 6:
-		_ = workers.commandTask(scheduledTask(rng.IntN(scheduledTasks)), []string{"move", "revoke"}[rng.IntN(2)], "")
+		_ = workers.commandTask(scheduledTaskName(rng.IntN(scheduledTasks)), []string{"move", "revoke"}[rng.IntN(2)], "")
 	case 7:
 		workers.shutDown(worker)
 		workers.start(worker)
@@ -133,9 +133,9 @@
 // fault it pauses between minFaultPause and maxPause.
 func (cluster *testCluster) injectFaults(rng *rand.Rand, count int, maxPause time.Duration, isLongEnough func() bool) {
 	cluster.t.Helper()
-	spread := int((maxPause - minFaultPause).Milliseconds())
+	pauseRangeMs := int((maxPause - minFaultPause).Milliseconds())
 	for injected := 0; injected < count || injected < maxHistoryFaults && !isLongEnough(); injected++ {
-		time.Sleep(minFaultPause + time.Duration(rng.IntN(spread))*time.Millisecond)
+		time.Sleep(minFaultPause + time.Duration(rng.IntN(pauseRangeMs))*time.Millisecond)
 		cluster.injectFault(rng)
 	}
 }
--- a/cmd/controlplane/watches_test.go
+++ b/cmd/controlplane/watches_test.go
@@ -280,14 +280,14 @@
 }
 
 // requireStale waits until a server reports that it lags and has no watches left. It requires that the
-// server serves no list and, if hearsLeader is set, that the server reports a recent contact with the leader.
-func requireStale(t *testing.T, cluster *testCluster, lagging string, hearsLeader bool) {
+// server serves no list and, if wantLeaderContact is set, that the server reports a recent contact with the leader.
+func requireStale(t *testing.T, cluster *testCluster, lagging string, wantLeaderContact bool) {
 	t.Helper()
 	cluster.waitUntil(lagging+" is stale and has no watches", func() bool {
 		status, err := cluster.status(lagging)
 		return err == nil && status.Stale && status.Watches == 0
 	})
-	if hearsLeader {
+	if wantLeaderContact {
 		if status, err := cluster.status(lagging); err != nil || status.SinceLeaderContactMs > 1000 || status.LagMs < 1000 {
 			t.Errorf("a server that hears the leader and lags reports %+v, %v", status, err)
 		}
@@ -316,13 +316,13 @@
 	for i := range n {
 		cluster.register(fmt.Sprint("s-", i), 1)
 	}
-	var silentServers atomic.Int64 // how many of the last servers have stopped renewing
-	cluster.renewAll(100*time.Millisecond, func() []catalog.InstanceRef { return instanceRefs(n - int(silentServers.Load())) })
+	var stoppedServers atomic.Int64 // how many of the last servers have stopped renewing
+	cluster.renewAll(100*time.Millisecond, func() []catalog.InstanceRef { return instanceRefs(n - int(stoppedServers.Load())) })
 	reader := cluster.startReader(cluster.names...)
 	for round := range 3 {
 		oldLeader := cluster.waitForLeader()
 		cluster.kill(oldLeader)
-		silentServers.Add(1)
+		stoppedServers.Add(1)
 		expiring := fmt.Sprint("s-", n-1-round)
 		registered := fmt.Sprint("round-", round)
 		cluster.register(registered, 1)
--- a/cmd/controlplane/watchreader_test.go
+++ b/cmd/controlplane/watchreader_test.go
@@ -32,13 +32,13 @@
 }
 
 // startReader starts a reader whose first watch is at the first of the servers named.
-func (cluster *testCluster) startReader(at ...string) *watchReader {
+func (cluster *testCluster) startReader(servers ...string) *watchReader {
 	ctx, cancel := context.WithCancel(cluster.t.Context())
 	reader := newWatchReader()
 	reader.stop, reader.done = cancel, make(chan struct{})
-	addrs := cluster.client(at...).Addrs
+	addrs := cluster.client(servers...).Addrs
 	// RejectOlder is not set: the reader takes lists of lower versions, to be able to report them.
-	client := endpoints.NewClient(endpoints.ClientConfig{Addresses: addrs, OrderSeed: orderBeginningAt(addrs), Fleet: 1})
+	client := endpoints.NewClient(endpoints.ClientConfig{Addresses: addrs, OrderSeed: orderSeedStartingAt(addrs), Fleet: 1})
 	go func() {
 		defer close(reader.done)
 		for ctx.Err() == nil {
@@ -50,15 +50,15 @@
 	return reader
 }
 
-// orderBeginningAt returns an order of the addresses that begins with the first of them.
-func orderBeginningAt(addrs []string) uint64 {
-	order := uint64(0)
-	for first := ""; first != addrs[0]; order++ {
-		selector := endpoints.NewAddressSelector(addrs, order+1, 1)
+// orderSeedStartingAt returns a seed for which the order of the addresses begins with the first of them.
+func orderSeedStartingAt(addrs []string) uint64 {
+	seed := uint64(0)
+	for first := ""; first != addrs[0]; seed++ {
+		selector := endpoints.NewAddressSelector(addrs, seed+1, 1)
 		selector.BeginRound()
 		first, _, _ = selector.Next(0, 0)
 	}
-	return order
+	return seed
 }
 
 // watch applies the lists of one watch, from the reader's version on, until the watch ends.
--- a/cmd/controlplane/workers_test.go
+++ b/cmd/controlplane/workers_test.go
@@ -182,13 +182,13 @@
 }
 
 // waitForOperation waits until the last operation under a task is later than a time on the monotonic clock
-// and not by exceptProcess, and returns the operation. It fails the test after waitTimeout.
-func (workers *workerGroup) waitForOperation(task, exceptProcess string, after time.Duration) check.Operation {
+// and not by excludedProcess, and returns the operation. It fails the test after waitTimeout.
+func (workers *workerGroup) waitForOperation(task, excludedProcess string, after time.Duration) check.Operation {
 	workers.cluster.t.Helper()
 	var operation check.Operation
-	workers.cluster.waitUntil(fmt.Sprintf("an operation under %s by another process than %q", task, exceptProcess), func() bool {
+	workers.cluster.waitUntil(fmt.Sprintf("an operation under %s by another process than %q", task, excludedProcess), func() bool {
 		operation = workers.operations.Last(task)
-		return operation.Process != "" && operation.Process != exceptProcess && operation.Mono > after
+		return operation.Process != "" && operation.Process != excludedProcess && operation.Mono > after
 	})
 	return operation
 }
--- a/cmd/controlplane/writer_test.go
+++ b/cmd/controlplane/writer_test.go
@@ -17,9 +17,9 @@
 	writerCallTimeout   = 1500 * time.Millisecond
 	// writerRejectionPause keeps a writer from flooding a server that rejects its writes at once.
 	writerRejectionPause = 5 * time.Millisecond
-	// writerNames is the number of names that a writer registers in turn. It is large, as a later write of a
+	// writerNameCount is the number of names that a writer registers in turn. It is large, as a later write of a
 	// name hides the loss of an earlier one.
-	writerNames = 3000
+	writerNameCount = 3000
 )
 
 // writer registers one server after the other and remembers what was acknowledged.
@@ -41,7 +41,7 @@
 		defer close(w.done)
 		for i := 0; ctx.Err() == nil; i++ {
 			client.Addrs = append(client.Addrs[1:], client.Addrs[0])
-			w.write(client, fmt.Sprintf("%s-%d", prefix, i%writerNames), float64(i))
+			w.write(client, fmt.Sprintf("%s-%d", prefix, i%writerNameCount), float64(i))
 		}
 	}()
 	return w
@@ -81,11 +81,11 @@
 
 // stopAndVerify stops the writer and requires that a consistent read through each of the servers named
 // has all that was acknowledged.
-func (w *writer) stopAndVerify(cluster *testCluster, at ...string) {
+func (w *writer) stopAndVerify(cluster *testCluster, servers ...string) {
 	cluster.t.Helper()
 	w.stop()
 	<-w.done
-	for _, name := range at {
+	for _, name := range servers {
 		var entries []catalog.Entry
 		cluster.waitUntil(name+" answers a consistent read", func() bool {
 			ctx, cancel := context.WithTimeout(cluster.t.Context(), readTimeout)
@@ -95,10 +95,10 @@
 			return err == nil
 		})
 		started := startTimes(entries)
-		for server, startedMs := range w.acknowledged {
+		for registered, startedMs := range w.acknowledged {
 			// A later write whose answer was lost may be there too, never an earlier one.
-			if got, ok := started[server]; !ok || got < startedMs {
-				cluster.t.Errorf("%s: %s was acknowledged with born_ms %v, the read has %v (present: %v)", name, server, startedMs, got, ok)
+			if got, ok := started[registered]; !ok || got < startedMs {
+				cluster.t.Errorf("%s: %s was acknowledged with born_ms %v, the read has %v (present: %v)", name, registered, startedMs, got, ok)
 			}
 		}
 	}
