--- a/cmd/controlplane/main_test.go
+++ b/cmd/controlplane/main_test.go
@@ -11,7 +11,7 @@
 	"knotrouter/internal/lab/syscallfault"
 )
 
-// Environment variables with which tests start the test binary again as another program.
+// Environment variables that make the test binary run as another program instead of the tests.
 const (
 	serverChild = "STEWARD_CHILD"
 	workerChild = "WORKER_CHILD"
@@ -19,16 +19,16 @@
 	agentChild  = "AGENT_CHILD"
 )
 
-// Environment variables of the machine that a server of the control plane finds in a test.
+// Environment variables with which a test changes the clock and the disk of a control-plane server.
 const (
 	clockOffsetVariable = "TEST_CLOCK" // added to its clock, as a duration
-	diskBlockVariable   = "TEST_DISK"  // its log store takes nothing while this file exists
+	diskBlockVariable   = "TEST_DISK"  // path of a file: its log store blocks while the file exists
 )
 
-// diskPollInterval is how often a blocked log store looks whether it may go on.
+// diskPollInterval is how often a blocked log store checks whether its file still exists.
 const diskPollInterval = 20 * time.Millisecond
 
-// TestMain runs the tests, or the program that the environment names.
+// TestMain runs the tests, or the program that an environment variable selects.
 func TestMain(m *testing.M) {
 	switch {
 	case isChild(serverChild):
@@ -52,10 +52,10 @@
 	os.Exit(m.Run())
 }
 
-// isChild reports whether this process was started with a variable that names another program.
+// isChild reports whether this process was started to run the program that a variable selects.
 func isChild(variable string) bool { return os.Getenv(variable) == "1" }
 
-// applyTestEnvironment gives a server the clock and the log store that its environment asks for.
+// applyTestEnvironment gives a server the clock and the log store that its environment variables specify.
 func applyTestEnvironment(config *control.Config) {
 	if offset, err := time.ParseDuration(os.Getenv(clockOffsetVariable)); err == nil {
 		config.Now = func() time.Time { return time.Now().Add(offset) }
@@ -65,13 +65,13 @@
 	}
 }
 
-// blockingLogStore writes nothing while a file exists.
+// blockingLogStore is a log store whose writes block while a file exists.
 type blockingLogStore struct {
 	raft.LogStore
 	file string
 }
 
-// StoreLogs implements raft.LogStore. It waits until the file doesn't exist.
+// StoreLogs implements raft.LogStore. It blocks while the file exists.
 func (s blockingLogStore) StoreLogs(logs []*raft.Log) error {
 	for {
 		if _, err := os.Stat(s.file); err != nil {
--- a/cmd/controlplane/membership_test.go
+++ b/cmd/controlplane/membership_test.go
@@ -14,8 +14,8 @@
 	"knotrouter/internal/member"
 )
 
-// Backends whose renewals don't arrive stay listed as long as most servers of the control plane reach
-// them. A backend that accepts no connections any more is taken off the list.
+// Backends whose renewals don't arrive stay listed as long as most servers of the control plane reach them.
+// A backend that no longer accepts connections is removed from the list.
 func TestExpiryNeedsFailureEvidence(t *testing.T) {
 	const (
 		total          = 8
@@ -31,9 +31,9 @@
 		t.Errorf("%v servers are listed beyond their leases, want %d", retained, total)
 	}
 	backends.listeners[0].Close()
-	cluster.waitUntil("s-0, which has ended, is off the list", func() bool { return !backends.reader.has("s-0") })
+	cluster.waitUntil("s-0, which accepts no connections, is removed from the list", func() bool { return !backends.reader.has("s-0") })
 	if len(backends.reader.removed) != 1 {
-		t.Errorf("taken off the list: %v, want only s-0", backends.reader.removed)
+		t.Errorf("removed from the list: %v, want only s-0", backends.reader.removed)
 	}
 }
 
@@ -54,8 +54,8 @@
 	return -1
 }
 
-// An agent is present as long as any server has its watch, also while watches migrate. One that shuts
-// down gracefully has left, one whose watch breaks off has failed.
+// An agent is present as long as any server has its watch, even while watches migrate. An agent that shuts
+// down gracefully has left; one whose watch breaks off has failed.
 func TestAgentMembershipFollowsWatches(t *testing.T) {
 	const n = 40
 	cluster := newGossipCluster(t, 3, "drain = \"1s\"\n")
@@ -103,8 +103,8 @@
 	}
 }
 
-// startAgentWatch watches the list under an agent's name until stop is called or the test ends. The orderSeed
-// decides which server the agent calls first.
+// startAgentWatch watches the list under an agent's name until stop is called or the test ends. The
+// orderSeed determines which server the agent calls first.
 func (cluster *testCluster) startAgentWatch(name string, orderSeed uint64) (client *endpoints.Client, stop context.CancelFunc) {
 	const agentRestartPause = 20 * time.Millisecond // between the end of a watch and the next
 	ctx, stop := context.WithCancel(cluster.t.Context())
@@ -119,7 +119,7 @@
 	return client, stop
 }
 
-// A voter that fails is replaced by a non-voter, one voter at a time, and is itself a non-voter when it
+// A voter that fails is replaced by a non-voter, one voter at a time, and becomes a non-voter itself when it
 // returns.
 func TestFailedVotersAreReplaced(t *testing.T) {
 	const voters = 3
@@ -133,7 +133,7 @@
 	victims := []string{cluster.others(cluster.waitForLeader())[0], cluster.waitForLeader()}
 	for _, victim := range victims {
 		if !cluster.isVoter(victim) {
-			t.Fatalf("%s doesn't vote", victim)
+			t.Fatalf("%s is not a voter", victim)
 		}
 		cluster.kill(victim)
 		cluster.waitUntil(victim+" is replaced", func() bool {
@@ -143,7 +143,7 @@
 					continue
 				}
 				if len(status.Voters) > voters+1 {
-					t.Fatalf("%v vote, more than one above %d", status.Voters, voters)
+					t.Fatalf("voters %v: more than one above %d", status.Voters, voters)
 				}
 				return len(status.Voters) == voters && !slices.Contains(status.Voters, victim)
 			}
--- a/cmd/controlplane/membershipfaults_test.go
+++ b/cmd/controlplane/membershipfaults_test.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// maxFailureDetection bounds the time from a kill to the first view that has the member as failed.
+	// maxFailureDetection bounds the time from a kill to the first view that shows the member as failed.
 	maxFailureDetection = 10 * time.Second
 	// maxConvergence bounds the time from the end of a fault until all views are equal.
 	maxConvergence = 15 * time.Second
 )
 
-// holdFault lets a fault that has been injected last: for a duration, or for the one that the environment
-// variable MEMBER_FOR says, for runs outside CI. It fails the test if MEMBER_FOR is no duration.
+// holdFault keeps an injected fault active for defaultDuration, or for the duration in the environment
+// variable MEMBER_FOR, which longer runs outside CI set. It fails the test if MEMBER_FOR is not a duration.
 func holdFault(t *testing.T, defaultDuration time.Duration) {
 	t.Helper()
 	time.Sleep(faultDuration(t, defaultDuration))
 }
 
-// faultDuration returns how long a fault lasts: as long as the environment variable MEMBER_FOR says, or
-// defaultDuration without that variable. It fails the test if MEMBER_FOR is no duration.
+// faultDuration returns how long a fault lasts: the duration in the environment variable MEMBER_FOR, or
+// defaultDuration if the variable is not set. It fails the test if MEMBER_FOR is not a duration.
 func faultDuration(t *testing.T, defaultDuration time.Duration) time.Duration {
 	t.Helper()
 	text := os.Getenv("MEMBER_FOR")
@@ -38,47 +38,49 @@
 	return duration
 }
 
-// membershipEnvironment is five servers that gossip, six backends, and a watcher of the servers' views.
+// membershipEnvironment consists of five servers that gossip, six backends, and a watcher of the servers'
+// views.
 type membershipEnvironment struct {
 	*testCluster
 	backends *backendGroup
 	watcher  *stateWatcher
 }
 
-// requireNeverFailed requires that no server's view had any of the servers named as failed since the start.
-// It ends the watcher.
+// requireNeverFailed requires that no server's view has shown any of the servers named as failed since the
+// start. It stops the watcher.
 func (e *membershipEnvironment) requireNeverFailed(t *testing.T, names ...string) {
 	t.Helper()
 	e.watcher.stopWatching()
 	e.watcher.requireNever(t, member.Failed, names...)
 }
 
-// shapeAll shapes the links between all servers, both ways.
+// shapeAll shapes the links between all servers, in both directions.
 func (e *membershipEnvironment) shapeAll(shape link.Shape) {
 	e.t.Helper()
 	e.mesh.shapeBetween(e.names, e.names, shape)
 }
 
-// membershipFaults are what the network or a process does to the servers, by the name of the subtest. Each
-// function injects the fault, holds it, ends it, and checks what is particular to the fault.
+// membershipFaults are the faults of the network and of processes that TestMembershipUnderFaults injects, by
+// the name of the subtest. Each function injects the fault, holds it, ends it, and makes the checks that are
+// specific to the fault.
 var membershipFaults = map[string]func(t *testing.T, e *membershipEnvironment){
-	"cut one way between two":                      cutOneWayBetweenTwo,
-	"two of five cut off":                          cutOffMinority,
-	"a fifth of the datagrams lost, all late":      loseAndDelayDatagrams,
-	"two fifths lost, later":                       loseManyDatagrams,
-	"datagrams twice and out of order":             duplicateDatagrams,
-	"news ten seconds late":                        delayOneServer,
-	"one sees the next only":                       connectNeighborsOnly,
-	"a link that flaps":                            flapLink,
-	"one stands still for a second, then for five": suspendOneServer,
-	"all restarted, one after the other":           restartOneByOne,
-	"killed, its folder gone, and back at once":    restartWithoutData,
-	"killed, and back before it was missed":        restartBeforeDetection,
+	"one direction cut between two":                       cutOneWayBetweenTwo,
+	"two of five cut off":                                 cutOffMinority,
+	"a fifth of the datagrams lost, all delayed":          loseAndDelayDatagrams,
+	"two fifths of the datagrams lost, longer delays":     loseManyDatagrams,
+	"datagrams duplicated and reordered":                  duplicateDatagrams,
+	"one server delayed by ten seconds":                   delayOneServer,
+	"only links between neighbors":                        connectNeighborsOnly,
+	"a flapping link":                                     flapLink,
+	"one suspended for a second, then for five":           suspendOneServer,
+	"all restarted, one after the other":                  restartOneByOne,
+	"killed, and restarted at once without its data":      restartWithoutData,
+	"killed, and restarted before its failure is noticed": restartBeforeDetection,
 }
 
-// Whatever the network or a process does between five servers, no healthy backend is ever taken off the
-// list, no running server is seen as failed but by servers that can't reach the running one, and after the
-// fault all views become equal.
+// During faults of the network or of processes among five servers, no healthy backend is ever removed from
+// the list, and a running server is seen as failed only by servers that can't reach it. After the fault all
+// views become equal.
 func TestMembershipUnderFaults(t *testing.T) {
 	for name, injectFault := range membershipFaults {
 		t.Run(name, func(t *testing.T) {
@@ -99,7 +101,8 @@
 	}
 }
 
-// cutOneWayBetweenTwo cuts what st-1 sends to st-2: st-1 suspects st-2, and no server has st-2 as failed.
+// cutOneWayBetweenTwo cuts the link from st-1 to st-2 in that direction only: st-1 suspects st-2, and no
+// server sees st-2 or another server as failed.
 func cutOneWayBetweenTwo(t *testing.T, e *membershipEnvironment) {
 	e.mesh.shapeOneWay("st-1", "st-2", cutShape)
 	e.waitUntil("only st-1 suspects st-2", func() bool {
@@ -115,10 +118,10 @@
 	e.requireNeverFailed(t, e.names...)
 }
 
-// cutOffMinority cuts two servers off from the three others, which have the two as failed.
+// cutOffMinority cuts two servers off from the three others, which see the two as failed.
 func cutOffMinority(t *testing.T, e *membershipEnvironment) {
 	minority, majority := e.names[:2], e.names[2:]
-	// The leader will be among the majority, and not receive the renewals of the first two.
+	// The leader will be in the majority and not receive the renewals of the first two backends.
 	e.backends.splitRenewals(minority, majority)
 	e.mesh.shapeBetween(minority, majority, cutShape)
 	e.waitForLeaderAmong(majority)
@@ -154,8 +157,8 @@
 	e.requireNeverFailed(t, e.names...)
 }
 
-// delayOneServer delays all between one server and the others by ten seconds, so that the others have the
-// one as failed. No server has st-2, st-3 or st-4 as failed.
+// delayOneServer delays all messages between st-5 and the others by ten seconds, so that the others see st-5
+// as failed. No server sees st-2, st-3 or st-4 as failed.
 func delayOneServer(t *testing.T, e *membershipEnvironment) {
 	delayed, others := e.names[4:], e.names[:4]
 	e.mesh.shapeBetween(delayed, others, link.Shape{Delay: 10 * time.Second})
@@ -165,7 +168,8 @@
 	e.requireNeverFailed(t, e.names[1:4]...)
 }
 
-// connectNeighborsOnly cuts all links but those between a server and the next: st-1 observes only st-2.
+// connectNeighborsOnly cuts all links except those between servers with consecutive numbers: st-1 observes
+// only st-2.
 func connectNeighborsOnly(t *testing.T, e *membershipEnvironment) {
 	for _, pair := range []serverPair{{"st-1", "st-3"}, {"st-1", "st-4"}, {"st-2", "st-4"}, {"st-1", "st-5"}, {"st-2", "st-5"}, {"st-3", "st-5"}} {
 		e.mesh.shapeBetween(pair[:1], pair[1:], cutShape)
@@ -178,9 +182,9 @@
 	e.shapeAll(link.Shape{})
 }
 
-// flapLink cuts and restores the links between two servers in turn. No server is seen as failed.
+// flapLink cuts and restores the links between two servers repeatedly. No server is seen as failed.
 func flapLink(t *testing.T, e *membershipEnvironment) {
-	const flapInterval = time.Second // for which the link is cut, and then restored
+	const flapInterval = time.Second // how long the links stay cut, and then restored
 	first, second := []string{"st-1"}, []string{"st-2"}
 	for end := time.Now().Add(faultDuration(t, 9*time.Second)); time.Now().Before(end); {
 		e.mesh.shapeBetween(first, second, cutShape)
@@ -191,11 +195,12 @@
 	e.requireNeverFailed(t, e.names...)
 }
 
-// suspendOneServer suspends a follower twice. No server has the follower as failed after the short
-// suspension, none has another server as failed after either, and the resumed one suspects no other.
+// suspendOneServer suspends a follower twice. No server sees the follower as failed after the short
+// suspension, none sees another server as failed after either, and the resumed follower suspects no other
+// server.
 func suspendOneServer(t *testing.T, e *membershipEnvironment) {
 	const (
-		shortSuspension = time.Second // too short for a verdict
+		shortSuspension = time.Second // too short to be detected as a failure
 		longSuspension  = 5 * time.Second
 	)
 	suspended := e.others(e.waitForLeader())[0]
@@ -213,8 +218,8 @@
 }
 
 // requireNoSuspicionBy reads the view of a server that has just been resumed viewReads times, and requires
-// that the server itself observes all others as present in each view that it answers with. It received
-// nothing while it was suspended, which is no evidence against the others.
+// that the server itself observes all others as present in each view that it returns. It received nothing
+// while it was suspended, which is no evidence against the others.
 func (e *membershipEnvironment) requireNoSuspicionBy(t *testing.T, resumed string, after time.Duration) {
 	t.Helper()
 	const viewReads = 20 // over a second
@@ -222,7 +227,7 @@
 		if view, ok := e.view(resumed); ok {
 			for _, other := range e.others(resumed) {
 				if state := ownObservation(&view, other); state != member.Present {
-					t.Errorf("%s, resumed after %v, has %s as %s", resumed, after, other, state)
+					t.Errorf("%s, resumed after %v, observes %s as %s", resumed, after, other, state)
 				}
 			}
 		}
@@ -230,7 +235,7 @@
 	}
 }
 
-// restartOneByOne shuts down and starts each server in turn. Each leaves, comes back in a later incarnation
+// restartOneByOne shuts down and starts each server in turn. Each leaves, returns with a later incarnation
 // and is never seen as failed.
 func restartOneByOne(t *testing.T, e *membershipEnvironment) {
 	for _, name := range e.names {
@@ -241,7 +246,7 @@
 		waitForEnd()
 		e.start(name)
 		e.waitForState(observer, member.Present, name)
-		e.waitUntil(name+" is present in a later incarnation", func() bool {
+		e.waitUntil(name+" is present with a later incarnation", func() bool {
 			view, ok := e.view(observer)
 			return ok && incarnation(&view, name) > before
 		})
@@ -249,34 +254,35 @@
 	e.requireNeverFailed(t, e.names...)
 }
 
-// restartWithoutData kills a follower, erases its data, starts it at once, and waits until it votes again.
+// restartWithoutData kills a follower, erases its data, restarts it at once, and waits until it is a voter
+// again.
 func restartWithoutData(t *testing.T, e *membershipEnvironment) {
 	name := e.others(e.waitForLeader())[0]
 	e.kill(name)
 	e.eraseData(name)
 	e.start(name)
-	e.waitUntil(name+" votes again", func() bool {
+	e.waitUntil(name+" is a voter again", func() bool {
 		status, err := e.status(name)
 		leader, leaderErr := e.status(e.waitForLeader())
 		return err == nil && leaderErr == nil && status.Applied > 0 && len(leader.Voters) == len(e.names)
 	})
 }
 
-// restartBeforeDetection kills a follower and starts it at once, before another server has it as failed. It
-// comes back in a later incarnation, and a second kill is noticed within maxFailureDetection.
+// restartBeforeDetection kills a follower and restarts it at once, before another server sees it as failed.
+// It returns with a later incarnation, and a second kill is detected within maxFailureDetection.
 func restartBeforeDetection(t *testing.T, e *membershipEnvironment) {
 	name := e.others(e.waitForLeader())[0]
 	observer := e.others(name)[0]
 	before := e.waitForIncarnation(observer, name)
 	e.kill(name)
 	e.start(name)
-	e.waitUntil(name+" is present in a later incarnation", func() bool {
+	e.waitUntil(name+" is present with a later incarnation", func() bool {
 		view, ok := e.view(observer)
 		return ok && view.State(name) == member.Present && incarnation(&view, name) > before
 	})
 	e.kill(name)
 	if took := e.waitForState(observer, member.Failed, name); took > maxFailureDetection {
-		t.Errorf("the kill was noticed after %v, want at most %v", took, maxFailureDetection)
+		t.Errorf("the kill was detected after %v, want at most %v", took, maxFailureDetection)
 	}
 	e.start(name)
 }
--- a/cmd/controlplane/memberviews_test.go
+++ b/cmd/controlplane/memberviews_test.go
@@ -15,7 +15,7 @@
 // viewPollInterval is how often a stateWatcher reads a view.
 const viewPollInterval = 50 * time.Millisecond
 
-// view returns the view of the members that a server answers with; ok is false if it doesn't answer.
+// view returns a server's view of the members; ok is false if the server doesn't answer.
 func (cluster *testCluster) view(name string) (view member.View, ok bool) {
 	ctx, cancel := context.WithTimeout(cluster.t.Context(), statusTimeout)
 	defer cancel()
@@ -43,12 +43,12 @@
 	return view
 }
 
-// waitForState waits until the view of one server has all members named in a state, and returns how long
+// waitForState waits until the view of one server shows all members named in a state, and returns how long
 // that took. It fails the test after waitTimeout.
 func (cluster *testCluster) waitForState(observer string, state member.State, names ...string) time.Duration {
 	cluster.t.Helper()
 	began := time.Now()
-	cluster.waitUntil(fmt.Sprintf("%s has %v as %s", observer, names, state), func() bool {
+	cluster.waitUntil(fmt.Sprintf("%s sees %v as %s", observer, names, state), func() bool {
 		view, ok := cluster.view(observer)
 		for _, name := range names {
 			ok = ok && view.State(name) == state
@@ -58,7 +58,7 @@
 	return time.Since(began)
 }
 
-// waitForEqualViews waits until the views of the servers named are equal, and each has all of these
+// waitForEqualViews waits until the views of the servers named are equal, and each shows all of these
 // servers as present. It returns how long that took, and fails the test after waitTimeout.
 func (cluster *testCluster) waitForEqualViews(names ...string) time.Duration {
 	cluster.t.Helper()
@@ -69,15 +69,15 @@
 			cluster.t.Log(difference)
 		}
 	}()
-	cluster.waitUntil("the views are equal and have all servers as present", func() bool {
+	cluster.waitUntil("the views are equal and show all servers as present", func() bool {
 		difference = cluster.viewDifference(names)
 		return difference == ""
 	})
 	return time.Since(began)
 }
 
-// viewDifference describes how the views of the servers named differ, or which of these servers one of
-// them doesn't have as present. It is empty if they agree.
+// viewDifference describes how the views of the servers named differ, or which of these servers is not
+// present in one of the views. It is empty if the views agree.
 func (cluster *testCluster) viewDifference(names []string) string {
 	var views []member.View
 	for _, observer := range names {
@@ -87,7 +87,7 @@
 		}
 		for _, name := range names {
 			if state := view.State(name); state != member.Present {
-				return fmt.Sprintf("%s has %s as %q", observer, name, state)
+				return fmt.Sprintf("%s sees %s as %q", observer, name, state)
 			}
 		}
 		views = append(views, view)
@@ -98,7 +98,8 @@
 	return ""
 }
 
-// ownObservation returns the state that a view's own server observes a member in, or an empty one.
+// ownObservation returns the state in which the server that a view comes from observes a member itself, or
+// "" if it doesn't observe the member.
 func ownObservation(view *member.View, name string) member.State {
 	for i := range view.Members {
 		if view.Members[i].Name != name {
@@ -111,8 +112,8 @@
 	return ""
 }
 
-// waitForIncarnation waits until the view of one server has a member, and returns the member's incarnation. It
-// fails the test after waitTimeout.
+// waitForIncarnation waits until the view of one server has a member, and returns the member's incarnation.
+// It fails the test after waitTimeout.
 func (cluster *testCluster) waitForIncarnation(observer, name string) (found int64) {
 	cluster.t.Helper()
 	cluster.waitUntil(fmt.Sprintf("the view of %s has %s", observer, name), func() bool {
@@ -133,8 +134,7 @@
 	return 0
 }
 
-// stateWatcher reads the views of servers again and again, and remembers in which states they had each
-// member.
+// stateWatcher polls the views of servers, and records every state in which they have shown each member.
 type stateWatcher struct {
 	stop context.CancelFunc
 	done sync.WaitGroup
@@ -148,7 +148,8 @@
 	observer, name string
 }
 
-// watchStates starts a watcher of the views of the servers named, until stopWatching or the test's end.
+// watchStates starts a watcher of the views of the servers named, which runs until stopWatching is called or
+// the test ends.
 func (cluster *testCluster) watchStates(observers ...string) *stateWatcher {
 	ctx, cancel := context.WithCancel(cluster.t.Context())
 	watcher := &stateWatcher{seen: map[observedMember]map[member.State]bool{}, stop: cancel}
@@ -179,20 +180,21 @@
 	}
 }
 
-// stopWatching ends the watcher and returns once the last view has been recorded. It may be called again.
+// stopWatching stops the watcher and returns once the last view has been recorded. It may be called more
+// than once.
 func (watcher *stateWatcher) stopWatching() {
 	watcher.stop()
 	watcher.done.Wait()
 }
 
-// requireNever requires that no observer had any of the members named in a state, so far.
+// requireNever requires that no observer has shown any of the members named in a state so far.
 func (watcher *stateWatcher) requireNever(t *testing.T, state member.State, names ...string) {
 	t.Helper()
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
 	for key, states := range watcher.seen {
 		if states[state] && slices.Contains(names, key.name) {
-			t.Errorf("%s had %s as %s", key.observer, key.name, state)
+			t.Errorf("%s saw %s as %s", key.observer, key.name, state)
 		}
 	}
 }
--- a/cmd/controlplane/misconfiguration_test.go
+++ b/cmd/controlplane/misconfiguration_test.go
@@ -14,9 +14,9 @@
 	"knotrouter/internal/member"
 )
 
-// A second process of a name, a process with an unknown name, a table of peers that has one server at
-// the address of another, a peer that never runs, and clocks an hour apart are each reported or
-// rejected, and the properly configured servers go on.
+// A second process with a name that is in use, a process with an unknown name, a peer table that lists one
+// server at the address of another, a peer that never runs, and clocks an hour apart are each reported or
+// rejected, and the correctly configured servers keep working.
 func TestMisconfiguredMembersAreRejected(t *testing.T) {
 	cluster := newGossipCluster(t, 3, "")
 	for i, name := range cluster.names {
@@ -27,7 +27,7 @@
 	for _, name := range cluster.names {
 		cluster.configure(name, cluster.names)
 	}
-	// A cluster begins only once all peers answer, so st-4 runs until then.
+	// A new cluster is formed only once all peers answer, so st-4 runs until then.
 	cluster.startAll()
 	cluster.kill("st-4")
 	cluster.misdirectPeer("st-1", "st-3", "st-2")
@@ -38,7 +38,7 @@
 	for i := range 10 {
 		cluster.register(fmt.Sprint("s-", i), 1, "st-2", "st-3")
 	}
-	cluster.waitUntil("st-1 doesn't reach st-3 at the address in its table", func() bool {
+	cluster.waitUntil("st-1 doesn't reach st-3 at the address in its peer table", func() bool {
 		view, ok := cluster.view("st-1")
 		return ok && ownObservation(&view, "st-3") != member.Present
 	})
@@ -49,10 +49,10 @@
 
 	requireDuplicateNameExits(t, cluster, names)
 
-	unknown := cluster.startWithChangedConfig("st-3", "stranger", func(text string) string { return strings.Replace(text, `name = "st-3"`, `name = "st-9"`, 1) })
+	unknown := cluster.startWithChangedConfig("st-3", "unknown", func(text string) string { return strings.Replace(text, `name = "st-3"`, `name = "st-9"`, 1) })
 	cluster.waitUntil("gossip of an unknown name is rejected", func() bool { return cluster.metric("st-2", "steward_gossip_refused_total") > 0 })
 	if view := cluster.waitForView("st-2"); view.State("st-9") != "" {
-		t.Errorf("st-9, which no table names, is %q", view.State("st-9"))
+		t.Errorf("st-9, which is in no peer table, is %q", view.State("st-9"))
 	}
 	killProcess(unknown)
 	cluster.waitForState("st-2", member.Present, "st-3")
@@ -63,12 +63,12 @@
 	}
 }
 
-// requireDuplicateNameExits starts a second process with the name st-3, another data folder and other addresses.
-// It requires that the second process ends with a line that says why, that a server of those named logs
-// the second process, and that the first process stays a voter.
+// requireDuplicateNameExits starts a second process with the name st-3, another data folder and other
+// addresses. It requires that the second process exits with a line that gives the reason, that one of the
+// servers named logs the second process, and that the first process stays a voter.
 func requireDuplicateNameExits(t *testing.T, cluster *testCluster, names []string) {
 	t.Helper()
-	duplicate := cluster.startWithChangedConfig("st-3", "twin", nil)
+	duplicate := cluster.startWithChangedConfig("st-3", "duplicate", nil)
 	waitForEnd(t, duplicate, duplicate.Ended())
 	if log := processLog(duplicate); !strings.Contains(log, "controlplane: name: taken: another process is called st-3, and is there") {
 		t.Errorf("the second process wrote %q", log)
@@ -86,8 +86,8 @@
 	}
 }
 
-// misdirectPeer changes the configuration of a server: the section of a peer gets the addresses of another
-// server. It fails the test if the configuration has no such section.
+// misdirectPeer replaces the addresses of a peer in a server's configuration with those of another server.
+// It fails the test if the configuration has no section for the peer.
 func (cluster *testCluster) misdirectPeer(name, peer, other string) {
 	cluster.t.Helper()
 	text, err := os.ReadFile(cluster.configPath(name))
@@ -109,9 +109,9 @@
 	}
 }
 
-// startWithChangedConfig starts another process with the configuration of a server, but a data folder and addresses
-// of its own. Its files are named by fileName. If change is not nil, startWithChangedConfig gives change the configuration and
-// starts the process with the one that change returns.
+// startWithChangedConfig starts another process with the configuration of a server, but with its own data
+// folder and addresses. Its files have the name fileName. If change is not nil, the process starts with the
+// configuration that change returns.
 func (cluster *testCluster) startWithChangedConfig(name, fileName string, change func(config string) string) *process.Process {
 	cluster.t.Helper()
 	text, err := os.ReadFile(cluster.configPath(name))
--- a/cmd/controlplane/mixedtransfers_test.go
+++ b/cmd/controlplane/mixedtransfers_test.go
@@ -15,13 +15,13 @@
 const (
 	// transferTask is transferred between two processes, whose sessions are renewed.
 	transferTask = "job.transferred"
-	// unrenewedTask kills its holders: their sessions are not renewed after the grant.
+	// unrenewedTask is held by processes whose sessions are not renewed after the grant, so that they expire.
 	unrenewedTask = "crash.holders"
-	// mixedRenewInterval is the interval of the renewals of the sessions that stay.
+	// mixedRenewInterval is the interval at which renewSessions renews each session.
 	mixedRenewInterval = 200 * time.Millisecond
 )
 
-// sessionID returns the ID of the session of a process that stays.
+// sessionID returns the ID of the session of a process whose session is renewed.
 func sessionID(process string) string { return process + "-session" }
 
 // renewSessions renews the sessions of processes until the test ends.
@@ -36,7 +36,8 @@
 	}
 }
 
-// waitForTask waits until a task is in a state, through the servers named, and returns it.
+// waitForTask waits until reached accepts the state of a task, which may be read from any server, and
+// returns the task.
 func (m *mixedCluster) waitForTask(name, what string, reached func(task *catalog.LeasedTask) bool) (task catalog.LeasedTask) {
 	m.t.Helper()
 	m.waitUntil(name+" "+what, func() bool {
@@ -49,7 +50,8 @@
 	return task
 }
 
-// transfer has the task go from its holder to the other of two processes, which accepts.
+// transfer moves transferTask from its holder to the other of two processes, which accepts. Its writes go
+// through one server.
 func (m *mixedCluster) transfer(through string) {
 	m.t.Helper()
 	task := m.waitForTask(transferTask, "is held", func(task *catalog.LeasedTask) bool { return task.Holder != "" && task.Successor == "" })
@@ -70,7 +72,8 @@
 	})
 }
 
-// letTransferExpire names a successor that never accepts, and waits until the leader cancels that.
+// letTransferExpire begins a transfer to a process that never accepts, and waits until the leader cancels
+// it.
 func (m *mixedCluster) letTransferExpire(through string) {
 	m.t.Helper()
 	task := m.waitForTask(transferTask, "is held", func(task *catalog.LeasedTask) bool { return task.Holder != "" && task.Successor == "" })
@@ -83,8 +86,8 @@
 	})
 }
 
-// expireHolders has three holders of a task die soon after the grant, and waits until it is suspended. Then
-// an operator resumes it.
+// expireHolders lets the sessions of three holders of a task expire soon after the grant, and waits until
+// the task is suspended. Then it resumes the task as an operator does.
 func (m *mixedCluster) expireHolders(phase, through string) {
 	m.t.Helper()
 	for holder := 0; ; holder++ {
@@ -108,9 +111,9 @@
 }
 
 // TestMixedQuorumTransfers runs servers of two builds in one quorum, with leaders of both: tasks are
-// transferred and the transfers are accepted or not, and holders die until their task is suspended. Each
-// server is killed and started again as the other build. The states of all servers are equal after each
-// part, byte for byte.
+// transferred, with and without acceptance, and sessions of holders expire until their task is suspended.
+// Between the two phases each server is killed and restarted with the other build. After each phase the
+// states of all servers are equal, byte for byte.
 func TestMixedQuorumTransfers(t *testing.T) {
 	old, current := builds(t)
 	cluster := newUnstartedCluster(t, 3)
--- a/cmd/controlplane/mixedversions_test.go
+++ b/cmd/controlplane/mixedversions_test.go
@@ -15,20 +15,21 @@
 	"knotrouter/internal/control"
 )
 
-// build is a program that can serve as a server of the control plane.
+// build is a program that can run as a server of the control plane.
 type build struct {
 	name, path string
 	env        []string
 }
 
-// otherBuildVariable names the environment variable with the path of another build's program, which
-// TestMixedQuorum runs beside this one. Without it this build stands for both.
+// otherBuildVariable is the environment variable with the path of another build's program, which the tests
+// of mixed quorums run beside this build. Without it this build is used as both.
 const otherBuildVariable = "OTHER_CONTROLPLANE"
 
-// builds returns the build that otherBuildVariable names and the one of this test; without otherBuildVariable, this one twice.
+// builds returns the build that otherBuildVariable names and the build under test. Without the variable it
+// returns the build under test twice.
 func builds(t *testing.T) (old, current build) {
 	t.Helper()
-	current = build{"present", executable(t), []string{serverChild + "=1"}}
+	current = build{"current", executable(t), []string{serverChild + "=1"}}
 	old = current
 	if path := os.Getenv(otherBuildVariable); path != "" {
 		old = build{"old", path, nil}
@@ -36,8 +37,8 @@
 	return old, current
 }
 
-// startBuild starts a server that doesn't run, with the program of a build, and waits until it is part
-// of the quorum.
+// startBuild starts a server that isn't running, with the program of a build, and waits until it is part of
+// the quorum.
 func (cluster *testCluster) startBuild(name string, b build) {
 	cluster.t.Helper()
 	proc := cluster.servers[name].proc
@@ -49,16 +50,16 @@
 	})
 }
 
-// mixedCluster is a quorum of servers of two builds, and what was written to it.
+// mixedCluster is a quorum of servers of two builds, and the data that was written to it.
 type mixedCluster struct {
 	*testCluster
 	builds       map[string]build
 	acknowledged map[string]float64
 	fence        int64 // of the leased task
-	revision     int64 // of the assignments that the session got last
+	revision     int64 // of the last assignments that the session received
 }
 
-// electOneOf has one of the servers named lead: it restarts any other that does.
+// electOneOf makes one of the servers named the leader, by restarting any other server that leads.
 func (m *mixedCluster) electOneOf(names ...string) {
 	m.t.Helper()
 	m.waitUntil(fmt.Sprintf("one of %v leads", names), func() bool {
@@ -72,7 +73,7 @@
 	})
 }
 
-// retryThrough makes a call through one server until it succeeds.
+// retryThrough repeats a call through one server until it succeeds.
 func (m *mixedCluster) retryThrough(name, what string, do func(ctx context.Context, c *control.Client) error) {
 	m.t.Helper()
 	var err error
@@ -114,7 +115,7 @@
 		m.retryThrough(name, "renewal of leases", func(ctx context.Context, c *control.Client) error {
 			r, err := c.Renew(ctx, []catalog.InstanceRef{{Name: first, StartedMs: 1000}, {Name: "nobody", StartedMs: 1}})
 			if err == nil && !slices.Equal(r.Codes, []catalog.Code{catalog.Done, catalog.Unknown}) {
-				m.t.Fatalf("a renewal through %s is answered with %q", name, r.Codes)
+				m.t.Fatalf("a renewal through %s was answered with %q", name, r.Codes)
 			}
 			return err
 		})
@@ -128,7 +129,7 @@
 	}
 }
 
-// verifyReads requires that every server has all that was written.
+// verifyReads requires that every server returns everything that was written.
 func (m *mixedCluster) verifyReads() {
 	m.t.Helper()
 	m.requireAcknowledged(m.acknowledged)
@@ -152,7 +153,7 @@
 		m.retryThrough(name, "leased task", func(ctx context.Context, c *control.Client) error {
 			task, err := c.Task(ctx, mixedTask)
 			if err == nil && (task.Holder != mixedWorker || task.Session != mixedSession || task.Fence != m.fence) {
-				m.t.Fatalf("%s has the task as %+v, it was granted with fencing token %d", name, task, m.fence)
+				m.t.Fatalf("%s returns the task as %+v, but it was granted with fencing token %d", name, task, m.fence)
 			}
 			return err
 		})
@@ -164,7 +165,7 @@
 			return err
 		})
 	}
-	// The control plane's own tasks are held by its servers, of whichever build.
+	// The control plane's own tasks are held by its servers, of either build.
 	m.retryThrough(m.names[0], "sweep", func(ctx context.Context, c *control.Client) error {
 		task, err := c.Task(ctx, "sweep")
 		if err == nil && m.servers[task.Holder] == nil {
@@ -175,8 +176,8 @@
 	m.waitForEqualStates()
 }
 
-// waitForEqualStates waits until the states of all servers are equal, byte for byte. They change while the
-// control plane's own tasks are handed over.
+// waitForEqualStates waits until the states of all servers are equal, byte for byte. The states change while
+// the control plane's own tasks are handed over.
 func (m *mixedCluster) waitForEqualStates() {
 	m.t.Helper()
 	m.waitUntil("the states of all servers are equal", func() bool {
@@ -192,10 +193,10 @@
 	})
 }
 
-// TestMixedQuorum runs servers of two builds in one quorum: first an old one leads and a new one
-// follows, then a new one leads and an old one follows. In between each is started again on its
-// folder with the other build. Writes and reads go through all of them; servers, leases, the
-// leased task with its fence and the versions that a watch sees stay.
+// TestMixedQuorum runs servers of two builds in one quorum: first with a leader of the old build and a
+// follower of the current one, then the other way round. In between each server is restarted on its data
+// folder with the other build. Writes and reads go through all servers; registrations, leases, the leased
+// task with its fencing token and the versions that a watch receives are kept.
 func TestMixedQuorum(t *testing.T) {
 	old, current := builds(t)
 	cluster := newGossipCluster(t, 3, "")
@@ -244,6 +245,6 @@
 	}
 	watch.stopAndVerify(t)
 	for _, name := range watch.removed {
-		t.Errorf("%s was taken off the list", name)
+		t.Errorf("%s was removed from the list", name)
 	}
 }
--- a/cmd/controlplane/processes_test.go
+++ b/cmd/controlplane/processes_test.go
@@ -9,8 +9,8 @@
 	"knotrouter/internal/lab/process"
 )
 
-// executable returns the path of the test binary. TestMain makes it the program that an environment
-// variable names.
+// executable returns the path of the test binary, which TestMain runs as the program that an environment
+// variable selects.
 func executable(t testing.TB) string {
 	t.Helper()
 	path, err := os.Executable()
@@ -20,7 +20,7 @@
 	return path
 }
 
-// startProcess starts a process that doesn't run. It fails the test if the process can't be started.
+// startProcess starts a process that isn't running. It fails the test if the process can't be started.
 func startProcess(t testing.TB, p *process.Process) {
 	t.Helper()
 	if err := p.Start(); err != nil {
@@ -28,11 +28,11 @@
 	}
 }
 
-// signalProcess sends a signal to a process. It fails the test if the process doesn't run.
+// signalProcess sends a signal to a process. It fails the test if the process isn't running.
 func signalProcess(t testing.TB, p *process.Process, signal syscall.Signal) {
 	t.Helper()
 	if err := p.Signal(signal); err != nil {
-		t.Fatalf("%s got no signal %v: %v", p.Name, signal, err)
+		t.Fatalf("%s was not sent signal %v: %v", p.Name, signal, err)
 	}
 }
 
@@ -45,14 +45,14 @@
 }
 
 // shutDownProcess sends SIGTERM to a process and waits for the end of the graceful shutdown. It fails the
-// test if the process doesn't run, or still runs after waitTimeout.
+// test if the process isn't running, or still runs after waitTimeout.
 func shutDownProcess(t testing.TB, p *process.Process) {
 	t.Helper()
 	beginShutDown(t, p)()
 }
 
 // beginShutDown sends SIGTERM to a process, and returns a function that waits for the end of the graceful
-// shutdown, as waitForEnd does. It fails the test if the process doesn't run.
+// shutdown, as waitForEnd does. It fails the test if the process isn't running.
 func beginShutDown(t testing.TB, p *process.Process) (wait func()) {
 	t.Helper()
 	ended := p.Ended()
@@ -63,7 +63,7 @@
 	}
 }
 
-// waitForEnd waits until ended is closed, the channel that Ended returned for the run of the process. It
+// waitForEnd waits until the channel ended is closed, which Ended returned for this run of the process. It
 // fails the test if the process still runs after waitTimeout.
 func waitForEnd(t testing.TB, p *process.Process, ended <-chan struct{}) {
 	t.Helper()
@@ -80,10 +80,10 @@
 	return string(text)
 }
 
-// tail returns the end of a text, of at most n bytes.
+// tail returns the last n bytes of a text, or the whole text if it is shorter.
 func tail(text string, n int) string { return text[max(0, len(text)-n):] }
 
-// logIfFailed shows the end of the process's log, of at most n bytes, if the test has failed.
+// logIfFailed logs the last n bytes of the process's log if the test has failed.
 func logIfFailed(t testing.TB, p *process.Process, n int) {
 	t.Helper()
 	if t.Failed() {
--- a/cmd/controlplane/quorum_test.go
+++ b/cmd/controlplane/quorum_test.go
@@ -13,7 +13,7 @@
 	"knotrouter/internal/lab/link"
 )
 
-// leaderFault is a fault of the leader.
+// leaderFault is a fault that is injected into the leader.
 type leaderFault struct {
 	name   string
 	inject func(cluster *testCluster, leader string)
@@ -22,13 +22,14 @@
 
 var leaderFaults = []leaderFault{
 	{"killed", (*testCluster).kill, (*testCluster).start},
-	{"stopped", (*testCluster).suspend, (*testCluster).resume},
-	{"not heard", shapeLeader(cutShape, link.Shape{}), shapeLeader(link.Shape{}, link.Shape{})},
-	{"hears nothing", shapeLeader(link.Shape{}, cutShape), shapeLeader(link.Shape{}, link.Shape{})},
+	{"suspended", (*testCluster).suspend, (*testCluster).resume},
+	{"outbound links cut", shapeLeader(cutShape, link.Shape{}), shapeLeader(link.Shape{}, link.Shape{})},
+	{"inbound links cut", shapeLeader(link.Shape{}, cutShape), shapeLeader(link.Shape{}, link.Shape{})},
 	{"cut off", shapeLeader(cutShape, cutShape), shapeLeader(link.Shape{}, link.Shape{})},
 }
 
-// shapeLeader returns a function that shapes all that the leader sends to the others and receives of them.
+// shapeLeader returns a function that shapes the leader's outbound and inbound traffic with the other
+// servers.
 func shapeLeader(outbound, inbound link.Shape) func(cluster *testCluster, leader string) {
 	return func(cluster *testCluster, leader string) { cluster.shapeLinks(leader, outbound, inbound) }
 }
@@ -59,7 +60,8 @@
 	}
 }
 
-// Whichever servers are killed, again and again and also all at once, no acknowledged write is lost.
+// No acknowledged write is lost when random servers, and sometimes all of them at once, are killed and
+// restarted repeatedly.
 func TestAcknowledgedWritesSurviveRepeatedKills(t *testing.T) {
 	cluster := newCluster(t, 3)
 	rng := newSeededRand(t, 4)
@@ -77,8 +79,8 @@
 	reader.stopAndVerify(t)
 }
 
-// With two of three servers down the third rejects writes and consistent reads, and serves its list. With
-// one of the two back, writes are accepted, and nothing is lost.
+// With two of three servers down the third rejects writes and consistent reads, and still serves its list.
+// Once one of the two is back, writes are accepted again, and nothing is lost.
 func TestQuorumLossRejectsWrites(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.register("before", 1)
@@ -97,7 +99,7 @@
 		t.Error("a write was acknowledged without a quorum")
 	}
 	if list, err := client.List(ctx); err != nil || len(list.Endpoints) != 1 {
-		t.Errorf("a stale server without a better one doesn't serve its list: %v %v", list, err)
+		t.Errorf("a stale server doesn't serve its list while the others are down: %v %v", list, err)
 	}
 	if _, err := client.Server(ctx, "before", true); err == nil {
 		t.Error("a consistent read was answered without a quorum")
@@ -111,7 +113,7 @@
 	reader.stopAndVerify(t)
 }
 
-// A server that has lost the quorum ends its watches, so that agents go to the others.
+// A server that has lost the quorum ends its watches, so that agents connect to the other servers.
 func TestStaleServerEndsItsWatches(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.register("s", 1)
@@ -133,7 +135,7 @@
 	reader.stopAndVerify(t)
 }
 
-// All servers are replaced by others, one by one, under writes.
+// All servers are replaced by new ones, one by one, while writes go on.
 func TestReplacingAllServersKeepsWrites(t *testing.T) {
 	cluster := newCluster(t, 3)
 	oldServers := slices.Clone(cluster.names)
@@ -144,18 +146,18 @@
 	for _, name := range cluster.names {
 		cluster.configure(name, cluster.names)
 	}
-	for _, name := range oldServers { // each reads its table of peers again, without a restart
+	for _, name := range oldServers { // each reloads its table of peers without a restart
 		signalProcess(t, cluster.servers[name].proc, syscall.SIGHUP)
 	}
 	writer, reader := cluster.startWriter("s"), cluster.startReader(cluster.names...)
 	for i, oldServer := range oldServers {
 		newServer := newServers[i]
 		cluster.start(newServer) // its data folder is empty: it asks to be added
-		cluster.waitUntil(newServer+" votes", func() bool {
+		cluster.waitUntil(newServer+" is a voter", func() bool {
 			status, err := cluster.status(newServer)
 			return err == nil && slices.Contains(status.Voters, newServer)
 		})
-		cluster.waitUntil(oldServer+" is off the voters", func() bool {
+		cluster.waitUntil(oldServer+" is no longer a voter", func() bool {
 			ctx, cancel := context.WithTimeout(t.Context(), readTimeout)
 			defer cancel()
 			_, err := cluster.client(cluster.names...).ChangeVoter(ctx, oldServer, false)
@@ -173,8 +175,8 @@
 	reader.stopAndVerify(t)
 }
 
-// sendWhileSuspended makes calls to a server that is suspended, and returns once all have been sent. Each
-// call puts its result on the channel when the server, resumed by the caller, has answered.
+// sendWhileSuspended makes calls to a suspended server, and returns once all have been sent. Each call puts
+// its result on the channel once the caller has resumed the server and the server has answered.
 func (cluster *testCluster) sendWhileSuspended(name string, calls int, call func(ctx context.Context, client *control.Client) bool) <-chan bool {
 	results, sent := make(chan bool, calls), make(chan struct{}, calls)
 	trace := &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) { sent <- struct{}{} }}
@@ -191,8 +193,8 @@
 	return results
 }
 
-// A leader that is suspended finds consistent reads when it is resumed, and may believe that it still
-// leads. If the next leader took a write before the reads were sent, the resumed one answers no read with
+// A suspended leader receives consistent reads when it is resumed, and may still consider itself the leader.
+// If the next leader accepted a write before the reads were sent, the resumed leader answers no read with
 // the state from before that write.
 func TestResumedLeaderAnswersNoStaleRead(t *testing.T) {
 	const reads = 40
--- a/cmd/controlplane/registrations_test.go
+++ b/cmd/controlplane/registrations_test.go
@@ -9,12 +9,12 @@
 	"knotrouter/internal/endpoints"
 )
 
-// newEndpoint returns the endpoint of a ready server with the default address, which nothing listens at.
+// newEndpoint returns the endpoint of a ready server with the default address, on which nothing listens.
 func newEndpoint(name string, startedMs float64) endpoints.Endpoint {
 	return endpoints.Endpoint{Name: name, Dial: "127.0.0.1:9", Site: "a", Class: "k", Health: endpoints.Ready, Weight: 1, StartedMs: startedMs}
 }
 
-// startTimes returns when each registered server started, by its name.
+// startTimes returns the start time of each registered server, by name.
 func startTimes(entries []catalog.Entry) map[string]float64 {
 	started := map[string]float64{}
 	for i := range entries {
@@ -24,7 +24,7 @@
 }
 
 // requireAcknowledged waits until a consistent read is answered, and requires that the answer has every
-// acknowledged registration, given as start times by name, or a later one of the same name.
+// acknowledged registration, given as start times by name, or a later one with the same name.
 func (cluster *testCluster) requireAcknowledged(acknowledged map[string]float64) {
 	cluster.t.Helper()
 	cluster.waitUntil("a consistent read is answered", func() bool {
@@ -63,7 +63,7 @@
 	return result
 }
 
-// instanceRefs names the servers s-0 to s-(n-1), each as the instance that started at 1 ms.
+// instanceRefs returns references to the servers s-0 to s-(n-1), each to the instance that started at 1 ms.
 func instanceRefs(n int) (refs []catalog.InstanceRef) {
 	for i := range n {
 		refs = append(refs, catalog.InstanceRef{Name: fmt.Sprint("s-", i), StartedMs: 1})
@@ -71,8 +71,8 @@
 	return refs
 }
 
-// renewAll renews the leases of the instances that refs returns, again and again at an interval, until
-// the test ends or the returned function is called.
+// renewAll renews the leases of the instances that refs returns at an interval, until the test ends or the
+// returned function is called.
 func (cluster *testCluster) renewAll(interval time.Duration, refs func() []catalog.InstanceRef) (stop func()) {
 	ctx, cancel := context.WithCancel(cluster.t.Context())
 	done := make(chan struct{})
--- a/cmd/controlplane/requests_test.go
+++ b/cmd/controlplane/requests_test.go
@@ -11,11 +11,11 @@
 type invalidRequest struct {
 	method, path, body string
 	wantStatus         int
-	wantText           string // a part of the only line of the answer
+	wantText           string // contained in the answer's only line
 }
 
-// invalidRequests returns requests that the only server of a cluster rejects, given that server's name. The
-// cluster must have one registration, of s, as the instance that started at 5 ms.
+// invalidRequests returns requests that the only server of a cluster, whose name is given, rejects. The
+// cluster must have one registration: s, with the instance that started at 5 ms.
 func invalidRequests(onlyServer string) []invalidRequest {
 	valid := `{"host":"x","dial":"127.0.0.1:9","site":"a","class":"k","block":0,"health":"ready","share":1,"born_ms":5}`
 	return []invalidRequest{
@@ -70,7 +70,7 @@
 }
 
 // requireRejected sends an invalid request to a server, and requires the status and the line that the
-// request wants as its answer. It fails the test at once if the server doesn't answer.
+// request specifies as its answer. It fails the test at once if the server doesn't answer.
 func requireRejected(t *testing.T, addr string, request invalidRequest) {
 	t.Helper()
 	req, err := http.NewRequest(request.method, "http://"+addr+request.path, strings.NewReader(request.body))
--- a/cmd/controlplane/services_test.go
+++ b/cmd/controlplane/services_test.go
@@ -17,8 +17,9 @@
 	"knotrouter/internal/endpoints"
 )
 
-// A call that names services is told how many were understood, and gets only their entries. A call that
-// names none gets the list without services, as clients from before services know it.
+// The answer to a call that names services says how many of them the server understood, and has only their
+// entries. A call that names none gets the list without services, in the form that clients from before
+// services know.
 func TestServiceScopedLists(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.registerInService("billing", "only", 1)
@@ -70,12 +71,12 @@
 	}
 	many[0] = "search"
 	if list := cluster.fullList(follower, serviceQuery(many[:256])); len(list.Endpoints) != 2 {
-		t.Errorf("a list of 256 services: %+v, want the two servers of one", list.Endpoints)
+		t.Errorf("a list of 256 services: %+v, want the two servers of the only existing service", list.Endpoints)
 	}
 }
 
-// The only server of a service changes, is replaced, ends and is followed by another. Each change is one
-// line with one entry, and watches of other services get nothing.
+// The only server of a service changes, is replaced, ends and is followed by another. Each change arrives as
+// one line with one entry, and watches of other services receive nothing.
 func TestWatchOfServiceWithOneServer(t *testing.T) {
 	cluster := newCluster(t, 1)
 	cluster.registerInService("one", "s", 1)
@@ -118,7 +119,7 @@
 	other.stopAndVerify(t)
 }
 
-// unregister takes the instance of a server that started at a time off the list.
+// unregister removes the instance of a server that started at startedMs from the list.
 func (cluster *testCluster) unregister(name string, startedMs float64) error {
 	leader := cluster.servers[cluster.waitForLeader()]
 	req, err := http.NewRequest(http.MethodDelete, fmt.Sprintf("http://%s/v1/servers/%s?born_ms=%.0f", leader.http, name, startedMs), nil)
@@ -136,8 +137,9 @@
 	return nil
 }
 
-// When a server changes its service under one name, watches of the old service receive its removal, watches
-// of the new service receive the server, and watches of both have the server in the new service at the end.
+// When a server moves to another service under the same name, watches of the old service receive its
+// removal, watches of the new service receive the server, and watches of both end up with the server in the
+// new service.
 func TestServerChangesItsService(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.registerInService("old", "s", 1)
@@ -225,7 +227,7 @@
 	}
 }
 
-// A snapshot without services is restored while services are watched. Its servers are of the default
+// A snapshot without services is restored while services are watched. Its servers belong to the default
 // service, and the watches get full lists with later versions.
 func TestRestoreOfSnapshotWithoutServices(t *testing.T) {
 	cluster := newCluster(t, 3)
@@ -257,7 +259,7 @@
 	cluster.waitUntil("the watches have the restored state", func() bool { return ofA.names() == "" && ofDefault.names() == "s@" })
 	cluster.registerInService("a", "s", 2)
 	cluster.waitUntil("s is in its service again", func() bool { return ofA.names() == "s@a" && ofDefault.names() == "" })
-	// The restored state is on the disk of each server.
+	// Each server has the restored state on its disk.
 	for _, name := range cluster.names {
 		cluster.kill(name)
 		cluster.start(name)
@@ -325,7 +327,7 @@
 		t.Errorf("%d servers of the service are listed, want 8", n)
 	}
 	// A leader that is elected meanwhile extends all leases once, and quarantines the servers again.
-	cluster.waitUntil("the quarantined are off the list after the confirmation", func() bool {
+	cluster.waitUntil("the quarantined servers are removed from the list after the confirmation", func() bool {
 		if status, err := cluster.status(cluster.waitForLeader()); err == nil && status.Quarantined > 0 {
 			ctx, cancel := context.WithTimeout(t.Context(), readTimeout)
 			defer cancel()
--- a/cmd/controlplane/servicescale_test.go
+++ b/cmd/controlplane/servicescale_test.go
@@ -11,7 +11,7 @@
 	"knotrouter/internal/endpoints"
 )
 
-// restoreServers restores a state that has services with these numbers of servers.
+// restoreServers restores a state with a given number of servers for each service.
 func (cluster *testCluster) restoreServers(sizes map[string]int) {
 	cluster.t.Helper()
 	state := catalog.New()
@@ -35,8 +35,8 @@
 	}
 }
 
-// Two watches, of a service of 5,000 servers and one of 20, receive only their own: the lines and bytes
-// of each depend on its own service alone.
+// Two watches, of a service of 5,000 servers and one of 20, each receive only the entries of their own
+// service: the number of lines and bytes depends on that service alone.
 func TestWatchesReceiveOnlyTheirServices(t *testing.T) {
 	cluster := newCluster(t, 1)
 	const large, small, changes = 5000, 20, 40
@@ -49,7 +49,7 @@
 	_, largeFirstBytes, _ := largeWatch.received()
 	_, smallFirstBytes, _ := smallWatch.received()
 	if smallFirstBytes > 200*small || largeFirstBytes < 100*large {
-		t.Errorf("the first lists were of %d and %d bytes", largeFirstBytes, smallFirstBytes)
+		t.Errorf("the first lists had %d and %d bytes", largeFirstBytes, smallFirstBytes)
 	}
 	var version int64
 	for i := range changes {
@@ -76,8 +76,9 @@
 	resumed.stopAndVerify(t)
 }
 
-// BenchmarkServicesAtScale registers 39,000 servers in 1,900 services with one server of the control
-// plane, measures the sizes of its snapshot and lists, and the time until it lists all after a kill.
+// BenchmarkServicesAtScale registers 39,000 servers in 1,900 services with one server of the control plane.
+// It measures the sizes of its snapshot and lists, and the time until it lists all servers again after a
+// kill.
 func BenchmarkServicesAtScale(b *testing.B) {
 	const servers, services, writers = 39_000, 1900, 32
 	for range b.N {
--- a/cmd/controlplane/servicewatch_test.go
+++ b/cmd/controlplane/servicewatch_test.go
@@ -18,14 +18,14 @@
 	"knotrouter/internal/endpoints"
 )
 
-// scopeHeader is the header with which a server tells how many services of a call it understood.
+// scopeHeader is the response header with the number of services of a call that the server understood.
 const scopeHeader = "Service-Scope"
 
-// serviceQuery returns the part of a query that names services.
+// serviceQuery returns the query parameters that select services.
 func serviceQuery(services []string) string { return url.Values{"service": services}.Encode() }
 
-// serviceWatch watches services, at one server of the control plane after the other. It applies each line
-// that it receives as the protocol demands, and notes lines that violate the protocol.
+// serviceWatch watches services, and continues at the next server of the control plane when a call ends. It
+// applies each line that it receives as the protocol requires, and records lines that violate the protocol.
 type serviceWatch struct {
 	services []string
 	stop     context.CancelFunc
@@ -39,12 +39,12 @@
 	violations []string // of the protocol
 }
 
-// watchServices starts a watch that begins at the first server named.
+// watchServices starts a watch whose first call is to the first of the servers named.
 func (cluster *testCluster) watchServices(services []string, servers ...string) *serviceWatch {
 	return cluster.watchServicesFrom(0, services, servers...)
 }
 
-// watchServicesFrom starts a watch whose reader has a version already.
+// watchServicesFrom starts a watch that resumes after the version since.
 func (cluster *testCluster) watchServicesFrom(since int64, services []string, servers ...string) *serviceWatch {
 	ctx, cancel := context.WithCancel(cluster.t.Context())
 	watch := &serviceWatch{services: services, stop: cancel, done: make(chan struct{}), version: since, entries: map[string]endpoints.Endpoint{}}
@@ -111,9 +111,9 @@
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// apply applies a line, and reports whether the reader goes on with the call. Servers without a quorum
-// serve the list that they have, if none is better, so a reader leaves a server whose first list is older
-// than its own. Later versions of a call must never decrease.
+// apply applies a line, and reports whether to keep reading lines of the call. A server without a quorum
+// serves its own list if no other server has a better one, so a watch leaves a server whose first list is
+// older than its own. Later versions of a call must never decrease.
 func (w *serviceWatch) apply(line []byte, first bool) (keepReading bool) {
 	list, err := endpoints.Parse(line)
 	if err != nil {
@@ -135,7 +135,7 @@
 	for _, endpoint := range list.Endpoints {
 		switch {
 		case !slices.Contains(w.services, endpoint.Service):
-			w.violations = append(w.violations, fmt.Sprintf("was sent %+v, of another service", endpoint))
+			w.violations = append(w.violations, fmt.Sprintf("received %+v, of another service", endpoint))
 		case endpoint.Health != endpoints.Removed:
 			w.entries[endpoint.Name] = endpoint
 		case w.entries[endpoint.Name].Service == endpoint.Service:
@@ -145,7 +145,7 @@
 	return true
 }
 
-// names returns the entries as name@service, sorted and with spaces between.
+// names returns the entries as name@service, sorted and separated by spaces.
 func (w *serviceWatch) names() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -164,7 +164,7 @@
 	return len(w.entries)
 }
 
-// list returns the list with an index, of those that were received; -1 is the last.
+// list returns the received list with an index; -1 is the last.
 func (w *serviceWatch) list(i int) endpoints.List {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -230,8 +230,8 @@
 	return resp.StatusCode, resp.Header, text
 }
 
-// fullList waits until a server serves the list that a query names, and returns the list. It fails the test
-// if the answer is no full list or doesn't tell its scope, or after waitTimeout.
+// fullList waits until a server serves the list that a query selects, and returns the list. It fails the
+// test if the answer is not a full list or doesn't have the scope header, or after waitTimeout.
 func (cluster *testCluster) fullList(server, query string) endpoints.List {
 	cluster.t.Helper()
 	var list endpoints.List
--- a/cmd/controlplane/syscallfaults_test.go
+++ b/cmd/controlplane/syscallfaults_test.go
@@ -15,15 +15,16 @@
 	"knotrouter/internal/lab/syscallfault"
 )
 
-// faultyCluster is a cluster whose victim, the leader, has system calls that fail while a file exists.
+// faultyCluster is a cluster in which system calls of one server, the victim, fail while a file exists. The
+// victim is the first leader.
 type faultyCluster struct {
 	*testCluster
 	victim    string
-	faultFile string // the path of the files that begin faults, without the name of the server
+	faultFile string // path of the files that start faults, to which a dash and the server's name are added
 }
 
-// newFaultyCluster starts n servers and waits until one leads, which is the victim. The faults are in the
-// form of syscallfault.FaultsVariable.
+// newFaultyCluster starts n servers and waits until one leads, which becomes the victim. The faults have the
+// format of syscallfault.FaultsVariable.
 func newFaultyCluster(t *testing.T, n int, faults string) *faultyCluster {
 	t.Helper()
 	cluster := newUnstartedCluster(t, n)
@@ -38,7 +39,7 @@
 	return faulty
 }
 
-// startFault has the victim's system calls fail from now on.
+// startFault makes the victim's system calls fail until endFault is called.
 func (faulty *faultyCluster) startFault() {
 	faulty.t.Helper()
 	if err := os.WriteFile(faulty.faultFile+"-"+faulty.victim, nil, 0o600); err != nil {
@@ -46,7 +47,7 @@
 	}
 }
 
-// endFault ends the fault that startFault began.
+// endFault ends the fault that startFault started.
 func (faulty *faultyCluster) endFault() {
 	faulty.t.Helper()
 	if err := os.Remove(faulty.faultFile + "-" + faulty.victim); err != nil {
@@ -54,8 +55,8 @@
 	}
 }
 
-// writeFor registers servers for a duration, with start times from firstStartedMs on, and adds the start time of
-// each acknowledged registration to the map by its name.
+// writeFor registers servers for a duration, with start times from firstStartedMs on, and adds the start
+// time of each acknowledged registration to the map by its name.
 func (faulty *faultyCluster) writeFor(duration time.Duration, firstStartedMs int, acknowledged map[string]float64) {
 	faulty.t.Helper()
 	for i, end := firstStartedMs, time.Now().Add(duration); time.Now().Before(end); i++ {
@@ -72,7 +73,7 @@
 }
 
 // writeOnceAt sends one registration to one server, as the instance that started at 1 ms. It reports whether
-// the registration was acknowledged, and adds it to the map then.
+// the registration was acknowledged; if so, it adds the registration to the map.
 func (faulty *faultyCluster) writeOnceAt(server, name string, acknowledged map[string]float64) bool {
 	faulty.t.Helper()
 	ctx, cancel := context.WithTimeout(faulty.t.Context(), statusTimeout)
@@ -84,9 +85,9 @@
 	return true
 }
 
-// A disk whose writes or syncs fail for a while, also with a kill meanwhile, loses no acknowledged write,
-// and writes are accepted again afterwards. A server that ended is started again, as its platform would
-// do. Its log says why writes failed, without a stack trace.
+// No acknowledged write is lost when the writes or syncs of a disk fail for a while, even if the server is
+// killed meanwhile, and writes are accepted again afterwards. A server that exited is restarted, as its
+// platform would do. Its log says why writes failed, without a stack trace.
 func TestDiskErrorsKeepAcknowledgedWrites(t *testing.T) {
 	for _, faults := range []string{"fdatasync:EIO", "pwrite64:ENOSPC", "pwrite64:EIO,fdatasync:EIO"} {
 		for _, n := range []int{1, 3} {
@@ -100,11 +101,11 @@
 	}
 }
 
-// diskErrorPollInterval is how long checkDiskErrors writes between two looks for a disk error in the log.
+// diskErrorPollInterval is how long checkDiskErrors writes between two checks of the log for a disk error.
 const diskErrorPollInterval = 100 * time.Millisecond
 
-// checkDiskErrors has the disk of one of n servers fail, kills that server meanwhile if killed is set, and
-// requires that every acknowledged write is there afterwards and that the log says why writes failed.
+// checkDiskErrors makes the disk of one of n servers fail, kills that server meanwhile if killed is set, and
+// requires that every acknowledged write is present afterwards and that the log says why writes failed.
 func checkDiskErrors(t *testing.T, faults string, n int, killed bool) {
 	t.Helper()
 	cluster := newFaultyCluster(t, n, faults)
@@ -148,12 +149,12 @@
 	}
 }
 
-// loggedDiskError reports whether a server's log has an error of its disk.
+// loggedDiskError reports whether a server's log has a disk error.
 func loggedDiskError(log string) bool {
 	return strings.Contains(log, "input/output error") || strings.Contains(log, "no space left on device")
 }
 
-// A server whose accept calls fail for a moment, with whatever error, answers right afterwards.
+// A server whose accept calls fail briefly, with any error, answers again within maxRecovery.
 func TestAcceptFailsForAMoment(t *testing.T) {
 	const (
 		maxRecovery        = 3 * time.Second
--- a/cmd/controlplane/tasks_test.go
+++ b/cmd/controlplane/tasks_test.go
@@ -18,26 +18,27 @@
 
 const (
 	taskTTL = 1500 * time.Millisecond
-	// minStableTerm is how long a process must hold a task before its end is not blamed on the task.
+	// minStableTerm is how long a process must hold a task so that the control plane doesn't blame the task
+	// for the end of the process.
 	minStableTerm = 2500 * time.Millisecond
 )
 
-// taskFault is what happens to the holder of a task, or to the servers that grant it.
+// taskFault is a fault of a task's holder, or of the servers that grant the task.
 type taskFault struct {
 	name string
-	// inject begins the fault, given the holder, and returns what ends it. A fault that ends by itself
-	// returns nil.
+	// inject starts the fault, given the holder, and returns a function that ends it. It returns nil if the
+	// fault ends by itself.
 	inject func(holder string) (end func())
 	// mayKeepTask is set if the same process may hold the task afterwards.
 	mayKeepTask bool
-	// suspends is set if the holder stands still: it may then send an operation too late.
+	// suspends is set if the holder is suspended: it may then send an operation too late.
 	suspends bool
 }
 
-// A leased task goes on at another process whatever happens to its holder, which is killed, suspended
-// for a half, one and three times its TTL, cut off from the servers but not from the resource, cut off
-// one way, shut down, and revoked or moved by an operator; and whatever happens to the servers. No two
-// terms overlap, though clocks run at rates that differ by 5 %.
+// A leased task continues at another process whatever fault its holder has: it is killed, suspended for a
+// half, one and three times its TTL, cut off from the servers but not from the resource, cut off in one
+// direction, shut down, or its task is revoked or moved by an operator. The same holds for faults of the
+// servers. No two terms overlap, although the clocks of the processes run at rates that differ by 5 %.
 func TestTaskFailsOverUnderEachFault(t *testing.T) {
 	cluster := newCluster(t, 3)
 	workers := cluster.startWorkers(3, 10, 0.95, 1, 1.05)
@@ -53,10 +54,10 @@
 		}
 		operation := workers.waitForOperation("work.a", excludedProcess, max(monotonicNow(t), began))
 		t.Logf("%s: %s, then %s under fencing token %d after %v", fault.name, holder, operation.Process, operation.Fence, (operation.Mono - began).Round(time.Millisecond))
-		// The former holder has time to send another operation, if it wrongly still does.
+		// The former holder has time to send another operation, in case it wrongly keeps sending.
 		workers.waitForOperation("work.a", excludedProcess, operation.Mono+300*time.Millisecond)
 		if n := workers.operations.Analyze().Rejected - rejected; n > 0 && !fault.suspends {
-			t.Errorf("%s: %d operations were rejected for their fencing token: the former holder went on after its term", fault.name, n)
+			t.Errorf("%s: %d operations were rejected for their fencing token: the former holder kept sending after its term", fault.name, n)
 		}
 		if end != nil {
 			end()
@@ -140,8 +141,8 @@
 }
 
 // A planned move leaves a short gap and never an overlap. A task that is moved to a process that doesn't
-// answer stays where it is. A second process of a name is rejected. A task that fails is backed off, and
-// one that ends its holders is suspended.
+// answer stays with its holder. A second process with a name in use is rejected. A task that fails is backed
+// off, and one that ends its holders is suspended.
 func TestTaskMovesBackoffAndSuspension(t *testing.T) {
 	cluster := newCluster(t, 3)
 	workers := cluster.startWorkers(3, 10)
@@ -191,7 +192,7 @@
 		task, err := cluster.client(cluster.names...).Task(t.Context(), "kill.a")
 		return err == nil && task.SuspendReason != "" && task.Holder == ""
 	})
-	workers.waitForOperation("work.a", "", monotonicNow(t)) // beside the tasks that fail
+	workers.waitForOperation("work.a", "", monotonicNow(t)) // while other tasks fail
 	workers.requireNoOverlap()
 }
 
@@ -216,7 +217,7 @@
 	if err := workers.commandTask("work.a", "move", unready); err != nil {
 		t.Fatal(err)
 	}
-	cluster.waitUntil("the move to "+unready+" is given up", func() bool {
+	cluster.waitUntil("the move to "+unready+" is canceled", func() bool {
 		task, err := cluster.client(cluster.names...).Task(t.Context(), "work.a")
 		return err == nil && task.Successor == "" && task.Holder == earlier.Process
 	})
@@ -225,14 +226,14 @@
 	}
 }
 
-// requireDuplicateWorkerIsRejected starts a second process with the name of the holder of work.a. It waits until
-// the second process logs that the first one has the name, and until another process holds work.a after
-// both are killed. It starts the holder again.
+// requireDuplicateWorkerIsRejected starts a second process with the name of the holder of work.a. It waits
+// until the second process logs that the name is in use, kills both processes, waits until another process
+// holds work.a, and restarts the holder.
 func requireDuplicateWorkerIsRejected(t *testing.T, workers *workerGroup, holder string) {
 	t.Helper()
 	cluster := workers.cluster
 	duplicate := cluster.supervisor.Add(workers.processes[holder].Spec)
-	duplicate.Log = filepath.Join(cluster.dir, "twin.log")
+	duplicate.Log = filepath.Join(cluster.dir, "duplicate.log")
 	startProcess(t, duplicate)
 	cluster.waitUntil("the second process of the name reports the first", func() bool {
 		return strings.Contains(processLog(duplicate), "process name already in use, waiting for the other session to end")
@@ -243,8 +244,8 @@
 	workers.start(holder)
 }
 
-// Many tasks are spread evenly over the processes, and again when a process ends or joins. While none
-// does, no task changes its holder.
+// Many tasks are spread evenly over the processes, and redistributed when a process ends or joins. While
+// neither happens, no task changes its holder.
 func TestTasksAreBalanced(t *testing.T) {
 	const (
 		n            = 300
@@ -289,16 +290,16 @@
 	}
 	for i := range after {
 		if after[i].Fence != before[i].Fence {
-			t.Errorf("%s changed its holder without need", after[i].Name)
+			t.Errorf("%s changed its holder though no process ended or joined", after[i].Name)
 		}
 	}
 	workers.add("w-4", 1000, 1)
 	cluster.waitUntil("the tasks are spread over three processes again", isSpreadOver(3))
-	t.Logf("the tasks were spread again %v after the kill of a process that held a third of them", took)
+	t.Logf("the tasks were redistributed %v after the kill of a process that held a third of them", took)
 }
 
-// countIdleTasks returns how many of the tasks named idle.* each process holds, and how many nobody
-// holds, which is n if no server answers. It doesn't use the test's context, as a cleanup calls it too.
+// countIdleTasks returns how many of the tasks named idle.* each process holds, and how many have no holder;
+// these are n if no server answers. It doesn't use the test's context, as a cleanup calls it too.
 func countIdleTasks(cluster *testCluster, n int) (counts map[string]int, free int) {
 	counts = map[string]int{}
 	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
@@ -319,8 +320,8 @@
 	return counts, free
 }
 
-// A leader that is suspended finds renewals when it is resumed, and may believe that it still leads. It
-// confirms no renewal of a session that has ended at the next leader.
+// A suspended leader receives renewals when it is resumed, and may still consider itself the leader. It must
+// not confirm the renewal of a session that has ended at the next leader.
 func TestResumedLeaderAnswersNoRenewalOfEndedSession(t *testing.T) {
 	const renewals = 40
 	cluster := newCluster(t, 3)
@@ -344,7 +345,7 @@
 		cluster.resume(oldLeader)
 		for range renewals {
 			if <-confirmed {
-				t.Fatalf("round %d: a renewal was confirmed of a session that had ended before it was sent", round)
+				t.Fatalf("round %d: the renewal of a session that had ended before it was sent was confirmed", round)
 			}
 		}
 	}
--- a/cmd/controlplane/taskschedules_test.go
+++ b/cmd/controlplane/taskschedules_test.go
@@ -18,11 +18,12 @@
 	scheduledFaults = 8
 	// maxSchedulePauseMs bounds the random pause after each fault of a schedule.
 	maxSchedulePauseMs = 500
-	// minTermsPerSchedule is how many terms a schedule has on average at least, over all tasks.
+	// minTermsPerSchedule is the least average number of terms of a schedule, over all tasks.
 	minTermsPerSchedule = 6
 )
 
-// countFromEnvironment returns the number that an environment variable has, or the default without one.
+// countFromEnvironment returns the number in an environment variable, or defaultCount if the variable is not
+// set.
 func countFromEnvironment(t *testing.T, variable string, defaultCount int) int {
 	t.Helper()
 	value := os.Getenv(variable)
@@ -36,9 +37,9 @@
 	return count
 }
 
-// Whatever happens to workers and servers in random schedules of kills, suspensions, cuts, moves and
-// revocations, no two processes hold a task at one time, and the resource sees no fencing token after a
-// higher one. DUTY_SEEDS is the number of schedules.
+// Under random schedules of kills, suspensions, cuts, moves and revocations of workers and servers, no two
+// processes hold a task at the same time, and the resource accepts no fencing token after a higher one. The
+// environment variable DUTY_SEEDS sets the number of schedules.
 func TestTasksNeverOverlapUnderRandomFaults(t *testing.T) {
 	schedules := countFromEnvironment(t, "DUTY_SEEDS", 10)
 	var mu sync.Mutex
@@ -61,7 +62,7 @@
 	t.Logf("%d schedules, %d terms, %d operations rejected for their fencing token", schedules, terms, rejected)
 }
 
-// runTaskSchedule injects random faults and returns what the resource recorded.
+// runTaskSchedule runs one schedule of random faults and returns what the resource recorded.
 func runTaskSchedule(t *testing.T, seed uint64) check.Analysis {
 	t.Helper()
 	rng := newSeededRand(t, seed)
@@ -77,7 +78,7 @@
 		workers.injectFault(rng)
 		time.Sleep(time.Duration(rng.IntN(maxSchedulePauseMs)) * time.Millisecond)
 	}
-	// A task may have been blamed for the ends of its holders, and suspended.
+	// A task may have been suspended because its holders ended.
 	for i := range scheduledTasks {
 		name := scheduledTaskName(i)
 		cluster.waitUntil(name+" is not suspended", func() bool { return workers.commandTask(name, "unpark", "") == nil })
@@ -124,13 +125,13 @@
 const (
 	minFaultPause = 150 * time.Millisecond
 	// maxHistoryFaults bounds the faults of a recorded history. A busy machine needs more of them than
-	// an idle one before the clients have made enough operations for a verdict.
+	// an idle one before the clients have made enough operations for a conclusive check.
 	maxHistoryFaults = 24
 )
 
-// injectFaults injects random faults into the servers, one after the other: as many as count says, and
-// then more until isLongEnough reports that the history recorded meanwhile allows a verdict. Before each
-// fault it pauses between minFaultPause and maxPause.
+// injectFaults injects random faults into the servers, one after the other: first count of them, and then
+// more, up to maxHistoryFaults in all, until isLongEnough reports that the history recorded meanwhile is
+// long enough to be checked. Before each fault it pauses between minFaultPause and maxPause.
 func (cluster *testCluster) injectFaults(rng *rand.Rand, count int, maxPause time.Duration, isLongEnough func() bool) {
 	cluster.t.Helper()
 	pauseRangeMs := int((maxPause - minFaultPause).Milliseconds())
--- a/cmd/controlplane/unresponsive_test.go
+++ b/cmd/controlplane/unresponsive_test.go
@@ -12,7 +12,7 @@
 	"knotrouter/internal/catalog"
 )
 
-// unresponsiveAddress returns an address that accepts connections and answers on none of them.
+// unresponsiveAddress returns an address that accepts connections and never answers.
 func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,10 +43,10 @@
 	return listener.Addr().String()
 }
 
-// A lost zone has more unresponsive servers than a server of the control plane can check within one
-// timeout if it checks a few at a time. A quorum decides on all of them all the same.
+// A failed zone has more unresponsive servers than a server of the control plane can check within one
+// timeout if it checks only a few at a time. A quorum still decides on all of them.
 func TestUnresponsiveZoneExpires(t *testing.T) {
-	const total, unresponsive = 600, 120 // a fifth: the mass-failure guard begins at two fifths
+	const total, unresponsive = 600, 120 // a fifth: the mass-failure guard takes effect at two fifths
 	cluster := newCluster(t, 3)
 	cluster.extraConfig = "heartbeat = \"300ms\"\nlease_ttl = \"3s\"\n"
 	cluster.restartAll(nil)
@@ -54,8 +54,8 @@
 	cluster.renewAll(300*time.Millisecond, func() []catalog.InstanceRef { return instanceRefs(total - unresponsive) })
 	registerAll(cluster, total, unresponsiveAddress(t))
 	began := time.Now()
-	cluster.waitUntil("only the unresponsive zone is off the list", func() bool { return cluster.listedCount() == total-unresponsive })
-	t.Logf("%d unresponsive servers of %d were off the list after %v", unresponsive, total, time.Since(began).Round(100*time.Millisecond))
+	cluster.waitUntil("only the unresponsive zone is removed from the list", func() bool { return cluster.listedCount() == total-unresponsive })
+	t.Logf("%d unresponsive servers of %d were removed from the list after %v", unresponsive, total, time.Since(began).Round(100*time.Millisecond))
 	if listed := cluster.listedCount(); listed != total-unresponsive {
 		t.Errorf("%d servers are listed, want %d", listed, total-unresponsive)
 	}
--- a/cmd/controlplane/watches_test.go
+++ b/cmd/controlplane/watches_test.go
@@ -27,8 +27,8 @@
 	return time.Duration(minPauseMs+number%pauseSpreadMs) * time.Millisecond
 }
 
-// readerGroup is many readers, each with its own order of the servers, as agents have. The group is the
-// transport of the readers' calls, and records the time of each call.
+// readerGroup is a group of readers, each with its own order of the servers, as agents have. The group is
+// the HTTP transport of the readers' calls, and records the time of each call.
 type readerGroup struct {
 	cluster *testCluster
 	readers []*watchReader
@@ -79,7 +79,7 @@
 	group.done.Wait()
 }
 
-// maxCallsWithin returns the largest number of calls in any window of a length.
+// maxCallsWithin returns the largest number of calls in any window of a given length.
 func (group *readerGroup) maxCallsWithin(window time.Duration) (calls int) {
 	group.mu.Lock()
 	defer group.mu.Unlock()
@@ -92,7 +92,7 @@
 	return calls
 }
 
-// resetCallTimes forgets the calls made before.
+// resetCallTimes discards the call times recorded so far.
 func (group *readerGroup) resetCallTimes() {
 	group.mu.Lock()
 	defer group.mu.Unlock()
@@ -124,8 +124,8 @@
 	return counts, sum
 }
 
-// waitUntilSpread waits until n watches are spread evenly over some servers, up to a tenth of a server's
-// part and two.
+// waitUntilSpread waits until n watches are spread evenly over a number of servers: none has more than its
+// share plus a tenth and two.
 func (cluster *testCluster) waitUntilSpread(n, servers int) {
 	cluster.t.Helper()
 	cluster.waitUntil(fmt.Sprintf("%d watches are spread over %d servers", n, servers), func() bool {
@@ -139,8 +139,8 @@
 	})
 }
 
-// Watches are spread over the servers. A server that shuts down migrates its watches in small steps
-// first, and one that joins gets its part in small steps. No reader misses a change.
+// Watches are spread over the servers. A server that shuts down first migrates its watches in small steps,
+// and one that joins gets its share in small steps. No reader misses a change.
 func TestWatchesAreRebalanced(t *testing.T) {
 	const n = 90
 	cluster := newCluster(t, 3)
@@ -154,7 +154,7 @@
 	cluster.waitUntilSpread(n, 2)
 	cluster.register("between", 1)
 	readers.waitUntilAllHave("between")
-	// Thirty watches migrate within two seconds: a tenth of a second has two or three of them.
+	// Thirty watches migrate within two seconds: two or three of them in a tenth of a second.
 	if calls := readers.maxCallsWithin(100 * time.Millisecond); calls > n/3/2 {
 		t.Errorf("%d of the %d readers of a server that shuts down migrated within 100 ms", calls, n/3)
 	}
@@ -177,7 +177,7 @@
 	}
 }
 
-// lagDuration returns how long a server lags: 4 s, or what the environment variable LAG_FOR says.
+// lagDuration returns how long a server lags: 4 s, or the duration in the environment variable LAG_FOR.
 func lagDuration(t *testing.T) time.Duration {
 	t.Helper()
 	duration, err := time.ParseDuration(os.Getenv("LAG_FOR"))
@@ -188,15 +188,15 @@
 	return duration
 }
 
-// lagCause is why a server lags behind the leader.
+// lagCause is a reason for a server to lag behind the leader.
 type lagCause struct {
 	name string
-	// suspends is set if the server stands still, and can't report that it lags.
+	// suspends is set if the server is suspended, and can't report that it lags.
 	suspends   bool
 	begin, end func(t *testing.T, cluster *testCluster, leader, lagging string)
 }
 
-// diskBlockFile is the file that blocks the log store of a server while it exists.
+// diskBlockFile returns the path of the file that blocks the log store of a server while it exists.
 func (cluster *testCluster) diskBlockFile(name string) string {
 	return filepath.Join(cluster.dir, "slow-"+name)
 }
@@ -218,7 +218,7 @@
 		},
 	},
 	{
-		name: "late link",
+		name: "delayed link",
 		begin: func(t *testing.T, cluster *testCluster, leader, lagging string) {
 			if err := cluster.links[serverPair{leader, lagging}].Set(link.Shape{Delay: lagDuration(t)}, link.Shape{}); err != nil {
 				t.Fatal(err)
@@ -231,16 +231,16 @@
 		},
 	},
 	{
-		name:     "stood still",
+		name:     "suspended",
 		suspends: true,
 		begin:    func(_ *testing.T, cluster *testCluster, _, lagging string) { cluster.suspend(lagging) },
 		end:      func(_ *testing.T, cluster *testCluster, _, lagging string) { cluster.resume(lagging) },
 	},
 }
 
-// A server lags because its disk is slow, because messages to it arrive late or because it is suspended.
-// It loses its watches to the others, serves no old list, and gets its part of the watches again once it
-// has caught up.
+// A server lags because its disk is slow, because messages reach it late or because it is suspended. It
+// loses its watches to the others, serves no old list, and gets its share of the watches again once it has
+// caught up.
 func TestLaggingServerLosesItsWatches(t *testing.T) {
 	for _, cause := range lagCauses {
 		t.Run(cause.name, func(t *testing.T) {
@@ -268,7 +268,7 @@
 				cluster.register(fmt.Sprint("later-", i), 1, leader)
 			}
 			cause.end(t, cluster, leader, lagging)
-			cluster.waitUntil(lagging+" has its part of the watches again", func() bool {
+			cluster.waitUntil(lagging+" has its share of the watches again", func() bool {
 				status, err := cluster.status(lagging)
 				return err == nil && !status.Stale && status.Watches >= 5
 			})
@@ -280,7 +280,8 @@
 }
 
 // requireStale waits until a server reports that it lags and has no watches left. It requires that the
-// server serves no list and, if wantLeaderContact is set, that the server reports a recent contact with the leader.
+// server serves no list and, if wantLeaderContact is set, that the server reports a recent contact with the
+// leader.
 func requireStale(t *testing.T, cluster *testCluster, lagging string, wantLeaderContact bool) {
 	t.Helper()
 	cluster.waitUntil(lagging+" is stale and has no watches", func() bool {
@@ -289,12 +290,12 @@
 	})
 	if wantLeaderContact {
 		if status, err := cluster.status(lagging); err != nil || status.SinceLeaderContactMs > 1000 || status.LagMs < 1000 {
-			t.Errorf("a server that hears the leader and lags reports %+v, %v", status, err)
+			t.Errorf("a server that is in contact with the leader and lags reports %+v, %v", status, err)
 		}
 	}
 	// A call without a version is rejected too.
 	if list, err := cluster.servers[lagging].client.List(t.Context()); err == nil {
-		t.Errorf("the server lists version %d while it lags and others don't", list.Seq)
+		t.Errorf("the server lists version %d though it lags and others don't", list.Seq)
 	}
 }
 
@@ -308,7 +309,7 @@
 	)
 	cluster := newCluster(t, 3)
 	cluster.shortenLeases()
-	cluster.extraConfig += "guard_share = 1\n" // seven of twelve servers end: no mass failure
+	cluster.extraConfig += "guard_share = 1\n" // seven of twelve servers end, which must not count as a mass failure
 	cluster.restartAll(func(i int, name string) {
 		cluster.setenv(name, clockOffsetVariable, []string{"11h", "-11h", "0s"}[i])
 	})
@@ -329,7 +330,7 @@
 		cluster.waitUntil("the reader gets "+registered, func() bool { return reader.has(registered) })
 		cluster.start(oldLeader)
 		time.Sleep(halfLease)
-		cluster.waitUntil("the lease of "+expiring+", which renews no more, expires", func() bool { return !reader.has(expiring) })
+		cluster.waitUntil("the lease of "+expiring+", which is no longer renewed, expires", func() bool { return !reader.has(expiring) })
 		for i := range n - 1 - round {
 			if name := fmt.Sprint("s-", i); !reader.has(name) {
 				t.Errorf("round %d: the lease of %s expired though it was renewed", round, name)
@@ -343,7 +344,7 @@
 	for _, name := range cluster.names {
 		cluster.kill(name)
 		cluster.eraseData(name)
-		cluster.setenv(name, clockOffsetVariable, "-11h") // of whichever server leads
+		cluster.setenv(name, clockOffsetVariable, "-11h") // on every server, so also on the leader
 	}
 	cluster.startServers(cluster.names)
 	cluster.register("fresh", 1)
--- a/cmd/controlplane/watchreader_test.go
+++ b/cmd/controlplane/watchreader_test.go
@@ -12,8 +12,8 @@
 	"knotrouter/internal/endpoints"
 )
 
-// watchReader follows the endpoint list as an agent does, from server to server, and notes whenever a
-// version is lower than the one before.
+// watchReader follows the endpoint list as an agent does, from server to server, and records every version
+// that is lower than the one before.
 type watchReader struct {
 	stop context.CancelFunc
 	done chan struct{}
@@ -23,10 +23,10 @@
 	regressions []string
 	listed      map[string]endpoints.Endpoint
 	everListed  map[string]bool
-	removed     []string // names that were taken off the list, in this order
+	removed     []string // names that were removed from the list, in this order
 }
 
-// newWatchReader returns a reader without a list. It doesn't watch before its watch method is called.
+// newWatchReader returns a reader without a list. It makes no call until its watch method is called.
 func newWatchReader() *watchReader {
 	return &watchReader{listed: map[string]endpoints.Endpoint{}, everListed: map[string]bool{}}
 }
@@ -37,7 +37,7 @@
 	reader := newWatchReader()
 	reader.stop, reader.done = cancel, make(chan struct{})
 	addrs := cluster.client(servers...).Addrs
-	// RejectOlder is not set: the reader takes lists of lower versions, to be able to report them.
+	// RejectOlder is not set, so that the reader receives lists with lower versions and can report them.
 	client := endpoints.NewClient(endpoints.ClientConfig{Addresses: addrs, OrderSeed: orderSeedStartingAt(addrs), Fleet: 1})
 	go func() {
 		defer close(reader.done)
@@ -61,7 +61,7 @@
 	return seed
 }
 
-// watch applies the lists of one watch, from the reader's version on, until the watch ends.
+// watch applies the lists of one watch, which begins at the reader's version, until the watch ends.
 func (r *watchReader) watch(ctx context.Context, client *endpoints.Client) {
 	r.mu.Lock()
 	since := r.version
@@ -69,7 +69,7 @@
 	_ = client.Watch(ctx, since, func(list endpoints.List) { r.apply(&list) })
 }
 
-// lookup returns the endpoint of a name that is listed now.
+// lookup returns the endpoint that is currently listed under a name.
 func (r *watchReader) lookup(name string) (endpoints.Endpoint, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +77,7 @@
 	return endpoint, ok
 }
 
-// has reports whether a name is listed now.
+// has reports whether a name is currently listed.
 func (r *watchReader) has(name string) bool {
 	_, ok := r.lookup(name)
 	return ok
@@ -90,7 +90,7 @@
 	return r.everListed[name]
 }
 
-// apply takes a list of a watch: it updates what is listed, and notes a version that decreased.
+// apply applies a list of a watch to the listed endpoints, and records a version that decreased.
 func (r *watchReader) apply(list *endpoints.List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// startFullList drops all endpoints; those that the full list doesn't have were removed.
+// startFullList discards all endpoints, and records those that the full list doesn't have as removed.
 func (r *watchReader) startFullList(list *endpoints.List) {
 	for name := range r.listed {
 		if !slices.ContainsFunc(list.Endpoints, func(e endpoints.Endpoint) bool { return e.Name == name }) {
--- a/cmd/controlplane/workers_test.go
+++ b/cmd/controlplane/workers_test.go
@@ -21,7 +21,7 @@
 	"knotrouter/internal/lab/worker"
 )
 
-// monotonicNow returns the machine's monotonic clock, which operations are stamped with.
+// monotonicNow returns the time on the machine's monotonic clock, with which operations are stamped.
 func monotonicNow(t testing.TB) time.Duration {
 	t.Helper()
 	now, err := worker.Monotonic()
@@ -31,7 +31,7 @@
 	return now
 }
 
-// workerMain is a process that holds leased tasks and acts under them. Its environment configures it.
+// workerMain runs a process that holds leased tasks and acts under them. Environment variables configure it.
 func workerMain() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -45,8 +45,8 @@
 	worker.Run(ctx, config, slog.New(slog.NewTextHandler(os.Stderr, nil)).With("worker", config.Name))
 }
 
-// workerGroup is worker processes, with a link from each to each server of the control plane, and the
-// resource that they act on, which checks fencing tokens and records the operations.
+// workerGroup is a group of worker processes, with a link from each to each server of the control plane, and
+// the resource that they act on, which checks fencing tokens and records the operations.
 type workerGroup struct {
 	cluster        *testCluster
 	operations     *check.OperationLog
@@ -81,7 +81,7 @@
 	return workers
 }
 
-// close closes the links, and shows the end of each worker's log if the test has failed.
+// close closes the links, and logs the end of each worker's log if the test has failed.
 func (workers *workerGroup) close() {
 	workers.cluster.t.Helper()
 	for _, links := range workers.links {
@@ -124,7 +124,7 @@
 	workers.start(name)
 }
 
-// start starts a worker that doesn't run.
+// start starts a worker that isn't running.
 func (workers *workerGroup) start(name string) {
 	workers.cluster.t.Helper()
 	startProcess(workers.cluster.t, workers.processes[name])
@@ -140,19 +140,19 @@
 	shutDownProcess(workers.cluster.t, workers.processes[name])
 }
 
-// suspend has a worker stand still until resume.
+// suspend suspends a worker until resume is called.
 func (workers *workerGroup) suspend(name string) {
 	workers.cluster.t.Helper()
 	signalProcess(workers.cluster.t, workers.processes[name], syscall.SIGSTOP)
 }
 
-// resume has a suspended worker go on.
+// resume resumes a suspended worker.
 func (workers *workerGroup) resume(name string) {
 	workers.cluster.t.Helper()
 	signalProcess(workers.cluster.t, workers.processes[name], syscall.SIGCONT)
 }
 
-// suspendFor has a worker stand still for a duration.
+// suspendFor suspends a worker for a duration.
 func (workers *workerGroup) suspendFor(name string, duration time.Duration) {
 	workers.cluster.t.Helper()
 	workers.suspend(name)
@@ -160,7 +160,7 @@
 	workers.resume(name)
 }
 
-// cutLinks cuts, or restores, each direction of a worker's links to all servers.
+// cutLinks cuts or restores each direction of a worker's links to all servers.
 func (workers *workerGroup) cutLinks(name string, outbound, inbound bool) {
 	workers.cluster.t.Helper()
 	for _, l := range workers.links[name] {
@@ -170,7 +170,7 @@
 	}
 }
 
-// defineTask defines a leased task at whichever server takes the write.
+// defineTask defines a leased task through any server that accepts the write.
 func (workers *workerGroup) defineTask(name string, ttl time.Duration) {
 	cluster := workers.cluster
 	cluster.t.Helper()
@@ -223,7 +223,7 @@
 	})
 }
 
-// commandTask sends an operator's command to a task. The process to move it to may be empty.
+// commandTask sends an operator's command to a task. The process to move the task to may be empty.
 func (workers *workerGroup) commandTask(name, command, to string) error {
 	cluster := workers.cluster
 	ctx, cancel := context.WithTimeout(cluster.t.Context(), writeTimeout)
--- a/cmd/controlplane/writer_test.go
+++ b/cmd/controlplane/writer_test.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// Like a server that renews its lease, a writer goes on to the next address soon.
+	// The timeouts are short, so that a writer soon goes on to the next address, as a server that renews its
+	// lease does.
 	writerClientTimeout = time.Second
 	writerCallTimeout   = 1500 * time.Millisecond
 	// writerRejectionPause keeps a writer from flooding a server that rejects its writes at once.
@@ -22,7 +23,7 @@
 	writerNameCount = 3000
 )
 
-// writer registers one server after the other and remembers what was acknowledged.
+// writer registers one server after the other and records which writes were acknowledged.
 type writer struct {
 	stop context.CancelFunc
 	done chan struct{}
@@ -32,7 +33,7 @@
 	writes       int
 }
 
-// startWriter starts a writer whose names begin with a prefix. The test must end it with stopAndVerify.
+// startWriter starts a writer whose names begin with a prefix. The test must stop it with stopAndVerify.
 func (cluster *testCluster) startWriter(prefix string) *writer {
 	ctx, cancel := context.WithCancel(cluster.t.Context())
 	w := &writer{acknowledged: map[string]float64{}, stop: cancel, done: make(chan struct{})}
@@ -47,8 +48,8 @@
 	return w
 }
 
-// write registers one server. A call that was begun goes on after the writer's stop, so that its outcome is
-// known.
+// write registers one server. A call in progress continues after the writer is stopped, so that its outcome
+// is known.
 func (w *writer) write(client *control.Client, name string, startedMs float64) {
 	call, cancel := context.WithTimeout(context.Background(), writerCallTimeout)
 	defer cancel()
@@ -80,7 +81,7 @@
 }
 
 // stopAndVerify stops the writer and requires that a consistent read through each of the servers named
-// has all that was acknowledged.
+// returns every acknowledged write, or a later one of the same name.
 func (w *writer) stopAndVerify(cluster *testCluster, servers ...string) {
 	cluster.t.Helper()
 	w.stop()
