--- a/internal/control/rebalance.go
+++ b/internal/control/rebalance.go
@@ -97,5 +97,5 @@
 		s.metrics.watchesMigrated.Add(float64(s.broadcaster.migrate((movable + drainSteps - 1) / drainSteps)))
 		<-ticker.C
 	}
-	s.log.Info("drained the watches", "watches", movable, "remaining", s.broadcaster.watchCount())
+	s.log.Info("drained", "watches", movable, "remaining", s.broadcaster.watchCount())
 }
