--- a/cmd/controlplane/cluster_test.go
+++ b/cmd/controlplane/cluster_test.go
@@ -52,7 +52,7 @@
 type testCluster struct {
 	t           testing.TB
 	dir         string
-	addrs       *loopback.Net
+	addrs       *loopback.AddressBlock
 	supervisor  *process.Supervisor
 	servers     map[string]*serverProcess
 	names       []string
--- a/cmd/controlplane/gossipgroup_test.go
+++ b/cmd/controlplane/gossipgroup_test.go
@@ -178,7 +178,7 @@
 	if err != nil {
 		group.t.Fatal(err)
 	}
-	datagrams.Set(link.Shape{LossShare: loss, Jitter: 20 * time.Millisecond}, link.Shape{})
+	datagrams.Set(link.Shape{LossProbability: loss, Jitter: 20 * time.Millisecond}, link.Shape{})
 	group.links = append(group.links, datagrams)
 	return streams.Addr()
 }
--- a/cmd/controlplane/membershipfaults_test.go
+++ b/cmd/controlplane/membershipfaults_test.go
@@ -132,7 +132,7 @@
 // loseAndDelayDatagrams loses a fifth of the datagrams on all links and delays the others. No server is
 // seen as failed.
 func loseAndDelayDatagrams(t *testing.T, e *membershipEnvironment) {
-	e.shapeAll(link.Shape{LossShare: 0.2, Delay: 5 * time.Millisecond, Jitter: 100 * time.Millisecond})
+	e.shapeAll(link.Shape{LossProbability: 0.2, Delay: 5 * time.Millisecond, Jitter: 100 * time.Millisecond})
 	holdFault(t, 8*time.Second)
 	e.shapeAll(link.Shape{})
 	e.requireNeverFailed(t, e.names...)
@@ -141,14 +141,14 @@
 // loseManyDatagrams loses two fifths of the datagrams on all links. At this loss a running server may be
 // seen as failed for a while.
 func loseManyDatagrams(t *testing.T, e *membershipEnvironment) {
-	e.shapeAll(link.Shape{LossShare: 0.4, Jitter: 200 * time.Millisecond})
+	e.shapeAll(link.Shape{LossProbability: 0.4, Jitter: 200 * time.Millisecond})
 	holdFault(t, 8*time.Second)
 	e.shapeAll(link.Shape{})
 }
 
 // duplicateDatagrams sends half of the datagrams twice, and all out of order. No server is seen as failed.
 func duplicateDatagrams(t *testing.T, e *membershipEnvironment) {
-	e.shapeAll(link.Shape{DuplicateShare: 0.5, Jitter: 60 * time.Millisecond})
+	e.shapeAll(link.Shape{DuplicateProbability: 0.5, Jitter: 60 * time.Millisecond})
 	holdFault(t, 6*time.Second)
 	e.shapeAll(link.Shape{})
 	e.requireNeverFailed(t, e.names...)
--- a/cmd/controlplane/tasks_test.go
+++ b/cmd/controlplane/tasks_test.go
@@ -184,7 +184,7 @@
 	workers.defineTask("kill.a", taskTTL)
 	cluster.waitUntil("kill.a, which ends its holders, is suspended", func() bool {
 		for _, name := range workers.names { // as a platform would
-			if !workers.processes[name].Runs() {
+			if !workers.processes[name].Running() {
 				_ = workers.processes[name].Start()
 			}
 		}
--- a/internal/lab/check/answer.go
+++ b/internal/lab/check/answer.go
@@ -34,15 +34,15 @@
 
 // Answer is what a client received for a request.
 type Answer struct {
-	Outcome       Outcome
-	At            time.Duration // when it was complete, or when the client gave up
-	Body          string
-	Sent          bool // the request's last byte was written to an open connection
-	Closed        bool // the agent closed the connection without a complete answer
-	Partial       bool // some bytes of an answer came
-	NewConnection bool // the request was the first on its connection
-	Surplus       bool // more bytes came after the answer
-	SurplusBefore bool // bytes that no request asked for had come on an idle connection before the request was sent
+	Outcome          Outcome
+	At               time.Duration // when it was complete, or when the client gave up
+	Body             string
+	Sent             bool // the request's last byte was written to an open connection
+	Closed           bool // the agent closed the connection without a complete answer
+	Partial          bool // some bytes of an answer came
+	NewConnection    bool // the request was the first on its connection
+	ExtraBytes       bool // more bytes came after the answer
+	ExtraBytesBefore bool // bytes that no request asked for had come on an idle connection before the request was sent
 }
 
 // RecordAnswer records how a request ended for its client, and checks that it was answered once,
@@ -56,29 +56,29 @@
 	}
 	r.finished = max(answer.At, 1) // 0 means that it has not finished
 	attempts := r.summarizeAttempts()
-	genuine := c.isGenuine(r, answer.Body)
+	fromServer := c.isServerBody(r, answer.Body)
 	r.mu.Unlock()
 
-	if answer.SurplusBefore {
-		c.recordRequestBreach(RuleLost, r, none, "more than one answer to a request before this one")
+	if answer.ExtraBytesBefore {
+		c.recordRequestBreach(RuleLost, r, noIndex, "more than one answer to a request before this one")
 	}
-	outcome := c.checkAnswered(r, answer, attempts, genuine)
+	outcome := c.checkAnswered(r, answer, attempts, fromServer)
 	if outcome != answer.Outcome {
 		return outcome
 	}
-	if answer.Surplus {
-		c.recordRequestBreach(RuleLost, r, none, "more than one answer")
+	if answer.ExtraBytes {
+		c.recordRequestBreach(RuleLost, r, noIndex, "more than one answer")
 	}
 	class := &c.settings.Classes[r.Class]
-	if executed := attempts.mayHaveRun; answer.Outcome == Rejected && executed != nil && !mayRejectAfterExecution(class) {
+	if executed := attempts.maybeExecuted; answer.Outcome == Rejected && executed != nil && !mayRejectAfterExecution(class) {
 		c.recordRequestBreach(RuleDuplicate, r, executed.Server, "refused though attempt %d may have run", executed.Index)
 	}
 	return answer.Outcome
 }
 
-// isGenuine reports whether the body is that of a server for one of the request's attempts. The
+// isServerBody reports whether the body is that of a server for one of the request's attempts. The
 // caller holds r.mu.
-func (c *Checker) isGenuine(r *Request, body string) bool {
+func (c *Checker) isServerBody(r *Request, body string) bool {
 	for _, a := range r.attempts {
 		if body == a.Body(c.servers[a.Server].Name) {
 			return true
@@ -89,37 +89,37 @@
 
 // checkAnswered checks that a request was not lost. It returns the outcome to be counted: another
 // than the answer's, if no rule applies because the lab caused it or the client can tell.
-func (c *Checker) checkAnswered(r *Request, answer Answer, attempts attemptSummary, genuine bool) Outcome {
+func (c *Checker) checkAnswered(r *Request, answer Answer, attempts attemptSummary, fromServer bool) Outcome {
 	limit := r.Deadline + millis(c.settings.Contract.AnswerSlackMs) + timingSlack
-	excused := c.isExcused(r.Agent, r.PlannedAt, answer.At)
+	agentStopped := c.wasStopped(r.Agent, r.PlannedAt, answer.At)
 	switch answer.Outcome {
 	case ClientCanceled, Void, Unreachable:
 	case Unanswered:
-		return c.checkUnanswered(r, answer, attempts, limit, excused)
+		return c.checkUnanswered(r, answer, attempts, limit, agentStopped)
 	default:
 		switch {
-		case answer.Outcome == Served && !genuine:
-			c.recordRequestBreach(RuleLost, r, none, "served with %q, which no server made for it", truncate(answer.Body))
-		case answer.At > limit && !excused:
-			c.recordRequestBreach(RuleLost, r, none, "answered %v after its client gave up", answer.At-r.Deadline)
+		case answer.Outcome == Served && !fromServer:
+			c.recordRequestBreach(RuleLost, r, noIndex, "served with %q, which no server made for it", truncate(answer.Body))
+		case answer.At > limit && !agentStopped:
+			c.recordRequestBreach(RuleLost, r, noIndex, "answered %v after its client gave up", answer.At-r.Deadline)
 		}
 	}
 	return answer.Outcome
 }
 
 // checkUnanswered checks whether a request without an answer was lost by its agent.
-func (c *Checker) checkUnanswered(r *Request, answer Answer, attempts attemptSummary, limit time.Duration, excused bool) Outcome {
+func (c *Checker) checkUnanswered(r *Request, answer Answer, attempts attemptSummary, limit time.Duration, agentStopped bool) Outcome {
 	switch {
-	case excused:
+	case agentStopped:
 		return Void
 	case answer.Closed && answer.Partial: // the client can tell that it is incomplete
 		return Failed
 	case answer.Closed && answer.NewConnection && attempts.count == 0: // the connection failed, and nothing was forwarded
 		return Failed
 	case answer.Closed && answer.Sent:
-		c.recordRequestBreach(RuleLost, r, none, "the agent closed the connection without an answer")
+		c.recordRequestBreach(RuleLost, r, noIndex, "the agent closed the connection without an answer")
 	case answer.Sent && answer.At > limit:
-		c.recordRequestBreach(RuleLost, r, none, "no answer %v after its client gave up", answer.At-r.Deadline)
+		c.recordRequestBreach(RuleLost, r, noIndex, "no answer %v after its client gave up", answer.At-r.Deadline)
 	}
 	return Unanswered
 }
--- a/internal/lab/check/attempts.go
+++ b/internal/lab/check/attempts.go
@@ -41,9 +41,9 @@
 
 // attemptSummary is what a rule needs to know of the attempts of a request.
 type attemptSummary struct {
-	count       int
-	anyInFlight bool
-	mayHaveRun  *Attempt // the first that the server did not reject; nil: none
+	count         int
+	anyInFlight   bool
+	maybeExecuted *Attempt // the first that the server did not reject; nil: none
 }
 
 // summarizeAttempts summarizes the attempts so far. The caller holds r.mu.
@@ -51,8 +51,8 @@
 	summary := attemptSummary{count: len(r.attempts)}
 	for _, a := range r.attempts {
 		summary.anyInFlight = summary.anyInFlight || a.state == inFlight
-		if a.state != rejected && summary.mayHaveRun == nil {
-			summary.mayHaveRun = a
+		if a.state != rejected && summary.maybeExecuted == nil {
+			summary.maybeExecuted = a
 		}
 	}
 	return summary
@@ -61,7 +61,7 @@
 // RecordAttempt records that a complete request arrived at a server, before the server decides on
 // it, and checks whether the agent was allowed to send it. linkClear says that no link of the lab
 // can have delayed it.
-func (c *Checker) RecordAttempt(r *Request, server int, firstByteAt, lastByteAt time.Duration, linkClear bool) *Attempt {
+func (c *Checker) RecordAttempt(r *Request, server int, firstByteAt, lastByteAt time.Duration, notDelayed bool) *Attempt {
 	a := &Attempt{Request: r, Server: server, FirstByteAt: firstByteAt, LastByteAt: lastByteAt}
 	r.mu.Lock()
 	earlier := r.summarizeAttempts()
@@ -70,19 +70,19 @@
 	r.attempts = append(r.attempts, a)
 	r.mu.Unlock()
 
-	if answered > 0 && lastByteAt > answered+timingSlack && linkClear {
+	if answered > 0 && lastByteAt > answered+timingSlack && notDelayed {
 		c.recordRequestBreach(RuleDuplicate, r, server, "sent %v after the final answer", lastByteAt-answered)
 	}
 	if limit := c.settings.Limits.MaxAttempts; limit > 0 && a.Index >= limit {
 		c.recordRequestBreach(RuleDuplicate, r, server, "attempt %d of at most %d", a.Index+1, limit)
 	}
-	if earlier.anyInFlight && linkClear && !c.settings.Limits.ParallelAttempts {
+	if earlier.anyInFlight && notDelayed && !c.settings.Limits.ParallelAttempts {
 		c.recordRequestBreach(RuleDuplicate, r, server, "a second copy while the first is out")
 	}
-	if earlier.mayHaveRun != nil {
-		c.checkRepeat(a, earlier.mayHaveRun, linkClear)
+	if earlier.maybeExecuted != nil {
+		c.checkRepeat(a, earlier.maybeExecuted, notDelayed)
 	}
-	if linkClear {
+	if notDelayed {
 		c.checkDrain(r, server, firstByteAt)
 	}
 	return a
@@ -90,7 +90,7 @@
 
 // checkRepeat checks whether a request may be sent again after an attempt that may have been
 // executed.
-func (c *Checker) checkRepeat(a, earlier *Attempt, linkClear bool) {
+func (c *Checker) checkRepeat(a, earlier *Attempt, notDelayed bool) {
 	class := &c.settings.Classes[a.Request.Class]
 	from, to := &c.servers[earlier.Server], &c.servers[a.Server]
 	switch class.Effect {
@@ -102,7 +102,7 @@
 		case class.Group == policy.GroupZone && from.Zone != to.Zone,
 			class.Group == policy.GroupCell && from.Cell != to.Cell:
 			c.recordRequestBreach(RuleDuplicate, a.Request, a.Server, "sent again outside the %s of %s", class.Group, from.Name)
-		case elapsed > millis(class.DedupWindowMs)+timingSlack && linkClear:
+		case elapsed > millis(class.DedupWindowMs)+timingSlack && notDelayed:
 			c.recordRequestBreach(RuleDuplicate, a.Request, a.Server, "sent again %v after the first that may have run", elapsed)
 		}
 	}
@@ -112,8 +112,8 @@
 // removed.
 func (c *Checker) checkDrain(r *Request, server int, sentAt time.Duration) {
 	grace := millis(c.settings.Contract.DrainGraceMs) + timingSlack
-	since, notified := c.drainNotified(r.Agent, server, sentAt)
-	if notified && sentAt > since+grace && !c.isExcused(r.Agent, since, sentAt) {
+	since, notified := c.drainNotifiedSince(r.Agent, server, sentAt)
+	if notified && sentAt > since+grace && !c.wasStopped(r.Agent, since, sentAt) {
 		c.recordRequestBreach(RuleDrain, r, server, "sent %v after its drain was told", sentAt-since)
 	}
 }
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -45,8 +45,8 @@
 	slowStartKnownShare = 2.0 / 3
 )
 
-// none takes the place of the index of an agent or a server that a breach does not concern.
-const none = -1
+// noIndex takes the place of the index of an agent or a server that a breach does not concern.
+const noIndex = -1
 
 // Breach is one case of a broken rule.
 type Breach struct {
@@ -73,9 +73,9 @@
 	servers  []Server
 	history  requestHistory
 
-	mu       sync.Mutex
-	breaches []Breach
-	count    map[string]int // of all breaches, by rule
+	mu           sync.Mutex
+	breaches     []Breach
+	breachCounts map[string]int // of all breaches, by rule
 
 	views     []agentView // by agent
 	discovery discoveryState
@@ -84,7 +84,7 @@
 // New returns a checker for the named agents and servers. All other methods refer to an agent or a
 // server by its index here.
 func New(clock Clock, settings *policy.Settings, agents []string, servers []Server) *Checker {
-	c := &Checker{clock: clock, settings: settings, agents: agents, servers: servers, count: map[string]int{},
+	c := &Checker{clock: clock, settings: settings, agents: agents, servers: servers, breachCounts: map[string]int{},
 		views: make([]agentView, len(agents))}
 	c.discovery.servers = make([]serverState, len(servers))
 	for i := range c.views {
@@ -100,15 +100,15 @@
 	if r != nil {
 		b.Request, agent = r.ID, r.Agent
 	}
-	if agent != none {
+	if agent != noIndex {
 		b.Agent = c.agents[agent]
 	}
-	if server != none {
+	if server != noIndex {
 		b.Server = c.servers[server].Name
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.count[rule]++
+	c.breachCounts[rule]++
 	if len(c.breaches) < maxBreaches {
 		c.breaches = append(c.breaches, b)
 	}
@@ -122,14 +122,14 @@
 // ReportBreach records a breach that another part of the lab has seen, such as a crash or an exceeded
 // limit. agent is -1 if the breach does not concern an agent.
 func (c *Checker) ReportBreach(rule string, agent int, text string) {
-	c.recordBreach(rule, nil, agent, none, "%s", text)
+	c.recordBreach(rule, nil, agent, noIndex, "%s", text)
 }
 
 // Breaches returns the first breaches with their particulars, and how many there were by rule.
 func (c *Checker) Breaches() ([]Breach, map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]Breach(nil), c.breaches...), maps.Clone(c.count)
+	return append([]Breach(nil), c.breaches...), maps.Clone(c.breachCounts)
 }
 
 // Sweep drops requests that ended long ago. The caller calls it at an interval of seconds.
@@ -153,12 +153,12 @@
 	c.recordRequestBreach(RuleUnknown, r, server, "%s", text)
 }
 
-// WarmupOverload records that a server which was warming up failed under its load. knownShare is
+// RecordWarmupOverload records that a server which was warming up failed under its load. knownShare is
 // the share of that work which came from agents that knew of its start; sent and bound are in
 // milliseconds of work.
-func (c *Checker) WarmupOverload(server int, knownShare float64, sent, bound float64) {
+func (c *Checker) RecordWarmupOverload(server int, knownShare float64, sent, bound float64) {
 	if knownShare >= slowStartKnownShare {
-		c.recordBreach(RuleSlowStart, nil, none, server, "sent %.0f ms of work within %.1f s, at most %.0f; %.0f %% by agents told of its start",
+		c.recordBreach(RuleSlowStart, nil, noIndex, server, "sent %.0f ms of work within %.1f s, at most %.0f; %.0f %% by agents told of its start",
 			sent, c.settings.Contract.CrashWindowMs/1000, bound, 100*knownShare)
 	}
 }
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -12,18 +12,18 @@
 
 const ms = time.Millisecond
 
-// environment is a checker of two agents and three servers, with a clock that the test sets.
-type environment struct {
+// checkerTest is a checker of two agents and three servers, with a clock that the test sets.
+type checkerTest struct {
 	*Checker
-	now time.Duration
-	set policy.Settings
-	n   int
+	now          time.Duration
+	settings     policy.Settings
+	requestCount int
 }
 
-// newEnvironment returns an environment at one second after the epoch.
-func newEnvironment() *environment {
-	e := &environment{now: time.Second}
-	e.set = policy.Settings{
+// newCheckerTest returns an environment at one second after the epoch.
+func newCheckerTest() *checkerTest {
+	e := &checkerTest{now: time.Second}
+	e.settings = policy.Settings{
 		Classes: []policy.Class{{Name: "look", Effect: policy.Idempotent, Group: policy.GroupAll},
 			{Name: "send", Effect: policy.Deduplicated, Group: policy.GroupZone, DedupWindowMs: 3000},
 			{Name: "vote", Effect: policy.Deduplicated, Group: policy.GroupAll, DedupWindowMs: 3000},
@@ -31,32 +31,32 @@
 		Contract: policy.Contract{AnswerSlackMs: 20, DrainGraceMs: 500, CrashWindowMs: 1000},
 		Limits:   policy.Limits{MaxAttempts: 3, ParallelAttempts: true},
 	}
-	e.Checker = New(func() time.Duration { return e.now }, &e.set, []string{"n0", "n1"},
+	e.Checker = New(func() time.Duration { return e.now }, &e.settings, []string{"n0", "n1"},
 		[]Server{{"s0", 0, 0}, {"s1", 1, 1}, {"s2", 0, 2}})
 	return e
 }
 
 // The classes of requests, by their index in the settings.
-const look, send, vote, order, cell = 0, 1, 2, 3, 4
+const idempotent, dedupInZone, dedupInAll, nonIdempotent, dedupInCell = 0, 1, 2, 3, 4
 
-// request adds a request of a class that is sent now, with a deadline in five seconds.
-func (e *environment) request(class int) *Request {
-	e.n++
-	r := &Request{ID: strings.Repeat("x", e.n), Class: class, PlannedAt: e.now, Deadline: e.now + 5*time.Second}
+// addRequest adds a addRequest of a class that is sent now, with a deadline in five seconds.
+func (e *checkerTest) addRequest(class int) *Request {
+	e.requestCount++
+	r := &Request{ID: strings.Repeat("x", e.requestCount), Class: class, PlannedAt: e.now, Deadline: e.now + 5*time.Second}
 	e.Add(r)
 	return r
 }
 
 // at sets the clock to d after the beginning.
-func (e *environment) at(d time.Duration) *environment { e.now = time.Second + d; return e }
+func (e *checkerTest) at(d time.Duration) *checkerTest { e.now = time.Second + d; return e }
 
-// arrive records that the complete request arrives at a server now.
-func (e *environment) arrive(r *Request, server int) *Attempt {
+// recordAttempt records that the complete request arrives at a server now.
+func (e *checkerTest) recordAttempt(r *Request, server int) *Attempt {
 	return e.RecordAttempt(r, server, e.now, e.now, true)
 }
 
-// answer records the final answer of a request now.
-func (e *environment) answer(r *Request, kind Outcome, body string) Outcome {
+// recordAnswer records the final recordAnswer of a request now.
+func (e *checkerTest) recordAnswer(r *Request, kind Outcome, body string) Outcome {
 	return e.RecordAnswer(r, Answer{Outcome: kind, At: e.now, Body: body, Sent: true})
 }
 
@@ -64,14 +64,14 @@
 type ruleCase struct {
 	name string
 	rule string // "": none
-	run  func(e *environment)
+	run  func(e *checkerTest)
 }
 
 // check plays the events in a new environment, and fails the test unless the checker reports the
 // case's rule once and no other rule.
 func (c *ruleCase) check(t *testing.T) {
 	t.Helper()
-	e := newEnvironment()
+	e := newCheckerTest()
 	c.run(e)
 	breaches, count := e.Breaches()
 	switch {
@@ -84,168 +84,202 @@
 
 // answerCases are of requests and their final answers.
 var answerCases = []ruleCase{
-	{"served by a server", "", func(e *environment) {
-		r := e.request(look)
-		a := e.arrive(r, 0)
+	{"served by a server", "", func(e *checkerTest) {
+		r := e.addRequest(idempotent)
+		a := e.recordAttempt(r, 0)
 		a.MarkFinished()
-		e.at(time.Second).answer(r, Served, a.Body("s0"))
-	}},
-	{"served with a body that no server made", RuleLost, func(e *environment) { e.answer(e.request(look), Served, "all is well") }},
-	{"served with another request's answer", RuleLost, func(e *environment) {
-		r, other := e.request(look), e.request(look)
-		e.arrive(r, 0)
-		a := e.arrive(other, 0)
-		e.answer(r, Served, a.Body("s0"))
-	}},
-	{"failed within the slack", "", func(e *environment) { r := e.request(look); e.at(5070*ms).answer(r, Failed, "") }},
-	{"failed after the slack", RuleLost, func(e *environment) { r := e.request(look); e.at(5071*ms).answer(r, Failed, "") }},
-	{"failed after the slack, agent paused by the lab", "", func(e *environment) {
-		r := e.request(look)
+		e.at(time.Second).recordAnswer(r, Served, a.Body("s0"))
+	}},
+	{"served with a body that no server made", RuleLost, func(e *checkerTest) { e.recordAnswer(e.addRequest(idempotent), Served, "all is well") }},
+	{"served with another request's answer", RuleLost, func(e *checkerTest) {
+		r, other := e.addRequest(idempotent), e.addRequest(idempotent)
+		e.recordAttempt(r, 0)
+		a := e.recordAttempt(other, 0)
+		e.recordAnswer(r, Served, a.Body("s0"))
+	}},
+	{"failed within the slack", "", func(e *checkerTest) { r := e.addRequest(idempotent); e.at(5070*ms).recordAnswer(r, Failed, "") }},
+	{"failed after the slack", RuleLost, func(e *checkerTest) { r := e.addRequest(idempotent); e.at(5071*ms).recordAnswer(r, Failed, "") }},
+	{"failed after the slack, agent paused by the lab", "", func(e *checkerTest) {
+		r := e.addRequest(idempotent)
 		e.AgentPaused(0, e.now+time.Second, e.now+5*time.Second)
-		e.at(6*time.Second).answer(r, Failed, "")
+		e.at(6*time.Second).recordAnswer(r, Failed, "")
 	}},
-	{"unanswered", RuleLost, func(e *environment) { r := e.request(look); e.at(5080*ms).answer(r, Unanswered, "") }},
-	{"unanswered, agent killed by the lab", "", func(e *environment) {
-		r := e.request(look)
+	{"unanswered", RuleLost, func(e *checkerTest) { r := e.addRequest(idempotent); e.at(5080*ms).recordAnswer(r, Unanswered, "") }},
+	{"unanswered, agent killed by the lab", "", func(e *checkerTest) {
+		r := e.addRequest(idempotent)
 		e.at(time.Second).AgentKilled(0)
-		e.answer(r, Unanswered, "")
+		e.recordAnswer(r, Unanswered, "")
 	}},
-	{"used connection closed without an answer", RuleLost, func(e *environment) {
-		r := e.request(look)
+	{"used connection closed without an answer", RuleLost, func(e *checkerTest) {
+		r := e.addRequest(idempotent)
 		e.RecordAnswer(r, Answer{Outcome: Unanswered, At: e.now, Sent: true, Closed: true})
 	}},
-	{"new connection closed, nothing forwarded", "", func(e *environment) {
-		r := e.request(look)
+	{"new connection closed, nothing forwarded", "", func(e *checkerTest) {
+		r := e.addRequest(idempotent)
 		e.RecordAnswer(r, Answer{Outcome: Unanswered, At: e.now, Sent: true, Closed: true, NewConnection: true})
 	}},
-	{"new connection closed after forwarding", RuleLost, func(e *environment) {
-		r := e.request(look)
-		e.arrive(r, 0)
+	{"new connection closed after forwarding", RuleLost, func(e *checkerTest) {
+		r := e.addRequest(idempotent)
+		e.recordAttempt(r, 0)
 		e.RecordAnswer(r, Answer{Outcome: Unanswered, At: e.now, Sent: true, Closed: true, NewConnection: true})
 	}},
-	{"answer broken off", "", func(e *environment) {
-		r := e.request(look)
-		e.arrive(r, 0)
+	{"answer broken off", "", func(e *checkerTest) {
+		r := e.addRequest(idempotent)
+		e.recordAttempt(r, 0)
 		e.RecordAnswer(r, Answer{Outcome: Unanswered, At: e.now, Sent: true, Closed: true, Partial: true})
 	}},
-	{"canceled by its client", "", func(e *environment) { e.answer(e.request(look), ClientCanceled, "") }},
+	{"canceled by its client", "", func(e *checkerTest) { e.recordAnswer(e.addRequest(idempotent), ClientCanceled, "") }},
 }
 
 // attemptCases are of the attempts of a request.
 var attemptCases = []ruleCase{
-	{"idempotent, three attempts", "", func(e *environment) { r := e.request(look); e.arrive(r, 0); e.arrive(r, 1); e.arrive(r, 2) }},
-	{"more attempts than the limit", RuleDuplicate, func(e *environment) {
-		r := e.request(look)
+	{"idempotent, three attempts", "", func(e *checkerTest) {
+		r := e.addRequest(idempotent)
+		e.recordAttempt(r, 0)
+		e.recordAttempt(r, 1)
+		e.recordAttempt(r, 2)
+	}},
+	{"more attempts than the limit", RuleDuplicate, func(e *checkerTest) {
+		r := e.addRequest(idempotent)
 		for range 4 {
-			e.arrive(r, 0)
+			e.recordAttempt(r, 0)
 		}
 	}},
-	{"parallel attempts where they are not allowed", RuleDuplicate, func(e *environment) {
-		e.set.Limits.ParallelAttempts = false
-		r := e.request(look)
-		e.arrive(r, 0)
-		e.arrive(r, 1)
-	}},
-	{"one attempt after the other", "", func(e *environment) {
-		e.set.Limits.ParallelAttempts = false
-		r := e.request(look)
-		e.arrive(r, 0).MarkFinished()
-		e.arrive(r, 1)
-	}},
-	{"non-idempotent, repeated after it was rejected", "", func(e *environment) { r := e.request(order); e.arrive(r, 0).MarkRejected(); e.arrive(r, 1) }},
-	{"non-idempotent, repeated after it may have run", RuleDuplicate, func(e *environment) { r := e.request(order); e.arrive(r, 0).MarkFinished(); e.arrive(r, 1) }},
-	{"non-idempotent, rejected after it may have run", RuleDuplicate, func(e *environment) {
-		r := e.request(order)
-		e.arrive(r, 0).MarkFinished()
-		e.answer(r, Rejected, "")
-	}},
-	{"non-idempotent, rejected without execution", "", func(e *environment) { r := e.request(order); e.arrive(r, 0).MarkRejected(); e.answer(r, Rejected, "") }},
-	{"deduplicated, repeated within zone and window", "", func(e *environment) { r := e.request(send); e.arrive(r, 0); e.at(3050*ms).arrive(r, 2) }},
-	{"deduplicated, repeated after the window", RuleDuplicate, func(e *environment) { r := e.request(send); e.arrive(r, 0); e.at(3051*ms).arrive(r, 2) }},
-	{"deduplicated, repeated in another zone", RuleDuplicate, func(e *environment) { r := e.request(send); e.arrive(r, 0); e.arrive(r, 1) }},
-	{"deduplicated, repeated in another cell", RuleDuplicate, func(e *environment) { r := e.request(cell); e.arrive(r, 0); e.arrive(r, 2) }},
-	{"deduplicated by all, repeated anywhere", "", func(e *environment) { r := e.request(vote); e.arrive(r, 0); e.arrive(r, 1); e.answer(r, Rejected, "") }},
-	{"deduplicated within a zone, rejected", RuleDuplicate, func(e *environment) { r := e.request(send); e.arrive(r, 0); e.answer(r, Rejected, "") }},
-	{"sent after the final answer", RuleDuplicate, func(e *environment) {
-		r := e.request(look)
-		a := e.arrive(r, 0)
-		e.answer(r, Served, a.Body("s0"))
-		e.at(60*ms).arrive(r, 1)
-	}},
-	{"sent as the final answer went out", "", func(e *environment) {
-		r := e.request(look)
-		a := e.arrive(r, 0)
-		e.answer(r, Served, a.Body("s0"))
-		e.at(50*ms).arrive(r, 1)
+	{"parallel attempts where they are not allowed", RuleDuplicate, func(e *checkerTest) {
+		e.settings.Limits.ParallelAttempts = false
+		r := e.addRequest(idempotent)
+		e.recordAttempt(r, 0)
+		e.recordAttempt(r, 1)
+	}},
+	{"one attempt after the other", "", func(e *checkerTest) {
+		e.settings.Limits.ParallelAttempts = false
+		r := e.addRequest(idempotent)
+		e.recordAttempt(r, 0).MarkFinished()
+		e.recordAttempt(r, 1)
+	}},
+	{"non-idempotent, repeated after it was rejected", "", func(e *checkerTest) {
+		r := e.addRequest(nonIdempotent)
+		e.recordAttempt(r, 0).MarkRejected()
+		e.recordAttempt(r, 1)
+	}},
+	{"non-idempotent, repeated after it may have run", RuleDuplicate, func(e *checkerTest) {
+		r := e.addRequest(nonIdempotent)
+		e.recordAttempt(r, 0).MarkFinished()
+		e.recordAttempt(r, 1)
+	}},
+	{"non-idempotent, rejected after it may have run", RuleDuplicate, func(e *checkerTest) {
+		r := e.addRequest(nonIdempotent)
+		e.recordAttempt(r, 0).MarkFinished()
+		e.recordAnswer(r, Rejected, "")
+	}},
+	{"non-idempotent, rejected without execution", "", func(e *checkerTest) {
+		r := e.addRequest(nonIdempotent)
+		e.recordAttempt(r, 0).MarkRejected()
+		e.recordAnswer(r, Rejected, "")
+	}},
+	{"deduplicated, repeated within zone and window", "", func(e *checkerTest) {
+		r := e.addRequest(dedupInZone)
+		e.recordAttempt(r, 0)
+		e.at(3050*ms).recordAttempt(r, 2)
+	}},
+	{"deduplicated, repeated after the window", RuleDuplicate, func(e *checkerTest) {
+		r := e.addRequest(dedupInZone)
+		e.recordAttempt(r, 0)
+		e.at(3051*ms).recordAttempt(r, 2)
+	}},
+	{"deduplicated, repeated in another zone", RuleDuplicate, func(e *checkerTest) { r := e.addRequest(dedupInZone); e.recordAttempt(r, 0); e.recordAttempt(r, 1) }},
+	{"deduplicated, repeated in another cell", RuleDuplicate, func(e *checkerTest) { r := e.addRequest(dedupInCell); e.recordAttempt(r, 0); e.recordAttempt(r, 2) }},
+	{"deduplicated by all, repeated anywhere", "", func(e *checkerTest) {
+		r := e.addRequest(dedupInAll)
+		e.recordAttempt(r, 0)
+		e.recordAttempt(r, 1)
+		e.recordAnswer(r, Rejected, "")
+	}},
+	{"deduplicated within a zone, rejected", RuleDuplicate, func(e *checkerTest) {
+		r := e.addRequest(dedupInZone)
+		e.recordAttempt(r, 0)
+		e.recordAnswer(r, Rejected, "")
+	}},
+	{"sent after the final answer", RuleDuplicate, func(e *checkerTest) {
+		r := e.addRequest(idempotent)
+		a := e.recordAttempt(r, 0)
+		e.recordAnswer(r, Served, a.Body("s0"))
+		e.at(60*ms).recordAttempt(r, 1)
+	}},
+	{"sent as the final answer went out", "", func(e *checkerTest) {
+		r := e.addRequest(idempotent)
+		a := e.recordAttempt(r, 0)
+		e.recordAnswer(r, Served, a.Body("s0"))
+		e.at(50*ms).recordAttempt(r, 1)
 	}},
 }
 
 // drainCases are of requests to a server that takes no new ones.
 var drainCases = []ruleCase{
-	{"sent to a draining server within the grace", "", func(e *environment) {
+	{"sent to a draining server within the grace", "", func(e *checkerTest) {
 		e.RecordNotified(0, 0, "draining", 0)
-		e.at(550*ms).arrive(e.request(look), 0)
+		e.at(550*ms).recordAttempt(e.addRequest(idempotent), 0)
 	}},
-	{"sent to a draining server after the grace", RuleDrain, func(e *environment) {
+	{"sent to a draining server after the grace", RuleDrain, func(e *checkerTest) {
 		e.RecordNotified(0, 0, "draining", 0)
-		e.at(551*ms).arrive(e.request(look), 0)
+		e.at(551*ms).recordAttempt(e.addRequest(idempotent), 0)
 	}},
-	{"sent to a server that is ready again", "", func(e *environment) {
+	{"sent to a server that is ready again", "", func(e *checkerTest) {
 		e.RecordNotified(0, 0, "gone", 0)
 		e.RecordNotified(0, 0, "ready", 7)
-		e.at(time.Second).arrive(e.request(look), 0)
+		e.at(time.Second).recordAttempt(e.addRequest(idempotent), 0)
 	}},
-	{"another agent was notified", "", func(e *environment) {
+	{"another agent was notified", "", func(e *checkerTest) {
 		e.RecordNotified(1, 0, "draining", 0)
-		e.at(time.Second).arrive(e.request(look), 0)
+		e.at(time.Second).recordAttempt(e.addRequest(idempotent), 0)
 	}},
-	{"an earlier process of the agent was notified", "", func(e *environment) {
+	{"an earlier process of the agent was notified", "", func(e *checkerTest) {
 		e.RecordNotified(0, 0, "draining", 0)
 		e.AgentStarted(0)
-		e.at(time.Second).arrive(e.request(look), 0)
+		e.at(time.Second).recordAttempt(e.addRequest(idempotent), 0)
 	}},
-	{"drain counts as notified", RuleDrain, func(e *environment) {
+	{"drain counts as notified", RuleDrain, func(e *checkerTest) {
 		e.RecordDiscovery(0, "draining", 0)
-		e.at(6551*ms).arrive(e.request(look), 0)
+		e.at(6551*ms).recordAttempt(e.addRequest(idempotent), 0)
 	}},
-	{"drain does not count as notified yet", "", func(e *environment) {
+	{"drain does not count as notified yet", "", func(e *checkerTest) {
 		e.RecordDiscovery(0, "draining", 0)
-		e.at(6550*ms).arrive(e.request(look), 0)
+		e.at(6550*ms).recordAttempt(e.addRequest(idempotent), 0)
 	}},
-	{"drain while discovery is down", "", func(e *environment) {
+	{"drain while discovery is down", "", func(e *checkerTest) {
 		e.RecordDiscovery(0, "draining", 0)
 		e.at(time.Second).SetDiscoveryUp(false)
-		e.at(20*time.Second).arrive(e.request(look), 0)
+		e.at(20*time.Second).recordAttempt(e.addRequest(idempotent), 0)
 	}},
-	{"drain after discovery was down", RuleDrain, func(e *environment) {
+	{"drain after discovery was down", RuleDrain, func(e *checkerTest) {
 		e.RecordDiscovery(0, "draining", 0)
 		e.at(time.Second).SetDiscoveryUp(false)
 		e.at(20 * time.Second).SetDiscoveryUp(true)
-		e.at(25551*ms).arrive(e.request(look), 0)
+		e.at(25551*ms).recordAttempt(e.addRequest(idempotent), 0)
 	}},
-	{"drain while the lab cuts the agent off", "", func(e *environment) {
+	{"drain while the lab cuts the agent off", "", func(e *checkerTest) {
 		e.RecordDiscovery(0, "draining", 0)
 		e.SetDiscoveryCut(0, true)
-		e.at(20*time.Second).arrive(e.request(look), 0)
+		e.at(20*time.Second).recordAttempt(e.addRequest(idempotent), 0)
 	}},
-	{"drain after the lab cut the agent off", RuleDrain, func(e *environment) {
+	{"drain after the lab cut the agent off", RuleDrain, func(e *checkerTest) {
 		e.RecordDiscovery(0, "draining", 0)
 		e.SetDiscoveryCut(0, true)
 		e.at(20*time.Second).SetDiscoveryCut(0, false)
-		e.at(26551*ms).arrive(e.request(look), 0)
+		e.at(26551*ms).recordAttempt(e.addRequest(idempotent), 0)
 	}},
-	{"sent over a link that may have delayed it", "", func(e *environment) {
+	{"sent over a link that may have delayed it", "", func(e *checkerTest) {
 		e.RecordNotified(0, 0, "draining", 0)
 		e.at(time.Second)
-		e.RecordAttempt(e.request(look), 0, e.now, e.now, false)
+		e.RecordAttempt(e.addRequest(idempotent), 0, e.now, e.now, false)
 	}},
 }
 
 // otherCases are of the rules that need no course of requests.
 var otherCases = []ruleCase{
-	{"overloaded by agents that knew of the start", RuleSlowStart, func(e *environment) { e.WarmupOverload(0, 0.67, 900, 500) }},
-	{"overloaded by agents that could not know of the start", "", func(e *environment) { e.WarmupOverload(0, 0.66, 900, 500) }},
-	{"an ID that no client sent", RuleUnknown, func(e *environment) { e.ReportUnknown(e.Lookup("nobody"), "nobody", 0, "it came") }},
+	{"overloaded by agents that knew of the start", RuleSlowStart, func(e *checkerTest) { e.RecordWarmupOverload(0, 0.67, 900, 500) }},
+	{"overloaded by agents that could not know of the start", "", func(e *checkerTest) { e.RecordWarmupOverload(0, 0.66, 900, 500) }},
+	{"an ID that no client sent", RuleUnknown, func(e *checkerTest) { e.ReportUnknown(e.Lookup("nobody"), "nobody", 0, "it came") }},
 }
 
 // The checker reports the broken rule of each case and no other, and none where none is broken.
@@ -260,7 +294,7 @@
 // An agent counts as notified of a start once that was written to it, or after six seconds in which
 // discovery could have. A later start needs a notification of its own.
 func TestStartCountsAsNotified(t *testing.T) {
-	e := newEnvironment()
+	e := newCheckerTest()
 	e.RecordDiscovery(0, "ready", 100)
 	if e.StartNotified(0, 0, 100) {
 		t.Error("counts as notified at once")
@@ -276,9 +310,9 @@
 
 // Requests that finished long ago are dropped, those in progress never.
 func TestFinishedRequestsAreDropped(t *testing.T) {
-	e := newEnvironment()
-	done, open := e.request(look), e.request(look)
-	e.answer(done, Failed, "")
+	e := newCheckerTest()
+	done, open := e.addRequest(idempotent), e.addRequest(idempotent)
+	e.recordAnswer(done, Failed, "")
 	e.at(30 * time.Second).Sweep()
 	if e.Lookup(done.ID) == nil {
 		t.Error("dropped too soon")
@@ -293,7 +327,7 @@
 // seconds in which discovery could have notified the agent, and not before.
 func TestDrainCountsAfterServiceTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := newEnvironment()
+		e := newCheckerTest()
 		e.RecordDiscovery(0, "draining", 0)
 		up, cut, service := true, false, time.Duration(0)
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
@@ -309,7 +343,7 @@
 				cut = !cut
 				e.SetDiscoveryCut(0, cut)
 			}
-			if _, notified := e.drainNotified(0, 0, e.now); notified != (service >= notificationBound) {
+			if _, notified := e.drainNotifiedSince(0, 0, e.now); notified != (service >= notificationBound) {
 				t.Fatalf("after %v of service: notified %v", service, notified)
 			}
 		}
--- a/internal/lab/check/history.go
+++ b/internal/lab/check/history.go
@@ -30,15 +30,15 @@
 
 // Attempts returns how many attempts arrived at servers, and how many of them may have been
 // executed.
-func (r *Request) Attempts() (all, mayHaveRun int) {
+func (r *Request) Attempts() (all, maybeExecuted int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, a := range r.attempts {
 		if a.state != rejected {
-			mayHaveRun++
+			maybeExecuted++
 		}
 	}
-	return len(r.attempts), mayHaveRun
+	return len(r.attempts), maybeExecuted
 }
 
 // historyShards is the number of locks that the requests are spread over.
--- a/internal/lab/check/notifications.go
+++ b/internal/lab/check/notifications.go
@@ -36,7 +36,7 @@
 	cutSince     time.Duration  // the beginning of the present cut, in service time
 	isCut        bool           // the lab cuts the agent off from discovery
 	servers      []serverNotice // by server
-	excusedSpans []timeSpan     // in which the lab kept the agent from running
+	stoppedSpans []timeSpan     // in which the lab kept the agent from running
 }
 
 // serverNotice is what an agent was notified of a server.
@@ -48,16 +48,16 @@
 
 type timeSpan struct{ from, to time.Duration }
 
-// drainNotified returns since when the agent counts as notified that the server takes no new
+// drainNotifiedSince returns since when the agent counts as notified that the server takes no new
 // requests. It returns false if the agent does not count as notified.
-func (c *Checker) drainNotified(agent, server int, now time.Duration) (time.Duration, bool) {
+func (c *Checker) drainNotifiedSince(agent, server int, now time.Duration) (time.Duration, bool) {
 	view := &c.views[agent]
 	view.Lock()
 	defer view.Unlock()
 	if since := view.servers[server].drainingSince; since > 0 {
 		return since, true
 	}
-	state, available := c.discoveryKnows(view, server, now)
+	state, available := c.discoveredState(view, server, now)
 	if state.health == "" || state.health == endpoints.Ready || available < notificationBound {
 		return 0, false
 	}
@@ -73,14 +73,14 @@
 	if notice := &view.servers[server]; notice.known && notice.startedMs >= startedMs {
 		return true
 	}
-	state, available := c.discoveryKnows(view, server, c.clock())
+	state, available := c.discoveredState(view, server, c.clock())
 	return state.health != "" && state.startedMs >= startedMs && available >= notificationBound
 }
 
-// discoveryKnows returns what discovery knows of a server, and for how long it has been able to notify
+// discoveredState returns what discovery knows of a server, and for how long it has been able to notify
 // the agent of that: the time in which discovery was up and the lab did not cut the agent off. The
 // caller holds the view's lock.
-func (c *Checker) discoveryKnows(view *agentView, server int, now time.Duration) (serverState, time.Duration) {
+func (c *Checker) discoveredState(view *agentView, server int, now time.Duration) (serverState, time.Duration) {
 	c.discovery.Lock()
 	defer c.discovery.Unlock()
 	state := c.discovery.servers[server]
@@ -186,26 +186,26 @@
 	view := &c.views[agent]
 	view.Lock()
 	defer view.Unlock()
-	view.excuse(timeSpan{from, to})
+	view.addStoppedSpan(timeSpan{from, to})
 }
 
-// maxExcuses bounds the excused spans that are kept of an agent; the oldest are dropped first.
-const maxExcuses = 64
+// maxStoppedSpans bounds the excused spans that are kept of an agent; the oldest are dropped first.
+const maxStoppedSpans = 64
 
-// excuse adds a span in which the agent could not run. The caller holds the lock.
-func (view *agentView) excuse(span timeSpan) {
-	if len(view.excusedSpans) == maxExcuses {
-		view.excusedSpans = view.excusedSpans[1:]
+// addStoppedSpan adds a span in which the agent could not run. The caller holds the lock.
+func (view *agentView) addStoppedSpan(span timeSpan) {
+	if len(view.stoppedSpans) == maxStoppedSpans {
+		view.stoppedSpans = view.stoppedSpans[1:]
 	}
-	view.excusedSpans = append(view.excusedSpans, span)
+	view.stoppedSpans = append(view.stoppedSpans, span)
 }
 
-// isExcused reports whether the lab kept the agent from running at any time from from to to.
-func (c *Checker) isExcused(agent int, from, to time.Duration) bool {
+// wasStopped reports whether the lab kept the agent from running at any time from from to to.
+func (c *Checker) wasStopped(agent int, from, to time.Duration) bool {
 	view := &c.views[agent]
 	view.Lock()
 	defer view.Unlock()
-	for _, span := range view.excusedSpans {
+	for _, span := range view.stoppedSpans {
 		if from <= span.to && to >= span.from {
 			return true
 		}
--- a/internal/lab/client/arrivals.go
+++ b/internal/lab/client/arrivals.go
@@ -32,7 +32,7 @@
 	keys := newZipf(load.Keys, load.Zipf)
 	arrivals := make([][]Arrival, agents)
 	for i := range arrivals {
-		d := arrivalDraw{load: load, keys: keys, changes: changes, rng: rand.New(rand.NewPCG(seed, firstArrivalStream+uint64(i)))}
+		d := arrivalGenerator{load: load, keys: keys, changes: changes, rng: rand.New(rand.NewPCG(seed, firstArrivalStream+uint64(i)))}
 		arrivals[i] = d.drawAll(weights[i]*load.Rate, end)
 	}
 	return arrivals
@@ -55,8 +55,8 @@
 	return weights
 }
 
-// arrivalDraw draws the arrivals of one agent. The order of its draws is part of what a seed means.
-type arrivalDraw struct {
+// arrivalGenerator draws the arrivals of one agent. The order of its draws is part of what a seed means.
+type arrivalGenerator struct {
 	load    *Load
 	keys    *zipf
 	changes []LoadChange
@@ -66,7 +66,7 @@
 // drawAll draws a Poisson process with the given rate per second and the load changes' factors. It
 // draws at the highest rate and keeps each arrival with a probability of the rate at that time over
 // the highest rate (thinning).
-func (d *arrivalDraw) drawAll(rate float64, end time.Duration) []Arrival {
+func (d *arrivalGenerator) drawAll(rate float64, end time.Duration) []Arrival {
 	if rate <= 0 {
 		return nil
 	}
@@ -93,7 +93,7 @@
 }
 
 // drawOne draws the arrival at a time.
-func (d *arrivalDraw) drawOne(at time.Duration) Arrival {
+func (d *arrivalGenerator) drawOne(at time.Duration) Arrival {
 	a := Arrival{At: at, Class: d.drawClass(), Seed: d.rng.Uint64()}
 	class := &d.load.Classes[a.Class]
 	a.Work = d.drawWork(class)
@@ -110,15 +110,15 @@
 		timeoutShare = bounds[0] + d.rng.Float64()*(bounds[1]-bounds[0])
 	}
 	a.AttemptTimeout = time.Duration(timeoutShare * float64(class.Deadline))
-	a.HonorsRetryAfter = d.rng.Float64() < d.load.HonorShare
-	if d.rng.Float64() < d.load.ImpatientShare {
+	a.HonorsRetryAfter = d.rng.Float64() < d.load.HonorRetryAfterShare
+	if d.rng.Float64() < d.load.EarlyCancelShare {
 		a.CancelAfter = time.Duration(d.rng.Float64() * float64(a.AttemptTimeout))
 	}
 	return a
 }
 
 // drawWork draws the work of a request of a class, in standard-core milliseconds.
-func (d *arrivalDraw) drawWork(class *Class) float64 {
+func (d *arrivalGenerator) drawWork(class *Class) float64 {
 	switch class.Distribution {
 	case distributionFixed:
 		return class.Work
@@ -129,7 +129,7 @@
 }
 
 // drawClass draws the index of a class by the classes' shares.
-func (d *arrivalDraw) drawClass() int {
+func (d *arrivalGenerator) drawClass() int {
 	remaining, sum := d.rng.Float64(), 0.0
 	for _, class := range d.load.Classes {
 		sum += class.Share
--- a/internal/lab/client/arrivals_test.go
+++ b/internal/lab/client/arrivals_test.go
@@ -12,9 +12,9 @@
 
 // The draws of the arrival tests.
 const (
-	testAgents = 7
-	testEnd    = 60 * time.Second
-	testSeed   = 5
+	testAgents   = 7
+	testDuration = 60 * time.Second
+	testSeed     = 5
 )
 
 // expectNear fails the test unless got differs from want by at most a share of it.
@@ -28,18 +28,18 @@
 // The seed alone determines the arrivals.
 func TestSeedDeterminesArrivals(t *testing.T) {
 	l := testLoad()
-	first := DrawArrivals(l, testAgents, testEnd, nil, testSeed)
-	if !reflect.DeepEqual(first, DrawArrivals(l, testAgents, testEnd, nil, testSeed)) {
+	first := DrawArrivals(l, testAgents, testDuration, nil, testSeed)
+	if !reflect.DeepEqual(first, DrawArrivals(l, testAgents, testDuration, nil, testSeed)) {
 		t.Error("one seed, two draws")
 	}
-	if reflect.DeepEqual(first, DrawArrivals(l, testAgents, testEnd, nil, testSeed+1)) {
+	if reflect.DeepEqual(first, DrawArrivals(l, testAgents, testDuration, nil, testSeed+1)) {
 		t.Error("two seeds, one draw")
 	}
 }
 
 // Arrivals follow the distributions of the load.
 func TestArrivalsFollowTheLoad(t *testing.T) {
-	arrivals := slices.Concat(DrawArrivals(testLoad(), testAgents, testEnd, nil, testSeed)...)
+	arrivals := slices.Concat(DrawArrivals(testLoad(), testAgents, testDuration, nil, testSeed)...)
 	expectNear(t, "arrivals", float64(len(arrivals)), 120_000, 0.02)
 	var work, count [2]float64 // by class
 	mostPopular := 0.0
@@ -50,7 +50,7 @@
 		if a.Key == 1 {
 			mostPopular++
 		}
-		if a.AttemptTimeout < 500*time.Millisecond || a.AttemptTimeout > time.Second || a.CancelAfter > a.AttemptTimeout || a.At < 0 || a.At >= testEnd {
+		if a.AttemptTimeout < 500*time.Millisecond || a.AttemptTimeout > time.Second || a.CancelAfter > a.AttemptTimeout || a.At < 0 || a.At >= testDuration {
 			t.Fatalf("%+v", a)
 		}
 	}
@@ -66,7 +66,7 @@
 
 // The agents have different parts of the load, and each agent's arrivals are in order.
 func TestArrivalsByAgent(t *testing.T) {
-	byAgent := DrawArrivals(testLoad(), testAgents, testEnd, nil, testSeed)
+	byAgent := DrawArrivals(testLoad(), testAgents, testDuration, nil, testSeed)
 	byCount := func(a, b []Arrival) int { return len(a) - len(b) }
 	if least, most := len(slices.MinFunc(byAgent, byCount)), len(slices.MaxFunc(byAgent, byCount)); most < least*3/2 {
 		t.Errorf("uneven agents have %d to %d arrivals", least, most)
@@ -80,10 +80,10 @@
 
 // A change of the load changes the arrivals within its time, and leaves the others in their
 // distribution.
-func TestLoadChangeChangesItsTimeOnly(t *testing.T) {
+func TestLoadChangeAffectsOnlyItsTime(t *testing.T) {
 	const from, to = 20 * time.Second, 40 * time.Second
 	changes := []LoadChange{{From: from, To: to, Factor: 2}, {From: from, To: to, Class: "a", HeavyShare: 0.1, WorkFactor: 50}}
-	arrivals := slices.Concat(DrawArrivals(testLoad(), testAgents, testEnd, changes, testSeed)...)
+	arrivals := slices.Concat(DrawArrivals(testLoad(), testAgents, testDuration, changes, testSeed)...)
 	within, heavy := 0.0, 0.0
 	for _, a := range arrivals {
 		if a.At >= from && a.At < to {
--- a/internal/lab/client/baseline.go
+++ b/internal/lab/client/baseline.go
@@ -140,19 +140,19 @@
 	return addr
 }
 
-// Opened returns how many connections to servers were opened.
-func (b *Baseline) Opened() int64 {
+// OpenedConnections returns how many connections to servers were opened.
+func (b *Baseline) OpenedConnections() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var opened int64
 	for _, pool := range b.pools {
-		opened += pool.Opened()
+		opened += pool.OpenedConnections()
 	}
 	return opened
 }
 
-// SetOpenOnly does nothing: a baseline is not restarted.
-func (b *Baseline) SetOpenOnly(bool) {}
+// SetReuseOnly does nothing: a baseline is not restarted.
+func (b *Baseline) SetReuseOnly(bool) {}
 
 // Reset resets all connections.
 func (b *Baseline) Reset() {
--- a/internal/lab/client/call.go
+++ b/internal/lab/client/call.go
@@ -64,9 +64,9 @@
 	result, stale := p.attempt(c, false)
 	if stale {
 		if received, _ := c.request.Attempts(); received == 0 {
-			surplusBefore := result.SurplusBefore
+			extraBytesBefore := result.ExtraBytesBefore
 			result, _ = p.attempt(c, true)
-			result.SurplusBefore = surplusBefore
+			result.ExtraBytesBefore = extraBytesBefore
 		}
 	}
 	return result
@@ -76,11 +76,11 @@
 // idle, before an answer began.
 func (p *Pool) attempt(c *call, forceNew bool) (result response, stale bool) {
 	result.Outcome = check.Unreachable
-	conn, surplus, err := p.get(c.addr, c.deadline, c.connectTimeout, forceNew)
-	result.SurplusBefore = surplus
+	conn, extraBytes, err := p.get(c.addr, c.deadline, c.connectTimeout, forceNew)
+	result.ExtraBytesBefore = extraBytes
 	if err != nil {
 		result.At = c.clock()
-		if errors.Is(err, errNoOpenConnection) {
+		if errors.Is(err, errNoIdleConnection) {
 			result.Outcome = check.Void
 		}
 		return result, false
@@ -125,8 +125,8 @@
 	result.Outcome = outcomeOf(httpResponse.StatusCode)
 	result.notStarted = httpResponse.Header.Get(headerNotStarted) == "1"
 	result.retryAfter = parseRetryAfter(httpResponse.Header.Get("Retry-After"))
-	result.Surplus = conn.reader.Buffered() > 0
-	if httpResponse.Close || result.Surplus {
+	result.ExtraBytes = conn.reader.Buffered() > 0
+	if httpResponse.Close || result.ExtraBytes {
 		p.drop(conn)
 	} else {
 		p.put(conn)
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -32,22 +32,22 @@
 type Sender interface {
 	// send sends one attempt and waits for its answer until the deadline.
 	send(r *check.Request, header http.Header, deadline time.Time) response
-	// Opened returns how many connections were opened.
-	Opened() int64
+	// OpenedConnections returns how many connections were opened.
+	OpenedConnections() int64
 	// Reset resets all connections.
 	Reset()
-	// SetOpenOnly sets whether requests may use open connections only.
-	SetOpenOnly(openOnly bool)
+	// SetReuseOnly sets whether requests may use open connections only.
+	SetReuseOnly(reuseOnly bool)
 }
 
 // Env is what the clients of a fleet share.
 type Env struct {
-	Clock       check.Clock
-	Epoch       time.Time // when the clock was 0
-	Checker     *check.Checker
-	Load        *Load
-	ListenSlack time.Duration // how long beyond its deadline a client listens, so that the checker sees late answers
-	IDPrefix    string        // of the requests' IDs
+	Clock     check.Clock
+	Epoch     time.Time // when the clock was 0
+	Checker   *check.Checker
+	Load      *Load
+	WaitSlack time.Duration // how long beyond its deadline a client listens, so that the checker sees late answers
+	IDPrefix  string        // of the requests' IDs
 	// Finished is called with the result of each request, from many goroutines.
 	Finished func(Result)
 }
@@ -72,12 +72,12 @@
 
 // Start starts the client's process: it sends requests from now on.
 func (c *Client) Start() {
-	c.sender.SetOpenOnly(false)
+	c.sender.SetReuseOnly(false)
 	c.up.Store(true)
 }
 
 // UseOpenConnectionsOnly has the client go on sending, on the connections that are open.
-func (c *Client) UseOpenConnectionsOnly() { c.sender.SetOpenOnly(true) }
+func (c *Client) UseOpenConnectionsOnly() { c.sender.SetReuseOnly(true) }
 
 // StopSending has the client send no new requests. Those in progress go on, but are not retried.
 func (c *Client) StopSending() { c.up.Store(false) }
@@ -188,11 +188,11 @@
 	c.env.Checker.Add(r)
 	c.attempts.Add(1)
 	cancels := a.CancelAfter > 0 && attempt == 0
-	listenUntil := r.Deadline + c.env.ListenSlack
+	waitUntil := r.Deadline + c.env.WaitSlack
 	if cancels {
-		listenUntil = now + a.CancelAfter
+		waitUntil = now + a.CancelAfter
 	}
-	response := c.sender.send(r, header, c.env.Epoch.Add(listenUntil))
+	response := c.sender.send(r, header, c.env.Epoch.Add(waitUntil))
 	if cancels && response.Outcome == check.Unanswered && !response.Closed {
 		response.Outcome = check.ClientCanceled
 	}
@@ -241,22 +241,22 @@
 // agentConnectTimeout bounds opening a connection to an agent.
 const agentConnectTimeout = time.Second
 
-// ToAgent sends requests to an agent.
-type ToAgent struct {
+// AgentSender sends requests to an agent.
+type AgentSender struct {
 	Addr  string
 	Clock check.Clock
 	pool  Pool
 }
 
-func (t *ToAgent) send(r *check.Request, header http.Header, deadline time.Time) response {
+func (t *AgentSender) send(r *check.Request, header http.Header, deadline time.Time) response {
 	return t.pool.call(&call{addr: t.Addr, request: r, header: header, deadline: deadline, connectTimeout: agentConnectTimeout, clock: t.Clock})
 }
 
-// Opened returns how many connections to the agent were opened.
-func (t *ToAgent) Opened() int64 { return t.pool.Opened() }
+// OpenedConnections returns how many connections to the agent were opened.
+func (t *AgentSender) OpenedConnections() int64 { return t.pool.OpenedConnections() }
 
 // Reset resets all connections.
-func (t *ToAgent) Reset() { t.pool.Reset() }
+func (t *AgentSender) Reset() { t.pool.Reset() }
 
-// SetOpenOnly sets whether requests may use open connections only.
-func (t *ToAgent) SetOpenOnly(openOnly bool) { t.pool.SetOpenOnly(openOnly) }
+// SetReuseOnly sets whether requests may use open connections only.
+func (t *AgentSender) SetReuseOnly(reuseOnly bool) { t.pool.SetReuseOnly(reuseOnly) }
--- a/internal/lab/client/client_test.go
+++ b/internal/lab/client/client_test.go
@@ -18,7 +18,7 @@
 
 // testLoad returns a load of two classes, one idempotent and one with idempotency keys.
 func testLoad() *Load {
-	return &Load{Rate: 2000, Keys: 1000, Zipf: 1, AttemptTimeoutShare: []float64{0.5, 1}, HonorShare: 0.5, ImpatientShare: 0.1, AgentCV: 0.5,
+	return &Load{Rate: 2000, Keys: 1000, Zipf: 1, AttemptTimeoutShare: []float64{0.5, 1}, HonorRetryAfterShare: 0.5, EarlyCancelShare: 0.1, AgentCV: 0.5,
 		Classes: []Class{{Name: "a", Share: 3, Work: 10, Distribution: "exp", Deadline: time.Second, Effect: "free"},
 			{Name: "b", Share: 1, Work: 20, Distribution: "lognormal", WorkCV: 1, Deadline: time.Second, Effect: "guarded", Group: "all"}}}
 }
@@ -46,9 +46,9 @@
 	return response
 }
 
-func (s *scriptedSender) Opened() int64    { return 0 }
-func (s *scriptedSender) Reset()           {}
-func (s *scriptedSender) SetOpenOnly(bool) {}
+func (s *scriptedSender) OpenedConnections() int64 { return 0 }
+func (s *scriptedSender) Reset()                   {}
+func (s *scriptedSender) SetReuseOnly(bool)        {}
 
 // responseWith returns the response to a request that was sent and had the outcome.
 func responseWith(outcome check.Outcome) response {
--- a/internal/lab/client/load.go
+++ b/internal/lab/client/load.go
@@ -68,18 +68,18 @@
 
 // Load is what the clients of a fleet send, and how they retry.
 type Load struct {
-	Rate                float64       `koanf:"rate"`     // requests per second of all clients together, without retries
-	AgentCV             float64       `koanf:"agent_cv"` // coefficient of variation of the agents' parts of it
-	Keys                int           `koanf:"keys"`     // number of different keys; 0: requests have none
-	Zipf                float64       `koanf:"zipf"`     // exponent of the keys' popularity
-	Retries             int           `koanf:"retries"`  // at most, for each request
-	Backoff             string        `koanf:"backoff"`  // "none", "fixed" or "exp"
-	BackoffBase         time.Duration `koanf:"backoff_by"`
-	HonorShare          float64       `koanf:"honour"`    // share of the requests whose client honors Retry-After
-	AttemptTimeoutShare []float64     `koanf:"try_share"` // from and to: the timeout of an attempt as a share of the deadline
-	ImpatientShare      float64       `koanf:"impatient"` // share of the requests that are canceled early
-	BodyBytes           int           `koanf:"body"`      // of a request that has a body
-	Classes             []Class       `koanf:"class"`
+	Rate                 float64       `koanf:"rate"`     // requests per second of all clients together, without retries
+	AgentCV              float64       `koanf:"agent_cv"` // coefficient of variation of the agents' parts of it
+	Keys                 int           `koanf:"keys"`     // number of different keys; 0: requests have none
+	Zipf                 float64       `koanf:"zipf"`     // exponent of the keys' popularity
+	Retries              int           `koanf:"retries"`  // at most, for each request
+	Backoff              string        `koanf:"backoff"`  // "none", "fixed" or "exp"
+	BackoffBase          time.Duration `koanf:"backoff_by"`
+	HonorRetryAfterShare float64       `koanf:"honour"`    // share of the requests whose client honors Retry-After
+	AttemptTimeoutShare  []float64     `koanf:"try_share"` // from and to: the timeout of an attempt as a share of the deadline
+	EarlyCancelShare     float64       `koanf:"impatient"` // share of the requests that are canceled early
+	BodyBytes            int           `koanf:"body"`      // of a request that has a body
+	Classes              []Class       `koanf:"class"`
 }
 
 // LoadChange is a span of time in which the load differs.
--- a/internal/lab/client/pipeline.go
+++ b/internal/lab/client/pipeline.go
@@ -13,18 +13,18 @@
 	"knotrouter/internal/lab/check"
 )
 
-// Irregular describes how a client uses one connection of its own beside its regular ones.
-type Irregular struct {
+// Pipeline describes how a client uses one connection of its own beside its regular ones.
+type Pipeline struct {
 	Arrivals []Arrival
 	// SplitPause is the pause in the middle of the bytes; 0: they are written at once.
 	SplitPause time.Duration
 }
 
-// SendIrregular sends all requests on one new connection before it reads the first answer, and records
+// SendPipelined sends all requests on one new connection before it reads the first answer, and records
 // how each ended. A request whose connection ends before its answer, and of which no server received
 // anything, was not begun: that is void, as its client may send it again.
-func (c *Client) SendIrregular(irregular Irregular) {
-	agent, ok := c.sender.(*ToAgent)
+func (c *Client) SendPipelined(pipeline Pipeline) {
+	agent, ok := c.sender.(*AgentSender)
 	if !ok {
 		return
 	}
@@ -36,21 +36,21 @@
 	defer agent.pool.drop(&pooledConn{Conn: conn})
 	var requests []*check.Request
 	var text bytes.Buffer
-	listenUntil := c.env.Clock()
-	for i := range irregular.Arrivals {
-		a := &irregular.Arrivals[i]
-		r := c.newIrregularRequest(a, irregular.SplitPause, &text)
+	waitUntil := c.env.Clock()
+	for i := range pipeline.Arrivals {
+		a := &pipeline.Arrivals[i]
+		r := c.newPipelinedRequest(a, pipeline.SplitPause, &text)
 		requests = append(requests, r)
-		listenUntil = max(listenUntil, r.Deadline+c.env.ListenSlack)
+		waitUntil = max(waitUntil, r.Deadline+c.env.WaitSlack)
 	}
-	_ = conn.SetDeadline(c.env.Epoch.Add(listenUntil))
-	sent := writeInTwo(conn, text.Bytes(), irregular.SplitPause)
-	c.readIrregular(bufio.NewReader(conn), requests, sent)
+	_ = conn.SetDeadline(c.env.Epoch.Add(waitUntil))
+	sent := writeInTwo(conn, text.Bytes(), pipeline.SplitPause)
+	c.readPipelined(bufio.NewReader(conn), requests, sent)
 }
 
-// newIrregularRequest adds a request to the checker, and its bytes to text. Its time begins after the
+// newPipelinedRequest adds a request to the checker, and its bytes to text. Its time begins after the
 // pause.
-func (c *Client) newIrregularRequest(a *Arrival, pause time.Duration, text *bytes.Buffer) *check.Request {
+func (c *Client) newPipelinedRequest(a *Arrival, pause time.Duration, text *bytes.Buffer) *check.Request {
 	class := &c.env.Load.Classes[a.Class]
 	key := ""
 	if class.Effect != EffectIdempotent {
@@ -91,15 +91,15 @@
 	streamTimedOut             // nothing came until the deadline
 )
 
-// readIrregular reads the answers to requests in order, and records how each ended.
-func (c *Client) readIrregular(r *bufio.Reader, requests []*check.Request, sent bool) {
+// readPipelined reads the answers to requests in order, and records how each ended.
+func (c *Client) readPipelined(r *bufio.Reader, requests []*check.Request, sent bool) {
 	state := streamOpen
 	for i, request := range requests {
 		answer := check.Answer{Outcome: check.Unanswered, Sent: sent, NewConnection: i == 0}
 		if state == streamOpen {
-			state = readIrregularAnswer(r, &answer)
+			state = readPipelinedAnswer(r, &answer)
 		}
-		answer.Surplus = i == len(requests)-1 && r.Buffered() > 0
+		answer.ExtraBytes = i == len(requests)-1 && r.Buffered() > 0
 		answer.At = c.env.Clock()
 		answer.Closed = answer.Outcome == check.Unanswered && state == streamEnded
 		if received, _ := request.Attempts(); received == 0 && answer.Closed {
@@ -109,20 +109,20 @@
 	}
 }
 
-// readIrregularAnswer reads one answer, and returns the state of the stream after it.
-func readIrregularAnswer(r *bufio.Reader, answer *check.Answer) streamState {
+// readPipelinedAnswer reads one answer, and returns the state of the stream after it.
+func readPipelinedAnswer(r *bufio.Reader, answer *check.Answer) streamState {
 	if _, err := r.Peek(1); err != nil {
-		return stateAfter(err)
+		return streamStateAfter(err)
 	}
 	answer.Partial = true
 	response, err := http.ReadResponse(r, nil)
 	if err != nil {
-		return stateAfter(err)
+		return streamStateAfter(err)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return stateAfter(err)
+		return streamStateAfter(err)
 	}
 	answer.Body, answer.Outcome = string(body), outcomeOf(response.StatusCode)
 	if response.Close {
@@ -131,8 +131,8 @@
 	return streamOpen
 }
 
-// stateAfter returns the state of a stream after an error of a read.
-func stateAfter(err error) streamState {
+// streamStateAfter returns the state of a stream after an error of a read.
+func streamStateAfter(err error) streamState {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return streamTimedOut
 	}
@@ -142,7 +142,7 @@
 // HoldConnections opens connections to the agent, writes the text on each, and keeps them until the
 // agent ends them or done is closed. It returns how many could be opened.
 func (c *Client) HoldConnections(count int, text string, done <-chan struct{}) (opened int) {
-	agent, ok := c.sender.(*ToAgent)
+	agent, ok := c.sender.(*AgentSender)
 	if !ok {
 		return 0
 	}
--- a/internal/lab/client/pool.go
+++ b/internal/lab/client/pool.go
@@ -14,18 +14,18 @@
 // maxIdleConnections bounds the idle connections that a pool keeps open.
 const maxIdleConnections = 64
 
-// errNoOpenConnection is the error of a pool that may open no connection and has no idle one.
-var errNoOpenConnection = errors.New("no open connection is idle")
+// errNoIdleConnection is the error of a pool that may open no connection and has no idle one.
+var errNoIdleConnection = errors.New("no open connection is idle")
 
 // Pool keeps the connections to one address, with one request at a time on each. The zero value
 // is empty and ready to use. It is safe for concurrent use.
 type Pool struct {
-	all loopback.Set // the open connections, idle or not
+	all loopback.ConnSet // the open connections, idle or not
 
-	mu       sync.Mutex
-	idle     []*pooledConn // the one that was used last is last
-	opened   int64
-	openOnly bool // no connection may be opened
+	mu        sync.Mutex
+	idle      []*pooledConn // the one that was used last is last
+	opened    int64
+	reuseOnly bool // no connection may be opened
 }
 
 type pooledConn struct {
@@ -34,8 +34,8 @@
 	used   bool // a request was sent on it
 }
 
-// Opened returns how many connections the pool has tried to open, those included that failed.
-func (p *Pool) Opened() int64 {
+// OpenedConnections returns how many connections the pool has tried to open, those included that failed.
+func (p *Pool) OpenedConnections() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
@@ -49,30 +49,30 @@
 	p.all.Reset()
 }
 
-// SetOpenOnly sets whether requests may use open connections only.
-func (p *Pool) SetOpenOnly(openOnly bool) {
+// SetReuseOnly sets whether requests may use open connections only.
+func (p *Pool) SetReuseOnly(reuseOnly bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.openOnly = openOnly
+	p.reuseOnly = reuseOnly
 }
 
 // get returns an idle connection, or a new one if there is none or forceNew is set. It fails if a
 // new one can't be opened by the deadline and within connectTimeout, or may not be opened. surplus
 // says that it closed an idle connection on which bytes had come that no request asked for.
-func (p *Pool) get(addr string, deadline time.Time, connectTimeout time.Duration, forceNew bool) (conn *pooledConn, surplus bool, err error) {
+func (p *Pool) get(addr string, deadline time.Time, connectTimeout time.Duration, forceNew bool) (conn *pooledConn, extraBytes bool, err error) {
 	for !forceNew {
 		idle := p.takeIdle()
 		if idle == nil {
 			break
 		}
-		if !idle.hasBytes() {
-			return idle, surplus, nil
+		if !idle.hasUnreadBytes() {
+			return idle, extraBytes, nil
 		}
-		surplus = true
+		extraBytes = true
 		p.drop(idle)
 	}
 	conn, err = p.open(addr, deadline, connectTimeout)
-	return conn, surplus, err
+	return conn, extraBytes, err
 }
 
 // takeIdle takes the idle connection that was used last, or returns nil if there is none.
@@ -91,9 +91,9 @@
 // open opens a connection, with the errors of get.
 func (p *Pool) open(addr string, deadline time.Time, connectTimeout time.Duration) (*pooledConn, error) {
 	p.mu.Lock()
-	if p.openOnly {
+	if p.reuseOnly {
 		p.mu.Unlock()
-		return nil, errNoOpenConnection
+		return nil, errNoIdleConnection
 	}
 	p.opened++
 	p.mu.Unlock()
@@ -105,8 +105,8 @@
 	return &pooledConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// hasBytes reports whether bytes have come on an idle connection. An end of the stream is none.
-func (c *pooledConn) hasBytes() bool {
+// hasUnreadBytes reports whether bytes have come on an idle connection. An end of the stream is none.
+func (c *pooledConn) hasUnreadBytes() bool {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -136,6 +136,6 @@
 
 // drop closes a connection.
 func (p *Pool) drop(conn *pooledConn) {
-	p.all.Drop(conn.Conn)
+	p.all.Remove(conn.Conn)
 	conn.Close()
 }
--- a/internal/lab/client/surplus_test.go
+++ b/internal/lab/client/surplus_test.go
@@ -19,15 +19,15 @@
 	rejectedAnswer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 )
 
-// surplusCheck is a checker of one idempotent class, and what a client needs beside it.
-type surplusCheck struct {
+// extraAnswerTest is a checker of one idempotent class, and what a client needs beside it.
+type extraAnswerTest struct {
 	clock   check.Clock
 	epoch   time.Time
 	checker *check.Checker
 }
 
-func newSurplusCheck() *surplusCheck {
-	s := &surplusCheck{epoch: time.Now()}
+func newExtraAnswerTest() *extraAnswerTest {
+	s := &extraAnswerTest{epoch: time.Now()}
 	s.clock = func() time.Duration { return time.Since(s.epoch) }
 	settings := &policy.Settings{Classes: []policy.Class{{Name: "a", Effect: policy.Idempotent}}}
 	s.checker = check.New(s.clock, settings, []string{"n0"}, nil)
@@ -35,15 +35,15 @@
 }
 
 // newRequest returns a request that the checker knows.
-func (s *surplusCheck) newRequest(id string) *check.Request {
+func (s *extraAnswerTest) newRequest(id string) *check.Request {
 	r := &check.Request{ID: id, Method: http.MethodGet, Path: "/a/" + id, PlannedAt: s.clock(), Deadline: s.clock() + time.Minute}
 	s.checker.Add(r)
 	return r
 }
 
-// requireSurplusBreach fails the test unless the checker has recorded that an agent answered more often
+// requireExtraAnswerBreach fails the test unless the checker has recorded that an agent answered more often
 // than it was asked.
-func (s *surplusCheck) requireSurplusBreach(t *testing.T) {
+func (s *extraAnswerTest) requireExtraAnswerBreach(t *testing.T) {
 	t.Helper()
 	breaches, _ := s.checker.Breaches()
 	for _, breach := range breaches {
@@ -59,7 +59,7 @@
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for deadline := time.Now().Add(10 * time.Second); !p.idle[0].hasBytes(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); !p.idle[0].hasUnreadBytes(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the second answer did not come")
 		}
@@ -96,8 +96,8 @@
 			conn.Close()
 		}
 	}()
-	s := newSurplusCheck()
-	agent := &ToAgent{Addr: listener.Addr().String(), Clock: s.clock}
+	s := newExtraAnswerTest()
+	agent := &AgentSender{Addr: listener.Addr().String(), Clock: s.clock}
 	defer func() { agent.Reset(); listener.Close(); <-served }()
 	for _, id := range []string{"1", "2"} {
 		r := s.newRequest(id)
@@ -109,16 +109,16 @@
 			awaitBytes(t, &agent.pool)
 		}
 	}
-	s.requireSurplusBreach(t)
+	s.requireExtraAnswerBreach(t)
 }
 
 // An answer behind that to the last request of a connection is a breach: with it, the last request's own
 // answer may be the one that was not read.
-func TestSurplusAnswerToPipelinedRequestsIsABreach(t *testing.T) {
-	s := newSurplusCheck()
-	c := New(&Env{Clock: s.clock, Epoch: s.epoch, Checker: s.checker}, 0, &ToAgent{Clock: s.clock})
+func TestExtraAnswerToPipelinedRequestsIsABreach(t *testing.T) {
+	s := newExtraAnswerTest()
+	c := New(&Env{Clock: s.clock, Epoch: s.epoch, Checker: s.checker}, 0, &AgentSender{Clock: s.clock})
 	requests := []*check.Request{s.newRequest("1"), s.newRequest("2")}
 	answers := failedAnswer + rejectedAnswer + failedAnswer
-	c.readIrregular(bufio.NewReader(strings.NewReader(answers)), requests, true)
-	s.requireSurplusBreach(t)
+	c.readPipelined(bufio.NewReader(strings.NewReader(answers)), requests, true)
+	s.requireExtraAnswerBreach(t)
 }
--- a/internal/lab/cost/cell.go
+++ b/internal/lab/cost/cell.go
@@ -102,7 +102,7 @@
 	c.counts = fleet.counts(caller).sub(countsBefore)
 	c.load = summarize(results)
 	c.peakRSSMB, err = agent.PeakRSSMB()
-	if err != nil && !agent.Runs() {
+	if err != nil && !agent.Running() {
 		c.Violations = append(c.Violations, "the agent ended: "+agent.LastLogLine())
 		return nil
 	}
--- a/internal/lab/discovery/agentlistener.go
+++ b/internal/lab/discovery/agentlistener.go
@@ -15,7 +15,7 @@
 // agentListener listens on the address at which one agent reaches the service.
 type agentListener struct {
 	tcp       *loopback.Listener
-	openConns loopback.Set
+	openConns loopback.ConnSet
 }
 
 func (l *agentListener) close() {
@@ -35,7 +35,7 @@
 
 // Close closes the connection and removes it from the listener's open connections.
 func (c *conn) Close() error {
-	c.listener.openConns.Drop(c.Conn)
+	c.listener.openConns.Remove(c.Conn)
 	return c.Conn.Close()
 }
 
@@ -44,7 +44,7 @@
 	listener := &agentListener{}
 	tcp, err := loopback.Listen(s.addresses.IP()+":0", func(nc net.Conn) {
 		listener.openConns.Add(nc)
-		s.accepted.Put(&conn{Conn: nc, listener: listener, agent: agent})
+		s.accepted.Deliver(&conn{Conn: nc, listener: listener, agent: agent})
 	})
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
--- a/internal/lab/discovery/discovery.go
+++ b/internal/lab/discovery/discovery.go
@@ -73,8 +73,8 @@
 
 	config     Config
 	env        Env
-	addresses  *loopback.Net
-	accepted   *loopback.Conns // passes connections from the agents' listeners to the HTTP server
+	addresses  *loopback.AddressBlock
+	accepted   *loopback.SharedListener // passes connections from the agents' listeners to the HTTP server
 	httpServer *http.Server
 	calls      *callQueue
 	ctx        context.Context // canceled by Close
@@ -92,12 +92,12 @@
 
 // New starts a service that lists the entries, which are indexed by server. The seed determines the
 // delays. It returns an error if it can't listen. The caller must close the service.
-func New(config Config, env Env, addresses *loopback.Net, entries []Entry, seed uint64) (*Service, error) {
+func New(config Config, env Env, addresses *loopback.AddressBlock, entries []Entry, seed uint64) (*Service, error) {
 	s := &Service{
 		config:       config,
 		env:          env,
 		addresses:    addresses,
-		accepted:     loopback.NewConns(),
+		accepted:     loopback.NewSharedListener(),
 		calls:        newCallQueue(config.MaxConcurrentCalls),
 		available:    true,
 		list:         newServerList(entries),
--- a/internal/lab/experiment/clients.go
+++ b/internal/lab/experiment/clients.go
@@ -25,7 +25,7 @@
 		prefix = string(fl.policy[:2]) + "-"
 	}
 	env := &client.Env{Clock: fl.clock, Epoch: fl.epoch, Checker: fl.checker, Load: &fl.config.Load, IDPrefix: prefix,
-		ListenSlack: fl.config.Rules.AnswerSlack + clientWaitSlack, Finished: fl.recordResult}
+		WaitSlack: fl.config.Rules.AnswerSlack + clientWaitSlack, Finished: fl.recordResult}
 	for i := range agents {
 		sender, err := fl.newSender(i)
 		if err != nil {
@@ -40,7 +40,7 @@
 // newSender returns the sender of a client, which sends to the agent or runs the fleet's baseline policy.
 func (fl *fleet) newSender(agent int) (client.Sender, error) {
 	if fl.policy == "" {
-		return &client.ToAgent{Addr: fl.agents[agent].address, Clock: fl.clock}, nil
+		return &client.AgentSender{Addr: fl.agents[agent].address, Clock: fl.clock}, nil
 	}
 	return client.NewBaseline(&client.Baseline{Policy: fl.policy, Clock: fl.clock, Epoch: fl.epoch, Load: &fl.config.Load,
 		ConnectTimeout: fl.config.Rules.ConnectTimeout, List: func() endpoints.List { return fl.discovery.List(agent, 0, true) }},
--- a/internal/lab/experiment/defaults.go
+++ b/internal/lab/experiment/defaults.go
@@ -30,7 +30,7 @@
 
 func defaultLoad() client.Load {
 	return client.Load{Rate: 120, AgentCV: 0.5, Keys: 2000, Zipf: 1, Retries: 1, Backoff: "exp", BackoffBase: 300 * time.Millisecond,
-		HonorShare: 0.7, AttemptTimeoutShare: []float64{0.6, 1}, BodyBytes: 200, Classes: []client.Class{
+		HonorRetryAfterShare: 0.7, AttemptTimeoutShare: []float64{0.6, 1}, BodyBytes: 200, Classes: []client.Class{
 			{Name: "schedule-read", Share: 0.5, Work: 20, Distribution: "exp", TargetLatency: 1200 * time.Millisecond, Deadline: 5 * time.Second,
 				PriorityWeight: 3, Effect: client.EffectIdempotent, Group: client.GroupAll, DedupWindow: 5 * time.Second},
 			{Name: "vote-submit", Share: 0.5, Work: 30, Distribution: "exp", TargetLatency: 1500 * time.Millisecond, Deadline: 6 * time.Second,
--- a/internal/lab/experiment/faults.go
+++ b/internal/lab/experiment/faults.go
@@ -319,7 +319,7 @@
 	case faultReset:
 		shape.ResetAfter = int64(f.Size)
 	case faultLoss: // of datagrams; a stream is delayed by its retransmissions instead
-		shape.LossShare, shape.Delay, shape.Jitter = f.Size, f.Delay, f.Jitter
+		shape.LossProbability, shape.Delay, shape.Jitter = f.Size, f.Delay, f.Jitter
 	}
 	if f.Direction != directionBack {
 		forward = shape
--- a/internal/lab/experiment/fleet.go
+++ b/internal/lab/experiment/fleet.go
@@ -52,7 +52,7 @@
 	policy    string // the policy of a baseline; "" for the fleet with the agents
 	dir       string // directory of the results
 	seed      uint64
-	addresses *loopback.Net
+	addresses *loopback.AddressBlock
 	clock     check.Clock
 	epoch     time.Time // when the clock was 0
 }
@@ -210,7 +210,7 @@
 	target := link.Open
 	switch {
 	case isolated:
-		target = link.Silent
+		target = link.Unresponsive
 	case health == endpoints.Removed:
 		target = link.Refused
 	}
--- a/internal/lab/experiment/irregular.go
+++ b/internal/lab/experiment/irregular.go
@@ -128,10 +128,10 @@
 // request now and the rest after splitPause. It does not wait for their requests, which end on their own.
 func (fl *fleet) startIrregularClients(agent *agentProcess, rng *rand.Rand) {
 	for range irregularConnections {
-		pipelined := client.Irregular{Arrivals: fl.drawIrregularRequests(rng, pipelineDepth)}
-		split := client.Irregular{Arrivals: fl.drawIrregularRequests(rng, 1), SplitPause: splitPause}
-		go fl.clients[agent.index].SendIrregular(pipelined)
-		go fl.clients[agent.index].SendIrregular(split)
+		pipelined := client.Pipeline{Arrivals: fl.drawIrregularRequests(rng, pipelineDepth)}
+		split := client.Pipeline{Arrivals: fl.drawIrregularRequests(rng, 1), SplitPause: splitPause}
+		go fl.clients[agent.index].SendPipelined(pipelined)
+		go fl.clients[agent.index].SendPipelined(split)
 	}
 }
 
@@ -142,8 +142,8 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	for {
-		irregular := client.Irregular{Arrivals: fl.drawIrregularRequests(rng, int(f.Size))}
-		running.Go(func() { fl.clients[agent.index].SendIrregular(irregular) })
+		irregular := client.Pipeline{Arrivals: fl.drawIrregularRequests(rng, int(f.Size))}
+		running.Go(func() { fl.clients[agent.index].SendPipelined(irregular) })
 		if !sleep(ctx, f.Interval) {
 			return nil
 		}
@@ -165,7 +165,7 @@
 	close(done)
 	running.Wait()
 	runs := agent.process.StartCount()
-	if !sleep(ctx, floodSettleTime) || agent.process.StartCount() != runs || !agent.process.Runs() {
+	if !sleep(ctx, floodSettleTime) || agent.process.StartCount() != runs || !agent.process.Running() {
 		return nil
 	}
 	if after, _, _ := agent.process.SampleUsage(); after.Descriptors > before.Descriptors+floodDescriptorSlack {
--- a/internal/lab/experiment/links.go
+++ b/internal/lab/experiment/links.go
@@ -117,7 +117,7 @@
 // traffic, and so not delayed it, for at least twice the longest request duration.
 func (fl *fleet) linkIsClear(agent, server int) bool {
 	l := fl.links[linkKey{linkAgentToServer, agent, server}]
-	return l == nil || l.ClearFor(2*fl.maxRequestDuration())
+	return l == nil || l.UnshapedFor(2*fl.maxRequestDuration())
 }
 
 // linkedAddress returns the address at which a process reaches a control-plane server: the address of a
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -87,7 +87,7 @@
 	progress  func(Progress)
 	epoch     time.Time     // when the clock was 0
 	loadStart time.Duration // by the clock, when the load begins; 0 until that is known
-	addresses *loopback.Net
+	addresses *loopback.AddressBlock
 	fleets    []*fleet          // the fleet of the agents is the first
 	samples   [][]sample        // by fleet
 	applied   [][]InjectedFault // by fleet and fault
--- a/internal/lab/experiment/samples.go
+++ b/internal/lab/experiment/samples.go
@@ -68,7 +68,7 @@
 	}
 	s.listCalls = fl.discovery.Counters.Calls.Load()
 	for _, agent := range fl.agents {
-		if agent.process.Runs() {
+		if agent.process.Running() {
 			s.agents++
 		}
 		fl.checkLimits(agent)
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -252,7 +252,7 @@
 		skipped, attempts := c.Counts()
 		t.SkippedAgentDown += skipped
 		t.ClientAttempts += attempts
-		t.ClientConnections += fl.senders[i].Opened()
+		t.ClientConnections += fl.senders[i].OpenedConnections()
 	}
 	if fl.controlPlane != nil {
 		fl.controlPlane.addTotals(&t)
--- a/internal/lab/link/direction.go
+++ b/internal/lab/link/direction.go
@@ -10,13 +10,13 @@
 // Shape is what one direction of a link does to the data that it carries. The zero value carries
 // everything at once.
 type Shape struct {
-	Cut            bool          // nothing arrives; streams queue their data until the cut ends, datagrams are dropped
-	Delay          time.Duration // from receiving data to passing it on
-	Jitter         time.Duration // bound of a random addition to Delay, drawn for each piece of data
-	Rate           float64       // bytes per second; 0: unlimited
-	ResetAfter     int64         // bytes after which a connection is reset; 0: never
-	LossShare      float64       // share of the datagrams that are dropped; streams lose nothing
-	DuplicateShare float64       // share of the datagrams that arrive twice
+	Cut                  bool          // nothing arrives; streams queue their data until the cut ends, datagrams are dropped
+	Delay                time.Duration // from receiving data to passing it on
+	Jitter               time.Duration // bound of a random addition to Delay, drawn for each piece of data
+	Rate                 float64       // bytes per second; 0: unlimited
+	ResetAfter           int64         // bytes after which a connection is reset; 0: never
+	LossProbability      float64       // share of the datagrams that are dropped; streams lose nothing
+	DuplicateProbability float64       // share of the datagrams that arrive twice
 }
 
 // isDelaying reports whether data takes time to arrive.
@@ -34,7 +34,7 @@
 	mu        sync.Mutex
 	cutEnded  chan struct{} // closed while the direction isn't cut
 	rng       *rand.Rand
-	sentUntil time.Time // when what was accepted before is sent, at the direction's rate
+	busyUntil time.Time // when what was accepted before is sent, at the direction's rate
 }
 
 func newDirection(seed uint64) *direction {
@@ -68,11 +68,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if shape.Rate > 0 {
-		if d.sentUntil.After(at) {
-			at = d.sentUntil
+		if d.busyUntil.After(at) {
+			at = d.busyUntil
 		}
 		at = at.Add(time.Duration(float64(size) / shape.Rate * float64(time.Second)))
-		d.sentUntil = at
+		d.busyUntil = at
 	}
 	at = at.Add(shape.Delay)
 	if shape.Jitter > 0 {
@@ -88,8 +88,8 @@
 	return d.cutEnded
 }
 
-// drawTrue draws a truth value that is true with a probability.
-func (d *direction) drawTrue(probability float64) bool {
+// randomBool draws a truth value that is true with a probability.
+func (d *direction) randomBool(probability float64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rng.Float64() < probability
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -24,9 +24,9 @@
 
 // The values of Availability.
 const (
-	Open    Availability = iota // they are accepted
-	Refused                     // they are refused, as by a machine whose process has died
-	Silent                      // they get no answer, as from a machine that is cut off
+	Open         Availability = iota // they are accepted
+	Refused                          // they are refused, as by a machine whose process has died
+	Unresponsive                     // they get no answer, as from a machine that is cut off
 )
 
 // dialTimeout bounds opening a connection to the target.
@@ -47,8 +47,8 @@
 	target   string
 	listener *loopback.Listener
 	forward  *direction // to the target
-	back     *direction
-	conns    loopback.Set
+	reverse  *direction
+	conns    loopback.ConnSet
 	closed   chan struct{} // closed by Close
 	once     sync.Once     // of closing it
 
@@ -62,7 +62,7 @@
 // New returns a link that listens at addr, where port 0 takes a free one, and relays connections to
 // target. The directions draw from the seed. The caller has to Close it.
 func New(addr, target string, seed uint64) (*Link, error) {
-	l := &Link{target: target, forward: newDirection(seed), back: newDirection(seed + 1), closed: make(chan struct{})}
+	l := &Link{target: target, forward: newDirection(seed), reverse: newDirection(seed + 1), closed: make(chan struct{})}
 	listener, err := loopback.Listen(addr, l.serve)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
@@ -82,9 +82,9 @@
 	l.listener.Wait()
 }
 
-// ClearFor reports whether neither direction has had a shape for at least a time. Refuse is no
+// UnshapedFor reports whether neither direction has had a shape for at least a time. Refuse is no
 // shape.
-func (l *Link) ClearFor(d time.Duration) bool {
+func (l *Link) UnshapedFor(d time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.isShaped && time.Since(l.shapedAt) >= d
@@ -93,15 +93,15 @@
 // Set shapes the two directions and ends Refuse. While a direction is cut, new connections get no
 // answer, because opening one needs both directions. It returns an error if the listener can't be
 // brought into that state.
-func (l *Link) Set(forward, back Shape) error {
+func (l *Link) Set(forward, reverse Shape) error {
 	l.forward.setShape(forward)
-	l.back.setShape(back)
+	l.reverse.setShape(reverse)
 	l.mu.Lock()
-	l.isShaped, l.shapedAt = forward != Shape{} || back != Shape{}, time.Now()
+	l.isShaped, l.shapedAt = forward != Shape{} || reverse != Shape{}, time.Now()
 	l.mu.Unlock()
 	availability := Open
-	if forward.Cut || back.Cut {
-		availability = Silent
+	if forward.Cut || reverse.Cut {
+		availability = Unresponsive
 	}
 	return l.setAvailability(&l.linkAvailability, availability)
 }
@@ -134,11 +134,11 @@
 	case l.linkAvailability == Refused || l.targetAvailability == Refused:
 		l.listener.Refuse()
 		return nil
-	case l.linkAvailability == Silent || l.targetAvailability == Silent:
+	case l.linkAvailability == Unresponsive || l.targetAvailability == Unresponsive:
 		if err := l.listener.Open(); err != nil { // only an open listener can be silenced
 			return err
 		}
-		return l.listener.Silence()
+		return l.listener.StopAnswering()
 	}
 	return l.listener.Open()
 }
@@ -160,11 +160,11 @@
 	default:
 	}
 	var directions sync.WaitGroup
-	directions.Go(func() { l.carry(client, target, l.forward) })
-	directions.Go(func() { l.carry(target, client, l.back) })
+	directions.Go(func() { l.relayStream(client, target, l.forward) })
+	directions.Go(func() { l.relayStream(target, client, l.reverse) })
 	directions.Wait()
-	l.conns.Drop(client)
-	l.conns.Drop(target)
+	l.conns.Remove(client)
+	l.conns.Remove(target)
 	client.Close()
 	target.Close()
 }
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -21,15 +21,15 @@
 const (
 	// waitTimeout bounds every wait for something that should come.
 	waitTimeout = 20 * time.Second
-	// absenceTime is how long a test waits for something that should not come.
-	absenceTime = 150 * time.Millisecond
+	// noDataTimeout is how long a test waits for something that should not come.
+	noDataTimeout = 150 * time.Millisecond
 )
 
 // startIncrementServer starts a server that answers each byte with the next higher one. It returns
 // its address.
 func startIncrementServer(t *testing.T) string {
 	t.Helper()
-	var open loopback.Set
+	var open loopback.ConnSet
 	l, err := loopback.Listen("127.0.0.1:0", func(c net.Conn) {
 		open.Add(c)
 		defer c.Close()
@@ -94,9 +94,9 @@
 }
 
 // set shapes the directions of a link.
-func set(t *testing.T, l *Link, forward, back Shape) {
+func set(t *testing.T, l *Link, forward, reverse Shape) {
 	t.Helper()
-	if err := l.Set(forward, back); err != nil {
+	if err := l.Set(forward, reverse); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -118,14 +118,14 @@
 			l, c := newConnectedLink(t)
 			expectIncrement(t, "before", c, 1)
 			set(t, l, shapes[0], shapes[1])
-			if got, err := exchange(t, c, 10, absenceTime); !errors.Is(err, os.ErrDeadlineExceeded) {
+			if got, err := exchange(t, c, 10, noDataTimeout); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Fatalf("through a cut link: %d and %v", got, err)
 			}
-			if c, err := net.DialTimeout("tcp", l.Addr(), absenceTime); err == nil {
+			if c, err := net.DialTimeout("tcp", l.Addr(), noDataTimeout); err == nil {
 				c.Close()
 				t.Fatal("a connection came up over a cut link")
 			}
-			if l.ClearFor(0) {
+			if l.UnshapedFor(0) {
 				t.Error("a cut link counts as clear")
 			}
 			set(t, l, Shape{}, Shape{})
@@ -133,7 +133,7 @@
 				t.Fatalf("after the cut: %d and %v, want what was sent in it", got, err)
 			}
 			expectIncrement(t, "a new one after", dial(t, l), 3)
-			if !l.ClearFor(0) || l.ClearFor(time.Hour) {
+			if !l.UnshapedFor(0) || l.UnshapedFor(time.Hour) {
 				t.Error("a link is clear from the end of its cut on, and was not before")
 			}
 		})
@@ -189,7 +189,7 @@
 	if err := l.SetTargetAvailability(Open); err != nil {
 		t.Fatal(err)
 	}
-	if c, err := net.DialTimeout("tcp", l.Addr(), absenceTime); err == nil {
+	if c, err := net.DialTimeout("tcp", l.Addr(), noDataTimeout); err == nil {
 		c.Close()
 		t.Fatal("a connection came up over a cut link")
 	}
@@ -235,7 +235,7 @@
 
 // Close ends connections that come up while it runs, and waits for them: TestMain finds a goroutine
 // that is left.
-func TestCloseEndsConnectionsThatComeUpMeanwhile(t *testing.T) {
+func TestCloseEndsConnectionsOpenedMeanwhile(t *testing.T) {
 	target := startIncrementServer(t)
 	for range 100 {
 		l, err := New("127.0.0.1:0", target, 1)
--- a/internal/lab/link/stream.go
+++ b/internal/lab/link/stream.go
@@ -27,9 +27,9 @@
 
 var chunkBuffers = sync.Pool{New: func() any { b := make([]byte, chunkBytes); return &b }}
 
-// carry carries one direction of a connection until it ends. Reading and writing are separate
+// relayStream carries one direction of a connection until it ends. Reading and writing are separate
 // goroutines, so that the delay of a chunk does not add to that of the chunks behind it.
-func (l *Link) carry(from, to net.Conn, d *direction) {
+func (l *Link) relayStream(from, to net.Conn, d *direction) {
 	queue := make(chan chunk, maxQueuedChunks)
 	writerDone := make(chan struct{})
 	var reader sync.WaitGroup
@@ -84,7 +84,7 @@
 		buffer := c.data[:cap(c.data)]
 		chunkBuffers.Put(&buffer)
 		if c.err != nil {
-			passOnEnd(to, c.err)
+			propagateEnd(to, c.err)
 			return
 		}
 	}
@@ -109,9 +109,9 @@
 	}
 }
 
-// passOnEnd ends the writing half of a connection if its source ended in order; the other half may
+// propagateEnd ends the writing half of a connection if its source ended in order; the other half may
 // go on. A source that broke breaks the connection.
-func passOnEnd(to net.Conn, sourceErr error) {
+func propagateEnd(to net.Conn, sourceErr error) {
 	if !errors.Is(sourceErr, io.EOF) {
 		loopback.Reset(to)
 		return
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// maxDelayed bounds the datagrams that a relay delays at once. More are dropped and counted,
+	// maxDelayedDatagrams bounds the datagrams that a relay delays at once. More are dropped and counted,
 	// as by a full queue.
-	maxDelayed = 4096
+	maxDelayedDatagrams = 4096
 	// maxSenders bounds the senders that a relay tells apart. For a new one it drops the sender from
 	// which no datagram has come for the longest time.
 	maxSenders = 256
@@ -26,13 +26,13 @@
 	target     *net.UDPAddr
 	conn       *net.UDPConn // that senders send to
 	forward    *direction   // to the target
-	back       *direction
+	reverse    *direction
 	goroutines sync.WaitGroup
 
-	mu      sync.Mutex
-	senders map[string]*sender // by address
-	delayed int                // datagrams
-	closed  bool
+	mu           sync.Mutex
+	senders      map[string]*sender // by address
+	delayedCount int                // datagrams
+	closed       bool
 }
 
 // sender is a process that sends datagrams to the relay.
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("udp link: %w", err)
 	}
-	u := &UDP{target: targetAddr, conn: conn, forward: newDirection(seed), back: newDirection(seed + 1), senders: map[string]*sender{}}
+	u := &UDP{target: targetAddr, conn: conn, forward: newDirection(seed), reverse: newDirection(seed + 1), senders: map[string]*sender{}}
 	u.goroutines.Add(1)
 	go u.receive()
 	return u, nil
@@ -67,9 +67,9 @@
 func (u *UDP) Addr() string { return u.conn.LocalAddr().String() }
 
 // Set shapes the two directions.
-func (u *UDP) Set(forward, back Shape) {
+func (u *UDP) Set(forward, reverse Shape) {
 	u.forward.setShape(forward)
-	u.back.setShape(back)
+	u.reverse.setShape(reverse)
 }
 
 // Close ends the relay and returns once its goroutines have ended. Delayed datagrams are dropped.
@@ -96,17 +96,17 @@
 		if err != nil { // a sender has gone and its machine rejected an answer; other senders go on
 			continue
 		}
-		s, err := u.senderAt(from)
+		s, err := u.findOrAddSender(from)
 		if err != nil {
 			u.Dropped.Add(1)
 			continue
 		}
-		u.carry(u.forward, buffer[:n], func(data []byte) { _, _ = s.toTarget.Write(data) })
+		u.relayDatagram(u.forward, buffer[:n], func(data []byte) { _, _ = s.toTarget.Write(data) })
 	}
 }
 
-// senderAt returns the sender with an address, a new one if the address is new.
-func (u *UDP) senderAt(addr *net.UDPAddr) (*sender, error) {
+// findOrAddSender returns the sender with an address, a new one if the address is new.
+func (u *UDP) findOrAddSender(addr *net.UDPAddr) (*sender, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.closed {
@@ -157,27 +157,27 @@
 		if err != nil { // the target's machine rejected a datagram; later ones may be accepted
 			continue
 		}
-		u.carry(u.back, buffer[:n], func(data []byte) { _, _ = u.conn.WriteToUDP(data, s.addr) })
+		u.relayDatagram(u.reverse, buffer[:n], func(data []byte) { _, _ = u.conn.WriteToUDP(data, s.addr) })
 	}
 }
 
-// carry takes one datagram along a direction: it drops it, or sends it once or twice.
-func (u *UDP) carry(d *direction, data []byte, send func([]byte)) {
+// relayDatagram takes one datagram along a direction: it drops it, or sends it once or twice.
+func (u *UDP) relayDatagram(d *direction, data []byte, send func([]byte)) {
 	u.Datagrams.Add(1)
 	shape := d.shape.Load()
-	if shape.Cut || shape.LossShare > 0 && d.drawTrue(shape.LossShare) {
+	if shape.Cut || shape.LossProbability > 0 && d.randomBool(shape.LossProbability) {
 		u.Dropped.Add(1)
 		return
 	}
-	u.sendInTime(d, data, send)
-	if shape.DuplicateShare > 0 && d.drawTrue(shape.DuplicateShare) {
-		u.sendInTime(d, data, send)
+	u.sendDelayed(d, data, send)
+	if shape.DuplicateProbability > 0 && d.randomBool(shape.DuplicateProbability) {
+		u.sendDelayed(d, data, send)
 	}
 }
 
-// sendInTime sends a datagram at its time of arrival, unless the relay is closed or the direction is
+// sendDelayed sends a datagram at its time of arrival, unless the relay is closed or the direction is
 // cut by then. It doesn't keep data after it has returned.
-func (u *UDP) sendInTime(d *direction, data []byte, send func([]byte)) {
+func (u *UDP) sendDelayed(d *direction, data []byte, send func([]byte)) {
 	wait := time.Until(d.arrivalTime(len(data)))
 	if wait <= 0 {
 		send(data)
@@ -185,15 +185,15 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.delayed >= maxDelayed || u.closed {
+	if u.delayedCount >= maxDelayedDatagrams || u.closed {
 		u.Dropped.Add(1)
 		return
 	}
-	u.delayed++
+	u.delayedCount++
 	dataCopy := append([]byte(nil), data...)
 	time.AfterFunc(wait, func() {
 		u.mu.Lock()
-		u.delayed--
+		u.delayedCount--
 		closed := u.closed
 		u.mu.Unlock()
 		if !closed && !d.shape.Load().Cut {
--- a/internal/lab/link/udp_test.go
+++ b/internal/lab/link/udp_test.go
@@ -88,10 +88,10 @@
 			t.Errorf("received %q before any shape", got)
 		}
 	}
-	for name, shapes := range map[string][2]Shape{"cut": {{Cut: true}, {}}, "cut back": {{}, {Cut: true}}, "lost": {{LossShare: 1}, {}}} {
+	for name, shapes := range map[string][2]Shape{"cut": {{Cut: true}, {}}, "cut back": {{}, {Cut: true}}, "lost": {{LossProbability: 1}, {}}} {
 		u.Set(shapes[0], shapes[1])
 		before := u.Dropped.Load()
-		if got := requestReply(t, c, name, absenceTime); got != "" {
+		if got := requestReply(t, c, name, noDataTimeout); got != "" {
 			t.Errorf("%s: received %q", name, got)
 		}
 		if u.Dropped.Load() == before {
--- a/internal/lab/loopback/conns.go
+++ b/internal/lab/loopback/conns.go
@@ -5,22 +5,22 @@
 	"sync"
 )
 
-// Conns is a net.Listener of the connections that several Listeners accept, so that one http.Server
+// SharedListener is a net.Listener of the connections that several Listeners accept, so that one http.Server
 // serves them all. It is safe for concurrent use.
-type Conns struct {
+type SharedListener struct {
 	accepted chan net.Conn
 	closed   chan struct{}
 	once     sync.Once // of closing closed
 }
 
-// NewConns returns a listener without connections.
-func NewConns() *Conns {
-	return &Conns{accepted: make(chan net.Conn), closed: make(chan struct{})}
+// NewSharedListener returns a listener without connections.
+func NewSharedListener() *SharedListener {
+	return &SharedListener{accepted: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// Put hands over a connection and returns once Accept has taken it. After Close it resets the
+// Deliver hands over a connection and returns once Accept has taken it. After Close it resets the
 // connection.
-func (c *Conns) Put(conn net.Conn) {
+func (c *SharedListener) Deliver(conn net.Conn) {
 	select {
 	case c.accepted <- conn:
 	case <-c.closed:
@@ -29,7 +29,7 @@
 }
 
 // Accept waits for the next connection. It returns net.ErrClosed after Close.
-func (c *Conns) Accept() (net.Conn, error) {
+func (c *SharedListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-c.accepted:
 		return conn, nil
@@ -39,23 +39,23 @@
 }
 
 // Close ends the listener. It can be called more than once, and returns nil.
-func (c *Conns) Close() error {
+func (c *SharedListener) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return nil
 }
 
 // Addr returns an address without a port, as net.Listener needs one: each connection has its own.
-func (c *Conns) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+func (c *SharedListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// Set is the open connections of a party, which can be reset all at once. The zero value is empty
+// ConnSet is the open connections of a party, which can be reset all at once. The zero value is empty
 // and ready to use. It is safe for concurrent use.
-type Set struct {
+type ConnSet struct {
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
 // Add adds a connection and returns how many the set has then.
-func (s *Set) Add(c net.Conn) int {
+func (s *ConnSet) Add(c net.Conn) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.conns == nil {
@@ -65,22 +65,22 @@
 	return len(s.conns)
 }
 
-// Drop removes a connection from the set, without closing it.
-func (s *Set) Drop(c net.Conn) {
+// Remove removes a connection from the set, without closing it.
+func (s *ConnSet) Remove(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
 // Len returns the number of connections.
-func (s *Set) Len() int {
+func (s *ConnSet) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
 // Reset resets all connections and removes them from the set.
-func (s *Set) Reset() {
+func (s *ConnSet) Reset() {
 	s.mu.Lock()
 	conns := s.conns
 	s.conns = nil
--- a/internal/lab/loopback/listener.go
+++ b/internal/lab/loopback/listener.go
@@ -13,9 +13,9 @@
 type listenerState uint8
 
 const (
-	open    listenerState = iota // it accepts and serves them
-	refused                      // the kernel refuses them: nothing listens
-	silent                       // the kernel drops them: the queue is full
+	open         listenerState = iota // it accepts and serves them
+	refused                           // the kernel refuses them: nothing listens
+	unresponsive                      // the kernel drops them: the queue is full
 )
 
 // openBacklog is the length of the queue of connections that an open listener has not accepted yet.
@@ -29,13 +29,13 @@
 	accepting sync.WaitGroup // the accepting goroutines
 	serving   sync.WaitGroup // the calls of serve; only an accepting goroutine adds to it
 
-	mu            sync.Mutex
-	changed       *sync.Cond // of state and acceptorWaits
-	state         listenerState
-	ln            *net.TCPListener // nil until it has listened, closed while state is refused
-	heldConns     []net.Conn       // both ends of those that fill the queue of a silent listener
-	acceptorWaits bool             // the accepting goroutine waits for the end of the silence
-	closedForever bool
+	mu             sync.Mutex
+	changed        *sync.Cond // of state and acceptorWaits
+	state          listenerState
+	ln             *net.TCPListener // nil until it has listened, closed while state is refused
+	heldConns      []net.Conn       // both ends of those that fill the queue of a silent listener
+	acceptorPaused bool             // the accepting goroutine waits for the end of the silence
+	closed         bool
 }
 
 // Listen returns an open listener at addr, where port 0 takes a free one. It calls serve with each
@@ -58,13 +58,13 @@
 func (l *Listener) Open() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closedForever {
+	if l.closed {
 		return net.ErrClosed
 	}
 	switch l.state {
 	case open:
 		return nil
-	case silent:
+	case unresponsive:
 		if err := setBacklog(l.ln, openBacklog); err != nil {
 			return err
 		}
@@ -87,7 +87,7 @@
 // listen listens at the address and starts an accepting goroutine, which ends when l.ln is closed.
 // The caller holds l.mu.
 func (l *Listener) listen() error {
-	ln, err := relisten(l.addr)
+	ln, err := listenWithRetry(l.addr)
 	if err != nil {
 		return err
 	}
@@ -106,10 +106,10 @@
 	relistenInterval = 2 * time.Millisecond
 )
 
-// relisten listens at an address that this process may have closed a moment ago. A child that is
+// listenWithRetry listens at an address that this process may have closed a moment ago. A child that is
 // being started has a copy of every descriptor until it executes its program, so that the address
 // can be in use for some milliseconds more.
-func relisten(addr string) (ln net.Listener, err error) {
+func listenWithRetry(addr string) (ln net.Listener, err error) {
 	for deadline := time.Now().Add(relistenTimeout); ; time.Sleep(relistenInterval) {
 		ln, err = net.Listen("tcp", addr)
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
@@ -143,7 +143,7 @@
 // serve may go on; Wait waits for these.
 func (l *Listener) Close() {
 	l.mu.Lock()
-	l.closedForever = true
+	l.closed = true
 	l.mu.Unlock()
 	l.Refuse()
 	l.accepting.Wait()
@@ -160,9 +160,9 @@
 	fillerTimeout = 40 * time.Millisecond
 	// firstFillerTimeout is that of connections until one was opened, which is always possible.
 	firstFillerTimeout = time.Second
-	// fullAfterTimeouts is the number of timeouts that say that the queue is full. One alone may be
+	// fullQueueTimeouts is the number of timeouts that say that the queue is full. One alone may be
 	// that of a busy machine.
-	fullAfterTimeouts = 2
+	fullQueueTimeouts = 2
 )
 
 // QueueError is the error of a listener whose queue still took connections after as many as should
@@ -172,16 +172,16 @@
 // Error names the listener's address.
 func (e *QueueError) Error() string { return "the queue of " + e.Addr + " does not fill" }
 
-// Silence leaves new connections without an answer until Open: the queue is kept full, so that the
+// StopAnswering leaves new connections without an answer until Open: the queue is kept full, so that the
 // kernel drops further connections, as if the machine were cut off. It has no effect unless the
 // listener is open. It returns a *QueueError if the queue can't be filled.
-func (l *Listener) Silence() error {
+func (l *Listener) StopAnswering() error {
 	l.mu.Lock()
 	if l.state != open {
 		l.mu.Unlock()
 		return nil
 	}
-	l.setState(silent)
+	l.setState(unresponsive)
 	err := setBacklog(l.ln, 0)
 	addr := l.addr
 	l.mu.Unlock()
@@ -197,7 +197,7 @@
 	for range maxFillers {
 		c, err := net.DialTimeout("tcp", addr, timeout)
 		if isTimeout(err) {
-			if timeouts++; timeouts == fullAfterTimeouts {
+			if timeouts++; timeouts == fullQueueTimeouts {
 				return nil
 			}
 			continue
@@ -205,7 +205,7 @@
 		if err != nil {
 			return fmt.Errorf("fill the queue of %s: %w", addr, err)
 		}
-		if !l.holdFiller(c) {
+		if !l.addFiller(c) {
 			return nil
 		}
 		timeout = fillerTimeout
@@ -219,17 +219,17 @@
 	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// holdFiller keeps a connection that was opened to fill the queue, and waits until the accepting
+// addFiller keeps a connection that was opened to fill the queue, and waits until the accepting
 // goroutine waits: before that, it could accept a connection and so empty a queue that was full. It
 // returns false if the silence has ended.
-func (l *Listener) holdFiller(c net.Conn) bool {
+func (l *Listener) addFiller(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.heldConns = append(l.heldConns, c)
-	for l.state == silent && !l.acceptorWaits {
+	for l.state == unresponsive && !l.acceptorPaused {
 		l.changed.Wait()
 	}
-	if l.state != silent {
+	if l.state != unresponsive {
 		l.resetHeldConns()
 		return false
 	}
@@ -263,13 +263,13 @@
 func (l *Listener) admit(ln *net.TCPListener, c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.state == silent && l.ln == ln {
-		l.heldConns, l.acceptorWaits = append(l.heldConns, c), true
+	if l.state == unresponsive && l.ln == ln {
+		l.heldConns, l.acceptorPaused = append(l.heldConns, c), true
 		l.changed.Broadcast()
-		for l.state == silent {
+		for l.state == unresponsive {
 			l.changed.Wait()
 		}
-		l.acceptorWaits = false
+		l.acceptorPaused = false
 		return false
 	}
 	if l.ln != ln || l.state == refused {
--- a/internal/lab/loopback/listener_test.go
+++ b/internal/lab/loopback/listener_test.go
@@ -19,8 +19,8 @@
 const (
 	// waitTimeout bounds every wait for something that should happen.
 	waitTimeout = 20 * time.Second
-	// silenceTime is how long a connection is tried at a silent listener.
-	silenceTime = 100 * time.Millisecond
+	// noAnswerTimeout is how long a connection is tried at a silent listener.
+	noAnswerTimeout = 100 * time.Millisecond
 )
 
 // serverListener is a listener that keeps the connections that it accepts.
@@ -32,7 +32,7 @@
 // newServerListener returns an open listener at addr.
 func newServerListener(t *testing.T, addr string) *serverListener {
 	t.Helper()
-	var conns Set
+	var conns ConnSet
 	s := &serverListener{accepted: make(chan net.Conn, 100)}
 	var err error
 	if s.Listener, err = Listen(addr, func(c net.Conn) { conns.Add(c); s.accepted <- c }); err != nil {
@@ -49,8 +49,8 @@
 	switch state {
 	case open:
 		err = s.Open()
-	case silent:
-		err = s.Silence()
+	case unresponsive:
+		err = s.StopAnswering()
 	case refused:
 		s.Refuse()
 	}
@@ -63,8 +63,8 @@
 func (s *serverListener) expectState(t *testing.T, addr string, want listenerState) {
 	t.Helper()
 	timeout := waitTimeout
-	if want == silent {
-		timeout = silenceTime
+	if want == unresponsive {
+		timeout = noAnswerTimeout
 	}
 	c, err := net.DialTimeout("tcp", addr, timeout)
 	var netError net.Error
@@ -80,7 +80,7 @@
 			t.Fatalf("refused, want state %d", want)
 		}
 	case errors.As(err, &netError) && netError.Timeout():
-		if want != silent {
+		if want != unresponsive {
 			t.Fatalf("silent, want state %d", want)
 		}
 	default:
@@ -100,7 +100,7 @@
 	addr := s.Addr()
 	s.expectState(t, addr, open)
 	for range 3 {
-		for _, state := range []listenerState{silent, open, refused, open, silent, refused, open} {
+		for _, state := range []listenerState{unresponsive, open, refused, open, unresponsive, refused, open} {
 			s.change(t, state)
 			s.expectState(t, addr, state)
 			if s.Addr() != addr {
@@ -111,7 +111,7 @@
 }
 
 // Many listeners can fall silent at once, as those of a zone do.
-func TestManyListenersFallSilentAtOnce(t *testing.T) {
+func TestManyListenersStopAnsweringAtOnce(t *testing.T) {
 	var all sync.WaitGroup
 	for range 50 {
 		l, err := Listen("127.0.0.1:0", func(c net.Conn) { c.Close() })
@@ -120,10 +120,10 @@
 		}
 		all.Go(func() {
 			defer l.Close()
-			if err := l.Silence(); err != nil {
+			if err := l.StopAnswering(); err != nil {
 				t.Error(err)
 			}
-			if c, err := net.DialTimeout("tcp", l.Addr(), silenceTime); err == nil {
+			if c, err := net.DialTimeout("tcp", l.Addr(), noAnswerTimeout); err == nil {
 				c.Close()
 				t.Error("a connection was accepted")
 			}
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// maxNets bounds the Nets that are claimed at one time on a machine.
-	maxNets = 300
-	// addressesPerNet is the number of addresses of a Net. The last one is where it is claimed.
-	addressesPerNet = 50_000
+	// maxBlocks bounds the Nets that are claimed at one time on a machine.
+	maxBlocks = 300
+	// addressesPerBlock is the number of addresses of a Net. The last one is where it is claimed.
+	addressesPerBlock = 50_000
 	// claimPort is the port that the owner of a Net listens on at the Net's last address.
 	claimPort = ":20004"
 )
 
 // ErrNoAddresses is the error of a claim when all addresses of the machine are claimed.
-var ErrNoAddresses = fmt.Errorf("%d labs run on this machine", maxNets)
+var ErrNoAddresses = fmt.Errorf("%d labs run on this machine", maxBlocks)
 
-// Net gives out addresses that no other Net on the machine gives out while this one is open, so that
+// AddressBlock gives out addresses that no other AddressBlock on the machine gives out while this one is open, so that
 // no other lab takes the port of a party that has ended and starts again. It is safe for concurrent
 // use.
-type Net struct {
+type AddressBlock struct {
 	claim net.Listener // at the last address, which no other process can listen at
 
 	mu   sync.Mutex
@@ -40,23 +40,23 @@
 
 // Claim returns a Net of addresses that no other process has claimed. It returns ErrNoAddresses if
 // there are none. The caller has to Close it.
-func Claim() (*Net, error) {
-	for try := range maxNets {
-		first := (os.Getpid() + try) % maxNets * addressesPerNet
-		claim, err := net.Listen("tcp", address(first+addressesPerNet-1)+claimPort)
+func Claim() (*AddressBlock, error) {
+	for attempt := range maxBlocks {
+		first := (os.Getpid() + attempt) % maxBlocks * addressesPerBlock
+		claim, err := net.Listen("tcp", address(first+addressesPerBlock-1)+claimPort)
 		if errors.Is(err, syscall.EADDRINUSE) {
 			continue
 		}
 		if err != nil {
 			return nil, fmt.Errorf("claim addresses: %w", err)
 		}
-		return &Net{next: first, claim: claim}, nil
+		return &AddressBlock{next: first, claim: claim}, nil
 	}
 	return nil, fmt.Errorf("claim addresses: %w", ErrNoAddresses)
 }
 
 // Close gives the addresses back.
-func (n *Net) Close() { n.claim.Close() }
+func (n *AddressBlock) Close() { n.claim.Close() }
 
 // address returns the address with an index. 127.0.0.0/16 is left to the programs that listen on
 // localhost.
@@ -66,7 +66,7 @@
 
 // IP returns an address that this Net has not given yet. The caller takes fewer than
 // addressesPerNet; an experiment needs a few thousand.
-func (n *Net) IP() string {
+func (n *AddressBlock) IP() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.next++
@@ -75,7 +75,7 @@
 
 // FreePort returns an address with a port that nothing listens at, on an IP that this Net has not
 // given yet.
-func (n *Net) FreePort() (string, error) {
+func (n *AddressBlock) FreePort() (string, error) {
 	l, err := net.Listen("tcp", n.IP()+":0")
 	if err != nil {
 		return "", fmt.Errorf("free port: %w", err)
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -14,7 +14,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(n.Close)
-		for range addressesPerNet - 1 {
+		for range addressesPerBlock - 1 {
 			ip := n.IP()
 			if seen[ip] {
 				t.Fatalf("%s was given twice", ip)
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// Runs reports whether the process runs.
-func (p *Process) Runs() bool {
+// Running reports whether the process runs.
+func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.isRunning()
--- a/internal/lab/process/process_test.go
+++ b/internal/lab/process/process_test.go
@@ -160,7 +160,7 @@
 
 // A process that does not run takes no signal and is not waited for; one that runs is not started
 // again.
-func TestCallsNeedTheRightState(t *testing.T) {
+func TestCallsInWrongStateFail(t *testing.T) {
 	p := newSupervisor(t, nil).Add(childSpec("p", t.TempDir(), freeAddr()))
 	if err := p.Signal(syscall.SIGTERM); !errors.Is(err, ErrNotRunning) {
 		t.Errorf("a signal to a process that does not run: %v", err)
@@ -175,7 +175,7 @@
 }
 
 // A process stands still after SIGSTOP and goes on after SIGCONT.
-func TestStoppedProcessGoesOn(t *testing.T) {
+func TestStoppedProcessResumes(t *testing.T) {
 	p := newSupervisor(t, nil).Add(childSpec("p", t.TempDir(), freeAddr()))
 	startReady(t, p)
 	sendSignal(t, p, syscall.SIGSTOP)
@@ -220,8 +220,8 @@
 	if expected := <-ends; expected {
 		t.Error("a crash counts as expected")
 	}
-	if p.StartCount() != 2 || p.Runs() {
-		t.Errorf("started %d times, runs %v", p.StartCount(), p.Runs())
+	if p.StartCount() != 2 || p.Running() {
+		t.Errorf("started %d times, runs %v", p.StartCount(), p.Running())
 	}
 
 	p.MemoryMB = 1
--- a/internal/lab/process/usage.go
+++ b/internal/lab/process/usage.go
@@ -19,14 +19,14 @@
 
 // usageHistory is what the samples of a process have shown.
 type usageHistory struct {
-	last        Usage         // the last sample of the latest run
-	peak        Usage         // the highest of each over all runs; CPU is the sum over them
-	earlierRuns time.Duration // processor time of the runs before the latest, by their last samples
+	last       Usage         // the last sample of the latest run
+	peak       Usage         // the highest of each over all runs; CPU is the sum over them
+	earlierCPU time.Duration // processor time of the runs before the latest, by their last samples
 }
 
 // beginRun begins a new run.
 func (h *usageHistory) beginRun() {
-	h.earlierRuns += h.last.CPU
+	h.earlierCPU += h.last.CPU
 	h.last = Usage{}
 }
 
@@ -35,7 +35,7 @@
 	h.last = sample
 	h.peak.RSSMB = max(h.peak.RSSMB, sample.RSSMB)
 	h.peak.Descriptors = max(h.peak.Descriptors, sample.Descriptors)
-	h.peak.CPU = h.earlierRuns + sample.CPU
+	h.peak.CPU = h.earlierCPU + sample.CPU
 }
 
 // SampleUsage returns what the process uses now, and the peaks over all samples; peak.CPU is the
@@ -122,8 +122,8 @@
 	return len(names), err
 }
 
-// errNoPeak is the error of a kernel that does not report a process's peak memory.
-var errNoPeak = errors.New("no VmHWM")
+// errNoPeakRSS is the error of a kernel that does not report a process's peak memory.
+var errNoPeakRSS = errors.New("no VmHWM")
 
 // PeakRSSMB returns the largest resident memory of the latest run, in MB, as the kernel records it
 // (VmHWM). Unlike the peak of SampleUsage it depends on no sample. It returns ErrNotRunning if the
@@ -158,5 +158,5 @@
 		}
 		return kilobytes / 1024, nil
 	}
-	return 0, errNoPeak
+	return 0, errNoPeakRSS
 }
--- a/internal/lab/scale/controlplane.go
+++ b/internal/lab/scale/controlplane.go
@@ -102,7 +102,7 @@
 // leader returns the index of the control-plane server that is the leader, or -1 if there is none.
 func (f *fleet) leader(ctx context.Context) int {
 	for i, p := range f.controlPlane {
-		if !p.Runs() {
+		if !p.Running() {
 			continue
 		}
 		if status, err := f.status(ctx, i); err == nil && status.State == "leader" {
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -29,7 +29,7 @@
 	seed   uint64
 	dir    string // folder of the configurations, data and logs of the processes
 
-	addresses         *loopback.Net
+	addresses         *loopback.AddressBlock
 	supervisor        *process.Supervisor
 	controlPlane      []*process.Process
 	controlPlaneAddrs []string
@@ -167,7 +167,7 @@
 func (f *fleet) memoryMiB() float64 {
 	total := 0.0
 	for _, p := range f.supervisor.All() {
-		if p.Runs() {
+		if p.Running() {
 			now, _, _ := p.SampleUsage()
 			total += now.RSSMB
 		}
--- a/internal/lab/server/connection.go
+++ b/internal/lab/server/connection.go
@@ -118,7 +118,7 @@
 func (c *conn) Close() error {
 	c.closeOnce.Do(func() {
 		close(c.closed)
-		c.server.openConns.Drop(c.Conn)
+		c.server.openConns.Remove(c.Conn)
 	})
 	return c.Conn.Close()
 }
--- a/internal/lab/server/http.go
+++ b/internal/lab/server/http.go
@@ -178,7 +178,7 @@
 	if crash != nil {
 		s.env.RecordEvent("server " + s.Name + " pushed over")
 		// The checker's rule is about the overload of a warming server; the crash is its consequence here.
-		s.env.Checker.WarmupOverload(s.Index, crash.NotifiedShare, crash.Work, crash.Limit)
+		s.env.Checker.RecordWarmupOverload(s.Index, crash.NotifiedShare, crash.Work, crash.Limit)
 		go s.endProcess(incarnation)
 	}
 	return admission
--- a/internal/lab/server/process.go
+++ b/internal/lab/server/process.go
@@ -142,7 +142,7 @@
 // silenced.
 func (s *Server) Isolate() error {
 	s.network.setOpen(false)
-	if err := s.listener.Silence(); err != nil {
+	if err := s.listener.StopAnswering(); err != nil {
 		return err
 	}
 	s.notifyHealthChanged(endpoints.Removed, true)
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -40,8 +40,8 @@
 
 	env        *Env
 	listener   *loopback.Listener
-	accepted   *loopback.Conns // passes connections from the listener to the HTTP server
-	openConns  loopback.Set
+	accepted   *loopback.SharedListener // passes connections from the listener to the HTTP server
+	openConns  loopback.ConnSet
 	httpServer *http.Server
 	network    *networkGate
 	background sync.WaitGroup
@@ -69,12 +69,12 @@
 		Config:     config,
 		Operations: check.NewOperationLog(),
 		env:        env,
-		accepted:   loopback.NewConns(),
+		accepted:   loopback.NewSharedListener(),
 		network:    newNetworkGate(),
 		rng:        rand.New(rand.NewPCG(seed, uint64(config.Index))),
 		slowdown:   1,
 	}
-	listener, err := loopback.Listen(addr, s.accepted.Put)
+	listener, err := loopback.Listen(addr, s.accepted.Deliver)
 	if err != nil {
 		return nil, fmt.Errorf("server %s: %w", config.Name, err)
 	}
