--- a/internal/lab/check/answer.go
+++ b/internal/lab/check/answer.go
@@ -8,7 +8,7 @@
 	"knotrouter/policy"
 )
 
-// Outcome is how a request ended for its client.
+// Outcome is the result of a request for its client.
 type Outcome uint8
 
 // The outcomes. Those up to Failed are answers.
@@ -18,43 +18,44 @@
 	Failed                        // any other answer
 	Unanswered                    // no complete answer before the client gave up
 	Unreachable                   // no connection to the agent could be opened
-	ClientCanceled                // the client canceled it early
-	Void                          // the lab kept the agent from answering, or killed it and its client
+	ClientCanceled                // the client canceled the request early
+	Void                          // the lab prevented the agent from answering, or killed it and its client
 )
 
 var outcomeNames = [...]string{"served", "refused", "failed", "unanswered", "unreachable", "left", "void"}
 
-// String returns the outcome's name in reports.
+// String returns the name of the outcome in reports.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Body returns the body with which a server answers the attempt. No other body counts as served.
+// Body returns the body with which a server answers the attempt. An answer with any other body does not
+// count as served.
 func (a *Attempt) Body(server string) string {
 	return fmt.Sprintf("%s %s %d\n", a.Request.ID, server, a.Index)
 }
 
-// Answer is what a client received for a request.
+// Answer describes what a client received for a request.
 type Answer struct {
 	Outcome          Outcome
-	At               time.Duration // when it was complete, or when the client gave up
+	At               time.Duration // when the answer was complete, or when the client gave up
 	Body             string
 	Sent             bool // the request's last byte was written to an open connection
 	Closed           bool // the agent closed the connection without a complete answer
-	Partial          bool // some bytes of an answer came
+	Partial          bool // some bytes of an answer arrived
 	NewConnection    bool // the request was the first on its connection
-	ExtraBytes       bool // more bytes came after the answer
-	ExtraBytesBefore bool // bytes that no request asked for had come on an idle connection before the request was sent
+	ExtraBytes       bool // more bytes arrived after the answer
+	ExtraBytesBefore bool // an idle connection had received bytes without a request, before this request was sent
 }
 
-// RecordAnswer records how a request ended for its client, and checks that it was answered once,
-// in time, with the body of a server, and that it was not rejected after an execution that its
-// client must not repeat. It returns the outcome to be counted, which is Void or Failed for a request
-// without an answer if the lab caused that, or if the client can tell that it got none.
+// RecordAnswer records the outcome of a request for its client, and checks that the request was answered
+// once, in time and with the body of a server, and that it was not rejected after an execution that its
+// client must not repeat. It returns the outcome to be counted. For a request without an answer, that is
+// Void or Failed if the lab caused the failure, or if the client can tell that it got no answer.
 func (c *Checker) RecordAnswer(r *Request, answer Answer) Outcome {
 	r.mu.Lock()
 	if answer.Outcome <= Failed {
 		r.answered = answer.At
 	}
-	r.finished = max(answer.At, 1) // 0 means that it has not finished
+	r.finished = max(answer.At, 1) // 0 would mean that it has not finished
 	attempts := r.summarizeAttempts()
 	fromServer := c.isServerBody(r, answer.Body)
 	r.mu.Unlock()
@@ -76,8 +77,8 @@
 	return answer.Outcome
 }
 
-// isServerBody reports whether the body is that of a server for one of the request's attempts. The
-// caller holds r.mu.
+// isServerBody reports whether the body is that of a server for one of the request's attempts. The caller
+// holds r.mu.
 func (c *Checker) isServerBody(r *Request, body string) bool {
 	for _, a := range r.attempts {
 		if body == a.Body(c.servers[a.Server].Name) {
@@ -87,8 +88,8 @@
 	return false
 }
 
-// checkAnswered checks that a request was not lost. It returns the outcome to be counted: another
-// than the answer's, if no rule applies because the lab caused it or the client can tell.
+// checkAnswered checks that a request was not lost. It returns the outcome to be counted, which differs
+// from the answer's if no rule applies because the lab caused the failure or the client can detect it.
 func (c *Checker) checkAnswered(r *Request, answer Answer, attempts attemptSummary, fromServer bool) Outcome {
 	limit := r.Deadline + millis(c.settings.Contract.AnswerSlackMs) + timingSlack
 	agentStopped := c.wasStopped(r.Agent, r.PlannedAt, answer.At)
@@ -112,7 +113,7 @@
 	switch {
 	case agentStopped:
 		return Void
-	case answer.Closed && answer.Partial: // the client can tell that it is incomplete
+	case answer.Closed && answer.Partial: // the client can tell that the answer is incomplete
 		return Failed
 	case answer.Closed && answer.NewConnection && attempts.count == 0: // the connection failed, and nothing was forwarded
 		return Failed
@@ -124,8 +125,8 @@
 	return Unanswered
 }
 
-// mayRejectAfterExecution reports whether a request of the class may be rejected after it may have
-// been executed, because its client's retry does no harm at any server.
+// mayRejectAfterExecution reports whether a request of the class may be rejected after it may have been
+// executed, because a retry by its client is harmless at any server.
 func mayRejectAfterExecution(class *policy.Class) bool {
 	return class.Effect == policy.Idempotent || class.Effect == policy.Deduplicated && class.Group == policy.GroupAll
 }
--- a/internal/lab/check/attempts.go
+++ b/internal/lab/check/attempts.go
@@ -10,7 +10,7 @@
 type Attempt struct {
 	Request     *Request
 	Server      int
-	Index       int // among the arrivals of its request
+	Index       int // among the attempts of its request, in order of arrival
 	FirstByteAt time.Duration
 	LastByteAt  time.Duration
 	state       attemptState // guarded by the request's mutex
@@ -19,7 +19,7 @@
 type attemptState uint8
 
 const (
-	inFlight attemptState = iota // the server has it and its connection is open
+	inFlight attemptState = iota // the server has received it and its connection is open
 	rejected                     // the server rejected it without executing it
 	finished                     // answered, aborted or reset: it may have been executed
 )
@@ -27,10 +27,10 @@
 // MarkRejected records that the server rejected the attempt without executing it.
 func (a *Attempt) MarkRejected() { a.setState(rejected) }
 
-// MarkFinished records that the attempt has ended; it may have been executed.
+// MarkFinished records that the attempt has ended and may have been executed.
 func (a *Attempt) MarkFinished() { a.setState(finished) }
 
-// setState ends an attempt that is in flight; on one that has ended it has no effect.
+// setState ends an attempt that is in flight. It has no effect on an attempt that has already ended.
 func (a *Attempt) setState(state attemptState) {
 	a.Request.mu.Lock()
 	defer a.Request.mu.Unlock()
@@ -39,11 +39,11 @@
 	}
 }
 
-// attemptSummary is what a rule needs to know of the attempts of a request.
+// attemptSummary is the state of a request's attempts that the rules depend on.
 type attemptSummary struct {
 	count         int
 	anyInFlight   bool
-	maybeExecuted *Attempt // the first that the server did not reject; nil: none
+	maybeExecuted *Attempt // the first attempt that the server did not reject; nil: none
 }
 
 // summarizeAttempts summarizes the attempts so far. The caller holds r.mu.
@@ -58,9 +58,9 @@
 	return summary
 }
 
-// RecordAttempt records that a complete request arrived at a server, before the server decides on
-// it, and checks whether the agent was allowed to send it. linkClear says that no link of the lab
-// can have delayed it.
+// RecordAttempt records that a complete request arrived at a server, before the server handles it, and
+// checks whether the agent was allowed to send it. notDelayed reports that no link of the lab can have
+// delayed it.
 func (c *Checker) RecordAttempt(r *Request, server int, firstByteAt, lastByteAt time.Duration, notDelayed bool) *Attempt {
 	a := &Attempt{Request: r, Server: server, FirstByteAt: firstByteAt, LastByteAt: lastByteAt}
 	r.mu.Lock()
@@ -88,7 +88,7 @@
 	return a
 }
 
-// checkRepeat checks whether a request may be sent again after an attempt that may have been
+// checkRepeat checks whether a request may be sent again after an earlier attempt that may have been
 // executed.
 func (c *Checker) checkRepeat(a, earlier *Attempt, notDelayed bool) {
 	class := &c.settings.Classes[a.Request.Class]
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -1,13 +1,13 @@
-// Package check records what clients and emulated servers saw of each request and checks the rules
-// against it. It gets nothing from the agents, so that what they report of themselves has no
-// influence.
+// Package check records the observations of clients and emulated servers about each request and checks
+// them against the rules. It takes no input from the agents, so that their own reports do not influence
+// the result.
 //
-// A rule that depends on what an agent knows of a server counts a change as known once discovery
-// has written it to the agent, or has been able to for notificationBound.
+// For a rule that depends on an agent's knowledge of a server, a change counts as known once discovery
+// has written it to the agent, or has been able to do so for notificationBound.
 //
 // The package starts no goroutines; clients, servers and discovery call it from theirs. Each lock
-// guards the struct that it is in, and a request's lock its attempts too. The lock of a view is taken
-// before that of the discovery state, and the lock of a history shard before that of a request; no
+// guards the struct that it is in, and a request's lock also guards its attempts. The lock of a view is
+// taken before that of the discovery state, and the lock of a history shard before that of a request; no
 // other two locks are held together.
 package check
 
@@ -23,7 +23,7 @@
 // Clock returns the time since the experiment began. All parties of the lab share one.
 type Clock func() time.Duration
 
-// The rules, by the names that reports use.
+// The rules, as reports name them.
 const (
 	RuleLost        = "lost request"
 	RuleDuplicate   = "duplicated effect"
@@ -38,17 +38,17 @@
 const (
 	// timingSlack is added to every time limit, because sockets and timers are not exact.
 	timingSlack = 50 * time.Millisecond
-	// maxBreaches bounds the breaches that are kept with their particulars; all are counted.
+	// maxBreaches bounds the breaches that are kept with their details; all are counted.
 	maxBreaches = 200
-	// slowStartKnownShare is the share of an overloaded server's work from which the agents broke
-	// RuleSlowStart, counting only work from agents that knew of the server's start.
+	// slowStartKnownShare is the minimum share of an overloaded server's work that has to come from agents
+	// that knew of the server's start for the overload to break RuleSlowStart.
 	slowStartKnownShare = 2.0 / 3
 )
 
-// noIndex takes the place of the index of an agent or a server that a breach does not concern.
+// noIndex replaces the index of an agent or a server in a breach that does not concern one.
 const noIndex = -1
 
-// Breach is one case of a broken rule.
+// Breach is one violation of a rule.
 type Breach struct {
 	Rule    string  `json:"rule"`
 	AtS     float64 `json:"at_s"`
@@ -58,7 +58,7 @@
 	Text    string  `json:"text"`
 }
 
-// Server is what the rules need to know of a server.
+// Server holds the properties of a server that the rules depend on.
 type Server struct {
 	Name string
 	Zone int
@@ -75,14 +75,14 @@
 
 	mu           sync.Mutex
 	breaches     []Breach
-	breachCounts map[string]int // of all breaches, by rule
+	breachCounts map[string]int // number of all breaches, by rule
 
 	views     []agentView // by agent
 	discovery discoveryState
 }
 
-// New returns a checker for the named agents and servers. All other methods refer to an agent or a
-// server by its index here.
+// New returns a checker for the named agents and servers. All methods refer to an agent or a server by its
+// index in these lists.
 func New(clock Clock, settings *policy.Settings, agents []string, servers []Server) *Checker {
 	c := &Checker{clock: clock, settings: settings, agents: agents, servers: servers, breachCounts: map[string]int{},
 		views: make([]agentView, len(agents))}
@@ -93,7 +93,7 @@
 	return c
 }
 
-// recordBreach records that a rule was broken. agent and server can be none. If r is not nil, its agent
+// recordBreach records a breach of a rule. agent and server can be noIndex. If r is not nil, its agent
 // replaces agent.
 func (c *Checker) recordBreach(rule string, r *Request, agent, server int, format string, args ...any) {
 	b := Breach{Rule: rule, AtS: c.clock().Seconds(), Text: fmt.Sprintf(format, args...)}
@@ -114,28 +114,28 @@
 	}
 }
 
-// recordRequestBreach records that a rule was broken with a request.
+// recordRequestBreach records a breach of a rule by a request.
 func (c *Checker) recordRequestBreach(rule string, r *Request, server int, format string, args ...any) {
 	c.recordBreach(rule, r, r.Agent, server, format, args...)
 }
 
-// ReportBreach records a breach that another part of the lab has seen, such as a crash or an exceeded
+// ReportBreach records a breach that another part of the lab has detected, such as a crash or an exceeded
 // limit. agent is -1 if the breach does not concern an agent.
 func (c *Checker) ReportBreach(rule string, agent int, text string) {
 	c.recordBreach(rule, nil, agent, noIndex, "%s", text)
 }
 
-// Breaches returns the first breaches with their particulars, and how many there were by rule.
+// Breaches returns the first breaches with their details, and the number of all breaches by rule.
 func (c *Checker) Breaches() ([]Breach, map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Breach(nil), c.breaches...), maps.Clone(c.breachCounts)
 }
 
-// Sweep drops requests that ended long ago. The caller calls it at an interval of seconds.
+// Sweep drops requests that finished longer ago than retention. It is called every few seconds.
 func (c *Checker) Sweep() { c.history.sweep(c.clock()) }
 
-// Retained returns how many requests the checker remembers.
+// Retained returns how many requests the checker keeps.
 func (c *Checker) Retained() int64 { return c.history.retained.Load() }
 
 // Add records a request that a client is about to send.
@@ -144,8 +144,8 @@
 // Lookup returns the request with the ID, or nil if there is none or it was dropped.
 func (c *Checker) Lookup(id string) *Request { return c.history.lookup(id) }
 
-// ReportUnknown records that a server received a request which no client has sent, or which its client
-// sent with other contents. r is nil if the ID is unknown.
+// ReportUnknown records that a server received a request that no client sent, or that its client sent with
+// other contents. r is nil if the ID is unknown.
 func (c *Checker) ReportUnknown(r *Request, id string, server int, text string) {
 	if r == nil {
 		r = &Request{ID: id, Agent: 0}
@@ -153,9 +153,9 @@
 	c.recordRequestBreach(RuleUnknown, r, server, "%s", text)
 }
 
-// RecordWarmupOverload records that a server which was warming up failed under its load. knownShare is
-// the share of that work which came from agents that knew of its start; sent and bound are in
-// milliseconds of work.
+// RecordWarmupOverload records that a server failed under its load while it was warming up. knownShare is
+// the share of the work that came from agents that knew of its start; sent and bound are in milliseconds
+// of work.
 func (c *Checker) RecordWarmupOverload(server int, knownShare float64, sent, bound float64) {
 	if knownShare >= slowStartKnownShare {
 		c.recordBreach(RuleSlowStart, nil, noIndex, server, "sent %.0f ms of work within %.1f s, at most %.0f; %.0f %% by agents told of its start",
@@ -163,5 +163,5 @@
 	}
 }
 
-// millis returns the duration of a setting in milliseconds.
+// millis converts a setting in milliseconds to a duration.
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -20,7 +20,7 @@
 	requestCount int
 }
 
-// newCheckerTest returns an environment at one second after the epoch.
+// newCheckerTest returns a checkerTest whose clock is one second after the epoch.
 func newCheckerTest() *checkerTest {
 	e := &checkerTest{now: time.Second}
 	e.settings = policy.Settings{
@@ -36,10 +36,10 @@
 	return e
 }
 
-// The classes of requests, by their index in the settings.
+// Indexes of the request classes in the settings.
 const idempotent, dedupInZone, dedupInAll, nonIdempotent, dedupInCell = 0, 1, 2, 3, 4
 
-// addRequest adds a addRequest of a class that is sent now, with a deadline in five seconds.
+// addRequest adds a request of a class that is sent now and has a deadline in five seconds.
 func (e *checkerTest) addRequest(class int) *Request {
 	e.requestCount++
 	r := &Request{ID: strings.Repeat("x", e.requestCount), Class: class, PlannedAt: e.now, Deadline: e.now + 5*time.Second}
@@ -47,7 +47,7 @@
 	return r
 }
 
-// at sets the clock to d after the beginning.
+// at sets the clock to d after the start of the test.
 func (e *checkerTest) at(d time.Duration) *checkerTest { e.now = time.Second + d; return e }
 
 // recordAttempt records that the complete request arrives at a server now.
@@ -55,20 +55,20 @@
 	return e.RecordAttempt(r, server, e.now, e.now, true)
 }
 
-// recordAnswer records the final recordAnswer of a request now.
+// recordAnswer records the final answer of a request now.
 func (e *checkerTest) recordAnswer(r *Request, kind Outcome, body string) Outcome {
 	return e.RecordAnswer(r, Answer{Outcome: kind, At: e.now, Body: body, Sent: true})
 }
 
-// ruleCase is a course of events and the rule that it breaks once.
+// ruleCase is a sequence of events and the rule that it breaks once.
 type ruleCase struct {
 	name string
 	rule string // "": none
 	run  func(e *checkerTest)
 }
 
-// check plays the events in a new environment, and fails the test unless the checker reports the
-// case's rule once and no other rule.
+// check runs the events with a new checker, and fails the test unless the checker reports the case's rule
+// once and no other rule.
 func (c *ruleCase) check(t *testing.T) {
 	t.Helper()
 	e := newCheckerTest()
@@ -76,13 +76,13 @@
 	breaches, count := e.Breaches()
 	switch {
 	case c.rule == "" && len(breaches) > 0:
-		t.Errorf("no rule is broken, yet the checker reports %v", breaches)
+		t.Errorf("got breaches %v, want none", breaches)
 	case c.rule != "" && (count[c.rule] != 1 || len(count) != 1):
-		t.Errorf("want one breach of %q: %v", c.rule, breaches)
+		t.Errorf("want one breach of %q, got %v", c.rule, breaches)
 	}
 }
 
-// answerCases are of requests and their final answers.
+// answerCases test the rules for the final answers of requests.
 var answerCases = []ruleCase{
 	{"served by a server", "", func(e *checkerTest) {
 		r := e.addRequest(idempotent)
@@ -123,7 +123,7 @@
 		e.recordAttempt(r, 0)
 		e.RecordAnswer(r, Answer{Outcome: Unanswered, At: e.now, Sent: true, Closed: true, NewConnection: true})
 	}},
-	{"answer broken off", "", func(e *checkerTest) {
+	{"answer incomplete", "", func(e *checkerTest) {
 		r := e.addRequest(idempotent)
 		e.recordAttempt(r, 0)
 		e.RecordAnswer(r, Answer{Outcome: Unanswered, At: e.now, Sent: true, Closed: true, Partial: true})
@@ -131,7 +131,7 @@
 	{"canceled by its client", "", func(e *checkerTest) { e.recordAnswer(e.addRequest(idempotent), ClientCanceled, "") }},
 }
 
-// attemptCases are of the attempts of a request.
+// attemptCases test the rules for the attempts of a request.
 var attemptCases = []ruleCase{
 	{"idempotent, three attempts", "", func(e *checkerTest) {
 		r := e.addRequest(idempotent)
@@ -206,7 +206,7 @@
 		e.recordAnswer(r, Served, a.Body("s0"))
 		e.at(60*ms).recordAttempt(r, 1)
 	}},
-	{"sent as the final answer went out", "", func(e *checkerTest) {
+	{"sent within the slack of the final answer", "", func(e *checkerTest) {
 		r := e.addRequest(idempotent)
 		a := e.recordAttempt(r, 0)
 		e.recordAnswer(r, Served, a.Body("s0"))
@@ -214,7 +214,7 @@
 	}},
 }
 
-// drainCases are of requests to a server that takes no new ones.
+// drainCases test the rule for requests to a server that accepts no new ones.
 var drainCases = []ruleCase{
 	{"sent to a draining server within the grace", "", func(e *checkerTest) {
 		e.RecordNotified(0, 0, "draining", 0)
@@ -275,14 +275,14 @@
 	}},
 }
 
-// otherCases are of the rules that need no course of requests.
+// otherCases test the rules that do not depend on a sequence of requests.
 var otherCases = []ruleCase{
 	{"overloaded by agents that knew of the start", RuleSlowStart, func(e *checkerTest) { e.RecordWarmupOverload(0, 0.67, 900, 500) }},
 	{"overloaded by agents that could not know of the start", "", func(e *checkerTest) { e.RecordWarmupOverload(0, 0.66, 900, 500) }},
 	{"an ID that no client sent", RuleUnknown, func(e *checkerTest) { e.ReportUnknown(e.Lookup("nobody"), "nobody", 0, "it came") }},
 }
 
-// The checker reports the broken rule of each case and no other, and none where none is broken.
+// The checker reports exactly the rule that each case breaks, and none for a case that breaks none.
 func TestRulesAreChecked(t *testing.T) {
 	for group, cases := range map[string][]ruleCase{"answers": answerCases, "attempts": attemptCases, "drain": drainCases, "other": otherCases} {
 		for _, c := range cases {
@@ -291,31 +291,31 @@
 	}
 }
 
-// An agent counts as notified of a start once that was written to it, or after six seconds in which
-// discovery could have. A later start needs a notification of its own.
+// An agent counts as notified of a start once the start was written to it, or after six seconds in which
+// discovery could have done so. A later start needs a separate notification.
 func TestStartCountsAsNotified(t *testing.T) {
 	e := newCheckerTest()
 	e.RecordDiscovery(0, "ready", 100)
 	if e.StartNotified(0, 0, 100) {
-		t.Error("counts as notified at once")
+		t.Error("the start counts as notified at once")
 	}
 	e.RecordNotified(1, 0, "ready", 100)
 	if !e.StartNotified(1, 0, 100) || e.StartNotified(1, 0, 200) {
-		t.Error("a written start does not count, or counts for a later one")
+		t.Error("a notification of a start must count for this start, and not for a later one")
 	}
 	if e.at(5999*ms).StartNotified(0, 0, 100) || !e.at(6000*ms).StartNotified(0, 0, 100) {
-		t.Error("it does not count as notified after six seconds, or does before")
+		t.Error("the start must count as notified after six seconds, and not before")
 	}
 }
 
-// Requests that finished long ago are dropped, those in progress never.
+// Requests that finished long ago are dropped, requests in progress never.
 func TestFinishedRequestsAreDropped(t *testing.T) {
 	e := newCheckerTest()
 	done, open := e.addRequest(idempotent), e.addRequest(idempotent)
 	e.recordAnswer(done, Failed, "")
 	e.at(30 * time.Second).Sweep()
 	if e.Lookup(done.ID) == nil {
-		t.Error("dropped too soon")
+		t.Error("the finished request was dropped too soon")
 	}
 	e.at(31 * time.Second).Sweep()
 	if e.Lookup(done.ID) != nil || e.Lookup(open.ID) == nil || e.Retained() != 1 {
@@ -323,8 +323,8 @@
 	}
 }
 
-// Whatever the order of discovery's outages and the lab's cuts, a drain counts as notified after six
-// seconds in which discovery could have notified the agent, and not before.
+// For any sequence of discovery outages and of cuts by the lab, a drain counts as notified after six seconds
+// in which discovery could have notified the agent, and not before.
 func TestDrainCountsAfterServiceTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := newCheckerTest()
@@ -344,7 +344,7 @@
 				e.SetDiscoveryCut(0, cut)
 			}
 			if _, notified := e.drainNotifiedSince(0, 0, e.now); notified != (service >= notificationBound) {
-				t.Fatalf("after %v of service: notified %v", service, notified)
+				t.Fatalf("after %v of service time: notified %v", service, notified)
 			}
 		}
 	})
--- a/internal/lab/check/history.go
+++ b/internal/lab/check/history.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Request is one request that a client sent to an agent, and what servers received of it. A retry
-// of the client is another Request.
+// Request is a request that a client sent to an agent, and its attempts at servers. A client's retry is
+// another Request.
 type Request struct {
 	ID             string
 	Agent          int
@@ -19,7 +19,7 @@
 	IdempotencyKey string
 	Body           string
 	Work           float64       // standard-core milliseconds
-	PlannedAt      time.Duration // when it was to be sent
+	PlannedAt      time.Duration // when it was due to be sent
 	Deadline       time.Duration // when its client gives up
 
 	mu       sync.Mutex
@@ -41,15 +41,15 @@
 	return len(r.attempts), maybeExecuted
 }
 
-// historyShards is the number of locks that the requests are spread over.
+// historyShards is the number of shards, each with its own lock, that the requests are spread over.
 const historyShards = 64
 
 // retention is how long a finished request can still be looked up. An attempt that arrives later
-// counts as one of an unknown request.
+// counts as an attempt of an unknown request.
 const retention = 30 * time.Second
 
-// requestHistory finds requests by ID. Requests that finished long ago are dropped, so that its
-// size is bounded by the rate of requests and not by the length of the run.
+// requestHistory finds requests by ID. Requests that finished long ago are dropped, so that its size is
+// bounded by the request rate and not by the length of the run.
 type requestHistory struct {
 	shards   [historyShards]historyShard
 	retained atomic.Int64
@@ -78,7 +78,7 @@
 	h.retained.Add(1)
 }
 
-// lookup returns the request with the ID, or nil.
+// lookup returns the request with the ID, or nil if there is none.
 func (h *requestHistory) lookup(id string) *Request {
 	shard := h.shardOf(id)
 	shard.Lock()
--- a/internal/lab/check/notifications.go
+++ b/internal/lab/check/notifications.go
@@ -7,49 +7,49 @@
 	"knotrouter/internal/endpoints"
 )
 
-// notificationBound is the service time of discovery after which an agent counts as notified of a
-// change, whether it was written to the agent or not.
+// notificationBound is the service time of discovery after which an agent counts as notified of a change,
+// even if discovery has not written the change to the agent.
 const notificationBound = 6 * time.Second
 
-// discoveryState is what discovery knows, and how long it has been able to notify agents. Its service
-// time is the time that it was up.
+// discoveryState holds the state of each server as discovery knows it, and the times in which discovery was
+// able to notify agents. Its service time is the time that it was up.
 type discoveryState struct {
 	sync.Mutex
-	downTime  time.Duration // in which it was down, without the present outage
-	downSince time.Duration // the beginning of the present outage; 0: it is up
+	downTime  time.Duration // total time of the past outages
+	downSince time.Duration // start of the current outage; 0: it is up
 	servers   []serverState // by server
 }
 
-// serverState is what discovery knows of a server.
+// serverState is the state of a server as discovery knows it.
 type serverState struct {
-	health    string // "": nothing yet
+	health    string // "": not known yet
 	startedMs int64
-	since     time.Duration // when discovery learned the health and the start, in service time
+	since     time.Duration // when discovery learned the health and the start time, in service time
 }
 
-// agentView is what one agent was notified of, and when the lab kept it from being notified or
-// from running.
+// agentView holds the notifications that an agent received, and the times in which the lab prevented it
+// from being notified or from running.
 type agentView struct {
 	sync.Mutex
 	startedAt    time.Duration  // when its process started, in service time
-	cutDuration  time.Duration  // service time in which the lab cut the agent off, without the present cut
-	cutSince     time.Duration  // the beginning of the present cut, in service time
+	cutDuration  time.Duration  // service time of the past cuts
+	cutSince     time.Duration  // start of the current cut, in service time
 	isCut        bool           // the lab cuts the agent off from discovery
 	servers      []serverNotice // by server
-	stoppedSpans []timeSpan     // in which the lab kept the agent from running
+	stoppedSpans []timeSpan     // in which the lab prevented the agent from running
 }
 
-// serverNotice is what an agent was notified of a server.
+// serverNotice is the state of a server as the agent was notified of it.
 type serverNotice struct {
-	drainingSince time.Duration // when the agent learned that the server takes no new requests; 0: the server takes them
-	startedMs     int64         // the latest start that the agent knows
+	drainingSince time.Duration // when the agent learned that the server accepts no new requests; 0: the server accepts them
+	startedMs     int64         // the latest start that the agent knows of
 	known         bool          // the agent was notified of the server
 }
 
 type timeSpan struct{ from, to time.Duration }
 
-// drainNotifiedSince returns since when the agent counts as notified that the server takes no new
-// requests. It returns false if the agent does not count as notified.
+// drainNotifiedSince returns the time from which on the agent counts as notified that the server accepts
+// no new requests. It returns false if the agent does not count as notified.
 func (c *Checker) drainNotifiedSince(agent, server int, now time.Duration) (time.Duration, bool) {
 	view := &c.views[agent]
 	view.Lock()
@@ -77,9 +77,9 @@
 	return state.health != "" && state.startedMs >= startedMs && available >= notificationBound
 }
 
-// discoveredState returns what discovery knows of a server, and for how long it has been able to notify
-// the agent of that: the time in which discovery was up and the lab did not cut the agent off. The
-// caller holds the view's lock.
+// discoveredState returns the state of a server as discovery knows it, and for how long discovery has been
+// able to notify the agent of it: the time in which discovery was up and the lab did not cut the agent
+// off. The caller holds the view's lock.
 func (c *Checker) discoveredState(view *agentView, server int, now time.Duration) (serverState, time.Duration) {
 	c.discovery.Lock()
 	defer c.discovery.Unlock()
@@ -95,7 +95,7 @@
 	return state, service - max(state.since, view.startedAt) - cut
 }
 
-// serviceTime returns for how long discovery has been up. The caller holds the lock.
+// serviceTime returns for how long discovery has been up in total. The caller holds the lock.
 func (d *discoveryState) serviceTime(now time.Duration) time.Duration {
 	downTime := d.downTime
 	if d.downSince > 0 {
@@ -104,7 +104,7 @@
 	return now - downTime
 }
 
-// serviceTime returns for how long discovery has been up.
+// serviceTime returns for how long discovery has been up in total.
 func (c *Checker) serviceTime() time.Duration {
 	c.discovery.Lock()
 	defer c.discovery.Unlock()
@@ -134,7 +134,7 @@
 	}
 }
 
-// SetDiscoveryCut records that the lab cuts an agent off from discovery, or no longer does.
+// SetDiscoveryCut records that the lab cuts an agent off from discovery, or reconnects it.
 func (c *Checker) SetDiscoveryCut(agent int, cut bool) {
 	view := &c.views[agent]
 	view.Lock()
@@ -148,7 +148,7 @@
 	}
 }
 
-// RecordNotified records what discovery has written to an agent.
+// RecordNotified records a server's state that discovery has written to an agent.
 func (c *Checker) RecordNotified(agent, server int, health string, startedMs int64) {
 	now := c.clock()
 	view := &c.views[agent]
@@ -164,8 +164,8 @@
 	}
 }
 
-// AgentStarted records that a new process of an agent starts. It knows nothing that the process before
-// it was notified of.
+// AgentStarted records that a new process of an agent starts. It has none of the notifications of the
+// previous process.
 func (c *Checker) AgentStarted(agent int) {
 	view := &c.views[agent]
 	view.Lock()
@@ -181,7 +181,7 @@
 	c.AgentPaused(agent, now, now+timingSlack)
 }
 
-// AgentPaused records that the lab keeps an agent from running for a time.
+// AgentPaused records that the lab prevents an agent from running for a time.
 func (c *Checker) AgentPaused(agent int, from, to time.Duration) {
 	view := &c.views[agent]
 	view.Lock()
@@ -189,7 +189,7 @@
 	view.addStoppedSpan(timeSpan{from, to})
 }
 
-// maxStoppedSpans bounds the excused spans that are kept of an agent; the oldest are dropped first.
+// maxStoppedSpans bounds the spans that are kept for an agent; the oldest are dropped first.
 const maxStoppedSpans = 64
 
 // addStoppedSpan adds a span in which the agent could not run. The caller holds the lock.
@@ -200,7 +200,8 @@
 	view.stoppedSpans = append(view.stoppedSpans, span)
 }
 
-// wasStopped reports whether the lab kept the agent from running at any time from from to to.
+// wasStopped reports whether the lab prevented the agent from running at any time between from and to.
+// Faults of such an agent are not breaches.
 func (c *Checker) wasStopped(agent int, from, to time.Duration) bool {
 	view := &c.views[agent]
 	view.Lock()
--- a/internal/lab/check/operations.go
+++ b/internal/lab/check/operations.go
@@ -11,31 +11,31 @@
 	"time"
 )
 
-// Operation is one operation of a process under a leased task, at a server that checks the
+// Operation is an operation that a process performs under a leased task, at a server that checks the
 // fencing token.
 type Operation struct {
 	Task    string        `json:"duty"`
 	Process string        `json:"process"`
 	Fence   int64         `json:"fence"`
-	Mono    time.Duration `json:"mono"` // the machine's monotonic clock when the process last saw that its lease was valid
+	Mono    time.Duration `json:"mono"` // the machine's monotonic clock when the process last verified that its lease was valid
 }
 
 const (
-	maxTasks          = 10_000  // that an OperationLog records
-	maxTerms          = 200_000 // of all tasks
-	maxOperationBytes = 4 << 10 // of an operation as JSON
+	maxTasks          = 10_000  // recorded by an OperationLog
+	maxTerms          = 200_000 // recorded by an OperationLog, over all tasks
+	maxOperationBytes = 4 << 10 // of an operation encoded as JSON
 )
 
-// Errors of OperationLog.Record.
+// Errors returned by OperationLog.Record.
 var (
 	ErrIncompleteOperation = errors.New("duty, process, fence: missing")
 	ErrOperationLogFull    = errors.New("no room for more")
 )
 
-// FencedError is the error of an operation whose fencing token is older than one that was used.
+// FencedError is the error of an operation whose fencing token is older than one already used.
 type FencedError struct{ Fence, Highest int64 }
 
-// Error names the token that was rejected and the one that was used before.
+// Error names the rejected token and the highest token used before.
 func (e *FencedError) Error() string {
 	return fmt.Sprintf("fenced: %d is older than %d", e.Fence, e.Highest)
 }
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// termOf returns the term of an operation, a new one for a new fencing token. The caller holds l.mu.
+// termOf returns the term of an operation, and adds one for a new fencing token. The caller holds l.mu.
 func (l *OperationLog) termOf(operation Operation) *term {
 	terms := l.terms[operation.Task]
 	if terms == nil {
@@ -104,24 +104,24 @@
 	return t
 }
 
-// Last returns the last operation that was accepted under a task; an empty one if there is none.
+// Last returns the last operation accepted under a task, or an empty one if there is none.
 func (l *OperationLog) Last(task string) Operation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lastOperation[task]
 }
 
-// Analysis is what the accepted operations of all tasks show.
+// Analysis summarizes the accepted operations of all tasks.
 type Analysis struct {
-	Violations   []string        // terms that overlap, and tokens that two processes used
+	Violations   []string        // overlapping terms, and tokens used by two processes
 	Terms        int             // of all tasks
-	Rejected     int             // operations, for their fencing token
+	Rejected     int             // operations rejected for their fencing token
 	Idle         time.Duration   // from each term's last operation to the next one's first, over all tasks
 	Total        time.Duration   // from the first operation to the last, over all tasks
-	HandoverGaps []time.Duration // whose sum is Idle; negative where terms overlap
+	HandoverGaps []time.Duration // their sum is Idle; negative where terms overlap
 }
 
-// Analyze returns what the operations accepted so far show.
+// Analyze analyzes the operations accepted so far.
 func (l *OperationLog) Analyze() Analysis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -132,7 +132,7 @@
 	return analysis
 }
 
-// addTask adds what the terms of one task show. There is at least one.
+// addTask adds the terms of one task, of which there is at least one.
 func (v *Analysis) addTask(task string, terms map[int64]*term) {
 	var fences []int64
 	for fence, t := range terms {
@@ -156,8 +156,8 @@
 	v.Total += terms[fences[len(fences)-1]].last - terms[fences[0]].first
 }
 
-// ServeHTTP accepts an operation as JSON. It answers 400 if that is invalid, and 412 if the
-// operation is not accepted.
+// ServeHTTP accepts an operation as JSON. It answers 400 if the JSON is invalid, and 412 if the operation
+// is not accepted.
 func (l *OperationLog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxOperationBytes))
 	var operation Operation
--- a/internal/lab/check/operations_test.go
+++ b/internal/lab/check/operations_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An operation with an older fencing token is rejected; terms that overlap, and a token that two
-// processes used, are violations.
+// An operation with an older fencing token is rejected. Overlapping terms and a token used by two
+// processes are violations.
 func TestOperationsAreFencedAndOverlapsFound(t *testing.T) {
 	log := NewOperationLog()
 	for i, c := range []struct {
@@ -23,11 +23,11 @@
 		}
 	}
 	if v := log.Analyze(); len(v.Violations) > 0 || v.Terms != 3 || v.Rejected != 1 || v.Idle != 10*ms || v.Total != 20*ms {
-		t.Errorf("of operations in order: %+v", v)
+		t.Errorf("analysis of operations in order: %+v", v)
 	}
-	_ = log.Record(Operation{"d", "r", 8, 29 * ms}) // they arrive in order, but their terms overlap
+	_ = log.Record(Operation{"d", "r", 8, 29 * ms}) // the tokens are in order, but the terms overlap
 	_ = log.Record(Operation{"e", "q", 1, 6 * ms})
 	if v := log.Analyze(); len(v.Violations) != 2 {
-		t.Errorf("of terms that overlap and a token that two processes used: %v", v.Violations)
+		t.Errorf("want a violation for the overlapping terms and one for the shared token, got %v", v.Violations)
 	}
 }
--- a/internal/lab/client/arrivals.go
+++ b/internal/lab/client/arrivals.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// The streams of the random source that the load is drawn from.
+// The second seed words of the random sources that the load is drawn from.
 const (
 	agentWeightStream  = 999
-	firstArrivalStream = 1000 // of the first agent; each agent has one
+	firstArrivalStream = 1000 // of the first agent; the following agents have the following numbers
 )
 
-// Arrival is one request as it was drawn. All of its random properties are drawn ahead, except those
-// of its retries.
+// Arrival is one request of the generated load. All of its random properties are drawn in advance, except
+// those of its retries.
 type Arrival struct {
 	At               time.Duration
 	Class            int
 	Key              uint64 // 0: none
 	Work             float64
 	AttemptTimeout   time.Duration
-	CancelAfter      time.Duration // after which the client cancels its first attempt; 0: never
+	CancelAfter      time.Duration // time after which the client cancels its first attempt; 0: never
 	HonorsRetryAfter bool
-	Seed             uint64 // of its idempotency key and the backoff of its retries
+	Seed             uint64 // seeds its idempotency key and the backoff of its retries
 }
 
-// DrawArrivals draws the arrivals of each agent up to end. They depend on the arguments alone.
+// DrawArrivals draws the arrivals of each agent up to end. They depend only on the arguments.
 func DrawArrivals(load *Load, agents int, end time.Duration, changes []LoadChange, seed uint64) [][]Arrival {
 	weights := AgentWeights(load, agents, seed)
 	keys := newZipf(load.Keys, load.Zipf)
@@ -38,7 +38,7 @@
 	return arrivals
 }
 
-// AgentWeights returns each agent's part of the load. They add up to 1.
+// AgentWeights returns each agent's share of the load. The shares add up to 1.
 func AgentWeights(load *Load, agents int, seed uint64) []float64 {
 	rng := rand.New(rand.NewPCG(seed, agentWeightStream))
 	weights, sum := make([]float64, agents), 0.0
@@ -55,7 +55,8 @@
 	return weights
 }
 
-// arrivalGenerator draws the arrivals of one agent. The order of its draws is part of what a seed means.
+// arrivalGenerator draws the arrivals of one agent. Changing the order of its draws changes the arrivals that
+// a seed yields.
 type arrivalGenerator struct {
 	load    *Load
 	keys    *zipf
@@ -92,7 +93,7 @@
 	}
 }
 
-// drawOne draws the arrival at a time.
+// drawOne draws the properties of the arrival at a time.
 func (d *arrivalGenerator) drawOne(at time.Duration) Arrival {
 	a := Arrival{At: at, Class: d.drawClass(), Seed: d.rng.Uint64()}
 	class := &d.load.Classes[a.Class]
@@ -128,7 +129,7 @@
 	return class.Work * d.rng.ExpFloat64()
 }
 
-// drawClass draws the index of a class by the classes' shares.
+// drawClass draws the index of a class according to the classes' shares.
 func (d *arrivalGenerator) drawClass() int {
 	remaining, sum := d.rng.Float64(), 0.0
 	for _, class := range d.load.Classes {
@@ -142,14 +143,14 @@
 	return len(d.load.Classes) - 1
 }
 
-// lognormal draws from the lognormal distribution with a mean and a coefficient of variation.
+// lognormal draws from the lognormal distribution with the given mean and coefficient of variation.
 func lognormal(rng *rand.Rand, mean, cv float64) float64 {
-	variance := math.Log(1 + cv*cv) // of the logarithm
+	variance := math.Log(1 + cv*cv) // variance of the logarithm
 	return mean * math.Exp(rng.NormFloat64()*math.Sqrt(variance)-variance/2)
 }
 
-// zipf draws ranks by their popularity. math/rand's Zipf needs an exponent above 1, but measured
-// exponents begin at 0.9.
+// zipf draws ranks with Zipf-distributed popularity. math/rand's Zipf needs an exponent above 1, but
+// measured exponents begin at 0.9.
 type zipf struct{ cumulative []float64 }
 
 func newZipf(ranks int, exponent float64) *zipf {
@@ -162,7 +163,7 @@
 	return z
 }
 
-// draw draws a rank, counted from 0, the most popular one.
+// draw draws a rank. Rank 0 is the most popular one.
 func (z *zipf) draw(rng *rand.Rand) uint64 {
 	x := rng.Float64() * z.cumulative[len(z.cumulative)-1]
 	return uint64(sort.SearchFloat64s(z.cumulative, x))
--- a/internal/lab/client/arrivals_test.go
+++ b/internal/lab/client/arrivals_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// The draws of the arrival tests.
+// The parameters of the arrival tests.
 const (
 	testAgents   = 7
 	testDuration = 60 * time.Second
@@ -30,14 +30,14 @@
 	l := testLoad()
 	first := DrawArrivals(l, testAgents, testDuration, nil, testSeed)
 	if !reflect.DeepEqual(first, DrawArrivals(l, testAgents, testDuration, nil, testSeed)) {
-		t.Error("one seed, two draws")
+		t.Error("the same seed yields different arrivals")
 	}
 	if reflect.DeepEqual(first, DrawArrivals(l, testAgents, testDuration, nil, testSeed+1)) {
-		t.Error("two seeds, one draw")
+		t.Error("different seeds yield the same arrivals")
 	}
 }
 
-// Arrivals follow the distributions of the load.
+// Arrivals follow the distributions that the load specifies.
 func TestArrivalsFollowTheLoad(t *testing.T) {
 	arrivals := slices.Concat(DrawArrivals(testLoad(), testAgents, testDuration, nil, testSeed)...)
 	expectNear(t, "arrivals", float64(len(arrivals)), 120_000, 0.02)
@@ -51,7 +51,7 @@
 			mostPopular++
 		}
 		if a.AttemptTimeout < 500*time.Millisecond || a.AttemptTimeout > time.Second || a.CancelAfter > a.AttemptTimeout || a.At < 0 || a.At >= testDuration {
-			t.Fatalf("%+v", a)
+			t.Fatalf("arrival out of its bounds: %+v", a)
 		}
 	}
 	expectNear(t, "share of a class", count[0]/count[1], 3, 0.05)
@@ -64,12 +64,12 @@
 	expectNear(t, "share of the most popular key", mostPopular/float64(len(arrivals)), 1/harmonic, 0.05)
 }
 
-// The agents have different parts of the load, and each agent's arrivals are in order.
+// The agents have different shares of the load, and each agent's arrivals are in order.
 func TestArrivalsByAgent(t *testing.T) {
 	byAgent := DrawArrivals(testLoad(), testAgents, testDuration, nil, testSeed)
 	byCount := func(a, b []Arrival) int { return len(a) - len(b) }
 	if least, most := len(slices.MinFunc(byAgent, byCount)), len(slices.MaxFunc(byAgent, byCount)); most < least*3/2 {
-		t.Errorf("uneven agents have %d to %d arrivals", least, most)
+		t.Errorf("agents with uneven shares have %d to %d arrivals, want at least half as many more", least, most)
 	}
 	for i := range byAgent {
 		if !slices.IsSortedFunc(byAgent[i], func(x, y Arrival) int { return int(x.At - y.At) }) {
@@ -78,8 +78,8 @@
 	}
 }
 
-// A change of the load changes the arrivals within its time, and leaves the others in their
-// distribution.
+// A load change affects the arrivals within its time span, and leaves the distribution of the others
+// unchanged.
 func TestLoadChangeAffectsOnlyItsTime(t *testing.T) {
 	const from, to = 20 * time.Second, 40 * time.Second
 	changes := []LoadChange{{From: from, To: to, Factor: 2}, {From: from, To: to, Class: "a", HeavyShare: 0.1, WorkFactor: 50}}
@@ -88,7 +88,7 @@
 	for _, a := range arrivals {
 		if a.At >= from && a.At < to {
 			within++
-			if a.Class == 0 && a.Work > 150 { // e^-15 of the usual ones
+			if a.Class == 0 && a.Work > 150 { // exceeded by only e^-15 of the regular requests
 				heavy++
 			}
 		}
@@ -98,14 +98,14 @@
 	expectNear(t, "heavy arrivals", heavy, 80_000*0.75*0.1*math.Exp(-150.0/500), 0.1)
 }
 
-// The weights of the agents add up to 1, whatever their number.
+// The weights of any number of agents add up to 1.
 func TestAgentWeightsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := &Load{AgentCV: rapid.Float64Range(0, 3).Draw(t, "cv")}
 		sum := 0.0
 		for _, w := range AgentWeights(l, rapid.IntRange(1, 300).Draw(t, "agents"), rapid.Uint64().Draw(t, "seed")) {
 			if w <= 0 {
-				t.Fatal("an agent without traffic")
+				t.Fatal("an agent has no share of the load")
 			}
 			sum += w
 		}
@@ -115,7 +115,7 @@
 	})
 }
 
-// The rate rises from the beginning of a change, falls back before its end, and is unchanged outside.
+// The rate rises from the start of a load change, falls back before its end, and is unchanged outside of it.
 func TestRateRampsUpAndDown(t *testing.T) {
 	change := LoadChange{From: 10 * time.Second, To: 30 * time.Second, Factor: 3, RampTime: 4 * time.Second}
 	for at, want := range map[time.Duration]float64{
@@ -123,7 +123,7 @@
 		26 * time.Second: 3, 28 * time.Second: 2, 30 * time.Second: 1,
 	} {
 		if got := change.rateFactor(at); got != want {
-			t.Errorf("factor %v after %v, want %v", got, at, want)
+			t.Errorf("rate factor %v after %v, want %v", got, at, want)
 		}
 	}
 }
--- a/internal/lab/client/baseline.go
+++ b/internal/lab/client/baseline.go
@@ -21,29 +21,29 @@
 	policyLeastOfTwo = "least_of_two" // the one of two random servers with fewer requests in flight
 )
 
-// Policies are the ways in which a baseline can choose a server.
+// Policies are the policies by which a baseline can choose a server.
 var Policies = []string{policyRandom, policyRoundRobin, policyLeastOfTwo}
 
-// ErrUnknownPolicy is the error of a baseline whose policy is not one of Policies.
+// ErrUnknownPolicy is the error for a baseline whose policy is not one of Policies.
 var ErrUnknownPolicy = errors.New("unknown baseline")
 
 const (
-	// baselineStream is the stream of the random source that a baseline draws from.
+	// baselineStream is the second seed word of a baseline's random source.
 	baselineStream = 77
-	// maxFirstIndex bounds the drawn index that a round robin begins with.
+	// maxFirstIndex bounds the random index at which round robin starts.
 	maxFirstIndex = 1 << 20
-	// maxBaselineAttempts is how many servers a baseline sends one request to at most.
+	// maxBaselineAttempts bounds the servers to which a baseline sends one request.
 	maxBaselineAttempts = 3
 )
 
-// Baseline is a plain client-side load balancer within the lab, which the agent is compared with.
-// It knows discovery's list without delay, needs no process of its own, and repeats a request at
-// another server if its class allows that. The exported fields are set before NewBaseline and not
-// changed afterwards. It is safe for concurrent use.
+// Baseline is a plain client-side load balancer within the lab, with which the agent is compared. It knows
+// discovery's list without delay, needs no separate process, and retries a request at another server if
+// the request's class allows that. The exported fields are set before NewBaseline and not changed
+// afterwards. It is safe for concurrent use.
 type Baseline struct {
 	Policy         string
 	Clock          check.Clock
-	Epoch          time.Time // when the clock was 0
+	Epoch          time.Time // the time at which the clock was 0
 	Load           *Load
 	ConnectTimeout time.Duration
 	List           func() endpoints.List
@@ -55,8 +55,7 @@
 	pools     map[string]*Pool // by address
 }
 
-// NewBaseline completes a baseline. It returns ErrUnknownPolicy if its policy is not one of
-// Policies.
+// NewBaseline initializes a baseline. It returns ErrUnknownPolicy if its policy is not one of Policies.
 func NewBaseline(b *Baseline, seed uint64) (*Baseline, error) {
 	if !slices.Contains(Policies, b.Policy) {
 		return nil, fmt.Errorf("%w %q: one of %s", ErrUnknownPolicy, b.Policy, strings.Join(Policies, ", "))
@@ -68,8 +67,8 @@
 }
 
 // send sends a request to up to maxBaselineAttempts servers until one serves it. It waits until the
-// request's own deadline, not as long as the client listens, because it makes up the final answer
-// itself.
+// request's deadline, not until the later time at which the client stops waiting, because it generates
+// the final answer itself.
 func (b *Baseline) send(r *check.Request, header http.Header, _ time.Time) response {
 	deadline := b.Epoch.Add(r.Deadline)
 	result := response{Answer: check.Answer{Outcome: check.Rejected, At: b.Clock(), NewConnection: true}}
@@ -102,8 +101,8 @@
 	return result
 }
 
-// choose returns the address and the pool of a ready server that was not attempted, and counts a
-// request in flight there. It returns "" and nil if there is no such server.
+// choose returns the address and the pool of a ready server that was not attempted, and counts a request
+// in flight there. It returns "" and nil if there is no such server.
 func (b *Baseline) choose(attempted map[string]bool) (string, *Pool) {
 	list := b.List()
 	b.mu.Lock()
--- a/internal/lab/client/call.go
+++ b/internal/lab/client/call.go
@@ -16,11 +16,11 @@
 const (
 	// maxAnswerBytes bounds the body of an answer.
 	maxAnswerBytes = 64 << 10
-	// maxRetryAfter is the time from which a Retry-After header is ignored.
+	// maxRetryAfter is the delay from which on a Retry-After header is ignored.
 	maxRetryAfter = time.Hour
 )
 
-// The protocol's own headers of requests and answers.
+// The protocol's headers of requests and answers.
 const (
 	headerRequestID      = "Request-Id"
 	headerRequestTimeout = "Request-Timeout"
@@ -39,7 +39,7 @@
 	clock          check.Clock
 }
 
-// httpRequest returns the request as it is written to a connection.
+// httpRequest returns the request in the form in which it is written to a connection.
 func (c *call) httpRequest() *http.Request {
 	u, _ := url.ParseRequestURI(c.request.Path)
 	httpRequest := &http.Request{Method: c.request.Method, URL: u, Host: "backend.local", Header: c.header,
@@ -57,9 +57,9 @@
 	retryAfter time.Duration // 0: not given
 }
 
-// call sends a request and waits for its answer until the deadline. If the other side closes an
-// idle connection while the request is being sent, and no server has received it, the request is
-// sent once more on a new connection, as HTTP allows.
+// call sends a request and waits for its answer until the deadline. If the other side closes an idle
+// connection while the request is being sent, and no server has received the request, the request is sent
+// once more on a new connection, as HTTP allows.
 func (p *Pool) call(c *call) response {
 	result, stale := p.attempt(c, false)
 	if stale {
@@ -72,8 +72,8 @@
 	return result
 }
 
-// attempt sends a request once. stale says that its connection was closed in order while it was
-// idle, before an answer began.
+// attempt sends a request once. stale reports that its connection, which was idle before, was closed
+// without a reset before an answer began.
 func (p *Pool) attempt(c *call, forceNew bool) (result response, stale bool) {
 	result.Outcome = check.Unreachable
 	conn, extraBytes, err := p.get(c.addr, c.deadline, c.connectTimeout, forceNew)
@@ -98,7 +98,7 @@
 	if _, err := conn.reader.Peek(1); err != nil {
 		p.drop(conn)
 		result.At, result.Closed = c.clock(), !errors.Is(err, os.ErrDeadlineExceeded)
-		// A reset, unlike an end in order, means that the other process died.
+		// A reset, unlike EOF, means that the other process died.
 		return result, !result.NewConnection && errors.Is(err, io.EOF)
 	}
 	result.Partial = true
@@ -106,8 +106,8 @@
 	return result, false
 }
 
-// readResponse reads a response whose first byte has come, and returns the connection to the pool
-// or closes it.
+// readResponse reads a response whose first byte has arrived, and returns the connection to the pool or
+// closes it.
 func (p *Pool) readResponse(conn *pooledConn, httpRequest *http.Request, clock check.Clock, result *response) {
 	httpResponse, err := http.ReadResponse(conn.reader, httpRequest)
 	var body []byte
@@ -133,7 +133,7 @@
 	}
 }
 
-// outcomeOf returns the outcome of an answer with the status.
+// outcomeOf returns the outcome of an answer with the given status.
 func outcomeOf(status int) check.Outcome {
 	switch status {
 	case http.StatusOK:
@@ -144,8 +144,8 @@
 	return check.Failed
 }
 
-// parseRetryAfter parses seconds, with a fraction or without. It returns 0 if they are missing,
-// invalid, not positive or at least maxRetryAfter.
+// parseRetryAfter parses a number of seconds, with or without a fraction. It returns 0 if the number is
+// missing, invalid, not positive or at least maxRetryAfter.
 func parseRetryAfter(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0 && seconds < maxRetryAfter.Seconds()) {
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -15,20 +15,20 @@
 	"knotrouter/internal/lab/check"
 )
 
-// Result is how one request ended, with its retries.
+// Result is the outcome of one request including its retries.
 type Result struct {
 	Agent          int32
 	Class          int16
 	Outcome        check.Outcome // of its last attempt
-	InTime         bool          // it was served within its class's target latency
+	InTime         bool          // served within its class's target latency
 	ClientAttempts uint8
-	ServerAttempts uint8 // that arrived at servers, over all attempts of the client; 255: 255 or more
+	ServerAttempts uint8 // attempts that arrived at servers, over all attempts of the client; 255: 255 or more
 	Planned        time.Duration
 	Latency        time.Duration // from the planned time to the end
-	SendDelay      time.Duration // from the planned time until the lab sent it
+	SendDelay      time.Duration // from the planned time until the lab sent the request
 }
 
-// Sender sends a client's requests: to its agent, or through a baseline.
+// Sender sends a client's requests to its agent, or through a baseline.
 type Sender interface {
 	// send sends one attempt and waits for its answer until the deadline.
 	send(r *check.Request, header http.Header, deadline time.Time) response
@@ -40,49 +40,49 @@
 	SetReuseOnly(reuseOnly bool)
 }
 
-// Env is what the clients of a fleet share.
+// Env holds the environment that the clients of a fleet share.
 type Env struct {
 	Clock     check.Clock
-	Epoch     time.Time // when the clock was 0
+	Epoch     time.Time // the time at which the clock was 0
 	Checker   *check.Checker
 	Load      *Load
-	WaitSlack time.Duration // how long beyond its deadline a client listens, so that the checker sees late answers
-	IDPrefix  string        // of the requests' IDs
+	WaitSlack time.Duration // how long a client waits after the deadline, so that the checker sees late answers
+	IDPrefix  string        // prefix of the requests' IDs
 	// Finished is called with the result of each request, from many goroutines.
 	Finished func(Result)
 }
 
-// Client is the application beside one agent. It is safe for concurrent use.
+// Client emulates the application beside one agent. It is safe for concurrent use.
 type Client struct {
 	env         *Env
 	index       int
 	sender      Sender
 	up          atomic.Bool
-	incarnation atomic.Int64   // how often it was killed
-	skipped     atomic.Int64   // arrivals
-	attempts    atomic.Int64   // that were sent
-	serial      atomic.Int64   // of the last request's ID
+	incarnation atomic.Int64   // how many times it was killed
+	skipped     atomic.Int64   // arrivals while the client was down
+	attempts    atomic.Int64   // attempts that were sent
+	serial      atomic.Int64   // number in the last request's ID
 	running     sync.WaitGroup // the requests in progress
 }
 
-// New returns a client for the agent with an index. It is down until Start.
+// New returns a client for the agent with the given index. It sends nothing until Start.
 func New(env *Env, index int, sender Sender) *Client {
 	return &Client{env: env, index: index, sender: sender}
 }
 
-// Start starts the client's process: it sends requests from now on.
+// Start starts the client's emulated process: it sends requests from now on.
 func (c *Client) Start() {
 	c.sender.SetReuseOnly(false)
 	c.up.Store(true)
 }
 
-// UseOpenConnectionsOnly has the client go on sending, on the connections that are open.
+// UseOpenConnectionsOnly makes the client send further requests only on connections that are already open.
 func (c *Client) UseOpenConnectionsOnly() { c.sender.SetReuseOnly(true) }
 
-// StopSending has the client send no new requests. Those in progress go on, but are not retried.
+// StopSending makes the client send no new requests. Those in progress continue, but are not retried.
 func (c *Client) StopSending() { c.up.Store(false) }
 
-// Kill ends the client's process. Requests in progress become void.
+// Kill ends the client's emulated process. Requests in progress become void.
 func (c *Client) Kill() {
 	c.up.Store(false)
 	c.incarnation.Add(1)
@@ -93,8 +93,8 @@
 // were sent.
 func (c *Client) Counts() (skipped, attempts int64) { return c.skipped.Load(), c.attempts.Load() }
 
-// Run sends a request at the time of each arrival until the context ends, and returns once all
-// requests that it sent have ended. Requests don't wait for each other.
+// Run sends a request at the time of each arrival until the context ends, and returns once all requests
+// that it sent have ended. Requests do not wait for each other.
 func (c *Client) Run(ctx context.Context, arrivals []Arrival) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -154,10 +154,10 @@
 	c.env.Finished(result)
 }
 
-// maxBackoffDoublings bounds how often the exponential backoff doubles.
+// maxBackoffDoublings bounds the number of doublings in exponential backoff.
 const maxBackoffDoublings = 10
 
-// backoff returns the time from the end of an attempt, counted from 0, to the next one.
+// backoff returns the delay between the end of an attempt, counted from 0, and the next one.
 func (c *Client) backoff(a *Arrival, attempt int, retryAfter time.Duration, rng *rand.Rand) time.Duration {
 	load := c.env.Load
 	if retryAfter > 0 && a.HonorsRetryAfter {
@@ -172,13 +172,13 @@
 	return 0
 }
 
-// sendAttempt sends an attempt, counted from 0, as a request with an ID of its own, and waits for
-// its answer, or until the client cancels it.
+// sendAttempt sends an attempt, counted from 0, as a request with a separate ID, and waits until its answer
+// arrives or the client cancels it.
 func (c *Client) sendAttempt(a *Arrival, class *Class, idempotencyKey string, attempt int, deadline time.Duration) (*check.Request, response) {
 	now := c.env.Clock()
 	timeout := min(a.AttemptTimeout, deadline-now)
 	r := c.newRequest(a, class, idempotencyKey, now, timeout)
-	header := http.Header{headerRequestID: {r.ID}, headerRequestTimeout: {formatTimeout(timeout)}, "User-Agent": {""}} // "" leaves it out
+	header := http.Header{headerRequestID: {r.ID}, headerRequestTimeout: {formatTimeout(timeout)}, "User-Agent": {""}} // "" omits the header
 	if idempotencyKey != "" {
 		header[headerIdempotencyKey] = []string{idempotencyKey}
 	}
@@ -199,10 +199,10 @@
 	return r, response
 }
 
-// keyMultiplier spreads the keys over the paths: neighbouring keys get paths far apart.
+// keyMultiplier spreads the keys over the paths: neighboring keys get paths that are far apart.
 const keyMultiplier = 0x9e3779b97f4a7c15
 
-// newRequest returns the request of one attempt that is sent now.
+// newRequest returns the request for an attempt that is sent now.
 func (c *Client) newRequest(a *Arrival, class *Class, idempotencyKey string, now, timeout time.Duration) *check.Request {
 	r := &check.Request{
 		ID:             c.env.IDPrefix + strconv.Itoa(c.index) + "-" + strconv.FormatInt(c.serial.Add(1), 36),
@@ -224,7 +224,7 @@
 	return r
 }
 
-// formatIdempotencyKey returns an idempotency key of random numbers.
+// formatIdempotencyKey returns an idempotency key that consists of the given random numbers.
 func formatIdempotencyKey(numbers ...uint64) string {
 	var key strings.Builder
 	for _, number := range numbers {
--- a/internal/lab/client/client_test.go
+++ b/internal/lab/client/client_test.go
@@ -55,7 +55,7 @@
 	return response{Answer: check.Answer{Outcome: outcome, Sent: true}}
 }
 
-// runClient sends arrivals through a client and returns how they ended.
+// runClient sends arrivals through a client and returns their results.
 func runClient(t *testing.T, load *Load, sender *scriptedSender, arrivals []Arrival) []Result {
 	t.Helper()
 	epoch := time.Now()
@@ -71,7 +71,7 @@
 	return results
 }
 
-// retryCase is a class of requests, the responses to its attempts, and what the client makes of them.
+// retryCase is a class of requests, the responses to the attempts of a request, and the expected result.
 type retryCase struct {
 	name      string
 	class     Class
@@ -91,10 +91,10 @@
 	return r
 }
 
-// Clients retry where the protocol allows it, each time with a new ID, marked as a retry.
+// Clients retry exactly where the protocol allows it, each time with a new ID and marked as a retry.
 func TestRetriesFollowTheProtocol(t *testing.T) {
 	served, rejected, failed := responseWith(check.Served), responseWith(check.Rejected), responseWith(check.Failed)
-	served.Body = "x" // the checker's tests check bodies
+	served.Body = "x" // the checker's own tests check bodies
 	idempotent, nonIdempotent := Class{Effect: "free"}, Class{Effect: "single_shot"}
 	for _, c := range []retryCase{
 		{"served at once", idempotent, false, []response{served}, 1, check.Served},
@@ -121,38 +121,38 @@
 	s := &scriptedSender{responses: c.responses}
 	results := runClient(t, l, s, []Arrival{{Class: 0, Key: 1, AttemptTimeout: 5 * time.Second, HonorsRetryAfter: c.honors}})
 	if len(results) != 1 || int(results[0].ClientAttempts) != c.attempts || results[0].Outcome != c.outcome {
-		t.Fatalf("%+v, want %d attempts and %v", results, c.attempts, c.outcome)
+		t.Fatalf("results %+v, want one with %d attempts and outcome %v", results, c.attempts, c.outcome)
 	}
 	ids := map[string]bool{}
 	for i, r := range s.requests {
 		ids[r.ID] = true
 		if marked := s.headers[i].Get("Client-Retry") == "1"; marked != (i > 0) {
-			t.Errorf("attempt %d marked %v", i, marked)
+			t.Errorf("attempt %d marked as a retry: %v", i, marked)
 		}
 		if i > 0 && r.IdempotencyKey != s.requests[0].IdempotencyKey {
-			t.Error("a retry has another key")
+			t.Error("a retry has another idempotency key")
 		}
 	}
 	if len(ids) != c.attempts {
-		t.Errorf("%d ids for %d attempts", len(ids), c.attempts)
+		t.Errorf("%d IDs for %d attempts", len(ids), c.attempts)
 	}
 	if c.honors && results[0].Latency < retryDelay {
-		t.Errorf("retried after %v, Retry-After was %v", results[0].Latency, retryDelay)
+		t.Errorf("retried after %v, before the Retry-After of %v", results[0].Latency, retryDelay)
 	}
 }
 
-// Retries end with the deadline of all attempts together.
+// Retries end with the common deadline of all attempts.
 func TestRetriesEndAtTheDeadline(t *testing.T) {
 	l := testLoad()
 	l.Retries, l.Classes[0].Deadline = 1000, 150*time.Millisecond
 	l.Backoff, l.BackoffBase = "fixed", 30*time.Millisecond
 	results := runClient(t, l, &scriptedSender{}, []Arrival{{Class: 0, AttemptTimeout: time.Second}})
 	if results[0].ClientAttempts > 6 || results[0].ClientAttempts < 2 {
-		t.Errorf("%d attempts 30 ms apart within 150 ms", results[0].ClientAttempts)
+		t.Errorf("%d attempts 30 ms apart within 150 ms, want 2 to 6", results[0].ClientAttempts)
 	}
 }
 
-// Slow answers delay no later request, and latency is counted from the planned time.
+// Slow answers do not delay later requests, and latency is measured from the planned time.
 func TestLoadIsAnOpenLoop(t *testing.T) {
 	l := testLoad()
 	l.Classes[0].Deadline = 10 * time.Second
@@ -164,16 +164,16 @@
 	s := &scriptedSender{delay: 300 * time.Millisecond}
 	results := runClient(t, l, s, arrivals)
 	if took := time.Since(began); len(results) != 50 || took > 5*time.Second {
-		t.Errorf("%d requests of 300 ms each took %v: they waited for each other", len(results), took)
+		t.Errorf("%d requests of 300 ms each took %v, want 50 that do not wait for each other", len(results), took)
 	}
 	for _, r := range results {
 		if r.Latency < 300*time.Millisecond {
-			t.Errorf("latency %v of an answer that took 300 ms", r.Latency)
+			t.Errorf("latency %v for an answer that took 300 ms", r.Latency)
 		}
 	}
 }
 
-// A baseline spreads its requests over the ready servers, and chooses none that it has attempted.
+// A baseline spreads its requests over the ready servers, and chooses none that it has already attempted.
 func TestBaselinesChooseReadyServers(t *testing.T) {
 	list := endpoints.List{Endpoints: []endpoints.Endpoint{
 		{Name: "0", Dial: "0", Health: endpoints.Ready},
@@ -193,19 +193,19 @@
 		}
 		for _, addr := range []string{"0", "1", "2"} {
 			if count[addr] < 140 || count[addr] > 260 || count["3"] > 0 {
-				t.Errorf("%s: spread %v", name, count)
+				t.Errorf("%s: uneven spread %v", name, count)
 				break
 			}
 		}
 		if addr, _ := b.choose(map[string]bool{"0": true, "1": true}); addr != "2" {
-			t.Errorf("%s: chose %q of the one that is left", name, addr)
+			t.Errorf("%s: chose %q, want the one server that is left", name, addr)
 		}
 	}
 }
 
-// NewBaseline refuses a policy that is not one of Policies.
+// NewBaseline rejects a policy that is not one of Policies.
 func TestUnknownPolicyIsRefused(t *testing.T) {
 	if _, err := NewBaseline(&Baseline{Policy: "best"}, 1); !errors.Is(err, ErrUnknownPolicy) {
-		t.Errorf("an unknown policy: %v", err)
+		t.Errorf("unknown policy: %v, want ErrUnknownPolicy", err)
 	}
 }
--- a/internal/lab/client/load.go
+++ b/internal/lab/client/load.go
@@ -1,5 +1,5 @@
-// Package client emulates the applications that call the agents. Their requests are an open loop:
-// they are drawn ahead from the seed, and never wait for answers to earlier ones.
+// Package client emulates the applications that call the agents. Their requests form an open loop: they
+// are drawn from the seed in advance, and never wait for answers to earlier requests.
 //
 // Each client owns one goroutine for each request in progress. Client.Run, which its caller runs in
 // another goroutine, ends after them. The mutexes of Baseline and Pool each guard the fields below
@@ -19,7 +19,7 @@
 	EffectNonIdempotent = "single_shot" // must not be executed twice
 )
 
-// GroupAll is the group of classes whose repeats all servers drop.
+// GroupAll is the group of classes whose repeats are dropped by all servers.
 const GroupAll = "all"
 
 // The distributions of a class's work, as experiment files name them. Any other is exponential.
@@ -34,19 +34,19 @@
 	backoffExponential = "exp"
 )
 
-// Class is one class of requests.
+// Class is a class of requests.
 type Class struct {
 	Name           string        `koanf:"name"`
 	Share          float64       `koanf:"share"`   // of the requests, relative to that of the other classes
 	Work           float64       `koanf:"work"`    // mean, in standard-core ms
 	Distribution   string        `koanf:"dist"`    // of the work: "exp", "fixed" or "lognormal"
 	WorkCV         float64       `koanf:"cv"`      // coefficient of variation, of lognormal work
-	TargetLatency  time.Duration `koanf:"aim"`     // within which a request counts as served in time
-	Deadline       time.Duration `koanf:"give_up"` // of a request with its retries
+	TargetLatency  time.Duration `koanf:"aim"`     // latency within which a request counts as served in time
+	Deadline       time.Duration `koanf:"give_up"` // of a request including its retries
 	PriorityWeight float64       `koanf:"worth"`
-	Effect         string        `koanf:"effect"`  // one of the effects
-	Group          string        `koanf:"group"`   // within which repeats are dropped: "all", "zone" or "cell"
-	DedupWindow    time.Duration `koanf:"key_ttl"` // in which repeats are dropped
+	Effect         string        `koanf:"effect"`  // one of the Effect constants
+	Group          string        `koanf:"group"`   // servers within which repeats are dropped: "all", "zone" or "cell"
+	DedupWindow    time.Duration `koanf:"key_ttl"` // time in which repeats are dropped
 }
 
 // mayRepeat reports whether a request of the class may be sent again, to any server, after it may
@@ -66,30 +66,30 @@
 	return c.mayRepeat()
 }
 
-// Load is what the clients of a fleet send, and how they retry.
+// Load describes the requests of a fleet's clients, and how they retry.
 type Load struct {
 	Rate                 float64       `koanf:"rate"`     // requests per second of all clients together, without retries
-	AgentCV              float64       `koanf:"agent_cv"` // coefficient of variation of the agents' parts of it
+	AgentCV              float64       `koanf:"agent_cv"` // coefficient of variation of the agents' shares of the rate
 	Keys                 int           `koanf:"keys"`     // number of different keys; 0: requests have none
 	Zipf                 float64       `koanf:"zipf"`     // exponent of the keys' popularity
-	Retries              int           `koanf:"retries"`  // at most, for each request
+	Retries              int           `koanf:"retries"`  // maximum for each request
 	Backoff              string        `koanf:"backoff"`  // "none", "fixed" or "exp"
 	BackoffBase          time.Duration `koanf:"backoff_by"`
 	HonorRetryAfterShare float64       `koanf:"honour"`    // share of the requests whose client honors Retry-After
 	AttemptTimeoutShare  []float64     `koanf:"try_share"` // from and to: the timeout of an attempt as a share of the deadline
 	EarlyCancelShare     float64       `koanf:"impatient"` // share of the requests that are canceled early
-	BodyBytes            int           `koanf:"body"`      // of a request that has a body
+	BodyBytes            int           `koanf:"body"`      // size of a request body, if there is one
 	Classes              []Class       `koanf:"class"`
 }
 
-// LoadChange is a span of time in which the load differs.
+// LoadChange is a change of the load for a span of time.
 type LoadChange struct {
-	From, To   time.Duration // To is not part of it
-	Factor     float64       // of the rate; 0: unchanged
-	RampTime   time.Duration // in which the rate rises to Factor, and in which it falls back before To
-	Class      string        // whose requests may be heavy; "": all classes
+	From, To   time.Duration // To is exclusive
+	Factor     float64       // factor of the rate; 0: unchanged
+	RampTime   time.Duration // time in which the rate rises to Factor after From, and falls back before To
+	Class      string        // class whose requests may be heavy; "": all classes
 	HeavyShare float64       // share of these requests that are heavy
-	WorkFactor float64       // of the work of a heavy request
+	WorkFactor float64       // factor of the work of a heavy request
 }
 
 // rateFactor returns the factor of the rate at a time.
@@ -107,7 +107,7 @@
 // contains reports whether the change applies at a time.
 func (c *LoadChange) contains(at time.Duration) bool { return at >= c.From && at < c.To }
 
-// mayBeHeavy reports whether a request of a class at a time may be heavy.
+// mayBeHeavy reports whether a request of the class at the given time may be heavy.
 func (c *LoadChange) mayBeHeavy(class *Class, at time.Duration) bool {
 	return c.HeavyShare > 0 && c.contains(at) && (c.Class == "" || c.Class == class.Name)
 }
--- a/internal/lab/client/pipeline.go
+++ b/internal/lab/client/pipeline.go
@@ -13,16 +13,17 @@
 	"knotrouter/internal/lab/check"
 )
 
-// Pipeline describes how a client uses one connection of its own beside its regular ones.
+// Pipeline describes requests that a client sends on one separate connection, beside its regular ones,
+// without waiting for answers.
 type Pipeline struct {
 	Arrivals []Arrival
-	// SplitPause is the pause in the middle of the bytes; 0: they are written at once.
+	// SplitPause is the pause in the middle of the bytes; 0: all bytes are written at once.
 	SplitPause time.Duration
 }
 
-// SendPipelined sends all requests on one new connection before it reads the first answer, and records
-// how each ended. A request whose connection ends before its answer, and of which no server received
-// anything, was not begun: that is void, as its client may send it again.
+// SendPipelined sends all requests on one new connection before it reads the first answer, and records the
+// outcome of each. If the connection ends before a request's answer, and no server received anything of
+// the request, its execution has not begun: the outcome is void, because its client may send it again.
 func (c *Client) SendPipelined(pipeline Pipeline) {
 	agent, ok := c.sender.(*AgentSender)
 	if !ok {
@@ -48,8 +49,7 @@
 	c.readPipelined(bufio.NewReader(conn), requests, sent)
 }
 
-// newPipelinedRequest adds a request to the checker, and its bytes to text. Its time begins after the
-// pause.
+// newPipelinedRequest adds a request to the checker, and its bytes to text. Its time begins after the pause.
 func (c *Client) newPipelinedRequest(a *Arrival, pause time.Duration, text *bytes.Buffer) *check.Request {
 	class := &c.env.Load.Classes[a.Class]
 	key := ""
@@ -67,7 +67,8 @@
 	return r
 }
 
-// writeInTwo writes a text in two parts with a pause between them. It reports whether all was written.
+// writeInTwo writes a text in two parts with a pause between them. It reports whether all of it was
+// written.
 func writeInTwo(w io.Writer, text []byte, pause time.Duration) bool {
 	half := len(text)
 	if pause > 0 {
@@ -81,17 +82,17 @@
 	return err == nil
 }
 
-// streamState is whether more answers can come on a connection.
+// streamState tells whether more answers can arrive on a connection.
 type streamState uint8
 
 // The states of a stream.
 const (
 	streamOpen     streamState = iota
-	streamEnded                // the agent has ended it, or announced that it ends
-	streamTimedOut             // nothing came until the deadline
+	streamEnded                // the agent has ended the stream, or announced its end
+	streamTimedOut             // nothing arrived until the deadline
 )
 
-// readPipelined reads the answers to requests in order, and records how each ended.
+// readPipelined reads the answers to requests in order, and records the outcome of each request.
 func (c *Client) readPipelined(r *bufio.Reader, requests []*check.Request, sent bool) {
 	state := streamOpen
 	for i, request := range requests {
@@ -131,7 +132,7 @@
 	return streamOpen
 }
 
-// streamStateAfter returns the state of a stream after an error of a read.
+// streamStateAfter returns the state of a stream after a read error.
 func streamStateAfter(err error) streamState {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return streamTimedOut
@@ -139,8 +140,8 @@
 	return streamEnded
 }
 
-// HoldConnections opens connections to the agent, writes the text on each, and keeps them until the
-// agent ends them or done is closed. It returns how many could be opened.
+// HoldConnections opens connections to the agent, writes the text on each, and closes them when done is
+// closed. It returns how many could be opened.
 func (c *Client) HoldConnections(count int, text string, done <-chan struct{}) (opened int) {
 	agent, ok := c.sender.(*AgentSender)
 	if !ok {
--- a/internal/lab/client/pool.go
+++ b/internal/lab/client/pool.go
@@ -14,8 +14,8 @@
 // maxIdleConnections bounds the idle connections that a pool keeps open.
 const maxIdleConnections = 64
 
-// errNoIdleConnection is the error of a pool that may open no connection and has no idle one.
-var errNoIdleConnection = errors.New("no open connection is idle")
+// errNoIdleConnection is the error of a pool that must not open connections and has no idle one.
+var errNoIdleConnection = errors.New("no idle connection")
 
 // Pool keeps the connections to one address, with one request at a time on each. The zero value
 // is empty and ready to use. It is safe for concurrent use.
@@ -23,18 +23,18 @@
 	all loopback.ConnSet // the open connections, idle or not
 
 	mu        sync.Mutex
-	idle      []*pooledConn // the one that was used last is last
+	idle      []*pooledConn // the most recently used one is last
 	opened    int64
-	reuseOnly bool // no connection may be opened
+	reuseOnly bool // no new connection may be opened
 }
 
 type pooledConn struct {
 	net.Conn
 	reader *bufio.Reader
-	used   bool // a request was sent on it
+	used   bool // a request was sent on the connection
 }
 
-// OpenedConnections returns how many connections the pool has tried to open, those included that failed.
+// OpenedConnections returns how many connections the pool has tried to open, including failed attempts.
 func (p *Pool) OpenedConnections() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,9 +56,9 @@
 	p.reuseOnly = reuseOnly
 }
 
-// get returns an idle connection, or a new one if there is none or forceNew is set. It fails if a
-// new one can't be opened by the deadline and within connectTimeout, or may not be opened. surplus
-// says that it closed an idle connection on which bytes had come that no request asked for.
+// get returns an idle connection, or a new one if there is none or forceNew is set. It fails if a new one
+// can't be opened by the deadline and within connectTimeout, or must not be opened. extraBytes reports
+// that it closed an idle connection which had received bytes that no request asked for.
 func (p *Pool) get(addr string, deadline time.Time, connectTimeout time.Duration, forceNew bool) (conn *pooledConn, extraBytes bool, err error) {
 	for !forceNew {
 		idle := p.takeIdle()
@@ -75,7 +75,7 @@
 	return conn, extraBytes, err
 }
 
-// takeIdle takes the idle connection that was used last, or returns nil if there is none.
+// takeIdle takes the most recently used idle connection, or returns nil if there is none.
 func (p *Pool) takeIdle() *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +88,7 @@
 	return conn
 }
 
-// open opens a connection, with the errors of get.
+// open opens a connection. It returns the errors that get returns.
 func (p *Pool) open(addr string, deadline time.Time, connectTimeout time.Duration) (*pooledConn, error) {
 	p.mu.Lock()
 	if p.reuseOnly {
@@ -105,7 +105,7 @@
 	return &pooledConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// hasUnreadBytes reports whether bytes have come on an idle connection. An end of the stream is none.
+// hasUnreadBytes reports whether an idle connection has received bytes. EOF does not count.
 func (c *pooledConn) hasUnreadBytes() bool {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/lab/client/surplus_test.go
+++ b/internal/lab/client/surplus_test.go
@@ -19,7 +19,7 @@
 	rejectedAnswer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 )
 
-// extraAnswerTest is a checker of one idempotent class, and what a client needs beside it.
+// extraAnswerTest is a checker with one idempotent class, and the clock that its clients share.
 type extraAnswerTest struct {
 	clock   check.Clock
 	epoch   time.Time
@@ -41,8 +41,8 @@
 	return r
 }
 
-// requireExtraAnswerBreach fails the test unless the checker has recorded that an agent answered more often
-// than it was asked.
+// requireExtraAnswerBreach fails the test unless the checker has recorded that an agent sent more answers
+// than it received requests.
 func (s *extraAnswerTest) requireExtraAnswerBreach(t *testing.T) {
 	t.Helper()
 	breaches, _ := s.checker.Breaches()
@@ -54,21 +54,21 @@
 	t.Errorf("breaches %+v, want one for more than one answer", breaches)
 }
 
-// awaitBytes waits until bytes have come on the idle connection of a pool.
+// awaitBytes waits until bytes have arrived on the idle connection of a pool.
 func awaitBytes(t *testing.T, p *Pool) {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for deadline := time.Now().Add(10 * time.Second); !p.idle[0].hasUnreadBytes(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the second answer did not come")
+			t.Fatal("the second answer did not arrive")
 		}
 	}
 }
 
-// A second answer that an agent sends some milliseconds after the first is not the answer to the client's
-// next request, and it is a breach: the lab would count a request as rejected that the agent failed, and
-// would find nothing wrong with the agent.
+// A second answer that an agent sends some milliseconds after the first is not taken for the answer to the
+// client's next request, and it is a breach. Otherwise the lab would count a request that the agent failed
+// as rejected, and would find no fault in the agent.
 func TestLateSecondAnswerOfAgentIsABreach(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -103,7 +103,7 @@
 		r := s.newRequest(id)
 		response := agent.send(r, http.Header{headerRequestID: {id}}, s.epoch.Add(time.Minute))
 		if s.checker.RecordAnswer(r, response.Answer) != check.Failed {
-			t.Errorf("request %s ended %v, its answer says failed", id, response.Outcome)
+			t.Errorf("request %s: outcome %v, want the failed one of its answer", id, response.Outcome)
 		}
 		if id == "1" {
 			awaitBytes(t, &agent.pool)
@@ -112,8 +112,8 @@
 	s.requireExtraAnswerBreach(t)
 }
 
-// An answer behind that to the last request of a connection is a breach: with it, the last request's own
-// answer may be the one that was not read.
+// An answer after that to the last request of a connection is a breach: it may mean that the last request's
+// answer was not the one that was read.
 func TestExtraAnswerToPipelinedRequestsIsABreach(t *testing.T) {
 	s := newExtraAnswerTest()
 	c := New(&Env{Clock: s.clock, Epoch: s.epoch, Checker: s.checker}, 0, &AgentSender{Clock: s.clock})
--- a/internal/lab/link/direction.go
+++ b/internal/lab/link/direction.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Shape is what one direction of a link does to the data that it carries. The zero value carries
-// everything at once.
+// Shape describes how one direction of a link impairs its traffic. The zero value forwards everything
+// without delay.
 type Shape struct {
 	Cut                  bool          // nothing arrives; streams queue their data until the cut ends, datagrams are dropped
-	Delay                time.Duration // from receiving data to passing it on
-	Jitter               time.Duration // bound of a random addition to Delay, drawn for each piece of data
+	Delay                time.Duration // from receiving data to forwarding it
+	Jitter               time.Duration // upper bound of a random addition to Delay, drawn for each chunk or datagram
 	Rate                 float64       // bytes per second; 0: unlimited
 	ResetAfter           int64         // bytes after which a connection is reset; 0: never
-	LossProbability      float64       // share of the datagrams that are dropped; streams lose nothing
-	DuplicateProbability float64       // share of the datagrams that arrive twice
+	LossProbability      float64       // probability that a datagram is dropped; streams lose nothing
+	DuplicateProbability float64       // probability that a datagram arrives twice
 }
 
-// isDelaying reports whether data takes time to arrive.
+// isDelaying reports whether the shape delays data.
 func (shape *Shape) isDelaying() bool {
 	return shape.Delay > 0 || shape.Jitter > 0 || shape.Rate > 0
 }
 
-// directionStream is the stream of the random source that a direction draws from.
+// directionStream is the second seed word of a direction's random source.
 const directionStream = 5
 
 // direction is one direction of a link. It is safe for concurrent use.
@@ -34,7 +34,7 @@
 	mu        sync.Mutex
 	cutEnded  chan struct{} // closed while the direction isn't cut
 	rng       *rand.Rand
-	busyUntil time.Time // when what was accepted before is sent, at the direction's rate
+	busyUntil time.Time // when the data accepted so far will have been sent at Shape.Rate
 }
 
 func newDirection(seed uint64) *direction {
@@ -44,7 +44,7 @@
 	return d
 }
 
-// setShape replaces the shape. Data that is delayed already keeps its time of arrival.
+// setShape replaces the shape. Data that is already delayed keeps its arrival time.
 func (d *direction) setShape(shape Shape) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -57,8 +57,8 @@
 	}
 }
 
-// arrivalTime returns when data of a size in bytes that is received now arrives, and reserves the
-// time that its sending takes.
+// arrivalTime returns when data of size bytes that is received now arrives, and reserves its transmission
+// time at Shape.Rate.
 func (d *direction) arrivalTime(size int) time.Time {
 	shape := d.shape.Load()
 	at := time.Now()
@@ -81,14 +81,14 @@
 	return at
 }
 
-// uncut returns a channel that is closed once the direction isn't cut.
+// uncut returns a channel that is closed once the direction is not cut.
 func (d *direction) uncut() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.cutEnded
 }
 
-// randomBool draws a truth value that is true with a probability.
+// randomBool returns true with the given probability.
 func (d *direction) randomBool(probability float64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -1,11 +1,11 @@
-// Package link is the network between two processes of an experiment: relays for TCP connections
-// and for UDP datagrams, whose two directions can each be cut, delayed, slowed down or made lossy.
-// A process reaches another one by the relay's address instead of the other's own.
+// Package link emulates the network between two processes of an experiment with relays for TCP
+// connections and UDP datagrams. Each direction of a relay can be cut, delayed, limited in rate or made
+// lossy. A process connects to the relay's address instead of the other process's own address.
 //
-// A Link owns the goroutines of its listener, one for each connection, and four that carry the
-// connection's data; a UDP relay owns one that receives, and one for each sender that carries
-// answers. Close ends them. It doesn't wait for the timers of delayed datagrams, which send nothing
-// after Close. Link.mu is held while the listener changes its state; no goroutine holds two of
+// A Link owns the goroutines of its listener, one goroutine for each connection, and four that relay
+// the connection's data. A UDP relay owns one goroutine that receives datagrams, and one for each sender
+// that relays answers. Close ends them. It doesn't wait for the timers of delayed datagrams, which send
+// nothing after Close. Link.mu is held while the listener changes its state; no goroutine holds two of
 // Link.mu, UDP.mu and a direction's mutex.
 package link
 
@@ -19,20 +19,20 @@
 	"knotrouter/internal/lab/loopback"
 )
 
-// Availability is how new connections are treated.
+// Availability determines how new connections are handled.
 type Availability uint8
 
 // The values of Availability.
 const (
-	Open         Availability = iota // they are accepted
-	Refused                          // they are refused, as by a machine whose process has died
-	Unresponsive                     // they get no answer, as from a machine that is cut off
+	Open         Availability = iota // accepted
+	Refused                          // refused, as after the target's process has died
+	Unresponsive                     // not answered, as by a machine that is cut off
 )
 
 // dialTimeout bounds opening a connection to the target.
 const dialTimeout = 5 * time.Second
 
-// Counters count what a link carried. They only rise.
+// Counters count the traffic of a link. They only increase.
 type Counters struct {
 	Connections atomic.Int64
 	Bytes       atomic.Int64 // of connections
@@ -50,17 +50,17 @@
 	reverse  *direction
 	conns    loopback.ConnSet
 	closed   chan struct{} // closed by Close
-	once     sync.Once     // of closing it
+	once     sync.Once     // guards the closing of closed
 
 	mu                 sync.Mutex
-	linkAvailability   Availability // by the link's own faults
+	linkAvailability   Availability // set by the link's own faults
 	targetAvailability Availability
 	isShaped           bool      // a direction has a shape other than the zero value
-	shapedAt           time.Time // of the latest Set
+	shapedAt           time.Time // time of the latest Set
 }
 
 // New returns a link that listens at addr, where port 0 takes a free one, and relays connections to
-// target. The directions draw from the seed. The caller has to Close it.
+// target. seed seeds the random sources of the directions. The caller has to Close the link.
 func New(addr, target string, seed uint64) (*Link, error) {
 	l := &Link{target: target, forward: newDirection(seed), reverse: newDirection(seed + 1), closed: make(chan struct{})}
 	listener, err := loopback.Listen(addr, l.serve)
@@ -82,17 +82,17 @@
 	l.listener.Wait()
 }
 
-// UnshapedFor reports whether neither direction has had a shape for at least a time. Refuse is no
-// shape.
+// UnshapedFor reports whether both directions have been without a shape for at least d. A Refuse does
+// not count as a shape.
 func (l *Link) UnshapedFor(d time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.isShaped && time.Since(l.shapedAt) >= d
 }
 
-// Set shapes the two directions and ends Refuse. While a direction is cut, new connections get no
-// answer, because opening one needs both directions. It returns an error if the listener can't be
-// brought into that state.
+// Set sets the shapes of the two directions and ends a Refuse. While a direction is cut, new connections
+// get no answer, because opening one needs both directions. It returns an error if the listener can't
+// be brought into that state.
 func (l *Link) Set(forward, reverse Shape) error {
 	l.forward.setShape(forward)
 	l.reverse.setShape(reverse)
@@ -113,9 +113,9 @@
 	return err
 }
 
-// SetTargetAvailability has the link treat new connections as its target does: a relay that
-// accepted connections which the target refuses would make a failed connect look like a reset. With
-// Refused it resets all connections.
+// SetTargetAvailability makes the link handle new connections as its target does: a relay that accepted
+// connections which the target refuses would make a failed connect look like a reset. With Refused it
+// resets all connections.
 func (l *Link) SetTargetAvailability(availability Availability) error {
 	err := l.setAvailability(&l.targetAvailability, availability)
 	if availability == Refused {
@@ -124,8 +124,8 @@
 	return err
 }
 
-// setAvailability sets one of the link's two availabilities, and brings the listener into the state
-// that both together need: Refused is stronger than Silent, and Silent than Open.
+// setAvailability sets one of the link's two availabilities and updates the listener: Refused takes
+// precedence over Unresponsive, and Unresponsive over Open.
 func (l *Link) setAvailability(which *Availability, availability Availability) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,7 +135,7 @@
 		l.listener.Refuse()
 		return nil
 	case l.linkAvailability == Unresponsive || l.targetAvailability == Unresponsive:
-		if err := l.listener.Open(); err != nil { // only an open listener can be silenced
+		if err := l.listener.Open(); err != nil { // StopAnswering needs an open listener
 			return err
 		}
 		return l.listener.StopAnswering()
@@ -154,7 +154,7 @@
 	l.conns.Add(client)
 	l.conns.Add(target)
 	select {
-	case <-l.closed: // Close may have reset all connections before these two were among them
+	case <-l.closed: // Close may have reset all connections before these two were added
 		loopback.Reset(client)
 		loopback.Reset(target)
 	default:
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -19,14 +19,14 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	// waitTimeout bounds every wait for something that should come.
+	// waitTimeout bounds every wait for an expected event.
 	waitTimeout = 20 * time.Second
-	// noDataTimeout is how long a test waits for something that should not come.
+	// noDataTimeout is how long a test waits for an event that should not occur.
 	noDataTimeout = 150 * time.Millisecond
 )
 
-// startIncrementServer starts a server that answers each byte with the next higher one. It returns
-// its address.
+// startIncrementServer starts a server that answers each byte with the byte plus 1. It returns its
+// address.
 func startIncrementServer(t *testing.T) string {
 	t.Helper()
 	var open loopback.ConnSet
@@ -76,7 +76,7 @@
 	return c
 }
 
-// exchange sends one byte and returns the byte that comes back within a time.
+// exchange sends one byte and returns the byte received in answer within a time.
 func exchange(t *testing.T, c net.Conn, b byte, within time.Duration) (byte, error) {
 	t.Helper()
 	if _, err := c.Write([]byte{b}); err != nil {
@@ -85,7 +85,7 @@
 	return readByte(c, within)
 }
 
-// readByte returns the next byte that comes within a time.
+// readByte returns the next byte received within a time.
 func readByte(c net.Conn, within time.Duration) (byte, error) {
 	_ = c.SetReadDeadline(time.Now().Add(within))
 	var received [1]byte
@@ -93,7 +93,7 @@
 	return received[0], err
 }
 
-// set shapes the directions of a link.
+// set sets the shapes of a link's directions.
 func set(t *testing.T, l *Link, forward, reverse Shape) {
 	t.Helper()
 	if err := l.Set(forward, reverse); err != nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// expectIncrement sends a byte and fails the test unless the next higher one comes back.
+// expectIncrement sends a byte and fails the test unless the byte plus 1 comes back.
 func expectIncrement(t *testing.T, what string, c net.Conn, b byte) {
 	t.Helper()
 	if got, err := exchange(t, c, b, waitTimeout); err != nil || got != b+1 {
@@ -109,8 +109,8 @@
 	}
 }
 
-// While a direction is cut, nothing comes along it and no new connection is accepted. What was sent
-// during the cut arrives after it.
+// While a direction is cut, it delivers no data and no new connection is accepted. Data sent during the
+// cut arrives after it.
 func TestCutDelaysDataAndBlocksConnections(t *testing.T) {
 	cut := Shape{Cut: true}
 	for name, shapes := range map[string][2]Shape{"forward": {cut, {}}, "back": {{}, cut}, "both": {cut, cut}} {
@@ -119,22 +119,22 @@
 			expectIncrement(t, "before", c, 1)
 			set(t, l, shapes[0], shapes[1])
 			if got, err := exchange(t, c, 10, noDataTimeout); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Fatalf("through a cut link: %d and %v", got, err)
+				t.Fatalf("received %d and %v through a cut link", got, err)
 			}
 			if c, err := net.DialTimeout("tcp", l.Addr(), noDataTimeout); err == nil {
 				c.Close()
-				t.Fatal("a connection came up over a cut link")
+				t.Fatal("a connection was opened over a cut link")
 			}
 			if l.UnshapedFor(0) {
-				t.Error("a cut link counts as clear")
+				t.Error("a cut link counts as unshaped")
 			}
 			set(t, l, Shape{}, Shape{})
 			if got, err := readByte(c, waitTimeout); err != nil || got != 11 {
-				t.Fatalf("after the cut: %d and %v, want what was sent in it", got, err)
+				t.Fatalf("after the cut: received %d and %v, want the data sent during it", got, err)
 			}
 			expectIncrement(t, "a new one after", dial(t, l), 3)
 			if !l.UnshapedFor(0) || l.UnshapedFor(time.Hour) {
-				t.Error("a link is clear from the end of its cut on, and was not before")
+				t.Error("after a cut, the link must count as unshaped only since the end of the cut")
 			}
 		})
 	}
@@ -149,10 +149,10 @@
 		t.Fatal(err)
 	}
 	if _, err := readByte(c, waitTimeout); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, io.EOF) {
-		t.Fatalf("an open connection over a refused link: %v", err)
+		t.Fatalf("read on an open connection over a refused link: %v, want a reset or EOF", err)
 	}
 	if _, err := net.DialTimeout("tcp", l.Addr(), waitTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Fatalf("a new connection over a refused link: %v", err)
+		t.Fatalf("dialing over a refused link: %v, want ECONNREFUSED", err)
 	}
 	set(t, l, Shape{}, Shape{})
 	c = dial(t, l)
@@ -162,14 +162,14 @@
 	expectIncrement(t, "first byte", c, 7)
 	_, _ = c.Write(bytes.Repeat([]byte{1}, 8))
 	if _, err := io.ReadAll(c); err == nil {
-		t.Fatal("the connection outlived its bytes without an error")
+		t.Fatal("the connection was not reset after ResetAfter bytes")
 	}
 	if l.Resets.Load() == 0 {
 		t.Error("no reset counted")
 	}
 }
 
-// A link refuses connections as its target does, and a fault of the link remains when the target is
+// A link refuses connections as its target does, and a fault of the link persists when the target is
 // available again.
 func TestLinkFollowsTargetAvailability(t *testing.T) {
 	l, c := newConnectedLink(t)
@@ -177,7 +177,7 @@
 	expectRefused := func(what string) {
 		t.Helper()
 		if c, err := net.DialTimeout("tcp", l.Addr(), waitTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Fatalf("%s: %v and %v", what, c, err)
+			t.Fatalf("%s: dialed %v with error %v, want ECONNREFUSED", what, c, err)
 		}
 	}
 	if err := l.SetTargetAvailability(Refused); err != nil {
@@ -191,13 +191,13 @@
 	}
 	if c, err := net.DialTimeout("tcp", l.Addr(), noDataTimeout); err == nil {
 		c.Close()
-		t.Fatal("a connection came up over a cut link")
+		t.Fatal("a connection was opened over a cut link")
 	}
 	set(t, l, Shape{}, Shape{})
 	expectIncrement(t, "after", dial(t, l), 9)
 }
 
-// A delay of a byte does not add to that of the bytes behind it; a rate bounds the bytes a second.
+// Delays of successive bytes do not add up, and a rate bounds the bytes per second.
 func TestDelayAndRate(t *testing.T) {
 	l, c := newConnectedLink(t)
 	const delay = 100 * time.Millisecond
@@ -217,7 +217,7 @@
 		}
 	}
 	if took := time.Since(began); took > 20*delay {
-		t.Errorf("twenty bytes took %v: each waited for the one before", took)
+		t.Errorf("twenty bytes took %v: their delays added up", took)
 	}
 	set(t, l, Shape{Rate: 10_000}, Shape{})
 	began = time.Now()
@@ -233,8 +233,8 @@
 	}
 }
 
-// Close ends connections that come up while it runs, and waits for them: TestMain finds a goroutine
-// that is left.
+// Close ends connections that are opened while it runs, and waits for them: the leak check in TestMain
+// finds any goroutine that is left.
 func TestCloseEndsConnectionsOpenedMeanwhile(t *testing.T) {
 	target := startIncrementServer(t)
 	for range 100 {
--- a/internal/lab/link/stream.go
+++ b/internal/lab/link/stream.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// chunkBytes bounds the bytes that are carried at once.
+	// chunkBytes bounds the bytes that are relayed in one piece.
 	chunkBytes = 16 << 10
-	// maxQueuedChunks bounds the chunks that wait in one direction of a connection. The sender of
-	// more is blocked, as by a full window.
+	// maxQueuedChunks bounds the chunks that wait in one direction of a connection. When the queue is
+	// full, the sender is blocked, as by a full TCP window.
 	maxQueuedChunks = 64
 )
 
-// chunk is data on its way through one direction of a connection.
+// chunk is data in transit in one direction of a connection.
 type chunk struct {
 	data      []byte
 	arrivesAt time.Time
-	err       error // that ended the source after the data; nil: none yet
+	err       error // the read error that ended the source after the data; nil: none yet
 }
 
 var chunkBuffers = sync.Pool{New: func() any { b := make([]byte, chunkBytes); return &b }}
 
-// relayStream carries one direction of a connection until it ends. Reading and writing are separate
+// relayStream relays one direction of a connection until it ends. Reading and writing are separate
 // goroutines, so that the delay of a chunk does not add to that of the chunks behind it.
 func (l *Link) relayStream(from, to net.Conn, d *direction) {
 	queue := make(chan chunk, maxQueuedChunks)
@@ -36,11 +36,12 @@
 	reader.Go(func() { readChunks(from, d, queue, writerDone) })
 	l.writeChunks(from, to, d, queue)
 	close(writerDone)
-	_ = from.SetReadDeadline(time.Now()) // nothing that is still to be read can be passed on
+	_ = from.SetReadDeadline(time.Now()) // ends the reader: no further data can be forwarded
 	reader.Wait()
 }
 
-// readChunks queues what comes from a connection until that ends or the writer is done.
+// readChunks queues the data that arrives on a connection until the connection ends or the writer is
+// done.
 func readChunks(from net.Conn, d *direction, queue chan<- chunk, writerDone <-chan struct{}) {
 	for {
 		buffer := *chunkBuffers.Get().(*[]byte)
@@ -57,7 +58,7 @@
 	}
 }
 
-// writeChunks writes the queued chunks, each at its time, until the source or the link ends, or a
+// writeChunks writes each queued chunk at its arrival time, until the source or the link ends, or a
 // connection breaks.
 func (l *Link) writeChunks(from, to net.Conn, d *direction, queue <-chan chunk) {
 	var carried int64
@@ -90,8 +91,8 @@
 	}
 }
 
-// awaitArrival waits until a time, and until the direction isn't cut. It returns false if the link
-// is closed before.
+// awaitArrival waits until the given time, and then until the direction isn't cut. It returns false if
+// the link is closed first.
 func (l *Link) awaitArrival(at time.Time, d *direction, timer *time.Timer) bool {
 	if wait := time.Until(at); wait > 0 {
 		timer.Reset(wait)
@@ -109,8 +110,8 @@
 	}
 }
 
-// propagateEnd ends the writing half of a connection if its source ended in order; the other half may
-// go on. A source that broke breaks the connection.
+// propagateEnd closes the write side of a connection if its source ended with EOF; the other direction
+// may continue. After any other error of the source it resets the connection.
 func propagateEnd(to net.Conn, sourceErr error) {
 	if !errors.Is(sourceErr, io.EOF) {
 		loopback.Reset(to)
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -12,19 +12,19 @@
 	// maxDelayedDatagrams bounds the datagrams that a relay delays at once. More are dropped and counted,
 	// as by a full queue.
 	maxDelayedDatagrams = 4096
-	// maxSenders bounds the senders that a relay tells apart. For a new one it drops the sender from
-	// which no datagram has come for the longest time.
+	// maxSenders bounds the senders that a relay keeps a socket for. A new sender beyond the bound
+	// replaces the one from which no datagram has come for the longest time.
 	maxSenders = 256
 	// maxDatagramBytes bounds a datagram.
 	maxDatagramBytes = 64 << 10
 )
 
-// UDP relays datagrams to a target. The target sees each sender at an address of the sender's own,
-// to which it can answer. It is safe for concurrent use.
+// UDP relays datagrams to a target. The target sees each sender at a separate address, to which it can
+// answer. It is safe for concurrent use.
 type UDP struct {
 	Counters
 	target     *net.UDPAddr
-	conn       *net.UDPConn // that senders send to
+	conn       *net.UDPConn // receives the senders' datagrams
 	forward    *direction   // to the target
 	reverse    *direction
 	goroutines sync.WaitGroup
@@ -38,12 +38,12 @@
 // sender is a process that sends datagrams to the relay.
 type sender struct {
 	addr         *net.UDPAddr
-	toTarget     *net.UDPConn // that stands for the sender at the target
+	toTarget     *net.UDPConn // whose local address represents the sender at the target
 	lastReceived time.Time    // guarded by UDP.mu
 }
 
 // NewUDP returns a relay that receives datagrams at addr, where port 0 takes a free one, and sends
-// them to target. The directions draw from the seed. The caller has to Close it.
+// them to target. seed seeds the random sources of the directions. The caller has to Close the relay.
 func NewUDP(addr, target string, seed uint64) (*UDP, error) {
 	targetAddr, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
@@ -66,7 +66,7 @@
 // Addr returns the address at which the relay receives in its target's place.
 func (u *UDP) Addr() string { return u.conn.LocalAddr().String() }
 
-// Set shapes the two directions.
+// Set sets the shapes of the two directions.
 func (u *UDP) Set(forward, reverse Shape) {
 	u.forward.setShape(forward)
 	u.reverse.setShape(reverse)
@@ -84,7 +84,7 @@
 	u.goroutines.Wait()
 }
 
-// receive carries the senders' datagrams to the target until Close.
+// receive relays the senders' datagrams to the target until Close.
 func (u *UDP) receive() {
 	defer u.goroutines.Done()
 	buffer := make([]byte, maxDatagramBytes)
@@ -93,7 +93,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // a sender has gone and its machine rejected an answer; other senders go on
+		if err != nil { // a sender has gone and its machine rejected an answer; other senders continue
 			continue
 		}
 		s, err := u.findOrAddSender(from)
@@ -105,7 +105,7 @@
 	}
 }
 
-// findOrAddSender returns the sender with an address, a new one if the address is new.
+// findOrAddSender returns the sender with the address, and adds it if it is new.
 func (u *UDP) findOrAddSender(addr *net.UDPAddr) (*sender, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -144,7 +144,7 @@
 	delete(u.senders, oldest)
 }
 
-// receiveAnswers carries the target's datagrams to one sender until Close, or until the sender is
+// receiveAnswers relays the target's datagrams to one sender until Close, or until the sender is
 // dropped.
 func (u *UDP) receiveAnswers(s *sender) {
 	defer u.goroutines.Done()
@@ -161,7 +161,7 @@
 	}
 }
 
-// relayDatagram takes one datagram along a direction: it drops it, or sends it once or twice.
+// relayDatagram relays one datagram in a direction: it drops it, or sends it once or twice.
 func (u *UDP) relayDatagram(d *direction, data []byte, send func([]byte)) {
 	u.Datagrams.Add(1)
 	shape := d.shape.Load()
@@ -175,8 +175,8 @@
 	}
 }
 
-// sendDelayed sends a datagram at its time of arrival, unless the relay is closed or the direction is
-// cut by then. It doesn't keep data after it has returned.
+// sendDelayed sends a datagram at its arrival time, unless the relay is closed or the direction is cut by
+// then. It doesn't keep data after it has returned.
 func (u *UDP) sendDelayed(d *direction, data []byte, send func([]byte)) {
 	wait := time.Until(d.arrivalTime(len(data)))
 	if wait <= 0 {
--- a/internal/lab/link/udp_test.go
+++ b/internal/lab/link/udp_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// replyPrefix stands before the text in the answers of startReplyServer.
+// replyPrefix precedes the text in the answers of startReplyServer.
 const replyPrefix = "re:"
 
-// startReplyServer starts a UDP server that sends each datagram back with replyPrefix before it. It
+// startReplyServer starts a UDP server that answers each datagram with replyPrefix and its text. It
 // returns its address.
 func startReplyServer(t *testing.T) string {
 	t.Helper()
@@ -44,7 +44,7 @@
 	return u
 }
 
-// dialUDP returns a new sender to a relay.
+// dialUDP returns the socket of a new sender to a relay.
 func dialUDP(t *testing.T, u *UDP) net.Conn {
 	t.Helper()
 	c, err := net.Dial("udp", u.Addr())
@@ -55,7 +55,7 @@
 	return c
 }
 
-// requestReply sends a datagram and returns the one that comes within a time, "" if none does.
+// requestReply sends a datagram and returns the next one received within a time, or "" if none is.
 func requestReply(t *testing.T, c net.Conn, text string, within time.Duration) string {
 	t.Helper()
 	if _, err := c.Write([]byte(text)); err != nil {
@@ -78,8 +78,8 @@
 	}
 }
 
-// Datagrams in a cut or lossy direction are dropped and counted, those of a delayed one are late. The
-// senders are known to the relay before, and are served again after.
+// Datagrams in a cut or lossy direction are dropped and counted, and those in a delayed one arrive late.
+// The senders are known to the relay before the faults and still served afterwards.
 func TestUDPShapes(t *testing.T) {
 	u := newUDPRelay(t)
 	c, other := dialUDP(t, u), dialUDP(t, u)
@@ -106,7 +106,7 @@
 	}
 }
 
-// A relay keeps at most maxSenders senders, and still serves each new one, beside two older ones.
+// A relay keeps at most maxSenders senders, and still serves each new one when the table is full.
 func TestUDPSendersAreBounded(t *testing.T) {
 	u := newUDPRelay(t)
 	for range 2 {
@@ -128,6 +128,6 @@
 	n := len(u.senders)
 	u.mu.Unlock()
 	if n > maxSenders {
-		t.Errorf("%d senders are kept, at most %d", n, maxSenders)
+		t.Errorf("the relay keeps %d senders, want at most %d", n, maxSenders)
 	}
 }
--- a/internal/lab/loopback/conns.go
+++ b/internal/lab/loopback/conns.go
@@ -5,12 +5,12 @@
 	"sync"
 )
 
-// SharedListener is a net.Listener of the connections that several Listeners accept, so that one http.Server
-// serves them all. It is safe for concurrent use.
+// SharedListener is a net.Listener that returns the connections accepted by several Listeners, so that
+// one http.Server serves them all. It is safe for concurrent use.
 type SharedListener struct {
 	accepted chan net.Conn
 	closed   chan struct{}
-	once     sync.Once // of closing closed
+	once     sync.Once // guards the closing of closed
 }
 
 // NewSharedListener returns a listener without connections.
@@ -18,7 +18,7 @@
 	return &SharedListener{accepted: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// Deliver hands over a connection and returns once Accept has taken it. After Close it resets the
+// Deliver passes on a connection and returns once Accept has returned it. After Close it resets the
 // connection.
 func (c *SharedListener) Deliver(conn net.Conn) {
 	select {
@@ -44,17 +44,17 @@
 	return nil
 }
 
-// Addr returns an address without a port, as net.Listener needs one: each connection has its own.
+// Addr returns an address without a port, because net.Listener requires one: each connection has its own.
 func (c *SharedListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// ConnSet is the open connections of a party, which can be reset all at once. The zero value is empty
-// and ready to use. It is safe for concurrent use.
+// ConnSet holds the open connections of one party, so that all can be reset at once. The zero value is
+// empty and ready to use. It is safe for concurrent use.
 type ConnSet struct {
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
-// Add adds a connection and returns how many the set has then.
+// Add adds a connection and returns the new number of connections.
 func (s *ConnSet) Add(c net.Conn) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/loopback/listener.go
+++ b/internal/lab/loopback/listener.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// listenerState is how a listener treats new connections.
+// listenerState determines how a listener handles new connections.
 type listenerState uint8
 
 const (
-	open         listenerState = iota // it accepts and serves them
-	refused                           // the kernel refuses them: nothing listens
-	unresponsive                      // the kernel drops them: the queue is full
+	open         listenerState = iota // connections are accepted and served
+	refused                           // the kernel refuses connections: nothing listens
+	unresponsive                      // the kernel drops connections: the queue is full
 )
 
 // openBacklog is the length of the queue of connections that an open listener has not accepted yet.
 const openBacklog = 4096
 
-// Listener is a TCP listener at a fixed address that can refuse connections or leave them without an
-// answer for a time. It is safe for concurrent use.
+// Listener is a TCP listener at a fixed address that can refuse connections or leave them unanswered for
+// a time. It is safe for concurrent use.
 type Listener struct {
 	serve     func(net.Conn)
 	addr      string         // with the port; only Listen writes it
@@ -30,16 +30,16 @@
 	serving   sync.WaitGroup // the calls of serve; only an accepting goroutine adds to it
 
 	mu             sync.Mutex
-	changed        *sync.Cond // of state and acceptorWaits
+	changed        *sync.Cond // of state and acceptorPaused
 	state          listenerState
 	ln             *net.TCPListener // nil until it has listened, closed while state is refused
-	heldConns      []net.Conn       // both ends of those that fill the queue of a silent listener
-	acceptorPaused bool             // the accepting goroutine waits for the end of the silence
+	heldConns      []net.Conn       // both ends of those that fill the queue of an unresponsive listener
+	acceptorPaused bool             // the accepting goroutine waits until the state is no longer unresponsive
 	closed         bool
 }
 
 // Listen returns an open listener at addr, where port 0 takes a free one. It calls serve with each
-// connection, in a goroutine of its own. The caller has to Close it.
+// connection, in a new goroutine. The caller has to Close it.
 func Listen(addr string, serve func(net.Conn)) (*Listener, error) {
 	l := &Listener{addr: addr, serve: serve, state: refused}
 	l.changed = sync.NewCond(&l.mu)
@@ -52,9 +52,9 @@
 // Addr returns the address with the port. It stays the same through Refuse and Open.
 func (l *Listener) Addr() string { return l.addr }
 
-// Open accepts connections again, also those that clients began to open during a silence and still
-// try to. It returns net.ErrClosed after Close, and an error if the address can't be listened at; the
-// state is unchanged then.
+// Open accepts connections again, including those that clients began to open while the listener was
+// unresponsive and still retry. It returns net.ErrClosed after Close. If it can't listen at the address,
+// it returns an error and leaves the state unchanged.
 func (l *Listener) Open() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,14 +84,14 @@
 	l.changed.Broadcast()
 }
 
-// listen listens at the address and starts an accepting goroutine, which ends when l.ln is closed.
-// The caller holds l.mu.
+// listen listens at the address and starts an accepting goroutine, which ends when l.ln is closed. The
+// caller holds l.mu.
 func (l *Listener) listen() error {
 	ln, err := listenWithRetry(l.addr)
 	if err != nil {
 		return err
 	}
-	if l.ln == nil { // from now on the address is fixed, and read without l.mu
+	if l.ln == nil { // the address is fixed from here on, and read without l.mu
 		l.addr = ln.Addr().String()
 	}
 	l.ln = ln.(*net.TCPListener)
@@ -101,16 +101,16 @@
 }
 
 const (
-	// relistenTimeout bounds the time in which an address that was just closed may be in use.
-	relistenTimeout  = 2 * time.Second
-	relistenInterval = 2 * time.Millisecond
+	// listenRetryTimeout bounds the time in which an address that was just closed may be in use.
+	listenRetryTimeout  = 2 * time.Second
+	listenRetryInterval = 2 * time.Millisecond
 )
 
-// listenWithRetry listens at an address that this process may have closed a moment ago. A child that is
-// being started has a copy of every descriptor until it executes its program, so that the address
-// can be in use for some milliseconds more.
+// listenWithRetry listens at an address that this process may have closed a moment ago. Between fork and
+// exec, a child process has a copy of every descriptor, so that the address can stay in use for some
+// milliseconds.
 func listenWithRetry(addr string) (ln net.Listener, err error) {
-	for deadline := time.Now().Add(relistenTimeout); ; time.Sleep(relistenInterval) {
+	for deadline := time.Now().Add(listenRetryTimeout); ; time.Sleep(listenRetryInterval) {
 		ln, err = net.Listen("tcp", addr)
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
 			return ln, err
@@ -127,7 +127,7 @@
 }
 
 // Refuse closes the listener until Open: connections in its queue are reset and new ones refused.
-// Connections that it has accepted go on.
+// Connections that it has accepted stay open.
 func (l *Listener) Refuse() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,8 +139,8 @@
 	l.setState(refused)
 }
 
-// Close ends the listener for good and returns once its accepting goroutines have ended. Calls of
-// serve may go on; Wait waits for these.
+// Close ends the listener for good and returns once its accepting goroutines have ended. Calls of serve
+// may still run; Wait waits for these.
 func (l *Listener) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -154,27 +154,27 @@
 func (l *Listener) Wait() { l.serving.Wait() }
 
 const (
-	// maxFillers bounds the connections that are opened to fill the queue of a silent listener.
+	// maxFillers bounds the connections that are opened to fill the queue of an unresponsive listener.
 	maxFillers = 8
-	// fillerTimeout is how long opening one may take before the queue may be full.
+	// fillerTimeout bounds the time to open one. A timeout suggests that the queue is full.
 	fillerTimeout = 40 * time.Millisecond
-	// firstFillerTimeout is that of connections until one was opened, which is always possible.
+	// firstFillerTimeout applies until the first connection was opened, which is always possible.
 	firstFillerTimeout = time.Second
-	// fullQueueTimeouts is the number of timeouts that say that the queue is full. One alone may be
-	// that of a busy machine.
+	// fullQueueTimeouts is the number of timeouts after which the queue counts as full. A single timeout may
+	// be due to a busy machine.
 	fullQueueTimeouts = 2
 )
 
-// QueueError is the error of a listener whose queue still took connections after as many as should
-// have filled it.
+// QueueError is the error of a listener whose queue still accepted connections after maxFillers were
+// opened, which should have filled it.
 type QueueError struct{ Addr string }
 
 // Error names the listener's address.
 func (e *QueueError) Error() string { return "the queue of " + e.Addr + " does not fill" }
 
-// StopAnswering leaves new connections without an answer until Open: the queue is kept full, so that the
-// kernel drops further connections, as if the machine were cut off. It has no effect unless the
-// listener is open. It returns a *QueueError if the queue can't be filled.
+// StopAnswering leaves new connections unanswered until Open: the queue is kept full, so that the kernel
+// drops further connections, as if the machine were cut off. It has no effect unless the listener is
+// open. It returns a *QueueError if the queue can't be filled.
 func (l *Listener) StopAnswering() error {
 	l.mu.Lock()
 	if l.state != open {
@@ -191,7 +191,7 @@
 	return l.fillQueue(addr)
 }
 
-// fillQueue opens connections until the queue is full or the silence has ended.
+// fillQueue opens connections until the queue is full or the listener is no longer unresponsive.
 func (l *Listener) fillQueue(addr string) error {
 	timeout, timeouts := firstFillerTimeout, 0
 	for range maxFillers {
@@ -219,9 +219,9 @@
 	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// addFiller keeps a connection that was opened to fill the queue, and waits until the accepting
-// goroutine waits: before that, it could accept a connection and so empty a queue that was full. It
-// returns false if the silence has ended.
+// addFiller holds a connection that was opened to fill the queue, and waits until the accepting goroutine
+// is paused: before that, it could accept a connection and so free a place in a full queue. It returns
+// false if the listener is no longer unresponsive.
 func (l *Listener) addFiller(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -236,7 +236,7 @@
 	return true
 }
 
-// acceptRetryDelay is the time from a failed accept to the next one.
+// acceptRetryDelay is the delay between a failed accept and the next one.
 const acceptRetryDelay = time.Millisecond
 
 // accept serves the connections of ln until that is closed.
@@ -247,7 +247,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // there are no descriptors left, or the client has gone
+		if err != nil { // no descriptors are left, or the client has gone
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -257,9 +257,9 @@
 	}
 }
 
-// admit reports whether a connection that ln accepted is to be served. It resets one that came as ln
-// was closed. One that came as the listener fell silent is kept, and admit waits for the end of the
-// silence.
+// admit reports whether a connection that ln accepted is to be served. It resets a connection that was
+// accepted while ln was being closed. It holds one that was accepted while the listener became
+// unresponsive, and waits until the listener is no longer unresponsive.
 func (l *Listener) admit(ln *net.TCPListener, c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -279,7 +279,7 @@
 	return true
 }
 
-// Reset closes a connection so that the other end sees it break, as when a process dies.
+// Reset closes a connection with a TCP reset, so that the other end sees it break, as when a process dies.
 func Reset(c net.Conn) {
 	if t, ok := c.(interface{ SetLinger(int) error }); ok {
 		_ = t.SetLinger(0)
--- a/internal/lab/loopback/listener_test.go
+++ b/internal/lab/loopback/listener_test.go
@@ -17,9 +17,9 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	// waitTimeout bounds every wait for something that should happen.
+	// waitTimeout bounds every wait for an expected event.
 	waitTimeout = 20 * time.Second
-	// noAnswerTimeout is how long a connection is tried at a silent listener.
+	// noAnswerTimeout bounds a dial to an unresponsive listener.
 	noAnswerTimeout = 100 * time.Millisecond
 )
 
@@ -55,11 +55,11 @@
 		s.Refuse()
 	}
 	if err != nil {
-		t.Fatalf("to state %d: %v", state, err)
+		t.Fatalf("change to state %d: %v", state, err)
 	}
 }
 
-// expectState fails the test unless a new connection at an address is treated as in the state.
+// expectState fails the test unless a new connection to the address is handled according to the state.
 func (s *serverListener) expectState(t *testing.T, addr string, want listenerState) {
 	t.Helper()
 	timeout := waitTimeout
@@ -77,19 +77,19 @@
 		t.Fatalf("a connection was accepted, want state %d", want)
 	case errors.Is(err, syscall.ECONNREFUSED):
 		if want != refused {
-			t.Fatalf("refused, want state %d", want)
+			t.Fatalf("the connection was refused, want state %d", want)
 		}
 	case errors.As(err, &netError) && netError.Timeout():
 		if want != unresponsive {
-			t.Fatalf("silent, want state %d", want)
+			t.Fatalf("the connection was not answered, want state %d", want)
 		}
 	default:
 		t.Fatal(err)
 	}
 }
 
-// Connections are treated as the listener's state says through many changes of the state, at the
-// same address.
+// A listener handles connections according to its state, and keeps its address, through many changes of
+// the state.
 func TestListenerStates(t *testing.T) {
 	n, err := Claim()
 	if err != nil {
@@ -104,13 +104,13 @@
 			s.change(t, state)
 			s.expectState(t, addr, state)
 			if s.Addr() != addr {
-				t.Fatalf("moved to %s", s.Addr())
+				t.Fatalf("the address changed to %s", s.Addr())
 			}
 		}
 	}
 }
 
-// Many listeners can fall silent at once, as those of a zone do.
+// Many listeners can become unresponsive at once, like those of a zone.
 func TestManyListenersStopAnsweringAtOnce(t *testing.T) {
 	var all sync.WaitGroup
 	for range 50 {
@@ -132,8 +132,8 @@
 	all.Wait()
 }
 
-// A listener opens again at its address while other goroutines start processes, which for a moment
-// have copies of the descriptor that was closed.
+// A listener opens again at its address while other goroutines start processes, which have copies of the
+// closed descriptor between fork and exec.
 func TestOpensWhileProcessesStart(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", func(c net.Conn) { c.Close() })
 	if err != nil {
@@ -165,7 +165,7 @@
 	all.Wait()
 }
 
-// A reset breaks a connection with an error, a close ends it in order.
+// A reset ends a connection with ECONNRESET, a close with EOF.
 func TestReset(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -198,8 +198,8 @@
 	}
 }
 
-// Wait returns after the last call of serve, however late that begins: also one of a connection that
-// was accepted just before Close.
+// Wait returns only after every call of serve has returned, including the call for a connection that was
+// accepted just before Close.
 func TestWaitCoversConnectionsAcceptedBeforeClose(t *testing.T) {
 	for range 200 {
 		var begun, returned atomic.Int64
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// No two Nets on one machine share an address, and a Net gives each only once.
+// No two AddressBlocks on one machine share an address, and a block hands out each address only once.
 func TestAddresses(t *testing.T) {
 	seen := map[string]bool{}
 	for range 3 {
@@ -17,7 +17,7 @@
 		for range addressesPerBlock - 1 {
 			ip := n.IP()
 			if seen[ip] {
-				t.Fatalf("%s was given twice", ip)
+				t.Fatalf("%s was handed out twice", ip)
 			}
 			if p := net.ParseIP(ip); p == nil || !p.IsLoopback() {
 				t.Fatalf("%s is not a loopback address", ip)
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -16,21 +16,21 @@
 
 // The errors of a process that is not in the state that a call needs.
 var (
-	ErrRunning    = errors.New("it runs already")    // of Start
-	ErrNotRunning = errors.New("it does not run")    // of Signal and PeakRSSMB
-	ErrNotStarted = errors.New("it was not started") // of WaitReady
+	ErrRunning    = errors.New("already running") // returned by Start
+	ErrNotRunning = errors.New("not running")     // returned by Signal and PeakRSSMB
+	ErrNotStarted = errors.New("not started")     // returned by WaitReady
 )
 
-// errClosed is the error of a start after the supervisor's Close.
-var errClosed = errors.New("the lab is ending")
+// errClosed is the error of a start after the supervisor was closed.
+var errClosed = errors.New("supervisor closed")
 
 // EndedError is the error of a process that ended before it was ready.
 type EndedError struct {
-	LastLogLine string // that the process wrote
+	LastLogLine string // of the process
 }
 
 // Error quotes the last line of the process's log, which usually names the cause.
-func (e *EndedError) Error() string { return "it ended before it was ready: " + e.LastLogLine }
+func (e *EndedError) Error() string { return "ended before it was ready: " + e.LastLogLine }
 
 // Spec describes a process, which can be started any number of times.
 type Spec struct {
@@ -39,7 +39,7 @@
 	Args     []string
 	Env      []string // in addition to PATH, HOME and TMPDIR of the lab; nothing else is inherited
 	Dir      string   // the working directory; "": that of the lab
-	Log      string   // the file that its output is appended to; its folder is made if it is missing
+	Log      string   // the file that its output is appended to; a missing folder is created
 	ReadyURL string   // the process is ready once it answers 200 here; "": once it is started
 	MemoryMB float64  // the resident memory above which SampleUsage kills it; 0: unlimited
 }
@@ -53,13 +53,13 @@
 	mu         sync.Mutex
 	cmd        *exec.Cmd     // of the latest run
 	ended      chan struct{} // closed when the latest run has ended; nil before the first
-	expected   bool          // the lab asked for the end of the latest run
+	expected   bool          // the lab requested the end of the latest run
 	startCount int
 	usage      usageHistory
 }
 
-// Start starts the process. It returns ErrRunning if the process runs, and an error if its log can't
-// be opened or its program can't be executed.
+// Start starts the process. It returns ErrRunning if the process is running, and an error if its log
+// can't be opened or its program can't be executed.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// openLog opens a log for appending, and makes its folder if that is missing.
+// openLog opens a log for appending, and creates its folder if that is missing.
 func openLog(path string) (*os.File, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return nil, err
@@ -113,7 +113,7 @@
 	}
 }
 
-// isRunning reports whether the process runs. The caller holds p.mu.
+// isRunning reports whether the process is running. The caller holds p.mu.
 func (p *Process) isRunning() bool {
 	if p.ended == nil {
 		return false
@@ -126,30 +126,30 @@
 	}
 }
 
-// Running reports whether the process runs.
+// Running reports whether the process is running.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.isRunning()
 }
 
-// Ended returns a channel that is closed when the latest run has ended, or nil if the process was
-// never started. To wait for the end of the present run, call Ended before the run can end and the
-// process be started again.
+// Ended returns a channel that is closed when the latest run has ended, or nil if the process was never
+// started. To wait for the end of the current run, call Ended before the run can end and the process be
+// started again.
 func (p *Process) Ended() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ended
 }
 
-// StartCount returns how often the process was started.
+// StartCount returns how many times the process was started.
 func (p *Process) StartCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.startCount
 }
 
-// PID returns the process's ID, or 0 if it does not run.
+// PID returns the process ID, or 0 if the process is not running.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,9 +159,8 @@
 	return p.cmd.Process.Pid
 }
 
-// Signal sends a signal to the process, not to processes that it started. SIGTERM, SIGINT and
-// SIGKILL make the end of the run an expected one. It returns ErrNotRunning if the process does not
-// run.
+// Signal sends a signal to the process, but not to processes that it started. After SIGTERM, SIGINT or
+// SIGKILL, the end of the run counts as expected. It returns ErrNotRunning if the process is not running.
 func (p *Process) Signal(sig syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,8 +176,8 @@
 	return nil
 }
 
-// Kill kills the process, even if it is stopped by a signal, and the processes that it started. It
-// does not wait for their end. It has no effect if the process does not run.
+// Kill kills the process, even if it is stopped by a signal, and the processes that it started. It does
+// not wait for them to end. It has no effect if the process is not running.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,14 +188,14 @@
 }
 
 // killGroup sends SIGKILL to the process group that the process leads. The caller holds p.mu and has
-// checked that the process runs.
+// checked that the process is running.
 func (p *Process) killGroup() { _ = syscall.Kill(-p.cmd.Process.Pid, syscall.SIGKILL) }
 
-// readyInterval is the interval of the requests to a process's ReadyURL.
+// readyInterval is the interval between requests to a process's ReadyURL.
 const readyInterval = 10 * time.Millisecond
 
 // WaitReady waits until the process is ready. It returns ErrNotStarted if it was never started, an
-// *EndedError if the run ends before, and the context's error if that ends first.
+// *EndedError if the run ends first, and the context's error if the context ends first.
 func (p *Process) WaitReady(ctx context.Context) error {
 	ended := p.Ended()
 	if ended == nil {
--- a/internal/lab/process/process_test.go
+++ b/internal/lab/process/process_test.go
@@ -17,9 +17,9 @@
 	"time"
 )
 
-// The first arguments that have the test binary act as another program.
+// First arguments with which the test binary runs a helper program instead of the tests.
 const (
-	serveCommand     = "child"     // ADDRESS: answer every HTTP request there
+	serveCommand     = "child"     // ADDRESS: answer every HTTP request at the address
 	superviseCommand = "supervise" // FOLDER: start a child, print its process ID and wait
 	failCommand      = "fail"      // write two lines to stderr and exit
 )
@@ -32,7 +32,7 @@
 	case len(os.Args) == 3 && os.Args[1] == superviseCommand:
 		superviseChild(os.Args[2])
 	case len(os.Args) == 2 && os.Args[1] == failCommand:
-		fmt.Fprintln(os.Stderr, "first line\nno such luck")
+		fmt.Fprintln(os.Stderr, "first line\ncannot start")
 		os.Exit(3)
 	default:
 		os.Exit(m.Run())
@@ -50,10 +50,10 @@
 	select {}
 }
 
-// waitTimeout bounds every wait for something that should happen.
+// waitTimeout bounds every wait for an expected event.
 const waitTimeout = 30 * time.Second
 
-// freeAddr returns an address that nothing listens at.
+// freeAddr returns an address that nothing listens on.
 func freeAddr() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-// sendSignal sends a signal to a process that runs.
+// sendSignal sends a signal to a running process.
 func sendSignal(t *testing.T, p *Process, sig syscall.Signal) {
 	t.Helper()
 	if err := p.Signal(sig); err != nil {
@@ -158,39 +158,39 @@
 	return err == nil
 }
 
-// A process that does not run takes no signal and is not waited for; one that runs is not started
+// Calls that need a running or started process fail without one, and a running process can't be started
 // again.
 func TestCallsInWrongStateFail(t *testing.T) {
 	p := newSupervisor(t, nil).Add(childSpec("p", t.TempDir(), freeAddr()))
 	if err := p.Signal(syscall.SIGTERM); !errors.Is(err, ErrNotRunning) {
-		t.Errorf("a signal to a process that does not run: %v", err)
+		t.Errorf("signal to a process that is not running: %v, want ErrNotRunning", err)
 	}
 	if err := p.WaitReady(waitContext(t)); !errors.Is(err, ErrNotStarted) {
-		t.Errorf("waited for a process that was not started: %v", err)
+		t.Errorf("wait for a process that was not started: %v, want ErrNotStarted", err)
 	}
 	startReady(t, p)
 	if err := p.Start(); !errors.Is(err, ErrRunning) {
-		t.Errorf("started twice at once: %v", err)
+		t.Errorf("start of a running process: %v, want ErrRunning", err)
 	}
 }
 
-// A process stands still after SIGSTOP and goes on after SIGCONT.
+// A process is suspended by SIGSTOP and resumes after SIGCONT.
 func TestStoppedProcessResumes(t *testing.T) {
 	p := newSupervisor(t, nil).Add(childSpec("p", t.TempDir(), freeAddr()))
 	startReady(t, p)
 	sendSignal(t, p, syscall.SIGSTOP)
-	waitForState(t, p.cmd.Process.Pid, "T") // the signal is sent, not yet obeyed, when Signal returns
+	waitForState(t, p.cmd.Process.Pid, "T") // Signal returns before the process has stopped
 	if answers(p, 200*time.Millisecond) {
 		t.Error("a stopped process answers")
 	}
 	sendSignal(t, p, syscall.SIGCONT)
 	if !answers(p, waitTimeout) {
-		t.Error("a process that goes on does not answer")
+		t.Error("a resumed process does not answer")
 	}
 }
 
-// The end of a run is reported as expected if the lab asked for it, and as unexpected after a crash
-// or a kill for too much memory. A process can be started again after each.
+// The end of a run is reported as expected if the lab requested it, and as unexpected after a crash or a
+// kill for exceeding the memory limit. The process can be started again after each.
 func TestEndsAreReported(t *testing.T) {
 	ends := make(chan bool, 10) // whether the end was expected
 	s := newSupervisor(t, func(_ *Process, _ error, expected bool) { ends <- expected })
@@ -198,22 +198,22 @@
 
 	startReady(t, p)
 	if err := p.Start(); !errors.Is(err, ErrRunning) { // neither disturbs the run nor counts as a start
-		t.Errorf("started twice at once: %v", err)
+		t.Errorf("start of a running process: %v, want ErrRunning", err)
 	}
 	usage, _, _ := p.SampleUsage()
 	if usage.RSSMB <= 1 || usage.Descriptors < 3 {
-		t.Errorf("uses %+v", usage)
+		t.Errorf("implausible usage %+v", usage)
 	}
 	sendSignal(t, p, syscall.SIGSTOP)
 	waitForState(t, p.cmd.Process.Pid, "T")
 	sendSignal(t, p, syscall.SIGCONT)
 	sendSignal(t, p, syscall.SIGTERM)
 	if expected := <-ends; !expected {
-		t.Error("an end by SIGTERM counts as a crash")
+		t.Error("an end by SIGTERM counts as unexpected")
 	}
 
 	startReady(t, p)
-	// Killed by another than the supervisor, as in a crash.
+	// Not killed through the supervisor, like a crash.
 	if err := syscall.Kill(p.cmd.Process.Pid, syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
@@ -221,21 +221,21 @@
 		t.Error("a crash counts as expected")
 	}
 	if p.StartCount() != 2 || p.Running() {
-		t.Errorf("started %d times, runs %v", p.StartCount(), p.Running())
+		t.Errorf("started %d times, running %v; want 2 and false", p.StartCount(), p.Running())
 	}
 
 	p.MemoryMB = 1
 	startReady(t, p)
 	if _, _, killed := p.SampleUsage(); !killed {
-		t.Error("a process over its memory is not killed")
+		t.Error("a process over its memory limit is not killed")
 	}
 	if expected := <-ends; expected {
 		t.Error("a kill for too much memory counts as expected")
 	}
 }
 
-// A process that ends before it is ready is reported with the last line of its log, and a program
-// that is missing with the process's name.
+// For a process that ends before it is ready, the error contains the last line of its log; for a missing
+// program, the name of the process.
 func TestFailsBeforeReady(t *testing.T) {
 	s := newSupervisor(t, nil)
 	spec := childSpec("f", t.TempDir(), freeAddr())
@@ -243,16 +243,16 @@
 	p := s.Add(spec)
 	start(t, p)
 	err := p.WaitReady(waitContext(t))
-	if ended := new(EndedError); !errors.As(err, &ended) || !strings.Contains(err.Error(), "no such luck") {
+	if ended := new(EndedError); !errors.As(err, &ended) || !strings.Contains(err.Error(), "cannot start") {
 		t.Errorf("got %v, want the last line of its log", err)
 	}
 	missing := s.Add(Spec{Name: "none", Path: "/nowhere/program", Log: filepath.Join(t.TempDir(), "l")})
 	if err := missing.Start(); err == nil || !strings.Contains(err.Error(), "process none") {
-		t.Errorf("a missing program: %v", err)
+		t.Errorf("start of a missing program: %v, want an error with the process's name", err)
 	}
 }
 
-// Close ends all processes, also one that is stopped by a signal.
+// Close ends all processes, including one that is stopped by a signal.
 func TestCloseEndsAllProcesses(t *testing.T) {
 	s := newSupervisor(t, nil)
 	dir := t.TempDir()
@@ -269,7 +269,7 @@
 	}
 }
 
-// A process ends with its supervisor's process, even if that is killed.
+// A process ends with its supervisor's process, even if the latter is killed.
 func TestProcessEndsWithKilledSupervisor(t *testing.T) {
 	exe, _ := os.Executable()
 	cmd := exec.Command(exe, superviseCommand, t.TempDir())
--- a/internal/lab/process/supervisor.go
+++ b/internal/lab/process/supervisor.go
@@ -1,9 +1,9 @@
-// Package process supervises the real processes of an experiment: it starts them, tells when they
-// are ready, sends them signals, samples what they use, and sees to it that each of them ends with
+// Package process supervises the real processes of an experiment: it starts them, waits until they
+// are ready, sends them signals, samples their resource usage, and ensures that each of them ends with
 // the lab, however the lab ends. It needs Linux: /proc, process groups and the parent death signal.
 //
-// A Supervisor owns its processes and these goroutines: one that starts all processes, and one for
-// each run of a process that waits for the end of the run. Close ends them all. Supervisor.mu guards
+// A Supervisor owns its processes and these goroutines: one that starts all processes, and for
+// each run of a process one that waits for the end of the run. Close ends them all. Supervisor.mu guards
 // the list of processes, Process.mu the state of one process; neither is held while the other is
 // taken.
 package process
@@ -21,8 +21,8 @@
 // readyTimeout bounds one request to a process's ReadyURL.
 const readyTimeout = time.Second
 
-// ExitFunc is called at the end of each run of a process, from a goroutine of its own. err is nil
-// after exit code 0. expected says that the lab ended the run, by Kill or by a signal that ends
+// ExitFunc is called at the end of each run of a process, from the goroutine that waited for it. err is
+// nil after exit code 0. expected reports whether the lab ended the run, by Kill or by a signal that ends
 // processes.
 type ExitFunc func(p *Process, err error, expected bool)
 
@@ -30,7 +30,7 @@
 type Supervisor struct {
 	onExit ExitFunc
 
-	ctx         context.Context // ends with the supervisor
+	ctx         context.Context // canceled by Close
 	cancel      context.CancelFunc
 	starts      chan startRequest
 	running     sync.WaitGroup // the supervisor's goroutines
@@ -40,8 +40,8 @@
 	processes []*Process
 }
 
-// startRequest has the starter start a command. The starter sends the outcome to result, whose
-// buffer holds it.
+// startRequest asks the starter to start a command. The starter sends the outcome to result, which is
+// buffered so that the starter does not block.
 type startRequest struct {
 	cmd    *exec.Cmd
 	result chan error
@@ -61,9 +61,9 @@
 	return s
 }
 
-// runStarter starts all processes from one thread, which exists as long as the supervisor. The
-// kernel kills a child when the thread that started it ends, so that no child outlives the lab even
-// if the lab is killed.
+// runStarter starts all processes from one thread, which lives as long as the supervisor. The kernel kills
+// a child when the thread that started it ends, so that no child outlives the lab even if the lab is
+// killed.
 func (s *Supervisor) runStarter() {
 	defer s.running.Done()
 	runtime.LockOSThread() // never unlocked: the thread ends with this goroutine
@@ -105,8 +105,8 @@
 	return append([]*Process(nil), s.processes...)
 }
 
-// Close kills the processes that still run, and returns once they and the supervisor's goroutines
-// have ended. No process can be started afterwards.
+// Close kills the processes that are still running, and returns once they and the supervisor's
+// goroutines have ended. No process can be started afterwards.
 func (s *Supervisor) Close() {
 	for _, p := range s.All() {
 		p.Kill()
--- a/internal/lab/process/usage.go
+++ b/internal/lab/process/usage.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Usage is what a process uses.
+// Usage is the resource usage of a process.
 type Usage struct {
 	RSSMB       float64       `json:"rss_mb"`
 	Descriptors int           `json:"descriptors"`
 	CPU         time.Duration `json:"cpu_ns"` // processor time since its start
 }
 
-// usageHistory is what the samples of a process have shown.
+// usageHistory summarizes the usage samples of a process.
 type usageHistory struct {
 	last       Usage         // the last sample of the latest run
-	peak       Usage         // the highest of each over all runs; CPU is the sum over them
+	peak       Usage         // the maximum of each field over all runs, except that CPU is their sum
 	earlierCPU time.Duration // processor time of the runs before the latest, by their last samples
 }
 
@@ -38,10 +38,10 @@
 	h.peak.CPU = h.earlierCPU + sample.CPU
 }
 
-// SampleUsage returns what the process uses now, and the peaks over all samples; peak.CPU is the
-// processor time of all runs. If the process does not run, now is its last sample. A process that
-// uses more memory than its Spec allows is killed, as a platform's memory limit would, and killed is
-// true; its end counts as not expected.
+// SampleUsage returns the current usage, and the peaks over all samples; peak.CPU is the processor time of
+// all runs. If the process is not running, now is its last sample. A process that uses more memory than
+// its Spec allows is killed, as by a platform's memory limit, and killed is true; its end counts as
+// unexpected.
 func (p *Process) SampleUsage() (now, peak Usage, killed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,15 +65,15 @@
 	dir := "/proc/" + strconv.Itoa(pid)
 	statm, err := os.ReadFile(dir + "/statm")
 	if err != nil {
-		return Usage{}, fmt.Errorf("use of process %d: %w", pid, err)
+		return Usage{}, fmt.Errorf("usage of process %d: %w", pid, err)
 	}
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
-		return Usage{}, fmt.Errorf("use of process %d: %w", pid, err)
+		return Usage{}, fmt.Errorf("usage of process %d: %w", pid, err)
 	}
 	descriptors, err := countEntries(dir + "/fd")
 	if err != nil {
-		return Usage{}, fmt.Errorf("use of process %d: %w", pid, err)
+		return Usage{}, fmt.Errorf("usage of process %d: %w", pid, err)
 	}
 	return Usage{RSSMB: parseResidentMB(statm), Descriptors: descriptors, CPU: parseCPUTime(stat)}, nil
 }
@@ -89,7 +89,7 @@
 	return pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// clockTick is the unit of the processor times in /proc.
+// clockTick is the unit of processor times in /proc.
 const clockTick = 10 * time.Millisecond
 
 // Fields of /proc/PID/stat, counted from 0 after the program's name.
@@ -98,8 +98,8 @@
 	systemTimeField = 12
 )
 
-// parseCPUTime returns the user and system time in the text of /proc/PID/stat; 0 if they are
-// missing. The program's name stands in brackets and may contain spaces and brackets itself.
+// parseCPUTime returns the user and system time in the text of /proc/PID/stat; 0 if they are missing. The
+// program's name is in parentheses and may itself contain spaces and parentheses.
 func parseCPUTime(stat []byte) time.Duration {
 	afterName := stat[bytes.LastIndexByte(stat, ')')+1:]
 	fields := strings.Fields(string(afterName))
@@ -122,12 +122,12 @@
 	return len(names), err
 }
 
-// errNoPeakRSS is the error of a kernel that does not report a process's peak memory.
-var errNoPeakRSS = errors.New("no VmHWM")
+// errNoPeakRSS is the error on a kernel that does not report a process's peak memory.
+var errNoPeakRSS = errors.New("VmHWM missing in /proc/PID/status")
 
-// PeakRSSMB returns the largest resident memory of the latest run, in MB, as the kernel records it
-// (VmHWM). Unlike the peak of SampleUsage it depends on no sample. It returns ErrNotRunning if the
-// process does not run.
+// PeakRSSMB returns the largest resident memory of the latest run, in MB, as recorded by the kernel
+// (VmHWM). Unlike the peak of SampleUsage it does not depend on samples. It returns ErrNotRunning if the
+// process is not running.
 func (p *Process) PeakRSSMB() (float64, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,7 +145,7 @@
 	return peak, nil
 }
 
-// parsePeakMB returns the peak of the resident memory in the text of /proc/PID/status, in MB.
+// parsePeakMB returns the peak resident memory in the text of /proc/PID/status, in MB.
 func parsePeakMB(status []byte) (float64, error) {
 	for line := range bytes.Lines(status) {
 		fields := bytes.Fields(line)
