--- a/internal/lab/check/attempts.go
+++ b/internal/lab/check/attempts.go
@@ -10,7 +10,7 @@
 type Attempt struct {
 	Request     *Request
 	Server      int
-	Index       int // among the arrivals of its request
+	Index       int // among the attempts of its request, in order of arrival
 	FirstByteAt time.Duration
 	LastByteAt  time.Duration
 	state       attemptState // guarded by the request's mutex
@@ -19,7 +19,7 @@
 type attemptState uint8
 
 const (
-	inFlight attemptState = iota // the server has it and its connection is open
+	inFlight attemptState = iota // the server has received it and its connection is open
 	rejected                     // the server rejected it without executing it
 	finished                     // answered, aborted or reset: it may have been executed
 )
@@ -27,10 +27,10 @@
 // MarkRejected records that the server rejected the attempt without executing it.
 func (a *Attempt) MarkRejected() { a.setState(rejected) }
 
-// MarkFinished records that the attempt has ended; it may have been executed.
+// MarkFinished records that the attempt has ended and may have been executed.
 func (a *Attempt) MarkFinished() { a.setState(finished) }
 
-// setState ends an attempt that is in flight; on one that has ended it has no effect.
+// setState ends an attempt that is in flight. It has no effect on an attempt that has already ended.
 func (a *Attempt) setState(state attemptState) {
 	a.Request.mu.Lock()
 	defer a.Request.mu.Unlock()
@@ -39,11 +39,11 @@
 	}
 }
 
-// attemptSummary is what a rule needs to know of the attempts of a request.
+// attemptSummary is the state of a request's attempts that the rules depend on.
 type attemptSummary struct {
-	count       int
-	anyInFlight bool
-	mayHaveRun  *Attempt // the first that the server did not reject; nil: none
+	count         int
+	anyInFlight   bool
+	maybeExecuted *Attempt // the first attempt that the server did not reject; nil: none
 }
 
 // summarizeAttempts summarizes the attempts so far. The caller holds r.mu.
@@ -51,17 +51,17 @@
 	summary := attemptSummary{count: len(r.attempts)}
 	for _, a := range r.attempts {
 		summary.anyInFlight = summary.anyInFlight || a.state == inFlight
-		if a.state != rejected && summary.mayHaveRun == nil {
-			summary.mayHaveRun = a
+		if a.state != rejected && summary.maybeExecuted == nil {
+			summary.maybeExecuted = a
 		}
 	}
 	return summary
 }
 
-// RecordAttempt records that a complete request arrived at a server, before the server decides on
-// it, and checks whether the agent was allowed to send it. linkClear says that no link of the lab
-// can have delayed it.
-func (c *Checker) RecordAttempt(r *Request, server int, firstByteAt, lastByteAt time.Duration, linkClear bool) *Attempt {
+// RecordAttempt records that a complete request arrived at a server, before the server handles it, and
+// checks whether the agent was allowed to send it. notDelayed reports that no link of the lab can have
+// delayed it.
+func (c *Checker) RecordAttempt(r *Request, server int, firstByteAt, lastByteAt time.Duration, notDelayed bool) *Attempt {
 	a := &Attempt{Request: r, Server: server, FirstByteAt: firstByteAt, LastByteAt: lastByteAt}
 	r.mu.Lock()
 	earlier := r.summarizeAttempts()
@@ -70,27 +70,27 @@
 	r.attempts = append(r.attempts, a)
 	r.mu.Unlock()
 
-	if answered > 0 && lastByteAt > answered+timingSlack && linkClear {
+	if answered > 0 && lastByteAt > answered+timingSlack && notDelayed {
 		c.recordRequestBreach(RuleDuplicate, r, server, "sent %v after the final answer", lastByteAt-answered)
 	}
 	if limit := c.settings.Limits.MaxAttempts; limit > 0 && a.Index >= limit {
 		c.recordRequestBreach(RuleDuplicate, r, server, "attempt %d of at most %d", a.Index+1, limit)
 	}
-	if earlier.anyInFlight && linkClear && !c.settings.Limits.ParallelAttempts {
+	if earlier.anyInFlight && notDelayed && !c.settings.Limits.ParallelAttempts {
 		c.recordRequestBreach(RuleDuplicate, r, server, "a second copy while the first is out")
 	}
-	if earlier.mayHaveRun != nil {
-		c.checkRepeat(a, earlier.mayHaveRun, linkClear)
+	if earlier.maybeExecuted != nil {
+		c.checkRepeat(a, earlier.maybeExecuted, notDelayed)
 	}
-	if linkClear {
+	if notDelayed {
 		c.checkDrain(r, server, firstByteAt)
 	}
 	return a
 }
 
-// checkRepeat checks whether a request may be sent again after an attempt that may have been
+// checkRepeat checks whether a request may be sent again after an earlier attempt that may have been
 // executed.
-func (c *Checker) checkRepeat(a, earlier *Attempt, linkClear bool) {
+func (c *Checker) checkRepeat(a, earlier *Attempt, notDelayed bool) {
 	class := &c.settings.Classes[a.Request.Class]
 	from, to := &c.servers[earlier.Server], &c.servers[a.Server]
 	switch class.Effect {
@@ -102,7 +102,7 @@
 		case class.Group == policy.GroupZone && from.Zone != to.Zone,
 			class.Group == policy.GroupCell && from.Cell != to.Cell:
 			c.recordRequestBreach(RuleDuplicate, a.Request, a.Server, "sent again outside the %s of %s", class.Group, from.Name)
-		case elapsed > millis(class.DedupWindowMs)+timingSlack && linkClear:
+		case elapsed > millis(class.DedupWindowMs)+timingSlack && notDelayed:
 			c.recordRequestBreach(RuleDuplicate, a.Request, a.Server, "sent again %v after the first that may have run", elapsed)
 		}
 	}
@@ -112,8 +112,8 @@
 // removed.
 func (c *Checker) checkDrain(r *Request, server int, sentAt time.Duration) {
 	grace := millis(c.settings.Contract.DrainGraceMs) + timingSlack
-	since, notified := c.drainNotified(r.Agent, server, sentAt)
-	if notified && sentAt > since+grace && !c.isExcused(r.Agent, since, sentAt) {
+	since, notified := c.drainNotifiedSince(r.Agent, server, sentAt)
+	if notified && sentAt > since+grace && !c.wasStopped(r.Agent, since, sentAt) {
 		c.recordRequestBreach(RuleDrain, r, server, "sent %v after its drain was told", sentAt-since)
 	}
 }
--- a/internal/lab/link/stream.go
+++ b/internal/lab/link/stream.go
@@ -11,36 +11,37 @@
 )
 
 const (
-	// chunkBytes bounds the bytes that are carried at once.
+	// chunkBytes bounds the bytes that are relayed in one piece.
 	chunkBytes = 16 << 10
-	// maxQueuedChunks bounds the chunks that wait in one direction of a connection. The sender of
-	// more is blocked, as by a full window.
+	// maxQueuedChunks bounds the chunks that wait in one direction of a connection. When the queue is
+	// full, the sender is blocked, as by a full TCP window.
 	maxQueuedChunks = 64
 )
 
-// chunk is data on its way through one direction of a connection.
+// chunk is data in transit in one direction of a connection.
 type chunk struct {
 	data      []byte
 	arrivesAt time.Time
-	err       error // that ended the source after the data; nil: none yet
+	err       error // the read error that ended the source after the data; nil: none yet
 }
 
 var chunkBuffers = sync.Pool{New: func() any { b := make([]byte, chunkBytes); return &b }}
 
-// carry carries one direction of a connection until it ends. Reading and writing are separate
+// relayStream relays one direction of a connection until it ends. Reading and writing are separate
 // goroutines, so that the delay of a chunk does not add to that of the chunks behind it.
-func (l *Link) carry(from, to net.Conn, d *direction) {
+func (l *Link) relayStream(from, to net.Conn, d *direction) {
 	queue := make(chan chunk, maxQueuedChunks)
 	writerDone := make(chan struct{})
 	var reader sync.WaitGroup
 	reader.Go(func() { readChunks(from, d, queue, writerDone) })
 	l.writeChunks(from, to, d, queue)
 	close(writerDone)
-	_ = from.SetReadDeadline(time.Now()) // nothing that is still to be read can be passed on
+	_ = from.SetReadDeadline(time.Now()) // ends the reader: no further data can be forwarded
 	reader.Wait()
 }
 
-// readChunks queues what comes from a connection until that ends or the writer is done.
+// readChunks queues the data that arrives on a connection until the connection ends or the writer is
+// done.
 func readChunks(from net.Conn, d *direction, queue chan<- chunk, writerDone <-chan struct{}) {
 	for {
 		buffer := *chunkBuffers.Get().(*[]byte)
@@ -57,7 +58,7 @@
 	}
 }
 
-// writeChunks writes the queued chunks, each at its time, until the source or the link ends, or a
+// writeChunks writes each queued chunk at its arrival time, until the source or the link ends, or a
 // connection breaks.
 func (l *Link) writeChunks(from, to net.Conn, d *direction, queue <-chan chunk) {
 	var carried int64
@@ -84,14 +85,14 @@
 		buffer := c.data[:cap(c.data)]
 		chunkBuffers.Put(&buffer)
 		if c.err != nil {
-			passOnEnd(to, c.err)
+			propagateEnd(to, c.err)
 			return
 		}
 	}
 }
 
-// awaitArrival waits until a time, and until the direction isn't cut. It returns false if the link
-// is closed before.
+// awaitArrival waits until the given time, and then until the direction isn't cut. It returns false if
+// the link is closed first.
 func (l *Link) awaitArrival(at time.Time, d *direction, timer *time.Timer) bool {
 	if wait := time.Until(at); wait > 0 {
 		timer.Reset(wait)
@@ -109,9 +110,9 @@
 	}
 }
 
-// passOnEnd ends the writing half of a connection if its source ended in order; the other half may
-// go on. A source that broke breaks the connection.
-func passOnEnd(to net.Conn, sourceErr error) {
+// propagateEnd closes the write side of a connection if its source ended with EOF; the other direction
+// may continue. After any other error of the source it resets the connection.
+func propagateEnd(to net.Conn, sourceErr error) {
 	if !errors.Is(sourceErr, io.EOF) {
 		loopback.Reset(to)
 		return
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -9,41 +9,41 @@
 )
 
 const (
-	// maxDelayed bounds the datagrams that a relay delays at once. More are dropped and counted,
+	// maxDelayedDatagrams bounds the datagrams that a relay delays at once. More are dropped and counted,
 	// as by a full queue.
-	maxDelayed = 4096
-	// maxSenders bounds the senders that a relay tells apart. For a new one it drops the sender from
-	// which no datagram has come for the longest time.
+	maxDelayedDatagrams = 4096
+	// maxSenders bounds the senders that a relay keeps a socket for. A new sender beyond the bound
+	// replaces the one from which no datagram has come for the longest time.
 	maxSenders = 256
 	// maxDatagramBytes bounds a datagram.
 	maxDatagramBytes = 64 << 10
 )
 
-// UDP relays datagrams to a target. The target sees each sender at an address of the sender's own,
-// to which it can answer. It is safe for concurrent use.
+// UDP relays datagrams to a target. The target sees each sender at a separate address, to which it can
+// answer. It is safe for concurrent use.
 type UDP struct {
 	Counters
 	target     *net.UDPAddr
-	conn       *net.UDPConn // that senders send to
+	conn       *net.UDPConn // receives the senders' datagrams
 	forward    *direction   // to the target
-	back       *direction
+	reverse    *direction
 	goroutines sync.WaitGroup
 
-	mu      sync.Mutex
-	senders map[string]*sender // by address
-	delayed int                // datagrams
-	closed  bool
+	mu           sync.Mutex
+	senders      map[string]*sender // by address
+	delayedCount int                // datagrams
+	closed       bool
 }
 
 // sender is a process that sends datagrams to the relay.
 type sender struct {
 	addr         *net.UDPAddr
-	toTarget     *net.UDPConn // that stands for the sender at the target
+	toTarget     *net.UDPConn // whose local address represents the sender at the target
 	lastReceived time.Time    // guarded by UDP.mu
 }
 
 // NewUDP returns a relay that receives datagrams at addr, where port 0 takes a free one, and sends
-// them to target. The directions draw from the seed. The caller has to Close it.
+// them to target. seed seeds the random sources of the directions. The caller has to Close the relay.
 func NewUDP(addr, target string, seed uint64) (*UDP, error) {
 	targetAddr, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("udp link: %w", err)
 	}
-	u := &UDP{target: targetAddr, conn: conn, forward: newDirection(seed), back: newDirection(seed + 1), senders: map[string]*sender{}}
+	u := &UDP{target: targetAddr, conn: conn, forward: newDirection(seed), reverse: newDirection(seed + 1), senders: map[string]*sender{}}
 	u.goroutines.Add(1)
 	go u.receive()
 	return u, nil
@@ -66,10 +66,10 @@
 // Addr returns the address at which the relay receives in its target's place.
 func (u *UDP) Addr() string { return u.conn.LocalAddr().String() }
 
-// Set shapes the two directions.
-func (u *UDP) Set(forward, back Shape) {
+// Set sets the shapes of the two directions.
+func (u *UDP) Set(forward, reverse Shape) {
 	u.forward.setShape(forward)
-	u.back.setShape(back)
+	u.reverse.setShape(reverse)
 }
 
 // Close ends the relay and returns once its goroutines have ended. Delayed datagrams are dropped.
@@ -84,7 +84,7 @@
 	u.goroutines.Wait()
 }
 
-// receive carries the senders' datagrams to the target until Close.
+// receive relays the senders' datagrams to the target until Close.
 func (u *UDP) receive() {
 	defer u.goroutines.Done()
 	buffer := make([]byte, maxDatagramBytes)
@@ -93,20 +93,20 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // a sender has gone and its machine rejected an answer; other senders go on
+		if err != nil { // a sender has gone and its machine rejected an answer; other senders continue
 			continue
 		}
-		s, err := u.senderAt(from)
+		s, err := u.findOrAddSender(from)
 		if err != nil {
 			u.Dropped.Add(1)
 			continue
 		}
-		u.carry(u.forward, buffer[:n], func(data []byte) { _, _ = s.toTarget.Write(data) })
+		u.relayDatagram(u.forward, buffer[:n], func(data []byte) { _, _ = s.toTarget.Write(data) })
 	}
 }
 
-// senderAt returns the sender with an address, a new one if the address is new.
-func (u *UDP) senderAt(addr *net.UDPAddr) (*sender, error) {
+// findOrAddSender returns the sender with the address, and adds it if it is new.
+func (u *UDP) findOrAddSender(addr *net.UDPAddr) (*sender, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.closed {
@@ -144,7 +144,7 @@
 	delete(u.senders, oldest)
 }
 
-// receiveAnswers carries the target's datagrams to one sender until Close, or until the sender is
+// receiveAnswers relays the target's datagrams to one sender until Close, or until the sender is
 // dropped.
 func (u *UDP) receiveAnswers(s *sender) {
 	defer u.goroutines.Done()
@@ -157,27 +157,27 @@
 		if err != nil { // the target's machine rejected a datagram; later ones may be accepted
 			continue
 		}
-		u.carry(u.back, buffer[:n], func(data []byte) { _, _ = u.conn.WriteToUDP(data, s.addr) })
+		u.relayDatagram(u.reverse, buffer[:n], func(data []byte) { _, _ = u.conn.WriteToUDP(data, s.addr) })
 	}
 }
 
-// carry takes one datagram along a direction: it drops it, or sends it once or twice.
-func (u *UDP) carry(d *direction, data []byte, send func([]byte)) {
+// relayDatagram relays one datagram in a direction: it drops it, or sends it once or twice.
+func (u *UDP) relayDatagram(d *direction, data []byte, send func([]byte)) {
 	u.Datagrams.Add(1)
 	shape := d.shape.Load()
-	if shape.Cut || shape.LossShare > 0 && d.drawTrue(shape.LossShare) {
+	if shape.Cut || shape.LossProbability > 0 && d.randomBool(shape.LossProbability) {
 		u.Dropped.Add(1)
 		return
 	}
-	u.sendInTime(d, data, send)
-	if shape.DuplicateShare > 0 && d.drawTrue(shape.DuplicateShare) {
-		u.sendInTime(d, data, send)
+	u.sendDelayed(d, data, send)
+	if shape.DuplicateProbability > 0 && d.randomBool(shape.DuplicateProbability) {
+		u.sendDelayed(d, data, send)
 	}
 }
 
-// sendInTime sends a datagram at its time of arrival, unless the relay is closed or the direction is
-// cut by then. It doesn't keep data after it has returned.
-func (u *UDP) sendInTime(d *direction, data []byte, send func([]byte)) {
+// sendDelayed sends a datagram at its arrival time, unless the relay is closed or the direction is cut by
+// then. It doesn't keep data after it has returned.
+func (u *UDP) sendDelayed(d *direction, data []byte, send func([]byte)) {
 	wait := time.Until(d.arrivalTime(len(data)))
 	if wait <= 0 {
 		send(data)
@@ -185,15 +185,15 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.delayed >= maxDelayed || u.closed {
+	if u.delayedCount >= maxDelayedDatagrams || u.closed {
 		u.Dropped.Add(1)
 		return
 	}
-	u.delayed++
+	u.delayedCount++
 	dataCopy := append([]byte(nil), data...)
 	time.AfterFunc(wait, func() {
 		u.mu.Lock()
-		u.delayed--
+		u.delayedCount--
 		closed := u.closed
 		u.mu.Unlock()
 		if !closed && !d.shape.Load().Cut {
--- a/internal/lab/loopback/listener_test.go
+++ b/internal/lab/loopback/listener_test.go
@@ -17,10 +17,10 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	// waitTimeout bounds every wait for something that should happen.
+	// waitTimeout bounds every wait for an expected event.
 	waitTimeout = 20 * time.Second
-	// silenceTime is how long a connection is tried at a silent listener.
-	silenceTime = 100 * time.Millisecond
+	// noAnswerTimeout bounds a dial to an unresponsive listener.
+	noAnswerTimeout = 100 * time.Millisecond
 )
 
 // serverListener is a listener that keeps the connections that it accepts.
@@ -32,7 +32,7 @@
 // newServerListener returns an open listener at addr.
 func newServerListener(t *testing.T, addr string) *serverListener {
 	t.Helper()
-	var conns Set
+	var conns ConnSet
 	s := &serverListener{accepted: make(chan net.Conn, 100)}
 	var err error
 	if s.Listener, err = Listen(addr, func(c net.Conn) { conns.Add(c); s.accepted <- c }); err != nil {
@@ -49,22 +49,22 @@
 	switch state {
 	case open:
 		err = s.Open()
-	case silent:
-		err = s.Silence()
+	case unresponsive:
+		err = s.StopAnswering()
 	case refused:
 		s.Refuse()
 	}
 	if err != nil {
-		t.Fatalf("to state %d: %v", state, err)
+		t.Fatalf("change to state %d: %v", state, err)
 	}
 }
 
-// expectState fails the test unless a new connection at an address is treated as in the state.
+// expectState fails the test unless a new connection to the address is handled according to the state.
 func (s *serverListener) expectState(t *testing.T, addr string, want listenerState) {
 	t.Helper()
 	timeout := waitTimeout
-	if want == silent {
-		timeout = silenceTime
+	if want == unresponsive {
+		timeout = noAnswerTimeout
 	}
 	c, err := net.DialTimeout("tcp", addr, timeout)
 	var netError net.Error
@@ -77,19 +77,19 @@
 		t.Fatalf("a connection was accepted, want state %d", want)
 	case errors.Is(err, syscall.ECONNREFUSED):
 		if want != refused {
-			t.Fatalf("refused, want state %d", want)
+			t.Fatalf("the connection was refused, want state %d", want)
 		}
 	case errors.As(err, &netError) && netError.Timeout():
-		if want != silent {
-			t.Fatalf("silent, want state %d", want)
+		if want != unresponsive {
+			t.Fatalf("the connection was not answered, want state %d", want)
 		}
 	default:
 		t.Fatal(err)
 	}
 }
 
-// Connections are treated as the listener's state says through many changes of the state, at the
-// same address.
+// A listener handles connections according to its state, and keeps its address, through many changes of
+// the state.
 func TestListenerStates(t *testing.T) {
 	n, err := Claim()
 	if err != nil {
@@ -100,18 +100,18 @@
 	addr := s.Addr()
 	s.expectState(t, addr, open)
 	for range 3 {
-		for _, state := range []listenerState{silent, open, refused, open, silent, refused, open} {
+		for _, state := range []listenerState{unresponsive, open, refused, open, unresponsive, refused, open} {
 			s.change(t, state)
 			s.expectState(t, addr, state)
 			if s.Addr() != addr {
-				t.Fatalf("moved to %s", s.Addr())
+				t.Fatalf("the address changed to %s", s.Addr())
 			}
 		}
 	}
 }
 
-// Many listeners can fall silent at once, as those of a zone do.
-func TestManyListenersFallSilentAtOnce(t *testing.T) {
+// Many listeners can become unresponsive at once, like those of a zone.
+func TestManyListenersStopAnsweringAtOnce(t *testing.T) {
 	var all sync.WaitGroup
 	for range 50 {
 		l, err := Listen("127.0.0.1:0", func(c net.Conn) { c.Close() })
@@ -120,10 +120,10 @@
 		}
 		all.Go(func() {
 			defer l.Close()
-			if err := l.Silence(); err != nil {
+			if err := l.StopAnswering(); err != nil {
 				t.Error(err)
 			}
-			if c, err := net.DialTimeout("tcp", l.Addr(), silenceTime); err == nil {
+			if c, err := net.DialTimeout("tcp", l.Addr(), noAnswerTimeout); err == nil {
 				c.Close()
 				t.Error("a connection was accepted")
 			}
@@ -132,8 +132,8 @@
 	all.Wait()
 }
 
-// A listener opens again at its address while other goroutines start processes, which for a moment
-// have copies of the descriptor that was closed.
+// A listener opens again at its address while other goroutines start processes, which have copies of the
+// closed descriptor between fork and exec.
 func TestOpensWhileProcessesStart(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", func(c net.Conn) { c.Close() })
 	if err != nil {
@@ -165,7 +165,7 @@
 	all.Wait()
 }
 
-// A reset breaks a connection with an error, a close ends it in order.
+// A reset ends a connection with ECONNRESET, a close with EOF.
 func TestReset(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -198,8 +198,8 @@
 	}
 }
 
-// Wait returns after the last call of serve, however late that begins: also one of a connection that
-// was accepted just before Close.
+// Wait returns only after every call of serve has returned, including the call for a connection that was
+// accepted just before Close.
 func TestWaitCoversConnectionsAcceptedBeforeClose(t *testing.T) {
 	for range 200 {
 		var begun, returned atomic.Int64
