--- a/cmd/lab/capacity.go
+++ b/cmd/lab/capacity.go
@@ -60,15 +60,15 @@
 	return nil
 }
 
-// checkPage prints whether the page has the tables as they are. It returns errBroke if one differs.
+// checkPage prints whether the page has the tables as they are. It returns errChecksFailed if one differs.
 func checkPage(out io.Writer, path, page string, tables []capacity.Table) error {
-	differing, err := capacity.OutdatedTable(page, tables)
+	outdatedTable, err := capacity.OutdatedTable(page, tables)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if differing != "" {
-		fmt.Fprintf(out, "%s: table %s differs from the results; regenerate it with lab capacity\n", path, differing)
-		return errBroke
+	if outdatedTable != "" {
+		fmt.Fprintf(out, "%s: table %s differs from the results; regenerate it with lab capacity\n", path, outdatedTable)
+		return errChecksFailed
 	}
 	fmt.Fprintf(out, "%s: all %d tables match the results\n", path, len(tables))
 	return nil
--- a/cmd/lab/capacity_test.go
+++ b/cmd/lab/capacity_test.go
@@ -11,8 +11,8 @@
 	"knotrouter/internal/lab/capacity"
 )
 
-// capacityFolder returns a folder with copies of the page and the target, and invented results.
-func capacityFolder(t *testing.T) string {
+// newCapacityFolder returns a folder with copies of the page and the target, and invented results.
+func newCapacityFolder(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
 	for _, name := range []string{capacityPage, filepath.Join("capacity", "target.toml")} {
@@ -28,12 +28,12 @@
 			t.Fatal(err)
 		}
 	}
-	writeFixture(t, folder, 4)
+	writeResultsFixture(t, folder, 4)
 	return folder
 }
 
-// writeFixture writes invented results: agents receive bytesPerServer bytes a second for each server.
-func writeFixture(t *testing.T, folder string, bytesPerServer float64) {
+// writeResultsFixture writes invented results: agents receive bytesPerServer bytes a second for each server.
+func writeResultsFixture(t *testing.T, folder string, bytesPerServer float64) {
 	t.Helper()
 	results := &capacity.Results{Experiment: "fleet-ahead", Variant: capacity.Before, Command: "fixture", Commit: "fixture", Machine: "fixture"}
 	for _, servers := range []int{1000, 2000, 3000, 4000} {
@@ -48,7 +48,7 @@
 
 func runCapacity(folder string, args ...string) (string, error) {
 	var out bytes.Buffer
-	root := command(&out, &out)
+	root := newRootCommand(&out, &out)
 	root.SetArgs(append([]string{"capacity", "--dir", folder}, args...))
 	err := root.Execute()
 	return out.String(), err
@@ -69,7 +69,7 @@
 	t.Helper()
 	before := readPage(t, folder)
 	output, err := runCapacity(folder, "--check")
-	if !errors.Is(err, errBroke) || strings.Count(output, "\n") != 1 || !strings.Contains(output, "table "+table+" differs") {
+	if !errors.Is(err, errChecksFailed) || strings.Count(output, "\n") != 1 || !strings.Contains(output, "table "+table+" differs") {
 		t.Errorf("--check printed %q, error %v; want one line that names %s", output, err, table)
 	}
 	if after := readPage(t, folder); !bytes.Equal(after, before) {
@@ -90,25 +90,25 @@
 }
 
 func TestCapacityWritesAndChecksPage(t *testing.T) {
-	folder := capacityFolder(t)
+	folder := newCapacityFolder(t)
 	checkDiffers(t, folder, "sources") // the page in the repository doesn't know the fixture
 	first := regenerate(t, folder)
 	if again := regenerate(t, folder); !bytes.Equal(first, again) {
 		t.Error("the page differs when it is made again")
 	}
-	prose := bytes.Replace(first, []byte("# Capacity\n"), []byte("# Capacity\n\nMore prose.\n"), 1)
-	changed := bytes.Replace(prose, []byte("| 156,000* |"), []byte("| 15,600* |"), 1)
-	if bytes.Equal(changed, prose) {
+	proseAdded := bytes.Replace(first, []byte("# Capacity\n"), []byte("# Capacity\n\nMore prose.\n"), 1)
+	changed := bytes.Replace(proseAdded, []byte("| 156,000* |"), []byte("| 15,600* |"), 1)
+	if bytes.Equal(changed, proseAdded) {
 		t.Fatal("the page lacks the bytes of an agent at the target")
 	}
 	if err := os.WriteFile(filepath.Join(folder, capacityPage), changed, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	checkDiffers(t, folder, "roles")
-	if third := regenerate(t, folder); !bytes.Equal(third, prose) {
+	if rebuilt := regenerate(t, folder); !bytes.Equal(rebuilt, proseAdded) {
 		t.Error("prose was changed, or the table was not made as before")
 	}
-	writeFixture(t, folder, 5)
+	writeResultsFixture(t, folder, 5)
 	checkDiffers(t, folder, "slopes")
 }
 
@@ -119,13 +119,13 @@
 		"page without its first mark": {"CAPACITY.md", "# Capacity\n", "table: sources"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			folder := capacityFolder(t)
+			folder := newCapacityFolder(t)
 			if err := os.WriteFile(filepath.Join(folder, c.file), []byte(c.text), 0o644); err != nil {
 				t.Fatal(err)
 			}
 			for _, args := range [][]string{nil, {"--check"}} {
 				output, err := runCapacity(folder, args...)
-				if err == nil || errors.Is(err, errBroke) || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+				if err == nil || errors.Is(err, errChecksFailed) || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 					t.Errorf("%v: output %q, error %v; want one line with %q", args, output, err, c.want)
 				}
 			}
--- a/cmd/lab/compare.go
+++ b/cmd/lab/compare.go
@@ -13,8 +13,8 @@
 	return &cobra.Command{Use: "compare DIR DIR", Short: "Set two results side by side", Args: cobra.ExactArgs(2),
 		Example: "  lab compare found/steady-before found/steady-after",
 		RunE: func(_ *cobra.Command, args []string) error {
-			if isScale(args[0]) && isScale(args[1]) {
-				return compareScale(out, args[0], args[1])
+			if isScaleResult(args[0]) && isScaleResult(args[1]) {
+				return compareScaleResults(out, args[0], args[1])
 			}
 			first, err := report.Read(args[0])
 			if err != nil {
--- a/cmd/lab/cost.go
+++ b/cmd/lab/cost.go
@@ -49,12 +49,12 @@
 
 // measureCost measures, writes the results to a file and, unless profile is "", CPU profiles to the
 // folder profile. The last line that it prints says whether the limits held; if they did not, or the
-// measurement was interrupted, it returns errBroke.
+// measurement was interrupted, it returns errChecksFailed.
 func measureCost(ctx context.Context, out io.Writer, options *cost.Options, file, profile string) error {
 	results, violations, err := cost.Run(ctx, options)
 	if cost.Interrupted(ctx, err) {
 		fmt.Fprintf(out, "%s seed %d: broke: interrupted before its end\n", cost.Experiment, options.Seed)
-		return errBroke
+		return errChecksFailed
 	}
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 	}
 	if len(violations) > 0 {
 		fmt.Fprintf(out, "%s seed %d: broke: %s\n", cost.Experiment, options.Seed, strings.Join(violations, "; "))
-		return errBroke
+		return errChecksFailed
 	}
 	fmt.Fprintf(out, "%s seed %d: held\n", cost.Experiment, options.Seed)
 	return nil
--- a/cmd/lab/cost_test.go
+++ b/cmd/lab/cost_test.go
@@ -12,15 +12,15 @@
 // A short measurement with a real agent counts its calls. Times aren't checked, and neither is the
 // exit code, as the limits aren't held on a busy machine.
 func TestCostMeasuresRealAgent(t *testing.T) {
-	program, err := agent()
+	agentPath, err := buildAgent()
 	if err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "cost.json")
 	var out, progress bytes.Buffer
-	cmd := command(&out, &progress)
-	cmd.SetArgs([]string{"cost", "--agent", program, "--servers", "20", "--rates", "50", "--for", "1s", "--seed", "3", "--out", file})
-	if err := cmd.Execute(); err != nil && err != errBroke {
+	cmd := newRootCommand(&out, &progress)
+	cmd.SetArgs([]string{"cost", "--agent", agentPath, "--servers", "20", "--rates", "50", "--for", "1s", "--seed", "3", "--out", file})
+	if err := cmd.Execute(); err != nil && err != errChecksFailed {
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
@@ -40,22 +40,22 @@
 	if want := "bin/lab cost --servers 20 --rates 50 --for 1s --seed 3"; results.Command != want {
 		t.Errorf("the command is %q, want %q", results.Command, want)
 	}
-	found := map[string]float64{}
+	values := map[string]float64{}
 	for _, m := range results.Runs[0].Measurements {
 		if m.Load != "50 calls/s" {
 			t.Errorf("load %q", m.Load)
 		}
-		found[m.Metric] = m.Value
+		values[m.Metric] = m.Value
 	}
-	if found["calls"] < 20 || found["calls"] > 100 {
-		t.Errorf("%v calls in a second at 50 a second", found["calls"])
+	if values["calls"] < 20 || values["calls"] > 100 {
+		t.Errorf("%v calls in a second at 50 a second", values["calls"])
 	}
-	if found["served_share"] != 1 || !(found["rss_mb"] > 0) || !(found["peak_rss_mb"] >= found["rss_mb"]) {
-		t.Errorf("found %v", found)
+	if values["served_share"] != 1 || !(values["rss_mb"] > 0) || !(values["peak_rss_mb"] >= values["rss_mb"]) {
+		t.Errorf("measured values %v", values)
 	}
 	for _, name := range []string{"cpu_ms_per_call", "cpu_cores", "idle_cpu_cores", "direct_p50_ms", "direct_p99_ms", "agent_p50_ms",
 		"agent_p99_ms", "added_p50_ms", "added_p99_ms", "added_paired_p50_ms", "added_paired_p99_ms"} {
-		if _, ok := found[name]; !ok {
+		if _, ok := values[name]; !ok {
 			t.Errorf("no %s", name)
 		}
 	}
@@ -63,7 +63,7 @@
 
 // The error of an invalid flag is one line that names the flag.
 func TestCostNamesInvalidFlag(t *testing.T) {
-	program, err := agent()
+	agentPath, err := buildAgent()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,11 +71,11 @@
 		{"--servers", "0"}, {"--servers", "many"}, {"--servers", "20,-1"}, {"--rates", "0"}, {"--rates", "fast"},
 		{"--rates", "NaN"}, {"--for", "0s"}, {"--for", "ten"}, {"--seed", "-1"}, {"--agent", "none"},
 	} {
-		cmd := command(&bytes.Buffer{}, &bytes.Buffer{})
-		args := []string{"cost", "--agent", program, "--out", filepath.Join(t.TempDir(), "cost.json"), c.flag + "=" + c.value}
+		cmd := newRootCommand(&bytes.Buffer{}, &bytes.Buffer{})
+		args := []string{"cost", "--agent", agentPath, "--out", filepath.Join(t.TempDir(), "cost.json"), c.flag + "=" + c.value}
 		cmd.SetArgs(args)
 		err := cmd.Execute()
-		if err == nil || err == errBroke || !strings.Contains(err.Error(), c.flag) || strings.Contains(err.Error(), "\n") {
+		if err == nil || err == errChecksFailed || !strings.Contains(err.Error(), c.flag) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s %s: %v", c.flag, c.value, err)
 		}
 	}
--- a/cmd/lab/experiments.go
+++ b/cmd/lab/experiments.go
@@ -29,7 +29,7 @@
 			sort.Strings(paths)
 			for _, path := range paths {
 				if scale.IsExperiment(path) {
-					listScale(out, path)
+					listScaleExperiment(out, path)
 					continue
 				}
 				listExperiment(out, path)
--- a/cmd/lab/formats_test.go
+++ b/cmd/lab/formats_test.go
@@ -29,10 +29,10 @@
 // experiment files and results, the commands and their flags. To change a format on purpose, update
 // the golden files with go test ./cmd/lab -run Golden -update.
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var updateGolden = flag.Bool("update", false, "write the golden files anew")
 
-// formats are the types whose keys are checked, with the tag that gives the keys.
-var formats = []struct {
+// goldenFormats are the types whose keys are checked, with the tag that gives the keys.
+var goldenFormats = []struct {
 	golden string
 	tag    string
 	types  []any
@@ -46,7 +46,7 @@
 }
 
 func TestGoldenFileKeys(t *testing.T) {
-	for _, f := range formats {
+	for _, f := range goldenFormats {
 		t.Run(f.golden, func(t *testing.T) {
 			var lines []string
 			for i, x := range f.types {
@@ -65,12 +65,12 @@
 // listKeys lists the keys of a type with the kind of their values, as in "load.class[].aim duration".
 func listKeys(t *testing.T, path, tag string, x reflect.Type) []string {
 	t.Helper()
-	text := reflect.TypeFor[encoding.TextMarshaler]()
-	custom := reflect.TypeFor[json.Marshaler]()
+	textMarshaler := reflect.TypeFor[encoding.TextMarshaler]()
+	jsonMarshaler := reflect.TypeFor[json.Marshaler]()
 	switch {
 	case x == reflect.TypeFor[time.Duration]():
 		return []string{path + " duration"}
-	case x.Implements(text) || x.Implements(custom):
+	case x.Implements(textMarshaler) || x.Implements(jsonMarshaler):
 		return []string{path + " text"}
 	}
 	switch x.Kind() {
@@ -126,9 +126,9 @@
 
 // All recorded commands and flags exist, under their name or an alias. New ones are allowed.
 func TestGoldenCommandsAndFlags(t *testing.T) {
-	root := command(io.Discard, io.Discard)
-	if *update {
-		compareGolden(t, "commands.golden", strings.Join(describe(root, root.Name()), "\n")+"\n")
+	root := newRootCommand(io.Discard, io.Discard)
+	if *updateGolden {
+		compareGolden(t, "commands.golden", strings.Join(describeCommand(root, root.Name()), "\n")+"\n")
 	}
 	for _, line := range strings.Split(strings.TrimSpace(readGolden(t, "commands.golden")), "\n") {
 		path, flagLine, isFlag := strings.Cut(line, " --")
@@ -160,8 +160,8 @@
 	}
 }
 
-// describe lists a command, its flags and the commands below it.
-func describe(cmd *cobra.Command, path string) []string {
+// describeCommand lists a command, its flags and the commands below it.
+func describeCommand(cmd *cobra.Command, path string) []string {
 	line := path
 	if cmd.Hidden {
 		line += " (hidden)"
@@ -169,7 +169,7 @@
 	lines := []string{line}
 	cmd.LocalFlags().VisitAll(func(f *pflag.Flag) { lines = append(lines, path+" "+describeFlag(f)) })
 	for _, c := range cmd.Commands() {
-		lines = append(lines, describe(c, path+" "+c.Name())...)
+		lines = append(lines, describeCommand(c, path+" "+c.Name())...)
 	}
 	return lines
 }
@@ -198,7 +198,7 @@
 // -update it writes the text to the golden file first.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
-	if *update {
+	if *updateGolden {
 		if err := os.WriteFile(filepath.Join("testdata", name), []byte(got), 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -207,14 +207,14 @@
 	if got == want {
 		return
 	}
-	was, is := strings.Split(want, "\n"), strings.Split(got, "\n")
-	for _, line := range was {
-		if !slices.Contains(is, line) {
+	wantLines, gotLines := strings.Split(want, "\n"), strings.Split(got, "\n")
+	for _, line := range wantLines {
+		if !slices.Contains(gotLines, line) {
 			t.Errorf("%s: gone: %s", name, line)
 		}
 	}
-	for _, line := range is {
-		if !slices.Contains(was, line) {
+	for _, line := range gotLines {
+		if !slices.Contains(wantLines, line) {
 			t.Errorf("%s: new: %s", name, line)
 		}
 	}
--- a/cmd/lab/hollow.go
+++ b/cmd/lab/hollow.go
@@ -20,7 +20,7 @@
 	return cmd
 }
 
-const listenUsage = "loopback address that offers the state as JSON and takes commands"
+const listenFlagUsage = "loopback address that offers the state as JSON and takes commands"
 
 // hollowLog returns the log of a hollow process, on stderr.
 func hollowLog(role string) *slog.Logger {
@@ -68,7 +68,7 @@
 	flags.IntVar(&config.Services, "services", 1, "services that there are")
 	flags.IntVar(&config.Subscribed, "subscribed", 0, "services that each subscribes to; 0: the whole list")
 	flags.StringSliceVar(&config.Sources, "source", nil, "local loopback addresses, taken in turn")
-	flags.StringVar(&listen, "listen", "", listenUsage)
+	flags.StringVar(&listen, "listen", "", listenFlagUsage)
 	return cmd
 }
 
@@ -110,6 +110,6 @@
 	flags.IntVar(&config.EmulatedPerZone, "emulated", 0, "HTTP servers a zone that answer requests for its servers")
 	flags.DurationVar(&config.ServiceTime, "service-time", 5*time.Millisecond, "that an emulated server takes for a request")
 	flags.BoolVar(&register, "register", false, "register all at the start, without a command")
-	flags.StringVar(&listen, "listen", "", listenUsage)
+	flags.StringVar(&listen, "listen", "", listenFlagUsage)
 	return cmd
 }
--- a/cmd/lab/input_test.go
+++ b/cmd/lab/input_test.go
@@ -11,19 +11,19 @@
 
 // Invalid input gives one line that names the key or the flag, and exit code 2. It leaves no process.
 func TestInvalidInputIsNamedInOneLine(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer listener.Close()
 	dir := t.TempDir()
-	good := experimentFile(t)
-	full := filepath.Join(dir, "full")
-	if err := os.MkdirAll(full, 0o755); err != nil {
+	validFile := experimentFile(t)
+	fullDiskDir := filepath.Join(dir, "full")
+	if err := os.MkdirAll(fullDiskDir, 0o755); err != nil {
 		t.Fatal(err)
 	}
 	// Writing the summary there fails as on a full disk.
-	if err := os.Symlink("/dev/full", filepath.Join(full, "summary.json.part")); err != nil {
+	if err := os.Symlink("/dev/full", filepath.Join(fullDiskDir, "summary.json.part")); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -32,17 +32,17 @@
 	}{
 		{"no file", "nowhere.toml", []string{"run", "nowhere.toml"}},
 		{"no argument", "accepts 1 arg", []string{"run"}},
-		{"unknown flag", "--colour", []string{"run", good, "--colour"}},
-		{"bad seed", `--seed`, []string{"run", good, "--seed", "many"}},
+		{"unknown flag", "--colour", []string{"run", validFile, "--colour"}},
+		{"bad seed", `--seed`, []string{"run", validFile, "--seed", "many"}},
 		{"unknown command", `unknown command "play"`, []string{"play"}},
 		{"unknown key", "load.rat: unknown key", []string{"run", experimentFile(t, "rate = 60", "rat = 60")}},
 		{"negative rate", "load.rate: must be 0 or above", []string{"run", experimentFile(t, "rate = 60", "rate = -60")}},
 		{"unknown process", `fault[0].target: unknown process "s-99"`, []string{"run", experimentFile(t, "servers#1", "s-99")}},
-		{"after the end", "fault[0].at: 9s is after the end", []string{"validate", good, experimentFile(t, `at = "1s"`, `at = "9s"`)}},
+		{"after the end", "fault[0].at: 9s is after the end", []string{"validate", validFile, experimentFile(t, `at = "1s"`, `at = "9s"`)}},
 		{"missing binary", "agents.command: bin/none: no program there", []string{"run", experimentFile(t, "command = ", "command = \"bin/none\" #")}},
-		{"address in use", "listen: listen tcp " + taken.Addr().String(), []string{"run", experimentFile(t, "seed = 9", fmt.Sprintf("seed = 9\nlisten = %q", taken.Addr()))}},
-		{"out not writable", "--out: mkdir /dev/null", []string{"run", good, "--out", "/dev/null/results"}},
-		{"disk full", "--out: write summary.json: ", []string{"run", good, "--out", full}},
+		{"address in use", "listen: listen tcp " + listener.Addr().String(), []string{"run", experimentFile(t, "seed = 9", fmt.Sprintf("seed = 9\nlisten = %q", listener.Addr()))}},
+		{"out not writable", "--out: mkdir /dev/null", []string{"run", validFile, "--out", "/dev/null/results"}},
+		{"disk full", "--out: write summary.json: ", []string{"run", validFile, "--out", fullDiskDir}},
 		{"an agent that does not start", "process n", []string{"run", experimentFile(t, "command = ", "command = \"/bin/false\" #")}},
 		{"no results", "results: ", []string{"compare", dir, dir}},
 		{"no seeds", `--seeds: must be A-B or A, is ""`, []string{"soak"}},
@@ -57,9 +57,9 @@
 			if c.args[0] == "run" && !strings.Contains(strings.Join(c.args, " "), "--out") {
 				c.args = append(c.args, "--out", filepath.Join(dir, "out"))
 			}
-			process := lab(t, c.args...)
-			code := process.code()
-			message := withoutProgress(process.err.String())
+			process := startLab(t, c.args...)
+			code := process.waitExitCode()
+			message := withoutProgress(process.stderr.String())
 			if code != 2 || strings.Count(message, "\n") != 1 || !strings.Contains(message, c.want) || !strings.HasPrefix(message, "lab: ") {
 				t.Errorf("exit %d, message %q; want one line with %q", code, message, c.want)
 			}
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -19,31 +19,31 @@
 	"github.com/spf13/cobra"
 )
 
-// errBroke is returned by a command whose checks failed, after it has printed which ones.
-var errBroke = errors.New("broke")
+// errChecksFailed is returned by a command whose checks failed, after it has printed which ones.
+var errChecksFailed = errors.New("broke")
 
 // Exit codes.
 const (
-	exitBroke = 1 // the command's checks failed, or it was interrupted
-	exitError = 2 // the command could not run
+	exitChecksFailed = 1 // the command's checks failed, or it was interrupted
+	exitError        = 2 // the command could not run
 )
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
-	err := command(os.Stdout, os.Stderr).ExecuteContext(ctx)
+	err := newRootCommand(os.Stdout, os.Stderr).ExecuteContext(ctx)
 	stop()
 	switch {
 	case err == nil:
-	case errors.Is(err, errBroke):
-		os.Exit(exitBroke)
+	case errors.Is(err, errChecksFailed):
+		os.Exit(exitChecksFailed)
 	default:
 		fmt.Fprintln(os.Stderr, "lab:", strings.ReplaceAll(err.Error(), "\n", " "))
 		os.Exit(exitError)
 	}
 }
 
-// command returns the lab's command line. Results are printed to out, progress to progress.
-func command(out, progress io.Writer) *cobra.Command {
+// newRootCommand returns the lab's command line. Results are printed to out, progress to progress.
+func newRootCommand(out, progress io.Writer) *cobra.Command {
 	root := &cobra.Command{Use: "lab", Short: "Play experiments on real agents, with faults between the processes",
 		SilenceUsage: true, SilenceErrors: true,
 		Long: "lab starts real agents beside emulated programme servers, a list service and clients,\n" +
--- a/cmd/lab/main_test.go
+++ b/cmd/lab/main_test.go
@@ -23,7 +23,7 @@
 		os.Exit(0)
 	}
 	code := m.Run()
-	if path, err := agent(); err == nil {
+	if path, err := buildAgent(); err == nil {
 		os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
@@ -35,8 +35,8 @@
 	pollInterval = 10 * time.Millisecond
 )
 
-// agent builds the real agent on the first call and returns its path.
-var agent = sync.OnceValues(func() (string, error) {
+// buildAgent builds the real agent on the first call and returns its path.
+var buildAgent = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "lab-agent-")
 	if err != nil {
 		return "", err
@@ -53,7 +53,7 @@
 // pairs of a text of the experiment and the text in its place.
 func experimentFile(t *testing.T, replacements ...string) string {
 	t.Helper()
-	path, err := agent()
+	path, err := buildAgent()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,22 +85,22 @@
 	return name
 }
 
-// child is a lab in a process of its own.
-type child struct {
+// labProcess is a lab in a process of its own.
+type labProcess struct {
 	*exec.Cmd
-	out, err bytes.Buffer
+	stdout, stderr bytes.Buffer
 }
 
-// lab starts a lab. The process is killed at the end of the test.
-func lab(t *testing.T, args ...string) *child {
+// startLab starts a lab. The process is killed at the end of the test.
+func startLab(t *testing.T, args ...string) *labProcess {
 	t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &child{Cmd: exec.Command(exe, args...)}
+	c := &labProcess{Cmd: exec.Command(exe, args...)}
 	c.Env = append(os.Environ(), childVariable+"=1")
-	c.Stdout, c.Stderr = &c.out, &c.err
+	c.Stdout, c.Stderr = &c.stdout, &c.stderr
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -108,8 +108,8 @@
 	return c
 }
 
-// code waits for the end of the process and returns its exit code, or -1 if a signal ended it.
-func (c *child) code() int {
+// waitExitCode waits for the end of the process and returns its exit code, or -1 if a signal ended it.
+func (c *labProcess) waitExitCode() int {
 	_ = c.Wait()
 	return c.ProcessState.ExitCode()
 }
--- a/cmd/lab/mutants.go
+++ b/cmd/lab/mutants.go
@@ -61,7 +61,7 @@
 	return mutants, nil
 }
 
-// runMutants runs mutants and prints the result of each. It returns errBroke unless all are killed.
+// runMutants runs mutants and prints the result of each. It returns errChecksFailed unless all are killed.
 func runMutants(ctx context.Context, out io.Writer, mutants []mutant.Mutant, concurrency int) error {
 	killed, survived := 0, 0
 	mutant.RunAll(ctx, ".", mutants, concurrency, func(m *mutant.Mutant, result mutant.Result, err error) {
@@ -80,7 +80,7 @@
 	})
 	fmt.Fprintf(out, "%d seen, %d not seen, %d not played\n", killed, survived, len(mutants)-killed-survived)
 	if killed != len(mutants) {
-		return errBroke
+		return errChecksFailed
 	}
 	return nil
 }
--- a/cmd/lab/run.go
+++ b/cmd/lab/run.go
@@ -43,7 +43,7 @@
 }
 
 // runExperiment runs the experiment of a file, writes its results and prints them. It returns
-// errBroke if the experiment's checks failed or it was interrupted.
+// errChecksFailed if the experiment's checks failed or it was interrupted.
 func runExperiment(ctx context.Context, out, progress io.Writer, path string, options experiment.Options, quiet bool) error {
 	config, err := experiment.Load(path)
 	if err != nil {
@@ -60,7 +60,7 @@
 	stopProgress()
 	if experiment.Interrupted(err) {
 		fmt.Fprintf(out, "%s seed %d: broke: interrupted before its end\n", config.Name, effectiveSeed(config, options))
-		return errBroke
+		return errChecksFailed
 	}
 	if err != nil {
 		return err
@@ -80,7 +80,7 @@
 }
 
 // printSummary prints the results of an experiment. The last line says whether its checks held; if
-// they did not, it returns errBroke.
+// they did not, it returns errChecksFailed.
 func printSummary(out io.Writer, dir string, summary *experiment.Summary, quiet bool) error {
 	if !quiet {
 		if err := report.Tables(out, summary); err != nil {
@@ -93,7 +93,7 @@
 	}
 	fmt.Fprintln(out, report.ResultLine(summary))
 	if !summary.Passed {
-		return errBroke
+		return errChecksFailed
 	}
 	return nil
 }
--- a/cmd/lab/run_test.go
+++ b/cmd/lab/run_test.go
@@ -42,21 +42,21 @@
 func TestRunWritesResultsAndExitCode(t *testing.T) {
 	dir := t.TempDir()
 	passedDir := filepath.Join(dir, "held")
-	c := lab(t, "run", experimentFile(t), "--out", passedDir, "--seed", "31")
-	if code := c.code(); code != 0 || !strings.HasSuffix(c.out.String(), "\ntiny seed 31: held\n") {
-		t.Fatalf("exit %d, output %s %s", code, c.out.String(), c.err.String())
+	c := startLab(t, "run", experimentFile(t), "--out", passedDir, "--seed", "31")
+	if code := c.waitExitCode(); code != 0 || !strings.HasSuffix(c.stdout.String(), "\ntiny seed 31: held\n") {
+		t.Fatalf("exit %d, output %s %s", code, c.stdout.String(), c.stderr.String())
 	}
 	failedDir := filepath.Join(dir, "broke")
 	impossible := experimentFile(t, "[[fault]]", "[[expect]]\nwhat = \"served\"\nat_most = 0.1\n[[fault]]")
-	c = lab(t, "run", impossible, "--out", failedDir, "--quiet")
-	if code := c.code(); code != 1 || !regexp.MustCompile(`^tiny seed 9: broke: served at most, [\d.]+ against 0.1\n$`).MatchString(c.out.String()) {
-		t.Errorf("exit %d, output %q %q", code, c.out.String(), c.err.String())
+	c = startLab(t, "run", impossible, "--out", failedDir, "--quiet")
+	if code := c.waitExitCode(); code != 1 || !regexp.MustCompile(`^tiny seed 9: broke: served at most, [\d.]+ against 0.1\n$`).MatchString(c.stdout.String()) {
+		t.Errorf("exit %d, output %q %q", code, c.stdout.String(), c.stderr.String())
 	}
 	checkResults(t, passedDir)
 	checkResults(t, failedDir)
-	c = lab(t, "compare", passedDir, failedDir)
-	if code := c.code(); code != 0 || !strings.Contains(c.out.String(), "all all served share") || !strings.Contains(c.out.String(), "not the same experiment and seed") {
-		t.Errorf("exit %d, output %s", code, c.out.String())
+	c = startLab(t, "compare", passedDir, failedDir)
+	if code := c.waitExitCode(); code != 0 || !strings.Contains(c.stdout.String(), "all all served share") || !strings.Contains(c.stdout.String(), "not the same experiment and seed") {
+		t.Errorf("exit %d, output %s", code, c.stdout.String())
 	}
 	if left := agentProcesses(dir); len(left) > 0 {
 		t.Errorf("processes left: %v", left)
@@ -69,15 +69,15 @@
 	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
 		t.Run(sig.String(), func(t *testing.T) {
 			dir := t.TempDir()
-			c := lab(t, "run", experimentFile(t, `duration = "3s"`, `duration = "10m"`), "--out", dir, "--quiet")
+			c := startLab(t, "run", experimentFile(t, `duration = "3s"`, `duration = "10m"`), "--out", dir, "--quiet")
 			waitUntil(t, "two agents", func() bool { return len(agentProcesses(dir)) == 2 })
 			if err := c.Process.Signal(sig); err != nil {
 				t.Fatal(err)
 			}
-			code := c.code()
+			code := c.waitExitCode()
 			waitUntil(t, "without agents", func() bool { return len(agentProcesses(dir)) == 0 })
-			if sig != syscall.SIGKILL && (code != 1 || !strings.HasSuffix(c.out.String(), "tiny seed 9: broke: interrupted before its end\n")) {
-				t.Errorf("exit %d, output %q %q", code, c.out.String(), c.err.String())
+			if sig != syscall.SIGKILL && (code != 1 || !strings.HasSuffix(c.stdout.String(), "tiny seed 9: broke: interrupted before its end\n")) {
+				t.Errorf("exit %d, output %q %q", code, c.stdout.String(), c.stderr.String())
 			}
 		})
 	}
@@ -87,7 +87,7 @@
 func TestRunServesItsState(t *testing.T) {
 	addr := freeAddress(t)
 	dir := t.TempDir()
-	c := lab(t, "run", experimentFile(t, "seed = 9", fmt.Sprintf("seed = 9\nlisten = %q", addr)), "--out", dir, "--quiet")
+	c := startLab(t, "run", experimentFile(t, "seed = 9", fmt.Sprintf("seed = 9\nlisten = %q", addr)), "--out", dir, "--quiet")
 	waitUntil(t, "served the state of a running experiment", func() bool {
 		response, err := http.Get("http://" + addr)
 		if err != nil {
@@ -98,8 +98,8 @@
 		err = json.NewDecoder(response.Body).Decode(&progress)
 		return err == nil && progress.Requests > 0 && progress.Phase == "running"
 	})
-	if code := c.code(); code != 0 {
-		t.Errorf("exit %d: %s", code, c.err.String())
+	if code := c.waitExitCode(); code != 0 {
+		t.Errorf("exit %d: %s", code, c.stderr.String())
 	}
 	if _, err := net.Dial("tcp", addr); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("after its end: %v", err)
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -15,7 +15,7 @@
 	"knotrouter/internal/lab/scale"
 )
 
-// runScale runs an experiment that has a [scale] table and prints its verdict. It returns errBroke if
+// runScale runs an experiment that has a [scale] table and prints its verdict. It returns errChecksFailed if
 // the run was interrupted or a size that had to be run was not.
 func runScale(ctx context.Context, out, progress io.Writer, path string, o experiment.Options, quiet bool) error {
 	config, err := scale.Load(path)
@@ -30,14 +30,14 @@
 	if options.Out == "" {
 		options.Out = filepath.Join(resultsDir, fmt.Sprintf("%s-%s", config.Name, time.Now().Format(fileTimeLayout)))
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if !quiet {
-		options.Progress = func(line string) { fmt.Fprintf(progress, "%6.1f s  %s\n", time.Since(began).Seconds(), line) }
+		options.Progress = func(line string) { fmt.Fprintf(progress, "%6.1f s  %s\n", time.Since(startedAt).Seconds(), line) }
 	}
 	results, notRun, err := scale.Run(ctx, config, options)
 	if errors.Is(err, scale.ErrInterrupted) {
 		fmt.Fprintf(out, "%s seed %d: broke: %v\n", config.Name, seed, err)
-		return errBroke
+		return errChecksFailed
 	}
 	if err != nil {
 		return err
@@ -50,32 +50,32 @@
 	}
 	if len(notRun) > 0 {
 		fmt.Fprintf(out, "%s seed %d: broke: %s\n", config.Name, seed, strings.Join(notRun, "; "))
-		return errBroke
+		return errChecksFailed
 	}
 	fmt.Fprintf(out, "%s seed %d: held\n", config.Name, seed)
 	return nil
 }
 
-// listScale prints the line of a scale experiment in the list of a folder's experiments.
-func listScale(out io.Writer, path string) {
+// listScaleExperiment prints the line of a scale experiment in the list of a folder's experiments.
+func listScaleExperiment(out io.Writer, path string) {
 	config, err := scale.Load(path)
 	if err != nil {
 		fmt.Fprintf(out, "%-28s cannot be read: %v\n", filepath.Base(path), err)
 		return
 	}
-	about, _, _ := strings.Cut(strings.TrimSpace(config.About), "\n")
+	description, _, _ := strings.Cut(strings.TrimSpace(config.About), "\n")
 	sizes := config.Scale.Sizes
-	fmt.Fprintf(out, "%-28s scale  %3d sizes, to %d servers  %s\n", filepath.Base(path), len(sizes), sizes[len(sizes)-1].Servers, about)
+	fmt.Fprintf(out, "%-28s scale  %3d sizes, to %d servers  %s\n", filepath.Base(path), len(sizes), sizes[len(sizes)-1].Servers, description)
 }
 
-// isScale returns whether a folder holds the results of a scale run.
-func isScale(dir string) bool {
+// isScaleResult returns whether a folder holds the results of a scale run.
+func isScaleResult(dir string) bool {
 	_, err := os.Stat(filepath.Join(dir, scale.ResultsFile))
 	return err == nil
 }
 
-// compareScale prints the results of two scale runs, from their folders, side by side.
-func compareScale(out io.Writer, first, second string) error {
+// compareScaleResults prints the results of two scale runs, from their folders, side by side.
+func compareScaleResults(out io.Writer, first, second string) error {
 	a, err := capacity.Read(filepath.Join(first, scale.ResultsFile))
 	if err != nil {
 		return err
--- a/cmd/lab/scale_test.go
+++ b/cmd/lab/scale_test.go
@@ -39,9 +39,9 @@
 			if c.args[0] == "run" && !strings.Contains(strings.Join(c.args, " "), "--out") {
 				c.args = append(c.args, "--quiet", "--out", t.TempDir())
 			}
-			run := lab(t, c.args...)
-			code := run.code()
-			if stderr := run.err.String(); code != 2 || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, c.want) || !strings.HasPrefix(stderr, "lab: ") {
+			run := startLab(t, c.args...)
+			code := run.waitExitCode()
+			if stderr := run.stderr.String(); code != 2 || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, c.want) || !strings.HasPrefix(stderr, "lab: ") {
 				t.Errorf("exit %d, stderr %q; want one line with %q", code, stderr, c.want)
 			}
 		})
@@ -51,12 +51,12 @@
 // Scale experiments are validated and listed as other experiments are.
 func TestScaleExperimentIsValidatedAndListed(t *testing.T) {
 	path := scaleFile(t, "")
-	c := lab(t, "validate", path)
-	if code := c.code(); code != 0 || c.out.String() != path+": tiny-scale is fine\n" {
-		t.Errorf("exit %d, said %q %q", code, c.out.String(), c.err.String())
+	c := startLab(t, "validate", path)
+	if code := c.waitExitCode(); code != 0 || c.stdout.String() != path+": tiny-scale is fine\n" {
+		t.Errorf("exit %d, said %q %q", code, c.stdout.String(), c.stderr.String())
 	}
-	c = lab(t, "list", "--dir", filepath.Dir(path))
-	if code := c.code(); code != 0 || !strings.Contains(c.out.String(), "scale    1 sizes, to 30 servers  A tiny fleet.") {
-		t.Errorf("exit %d, said %q %q", code, c.out.String(), c.err.String())
+	c = startLab(t, "list", "--dir", filepath.Dir(path))
+	if code := c.waitExitCode(); code != 0 || !strings.Contains(c.stdout.String(), "scale    1 sizes, to 30 servers  A tiny fleet.") {
+		t.Errorf("exit %d, said %q %q", code, c.stdout.String(), c.stderr.String())
 	}
 }
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// maxSoakSeeds bounds the seeds of one call, and maxSoakBeside how many are played at once.
-	maxSoakSeeds, maxSoakBeside = 10_000, 16
+	// maxSoakSeeds bounds the seeds of one call, and maxSoakConcurrency how many are played at once.
+	maxSoakSeeds, maxSoakConcurrency = 10_000, 16
 	// shrinkRuns bounds the time of --shrink, as a number of runs.
 	shrinkRuns = 12
 )
 
 // soakOptions are the flags of the soak.
 type soakOptions struct {
-	seeds    string
-	duration time.Duration
-	out      string
-	agent    string
-	beside   int
-	quiet    bool
-	shrink   bool
+	seeds       string
+	duration    time.Duration
+	outputDir   string
+	agent       string
+	concurrency int
+	quiet       bool
+	shrink      bool
 }
 
 // soakCommand returns the command that plays experiments drawn at random.
@@ -52,35 +52,35 @@
 		}}
 	cmd.Flags().StringVar(&options.seeds, "seeds", "", "the seeds, as A-B or A")
 	cmd.Flags().DurationVar(&options.duration, "for", time.Minute, "how long each is played")
-	cmd.Flags().StringVar(&options.out, "out", "", "folder for the results (default: found/soak-TIME)")
+	cmd.Flags().StringVar(&options.outputDir, "out", "", "folder for the results (default: found/soak-TIME)")
 	cmd.Flags().StringVar(&options.agent, "agent", "bin/agent", "the agent's program")
-	cmd.Flags().IntVar(&options.beside, "beside", 1, "how many are played at once")
+	cmd.Flags().IntVar(&options.concurrency, "beside", 1, "how many are played at once")
 	cmd.Flags().BoolVar(&options.quiet, "quiet", false, "print only what broke or is void, and the count")
 	cmd.Flags().BoolVar(&options.shrink, "shrink", false, "drop the faults of a seed that broke one by one while it still breaks")
 	return cmd
 }
 
-// seedRange is the form of the seeds.
-var seedRange = regexp.MustCompile(`^(\d{1,18})(?:-(\d{1,18}))?$`)
+// seedRangePattern is the form of the seeds.
+var seedRangePattern = regexp.MustCompile(`^(\d{1,18})(?:-(\d{1,18}))?$`)
 
 // parse checks the flags and returns the seeds. Its error names the flag.
 func (o *soakOptions) parse() (seeds []uint64, err error) {
-	parts := seedRange.FindStringSubmatch(o.seeds)
-	if parts == nil {
+	match := seedRangePattern.FindStringSubmatch(o.seeds)
+	if match == nil {
 		return nil, fmt.Errorf("--seeds: must be A-B or A, is %q", o.seeds)
 	}
-	first, _ := strconv.ParseUint(parts[1], 10, 64)
+	first, _ := strconv.ParseUint(match[1], 10, 64)
 	last := first
-	if parts[2] != "" {
-		last, _ = strconv.ParseUint(parts[2], 10, 64)
+	if match[2] != "" {
+		last, _ = strconv.ParseUint(match[2], 10, 64)
 	}
 	switch {
 	case first > last || last-first >= maxSoakSeeds:
 		return nil, fmt.Errorf("--seeds: must be 1 to %d seeds, the first one first, is %q", maxSoakSeeds, o.seeds)
 	case o.duration < soak.MinDuration || o.duration > time.Hour:
 		return nil, fmt.Errorf("--for: must be %v to 1h, is %v", soak.MinDuration, o.duration)
-	case o.beside < 1 || o.beside > maxSoakBeside:
-		return nil, fmt.Errorf("--beside: must be 1 to %d, is %d", maxSoakBeside, o.beside)
+	case o.concurrency < 1 || o.concurrency > maxSoakConcurrency:
+		return nil, fmt.Errorf("--beside: must be 1 to %d, is %d", maxSoakConcurrency, o.concurrency)
 	}
 	for seed := first; seed <= last; seed++ {
 		seeds = append(seeds, seed)
@@ -88,18 +88,18 @@
 	return seeds, nil
 }
 
-// runSoak plays the seeds and prints their results in the order of the seeds. It returns errBroke if
+// runSoak plays the seeds and prints their results in the order of the seeds. It returns errChecksFailed if
 // one broke, or none held.
 func runSoak(ctx context.Context, out io.Writer, options *soakOptions, seeds []uint64) error {
-	if options.out == "" {
-		options.out = filepath.Join(resultsDir, "soak-"+time.Now().Format(fileTimeLayout))
+	if options.outputDir == "" {
+		options.outputDir = filepath.Join(resultsDir, "soak-"+time.Now().Format(fileTimeLayout))
 	}
 	results := make([]chan soak.Result, len(seeds))
 	for i := range results {
 		results[i] = make(chan soak.Result, 1)
 	}
 	var group errgroup.Group
-	group.SetLimit(options.beside)
+	group.SetLimit(options.concurrency)
 	go func() {
 		for i, seed := range seeds {
 			group.Go(func() error {
@@ -120,7 +120,7 @@
 	fmt.Fprintf(out, "soak: %d held, %d broke, %d void, %d failed of %d seeds\n",
 		counts[soak.Passed], counts[soak.Violated], counts[soak.Void], counts[soak.RunFailed], len(seeds))
 	if counts[soak.Violated]+counts[soak.RunFailed] > 0 || counts[soak.Passed] == 0 || ctx.Err() != nil {
-		return errBroke
+		return errChecksFailed
 	}
 	return nil
 }
@@ -131,11 +131,11 @@
 		return soak.Result{Seed: seed, Verdict: soak.RunFailed, Reason: "interrupted"}
 	}
 	e := soak.Draw(seed, o.duration)
-	dir := filepath.Join(o.out, e.Name)
+	dir := filepath.Join(o.outputDir, e.Name)
 	result := soak.Run(ctx, e, seed, o.agent, dir)
 	if o.shrink && result.Verdict == soak.Violated {
-		smaller := soak.Shrink(ctx, e, seed, o.agent, filepath.Join(dir, "shrunk"), shrinkRuns*o.duration)
-		fmt.Fprintf(out, "seed %d still broke with:\n%s", seed, smaller.Text())
+		shrunk := soak.Shrink(ctx, e, seed, o.agent, filepath.Join(dir, "shrunk"), shrinkRuns*o.duration)
+		fmt.Fprintf(out, "seed %d still broke with:\n%s", seed, shrunk.Text())
 	}
 	return result
 }
--- a/internal/lab/mutant/mutant.go
+++ b/internal/lab/mutant/mutant.go
@@ -58,10 +58,10 @@
 		return nil, fmt.Errorf("%s: %s", path, strings.ReplaceAll(err.Error(), "\n", " "))
 	}
 	// The decoder's message about an unknown key includes this type's text.
-	var content struct {
+	var config struct {
 		Mutant []Mutant `koanf:"mutant"`
 	}
-	decoder, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{Result: &content, TagName: "koanf", ErrorUnused: true,
+	decoder, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{Result: &config, TagName: "koanf", ErrorUnused: true,
 		DecodeHook: mapstructure.StringToTimeDurationHookFunc()})
 	if err != nil {
 		return nil, err
@@ -69,10 +69,10 @@
 	if err := decoder.Decode(parsed.Raw()); err != nil {
 		return nil, fmt.Errorf("%s: %s", path, strings.Join(strings.Fields(err.Error()), " "))
 	}
-	if err := validate(content.Mutant); err != nil {
+	if err := validate(config.Mutant); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	mutants := content.Mutant
+	mutants := config.Mutant
 	for i := range mutants {
 		if mutants[i].Timeout == 0 {
 			mutants[i].Timeout = defaultTimeout
@@ -119,12 +119,12 @@
 // Select returns the mutants whose name or test matches a pattern. It returns an error if the
 // pattern is invalid or matches none.
 func Select(mutants []Mutant, pattern string) ([]Mutant, error) {
-	expression, err := regexp.Compile(pattern)
+	re, err := regexp.Compile(pattern)
 	if err != nil {
 		return nil, fmt.Errorf("--only: %w", err)
 	}
 	selected := slices.DeleteFunc(slices.Clone(mutants), func(m Mutant) bool {
-		return !expression.MatchString(m.Name) && !expression.MatchString(m.Test)
+		return !re.MatchString(m.Name) && !re.MatchString(m.Test)
 	})
 	if len(selected) == 0 {
 		return nil, fmt.Errorf("--only: nothing fits %q", pattern)
--- a/internal/lab/mutant/run.go
+++ b/internal/lab/mutant/run.go
@@ -31,8 +31,8 @@
 // no further mutant is started.
 func RunAll(ctx context.Context, root string, mutants []Mutant, concurrency int, report func(m *Mutant, r Result, err error)) {
 	slots := make(chan struct{}, max(concurrency, 1))
-	var reporting sync.Mutex
-	var running sync.WaitGroup
+	var reportMutex sync.Mutex
+	var wg sync.WaitGroup
 	for i := range mutants {
 		select {
 		case slots <- struct{}{}:
@@ -41,17 +41,17 @@
 		if ctx.Err() != nil {
 			break
 		}
-		running.Add(1)
+		wg.Add(1)
 		go func() {
-			defer running.Done()
+			defer wg.Done()
 			defer func() { <-slots }()
 			result, err := mutants[i].Run(ctx, root)
-			reporting.Lock()
-			defer reporting.Unlock()
+			reportMutex.Lock()
+			defer reportMutex.Unlock()
 			report(&mutants[i], result, err)
 		}()
 	}
-	running.Wait()
+	wg.Wait()
 }
 
 // Run builds the mutant's test from the tree below root with the edits applied, and runs it. It
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -28,8 +28,8 @@
 type comparison struct{ rows [][]string }
 
 // add adds a figure of both results and its difference.
-func (c *comparison) add(figure string, a, b float64) {
-	c.rows = append(c.rows, []string{figure, fmt.Sprintf("%.6g", a), fmt.Sprintf("%.6g", b), fmt.Sprintf("%+.4g", b-a)})
+func (c *comparison) add(metric string, a, b float64) {
+	c.rows = append(c.rows, []string{metric, fmt.Sprintf("%.6g", a), fmt.Sprintf("%.6g", b), fmt.Sprintf("%+.4g", b-a)})
 }
 
 // addRows adds the figures of the windows and classes that both results have.
@@ -40,8 +40,8 @@
 		byWindowClass[windowClass{b.Window, b.Class}] = b
 	}
 	for _, a := range rowsA {
-		b, both := byWindowClass[windowClass{a.Window, a.Class}]
-		if !both {
+		b, inBoth := byWindowClass[windowClass{a.Window, a.Class}]
+		if !inBoth {
 			continue
 		}
 		prefix := a.Window + " " + a.Class + " "
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -19,7 +19,7 @@
 	p.writeSection("Faults", []string{"fault", "kind", "targets", "from s", "to s"}, faultRows(s))
 	p.writeSection("Expected", []string{"figure", "is", "bound", "held"}, expectationRows(s))
 	for i := range s.Fleets {
-		p.writeSection("Figures: "+s.Fleets[i].Name, figureColumns, figureRows(&s.Fleets[i]))
+		p.writeSection("Figures: "+s.Fleets[i].Name, metricColumns, metricRows(&s.Fleets[i]))
 	}
 	p.text.WriteString("Shares are of what was asked; latencies count from the planned time and cover what was served. " +
 		"The warm-up is in none of them.\n")
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -15,8 +15,8 @@
 	"knotrouter/internal/lab/experiment"
 )
 
-// figure is one of a point's figures, drawn as a line under a name.
-type figure struct {
+// metric is one of the metrics of a point, drawn as a line under a name.
+type metric struct {
 	name  string
 	value func(p *experiment.Point) float64
 }
@@ -24,7 +24,7 @@
 // plotSpec describes one plot of a report.
 type plotSpec struct {
 	file, title, unit string
-	figures           []figure // of the agents
+	metrics           []metric // of the agents
 	baselines         bool     // the first figure of each baseline is drawn too
 	maxY              float64  // the end of the Y axis; 0: as high as the figures need
 	logScale          bool     // of the Y axis
@@ -32,22 +32,22 @@
 
 // plotSpecs are the plots of a report, in the order of its page.
 var plotSpecs = []plotSpec{
-	{file: "served.png", title: "Share of requests by outcome", unit: "share", baselines: true, maxY: 1.02, figures: []figure{
+	{file: "served.png", title: "Share of requests by outcome", unit: "share", baselines: true, maxY: 1.02, metrics: []metric{
 		{"served in time", func(p *experiment.Point) float64 { return p.ServedShare }},
 		{"refused", func(p *experiment.Point) float64 { return p.RejectedShare }}}},
-	{file: "latency.png", title: "Latency of served requests", unit: "ms", logScale: true, figures: []figure{
+	{file: "latency.png", title: "Latency of served requests", unit: "ms", logScale: true, metrics: []metric{
 		{"p50", func(p *experiment.Point) float64 { return p.P50Ms }},
 		{"p99", func(p *experiment.Point) float64 { return p.P99Ms }}}},
-	{file: "attempts.png", title: "Requests asked and attempts at servers", unit: "a second", figures: []figure{
+	{file: "attempts.png", title: "Requests asked and attempts at servers", unit: "a second", metrics: []metric{
 		{"asked", func(p *experiment.Point) float64 { return float64(p.Requests) }},
 		{"attempts", func(p *experiment.Point) float64 { return p.AttemptsPerSecond }}}},
-	{file: "connections.png", title: "Connections to servers", unit: "count", figures: []figure{
+	{file: "connections.png", title: "Connections to servers", unit: "count", metrics: []metric{
 		{"open", func(p *experiment.Point) float64 { return float64(p.OpenConnections) }},
 		{"opened a second", func(p *experiment.Point) float64 { return p.ConnectionsPerSecond }}}},
-	{file: "list.png", title: "Calls for the list, and probes", unit: "a second", figures: []figure{
+	{file: "list.png", title: "Calls for the list, and probes", unit: "a second", metrics: []metric{
 		{"list calls", func(p *experiment.Point) float64 { return p.ListCallsPerSecond }},
 		{"probes", func(p *experiment.Point) float64 { return p.ProbesPerSecond }}}},
-	{file: "servers.png", title: "Servers that are not themselves, and agents", unit: "count", figures: []figure{
+	{file: "servers.png", title: "Servers that are not themselves, and agents", unit: "count", metrics: []metric{
 		{"cold", func(p *experiment.Point) float64 { return float64(p.WarmingUp) }},
 		{"choked", func(p *experiment.Point) float64 { return float64(p.Overloaded) }},
 		{"down", func(p *experiment.Point) float64 { return float64(p.Down) }},
@@ -98,15 +98,15 @@
 	if err := c.addFaults(s.Faults); err != nil {
 		return err
 	}
-	for _, f := range spec.figures {
-		if err := c.addLine(f.name, f, agents.Series, nil); err != nil {
+	for _, m := range spec.metrics {
+		if err := c.addLine(m.name, m, agents.Series, nil); err != nil {
 			return err
 		}
 	}
 	if spec.baselines {
 		for i := range s.Fleets[1:] {
 			baseline := &s.Fleets[i+1]
-			if err := c.addLine(baseline.Name, spec.figures[0], baseline.Series, baselineDashes); err != nil {
+			if err := c.addLine(baseline.Name, spec.metrics[0], baseline.Series, baselineDashes); err != nil {
 				return err
 			}
 		}
@@ -150,12 +150,12 @@
 func (spec *plotSpec) yRange(agents []experiment.Point) (low, high float64) {
 	high = spec.maxY
 	lowestPositive := math.Inf(1)
-	roomForLegend := 1.05 + 0.1*float64(len(spec.figures))
-	for _, f := range spec.figures {
+	legendFactor := 1.05 + 0.1*float64(len(spec.metrics))
+	for _, m := range spec.metrics {
 		for i := range agents {
-			y := f.value(&agents[i])
+			y := m.value(&agents[i])
 			if spec.maxY == 0 {
-				high = max(high, y*roomForLegend)
+				high = max(high, y*legendFactor)
 			}
 			if y > 0 {
 				lowestPositive = min(lowestPositive, y)
@@ -187,7 +187,7 @@
 
 // addLine adds a figure of the points as a line in the next color, unless there are no points. nil
 // dashes make it solid. Each point is in the middle of its second.
-func (c *chart) addLine(name string, f figure, points []experiment.Point, dashes []vg.Length) error {
+func (c *chart) addLine(name string, m metric, points []experiment.Point, dashes []vg.Length) error {
 	lineColor := lineColors[c.lines%len(lineColors)]
 	c.lines++
 	if len(points) == 0 {
@@ -195,7 +195,7 @@
 	}
 	coordinates := make(plotter.XYs, 0, len(points))
 	for i := range points {
-		coordinates = append(coordinates, plotter.XY{X: points[i].AtS + 0.5, Y: max(f.value(&points[i]), c.minY)})
+		coordinates = append(coordinates, plotter.XY{X: points[i].AtS + 0.5, Y: max(m.value(&points[i]), c.minY)})
 	}
 	line, err := plotter.NewLine(coordinates)
 	if err != nil {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -43,12 +43,12 @@
 
 // writeFileAtomic replaces a file. A write that fails, as on a full disk, leaves the old file.
 func writeFileAtomic(path string, text []byte) error {
-	partial := path + ".part"
-	if err := os.WriteFile(partial, text, 0o644); err != nil {
-		os.Remove(partial)
+	tempPath := path + ".part"
+	if err := os.WriteFile(tempPath, text, 0o644); err != nil {
+		os.Remove(tempPath)
 		return fmt.Errorf("write %s: %w", filepath.Base(path), err)
 	}
-	if err := os.Rename(partial, path); err != nil {
+	if err := os.Rename(tempPath, path); err != nil {
 		return fmt.Errorf("write %s: %w", filepath.Base(path), err)
 	}
 	return nil
@@ -76,9 +76,9 @@
 	if s.Passed {
 		return fmt.Sprintf("%s seed %d: held", s.Name, s.Seed)
 	}
-	more := ""
+	suffix := ""
 	if n := len(s.Violations) - 1; n > 0 {
-		more = fmt.Sprintf(" (and %d more)", n)
+		suffix = fmt.Sprintf(" (and %d more)", n)
 	}
-	return fmt.Sprintf("%s seed %d: broke: %s%s", s.Name, s.Seed, s.Violations[0], more)
+	return fmt.Sprintf("%s seed %d: broke: %s%s", s.Name, s.Seed, s.Violations[0], suffix)
 }
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -113,8 +113,8 @@
 		}
 		file.Close()
 	}
-	if rest, _ := filepath.Glob(filepath.Join(dir, "*.part")); len(rest) > 0 {
-		t.Errorf("partly written files are left: %v", rest)
+	if partFiles, _ := filepath.Glob(filepath.Join(dir, "*.part")); len(partFiles) > 0 {
+		t.Errorf("partly written files are left: %v", partFiles)
 	}
 }
 
--- a/internal/lab/report/tables.go
+++ b/internal/lab/report/tables.go
@@ -14,11 +14,11 @@
 // allClasses is the class of a row that counts the requests of all classes together.
 const allClasses = "all"
 
-// figureColumns are the columns of figureRows.
-var figureColumns = []string{"window", "class", "asked", "in time", "late", "refused", "failed", "served", "p50 ms", "p99 ms", "attempts"}
+// metricColumns are the columns of metricRows.
+var metricColumns = []string{"window", "class", "asked", "in time", "late", "refused", "failed", "served", "p50 ms", "p99 ms", "attempts"}
 
-// figureRows returns a row for each window and class that has requests.
-func figureRows(fleet *experiment.FleetSummary) (rows [][]string) {
+// metricRows returns a row for each window and class that has requests.
+func metricRows(fleet *experiment.FleetSummary) (rows [][]string) {
 	for _, r := range fleet.Rows {
 		if r.Requests == 0 && r.Void == 0 {
 			continue
@@ -34,14 +34,14 @@
 // baselines, the figures of all fleets by window. It fails if a table can't be laid out.
 func Tables(w io.Writer, s *experiment.Summary) error {
 	fmt.Fprintln(w, "\nagents")
-	if err := table.Terminal(w, true, figureColumns, figureRows(&s.Fleets[0])); err != nil {
+	if err := table.Terminal(w, true, metricColumns, metricRows(&s.Fleets[0])); err != nil {
 		return err
 	}
 	if len(s.Fleets) < 2 {
 		return nil
 	}
 	fmt.Fprintln(w, "\nbeside baselines, on servers, arrivals and faults of the same seed")
-	header := append([]string{"window", "who"}, figureColumns[2:]...)
+	header := append([]string{"window", "who"}, metricColumns[2:]...)
 	return table.Terminal(w, true, header, baselineRows(s))
 }
 
@@ -53,7 +53,7 @@
 			continue
 		}
 		for i := range s.Fleets {
-			for _, row := range figureRows(&s.Fleets[i]) {
+			for _, row := range metricRows(&s.Fleets[i]) {
 				if row[0] == r.Window && row[1] == allClasses {
 					rows = append(rows, append([]string{r.Window, s.Fleets[i].Name}, row[2:]...))
 				}
--- a/internal/lab/syscallfault/syscallfault.go
+++ b/internal/lab/syscallfault/syscallfault.go
@@ -32,10 +32,10 @@
 	errno unix.Errno
 }
 
-// calls are the system calls that can fail, by their names. Go makes each of them in a way that lets
+// syscalls are the system calls that can fail, by their names. Go makes each of them in a way that lets
 // other goroutines run meanwhile, which supervise needs in order to decide on the call. socket(2) is
 // left out because Go makes it otherwise.
-var calls = map[string]int{
+var syscalls = map[string]int{
 	"accept4": unix.SYS_ACCEPT4, "connect": unix.SYS_CONNECT,
 	"openat": unix.SYS_OPENAT, "bind": unix.SYS_BIND, "listen": unix.SYS_LISTEN,
 	"recvfrom": unix.SYS_RECVFROM, "write": unix.SYS_WRITE, "fsync": unix.SYS_FSYNC,
@@ -71,7 +71,7 @@
 	var faults []fault
 	for part := range strings.SplitSeq(text, ",") {
 		callName, errnoName, _ := strings.Cut(part, ":")
-		call, callKnown := calls[callName]
+		call, callKnown := syscalls[callName]
 		errno, errnoKnown := errnos[errnoName]
 		if !callKnown || !errnoKnown {
 			return nil, fmt.Errorf("%s: unknown fault %q", FaultsVariable, part)
@@ -136,7 +136,7 @@
 }
 
 // supervise decides on each call that the listener is notified of, until the process ends. It makes
-// none of the calls in calls itself, because such a call would wait for its own decision.
+// none of the calls in syscalls itself, because such a call would wait for its own decision.
 func supervise(listener uintptr, faults []fault, whileFile string) {
 	for {
 		var n notification
--- a/internal/lab/worker/operator.go
+++ b/internal/lab/worker/operator.go
@@ -14,8 +14,8 @@
 // operationPath is the path that servers of the lab receive operations at.
 const operationPath = "/admin/act"
 
-// operator sends operations under leased tasks. It is safe for concurrent use.
-type operator struct {
+// operationSender sends operations under leased tasks. It is safe for concurrent use.
+type operationSender struct {
 	worker    string // the name that operations are sent under
 	addresses []string
 	client    *http.Client
@@ -24,7 +24,7 @@
 // run sends operations under a task, with the task's fencing token, until the context ends. An
 // operation that is rejected or gets no answer is not repeated: the next one follows. It returns an
 // error if the machine's clock can't be read.
-func (o *operator) run(ctx context.Context, task string, fence int64) error {
+func (o *operationSender) run(ctx context.Context, task string, fencingToken int64) error {
 	url := "http://" + o.addressOf(task) + operationPath
 	for ctx.Err() == nil {
 		now, err := Monotonic()
@@ -36,7 +36,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		body, err := json.Marshal(check.Operation{Task: task, Process: o.worker, Fence: fence, Mono: now})
+		body, err := json.Marshal(check.Operation{Task: task, Process: o.worker, Fence: fencingToken, Mono: now})
 		if err != nil {
 			return err
 		}
@@ -50,7 +50,7 @@
 
 // addressOf returns the address that a task's operations land at. It is the same for all workers with
 // the same addresses.
-func (o *operator) addressOf(task string) string {
+func (o *operationSender) addressOf(task string) string {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(task))
 	return o.addresses[int(hash.Sum32()>>8)%len(o.addresses)]
--- a/internal/lab/worker/worker.go
+++ b/internal/lab/worker/worker.go
@@ -50,7 +50,7 @@
 // Run holds leased tasks until the context ends. Then it transfers them to other workers, and returns
 // once all task functions have returned.
 func Run(ctx context.Context, config Config, log *slog.Logger) {
-	operations := &operator{worker: config.Name, addresses: config.OperationAddrs, client: &http.Client{Timeout: operationTimeout}}
+	sender := &operationSender{worker: config.Name, addresses: config.OperationAddrs, client: &http.Client{Timeout: operationTimeout}}
 	runner := leaderelection.NewRunner(leaderelection.Config{
 		Process:  config.Name,
 		Zone:     config.Zone,
@@ -59,7 +59,7 @@
 		Log:      log,
 		Clock:    driftClock{time.Now(), config.ClockRate},
 		Functions: map[string]leaderelection.Function{
-			kindWork: operations.run,
+			kindWork: sender.run,
 			kindIdle: func(ctx context.Context, _ string, _ int64) error { <-ctx.Done(); return nil },
 			kindFail: func(context.Context, string, int64) error { return errTaskFailed },
 			kindKill: func(context.Context, string, int64) error { os.Exit(killedExitCode); return nil },
--- a/internal/lab/worker/worker_test.go
+++ b/internal/lab/worker/worker_test.go
@@ -22,7 +22,7 @@
 	mux.Handle("/admin/act", operations)
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
-	o := &operator{worker: "w1", addresses: []string{strings.TrimPrefix(server.URL, "http://")}, client: server.Client()}
+	o := &operationSender{worker: "w1", addresses: []string{strings.TrimPrefix(server.URL, "http://")}, client: server.Client()}
 	before, err := Monotonic()
 	if err != nil {
 		t.Fatal(err)
@@ -49,13 +49,13 @@
 // the addresses.
 func TestTaskHasOneAddress(t *testing.T) {
 	addresses := []string{"a", "b", "c"}
-	one, other := &operator{worker: "w1", addresses: addresses}, &operator{worker: "w2", addresses: addresses}
+	first, second := &operationSender{worker: "w1", addresses: addresses}, &operationSender{worker: "w2", addresses: addresses}
 	used := map[string]bool{}
 	for _, task := range strings.Split("abcdefghijklmnopqrstuvwxyz", "") {
-		if one.addressOf(task) != other.addressOf(task) {
+		if first.addressOf(task) != second.addressOf(task) {
 			t.Errorf("task %s has two addresses", task)
 		}
-		used[one.addressOf(task)] = true
+		used[first.addressOf(task)] = true
 	}
 	if len(used) != len(addresses) {
 		t.Errorf("tasks use the addresses %v only", used)
@@ -69,7 +69,7 @@
 	if now := clock.Now(); now < rate*time.Hour || now > rate*(time.Hour+waitTimeout) {
 		t.Errorf("after an hour the clock shows %v", now)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	fired, stop := clock.After(rate * 20 * time.Millisecond)
 	defer stop()
 	select {
@@ -77,7 +77,7 @@
 	case <-time.After(waitTimeout):
 		t.Fatal("the timer did not fire")
 	}
-	if took := time.Since(began); took < 20*time.Millisecond {
-		t.Errorf("the timer took %v", took)
+	if elapsed := time.Since(startedAt); elapsed < 20*time.Millisecond {
+		t.Errorf("the timer took %v", elapsed)
 	}
 }
