--- a/internal/lab/mutant/mutant.go
+++ b/internal/lab/mutant/mutant.go
@@ -1,11 +1,11 @@
 // Package mutant runs mutation tests: it removes mechanisms from the program one at a time and
 // reports whether the test of each mechanism fails without it (DeMillo, Lipton and Sayward, 1978).
-// A test that passes without its mechanism shows nothing.
+// A test that passes without its mechanism doesn't cover it.
 //
 // A file such as mutants.toml lists the mutants: edits of source files, and the test that has to
-// fail. Load reads it and Select chooses among its mutants. Mutant.Run builds the test with the
-// edits applied and runs it; RunAll does so for many. The source tree isn't changed: the edited
-// files replace the real ones in an overlay of the Go tool.
+// fail. Load reads the file and Select filters its mutants. Mutant.Run builds the test with the
+// edits applied and runs it; RunAll runs several mutants concurrently. The source tree isn't changed:
+// the edited files are passed to the Go tool as an overlay.
 package mutant
 
 import (
@@ -25,39 +25,39 @@
 	"knotrouter/internal/lab/configfile"
 )
 
-// Edit replaces a text that occurs exactly once in a file.
+// Edit is a replacement of a text that occurs exactly once in a file.
 type Edit struct {
 	File string `koanf:"file"` // path from the root of the tree
 	Old  string `koanf:"old"`
 	New  string `koanf:"new"`
 }
 
-// Mutant is the program without one mechanism, and the test that has to fail without it.
+// Mutant describes the removal of one mechanism, and the test that has to fail without it.
 type Mutant struct {
-	Name    string        `koanf:"name"`    // the mechanism that is removed; unique in its file
+	Name    string        `koanf:"name"`    // the removed mechanism; unique in its file
 	Edits   []Edit        `koanf:"edit"`    // applied in order
 	Package string        `koanf:"package"` // of the test, as a path from the root such as "./policy"
-	Test    string        `koanf:"test"`    // pattern of the test's name, as for go test -run
-	Env     []string      `koanf:"env"`     // further environment variables of the test, as "KEY=value"
-	Timeout time.Duration `koanf:"within"`  // of the test; defaultTimeout unless the file has another
+	Test    string        `koanf:"test"`    // regular expression for the test's name, as for go test -run
+	Env     []string      `koanf:"env"`     // additional environment variables of the test, as "KEY=value"
+	Timeout time.Duration `koanf:"within"`  // of the test; 0 in the file means defaultTimeout
 }
 
-// defaultTimeout is long enough for a test that waits for what doesn't happen without its mechanism
-// to fail by its own deadline.
+// defaultTimeout is long enough for a test to fail by its own deadline if it waits for an effect that
+// the mutant prevents.
 const defaultTimeout = 5 * time.Minute
 
-// keySeparator separates the parts of a key within koanf. It occurs in no key, so that a key with a
-// dot stays in one piece.
+// keySeparator is koanf's delimiter between the parts of a key path. It occurs in no key, so that koanf
+// doesn't split a key that contains a dot.
 const keySeparator = "\x00"
 
-// Load reads a file of mutants. Its error is one line that names the file and the invalid key; it
-// wraps a *configfile.KeyError where the key's value is invalid.
+// Load reads and validates a file of mutants. Its error is one line that names the file and the invalid
+// key; it wraps a *configfile.KeyError if a key is missing or has an invalid value.
 func Load(path string) ([]Mutant, error) {
 	parsed := koanf.New(keySeparator)
 	if err := parsed.Load(file.Provider(path), toml.Parser()); err != nil {
 		return nil, fmt.Errorf("%s: %s", path, strings.ReplaceAll(err.Error(), "\n", " "))
 	}
-	// The decoder's message about an unknown key includes this type's text.
+	// The decoder's error for an unknown key prints this type, including its tags.
 	var config struct {
 		Mutant []Mutant `koanf:"mutant"`
 	}
@@ -87,7 +87,7 @@
 	for i, mutant := range mutants {
 		key := fmt.Sprintf("mutant[%d]", i)
 		if mutant.Name == "" || names[mutant.Name] {
-			return configfile.NewKeyError(key+".name", "%q is missing or taken", mutant.Name)
+			return configfile.NewKeyError(key+".name", "%q is missing or not unique", mutant.Name)
 		}
 		if err := mutant.validate(key); err != nil {
 			return err
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// validate checks the mutant's values, except for its name. key is that of the mutant.
+// validate checks the mutant's values, except for its name. key is the mutant's key in the file.
 func (m *Mutant) validate(key string) error {
 	switch {
 	case m.Package == "":
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// Select returns the mutants whose name or test matches a pattern. It returns an error if the
-// pattern is invalid or matches none.
+// Select returns the mutants whose name or test matches a regular expression. It returns an error if
+// the expression is invalid or matches no mutant.
 func Select(mutants []Mutant, pattern string) ([]Mutant, error) {
 	re, err := regexp.Compile(pattern)
 	if err != nil {
@@ -127,19 +127,19 @@
 		return !re.MatchString(m.Name) && !re.MatchString(m.Test)
 	})
 	if len(selected) == 0 {
-		return nil, fmt.Errorf("--only: nothing fits %q", pattern)
+		return nil, fmt.Errorf("--only: no mutant matches %q", pattern)
 	}
 	return selected, nil
 }
 
-// Check returns an error if an edit doesn't apply to the tree below root.
+// Check returns an error if an edit doesn't apply to the source tree at root.
 func (m *Mutant) Check(root string) error {
 	_, err := m.editedFiles(root)
 	return err
 }
 
-// editedFiles applies the edits to the files of the tree below root. It returns the resulting text
-// of each edited file by its path.
+// editedFiles applies the edits to the files of the source tree at root, in memory. It returns the
+// resulting text of each edited file by its path.
 func (m *Mutant) editedFiles(root string) (map[string]string, error) {
 	texts := map[string]string{}
 	for _, edit := range m.Edits {
--- a/internal/lab/mutant/mutant_test.go
+++ b/internal/lab/mutant/mutant_test.go
@@ -10,7 +10,7 @@
 // sourceFile is the file that the mutants of the tests edit.
 const sourceFile = "p/p.go"
 
-// testTree is a module with a function F that a test checks, and a function G that none checks.
+// testTree is a module with a function F that a test checks, and a function G that no test checks.
 var testTree = map[string]string{
 	"go.mod":      "module m\n\ngo 1.26\n",
 	sourceFile:    "package p\n\nfunc F() int { return 1 }\n\nfunc G() int { return 2 }\n",
@@ -43,8 +43,8 @@
 		"edit = [{ file = \"" + sourceFile + "\", old = \"" + old + "\", new = \"return 7\" }]\n"
 }
 
-// A mutant of code that a test checks is killed, and one of other code isn't. A mutant that can't be
-// run, or a file of mutants with an invalid key, is an error. The tree stays as it is.
+// A mutant of code that a test checks is killed, and a mutant of unchecked code survives. A mutant that
+// can't be run and a file of mutants with an invalid key give an error. The source tree is not changed.
 func TestMutantIsKilledByItsTest(t *testing.T) {
 	root := writeTree(t)
 	file := filepath.Join(root, "mutants.toml")
@@ -55,7 +55,7 @@
 	}{
 		"checked code":    {mutants: mutantFile("return 1", "TestF$"), killed: true},
 		"unchecked code":  {mutants: mutantFile("return 2", "TestF$")},
-		"no such test":    {mutants: mutantFile("return 2", "TestNone$"), wantError: "no test is called"},
+		"no such test":    {mutants: mutantFile("return 2", "TestNone$"), wantError: "no test matches"},
 		"text twice":      {mutants: mutantFile("return", "TestF$"), wantError: "2 times, not once"},
 		"build fails":     {mutants: mutantFile("func G() int", "TestF$"), wantError: "does not build"},
 		"invalid pattern": {mutants: mutantFile("return 1", "("), wantError: "mutant[0].test"},
@@ -70,16 +70,16 @@
 				t.Errorf("error %v, want %q", err, c.wantError)
 			}
 			if result.Killed != c.killed {
-				t.Errorf("%+v, want killed %v", result, c.killed)
+				t.Errorf("result %+v, want killed %v", result, c.killed)
 			}
 		})
 	}
 	if text, err := os.ReadFile(filepath.Join(root, sourceFile)); err != nil || string(text) != testTree[sourceFile] {
-		t.Errorf("the tree is %q, %v", text, err)
+		t.Errorf("%s after the runs: %q, %v; want it unchanged", sourceFile, text, err)
 	}
 }
 
-// loadAndRun loads a file with one mutant and runs it. The error is from either.
+// loadAndRun loads a file with one mutant and runs it. It returns the error of either step.
 func loadAndRun(t *testing.T, root, file string) (result Result, err error) {
 	t.Helper()
 	mutants, err := Load(file)
--- a/internal/lab/mutant/output.go
+++ b/internal/lab/mutant/output.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// maxReasonLines is the number of messages in a failure's reason.
+	// maxReasonLines limits the number of messages in a failure's reason.
 	maxReasonLines = 2
-	// maxReasonBytes is the number of bytes of each.
+	// maxReasonBytes limits the length of each message.
 	maxReasonBytes = 200
 )
 
-// failedTest matches the line by which a test binary names a failed test.
+// failedTest matches the line in which a test binary reports a failed test.
 var failedTest = regexp.MustCompile(`(?m)^\s*--- FAIL: (\S+)`)
 
-// failureReason returns the last failed test of a test binary's output, and the last messages of
-// tests or panics in it.
+// failureReason returns the name of the last failed test in a test binary's output, followed by the
+// last test messages or panics.
 func failureReason(output string) string {
 	var messages []string
 	for line := range strings.Lines(output) {
@@ -34,7 +34,8 @@
 }
 
 // isFailureMessage reports whether a line of output is a test's message or a panic, rather than a
-// log line of a process that the test started. A line that ends with a colon only introduces others.
+// log line of a process that the test started. A line that ends with a colon only
+// introduces the lines after it.
 func isFailureMessage(line string) bool {
 	isMessage := strings.Contains(line, "_test.go:") || strings.HasPrefix(line, "panic:")
 	return isMessage && !strings.HasSuffix(line, ":")
--- a/internal/lab/mutant/run.go
+++ b/internal/lab/mutant/run.go
@@ -15,20 +15,20 @@
 	"time"
 )
 
-// Result is the result of a test that ran on a mutant.
+// Result is the result of a mutant's test.
 type Result struct {
-	Killed   bool          // the test failed, so it detects that the mechanism is missing
-	Duration time.Duration // of build and test
-	Reason   string        // the failed test with its last messages, or "passes without it"
+	Killed   bool          // the test failed, so it detects the missing mechanism
+	Duration time.Duration // of the build and the test
+	Reason   string        // the failed test with its last messages, or that the test passed
 }
 
-// killGrace is how much longer than the mutant's timeout a test process may run: the test's own
-// timeout ends it before, with a stack trace.
+// killGrace is the time after the mutant's timeout at which a test process is killed. The test binary's
+// own timeout normally ends it earlier, with a stack trace.
 const killGrace = time.Minute
 
-// RunAll runs mutants on the tree below root, at most concurrency of them at a time. It calls report
-// for each one that ends, one call at a time, and returns once all have ended. If the context ends,
-// no further mutant is started.
+// RunAll runs mutants on the source tree at root, at most concurrency of them at a time. It calls report
+// for each completed mutant, never concurrently, and returns once all have completed. After the context
+// is done, no further mutant is started.
 func RunAll(ctx context.Context, root string, mutants []Mutant, concurrency int, report func(m *Mutant, r Result, err error)) {
 	slots := make(chan struct{}, max(concurrency, 1))
 	var reportMutex sync.Mutex
@@ -54,9 +54,9 @@
 	wg.Wait()
 }
 
-// Run builds the mutant's test from the tree below root with the edits applied, and runs it. It
-// returns an error if an edit doesn't apply, the mutant doesn't build, no test matches, or the test
-// doesn't end in time: nothing is known of the mechanism then.
+// Run builds the mutant's test from the source tree at root with the edits applied, and runs it. It
+// returns an error if the run is inconclusive: an edit doesn't apply, the mutant doesn't build, no test
+// matches, or the test doesn't end in time.
 func (m *Mutant) Run(ctx context.Context, root string) (result Result, err error) {
 	start := time.Now()
 	defer func() { result.Duration = time.Since(start) }()
@@ -89,8 +89,8 @@
 	Replace map[string]string `json:"Replace"` // path of the replacement by the path of the real file
 }
 
-// writeOverlay writes texts that replace files, by the files' paths, and an overlay file that refers
-// to them, into a folder. It returns the overlay file's path.
+// writeOverlay writes replacement files and an overlay file that refers to them into a folder. texts
+// are the replacements' contents by the path of the real file. It returns the overlay file's path.
 func writeOverlay(dir string, texts map[string]string) (string, error) {
 	overlay := overlayFile{Replace: map[string]string{}}
 	for path, text := range texts {
@@ -108,7 +108,7 @@
 	return path, os.WriteFile(path, encoded, 0o600)
 }
 
-// build compiles the tests of the mutant's package to the path binary.
+// build compiles the tests of the mutant's package into the file binary.
 func (m *Mutant) build(ctx context.Context, root, overlay, binary string) error {
 	command := exec.CommandContext(ctx, "go", "test", "-c", "-overlay", overlay, "-o", binary, m.Package)
 	command.Dir = root
@@ -126,14 +126,14 @@
 	defer cancel()
 	command := exec.CommandContext(ctx, binary, "-test.run", m.Test, "-test.failfast", "-test.v", "-test.timeout", m.Timeout.String())
 	command.Dir, command.Env = packageDir, append(os.Environ(), m.Env...)
-	// The test and the processes that it starts are a process group, which is killed as a whole.
+	// The test runs in a process group of its own, so that the processes that it starts are killed with it.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	command.Cancel = func() error { return syscall.Kill(-command.Process.Pid, syscall.SIGKILL) }
 	output, err := command.CombinedOutput()
 	var exit *exec.ExitError
 	switch {
 	case err == nil && !strings.Contains(string(output), "--- PASS"):
-		return Result{}, fmt.Errorf("%s: no test is called %s", m.Name, m.Test)
+		return Result{}, fmt.Errorf("%s: no test matches %s", m.Name, m.Test)
 	case err == nil:
 		return Result{Reason: "passes without it"}, nil
 	case errors.As(err, &exit) && ctx.Err() == nil:
@@ -143,8 +143,8 @@
 }
 
 // removeNewFailureFiles returns a function that removes the folder in which the library rapid keeps
-// the failing cases of property tests, unless the folder exists already: those of a mutant are no
-// failing cases of the program.
+// the failing cases of property tests, unless the folder exists already: cases that fail on a mutant
+// don't fail on the real program.
 func removeNewFailureFiles(packageDir string) func() {
 	folder := filepath.Join(packageDir, "testdata", "rapid")
 	if _, err := os.Stat(folder); !errors.Is(err, fs.ErrNotExist) {
--- a/internal/lab/syscallfault/syscallfault_test.go
+++ b/internal/lab/syscallfault/syscallfault_test.go
@@ -14,10 +14,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// childVariable is the variable of the environment that has the test binary run dialTwice.
+// childVariable is the environment variable that makes the test binary run dialTwice. Its value is the
+// address to connect to.
 const childVariable = "SYSCALLFAULT_TEST_ADDRESS"
 
-// TestMain runs the tests, or dialTwice in a child of them.
+// TestMain runs the tests, or dialTwice in a child process of a test.
 func TestMain(m *testing.M) {
 	if address := os.Getenv(childVariable); address != "" {
 		if err := dialTwice(address); err != nil {
@@ -29,26 +30,27 @@
 	os.Exit(m.Run())
 }
 
-// dialTwice installs the faults of the environment and connects to an address, first while the file
-// exists and again after it was removed. It returns an error unless only the first fails.
+// dialTwice installs the faults of the environment and connects to an address twice: while the file
+// exists, and after removing it. It returns an error unless the first attempt fails with ENETDOWN and the
+// second one succeeds.
 func dialTwice(address string) error {
 	if err := FromEnvironment(); err != nil {
 		return err
 	}
 	if _, err := net.Dial("tcp", address); !errors.Is(err, unix.ENETDOWN) {
-		return fmt.Errorf("while the file exists: %v", err)
+		return fmt.Errorf("dial while the file exists: %v, want ENETDOWN", err)
 	}
 	if err := os.Remove(os.Getenv(WhileVariable)); err != nil {
 		return err
 	}
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
-		return fmt.Errorf("without the file: %w", err)
+		return fmt.Errorf("dial without the file: %w", err)
 	}
 	return conn.Close()
 }
 
-// A process that installs a fault has its call fail while the file exists, and only then.
+// In a process that installs a fault, the call fails while the file exists, and only then.
 func TestInstalledFault(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,7 +68,7 @@
 	}
 }
 
-// Faults are parsed in order, and one with an unknown call or error is refused with its text.
+// Faults are parsed in order. The error for a fault with an unknown call or errno quotes the fault.
 func TestParseFaults(t *testing.T) {
 	faults, err := parseFaults("accept4:EMFILE,fsync:EIO")
 	if err != nil || !slices.Equal(faults, []fault{{unix.SYS_ACCEPT4, unix.EMFILE}, {unix.SYS_FSYNC, unix.EIO}}) {
@@ -79,7 +81,7 @@
 	}
 }
 
-// A call fails while the file exists, and is executed otherwise, as other calls always are.
+// A call that has a fault fails only while the file exists; calls without a fault are always executed.
 func TestCallsFailWhileTheFileExists(t *testing.T) {
 	faults := []fault{{unix.SYS_CONNECT, unix.ENETDOWN}}
 	file := filepath.Join(t.TempDir(), "fault")
--- a/internal/lab/worker/clock.go
+++ b/internal/lab/worker/clock.go
@@ -7,8 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Monotonic returns the time of the machine's monotonic clock, which is the same in all processes of
-// the machine.
+// Monotonic returns the time of the machine's monotonic clock, which all processes on the machine share.
 func Monotonic() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &ts); err != nil {
@@ -17,13 +16,13 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// driftClock is a leaderelection.Clock that runs at another rate than the machine's.
+// driftClock is a leaderelection.Clock that runs faster or slower than the machine's clock.
 type driftClock struct {
 	startedAt time.Time
-	rate      float64 // as a share of the machine's rate, above 0
+	rate      float64 // relative to the machine's clock, above 0
 }
 
-// Now returns the time since the clock was started, at the clock's rate.
+// Now returns the time since the clock was started, scaled by its rate.
 func (c driftClock) Now() time.Duration {
 	return time.Duration(float64(time.Since(c.startedAt)) * c.rate)
 }
--- a/internal/lab/worker/operator.go
+++ b/internal/lab/worker/operator.go
@@ -11,18 +11,18 @@
 	"knotrouter/internal/lab/check"
 )
 
-// operationPath is the path that servers of the lab receive operations at.
+// operationPath is the HTTP path at which the lab's servers accept operations.
 const operationPath = "/admin/act"
 
 // operationSender sends operations under leased tasks. It is safe for concurrent use.
 type operationSender struct {
-	worker    string // the name that operations are sent under
+	worker    string // the worker's name, sent with each operation
 	addresses []string
 	client    *http.Client
 }
 
 // run sends operations under a task, with the task's fencing token, until the context ends. An
-// operation that is rejected or gets no answer is not repeated: the next one follows. It returns an
+// operation that is rejected or gets no response is not retried; the next one follows. run returns an
 // error if the machine's clock can't be read.
 func (o *operationSender) run(ctx context.Context, task string, fencingToken int64) error {
 	url := "http://" + o.addressOf(task) + operationPath
@@ -31,8 +31,8 @@
 		if err != nil {
 			return err
 		}
-		// The lease is checked after the machine's clock was read, so that it was still valid at the
-		// time that the operation reports.
+		// The context, which ends with the lease, is checked after the clock was read. So the lease was
+		// still valid at the time that the operation reports.
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// addressOf returns the address that a task's operations land at. It is the same for all workers with
-// the same addresses.
+// addressOf returns the address that a task's operations are sent to. All workers with the same list of
+// addresses choose the same one.
 func (o *operationSender) addressOf(task string) string {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(task))
--- a/internal/lab/worker/worker.go
+++ b/internal/lab/worker/worker.go
@@ -1,8 +1,9 @@
-// Package worker is the process that an experiment runs leased tasks with. Its operations land at
-// servers that check the fencing token, which shows whether two holders ever operate at one time.
+// Package worker implements the process that runs leased tasks in an experiment. It sends operations to
+// servers that check the fencing token, which shows whether two holders of a task ever operate at the
+// same time.
 //
 // Run starts the goroutines of a leaderelection.Runner, which owns them and the task functions that run
-// in them. The package itself has no state that they share, except for an HTTP client.
+// in them. The only state of this package that they share is an HTTP client.
 package worker
 
 import (
@@ -22,9 +23,9 @@
 	Name              string
 	Zone              string
 	ControlPlaneAddrs []string // HTTP addresses of the control-plane servers
-	OperationAddrs    []string // where operations land, at least one; each task has one of them throughout
-	MaxTasks          int      // that the worker holds at once
-	ClockRate         float64  // rate of the worker's clock as a share of the machine's, above 0
+	OperationAddrs    []string // servers that receive operations, at least one; each task always uses the same one
+	MaxTasks          int      // maximum number of tasks that the worker holds at once
+	ClockRate         float64  // rate of the worker's clock relative to the machine's, above 0
 }
 
 const (
@@ -33,7 +34,7 @@
 	operationInterval = 5 * time.Millisecond   // from the end of an operation to the next one
 )
 
-// The kinds of tasks that a worker takes.
+// The kinds of tasks that a worker runs.
 const (
 	kindWork = "work" // sends operations while it holds the lease
 	kindIdle = "idle" // does nothing
@@ -41,14 +42,14 @@
 	kindKill = "kill" // ends the process
 )
 
-// killedExitCode is the exit code of a process that a task of kindKill ends.
+// killedExitCode is the exit code when a task of kindKill ends the process.
 const killedExitCode = 3
 
 // errTaskFailed is the error of a task of kindFail.
-var errTaskFailed = errors.New("it fails")
+var errTaskFailed = errors.New("tasks of this kind always fail")
 
-// Run holds leased tasks until the context ends. Then it transfers them to other workers, and returns
-// once all task functions have returned.
+// Run acquires and runs leased tasks until the context ends. Then it transfers them to other workers, and
+// returns once all task functions have returned.
 func Run(ctx context.Context, config Config, log *slog.Logger) {
 	sender := &operationSender{worker: config.Name, addresses: config.OperationAddrs, client: &http.Client{Timeout: operationTimeout}}
 	runner := leaderelection.NewRunner(leaderelection.Config{
--- a/internal/lab/worker/worker_test.go
+++ b/internal/lab/worker/worker_test.go
@@ -11,11 +11,11 @@
 	"knotrouter/internal/lab/check"
 )
 
-// waitTimeout bounds every wait for something that should happen.
+// waitTimeout bounds each wait for a condition that has to become true.
 const waitTimeout = 20 * time.Second
 
-// Operations land at the servers' path with the task, the worker and the fencing token, until the
-// lease ends.
+// Operations arrive at the servers' path with the task, the worker's name and the fencing token, until
+// the lease ends.
 func TestOperationsCarryTheFencingToken(t *testing.T) {
 	operations := check.NewOperationLog()
 	mux := http.NewServeMux()
@@ -32,7 +32,7 @@
 	go func() { ended <- o.run(ctx, "task", 7) }()
 	for deadline := time.Now().Add(waitTimeout); operations.Analyze().Total == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("fewer than two operations landed")
+			t.Fatalf("no operation arrived within %v", waitTimeout)
 		}
 	}
 	endLease()
@@ -58,16 +58,17 @@
 		used[first.addressOf(task)] = true
 	}
 	if len(used) != len(addresses) {
-		t.Errorf("tasks use the addresses %v only", used)
+		t.Errorf("tasks use only the addresses %v of %v", used, addresses)
 	}
 }
 
-// A clock with double the rate shows double the time, and its timers take half of it.
+// A clock with twice the machine's rate shows twice the elapsed time, and its timers fire after half of
+// their duration.
 func TestDriftClockRate(t *testing.T) {
 	const rate = 2
 	clock := driftClock{time.Now().Add(-time.Hour), rate}
 	if now := clock.Now(); now < rate*time.Hour || now > rate*(time.Hour+waitTimeout) {
-		t.Errorf("after an hour the clock shows %v", now)
+		t.Errorf("after an hour at rate %v the clock shows %v", rate, now)
 	}
 	startedAt := time.Now()
 	fired, stop := clock.After(rate * 20 * time.Millisecond)
@@ -78,6 +79,6 @@
 		t.Fatal("the timer did not fire")
 	}
 	if elapsed := time.Since(startedAt); elapsed < 20*time.Millisecond {
-		t.Errorf("the timer took %v", elapsed)
+		t.Errorf("the timer fired after %v, before 20ms", elapsed)
 	}
 }
