--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -8,9 +8,9 @@
 	"knotrouter/internal/table"
 )
 
-// Compare writes the agents' figures of two results side by side, with their differences. It leaves
-// out windows, classes and recoveries that only one of them has. It fails if the table can't be laid
-// out.
+// Compare writes the agents' metrics of two results side by side, with their differences. It omits
+// windows, classes and recoveries that only one of them has. It returns an error if the table can't be
+// formatted.
 func Compare(w io.Writer, a, b *experiment.Summary) error {
 	fmt.Fprintf(w, "A: %s, agent build %s\nB: %s, agent build %s\n", ResultLine(a), a.Build, ResultLine(b), b.Build)
 	if a.Name != b.Name || a.Seed != b.Seed {
@@ -24,15 +24,15 @@
 	return table.Terminal(w, true, []string{"figure", "A", "B", "B - A"}, c.rows)
 }
 
-// comparison is a table of two results.
+// comparison is a table that compares two results.
 type comparison struct{ rows [][]string }
 
-// add adds a figure of both results and its difference.
+// add adds a row with a metric of both results and the difference.
 func (c *comparison) add(metric string, a, b float64) {
 	c.rows = append(c.rows, []string{metric, fmt.Sprintf("%.6g", a), fmt.Sprintf("%.6g", b), fmt.Sprintf("%+.4g", b-a)})
 }
 
-// addRows adds the figures of the windows and classes that both results have.
+// addRows adds the metrics of the windows and classes that both results have.
 func (c *comparison) addRows(rowsA, rowsB []experiment.Row) {
 	type windowClass struct{ window, class string }
 	byWindowClass := map[windowClass]experiment.Row{}
@@ -52,7 +52,7 @@
 	}
 }
 
-// addRecoveries adds the recovery times after the faults that both results have.
+// addRecoveries adds the recovery times of the faults that both results have.
 func (c *comparison) addRecoveries(a, b *experiment.Summary) {
 	for _, f := range a.Faults {
 		recoveryA, inA := a.Fleets[0].Recovery[f.Name]
@@ -63,7 +63,7 @@
 	}
 }
 
-// addTotals adds the totals.
+// addTotals adds the agents' totals over the whole run.
 func (c *comparison) addTotals(a, b *experiment.FleetSummary) {
 	totalsA, totalsB := totalsByKey(a), totalsByKey(b)
 	for _, key := range totalKeys(a) {
@@ -71,7 +71,7 @@
 	}
 }
 
-// countBreaches returns the number of the agents' breaches of all rules.
+// countBreaches returns the number of breaches by the agents, of all rules together.
 func countBreaches(s *experiment.Summary) (count float64) {
 	for _, n := range s.Fleets[0].Breaches {
 		count += float64(n)
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -11,8 +11,8 @@
 	"knotrouter/internal/table"
 )
 
-// Page returns the report of a summary as a Markdown page that shows the plots, which lie in the
-// page's folder. It fails if a table can't be laid out.
+// Page returns the report of a summary as a Markdown page. The page refers to the plots by file name
+// and so has to be in the same folder. It returns an error if a table can't be formatted.
 func Page(s *experiment.Summary, plots []string) ([]byte, error) {
 	p := &page{}
 	p.writeHeader(s)
@@ -33,13 +33,13 @@
 	return p.text.Bytes(), errors.Join(p.errs...)
 }
 
-// page is a report that is being written.
+// page accumulates the text of a report.
 type page struct {
 	text bytes.Buffer
-	errs []error // of its tables
+	errs []error // errors of its tables
 }
 
-// writeHeader writes the title, the result, the size of the run and its violations.
+// writeHeader writes the title, the description, the result, the parameters of the run and its violations.
 func (p *page) writeHeader(s *experiment.Summary) {
 	fmt.Fprintf(&p.text, "# %s\n\n%s\n\n`%s`\n\n", s.Name, strings.TrimSpace(s.Description), ResultLine(s))
 	fmt.Fprintf(&p.text, "%d agents, %d servers, %g requests a second for %g s. Agent build %s; %d processors, %s, Linux %s.\n\n",
@@ -60,7 +60,7 @@
 	p.text.WriteString("\n")
 }
 
-// writeLab writes how late the lab was, and what it used.
+// writeLab writes the lateness of the lab's requests, and its processor time and memory.
 func (p *page) writeLab(lab *experiment.Lab) {
 	fmt.Fprintf(&p.text, "## The lab itself\n\nRequests left the lab %.2f ms late in the median, %.2f ms at p99, %.1f ms at most. "+
 		"It used %.1f s of processor time and %.0f MB.\n\n", lab.LatenessP50Ms, lab.LatenessP99Ms, lab.LatenessMaxMs,
@@ -83,7 +83,7 @@
 	return rows
 }
 
-// breachRows returns a row for each breach that is kept with its particulars.
+// breachRows returns a row for each breach that the summary records in detail.
 func breachRows(fleet *experiment.FleetSummary) (rows [][]string) {
 	for _, b := range fleet.Examples {
 		rows = append(rows, []string{b.Rule, fmt.Sprintf("%.3f", b.AtS), b.Request, b.Agent, b.Server, b.Text})
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -15,7 +15,7 @@
 	"knotrouter/internal/lab/experiment"
 )
 
-// metric is one of the metrics of a point, drawn as a line under a name.
+// metric is a value of each point that is drawn as a line; name is its text in the legend.
 type metric struct {
 	name  string
 	value func(p *experiment.Point) float64
@@ -25,12 +25,12 @@
 type plotSpec struct {
 	file, title, unit string
 	metrics           []metric // of the agents
-	baselines         bool     // the first figure of each baseline is drawn too
-	maxY              float64  // the end of the Y axis; 0: as high as the figures need
+	baselines         bool     // also draw the first metric of each baseline
+	maxY              float64  // the upper end of the Y axis; 0: from the values
 	logScale          bool     // of the Y axis
 }
 
-// plotSpecs are the plots of a report, in the order of its page.
+// plotSpecs are the plots of a report, in page order.
 var plotSpecs = []plotSpec{
 	{file: "served.png", title: "Share of requests by outcome", unit: "share", baselines: true, maxY: 1.02, metrics: []metric{
 		{"served in time", func(p *experiment.Point) float64 { return p.ServedShare }},
@@ -60,7 +60,7 @@
 	plotHeight = 11 * vg.Centimeter
 )
 
-// lineColors are the colors of a plot's lines, in order and over again.
+// lineColors are the colors of a plot's lines, used in turn.
 var lineColors = []color.RGBA{
 	{R: 0x1f, G: 0x77, B: 0xb4, A: 0xff}, {R: 0xd6, G: 0x27, B: 0x28, A: 0xff}, {R: 0x2c, G: 0xa0, B: 0x2c, A: 0xff},
 	{R: 0x94, G: 0x67, B: 0xbd, A: 0xff}, {R: 0xff, G: 0x7f, B: 0x0e, A: 0xff}, {R: 0x7f, G: 0x7f, B: 0x7f, A: 0xff},
@@ -76,8 +76,8 @@
 // baselineDashes are the lengths of the dashes and gaps of a baseline's line.
 var baselineDashes = []vg.Length{vg.Points(4), vg.Points(2)}
 
-// Plots draws the plots of a summary, which has at least one fleet, into a folder. It returns the
-// paths of their files; on an error, of those that were drawn before it.
+// Plots draws the plots of a summary, which must have at least one fleet, into a folder. It returns the
+// paths of the files; on an error, only those drawn before it.
 func Plots(dir string, s *experiment.Summary) ([]string, error) {
 	var files []string
 	for i := range plotSpecs {
@@ -91,7 +91,7 @@
 	return files, nil
 }
 
-// draw draws the plot into a file. Faults come first, so that the lines are above them.
+// draw draws the plot into a file. Faults are drawn first, so that the lines are on top of them.
 func (spec *plotSpec) draw(file string, s *experiment.Summary) error {
 	agents := &s.Fleets[0]
 	c := spec.newChart(s, agents.Series)
@@ -120,17 +120,17 @@
 	*plot.Plot
 	minY, maxY float64 // of the Y axis
 	logScale   bool    // of the Y axis
-	lines      int     // that were asked for so far
-	faults     int     // that were drawn so far
+	lines      int     // number of addLine calls so far, which selects the next color
+	faults     int     // number of fault labels drawn so far, which selects the next position
 }
 
-// newChart returns the chart of a run with its title, axes and legend, but without lines.
+// newChart returns a chart for a run, with title, axes, legend and grid, but without lines.
 func (spec *plotSpec) newChart(s *experiment.Summary, agents []experiment.Point) *chart {
 	c := &chart{Plot: plot.New(), logScale: spec.logScale}
 	c.Title.Text = fmt.Sprintf("%s: %s (seed %d)", s.Name, spec.title, s.Seed)
 	c.X.Label.Text, c.Y.Label.Text = "seconds", spec.unit
 	c.X.Min, c.X.Max = 0, s.DurationSeconds
-	// Shares run along the top and the bottom, so their legend stands between.
+	// Lines of shares are near the top and the bottom of the plot, so their legend is placed in between.
 	c.Legend.Top, c.Legend.Left = spec.maxY == 0, true
 	if spec.maxY > 0 {
 		c.Legend.YOffs = 2 * vg.Centimeter
@@ -145,8 +145,8 @@
 	return c
 }
 
-// yRange returns the lowest and the highest value on the Y axis, with room for the legend above the
-// agents' lines unless the spec sets the end of the axis.
+// yRange returns the lowest and the highest value of the Y axis. Unless the spec sets the upper end, it
+// leaves room for the legend above the agents' lines.
 func (spec *plotSpec) yRange(agents []experiment.Point) (low, high float64) {
 	high = spec.maxY
 	lowestPositive := math.Inf(1)
@@ -171,7 +171,7 @@
 	return low, high
 }
 
-// shortTicks are plot's usual ticks, with no more than six digits in a label.
+// shortTicks are plot.DefaultTicks with at most six significant digits in a label.
 type shortTicks struct{}
 
 // Ticks implements plot.Ticker.
@@ -185,8 +185,8 @@
 	return ticks
 }
 
-// addLine adds a figure of the points as a line in the next color, unless there are no points. nil
-// dashes make it solid. Each point is in the middle of its second.
+// addLine adds a line for a metric of the points in the next color. Without points it only skips the
+// color. The line is solid if dashes is nil. Each point is drawn at the middle of its second.
 func (c *chart) addLine(name string, m metric, points []experiment.Point, dashes []vg.Length) error {
 	lineColor := lineColors[c.lines%len(lineColors)]
 	c.lines++
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// addFaults marks the faults that began.
+// addFaults marks the faults that were injected.
 func (c *chart) addFaults(faults []experiment.InjectedFault) error {
 	for i := range faults {
 		if faults[i].BeganSeconds < 0 {
@@ -220,10 +220,11 @@
 	return nil
 }
 
-// minFaultWidth is the width of the band of a short fault, in seconds.
+// minFaultWidth is the minimum width of a fault's band, in seconds.
 const minFaultWidth = 0.15
 
-// addFault marks the time of a fault by a band with an edge, and writes its name beside the edge.
+// addFault marks the duration of a fault with a band that has a left edge, and writes the fault's name
+// beside the edge.
 func (c *chart) addFault(f *experiment.InjectedFault) error {
 	from, to := f.BeganSeconds, max(f.EndedSeconds, f.BeganSeconds+minFaultWidth)
 	band, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: c.minY}, {X: to, Y: c.minY}, {X: to, Y: c.maxY}, {X: from, Y: c.maxY}})
@@ -249,15 +250,16 @@
 	return nil
 }
 
-// The places of the faults' names, as shares of the plot's height. Each name is one line of text
-// lower than the one before, until they begin again at the top.
+// The vertical positions of the faults' names, as shares of the plot's height. Each name is one line of
+// text below the previous one, so that names of faults at about the same time don't overlap. After
+// faultLabels names, the positions repeat from the top.
 const (
 	faultLabelTop  = 0.45
 	faultLabelStep = 0.055
 	faultLabels    = 7
 )
 
-// nextFaultLabelY returns where the name of the next fault is written, in units of the Y axis.
+// nextFaultLabelY returns the vertical position of the next fault's name, in units of the Y axis.
 func (c *chart) nextFaultLabelY() float64 {
 	share := faultLabelTop - faultLabelStep*float64(c.faults%faultLabels)
 	c.faults++
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,8 +1,8 @@
-// Package report writes the results of an experiment: figures for programs, a page and plots for
+// Package report writes the results of an experiment: a JSON summary for programs, a page and plots for
 // people, tables for the terminal, and the comparison of two results.
 //
-// A results folder has the files summary.json, report.md and one PNG file for each plot. Their
-// formats, and that of the result line, are read by scripts and stay.
+// A results folder has the files summary.json, report.md and one PNG file for each plot. Scripts read
+// these files and the result line, so their formats must not change.
 package report
 
 import (
@@ -14,14 +14,14 @@
 	"knotrouter/internal/lab/experiment"
 )
 
-// The files of a results folder beside its plots.
+// The files of a results folder, apart from the plots.
 const (
 	summaryFile = "summary.json"
 	pageFile    = "report.md"
 )
 
-// Write writes the summary, the page and the plots into a folder, which has to exist. The summary
-// has at least one fleet.
+// Write writes the summary, the page and the plots into a folder, which must exist. The summary must
+// have at least one fleet.
 func Write(dir string, s *experiment.Summary) error {
 	text, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
@@ -41,7 +41,8 @@
 	return writeFileAtomic(filepath.Join(dir, pageFile), page)
 }
 
-// writeFileAtomic replaces a file. A write that fails, as on a full disk, leaves the old file.
+// writeFileAtomic replaces a file by renaming a temporary file. If the write fails, for example on a full
+// disk, the old file is kept.
 func writeFileAtomic(path string, text []byte) error {
 	tempPath := path + ".part"
 	if err := os.WriteFile(tempPath, text, 0o644); err != nil {
@@ -54,7 +55,8 @@
 	return nil
 }
 
-// Read returns the summary of a results folder. It fails if there is none, or none with a fleet.
+// Read returns the summary of a results folder. It returns an error if the summary is missing or has no
+// fleet.
 func Read(dir string) (*experiment.Summary, error) {
 	text, err := os.ReadFile(filepath.Join(dir, summaryFile))
 	if err != nil {
@@ -65,13 +67,13 @@
 		return nil, fmt.Errorf("results: %s: %w", dir, err)
 	}
 	if len(s.Fleets) == 0 {
-		return nil, fmt.Errorf("results: %s: no lane in it", dir)
+		return nil, fmt.Errorf("results: %s: the summary has no fleet", dir)
 	}
 	return &s, nil
 }
 
-// ResultLine returns the last line of a run's output, in the form that scripts read. A summary that
-// has not passed has at least one violation.
+// ResultLine returns the last line of a run's output, in the format that scripts parse. A summary that
+// has not passed must have at least one violation.
 func ResultLine(s *experiment.Summary) string {
 	if s.Passed {
 		return fmt.Sprintf("%s seed %d: held", s.Name, s.Seed)
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -15,7 +15,7 @@
 )
 
 // testSummary returns the summary of a run of 20 seconds with the agents, one baseline and three
-// faults, of which the last did not begin. The agents' figures depend on scale.
+// faults, the last of which was never injected. The agents' metrics are scaled by scale.
 func testSummary(t *testing.T, scale float64) *experiment.Summary {
 	t.Helper()
 	s := &experiment.Summary{Name: "two zones", Description: "\nA zone fails.\n", Seed: 7, DurationSeconds: 20, Passed: true,
@@ -30,7 +30,7 @@
 	return s
 }
 
-// testFleet returns the summary of a fleet in which no two figures are the same.
+// testFleet returns the summary of a fleet whose metrics differ from each other.
 func testFleet(t *testing.T, name string, scale float64) experiment.FleetSummary {
 	t.Helper()
 	fleet := experiment.FleetSummary{Name: name, Breaches: map[string]int{check.RuleLost: 3}, Recovery: map[string]float64{"zone fails": 4 * scale}}
@@ -58,7 +58,7 @@
 	return fleet
 }
 
-// The page, the tables on the terminal, the comparison and the result line keep their texts.
+// The page, the tables on the terminal, the comparison and the result line match their golden files.
 func TestReportTexts(t *testing.T) {
 	s, other := testSummary(t, 1), testSummary(t, 1.5)
 	other.Seed, other.Passed, other.Violations = 8, false, []string{"served share 0.6 under 0.95", "3 lost requests"}
@@ -80,8 +80,8 @@
 	golden.Lines(t, "resultlines.golden", []string{ResultLine(s), ResultLine(other)})
 }
 
-// A results folder has the summary, which Read returns as it was written, the page, and a picture
-// for each plot that the page shows.
+// A results folder has the summary, which Read returns as it was written, the page, and a valid PNG file
+// for each plot. The page shows all plots.
 func TestResultsFolder(t *testing.T) {
 	dir := t.TempDir()
 	s := testSummary(t, 1)
@@ -114,20 +114,20 @@
 		file.Close()
 	}
 	if partFiles, _ := filepath.Glob(filepath.Join(dir, "*.part")); len(partFiles) > 0 {
-		t.Errorf("partly written files are left: %v", partFiles)
+		t.Errorf("temporary files are left: %v", partFiles)
 	}
 }
 
-// Read refuses a folder without a summary and a summary without a fleet.
+// Read returns an error for a folder without a summary and for a summary without a fleet.
 func TestReadRefusesIncompleteResults(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := Read(dir); err == nil {
-		t.Error("a folder without a summary is no error")
+		t.Error("no error for a folder without a summary")
 	}
 	if err := os.WriteFile(filepath.Join(dir, "summary.json"), []byte("{}"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Read(dir); err == nil {
-		t.Error("a summary without a fleet is no error")
+		t.Error("no error for a summary without a fleet")
 	}
 }
--- a/internal/lab/report/tables.go
+++ b/internal/lab/report/tables.go
@@ -11,7 +11,7 @@
 	"knotrouter/internal/table"
 )
 
-// allClasses is the class of a row that counts the requests of all classes together.
+// allClasses is the class of a row for the requests of all classes together.
 const allClasses = "all"
 
 // metricColumns are the columns of metricRows.
@@ -30,8 +30,8 @@
 	return rows
 }
 
-// Tables writes tables for a terminal: the agents' figures by window and class, and, if there are
-// baselines, the figures of all fleets by window. It fails if a table can't be laid out.
+// Tables writes tables for a terminal: the agents' metrics by window and class, and, if there are
+// baselines, the metrics of all fleets by window. It returns an error if a table can't be formatted.
 func Tables(w io.Writer, s *experiment.Summary) error {
 	fmt.Fprintln(w, "\nagents")
 	if err := table.Terminal(w, true, metricColumns, metricRows(&s.Fleets[0])); err != nil {
@@ -45,7 +45,7 @@
 	return table.Terminal(w, true, header, baselineRows(s))
 }
 
-// baselineRows returns a row for each fleet in each window in which the agents had requests, of all
+// baselineRows returns a row for each window in which the agents had requests and each fleet, for all
 // classes together.
 func baselineRows(s *experiment.Summary) (rows [][]string) {
 	for _, r := range s.Fleets[0].Rows {
