--- a/cmd/lab/capacity.go
+++ b/cmd/lab/capacity.go
@@ -11,10 +11,10 @@
 	"knotrouter/internal/lab/capacity"
 )
 
-// capacityPage is the page's file name in the folder of pages.
+// capacityPage is the file name of the capacity page.
 const capacityPage = "CAPACITY.md"
 
-// capacityCommand writes or checks the tables of the capacity page.
+// capacityCommand returns the command that writes or checks the tables of the capacity page.
 func capacityCommand(out io.Writer) *cobra.Command {
 	var folder string
 	var checkOnly bool
@@ -48,7 +48,7 @@
 	return cmd
 }
 
-// writePage writes the page to the path with the tables between their markers.
+// writePage writes the page to path, with the tables inserted between their markers.
 func writePage(path, page string, tables []capacity.Table) error {
 	rendered, err := capacity.Render(page, tables)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// checkPage prints whether the page has the tables as they are. It returns errChecksFailed if one differs.
+// checkPage prints whether the tables in the page are up to date. It returns errChecksFailed if one differs.
 func checkPage(out io.Writer, path, page string, tables []capacity.Table) error {
 	outdatedTable, err := capacity.OutdatedTable(page, tables)
 	if err != nil {
--- a/cmd/lab/capacity_test.go
+++ b/cmd/lab/capacity_test.go
@@ -11,7 +11,7 @@
 	"knotrouter/internal/lab/capacity"
 )
 
-// newCapacityFolder returns a folder with copies of the page and the target, and invented results.
+// newCapacityFolder returns a folder with copies of the capacity page and the target, and fixture results.
 func newCapacityFolder(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -32,7 +32,8 @@
 	return folder
 }
 
-// writeResultsFixture writes invented results: agents receive bytesPerServer bytes a second for each server.
+// writeResultsFixture writes fixture results in which agents receive bytesPerServer bytes a second for each
+// server.
 func writeResultsFixture(t *testing.T, folder string, bytesPerServer float64) {
 	t.Helper()
 	results := &capacity.Results{Experiment: "fleet-ahead", Variant: capacity.Before, Command: "fixture", Commit: "fixture", Machine: "fixture"}
@@ -64,7 +65,7 @@
 	return text
 }
 
-// checkDiffers checks that --check names a table in one line, and doesn't write the page.
+// checkDiffers checks that --check reports in one line that a table differs, and doesn't write the page.
 func checkDiffers(t *testing.T, folder, table string) {
 	t.Helper()
 	before := readPage(t, folder)
@@ -77,36 +78,36 @@
 	}
 }
 
-// regenerate writes the page's tables, checks the page and returns it.
+// regenerate writes the page's tables, runs --check on the page and returns it.
 func regenerate(t *testing.T, folder string) []byte {
 	t.Helper()
 	if output, err := runCapacity(folder); err != nil {
 		t.Fatalf("%s: %v", output, err)
 	}
 	if output, err := runCapacity(folder, "--check"); err != nil {
-		t.Fatalf("--check after the page was made: %s: %v", output, err)
+		t.Fatalf("--check after the page was generated: %s: %v", output, err)
 	}
 	return readPage(t, folder)
 }
 
 func TestCapacityWritesAndChecksPage(t *testing.T) {
 	folder := newCapacityFolder(t)
-	checkDiffers(t, folder, "sources") // the page in the repository doesn't know the fixture
+	checkDiffers(t, folder, "sources") // the page in the repository has no fixture results
 	first := regenerate(t, folder)
 	if again := regenerate(t, folder); !bytes.Equal(first, again) {
-		t.Error("the page differs when it is made again")
+		t.Error("the page differs after it was generated again")
 	}
 	proseAdded := bytes.Replace(first, []byte("# Capacity\n"), []byte("# Capacity\n\nMore prose.\n"), 1)
 	changed := bytes.Replace(proseAdded, []byte("| 156,000* |"), []byte("| 15,600* |"), 1)
 	if bytes.Equal(changed, proseAdded) {
-		t.Fatal("the page lacks the bytes of an agent at the target")
+		t.Fatal("the page has no cell \"156,000*\" for the bytes that an agent receives at the target")
 	}
 	if err := os.WriteFile(filepath.Join(folder, capacityPage), changed, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	checkDiffers(t, folder, "roles")
 	if rebuilt := regenerate(t, folder); !bytes.Equal(rebuilt, proseAdded) {
-		t.Error("prose was changed, or the table was not made as before")
+		t.Error("the prose was changed, or the changed table was not restored")
 	}
 	writeResultsFixture(t, folder, 5)
 	checkDiffers(t, folder, "slopes")
--- a/cmd/lab/compare.go
+++ b/cmd/lab/compare.go
@@ -8,7 +8,7 @@
 	"knotrouter/internal/lab/report"
 )
 
-// compareCommand compares the results of two experiments or of two scale runs.
+// compareCommand returns the command that compares the results of two experiments or two scale runs.
 func compareCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{Use: "compare DIR DIR", Short: "Set two results side by side", Args: cobra.ExactArgs(2),
 		Example: "  lab compare found/steady-before found/steady-after",
--- a/cmd/lab/cost.go
+++ b/cmd/lab/cost.go
@@ -15,7 +15,7 @@
 	"knotrouter/internal/lab/cost"
 )
 
-// costCommand measures what an agent costs.
+// costCommand returns the command that measures the CPU time, memory and added latency of an agent.
 func costCommand(out, progress io.Writer) *cobra.Command {
 	options := cost.Options{}
 	var file, profile string
@@ -47,9 +47,9 @@
 	return cmd
 }
 
-// measureCost measures, writes the results to a file and, unless profile is "", CPU profiles to the
-// folder profile. The last line that it prints says whether the limits held; if they did not, or the
-// measurement was interrupted, it returns errChecksFailed.
+// measureCost runs the measurement and writes the results to a file. Unless profile is "", it then writes
+// CPU profiles to the folder profile. The last line that it prints says whether the limits held; if they
+// did not, or the measurement was interrupted, it returns errChecksFailed.
 func measureCost(ctx context.Context, out io.Writer, options *cost.Options, file, profile string) error {
 	results, violations, err := cost.Run(ctx, options)
 	if cost.Interrupted(ctx, err) {
@@ -89,7 +89,7 @@
 		strings.Join(servers, ","), strings.Join(rates, ","), o.Window, o.Seed)
 }
 
-// printStep prints a line when a cell begins, and one with its result when it ends.
+// printStep prints a line when the measurement of a cell begins, and one with its result when it ends.
 func printStep(progress io.Writer, step cost.Step) {
 	if step.Cell == nil {
 		fmt.Fprintf(progress, "[%d/%d] %d servers, %g calls/s ...\n", step.Number, step.Total, step.Servers, step.Rate)
--- a/cmd/lab/cost_test.go
+++ b/cmd/lab/cost_test.go
@@ -9,8 +9,8 @@
 	"knotrouter/internal/lab/capacity"
 )
 
-// A short measurement with a real agent counts its calls. Times aren't checked, and neither is the
-// exit code, as the limits aren't held on a busy machine.
+// A short measurement with a real agent counts its calls and writes all metrics. Times and the exit code
+// aren't checked, because the limits may be exceeded on a busy machine.
 func TestCostMeasuresRealAgent(t *testing.T) {
 	agentPath, err := buildAgent()
 	if err != nil {
@@ -56,7 +56,7 @@
 	for _, name := range []string{"cpu_ms_per_call", "cpu_cores", "idle_cpu_cores", "direct_p50_ms", "direct_p99_ms", "agent_p50_ms",
 		"agent_p99_ms", "added_p50_ms", "added_p99_ms", "added_paired_p50_ms", "added_paired_p99_ms"} {
 		if _, ok := values[name]; !ok {
-			t.Errorf("no %s", name)
+			t.Errorf("no metric %s", name)
 		}
 	}
 }
--- a/cmd/lab/experiments.go
+++ b/cmd/lab/experiments.go
@@ -13,7 +13,7 @@
 	"knotrouter/internal/lab/scale"
 )
 
-// listCommand lists the experiments of a folder.
+// listCommand returns the command that lists the experiments of a folder.
 func listCommand(out io.Writer) *cobra.Command {
 	var dir string
 	cmd := &cobra.Command{Use: "list", Short: "List the experiments of a folder", Args: cobra.NoArgs,
@@ -40,7 +40,7 @@
 	return cmd
 }
 
-// listExperiment prints the line of one experiment, or why its file cannot be read.
+// listExperiment prints a line about an experiment, or the error if its file cannot be read.
 func listExperiment(out io.Writer, path string) {
 	config, err := experiment.Load(path)
 	if err != nil {
@@ -52,7 +52,7 @@
 		config.Agents.Count, config.Servers.Count, firstLine)
 }
 
-// validateCommand checks files of experiments and scale runs.
+// validateCommand returns the command that validates files of experiments and scale runs.
 func validateCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{Use: "validate FILE.toml ...", Short: "Check experiment files without playing them", Args: cobra.MinimumNArgs(1),
 		Example: "  lab validate experiments/*.toml",
@@ -68,7 +68,7 @@
 		}}
 }
 
-// checkFile checks the file of an experiment or a scale run and returns its name.
+// checkFile validates the file of an experiment or a scale run and returns the experiment's name.
 func checkFile(path string) (string, error) {
 	if scale.IsExperiment(path) {
 		config, err := scale.Load(path)
--- a/cmd/lab/formats_test.go
+++ b/cmd/lab/formats_test.go
@@ -25,13 +25,13 @@
 	"knotrouter/internal/lab/scale"
 )
 
-// The tests of this file fail if a rename changes what users' files and scripts rely on: the keys of
-// experiment files and results, the commands and their flags. To change a format on purpose, update
-// the golden files with go test ./cmd/lab -run Golden -update.
+// The tests of this file fail if a rename changes the interfaces that users' files and scripts rely on:
+// the keys of experiment files and results, the commands and their flags. To change a format on purpose,
+// update the golden files with go test ./cmd/lab -run Golden -update.
 
 var updateGolden = flag.Bool("update", false, "write the golden files anew")
 
-// goldenFormats are the types whose keys are checked, with the tag that gives the keys.
+// goldenFormats are the types whose keys are compared with golden files, and the struct tag of the keys.
 var goldenFormats = []struct {
 	golden string
 	tag    string
@@ -62,7 +62,7 @@
 	}
 }
 
-// listKeys lists the keys of a type with the kind of their values, as in "load.class[].aim duration".
+// listKeys returns the keys of a type with the kinds of their values, as in "load.class[].aim duration".
 func listKeys(t *testing.T, path, tag string, x reflect.Type) []string {
 	t.Helper()
 	textMarshaler := reflect.TypeFor[encoding.TextMarshaler]()
@@ -92,9 +92,9 @@
 				lines = append(lines, listKeys(t, path, tag, f.Type)...)
 				continue
 			case name == "" && x.PkgPath() != "" && !strings.Contains(strings.SplitN(x.PkgPath(), "/", 2)[0], "."):
-				t.Errorf("%s: field %s.%s has no key of its own, so that renaming it changes the format", path, x, f.Name)
+				t.Errorf("%s: field %s.%s has no explicit key, so renaming it changes the format", path, x, f.Name)
 			case name == "":
-				name = f.Name // a library's type
+				name = f.Name // a type of a library
 			}
 			if options != "" {
 				name += "," + options
@@ -106,7 +106,7 @@
 	return []string{path + " " + x.Kind().String()}
 }
 
-// Every experiment in the repository is read without an error: no key or value has become unknown.
+// All experiment files in the repository load without an error, so all their keys and values are known.
 func TestExperimentFilesAreRead(t *testing.T) {
 	files, err := filepath.Glob("../../experiments/*.toml")
 	if err != nil || len(files) == 0 {
@@ -124,7 +124,7 @@
 	}
 }
 
-// All recorded commands and flags exist, under their name or an alias. New ones are allowed.
+// All commands and flags in the golden file exist, under their name or an alias. New ones are allowed.
 func TestGoldenCommandsAndFlags(t *testing.T) {
 	root := newRootCommand(io.Discard, io.Discard)
 	if *updateGolden {
@@ -134,7 +134,7 @@
 		path, flagLine, isFlag := strings.Cut(line, " --")
 		names := strings.Fields(path)
 		if names[0] != root.Name() {
-			t.Errorf("the program is called %s, no longer %s", root.Name(), names[0])
+			t.Errorf("the program is called %s, want %s", root.Name(), names[0])
 		}
 		hidden := names[len(names)-1] == "(hidden)"
 		if hidden {
@@ -160,7 +160,7 @@
 	}
 }
 
-// describeCommand lists a command, its flags and the commands below it.
+// describeCommand returns a line for a command, each of its flags and, recursively, its subcommands.
 func describeCommand(cmd *cobra.Command, path string) []string {
 	line := path
 	if cmd.Hidden {
@@ -174,8 +174,8 @@
 	return lines
 }
 
-// describeFlag describes what scripts rely on in a flag. The name of a program in bin that is started
-// by default is not a part of it.
+// describeFlag returns the properties of a flag that scripts rely on. The name of a default program in
+// bin is not one of them.
 func describeFlag(f *pflag.Flag) string {
 	value := fmt.Sprintf("%q", f.DefValue)
 	if strings.HasPrefix(f.DefValue, "bin/") {
@@ -194,8 +194,8 @@
 	return string(text)
 }
 
-// compareGolden fails the test for each line that a golden file and the text don't have in common. With
-// -update it writes the text to the golden file first.
+// compareGolden reports an error for each line that only the golden file or only got has. With -update it
+// writes got to the golden file first.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	if *updateGolden {
@@ -210,15 +210,15 @@
 	wantLines, gotLines := strings.Split(want, "\n"), strings.Split(got, "\n")
 	for _, line := range wantLines {
 		if !slices.Contains(gotLines, line) {
-			t.Errorf("%s: gone: %s", name, line)
+			t.Errorf("%s: missing line: %s", name, line)
 		}
 	}
 	for _, line := range gotLines {
 		if !slices.Contains(wantLines, line) {
-			t.Errorf("%s: new: %s", name, line)
+			t.Errorf("%s: unexpected line: %s", name, line)
 		}
 	}
 	if !t.Failed() {
-		t.Errorf("%s: the lines come in another order or number", name)
+		t.Errorf("%s: the order or the number of the lines differs", name)
 	}
 }
--- a/cmd/lab/hollow.go
+++ b/cmd/lab/hollow.go
@@ -13,7 +13,7 @@
 	"knotrouter/internal/lab/hollow"
 )
 
-// hollowCommand returns the command that runs many simulated agents or servers in one process.
+// hollowCommand returns the command that runs many hollow agents or servers in one process.
 func hollowCommand(out io.Writer) *cobra.Command {
 	cmd := &cobra.Command{Use: "hollow", Short: "Run many readers or servers of a list service in one process"}
 	cmd.AddCommand(hollowAgentsCommand(out), hollowServersCommand(out))
@@ -22,12 +22,12 @@
 
 const listenFlagUsage = "loopback address that offers the state as JSON and takes commands"
 
-// hollowLog returns the log of a hollow process, on stderr.
+// hollowLog returns the logger of a process of hollow agents or servers, which writes to stderr.
 func hollowLog(role string) *slog.Logger {
 	return slog.New(slog.NewTextHandler(os.Stderr, nil)).With("hollow", role)
 }
 
-// printState prints the state of a hollow process as JSON.
+// printState prints the state of hollow agents or servers as JSON.
 func printState(out io.Writer, state any) error {
 	text, err := json.MarshalIndent(state, "", " ")
 	if err != nil {
@@ -37,7 +37,7 @@
 	return err
 }
 
-// hollowAgentsCommand returns the command of a process of hollow agents.
+// hollowAgentsCommand returns the command that runs hollow agents.
 func hollowAgentsCommand(out io.Writer) *cobra.Command {
 	config := hollow.AgentsConfig{Seed: 1, Services: 1}
 	var listen string
@@ -72,7 +72,7 @@
 	return cmd
 }
 
-// hollowServersCommand returns the command of a process of hollow servers.
+// hollowServersCommand returns the command that runs hollow servers.
 func hollowServersCommand(out io.Writer) *cobra.Command {
 	config := hollow.ServersConfig{Seed: 1, Services: 1}
 	var listen string
--- a/cmd/lab/input_test.go
+++ b/cmd/lab/input_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// Invalid input gives one line that names the key or the flag, and exit code 2. It leaves no process.
+// For invalid input, the lab prints one line that names the key or the flag, exits with code 2 and leaves
+// no process running.
 func TestInvalidInputIsNamedInOneLine(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -22,12 +23,12 @@
 	if err := os.MkdirAll(fullDiskDir, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	// Writing the summary there fails as on a full disk.
+	// Writes to /dev/full fail with ENOSPC, so that writing the summary fails as on a full disk.
 	if err := os.Symlink("/dev/full", filepath.Join(fullDiskDir, "summary.json.part")); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		name, want string // want is a part of the line
+		name, want string // want is a substring of the line
 		args       []string
 	}{
 		{"no file", "nowhere.toml", []string{"run", "nowhere.toml"}},
@@ -66,11 +67,11 @@
 		})
 	}
 	if left := agentProcesses(dir); len(left) > 0 {
-		t.Errorf("processes left: %v", left)
+		t.Errorf("processes left running: %v", left)
 	}
 }
 
-// withoutProgress removes lines of progress from a run's output.
+// withoutProgress returns a run's output without its progress lines.
 func withoutProgress(output string) string {
 	var others strings.Builder
 	for _, line := range strings.SplitAfter(output, "\n") {
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -1,9 +1,9 @@
-// Command lab runs experiments on real processes: emulated programme servers, clients and links
-// around the agents under test, with injected faults and checked rules.
+// Command lab runs experiments on real agent processes. It emulates the programme servers, clients and
+// links around them, injects faults and checks rules.
 //
 // Each file has one command or a few related ones: run.go (run), experiments.go (list, validate),
 // compare.go (compare), mutants.go, soak.go, capacity.go, cost.go, hollow.go and worker.go. scale.go has the
-// scale runs, which run, list, validate and compare also handle.
+// functions for scale runs, which the commands run, list, validate and compare also handle.
 package main
 
 import (
@@ -19,8 +19,9 @@
 	"github.com/spf13/cobra"
 )
 
-// errChecksFailed is returned by a command whose checks failed, after it has printed which ones.
-var errChecksFailed = errors.New("broke")
+// errChecksFailed is returned by a command whose checks failed or that was interrupted, after the command
+// has printed the reason.
+var errChecksFailed = errors.New("checks failed")
 
 // Exit codes.
 const (
@@ -42,7 +43,7 @@
 	}
 }
 
-// newRootCommand returns the lab's command line. Results are printed to out, progress to progress.
+// newRootCommand returns the lab's root command. Results are printed to out, progress to progress.
 func newRootCommand(out, progress io.Writer) *cobra.Command {
 	root := &cobra.Command{Use: "lab", Short: "Play experiments on real agents, with faults between the processes",
 		SilenceUsage: true, SilenceErrors: true,
--- a/cmd/lab/main_test.go
+++ b/cmd/lab/main_test.go
@@ -16,7 +16,7 @@
 // childVariable is the environment variable that makes the test binary run the lab's main.
 const childVariable = "LAB_CHILD"
 
-// TestMain runs the lab instead of the tests in a child process that lab starts.
+// TestMain runs the lab instead of the tests in a process that startLab started.
 func TestMain(m *testing.M) {
 	if os.Getenv(childVariable) == "1" {
 		main()
@@ -50,7 +50,7 @@
 })
 
 // experimentFile writes an experiment with real agents and returns its path. The replacements are
-// pairs of a text of the experiment and the text in its place.
+// pairs of a text to replace in the experiment and its replacement.
 func experimentFile(t *testing.T, replacements ...string) string {
 	t.Helper()
 	path, err := buildAgent()
@@ -85,13 +85,13 @@
 	return name
 }
 
-// labProcess is a lab in a process of its own.
+// labProcess is a child process that runs the lab.
 type labProcess struct {
 	*exec.Cmd
 	stdout, stderr bytes.Buffer
 }
 
-// startLab starts a lab. The process is killed at the end of the test.
+// startLab starts the lab in a child process, which is killed at the end of the test.
 func startLab(t *testing.T, args ...string) *labProcess {
 	t.Helper()
 	exe, err := os.Executable()
@@ -108,13 +108,13 @@
 	return c
 }
 
-// waitExitCode waits for the end of the process and returns its exit code, or -1 if a signal ended it.
+// waitExitCode waits until the process ends and returns its exit code, or -1 if a signal ended it.
 func (c *labProcess) waitExitCode() int {
 	_ = c.Wait()
 	return c.ProcessState.ExitCode()
 }
 
-// agentProcesses returns the process ids of the agents whose configuration is in a folder.
+// agentProcesses returns the process IDs of the agents whose configuration is in a folder.
 func agentProcesses(dir string) (pids []int) {
 	paths, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, path := range paths {
@@ -131,7 +131,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !isTrue(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never %s", condition)
+			t.Fatalf("not within %v: %s", testTimeout, condition)
 		}
 	}
 }
--- a/cmd/lab/mutants.go
+++ b/cmd/lab/mutants.go
@@ -13,12 +13,12 @@
 
 // mutantsOptions are the flags of the command mutants.
 type mutantsOptions struct {
-	only        string // pattern of the mutants to run
-	concurrency int    // number of mutants that run at a time
+	only        string // regular expression for the name or the test of the mutants to run
+	concurrency int    // maximum number of mutants that run at a time
 	checkOnly   bool   // only check that the edits apply
 }
 
-// mutantsCommand runs mutation tests on the tree in the working directory.
+// mutantsCommand returns the command that runs mutation tests on the source tree in the working directory.
 func mutantsCommand(out io.Writer) *cobra.Command {
 	var options mutantsOptions
 	cmd := &cobra.Command{Use: "mutants FILE.toml", Short: "Take mechanisms out one by one, and tell which the tests don't see", Args: cobra.ExactArgs(1),
@@ -43,8 +43,8 @@
 	return cmd
 }
 
-// loadMutants reads the mutants of a file that match a pattern. It returns an error if an edit of one
-// doesn't apply to the tree.
+// loadMutants reads the mutants of a file whose name or test matches a regular expression. It returns an
+// error if an edit of one of them doesn't apply to the source tree.
 func loadMutants(path, pattern string) ([]mutant.Mutant, error) {
 	mutants, err := mutant.Load(path)
 	if err != nil {
--- a/cmd/lab/progress.go
+++ b/cmd/lab/progress.go
@@ -19,13 +19,13 @@
 	// phaseStarting and phaseRunning are values of experiment.Progress.Phase.
 	phaseStarting = "starting"
 	phaseRunning  = "running"
-	// progressLineInterval is the least time between two lines of progress.
+	// progressLineInterval is the minimum time between two lines of progress.
 	progressLineInterval = 2 * time.Second
 	progressBarWidth     = 40
 )
 
-// newProgress shows the progress of an experiment: a bar on a terminal, else lines. It returns the
-// function that takes the progress, and one that ends the display.
+// newProgress starts a display of an experiment's progress: a bar if out is a terminal, and lines
+// otherwise. show updates the display, and stop ends it.
 func newProgress(out io.Writer, config *experiment.Config) (show func(experiment.Progress), stop func()) {
 	if file, isFile := out.(*os.File); isFile && isatty.IsTerminal(file.Fd()) {
 		return newProgressBar(out, config)
@@ -46,9 +46,9 @@
 	}
 }
 
-// newProgressBar returns a function that updates a progress bar, and one that ends it.
+// newProgressBar draws a progress bar. show updates it, and stop ends it.
 func newProgressBar(out io.Writer, config *experiment.Config) (show func(experiment.Progress), stop func()) {
-	// The bar is drawn in a goroutine of its own, so it shares the latest progress by a pointer.
+	// The bar is drawn by another goroutine, which reads the latest progress through an atomic pointer.
 	var latest atomic.Pointer[experiment.Progress]
 	latest.Store(&experiment.Progress{Phase: phaseStarting})
 	text := func(decor.Statistics) string {
@@ -72,7 +72,7 @@
 	return show, stop
 }
 
-// progressText returns the line of progress of a running experiment.
+// progressText returns a line of text with the progress of a running experiment.
 func progressText(progress experiment.Progress) string {
 	text := fmt.Sprintf("%5.1f/%.0f s  asked %d  in time %d  late %d  refused %d  failed %d",
 		progress.ElapsedSeconds, progress.TotalSeconds, progress.Requests, progress.InTime, progress.Late, progress.Rejected, progress.Failed)
--- a/cmd/lab/run.go
+++ b/cmd/lab/run.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// resultsDir is the folder of results whose place isn't given.
+	// resultsDir is the default parent folder of results.
 	resultsDir = "found"
-	// fileTimeLayout is the layout of times in names of results.
+	// fileTimeLayout is the time layout in the names of result files and folders.
 	fileTimeLayout = "20060102-150405"
 )
 
-// runCommand runs an experiment or a scale run.
+// runCommand returns the command that runs an experiment or a scale run.
 func runCommand(out, progress io.Writer) *cobra.Command {
 	var options experiment.Options
 	var quiet bool
@@ -71,7 +71,7 @@
 	return printSummary(out, options.OutputDir, summary, quiet)
 }
 
-// effectiveSeed is the seed of the options, else that of the experiment's file.
+// effectiveSeed returns the seed of the options, or the experiment file's seed if that is 0.
 func effectiveSeed(config *experiment.Config, options experiment.Options) uint64 {
 	if options.Seed != 0 {
 		return options.Seed
@@ -79,7 +79,7 @@
 	return config.Seed
 }
 
-// printSummary prints the results of an experiment. The last line says whether its checks held; if
+// printSummary prints the results of an experiment. The last line says whether its checks passed; if
 // they did not, it returns errChecksFailed.
 func printSummary(out io.Writer, dir string, summary *experiment.Summary, quiet bool) error {
 	if !quiet {
--- a/cmd/lab/run_test.go
+++ b/cmd/lab/run_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// A run writes its results, prints last whether its checks held, and leaves no process. A run with a
-// bound that it can't hold exits with 1 and names the figure and the bound.
+// A run writes its results, prints in its last line whether its checks passed, and leaves no process
+// running. A run that misses a bound exits with code 1 and names the metric and the bound.
 func TestRunWritesResultsAndExitCode(t *testing.T) {
 	dir := t.TempDir()
 	passedDir := filepath.Join(dir, "held")
@@ -59,23 +59,23 @@
 		t.Errorf("exit %d, output %s", code, c.stdout.String())
 	}
 	if left := agentProcesses(dir); len(left) > 0 {
-		t.Errorf("processes left: %v", left)
+		t.Errorf("processes left running: %v", left)
 	}
 }
 
-// No agent outlives a run that a signal ends. A run that can handle the signal prints that it was
-// interrupted.
+// No agent outlives a lab process that is ended by a signal. After SIGINT and SIGTERM the lab prints that
+// the run was interrupted.
 func TestInterruptedRunLeavesNoAgent(t *testing.T) {
 	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
 		t.Run(sig.String(), func(t *testing.T) {
 			dir := t.TempDir()
 			c := startLab(t, "run", experimentFile(t, `duration = "3s"`, `duration = "10m"`), "--out", dir, "--quiet")
-			waitUntil(t, "two agents", func() bool { return len(agentProcesses(dir)) == 2 })
+			waitUntil(t, "two agents run", func() bool { return len(agentProcesses(dir)) == 2 })
 			if err := c.Process.Signal(sig); err != nil {
 				t.Fatal(err)
 			}
 			code := c.waitExitCode()
-			waitUntil(t, "without agents", func() bool { return len(agentProcesses(dir)) == 0 })
+			waitUntil(t, "all agents have ended", func() bool { return len(agentProcesses(dir)) == 0 })
 			if sig != syscall.SIGKILL && (code != 1 || !strings.HasSuffix(c.stdout.String(), "tiny seed 9: broke: interrupted before its end\n")) {
 				t.Errorf("exit %d, output %q %q", code, c.stdout.String(), c.stderr.String())
 			}
@@ -83,12 +83,12 @@
 	}
 }
 
-// A run serves its state as JSON at the address that its file gives, until its end.
+// A run serves its state as JSON at the address in its experiment file until the run ends.
 func TestRunServesItsState(t *testing.T) {
 	addr := freeAddress(t)
 	dir := t.TempDir()
 	c := startLab(t, "run", experimentFile(t, "seed = 9", fmt.Sprintf("seed = 9\nlisten = %q", addr)), "--out", dir, "--quiet")
-	waitUntil(t, "served the state of a running experiment", func() bool {
+	waitUntil(t, "the lab serves the state of a running experiment", func() bool {
 		response, err := http.Get("http://" + addr)
 		if err != nil {
 			return false
@@ -102,7 +102,7 @@
 		t.Errorf("exit %d: %s", code, c.stderr.String())
 	}
 	if _, err := net.Dial("tcp", addr); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("after its end: %v", err)
+		t.Errorf("dial after the end of the run: %v, want ECONNREFUSED", err)
 	}
 }
 
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -15,8 +15,8 @@
 	"knotrouter/internal/lab/scale"
 )
 
-// runScale runs an experiment that has a [scale] table and prints its verdict. It returns errChecksFailed if
-// the run was interrupted or a size that had to be run was not.
+// runScale runs an experiment that has a [scale] table and prints its verdict. It returns errChecksFailed
+// if the run was interrupted or a required size was not run.
 func runScale(ctx context.Context, out, progress io.Writer, path string, o experiment.Options, quiet bool) error {
 	config, err := scale.Load(path)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// listScaleExperiment prints the line of a scale experiment in the list of a folder's experiments.
+// listScaleExperiment prints a line about a scale experiment, or the error if its file cannot be read.
 func listScaleExperiment(out io.Writer, path string) {
 	config, err := scale.Load(path)
 	if err != nil {
@@ -68,13 +68,13 @@
 	fmt.Fprintf(out, "%-28s scale  %3d sizes, to %d servers  %s\n", filepath.Base(path), len(sizes), sizes[len(sizes)-1].Servers, description)
 }
 
-// isScaleResult returns whether a folder holds the results of a scale run.
+// isScaleResult reports whether a folder has the results of a scale run.
 func isScaleResult(dir string) bool {
 	_, err := os.Stat(filepath.Join(dir, scale.ResultsFile))
 	return err == nil
 }
 
-// compareScaleResults prints the results of two scale runs, from their folders, side by side.
+// compareScaleResults prints the results in the folders of two scale runs side by side.
 func compareScaleResults(out io.Writer, first, second string) error {
 	a, err := capacity.Read(filepath.Join(first, scale.ResultsFile))
 	if err != nil {
--- a/cmd/lab/scale_test.go
+++ b/cmd/lab/scale_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// scaleFile writes an experiment file with a [scale] table, to which lines are added.
+// scaleFile writes an experiment file with a [scale] table that has the additional lines.
 func scaleFile(t *testing.T, lines string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "tiny-scale.toml")
@@ -18,8 +18,8 @@
 	return path
 }
 
-// The error of a scale run or a hollow process is one line that names the key or the flag, with exit
-// code 2.
+// For invalid input of a scale run or of hollow agents or servers, the lab prints one line that names the
+// key or the flag, and exits with code 2.
 func TestScaleErrorsNameTheKeyOrFlag(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
@@ -53,10 +53,10 @@
 	path := scaleFile(t, "")
 	c := startLab(t, "validate", path)
 	if code := c.waitExitCode(); code != 0 || c.stdout.String() != path+": tiny-scale is fine\n" {
-		t.Errorf("exit %d, said %q %q", code, c.stdout.String(), c.stderr.String())
+		t.Errorf("exit %d, output %q %q", code, c.stdout.String(), c.stderr.String())
 	}
 	c = startLab(t, "list", "--dir", filepath.Dir(path))
 	if code := c.waitExitCode(); code != 0 || !strings.Contains(c.stdout.String(), "scale    1 sizes, to 30 servers  A tiny fleet.") {
-		t.Errorf("exit %d, said %q %q", code, c.stdout.String(), c.stderr.String())
+		t.Errorf("exit %d, output %q %q", code, c.stdout.String(), c.stderr.String())
 	}
 }
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// maxSoakSeeds bounds the seeds of one call, and maxSoakConcurrency how many are played at once.
+	// maxSoakSeeds bounds the number of seeds of one command, and maxSoakConcurrency how many run at a time.
 	maxSoakSeeds, maxSoakConcurrency = 10_000, 16
-	// shrinkRuns bounds the time of --shrink, as a number of runs.
+	// shrinkRuns bounds the duration of --shrink, as a multiple of the duration of a run.
 	shrinkRuns = 12
 )
 
-// soakOptions are the flags of the soak.
+// soakOptions are the flags of the command soak.
 type soakOptions struct {
 	seeds       string
 	duration    time.Duration
@@ -33,7 +33,7 @@
 	shrink      bool
 }
 
-// soakCommand returns the command that plays experiments drawn at random.
+// soakCommand returns the command that runs randomly generated experiments.
 func soakCommand(out io.Writer) *cobra.Command {
 	var options soakOptions
 	cmd := &cobra.Command{Use: "soak", Short: "Play experiments that are drawn from seeds, with all kinds of faults", Args: cobra.NoArgs,
@@ -60,10 +60,10 @@
 	return cmd
 }
 
-// seedRangePattern is the form of the seeds.
+// seedRangePattern matches the value of --seeds: A or A-B.
 var seedRangePattern = regexp.MustCompile(`^(\d{1,18})(?:-(\d{1,18}))?$`)
 
-// parse checks the flags and returns the seeds. Its error names the flag.
+// parse validates the flags and returns the seeds. Its error names the invalid flag.
 func (o *soakOptions) parse() (seeds []uint64, err error) {
 	match := seedRangePattern.FindStringSubmatch(o.seeds)
 	if match == nil {
@@ -88,8 +88,9 @@
 	return seeds, nil
 }
 
-// runSoak plays the seeds and prints their results in the order of the seeds. It returns errChecksFailed if
-// one broke, or none held.
+// runSoak runs the experiments of the seeds and prints their results in seed order. It returns
+// errChecksFailed if an experiment violated a rule or failed to run, if none passed, or if the soak was
+// interrupted.
 func runSoak(ctx context.Context, out io.Writer, options *soakOptions, seeds []uint64) error {
 	if options.outputDir == "" {
 		options.outputDir = filepath.Join(resultsDir, "soak-"+time.Now().Format(fileTimeLayout))
@@ -125,7 +126,8 @@
 	return nil
 }
 
-// runSeed runs one seed, and shrinks it if it broke and that is asked for.
+// runSeed runs the experiment of a seed. If it violates a rule and --shrink is set, runSeed shrinks the
+// experiment and prints the result.
 func (o *soakOptions) runSeed(ctx context.Context, out io.Writer, seed uint64) soak.Result {
 	if ctx.Err() != nil {
 		return soak.Result{Seed: seed, Verdict: soak.RunFailed, Reason: "interrupted"}
@@ -140,7 +142,8 @@
 	return result
 }
 
-// print prints the result of one seed, with the command that plays it again.
+// print prints the result of a seed and, unless it passed, the command that runs the seed again. With
+// --quiet it omits seeds that passed.
 func (o *soakOptions) print(out io.Writer, result soak.Result) {
 	if o.quiet && result.Verdict == soak.Passed {
 		return
--- a/cmd/lab/worker.go
+++ b/cmd/lab/worker.go
@@ -10,7 +10,8 @@
 	"knotrouter/internal/lab/worker"
 )
 
-// workerCommand runs a worker: a process that holds leased tasks. Experiments start it.
+// workerCommand returns the command that runs a worker: a process that holds leased tasks. Experiments
+// start it.
 func workerCommand() *cobra.Command {
 	config := worker.Config{ClockRate: 1, MaxTasks: 100}
 	cmd := &cobra.Command{Use: "worker", Short: "Hold duties and act under them, for an experiment", Hidden: true, Args: cobra.NoArgs,
