--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -13,7 +13,7 @@
 )
 
 // The platform reads these keys, and the files and commands that they name have to exist.
-func TestDeployFileNamesWhatExists(t *testing.T) {
+func TestDeployFilePathsExist(t *testing.T) {
 	text, err := os.ReadFile("balancer.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/deploy/knownfailures_test.go
+++ b/deploy/knownfailures_test.go
@@ -63,7 +63,7 @@
 
 // Any number of known failures is passed over and printed, each with whether it still fails; a test
 // that fails and is not listed fails CI.
-func TestKnownFailuresArePassedOver(t *testing.T) {
+func TestKnownFailuresDoNotFailCI(t *testing.T) {
 	output, passed := runCITests(t, knownFailure("TestFails"), knownFailure("TestFailsToo"), knownFailure("TestPasses"), "")
 	if !passed {
 		t.Errorf("with all failures listed: failed: %s", output)
@@ -82,7 +82,7 @@
 }
 
 // An entry that lacks a part, or whose test does not exist, fails CI with a line that says so.
-func TestKnownFailuresAreComplete(t *testing.T) {
+func TestIncompleteKnownFailuresFailCI(t *testing.T) {
 	for entry, want := range map[string]string{
 		"./listed":                  "'./listed': no test",
 		"listed TestFails | a":      "'listed TestFails | a': begins with no package",
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -152,7 +152,7 @@
 	return names
 }
 
-func TestArchitecturePageNamesOnlyWhatExists(t *testing.T) {
+func TestArchitecturePageReferencesExist(t *testing.T) {
 	const root = ".."
 	page, err := os.ReadFile(architecturePage)
 	if err != nil {
