--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # `make build` builds all programs, `make demo` runs a small fleet for 20 s, `make test` runs the
-# tests of CI, `make scale` measures the costs of each role as the fleet grows.
+# CI checks, `make scale` measures the resource costs of each role as the fleet grows.
 .PHONY: build demo scale test
 
 build:
