--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -1,4 +1,4 @@
-// Package deploy holds the deploy file; there is no code but its test.
+// Package deploy holds the deploy file. Its only code is tests.
 package deploy
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/knadh/koanf/parsers/toml/v2"
 )
 
-// The platform reads these keys, and the files and commands that they name have to exist.
+// The platform reads exactly these keys, and the files, folders and programs that they name must exist.
 func TestDeployFilePathsExist(t *testing.T) {
 	text, err := os.ReadFile("balancer.toml")
 	if err != nil {
@@ -37,7 +37,7 @@
 			case err != nil:
 				t.Errorf("%s: %v", key, err)
 			case info.IsDir() == (key == "policy"):
-				t.Errorf("%s: %s: a folder is %v", key, p, info.IsDir())
+				t.Errorf("%s: %s: is a folder: %v", key, p, info.IsDir())
 			}
 		}
 	}
@@ -45,13 +45,13 @@
 		line, ok := file[key].(string)
 		program, found := strings.CutPrefix(line, "exec bin/")
 		if !ok || !found {
-			t.Errorf("%s: %q starts no program of bin", key, line)
+			t.Errorf("%s: %q does not start a program in bin/", key, line)
 		}
 		if _, err := os.Stat(filepath.Join("..", "cmd", program)); err != nil {
-			t.Errorf("%s: the build makes no such program: %v", key, err)
+			t.Errorf("%s: the build creates no such program: %v", key, err)
 		}
 	}
 	if line, ok := file["build"].(string); !ok || !strings.Contains(line, "go build") || !strings.Contains(line, "-o bin/ ./cmd/...") {
-		t.Errorf("build: %q does not build the programs into bin", file["build"])
+		t.Errorf("build: %q does not build the programs into bin/", file["build"])
 	}
 }
--- a/deploy/knownfailures_test.go
+++ b/deploy/knownfailures_test.go
@@ -29,8 +29,8 @@
 `,
 }
 
-// runCITests runs .ci/tests on knownFailuresModule with the lines of a KNOWN-RED.txt. It returns what
-// the script printed and whether it exited with 0.
+// runCITests runs .ci/tests on knownFailuresModule, with a KNOWN-RED.txt of the given lines. It returns
+// the output of the script and whether its exit code was 0.
 func runCITests(t *testing.T, lines ...string) (output string, passed bool) {
 	t.Helper()
 	script, err := filepath.Abs("../.ci/tests")
@@ -56,32 +56,33 @@
 	return string(text), err == nil
 }
 
-// knownFailure returns an entry of a KNOWN-RED.txt for a test of ./listed.
+// knownFailure returns a KNOWN-RED.txt entry for a test of ./listed.
 func knownFailure(test string) string {
 	return "./listed " + test + " | go test -count=1 -run " + test + "$ ./listed | what it said | issue 33"
 }
 
-// Any number of known failures is passed over and printed, each with whether it still fails; a test
-// that fails and is not listed fails CI.
+// Known failures, however many, don't fail CI; each is printed with whether it still fails. A failing
+// test that is not listed fails CI.
 func TestKnownFailuresDoNotFailCI(t *testing.T) {
 	output, passed := runCITests(t, knownFailure("TestFails"), knownFailure("TestFailsToo"), knownFailure("TestPasses"), "")
 	if !passed {
-		t.Errorf("with all failures listed: failed: %s", output)
+		t.Errorf("CI failed although all failing tests are listed: %s", output)
 	}
 	for _, want := range []string{"known red, fails: ./listed TestFails |", "known red, fails: ./listed TestFailsToo |",
 		"known red, passes: ./listed TestPasses |"} {
 		if !strings.Contains(output, want) {
-			t.Errorf("not printed: %q in %s", want, output)
+			t.Errorf("output lacks %q: %s", want, output)
 		}
 	}
 	for _, lines := range [][]string{{knownFailure("TestFails")}, {}} {
 		if output, passed := runCITests(t, lines...); passed {
-			t.Errorf("with a failing test that is not listed, and %d that are: passed: %s", len(lines), output)
+			t.Errorf("CI passed with %d entries although a failing test is not listed: %s", len(lines), output)
 		}
 	}
 }
 
-// An entry that lacks a part, or whose test does not exist, fails CI with a line that says so.
+// An entry with a missing or invalid part, or for a test that does not exist, fails CI with a line
+// that names the error.
 func TestIncompleteKnownFailuresFailCI(t *testing.T) {
 	for entry, want := range map[string]string{
 		"./listed":                  "'./listed': no test",
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -1,5 +1,5 @@
-// Package docs holds the project's pages. Its test checks that the architecture page names only
-// what the code has.
+// Package docs holds the project's documentation. Its test checks that the paths, files and symbols
+// that the architecture page names exist.
 package docs
 
 import (
@@ -16,21 +16,22 @@
 
 const architecturePage = "ARCHITECTURE.md"
 
-// minChecked is the least number of paths and symbols that the page is expected to name. A
-// page whose code spans are no longer recognized would otherwise pass without a check.
+// minChecked is the minimum number of paths and symbols that must be recognized on the page. Without
+// it, a page whose code spans are no longer recognized would pass unchecked.
 const minChecked = 40
 
 var (
 	codeSpan = regexp.MustCompile("`([^`\n]+)`")
-	// symbolSpan matches package.Symbol, package.Type.Member and a call's trailing parentheses.
+	// symbolSpan matches package.Symbol and package.Type.Member, optionally with the trailing
+	// parentheses of a call.
 	symbolSpan = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Za-z]\w*)(?:\.([A-Za-z]\w*))?(?:\(\))?$`)
-	// pathSpan matches a path below the project's root, optionally followed by a line's symbol.
+	// pathSpan matches a path or path pattern below the project's root.
 	pathSpan = regexp.MustCompile(`^(?:cmd|internal|policy|docs|deploy|experiments|journal|\.ci)(?:/[\w.*-]+)*/?$`)
 	// fileSpan matches the name of a single file.
 	fileSpan = regexp.MustCompile(`^[\w-]+\.(?:go|md|toml|txt)$`)
 )
 
-// symbols holds what one package declares: top-level names, and the members of each type.
+// symbols holds the declarations of one package: top-level names, and the members of each type.
 type symbols struct {
 	topLevel map[string]bool
 	members  map[string]map[string]bool
@@ -102,8 +103,8 @@
 	}
 }
 
-// packagesByName parses the module's code, tests left out. The programs, which are all named
-// main, stand under the names of their folders.
+// packagesByName parses the module's code, without tests, and returns the symbols of each package by
+// its name. The main packages are listed under the names of their folders.
 func packagesByName(t *testing.T, root string) map[string]*symbols {
 	t.Helper()
 	found := map[string]*symbols{}
@@ -168,25 +169,25 @@
 			case pathSpan.MatchString(text):
 				checked++
 				if matches, err := filepath.Glob(filepath.Join(root, text)); err != nil || len(matches) == 0 {
-					t.Errorf("%s:%d: no path %s", architecturePage, number+1, text)
+					t.Errorf("%s:%d: path %s does not exist", architecturePage, number+1, text)
 				}
 			case fileSpan.MatchString(text):
 				checked++
 				if !files[text] {
-					t.Errorf("%s:%d: no file %s", architecturePage, number+1, text)
+					t.Errorf("%s:%d: file %s does not exist", architecturePage, number+1, text)
 				}
 			case symbol != nil && packages[symbol[1]] != nil:
 				checked++
 				declared := packages[symbol[1]]
 				if !declared.topLevel[symbol[2]] || symbol[3] != "" && !declared.members[symbol[2]][symbol[3]] {
-					t.Errorf("%s:%d: no symbol %s", architecturePage, number+1, text)
+					t.Errorf("%s:%d: symbol %s is not declared", architecturePage, number+1, text)
 				}
 			case symbol != nil:
-				t.Errorf("%s:%d: %s: no package %s", architecturePage, number+1, text, symbol[1])
+				t.Errorf("%s:%d: %s: package %s does not exist", architecturePage, number+1, text, symbol[1])
 			}
 		}
 	}
 	if checked < minChecked {
-		t.Errorf("only %d paths and symbols were recognized, %d expected at least", checked, minChecked)
+		t.Errorf("%d paths and symbols were recognized, want at least %d", checked, minChecked)
 	}
 }
