--- a/internal/catalog/taskleases_test.go
+++ b/internal/catalog/taskleases_test.go
@@ -61,7 +61,7 @@
 	leaderSince time.Duration
 	sessions    map[string]string        // session IDs of the running processes
 	lastRenewal map[string]time.Duration // by session ID
-	starts      int                      // of processes
+	startCount  int                      // of processes
 }
 
 func newTaskFleet(t *rapid.T, now time.Duration) *taskFleet {
@@ -75,8 +75,8 @@
 	session := &Session{Process: process, ID: f.sessions[process]}
 	switch rapid.SampledFrom([]string{"open", "open", "die", "drain", "close", "leader"}).Draw(f.t, "change") {
 	case "open":
-		f.starts++
-		id := fmt.Sprint(process, "-", f.starts)
+		f.startCount++
+		id := fmt.Sprint(process, "-", f.startCount)
 		if r := apply(f.s, f.now, Command{Kind: OpenSession, Session: &Session{Process: process, ID: id, MaxTasks: rapid.IntRange(1, 30).Draw(f.t, "cap"),
 			Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(f.t, "zone")}}); r.Code == Done {
 			f.sessions[process], f.lastRenewal[id] = id, f.now
--- a/internal/gossip/observers_test.go
+++ b/internal/gossip/observers_test.go
@@ -75,11 +75,11 @@
 		pauses int64
 	}{{0, 0}, {pauseThreshold, 0}, {pauseThreshold + 1, 1}, {time.Minute, 2}} {
 		n.tick(step.delay)
-		selfSuspect := false
+		recentlyPaused := false
 		// Evaluated at the Node's start time, so that the result does not depend on how long the test takes.
-		n.WithTracker(func(_ time.Duration, t *member.Tracker) { selfSuspect = t.RecentlyPaused(0) })
-		if got := n.pauses.Load(); got != step.pauses || selfSuspect != (step.pauses > 0) {
-			t.Errorf("after a tick that was %v late: %d pauses, want %d; suspects itself: %v", step.delay, got, step.pauses, selfSuspect)
+		n.WithTracker(func(_ time.Duration, t *member.Tracker) { recentlyPaused = t.RecentlyPaused(0) })
+		if got := n.pauses.Load(); got != step.pauses || recentlyPaused != (step.pauses > 0) {
+			t.Errorf("after a tick that was %v late: %d pauses, want %d; suspects itself: %v", step.delay, got, step.pauses, recentlyPaused)
 		}
 	}
 }
--- a/internal/leaderelection/term.go
+++ b/internal/leaderelection/term.go
@@ -105,9 +105,9 @@
 // function's writes are rejected by their fencing token once the task is granted again.
 func (r *Runner) reportOverdue(t *runningTerm) {
 	r.mu.Lock()
-	runs := r.running[t.name] == t
+	stillRunning := r.running[t.name] == t
 	r.mu.Unlock()
-	if !runs {
+	if !stillRunning {
 		return
 	}
 	r.overdueCount.Add(1)
--- a/internal/member/agreement_test.go
+++ b/internal/member/agreement_test.go
@@ -12,13 +12,13 @@
 // agreementFleet simulates three observers that send each other reports over a network that loses
 // and delays them, and the three agents and one server that they observe.
 type agreementFleet struct {
-	now          time.Duration
-	names        []string // of the observers
-	trackers     map[string]*Tracker
-	inFlight     []sentReport
-	sessions     map[string]string // the observer at which an agent's session is open
-	everOpened   map[string]bool   // by agent
-	incarnations map[string]int64  // by observer and member, as last seen in the observer's view
+	now           time.Duration
+	observerNames []string
+	trackers      map[string]*Tracker
+	inFlight      []sentReport
+	sessions      map[string]string // the observer at which an agent's session is open
+	everOpened    map[string]bool   // by agent
+	incarnations  map[string]int64  // by observer and member, as last seen in the observer's view
 }
 
 type sentReport struct {
@@ -29,15 +29,15 @@
 
 func newAgreementFleet() *agreementFleet {
 	f := &agreementFleet{
-		names:        []string{"a", "b", "c"},
-		trackers:     map[string]*Tracker{},
-		sessions:     map[string]string{},
-		everOpened:   map[string]bool{},
-		incarnations: map[string]int64{},
+		observerNames: []string{"a", "b", "c"},
+		trackers:      map[string]*Tracker{},
+		sessions:      map[string]string{},
+		everOpened:    map[string]bool{},
+		incarnations:  map[string]int64{},
 	}
-	for _, name := range f.names {
+	for _, name := range f.observerNames {
 		f.trackers[name] = NewTracker(Defaults(controlPlaneServer(name, 1)))
-		for _, other := range f.names {
+		for _, other := range f.observerNames {
 			if other != name {
 				f.trackers[name].MemberAlive(0, controlPlaneServer(other, 1))
 			}
@@ -49,11 +49,11 @@
 // step advances the time by 100 ms: reports are sent and delivered, and the Trackers tick.
 func (f *agreementFleet) step(t *rapid.T, lossy bool) {
 	f.now += 100 * time.Millisecond
-	for _, name := range f.names {
+	for _, name := range f.observerNames {
 		f.sendReport(t, name, lossy)
 	}
 	f.deliverReports(t)
-	for _, name := range f.names {
+	for _, name := range f.observerNames {
 		f.trackers[name].Tick(f.now)
 		f.checkIncarnations(t, name)
 	}
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, to := range f.names {
+	for _, to := range f.observerNames {
 		if to == observer || !pending || lossy && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 			continue
 		}
@@ -112,7 +112,7 @@
 // applyRandomEvent draws and applies one event: a session opens, moves or closes, or a server sends a
 // heartbeat.
 func (f *agreementFleet) applyRandomEvent(t *rapid.T) {
-	agent, at := fmt.Sprint("n", rapid.IntRange(0, 2).Draw(t, "agent")), rapid.SampledFrom(f.names).Draw(t, "at")
+	agent, at := fmt.Sprint("n", rapid.IntRange(0, 2).Draw(t, "agent")), rapid.SampledFrom(f.observerNames).Draw(t, "at")
 	switch rapid.SampledFrom([]string{"open", "move", "close", "server"}).Draw(t, "event") {
 	case "open", "move":
 		if open := f.sessions[agent]; open != "" {
@@ -143,7 +143,7 @@
 
 // checkAgreement fails if the views differ, or if they do not match the open sessions.
 func (f *agreementFleet) checkAgreement(t *rapid.T) {
-	for _, name := range f.names {
+	for _, name := range f.observerNames {
 		v := f.trackers[name].View(f.now)
 		for i := range 3 {
 			agent := fmt.Sprint("n", i)
