--- a/internal/catalog/command.go
+++ b/internal/catalog/command.go
@@ -15,8 +15,8 @@
 // Commands on registered servers. Commands that read Refs skip instances that have since been
 // replaced or removed.
 const (
-	// RaiseRevision raises the list's revision and the last fencing token, session revision and
-	// incarnation to at least Seq.
+	// RaiseRevision raises the revision of the endpoint list and the last fencing token, session
+	// revision and incarnation, each to at least Seq.
 	RaiseRevision Kind = "floor"
 	// Register adds the server Endpoint, or replaces an older instance of the same name.
 	Register Kind = "register"
@@ -25,7 +25,7 @@
 	// Deregister removes the instances Refs, which are shutting down in an orderly way.
 	Deregister Kind = "leave"
 	// ExpireRegistration removes the instances Refs, which have failed: their leases have expired or
-	// are late, and the voters' FailureEvidence, where it is collected, confirms the failure.
+	// are late. If the leader collects FailureEvidence, the voters have confirmed the failure.
 	ExpireRegistration Kind = "lapse"
 	// Quarantine keeps the instances Refs listed although their leases have expired, because too many
 	// would expire at once. If Reason is QuarantineByService, only their own service is affected.
@@ -35,7 +35,7 @@
 	Recover Kind = "seen"
 	// ConfirmRemoval removes all quarantined instances after an operator has confirmed that they failed.
 	ConfirmRemoval Kind = "confirm"
-	// EndDamping lists those of the instances Refs whose damping period has ended.
+	// EndDamping returns to the list those of the instances Refs whose damping period has ended.
 	EndDamping Kind = "admit"
 	// SetOverride sets an operator's Weight and Health for the server Name. If IfVersion is not 0,
 	// the entry must have that version.
@@ -44,9 +44,9 @@
 
 // Commands on sessions: processes that can run leased tasks.
 const (
-	// OpenSession opens Session, or updates the open one of the same process and ID.
+	// OpenSession opens Session, or updates the open session with the same process and ID.
 	OpenSession Kind = "open"
-	// CloseSession ends Session and all its terms, for Reason or else ReasonSessionClosed.
+	// CloseSession closes Session and ends all its terms. Reason defaults to ReasonSessionClosed.
 	CloseSession Kind = "close"
 	// DrainSession marks Session as draining: its tasks are to be transferred to other processes.
 	DrainSession Kind = "rest"
@@ -62,7 +62,7 @@
 	GrantTerm Kind = "grant"
 	// ExpireTerm ends the Terms, whose holders have not renewed their sessions for the tasks' TTL.
 	ExpireTerm Kind = "free"
-	// ReleaseTerm ends the Terms, whose holder has stopped, for Reason or else ReasonCompleted.
+	// ReleaseTerm ends the Terms, whose holder has stopped. Reason defaults to ReasonCompleted.
 	ReleaseTerm Kind = "give up"
 	// TransferTask makes the Process of each element of Terms the successor for its task; a Process
 	// of "" cancels the transfer.
@@ -101,14 +101,14 @@
 type Command struct {
 	FormatVersion int                 `json:"form"`
 	Kind          Kind                `json:"kind"`
-	At            time.Duration       `json:"at"` // the leader's elapsed time when it proposed the command
+	At            time.Duration       `json:"at"` // when the leader proposed the command, on the state's clock
 	Seq           int64               `json:"seq,omitempty"`
 	Endpoint      *endpoints.Endpoint `json:"host,omitempty"`
 	Refs          []InstanceRef       `json:"refs,omitempty"`
-	Name          string              `json:"name,omitempty"` // of a server or a task
+	Name          string              `json:"name,omitempty"` // name of a server or a task
 	Weight        *float64            `json:"share,omitempty"`
 	Health        *string             `json:"health,omitempty"` // "" clears an operator's override
-	IfVersion     int64               `json:"if,omitempty"`     // the entry's expected version; 0: any
+	IfVersion     int64               `json:"if,omitempty"`     // the entry's expected version; 0 matches any
 
 	Session    *Session    `json:"session,omitempty"`
 	LeasedTask *LeasedTask `json:"duty,omitempty"`
@@ -138,10 +138,10 @@
 	Taken       Code = "taken"       // another process has the name, or holds the task
 )
 
-// Result is the outcome of a command, with its code and the numbers that it assigned.
+// Result is the outcome of a command: its code, and the numbers that the command assigned.
 type Result struct {
 	Code Code   `json:"code,omitempty"`
-	Seq  int64  `json:"seq"`            // the list's revision after the command
+	Seq  int64  `json:"seq"`            // revision of the endpoint list after the command
 	Text string `json:"text,omitempty"` // why the command was rejected
 	// DampedFor is how long a registered server stays unlisted because it restarted too often.
 	DampedFor time.Duration `json:"damped_for,omitempty"`
--- a/internal/catalog/doc.go
+++ b/internal/catalog/doc.go
@@ -11,9 +11,10 @@
 //
 // # Time
 //
-// The state's only source of time is Command.At, the elapsed time that the leader sets when it
-// proposes a command. State.Clock is the latest such time and never goes back, even when the
-// leader changes. All points in time in the state, such as Entry.DampedUntil, are on that clock.
+// The state's only source of time is Command.At, which the leader sets when it proposes a
+// command. State.Clock is the latest Command.At that was applied. It never goes back, even when
+// the leader changes. All points in time in the state, such as Entry.DampedUntil, are readings of
+// this clock.
 //
 // # Revisions
 //
@@ -27,9 +28,9 @@
 //
 // Renewals are frequent, so they do not go through the log. RegistrationLeases and TaskLeases
 // record them in the leader's memory and decide what the leader proposes: which registrations
-// and terms expire, and which process is granted which task. They read no clock either and take
-// the time as an argument. A new leader starts with new ones, in which every lease lasts for its
-// full TTL, because it does not know which renewals its predecessor confirmed.
+// and terms expire, and which process is granted which task. They take the time as an argument
+// and read no clock. A new leader does not know which renewals its predecessor confirmed, so it
+// starts with leases that all last for their full TTL.
 //
 // # Compatibility
 //
--- a/internal/catalog/entry.go
+++ b/internal/catalog/entry.go
@@ -8,19 +8,20 @@
 
 // Entry is a registered server, or a removed one that is retained for a while.
 type Entry struct {
-	Endpoint       endpoints.Endpoint `json:"host"` // as the server registered it
+	Endpoint       endpoints.Endpoint `json:"host"` // the endpoint as the server registered it
 	Version        int64              `json:"version"`
-	WeightOverride *float64           `json:"share,omitempty"`  // set by an operator; nil: none
-	HealthOverride string             `json:"health,omitempty"` // set by an operator; "": none
+	WeightOverride *float64           `json:"share,omitempty"`  // set by an operator; nil if there is none
+	HealthOverride string             `json:"health,omitempty"` // set by an operator; "" if there is none
 	Removed        bool               `json:"ended,omitempty"`
 	RemovedAt      time.Duration      `json:"ended_at,omitempty"`
 	// Quarantined entries stay listed although their leases have expired, because too many would
 	// have expired at once.
 	Quarantined bool `json:"held,omitempty"`
-	// QuarantinedByService is set in addition to Quarantined if only the entry's service is affected.
+	// QuarantinedByService is set in addition to Quarantined if the mass failure affects only the
+	// entry's service.
 	QuarantinedByService bool            `json:"held_by_service,omitempty"`
-	Removals             []time.Duration `json:"ends,omitempty"`   // times of the last removals
-	DampedUntil          time.Duration   `json:"damped,omitempty"` // unlisted until then; 0: not damped
+	Removals             []time.Duration `json:"ends,omitempty"`   // times of the last maxRemovals removals
+	DampedUntil          time.Duration   `json:"damped,omitempty"` // end of the damping; 0 if not damped
 
 	countedAsListed bool // whether State.listedCount and serviceIndex.listedCount include the entry
 }
--- a/internal/catalog/leasedtask.go
+++ b/internal/catalog/leasedtask.go
@@ -24,8 +24,8 @@
 
 	// The current term. Holder and Session are empty if no process holds the task.
 
-	Holder      string        `json:"holder,omitempty"`  // a process
-	Session     string        `json:"session,omitempty"` // the ID of its session
+	Holder      string        `json:"holder,omitempty"`  // name of the process that holds the task
+	Session     string        `json:"session,omitempty"` // ID of the holder's session
 	Fence       int64         `json:"fence"`             // the fencing token of the current or last term
 	HolderSince time.Duration `json:"since,omitempty"`
 
@@ -37,13 +37,13 @@
 
 	StopRequested bool `json:"stop,omitempty"` // the holder is asked to stop, with or without a successor
 
-	// Conditions that delay or prevent the next grant, or exclude a process from it.
+	// Conditions that delay or prevent the next grant, or make a process a less likely holder.
 
-	NotBefore     time.Duration `json:"wait,omitempty"`   // backoff after failures
-	AvoidProcess  string        `json:"avoid,omitempty"`  // where the task failed last
+	NotBefore     time.Duration `json:"wait,omitempty"`   // end of the backoff after failures
+	AvoidProcess  string        `json:"avoid,omitempty"`  // process in which the task last failed
 	Failures      int           `json:"fails,omitempty"`  // consecutive short terms that failed
 	HolderDeaths  int           `json:"deaths,omitempty"` // consecutive holders that died soon after the grant
-	SuspendReason string        `json:"parked,omitempty"` // empty: the task is not suspended
+	SuspendReason string        `json:"parked,omitempty"` // empty if the task is not suspended
 
 	History []Term `json:"past,omitempty"` // the last ended terms, oldest first
 }
@@ -52,7 +52,7 @@
 type Assignment struct {
 	Name  string        `json:"name"`
 	TTL   time.Duration `json:"ttl"`
-	Fence int64         `json:"fence,omitempty"` // the process holds the task under this token
+	Fence int64         `json:"fence,omitempty"` // fencing token of the term, if the process holds the task
 	Stop  bool          `json:"stop,omitempty"`  // the process must stop the task and then release its term
 	// Ready tells the process to get ready and then to accept the transfer. It stays set until the
 	// task is granted to the process or the transfer is cancelled; accepting again has no effect.
--- a/internal/catalog/leasedtask_test.go
+++ b/internal/catalog/leasedtask_test.go
@@ -157,7 +157,7 @@
 // taskLogChecker checks the tasks and sessions after each command of one log.
 type taskLogChecker struct {
 	terms    map[int64]string // task and session of each term, by fencing token
-	minFence int64            // the token of each new term must be higher
+	minFence int64            // lower bound: the token of each new term must be higher
 }
 
 // checkTerms checks all tasks after a command. before holds the tasks before it.
--- a/internal/catalog/massfailure.go
+++ b/internal/catalog/massfailure.go
@@ -7,7 +7,7 @@
 
 // MinServiceSizeForQuarantine is the minimum number of listed servers at which
 // LeaseConfig.MassFailureShare also applies to a service by itself. The servers of a smaller service
-// are quarantined only in a mass failure of the fleet, so that its last server can expire.
+// are quarantined only in a mass failure of the fleet, so that the last server of a service can expire.
 const MinServiceSizeForQuarantine = 5
 
 // expiryWindow holds the times of the expiries within LeaseConfig.MassFailureWindow, oldest first.
@@ -28,8 +28,8 @@
 
 // serviceSuspects counts the suspected servers of one service.
 type serviceSuspects struct {
-	unresponsive int // late or expired leases for which the evidence is not Alive
-	quarantined  int // quarantined by service, and not renewed since
+	unresponsive int // servers with a late or expired lease for which the evidence is not Alive
+	quarantined  int // servers that were quarantined by service and have not renewed since
 }
 
 // maxExpiries returns the number of servers that may expire within the window, given the number of
@@ -48,8 +48,8 @@
 
 // splitByMassFailure splits the failed servers into those that expire and those that are
 // quarantined because their service is in a mass failure. Only servers whose leases have expired
-// are quarantined; a server of such a service whose lease is only late is in neither result and is
-// considered again in a later decision.
+// are quarantined. If the lease of a server in a failing service is only late, the server is in
+// neither result, and a later decision considers it again.
 func (l *RegistrationLeases) splitByMassFailure(s *State, now time.Duration, scan *leaseScan) (expire, quarantine []InstanceRef) {
 	failing := l.servicesInMassFailure(s, now, scan)
 	isFailing := func(ref InstanceRef) bool { return failing[s.Entries[ref.Name].Endpoint.Service] }
--- a/internal/catalog/member.go
+++ b/internal/catalog/member.go
@@ -10,8 +10,8 @@
 // grows with each start.
 type Member struct {
 	Name        string        `json:"name"`
-	ID          string        `json:"id"`   // identifies the process's data directory
-	BootID      string        `json:"life"` // drawn at each start of the process
+	ID          string        `json:"id"`   // identifier of the process's data directory
+	BootID      string        `json:"life"` // random identifier drawn at each start of the process
 	Incarnation int64         `json:"incarnation"`
 	Since       time.Duration `json:"since"`
 	// PredecessorAbsent is set in a command if, according to the leader's membership view, the
@@ -20,9 +20,9 @@
 }
 
 // registerMember assigns an incarnation to a process and returns it in Result.Fence. A name belongs
-// to one data directory while the process that uses the directory is running: a process with another
-// directory is rejected as Taken. A process with the same directory is a restart of that process,
-// because only one process at a time can use a directory.
+// to one data directory while the process that uses the directory is running; a process with another
+// directory is rejected as Taken. A process with the same directory counts as a restart, because only
+// one process at a time can use a directory.
 func (s *State) registerMember(request *Member) Result {
 	if request == nil || !isName(request.Name) || !isName(request.ID) || !isName(request.BootID) {
 		return s.reject(Invalid, "name, id, life: must be words")
--- a/internal/catalog/placement.go
+++ b/internal/catalog/placement.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// maxDrainTransfers and maxRebalanceTransfers limit the transfers in progress: a transfer from a
-	// draining process starts only below the first limit, a transfer that only balances the load
-	// starts only below the second.
+	// maxDrainTransfers and maxRebalanceTransfers limit the number of transfers in progress. A transfer
+	// from a draining process starts only below maxDrainTransfers. A transfer that only balances the
+	// load starts only below maxRebalanceTransfers.
 	maxDrainTransfers     = 128
 	maxRebalanceTransfers = 8
 	// minTermBeforeRebalance is the minimum age of a term before its task is moved to balance the load.
@@ -23,7 +23,7 @@
 // Penalties of a process for a task. The process with the lowest sum is granted the task.
 const (
 	absentPenalty       = 16
-	avoidedPenalty      = 5 // above notPreferredPenalty, so that a preferred process to avoid doesn't get the task
+	avoidedPenalty      = 5 // above notPreferredPenalty, so that AvoidProcess is avoided even if it is preferred
 	notPreferredPenalty = 4
 	otherZonePenalty    = 2
 )
--- a/internal/catalog/registration.go
+++ b/internal/catalog/registration.go
@@ -8,8 +8,8 @@
 
 const (
 	// MaxEntries is the maximum number of entries, including recently removed ones. It has room for
-	// 39,000 servers, the replacement of all 6,500 names of a region, 9,100 replacements in a day,
-	// and a sixth more.
+	// the 39,000 servers of the largest fleet, the replacement of all 6,500 servers of a region,
+	// 9,100 replacements in a day, and a reserve of a sixth of these.
 	MaxEntries = 64_000
 	// removedEntryRetention is the minimum time for which a removed entry is retained. It allows late
 	// requests of older instances to be rejected, and keeps the removals that count for damping.
--- a/internal/catalog/registrationleases.go
+++ b/internal/catalog/registrationleases.go
@@ -8,7 +8,7 @@
 
 // LeaseConfig configures when registrations expire and when they are quarantined instead.
 type LeaseConfig struct {
-	TTL time.Duration // of a lease, counted from its last renewal
+	TTL time.Duration // how long a lease lasts after its last renewal
 	// MassFailureShare is the share of the listed servers, 0 to 1, that may expire within
 	// MassFailureWindow. If more would expire, they are quarantined until they renew or an operator
 	// confirms their removal. The same share applies within each service of at least
@@ -27,8 +27,8 @@
 	// expiries holds the recent expiries of the whole fleet, expiriesByService those of each service.
 	expiries          expiryWindow
 	expiriesByService map[string]*expiryWindow
-	// rotation counts the calls of Suspected that found more than maxSuspects servers. It selects the
-	// part of them to return.
+	// rotation counts the calls of Suspected that found more than maxSuspects servers. It selects which
+	// of the servers are returned.
 	rotation int
 
 	// The last decision scanned scannedState after it had applied scannedCommands commands. As long as
@@ -38,13 +38,14 @@
 	nextDue         time.Duration
 
 	// Retained and Undecided are the numbers of servers that the last decision kept listed although
-	// their leases have expired: Retained counts the evidence Alive, Undecided counts Inconclusive.
+	// their leases have expired. The evidence about them was Alive if they are counted in Retained, and
+	// Inconclusive if they are counted in Undecided.
 	Retained, Undecided int
 }
 
 // registrationLease is the lease of one instance of a server.
 type registrationLease struct {
-	startedMs float64 // of the instance
+	startedMs float64 // start of the instance, Unix time in milliseconds
 	expiresAt time.Duration
 }
 
@@ -128,8 +129,9 @@
 	return lease.expiresAt - l.config.TTL/2
 }
 
-// maxSuspects is the maximum number of servers about which observers are asked at once. At one
-// request per second, it must be high enough to decide on a zone of the largest fleet within seconds.
+// maxSuspects is the maximum number of servers about which one request asks an observer. The leader
+// sends one request per second, so the limit must be high enough to decide on all servers of a zone
+// of the largest fleet within seconds.
 const maxSuspects = 256
 
 // Suspected returns the servers about which other processes should be asked because their leases
@@ -153,7 +155,7 @@
 		a, b := suspects[i], suspects[j]
 		return a.expiresAt < b.expiresAt || a.expiresAt == b.expiresAt && a.ref.Name < b.ref.Name
 	})
-	// Servers that stay suspected must not prevent questions about the others.
+	// Rotate the servers, so that those that stay suspected do not keep the others from being returned.
 	if len(suspects) > maxSuspects {
 		l.rotation++
 		first := (l.rotation * maxSuspects) % len(suspects)
@@ -168,15 +170,16 @@
 
 // canSkipScan reports whether a decision would certainly find nothing to do, without a scan of all
 // servers: the state has not changed since the last decision, no entry is quarantined, and no lease
-// can have become late, because renewals only postpone that.
+// can have become late, because a renewal only postpones the time at which a lease becomes late.
 func (l *RegistrationLeases) canSkipScan(s *State, now time.Duration) bool {
 	return l.scannedState == s && l.scannedCommands == s.appliedCommands && s.quarantinedCount == 0 && now <= l.nextDue
 }
 
 // Decide returns what the leader should propose now: which registrations expire, which are
 // quarantined instead because of a mass failure, which have recovered from quarantine, and which
-// servers are no longer damped. A server expires only if its lease has expired or is late and decide
-// returns Failed. A server whose lease is only late does not expire in a mass failure of its service.
+// servers are no longer damped. A server expires only if decide returns Failed and its lease has
+// expired or is late. A server whose lease is only late does not expire in a mass failure of the fleet
+// or of its service.
 func (l *RegistrationLeases) Decide(s *State, now time.Duration, decide ExpiryDecider) Decision {
 	if l.canSkipScan(s, now) {
 		return Decision{}
@@ -201,12 +204,12 @@
 // leaseScan holds the result of a scan of all servers for one decision.
 type leaseScan struct {
 	recovered, undamped []InstanceRef // servers whose quarantine or damping can end
-	expired             []InstanceRef // leases that have expired, with the evidence Failed
-	failedEarly         []InstanceRef // leases that are only late, with the evidence Failed
-	inconclusive        int           // late or expired leases with the evidence Inconclusive
+	expired             []InstanceRef // servers with an expired lease and the evidence Failed
+	failedEarly         []InstanceRef // servers with a late lease and the evidence Failed
+	inconclusive        int           // servers with a late or expired lease and the evidence Inconclusive
 	retained, undecided int           // see RegistrationLeases
 	listed              int
-	quarantined         int // quarantined in a mass failure of the fleet, and not renewed since
+	quarantined         int // servers quarantined in a mass failure of the fleet and not renewed since
 	services            map[string]*serviceSuspects
 }
 
@@ -286,7 +289,7 @@
 	}
 }
 
-// service returns the counts of a service, and adds them to the scan if there are none.
+// service returns the counts of a service, and creates them if there are none.
 func (scan *leaseScan) service(name string) *serviceSuspects {
 	counts := scan.services[name]
 	if counts == nil {
--- a/internal/catalog/registrationleases_test.go
+++ b/internal/catalog/registrationleases_test.go
@@ -57,7 +57,7 @@
 // does not: it is quarantined until an operator confirms the removal or the servers renew again.
 func TestMassFailure(t *testing.T) {
 	t.Run("one service", func(t *testing.T) { testMassFailure(t, func(int) string { return "" }) })
-	// The fleet's share also applies to services that are too small for a share of their own.
+	// MassFailureShare applies to the whole fleet, even if each service is too small for its own share.
 	t.Run("one service per server", func(t *testing.T) { testMassFailure(t, func(i int) string { return fmt.Sprint("service-", i) }) })
 }
 
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestEvidence verifies whether a server expires whose lease is late or has expired, by the evidence
-// of other processes.
+// TestEvidence verifies for each kind of evidence from other processes whether a server with a late or
+// expired lease expires.
 func TestEvidence(t *testing.T) {
 	const ttl = 6 * time.Second
 	for _, c := range []struct {
--- a/internal/catalog/servicehistory.go
+++ b/internal/catalog/servicehistory.go
@@ -9,8 +9,8 @@
 )
 
 // ServiceHistory holds the data that, besides the entries, determines the changes of a service. The
-// changes after a revision are the service's entries with a later version and the servers that have
-// since left it for another service.
+// changes after a revision are the service's entries with a later version, and the servers that left
+// the service for another one after that revision.
 type ServiceHistory struct {
 	// MinRevision is the oldest revision after which all changes of a service are known, unless
 	// MinRevisions has a later one for the service.
@@ -18,14 +18,14 @@
 	// MinRevisions holds the minimum revisions of services from whose history a removal or a
 	// departure was dropped.
 	MinRevisions map[string]int64 `json:"floors,omitempty"`
-	Departures   []Departure      `json:"moved,omitempty"` // by revision
+	Departures   []Departure      `json:"moved,omitempty"` // sorted by revision
 }
 
 // Departure is the change of a server from one service to another.
 type Departure struct {
 	Seq     int64  `json:"seq"` // the revision of the change
 	Name    string `json:"name"`
-	Service string `json:"service,omitempty"` // the one that the server left
+	Service string `json:"service,omitempty"` // the service that the server left
 }
 
 // recordDeparture records a departure for the readers of the service that the server left.
--- a/internal/catalog/serviceindex.go
+++ b/internal/catalog/serviceindex.go
@@ -12,7 +12,7 @@
 // entries and the departures, and rebuilt when a snapshot is decoded.
 type serviceIndex struct {
 	entries  map[string]*Entry // including removed ones
-	departed map[string]int64  // the revisions at which servers left for another service
+	departed map[string]int64  // revision at which a server left for another service, by server
 	// changes is sorted by revision. It may include outdated changes, whose server has changed again.
 	changes      []entryChange
 	listedCount  int
@@ -65,8 +65,8 @@
 	s.dropIndexIfEmpty(entry.Endpoint.Service)
 }
 
-// countListed updates the counts of listed entries, in the service's index and in the state, for an
-// entry that is listed or not.
+// countListed records whether an entry is listed, and updates the counts of listed entries in the
+// service's index and in the state.
 func (s *State) countListed(index *serviceIndex, entry *Entry, listed bool) {
 	switch {
 	case listed && !entry.countedAsListed:
--- a/internal/catalog/servicelist.go
+++ b/internal/catalog/servicelist.go
@@ -9,7 +9,7 @@
 )
 
 // MaxServiceChanges is the maximum number of entries by which a list of changes may exceed the full
-// list of the same services. A reader that would get a longer one gets the full list.
+// list of the same services. If the list of changes is longer, the reader gets the full list.
 const MaxServiceChanges = 256
 
 // FullServiceList returns the listed servers of the services, in the given order of services and
--- a/internal/catalog/services_test.go
+++ b/internal/catalog/services_test.go
@@ -268,8 +268,8 @@
 	}
 }
 
-// TestLongChangesBecomeFullLists verifies that a reader gets the full list if the changes are much
-// longer.
+// TestLongChangesBecomeFullLists verifies that a reader gets the full list if the list of changes is
+// much longer than the full list.
 func TestLongChangesBecomeFullLists(t *testing.T) {
 	s := New()
 	apply(s, 0, Command{Kind: Register, Endpoint: endpointInService("stays", 1, "a")})
--- a/internal/catalog/session.go
+++ b/internal/catalog/session.go
@@ -18,13 +18,13 @@
 // or the leader closes it.
 type Session struct {
 	Process string `json:"process"`
-	ID      string `json:"id"` // drawn by the process at its start
+	ID      string `json:"id"` // random identifier drawn by the process
 	Zone    string `json:"zone,omitempty"`
 	// TaskKinds lists the kinds of tasks that the process can run; an empty list means all tasks. The
 	// kind of a task is the part of its name before the first dot.
 	TaskKinds []string      `json:"kinds,omitempty"`
-	MaxTasks  int           `json:"cap"`               // maximum number of tasks that the process holds
-	Draining  bool          `json:"resting,omitempty"` // its tasks are to be transferred
+	MaxTasks  int           `json:"cap"`               // maximum number of tasks that the process may hold
+	Draining  bool          `json:"resting,omitempty"` // whether the process's tasks are to be transferred
 	Opened    time.Duration `json:"opened,omitempty"`
 	Revision  int64         `json:"rev"` // changes whenever the session's assignments change
 }
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -9,7 +9,7 @@
 
 // FormatError reports a snapshot or a command in a format that this build does not read.
 type FormatError struct {
-	FormatVersion int // of the snapshot or command
+	FormatVersion int // format version of the snapshot or command
 }
 
 // Error returns a text with the format that was found and the one that this build reads.
@@ -19,7 +19,7 @@
 
 // InconsistentStateError reports a snapshot that no log of commands can produce.
 type InconsistentStateError struct {
-	Part    string // of the snapshot, such as `entry "a"`
+	Part    string // part of the snapshot, such as `entry "a"`
 	Problem string
 }
 
--- a/internal/catalog/state.go
+++ b/internal/catalog/state.go
@@ -12,28 +12,28 @@
 // concurrent use.
 type State struct {
 	FormatVersion int               `json:"form"`
-	Seq           int64             `json:"seq"` // the list's revision
+	Seq           int64             `json:"seq"` // revision of the endpoint list
 	Clock         time.Duration     `json:"clock"`
 	Entries       map[string]*Entry `json:"entries"` // by server, including recently removed ones
-	History       []entryChange     `json:"history"` // by revision
+	History       []entryChange     `json:"history"` // sorted by revision
 	// QuarantinedSince is the time from which at least one entry has been quarantined without
 	// interruption, or 0 if none is.
 	QuarantinedSince time.Duration `json:"held_since,omitempty"`
 
-	Sessions        map[string]*Session    `json:"sessions,omitempty"` // by process
-	LeasedTasks     map[string]*LeasedTask `json:"duties,omitempty"`   // by name
-	Fence           int64                  `json:"fence,omitempty"`    // the last one issued
-	SessionRevision int64                  `json:"rev,omitempty"`      // the last one issued
-	Members         map[string]*Member     `json:"members,omitempty"`  // by name
-	Incarnation     int64                  `json:"incarnation,omitempty"`
+	Sessions        map[string]*Session    `json:"sessions,omitempty"`    // by process
+	LeasedTasks     map[string]*LeasedTask `json:"duties,omitempty"`      // by name
+	Fence           int64                  `json:"fence,omitempty"`       // last fencing token issued
+	SessionRevision int64                  `json:"rev,omitempty"`         // last session revision issued
+	Members         map[string]*Member     `json:"members,omitempty"`     // by name
+	Incarnation     int64                  `json:"incarnation,omitempty"` // last incarnation issued
 	// ServiceHistory is nil only in snapshots from before services existed.
 	ServiceHistory *ServiceHistory `json:"scopes,omitempty"`
 
 	// The fields below are derived from those above and rebuilt when a snapshot is decoded.
 
 	serviceIndexes   map[string]*serviceIndex
-	listedCount      int // entries that are listed
-	quarantinedCount int // entries that are quarantined
+	listedCount      int // number of listed entries
+	quarantinedCount int // number of quarantined entries
 
 	// appliedCommands counts the commands that this process applied, except commands on sessions and
 	// tasks. RegistrationLeases uses it to detect that an entry may have changed.
--- a/internal/catalog/taskleases.go
+++ b/internal/catalog/taskleases.go
@@ -34,7 +34,7 @@
 	leaderSince time.Duration
 	lastRenewal map[string]time.Duration // by session ID
 	// expiringTerms and closingSessions contain the terms and sessions whose end Decide has proposed
-	// but the state may not have applied yet. Until it has, their holders' renewals are rejected.
+	// but the state may not have applied yet. Until then, renewals by their holders are rejected.
 	expiringTerms   map[string]int64 // fencing tokens, by task
 	closingSessions map[string]bool  // by session ID
 	// expiredAt maps a session ID to the time at which a term of the session expired. The session is
@@ -86,8 +86,9 @@
 	return max(t.lastRenewal[session.ID], t.leaderSince, session.Opened)
 }
 
-// canTakeTasks reports whether a session may be given a task: it must not be draining, must have been
-// renewed within grantRenewalWindow, and, if one of its terms has expired, renewed after the expiry.
+// canTakeTasks reports whether a session may be given a task. The session must not be draining and must
+// have been renewed within grantRenewalWindow. If one of its terms has expired, the session must have
+// been renewed after the expiry.
 func (t *TaskLeases) canTakeTasks(session *Session, now time.Duration) bool {
 	expiredAt, expired := t.expiredAt[session.ID]
 	return !session.Draining && now < t.latestRenewal(session)+grantRenewalWindow && (!expired || t.lastRenewal[session.ID] > expiredAt)
@@ -111,8 +112,8 @@
 
 // Decide returns the commands that the leader should propose now, in this order: expire terms, cancel
 // transfers that were not accepted in time, resume essential tasks, close sessions, and grant the
-// tasks that no process holds. If there are no grants, transfers from draining processes take their
-// place; if there are none of these either, transfers that balance the load do.
+// tasks that no process holds. Only without grants, it proposes transfers from draining processes, and
+// only without those, transfers that balance the load.
 func (t *TaskLeases) Decide(s *State, now time.Duration) []Command {
 	scan := t.scan(s, now)
 	commands := appendTerms(nil, ExpireTerm, scan.expired)
@@ -148,7 +149,7 @@
 	taskNames  []string
 	expired    []TermRef // at most maxTermsPerCommand
 	unaccepted []TermRef // transfers to cancel because the successor did not accept in time
-	transfers  int       // number of transfers in progress
+	transfers  int       // number of transfers in progress, including those to cancel
 	// sessionsWithTasks contains the IDs of the sessions that hold a task, expired or not.
 	sessionsWithTasks map[string]bool
 	// load is the number of tasks of each process after all transfers in progress.
@@ -183,8 +184,8 @@
 	return scan
 }
 
-// expire records that the current term of a task has expired, and adds it to scan.expired unless that
-// is full.
+// expire records that the current term of a task has expired, and adds it to scan.expired unless
+// scan.expired is full.
 func (t *TaskLeases) expire(scan *taskScan, task *LeasedTask, now time.Duration) {
 	t.expiredAt[task.Session] = now
 	if len(scan.expired) < maxTermsPerCommand {
@@ -193,9 +194,10 @@
 	}
 }
 
-// attributeDeaths marks, among the expired terms of each session, the term of the task that may have
-// killed the process: the one granted last, if the session was last renewed less than
-// deathAttributionWindow after that grant. The term of an essential task is never marked.
+// attributeDeaths marks the expired terms whose tasks may have killed their holders. Of the terms of one
+// session, only the term granted last can be marked. It is marked if the session's last renewal was less
+// than deathAttributionWindow after the grant, or if the session is no longer open. The term of an
+// essential task is never marked.
 func (t *TaskLeases) attributeDeaths(s *State, scan *taskScan) {
 	lastGranted := map[string]int{} // index in expired, by session ID
 	for i, term := range scan.expired {
--- a/internal/catalog/taskleases_test.go
+++ b/internal/catalog/taskleases_test.go
@@ -61,7 +61,7 @@
 	leaderSince time.Duration
 	sessions    map[string]string        // session IDs of the running processes
 	lastRenewal map[string]time.Duration // by session ID
-	startCount  int                      // of processes
+	startCount  int                      // number of process starts, used in session IDs
 }
 
 func newTaskFleet(t *rapid.T, now time.Duration) *taskFleet {
--- a/internal/catalog/term.go
+++ b/internal/catalog/term.go
@@ -22,12 +22,12 @@
 	maxTermHistory = 8
 
 	// A term is short if it is shorter than shortTermDuration. After a short term that failed, a task
-	// is not granted for minRetryBackoff. The backoff doubles with each consecutive term of this
-	// kind, up to maxRetryBackoff.
+	// is not granted for minRetryBackoff. The backoff doubles with each consecutive short term that
+	// failed, up to maxRetryBackoff.
 	shortTermDuration = 30 * time.Second
 	minRetryBackoff   = time.Second
 	maxRetryBackoff   = 5 * time.Minute
-	maxRetryDoublings = 20 // limits the shift; reaches far beyond maxRetryBackoff
+	maxRetryDoublings = 20 // keeps the shift from overflowing; more than enough to reach maxRetryBackoff
 
 	// suspendAfterDeaths is the number of consecutive holders that die soon after the grant before
 	// the task is suspended.
@@ -48,15 +48,15 @@
 // that is about to hold the task. ExpireTerm and ReleaseTerm read Fence and Session, which must be
 // those of the current term; an empty Session matches any.
 type TermRef struct {
-	Name       string `json:"name"` // of the task
+	Name       string `json:"name"` // name of the task
 	Process    string `json:"process,omitempty"`
 	Session    string `json:"session,omitempty"`
 	Fence      int64  `json:"fence,omitempty"`
 	CountDeath bool   `json:"blame,omitempty"` // for ExpireTerm: the task may have killed its holder
 }
 
-// applyToTerms applies a command to its terms. If there is only one, the result is that of the term;
-// if there are several, those to which the command can't be applied are skipped.
+// applyToTerms applies a command to its terms. A command with a single term has the result of that
+// term. In a command with several terms, those to which it can't be applied are skipped.
 func (s *State) applyToTerms(c *Command) Result {
 	for _, term := range c.Terms {
 		result := s.applyToTerm(c, term)
--- a/internal/catalog/wire_test.go
+++ b/internal/catalog/wire_test.go
@@ -83,7 +83,7 @@
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		c := decodeCommand(t, lines.Bytes())
 		r := s.Apply(c)
-		r.Text = "" // for people; its wording may change
+		r.Text = "" // the text is for people, so its wording may change
 		text, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gossip/counts.go
+++ b/internal/gossip/counts.go
@@ -13,7 +13,7 @@
 	Malformed    int64 // messages that could not be decoded, or have an unsupported version
 	Rejected     int64 // announcements of members that are not in the table of peers
 	Conflicts    int64 // announcements of another process under a member's name
-	UnknownPeers int64 // sends to names that are not in the table of peers, or without a name
+	UnknownPeers int64 // sends without a name, or to names that are not in the table of peers
 	Dropped      int64 // datagrams and streams that arrived while their queue was full
 	SentBytes    int64
 
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -80,7 +80,7 @@
 func (d *delegate) NotifyUpdate(peer *memberlist.Node) {
 	info, err := decodeMeta(peer)
 	if err != nil {
-		return // NotifyAlive has counted it
+		return // NotifyAlive has counted the error
 	}
 	d.node.WithTracker(func(now time.Duration, t *member.Tracker) { t.MemberAlive(now, info) })
 }
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -20,7 +20,7 @@
 // Config configures a Node.
 type Config struct {
 	Self   member.Info
-	Listen string // address for UDP and TCP
+	Listen string // address to listen on, for UDP and TCP
 	// Peers returns the addresses, by name, of all processes that may be members. It is
 	// called often, from several goroutines.
 	Peers   func() map[string]string
@@ -42,20 +42,20 @@
 	probeTimeout         = 125 * time.Millisecond
 	suspicionTimeout     = 1700 * time.Millisecond
 	suspicionMaxMultiple = 2
-	minSuspicionMultiple = 3 // in probe intervals
+	minSuspicionMultiple = 3 // minimum of the library's suspicion multiple, in probe intervals
 	gossipInterval       = 100 * time.Millisecond
 	streamTimeout        = time.Second
-	propagationTimeout   = time.Second // for an update or a leave to reach one other member
+	propagationTimeout   = time.Second // maximum wait for an update or a leave to reach another member
 	deadNodeReclaimTime  = time.Second
 )
 
 // Timing of this package's own exchanges.
 const (
-	tickInterval = 100 * time.Millisecond // of the Tracker
+	tickInterval = 100 * time.Millisecond // interval between ticks of the Tracker
 	// pauseThreshold is the delay beyond which a tick counts as a pause of this process.
 	pauseThreshold     = 400 * time.Millisecond
 	fullReportInterval = 4 * time.Second
-	pingInterval       = 500 * time.Millisecond // between control-plane servers
+	pingInterval       = 500 * time.Millisecond // interval between pings to one control-plane server
 	rejoinInterval     = 500 * time.Millisecond
 )
 
--- a/internal/gossip/observers.go
+++ b/internal/gossip/observers.go
@@ -90,7 +90,7 @@
 
 // callGroup runs each call in its own goroutine, with at most one call per name at a time.
 type callGroup struct {
-	inProgress sync.Map // by name
+	inProgress sync.Map // names whose call is in progress
 	goroutines sync.WaitGroup
 }
 
--- a/internal/gossip/observers_test.go
+++ b/internal/gossip/observers_test.go
@@ -36,7 +36,7 @@
 }
 
 // TestPingedServersAreBounded checks that all other control-plane servers are pinged if there are at most
-// maxContactedServers, and otherwise that many of them, each once. This process, workers and servers that
+// maxContactedServers, and otherwise maxContactedServers of them, each once. This process, workers and servers that
 // have left are never pinged.
 func TestPingedServersAreBounded(t *testing.T) {
 	for _, servers := range []int{0, 1, maxContactedServers, 3 * maxContactedServers} {
@@ -67,7 +67,7 @@
 }
 
 // TestLateTickCountsAsPause checks that a tick that is later than pauseThreshold counts as a pause of
-// this process, which then suspects itself.
+// this process, and that RecentlyPaused then returns true.
 func TestLateTickCountsAsPause(t *testing.T) {
 	n := newTestNode(t, member.RoleControlPlane)
 	for _, step := range []struct {
@@ -79,7 +79,7 @@
 		// Evaluated at the Node's start time, so that the result does not depend on how long the test takes.
 		n.WithTracker(func(_ time.Duration, t *member.Tracker) { recentlyPaused = t.RecentlyPaused(0) })
 		if got := n.pauses.Load(); got != step.pauses || recentlyPaused != (step.pauses > 0) {
-			t.Errorf("after a tick that was %v late: %d pauses, want %d; suspects itself: %v", step.delay, got, step.pauses, recentlyPaused)
+			t.Errorf("after a tick that was %v late: %d pauses, want %d; RecentlyPaused: %v", step.delay, got, step.pauses, recentlyPaused)
 		}
 	}
 }
--- a/internal/gossip/tick_test.go
+++ b/internal/gossip/tick_test.go
@@ -17,7 +17,7 @@
 		recentlyPaused := false
 		n.WithTracker(func(now time.Duration, tracker *member.Tracker) { recentlyPaused = tracker.RecentlyPaused(now) })
 		if recentlyPaused != want || (n.pauses.Load() > 0) != want {
-			t.Errorf("after a tick that was %v late: suspects itself: %v, %d pauses counted", delay, recentlyPaused, n.pauses.Load())
+			t.Errorf("after a tick that was %v late: RecentlyPaused: %v, %d pauses counted", delay, recentlyPaused, n.pauses.Load())
 		}
 	}
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -36,7 +36,7 @@
 	goroutines   sync.WaitGroup
 	unknownPeers atomic.Int64 // sends without a name, or to names that are not in the table
 	dropped      atomic.Int64 // datagrams and streams that arrived while their queue was full
-	sentBytes    atomic.Int64 // in datagrams, and in streams that this process opened
+	sentBytes    atomic.Int64 // bytes sent in datagrams, and in streams that this process opened
 }
 
 var _ memberlist.NodeAwareTransport = (*transport)(nil)
@@ -186,8 +186,8 @@
 	return addr, nil
 }
 
-// Shutdown closes the sockets and waits for the transport's goroutines. The library calls it too;
-// all calls but the first do nothing. It returns the errors of closing the sockets.
+// Shutdown closes the sockets and waits for the transport's goroutines. It returns the errors of
+// closing the sockets. The library also calls Shutdown; all calls but the first do nothing.
 func (t *transport) Shutdown() error {
 	select {
 	case <-t.closed:
--- a/internal/leaderelection/exclusion_test.go
+++ b/internal/leaderelection/exclusion_test.go
@@ -19,8 +19,8 @@
 type outcome struct {
 	mu        sync.Mutex
 	runs      int
-	terms     int    // started in all runs
-	violation string // the first one found, or empty
+	terms     int    // number of terms started in all runs
+	violation string // first violation found, or empty
 }
 
 // add records one run, and reports whether any run has found a violation, so that the caller
--- a/internal/leaderelection/participant.go
+++ b/internal/leaderelection/participant.go
@@ -50,7 +50,7 @@
 //
 // A term's validity starts when the last answered renewal was sent, and lasts for the lease's
 // duration less the safety margin. Assignments arrive with renewals and watch events, in any
-// order; those whose revision is not newer than the known one are ignored.
+// order; assignments whose revision is not newer than the known revision are ignored.
 type Participant struct {
 	lastRenewalSent time.Duration // when the last answered renewal was sent
 	renewed         bool          // whether any renewal has been answered
@@ -59,7 +59,7 @@
 	terms           map[string]*term // by task
 	// endedFences maps a task to the highest fencing token whose term has ended in this process.
 	endedFences map[string]int64
-	// acceptedRevisions maps a task to the revision at which this process last accepted it.
+	// acceptedRevisions maps a task to the revision at which this process last accepted its transfer.
 	acceptedRevisions map[string]int64
 	safetyMargin      func(ttl time.Duration) time.Duration
 }
@@ -113,7 +113,7 @@
 }
 
 // FunctionReturned handles the return of a term's function: it releases the term. failed
-// tells whether the function returned an error before its context was cancelled. If the term is not
+// means that the function returned an error before its context was cancelled. If the term is not
 // known, FunctionReturned does nothing and returns nil.
 func (p *Participant) FunctionReturned(now time.Duration, name string, fence int64, failed bool) []Action {
 	t := p.terms[name]
@@ -223,7 +223,8 @@
 	case p.terms[task.Name] != nil:
 		// The function of the running term has to return first.
 	case task.Ready:
-		// Accepted once for each revision, so that a lost report is repeated at the next revision.
+		// The transfer is accepted once for each revision, so that a lost report is repeated at the
+		// next revision.
 		if p.acceptedRevisions[task.Name] != p.revision {
 			p.acceptedRevisions[task.Name] = p.revision
 			actions = append(actions, Action{Kind: Accept, Name: task.Name})
--- a/internal/leaderelection/reports.go
+++ b/internal/leaderelection/reports.go
@@ -12,7 +12,7 @@
 // reportKey identifies the terms that can be reported in one call to ReportTerms.
 type reportKey struct {
 	kind   catalog.Kind // ReleaseTerm or AcceptTransfer
-	reason string       // of a release
+	reason string       // reason of a ReleaseTerm; empty for AcceptTransfer
 }
 
 // queueReport queues a report of a term. If catalog.MaxTasks reports are queued, the report is
--- a/internal/leaderelection/runner.go
+++ b/internal/leaderelection/runner.go
@@ -24,8 +24,8 @@
 }
 
 const (
-	callTimeout       = 2 * time.Second // for one call to the control plane
-	returnTimeout     = time.Second     // for a cancelled function to return before it is reported as overdue
+	callTimeout       = 2 * time.Second // maximum duration of one call to the control plane
+	returnTimeout     = time.Second     // after which a cancelled function is reported as overdue
 	shutdownTimeout   = 10 * time.Second
 	minRetryDelay     = 50 * time.Millisecond
 	maxRetryDelay     = time.Second
@@ -33,8 +33,8 @@
 	// maxDeadlineWait is how long enforceDeadlines waits while no term is valid. A new term ends
 	// the wait early, so its length does not matter.
 	maxDeadlineWait = time.Hour
-	// deadlineCheckPercent is the part of the time until the next term ends after which
-	// enforceDeadlines checks again, as a timer may fire late.
+	// deadlineCheckPercent is the percentage of the time until the next term ends after which
+	// enforceDeadlines checks again. It is less than 100 because a timer may fire late.
 	deadlineCheckPercent = 90
 )
 
--- a/internal/leaderelection/service.go
+++ b/internal/leaderelection/service.go
@@ -21,14 +21,14 @@
 	OpenSession(ctx context.Context, s catalog.Session) error
 	// RenewSession extends the session and all of its terms, and returns the assignments if their
 	// revision is later than rev. The answer comes from a server that has confirmed, after the call
-	// arrived, that it is the leader. It returns ErrSessionExpired or ErrNameTaken if the session has
-	// ended.
+	// arrived, that it is the leader. RenewSession returns ErrSessionExpired or ErrNameTaken if the
+	// session has ended.
 	RenewSession(ctx context.Context, process, id string, rev int64) (AssignmentUpdate, error)
-	// WatchSession is a long poll: it waits for a revision later than rev, for a time that
-	// the server chooses. It does not extend the session.
+	// WatchSession is a long poll: it returns when the revision is later than rev, or after a
+	// time that the server chooses. It does not extend the session.
 	WatchSession(ctx context.Context, process, id string, rev int64) (AssignmentUpdate, error)
-	// EndSession closes the session. With drain, it asks the control plane to transfer the
-	// session's tasks to other processes first, and the session stays open meanwhile.
+	// EndSession closes the session. If drain is set, it only asks the control plane to transfer
+	// the session's tasks to other processes, and the session stays open.
 	EndSession(ctx context.Context, process, id string, drain bool) error
 	// ReportTerms sends one command, ReleaseTerm or AcceptTransfer, for the terms given.
 	ReportTerms(ctx context.Context, kind catalog.Kind, terms []catalog.TermRef, reason string) error
--- a/internal/leaderelection/session.go
+++ b/internal/leaderelection/session.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// endSession closes the session; with drain, it asks for the transfer of its tasks instead.
+// endSession closes the session. If drain is set, it asks for the transfer of the session's tasks
+// instead.
 func (r *Runner) endSession(ctx context.Context, id string, drain bool) error {
 	return callWithTimeout(ctx, func(ctx context.Context) error {
 		return r.config.Service.EndSession(ctx, r.config.Process, id, drain)
--- a/internal/leaderelection/simulation_test.go
+++ b/internal/leaderelection/simulation_test.go
@@ -16,11 +16,11 @@
 	disabled        mechanisms
 	state           *catalog.State
 	leader          *leader // nil during an election
-	deposedLeader   *leader // does not know that it was deposed; nil if there is none
+	deposedLeader   *leader // leader that does not know that it was deposed; nil if there is none
 	deposedEndsAt   int     // step at which the deposed leader stops
 	holders         [2]*holder
 	inFlight        []message
-	renewalMessages int   // sent so far, renewals and their answers
+	renewalMessages int   // number of renewals and answers sent so far
 	highestFence    int64 // highest fencing token that the resource has seen
 	violation       string
 	termsStarted    int
@@ -29,15 +29,15 @@
 const (
 	stepDuration       = 50 * time.Millisecond
 	leaseTTL           = 2 * time.Second
-	simulationSteps    = 130 // in one run
+	simulationSteps    = 130 // steps in one run
 	coarseStride       = 10
-	deposedLeaderSteps = 50 // for which a deposed leader keeps running
+	deposedLeaderSteps = 50 // steps for which a deposed leader keeps running
 	electionSteps      = 3
 	taskName           = "d"
-	runsPerBatch       = 200 // runs that a worker takes at a time
+	runsPerBatch       = 200 // runs that a worker goroutine takes at a time
 	lostMessage        = -1  // value of faults.messageDelay
 	slowWriteSteps     = 45  // delay of each write by the first holder
-	transferStep       = 40  // when an operator transfers the task, in the runs that include a transfer
+	transferStep       = 40  // step at which an operator transfers the task, in the runs that include a transfer
 )
 
 // leader is a leader of the control plane, with its own clock.
@@ -67,14 +67,14 @@
 	return time.Duration(float64(at) * float64(stepDuration) * h.rate)
 }
 
-// The recipients of messages other than the holders, which are 0 and 1.
+// The recipients of messages. The holders are recipients 0 and 1.
 const (
 	toLeader = iota + 2
 	toDeposedLeader
 	toResource
 )
 
-// The kinds of messages other than those of catalog's commands.
+// The kinds of messages, in addition to the kinds of catalog commands.
 const (
 	renewalRequest = "renew"
 	renewalAnswer  = "renewed"
@@ -82,7 +82,7 @@
 )
 
 type message struct {
-	due         int // step at which it is delivered
+	due         int // step at which the message is delivered
 	to, from    int
 	kind        string
 	sent        time.Duration
--- a/internal/leaderelection/simulationfaults_test.go
+++ b/internal/leaderelection/simulationfaults_test.go
@@ -9,7 +9,7 @@
 	leaderChangeAt                    int
 	rateA, rateB, rateLeader          float64 // clock rates; 1 is exact
 	writeDelay                        int     // delay of each write by the first holder
-	transferAt                        int     // when an operator transfers the task
+	transferAt                        int     // step at which an operator transfers the task
 	noWatch                           bool    // the first holder learns its assignments from renewals only
 	lag                               int     // delay of each message, and of each command between its decision and the log
 }
--- a/internal/leaderelection/term.go
+++ b/internal/leaderelection/term.go
@@ -29,7 +29,7 @@
 	name       string
 	fence      int64
 	cancel     context.CancelFunc
-	validUntil atomic.Int64 // a time.Duration on clock
+	validUntil atomic.Int64 // end of the term on clock, as a time.Duration
 	clock      Clock
 }
 
--- a/internal/member/agreement_test.go
+++ b/internal/member/agreement_test.go
@@ -16,8 +16,8 @@
 	observerNames []string
 	trackers      map[string]*Tracker
 	inFlight      []sentReport
-	sessions      map[string]string // the observer at which an agent's session is open
-	everOpened    map[string]bool   // by agent
+	sessions      map[string]string // observer at which the session of an agent is open, by agent
+	everOpened    map[string]bool   // whether a session was ever opened, by agent
 	incarnations  map[string]int64  // by observer and member, as last seen in the observer's view
 }
 
--- a/internal/member/compare.go
+++ b/internal/member/compare.go
@@ -9,16 +9,16 @@
 type Difference struct {
 	Name      string            `json:"name"`
 	Role      Role              `json:"role"`
-	States    map[string]string `json:"says"`             // state of the member, by observer
-	ForMs     int64             `json:"for_ms"`           // since an observer last changed its state
-	Dissenter string            `json:"alone,omitempty"`  // the only observer that disagrees with all others
+	States    map[string]string `json:"says"`             // the member's state, by observer
+	ForMs     int64             `json:"for_ms"`           // time since an observer last changed its opinion
+	Dissenter string            `json:"alone,omitempty"`  // the only observer that disagrees with all others, if any
 	UnknownTo []string          `json:"absent,omitempty"` // observers without an opinion of the member
 }
 
 // ownOpinion is an observer's own opinion of a member.
 type ownOpinion struct {
 	Opinion
-	role Role // of the member
+	role Role // role of the member
 }
 
 // CompareViews returns the members about which the views of several processes differ, sorted by
@@ -79,8 +79,8 @@
 		return Difference{}, false
 	}
 	if !d.Role.Gossips() && len(observers[Present]) > 0 && len(incarnations) < 2 {
-		// The member's session has moved: the observer that had it before does not contradict
-		// the one that has it now.
+		// The member's session has moved, so the observer that had the session before does not
+		// contradict the observer that has the session now.
 		return Difference{}, false
 	}
 	d.Dissenter = dissenter(observers, len(opinions), d.UnknownTo)
--- a/internal/member/expiry_test.go
+++ b/internal/member/expiry_test.go
@@ -14,7 +14,7 @@
 
 const (
 	conditionAlive        serverCondition = iota
-	conditionProcessEnded                 // its machine refuses connections
+	conditionProcessEnded                 // the server's machine refuses connections
 	conditionMachineDown                  // connections get no answer
 	conditionStarting                     // one observer gets an answer, the others are refused
 )
@@ -31,8 +31,9 @@
 type observerCase struct {
 	reachable      [3]bool // the leader can exchange messages with the voter; always true for itself
 	slow           [3]bool
-	noHealthChecks [3]bool // its version does not support health checks
-	// quorum may be false although the other voters answer: the leader has lost it in the meantime.
+	noHealthChecks [3]bool // the voter's version does not support health checks
+	// quorum may be false although the other voters answer: the leader has lost the quorum in the
+	// meantime.
 	quorum bool
 }
 
@@ -96,7 +97,8 @@
 	others    int
 }
 
-// serverName returns the name of the server with an index below 10, and serverIndex the index.
+// serverName returns the name of the server with the index i, which must be below 10. serverIndex
+// returns the index of the server with a name.
 func serverName(i int) string          { return fmt.Sprint("s-", i) }
 func serverIndex(name string) int      { return int(name[2] - '0') }
 func (c *expiryCase) serverCount() int { return len(c.servers) + c.others }
@@ -190,7 +192,7 @@
 		for _, a := range servers {
 			for _, b := range servers {
 				if (others == 0 || b.condition == conditionStarting) && observers.restricted() {
-					continue // restricted voters are covered by the other conditions, in a fleet with others
+					continue // restricted voters are tested only with others, and not while server b is starting
 				}
 				yield(&expiryCase{observers, [2]serverCase{a, b}, others})
 			}
--- a/internal/member/gossipevents.go
+++ b/internal/member/gossipevents.go
@@ -23,8 +23,8 @@
 
 // MemberDead handles the gossip library's notification that a member has failed or left. A failure
 // during a mass failure, or while RecentlyPaused returns true, is deferred: the member is Suspect
-// until all observers agree on the failure, or until most of them agree and Config.MassFailureDelay
-// has passed.
+// until the failure is confirmed. All observers must agree on the failure to confirm it; once
+// Config.MassFailureDelay has passed, most of them suffice.
 func (t *Tracker) MemberDead(now time.Duration, name string) {
 	m := t.members[name]
 	if m == nil || m.reportedDead {
@@ -128,7 +128,7 @@
 	case m.info.ShuttingDown && m.reportedDead:
 		return Left
 	case m.reportedDead && m.directPeer && now-m.lastContact < t.config.PeerTimeout/2:
-		// It has just answered a ping, so the report may be about its earlier incarnation.
+		// The member has just answered a ping, so the report may be about an earlier incarnation.
 		return Suspect
 	case m.reportedDead && m.deadline > 0 && !t.failureConfirmed(now, m):
 		return Suspect
--- a/internal/member/info.go
+++ b/internal/member/info.go
@@ -44,8 +44,8 @@
 const (
 	Joining State = "joining" // alive, but without an incarnation from the catalog yet
 	Present State = "present"
-	Suspect State = "suspect" // it doesn't answer, or observers disagree
-	Left    State = "left"    // it announced its shutdown
+	Suspect State = "suspect" // the member does not answer, or observers disagree about it
+	Left    State = "left"    // the member announced its shutdown
 	Failed  State = "failed"
 )
 
@@ -54,14 +54,15 @@
 	return s == Joining || s == Present || s == Suspect || s == Left || s == Failed
 }
 
-// ProtocolVersions holds the highest versions that a process supports: of the messages between
-// members and of the catalog's commands.
+// ProtocolVersions holds the highest versions that a process supports of the messages between
+// members (Gossip) and of the catalog's commands (Catalog).
 type ProtocolVersions struct {
 	Gossip  int `json:"g"`
 	Catalog int `json:"c"`
 }
 
-// Info is what a member announces about itself.
+// Info describes a member, as the member itself announces it. The JSON keys are part of the wire
+// format.
 type Info struct {
 	ProtocolVersion int              `json:"f"`
 	Name            string           `json:"n"`
@@ -90,7 +91,7 @@
 // can't be decoded is not an InvalidMessageError.
 type InvalidMessageError struct{ Problem string }
 
-// Error names the invalid part of the message and says what is wrong.
+// Error returns the problem, which names the invalid part of the message.
 func (e *InvalidMessageError) Error() string { return e.Problem }
 
 // invalidMessage returns an *InvalidMessageError with a formatted problem.
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -15,16 +15,16 @@
 	seq int64
 }
 
-// observerProgress identifies the latest boot of an observer and the last full report received from
-// it.
+// observerProgress identifies the latest boot of an observer, which is one run of its process, and the
+// last full report received from the observer.
 type observerProgress struct {
 	incarnation int64
 	bootID      string
 	fullSeq     int64 // the sequence number of the last full report of this boot
 }
 
-// MergeReport stores the observations of another observer, and reports whether any of them
-// was new, in which case the report is worth forwarding. Stale reports, and reports of a sender
+// MergeReport stores the observations of another observer. It returns true if any of them was new,
+// in which case a partial report should be forwarded. Stale reports, and reports of a sender
 // that is not a known server of the control plane, are counted and ignored.
 func (t *Tracker) MergeReport(now time.Duration, r *Report) (changed bool) {
 	sender := t.members[r.From]
@@ -138,8 +138,8 @@
 }
 
 // observedRecord returns the record of an observed member, created if it is new. It returns
-// nil for an unknown member that gossips, as only the gossip library adds those, and if
-// there are too many members.
+// nil for an unknown member that gossips, because only the gossip library adds gossiping members.
+// It also returns nil if there are too many members.
 func (t *Tracker) observedRecord(now time.Duration, o Observation) *memberRecord {
 	if m := t.members[o.Name]; m != nil {
 		return m
--- a/internal/member/reconfiguration.go
+++ b/internal/member/reconfiguration.go
@@ -9,11 +9,11 @@
 type VoterSet struct {
 	Voters        []string
 	NonVoters     []string                 // non-voting replicas that have caught up with the log
-	Failed        map[string]time.Duration // for how long the view has shown a server as failed
-	Present       map[string]bool          // whether the view shows a server as present
+	Failed        map[string]time.Duration // how long the view has shown a server as failed, by server
+	Present       map[string]bool          // whether the view shows a server as present, by server
 	Leader        string
 	DesiredVoters int           // 0 disables reconfiguration
-	ReplaceAfter  time.Duration // how long a voter has to have failed before it is replaced
+	ReplaceAfter  time.Duration // how long a voter must be failed before it is replaced
 }
 
 // Reconfiguration is a single change of the set of voters; exactly one field is set.
@@ -56,8 +56,8 @@
 	return Reconfiguration{}, false
 }
 
-// longestFailedVoter returns the voter that has been failed for the longest time, if that is at
-// least ReplaceAfter, or "". Ties are broken by name.
+// longestFailedVoter returns the voter that has been failed for the longest time, or "" if no voter
+// has been failed for ReplaceAfter. Ties are broken by name.
 func (set *VoterSet) longestFailedVoter() (failed string) {
 	for _, voter := range slices.Sorted(slices.Values(set.Voters)) {
 		duration, isFailed := set.Failed[voter]
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -11,7 +11,7 @@
 const maxReportBytes = 1 << 20
 
 // Observation is the state of a member as one observer sees it. An empty state withdraws
-// the observer's earlier observation.
+// the observer's earlier observation. The JSON keys are part of the wire format.
 type Observation struct {
 	Name        string `json:"n"`
 	Role        Role   `json:"r"`
@@ -30,8 +30,8 @@
 		(o.Zone == "" || endpoints.IsToken(o.Zone, endpoints.MaxLabel))
 }
 
-// Report carries the observations of one observer to the others: all of them if Full is
-// set, and otherwise those that have changed.
+// Report carries observations of one observer to the others: all observations if Full is
+// set, and otherwise only the changed ones. The JSON keys are part of the wire format.
 type Report struct {
 	ProtocolVersion int           `json:"f"`
 	From            string        `json:"n"` // name of the observer
--- a/internal/member/sessionevents.go
+++ b/internal/member/sessionevents.go
@@ -59,7 +59,7 @@
 	case m.deadline > 0 && now >= m.deadline:
 		t.handleSessionDeadline(now, m)
 	case (m.ownState == Suspect || m.ownState == Failed || m.ownState == Left) && t.presentElsewhere(m, m.ownStateSince):
-		t.dropOwnState(m) // its session has since moved to another observer
+		t.dropOwnState(m) // the member's session has moved to another observer
 	}
 }
 
@@ -83,8 +83,8 @@
 	m.deadline = 0
 }
 
-// presentElsewhere reports whether another observer sees the member as present: either in the known
-// incarnation, since a time later than after, or in a later incarnation.
+// presentElsewhere reports whether another observer sees the member as present. An observation of the
+// known incarnation counts only if it began later than after; one of a later incarnation always counts.
 func (t *Tracker) presentElsewhere(m *memberRecord, after time.Duration) bool {
 	for from, o := range m.peerObservations {
 		if t.observerFailedOrLeft(from) || o.State != Present {
--- a/internal/member/tick.go
+++ b/internal/member/tick.go
@@ -59,9 +59,9 @@
 // more.
 func (t *Tracker) publishState(now time.Duration, m *memberRecord) (Change, bool) {
 	if t.combinedState(m) == "" && m.lastPublished == Present && !m.info.Role.Gossips() {
-		// No remaining observer sees the member, for instance because the only one has failed. The
-		// member may still appear at another observer, as when a session moves, until the grace
-		// period and the suspicion timeout have passed.
+		// No remaining observer sees the member, for example because the only observer that did has
+		// failed. The member's session may move to another observer until the grace period and the
+		// suspicion timeout have passed.
 		t.setOwnState(now, m, Suspect)
 		m.deadline = now + t.config.SessionGrace + t.config.SuspicionTimeout
 	}
--- a/internal/member/tracker.go
+++ b/internal/member/tracker.go
@@ -13,9 +13,9 @@
 	// long it is suspected before it is considered failed.
 	SessionGrace, SuspicionTimeout time.Duration
 	// MassFailureShare is the share of the gossiping members, 0 to 1, that may fail within
-	// MassFailureWindow. If more of them fail, each of these members is Suspect until all observers
-	// agree on its failure, or until most of them agree and MassFailureDelay has passed. After a
-	// pause of this process, no member is suspected for unanswered pings for MassFailureDelay.
+	// MassFailureWindow. If more fail, each of the failed members is Suspect until all observers agree
+	// on its failure; once MassFailureDelay has passed, most observers suffice. For MassFailureDelay
+	// after a pause of this process, no member is suspected for unanswered pings.
 	MassFailureShare                    float64
 	MassFailureWindow, MassFailureDelay time.Duration
 	// ReportRetention is how long another observer's observation counts after its last report.
@@ -46,10 +46,10 @@
 	config                 Config
 	members                map[string]*memberRecord    // by name, without this process
 	observers              map[string]observerProgress // by the observer's name
-	recentFailures         []failureEvent              // of gossiping members, within the mass failure window
-	version                int64                       // of the view
-	reportSeq              int64                       // of the last report
-	suppressSuspicionUntil time.Duration               // after a pause, no member is suspected for unanswered pings until then
+	recentFailures         []failureEvent              // failures of gossiping members within the mass failure window
+	version                int64                       // version of the view
+	reportSeq              int64                       // sequence number of the last report
+	suppressSuspicionUntil time.Duration               // end of the time after a pause in which unanswered pings are ignored
 	counts                 Counts
 }
 
@@ -72,21 +72,21 @@
 // memberRecord holds what the Tracker knows about one member.
 type memberRecord struct {
 	info          Info
-	ownState      State // as this process observes it; empty without an observation
+	ownState      State // state as this process observes it; empty without an observation
 	ownStateSince time.Duration
-	openSessions  int // sessions of the member at this process
-	// lastContact is when the member last answered a ping from this process, sent it a heartbeat, or
-	// opened or closed a session at it. It is also set, without any contact, when this process first
-	// learns of the member or starts to ping it, and is shifted by a pause of this process.
+	openSessions  int // number of open sessions of the member at this process
+	// lastContact is when the member last answered a ping from this process, sent a heartbeat to this
+	// process, or opened or closed a session at this process. It is also set, without any contact, when
+	// this process first learns of the member or starts to ping it. A pause of this process shifts it.
 	lastContact  time.Duration
-	directPeer   bool // this process pings the member itself
-	reportedDead bool // by the gossip library
-	// deadline is 0 if there is none. For a member that gossips, it is when agreement of most
-	// observers starts to suffice to confirm a deferred failure. For other members, it is when the
-	// own state changes from present to suspect or from suspect to failed.
+	directPeer   bool // whether this process pings the member itself
+	reportedDead bool // whether the gossip library reports the member as dead
+	// deadline is 0 if there is none. For a member that gossips, it is the time from which the
+	// agreement of most observers, instead of all, confirms a deferred failure. For other members, it
+	// is the time at which ownState changes from present to suspect or from suspect to failed.
 	deadline         time.Duration
 	peerObservations map[string]peerObservation // by the observer's name
-	lastReported     State                      // the own state in the last partial report
+	lastReported     State                      // ownState in the last partial report
 	lastPublished    State                      // the combined state at the last Tick
 }
 
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -9,7 +9,7 @@
 
 // View is the state of all members as one process sees them.
 type View struct {
-	From    string  `json:"from"`    // the process
+	From    string  `json:"from"`    // name of the process that has this view
 	Version int64   `json:"version"` // increases with each change, and restarts with the process
 	Members []Entry `json:"members"` // sorted by role and name
 }
@@ -22,8 +22,8 @@
 	ProgramVersion string           `json:"program,omitempty"`
 	Versions       ProtocolVersions `json:"speaks,omitzero"`
 	Incarnation    int64            `json:"incarnation"`
-	State          State            `json:"state"`     // combined from all opinions
-	Observers      []Opinion        `json:"observers"` // this process's own first, if there is one, then sorted by name
+	State          State            `json:"state"`     // state combined from all opinions
+	Observers      []Opinion        `json:"observers"` // this process's own opinion first, then sorted by observer
 }
 
 // Opinion is the state of a member as one observer sees it, and for how long the observer
@@ -137,10 +137,10 @@
 	return Failed
 }
 
-// combineGossipStates combines the observations of a member that gossips; total is their number. The
-// member has left if any observer has received its announcement, and otherwise has the state that
-// the majority observes. If exactly half of the observers see it alive and this process is one of
-// them, which aliveLocally says, the member is alive. Without a majority the member is suspect.
+// combineGossipStates combines the observations of a member that gossips. total is their number, and
+// aliveLocally tells whether this process sees the member alive. The member has left if any observer
+// sees it as left. Otherwise it has the state that the majority observes. If exactly half of the
+// observers, including this process, see it alive, it is alive. Without a majority it is suspect.
 func combineGossipStates(states map[State]int, total int, aliveLocally bool) State {
 	alive := states[Present] + states[Joining]
 	if aliveLocally && 2*alive == total {
