--- a/internal/member/expiry_test.go
+++ b/internal/member/expiry_test.go
@@ -92,16 +92,16 @@
 
 // expiryCase is one decision about two servers, in a fleet with a number of others that are alive.
 type expiryCase struct {
-	observers observerCase
-	servers   [2]serverCase
-	others    int
+	observers  observerCase
+	servers    [2]serverCase
+	otherCount int
 }
 
 // serverName returns the name of the server with the index i, which must be below 10. serverIndex
 // returns the index of the server with a name.
 func serverName(i int) string          { return fmt.Sprint("s-", i) }
 func serverIndex(name string) int      { return int(name[2] - '0') }
-func (c *expiryCase) serverCount() int { return len(c.servers) + c.others }
+func (c *expiryCase) serverCount() int { return len(c.servers) + c.otherCount }
 
 // answers returns the answers of all voters about each of the two servers.
 func (c *expiryCase) answers() (answers [2]map[string]Answer) {
@@ -154,7 +154,7 @@
 			refused++
 		}
 	}
-	massFailure := c.others == 0 // two of two servers
+	massFailure := c.otherCount == 0 // two of two servers
 	mustRemove := c.observers.quorum && alive == 0 && (s.leaseExpired && against >= 2 || refused >= 2)
 	switch {
 	case !removed[i] && mustRemove && !massFailure:
@@ -186,15 +186,15 @@
 }
 
 // allExpiryCases calls yield for all cases of two servers in a fleet with the given number of others.
-func allExpiryCases(others int, yield func(c *expiryCase)) {
+func allExpiryCases(otherCount int, yield func(c *expiryCase)) {
 	servers := allServerCases()
 	for _, observers := range allObserverCases() {
 		for _, a := range servers {
 			for _, b := range servers {
-				if (others == 0 || b.condition == conditionStarting) && observers.restricted() {
+				if (otherCount == 0 || b.condition == conditionStarting) && observers.restricted() {
 					continue // restricted voters are tested only with others, and not while server b is starting
 				}
-				yield(&expiryCase{observers, [2]serverCase{a, b}, others})
+				yield(&expiryCase{observers, [2]serverCase{a, b}, otherCount})
 			}
 		}
 	}
@@ -206,9 +206,9 @@
 // failed is removed when the evidence suffices, with its lease expired or its renewal late.
 func TestExpiryNeedsAMajorityOfVoters(t *testing.T) {
 	cases, removals, retained := 0, 0, 0
-	for _, others := range []int{0, 4} { // without others, removing both servers at once is a mass failure
-		state := newRegistrations(2 + others)
-		allExpiryCases(others, func(c *expiryCase) {
+	for _, otherCount := range []int{0, 4} { // without others, removing both servers at once is a mass failure
+		state := newRegistrations(2 + otherCount)
+		allExpiryCases(otherCount, func(c *expiryCase) {
 			cases++
 			answers := c.answers()
 			expired := c.decide(state, answers)
--- a/internal/member/tracker_test.go
+++ b/internal/member/tracker_test.go
@@ -9,8 +9,8 @@
 	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleControlPlane, Incarnation: incarnation, InstanceID: "f-" + name}
 }
 
-func agentInfo(name, bootID string) Info {
-	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleAgent, InstanceID: bootID}
+func agentInfo(name, instanceID string) Info {
+	return Info{ProtocolVersion: ProtocolVersion, Name: name, Role: RoleAgent, InstanceID: instanceID}
 }
 
 // newTrackerOfFive returns the Tracker of the server a. Four other servers are present and have just
