--- a/internal/catalog/leasedtask_test.go
+++ b/internal/catalog/leasedtask_test.go
@@ -234,7 +234,7 @@
 
 // TestCrashingTasksAreSuspended verifies that a task that fails is granted again only after a backoff
 // that grows each time, and that a task is suspended if its holders die soon after the grant. A task
-// that the same processes already held is not suspended.
+// that was granted to the same processes before the crashing task is not suspended.
 func TestCrashingTasksAreSuspended(t *testing.T) {
 	s := New()
 	apply(s, 0, Command{Kind: OpenSession, Session: &Session{Process: "p", ID: "i", MaxTasks: 9}})
--- a/internal/catalog/registrationleases.go
+++ b/internal/catalog/registrationleases.go
@@ -129,9 +129,9 @@
 	return lease.expiresAt - l.config.TTL/2
 }
 
-// maxSuspects is the maximum number of servers about which one request asks an observer. The leader
-// sends one request per second, so the limit must be high enough to decide on all servers of a zone
-// of the largest fleet within seconds.
+// maxSuspects is the maximum number of servers about which an observer is asked in one request. At one
+// request per second, it must be high enough to decide on all servers of a zone of the largest fleet
+// within seconds.
 const maxSuspects = 256
 
 // Suspected returns the servers about which other processes should be asked because their leases
--- a/internal/gossip/observers_test.go
+++ b/internal/gossip/observers_test.go
@@ -110,7 +110,7 @@
 }
 
 // TestCallsToOneMemberDoNotOverlap checks that a call to a member is skipped while an earlier call to it is
-// running, that calls to other members are not, and that a new call is made once the earlier one has returned.
+// running, that calls to other members are made, and that a new call is made once the earlier one has returned.
 func TestCallsToOneMemberDoNotOverlap(t *testing.T) {
 	var calls callGroup
 	blocked, started := make(chan struct{}), make(chan string, 10)
--- a/internal/leaderelection/runner.go
+++ b/internal/leaderelection/runner.go
@@ -25,7 +25,7 @@
 
 const (
 	callTimeout       = 2 * time.Second // maximum duration of one call to the control plane
-	returnTimeout     = time.Second     // after which a cancelled function is reported as overdue
+	returnTimeout     = time.Second     // time after which a cancelled function is reported as overdue
 	shutdownTimeout   = 10 * time.Second
 	minRetryDelay     = 50 * time.Millisecond
 	maxRetryDelay     = time.Second
--- a/internal/leaderelection/simulation_test.go
+++ b/internal/leaderelection/simulation_test.go
@@ -85,8 +85,8 @@
 	due         int // step at which the message is delivered
 	to, from    int
 	kind        string
-	sent        time.Duration
-	revision    int64
+	sent        time.Duration // when the holder sent the renewal, by its own clock
+	revision    int64         // revision of assignments, or the fencing token of a write
 	assignments []catalog.Assignment
 	terms       []catalog.TermRef
 	reason      string
@@ -180,7 +180,7 @@
 		s.apply(at, c)
 	}
 	if at%8 == 0 {
-		// Commands of other parts of the control plane carry the leader's time too.
+		// Commands of other parts of the control plane also advance the state's clock.
 		s.apply(at, catalog.Command{Kind: catalog.RaiseRevision})
 	}
 	if at == s.transferAt {
--- a/internal/leaderelection/simulationfaults_test.go
+++ b/internal/leaderelection/simulationfaults_test.go
@@ -57,7 +57,7 @@
 	all := []faults{noFaults}
 	for holder := range 2 {
 		for at := 2; at < 60; at += stride {
-			for _, length := range []int{8, 38, 46, 90} {
+			for _, length := range []int{8, 38, 46, 90} { // a lease lasts for 40 steps
 				f := noFaults
 				f.pausedHolder, f.pauseAt, f.pauseSteps = holder, at, length
 				all = append(all, f)
--- a/internal/member/compare.go
+++ b/internal/member/compare.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// Difference describes a member about which observers disagree.
+// Difference describes a member about which observers disagree. Operators read its JSON form, so the
+// keys must not change.
 type Difference struct {
 	Name      string            `json:"name"`
 	Role      Role              `json:"role"`
--- a/internal/member/expiry_test.go
+++ b/internal/member/expiry_test.go
@@ -16,7 +16,7 @@
 	conditionAlive        serverCondition = iota
 	conditionProcessEnded                 // the server's machine refuses connections
 	conditionMachineDown                  // connections get no answer
-	conditionStarting                     // one observer gets an answer, the others are refused
+	conditionStarting                     // the third voter gets an answer, the others are refused
 )
 
 // serverCase describes a server: its condition, which observers have a network path to it, and
@@ -29,7 +29,7 @@
 
 // observerCase describes the three voters, of which the first is the leader.
 type observerCase struct {
-	reachable      [3]bool // the leader can exchange messages with the voter; always true for itself
+	reachable      [3]bool // the leader can exchange messages with the voter; always true for the leader itself
 	slow           [3]bool
 	noHealthChecks [3]bool // the voter's version does not support health checks
 	// quorum may be false although the other voters answer: the leader has lost the quorum in the
@@ -114,8 +114,8 @@
 	return answers
 }
 
-// decide returns the servers that the leader removes at the time when the lease of a server that
-// never renewed it expires.
+// decide returns the servers that the leader removes at the time expiryTTL, when the leases that were
+// never renewed expire.
 func (c *expiryCase) decide(state *catalog.State, answers [2]map[string]Answer) []catalog.InstanceRef {
 	config := catalog.LeaseConfig{TTL: expiryTTL, MassFailureShare: 0.5, MassFailureWindow: 10 * time.Second}
 	leases := catalog.NewRegistrationLeases(config, state, 0)
@@ -123,7 +123,7 @@
 		switch {
 		case i >= len(c.servers):
 			leases.Renew(state, catalog.InstanceRef{Name: serverName(i), StartedMs: 1}, expiryTTL)
-		case !c.servers[i].leaseExpired: // late when the first lease expires
+		case !c.servers[i].leaseExpired: // renewed once, so that the renewal is late at expiryTTL
 			leases.Renew(state, catalog.InstanceRef{Name: serverName(i), StartedMs: 1}, expiryTTL/4)
 		}
 	}
@@ -154,7 +154,7 @@
 			refused++
 		}
 	}
-	massFailure := c.otherCount == 0 // two of two servers
+	massFailure := c.otherCount == 0 // the two servers are the whole fleet
 	mustRemove := c.observers.quorum && alive == 0 && (s.leaseExpired && against >= 2 || refused >= 2)
 	switch {
 	case !removed[i] && mustRemove && !massFailure:
@@ -201,9 +201,9 @@
 }
 
 // TestExpiryNeedsAMajorityOfVoters checks the decisions for each state of three observers and two
-// servers, with and without the guard against mass failures: a server that most voters see alive
-// stays, a single observer removes none, without a quorum none is removed, and a server that has
-// failed is removed when the evidence suffices, with its lease expired or its renewal late.
+// servers, with and without the guard against mass failures. A server that most voters see alive
+// stays. A single observer can remove no server, and no server is removed without a quorum. A failed
+// server is removed when the evidence suffices, whether its lease has expired or its renewal is late.
 func TestExpiryNeedsAMajorityOfVoters(t *testing.T) {
 	cases, removals, retained := 0, 0, 0
 	for _, otherCount := range []int{0, 4} { // without others, removing both servers at once is a mass failure
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// View is the state of all members as one process sees them.
+// View is the state of all members as one process sees them. Operators read its JSON form, so the keys
+// must not change.
 type View struct {
 	From    string  `json:"from"`    // name of the process that has this view
 	Version int64   `json:"version"` // increases with each change, and restarts with the process
@@ -23,7 +24,7 @@
 	Versions       ProtocolVersions `json:"speaks,omitzero"`
 	Incarnation    int64            `json:"incarnation"`
 	State          State            `json:"state"`     // state combined from all opinions
-	Observers      []Opinion        `json:"observers"` // this process's own opinion first, then sorted by observer
+	Observers      []Opinion        `json:"observers"` // the own opinion of this process first, if any, then sorted by observer
 }
 
 // Opinion is the state of a member as one observer sees it, and for how long the observer
