--- a/internal/catalog/leasedtask_test.go
+++ b/internal/catalog/leasedtask_test.go
@@ -157,7 +157,7 @@
 // taskLogChecker checks the tasks and sessions after each command of one log.
 type taskLogChecker struct {
 	terms    map[int64]string // task and session of each term, by fencing token
-	minFence int64            // the token of each new term must be higher
+	minFence int64            // lower bound: the token of each new term must be higher
 }
 
 // checkTerms checks all tasks after a command. before holds the tasks before it.
@@ -234,7 +234,7 @@
 
 // TestCrashingTasksAreSuspended verifies that a task that fails is granted again only after a backoff
 // that grows each time, and that a task is suspended if its holders die soon after the grant. A task
-// that the same processes already held is not suspended.
+// that was granted to the same processes before the crashing task is not suspended.
 func TestCrashingTasksAreSuspended(t *testing.T) {
 	s := New()
 	apply(s, 0, Command{Kind: OpenSession, Session: &Session{Process: "p", ID: "i", MaxTasks: 9}})
--- a/internal/gossip/observers_test.go
+++ b/internal/gossip/observers_test.go
@@ -36,7 +36,7 @@
 }
 
 // TestPingedServersAreBounded checks that all other control-plane servers are pinged if there are at most
-// maxContactedServers, and otherwise that many of them, each once. This process, workers and servers that
+// maxContactedServers, and otherwise maxContactedServers of them, each once. This process, workers and servers that
 // have left are never pinged.
 func TestPingedServersAreBounded(t *testing.T) {
 	for _, servers := range []int{0, 1, maxContactedServers, 3 * maxContactedServers} {
@@ -67,7 +67,7 @@
 }
 
 // TestLateTickCountsAsPause checks that a tick that is later than pauseThreshold counts as a pause of
-// this process, which then suspects itself.
+// this process, and that RecentlyPaused then returns true.
 func TestLateTickCountsAsPause(t *testing.T) {
 	n := newTestNode(t, member.RoleControlPlane)
 	for _, step := range []struct {
@@ -75,11 +75,11 @@
 		pauses int64
 	}{{0, 0}, {pauseThreshold, 0}, {pauseThreshold + 1, 1}, {time.Minute, 2}} {
 		n.tick(step.delay)
-		selfSuspect := false
+		recentlyPaused := false
 		// Evaluated at the Node's start time, so that the result does not depend on how long the test takes.
-		n.WithTracker(func(_ time.Duration, t *member.Tracker) { selfSuspect = t.RecentlyPaused(0) })
-		if got := n.pauses.Load(); got != step.pauses || selfSuspect != (step.pauses > 0) {
-			t.Errorf("after a tick that was %v late: %d pauses, want %d; suspects itself: %v", step.delay, got, step.pauses, selfSuspect)
+		n.WithTracker(func(_ time.Duration, t *member.Tracker) { recentlyPaused = t.RecentlyPaused(0) })
+		if got := n.pauses.Load(); got != step.pauses || recentlyPaused != (step.pauses > 0) {
+			t.Errorf("after a tick that was %v late: %d pauses, want %d; RecentlyPaused: %v", step.delay, got, step.pauses, recentlyPaused)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 }
 
 // TestCallsToOneMemberDoNotOverlap checks that a call to a member is skipped while an earlier call to it is
-// running, that calls to other members are not, and that a new call is made once the earlier one has returned.
+// running, that calls to other members are made, and that a new call is made once the earlier one has returned.
 func TestCallsToOneMemberDoNotOverlap(t *testing.T) {
 	var calls callGroup
 	blocked, started := make(chan struct{}), make(chan string, 10)
--- a/internal/leaderelection/simulationfaults_test.go
+++ b/internal/leaderelection/simulationfaults_test.go
@@ -9,7 +9,7 @@
 	leaderChangeAt                    int
 	rateA, rateB, rateLeader          float64 // clock rates; 1 is exact
 	writeDelay                        int     // delay of each write by the first holder
-	transferAt                        int     // when an operator transfers the task
+	transferAt                        int     // step at which an operator transfers the task
 	noWatch                           bool    // the first holder learns its assignments from renewals only
 	lag                               int     // delay of each message, and of each command between its decision and the log
 }
@@ -57,7 +57,7 @@
 	all := []faults{noFaults}
 	for holder := range 2 {
 		for at := 2; at < 60; at += stride {
-			for _, length := range []int{8, 38, 46, 90} {
+			for _, length := range []int{8, 38, 46, 90} { // a lease lasts for 40 steps
 				f := noFaults
 				f.pausedHolder, f.pauseAt, f.pauseSteps = holder, at, length
 				all = append(all, f)
--- a/internal/member/expiry_test.go
+++ b/internal/member/expiry_test.go
@@ -14,9 +14,9 @@
 
 const (
 	conditionAlive        serverCondition = iota
-	conditionProcessEnded                 // its machine refuses connections
+	conditionProcessEnded                 // the server's machine refuses connections
 	conditionMachineDown                  // connections get no answer
-	conditionStarting                     // one observer gets an answer, the others are refused
+	conditionStarting                     // the third voter gets an answer, the others are refused
 )
 
 // serverCase describes a server: its condition, which observers have a network path to it, and
@@ -29,10 +29,11 @@
 
 // observerCase describes the three voters, of which the first is the leader.
 type observerCase struct {
-	reachable      [3]bool // the leader can exchange messages with the voter; always true for itself
+	reachable      [3]bool // the leader can exchange messages with the voter; always true for the leader itself
 	slow           [3]bool
-	noHealthChecks [3]bool // its version does not support health checks
-	// quorum may be false although the other voters answer: the leader has lost it in the meantime.
+	noHealthChecks [3]bool // the voter's version does not support health checks
+	// quorum may be false although the other voters answer: the leader has lost the quorum in the
+	// meantime.
 	quorum bool
 }
 
@@ -91,15 +92,16 @@
 
 // expiryCase is one decision about two servers, in a fleet with a number of others that are alive.
 type expiryCase struct {
-	observers observerCase
-	servers   [2]serverCase
-	others    int
+	observers  observerCase
+	servers    [2]serverCase
+	otherCount int
 }
 
-// serverName returns the name of the server with an index below 10, and serverIndex the index.
+// serverName returns the name of the server with the index i, which must be below 10. serverIndex
+// returns the index of the server with a name.
 func serverName(i int) string          { return fmt.Sprint("s-", i) }
 func serverIndex(name string) int      { return int(name[2] - '0') }
-func (c *expiryCase) serverCount() int { return len(c.servers) + c.others }
+func (c *expiryCase) serverCount() int { return len(c.servers) + c.otherCount }
 
 // answers returns the answers of all voters about each of the two servers.
 func (c *expiryCase) answers() (answers [2]map[string]Answer) {
@@ -112,8 +114,8 @@
 	return answers
 }
 
-// decide returns the servers that the leader removes at the time when the lease of a server that
-// never renewed it expires.
+// decide returns the servers that the leader removes at the time expiryTTL, when the leases that were
+// never renewed expire.
 func (c *expiryCase) decide(state *catalog.State, answers [2]map[string]Answer) []catalog.InstanceRef {
 	config := catalog.LeaseConfig{TTL: expiryTTL, MassFailureShare: 0.5, MassFailureWindow: 10 * time.Second}
 	leases := catalog.NewRegistrationLeases(config, state, 0)
@@ -121,7 +123,7 @@
 		switch {
 		case i >= len(c.servers):
 			leases.Renew(state, catalog.InstanceRef{Name: serverName(i), StartedMs: 1}, expiryTTL)
-		case !c.servers[i].leaseExpired: // late when the first lease expires
+		case !c.servers[i].leaseExpired: // renewed once, so that the renewal is late at expiryTTL
 			leases.Renew(state, catalog.InstanceRef{Name: serverName(i), StartedMs: 1}, expiryTTL/4)
 		}
 	}
@@ -152,7 +154,7 @@
 			refused++
 		}
 	}
-	massFailure := c.others == 0 // two of two servers
+	massFailure := c.otherCount == 0 // the two servers are the whole fleet
 	mustRemove := c.observers.quorum && alive == 0 && (s.leaseExpired && against >= 2 || refused >= 2)
 	switch {
 	case !removed[i] && mustRemove && !massFailure:
@@ -184,29 +186,29 @@
 }
 
 // allExpiryCases calls yield for all cases of two servers in a fleet with the given number of others.
-func allExpiryCases(others int, yield func(c *expiryCase)) {
+func allExpiryCases(otherCount int, yield func(c *expiryCase)) {
 	servers := allServerCases()
 	for _, observers := range allObserverCases() {
 		for _, a := range servers {
 			for _, b := range servers {
-				if (others == 0 || b.condition == conditionStarting) && observers.restricted() {
-					continue // restricted voters are covered by the other conditions, in a fleet with others
+				if (otherCount == 0 || b.condition == conditionStarting) && observers.restricted() {
+					continue // restricted voters are tested only with others, and not while server b is starting
 				}
-				yield(&expiryCase{observers, [2]serverCase{a, b}, others})
+				yield(&expiryCase{observers, [2]serverCase{a, b}, otherCount})
 			}
 		}
 	}
 }
 
 // TestExpiryNeedsAMajorityOfVoters checks the decisions for each state of three observers and two
-// servers, with and without the guard against mass failures: a server that most voters see alive
-// stays, a single observer removes none, without a quorum none is removed, and a server that has
-// failed is removed when the evidence suffices, with its lease expired or its renewal late.
+// servers, with and without the guard against mass failures. A server that most voters see alive
+// stays. A single observer can remove no server, and no server is removed without a quorum. A failed
+// server is removed when the evidence suffices, whether its lease has expired or its renewal is late.
 func TestExpiryNeedsAMajorityOfVoters(t *testing.T) {
 	cases, removals, retained := 0, 0, 0
-	for _, others := range []int{0, 4} { // without others, removing both servers at once is a mass failure
-		state := newRegistrations(2 + others)
-		allExpiryCases(others, func(c *expiryCase) {
+	for _, otherCount := range []int{0, 4} { // without others, removing both servers at once is a mass failure
+		state := newRegistrations(2 + otherCount)
+		allExpiryCases(otherCount, func(c *expiryCase) {
 			cases++
 			answers := c.answers()
 			expired := c.decide(state, answers)
