--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -186,8 +186,8 @@
 			r.outcome(id, 0, s, OK, 20)
 		}
 		r.b.eject(r.b.serversByAddr[s], true)
-		if hold := r.b.ejectionTime(r.b.serversByAddr[s]); probing != (hold < 1000) {
-			t.Errorf("probing %v: ejected for %.0f ms, at two requests per second over 20 servers", probing, hold)
+		if ejectedMs := r.b.ejectionTime(r.b.serversByAddr[s]); probing != (ejectedMs < 1000) {
+			t.Errorf("probing %v: ejected for %.0f ms, at two requests per second over 20 servers", probing, ejectedMs)
 		}
 	}
 }
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -11,10 +11,10 @@
 	// boundedLoadFactor is how many times its even share of the agent's attempts a server may have in
 	// flight before a request moves on to the next server in its key's hash order.
 	boundedLoadFactor = 3.0
-	// affinityWait is the fraction of its target latency that a request may wait for one of the
+	// affinityWaitShare is the fraction of its target latency that a request may wait for one of the
 	// affinityServers first in its hash order: moving on immediately would miss the warm cache just when
 	// time is short.
-	affinityWait, affinityServers = 0.25, 2
+	affinityWaitShare, affinityServers = 0.25, 2
 	// keyHistory is the number of recent requests over which keys are counted. A key whose load is a
 	// server's even share is split into keySplitFactor parts.
 	keyHistory, keySplitFactor = 128, 4.0
@@ -113,7 +113,7 @@
 // awaitsAffinity reports whether the request still waits for the servers first in its hash order.
 func (b *Balancer) awaitsAffinity(r *request) bool {
 	return r.key != 0 && len(r.attempts) == 0 &&
-		b.now-r.arrivedAt < affinityWait*(r.targetAt-r.arrivedAt)
+		b.now-r.arrivedAt < affinityWaitShare*(r.targetAt-r.arrivedAt)
 }
 
 // affinityHash returns the hash that determines the order of servers for a key. A popular key is split into
--- a/policy/pick_test.go
+++ b/policy/pick_test.go
@@ -91,7 +91,7 @@
 // agent with many requests uses the whole fleet, and a failed server of the subset is replaced.
 func TestAgentsWithFewRequestsKeepToASubset(t *testing.T) {
 	for _, c := range []struct {
-		gap              float64 // ms between requests
+		intervalMs       float64 // ms between requests
 		minimum, maximum int
 	}{{400, minSubsetSize, 16}, {4, 50, 60}} {
 		all := map[Addr]int{}
@@ -103,7 +103,7 @@
 			r.b.eject(r.b.servers[0], true)
 			used := map[Addr]bool{}
 			for range 300 {
-				r.now += c.gap
+				r.now += c.intervalMs
 				r.b.servers[0].stateSince = r.now // stays Unhealthy
 				id, s := r.mustSend(0, r.b.rng.Uint64())
 				r.outcome(id, 0, s, OK, 3)
@@ -112,7 +112,7 @@
 				}
 			}
 			if len(used) < c.minimum || len(used) > c.maximum {
-				t.Fatalf("with a request every %.0f ms, %d servers were used, want %d to %d", c.gap, len(used), c.minimum, c.maximum)
+				t.Fatalf("with a request every %.0f ms, %d servers were used, want %d to %d", c.intervalMs, len(used), c.minimum, c.maximum)
 			}
 			for s := range used {
 				all[s]++
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -171,11 +171,11 @@
 func (b *Balancer) expireQueued() {
 	for i := 0; i < len(b.queued); {
 		r := b.queued[i]
-		last := r.targetAt
+		answerBy := r.targetAt
 		if b.settings.Classes[r.class].LateShare > 0 {
-			last = r.deadline
+			answerBy = r.deadline
 		}
-		if b.now+b.expectedLatency(r) > last || b.now >= r.deadline || b.dedupWindowLeft(r) <= 0 {
+		if b.now+b.expectedLatency(r) > answerBy || b.now >= r.deadline || b.dedupWindowLeft(r) <= 0 {
 			b.finish(r)
 			continue
 		}
--- a/policy/unconfirmed.go
+++ b/policy/unconfirmed.go
@@ -5,12 +5,12 @@
 package policy
 
 const (
-	// unconfirmedGrace is the fraction of the contract's drain grace after which unconfirmed servers get no
-	// new attempts. The rest allows for delays between the decision to send and the write.
-	unconfirmedGrace = 0.5
-	// maxUnconfirmed bounds, in ms, how long unconfirmed servers get nothing: an unreachable discovery must
-	// not stop the agent permanently.
-	maxUnconfirmed = 10000.0
+	// unconfirmedGraceShare is the fraction of the contract's drain grace after which unconfirmed servers
+	// get no new attempts. The rest allows for delays between the decision to send and the write.
+	unconfirmedGraceShare = 0.5
+	// maxUnconfirmedMs bounds, in ms, how long unconfirmed servers get nothing: an unreachable discovery
+	// must not stop the agent permanently.
+	maxUnconfirmedMs = 10000.0
 )
 
 // onPartialList processes the received part of a list response. Its entries apply, and those that are ready
@@ -34,14 +34,14 @@
 }
 
 // listIncomplete reports whether a partial response has arrived and no complete one since, for at most
-// maxUnconfirmed.
+// maxUnconfirmedMs.
 func (b *Balancer) listIncomplete() bool {
-	return b.partialSince > 0 && b.now < b.partialSince+maxUnconfirmed
+	return b.partialSince > 0 && b.now < b.partialSince+maxUnconfirmedMs
 }
 
 // confirmationDueAt is the time from which unconfirmed servers get no requests.
 func (b *Balancer) confirmationDueAt() float64 {
-	return b.partialSince + unconfirmedGrace*b.settings.Contract.DrainGraceMs
+	return b.partialSince + unconfirmedGraceShare*b.settings.Contract.DrainGraceMs
 }
 
 // confirmationOverdue reports whether the server gets no requests because it was not confirmed in time.
--- a/policy/unconfirmed_test.go
+++ b/policy/unconfirmed_test.go
@@ -23,7 +23,7 @@
 		{"a call failed", nil, func(r *rig) { r.handleList(ListFailed) }, grace, nil},
 		{"discovery changed", nil, func(r *rig) { r.handleList(ListSourceChanged) }, grace, nil},
 		{"another part shows other servers", []Entry{entry(2, Ready)}, func(r *rig) { r.handleList(ListPartial, entry(3, Ready)) }, grace, []int{3}},
-		{"nothing arrived for long", nil, nil, maxUnconfirmed + 20, []int{1, 2, 3}},
+		{"nothing arrived for long", nil, nil, maxUnconfirmedMs + 20, []int{1, 2, 3}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
