--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -1,5 +1,5 @@
 // This file holds the decisions on attempts: the check that each attempt must pass, and whether a request
-// is answered, retried or failed after an attempt has ended.
+// is answered, retried or failed once an attempt has ended.
 
 package policy
 
@@ -8,12 +8,15 @@
 	"slices"
 )
 
-// maxWriteDelayMs is the longest assumed delay between reading the clock and writing: deadlines for data
-// that must not arrive late are earlier by this margin (STANDING, "What production adds").
+// maxWriteDelayMs is the longest assumed delay between reading the clock and writing, as a process may be
+// suspended in between. Deadlines for data that must not arrive late are earlier by this margin (STANDING,
+// "What production adds").
 const maxWriteDelayMs = 150.0
 
-// maySend is the check that all attempts pass: it enforces rules 2 and 3 and the limits. Rule 4 is enforced
-// by hasCapacity; send charges the server's slow-start budget for each attempt.
+// maySend reports whether an attempt of the request at the server is permitted. It is checked for every
+// attempt and enforces that no request may be executed twice against its class and that unavailable servers
+// get nothing (rules 2 and 3 of the contract), as well as the deadline and the limits. The limits on cold
+// servers (rule 4) are enforced by hasCapacity; send charges a cold server's budget for each attempt.
 func (b *Balancer) maySend(r *request, s *server) bool {
 	if !s.ready || b.confirmationOverdue(s) || r.closed || r.responseStarted || r.openAttempts > 0 ||
 		b.now >= r.deadline || len(r.attempts) >= b.settings.Limits.MaxAttempts {
@@ -21,7 +24,7 @@
 	}
 	for _, a := range r.attempts {
 		if a.server == s && len(b.servers) > len(r.attempts) {
-			return false // retry on another server
+			return false // prefer a server that the request has not tried
 		}
 	}
 	return b.effectPermitsRetry(r, s)
@@ -51,9 +54,9 @@
 	return c.Effect == Idempotent || c.Effect == Deduplicated && c.Group == GroupAll
 }
 
-// dedupWindowLeft is the time in ms within which a repeat of a request with an idempotency key must arrive
-// to be deduplicated. It is infinite if no earlier attempt may have been executed, or if the class needs no
-// deduplication.
+// dedupWindowLeft is the time in ms within which a repeat of the request must be written so that it arrives
+// within the deduplication window. It is infinite if no earlier attempt may have been executed, or if the
+// class needs no deduplication.
 func (b *Balancer) dedupWindowLeft(r *request) float64 {
 	c := &b.settings.Classes[r.class]
 	if r.ambiguousAttempts == 0 || c.Effect != Deduplicated {
@@ -136,9 +139,8 @@
 		earned = b.settings.Classes[r.class].LateShare
 	}
 	b.retryDebt, b.retryDebtAt = b.currentRetryDebt(), b.now
-	// Attempts withdrawn before they began, and those that the client cancelled before the target, say
-	// nothing about the servers: a burst of client cancellations must not use up the retry budget of the
-	// other clients.
+	// Withdrawn attempts and those that the client cancelled before the target say nothing about the
+	// servers: a burst of client cancellations must not use up the retry budget of the other clients.
 	canceledEarly := r.closed && status == Cancelled && b.now < r.targetAt
 	if status != Withdrawn && !canceledEarly {
 		b.retryDebt += 1 - retryBudgetRatio*earned
@@ -150,13 +152,13 @@
 	return b.retryDebt * math.Exp((b.retryDebtAt-b.now)/(retryBudgetWindow*b.minTarget))
 }
 
-// closeIdle closes a server's idle connections if, given how seldom this agent recently sent to the server,
-// keeping them costs more than opening new ones. The request rate of all agents is estimated as this
-// agent's rate times the number of agents. Without this, a thousand agents that each sent to every server
-// kept 400 connections per server open (i5db14f).
+// closeIdle closes a server's idle connections if this agent sends to it so seldom that keeping them costs
+// more than opening new ones. The request rate of all agents is estimated as this agent's rate times the
+// number of agents. Before closeIdle existed, a thousand agents that each sent to every server kept 400
+// connections per server open (simulation run i5db14f).
 func (b *Balancer) closeIdle(s *server) {
 	p := &b.settings.Prices
-	// Requests of all agents per ms.
+	// The request rate of all agents, in requests per ms.
 	fleetRate := b.requestCount / max(b.now-b.startedAt, 1) * float64(b.settings.Replicas)
 	if p.Connection > 0 && len(s.inFlight) == 0 && (s.sendInterval == 0 ||
 		s.sendInterval*fleetRate*p.Connection > 100*float64(len(b.servers))*p.Handshake) {
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -8,16 +8,17 @@
 const (
 	// reuseDelayMs is the time between a response and the next request on its connection.
 	reuseDelayMs = 10.0
-	// CautiousReuseDelayMs is the same for a server with fewer than provenResponses known responses. Idle
-	// connections that have been idle for this long are preferred.
+	// CautiousReuseDelayMs replaces reuseDelayMs for a server with fewer than provenResponses clean
+	// responses. Connections that have been idle for this long are preferred.
 	CautiousReuseDelayMs = 20.0
-	provenResponses      = 8
-	// singleUseMs is how long after unsolicited bytes each connection to a server carries only one request.
+	provenResponses      = 8 // clean responses after which reuseDelayMs applies
+	// singleUseMs is how long each connection to a server carries only one request after the server sent
+	// unsolicited bytes.
 	singleUseMs = 10_000.0
 )
 
-// onUnsolicited handles bytes from a server that belong to no request. For a time no connection to the
-// server is reused, and afterwards the server starts again with the cautious delay.
+// onUnsolicited handles bytes from a server that belong to no request. No connection to the server is reused
+// for singleUseMs; afterwards the server starts again with the cautious delay.
 func (b *Balancer) onUnsolicited(ev *Event) {
 	if s := b.serversByAddr[ev.Server]; s != nil {
 		s.singleUseUntil, s.cleanResponses = b.now+singleUseMs, 0
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -6,25 +6,26 @@
 import "math"
 
 const (
-	// frequentWatchers is how many agents may call discovery at the rate of a single one. Discovery is one
-	// service for all agents; it serves calls one after another, including those whose caller has given up.
-	// Once more calls arrive in 2 s than it can serve in 2 s, and their callers retry just as soon, none is
-	// served.
+	// frequentWatchers is the number of agents up to which each may call discovery as often as a lone agent.
+	// All agents share one discovery service, which serves calls one after another, including those whose
+	// caller has given up. If more calls arrive in 2 s than it can serve in 2 s, and the callers retry after
+	// 2 s, no call is served in time.
 	frequentWatchers = 20.0
-	// maxWatchInterval is the longest time between the starts of a failed call and the next one, in ms, for
-	// any number of agents: regardless of earlier failures, an agent counts as notified 6 s after discovery
-	// became reachable, and the call has to wait for its turn at discovery as well.
+	// maxWatchInterval is the longest time in ms from the start of a failed call to the start of the next
+	// call, for any number of agents. An agent counts as notified 6 s after discovery became reachable,
+	// regardless of earlier failures; the remaining 2 s allow for the call's wait in discovery's queue.
 	maxWatchInterval = 4000.0
 	// minWatchBackoff is the shortest wait after a call that took long to fail, in ms.
 	minWatchBackoff = 200.0
-	// servedWatchBackoff bounds the wait after the end of a granted subscription, in ms: the agent counts
-	// as notified of a change that was due at that moment 2 s later, and discovery may delay the next call
-	// for nearly all of that time (issue 26).
+	// servedWatchBackoff is the longest wait in ms after the end of a granted subscription. The agent counts
+	// as notified of a change 2 s after discovery was due to send it. If the subscription ends just then,
+	// discovery may delay the next call for nearly the full 2 s (issue 26).
 	servedWatchBackoff = 200.0
-	// maxQuickRetries is how many consecutive calls use this short wait after a partial response.
+	// maxQuickRetries is how many consecutive calls after a partial response wait at most
+	// servedWatchBackoff.
 	maxQuickRetries = 2
-	// maxFirstWatchDelay bounds the time until the first call of a new process, in ms: its list may be
-	// stale.
+	// maxFirstWatchDelay bounds the time in ms until the first call of a new agent process, whose stored
+	// list may be stale.
 	maxFirstWatchDelay = 3500.0
 )
 
@@ -33,8 +34,8 @@
 	return max(float64(b.settings.Replicas)/frequentWatchers, 1)
 }
 
-// scheduleWatch schedules the request for the subscription after a wait in ms. Only one request is
-// scheduled at a time, however many calls fail.
+// scheduleWatch schedules the next subscription call after a wait in ms. At most one call is scheduled at a
+// time, however many calls fail.
 func (b *Balancer) scheduleWatch(wait float64) {
 	if !b.watchScheduled {
 		b.watchScheduled, b.watchDueAt = true, b.now+wait
@@ -42,8 +43,8 @@
 	}
 }
 
-// requestWatch requests the subscription when it is due. A timer of a cancelled schedule has no effect: the
-// next request is not due yet, or none is scheduled.
+// requestWatch calls discovery for the subscription if the call is due. A timer of a cancelled schedule has
+// no effect: the next call is not due yet, or no call is scheduled.
 func (b *Balancer) requestWatch() {
 	if b.watchScheduled && b.now >= b.watchDueAt-1 {
 		b.watchScheduled, b.watchGranted, b.watchRequestedAt = false, false, b.now
@@ -51,25 +52,25 @@
 	}
 }
 
-// scheduleFirstWatch spreads the first calls over a fraction of the contract's poll interval, as agents
-// that start together must not all call at the same time.
+// scheduleFirstWatch delays the first call randomly by up to a fraction of the contract's poll interval, so
+// that agents that start together do not all call at the same time.
 func (b *Balancer) scheduleFirstWatch() {
 	spread := b.settings.Contract.ListPollWithinMs / 8 * min(b.discoveryLoadFactor(), 4)
 	b.scheduleWatch(b.rng.Float64() * min(spread, maxFirstWatchDelay))
 }
 
 // rescheduleWatch schedules the next call after a failed call or the end of a subscription. The longer the
-// failed call took, the shorter the wait. A subscription that had been granted is requested again
-// immediately.
+// failed call took, the shorter the wait. A granted subscription that ended is requested again immediately,
+// apart from a minimum time between the starts of two calls.
 func (b *Balancer) rescheduleWatch() {
 	b.watchFailures++
 	if b.watchFailures == 1 {
-		b.watchScheduled = false // drop the schedule of the first call
+		b.watchScheduled = false // cancel the scheduled first call
 	}
 	pollWithin, jitter := b.settings.Contract.ListPollWithinMs/5, b.rng.Float64()
 	shortWait := min(servedWatchBackoff, pollWithin) * jitter
 	if b.listIncomplete() && b.watchFailures <= maxQuickRetries {
-		b.scheduleWatch(shortWait) // the rest of a response is missing
+		b.scheduleWatch(shortWait) // fetch the missing rest of the response soon
 		return
 	}
 	if b.watchGranted && b.watchFailures == 1 {
@@ -82,11 +83,11 @@
 	b.scheduleWatch(b.watchBackoff(pollWithin, jitter))
 }
 
-// watchBackoff is the wait in ms before the next call after a failed one. It doubles with each failure up
-// to pollWithin, or longer if many agents share discovery. The jitter is at least 0 and below 1.
+// watchBackoff is the wait in ms from a failed call to the next call. It doubles with each failure up to
+// pollWithin, or up to a longer time if many agents share discovery. The jitter is at least 0 and below 1.
 func (b *Balancer) watchBackoff(pollWithin, jitter float64) float64 {
 	failures := b.watchFailures
-	if b.retriedImmediately { // the immediate retry's failure counts as the first
+	if b.retriedImmediately { // the end of the granted subscription is no failed call
 		failures--
 	}
 	wait := min(1000, pollWithin) * (1 + jitter) / 2
@@ -101,9 +102,10 @@
 	return max(wait, minWatchBackoff*(1+jitter))
 }
 
-// fetchList fetches the full list, rarely: each fetch loads discovery in proportion to the number of
-// entries. If many agents share discovery, all that saw one server fail would fetch simultaneously and
-// delay the subscriptions, which cost only the changed entries and carry the same information.
+// fetchList fetches the full list, at most once per poll interval, as each fetch loads discovery in
+// proportion to the number of entries. Agents that subscribe fetch nothing if many of them share discovery:
+// all agents that saw one server fail would fetch simultaneously and delay the subscriptions, which carry
+// the same information at the cost of the changed entries only.
 func (b *Balancer) fetchList() {
 	if b.settings.Membership == membershipOnRequest && b.discoveryLoadFactor() > 1 {
 		return
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -5,14 +5,14 @@
 	"math"
 )
 
-// Effect tells whether a request of a class may be executed more than once. The values of Effect and Group
-// are the platform's terms; the constants have the usual names.
+// Effect tells whether a request of a class may be executed more than once. The string values of Effect and
+// Group are fixed by the settings format; the constants have the usual names of the field.
 type Effect string
 
 // The effects of a class.
 const (
 	Idempotent    Effect = "free"        // safe to repeat
-	Deduplicated  Effect = "guarded"     // has an idempotency key: a group of servers drops repeats for a time
+	Deduplicated  Effect = "guarded"     // has an idempotency key: a group of servers drops repeats for DedupWindowMs
 	NonIdempotent Effect = "single_shot" // must never be executed twice
 )
 
@@ -22,72 +22,74 @@
 // The groups of a Deduplicated class.
 const (
 	GroupAll  Group = "all"
-	GroupZone Group = "zone" // those in the zone of the first server
-	GroupCell Group = "cell" // those in the cell of the first server
+	GroupZone Group = "zone" // the servers in the zone of the first attempt's server
+	GroupCell Group = "cell" // the servers in the cell of the first attempt's server
 )
 
-// Class is one class of requests. In the platform's terms, "aim" is the target latency, "give up" the
-// client's deadline, "key TTL" the deduplication window, and "credit" the value of one request.
+// Class is one class of requests. Its JSON keys are fixed by the settings format: "aim" is the target latency,
+// "give up" the client's deadline, "key TTL" the deduplication window, and "credit" the value of one request.
 type Class struct {
 	Name          string  `json:"name"`
 	TargetMs      float64 `json:"aimMs"`      // responses within this time earn the full credit
-	TargetStretch float64 `json:"aimStretch"` // multiplied by the request's cost hint and added to the target
-	DeadlineMs    float64 `json:"giveUpMs"`   // how long a client waits, including all its tries
+	TargetStretch float64 `json:"aimStretch"` // extra target time per ms of the request's cost hint
+	DeadlineMs    float64 `json:"giveUpMs"`   // longest wait of a client, over all its tries
 	Effect        Effect  `json:"effect"`
 	Group         Group   `json:"group"`
-	DedupWindowMs float64 `json:"keyTtlMs"` // starts when the first attempt that may have been executed is sent
+	DedupWindowMs float64 `json:"keyTtlMs"` // runs from the send of the first attempt that may have been executed
 	Credit        float64 `json:"credit"`
 	LateShare     float64 `json:"lateShare"` // fraction of the credit earned between target and deadline
 	Streamed      bool    `json:"streamed"`
 }
 
-// Tenant is a customer with a quota. In the platform's terms, "portion" is the tenant's fraction of the
-// service.
+// Tenant is a customer with a quota. The JSON key "portion" is fixed by the settings format: the tenant's
+// fraction of the service.
 type Tenant struct {
 	Name          string  `json:"name"`
 	QuotaPerS     float64 `json:"quotaPerS"` // requests per second over all agents
 	QuotaFraction float64 `json:"portion"`
 }
 
-// Limits holds what a deployment permits an agent to do. In the platform's terms, "tries" are attempts.
+// Limits holds what a deployment permits an agent to do. In the JSON keys, which are fixed by the settings
+// format, "tries" are attempts.
 type Limits struct {
 	Cancelling       bool    `json:"cancelling"`
 	ConnectTimeoutMs float64 `json:"connectTimeoutMs"`
-	KeepaliveMs      float64 `json:"keepaliveMs"` // idle connections are closed after this time
-	MaxAttempts      int     `json:"maxAttempts"` // per request
+	KeepaliveMs      float64 `json:"keepaliveMs"` // idle time after which a connection is closed
+	MaxAttempts      int     `json:"maxAttempts"` // maximum attempts per request
 	MaxRetryAfterMs  float64 `json:"maxRetryAfterMs"`
-	ParallelAttempts bool    `json:"parallelTries"` // hedged requests
+	ParallelAttempts bool    `json:"parallelTries"` // permits hedged requests
 	Probing          bool    `json:"probing"`
-	RetryAfter       bool    `json:"retryAfter"` // clients honour Retry-After
+	RetryAfter       bool    `json:"retryAfter"` // whether clients honour Retry-After
 	OpenCap          int     `json:"openCap"`    // maximum open requests of an agent; 0: no limit
 }
 
-// Contract holds the parameters of the four rules. In the platform's terms, to "ask" is to poll the list, a
-// "cold" server is one in slow start, and a server that "tips" or "falls" collapses under load.
+// Contract holds the parameters of the four rules that all agents must keep, such as the time to answer and the
+// load on a server in slow start. In the JSON keys, which are fixed by the settings format, to "ask" is to poll
+// the list, a "cold" server is one in slow start, and a server that "tips" or "falls" collapses under load.
 type Contract struct {
 	AnswerSlackMs     float64 `json:"answerSlackMs"` // allowance for the final response after the client's deadline
 	ListPollWithinMs  float64 `json:"askWithinMs"`   // maximum poll interval without a subscription
-	SlowStartFrom     float64 `json:"coldFrom"`      // fraction of its capacity that a server starts with
-	SlowStartMs       float64 `json:"coldMs"`        // time until it reaches full capacity
+	SlowStartFrom     float64 `json:"coldFrom"`      // initial capacity of a new server process, as a fraction
+	SlowStartMs       float64 `json:"coldMs"`        // time from a server's start to its full capacity
 	DrainGraceMs      float64 `json:"drainGraceMs"`  // time to stop sending to a draining or removed server
-	CrashLoadMultiple float64 `json:"fallMultiple"`  // multiple of its current capacity that collapses a cold server
-	CrashWindowMs     float64 `json:"tipAfterMs"`    // duration of such load that causes the collapse
+	CrashLoadMultiple float64 `json:"fallMultiple"`  // collapse load of a cold server, in current capacities
+	CrashWindowMs     float64 `json:"tipAfterMs"`    // duration of the collapse load before the collapse
 }
 
-// Prices are deductions from the score, each multiplied by the share or rate of what it names. The
-// platform's price "membershipMode" applies to list entries sent.
+// Prices are deductions from the score. Each price is multiplied by the share or rate of the items that it
+// names. The JSON key "membershipMode", fixed by the settings format, is the price of the list entries sent.
 type Prices struct {
 	CrossZone  float64 `json:"crossZone"`
 	Handshake  float64 `json:"handshake"`
 	Connection float64 `json:"connection"`
-	LateFail   float64 `json:"lateFail"` // of the credit of requests that fail after their target
+	LateFail   float64 `json:"lateFail"` // price of the credit of requests that fail after their target
 	Probe      float64 `json:"probe"`
-	Waste      float64 `json:"waste"` // of server work whose response is not used
+	Waste      float64 `json:"waste"` // price of server work whose response is not used
 	List       float64 `json:"membershipMode"`
 }
 
-// Objective holds the weights of the components of the score. In the platform's terms, "whole" is the score
-// over the full time and all classes.
+// Objective holds the weights of the components of the score. The JSON key "whole", fixed by the settings
+// format, is the score over the full time and all classes.
 type Objective struct {
 	Overall     float64 `json:"whole"`
 	WorstWindow float64 `json:"worstWindow"`
@@ -104,9 +106,9 @@
 // membershipOnRequest is the Settings.Membership in which an agent must subscribe to the list.
 const membershipOnRequest = "on_request"
 
-// Settings is the configuration of an agent. Where its JSON keys are the platform's own terms, the fields
-// have the usual ones: "replicas of me" are the agents of this tier, "share" is a tenant's quota, and
-// "worth" is the weight of a request.
+// Settings is the configuration of an agent. Its JSON keys are fixed by the settings format; where a key is not
+// the usual term, the field has the usual one: "replicas of me" are the agents of this tier, "share" is a
+// tenant's quota, and "worth" is the weight of a request.
 type Settings struct {
 	Classes    []Class   `json:"classes"`
 	Tenants    []Tenant  `json:"tenants"`
@@ -122,13 +124,13 @@
 	FamilyInfo struct {
 		WarmKeys bool `json:"warmKeys"` // requests for recently served keys cost a server less work
 	} `json:"familyInfo"`
-	Index           int     `json:"index"` // of this agent, from 0
+	Index           int     `json:"index"` // index of this agent among its replicas, from 0
 	Replicas        int     `json:"replicasOfMe"`
 	OverQuotaWeight float64 `json:"overShareWorth"` // weight of a request beyond its tenant's quota
 	RoundMs         float64 `json:"roundMs"`        // minimum time between two events
 	Weights         string  `json:"weights"`        // "off", "nominal", "rough" or "live"
-	WeightBy        string  `json:"worthBy"`        // credit is paid by "request" or by "work"
-	Zone            int     `json:"zone"`           // of this agent
+	WeightBy        string  `json:"worthBy"`        // unit of credit: "request" or "work"
+	Zone            int     `json:"zone"`           // zone of this agent
 }
 
 // A SettingError reports an invalid setting.
--- a/policy/state.go
+++ b/policy/state.go
@@ -5,10 +5,11 @@
 import "math/rand/v2"
 
 const (
-	// serverSmoothing is the weight of a new response in the moving average of one server, fleetSmoothing
-	// in an average over the whole fleet.
+	// serverSmoothing is the weight of a new response in a moving average of one server, and fleetSmoothing
+	// its weight in a moving average over the whole fleet.
 	serverSmoothing, fleetSmoothing = 0.2, 0.005
-	// shareDecay discounts older requests in shares, over about 500 requests.
+	// shareDecay is the factor by which each new request discounts the older ones in a share: a share covers
+	// about 500 requests.
 	shareDecay = 0.998
 )
 
@@ -16,49 +17,49 @@
 type server struct {
 	// From the list.
 	addr      Addr
-	hash      uint64 // of addr
+	hash      uint64 // hash of addr
 	zone      int
 	cell      int
 	kind      int // machine type
 	weight    float64
-	listedAt  float64 // start of its process according to the list
-	startedAt float64 // the same, or later if a restart is assumed
-	ready     bool    // listed as ready
-	confirmed bool    // ready in the received part of an incomplete list
+	listedAt  float64 // start time of the server's process according to the list
+	startedAt float64 // listedAt, or the time of an assumed later restart
+	ready     bool    // whether the list shows the server as ready
+	confirmed bool    // whether the received part of an incomplete list shows the server as ready
 
 	// Health.
 	state                State
 	stateSince           float64 // when the state was entered
-	overloaded           bool    // a probe's report showed overload, and none since showed it idle
+	overloaded           bool    // a probe's load report showed overload, and no later one an idle server
 	unresponsive         bool    // ejected for a lack of responses, not for an error
 	connectFailures      int     // failed connects since the last response
-	firstConnectFailure  float64 // when the first of them failed
-	connectFailureSpan   float64 // from the first to the last of them
-	recentEjections      int     // ejections less those offset by successes; determines the ejection time
-	consecutiveSuccesses int     // since recentEjections last changed
-	lastResponse         float64 // when it last sent a response of any kind
+	firstConnectFailure  float64 // when the first of connectFailures occurred
+	connectFailureSpan   float64 // time from the first to the last of connectFailures
+	recentEjections      int     // ejections not yet offset by successes; determines the ejection time
+	consecutiveSuccesses int     // healthy responses since recentEjections last changed
+	lastResponse         float64 // when the last response of any kind arrived
 	probing              bool    // a probe is in flight
-	singleUseUntil       float64 // until then, each connection carries one request only
-	cleanResponses       int     // successful ones on kept connections since its start or the last unsolicited bytes
+	singleUseUntil       float64 // until when each connection carries only one request
+	cleanResponses       int     // successes on kept connections since the server's start or its last unsolicited bytes
 
-	// Attempts sent to it.
+	// Attempts sent to the server.
 	inFlight         []*attempt // oldest first
 	latency          float64    // mean latency as a fraction of the target
-	latencySamples   int        // responses in that mean
+	latencySamples   int        // number of responses in latency
 	latencyMs        float64    // mean latency
 	concurrencyLimit float64    // maximum attempts of this agent in flight; below 1, attempts are spaced out
 	limitReducedAt   float64
 	lastSentAt       float64 // when the last attempt was sent
 	sendInterval     float64 // mean time between attempts; 0: unknown
-	slowStartBudget  float64 // work that may still be sent to it while it is cold
-	score            float64 // rank in the hash order of the request being picked for; lowest first
+	slowStartBudget  float64 // work that may still be sent while the server is cold
+	score            float64 // sort key in the hash order of the current pick's request; lowest first
 }
 
 // attempt is one attempt of a request.
 type attempt struct {
 	request      *request
 	server       *server
-	index        int // among the request's attempts
+	index        int // position among the request's attempts
 	sentAt       float64
 	soleInFlight bool    // no other attempt of this agent was in flight to the server
 	cost         float64 // see Balancer.cost
@@ -72,24 +73,24 @@
 	class          int
 	tenant         int
 	key            uint64 // 0: none
-	hash           uint64 // determines the order of servers for it
+	hash           uint64 // determines the order of servers for the request
 	costHint       float64
 	firstArrivedAt float64 // when the client's first try arrived, if known; else arrivedAt
 	arrivedAt      float64
-	targetAt       float64 // responses until then earn the full credit
+	targetAt       float64 // latest time for the full credit
 	deadline       float64 // the client's deadline less a margin
 	attempts       []*attempt
-	openAttempts   int // in flight
+	openAttempts   int // number of attempts in flight
 
 	// Attempts that may have been executed, and the time and server of the first of them.
 	ambiguousAttempts int
 	executedAt        float64
 	executedOn        *server
 
-	affinity        [affinityServers]*server // first in hash order, as of affinityEpoch
+	affinity        [affinityServers]*server // first servers in hash order, as of affinityEpoch
 	affinityEpoch   uint64
 	tierWeight      float64 // total weight of the tier at the last pick
-	value           float64 // as of the last dispatch
+	value           float64 // result of Balancer.value at the last dispatch
 	closed          bool    // answered, or cancelled by its client
 	responseStarted bool    // a streamed response has begun: no retry, no other answer
 }
@@ -142,7 +143,7 @@
 	f.covariance += w * (dx*dy*(1-w) - f.covariance)
 }
 
-// at returns the fitted value at x, at least 0; and 0 while the points are too few or too similar.
+// at returns the fitted value at x, or 0 if the value is negative or the points are too few or too similar.
 func (f *linearFit) at(x float64) float64 {
 	if f.samples < 1/(4*fleetSmoothing) || f.variance <= 0 {
 		return 0
@@ -154,8 +155,8 @@
 type Balancer struct {
 	settings  Settings
 	rng       *rand.Rand
-	now       float64  // of the current event
-	actions   []Action // of the current event
+	now       float64  // clock reading of the current event
+	actions   []Action // actions of the current event
 	startedAt float64
 	minTarget float64 // the shortest target latency of any class
 
@@ -164,7 +165,7 @@
 	queued           []*request
 	recentUnserved   []unservedRequest
 	recentKeys       keyCounter
-	requestCount     float64 // since startedAt
+	requestCount     float64 // number of requests since startedAt
 	recentRequests   float64 // decaying count over about the keepalive time, as of recentRequestsAt
 	recentRequestsAt float64
 	tickScheduled    bool
@@ -177,46 +178,46 @@
 	capacityExhausted bool // requests that would accept any server found none with capacity
 
 	// Values of requests.
-	tenantShare  []float64 // by tenant: its share of the requests
-	classShare   []float64 // by class: its share of the requests
-	classSuccess []float64 // by class: its requests served in time, as a share of all requests
+	tenantShare  []float64 // share of the requests, by tenant
+	classShare   []float64 // share of the requests, by class
+	classSuccess []float64 // share of requests of the class that were served in time, among all requests, by class
 	worstClass   int       // the class with the lowest success rate
 	meanCredit   float64   // mean credit of a request
 
 	// Servers.
-	servers       []*server // by subsetOrder
+	servers       []*server // sorted by subsetOrder
 	serversByAddr map[Addr]*server
 	epoch         uint64    // incremented when health tiers or the list change
 	tierScratch   []*server // reused by scoreTier
 	activeProbes  int
 
 	// The list of servers.
-	zoneCount          uint64  // zones of the servers in the first list
+	zoneCount          uint64  // number of zones in the first list
 	lastFetchAt        float64 // when the full list was last fetched
 	watchFailures      int     // consecutive failed subscription calls
-	watchScheduled     bool    // the next call is due at watchDueAt
+	watchScheduled     bool    // whether a subscription call is due at watchDueAt
 	watchDueAt         float64
-	watchGranted       bool // the subscription requested at watchRequestedAt was granted
+	watchGranted       bool // whether the subscription requested at watchRequestedAt was granted
 	watchRequestedAt   float64
-	retriedImmediately bool    // the first failed call immediately followed a granted subscription
-	partialSince       float64 // when the incomplete list response began; 0: none is incomplete
-	partialCallEnded   bool    // the call for that response has ended
+	retriedImmediately bool    // whether the granted subscription that ended was requested again immediately
+	partialSince       float64 // when the incomplete list response began; 0: no response is incomplete
+	partialCallEnded   bool    // whether the call of the incomplete response has ended
 
 	// Latency. Without a unit in its name, a latency is a fraction of the request's target.
-	classLatency       []float64 // by class: mean latency in ms
+	classLatency       []float64 // mean latency in ms, by class
 	meanCostHint       float64
 	hintedLatencies    linearFit // latency in ms by cost hint
-	fleetLatency       float64   // mean over all servers
-	baselineLatency    float64   // the same without overload
-	latencySamples     float64   // responses in both
+	fleetLatency       float64   // mean latency over all servers
+	baselineLatency    float64   // fleetLatency to expect without overload
+	latencySamples     float64   // number of responses in fleetLatency
 	localZoneWeight    float64   // weight of the servers of the agent's own zone
-	localZoneLatency   float64   // mean in the agent's own zone
-	otherZoneLatency   float64   // mean in the other zones
-	overallLatency     float64   // mean over all responses, compared with those of kinds
+	localZoneLatency   float64   // mean latency in the agent's own zone
+	otherZoneLatency   float64   // mean latency in the other zones
+	overallLatency     float64   // mean over all responses, the reference for the latencies in kinds
 	kinds              [256]machineKind
 	logLatency         float64 // mean logarithm of latency, in large fleets
-	baselineLogLatency float64 // the same without overload
-	logLatencySamples  float64 // responses in both
+	baselineLogLatency float64 // logLatency to expect without overload
+	logLatencySamples  float64 // number of responses in logLatency
 	agentLimit         float64 // maximum attempts of the agent in flight, as of agentLimitAt
 	agentLimitAt       float64
 
@@ -224,7 +225,7 @@
 	warmTotal      float64 // weight of warm servers, cached at warmTotalAt and warmTotalEpoch
 	warmTotalAt    float64
 	warmTotalEpoch uint64
-	warmWork       float64 // work answered by a warm server of weight 1, decaying, as of warmWorkAt
+	warmWork       float64 // decaying sum of the work answered per unit of warm weight, as of warmWorkAt
 	warmWorkAt     float64
 }
 
@@ -264,7 +265,7 @@
 }
 
 // recordHintedLatency adds the latency of a request with a cost hint to the linear fit of latency by hint.
-// A fit is used as the network's part of the latency does not grow with the cost.
+// A linear fit suits this, as the network's part of the latency does not grow with the cost.
 func (b *Balancer) recordHintedLatency(r *request, latencyMs float64) {
 	if r.costHint > 0 {
 		b.hintedLatencies.add(r.costHint, latencyMs)
@@ -279,9 +280,9 @@
 	return b.hintedLatencies.at(r.costHint)
 }
 
-// relativeLatency is a latency as a fraction of the request's target. With cost hints, the latency of a
-// request costlier than the mean is scaled down to the mean cost; that of a cheaper one is not scaled up,
-// as most of it is network latency.
+// relativeLatency is a latency as a fraction of the request's target, at most 2. If the request has a cost hint
+// above the mean, its latency is scaled down to the mean cost. The latency of a cheaper request is not scaled
+// up, as most of it is network latency.
 func (b *Balancer) relativeLatency(r *request, latencyMs float64) float64 {
 	x := latencyMs / b.settings.Classes[r.class].TargetMs
 	if r.costHint > 0 {
@@ -315,7 +316,8 @@
 	return min(x, 1e15)
 }
 
-// movingAverage returns the exponentially weighted moving average after x. The first value is taken as is.
+// movingAverage returns the exponentially weighted moving average after adding x. An average of 0 means that x
+// is the first value.
 func movingAverage(average, x, weight float64) float64 {
 	if average == 0 {
 		return x
--- a/policy/types.go
+++ b/policy/types.go
@@ -5,6 +5,9 @@
 //
 // This file holds the interface: events and actions. The settings are in settings.go, the decisions in the
 // files that policy.go lists, and the state that they share in state.go.
+//
+// An identifier such as i5d0607 or case5409 in a comment names a recorded simulation run in which the described
+// failure was seen.
 package policy
 
 // Addr identifies a server: four address bytes and a port. The Balancer only compares and hashes it, and
@@ -19,8 +22,8 @@
 
 // The states, best first.
 const (
-	Connected        State = iota // it responds
-	Unknown                       // no result yet
+	Connected        State = iota // responds to attempts or probes
+	Unknown                       // no evidence of health or failure yet
 	UnhealthyPending              // awaits validation by a probe or a request
 	Unhealthy                     // ejected
 )
@@ -29,11 +32,12 @@
 // protocol.
 type Health uint8
 
-// The values of Health. On the wire they are 0, 1 and 2; discovery's texts call the last one "gone".
+// The values of Health. Their numbers 0, 1 and 2 are fixed by the wire protocol. Discovery's texts call Gone
+// "gone".
 const (
-	Draining Health = iota // finishes its requests and must not get new ones
+	Draining Health = iota // the server finishes its requests and must not get new ones
 	Ready
-	Gone // removed
+	Gone // the server was removed
 )
 
 // Entry is one server in the list.
@@ -50,20 +54,20 @@
 // ListKind is the kind of a list event: how it changes the list that the agent holds.
 type ListKind uint8
 
-// The kinds of list events.
+// The kinds of list events, with the entries that the event carries.
 const (
 	ListChange        ListKind = iota // the entries that changed
-	ListFull                          // all entries; a server without one is removed
+	ListFull                          // all entries; a server without an entry is removed
 	ListCached                        // all entries as the agent last stored them, possibly stale
-	ListFailed                        // a call failed or the subscription ended; no entries
-	ListPartial                       // the received part of a response that began AgeMs ago
-	ListSourceChanged                 // the agent uses another discovery now: earlier failures no longer count
+	ListFailed                        // no entries: a call failed or the subscription ended
+	ListPartial                       // the part received so far of a response that began AgeMs ago
+	ListSourceChanged                 // no entries: the agent uses another discovery now, so earlier failures don't count
 )
 
 // Status is how an attempt or a probe ended.
 type Status uint16
 
-// The values of Status are those of the simulator's wire protocol, which calls it ending.
+// The values of Status. The numbers are fixed by the simulator's wire protocol, which calls a status an ending.
 const (
 	OK            Status = 100
 	Error         Status = 301 // the server answered with an error
@@ -71,8 +75,8 @@
 	Timeout       Status = 303
 	ConnectFailed Status = 304
 	Reset         Status = 305 // the connection was closed before the response
-	Cancelled     Status = 306 // by the agent or the client
-	Withdrawn     Status = 307 // before a byte of it was written
+	Cancelled     Status = 306 // cancelled by the agent or the client
+	Withdrawn     Status = 307 // withdrawn by the agent before any byte was written
 )
 
 // NotExecuted reports whether the status proves that the server did not execute the attempt.
@@ -86,12 +90,12 @@
 	EvRequest         EventKind = iota + 1 // Request, Class, Tenant, Key, RemainingMs, HintMs, HasHint, Retry
 	EvOutcome                              // Request, Attempt, Server, Status, LatencyMs, Final, Local, Report
 	EvResponseStarted                      // Request, Attempt, Server, LatencyMs: a streamed response began
-	EvClientCanceled                       // Request: its client cancelled it
+	EvClientCanceled                       // Request: cancelled by its client
 	EvList                                 // List, Entries, AgeMs
 	EvProbeResult                          // Server, Status, LatencyMs, Report
 	EvTimer                                // Token
 	EvPeer                                 // a message of another agent; ignored
-	EvUnsolicited                          // Server: it sent bytes that belong to no request
+	EvUnsolicited                          // Server: sent bytes that belong to no request
 )
 
 // Event is an input to the Balancer.
@@ -113,7 +117,7 @@
 	Local       bool      // the attempt failed because the agent's own machine lacked a resource
 	Report      []float32 // load report; Settings.Report names its values
 	List        ListKind
-	AgeMs       float64 // of a partial list: time since its response began
+	AgeMs       float64 // ListPartial only: time since the response began
 	Entries     []Entry // neither modified nor retained by the Balancer
 	Token       uint32
 }
@@ -133,7 +137,7 @@
 	ActFetchList                       // fetch the full list once
 	ActLog                             // Text
 	ActClose                           // Server: close idle connections to it
-	ActWithdraw                        // Server: end its attempts that have not written a byte
+	ActWithdraw                        // Server: end attempts to it of which no byte was written
 )
 
 // Action is an instruction to the agent. Actions are carried out in order.
@@ -143,7 +147,7 @@
 	Server       Addr
 	Attempt      int
 	Ms           float64
-	SendByMs     float64 // the attempt is dropped unless its last byte is written within this time; 0: no limit
+	SendByMs     float64 // time until the last byte must be written, or the attempt is dropped; 0: no limit
 	ReuseDelayMs float64 // minimum time between the last response on a connection and its reuse
 	SingleUse    bool    // use a new connection and close it afterwards
 	Token        uint32
