--- a/policy/health.go
+++ b/policy/health.go
@@ -4,11 +4,12 @@
 package policy
 
 const (
-	maxRecentEjections = 5 // bounds the doubling of the ejection time
+	// maxRecentEjections bounds recentEjections and thus the doubling of the ejection time.
+	maxRecentEjections = 5
 	// restartConnectFailures is how many consecutive connect failures suggest that a new process has
 	// started.
 	restartConnectFailures = 3
-	// minProbes is how many probes may be in flight at once in a fleet of any size.
+	// minProbes is the number of probes that may be in flight at once in a fleet of any size.
 	minProbes = 2
 )
 
@@ -54,10 +55,10 @@
 	s.connectFailureSpan = b.now - s.firstConnectFailure
 }
 
-// recordResponse records a response. A server whose connects failed for long may be a new process that is
-// cold and not listed yet, so its slow start begins now. Timeouts alone are no evidence of a restart:
-// overloaded servers would be left idle (i228a10). Neither are one or two failed connects: when one server
-// in three starts late, all servers would be taken for cold in turn.
+// recordResponse records a response. If the server's connects had failed for long, its slow start begins
+// now: it may be a new, cold process that is not listed yet. Timeouts alone are no evidence of a restart, as
+// overloaded servers would be left idle (simulation run i228a10). One or two failed connects are no evidence
+// either: when one server in three starts late, all servers would be taken for cold in turn.
 func (b *Balancer) recordResponse(s *server) {
 	if s.connectFailures >= restartConnectFailures &&
 		s.connectFailureSpan > b.settings.Contract.CrashWindowMs {
@@ -66,8 +67,9 @@
 	s.lastResponse, s.connectFailures = b.now, 0
 }
 
-// eject makes a server Unhealthy and has the list fetched; simultaneous failures count as one ejection.
-// unresponsive means that the server sent no response at all, not even an error.
+// eject makes a server Unhealthy and fetches the list. Failures of a server that is already Unhealthy do not
+// count as further ejections. The parameter unresponsive means that the server sent no response at all, not
+// even an error.
 func (b *Balancer) eject(s *server, unresponsive bool) {
 	if s.state != Unhealthy {
 		s.recentEjections = min(s.recentEjections+1, maxRecentEjections)
@@ -79,12 +81,14 @@
 	b.fetchList()
 }
 
-// ejectionTime is how long in ms a server stays Unhealthy before it is validated again. For a single
-// failure it is one target latency. If a validation costs a request, it is at least the mean time between
-// two requests of this agent to a server: agents with few requests lost a third of them by validating slow
-// servers again and again (id753de). It doubles with each further ejection. While the other servers have no
-// capacity it is 0: a server that fails some requests is better than rejecting all of them. This does not
-// apply to an unresponsive server.
+// ejectionTime is the time in ms for which a server stays Unhealthy before it is validated again: one target
+// latency after a first failure, doubled with each further ejection.
+//
+// If a validation costs a request, the time is at least the mean time between two requests of this agent to
+// a server: agents with few requests lost a third of them by validating slow servers again and again
+// (simulation run id753de). While the other servers have no capacity, the time is 0 unless the server is
+// unresponsive: using a server that fails some requests is better than rejecting all requests. In a large
+// fleet, an unresponsive server gets at least minOverloadEjection.
 func (b *Balancer) ejectionTime(s *server) float64 {
 	if b.capacityExhausted && !s.unresponsive {
 		return 0
@@ -100,8 +104,8 @@
 	return base * doubling
 }
 
-// ejectUnresponsive ejects servers that got attempts and have sent no response for several expected
-// latencies: hung servers would otherwise stay Connected.
+// ejectUnresponsive ejects servers with attempts in flight that have sent no response for several expected
+// latencies: a hung server would otherwise stay Connected.
 func (b *Balancer) ejectUnresponsive() {
 	for _, s := range b.servers {
 		if len(s.inFlight) == 0 || s.state == Unhealthy {
@@ -114,8 +118,8 @@
 			b.setState(s, UnhealthyPending)
 			continue
 		}
-		// If responses take a hundredth of the target, eight times that may be one costly request: hence
-		// the lower bound.
+		// The lower bound protects servers that usually respond within a hundredth of the target: there, a
+		// single costly request may take eight times the expected latency.
 		expected := b.expectedLatency(oldest.request)
 		responseTimeout := max(expected*8/float64(min(len(s.inFlight), 3)), b.minTarget/4)
 		if b.now-max(s.lastResponse, oldest.sentAt) >= responseTimeout {
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -13,23 +13,22 @@
 	overloadBaselineFactor = 1.5
 	// initialConcurrencyLimit is the concurrency limit of a server without measurements.
 	initialConcurrencyLimit = 2.0
-	// maxServerConcurrency is how many attempts of all agents a server may have in flight when each agent
-	// has raised its limit to the maximum. One attempt keeps a server busy; with a few more that wait for
-	// long it becomes several times slower and stays so. Latency reveals this too late: by the time a burst
-	// raised the latency, the limits had long been raised (case5409).
+	// maxServerConcurrency is the number of attempts of all agents that a server may have in flight when
+	// each agent has raised its limit to the maximum. One attempt keeps a server busy; a few more that queue
+	// for long make it several times slower, permanently. Latency reveals this too late: by the time a burst
+	// raised the latency, the limits had long been raised (simulation run case5409).
 	maxServerConcurrency = 4.0
-	// baselineSamples is the number of responses in the first baseline. Until then no limit grows, so that
-	// the agent does not overload the servers whose baseline it is measuring.
+	// baselineSamples is the number of responses in the first baseline. No limit grows before the baseline
+	// is complete, so that the agent does not overload the servers that it is measuring.
 	baselineSamples = 50
-	// minConcurrencyLimit is the limit of the most overloaded server: enough attempts to detect its
-	// recovery. A limit may fall this low once the latency exceeds severeOverloadFactor times the
-	// threshold.
+	// minConcurrencyLimit is the lowest limit of a server, which leaves enough attempts to detect its
+	// recovery. A limit falls below 1 only if the latency exceeds severeOverloadFactor times the threshold.
 	minConcurrencyLimit, severeOverloadFactor = 0.1, 2.5
 	// overloadBackoff and rejectionBackoff are the factors applied to a limit when latency is above the
 	// threshold, and when the server rejects an attempt.
 	overloadBackoff, rejectionBackoff = 0.85, 0.7
-	// minLocalZoneWeight is the minimum weight of a server in the agent's own zone, relative to other
-	// zones, in a key's order; localZonePriceFactor times the price of crossing zones is the maximum.
+	// minLocalZoneWeight is the minimum weight, relative to other zones, of a server in the agent's own zone
+	// in a key's hash order. The maximum is localZonePriceFactor times the price of crossing zones.
 	// minKindWeight is the minimum weight of a slow machine type. weightStep is the relative step by which
 	// weights change.
 	minLocalZoneWeight, localZonePriceFactor, minKindWeight, weightStep = 1.5, 100.0, 0.25, 0.05
@@ -53,7 +52,7 @@
 	b.recordLatency(s, latency)
 	threshold := b.overloadThreshold(s)
 	if s.state == Unhealthy && a.sentAt < s.stateSince && (!s.unresponsive || s.overloaded) {
-		return // sent before the failure, so no evidence of a recovery
+		return // the attempt was sent before the failure, so it shows no recovery
 	}
 	if b.suspiciouslySlow(latency) {
 		if s.state <= Unknown {
@@ -101,7 +100,8 @@
 	b.fleetLatency = movingAverage(b.fleetLatency, latency, max(fleetSmoothing, 1/b.latencySamples))
 	switch {
 	case b.latencySamples <= baselineSamples:
-		// Neither one fast response nor an overload at startup must set the baseline (id08146).
+		// Neither one fast response nor an overload at startup may determine the baseline (simulation run
+		// id08146).
 		b.baselineLatency = min(b.fleetLatency, overloadLatencyShare/2)
 	case b.fleetLatency < b.baselineLatency:
 		b.baselineLatency = movingAverage(b.baselineLatency, b.fleetLatency, fleetSmoothing)
@@ -110,10 +110,10 @@
 	}
 }
 
-// baselineRiseRate is how fast the baseline follows rising latency: very slowly, as an overload would
-// otherwise become the baseline. The fewer agents there are, the more an attempt shows that was its agent's
-// only one in flight to the server: a single agent whose baseline came from fast first responses would
-// otherwise leave its servers idle.
+// baselineRiseRate is the weight with which the baseline follows rising latency. It is very low, as an
+// overload would otherwise become the baseline. The exception is an attempt that was its agent's only one in
+// flight to the server: the fewer agents there are, the less its latency can be due to overload, and the
+// higher the rate. Otherwise a single agent whose first responses were fast would leave its servers idle.
 func (b *Balancer) baselineRiseRate(a *attempt) float64 {
 	if a.soleInFlight {
 		return fleetSmoothing / min(2*math.Pow(float64(max(b.settings.Replicas, 1)), 3), 250)
@@ -123,7 +123,8 @@
 
 // overloadThreshold is the mean latency, as a fraction of the target, above which a server counts as
 // overloaded. With few agents, each sees most of the load, and a server that answers well within the target
-// is not at risk of overload. A cold server is slow before it is overloaded (i5d0607).
+// is not at risk of overload. A cold server is slow even without overload, so its threshold is higher
+// (simulation run i5d0607).
 func (b *Balancer) overloadThreshold(s *server) float64 {
 	minThreshold := 2 * overloadLatencyShare / (2 + float64(b.settings.Replicas))
 	threshold := max(overloadBaselineFactor*b.baselineLatency, minThreshold)
@@ -149,10 +150,11 @@
 	return max(maxServerConcurrency/max(float64(b.settings.Replicas), 1), 1)
 }
 
-// adjustWeights derives from latency the weights that the list does not give. If crossing zones has a
-// price, the agent's own zone gets more traffic in proportion to it, as long as it is no slower than the
-// others: a zone with more traffic than it can handle becomes slower. A machine type that is slower than
-// the mean gets a lower weight: equal shares overload the small machines (i5db14f).
+// adjustWeights derives from latency the weights that the list does not give. The agent's own zone gets more
+// traffic, up to a maximum in proportion to the price of crossing zones, unless it is slower than the other
+// zones: a zone with more traffic than it can handle becomes slower. If the list gives no weights, a machine
+// type that is slower than the mean gets a lower weight: equal shares overload the small machines (simulation
+// run i5db14f).
 func (b *Balancer) adjustWeights(s *server, latency float64) {
 	zoneLatency := &b.otherZoneLatency
 	if s.zone == b.settings.Zone {
--- a/policy/list.go
+++ b/policy/list.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// removeUnused removes servers that get no more requests and have no attempt or probe in flight.
+// removeUnused removes servers that are not ready and have no attempt or probe in flight.
 func (b *Balancer) removeUnused() {
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
 		unused := !s.ready && len(s.inFlight) == 0 && !s.probing
@@ -90,7 +90,7 @@
 	}
 }
 
-// addServer adds a new server at its place in the agent's order.
+// addServer adds a new server, sorted by subsetOrder.
 func (b *Balancer) addServer(e *Entry, startedAt float64) *server {
 	s := &server{
 		addr:             e.Server,
@@ -112,9 +112,11 @@
 }
 
 // restartServer resets a server when the list shows that it runs a new process: the state of the old
-// process no longer applies, and the new one is cold. Its slow-start budget starts at a random value: when
-// many agents each refill a fraction of a request, the number of them that send one matches the sum of the
-// fractions; starting from 0, none would send one before the server is warm.
+// process no longer applies, and the new process is cold.
+//
+// Its slow-start budget starts at a random value. Many agents each refill the budget by a fraction of a
+// request; with random starting values, the number of agents that send a request matches the sum of these
+// fractions. If all budgets started from 0, no agent would send a request before the server is warm.
 func (b *Balancer) restartServer(s *server, startedAt float64) {
 	s.listedAt, s.startedAt = startedAt, startedAt
 	s.state, s.stateSince = Unknown, b.now
@@ -125,8 +127,8 @@
 	s.singleUseUntil, s.cleanResponses = 0, 0
 }
 
-// subsetOrder is a server's sort key in the agent's own order, whose first servers form its subset. If
-// crossing zones has a price, about half of them are in the agent's own zone.
+// subsetOrder is a server's sort key in the agent's own order of servers, whose first servers form the
+// agent's subset. If crossing zones has a price, about half of the subset is in the agent's own zone.
 func (b *Balancer) subsetOrder(s *server) uint64 {
 	order := splitMix64(s.hash ^ splitMix64(uint64(b.settings.Index)+1))
 	if s.zone == b.settings.Zone && b.settings.Prices.CrossZone > 0 {
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -1,6 +1,6 @@
-// This file holds the decisions on overload in a large fleet, where so many agents share the servers that
-// the concurrency limits of single agents cannot bound the total in flight to one server: how many attempts
-// the agent may have in flight in total, and how it detects an overloaded server.
+// This file holds the decisions on overload in a large fleet: how many attempts the agent may have in flight
+// in total, and how it detects an overloaded server. So many agents share the servers of a large fleet that
+// the concurrency limits of single agents cannot bound the total in flight to one server.
 
 package policy
 
@@ -11,29 +11,29 @@
 
 const (
 	// logLatencyWeight is the weight of a response in logLatency, the mean logarithm of latencies as
-	// fractions of the target. An agent that sees twenty responses per second thus detects within one
-	// second that they take twice as long; a mean of the latencies themselves would not show this.
+	// fractions of the target. With this weight, an agent that gets twenty responses per second detects a
+	// doubled latency within one second; a mean of the latencies themselves would not show it.
 	logLatencyWeight = 0.1
 	// baselineRise and baselineFall are the rates at which the baseline follows logLatency up and down.
 	baselineRise, baselineFall = 0.001, 0.05
 	// overloadFactor is the multiple of the baseline latency that indicates overloaded servers.
 	overloadFactor = 2.5
-	// maxOutlierFactor caps the latency of a response, as a multiple of the baseline: one outlier is not an
-	// overload of the fleet.
+	// maxOutlierFactor caps the latency of a response in logLatency, as a multiple of the baseline: one
+	// outlier is not an overload of the fleet.
 	maxOutlierFactor = 6.0
 	// logLatencyDecayMs is the time constant with which logLatency returns to the baseline without
 	// responses. Without overload, the agent's limit grows by a factor of e per agentLimitGrowthMs.
 	logLatencyDecayMs, agentLimitGrowthMs = 3000.0, 1500.0
-	// maxAgentLimitFactor bounds the agent's limit without overload, as a multiple of its even share: some
-	// agents have much more to send than most.
+	// maxAgentLimitFactor bounds the agent's limit without overload, as a multiple of its even share. It is
+	// above 1 because some agents have much more to send than most.
 	maxAgentLimitFactor = 1.5
 	// minOverloadEjection is the minimum time, in target latencies, for which a server found overloaded or
-	// unresponsive gets nothing. An overloaded server recovers only when it has been idle for this long,
-	// and eighty agents that each validate it sooner with one request keep it busy.
+	// unresponsive gets nothing. An overloaded server recovers only after it has been idle for this long;
+	// eighty agents that each validate it sooner with one request would keep it busy.
 	minOverloadEjection = 8.0
 	// idleInFlight is the highest number of requests in flight that a server found overloaded may report to
-	// get attempts again: 1, with a margin as reports are slightly noisy. With a few in flight it is still
-	// busy all the time and stays slow.
+	// get attempts again: 1, plus a margin for slightly noisy reports. With more requests in flight the
+	// server is still busy all the time and stays slow.
 	idleInFlight = 1.5
 )
 
@@ -76,7 +76,8 @@
 	}
 }
 
-// overloadExcess is how far logLatency exceeds the level that indicates overload; negative below it.
+// overloadExcess is the amount by which logLatency exceeds the level that indicates overload, or a negative
+// value below that level.
 func (b *Balancer) overloadExcess() float64 {
 	return b.logLatency - b.baselineLogLatency - math.Log(overloadFactor)
 }
@@ -104,9 +105,9 @@
 	return maxServerConcurrency * capacity / float64(b.settings.Replicas)
 }
 
-// withinAgentLimit reports whether the agent may have one more attempt in flight. An attempt that has been
-// in flight for longer than a target latency no longer counts: it waits at an outlier, or in a queue that
-// others drain.
+// withinAgentLimit reports whether the agent may have one more attempt in flight. Attempts that have been in
+// flight for longer than the shortest target latency do not count: each waits at a slow server, or in a
+// queue that the limits of other agents let drain.
 func (b *Balancer) withinAgentLimit() bool {
 	if !b.largeFleet() || b.logLatencySamples <= baselineSamples {
 		return true
@@ -120,21 +121,22 @@
 			}
 		}
 	}
-	// A remainder below 1 is kept by spacing attempts out.
+	// If less than one attempt remains, attempts are spaced out in time instead.
 	return remaining >= 1 ||
 		remaining > 0 && b.now-b.lastSentAt >= math.Exp(b.logLatency)*b.minTarget/remaining
 }
 
 // suspiciouslySlow reports whether a latency, or the time without a response, as a fraction of the target,
-// is a reason to validate a server. Judging by mean latency alone, an agent that sends to a server every
-// few seconds would send it a dozen requests before detecting that it is overloaded.
+// is a reason to validate a server. If only the mean latency counted, an agent that sends to a server every
+// few seconds would send a dozen requests to an overloaded server before detecting the overload.
 func (b *Balancer) suspiciouslySlow(latency float64) bool {
 	return b.largeFleet() && b.settings.Limits.Probing && latency > overloadLatencyShare
 }
 
-// reportsOverload reports whether a server's load report shows more requests in flight than all agents may
-// have there, or, if it was found overloaded, that it is not idle yet. Probes are answered without
-// queueing, so their latency does not show this.
+// reportsOverload reports whether a server's load report shows more requests in flight than all agents
+// together may have there. A server that was already found overloaded counts as overloaded until its report
+// shows that it is idle. The report is needed as servers answer probes without queueing, so that the latency
+// of a probe does not show overload.
 func (b *Balancer) reportsOverload(s *server, report []float32) bool {
 	i := slices.Index(b.settings.Report.Names, "inflight")
 	maxInFlight := float32(maxServerConcurrency)
@@ -144,7 +146,8 @@
 	return b.largeFleet() && i >= 0 && i < len(report) && report[i] > maxInFlight
 }
 
-// pendingTimeout is how long in ms a server awaits validation before it counts as healthy again.
+// pendingTimeout is the longest time in ms for which a server awaits validation by a probe; afterwards
+// requests may validate it.
 func (b *Balancer) pendingTimeout() float64 {
 	if b.largeFleet() {
 		return 10 * b.minTarget
@@ -160,8 +163,8 @@
 	return minProbes
 }
 
-// cancelInFlight cancels the attempts in flight to a server found overloaded or unresponsive, so that they
-// are retried elsewhere while there is time: they would be late, and keep the server overloaded.
+// cancelInFlight cancels the attempts in flight to a server found overloaded or unresponsive, so that their
+// requests are retried elsewhere in time: the attempts would be late, and would keep the server overloaded.
 func (b *Balancer) cancelInFlight(s *server) {
 	if !b.largeFleet() || !b.settings.Limits.Cancelling {
 		return
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// boundedLoadFactor is how many times its even share of the agent's attempts a server may have in
-	// flight before a request moves on to the next server in its key's hash order.
+	// boundedLoadFactor is the load cap of a server, as a multiple of its even share of the agent's attempts
+	// in flight. Above it, a request moves on to the next server in its key's hash order.
 	boundedLoadFactor = 3.0
-	// affinityWaitShare is the fraction of its target latency that a request may wait for one of the
-	// affinityServers first in its hash order: moving on immediately would miss the warm cache just when
-	// time is short.
+	// affinityWaitShare is the fraction of its target latency for which a request may wait for one of the
+	// first affinityServers servers in its hash order. A request that moved on immediately under load would
+	// miss the warm cache just when time is short.
 	affinityWaitShare, affinityServers = 0.25, 2
-	// keyHistory is the number of recent requests over which keys are counted. A key whose load is a
-	// server's even share is split into keySplitFactor parts.
+	// keyHistory is the number of recent requests over which keys are counted. A key with as much load as a
+	// server's even share is split into up to keySplitFactor parts.
 	keyHistory, keySplitFactor = 128, 4.0
 	// minSubsetSize is the smallest subset of the fleet that an agent sends to.
 	minSubsetSize = 16
 )
 
-// healthTiers is the number of tiers of healthTier.
+// healthTiers is the number of tiers that healthTier distinguishes.
 const healthTiers = 3
 
 // healthTier is the server's tier for the request; tier 0 is preferred.
@@ -40,8 +40,8 @@
 	return 0
 }
 
-// pickServer returns the server for the request, or nil if none accepts it. In the best tier that has
-// servers, it is the first one in the key's hash order that is under its load cap and has capacity.
+// pickServer returns the server for the request, or nil if no server accepts it. It picks from the best tier
+// that has servers: the first server in the key's hash order that is under its load cap and has capacity.
 func (b *Balancer) pickServer(r *request) *server {
 	awaitsAffinity, subset := b.awaitsAffinity(r), b.subsetSize()
 	for tier := range healthTiers {
@@ -64,9 +64,9 @@
 	return nil
 }
 
-// scoreTier scores the servers of a tier that belong to the agent's subset. It returns those with capacity,
-// or all if the request awaits affinity, and the first of these in hash order. The result is valid until
-// the next call. It sets the request's tierWeight.
+// scoreTier scores the servers of a tier that belong to the agent's subset, and sets the request's
+// tierWeight. The candidates are the servers with capacity, or all servers if the request awaits affinity;
+// first holds the first candidates in hash order. The slice of candidates is valid until the next call.
 func (b *Balancer) scoreTier(r *request, tier int, awaitsAffinity bool, subset int) (
 	candidates []*server, first [affinityServers]*server) {
 	candidates = b.tierScratch[:0]
@@ -95,11 +95,11 @@
 	return candidates, first
 }
 
-// subsetSize is how many servers of a tier, in the agent's own order, the agent sends to: as many as it can
-// send to every few seconds. When an agent with few requests sent to each server of the fleet only once a
-// minute, it opened a connection for each request and could not learn which servers were slow or hung
-// (id753de). The order differs between agents, so that each server gets its share; keys are hashed within
-// the subset. If connections have no price, more servers keep more keys warm.
+// subsetSize is the number of servers of a tier that the agent sends to, the first in subsetOrder: as many as
+// it can send to every few seconds. An agent with few requests that sent to each server of the fleet once a
+// minute opened a connection for each request and could not learn which servers were slow or hung (simulation
+// run id753de). The order differs between agents, so that each server gets its share; keys are hashed within
+// the subset. If new connections have no price, the subset is larger, as more servers keep more keys warm.
 func (b *Balancer) subsetSize() int {
 	n := b.recentRequests
 	if b.settings.Limits.KeepaliveMs <= 0 {
@@ -110,16 +110,17 @@
 	return int(min(max(n, minSubsetSize), float64(len(b.servers))))
 }
 
-// awaitsAffinity reports whether the request still waits for the servers first in its hash order.
+// awaitsAffinity reports whether the request still waits for the first servers in its hash order.
 func (b *Balancer) awaitsAffinity(r *request) bool {
 	return r.key != 0 && len(r.attempts) == 0 &&
 		b.now-r.arrivedAt < affinityWaitShare*(r.targetAt-r.arrivedAt)
 }
 
 // affinityHash returns the hash that determines the order of servers for a key. A popular key is split into
-// parts, each with its own order: one key had twenty times the load that its server can serve (id753de),
-// and the load cap does not notice this when each agent has one request in flight. The fewer agents share a
-// server, the more of its load each of them sees, and the splitting is left to the cap.
+// parts, each with its own order: otherwise one key put twenty times the load on its server that the server
+// can serve (simulation run id753de), and the load cap has no effect when each agent has only one request in
+// flight. With few agents, each sees enough of a server's load for the cap, so the key is split less or not
+// at all.
 func (b *Balancer) affinityHash(key uint64) uint64 {
 	if key == 0 {
 		return b.rng.Uint64()
@@ -132,8 +133,9 @@
 	return key + uint64(parts*b.rng.Float64())*0x9e3779b97f4a7c15
 }
 
-// score is the server's score for the request by weighted rendezvous hashing, lowest first: all agents of a
-// zone compute the same order for a key, and a server's share of the keys is proportional to its weight.
+// score is the server's score for the request by weighted rendezvous hashing; the lowest score is first in
+// hash order. All agents of a zone compute the same order for a key, and a server's share of the keys is
+// proportional to its weight.
 func (b *Balancer) score(r *request, s *server) float64 {
 	x := splitMix64(r.hash ^ s.hash)
 	u := float64(x>>11) / (1 << 53)
@@ -145,8 +147,8 @@
 	return -math.Log(u+1e-18) / w
 }
 
-// accepts reports whether the server has capacity and is under its load cap in the tier of the request's
-// last pick.
+// accepts reports whether the server has capacity and is under its load cap, which is relative to the tier of
+// the request's last pick.
 func (b *Balancer) accepts(s *server, r *request) bool {
 	share := s.weight * b.slowStartFactor(s) / r.tierWeight
 	return float64(len(s.inFlight)) < math.Ceil(boundedLoadFactor*float64(b.inFlight+1)*share) &&
@@ -159,8 +161,8 @@
 	if s.state >= UnhealthyPending {
 		return len(s.inFlight) == 0
 	}
-	// A limit below 1 is kept by spacing attempts out: with many agents even one attempt of each can be too
-	// much, and a collapsed server needs idle time to recover.
+	// Under a limit below 1, attempts are spaced out in time: with many agents even one attempt of each can
+	// be too much, and a collapsed server needs idle time to recover.
 	if len(s.inFlight) >= max(int(s.concurrencyLimit), 1) ||
 		s.concurrencyLimit < 1 && b.now-s.lastSentAt < s.latencyMs/s.concurrencyLimit {
 		return false
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -13,9 +13,9 @@
 
 // Tokens of the timers that a Balancer sets.
 const (
-	tickToken         = 1 // see scheduleTick
-	watchToken        = 2 // see scheduleWatch
-	confirmationToken = 3 // see onPartialList
+	tickToken         = 1 // the periodic check of scheduleTick
+	watchToken        = 2 // the subscription call of scheduleWatch
+	confirmationToken = 3 // the confirmation deadline of onPartialList
 )
 
 // New returns the Balancer of one agent, or a *SettingError for the first invalid setting. All its
@@ -48,8 +48,8 @@
 	return b, nil
 }
 
-// Start appends the first actions of a new agent to out and returns it. The clock reading now is in ms, as
-// in Handle; only differences between readings matter.
+// Start appends the first actions of a new agent to out and returns the extended slice. The clock reading now
+// is in ms, as in Handle; only differences between readings matter.
 func (b *Balancer) Start(now float64, out []Action) []Action {
 	b.now, b.actions, b.startedAt = now, out, now
 	b.retryDebtAt, b.recentRequestsAt, b.warmWorkAt, b.agentLimitAt = now, now, now, now
@@ -59,8 +59,8 @@
 	return b.actions
 }
 
-// Handle processes one event, appends the resulting actions to out and returns it. Events for finished or
-// unknown requests and attempts are ignored.
+// Handle processes one event, appends the resulting actions to out and returns the extended slice. Events for
+// finished or unknown requests and attempts are ignored.
 func (b *Balancer) Handle(now float64, ev *Event, out []Action) []Action {
 	b.now, b.actions = now, out
 	switch ev.Kind {
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// minTimeShare is the fraction of its expected latency that must be left until its target for a request
-	// with a cost hint to be queued at all.
+	// minTimeShare is the minimum time to its target, as a fraction of its expected latency, with which a
+	// request with a cost hint is queued.
 	minTimeShare = 0.7
-	// retryBudgetRatio is how many attempts may end per successful one before the agent sends less;
-	// retryBudgetBurst of them are free. The debt decays over retryBudgetWindow times the shortest target
-	// latency.
+	// retryBudgetRatio is the number of ended attempts per successful attempt above which the retry debt
+	// grows. The agent sends nothing while the debt is retryBudgetBurst attempts or more. The debt decays
+	// with a time constant of retryBudgetWindow times the shortest target latency.
 	retryBudgetRatio, retryBudgetBurst, retryBudgetWindow = 1.5, 3.0, 10.0
 	// maxQueued bounds the requests that wait for capacity, and thus the work per event.
 	maxQueued = 512
-	// maxDispatchFailures is how many queued requests may find no server before dispatch stops.
+	// maxDispatchFailures is the number of queued requests that may find no server before dispatch stops.
 	maxDispatchFailures = 4
 )
 
@@ -50,8 +50,8 @@
 	b.countRequest(r)
 	b.revalidate()
 	b.queued = append(b.queued, r)
-	// A request that is expected to miss its target on any server would only delay others: these are the
-	// few costly requests of a heavy-tailed distribution.
+	// Do not queue a request that is expected to miss its target on any server, as it would only delay
+	// others. This affects the few costly requests of a heavy-tailed distribution.
 	if r.costHint > 0 && c.LateShare == 0 && minTimeShare*b.hintedLatency(r) > r.targetAt-b.now {
 		b.finish(r)
 	}
@@ -76,8 +76,8 @@
 }
 
 // onResponseStarted records that a streamed response has begun to reach the client: the request can no
-// longer be retried or answered otherwise. It ignores an attempt that is not in flight, as nothing would
-// end its request afterwards.
+// longer be retried or answered otherwise. The event is ignored if its attempt is not in flight, as no later
+// outcome would end the request.
 func (b *Balancer) onResponseStarted(ev *Event) {
 	r := b.requests[ev.Request]
 	if r == nil || r.closed || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) {
@@ -92,7 +92,7 @@
 	a.server.lastResponse = b.now
 }
 
-// value is what a unit of server time spent on the request contributes to the objective: to the overall
+// value is the contribution to the objective of a unit of server time spent on the request: to the overall
 // score, and to the worst class's score if the request is of that class.
 func (b *Balancer) value(r *request) float64 {
 	c := &b.settings.Classes[r.class]
@@ -117,8 +117,8 @@
 // newest, since under overload the oldest would only finish late.
 func (b *Balancer) dispatch() {
 	b.sortQueue()
-	// Requests that wait for the servers first in their key's order are skipped. When a few of the others
-	// find no server, there is no capacity.
+	// Requests that wait for the first servers in their key's order are skipped. There is no capacity left
+	// when maxDispatchFailures other requests have found no server.
 	b.capacityExhausted = false
 	for i, failures := 0, 0; i < len(b.queued) && failures < maxDispatchFailures &&
 		b.withinRetryBudget() && b.withinAgentLimit(); {
@@ -153,8 +153,8 @@
 	})
 }
 
-// affinityBusy reports whether the request waits for its key's servers, which are known from its last pick,
-// and none of them accepts it.
+// affinityBusy reports whether the request waits for the first servers in its hash order, which are known
+// from its last pick, and none of these servers accepts it.
 func (b *Balancer) affinityBusy(r *request) bool {
 	first := r.affinity
 	return b.awaitsAffinity(r) && first[0] != nil && r.affinityEpoch == b.epoch &&
@@ -162,9 +162,9 @@
 }
 
 // withinRetryBudget reports whether the retry budget allows another attempt. As in adaptive throttling,
-// failed and late attempts reduce what is sent, first attempts included. When each of a thousand agents has
-// one or two requests in flight, no concurrency limit of a server holds back all of them together: each
-// rejected attempt went on to the next server, until requests were sent nine times (i86bcad).
+// failed and late attempts reduce what is sent, first attempts included. This is needed as the concurrency
+// limits do not bound a thousand agents with one or two requests in flight each: every rejected attempt went
+// on to the next server, until requests were sent nine times (simulation run i86bcad).
 func (b *Balancer) withinRetryBudget() bool { return b.currentRetryDebt() < retryBudgetBurst }
 
 // expireQueued ends queued requests that can no longer earn credit, before they cost server work.
@@ -183,7 +183,7 @@
 	}
 }
 
-// expectedLatency is the expected time in ms until such a request is answered.
+// expectedLatency is the expected latency in ms of an attempt of the request.
 func (b *Balancer) expectedLatency(r *request) float64 {
 	expected := b.classLatency[r.class]
 	if hinted := b.hintedLatency(r); hinted > 0 {
@@ -192,16 +192,16 @@
 	return expected
 }
 
-// queueOverflows reports whether too many requests are queued: beyond the limit on open requests, new
-// clients would wait for a connection that nobody accepts.
+// queueOverflows reports whether too many requests are queued, or too many are open. Beyond the limit on open
+// requests, the agent would not accept the connections of new clients.
 func (b *Balancer) queueOverflows() bool {
 	openCap := b.settings.Limits.OpenCap
 	return len(b.queued) > maxQueued ||
 		len(b.queued) > 0 && openCap > 0 && len(b.queued)+b.inFlight > openCap
 }
 
-// finish gives every final answer except responses: it rejects the request if its class and attempts make a
-// retry harmless, and fails it otherwise. Afterwards the request is not queued.
+// finish answers a request that gets no response: it rejects the request if its class and attempts make a
+// retry by the client harmless, and fails it otherwise. The request is removed from the queue in any case.
 func (b *Balancer) finish(r *request) {
 	if r.closed || r.responseStarted {
 		b.dequeue(r)
@@ -217,7 +217,7 @@
 	}
 }
 
-// closeRequest closes a request, cancels its attempts in flight, and drops it once none is left.
+// closeRequest closes a request, cancels its attempts in flight, and forgets it if no attempt is in flight.
 func (b *Balancer) closeRequest(r *request) {
 	r.closed = true
 	b.dequeue(r)
@@ -238,8 +238,8 @@
 	}
 }
 
-// recordUnserved stores when an unserved request first arrived, so that the target of its retry by the
-// client counts from then.
+// recordUnserved stores the first arrival time of an unserved request: if the client retries the request, the
+// target of the retry counts from that arrival.
 func (b *Balancer) recordUnserved(r *request) {
 	if !b.settings.Clients.MarksRetry {
 		return
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -6,15 +6,17 @@
 import "math"
 
 const (
-	// slowStartBurst bounds how much budget a cold server accumulates: all agents may spend it at once.
+	// slowStartBurst bounds the budget that a cold server accumulates in one agent, as all agents may spend
+	// theirs at once.
 	slowStartBurst = 1.0
-	// slowStartMargin is how many times its current capacity an even share may cost a cold server: warm
-	// servers answer at most as much as they can, and their warm keys may save them three quarters of the
-	// work.
+	// slowStartMargin is the highest work of an even share of the requests on a cold server, as a multiple
+	// of its current capacity: warm servers answer only as much as they can, but their warm keys may save
+	// them three quarters of the work.
 	slowStartMargin = 4.0
 )
 
-// slowStartFactor is the fraction of its capacity that a server has by the contract; 1 once it is warm.
+// slowStartFactor is the current capacity of a server by the contract, as a fraction of its full capacity: 1
+// once the server is warm.
 func (b *Balancer) slowStartFactor(s *server) float64 {
 	c := &b.settings.Contract
 	age := b.now - s.startedAt
@@ -24,8 +26,8 @@
 	return c.SlowStartFrom + (1-c.SlowStartFrom)*max(age, 0)/c.SlowStartMs
 }
 
-// slowStartShare is the fraction of an even share that a server may be sent: for a cold server, as much as
-// the contract allows, so that its keys move to it as it warms up.
+// slowStartShare is the fraction of an even share that a server may be sent: 1 for a warm server. A cold
+// server may be sent as much as the contract allows, so that its keys move to it as it warms up.
 func (b *Balancer) slowStartShare(s *server) float64 {
 	if factor := b.slowStartFactor(s); factor < 1 {
 		return factor * b.settings.Contract.CrashLoadMultiple / slowStartMargin
@@ -33,8 +35,8 @@
 	return 1
 }
 
-// cost is the work of a request in units of the mean request, at least 1: hints are rough, and a cold
-// server would otherwise be sent requests that are hinted as small but are not (i299663).
+// cost is the work of a request in units of the mean request, at least 1: hints are rough, and a cold server
+// would otherwise be sent costly requests with a small hint (simulation run i299663).
 func (b *Balancer) cost(r *request) float64 {
 	if r.costHint > b.meanCostHint {
 		return r.costHint / b.meanCostHint
@@ -42,15 +44,16 @@
 	return 1
 }
 
-// refillSlowStartBudgets refills the budget of each cold server after a server answered: relative to what
-// the warm servers have answered, a cold one may get its share by weight and slow start. This keeps the
+// refillSlowStartBudgets refills the budget of each cold server after a warm server has answered: relative to
+// the work that warm servers answer, a cold server may get its share by weight and slow start. This keeps the
 // servers' shares of all agents together in proportion to their capacity, without coordination. Rejected
-// attempts refill nothing: in a retry storm they raised cold servers' shares ninefold (i86bcad).
+// attempts refill nothing: in a retry storm they raised cold servers' shares ninefold (simulation run
+// i86bcad).
 func (b *Balancer) refillSlowStartBudgets(s *server, cost float64) {
 	if b.slowStartFactor(s) < 1 {
 		return
 	}
-	// The weight of the warm servers in the agent's subset.
+	// The total weight of the warm servers in the agent's subset.
 	warm := b.warmWeight() * float64(b.subsetSize()) / float64(len(b.servers))
 	if warm > 0 {
 		b.warmWork = b.warmWork*math.Exp((b.warmWorkAt-b.now)/b.settings.Contract.SlowStartMs) + cost/warm
@@ -64,8 +67,8 @@
 	}
 }
 
-// warmWeight is the total weight of the warm servers in the top tier, computed once per event time and
-// epoch.
+// warmWeight is the total weight of the warm servers that are in no lower tier. It is cached for the current
+// event time and epoch.
 func (b *Balancer) warmWeight() float64 {
 	if b.warmTotalAt == b.now && b.warmTotalEpoch == b.epoch {
 		return b.warmTotal
--- a/policy/unconfirmed.go
+++ b/policy/unconfirmed.go
@@ -1,6 +1,7 @@
-// This file holds the decisions on unconfirmed servers: discovery has written a response of which only a
-// part arrived. The whole response counts as notified once written (PROTOCOL, "The rules on sockets"), and
-// the missing part may say that a server is draining.
+// This file holds the decisions on unconfirmed servers. If only a part of a list response has arrived, the
+// servers that this part does not show as ready are unconfirmed: the missing part may say that they are
+// draining, and the agent counts as notified of the whole response as soon as discovery has written it
+// (PROTOCOL, "The rules on sockets").
 
 package policy
 
@@ -13,8 +14,8 @@
 	maxUnconfirmedMs = 10000.0
 )
 
-// onPartialList processes the received part of a list response. Its entries apply, and those that are ready
-// are confirmed; all other servers are unconfirmed until a complete response arrives.
+// onPartialList processes the received part of a list response. The received entries apply, and the servers
+// that they show as ready are confirmed; all other servers are unconfirmed until a complete response arrives.
 func (b *Balancer) onPartialList(ev *Event) {
 	if !b.listIncomplete() {
 		b.partialSince = b.now - sanitize(ev.AgeMs)
@@ -33,8 +34,8 @@
 	}
 }
 
-// listIncomplete reports whether a partial response has arrived and no complete one since, for at most
-// maxUnconfirmedMs.
+// listIncomplete reports whether a partial response began less than maxUnconfirmedMs ago and no complete
+// response has arrived since.
 func (b *Balancer) listIncomplete() bool {
 	return b.partialSince > 0 && b.now < b.partialSince+maxUnconfirmedMs
 }
@@ -57,9 +58,9 @@
 	}
 }
 
-// withdrawUnconfirmed withdraws attempts to unconfirmed servers that have not been written yet. If the
-// response is still incomplete and its call open, it also fetches the full list, as the subscription may
-// have stalled.
+// withdrawUnconfirmed withdraws the attempts to unconfirmed servers of which no byte has been written, once
+// confirmation is overdue. If the call of the incomplete response is still open, the subscription may have
+// stalled, so the full list is fetched as well.
 func (b *Balancer) withdrawUnconfirmed() {
 	if !b.listIncomplete() || b.now < b.confirmationDueAt()-1 {
 		return
