--- a/policy/anyorder_test.go
+++ b/policy/anyorder_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// maxDecisionTime bounds the time to handle one event, far above what is needed.
+// maxDecisionTime bounds the time to handle one event, far above the time that handling takes.
 const maxDecisionTime = 20 * time.Second
 
 // handleInTime handles an event. A decision that does not terminate can't be stopped, so the watchdog
-// panics with the events that led to it.
+// panics and prints the event and all events before it.
 func handleInTime(r *rig, history []Event, ev Event) []Action {
 	watchdog := time.AfterFunc(maxDecisionTime, func() {
 		panic(fmt.Sprintf("handling %+v does not terminate; events before it: %+v", ev, history))
@@ -60,7 +60,7 @@
 	return ev
 }
 
-// Whatever the order of events, even one that no agent can cause, handling each event terminates and no
+// In any order of events, including orders that no agent can cause, handling each event terminates and no
 // finished request stays queued.
 func TestDecisionsEndInAnyOrderOfEvents(t *testing.T) {
 	outer := t
@@ -80,8 +80,8 @@
 	})
 }
 
-// A response start reported after its attempt has ended is ignored: the request is retried or finished as
-// if it had not been reported.
+// The start of a response is ignored if its attempt has already ended: the request is still retried or
+// finished.
 func TestResponseStartedAfterItsAttempt(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	id, server := r.mustSend(0, 0)
@@ -91,7 +91,7 @@
 		t.Fatalf("%d requests are queued for a retry", len(r.b.queued))
 	}
 	handleInTime(r, nil, Event{Kind: EvResponseStarted, Request: id, Server: server})
-	r.now += 700 // beyond its deadline
+	r.now += 700 // beyond the request's deadline
 	actions := handleInTime(r, nil, Event{Kind: EvTimer, Token: tickToken})
 	if find(actions, ActReject) == nil || len(r.b.queued) != 0 || len(r.b.requests) != 0 {
 		t.Errorf("no final answer: %+v, %d queued, %d known", actions, len(r.b.queued), len(r.b.requests))
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -26,7 +26,7 @@
 	if a == nil || r.b.serversByAddr[a.Server].cell != r.b.serversByAddr[s].cell {
 		t.Fatalf("the retry of a deduplicated request left its cell: %+v", actions)
 	}
-	r.now += 346 // within the 500 ms, but not less the margins
+	r.now += 346 // within the window of 500 ms, but not within the window less the margins
 	actions = r.outcome(id, 1, a.Server, Error, 20)
 	if find(actions, ActSend) != nil || find(actions, ActFail) == nil && len(r.b.queued) == 0 {
 		t.Errorf("a retry was sent after its deduplication window: %+v", actions)
@@ -56,7 +56,7 @@
 	if actions = r.outcome(id, 2, a.Server, ConnectFailed, 20); find(actions, ActFail) == nil {
 		t.Fatalf("not answered at the end of the window: %+v", actions)
 	}
-	// An attempt that was not executed starts no window: the first that may have been executed does.
+	// The window starts with the first attempt that may have been executed, not with a failed connect.
 	r = newRig(t, testSettings(), 6)
 	id, actions = r.request(2, 6)
 	first = find(actions, ActSend)
@@ -64,7 +64,7 @@
 	if a = find(r.outcome(id, 0, first.Server, ConnectFailed, 20), ActSend); a == nil || a.SendByMs != 0 {
 		t.Fatalf("send deadline after an attempt that was not executed: %+v", a)
 	}
-	// A request queued for capacity is answered at the end of its window, too.
+	// A request that waits for capacity is also answered at the end of its window.
 	set := testSettings()
 	set.Classes[2].DedupWindowMs = 250
 	r = newRig(t, set, 6)
@@ -128,8 +128,8 @@
 	}
 }
 
-// i5db14f: a thousand agents that each sent to every server kept 400 connections per server open. Idle
-// connections are closed where keeping them costs more than opening new ones.
+// Idle connections are closed where keeping them costs more than opening new ones. In simulation run i5db14f,
+// a thousand agents that each sent to every server kept 400 connections per server open.
 func TestIdleConnectionsAreClosedWhereTheyCostMore(t *testing.T) {
 	for _, c := range []struct {
 		agents                int
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// unsolicited reports unsolicited bytes from a server.
+// unsolicited passes the Balancer an event of unsolicited bytes from a server.
 func (r *rig) unsolicited(s Addr) []Action { return r.handle(Event{Kind: EvUnsolicited, Server: s}) }
 
 // After unsolicited bytes from a server, each connection to it carries only one request for a limited time.
@@ -30,7 +30,7 @@
 		t.Error("idle connections were not closed")
 	}
 	if !singleUse(suspect) || singleUse(other) {
-		t.Error("want single use for this server's connections only")
+		t.Error("want single use for connections to the server that sent unsolicited bytes, and no other")
 	}
 	r.now += singleUseMs - 1
 	if !singleUse(suspect) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// Connections to a server are reused with the longer delay until enough of its responses are known, and
-// again after unsolicited bytes.
+// Connections to a server are reused with the cautious delay until the server has sent enough clean responses.
+// After unsolicited bytes the count starts again.
 func TestReuseDelayUntilAServerIsProven(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	nextReuseDelay := func() float64 {
@@ -70,7 +70,7 @@
 	}
 }
 
-// A probe also uses a new connection after unsolicited bytes.
+// After unsolicited bytes from a server, probes of it also use a new connection each.
 func TestProbeAfterUnsolicitedBytes(t *testing.T) {
 	s := testSettings()
 	s.Limits.Probing = true
@@ -79,7 +79,7 @@
 	r.b.serversByAddr[addr(0)].state = UnhealthyPending
 	_, actions := r.request(0, 0)
 	if probe := find(actions, ActProbe); probe == nil || probe.Server != addr(0) || !probe.SingleUse || probe.ReuseDelayMs != CautiousReuseDelayMs {
-		t.Errorf("got %+v", actions)
+		t.Errorf("want a single-use probe with the cautious reuse delay, got %+v", actions)
 	}
 }
 
@@ -97,6 +97,6 @@
 func TestUnsolicitedBytesOfAnUnknownServer(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	if actions := r.unsolicited(addr(7)); len(actions) > 0 {
-		t.Errorf("got %+v", actions)
+		t.Errorf("want no actions, got %+v", actions)
 	}
 }
--- a/policy/deployfile_test.go
+++ b/policy/deployfile_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// deploy/balancer.toml names every file with decisions, and their lines are at most 110 columns wide. The
-// number of lines is not limited.
+// deploy/balancer.toml names every file with decisions, and the lines of these files are at most 110 columns
+// wide. The number of lines is not limited.
 func TestPolicyFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -30,7 +30,7 @@
 		if second := find(b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer); second != nil {
 			t.Fatalf("two calls are scheduled: %+v, %+v", again, second)
 		}
-		now += again.Ms // due now, and not earlier
+		now += again.Ms // when the next call is due
 		if find(b.Handle(now-2, &Event{Kind: EvTimer, Token: again.Token}, nil), ActWatchList) != nil {
 			t.Fatal("subscribed before the call was due")
 		}
@@ -40,8 +40,8 @@
 	}
 }
 
-// After a long outage discovery is called again soon after its return: the agent counts as notified of
-// pending changes whether it is still backing off or not.
+// An agent calls discovery soon after discovery returns from a long outage: it counts as notified of pending
+// changes even while it is still backing off.
 func TestWatchIsRequestedSoonAfterManyFailures(t *testing.T) {
 	set := testSettings()
 	set.Membership = "on_request"
@@ -58,7 +58,7 @@
 	}
 }
 
-// watchingFleet is many agents that share a discovery service which answers no call.
+// watchingFleet simulates many agents that share a discovery service that answers no call.
 type watchingFleet struct {
 	t         *testing.T
 	balancers []*Balancer
@@ -86,7 +86,7 @@
 	return f
 }
 
-// schedule reads from the actions of agent i when its next call is due.
+// schedule stores when the next call of agent i is due, as set by its actions.
 func (f *watchingFleet) schedule(i int, now float64, actions []Action) {
 	if timer := find(actions, ActTimer); timer != nil {
 		f.callsAt[i] = now + timer.Ms
@@ -123,11 +123,11 @@
 	return fetches
 }
 
-// Eighty agents that start together, and whose calls all fail, call their shared discovery rarely enough
-// that it could answer the calls queued there.
+// Eighty agents that start together, and whose calls all fail, call discovery so rarely that it could answer
+// all calls in its queue.
 func TestManyAgentsSpreadTheirCallsToDiscovery(t *testing.T) {
 	// A change counts as notified 6 s after discovery's return, which requires one call of every agent per
-	// 4 s: 20 calls per second. Half as many more may fall into a single second, but not into every one.
+	// 4 s: 20 calls per second. A single second may have half as many more, but not every second.
 	const (
 		agents, step, seconds  = 80, 10, 60
 		settled                = 10 // seconds after which the initial calls are spread out
@@ -158,8 +158,8 @@
 	}
 }
 
-// A granted subscription that ended is requested again within 200 ms, as changes missed meanwhile count as
-// notified 2 s later, unless it was requested less than half a second ago.
+// A granted subscription that ended is requested again within 200 ms, as a change after its end counts as
+// notified 2 s later. The exception is a subscription that was requested less than half a second ago.
 func TestServedWatchIsRequestedAgainAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		servedMs, minWait, maxWait float64 // ms
@@ -190,8 +190,8 @@
 	}
 }
 
-// When the immediate call after a granted subscription is rejected, the next call follows within a second,
-// no later than if the agent had waited first, in fleets of any size.
+// When the immediate call after a granted subscription is rejected, the next call follows within a second, in
+// fleets of any size: no later than if the agent had waited before the first call.
 func TestRejectedCallAfterAServedWatch(t *testing.T) {
 	for _, agents := range []int{1, 40, 300} {
 		for seed := range uint64(50) {
@@ -221,9 +221,9 @@
 	}
 }
 
-// Regardless of how many calls failed, and how long each took to fail, the next one starts within 4 s of
-// the start of the last one, because the agent counts as notified 6 s after discovery became reachable. The
-// total call rate of all agents stays low.
+// However many calls failed, and however long each took to fail, each call starts within 4 s of the start of
+// the call before it, because the agent counts as notified 6 s after discovery became reachable. The total call
+// rate of all agents stays low.
 func TestEachCallIsRepeatedInTime(t *testing.T) {
 	for _, agents := range []int{1, 5, 20, 80, 300} {
 		t.Run(fmt.Sprint(agents), func(t *testing.T) {
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -43,7 +43,7 @@
 	r.now += 50
 	r.outcome(id, 0, s, OK, 50)
 	if srv.state != Connected {
-		t.Fatalf("validated: state %d, want Connected", srv.state)
+		t.Fatalf("after a response that validated the server: state %d, want Connected", srv.state)
 	}
 }
 
@@ -85,9 +85,9 @@
 	}
 }
 
-// A probe that ends with a reset or an error, like such an attempt, shows that its server is responsive:
-// the server is retried immediately while the others are full. A server that did not respond to the probe
-// is not.
+// A probe that ends with a reset or an error shows that its server is responsive, as an attempt does. Such a
+// server is retried immediately while the others are full; a server that did not respond to the probe is not
+// retried.
 func TestProbeResetIsNotUnresponsive(t *testing.T) {
 	for status, tried := range map[Status]bool{Reset: true, Error: true, Timeout: false, ConnectFailed: false} {
 		set := testSettings()
@@ -115,7 +115,8 @@
 	}
 }
 
-// A hung server would stay Connected if only results changed its state; a lack of responses ejects it.
+// A server that sends no responses is ejected: if only the results of attempts changed its state, a hung server
+// would stay Connected.
 func TestHungServerIsEjected(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range 200 { // learn the expected latency
@@ -148,8 +149,8 @@
 	}
 }
 
-// On days with many failures: a server that failed often stays ejected for long while others have capacity,
-// but is retried immediately while they are full.
+// A server that failed often stays ejected for long while others have capacity, but is retried immediately
+// while the others are full.
 func TestEjectedServerIsRetriedWhileOthersAreFull(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		r := newRig(t, testSettings(), 4)
@@ -171,8 +172,8 @@
 	}
 }
 
-// id753de: an agent with few requests spent a request on validating each slow server again after one target
-// latency.
+// An agent with few requests and no probes ejects a server for longer. In simulation run id753de, such an agent
+// spent a request on validating each slow server again after only one target latency.
 func TestAgentWithFewRequestsEjectsLonger(t *testing.T) {
 	for _, probing := range []bool{false, true} {
 		set := testSettings()
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// With one agent and four servers, the first responses were fast (a few popular keys), and later latencies
-// counted as overload forever, with a limit of one attempt per server.
+// A single agent raises its baseline when latency rises. Otherwise, if the first responses are fast, as for a
+// few popular keys, all later latencies count as overload and the limit stays at one attempt per server.
 func TestLoneAgentRaisesItsBaseline(t *testing.T) {
 	for _, agents := range []int{1, 5} {
 		set := testSettings()
@@ -25,7 +25,8 @@
 }
 
 // With few agents, each sees most of the load: a server that responds well within the target is not
-// overloaded, however low the baseline is. Cold servers are slower before they are overloaded.
+// overloaded, however low the baseline is. Cold servers have a higher threshold, as they are slow even without
+// overload.
 func TestMinOverloadThresholdFallsWithReplicas(t *testing.T) {
 	limit := func(agents int, baseline float64) float64 {
 		set := testSettings()
@@ -48,7 +49,8 @@
 	}
 }
 
-// id08146: agents were restarted one by one while the fleet was overloaded.
+// An overload while an agent starts must not become its baseline. In simulation run id08146, agents were
+// restarted one by one while the fleet was overloaded.
 func TestOverloadAtTheStartDoesNotSetTheBaseline(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range baselineSamples {
@@ -63,7 +65,7 @@
 
 func TestOverloadReducesConcurrencyLimit(t *testing.T) {
 	set := testSettings()
-	set.Replicas = 20 // many agents, as in ie9df20: each sees little of the load
+	set.Replicas = 20 // as in simulation run ie9df20: each of many agents sees little of the load
 	r := newRig(t, set, 1)
 	srv := r.b.servers[0]
 	for range 300 { // long enough to learn the baseline
@@ -82,14 +84,14 @@
 	if srv.concurrencyLimit >= limitBefore {
 		t.Errorf("latency rose sevenfold and the limit went from %.2f to %.2f", limitBefore, srv.concurrencyLimit)
 	}
-	// ie9df20: with many agents, one attempt of each keeps a collapsed server busy.
+	// With many agents, one attempt of each keeps a collapsed server busy (simulation run ie9df20).
 	if srv.concurrencyLimit >= 1 {
 		t.Errorf("a collapsed server gets no idle time: limit %.2f", srv.concurrencyLimit)
 	}
 }
 
-// case5409: concurrency limits grown under low load let a burst overload the servers until they were
-// permanently several times slower. The limits of all agents together stay below that point.
+// The concurrency limits of all agents together stay below the load that makes a server permanently several
+// times slower. In simulation run case5409, limits that had grown under low load let a burst exceed it.
 func TestConcurrencyLimitsOfAllAgentsAreBounded(t *testing.T) {
 	for _, agents := range []int{1, 2, 8} {
 		set := testSettings()
@@ -125,8 +127,8 @@
 	}
 }
 
-// i452d3e: concurrency limits that grew before the baseline was known overloaded the servers, and the
-// latency under overload became the baseline.
+// No concurrency limit grows before the baseline is known. In simulation run i452d3e, limits that did so
+// overloaded the servers, and the latency under overload became the baseline.
 func TestNoConcurrencyLimitGrowsBeforeTheBaseline(t *testing.T) {
 	set := testSettings()
 	set.Replicas = 1 // with more agents, limits do not grow above the initial one
@@ -158,8 +160,8 @@
 	}
 }
 
-// With a price on crossing zones and low load, the local zone was given only half of what it could serve.
-// It gets more traffic while it is as fast as the others, and loses it when it is slower.
+// If crossing zones has a price, the local zone gets more traffic while it is as fast as the other zones, and
+// less when it is slower. Without this, it got only half of the traffic that it could serve under low load.
 func TestLocalZoneGetsMoreWhileItIsQuick(t *testing.T) {
 	set := testSettings()
 	set.Prices.CrossZone = 0.08
@@ -188,8 +190,8 @@
 	}
 }
 
-// i5db14f: machines whose speeds differed 2.5 times got equal shares, and the slow ones were overloaded. If
-// the list gives no weights, the latencies of a machine type determine them.
+// If the list gives no weights, they follow from the latencies of the machine types. In simulation run i5db14f,
+// machines whose speeds differed 2.5 times got equal shares, and the slow ones were overloaded.
 func TestSlowMachineKindGetsFewerRequests(t *testing.T) {
 	for _, weights := range []string{"off", "nominal"} {
 		set := testSettings()
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// Eighty agents that see rising latency have no more attempts in flight together than the servers may have,
-// however many requests arrive; and more once latency is back at the baseline.
+// However many requests arrive, eighty agents that see rising latency together have no more attempts in flight
+// than the servers may have. Once latency is back at the baseline, they may have more.
 func TestOverloadBoundsAttemptsOfLargeFleet(t *testing.T) {
 	const servers, burst = 60, 20
 	slow, healthy := 0, 0
@@ -71,8 +71,8 @@
 	return r.b.serversByAddr[s]
 }
 
-// An agent that sends to a server every few seconds probes it after a single response that took half the
-// target, and sends it nothing while it reports too many requests in flight.
+// An agent that sends to a server every few seconds probes the server after a single response that took half the
+// target, and sends nothing while the server reports too many requests in flight.
 func TestLateResponseStartsValidation(t *testing.T) {
 	for _, c := range []struct {
 		inflight float32
@@ -95,7 +95,7 @@
 	}
 }
 
-// A missing response has the same effect, before the request times out.
+// An agent probes a server when a response is missing after half the target, before the request times out.
 func TestMissingResponseStartsValidation(t *testing.T) {
 	r := newRig(t, largeFleetSettings(), 4)
 	_, s := r.mustSend(0, 7)
@@ -128,7 +128,7 @@
 	}
 }
 
-// A server found overloaded gets nothing until it can have recovered, however many requests arrive.
+// A server found overloaded gets nothing for as long as its recovery takes, however many requests arrive.
 func TestOverloadedServerGetsNothingWhileItRests(t *testing.T) {
 	r := newRig(t, largeFleetSettings(), 4)
 	srv := r.respondLate(200)
@@ -156,8 +156,8 @@
 	}
 }
 
-// An overloaded server stays slow until it has been idle. If it still reports a few requests in flight
-// after its ejection it is ejected again; if it reports hardly any it gets requests.
+// An overloaded server stays slow until it has been idle. After its ejection, it is ejected again if it still
+// reports a few requests in flight, and gets requests if it reports at most one.
 func TestOverloadedServerIsEjectedUntilItIsIdle(t *testing.T) {
 	r := newRig(t, largeFleetSettings(), 4)
 	srv := r.respondLate(200)
@@ -183,7 +183,7 @@
 	if srv.state != Connected {
 		t.Errorf("state %d once idle, want %d", srv.state, Connected)
 	}
-	srv = r.respondLate(200) // a healthy server may have a few in flight
+	srv = r.respondLate(200) // a healthy server may have a few requests in flight
 	report(maxServerConcurrency - 1)
 	if srv.state != Connected {
 		t.Errorf("state %d of a server with %v in flight, want %d", srv.state, maxServerConcurrency-1, Connected)
--- a/policy/pick_test.go
+++ b/policy/pick_test.go
@@ -13,8 +13,8 @@
 	}
 }
 
-// i8d4be0, ifafc7b: queued requests that wait for the servers of their key must not block others from
-// servers with capacity.
+// Queued requests that wait for the servers of their key must not keep other requests from servers with
+// capacity, as they did in the simulation runs i8d4be0 and ifafc7b.
 func TestWaitForAffinityBlocksNoOtherRequest(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
 	for range 30 {
@@ -34,10 +34,10 @@
 	}
 }
 
-// Crossing zones costs time and has a price: with many keys, the local zone gets more than its servers'
-// share of them, and still most other servers are used.
+// Crossing zones costs time and has a price: the local zone gets more than its servers' share of many keys, but
+// the servers of the other zone are used as well.
 func TestLocalZoneIsPreferredByKey(t *testing.T) {
-	r := newRig(t, testSettings(), 6) // alternating zones 0 and 1; this agent is in 0
+	r := newRig(t, testSettings(), 6) // servers alternate between zones 0 and 1; the agent is in zone 0
 	own, used, all := 0, map[Addr]bool{}, 600
 	for key := range uint64(all) {
 		id, s := r.mustSend(0, splitMix64(key+1))
@@ -52,15 +52,16 @@
 	}
 }
 
-// id753de: with many agents, each with one request in flight, a popular key put twenty times the mean load
-// on one server. With few agents the load cap is sufficient; a rare key is not split.
+// A popular key is split if there are many agents: in simulation run id753de, with one request of each agent in
+// flight, such a key put twenty times the mean load on one server. With few agents the load cap is sufficient, and
+// a rare key is not split.
 func TestPopularKeyIsSplitInLargeFleets(t *testing.T) {
 	for _, c := range []struct {
 		agents, every    int
 		minimum, maximum int
 	}{
 		{1000, 4, 5, 40},  // a quarter of the traffic, many agents: split
-		{2, 4, 1, 1},      // the same, two agents: the load cap is sufficient
+		{2, 4, 1, 1},      // a quarter of the traffic, two agents: the load cap is sufficient
 		{1000, 150, 1, 1}, // rare: one server keeps it warm
 	} {
 		set := testSettings()
@@ -86,9 +87,10 @@
 	}
 }
 
-// id753de: an agent with few requests sent to each of hundreds of servers once a minute. Instead it uses a
-// subset to which it sends often. Subsets differ between agents, so that each server gets its share; an
-// agent with many requests uses the whole fleet, and a failed server of the subset is replaced.
+// An agent with few requests uses a subset of the servers, to each of which it sends often. In simulation run
+// id753de, such an agent sent to each of hundreds of servers once a minute. Subsets differ between agents, so that each
+// server gets its share; a failed server of a subset is replaced. An agent with many requests uses the whole
+// fleet.
 func TestAgentsWithFewRequestsKeepToASubset(t *testing.T) {
 	for _, c := range []struct {
 		intervalMs       float64 // ms between requests
@@ -104,7 +106,7 @@
 			used := map[Addr]bool{}
 			for range 300 {
 				r.now += c.intervalMs
-				r.b.servers[0].stateSince = r.now // stays Unhealthy
+				r.b.servers[0].stateSince = r.now // keep the server Unhealthy
 				id, s := r.mustSend(0, r.b.rng.Uint64())
 				r.outcome(id, 0, s, OK, 3)
 				if used[s] = true; s == r.b.servers[0].addr {
@@ -168,7 +170,7 @@
 	}
 }
 
-// Found by fuzzing: a request with a key before the first list crashed the agent.
+// A request with a key that arrives before the first list must not crash the agent (found by fuzzing).
 func TestKeyedRequestBeforeTheFirstList(t *testing.T) {
 	b, err := New(testSettings(), 1)
 	if err != nil {
@@ -183,8 +185,7 @@
 	}
 }
 
-// When servers failed, non-idempotent requests were lost on pending servers that they were used to
-// validate.
+// Non-idempotent requests do not validate pending servers: if the server fails, the request is lost.
 func TestNonIdempotentRequestDoesNotValidateAServer(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	bad := r.b.serversByAddr[addr(0)]
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -62,7 +62,7 @@
 	for range 300 {
 		r.now += 10
 		count(r.handle(Event{Kind: EvTimer, Token: tickToken}))
-		for id := RequestID(1); id <= r.id; id++ { // end retries too
+		for id := RequestID(1); id <= r.id; id++ { // end the retries as well
 			if q := r.b.requests[id]; q != nil && q.openAttempts > 0 {
 				a := q.attempts[len(q.attempts)-1]
 				count(r.outcome(id, a.index, a.server.addr, Timeout, 10))
@@ -79,8 +79,8 @@
 	}
 }
 
-// The clock may start at any value, and a request may arrive with no time left: it is still answered once,
-// and ordinary requests are served as usual.
+// The clock may start at any value, and a request may arrive with no time left. Each such request is answered
+// once, and ordinary requests are served as usual.
 func TestAnyClockStartAndNoTimeLeft(t *testing.T) {
 	for _, start := range []float64{-1e7, 0, 1e13} {
 		b, err := New(testSettings(), 1)
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// simulation runs random clients, servers and lists against one Balancer and checks the rules on the
-// actions alone.
+// simulation runs random clients, servers and lists against one Balancer. It checks the rules of the contract by
+// the returned actions, without looking at the Balancer's state.
 type simulation struct {
 	t                *testing.T
 	rng              *rand.Rand
@@ -20,7 +20,7 @@
 	reqs             map[RequestID]*simulatedRequest
 	timers           []simulatedTimer
 	list             map[Addr]Entry
-	unavailableSince map[Addr]float64 // when the agent was notified of its drain or removal
+	unavailableSince map[Addr]float64 // when the agent was notified of a server's drain or removal
 	history          []Action
 }
 
@@ -125,7 +125,7 @@
 	}
 	for _, t := range r.attempts {
 		if !t.ended && !w.settings.Limits.ParallelAttempts {
-			w.t.Fatalf("request %d has two attempts in flight", a.Request)
+			w.t.Fatalf("request %d has two attempts in flight although parallel attempts are not allowed", a.Request)
 		}
 		if t.ended && t.status.NotExecuted() {
 			continue
@@ -134,7 +134,7 @@
 		switch {
 		case c.Effect == NonIdempotent:
 			w.t.Fatalf("request %d sent again although it may have been executed", a.Request)
-		case c.Effect == Deduplicated && (a.SendByMs <= 0 || w.now+a.SendByMs-t.sentAt > c.DedupWindowMs-150): // margin of 0.15 s, see STANDING
+		case c.Effect == Deduplicated && (a.SendByMs <= 0 || w.now+a.SendByMs-t.sentAt > c.DedupWindowMs-150): // 150 ms (STANDING): maxWriteDelayMs
 			w.t.Fatalf("request %d may arrive %.0f ms after it may have been executed", a.Request, w.now+a.SendByMs-t.sentAt)
 		case c.Effect == Deduplicated && w.now-t.sentAt > c.DedupWindowMs:
 			w.t.Fatalf("request %d sent again %.0f ms after it may have been executed", a.Request, w.now-t.sentAt)
--- a/policy/requests_test.go
+++ b/policy/requests_test.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// i7e1314: the class with the lowest credit was starved although the objective includes the worst class.
+// The worst class of the objective counts in the order of queued requests. In simulation run i7e1314, the class
+// with the lowest credit was starved.
 func TestWorstClassCountsAmongQueued(t *testing.T) {
 	set := testSettings()
 	set.Objective = Objective{Overall: 0.5, WorstClass: 0.5}
@@ -49,8 +50,8 @@
 	}
 }
 
-// i86bcad, i5db14f: each of many agents retried every rejected request elsewhere, and all together kept the
-// servers too full to serve any. Failures reduce what is sent.
+// Failures reduce the number of attempts that an agent sends. In the simulation runs i86bcad and i5db14f, each of
+// many agents retried every rejected request elsewhere, and all together kept the servers too full to serve any.
 func TestFailuresUseUpTheRetryBudget(t *testing.T) {
 	for _, st := range []Status{OK, Full} {
 		r := newRig(t, testSettings(), 20)
@@ -73,8 +74,8 @@
 	}
 }
 
-// Clients that cancel before the target say nothing about the servers: the retry budget stays available to
-// the others. Cancellations after the target use it up.
+// Cancellations by clients before the target say nothing about the servers and do not use up the retry budget.
+// Cancellations after the target do.
 func TestClientCancellationsKeepTheRetryBudget(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -112,8 +113,8 @@
 	}
 }
 
-// An agent with a limit on open requests immediately rejects queued requests beyond it, the least valuable
-// first, and never one that has been sent.
+// An agent immediately rejects queued requests beyond its limit on open requests, the least valuable first. It
+// never rejects a request that has been sent.
 func TestOpenCapRejectsAtOnce(t *testing.T) {
 	s := testSettings()
 	s.Limits.OpenCap = 4
--- a/policy/singleuse_test.go
+++ b/policy/singleuse_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Responses on connections that are closed right after them do not count as proof, as a second response
-// that arrives late cannot be observed. So the server still gets the cautious delay when its connections
-// are reused again.
+// Responses on single-use connections do not count as clean responses: as the connection is closed right after
+// the response, a second response that arrives late cannot be observed. So the server still gets the cautious
+// delay when its connections are reused again.
 func TestSingleUseProvesNothing(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	exchange := func() *Action {
--- a/policy/slowstart_budget_test.go
+++ b/policy/slowstart_budget_test.go
@@ -16,16 +16,15 @@
 	{"long", Contract{SlowStartFrom: 0.34, SlowStartMs: 9000, CrashLoadMultiple: 3, CrashWindowMs: 3000}},
 }
 
-// startServers starts the first n servers. Each agent is notified of each of them within the given time in
-// ms.
+// startServers starts the first n servers. Each agent is notified of each start within the given time in ms.
 func startServers(f *slowStartFleet, n int, within float64) {
 	for s := range n {
 		f.startServer(s, within)
 	}
 }
 
-// failBetween starts server 0, and has attempts to the matching servers end with a status between two
-// times, both in ms from now.
+// failBetween starts server 0, and makes attempts to the matching servers end with the status if they are sent
+// between two times, both in ms from now.
 func failBetween(f *slowStartFleet, from, to float64, status Status, matches func(a Addr) bool) {
 	f.startServer(0, 50)
 	from, to = f.now+from, f.now+to
@@ -37,7 +36,8 @@
 	}
 }
 
-// slowStartScenarios are what happens to a fleet: servers start, and then agents or servers fail.
+// slowStartScenarios are sequences of events in a fleet: servers start, and then agents or servers fail or the
+// load changes.
 var slowStartScenarios = []struct {
 	name  string
 	begin func(t *testing.T, f *slowStartFleet)
@@ -77,8 +77,9 @@
 	}},
 }
 
-// All agents together send a server in slow start no more than it can handle at any time: N calls, plus 2
-// root N + 2 for random variation. This holds even when one unbudgeted call per agent would exceed it.
+// All agents together never send a server in slow start more calls than it can handle in a crash window: N calls,
+// plus 2*sqrt(N) + 2 for random variation. This holds even when one call per agent without a budget would exceed
+// the limit.
 func TestFleetKeepsSlowStartBudgets(t *testing.T) {
 	for _, c := range slowStartContracts {
 		for _, agents := range []int{5, 20, 30} {
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -9,8 +9,8 @@
 )
 
 // slowStartFleet simulates many agents, each with its own Balancer, and servers of which one or more are in
-// slow start. Unlike the agents, it knows the capacity of such a server at any time, and counts what all of
-// them send to it.
+// slow start. Unlike the agents, it knows the capacity of each server in slow start at any time, and counts the
+// attempts that all agents send to it.
 type slowStartFleet struct {
 	rng            *rand.Rand
 	set            Settings
@@ -21,7 +21,7 @@
 	now            float64
 	sent           map[Addr][]fleetSend             // attempts to servers in slow start
 	serverCapacity float64                          // requests per ms that a warm server can serve
-	status         func(a Addr, now float64) Status // status of an attempt sent now
+	status         func(a Addr, now float64) Status // status of an attempt that is sent at the time now
 	nextID         RequestID
 }
 
@@ -29,13 +29,13 @@
 type fleetAgent struct {
 	b        *Balancer
 	rate     float64       // requests per ms
-	notified map[Addr]bool // servers of whose start it was notified
+	notified map[Addr]bool // servers of whose start the agent was notified
 }
 
 // fleetSend is an attempt sent to a server in slow start.
 type fleetSend struct {
 	at       float64
-	notified bool // the agent had been notified of the start
+	notified bool // whether the agent had been notified of the server's start
 }
 
 // fleetEvent is a scheduled function call, at a time in ms.
@@ -180,9 +180,10 @@
 	return min(f.set.Contract.SlowStartFrom+(1-f.set.Contract.SlowStartFrom)*age/f.set.Contract.SlowStartMs, 1)
 }
 
-// worstWindow returns how many calls beyond N a server in slow start got in its worst window, as a fraction
-// of the slack for random variation: above 1 the server is overloaded. A window is ignored if a third or
-// more of its calls came from agents that were not notified of the start.
+// worstWindow returns the number of calls beyond N, the calls that a server in slow start can handle in a crash
+// window, in the worst window of any server. It is a fraction of the slack for random variation, 2*sqrt(N) + 2:
+// above 1 the server is overloaded. A window is ignored if a third or more of its calls came from agents that
+// were not notified of the start.
 func (f *slowStartFleet) worstWindow() (worst float64, where string) {
 	c := f.set.Contract
 	for s, sends := range f.sent {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// i86bcad: attempts rejected by warm servers were counted as work done, and in a retry storm the agents
-// overloaded cold servers.
+// Attempts that warm servers reject are not counted as work done. In simulation run i86bcad such attempts were
+// counted, and in a retry storm the agents overloaded cold servers.
 func TestRejectedAttemptsRefillNoSlowStartBudget(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	r.handleList(ListChange, Entry{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now})
@@ -37,7 +37,8 @@
 	}
 }
 
-// i299663: 69 requests hinted at ten times the mean cost overloaded a cold server.
+// A request is charged to the slow-start budget by its cost hint. In simulation run i299663, 69 requests hinted at
+// ten times the mean cost overloaded a cold server.
 func TestSlowStartBudgetIsChargedByCost(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	r.b.meanCostHint = 50
@@ -49,8 +50,8 @@
 	}
 }
 
-// Many agents with few requests each refill a cold server's budget by a fraction of one request. Together
-// they send it as many as the fractions add up to: neither none nor one each.
+// Many agents with few requests each refill a cold server's budget by a fraction of one request. Together they
+// send as many requests as the fractions add up to, rather than none or one each.
 func TestManyAgentsShareASlowStartBudget(t *testing.T) {
 	got, agents, each := 0, 400, 20
 	for seed := range agents {
@@ -80,8 +81,8 @@
 	}
 }
 
-// When half of the servers are new, the agents of a large fleet together send a cold one between half and
-// all of what its slow-start capacity allows, relative to a warm one.
+// When half of the servers are new, the agents of a large fleet together send a cold server between half and all
+// of its slow-start share, relative to a warm server.
 func TestLargeFleetUsesServersInSlowStart(t *testing.T) {
 	set := largeFleetSettings()
 	set.Replicas, set.Contract.CrashLoadMultiple = 300, 4
@@ -115,7 +116,8 @@
 	}
 }
 
-// i5d0607: a zone failed and only cold servers were left.
+// Cold servers serve requests when all others have failed. In simulation run i5d0607, a zone failed and only cold
+// servers were left.
 func TestServersInSlowStartServeWhenOthersFailed(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	for range 200 {
@@ -133,17 +135,17 @@
 	}
 }
 
-// i958eff: servers that had been unreachable came back cold before the list showed the restart. Consecutive
-// connect failures of requests or probes over a long time indicate it. One or two failures, or several at
-// once, don't: a late connect is no restart, and each server wrongly taken for cold stood idle for its slow
-// start.
+// Consecutive connect failures of requests or probes over a long time indicate a restart. In simulation run
+// i958eff, servers that had been unreachable came back cold before the list showed the restart. One or two
+// failures, or several at once, indicate none: a server that is wrongly taken for cold because of a late connect
+// stays idle during its slow start.
 func TestReturnFromConnectFailuresStartsSlowStart(t *testing.T) {
 	crashWindow := testSettings().Contract.CrashWindowMs
 	for _, c := range []struct {
 		name   string
-		at     []float64 // when connects failed
+		at     []float64 // times of failed connects, in ms
 		probes bool
-		slow   bool // the server is in slow start afterwards
+		slow   bool // whether the server is in slow start afterwards
 	}{
 		{"consecutive for long", []float64{0, 600, crashWindow + 200}, false, true},
 		{"consecutive probes for long", []float64{0, 600, crashWindow + 200}, true, true},
@@ -180,8 +182,9 @@
 	}
 }
 
-// ifa5a01: when the fleet doubled, agents with few requests, each sending to a subset, refilled the new
-// servers' budgets by a share of the full fleet: the new servers idled while the old ones were overloaded.
+// An agent that sends to a subset refills the budgets of cold servers by shares of the subset. In simulation run
+// ifa5a01, when the fleet doubled, agents with few requests used shares of the full fleet: the new servers idled
+// while the old ones were overloaded.
 func TestSlowStartBudgetCountsTheSubset(t *testing.T) {
 	earned := func(keepalive float64) float64 {
 		set := testSettings()
--- a/policy/unconfirmed_test.go
+++ b/policy/unconfirmed_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-// Once part of a list has arrived, a server that it does not show as ready gets nothing after half of the
-// drain grace, until a complete list arrives. Servers that the part shows as ready still get requests; a
-// server that it shows as draining gets none from then on.
+// Once part of a list has arrived, servers that this part does not show as ready get nothing after half of the
+// drain grace, until a complete list arrives. Servers that the part shows as ready still get requests; a server
+// that it shows as draining gets no requests from then on.
 func TestUnconfirmedServersGetNoRequests(t *testing.T) {
 	entry := func(i int, h Health) Entry { return Entry{Server: Addr{byte(i)}, Health: h, Weight: 1} }
 	const grace = 500.0
 	for _, c := range []struct {
 		name    string
 		part    []Entry
-		then    func(r *rig) // 10 ms after the part
-		at      float64      // after the part, in ms
+		then    func(r *rig) // called 10 ms after the part arrived
+		at      float64      // time of the check after the part arrived, in ms
 		sendsTo []int
 	}{
 		{"before half the grace", nil, nil, grace/2 - 20, []int{1, 2, 3}},
@@ -51,8 +51,8 @@
 	}
 }
 
-// After half of the drain grace, attempts to unconfirmed servers that have not been written are withdrawn,
-// and the full list is fetched if the stalled call is still open.
+// After half of the drain grace, attempts to unconfirmed servers of which no byte has been written are
+// withdrawn, and the full list is fetched if the stalled call is still open.
 func TestAttemptsAtUnconfirmedServersAreWithdrawn(t *testing.T) {
 	for _, ended := range []bool{false, true} {
 		set := testSettings()
