--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -116,7 +116,8 @@
 	}
 }
 
-// endAttempt removes an ended attempt from those in flight.
+// endAttempt marks an attempt as ended and updates its request, its server and the counts of attempts in
+// flight.
 func (b *Balancer) endAttempt(a *attempt, status Status) {
 	r, s := a.request, a.server
 	a.done = true
@@ -147,7 +148,7 @@
 	}
 }
 
-// currentRetryDebt is the retry debt now; it decays with time.
+// currentRetryDebt is the retry debt at the current event, after its decay over time.
 func (b *Balancer) currentRetryDebt() float64 {
 	return b.retryDebt * math.Exp((b.retryDebtAt-b.now)/(retryBudgetWindow*b.minTarget))
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -6,8 +6,8 @@
 const (
 	// maxRecentEjections bounds recentEjections and thus the doubling of the ejection time.
 	maxRecentEjections = 5
-	// restartConnectFailures is how many consecutive connect failures suggest that a new process has
-	// started.
+	// restartConnectFailures is the number of consecutive connect failures that suggest that a new process
+	// has started.
 	restartConnectFailures = 3
 	// minProbes is the number of probes that may be in flight at once in a fleet of any size.
 	minProbes = 2
--- a/policy/pick_test.go
+++ b/policy/pick_test.go
@@ -38,8 +38,8 @@
 // the servers of the other zone are used as well.
 func TestLocalZoneIsPreferredByKey(t *testing.T) {
 	r := newRig(t, testSettings(), 6) // servers alternate between zones 0 and 1; the agent is in zone 0
-	own, used, all := 0, map[Addr]bool{}, 600
-	for key := range uint64(all) {
+	own, used, keyCount := 0, map[Addr]bool{}, 600
+	for key := range uint64(keyCount) {
 		id, s := r.mustSend(0, splitMix64(key+1))
 		r.outcome(id, 0, s, OK, 20)
 		used[s] = true
@@ -47,7 +47,7 @@
 			own++
 		}
 	}
-	if share := float64(own) / float64(all); share < 0.53 || share > 0.68 || len(used) != 6 {
+	if share := float64(own) / float64(keyCount); share < 0.53 || share > 0.68 || len(used) != 6 {
 		t.Errorf("the local zone got %.2f of the keys, over %d servers in total; want about 0.6 over 6", share, len(used))
 	}
 }
@@ -135,7 +135,7 @@
 		minimum float64 // fraction of the requests that stay in their zone
 		maximum float64
 	}{{1, 0.1, 1, 1}, {2, 0.1, 0.7, 1}, {6, 0.1, 0.6, 0.95}, {6, 0, 0.1, 0.4}} {
-		const agents, servers, each = 60, 120, 100
+		const agents, servers, requestsPerAgent = 60, 120, 100
 		own, all := 0, map[Addr]bool{}
 		for i := range agents {
 			set := largeFleetSettings()
@@ -152,7 +152,7 @@
 				zone[addr(s)] = s % c.zones
 			}
 			r.handleList(ListCached, entries...)
-			for range each {
+			for range requestsPerAgent {
 				r.now += 100
 				id, s := r.mustSend(0, b.rng.Uint64())
 				r.outcome(id, 0, s, OK, 20)
@@ -161,7 +161,7 @@
 				}
 			}
 		}
-		if share := float64(own) / agents / each; share < c.minimum || share > c.maximum {
+		if share := float64(own) / agents / requestsPerAgent; share < c.minimum || share > c.maximum {
 			t.Errorf("%d zones, price %v: %.2f of the requests stayed in their zone, want %v to %v", c.zones, c.price, share, c.minimum, c.maximum)
 		}
 		if len(all) < servers*9/10 {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -86,7 +86,7 @@
 	return b.actions
 }
 
-// emit appends an action to those of the current event.
+// emit appends an action to the actions of the current event.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
 // scheduleTick keeps one timer running while requests are queued or attempts are in flight.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -90,12 +90,12 @@
 		r := &rig{t: t, b: b, now: start}
 		b.Start(start, nil)
 		r.handleList(ListCached, Entry{Server: addr(0), Health: Ready, Weight: 1}, Entry{Server: addr(1), Health: Ready, Weight: 1})
-		for _, left := range []float64{0, -5, 600} {
+		for _, leftMs := range []float64{0, -5, 600} {
 			r.id++
-			finals, actions := 0, r.handle(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: 3, RemainingMs: left})
+			finals, actions := 0, r.handle(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: 3, RemainingMs: leftMs})
 			a := find(actions, ActSend)
-			if (a != nil) != (left > 0) {
-				t.Fatalf("clock %v, %v ms left: sent %v", start, left, a != nil)
+			if (a != nil) != (leftMs > 0) {
+				t.Fatalf("clock %v, %v ms left: sent %v", start, leftMs, a != nil)
 			}
 			if a != nil {
 				r.now += 20
@@ -111,7 +111,7 @@
 				actions = nil
 			}
 			if finals != 1 || r.b.requests[r.id] != nil {
-				t.Errorf("clock %v, %v ms left: %d final answers", start, left, finals)
+				t.Errorf("clock %v, %v ms left: %d final answers", start, leftMs, finals)
 			}
 		}
 	}
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -134,7 +134,7 @@
 		switch {
 		case c.Effect == NonIdempotent:
 			w.t.Fatalf("request %d sent again although it may have been executed", a.Request)
-		case c.Effect == Deduplicated && (a.SendByMs <= 0 || w.now+a.SendByMs-t.sentAt > c.DedupWindowMs-150): // 150 ms (STANDING): maxWriteDelayMs
+		case c.Effect == Deduplicated && (a.SendByMs <= 0 || w.now+a.SendByMs-t.sentAt > c.DedupWindowMs-150): // margin of 0.15 s: maxWriteDelayMs (STANDING)
 			w.t.Fatalf("request %d may arrive %.0f ms after it may have been executed", a.Request, w.now+a.SendByMs-t.sentAt)
 		case c.Effect == Deduplicated && w.now-t.sentAt > c.DedupWindowMs:
 			w.t.Fatalf("request %d sent again %.0f ms after it may have been executed", a.Request, w.now-t.sentAt)
@@ -218,11 +218,11 @@
 		w.step()
 		for i < 1200 && rng.IntN(3) == 0 {
 			w.next++
-			left := 20 + 800*rng.Float64()
+			leftMs := 20 + 800*rng.Float64()
 			class := rng.IntN(len(w.settings.Classes))
-			w.reqs[w.next] = &simulatedRequest{class: class, deadline: w.now + left}
+			w.reqs[w.next] = &simulatedRequest{class: class, deadline: w.now + leftMs}
 			w.handle(Event{Kind: EvRequest, Request: w.next, Class: class, Tenant: rng.IntN(2), Key: uint64(rng.IntN(30)),
-				RemainingMs: left, HasHint: rng.IntN(2) == 0, HintMs: 100 * rng.Float64(), Retry: rng.IntN(5) == 0})
+				RemainingMs: leftMs, HasHint: rng.IntN(2) == 0, HintMs: 100 * rng.Float64(), Retry: rng.IntN(5) == 0})
 		}
 		switch rng.IntN(40) {
 		case 0:
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -113,8 +113,8 @@
 	return v
 }
 
-// dispatch sends queued requests while there is capacity: the most valuable first, and among equal ones the
-// newest, since under overload the oldest would only finish late.
+// dispatch sends queued requests while there is capacity, the most valuable first. Among requests of equal
+// value the newest is first: under overload the oldest would only finish late.
 func (b *Balancer) dispatch() {
 	b.sortQueue()
 	// Requests that wait for the first servers in their key's order are skipped. There is no capacity left
@@ -142,7 +142,7 @@
 	}
 }
 
-// sortQueue orders the queued requests by value, newest first among equals.
+// sortQueue sorts the queued requests by descending value, and requests of equal value by age, newest first.
 func (b *Balancer) sortQueue() {
 	for _, r := range b.queued {
 		r.value = b.value(r)
@@ -163,8 +163,8 @@
 
 // withinRetryBudget reports whether the retry budget allows another attempt. As in adaptive throttling,
 // failed and late attempts reduce what is sent, first attempts included. This is needed as the concurrency
-// limits do not bound a thousand agents with one or two requests in flight each: every rejected attempt went
-// on to the next server, until requests were sent nine times (simulation run i86bcad).
+// limits of servers do not hold back a thousand agents with one or two requests in flight each: every
+// rejected attempt went on to the next server, until requests were sent nine times (simulation run i86bcad).
 func (b *Balancer) withinRetryBudget() bool { return b.currentRetryDebt() < retryBudgetBurst }
 
 // expireQueued ends queued requests that can no longer earn credit, before they cost server work.
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,8 +6,8 @@
 func TestSlowStartBudget(t *testing.T) {
 	r := newRig(t, testSettings(), 5)
 	r.handleList(ListChange, Entry{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now - 10})
-	received, all := 0, 2000
-	for range all {
+	received, requests := 0, 2000
+	for range requests {
 		r.now++
 		id, s := r.mustSend(0, uint64(r.b.rng.Int64()))
 		if s == addr(4) {
@@ -15,9 +15,9 @@
 		}
 		r.outcome(id, 0, s, OK, 20)
 	}
-	even := float64(all) / 4
+	even := float64(requests) / 4
 	if limit := even * 0.36 * 0.5 * 1.2; float64(received) > limit || received == 0 {
-		t.Errorf("a cold server received %d of %d sends; want some, and at most %.0f", received, all, limit)
+		t.Errorf("a cold server received %d of %d sends; want some, and at most %.0f", received, requests, limit)
 	}
 }
 
@@ -53,7 +53,7 @@
 // Many agents with few requests each refill a cold server's budget by a fraction of one request. Together they
 // send as many requests as the fractions add up to, rather than none or one each.
 func TestManyAgentsShareASlowStartBudget(t *testing.T) {
-	got, agents, each := 0, 400, 20
+	got, agents, requestsPerAgent := 0, 400, 20
 	for seed := range agents {
 		b, err := New(testSettings(), uint64(seed))
 		if err != nil {
@@ -66,7 +66,7 @@
 		}
 		entries[0].StartedMs = r.now
 		r.handleList(ListFull, entries...)
-		for range each {
+		for range requestsPerAgent {
 			id, s := r.mustSend(0, b.rng.Uint64())
 			if s == addr(0) {
 				got++
@@ -75,7 +75,7 @@
 		}
 	}
 	c := testSettings().Contract
-	share := float64(agents*each) / 9 * c.SlowStartFrom * c.CrashLoadMultiple / slowStartMargin
+	share := float64(agents*requestsPerAgent) / 9 * c.SlowStartFrom * c.CrashLoadMultiple / slowStartMargin
 	if float64(got) > share*1.3 || float64(got) < share*0.2 {
 		t.Errorf("%d agents sent a cold server %d requests, want up to about %.0f", agents, got, share)
 	}
@@ -86,7 +86,7 @@
 func TestLargeFleetUsesServersInSlowStart(t *testing.T) {
 	set := largeFleetSettings()
 	set.Replicas, set.Contract.CrashLoadMultiple = 300, 4
-	const servers, each = 24, 200
+	const servers, requestsPerAgent = 24, 200
 	sends, capacity := [2]float64{}, 0.0 // to warm and to cold servers
 	for i := range set.Replicas {
 		set.Index = i
@@ -94,7 +94,7 @@
 		for s := range servers / 2 {
 			r.handleList(ListChange, Entry{Server: addr(servers/2 + s), Health: Ready, Weight: 1, StartedMs: r.now - set.Contract.SlowStartMs/4})
 		}
-		for range each {
+		for range requestsPerAgent {
 			r.now += 10
 			id, actions := r.request(0, 0)
 			if a := find(actions, ActSend); a != nil {
--- a/policy/state.go
+++ b/policy/state.go
@@ -55,7 +55,7 @@
 	score            float64 // sort key in the hash order of the current pick's request; lowest first
 }
 
-// attempt is one attempt of a request.
+// attempt is one send of a request to a server.
 type attempt struct {
 	request      *request
 	server       *server
@@ -67,12 +67,12 @@
 	done         bool
 }
 
-// request is one try of a client, kept until it is answered and none of its attempts is in flight.
+// request is one try of a client. It is kept until it is answered and has no attempt in flight.
 type request struct {
 	id             RequestID
 	class          int
 	tenant         int
-	key            uint64 // 0: none
+	key            uint64 // affinity key; 0: no key
 	hash           uint64 // determines the order of servers for the request
 	costHint       float64
 	firstArrivedAt float64 // when the client's first try arrived, if known; else arrivedAt
@@ -126,8 +126,7 @@
 	firstArrivedAt float64
 }
 
-// machineKind is what the agent has learned of one machine type: the mean latency as a fraction of the
-// target, and the resulting weight.
+// machineKind holds the mean latency of one machine type, as a fraction of the target, and the resulting weight.
 type machineKind struct{ latency, weight float64 }
 
 // linearFit is a linear regression in which newer points count more.
@@ -173,9 +172,9 @@
 	// Attempts.
 	inFlight          int
 	lastSentAt        float64 // when the last attempt was sent
-	retryDebt         float64 // ended attempts beyond those the budget allows, as of retryDebtAt
+	retryDebt         float64 // ended attempts in excess of the retry budget, as of retryDebtAt
 	retryDebtAt       float64
-	capacityExhausted bool // requests that would accept any server found none with capacity
+	capacityExhausted bool // whether a request that would accept any server found no server with capacity
 
 	// Values of requests.
 	tenantShare  []float64 // share of the requests, by tenant
@@ -307,7 +306,7 @@
 	return min(w*(1+weightStep), maxWeight)
 }
 
-// sanitize makes an input safe for arithmetic: NaN and negative values become 0, and infinite and huge ones
+// sanitize makes an input safe for arithmetic: NaN and negative values become 0, and infinite and huge values
 // are capped so that sums and squares stay finite.
 func sanitize(x float64) float64 {
 	if !(x > 0) {
--- a/policy/types.go
+++ b/policy/types.go
@@ -28,12 +28,11 @@
 	Unhealthy                     // ejected
 )
 
-// Health is a server's lifecycle state as discovery lists it. Its values are those of the simulator's wire
-// protocol.
+// Health is a server's lifecycle state as discovery lists it.
 type Health uint8
 
-// The values of Health. Their numbers 0, 1 and 2 are fixed by the wire protocol. Discovery's texts call Gone
-// "gone".
+// The values of Health. Their numbers 0, 1 and 2 are fixed by the simulator's wire protocol. In discovery's
+// texts, Gone is "gone".
 const (
 	Draining Health = iota // the server finishes its requests and must not get new ones
 	Ready
@@ -82,7 +81,7 @@
 // NotExecuted reports whether the status proves that the server did not execute the attempt.
 func (s Status) NotExecuted() bool { return s == Full || s == ConnectFailed || s == Withdrawn }
 
-// EventKind tells what an Event reports, and thus which of its fields are set.
+// EventKind is the kind of an Event. It determines which fields are set.
 type EventKind uint8
 
 // The kinds of events, with the fields that are set.
@@ -104,8 +103,8 @@
 	Request     RequestID
 	Class       int
 	Tenant      int
-	Key         uint64 // 0: none
-	RemainingMs float64
+	Key         uint64  // affinity key; 0: no key
+	RemainingMs float64 // time until the client's deadline
 	HintMs      float64 // expected work, valid if HasHint
 	HasHint     bool
 	Retry       bool // marked as a retry by the client
@@ -122,7 +121,7 @@
 	Token       uint32
 }
 
-// ActionKind tells what an Action requests, and thus which of its fields are set.
+// ActionKind is the kind of an Action. It determines which fields are set.
 type ActionKind uint8
 
 // The kinds of actions, with the fields that are set.
--- a/policy/unconfirmed.go
+++ b/policy/unconfirmed.go
@@ -9,8 +9,8 @@
 	// unconfirmedGraceShare is the fraction of the contract's drain grace after which unconfirmed servers
 	// get no new attempts. The rest allows for delays between the decision to send and the write.
 	unconfirmedGraceShare = 0.5
-	// maxUnconfirmedMs bounds, in ms, how long unconfirmed servers get nothing: an unreachable discovery
-	// must not stop the agent permanently.
+	// maxUnconfirmedMs is the longest time in ms for which unconfirmed servers get nothing: an unreachable
+	// discovery must not stop the agent permanently.
 	maxUnconfirmedMs = 10000.0
 )
 
