--- a/internal/lab/check/answer.go
+++ b/internal/lab/check/answer.go
@@ -53,9 +53,9 @@
 func (c *Checker) RecordAnswer(r *Request, answer Answer) Outcome {
 	r.mu.Lock()
 	if answer.Outcome <= Failed {
-		r.answered = answer.At
+		r.answeredAt = answer.At
 	}
-	r.finished = max(answer.At, 1) // 0 would mean that it has not finished
+	r.finishedAt = max(answer.At, 1) // 0 would mean that it has not finished
 	attempts := r.summarizeAttempts()
 	fromServer := c.isServerBody(r, answer.Body)
 	r.mu.Unlock()
--- a/internal/lab/check/attempts.go
+++ b/internal/lab/check/attempts.go
@@ -66,7 +66,7 @@
 	r.mu.Lock()
 	earlier := r.summarizeAttempts()
 	a.Index = earlier.count
-	answered := r.answered
+	answered := r.answeredAt
 	r.attempts = append(r.attempts, a)
 	r.mu.Unlock()
 
--- a/internal/lab/check/history.go
+++ b/internal/lab/check/history.go
@@ -22,10 +22,10 @@
 	PlannedAt      time.Duration // when it was due to be sent
 	Deadline       time.Duration // when its client gives up
 
-	mu       sync.Mutex
-	attempts []*Attempt
-	answered time.Duration // when the final answer was complete; 0: not yet
-	finished time.Duration // when the client received the answer or gave up; 0: not yet
+	mu         sync.Mutex
+	attempts   []*Attempt
+	answeredAt time.Duration // when the final answer was complete; 0: not yet
+	finishedAt time.Duration // when the client received the answer or gave up; 0: not yet
 }
 
 // Attempts returns how many attempts arrived at servers, and how many of them may have been
@@ -105,5 +105,5 @@
 func (r *Request) finishedBefore(at time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.finished > 0 && r.finished < at
+	return r.finishedAt > 0 && r.finishedAt < at
 }
--- a/internal/lab/check/notifications.go
+++ b/internal/lab/check/notifications.go
@@ -57,11 +57,11 @@
 	if since := view.servers[server].drainingSince; since > 0 {
 		return since, true
 	}
-	state, available := c.discoveredState(view, server, now)
-	if state.health == "" || state.health == endpoints.Ready || available < notificationBound {
+	state, availableTime := c.discoveredState(view, server, now)
+	if state.health == "" || state.health == endpoints.Ready || availableTime < notificationBound {
 		return 0, false
 	}
-	return now - (available - notificationBound), true
+	return now - (availableTime - notificationBound), true
 }
 
 // StartNotified reports whether the agent counts as notified of the start of a server at
@@ -73,8 +73,8 @@
 	if notice := &view.servers[server]; notice.known && notice.startedMs >= startedMs {
 		return true
 	}
-	state, available := c.discoveredState(view, server, c.clock())
-	return state.health != "" && state.startedMs >= startedMs && available >= notificationBound
+	state, availableTime := c.discoveredState(view, server, c.clock())
+	return state.health != "" && state.startedMs >= startedMs && availableTime >= notificationBound
 }
 
 // discoveredState returns the state of a server as discovery knows it, and for how long discovery has been
@@ -87,12 +87,12 @@
 	if state.health == "" {
 		return state, 0
 	}
-	service := c.discovery.serviceTime(now)
+	serviceTime := c.discovery.serviceTime(now)
 	cut := view.cutDuration
 	if view.isCut {
-		cut += service - view.cutSince
+		cut += serviceTime - view.cutSince
 	}
-	return state, service - max(state.since, view.startedAt) - cut
+	return state, serviceTime - max(state.since, view.startedAt) - cut
 }
 
 // serviceTime returns for how long discovery has been up in total. The caller holds the lock.
@@ -139,12 +139,12 @@
 	view := &c.views[agent]
 	view.Lock()
 	defer view.Unlock()
-	service := c.serviceTime()
+	serviceTime := c.serviceTime()
 	if view.isCut && !cut {
-		view.cutDuration += service - view.cutSince
+		view.cutDuration += serviceTime - view.cutSince
 	}
 	if view.isCut != cut {
-		view.isCut, view.cutSince = cut, service
+		view.isCut, view.cutSince = cut, serviceTime
 	}
 }
 
--- a/internal/lab/experiment/agents.go
+++ b/internal/lab/experiment/agents.go
@@ -225,16 +225,16 @@
 )
 
 // restartAgent restarts an agent gracefully: it sends SIGTERM, lets the client continue to send for a
-// short delay, waits for the exit and starts the agent again. draw, in [0, 1), determines the delay. An
+// short delay, waits for the exit and starts the agent again. delayFraction, in [0, 1), determines the delay. An
 // agent that does not exit in time is killed, which is a breach.
-func (fl *fleet) restartAgent(ctx context.Context, a *agentProcess, draw float64) error {
+func (fl *fleet) restartAgent(ctx context.Context, a *agentProcess, delayFraction float64) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err := a.process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	ended := a.process.Ended()
-	if !sleep(ctx, time.Duration((minClientLeaveDelay+clientLeaveJitter*draw)*float64(time.Second))) {
+	if !sleep(ctx, time.Duration((minClientLeaveDelay+clientLeaveJitter*delayFraction)*float64(time.Second))) {
 		return ctx.Err()
 	}
 	fl.clients[a.index].StopSending()
--- a/internal/lab/experiment/faults.go
+++ b/internal/lab/experiment/faults.go
@@ -35,9 +35,9 @@
 	return draws
 }
 
-// applyFaultToServer injects a fault into one server, waits for its duration and ends it. offset, in
+// applyFaultToServer injects a fault into one server, waits for its duration and ends it. phase, in
 // [0, 1), is the phase of a periodic fault within its interval.
-func (fl *fleet) applyFaultToServer(ctx context.Context, f *Fault, srv *server.Server, offset float64) error {
+func (fl *fleet) applyFaultToServer(ctx context.Context, f *Fault, srv *server.Server, phase float64) error {
 	switch f.Kind {
 	case faultKill:
 		srv.Kill()
@@ -71,7 +71,7 @@
 			srv.SetSlowdown(1)
 		}
 	case faultNeighbour:
-		fl.runNeighbour(ctx, f, srv, offset)
+		fl.runNeighbour(ctx, f, srv, phase)
 	default:
 		srv.SetFaults(responseFaults(f))
 		fl.waitDuration(ctx, f)
@@ -141,9 +141,9 @@
 }
 
 // runNeighbour emulates another process that takes a part of the server's machine until the fault ends:
-// continuously or, with an interval, alternately on and off for one interval each. offset, in [0, 1), is
+// continuously or, with an interval, alternately on and off for one interval each. phase, in [0, 1), is
 // the part of the interval that passes before the first time.
-func (fl *fleet) runNeighbour(ctx context.Context, f *Fault, srv *server.Server, offset float64) {
+func (fl *fleet) runNeighbour(ctx context.Context, f *Fault, srv *server.Server, phase float64) {
 	defer srv.SetNeighbourShare(0)
 	if f.Interval <= 0 {
 		srv.SetNeighbourShare(f.Size)
@@ -159,7 +159,7 @@
 		ctx, cancel = context.WithTimeout(ctx, f.Duration)
 		defer cancel()
 	}
-	for wait := time.Duration(offset * float64(f.Interval)); sleep(ctx, wait); wait = f.Interval {
+	for wait := time.Duration(phase * float64(f.Interval)); sleep(ctx, wait); wait = f.Interval {
 		srv.SetNeighbourShare(f.Size)
 		if !sleep(ctx, f.Interval) {
 			return
--- a/internal/lab/experiment/samples.go
+++ b/internal/lab/experiment/samples.go
@@ -35,11 +35,11 @@
 // makes the checker drop requests that ended long ago.
 func (fl *fleet) collectSamples(ctx context.Context, loadStart time.Duration) []sample {
 	var samples []sample
-	swept := time.Duration(0)
+	sweptAt := time.Duration(0)
 	for {
 		samples = append(samples, fl.takeSample(loadStart))
-		if fl.clock()-swept > sweepInterval {
-			swept = fl.clock()
+		if fl.clock()-sweptAt > sweepInterval {
+			sweptAt = fl.clock()
 			fl.checker.Sweep()
 		}
 		if !sleep(ctx, sampleInterval) {
--- a/internal/lab/golden/golden.go
+++ b/internal/lab/golden/golden.go
@@ -19,11 +19,11 @@
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// folder is the directory of the golden files, relative to that of the package under test.
-const folder = "testdata"
+// testdataDir is the directory of the golden files, relative to that of the package under test.
+const testdataDir = "testdata"
 
 // Path returns the path of a golden file, relative to the directory of the package under test.
-func Path(name string) string { return filepath.Join(folder, name) }
+func Path(name string) string { return filepath.Join(testdataDir, name) }
 
 // Check fails the test if got differs from the golden file, or if there is no such file. With
 // -update it writes the file.
@@ -44,7 +44,7 @@
 // write replaces a golden file.
 func write(t testing.TB, name string, text []byte) {
 	t.Helper()
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+	if err := os.MkdirAll(testdataDir, 0o755); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(Path(name), text, 0o644); err != nil {
--- a/internal/lab/hollow/agent.go
+++ b/internal/lab/hollow/agent.go
@@ -44,12 +44,12 @@
 	}
 }
 
-// policySettings returns the settings of a real agent that determine when it requests the list. fleet is
+// policySettings returns the settings of a real agent that determine when it requests the list. fleetSize is
 // the number of agents.
-func policySettings(fleet int) policy.Settings {
+func policySettings(fleetSize int) policy.Settings {
 	return policy.Settings{
 		Membership: "on_request",
-		Replicas:   fleet,
+		Replicas:   fleetSize,
 		RoundMs:    5,
 		WeightBy:   "request",
 		Weights:    "nominal",
--- a/internal/lab/hollow/changeage.go
+++ b/internal/lab/hollow/changeage.go
@@ -25,12 +25,12 @@
 
 // ageFromWeight returns how long ago a weight was sent. ok is false if the weight does not encode a time.
 func ageFromWeight(weight float64, now time.Time) (age time.Duration, ok bool) {
-	sent := int64(math.Round((weight - baseWeight) / weightUnit))
-	if sent <= 0 || sent >= weightWindow {
+	sentMs := int64(math.Round((weight - baseWeight) / weightUnit))
+	if sentMs <= 0 || sentMs >= weightWindow {
 		return 0, false
 	}
-	elapsed := (now.UnixMilli()%weightWindow - sent + weightWindow) % weightWindow
-	return time.Duration(elapsed) * time.Millisecond, true
+	elapsedMs := (now.UnixMilli()%weightWindow - sentMs + weightWindow) % weightWindow
+	return time.Duration(elapsedMs) * time.Millisecond, true
 }
 
 // changeAges returns the ages of the changes between a server's entry before and after an update. A server
--- a/internal/lab/hollow/changes.go
+++ b/internal/lab/hollow/changes.go
@@ -62,9 +62,9 @@
 		}
 		index := order[turn%len(order)]
 		turn++
-		restarts := random.Float64()*total < rates.RestartsPerSecond
+		isRestart := random.Float64()*total < rates.RestartsPerSecond
 		running.Go(func() {
-			if restarts {
+			if isRestart {
 				p.restart(ctx, index)
 				return
 			}
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -143,8 +143,8 @@
 }
 
 // durationLine returns a line of a fault's table that sets a key to a duration.
-func durationLine(name string, value time.Duration) string {
-	return fmt.Sprintf("%s = %q", name, value)
+func durationLine(key string, value time.Duration) string {
+	return fmt.Sprintf("%s = %q", key, value)
 }
 
 // signalSeries are the series of signals that can be sent to an agent.
@@ -170,14 +170,14 @@
 		case 3:
 			g.add("descriptors", target, at, durationLine("for", g.randomMillis(30, 250)))
 		default:
-			from := signalSeries
+			series := signalSeries
 			if g.controlPlaneServers > 0 {
-				from = terminationSeries
+				series = terminationSeries
 			}
 			if g.chance(idleClientsProbability) {
 				g.add("flood", target, at-g.randomMillis(100, 800), durationLine("for", g.randomMillis(1000, 5000)), fmt.Sprintf("size = %d.0", g.maxSockets))
 			}
-			g.add("signals", target, at, durationLine("every", g.randomMillis(0, 400)), "signals = "+pick(g.rng, from...))
+			g.add("signals", target, at, durationLine("every", g.randomMillis(0, 400)), "signals = "+pick(g.rng, series...))
 			if g.chance(hangProbability) {
 				g.drawHangingServers(at)
 			}
