--- a/internal/lab/check/answer.go
+++ b/internal/lab/check/answer.go
@@ -11,7 +11,7 @@
 // Outcome is the result of a request for its client.
 type Outcome uint8
 
-// The outcomes. Those up to Failed are answers.
+// The outcomes. Up to Failed, an answer was received.
 const (
 	Served         Outcome = iota // 200 with the body of a server
 	Rejected                      // 429 or 503
@@ -22,6 +22,7 @@
 	Void                          // the lab prevented the agent from answering, or killed it and its client
 )
 
+// outcomeNames holds the names of the outcomes in reports, which are a stable format.
 var outcomeNames = [...]string{"served", "refused", "failed", "unanswered", "unreachable", "left", "void"}
 
 // String returns the name of the outcome in reports.
@@ -47,9 +48,11 @@
 }
 
 // RecordAnswer records the outcome of a request for its client, and checks that the request was answered
-// once, in time and with the body of a server, and that it was not rejected after an execution that its
-// client must not repeat. It returns the outcome to be counted. For a request without an answer, that is
-// Void or Failed if the lab caused the failure, or if the client can tell that it got no answer.
+// once, in time and with the body of a server. A request that may have been executed must not be rejected
+// unless its client may safely repeat it.
+//
+// RecordAnswer returns the outcome to be counted. For a request without an answer, this is Void if the lab
+// prevented the agent from answering, and Failed if the client can tell that it got no answer.
 func (c *Checker) RecordAnswer(r *Request, answer Answer) Outcome {
 	r.mu.Lock()
 	if answer.Outcome <= Failed {
@@ -88,8 +91,8 @@
 	return false
 }
 
-// checkAnswered checks that a request was not lost. It returns the outcome to be counted, which differs
-// from the answer's if no rule applies because the lab caused the failure or the client can detect it.
+// checkAnswered checks that a request was not lost. It returns the outcome to be counted. This differs from
+// answer.Outcome if a missing answer breaks no rule, because the lab caused it or the client can detect it.
 func (c *Checker) checkAnswered(r *Request, answer Answer, attempts attemptSummary, fromServer bool) Outcome {
 	limit := r.Deadline + millis(c.settings.Contract.AnswerSlackMs) + timingSlack
 	agentStopped := c.wasStopped(r.Agent, r.PlannedAt, answer.At)
@@ -125,8 +128,8 @@
 	return Unanswered
 }
 
-// mayRejectAfterExecution reports whether a request of the class may be rejected after it may have been
-// executed, because a retry by its client is harmless at any server.
+// mayRejectAfterExecution reports whether an agent may reject a request of the class that a server may have
+// executed. It may if the client can safely retry the request at any server.
 func mayRejectAfterExecution(class *policy.Class) bool {
 	return class.Effect == policy.Idempotent || class.Effect == policy.Deduplicated && class.Group == policy.GroupAll
 }
--- a/internal/lab/check/attempts.go
+++ b/internal/lab/check/attempts.go
@@ -10,7 +10,7 @@
 type Attempt struct {
 	Request     *Request
 	Server      int
-	Index       int // among the attempts of its request, in order of arrival
+	Index       int // position among the attempts of the request, in order of arrival; from 0
 	FirstByteAt time.Duration
 	LastByteAt  time.Duration
 	state       attemptState // guarded by the request's mutex
@@ -19,9 +19,9 @@
 type attemptState uint8
 
 const (
-	inFlight attemptState = iota // the server has received it and its connection is open
-	rejected                     // the server rejected it without executing it
-	finished                     // answered, aborted or reset: it may have been executed
+	inFlight attemptState = iota // the server has received the attempt, and the connection is open
+	rejected                     // the server rejected the attempt without executing it
+	finished                     // answered, aborted or reset: the server may have executed the attempt
 )
 
 // MarkRejected records that the server rejected the attempt without executing it.
@@ -59,8 +59,8 @@
 }
 
 // RecordAttempt records that a complete request arrived at a server, before the server handles it, and
-// checks whether the agent was allowed to send it. notDelayed reports that no link of the lab can have
-// delayed it.
+// checks whether the agent was allowed to send it. notDelayed means that no link of the lab can have delayed
+// the request.
 func (c *Checker) RecordAttempt(r *Request, server int, firstByteAt, lastByteAt time.Duration, notDelayed bool) *Attempt {
 	a := &Attempt{Request: r, Server: server, FirstByteAt: firstByteAt, LastByteAt: lastByteAt}
 	r.mu.Lock()
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -2,13 +2,14 @@
 // them against the rules. It takes no input from the agents, so that their own reports do not influence
 // the result.
 //
-// For a rule that depends on an agent's knowledge of a server, a change counts as known once discovery
-// has written it to the agent, or has been able to do so for notificationBound.
+// Some rules depend on an agent's knowledge of a server. An agent counts as notified of a change of the
+// server once discovery has written the change to the agent. If discovery has not written it, the agent
+// counts as notified after notificationBound of time in which discovery was able to write it.
 //
-// The package starts no goroutines; clients, servers and discovery call it from theirs. Each lock
-// guards the struct that it is in, and a request's lock also guards its attempts. The lock of a view is
-// taken before that of the discovery state, and the lock of a history shard before that of a request; no
-// other two locks are held together.
+// The package starts no goroutines; clients, servers and discovery call it from their own. Each lock
+// guards the struct that contains it, and a request's lock also guards the attempts of the request. An
+// agentView is locked before the discoveryState, and a historyShard before a Request. No other two locks
+// are held together.
 package check
 
 import (
@@ -20,10 +21,10 @@
 	"knotrouter/policy"
 )
 
-// Clock returns the time since the experiment began. All parties of the lab share one.
+// Clock returns the time since the experiment began. All parts of the lab share one clock.
 type Clock func() time.Duration
 
-// The rules, as reports name them.
+// The rules. The values name them in reports and are part of the report format.
 const (
 	RuleLost        = "lost request"
 	RuleDuplicate   = "duplicated effect"
@@ -45,7 +46,8 @@
 	slowStartKnownShare = 2.0 / 3
 )
 
-// noIndex replaces the index of an agent or a server in a breach that does not concern one.
+// noIndex stands for the agent in a breach that concerns no agent, and for the server in a breach that
+// concerns no server.
 const noIndex = -1
 
 // Breach is one violation of a rule.
@@ -75,9 +77,9 @@
 
 	mu           sync.Mutex
 	breaches     []Breach
-	breachCounts map[string]int // number of all breaches, by rule
+	breachCounts map[string]int // number of breaches by rule, including those without details
 
-	views     []agentView // by agent
+	views     []agentView // views by agent index
 	discovery discoveryState
 }
 
@@ -125,7 +127,7 @@
 	c.recordBreach(rule, nil, agent, noIndex, "%s", text)
 }
 
-// Breaches returns the first breaches with their details, and the number of all breaches by rule.
+// Breaches returns the first maxBreaches breaches with their details, and the number of all breaches by rule.
 func (c *Checker) Breaches() ([]Breach, map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -282,7 +282,7 @@
 	{"an ID that no client sent", RuleUnknown, func(e *checkerTest) { e.ReportUnknown(e.Lookup("nobody"), "nobody", 0, "it came") }},
 }
 
-// The checker reports exactly the rule that each case breaks, and none for a case that breaks none.
+// For each case, the checker reports the rule that the case breaks and no other rule.
 func TestRulesAreChecked(t *testing.T) {
 	for group, cases := range map[string][]ruleCase{"answers": answerCases, "attempts": attemptCases, "drain": drainCases, "other": otherCases} {
 		for _, c := range cases {
@@ -291,8 +291,8 @@
 	}
 }
 
-// An agent counts as notified of a start once the start was written to it, or after six seconds in which
-// discovery could have done so. A later start needs a separate notification.
+// An agent counts as notified of a server's start once discovery has written the start to it, or after six
+// seconds in which discovery was able to do so. A later start of the server needs a separate notification.
 func TestStartCountsAsNotified(t *testing.T) {
 	e := newCheckerTest()
 	e.RecordDiscovery(0, "ready", 100)
@@ -308,7 +308,7 @@
 	}
 }
 
-// Requests that finished long ago are dropped, requests in progress never.
+// Requests that finished long ago are dropped. Requests in progress are never dropped.
 func TestFinishedRequestsAreDropped(t *testing.T) {
 	e := newCheckerTest()
 	done, open := e.addRequest(idempotent), e.addRequest(idempotent)
@@ -323,8 +323,8 @@
 	}
 }
 
-// For any sequence of discovery outages and of cuts by the lab, a drain counts as notified after six seconds
-// in which discovery could have notified the agent, and not before.
+// For any sequence of discovery outages and of cuts by the lab, an agent counts as notified of a drain after
+// six seconds in which discovery was able to notify it, and not before.
 func TestDrainCountsAfterServiceTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := newCheckerTest()
--- a/internal/lab/check/history.go
+++ b/internal/lab/check/history.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Request is a request that a client sent to an agent, and its attempts at servers. A client's retry is
-// another Request.
+// Request is a request that a client sent to an agent, with the attempts that the agent sent to servers. A
+// retry by the client is a Request of its own.
 type Request struct {
 	ID             string
 	Agent          int
@@ -19,13 +19,13 @@
 	IdempotencyKey string
 	Body           string
 	Work           float64       // standard-core milliseconds
-	PlannedAt      time.Duration // when it was due to be sent
-	Deadline       time.Duration // when its client gives up
+	PlannedAt      time.Duration // time at which the client was due to send the request
+	Deadline       time.Duration // time at which the client gives up
 
 	mu         sync.Mutex
 	attempts   []*Attempt
-	answeredAt time.Duration // when the final answer was complete; 0: not yet
-	finishedAt time.Duration // when the client received the answer or gave up; 0: not yet
+	answeredAt time.Duration // time at which the final answer was complete; 0: not yet
+	finishedAt time.Duration // time at which the client received the answer or gave up; 0: not yet
 }
 
 // Attempts returns how many attempts arrived at servers, and how many of them may have been
--- a/internal/lab/check/notifications.go
+++ b/internal/lab/check/notifications.go
@@ -7,42 +7,42 @@
 	"knotrouter/internal/endpoints"
 )
 
-// notificationBound is the service time of discovery after which an agent counts as notified of a change,
-// even if discovery has not written the change to the agent.
+// notificationBound is the time for which discovery must have been able to notify an agent of a change until
+// the agent counts as notified, even if discovery has not written the change to the agent.
 const notificationBound = 6 * time.Second
 
-// discoveryState holds the state of each server as discovery knows it, and the times in which discovery was
-// able to notify agents. Its service time is the time that it was up.
+// discoveryState holds the state of each server as discovery knows it, and the outages of discovery. Service
+// time is the total time that discovery was up so far; it stands still during an outage.
 type discoveryState struct {
 	sync.Mutex
 	downTime  time.Duration // total time of the past outages
-	downSince time.Duration // start of the current outage; 0: it is up
+	downSince time.Duration // start of the current outage; 0: discovery is up
 	servers   []serverState // by server
 }
 
 // serverState is the state of a server as discovery knows it.
 type serverState struct {
-	health    string // "": not known yet
+	health    string // health of the server; "": not known yet
 	startedMs int64
-	since     time.Duration // when discovery learned the health and the start time, in service time
+	since     time.Duration // service time at which discovery learned the health and the start time
 }
 
-// agentView holds the notifications that an agent received, and the times in which the lab prevented it
-// from being notified or from running.
+// agentView holds the notifications that an agent received, and the times in which the lab cut it off from
+// discovery or prevented it from running.
 type agentView struct {
 	sync.Mutex
-	startedAt    time.Duration  // when its process started, in service time
-	cutDuration  time.Duration  // service time of the past cuts
-	cutSince     time.Duration  // start of the current cut, in service time
+	startedAt    time.Duration  // service time at which the agent's process started
+	cutDuration  time.Duration  // total service time of the past cuts
+	cutSince     time.Duration  // service time at which the current cut began
 	isCut        bool           // the lab cuts the agent off from discovery
 	servers      []serverNotice // by server
-	stoppedSpans []timeSpan     // in which the lab prevented the agent from running
+	stoppedSpans []timeSpan     // times in which the lab prevented the agent from running
 }
 
 // serverNotice is the state of a server as the agent was notified of it.
 type serverNotice struct {
 	drainingSince time.Duration // when the agent learned that the server accepts no new requests; 0: the server accepts them
-	startedMs     int64         // the latest start that the agent knows of
+	startedMs     int64         // latest start of the server that the agent knows of, in Unix milliseconds
 	known         bool          // the agent was notified of the server
 }
 
@@ -78,8 +78,8 @@
 }
 
 // discoveredState returns the state of a server as discovery knows it, and for how long discovery has been
-// able to notify the agent of it: the time in which discovery was up and the lab did not cut the agent
-// off. The caller holds the view's lock.
+// able to notify the agent of this state. This counts only time in which discovery was up and the lab did
+// not cut the agent off from it. The caller holds the view's lock.
 func (c *Checker) discoveredState(view *agentView, server int, now time.Duration) (serverState, time.Duration) {
 	c.discovery.Lock()
 	defer c.discovery.Unlock()
@@ -120,7 +120,7 @@
 	c.discovery.servers[server] = serverState{health: health, startedMs: startedMs, since: c.discovery.serviceTime(now)}
 }
 
-// SetDiscoveryUp records that discovery goes down or comes up.
+// SetDiscoveryUp records the beginning (up is false) or the end of an outage of discovery.
 func (c *Checker) SetDiscoveryUp(up bool) {
 	now := c.clock()
 	c.discovery.Lock()
@@ -200,8 +200,8 @@
 	view.stoppedSpans = append(view.stoppedSpans, span)
 }
 
-// wasStopped reports whether the lab prevented the agent from running at any time between from and to.
-// Faults of such an agent are not breaches.
+// wasStopped reports whether the lab prevented the agent from running at any time between from and to. In
+// that case, violations that a stopped agent can't avoid are not breaches.
 func (c *Checker) wasStopped(agent int, from, to time.Duration) bool {
 	view := &c.views[agent]
 	view.Lock()
--- a/internal/lab/check/operations.go
+++ b/internal/lab/check/operations.go
@@ -17,13 +17,13 @@
 	Task    string        `json:"duty"`
 	Process string        `json:"process"`
 	Fence   int64         `json:"fence"`
-	Mono    time.Duration `json:"mono"` // the machine's monotonic clock when the process last verified that its lease was valid
+	Mono    time.Duration `json:"mono"` // machine's monotonic clock when the process last verified that its lease was valid
 }
 
 const (
-	maxTasks          = 10_000  // recorded by an OperationLog
-	maxTerms          = 200_000 // recorded by an OperationLog, over all tasks
-	maxOperationBytes = 4 << 10 // of an operation encoded as JSON
+	maxTasks          = 10_000  // highest number of tasks in an OperationLog
+	maxTerms          = 200_000 // highest number of terms in an OperationLog, over all tasks
+	maxOperationBytes = 4 << 10 // highest size of an operation encoded as JSON
 )
 
 // Errors returned by OperationLog.Record.
@@ -55,7 +55,7 @@
 // term is the time from the first to the last operation under one fencing token.
 type term struct {
 	process      string
-	otherProcess string // another process that used the same token; "": none
+	otherProcess string // a second process that used the term's token; "": none
 	first, last  time.Duration
 }
 
@@ -114,11 +114,11 @@
 // Analysis summarizes the accepted operations of all tasks.
 type Analysis struct {
 	Violations   []string        // overlapping terms, and tokens used by two processes
-	Terms        int             // of all tasks
+	Terms        int             // number of terms, over all tasks
 	Rejected     int             // operations rejected for their fencing token
-	Idle         time.Duration   // from each term's last operation to the next one's first, over all tasks
-	Total        time.Duration   // from the first operation to the last, over all tasks
-	HandoverGaps []time.Duration // their sum is Idle; negative where terms overlap
+	Idle         time.Duration   // sum of HandoverGaps
+	Total        time.Duration   // time from the first to the last operation of a task, summed over all tasks
+	HandoverGaps []time.Duration // time from a term's last operation to the next term's first; negative if the terms overlap
 }
 
 // Analyze analyzes the operations accepted so far.
--- a/internal/lab/configfile/configfile.go
+++ b/internal/lab/configfile/configfile.go
@@ -1,6 +1,5 @@
-// Package configfile reads the lab's configuration files: TOML text into structs whose fields have
-// koanf tags. Each error is a single line that names the
-// key at fault.
+// Package configfile reads the lab's configuration files, which are TOML texts, into structs whose fields have
+// koanf tags. Each error for a key is a single line that names the key.
 package configfile
 
 import (
@@ -42,10 +41,11 @@
 	return file.Raw(), nil
 }
 
-// Decode writes parsed values over the struct that result points to. A list takes its
-// length from the file; a field that one of its entries leaves out keeps the value of the struct's
-// entry with the same index. A map is merged into the struct's. An error is a single line that names
-// the key; it is a *KeyError for a key that the struct doesn't have.
+// Decode writes parsed values over the struct that result points to. Values that the file leaves out keep
+// their value in the struct. A list gets the length that it has in the file; a field that is missing from a
+// list entry keeps the value from the struct's entry with the same index. A map is merged into the map of the
+// struct. An error is a single line that names the key; it is a *KeyError for a key that the struct doesn't
+// have.
 func Decode(raw map[string]any, result any) error {
 	return decode(raw, result, false)
 }
--- a/internal/lab/discovery/discovery.go
+++ b/internal/lab/discovery/discovery.go
@@ -1,9 +1,9 @@
-// Package discovery emulates the platform's discovery service, which lists the servers for the agents.
-// It implements the service's protocol: full lists, and watches of changes.
+// Package discovery emulates the discovery service of the platform that hosts the agents. The service lists
+// the servers for the agents, and the package implements its protocol: full lists, and watches of changes.
 //
-// Like the platform's own service, it learns of changes with a delay (Config), handles a limited number
-// of calls at the same time, fails calls that would wait too long, and can have outages. Each agent
-// reaches it at its own address, which can change.
+// Like a real discovery service, the emulated one learns of changes with a delay (Config), handles a limited
+// number of calls at the same time, fails calls that would wait too long, and can have outages. Each agent
+// reaches the service at an address of the agent's own, which can change.
 //
 // The methods of Service are safe for concurrent use. Service.mu guards the list and the agents'
 // listeners; each call and watch runs in a goroutine of net/http. The callbacks of Env, apart from
@@ -33,17 +33,17 @@
 	RemovalDelay        []time.Duration `koanf:"notice"`        // from a server's end or drain to the change of the list
 	SilentRemovalDelay  []time.Duration `koanf:"silent_notice"` // from a machine's isolation to the change of the list
 	StartDelay          []time.Duration `koanf:"add"`           // from a server's start to the change of the list
-	BatchInterval       time.Duration   `koanf:"period"`        // changes within it are sent in one line of a watch
+	BatchInterval       time.Duration   `koanf:"period"`        // interval in which changes are combined into one line of a watch
 	ServiceTime         time.Duration   `koanf:"call"`          // base service time of a call
 	ServiceTimePerEntry time.Duration   `koanf:"line"`          // additional service time per entry of the response
-	QueueTimeout        time.Duration   `koanf:"timeout"`       // a call that would wait longer fails; 0: no timeout
+	QueueTimeout        time.Duration   `koanf:"timeout"`       // longest wait in the queue; longer calls fail; 0: no timeout
 	MaxConcurrentCalls  int             `koanf:"capacity"`
 }
 
 const (
 	// firstRevision is the revision of the first list. It is not 0, as if the service had run before.
 	firstRevision = 41
-	// delayDrawStream selects the stream of the random source from which the delays are drawn.
+	// delayDrawStream is the stream number of the random source from which the delays are drawn.
 	delayDrawStream = 7
 )
 
@@ -86,7 +86,7 @@
 	available      bool             // false during an outage
 	list           serverList
 	changed        chan struct{} // closed at the next change of the list
-	latestReport   map[int]int   // by server: number of its latest health report, from 1
+	latestReport   map[int]int   // by server: number of the latest health report, from 1
 	rng            *rand.Rand
 }
 
--- a/internal/lab/discovery/discovery_test.go
+++ b/internal/lab/discovery/discovery_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// An outage ends watches and refuses calls; after it the address is the same as before.
+// An outage ends watches and refuses calls. After the outage the service has the same address as before.
 func TestOutageEndsWatchesAndRefusesCalls(t *testing.T) {
 	ts := newTestService(t, Config{})
 	lists := ts.watch(0, firstRevision)
@@ -155,8 +155,8 @@
 	}
 }
 
-// After a move the previous address refuses new connections, and its open connections are closed later.
-// An outage before the move makes sure that reopened listeners can move too.
+// After a move the previous address refuses new connections, and its open connections are closed later. The
+// test begins with an outage, so that the moved listener is one that was reopened.
 func TestMoveGivesAnAgentANewAddress(t *testing.T) {
 	ts := newTestService(t, Config{})
 	ts.StartOutage()
--- a/internal/lab/discovery/serverlist.go
+++ b/internal/lab/discovery/serverlist.go
@@ -17,16 +17,16 @@
 	MachineType string
 	Cell        int
 	Weight      float64
-	Health      string // as in the endpoint list; "": the server is not listed
-	StartedMs   int64  // Unix milliseconds; 0: counts as started long ago
+	Health      string // health in the endpoint list; "": the server is not listed
+	StartedMs   int64  // start time in Unix milliseconds; 0: started long ago
 }
 
 // serverList holds the servers and the latest changes of the list.
 type serverList struct {
 	revision int64
-	entries  []Entry        // by server index
+	entries  []Entry        // entries by server index
 	servers  map[string]int // server indexes by name; immutable
-	history  []change       // oldest first
+	history  []change       // latest changes, oldest first
 }
 
 // change is the change of one server that created a revision of the list.
--- a/internal/lab/experiment/agents.go
+++ b/internal/lab/experiment/agents.go
@@ -21,10 +21,10 @@
 type agentProcess struct {
 	index             int
 	process           *process.Process
-	address           string // where it accepts requests
+	address           string // address at which the agent accepts requests
 	configPath        string
-	discoveryAddr     string     // its discovery address: the emulated list service, or one control-plane server
-	controlPlaneAddrs []string   // the control-plane servers in its configuration; if empty, it uses discoveryAddr
+	discoveryAddr     string     // address in the configuration of the emulated list service or one control-plane server
+	controlPlaneAddrs []string   // control-plane servers in the configuration; if empty, the agent uses discoveryAddr
 	mu                sync.Mutex // held during a restart, to serialize faults of one agent
 }
 
@@ -84,8 +84,8 @@
 // errNoProgram is the error for a command that is not an executable file.
 var errNoProgram = errors.New("no program there; build it first")
 
-// findProgram returns the absolute path of the program that a key of the file names. Its error, also
-// that for a missing executable, names the key.
+// findProgram returns the absolute path of a program. key is the key of the experiment file that sets the
+// command; every error names it, including the one for a missing executable.
 func findProgram(key, command string) (string, error) {
 	path, err := filepath.Abs(command)
 	if err != nil {
@@ -97,8 +97,8 @@
 	return path, nil
 }
 
-// writeAgentConfig replaces an agent's configuration file. If the agent is about to start with it, as
-// starting says, the checker is notified of the endpoint list in it.
+// writeAgentConfig replaces an agent's configuration file. starting means that the agent is about to start
+// with the new file; the checker is then notified of the endpoint list in the file.
 func (fl *fleet) writeAgentConfig(agent *agentProcess, starting bool) error {
 	settings, err := fl.config.AgentSettings(agent.index)
 	if err != nil {
@@ -132,8 +132,9 @@
 	return nil
 }
 
-// initialList returns the endpoint list for an agent's configuration: an empty one, or the current list
-// of the control plane or, if that does not answer, of the emulated list service.
+// initialList returns the endpoint list for an agent's configuration. The list is empty unless the
+// experiment sets agents.known to "now"; then it is the current list of the control plane or, without an
+// answer from a control plane, that of the emulated list service.
 func (fl *fleet) initialList(agent *agentProcess) endpoints.List {
 	if fl.config.Agents.InitialList != "now" {
 		return endpoints.List{Seq: 0, Full: true, Endpoints: []endpoints.Endpoint{}}
@@ -181,8 +182,8 @@
 	return nil
 }
 
-// processExited records the exit of a process. An unexpected exit is a breach, and the client of an
-// agent that crashed is killed with it.
+// processExited records the exit of a process and reports an unexpected exit as a breach. If an agent
+// crashed, its client is killed as well.
 func (fl *fleet) processExited(p *process.Process, err error, expected bool) {
 	i := slices.IndexFunc(fl.agents, func(a *agentProcess) bool { return a.process == p })
 	if fl.isClosing() {
@@ -215,7 +216,7 @@
 }
 
 const (
-	// minClientLeaveDelay and clientLeaveJitter bound how long clients continue to send after SIGTERM.
+	// Clients continue to send for minClientLeaveDelay plus up to clientLeaveJitter after SIGTERM.
 	minClientLeaveDelay = 0.2 // seconds
 	clientLeaveJitter   = 0.2 // seconds
 	// A graceful shutdown may take the longest request duration, but at least minShutdownTimeout, plus
@@ -225,8 +226,9 @@
 )
 
 // restartAgent restarts an agent gracefully: it sends SIGTERM, lets the client continue to send for a
-// short delay, waits for the exit and starts the agent again. delayFraction, in [0, 1), determines the delay. An
-// agent that does not exit in time is killed, which is a breach.
+// short delay, waits for the exit and starts the agent again. The delay is minClientLeaveDelay plus
+// delayFraction, in [0, 1), of clientLeaveJitter. An agent that does not exit in time is killed, and a
+// breach is reported.
 func (fl *fleet) restartAgent(ctx context.Context, a *agentProcess, delayFraction float64) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -252,9 +254,9 @@
 	return fl.startAgent(ctx, a)
 }
 
-// reloadAgent changes an agent's source of discovery and makes the agent reload its configuration: the
-// emulated list service moves to another address, or the set of configured control-plane servers
-// changes.
+// reloadAgent changes an agent's discovery source and makes the agent reload its configuration. With a
+// control plane, the set of configured control-plane servers changes; otherwise the emulated list service
+// moves to another address.
 func (fl *fleet) reloadAgent(a *agentProcess) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -264,7 +266,7 @@
 	return a.process.Signal(syscall.SIGHUP)
 }
 
-// moveDiscovery changes an agent's source of discovery and updates the agent's configuration file. The
+// moveDiscovery changes an agent's discovery source and updates the agent's configuration file. The
 // caller holds a.mu.
 func (fl *fleet) moveDiscovery(a *agentProcess) error {
 	if fl.controlPlane != nil {
--- a/internal/lab/experiment/clients.go
+++ b/internal/lab/experiment/clients.go
@@ -13,8 +13,8 @@
 	Requests, InTime, Late, Rejected, Failed int
 }
 
-// clientWaitSlack is how much longer than the agents' answer slack a client waits for an answer, so that
-// the checker sees answers that are too late.
+// clientWaitSlack is added to the agents' answer slack to determine how long after its deadline a client
+// still waits for an answer. Without it, the checker would not see answers that are too late.
 const clientWaitSlack = 60 * time.Millisecond
 
 // addClients creates a client for each agent or, in the fleet of a baseline, for each agent that the
@@ -37,7 +37,8 @@
 	return nil
 }
 
-// newSender returns the sender of a client, which sends to the agent or runs the fleet's baseline policy.
+// newSender returns the sender of a client: one that sends to the agent or, in the fleet of a baseline, one
+// that runs the baseline policy.
 func (fl *fleet) newSender(agent int) (client.Sender, error) {
 	if fl.policy == "" {
 		return &client.AgentSender{Addr: fl.agents[agent].address, Clock: fl.clock}, nil
--- a/internal/lab/experiment/config.go
+++ b/internal/lab/experiment/config.go
@@ -24,8 +24,8 @@
 	Description  string           `koanf:"about"`
 	Seed         uint64           `koanf:"seed"`
 	Duration     time.Duration    `koanf:"duration"`
-	Warmup       time.Duration    `koanf:"warmup"`   // time at the start that is not measured
-	MaxLateness  time.Duration    `koanf:"lateness"` // limit of the p99 delay with which the lab sends requests
+	Warmup       time.Duration    `koanf:"warmup"`   // initial time that is not measured
+	MaxLateness  time.Duration    `koanf:"lateness"` // highest allowed p99 delay with which the lab sends requests
 	Zones        []string         `koanf:"zones"`
 	Baselines    []string         `koanf:"baselines"`
 	Listen       string           `koanf:"listen"` // HTTP address that serves the progress of the run; "": none
@@ -49,13 +49,13 @@
 	Cores       float64  `koanf:"cores"`
 	MemoryMB    float64  `koanf:"memory_mb"`
 	Sockets     int      `koanf:"sockets"`
-	InitialList string   `koanf:"known"` // the endpoint list in their configuration: "now" or "empty"
+	InitialList string   `koanf:"known"` // endpoint list in the agents' configuration: "now" (the current list) or "empty"
 }
 
 // Servers describes the emulated servers.
 type Servers struct {
 	Count        int           `koanf:"count"`
-	CellSize     int           `koanf:"cell"` // servers in each cell
+	CellSize     int           `koanf:"cell"` // number of servers in each cell
 	Version      string        `koanf:"version"`
 	MachineTypes []MachineType `koanf:"kind"`
 }
@@ -63,8 +63,8 @@
 // MachineType is a type of machine that emulated servers are drawn from.
 type MachineType struct {
 	Name        string                  `koanf:"name"`
-	Share       float64                 `koanf:"share"`  // of the servers
-	Weight      float64                 `koanf:"weight"` // as listed; 0: cores times speed
+	Share       float64                 `koanf:"share"`  // relative share of the servers that have this type
+	Weight      float64                 `koanf:"weight"` // weight in the endpoint list; 0: cores times speed
 	SpeedCV     float64                 `koanf:"speed_cv"`
 	Noise       float64                 `koanf:"noise"`
 	ErrorRate   float64                 `koanf:"error_rate"`
@@ -99,9 +99,9 @@
 	Count    int           `koanf:"count"` // 0: the emulated list service lists the servers
 	Command  string        `koanf:"command"`
 	LeaseTTL time.Duration `koanf:"lease_ttl"`
-	Watches  int           `koanf:"watches"` // of the lab itself, besides the agents', to measure the propagation of changes; at least one per server
-	// AgentAccess says which control-plane servers an agent is configured with: "all" of them, or "one",
-	// which is then its discovery address.
+	Watches  int           `koanf:"watches"` // number of watches by which the lab measures the propagation of changes; at least one per server
+	// AgentAccess determines the control-plane servers in an agent's configuration: "all" of them, or "one",
+	// whose address is then the agent's discovery address.
 	AgentAccess string `koanf:"agents"`
 	Gossip      bool   `koanf:"gossip"`   // the members exchange their views by gossip
 	Evidence    bool   `koanf:"evidence"` // peers are asked for evidence before a registration expires
@@ -123,13 +123,13 @@
 	Name       string        `koanf:"name"`
 	Kind       string        `koanf:"kind"`
 	Target     string        `koanf:"target"`
-	To         string        `koanf:"to"` // the far end of a link
+	To         string        `koanf:"to"` // far end of a link; the target is the near end
 	At         time.Duration `koanf:"at"`
-	AfterEvent string        `koanf:"after"` // the event that starts the fault, instead of At
-	EventDelay time.Duration `koanf:"wait"`  // from the event to the fault
-	Delay      time.Duration `koanf:"delay"` // of a link
-	Duration   time.Duration `koanf:"for"`   // 0: to the end of the run
-	Direction  string        `koanf:"way"`   // of a link: "forward", "back" or "both"
+	AfterEvent string        `koanf:"after"` // name of the event that starts the fault, instead of At
+	EventDelay time.Duration `koanf:"wait"`  // time from the event to the fault
+	Delay      time.Duration `koanf:"delay"` // added delay of a link, or downtime of a replaced server
+	Duration   time.Duration `koanf:"for"`   // duration of the fault; 0: to the end of the run
+	Direction  string        `koanf:"way"`   // affected direction of a link: "forward", "back" or "both"
 	Size       float64       `koanf:"size"`
 	Share      float64       `koanf:"share"`
 	Class      string        `koanf:"class"`
@@ -138,7 +138,7 @@
 	Jitter     time.Duration `koanf:"jitter"`
 	Version    string        `koanf:"version"`
 	Signals    []string      `koanf:"signals"` // for faultSignals, in order; each is "hup", "term" or "kill"
-	Window     time.Duration `koanf:"window"`  // length of its measured window; 0: as long as the fault
+	Window     time.Duration `koanf:"window"`  // length of the fault's measured window; 0: as long as the fault
 }
 
 // Describe returns a short description of a fault: its kind, target and duration.
--- a/internal/lab/experiment/controlplane.go
+++ b/internal/lab/experiment/controlplane.go
@@ -35,31 +35,31 @@
 type controlPlane struct {
 	fleet      *fleet
 	processes  []*process.Process
-	addresses  []string // HTTP, by control-plane server
+	addresses  []string // HTTP addresses, by control-plane server
 	client     *control.Client
 	ctx        context.Context
 	cancel     context.CancelFunc
 	background sync.WaitGroup
 
-	views    []watchView                  // by control-plane server
-	notified []map[int]endpoints.Endpoint // by agent and server: the last state that was reported to the checker
+	views    []watchView                  // latest state received on a watch, by control-plane server
+	notified []map[int]endpoints.Endpoint // last state that was reported to the checker, by agent and server
 	links    map[linkKey][]controllableLink
 	// faultyLinks are the links that a fault of the timeline applies to.
 	faultyLinks map[linkKey]bool
 
 	mu             sync.Mutex
-	registered     map[int]bool            // by server: whether it is up, so that its registration is renewed
-	muted          map[int]bool            // by server: whether its renewals are suppressed
-	sentAt         map[int64]time.Duration // by list version: when the change was sent
+	registered     map[int]bool            // by server: whether the server is up, so that its registration is renewed
+	muted          map[int]bool            // by server: whether the renewals are suppressed
+	sentAt         map[int64]time.Duration // by list version: time at which the change was sent
 	propagation    *hdrhistogram.Histogram // delays from sending a change until a watch received it, in µs
-	lastWatchDelay map[int64]time.Duration // by list version: delay until the last watch received it
+	lastWatchDelay map[int64]time.Duration // by list version: delay until the last watch had received the change
 }
 
 // watchView is the state that one control-plane server has sent to the lab's watch.
 type watchView struct {
 	up        bool
 	lastUpAt  time.Duration
-	endpoints map[int]endpoints.Endpoint // by server
+	endpoints map[int]endpoints.Endpoint // listed servers, by server index
 }
 
 // newControlPlane prepares the control-plane servers: addresses, links, configuration files
@@ -251,8 +251,9 @@
 	return err
 }
 
-// serverChanged registers a server again in the background after a change of its health. A removed
-// server does not, because it can't report its own failure: the control plane has to detect that.
+// serverChanged registers a server again in the background after a change of its health. A removed server
+// is not registered, because a failed server can't report its own failure: the control plane has to detect
+// the failure.
 func (cp *controlPlane) serverChanged(srv *server.Server, health string) {
 	cp.mu.Lock()
 	cp.registered[srv.Index] = health != endpoints.Removed
@@ -271,8 +272,8 @@
 	}()
 }
 
-// renewLeases renews the registrations of all servers that are up until the control plane is closed.
-// Like a host, it renews them all in one request.
+// renewLeases renews the registrations of all servers that are up until the control plane is closed. One
+// request renews all of them, as a host does for its servers.
 func (cp *controlPlane) renewLeases() {
 	for sleep(cp.ctx, cp.fleet.config.ControlPlane.LeaseTTL/renewalsPerLease) {
 		var refs []catalog.InstanceRef
--- a/internal/lab/experiment/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// descriptorAlarmPercent is the percentage of the descriptor limit from which a run counts as out of
-// descriptors.
+// descriptorAlarmPercent is the percentage of the lab's descriptor limit at or above which a run counts as
+// out of descriptors.
 const descriptorAlarmPercent = 95
 
 // evaluate checks the run against the rules and the expectations of its file. It fills in Violations,
--- a/internal/lab/experiment/events.go
+++ b/internal/lab/experiment/events.go
@@ -12,7 +12,7 @@
 // use.
 type eventLog struct {
 	mu    sync.Mutex
-	seen  map[string]chan struct{} // by name; closed at the first event of that name
+	seen  map[string]chan struct{} // channels by event name, each closed at the first event of its name
 	log   []event
 	clock check.Clock
 }
@@ -23,7 +23,8 @@
 	Name string
 }
 
-// maxRecordedEvents bounds the log. Later events are not recorded, but still start waiting faults.
+// maxRecordedEvents bounds the number of recorded events. Further events are not recorded, but still start
+// the faults that wait for them.
 const maxRecordedEvents = 20_000
 
 func newEventLog(clock check.Clock) *eventLog {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -79,7 +79,8 @@
 	return s
 }
 
-// The checker reports the rule that an agent breaks and no other rule, and no breach for an honest agent.
+// For an agent that breaks one rule, the checker reports this rule and no other. For an agent that breaks
+// none, it reports no breach.
 func TestCheckerSeesEachRuleBroken(t *testing.T) {
 	exe, err := os.Executable()
 	if err != nil {
@@ -121,7 +122,8 @@
 	}
 }
 
-// If two overlapping faults both start a server again, the second finds it running, and that is no error.
+// Two overlapping faults may both start the same server again. The second start finds the server running and
+// must not report an error.
 func TestOverlappingFaultsOfAServer(t *testing.T) {
 	exe, err := os.Executable()
 	if err != nil {
--- a/internal/lab/experiment/faults.go
+++ b/internal/lab/experiment/faults.go
@@ -140,9 +140,9 @@
 	return server.Faults{}
 }
 
-// runNeighbour emulates another process that takes a part of the server's machine until the fault ends:
-// continuously or, with an interval, alternately on and off for one interval each. phase, in [0, 1), is
-// the part of the interval that passes before the first time.
+// runNeighbour emulates another process that takes a part of the server's machine until the fault ends.
+// Without an interval, the process runs continuously; with one, it alternates between running and pausing
+// for one interval each. phase, in [0, 1), is the fraction of the interval before the process first runs.
 func (fl *fleet) runNeighbour(ctx context.Context, f *Fault, srv *server.Server, phase float64) {
 	defer srv.SetNeighbourShare(0)
 	if f.Interval <= 0 {
@@ -193,8 +193,8 @@
 	})
 }
 
-// applyIrregularFault injects a fault into an agent that consists of signals, irregular client connections
-// or a lack of descriptors.
+// applyIrregularFault injects a fault into an agent: a series of signals, irregular client connections or a
+// lack of descriptors.
 func (fl *fleet) applyIrregularFault(ctx context.Context, f *Fault, agent *agentProcess, rng *rand.Rand) error {
 	switch f.Kind {
 	case faultSignals:
@@ -318,7 +318,7 @@
 		shape.Rate = f.Size
 	case faultReset:
 		shape.ResetAfter = int64(f.Size)
-	case faultLoss: // of datagrams; a stream is delayed by its retransmissions instead
+	case faultLoss: // drops datagrams; a stream is delayed by retransmissions instead
 		shape.LossProbability, shape.Delay, shape.Jitter = f.Size, f.Delay, f.Jitter
 	}
 	if f.Direction != directionBack {
@@ -340,8 +340,8 @@
 	return forEachTarget(ctx, indexes, 0, func(i int) error { return do(links[i]) })
 }
 
-// notifyCheckerOfDiscoveryCut notifies the checker which agents a fault cuts off from discovery, or that
-// they are reconnected.
+// notifyCheckerOfDiscoveryCut notifies the checker of the agents that a fault cuts off from discovery or,
+// if cut is false, of the agents that are reconnected.
 func (fl *fleet) notifyCheckerOfDiscoveryCut(keys []linkKey, f *Fault, cut bool) {
 	if f.Kind != faultCut && f.Kind != faultRefuse {
 		return
--- a/internal/lab/experiment/fleet.go
+++ b/internal/lab/experiment/fleet.go
@@ -19,7 +19,7 @@
 // agentsFleetName is the name of the fleet with the agents under test.
 const agentsFleetName = "agents"
 
-// serverDrawStream selects the random stream from which the servers are drawn.
+// serverDrawStream is the stream number of the random source from which the servers are drawn.
 const serverDrawStream = 21
 
 // fleet is a set of emulated servers with its own discovery and clients. The first fleet of a
@@ -34,7 +34,7 @@
 	clients      []*client.Client // by agent
 	senders      []client.Sender  // by agent
 	agents       []*agentProcess  // empty in the fleet of a baseline
-	controlPlane *controlPlane    // nil if the emulated list service lists the servers
+	controlPlane *controlPlane    // nil if the emulated list service lists the servers instead
 	workers      *workers         // nil without leased tasks
 	links        map[linkKey]*link.Link
 	supervisor   *process.Supervisor // nil in the fleet of a baseline
@@ -54,7 +54,7 @@
 	seed      uint64
 	addresses *loopback.AddressBlock
 	clock     check.Clock
-	epoch     time.Time // when the clock was 0
+	epoch     time.Time // time at which the clock was 0
 }
 
 // newFleet builds a fleet. Its servers, discovery and links are listening when it returns, but no process
@@ -191,9 +191,9 @@
 	return types
 }
 
-// serverChanged reports a server's new health to the control plane or to discovery, which list it with
-// their own delay, and applies it to the links at once. isolated means that the server's machine no
-// longer answers while its connections stay open.
+// serverChanged reports a server's new health to the control plane or to the emulated list service, and
+// applies it to the links. The endpoint list changes after a delay, but the links change at once. isolated
+// means that the server's machine no longer answers while its connections stay open.
 func (fl *fleet) serverChanged(srv *server.Server, health string, isolated bool) {
 	fl.events.record("server " + srv.Name + " " + health)
 	if fl.discovery == nil {
--- a/internal/lab/experiment/irregular.go
+++ b/internal/lab/experiment/irregular.go
@@ -15,7 +15,7 @@
 	"knotrouter/internal/lab/client"
 )
 
-// The signals of a series, as experiment files name them.
+// The signals of a series. The values are fixed by the format of experiment files.
 const (
 	signalReload    = "hup"
 	signalTerminate = "term"
@@ -25,27 +25,28 @@
 var signalNames = []string{signalReload, signalTerminate, signalKill}
 
 const (
-	// The earliest SIGKILL comes killDelay after the longest deadline, counted from SIGTERM. Deadlines
-	// longer than maxCountedDeadline count as maxCountedDeadline.
+	// A terminated agent that has not exited gets SIGKILL. The time from SIGTERM to SIGKILL is the longest
+	// deadline, but at most maxCountedDeadline, plus killDelay.
 	killDelay          = 700 * time.Millisecond
 	maxCountedDeadline = 3 * time.Second
 	// maxRestartTime is how long a restarted agent may take to become ready.
 	maxRestartTime = 10 * time.Second
 	// splitPause is the pause between the two halves of a request that is half sent when SIGTERM arrives.
 	splitPause = 120 * time.Millisecond
-	// irregularConnections is the number of pipelining clients, and also of clients that have sent half a
-	// request, that an agent has when it is terminated. A pipelining client sends pipelineDepth requests.
+	// When an agent is terminated, it has irregularConnections clients that pipeline pipelineDepth requests
+	// each, and as many clients that have sent half a request.
 	irregularConnections = 3
 	pipelineDepth        = 6
-	// floodSettleTime after the end of a flood of connections, an agent may have at most floodDescriptorSlack
-	// more open descriptors than before the flood.
+	// After a flood of connections, an agent has floodSettleTime to close descriptors. Then it may have at
+	// most floodDescriptorSlack more open descriptors than before the flood.
 	floodSettleTime      = 6 * time.Second
 	floodDescriptorSlack = 64
 )
 
-// signalAgent sends a series of signals to an agent at the fault's interval. After the first SIGTERM, its
-// clients continue to use open connections until the agent has exited or is killed at the earliest time
-// that the platform allows. An agent that was terminated or killed is started again.
+// signalAgent sends a series of signals to an agent at the fault's interval. After the first SIGTERM, the
+// clients continue to use open connections until the agent exits or is killed. SIGKILL comes at the earliest
+// time at which the platform that hosts agents may send it (see killDelay). An agent that was terminated or
+// killed is started again.
 func (fl *fleet) signalAgent(ctx context.Context, f *Fault, agent *agentProcess, rng *rand.Rand) error {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
@@ -80,8 +81,8 @@
 	return fl.awaitTermination(ctx, agent, terminatedAt, ended, rng)
 }
 
-// awaitTermination limits the clients of a terminated agent to open connections until it exits, kills it
-// if it has not exited by the earliest time of a SIGKILL, and starts it again.
+// awaitTermination waits until a terminated agent exits, and starts it again. Shortly after SIGTERM, the
+// agent's clients stop opening connections and use only open ones. An agent that has not exited by the time of SIGKILL (see killDelay) is killed.
 func (fl *fleet) awaitTermination(ctx context.Context, agent *agentProcess, terminatedAt time.Time, ended <-chan struct{}, rng *rand.Rand) error {
 	leaveAfter := time.Duration((minClientLeaveDelay + clientLeaveJitter*rng.Float64()) * float64(time.Second))
 	sleep(ctx, time.Until(terminatedAt.Add(leaveAfter)))
@@ -100,7 +101,8 @@
 	return fl.startWithinLimit(ctx, agent)
 }
 
-// startWithinLimit starts an agent. If it is not ready within maxRestartTime, that is a breach.
+// startWithinLimit starts an agent. It reports a breach if the agent takes longer than maxRestartTime to
+// become ready.
 func (fl *fleet) startWithinLimit(ctx context.Context, agent *agentProcess) error {
 	startedAt := time.Now()
 	if err := fl.startAgent(ctx, agent); err != nil {
@@ -112,8 +114,9 @@
 	return nil
 }
 
-// drawIrregularRequests draws the requests of one irregular connection. All have the same class, because a
-// request with a shorter deadline could not be answered before the requests ahead of it.
+// drawIrregularRequests draws the requests of one irregular connection. All have the same class, because
+// answers on a connection keep the order of the requests: one with a shorter deadline would have to wait for
+// the requests ahead of it.
 func (fl *fleet) drawIrregularRequests(rng *rand.Rand, count int) []client.Arrival {
 	arrivals := make([]client.Arrival, count)
 	class := rng.IntN(len(fl.config.Load.Classes))
@@ -150,8 +153,9 @@
 	}
 }
 
-// floodAgent opens f.Size connections to an agent and keeps them idle while the fault lasts; a share of
-// f.Share of them have sent a part of a request. Afterwards, the agent must release their descriptors.
+// floodAgent opens f.Size connections to an agent and keeps them idle while the fault lasts. The fraction
+// f.Share of the connections sends part of a request first. Afterwards, the agent must release the
+// descriptors of all the connections.
 func (fl *fleet) floodAgent(ctx context.Context, f *Fault, agent *agentProcess) error {
 	before, _, _ := agent.process.SampleUsage()
 	partial := int(f.Size * f.Share)
@@ -191,7 +195,7 @@
 	}
 	sleep(ctx, f.Duration)
 	if agent.process.PID() != pid {
-		return nil // the agent was restarted in the meantime
+		return nil // the agent was restarted during the fault
 	}
 	return unix.Prlimit(pid, unix.RLIMIT_NOFILE, &previous, nil)
 }
--- a/internal/lab/experiment/kinds.go
+++ b/internal/lab/experiment/kinds.go
@@ -1,7 +1,7 @@
 package experiment
 
-// The kinds of targets of a fault, as experiment files name them. All except targetLink are also
-// selectors.
+// The kinds of targets of a fault. The values are fixed by the format of experiment files. All except
+// targetLink are also selectors.
 const (
 	targetServers      = "servers"
 	targetAgents       = "agents"
@@ -12,13 +12,13 @@
 	targetLink         = "link" // the target of a fault that sets a far end
 )
 
-// The kinds of faults, as experiment files name them. When the duration of a fault has passed, killed
-// processes are started again and changed settings are restored.
+// The kinds of faults. The values are fixed by the format of experiment files. When the duration of a fault
+// has passed, killed processes are started again and changed settings are restored.
 const (
 	faultKill          = "kill"        // ends a process or a server at once
 	faultStop          = "stop"        // pauses a process
 	faultRestart       = "restart"     // restarts processes gracefully, one after the other
-	faultReload        = "hup"         // makes agents reload a configuration with another source of discovery
+	faultReload        = "hup"         // makes agents reload a configuration with another discovery source
 	faultSignals       = "signals"     // sends agents a series of signals
 	faultFlood         = "flood"       // clients open connections that stay idle or send only part of a request
 	faultPipeline      = "pipeline"    // a client sends many requests at once on a connection
--- a/internal/lab/experiment/links.go
+++ b/internal/lab/experiment/links.go
@@ -41,8 +41,8 @@
 func (d udpLink) Refuse() error { return d.Set(link.Shape{Cut: true}, link.Shape{Cut: true}) }
 
 // createLinks creates the links from agents to servers and discovery that a fault of the timeline applies
-// to. Links to control-plane servers are created together with those. A baseline runs within the lab and
-// has no links.
+// to. The links to control-plane servers are created together with the control plane. A baseline runs
+// within the lab and has no links.
 func (fl *fleet) createLinks() error {
 	if fl.policy != "" {
 		return nil
@@ -113,8 +113,9 @@
 	return fl.servers[server].Addr()
 }
 
-// linkIsClear reports whether the link between an agent and a server, if there is one, has not shaped their
-// traffic, and so not delayed it, for at least twice the longest request duration.
+// linkIsClear reports whether the lab can't have delayed the current traffic between an agent and a server:
+// there is no link between them, or the link has not shaped traffic for at least twice the longest request
+// duration.
 func (fl *fleet) linkIsClear(agent, server int) bool {
 	l := fl.links[linkKey{linkAgentToServer, agent, server}]
 	return l == nil || l.UnshapedFor(2*fl.maxRequestDuration())
--- a/internal/lab/experiment/machine.go
+++ b/internal/lab/experiment/machine.go
@@ -47,7 +47,7 @@
 	return hex.EncodeToString(digest.Sum(nil))[:digestLength]
 }
 
-// wantedDescriptors is the number of descriptors that the servers of a large fleet need.
+// wantedDescriptors is the number of descriptors that the emulated servers of a large fleet need.
 const wantedDescriptors = 200_000
 
 // raiseDescriptorLimit raises the descriptor limit of this process to wantedDescriptors or, if that is
--- a/internal/lab/experiment/notifications.go
+++ b/internal/lab/experiment/notifications.go
@@ -33,7 +33,8 @@
 }
 
 // watchSilenceTimeout is how long a control-plane server must be silent until its agents are assumed to
-// have switched to another one. It is longer than the agents' own timeout, so that they have done so.
+// have switched to another control-plane server. It exceeds the agents' own timeout by a margin for the
+// switch.
 const watchSilenceTimeout = endpoints.WatchSilenceTimeout + 1500*time.Millisecond
 
 // mayUse reports whether the configuration lets the agent use the control-plane server.
@@ -74,8 +75,9 @@
 	cp.updateChecker()
 }
 
-// updateChecker notifies the checker of the endpoints that each agent must know: those on which the views
-// of all control-plane servers agree that the agent uses or may have used until recently.
+// updateChecker notifies the checker of the endpoints that each agent must know. An agent must know an
+// endpoint if all control-plane servers that the agent uses, or may have used until recently, list the same
+// state of it.
 func (cp *controlPlane) updateChecker() {
 	cp.mu.Lock()
 	defer cp.mu.Unlock()
@@ -88,7 +90,8 @@
 		}
 		for srv := range views[0].endpoints {
 			endpoint, agreed := cp.agreedEndpoint(agent, srv, views)
-			// Each state is reported only once. An agent that starts later gets it again with some delay.
+			// Each state is reported only once. An agent that starts later receives the state again, after
+			// some delay.
 			if agreed && cp.notified[agent][srv] != endpoint {
 				cp.notified[agent][srv] = endpoint
 				cp.fleet.checker.RecordNotified(agent, srv, endpoint.Health, int64(endpoint.StartedMs))
--- a/internal/lab/experiment/propagation.go
+++ b/internal/lab/experiment/propagation.go
@@ -44,7 +44,7 @@
 	version int64
 }
 
-// parseListApplied parses a line of an agent's log. It returns false for a line about something else.
+// parseListApplied parses a line of an agent's log. It returns false for a line about another event.
 func parseListApplied(line []byte) (listApplied, bool) {
 	match := listAppliedLine.FindSubmatch(line)
 	if match == nil {
@@ -56,7 +56,7 @@
 }
 
 // agentPropagation reads from the agents' logs when each agent applied each change after the warm-up. It
-// returns the delays of all agents, and the delays until the last agent had applied each change.
+// returns the delays of every agent for every change, and for each change the delay of the last agent.
 func (cp *controlPlane) agentPropagation() (each, last *hdrhistogram.Histogram) {
 	each, last = newLatencyHistogram(), newLatencyHistogram()
 	cp.mu.Lock()
@@ -120,7 +120,7 @@
 		return
 	}
 	views, _ := control.ReadMemberViews(cp.ctx, cp.addresses, controlPlaneRequestTimeout)
-	for i := range views { // the view with the fewest agents determines the result
+	for i := range views { // report the count of the view with the fewest agents
 		if n := views[i].Count(member.RoleAgent, member.Present); i == 0 || n < t.AgentsPresent {
 			t.AgentsPresent = n
 		}
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -85,8 +85,8 @@
 	seed      uint64
 	outputDir string
 	progress  func(Progress)
-	epoch     time.Time     // when the clock was 0
-	loadStart time.Duration // by the clock, when the load begins; 0 until that is known
+	epoch     time.Time     // time at which the clock was 0
+	loadStart time.Duration // clock time at which the load begins; 0 until execute sets it
 	addresses *loopback.AddressBlock
 	fleets    []*fleet          // the fleet of the agents is the first
 	samples   [][]sample        // by fleet
@@ -98,7 +98,7 @@
 	background      sync.WaitGroup
 
 	mu           sync.Mutex
-	lastProgress Progress // the last one published
+	lastProgress Progress // last published progress
 }
 
 // clock returns the time since the run began.
@@ -173,7 +173,7 @@
 }
 
 // execute runs the load and the faults in all fleets. It returns when the last request and the last fault
-// have ended. Its error is that of the context, if the context ended before.
+// have ended. If the context ends first, it returns the context's error.
 func (r *run) execute(ctx context.Context) error {
 	arrivals := client.DrawArrivals(&r.config.Load, r.config.Agents.Count, r.config.Duration, r.config.loadChanges(), r.seed)
 	r.loadStart = r.clock() + loadStartDelay
--- a/internal/lab/experiment/samples.go
+++ b/internal/lab/experiment/samples.go
@@ -17,22 +17,22 @@
 
 // sample is the state of a fleet at one time. The int64 counts are totals since the fleet was built.
 type sample struct {
-	at time.Duration // since the load began
+	at time.Duration // time since the load began
 
-	attempts    int64 // that arrived at servers
-	connections int64 // that were opened to servers
+	attempts    int64 // attempts that arrived at servers
+	connections int64 // connections that were opened to servers
 	probes      int64
 	listCalls   int64
 
 	openConnections int
-	warmingUp       int // servers
-	overloaded      int // servers
-	down            int // servers
-	agents          int // whose process runs
+	warmingUp       int // servers that are warming up
+	overloaded      int // servers that are overloaded
+	down            int // servers without a process
+	agents          int // agents whose process runs
 }
 
-// collectSamples takes samples periodically until the context ends, and a last one at that time. It also
-// makes the checker drop requests that ended long ago.
+// collectSamples takes samples periodically, and a last one when the context ends. It also makes the checker
+// drop requests that ended long ago.
 func (fl *fleet) collectSamples(ctx context.Context, loadStart time.Duration) []sample {
 	var samples []sample
 	sweptAt := time.Duration(0)
--- a/internal/lab/experiment/selector.go
+++ b/internal/lab/experiment/selector.go
@@ -19,8 +19,8 @@
 //	s-03, n7           a process by its name; several names are separated by commas
 type selector struct {
 	kind  string   // a key of faultKinds; "" if names are given
-	names []string // of individual processes
-	zone  string   // "": all zones
+	names []string // names of individual processes
+	zone  string   // zone of the processes; "": all zones
 	share float64  // share of the matching processes, in (0, 1]
 	count int      // number of the matching processes; 0: share applies
 }
--- a/internal/lab/experiment/series.go
+++ b/internal/lab/experiment/series.go
@@ -13,7 +13,7 @@
 // secondStats holds statistics of the requests that were planned within one second of the run.
 type secondStats struct {
 	requests, inTime, rejected int
-	latencies                  []time.Duration // of the served requests
+	latencies                  []time.Duration // latencies of the served requests
 }
 
 // series returns one point for each second of the run.
@@ -97,8 +97,8 @@
 }
 
 const (
-	// recoveredFraction is the fraction of the served share before the fault from which a second counts as
-	// good.
+	// A second is good if its served share is at least recoveredFraction of the served share before the
+	// fault.
 	recoveredFraction = 0.9
 	// goodSecondsToRecover is how many consecutive good seconds count as a recovery.
 	goodSecondsToRecover = 3
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -56,11 +56,11 @@
 // FleetSummary is the result of one fleet: the fleet of the agents or of a baseline.
 type FleetSummary struct {
 	Name     string             `json:"name"`
-	Rows     []Row              `json:"rows"` // by window and class
+	Rows     []Row              `json:"rows"` // results by window and class
 	Total    Total              `json:"total"`
 	Breaches map[string]int     `json:"breaches"`
 	Examples []check.Breach     `json:"breach_examples"`
-	Recovery map[string]float64 `json:"recovery_s"` // by fault; -1 if the run ended before the recovery
+	Recovery map[string]float64 `json:"recovery_s"` // recovery time by fault; -1 if the run ended before the recovery
 	Series   []Point            `json:"series"`
 	Events   []EventLine        `json:"events"`
 }
@@ -89,7 +89,8 @@
 	AttemptsPerRequest float64 `json:"attempts_per_request"`
 }
 
-// Total holds the counts and measurements of the whole run.
+// Total holds the counts and measurements of the whole run. Delays of changes are measured from the time at
+// which the change was sent.
 type Total struct {
 	Connections           int64   `json:"connections_to_servers"`
 	ClientConnections     int64   `json:"connections_of_clients"`
@@ -106,20 +107,20 @@
 	DuplicatedEffects     int64   `json:"effects_doubled"`
 	Overloads             int     `json:"chokes"`
 	Crashes               int     `json:"crashes"`
-	PropagationP50Ms      float64 `json:"spread_p50_ms"` // from sending a change until each of the lab's watches received it
+	PropagationP50Ms      float64 `json:"spread_p50_ms"` // delay until a watch of the lab received a change, over all watches
 	PropagationP99Ms      float64 `json:"spread_p99_ms"`
-	LastWatchP99Ms        float64 `json:"spread_last_p99_ms"` // until the last watch received it, p99 of the changes
+	LastWatchP99Ms        float64 `json:"spread_last_p99_ms"` // p99 over all changes: delay until the last watch received it
 	PropagationSamples    int64   `json:"spread_samples"`
-	AgentPropagationP50Ms float64 `json:"learnt_p50_ms"` // from sending a change until each agent applied it
+	AgentPropagationP50Ms float64 `json:"learnt_p50_ms"` // delay until an agent applied a change, over all agents
 	AgentPropagationP99Ms float64 `json:"learnt_p99_ms"`
-	LastAgentP50Ms        float64 `json:"last_agent_p50_ms"` // until the last agent applied it, p50 of the changes
+	LastAgentP50Ms        float64 `json:"last_agent_p50_ms"` // p50 over all changes: delay until the last agent applied it
 	LastAgentP99Ms        float64 `json:"last_agent_p99_ms"`
 	Changes               int64   `json:"changes"`
-	AgentsPresent         int     `json:"agents_present"` // at the end, in the member view with the fewest agents
+	AgentsPresent         int     `json:"agents_present"` // agents present at the end, in the member view with the fewest agents
 	TaskTerms             int     `json:"duty_terms"`
-	FencedOperations      int     `json:"duty_acts_refused"` // rejected for an outdated fencing token
-	TaskIdleShare         float64 `json:"duty_idle_share"`   // share of the time between terms, from the first operation to the last
-	HandoverGapP50Ms      float64 `json:"duty_gap_p50_ms"`   // from the last operation of a holder to the first of the next holder
+	FencedOperations      int     `json:"duty_acts_refused"` // operations rejected for an outdated fencing token
+	TaskIdleShare         float64 `json:"duty_idle_share"`   // share of the time from the first to the last operation that is between terms
+	HandoverGapP50Ms      float64 `json:"duty_gap_p50_ms"`   // time from a holder's last operation to the next holder's first
 	HandoverGapP99Ms      float64 `json:"duty_gap_p99_ms"`
 	HandoverGapMaxMs      float64 `json:"duty_gap_max_ms"`
 	AgentPeakRSSMB        float64 `json:"agent_peak_rss_mb"`
--- a/internal/lab/experiment/testagent_test.go
+++ b/internal/lab/experiment/testagent_test.go
@@ -38,7 +38,7 @@
 // testAgent is a minimal agent. It sends one attempt for each request, round-robin to the servers that are
 // ready and have not started during the run. It commits one violation on purpose.
 type testAgent struct {
-	violation    string // "honest" for none
+	violation    string // violation to commit; "honest": none
 	transport    *http.Transport
 	nextIndex    atomic.Int64
 	mu           sync.Mutex
@@ -111,8 +111,8 @@
 	}
 }
 
-// nextServer returns the address of the next server, or of a server whose use is the violation. It returns
-// "" if there is no server.
+// nextServer returns the address of the next server in the rotation, or of a server that must not be used if
+// the violation is to use one. It returns "" if there is no server.
 func (a *testAgent) nextServer() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -153,8 +153,8 @@
 	return resp.StatusCode, string(text), err == nil
 }
 
-// ServeHTTP forwards a request once. It commits the violation with each request to which that applies, or
-// with one request in ten.
+// ServeHTTP forwards a request once. It commits the violation at every opportunity; a violation that any
+// request allows is committed with one request in ten.
 func (a *testAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/ready" {
 		return
--- a/internal/lab/experiment/timeline.go
+++ b/internal/lab/experiment/timeline.go
@@ -13,13 +13,13 @@
 	Name           string  `json:"name"`
 	Kind           string  `json:"kind"`
 	Targets        int     `json:"targets"`
-	PlannedSeconds float64 `json:"plan_s"` // since the load began; -1 if it waited for an event
-	BeganSeconds   float64 `json:"from_s"` // since the load began; -1 if it never began
+	PlannedSeconds float64 `json:"plan_s"` // planned time since the load began; -1 if the fault waited for an event
+	BeganSeconds   float64 `json:"from_s"` // actual time since the load began; -1 if the fault was not injected
 	EndedSeconds   float64 `json:"to_s"`
 	Error          string  `json:"error,omitempty"`
 }
 
-// loadChanges returns the faults of the load, which take effect when the arrivals are drawn.
+// loadChanges returns the faults whose target is the load. They take effect when the arrivals are drawn.
 func (c *Config) loadChanges() []client.LoadChange {
 	var changes []client.LoadChange
 	for i := range c.Faults {
--- a/internal/lab/experiment/workers.go
+++ b/internal/lab/experiment/workers.go
@@ -62,8 +62,8 @@
 	return addresses, nil
 }
 
-// start starts the workers and defines the leased tasks. It returns once operations have been recorded for
-// as many terms as there are tasks, or with an error after readyTimeout.
+// start starts the workers and defines the leased tasks. It returns once operations of as many terms as
+// there are tasks have been recorded, and returns an error if that takes longer than readyTimeout.
 func (w *workers) start(ctx context.Context) error {
 	for _, p := range w.processes {
 		if err := p.Start(); err != nil {
--- a/internal/lab/golden/fill.go
+++ b/internal/lab/golden/fill.go
@@ -32,7 +32,7 @@
 // filler fills values. It derives each value from a count of the values set so far, so that all differ.
 type filler struct{ count int }
 
-// fill sets v, which is nested inside depth other values.
+// fill sets v. depth is the number of values that v is nested in.
 func (f *filler) fill(v reflect.Value, depth int) error {
 	if depth > maxDepth {
 		return fmt.Errorf("%v is nested more than %d deep", v.Type(), maxDepth)
--- a/internal/lab/golden/golden.go
+++ b/internal/lab/golden/golden.go
@@ -1,6 +1,7 @@
 // Package golden compares the results of a test with a golden file under testdata, and fills values of
-// message types so that the golden file shows every key they have. This detects changes to formats that
-// other programs read or that are stored on disk, while Go names can change freely. It is for tests only.
+// message types so that the golden file shows every key of the types. This detects changes to formats that
+// other programs read or that are stored on disk, while Go names can change freely. The package is for tests
+// only.
 //
 // Every function must be called from the goroutine of the test, which it fails on a mismatch.
 package golden
--- a/internal/lab/golden/golden_test.go
+++ b/internal/lab/golden/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The first line in which two texts differ is found, also at the end of the shorter one.
+// firstDifference finds the first line in which two texts differ, also if the shorter text ends there.
 func TestFirstDifference(t *testing.T) {
 	for _, c := range []struct {
 		want, got         string
@@ -55,7 +55,8 @@
 	}
 }
 
-// StringConstants finds the untyped constants of this package's non-test files, and none with a type.
+// StringConstants finds the untyped string constant of this package's non-test files. With the type string it
+// finds none, because the package declares no constant with a type.
 func TestStringConstants(t *testing.T) {
 	if got := StringConstants(t, "."); !slices.Equal(got, []string{"testdata"}) {
 		t.Errorf("constants %q", got)
--- a/internal/lab/hollow/agent.go
+++ b/internal/lab/hollow/agent.go
@@ -16,21 +16,21 @@
 // get the entries, so it has no servers to choose from.
 type Agent struct {
 	process  *Agents
-	services []string // services that it subscribes to; nil: all
+	services []string // subscribed services; nil: all services
 	client   *endpoints.Client
 
 	mu        sync.Mutex
 	balancer  *policy.Balancer
 	actions   []policy.Action
 	table     map[string]endpoints.Endpoint
-	scope     *endpoints.ServiceTable // as in a real agent; nil: it reads the full list
+	scope     *endpoints.ServiceTable // table of the subscribed services, as in a real agent; nil: the full list
 	version   int64                   // version of the list in the table; 0: no list received yet
-	updatedAt time.Time               // when the last list or change was applied
+	updatedAt time.Time               // time at which the last list or change was applied
 	watching  bool                    // a watch is active, at any of the addresses
 	watchOpen bool                    // the watch has received a list at its current address
 }
 
-// clientConfig returns the configuration of the agent's list client, which equals a real agent's.
+// clientConfig returns the configuration of the agent's list client. It is the same as that of a real agent.
 // orderSeed determines the order in which the client tries the addresses.
 func (a *Agent) clientConfig(orderSeed uint64, transport http.RoundTripper) endpoints.ClientConfig {
 	return endpoints.ClientConfig{
@@ -148,8 +148,8 @@
 	a.process.counts.failovers.Add(1)
 }
 
-// applyList applies a received list or change to the table. One that is older than the table is counted but
-// not applied.
+// applyList applies a received list or change to the table. A list or change that is older than the table is
+// counted but not applied.
 func (a *Agent) applyList(list endpoints.List) {
 	now := time.Now()
 	a.mu.Lock()
--- a/internal/lab/hollow/agents.go
+++ b/internal/lab/hollow/agents.go
@@ -22,7 +22,7 @@
 	meter     *meteredTransport
 	agents    []*Agent
 	started   time.Time
-	startedMs float64 // started by the wall clock, in Unix milliseconds
+	startedMs float64 // wall-clock time of started, in Unix milliseconds
 	counts    struct {
 		lines, entries, fullLists, versions, watchesEnded, failovers atomic.Int64
 	}
--- a/internal/lab/hollow/agentsstate.go
+++ b/internal/lab/hollow/agentsstate.go
@@ -12,7 +12,7 @@
 	Servers     int
 	FirstAbsent int
 	Absent      int
-	Version     int64 // agents at this version or a later one are counted
+	Version     int64 // lowest version at which an agent counts as up to date
 }
 
 // serverCount returns the number of servers that an agent with the subscription should have in its table.
@@ -42,12 +42,12 @@
 // scale run.
 type AgentsState struct {
 	Agents          int                    `json:"agents"`
-	WatchesOpen     int                    `json:"watches_open"` // watches that have received a list at their current address
+	WatchesOpen     int                    `json:"watches_open"` // open watches that have received a list at their current address
 	WatchesEnded    int64                  `json:"watches_ended"`
 	Lines           int64                  `json:"lines"`   // received lists and changes, without the empty lines of an idle watch
 	Entries         int64                  `json:"entries"` // entries parsed and merged into tables
 	FullLists       int64                  `json:"whole_lists"`
-	Versions        int64                  `json:"versions"` // lines with a newer version
+	Versions        int64                  `json:"versions"` // lines with a newer version than the agent's table
 	Failovers       int64                  `json:"failovers"`
 	BudgetExhausted int64                  `json:"held_back"` // rounds that ended because the client's retry budget was exhausted
 	VersionMin      int64                  `json:"version_min"`
--- a/internal/lab/hollow/changeage.go
+++ b/internal/lab/hollow/changeage.go
@@ -7,15 +7,15 @@
 	"knotrouter/internal/endpoints"
 )
 
-// Each change encodes the time at which it was sent, so that each reader can compute its age on receipt. A
-// restart encodes it in the start time of the new process (born_ms in the list). A configuration change
-// encodes it in the server's weight (share in the list), which is baseWeight plus the time in milliseconds
-// modulo weightWindow, in units of weightUnit. Both have a resolution of 1 ms and use the machine's wall
-// clock, which all processes of a run share.
+// Each change of a server encodes the time at which it was sent, so that a reader of the list can compute the
+// age of the change on receipt. A restart encodes the time in the start time of the new process (born_ms in
+// the list). A configuration change encodes the time in the server's weight (share in the list), which is
+// baseWeight plus the time in milliseconds modulo weightWindow, in units of weightUnit. Both encodings have a
+// resolution of 1 ms and use the machine's wall clock, which all processes of a run share.
 const (
 	baseWeight   = 1.0
 	weightUnit   = 1e-9
-	weightWindow = 1_000_000 // ms; the age of an older change is wrong
+	weightWindow = 1_000_000 // window in ms; the computed age of an older change is too low
 )
 
 // weightForTime returns the weight of a configuration change that is sent at the given time.
--- a/internal/lab/hollow/changes.go
+++ b/internal/lab/hollow/changes.go
@@ -11,7 +11,7 @@
 
 const (
 	maxChangesPerSecond = 1000
-	// idlePollInterval is the interval at which the rates are read while they are 0.
+	// idlePollInterval is the interval at which the rates are read again while both are 0.
 	idlePollInterval = 50 * time.Millisecond
 )
 
--- a/internal/lab/hollow/config.go
+++ b/internal/lab/hollow/config.go
@@ -11,7 +11,7 @@
 
 // Limits of one process.
 const (
-	MaxAgents  = 19_000 // each needs a descriptor, of 20,000 per process
+	MaxAgents  = 19_000 // each agent needs a descriptor, and a process may open 20,000
 	MaxServers = 100_000
 
 	maxSources         = 250
@@ -22,11 +22,11 @@
 // AgentsConfig configures the hollow agents of one process.
 type AgentsConfig struct {
 	ControlPlane []string      // HTTP addresses of the control-plane servers
-	Count        int           // hollow agents in this process
+	Count        int           // number of hollow agents in this process
 	First        int           // index of the first hollow agent in the fleet
 	Fleet        int           // number of agents in the whole fleet; 0: Count
 	Seed         uint64        // seed of the order of addresses, the jitter and the subscriptions
-	StartSpread  time.Duration // the agents are started evenly over this time; 0: at once
+	StartSpread  time.Duration // time over which the agents are started evenly; 0: all at once
 	Services     int           // number of services in the fleet
 	Subscribed   int           // number of services that each agent subscribes to; 0: the full list
 	Sources      []string      // local addresses of connections, used in turn; empty: chosen by the kernel
@@ -62,12 +62,12 @@
 // ServersConfig configures the hollow servers of one process.
 type ServersConfig struct {
 	ControlPlane    []string      // HTTP addresses of the control-plane servers
-	Count           int           // hollow servers in this process
+	Count           int           // number of hollow servers in this process
 	Services        int           // number of services that the servers are spread over evenly
 	Seed            uint64        // seed of the order in which servers change
 	RenewInterval   time.Duration // time between two renewals of a server
 	RenewBatch      int           // number of servers that one call renews
-	EmulatedPerZone int           // HTTP servers that answer for the servers of a zone; 0: none
+	EmulatedPerZone int           // number of HTTP servers that answer for the servers of a zone; 0: none
 	ServiceTime     time.Duration // time that an emulated server takes for a request
 }
 
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// Each zone is a range of servers, and each server is in exactly one zone.
+// The zones are ranges of servers, and each server is in exactly one zone.
 func TestZonesHoldEachServerOnce(t *testing.T) {
 	for _, count := range []int{22, 100, 220, 1000, 39_000} {
 		next := 0
--- a/internal/lab/hollow/registration.go
+++ b/internal/lab/hollow/registration.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// maxCallAttempts bounds the attempts of a registration or a change, which are retryPause apart.
+	// maxCallAttempts bounds the attempts of a registration or a change. The pause between two attempts is
+	// retryPause.
 	maxCallAttempts = 100
 	retryPause      = 200 * time.Millisecond
 
@@ -25,7 +26,7 @@
 // RegistrationResult is the outcome of the registrations of a Range.
 type RegistrationResult struct {
 	Servers       int     `json:"servers"` // number of servers that were registered
-	RefusalReason string  `json:"refused"` // why the first refused registration failed; "": all succeeded
+	RefusalReason string  `json:"refused"` // error of the first refused registration; "": all succeeded
 	Seconds       float64 `json:"seconds"`
 }
 
@@ -92,8 +93,8 @@
 	return result, nil
 }
 
-// StopRenewing stops the renewals of servers without any call, as in a zone that is cut off from the
-// network.
+// StopRenewing stops the renewals of servers without any call to the control plane, as happens in a zone that
+// is cut off from the network.
 func (p *Servers) StopRenewing(r Range) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/hollow/renewal.go
+++ b/internal/lab/hollow/renewal.go
@@ -23,7 +23,7 @@
 		from := first + batch*p.config.RenewBatch
 		p.renewBatch(ctx, writer, from, min(from+p.config.RenewBatch, end))
 		if next = next.Add(pause); time.Since(next) > p.config.RenewInterval {
-			next = time.Now() // renewals more than an interval late are skipped
+			next = time.Now() // skip the renewals that are more than an interval late
 		}
 	}
 }
--- a/internal/lab/hollow/servers.go
+++ b/internal/lab/hollow/servers.go
@@ -26,7 +26,7 @@
 // server is one hollow server.
 type server struct {
 	endpoint endpoints.Endpoint
-	renewing bool // it is registered and renews its lease; false before registration and after removal or StopRenewing
+	renewing bool // the server is registered and renews its lease; false after removal or StopRenewing
 }
 
 // ref returns the reference to the server's current process.
@@ -134,7 +134,7 @@
 	Servers        int                `json:"servers"`
 	Renewing       int                `json:"renewed"` // servers that are registered and renew their leases
 	Renewals       int64              `json:"renewals"`
-	RenewalsFailed int64              `json:"renewals_failed"` // failed calls
+	RenewalsFailed int64              `json:"renewals_failed"` // failed calls, each of which renews a batch of servers
 	Registrations  int64              `json:"registrations"`
 	LeasesLost     int64              `json:"lapsed"` // renewals of servers that the control plane did not know
 	Configurations int64              `json:"configurations"`
--- a/internal/lab/server/affinity.go
+++ b/internal/lab/server/affinity.go
@@ -6,7 +6,7 @@
 type keyCache struct {
 	capacity   int
 	lastUsedAt map[uint64]time.Duration
-	order      []uint64 // the keys by last use, oldest first
+	order      []uint64 // keys by their last use, oldest first
 }
 
 func newKeyCache(capacity int) keyCache {
--- a/internal/lab/server/connection.go
+++ b/internal/lab/server/connection.go
@@ -18,17 +18,17 @@
 	net.Conn
 	server             *Server
 	firstByteAt        atomic.Int64 // clock time of the first byte of the current request
-	used               atomic.Bool  // a request has arrived on it
+	used               atomic.Bool  // a request has arrived on the connection
 	delayedByIsolation atomic.Bool  // a read was blocked while the machine was isolated
-	overLimit          bool         // it was accepted above the policy's limit of open connections
+	overLimit          bool         // the connection was accepted above the policy's limit of open connections
 	closeOnce          sync.Once
 	closed             chan struct{}
-	// repeatDelay is the time from the end of the current response to its repetition; 0: it is not
-	// repeated. Only the goroutine that serves the connection accesses it.
+	// repeatDelay is the time from the end of the current response to its repetition, or 0 without a
+	// repetition. Only the goroutine that serves the connection accesses repeatDelay.
 	repeatDelay time.Duration
 
 	mu       sync.Mutex // held during a write
-	response []byte     // bytes written of the current response; empty between responses
+	response []byte     // written part of the current response; empty between responses
 }
 
 // connListener wraps the connections that it accepts in a conn.
@@ -92,10 +92,10 @@
 	}
 }
 
-// repeat writes the response a second time, in one write, after the delay. endedAt is when the response
-// was completely written. It writes nothing if the connection is closed meanwhile, if the machine is
-// isolated at that time, if another response is being written, or if the lab itself ran so late that the
-// repetition would come later than the longest delay that can be drawn.
+// repeat writes the response a second time, in one write, after the delay. endedAt is the time at which the
+// response was completely written. The repetition is skipped if, after the delay, the connection is closed,
+// the machine is isolated or another response is being written. It is also skipped if the lab ran so late
+// that the repetition would come more than maxRepeatLateness after the longest delay that can be drawn.
 func (c *conn) repeat(response []byte, endedAt time.Time, delay time.Duration) {
 	select {
 	case <-time.After(delay):
@@ -123,8 +123,8 @@
 	return c.Conn.Close()
 }
 
-// reset resets the connection, as the end of the server's process does, and aborts the handler of the
-// request by a panic, so it does not return.
+// reset resets the connection, as the operating system does when the server's process ends. It does not
+// return: it panics with http.ErrAbortHandler to abort the handler of the request.
 func (c *conn) reset() {
 	loopback.Reset(c.Conn)
 	panic(http.ErrAbortHandler)
--- a/internal/lab/server/connection_test.go
+++ b/internal/lab/server/connection_test.go
@@ -46,7 +46,7 @@
 }
 
 // An isolated machine sends no responses and closes no connections. After Rejoin it answers the requests
-// that have reached it, and the delay does not count as a breach by the agent.
+// that have reached the machine, and the delay does not count as a breach by the agent.
 func TestIsolatedMachineIsSilent(t *testing.T) {
 	ts := newTestServer(t, nil).start(Version{}, false)
 	c := ts.dial()
@@ -100,7 +100,7 @@
 		"too late":                {ms, maxRepeatDelay + maxRepeatLateness, func(*testServer, *conn) {}},
 	} {
 		ts := newTestServer(t, nil).start(Version{}, false)
-		serverSide, clientSide := net.Pipe() // a write blocks until it is read
+		serverSide, clientSide := net.Pipe() // a write blocks until the other end has read the data
 		c := &conn{Conn: serverSide, server: ts.Server, closed: make(chan struct{})}
 		tc.prepare(ts, c)
 		done := make(chan struct{})
--- a/internal/lab/server/effects.go
+++ b/internal/lab/server/effects.go
@@ -14,7 +14,7 @@
 type Effects struct {
 	mu              sync.Mutex
 	lastCommittedAt map[string]time.Duration
-	order           []string // the keys in the order of their first effect
+	order           []string // keys in the order of their first effect
 
 	droppedRepeats    atomic.Int64
 	duplicatedEffects atomic.Int64
@@ -29,8 +29,8 @@
 	return e.droppedRepeats.Load(), e.duplicatedEffects.Load()
 }
 
-// commit records that a request with the key was executed at now. A repeat within the window after the
-// key's last effect is dropped.
+// commit records that a request with the key was executed at now. If the key's last effect is at most window
+// ago, the request is a repeat without effect, and commit only counts it as dropped.
 func (e *Effects) commit(key string, now, window time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/server/http.go
+++ b/internal/lab/server/http.go
@@ -38,7 +38,7 @@
 	maxRepeatLateness = time.Millisecond
 )
 
-// ServeHTTP answers a request, which is recognized by its ID, an operation or a probe.
+// ServeHTTP answers a request, an operation or a probe. A request is recognized by its ID header.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := r.Context().Value(connContextKey{}).(*conn)
 	w.Header()["Date"] = nil
@@ -105,8 +105,8 @@
 		sent.IdempotencyKey == r.Header.Get(headerIdempotencyKey) && sent.Body == string(body)
 }
 
-// handshake adds the work of a new connection's handshake and waits for its delay. The first request on
-// the connection waits for it. It returns false if the context ends first.
+// handshake adds the work of a new connection's handshake and waits for the handshake's delay, which delays the
+// first request on the connection. It returns false if the context ends first.
 func (s *Server) handshake(ctx context.Context) bool {
 	policy := &s.ConnectionPolicy
 	if policy.HandshakeWork > 0 {
@@ -148,7 +148,7 @@
 	s.writeResponse(w, r, c, attempt, faults)
 }
 
-// newJob returns the job of an attempt. Its work is that of the request with random noise.
+// newJob returns the job of an attempt. The job's work is the work of the request with random noise.
 func (s *Server) newJob(r *http.Request, attempt *check.Attempt) *Job {
 	request := attempt.Request
 	job := &Job{
@@ -177,7 +177,7 @@
 	})
 	if crash != nil {
 		s.env.RecordEvent("server " + s.Name + " pushed over")
-		// The checker's rule is about the overload of a warming server; the crash is its consequence here.
+		// The checker's rule forbids the overload of a warming server; this model crashes as a consequence.
 		s.env.Checker.RecordWarmupOverload(s.Index, crash.NotifiedShare, crash.Work, crash.Limit)
 		go s.endProcess(incarnation)
 	}
@@ -190,7 +190,7 @@
 	case s.drawFault(faults.ResetShare):
 		s.Aborted.Add(1)
 		attempt.MarkFinished() // before the agent sees the reset and sends its next attempt
-		c.reset()              // panics, so nothing below runs
+		c.reset()              // panics and does not return
 	case s.drawFault(faults.LostShare):
 		s.Aborted.Add(1)
 		<-r.Context().Done()
--- a/internal/lab/server/http_test.go
+++ b/internal/lab/server/http_test.go
@@ -48,7 +48,7 @@
 	ts.sendAndExpect("without an id", "404", r)
 }
 
-// The server has one slot and a queue of one. A rejected request counts as not started; one that is
+// The server has one slot and a queue of one. A rejected request counts as not started. A request that is
 // canceled while it runs counts as possibly started.
 func TestRejectsRequestsBeyondTheQueue(t *testing.T) {
 	ts := newTestServer(t, nil).start(Version{Name: "1"}, false)
--- a/internal/lab/server/job.go
+++ b/internal/lab/server/job.go
@@ -4,13 +4,13 @@
 
 // Job is the work of one request in a Model.
 type Job struct {
-	Work           float64       // milliseconds of a standard core
-	Key            uint64        // if it was used recently the job takes less work; 0: no key
-	ExpiresAt      time.Duration // a job that has not started by this time is dropped; 0: it never expires
+	Work           float64       // work in milliseconds of a standard core
+	Key            uint64        // affinity key; a recently used key reduces the work; 0: no key
+	ExpiresAt      time.Duration // time at which the job is dropped unless it has started; 0: never
 	SenderNotified bool          // the sender had been notified of the server's start
 
 	ArrivedAt time.Duration
-	StartedAt time.Duration // 0: not started
+	StartedAt time.Duration // time at which the work on the job started; 0: not started
 	EndedAt   time.Duration
 
 	remainingWork float64
--- a/internal/lab/server/model.go
+++ b/internal/lab/server/model.go
@@ -33,7 +33,7 @@
 	recentKeys keyCache
 
 	warmingUp      bool
-	warmupArrivals []warmupArrival // within the last CrashWindow
+	warmupArrivals []warmupArrival // jobs that arrived within the last CrashWindow
 	crash          *WarmupCrash    // nil: the server has not crashed
 }
 
@@ -76,7 +76,7 @@
 	m.slowdown = max(factor, minSlowdown)
 }
 
-// AddOverhead adds work outside of requests: that of a handshake or a probe.
+// AddOverhead adds work that belongs to no request, such as the work of a handshake or a probe.
 func (m *Model) AddOverhead(now time.Duration, work float64) {
 	m.advance(now)
 	m.overheadWork += work
--- a/internal/lab/server/model_test.go
+++ b/internal/lab/server/model_test.go
@@ -84,7 +84,8 @@
 	}
 }
 
-// While the queue is never empty, the work done up to a time is the integral of the warm-up factor over it.
+// While the queue is never empty, the work done up to a time is proportional to the integral of the warm-up
+// factor from the start to this time.
 func TestWarmupByTime(t *testing.T) {
 	spec := Spec{Cores: 2, Speed: 1.5, Slots: 4, QueueCapacity: 1 << 20, WarmupStartFactor: 0.2, WarmupDuration: 10 * time.Second}
 	m := NewModel(spec, 0, true)
--- a/internal/lab/server/modelinvariants_test.go
+++ b/internal/lab/server/modelinvariants_test.go
@@ -22,11 +22,11 @@
 	model *Model
 	now   time.Duration
 
-	admitted  []*Job        // in the order of arrival
-	inFlight  map[*Job]bool // admitted, and neither ended nor canceled
+	admitted  []*Job        // admitted jobs in the order of arrival
+	inFlight  map[*Job]bool // admitted jobs that have neither ended nor been canceled
 	canceled  int
 	ended     int
-	leastWork float64 // work of the ended jobs if each saved the affinity gain
+	leastWork float64 // least possible work of the ended jobs, if each saved the affinity gain
 }
 
 func newModelRun(t *rapid.T) *modelRun {
--- a/internal/lab/server/modeltime.go
+++ b/internal/lab/server/modeltime.go
@@ -10,14 +10,14 @@
 	utilizationTimeConstant = 200 * time.Millisecond
 	// minRemainingWork is the remaining work up to which a job counts as done, to absorb rounding errors.
 	minRemainingWork = 1e-9
-	// noChange is the time of a change that will not happen.
+	// noChange stands for the time of a change that will not happen.
 	noChange time.Duration = math.MaxInt64
 )
 
 // rates are the speeds at which work proceeds until the next change.
 type rates struct {
-	job      float64 // of each running job, in standard-core milliseconds per second
-	overhead float64 // of the work of handshakes and probes
+	job      float64 // rate of each running job, in standard-core milliseconds per second
+	overhead float64 // rate of the work of handshakes and probes, in the same unit
 	busy     float64 // busy share of the cores
 }
 
--- a/internal/lab/server/networkgate.go
+++ b/internal/lab/server/networkgate.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// wait blocks until the gate is open or the connection is closed. open is false if the connection was
-// closed first. waited reports whether the gate was closed at the time of the call.
+// wait blocks until the gate is open or the connection is closed. open is false if the connection was closed
+// before the gate opened. waited reports whether the gate was closed at the time of the call.
 func (g *networkGate) wait(connClosed <-chan struct{}) (waited, open bool) {
 	g.mu.Lock()
 	opened := g.open
--- a/internal/lab/server/process.go
+++ b/internal/lab/server/process.go
@@ -10,7 +10,7 @@
 )
 
 // healthStarting is the health of a process that is not ready yet and of a server that was never started.
-// The other values are those of the endpoint list.
+// The other values of a health are the constants of package endpoints.
 const healthStarting = ""
 
 // ErrAlreadyRunning is returned by Start while the server is ready or draining.
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -34,8 +34,8 @@
 	Config
 	Counters
 
-	// Operations records the operations that the holders of leased tasks performed at this server. It
-	// belongs to the machine, so a new process keeps it.
+	// Operations records the operations that the holders of leased tasks performed at this server. The log
+	// belongs to the machine, so it outlives a process.
 	Operations *check.OperationLog
 
 	env        *Env
@@ -52,8 +52,8 @@
 	faults            Faults
 	health            string
 	startedMs         int64
-	incarnation       int                // number of the current or last process; 0: none yet
-	cancelIncarnation context.CancelFunc // nil: there is no process
+	incarnation       int                // number of the current or last process; 0: no process yet
+	cancelIncarnation context.CancelFunc // cancels the context of the process; nil without a process
 	jobTimer          *time.Timer        // advances the model to its next event; nil before the first
 	loadSamples       []loadSample
 	rng               *rand.Rand
@@ -186,12 +186,12 @@
 	Name            string
 	Health          string
 	Version         string
-	InFlight        int // requests, including queued ones
+	InFlight        int // requests in the server, including queued ones
 	Queued          int
 	Utilization     float64
 	WarmupFactor    float64
 	Overloaded      bool
-	Overloads       int // since the process started
+	Overloads       int // number of overloads since the process started
 	OpenConnections int
 }
 
--- a/internal/lab/server/testserver_test.go
+++ b/internal/lab/server/testserver_test.go
@@ -47,7 +47,7 @@
 	transport *http.Transport
 
 	mu            sync.Mutex
-	healthChanges []string // health values; "isolated" for an isolation
+	healthChanges []string // reported health values; "isolated" for an isolation
 }
 
 // newTestServer creates a server that is not started. configure, if not nil, modifies its configuration
--- a/internal/lab/server/warmup.go
+++ b/internal/lab/server/warmup.go
@@ -19,8 +19,8 @@
 	NotifiedShare float64 // share of the work whose senders had been notified of the server's start
 }
 
-// WarmupFactor returns the share of its capacity that the server has reached since its start; 1 if it is
-// warm.
+// WarmupFactor returns the share of its capacity that the server has reached since its start. It is 1 after the
+// warm-up.
 func (m *Model) WarmupFactor() float64 {
 	if !m.warmingUp {
 		return 1
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// MinDuration is the duration of the shortest experiment; a shorter one leaves no time for a restart.
+	// MinDuration is the shortest duration of an experiment. A shorter experiment has no time for a restart.
 	MinDuration = 15 * time.Second
-	// controlPlaneProbability and quietStartProbability are the probabilities that an experiment has real
-	// control-plane servers, and that it has a long quiet time, half of its duration, before the first fault.
+	// controlPlaneProbability is the probability that an experiment has real control-plane servers, and
+	// quietStartProbability the probability that its first half has no faults.
 	controlPlaneProbability, quietStartProbability = 0.25, 0.25
-	// hangProbability is the probability that servers hang while an agent gets a series of signals, so that
-	// requests stay in flight for long.
+	// hangProbability is the probability that servers hang while an agent gets a series of signals. Hanging
+	// servers keep requests in flight for a long time.
 	hangProbability = 0.7
 	// idleClientsProbability is the probability that idle connections use up an agent's descriptors while it
 	// gets a series of signals.
@@ -28,8 +28,8 @@
 	processFaultPeriod = 6 * time.Second
 	// environmentFaultPeriod is the mean time between all other faults.
 	environmentFaultPeriod = 4 * time.Second
-	// repeatedDurationFactor is how many times longer a fault that repeats answers lasts than other faults. A
-	// repeated answer can only do harm if its connection is reused within some milliseconds.
+	// repeatedDurationFactor multiplies the duration of a fault that repeats answers. Such a fault rarely shows
+	// an effect, because a repeated answer only does harm if its connection is reused within some milliseconds.
 	repeatedDurationFactor = 4
 )
 
@@ -69,9 +69,9 @@
 	rng                 *rand.Rand
 	duration            time.Duration
 	agents              int
-	maxSockets          int // limit of open descriptors of an agent
+	maxSockets          int // an agent's limit of open descriptors
 	servers             int
-	controlPlaneServers int // 0: the emulated list service takes their place
+	controlPlaneServers int // number of control-plane servers; 0: the emulated list service is used instead
 	faultsFrom          time.Duration
 	faults              []Fault
 }
@@ -114,8 +114,8 @@
 	return text.String()
 }
 
-// classTables are alternative sets of request classes: the defaults, a set with a non-idempotent class and one
-// that is deduplicated within a cell, a set with short deadlines, and a set of a single class.
+// classTables are the alternative sets of request classes: the defaults, a set with a non-idempotent class and
+// a class that is deduplicated within a cell, a set with short deadlines, and a set of a single class.
 var classTables = []string{
 	"",
 	classTable("reading", "free", "all", "700ms", "2500ms", "1s") + classTable("booking", "single_shot", "all", "900ms", "3s", "1s") +
@@ -153,7 +153,8 @@
 	`["term", "hup"]`, `["hup", "hup", "term", "term"]`, `["term", "kill"]`, `["kill"]`, `["hup", "kill"]`,
 }
 
-// terminationSeries are the series for agents that cannot reload their control-plane servers.
+// terminationSeries are the series of signals for experiments with control-plane servers. They contain no
+// reload, because the agents of these experiments cannot reload their control-plane servers.
 var terminationSeries = []string{`["term"]`, `["term", "term"]`, `["term", "kill"]`, `["kill"]`}
 
 // drawProcessFaults draws faults of the agents' processes and clients, for one agent at a time.
@@ -227,8 +228,8 @@
 	}
 }
 
-// drawServerFault draws a fault of one or two servers, or of a larger share for a kind that rarely shows an
-// effect.
+// drawServerFault draws a fault of one or two servers. A fault that repeats answers affects a larger share of
+// the servers, because it rarely shows an effect.
 func (g *generator) drawServerFault(at, faultDuration time.Duration) {
 	target := fmt.Sprintf("servers#%d", 1+g.rng.IntN(2))
 	kind := pick(g.rng, "kill", "vanish", "drain", "drain", "replace", "errors", "resets", "lost", "spoilt", "slow", "mute",
@@ -266,7 +267,7 @@
 	}
 }
 
-// drawNetworkFault draws a fault of discovery, or of the links to it and to servers.
+// drawNetworkFault draws an outage of discovery, or a fault of an agent's link to discovery or to a server.
 func (g *generator) drawNetworkFault(at, duration time.Duration) {
 	agent := fmt.Sprintf("n%d", g.rng.IntN(g.agents))
 	to := fmt.Sprintf("to = \"s-%02d\"", g.rng.IntN(g.servers))
--- a/internal/lab/soak/draw_test.go
+++ b/internal/lab/soak/draw_test.go
@@ -9,7 +9,8 @@
 	"knotrouter/internal/lab/experiment"
 )
 
-// Every seed draws a valid experiment and the same one each time, and different seeds draw different ones.
+// Every seed draws a valid experiment. The same seed always draws the same experiment, and different seeds draw
+// different experiments.
 func TestDrawnExperimentsAreValid(t *testing.T) {
 	texts := map[string]uint64{}
 	for seed := range uint64(300) {
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -18,7 +18,7 @@
 const (
 	Passed    Verdict = "held"
 	Violated  Verdict = "broke"
-	Void      Verdict = "void"   // the machine was too busy for a verdict
+	Void      Verdict = "void"   // the machine was too busy for a meaningful run
 	RunFailed Verdict = "failed" // the experiment could not be run
 )
 
@@ -59,8 +59,8 @@
 	return result
 }
 
-// verdictOf returns the verdict on a run. A run in which the lab itself was late is void, because the lab
-// may have caused what it observed.
+// verdictOf returns the verdict on a run. A run in which the lab itself was late is void, because the lab may
+// have caused the violations itself.
 func verdictOf(summary *experiment.Summary) (verdict Verdict, reason string) {
 	lab := &summary.Lab
 	if lab.TooLate {
--- a/internal/lab/soak/run_test.go
+++ b/internal/lab/soak/run_test.go
@@ -8,8 +8,8 @@
 	"knotrouter/internal/lab/experiment"
 )
 
-// A run is void if the lab was late, whatever it observed. A run with violations is Violated, and its reason
-// names the first violation.
+// A run in which the lab was late is void, with or without violations. Any other run with violations is
+// Violated, and its reason names the first violation.
 func TestVerdicts(t *testing.T) {
 	breach := check.Breach{Rule: check.RuleLost, AtS: 4.5, Agent: "n1", Request: "a1-7", Text: "no answer"}
 	broken := []experiment.FleetSummary{{Examples: []check.Breach{breach}}}
