--- a/internal/lab/discovery/discovery_test.go
+++ b/internal/lab/discovery/discovery_test.go
@@ -14,10 +14,10 @@
 	ts := newTestService(t, Config{})
 	list := ts.getList(1)
 	if list.Seq != 41 || !list.Full || summary(list) != "s-00 ready;s-01 ready;" {
-		t.Fatalf("%+v", list)
+		t.Fatalf("full list: %+v", list)
 	}
 	if e := list.Endpoints[0]; e.Dial != "127.0.1.0:80" || e.Site != "a" || e.Class != "k" || e.Block != 1 || e.Weight != 1.5 {
-		t.Errorf("entry %+v", e)
+		t.Errorf("entry of the full list: %+v", e)
 	}
 }
 
@@ -102,7 +102,7 @@
 	lists := ts.watch(0, firstRevision)
 	nextList(t, lists)
 	if list := nextList(t, lists); summary(list) != "s-00 ready;" || list.Endpoints[0].StartedMs != 5 {
-		t.Errorf("%+v", list)
+		t.Errorf("list of the newer report: %+v", list)
 	}
 	select {
 	case list := <-lists:
--- a/internal/lab/server/http_test.go
+++ b/internal/lab/server/http_test.go
@@ -20,7 +20,7 @@
 
 	request, r := ts.newRequest("b", classLook, 1)
 	if body := ts.sendAndExpect("after its start", "200", r); body != "b s-0 0\n" {
-		t.Errorf("answered %q", body)
+		t.Errorf("body of the response: %q", body)
 	}
 	if all, started := request.Attempts(); all != 1 || started != 1 {
 		t.Errorf("%d attempts, %d possibly started, want 1 and 1", all, started)
