--- a/internal/agent/policyentry.go
+++ b/internal/agent/policyentry.go
@@ -28,9 +28,9 @@
 
 // policyAddr returns the address that stands for a server in the balancer. It is derived from the
 // name alone, so that it is the same at every agent and does not change with the address to dial.
-func policyAddr(host string) policy.Addr {
+func policyAddr(name string) policy.Addr {
 	h := fnv.New64a()
-	io.WriteString(h, host)
+	io.WriteString(h, name)
 	sum := h.Sum(nil)
 	for i := range 2 {
 		sum[i+2] ^= sum[i] // fold all 64 bits into 48
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -133,13 +133,13 @@
 	a.clients.drain()
 	time.Sleep(shutdownAcceptPeriod)
 	stopAccepting()
-	longestMs := 0.0
+	maxDeadlineMs := 0.0
 	for _, c := range a.config.Settings.Classes {
-		longestMs = max(longestMs, c.DeadlineMs)
+		maxDeadlineMs = max(maxDeadlineMs, c.DeadlineMs)
 	}
 	ticker := time.NewTicker(10 * time.Millisecond)
 	defer ticker.Stop()
-	deadline := time.Now().Add(milliseconds(longestMs) + 100*time.Millisecond)
+	deadline := time.Now().Add(milliseconds(maxDeadlineMs) + 100*time.Millisecond)
 	for a.clients.closeUnused(minUnusedBeforeEviction) > 0 && time.Now().Before(deadline) {
 		<-ticker.C
 	}
