--- a/cmd/agent/reload.go
+++ b/cmd/agent/reload.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// reloadTimeout is how long after the signal an invalid or unreadable configuration is read again:
+	// reloadTimeout is how long after the signal reload retries an invalid or unreadable configuration:
 	// changes at the new discovery address count as notified 4 s after the signal (TERMS).
 	reloadTimeout       = 3 * time.Second
 	reloadRetryInterval = 50 * time.Millisecond
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -47,8 +47,8 @@
 // adapter holds the balancers of this process by instance number. Instances share no state.
 type adapter struct {
 	instances map[uint32]*policy.Balancer
-	reply     simwire.Encoder // to the current batch
-	actions   []policy.Action // the actions of one record; its memory is reused
+	reply     simwire.Encoder // the reply to the current batch
+	actions   []policy.Action // the actions of one record; the slice is reused
 }
 
 // handle passes a record to its instance and adds the resulting actions to the reply.
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -75,8 +75,8 @@
 	r.attempts = append(r.attempts, a)
 	r.openAttempts++
 	if !b.usable || r.answered || r.abandoned.Load() {
-		// The balancer sends only to servers that are listed as ready. If it chooses another one, or the
-		// request is answered or abandoned by now, nothing is written.
+		// The balancer sends only to servers that are listed as ready. If it chooses a server that is not,
+		// or if the request has been answered or abandoned meanwhile, nothing is written.
 		a.cancel(nil)
 		l.deferredEvents = append(l.deferredEvents,
 			event{kind: eventOutcome, attempt: a, result: result{status: policy.Withdrawn}})
@@ -161,6 +161,6 @@
 	delete(b.attempts, a)
 	l.removeUnused(b)
 	if a.transport != b.transport {
-		a.transport.CloseIdleConnections() // they lead to the previous address or process
+		a.transport.CloseIdleConnections() // its connections lead to the previous address or process
 	}
 }
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -53,24 +53,25 @@
 	index   int
 	backend *backend
 	started time.Time
-	sendBy  time.Time // when its last byte must be written at the latest; zero: no limit
+	sendBy  time.Time // the latest time to write the last byte; zero: no limit
 
-	transport  *backendTransport // the backend's at the start of the attempt, like dialAddr
-	dialAddr   string
-	reuseDelay time.Duration // minimum time from the last attempt on a connection to its reuse
-	singleUse  bool          // its connection is new and carries no other attempt
-	slot       *connSlot     // holds its connection while the attempt runs
-	reuseWait  time.Duration // time spent waiting for the reuse delay of its connection
+	transport  *backendTransport // the backend's transport when the attempt began
+	dialAddr   string            // the backend's address when the attempt began
+	reuseDelay time.Duration     // minimum time from the last attempt on a connection to its reuse
+	singleUse  bool              // the attempt gets a new connection, which carries no other attempt
+	slot       *connSlot         // slot of the attempt's connection while the attempt runs
+	reuseWait  time.Duration     // time spent waiting for the reuse delay of its connection
 
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	stage        atomic.Int32
-	header       http.Header                 // of the outgoing request
+	header       http.Header                 // header fields of the outgoing request
 	conn         atomic.Pointer[backendConn] // the only connection that the attempt may be written to
 	connStale    atomic.Bool                 // the last connection had been used before and has become unusable
 	writeFailed  atomic.Bool                 // a write failed: the request was not sent completely
 	bodyConsumed atomic.Bool                 // the transport has read the last byte of the body
-	// firstByteNs is the time in ns from the start until the first byte might be written; 0: never.
+	// firstByteNs is the time from the start of the attempt until its first write was allowed, in ns; 0: none
+	// was allowed.
 	firstByteNs atomic.Int64
 }
 
@@ -97,8 +98,8 @@
 		c.reportUnsolicited()
 		return false
 	}
-	// canSwitchConn may abandon c concurrently: either it sees the new stage, or its change of a.conn is
-	// seen here.
+	// canSwitchConn may abandon c concurrently. The stage is set before a.conn is read, so either
+	// canSwitchConn sees the new stage, or its change of a.conn is seen here.
 	if !a.stage.CompareAndSwap(attemptWaiting, attemptSending) || a.conn.Load() != c {
 		c.framing.cancelResponse()
 		return false
@@ -116,8 +117,9 @@
 	return a.stage.CompareAndSwap(attemptWaiting, attemptWithdrawn) || a.stage.Load() == attemptWithdrawn
 }
 
-// gotConn binds the attempt to the first connection chosen by the transport that it may use: one that
-// has not been evicted for a dial, and whose reuse delay is over.
+// gotConn is called when the transport has chosen a connection. It binds the attempt to the first
+// connection that the attempt may use: the connection has not been evicted for a dial, its reuse delay is
+// over and, for a single-use attempt, it is new.
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*backendConn)
 	if !ok {
@@ -129,13 +131,13 @@
 	}
 	if a.conn.CompareAndSwap(nil, c) {
 		c.attempt.Store(a)
-		a.setTimeoutHeader() // now, because the connect may have taken long; the transport writes it next
+		a.setTimeoutHeader() // now, because the connect may have taken long; the transport writes the header next
 	}
 }
 
 // abandonConn gives up a connection on which the attempt has not written and must not write. If the
-// connection was used before, another one may work; if it was opened for this attempt, its failure is the
-// backend's.
+// connection was used before, the attempt may try another connection. If it was opened for this attempt,
+// the failure counts as the backend's.
 func (a *attempt) abandonConn(c *backendConn) {
 	c.attempt.Store(nil) // so that nothing is written on behalf of the previous attempt
 	a.conn.CompareAndSwap(c, nil)
@@ -190,8 +192,8 @@
 	return res
 }
 
-// send waits until the attempt's connection may be reused and sends the request. While the connection
-// that the transport chose has become unusable, it tries another one.
+// send waits until the attempt's connection may be reused and sends the request. If the connection that
+// the transport chose has become unusable, send tries another one, up to maxConnRetries times.
 func (a *attempt) send() (result, error) {
 	if a.singleUse {
 		a.slot = a.transport.acquireEmpty()
@@ -230,9 +232,10 @@
 	return errNotReusableYet
 }
 
-// canSwitchConn reports whether the attempt may try another connection: it is still wanted, no byte was
-// written, and the round trip failed only because the connection was evicted for a dial, or was a reused
-// one that had ended or received unsolicited bytes. It closes a reused connection that is still bound.
+// canSwitchConn reports whether the attempt may try another connection. It may if its context has not
+// ended, no byte was written, and only the connection was at fault: the connection was evicted for a dial,
+// or it was reused and had ended or received unsolicited bytes. canSwitchConn closes a reused connection
+// that is still bound to the attempt.
 func (a *attempt) canSwitchConn() bool {
 	if a.stage.Load() != attemptWaiting || a.ctx.Err() != nil {
 		return false
@@ -256,7 +259,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusSwitchingProtocols {
-		return res, errUnexpectedUpgrade // its body is the connection itself, whose reads a context does not end
+		return res, errUnexpectedUpgrade // the body is the connection itself, and the context does not end its reads
 	}
 	res.loadReport = resp.Header.Get("Server-Load")
 	if resp.StatusCode == http.StatusOK && !a.bodyConsumed.Load() {
@@ -276,7 +279,7 @@
 		resp.Header.Get("Not-Started") == "1":
 		res.status = policy.Full
 	default:
-		res.status = policy.Error // it may have been executed
+		res.status = policy.Error // the backend may have executed the request
 	}
 	if err != nil || len(body) > maxBodyBytes {
 		a.conn.Load().Close()
@@ -304,10 +307,10 @@
 	return policy.Reset
 }
 
-// readResponseBody reads at most one byte more than maxBodyBytes. A body without a length ends with
-// the connection: a close means that the body is complete, a reset is an error (PROTOCOL, "Agents
-// to programme servers"). For a response that will not be forwarded, such a body is not read, and
-// the error is errUnboundedBody.
+// readResponseBody reads at most one byte more than maxBodyBytes, so that a longer body is detected. A
+// body without a length ends with the connection: a close means that the body is complete, a reset is an
+// error (PROTOCOL, "Agents to programme servers"). For a response that will not be forwarded, such a body
+// is not read, and the error is errUnboundedBody.
 func readResponseBody(resp *http.Response) ([]byte, error) {
 	untilClose := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 	if untilClose && resp.StatusCode != http.StatusOK {
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -7,11 +7,11 @@
 type backend struct {
 	addr          policy.Addr
 	dialAddr      string
-	listedStartMs float64 // start of its process in ms of discovery's clock
-	loopStartMs   float64 // the same in ms of the loop's clock
-	usable        bool
+	listedStartMs float64 // start of the server's process on discovery's clock, in ms
+	loopStartMs   float64 // start of the server's process on the loop's clock, in ms
+	usable        bool    // the server is listed as ready
 	transport     *backendTransport
-	attempts      map[*attempt]struct{} // in flight
+	attempts      map[*attempt]struct{} // attempts in flight
 }
 
 // withdrawAttempts withdraws the attempts that have not written a byte yet and closes the idle
@@ -37,7 +37,7 @@
 // It is called at most once for each connection.
 func (l *loop) handleUnsolicited(b *backend, t *backendTransport) {
 	if l.backends[b.addr] != b || b.transport != t {
-		return // a previous process or address
+		return // the bytes came from a previous process or address
 	}
 	l.log.Info("backend sent unsolicited bytes", "address", b.dialAddr)
 	l.dispatch(&policy.Event{Kind: policy.EvUnsolicited, Server: b.addr})
--- a/internal/agent/backendconn.go
+++ b/internal/agent/backendconn.go
@@ -15,20 +15,20 @@
 // connection carries.
 type backendConn struct {
 	net.Conn
-	raw                 syscall.RawConn // of Conn; nil: it has no descriptor
+	raw                 syscall.RawConn // access to the descriptor of Conn; nil: Conn has none
 	dialer              *dialer
 	transport           *backendTransport
 	slot                *connSlot
 	attempt             atomic.Pointer[attempt]
 	framing             responseFraming
-	idleSince           atomic.Pointer[time.Time] // when its last attempt ended; nil: it has carried none
+	idleSince           atomic.Pointer[time.Time] // end of the last attempt on the connection; nil: no attempt has ended
 	unsolicitedReported atomic.Bool               // unsolicited bytes were reported to the transport
 	closed              sync.Once
 
 	// The fields below are guarded by dialer.idle.mu.
 
-	idle     *list.Element // in dialer.idle; nil: not idle
-	unusable bool          // closed, or about to be: no attempt may begin on it
+	idle     *list.Element // element of dialer.idle; nil: the connection is not idle
+	unusable bool          // the connection is closed, or about to be: no attempt may begin on it
 }
 
 // newBackendConn returns a connection that was opened for an attempt in the slot.
@@ -117,8 +117,8 @@
 	return !c.hasUnread() && c.framing.beginResponse()
 }
 
-// hasUnread reports whether the connection has unread bytes, which are unsolicited, or has ended. If so,
-// no response can be read from it any more.
+// hasUnread reports whether the connection has unread bytes, which are unsolicited, or has ended. It
+// consumes an unread byte, so no response can be read from the connection once it has returned true.
 func (c *backendConn) hasUnread() bool {
 	if c.raw == nil {
 		return false
--- a/internal/agent/backendrequest.go
+++ b/internal/agent/backendrequest.go
@@ -37,7 +37,7 @@
 		Body: &requestBody{reader: bytes.NewReader(r.body), consumed: &a.bodyConsumed}, ContentLength: int64(len(r.body))}
 }
 
-// setTimeoutHeader sets Request-Timeout to the time for which the agent will still wait.
+// setTimeoutHeader sets Request-Timeout to the time left until the attempt's deadline, at least 1 ms.
 func (a *attempt) setTimeoutHeader() {
 	left := max(time.Until(a.deadline()).Milliseconds(), 1)
 	a.header["Request-Timeout"] = []string{strconv.FormatInt(left, 10) + "m"}
--- a/internal/agent/backendtransport.go
+++ b/internal/agent/backendtransport.go
@@ -10,7 +10,7 @@
 	"knotrouter/policy"
 )
 
-// preferredIdleTime is the idle time from which a connection is preferred to less idle ones.
+// preferredIdleTime is the idle time from which acquire prefers a connection to more recently used ones.
 const preferredIdleTime = policy.CautiousReuseDelayMs * time.Millisecond
 
 // backendTransport sends attempts to one backend and chooses the connection of each. In HTTP/1.1 a second
@@ -26,14 +26,14 @@
 	onUnsolicited func()
 
 	mu    sync.Mutex
-	idle  []*connSlot // with a connection but no attempt, the longest idle first
-	empty []*connSlot // without an attempt, and without a connection unless its dial ended late
+	idle  []*connSlot // slots with a connection but no attempt, longest idle first
+	empty []*connSlot // slots without an attempt; one has a connection only if its dial ended after its attempt
 	slots int         // number of slots created; each slot's host is its number
 }
 
 // connSlot holds at most one connection to a backend, and the host name that selects it in net/http.
 type connSlot struct {
-	host string       // of the URLs of its requests
+	host string       // host name in the URLs of the slot's requests
 	conn *backendConn // guarded by the transport's mu; nil: none
 }
 
--- a/internal/agent/clientclose.go
+++ b/internal/agent/clientclose.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// shutdownWrite ends the agent's side of the connection and limits how long it waits for the client
-// to end the other. The lock must be held.
+// shutdownWrite ends the agent's side of the connection and sets the deadline for the client to end
+// its side. The lock must be held.
 func (c *clientConn) shutdownWrite() {
 	if !c.lingerUntil.IsZero() {
 		return
--- a/internal/agent/clientconn.go
+++ b/internal/agent/clientconn.go
@@ -21,11 +21,11 @@
 	answered         bool      // at least one request was answered
 	closed           bool
 	lingerUntil      time.Time // deadline of lingering, set when the agent's side has ended
-	lingeredBytes    int
+	lingeredBytes    int       // bytes discarded after the agent's side has ended
 	peerEnded        bool      // the client's side has ended, or failed
-	connectedAt      time.Time // earliest arrival of the connection, which may have been queued in the kernel
-	requestArrivedAt time.Time // earliest arrival of the current request
-	nextArrivedAt    time.Time // arrival of the first pipelined byte; zero: none has arrived
+	connectedAt      time.Time // earliest possible arrival of the connection, which may have been queued in the kernel
+	requestArrivedAt time.Time // earliest possible arrival of the current request
+	nextArrivedAt    time.Time // arrival of the first byte after the current request; zero: none has arrived
 	pipelined        bool      // a byte arrived after the current request
 	readAhead        readAheadState
 
@@ -34,8 +34,8 @@
 
 // Read reads what the client sends. It returns no bytes that arrive after the close has begun.
 // While a request is handled, net/http reads a single byte in order to detect a disconnect. Once
-// that byte has arrived, net/http can't detect a disconnect any more, so a goroutine here reads
-// ahead for the same purpose. Bytes that were read ahead are returned before later ones; if any of
+// that byte has arrived, net/http can't detect a disconnect any more, so runReadAhead reads on for
+// the same purpose. Bytes that were read ahead are returned before later ones; if any of
 // them were dropped, nothing more is returned.
 func (c *clientConn) Read(p []byte) (int, error) {
 	c.owner.mu.Lock()
@@ -98,8 +98,8 @@
 }
 
 // wasQueued reports whether the connection has waited before its first read, in the kernel's queue or
-// for admission. Only then is the operating system asked whether bytes have arrived by now; otherwise
-// the duration of the read shows it.
+// for admission. If it has, Read asks the operating system whether bytes had arrived before the read;
+// otherwise the duration of the read shows whether they had.
 func (c *clientConn) wasQueued(readAt time.Time) bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -168,7 +168,7 @@
 }
 
 // disconnected reports whether the client has closed its connection. It asks the operating system,
-// because the request and, after it, the end of the client's side may have been queued there for long.
+// because the request and the end of the client's side may have been queued there for a long time.
 func (c *clientConn) disconnected() bool {
 	select {
 	case <-c.canceled:
--- a/internal/agent/clientconns.go
+++ b/internal/agent/clientconns.go
@@ -15,17 +15,18 @@
 	maxLingerBytes = 4 << 20
 	// rejectTimeout limits the write of a rejection, which fits into the kernel's buffer.
 	rejectTimeout = 5 * time.Millisecond
-	// A connection may be evicted for a waiting one after minIdleBeforeEviction between requests,
-	// minUnusedBeforeEviction without any request, or minReadingBeforeEviction within a head or body.
-	// The last two count from the arrival in the kernel's queue, so that connections that have waited
-	// there in large numbers are evicted quickly. minInStageBeforeEviction leaves time to read what has
-	// arrived with a connection.
+	// A connection may be evicted to admit a waiting one if it has been idle between requests for
+	// minIdleBeforeEviction, has sent no request since it arrived for minUnusedBeforeEviction, or has not
+	// completed a head or body for minReadingBeforeEviction. The last two limits count from the arrival in
+	// the kernel's queue, so that connections that have waited there in large numbers are evicted quickly.
+	// minInStageBeforeEviction is the minimum time since the agent accepted the connection or began to read
+	// the request: it leaves time to read the bytes that arrived with the connection.
 	minIdleBeforeEviction    = 100 * time.Millisecond
 	minUnusedBeforeEviction  = 250 * time.Millisecond
 	minReadingBeforeEviction = 500 * time.Millisecond
 	minInStageBeforeEviction = 50 * time.Millisecond
 	// maxReadAheadBuf limits the bytes after the current request that a connection keeps: enough for a
-	// request of the largest size. maxReadAheadTotal limits those of all connections together.
+	// request of the largest size. maxReadAheadTotal limits the sum over all connections.
 	maxReadAheadBuf   = maxBodyBytes + 8<<10
 	maxReadAheadTotal = 2 << 20
 )
@@ -40,8 +41,8 @@
 	connClosing                  // nothing is read as a request any more
 )
 
-// clientConns owns the client connections and limits their number. Whether a connection accepts a
-// request or is closed is decided under its lock: a request that arrives while its connection is
+// clientConns owns the client connections and limits their number. A request is accepted and a
+// connection is closed under its lock: a request that arrives while its connection is
 // being closed is either accepted and answered, or never accepted, so that the client may send it
 // again.
 type clientConns struct {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -35,15 +35,15 @@
 	Settings      policy.Settings
 	Names         nameIndex
 	CachedList    endpoints.List
-	CachedListErr error // the first invalid entry of the cached list; all invalid ones are skipped; nil: none
+	CachedListErr error // error of the first invalid entry of the cached list; invalid entries are skipped; nil: none
 
-	// Extensions that the platform doesn't know; off unless configured.
+	// The settings below are extensions of the given configuration format; each is off unless configured.
 	ControlPlane []string // addresses of the control-plane servers, in place of Discovery
 	Services     []string // the services to subscribe to at the control plane; nil: all
 	LogLevel     slog.Level
 }
 
-// addresses returns the addresses of the service that lists the backends.
+// addresses returns the addresses of discovery: those of the control-plane servers, if configured.
 func (c *Config) addresses() []string {
 	if len(c.ControlPlane) > 0 {
 		return c.ControlPlane
@@ -51,7 +51,7 @@
 	return []string{c.Discovery}
 }
 
-// nameIndex maps names of zones, kinds, classes and tenants to the balancer's numbers.
+// nameIndex maps names of zones, kinds, classes and tenants to their indices in the balancer's settings.
 type nameIndex struct {
 	zones, kinds, classes, tenants map[string]int
 }
@@ -68,7 +68,8 @@
 	return ParseConfig(text)
 }
 
-// rawConfig is the JSON form of a configuration, before validation.
+// rawConfig is the JSON form of a configuration, before validation. The keys are fixed by the configuration
+// format: "known" is the cached list, and "stewards" are the control-plane servers.
 type rawConfig struct {
 	Name         string          `json:"name"`
 	Listen       string          `json:"listen"`
@@ -162,7 +163,8 @@
 	if c.Settings, err = simwire.ParseSettings(text); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	// Anonymous, because encoding/json would write a type's name into its errors.
+	// The type is anonymous because encoding/json would write its name into errors. The keys are fixed by
+	// the settings' format: "failureDomains" are the zones, and "shapes" are the kinds.
 	var nameLists struct {
 		Zones []string `json:"failureDomains"`
 		Kinds []string `json:"shapes"`
@@ -220,7 +222,7 @@
 		l.Endpoints = append(l.Endpoints, h)
 	}
 	if firstErr != nil || len(l.Endpoints) == 0 {
-		l.Seq = 0 // only a full list contains the skipped entries, a list of changes does not
+		l.Seq = 0 // makes discovery send a full list: a list of changes would lack the skipped entries
 	}
 	if skipped > 1 {
 		firstErr = fmt.Errorf("%w, and %d more", firstErr, skipped-1)
@@ -228,8 +230,8 @@
 	return l, firstErr
 }
 
-// maxControlPlaneAddresses limits the addresses of the control plane. It has at most five servers,
-// and as many more while they are replaced.
+// maxControlPlaneAddresses limits the addresses of the control plane. There are at most five servers,
+// and as many new ones while the servers are replaced.
 const maxControlPlaneAddresses = 16
 
 // checkServices validates the services; nil means that the key is absent, which is valid.
--- a/internal/agent/dialer.go
+++ b/internal/agent/dialer.go
@@ -11,7 +11,7 @@
 	"knotrouter/internal/transient"
 )
 
-// dialer opens connections to backends within the limit of the file descriptors that are for them.
+// dialer opens connections to backends, within the limit of file descriptors reserved for them.
 type dialer struct {
 	connect           func(ctx context.Context, network, addr string) (net.Conn, error)
 	connectTimeout    time.Duration
@@ -57,7 +57,7 @@
 
 // dialForAttempt opens a connection for the attempt in ctx. http.Transport detaches its dials from
 // the request and keeps the connection for a later request; here the dial ends with its attempt, so
-// that it does not go on to a backend that was given up. At the limit of open connections, the one that
+// that no connection to an abandoned backend is opened. At the limit of open connections, the one that
 // has been idle for longest is closed; dialForAttempt returns errNoSockets if none is idle.
 func (d *dialer) dialForAttempt(ctx context.Context, network string, t *backendTransport) (net.Conn, error) {
 	a, _ := ctx.Value(attemptKey{}).(*attempt)
@@ -97,10 +97,10 @@
 	return true
 }
 
-// connectWithRetry calls connect again while it fails for lack of a local resource or of a network
-// route, with a backoff, until ctx ends. If a local resource was missing until ctx ended, the error is
-// joined with errNoSockets and the last local error: the last call of connect had too little time left
-// for its own error to count.
+// connectWithRetry calls connect, and retries with a backoff until ctx ends if the call fails for lack of
+// a local resource or of a network route. If calls failed for lack of a local resource and ctx ends, the
+// error is joined with errNoSockets and the last local error: the last call may have had too little time
+// left to report the actual cause.
 func connectWithRetry(ctx context.Context, connect func(ctx context.Context) (net.Conn, error)) (net.Conn, error) {
 	var localErr error
 	for retries := 0; ; retries++ {
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -27,7 +27,7 @@
 	return d
 }
 
-// fetch requests the full list once, of at least the version minVersion.
+// fetch requests the full list once; its version must be at least minVersion.
 func (d *discovery) fetch(ctx context.Context, minVersion int64) {
 	l, err := d.client.Fetch(ctx, minVersion)
 	d.post(event{kind: eventListFetched, list: l, err: err})
--- a/internal/agent/discoverychange.go
+++ b/internal/agent/discoverychange.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// previousDiscoveryTimeout is how long responses of a replaced discovery service are still read:
-	// it closes its watches 1.5 s after the signal (TERMS).
+	// previousDiscoveryTimeout is how long responses of a replaced discovery service are still read: the
+	// replaced service closes its watches 1.5 s after the reload signal (TERMS).
 	previousDiscoveryTimeout = 2 * time.Second
 	// maxPreviousDiscoveries limits how many replaced services are read at once, after several reloads.
 	maxPreviousDiscoveries = 4
@@ -36,10 +36,9 @@
 }
 
 // changeDiscovery moves the calls in flight to new addresses or services; for the balancer they stay
-// the same calls. The watch is opened at once even if the balancer is in a backoff: that backoff
-// was for the old address, and changes at the new one count as notified after 4 s. With several
-// addresses, only a watch at an address that is not configured any more ends, or every watch if the
-// services change.
+// the same calls. The watch is opened at once even if the balancer is in a backoff, because the backoff
+// was for the old address, and changes at the new address count as notified after 4 s. With a control
+// plane, a running watch ends only if its address is no longer configured or if the services change.
 func (l *loop) changeDiscovery(addrs, services []string) {
 	if l.controlPlane == nil && services != nil {
 		l.log.Warn("services ignored: the agent started without a control plane", "services", len(services))
@@ -63,14 +62,14 @@
 			go l.discovery.fetch(l.discoveryCtx, l.listVersion)
 		}
 	}
-	// No call has failed there yet, so the backoff starts from its shortest wait.
+	// No call to the new source has failed yet, so the backoff starts from its shortest wait.
 	l.dispatch(&policy.Event{Kind: policy.EvList, List: policy.ListSourceChanged})
 	l.openWatch()
 }
 
 // retireDiscovery replaces the current discovery service but keeps reading its open calls for a
-// while: changes that it sends until it closes them count as notified, and the first response of the
-// new one may take long.
+// while: changes that the replaced service sends before it closes these calls count as notified, and the
+// first response of the new service may take long.
 func (l *loop) retireDiscovery() {
 	l.previousDiscoveries = append(l.previousDiscoveries, previousDiscovery{l.discovery, l.cancelDiscovery})
 	time.AfterFunc(previousDiscoveryTimeout, l.cancelDiscovery)
@@ -81,7 +80,7 @@
 }
 
 // handlePreviousDiscovery applies a list of a previous discovery service if it is newer than the
-// current one. How its calls end does not matter.
+// current one. Errors and the end of its calls are ignored.
 func (l *loop) handlePreviousDiscovery(e *event) {
 	known := slices.ContainsFunc(l.previousDiscoveries, func(previous previousDiscovery) bool { return previous.discovery == e.source })
 	if !known || e.list.Seq <= l.listVersion {
--- a/internal/agent/endpointlist.go
+++ b/internal/agent/endpointlist.go
@@ -24,9 +24,9 @@
 // handleListChanged processes a list that the watch delivered.
 func (l *loop) handleListChanged(e *event) {
 	l.watchStats.lists++
-	// A full list is outdated if another call delivered a newer one while its call was open. But
-	// without a control plane, a list older than the version that its own call began with comes from
-	// a discovery service whose versions have restarted.
+	// A full list is outdated if another call has delivered a newer list while the watch was open. The
+	// exception is a list older than the watch's own previous version: without a control plane, it comes
+	// from a discovery service whose versions have restarted, and is applied.
 	outdated := e.list.Seq < l.listVersion && (l.controlPlane != nil || e.list.Seq >= e.since)
 	switch {
 	case e.list.Full && !outdated:
@@ -42,7 +42,7 @@
 // subscription is ignored.
 func (l *loop) receiveList(kind policy.ListKind, list *endpoints.List) {
 	if list.Subscription != l.scope.subscription {
-		return // of an earlier subscription
+		return
 	}
 	list.Full = kind == policy.ListFull
 	scoped, events := l.scope.filter(*list)
@@ -56,7 +56,7 @@
 // servers wait for the complete list.
 func (l *loop) receivePartialList(list *endpoints.List) {
 	if list.Subscription != l.scope.subscription || list.Seq != 0 && list.Seq <= l.listVersion {
-		return // of an earlier subscription, or nothing new
+		return // the list is of an earlier subscription, or contains nothing new
 	}
 	knownEntries := endpoints.List{Seq: l.listVersion}
 	for _, ep := range list.Endpoints {
@@ -80,6 +80,7 @@
 // applyList applies a list and its version: to the connections first, then to the balancer.
 func (l *loop) applyList(kind policy.ListKind, list *endpoints.List) {
 	l.listVersion = list.Seq
+	// The lab's experiments match the text of this line.
 	l.log.Debug("list taken", "version", list.Seq, "entries", len(list.Endpoints))
 	if list.EntryError != nil {
 		l.warnDiscovery("discovery: unreadable entry of a list", "list_version", list.Seq, "err", list.EntryError)
@@ -135,8 +136,8 @@
 		l.backends[entry.Server] = b
 	}
 	if entry.Health != policy.Gone && (b.transport == nil || b.dialAddr != ep.Dial || b.listedStartMs != ep.StartedMs) {
-		// Connections to another address or to the previous process are useless, and
-		// attempts that have not begun there must not begin.
+		// Connections to the previous address or process are useless, and attempts
+		// that have not been written to them yet must not begin.
 		if b.transport != nil {
 			b.withdrawAttempts()
 		}
--- a/internal/agent/event.go
+++ b/internal/agent/event.go
@@ -18,7 +18,7 @@
 	eventListChanged                       // list
 	eventWatchEnded                        // err
 	eventDiscoveryChanged                  // addrs: the new addresses of discovery; services: the new services
-	eventShutdown                          // none
+	eventShutdown                          // no fields
 	eventFailover                          // addr: the address that is not called any more; err
 	eventListPartial                       // list: the received entries of an incomplete list
 	eventUnsolicited                       // backend, transport: the backend sent bytes that belong to no response
@@ -36,10 +36,10 @@
 	transport *backendTransport
 	token     uint32
 	list      endpoints.List
-	since     int64 // the version that the watch began with, or that of its list before this one
+	since     int64 // version of the watch's previous list, or the version that the watch began with
 	err       error
-	source    *discovery // the discovery that sent it; nil: not from discovery
+	source    *discovery // the discovery client that sent the event; nil: not from discovery
 	addr      string
 	addrs     []string
-	services  []string // nil: no scope
+	services  []string // nil: all services
 }
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -25,7 +25,8 @@
 func (a *Agent) ServeHTTP(w http.ResponseWriter, httpRequest *http.Request) {
 	arrivedAt := time.Now()
 	if httpRequest.ContentLength != 0 {
-		// Set even if this handler does not read the body: net/http then skips it to reach the next request.
+		// The deadline also applies to a body that this handler does not read: net/http then skips the body
+		// to reach the next request.
 		_ = http.NewResponseController(w).SetReadDeadline(arrivedAt.Add(bodyTimeout))
 	}
 	client, _ := httpRequest.Context().Value(clientConnKey{}).(*clientConn)
@@ -70,7 +71,7 @@
 	var canceled chan struct{}
 	if r.client = client; client != nil {
 		if !client.acceptRequest() {
-			panic(http.ErrAbortHandler) // it is being closed: the client may send the request again
+			panic(http.ErrAbortHandler) // the connection is being closed: the client may send the request again
 		}
 		canceled = client.canceled
 	}
@@ -93,8 +94,8 @@
 		a.loop.post(event{kind: eventClientCanceled, req: r})
 		return
 	}
-	// The client has disconnected, or has ended only its sending side: then it would read whatever is
-	// written now as a response.
+	// The client has disconnected, or has ended only its sending side. In the second case it would read
+	// anything that is written now as a response, so nothing is written.
 	r.abandoned.Store(true)
 	a.log.Debug("request canceled", "request_id", r.wireID, "reason", reasonClientCanceled)
 	a.loop.post(event{kind: eventClientCanceled, req: r})
@@ -223,8 +224,8 @@
 }
 
 // setCloseIfTruncated sets "Connection: close" in the response that is about to be written if bytes after
-// the current request were dropped, so that no further request can be read. From then on none are
-// dropped. client is nil in tests without a connection.
+// the current request were dropped, so that no further request can be read. After the call, no more
+// bytes are dropped. client is nil in tests without a connection.
 func (a *Agent) setCloseIfTruncated(w http.ResponseWriter, client *clientConn) {
 	if client != nil && !client.sealReadAhead() {
 		w.Header().Set("Connection", "close")
--- a/internal/agent/listener.go
+++ b/internal/agent/listener.go
@@ -25,12 +25,12 @@
 	net.Listener
 	clients *clientConns
 	done    <-chan struct{}
-	ctx     context.Context // ends the backoff between retries
+	ctx     context.Context // its end stops the backoff between retries
 	log     *slog.Logger
 
 	queue         acceptQueue
 	lastLogged    time.Time
-	failedAccepts int // since lastLogged
+	failedAccepts int // number of failed accepts since lastLogged
 }
 
 // Accept waits for a connection. Its error is net.ErrClosed or a permanent one.
@@ -92,7 +92,7 @@
 // acceptQueue estimates how long connections have waited in the kernel's accept queue. The queue
 // stalls while none is accepted, and is drained within queueDrainTime after that.
 type acceptQueue struct {
-	stalledFrom, stalledUntil time.Time // the last stall; zero: none since the queue was last empty
+	stalledFrom, stalledUntil time.Time // bounds of the last stall; zero: none since the queue was last empty
 }
 
 // recordStall records that no connection was accepted between from and to.
--- a/internal/agent/log.go
+++ b/internal/agent/log.go
@@ -10,15 +10,15 @@
 	"knotrouter/policy"
 )
 
-// reason says why a connection was closed or why an attempt, a request or a watch ended. The log gives
-// such reasons with these values only, and the values don't change.
+// reason says why a connection was closed or why an attempt, a request or a watch ended. The log uses
+// only the values below, which are fixed even where a Go name differs.
 type reason string
 
 // The reasons that are logged.
 const (
 	reasonClientCanceled        reason = "client_left"
 	reasonIdleEvicted           reason = "idle_evicted"    // idle, and closed to make room for another client
-	reasonSlowEvicted           reason = "slow_evicted"    // the same, but within a request's head or body
+	reasonSlowEvicted           reason = "slow_evicted"    // closed for another client within a request's head or body
 	reasonShutdown              reason = "shutdown"        // the agent shuts down
 	reasonDeadline              reason = "deadline"        // the client's timeout expired
 	reasonServed                reason = "served"          // a server's complete response
@@ -68,8 +68,8 @@
 	return reasonFailed
 }
 
-// warnDiscovery logs a warning about discovery unless the rate limit is reached; then the line is
-// counted and the next line reports the count.
+// warnDiscovery logs a warning about discovery unless the rate limit is reached. Suppressed
+// lines are counted, and the next logged line reports their number.
 func (l *loop) warnDiscovery(text string, args ...any) {
 	if !l.logLimiter.Take(time.Since(l.startedAt)) {
 		l.suppressedLines++
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -11,7 +11,7 @@
 	"knotrouter/policy"
 )
 
-// The values of membershipMode, and the poll interval in ms for settings that give none.
+// Values of the setting membershipMode, and the poll interval in ms for settings that give none.
 const (
 	membershipPushed, membershipOnRequest = "pushed", "on_request"
 	defaultPollWithinMs                   = 10000
@@ -25,15 +25,15 @@
 	names               *nameIndex
 	log                 *slog.Logger
 	events              chan event
-	deferredEvents      []event // events of the loop itself, handled next
+	deferredEvents      []event // events that the loop has created itself, handled before those in events
 	startedAt           time.Time
-	startedAtMs         float64
+	startedAtMs         float64 // startedAt as Unix time, in ms
 	dialer              *dialer
 	discovery           *discovery
-	controlPlane        *endpoints.ClientConfig // configuration of the control plane's client; nil: one discovery address
+	controlPlane        *endpoints.ClientConfig // client configuration for the control plane; nil: discovery has one address
 	scope               scope                   // the subscribed services
-	logLimiter          endpoints.TokenBucket   // for the lines about discovery
-	suppressedLines     int                     // since the last line that was logged
+	logLimiter          endpoints.TokenBucket   // rate limit of log lines about discovery
+	suppressedLines     int                     // number of lines suppressed since the last logged one
 	cancelDiscovery     context.CancelFunc      // cancels the calls to discovery
 	previousDiscoveries []previousDiscovery     // replaced services whose responses are still read
 	discoveryCtx        context.Context
@@ -70,8 +70,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// The balancer's clock is the Unix time of the start, then monotonic: born_ms needs
-	// no conversion, and steps of the system's clock have no effect.
+	// The balancer's clock starts at the Unix time and is monotonic from there: listed start times
+	// (born_ms) need no conversion, and steps of the system's clock have no effect.
 	startedAt := time.Now()
 	l := &loop{
 		balancer: balancer,
@@ -88,7 +88,7 @@
 		backends:    map[policy.Addr]*backend{},
 		dialer:      newBackendDialer(c),
 	}
-	// A fault of discovery is logged by all agents, so the limit on the rate of lines is shared among them.
+	// All agents log a fault of discovery, so each has a share of a common limit on the rate of lines.
 	l.logLimiter = endpoints.TokenBucket{Burst: 10, Rate: min(1, 20/float64(max(settings.Replicas, 1)))}
 	if len(c.ControlPlane) > 0 {
 		l.controlPlane = &endpoints.ClientConfig{OrderSeed: c.Seed, Fleet: settings.Replicas, RejectOlder: true, Services: c.Services}
--- a/internal/agent/policyentry.go
+++ b/internal/agent/policyentry.go
@@ -14,7 +14,7 @@
 }
 
 // policyEntry converts a listed server for the balancer. A zone or kind that the settings don't
-// name becomes -1, which is the index of no configured one.
+// name becomes -1.
 func (n *nameIndex) policyEntry(ep *endpoints.Endpoint) policy.Entry {
 	indexOf := func(m map[string]int, name string) int {
 		if i, ok := m[name]; ok {
--- a/internal/agent/readahead.go
+++ b/internal/agent/readahead.go
@@ -19,17 +19,17 @@
 // readAheadState holds what a connection has read after its current request.
 type readAheadState struct {
 	chunks    []readAheadChunk
-	size      int  // of all chunks, in bytes
-	truncated bool // bytes were dropped: nothing after the chunks may be read as a request
-	sealed    bool // the response is being written: nothing may be dropped any more
-	err       error
-	done      chan struct{} // closed when the goroutine ends; nil: it does not run
+	size      int           // total size of the chunks, in bytes
+	truncated bool          // bytes were dropped: nothing after the chunks may be read as a request
+	sealed    bool          // the response is being written: nothing may be dropped any more
+	err       error         // read error that ended runReadAhead
+	done      chan struct{} // closed when runReadAhead ends; nil: it does not run
 }
 
 // readAheadChunk holds bytes that arrived together.
 type readAheadChunk struct {
 	bytes     []byte
-	arrivedAt time.Time // of its first byte
+	arrivedAt time.Time // arrival of the first byte
 }
 
 // add appends bytes that have just arrived.
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -27,7 +27,7 @@
 	idempotencyKey string
 	contentType    string
 	body           []byte
-	answers        chan answer // buffer of one
+	answers        chan answer // receives the final answer; buffer of one
 
 	id           policy.RequestID
 	answered     bool
--- a/internal/agent/responseframing.go
+++ b/internal/agent/responseframing.go
@@ -25,14 +25,14 @@
 // framingState is the parser's progress in a response.
 type framingState struct {
 	line       []byte  // the received prefix of the current line
-	section    section // which the line belongs to
+	section    section // part of the response that the line belongs to
 	statusSeen bool    // the status line was parsed
 	interim    bool    // the head is of a 1xx response: another head follows
 	bodyless   bool    // the status allows no body
 	hasLength  bool    // the head has a Content-Length
 	length     int     // the value of Content-Length
 	chunked    bool    // the head has a Transfer-Encoding
-	complete   bool    // no line follows
+	complete   bool    // all lines are parsed; only bytes of the body may follow
 	untilClose bool    // the body ends with the connection
 	remaining  int     // bytes of the body or chunk still to come
 }
@@ -163,7 +163,7 @@
 }
 
 // hasUnsolicited reports whether bytes arrived after the end of a response. Bytes on a connection that
-// has carried no request don't count: they can't be a second response to one.
+// has carried no request don't count: they can't be a second response to a request.
 func (f *responseFraming) hasUnsolicited() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/agent/scope.go
+++ b/internal/agent/scope.go
@@ -14,7 +14,7 @@
 	table        *endpoints.ServiceTable // nil: no scope
 }
 
-// update changes the services, nil for no scope; subscription is the number of the client's
+// update replaces the services; nil removes the scope. subscription is the number of the client's
 // subscription.
 func (s *scope) update(services []string, subscription uint64) {
 	s.services, s.subscription = services, subscription
@@ -53,8 +53,9 @@
 	return s.table.Apply(list)
 }
 
-// needsFullList reports whether a list that is skipped as outdated may contain servers that the newer
-// list could not contain.
+// needsFullList reports whether a full list has to be requested after the given list was skipped as
+// outdated: the skipped list was limited to the agent's services, and the table is not based on such a
+// list, so it may lack servers.
 func (s *scope) needsFullList(list *endpoints.List) bool {
 	return s.table != nil && list.Subscription == s.subscription && list.Scoped && !s.table.Synced()
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -20,9 +20,9 @@
 	// shutdownAcceptPeriod is how long connections are accepted after SIGTERM: clients go on
 	// connecting for up to 0.4 s.
 	shutdownAcceptPeriod = 450 * time.Millisecond
-	// headTimeout is how long a request's head may take to arrive, the first one counted from the
-	// connect, and bodyTimeout how long its body may: a peer that sends no valid request must get an
-	// error or a close within 3 s of connecting, and occupies a slot until then.
+	// headTimeout is how long a request's head may take to arrive; for the first request of a connection,
+	// the time counts from the connect. bodyTimeout is how long its body may take. A peer that sends no
+	// valid request must get an error or a close within 3 s of connecting, and occupies a slot until then.
 	headTimeout, bodyTimeout = 1500 * time.Millisecond, time.Second
 	// idleTimeout is how long a connection without a request stays open: as long as clients may
 	// rely on and no longer, because idle connections occupy slots that others need.
--- a/internal/agent/startclock.go
+++ b/internal/agent/startclock.go
@@ -18,7 +18,7 @@
 type startClock struct {
 	latestStartMs float64   // the latest listed start, in ms of discovery's clock
 	offsetMs      float64   // the loop's clock minus discovery's, in ms
-	lastListAt    time.Time // when the last list of discovery was applied; zero: none was
+	lastListAt    time.Time // when the last list of discovery was applied; zero: none was applied
 }
 
 // observe derives the offset between the clocks from a list of discovery that was received at nowMs of
@@ -30,9 +30,9 @@
 	}
 	if latest > c.latestStartMs {
 		age := nowMs - (latest + c.offsetMs)
-		maxAge := time.Since(c.lastListAt) + maxListingDelay // it started after the previous list
+		maxAge := time.Since(c.lastListAt) + maxListingDelay // the server started after the previous list
 		if age < 0 || !c.lastListAt.IsZero() && age > float64(maxAge.Milliseconds()) {
-			c.offsetMs = nowMs - latest // it has only just started
+			c.offsetMs = nowMs - latest // the server has only just started
 		}
 	}
 	c.latestStartMs, c.lastListAt = latest, time.Now()
@@ -50,7 +50,7 @@
 	return ep.StartedMs + l.startClock.offsetMs
 }
 
-// observeStarts passes a list to the start clock, unless the list is from before the process.
+// observeStarts passes a list to the start clock, unless it is a cached or an incomplete list.
 func (l *loop) observeStarts(kind policy.ListKind, list *endpoints.List) {
 	if kind == policy.ListChange || kind == policy.ListFull {
 		l.startClock.observe(list, l.nowMs())
--- a/internal/endpoints/client.go
+++ b/internal/endpoints/client.go
@@ -10,13 +10,13 @@
 )
 
 // WatchSilenceTimeout is how long a watch may receive no line before the client ends it. The service
-// writes a line every 2 s and assumes that a change is delivered after 6 s, which has to leave time for
-// the request to another address.
+// writes a line every 2 s and assumes that a change is delivered after 6 s, so the timeout has to leave
+// time for a request to another address within the 6 s.
 const WatchSilenceTimeout = 3500 * time.Millisecond
 
 // ClientConfig configures a Client.
 type ClientConfig struct {
-	Addresses      []string      // of the servers of the list service, as host:port
+	Addresses      []string      // addresses of the list service's servers, as host:port
 	OrderSeed      uint64        // seed of the reader's own order of the addresses
 	Fleet          int           // number of readers that share the list service
 	SilenceTimeout time.Duration // 0: WatchSilenceTimeout
--- a/internal/endpoints/errors.go
+++ b/internal/endpoints/errors.go
@@ -39,7 +39,7 @@
 
 // IncompleteError reports that a response ended inside a list.
 type IncompleteError struct {
-	Pending int           // received bytes of the unfinished list
+	Pending int           // number of received bytes of the unfinished list
 	Age     time.Duration // time since the first of these bytes
 	Err     error         // why the response ended
 }
--- a/internal/endpoints/fetch.go
+++ b/internal/endpoints/fetch.go
@@ -10,7 +10,7 @@
 
 const (
 	fetchTimeout = 3 * time.Second
-	maxListBytes = 4 << 20 // of one list
+	maxListBytes = 4 << 20 // maximum size of one list
 )
 
 // Fetch requests the full list from one address after the other until one returns it. With
--- a/internal/endpoints/list.go
+++ b/internal/endpoints/list.go
@@ -29,7 +29,7 @@
 
 // List is a list of endpoints, or of the changes since a version.
 type List struct {
-	Seq       int64      `json:"seq"`   // version
+	Seq       int64      `json:"seq"`   // version of the list
 	Full      bool       `json:"whole"` // the list is complete; otherwise it holds changes
 	Endpoints []Endpoint `json:"hosts"`
 
--- a/internal/endpoints/round.go
+++ b/internal/endpoints/round.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// callWhileOutdated calls an address, and repeats the call while it ends because its request was
-// outdated and the address is still one of the addresses.
+// callWhileOutdated calls an address. It repeats the call as long as the call ends because its request
+// was outdated, unless the address has been removed.
 func (c *Client) callWhileOutdated(ctx context.Context, addr string, call func(addr string) error) error {
 	err := call(addr)
 	for isOutdated(err) && ctx.Err() == nil && c.hasAddress(addr) {
--- a/internal/endpoints/servicetable.go
+++ b/internal/endpoints/servicetable.go
@@ -16,8 +16,8 @@
 // the changes, and applying a full list time linear in the entries of the list and of the table. Each
 // retained endpoint that a change causes to be removed adds to that time once.
 type ServiceTable struct {
-	services    map[string]*serviceState // subscribed to, by name
-	endpoints   map[string]Endpoint      // by name; each with its service
+	services    map[string]*serviceState // the subscribed services, by name
+	endpoints   map[string]Endpoint      // the endpoints of the table, by name
 	hasFullList bool                     // a full list was applied since the last change of services
 	synced      bool                     // the last full list and all changes after it were scoped
 }
@@ -25,7 +25,7 @@
 // serviceState is the table's state of one service.
 type serviceState struct {
 	endpointNames map[string]bool // the endpoints in the table
-	retained      bool            // they are in the table although the last full list named none of them
+	retained      bool            // these endpoints are kept although the last full list named none of them
 	status        serviceStatus
 }
 
--- a/internal/endpoints/tableupdate.go
+++ b/internal/endpoints/tableupdate.go
@@ -19,7 +19,7 @@
 // tableUpdate applies one list of changes to a table and collects what has changed.
 type tableUpdate struct {
 	table           *ServiceTable
-	touchedNames    []string            // of endpoints, in the order in which they were first touched
+	touchedNames    []string            // names of endpoints, in the order in which they were first touched
 	previous        map[string]Endpoint // the touched endpoints before the update; zero if the table had none
 	touchedServices map[string]bool
 }
--- a/internal/endpoints/validation.go
+++ b/internal/endpoints/validation.go
@@ -13,8 +13,8 @@
 
 // Maximum lengths of the strings of a valid Endpoint, in bytes.
 const (
-	MaxName  = 128 // of a name; an address may be twice as long
-	MaxLabel = 64  // of a site, a class or a service
+	MaxName  = 128 // maximum length of a name; an address may be twice as long
+	MaxLabel = 64  // maximum length of a site, a class or a service
 )
 
 // Maximum values of the numbers of a valid Endpoint.
--- a/internal/endpoints/watch.go
+++ b/internal/endpoints/watch.go
@@ -77,7 +77,7 @@
 	client     *Client
 	addr       string
 	requested  subscription
-	version    *int64 // of the last list that the reader accepted
+	version    *int64 // version of the last list that the reader accepted
 	hasBase    bool   // the reader holds a list that changes of the requested services apply to
 	onActivity func() // is called for each blank line and each list
 	onList     func(List)
