--- a/internal/endpoints/addressselector.go
+++ b/internal/endpoints/addressselector.go
@@ -50,9 +50,9 @@
 // safe for concurrent use.
 //
 // A round begins when the reader needs a list or a watch. Its first call is not charged. Each further
-// call of the round, after a failed call or a finished watch, is charged to a budget that refills more
-// slowly the larger the fleet is, so that a fault that all readers notice at once doesn't multiply
-// their calls.
+// call of the round, after a failed call or a finished watch, is charged to a budget. The larger
+// the fleet, the more slowly the budget refills, so that a fault that all readers notice at once doesn't
+// multiply their calls.
 type AddressSelector struct {
 	orderSeed       uint64
 	candidates      []candidate // in the reader's own order
@@ -66,8 +66,8 @@
 type candidate struct {
 	addr                string
 	rank                uint64        // sort key in the reader's own order
-	avoidUntil          time.Duration // other addresses are preferred until then
-	busyUntil           time.Duration // the server asked for no calls until then
+	avoidUntil          time.Duration // time until which other addresses are preferred
+	busyUntil           time.Duration // time until which the server asked for no calls
 	consecutiveFailures int
 }
 
--- a/internal/endpoints/client.go
+++ b/internal/endpoints/client.go
@@ -80,9 +80,9 @@
 }
 
 // Subscribe replaces the services; nil stands for the list of all services. version is the version of
-// the list that the reader holds; older lists are rejected from then on. A running watch ends. A watch
-// for the new services, which begins with a full list, replaces it at once and is not charged to the
-// budget.
+// the list that the reader holds; older lists are rejected from then on. A running watch ends
+// and is replaced at once by a watch for the new services, which begins with a full list and is not
+// charged to the budget.
 //
 // Subscribe returns the number of the new subscription. Lists with another List.Subscription were
 // already in flight and have to be dropped. If Subscribe returns an error, nothing has changed; the
--- a/internal/endpoints/watch.go
+++ b/internal/endpoints/watch.go
@@ -41,8 +41,8 @@
 	return watchError(ctx, w.run(ctx))
 }
 
-// watchError returns the error of a watch. If the watch was canceled, that is the cause of the
-// cancellation instead of the read error that it led to; but a stale list remains the reported error
+// watchError returns the error of a watch. If the watch was canceled, it returns the cause of the
+// cancellation instead of the read error that followed. The exception is a stale list, which is reported
 // even if the watch was canceled at the same time.
 func watchError(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -42,9 +42,10 @@
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
 
 // Next reads one batch and calls fn with the batch's clock, in ms, for each record in order. The record
-// and its Settings are valid only during the call. Next returns io.EOF, not wrapped, if the input ends
-// between two batches; the first error of fn; an error that is or wraps a *FormatError if the batch violates
-// the format; and an error that wraps the reader's error, which may be io.EOF, if the batch is truncated.
+// and its Settings are valid only during the call. Next returns the first error of fn. Its other errors are:
+//   - io.EOF, not wrapped, if the input ends between two batches;
+//   - an error that is or wraps a *FormatError if the batch violates the format;
+//   - an error that wraps the reader's error, which may be io.EOF, if the batch is truncated.
 func (d *Decoder) Next(fn func(now float64, rec *Record) error) error {
 	count, err := d.readFrame()
 	if err != nil {
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -20,8 +20,8 @@
 	// networkErrors mean that the network has no route, which may be the fault of the peer.
 	networkErrors = []error{syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENONET}
 	// permanentErrors of accept mean that the listening socket no longer exists. EOPNOTSUPP is not
-	// among them: accept returns errors that are pending on the new connection (accept(2), "Error
-	// handling").
+	// among them, because accept also returns errors that are pending on the new connection (accept(2),
+	// "Error handling").
 	permanentErrors = []error{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 )
 
