--- a/internal/agent/event.go
+++ b/internal/agent/event.go
@@ -19,7 +19,7 @@
 	eventWatchEnded                        // err
 	eventDiscoveryChanged                  // addrs: the new addresses of discovery; services: the new services
 	eventShutdown                          // no fields
-	eventFailover                          // addr: the address that is not called any more; err
+	eventFailover                          // addr: the address that failed; err: the reason
 	eventListPartial                       // list: the received entries of an incomplete list
 	eventUnsolicited                       // backend, transport: the backend sent bytes that belong to no response
 )
--- a/internal/agent/listener.go
+++ b/internal/agent/listener.go
@@ -62,8 +62,8 @@
 			if failed {
 				l.queue.extendStall(began)
 			}
-			// The duration of an accept does not tell whether the queue was empty: a process that
-			// was not scheduled for a moment looks the same.
+			// The duration of an accept does not show whether the queue was empty: an accept also
+			// takes long if the process was not scheduled for a moment.
 			if l.queue.stalled() && !mayBeReadable(l.Listener) {
 				l.queue.markEmpty()
 			}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -30,7 +30,7 @@
 	startedAtMs         float64 // startedAt as Unix time, in ms
 	dialer              *dialer
 	discovery           *discovery
-	controlPlane        *endpoints.ClientConfig // client configuration for the control plane; nil: discovery has one address
+	controlPlane        *endpoints.ClientConfig // client settings for the control plane; nil: one discovery address
 	scope               scope                   // the subscribed services
 	logLimiter          endpoints.TokenBucket   // rate limit of log lines about discovery
 	suppressedLines     int                     // number of lines suppressed since the last logged one
--- a/internal/agent/requesthead.go
+++ b/internal/agent/requesthead.go
@@ -14,8 +14,9 @@
 // request. If both occur, net/http uses one and hides the other, and another parser could treat bytes
 // that net/http reads as the next request as a part of the body (request smuggling).
 //
-// net/http may have read the beginning of a pipelined request together with the previous one. The first
-// line after that may be the end of a header line, and is ignored just as a request line is.
+// net/http may have read the beginning of a pipelined request together with the previous one. Then the
+// first line that is scanned may be the end of a header line. The first line is always ignored, because it
+// usually is the request line.
 type requestHead struct {
 	mu                                    sync.Mutex // net/http may read while the handler runs
 	firstLineEnded                        bool
--- a/internal/agent/startclock.go
+++ b/internal/agent/startclock.go
@@ -12,9 +12,9 @@
 const maxListingDelay = 8 * time.Second
 
 // startClock converts the start times of servers, which discovery gives in wall-clock time, to the
-// loop's clock. The loop's clock starts at the wall clock of this process, which may have been stepped
-// before. The listed start times show the offset between the clocks, because a server can't have
-// started in the future, nor much earlier than the previous list.
+// loop's clock. The loop's clock starts at this machine's wall-clock time, which may differ from
+// discovery's because the clock was stepped. The listed start times show the offset between the clocks,
+// because a server can't have started in the future, nor much earlier than the previous list.
 type startClock struct {
 	latestStartMs float64   // the latest listed start, in ms of discovery's clock
 	offsetMs      float64   // the loop's clock minus discovery's, in ms
