--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -18,8 +18,8 @@
 const (
 	// maxSoakSeeds bounds the number of seeds of one command, and maxSoakConcurrency how many run at a time.
 	maxSoakSeeds, maxSoakConcurrency = 10_000, 16
-	// shrinkRuns bounds the duration of --shrink, as a multiple of the duration of a run.
-	shrinkRuns = 12
+	// maxShrinkTimeFactor bounds the duration of --shrink, as a multiple of the duration of a run.
+	maxShrinkTimeFactor = 12
 )
 
 // soakOptions are the flags of the command soak.
@@ -136,7 +136,7 @@
 	dir := filepath.Join(o.outputDir, e.Name)
 	result := soak.Run(ctx, e, seed, o.agent, dir)
 	if o.shrink && result.Verdict == soak.Violated {
-		shrunk := soak.Shrink(ctx, e, seed, o.agent, filepath.Join(dir, "shrunk"), shrinkRuns*o.duration)
+		shrunk := soak.Shrink(ctx, e, seed, o.agent, filepath.Join(dir, "shrunk"), maxShrinkTimeFactor*o.duration)
 		fmt.Fprintf(out, "seed %d still broke with:\n%s", seed, shrunk.Text())
 	}
 	return result
--- a/internal/lab/capacity/placement.go
+++ b/internal/lab/capacity/placement.go
@@ -158,9 +158,9 @@
 
 // watchesPerMachine is the number of watches per control machine in a region with the fewest machines
 // after the loss of some of them.
-func (t *Target) watchesPerMachine(lost float64) float64 {
+func (t *Target) watchesPerMachine(lostMachines float64) float64 {
 	machines := math.Floor(t.ControlMachines / t.Regions)
-	return t.Servers / t.Regions / (machines - lost)
+	return t.Servers / t.Regions / (machines - lostMachines)
 }
 
 // partitionedServersText says whether a single quorum removes the servers of a partitioned region from
--- a/internal/lab/client/arrivals_test.go
+++ b/internal/lab/client/arrivals_test.go
@@ -17,10 +17,10 @@
 	testSeed     = 5
 )
 
-// expectNear fails the test unless got differs from want by at most a share of it.
-func expectNear(t *testing.T, what string, got, want, share float64) {
+// expectNear fails the test unless got differs from want by at most maxRelativeError.
+func expectNear(t *testing.T, what string, got, want, maxRelativeError float64) {
 	t.Helper()
-	if math.Abs(got-want) > share*want {
+	if math.Abs(got-want) > maxRelativeError*want {
 		t.Errorf("%s: %.4g, want %.4g", what, got, want)
 	}
 }
--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -131,9 +131,9 @@
 	return results, violations, nil
 }
 
-// runSize measures one number of servers at each rate. done is the number of cells measured before.
+// runSize measures one number of servers at each rate. measuredCells is the number of cells measured before.
 // The reasons for cells that could not be measured are in the run's NotRun and among the violations.
-func runSize(ctx context.Context, o *Options, servers, done int) (*capacity.Run, []string, error) {
+func runSize(ctx context.Context, o *Options, servers, measuredCells int) (*capacity.Run, []string, error) {
 	run := &capacity.Run{Servers: servers, Watches: 1, Services: 1}
 	fleet, err := NewFleet(servers)
 	if err != nil {
@@ -142,7 +142,7 @@
 	defer fleet.Close()
 	var violations, notRun []string
 	for i, rate := range o.Rates {
-		step := Step{Number: done + i + 1, Total: len(o.Servers) * len(o.Rates), Servers: servers, Rate: rate}
+		step := Step{Number: measuredCells + i + 1, Total: len(o.Servers) * len(o.Rates), Servers: servers, Rate: rate}
 		o.reportProgress(step)
 		cell, err := measure(ctx, o, fleet, servers, rate)
 		if Interrupted(ctx, err) {
--- a/internal/lab/cost/fleet.go
+++ b/internal/lab/cost/fleet.go
@@ -64,9 +64,9 @@
 
 // NewFleet starts a fleet on loopback addresses with the given number of servers in its list. The
 // caller has to Close it.
-func NewFleet(servers int) (*Fleet, error) {
+func NewFleet(serverCount int) (*Fleet, error) {
 	fleet := &Fleet{done: make(chan struct{})}
-	for range min(listenerCount, servers) {
+	for range min(listenerCount, serverCount) {
 		addr, err := fleet.serve(fleet.emulatedServer(), fleet.countConnection)
 		if err != nil {
 			fleet.Close()
@@ -74,7 +74,7 @@
 		}
 		fleet.Addresses = append(fleet.Addresses, addr)
 	}
-	fleet.List = newList(servers, fleet.Addresses)
+	fleet.List = newList(serverCount, fleet.Addresses)
 	var err error
 	fleet.encodedList, err = json.Marshal(fleet.List)
 	if err != nil {
@@ -90,8 +90,8 @@
 }
 
 // newList returns a list of servers to which the addresses are assigned in turn.
-func newList(servers int, addresses []string) endpoints.List {
-	list := endpoints.List{Seq: listVersion, Full: true, Endpoints: make([]endpoints.Endpoint, servers)}
+func newList(serverCount int, addresses []string) endpoints.List {
+	list := endpoints.List{Seq: listVersion, Full: true, Endpoints: make([]endpoints.Endpoint, serverCount)}
 	for i := range list.Endpoints {
 		list.Endpoints[i] = endpoints.Endpoint{Name: fmt.Sprintf("s-%05d", i), Dial: addresses[i%len(addresses)],
 			Site: sites[i%len(sites)], Class: machineType, Block: i / serversPerBlock, Health: endpoints.Ready, Weight: 1}
--- a/internal/lab/scale/beside_test.go
+++ b/internal/lab/scale/beside_test.go
@@ -280,7 +280,7 @@
 }
 
 // setChangeRates sets the rates of changes with the command that a scale run sends.
-func setChangeRates(t *testing.T, s *hollow.Servers, configurations, restarts float64) {
+func setChangeRates(t *testing.T, s *hollow.Servers, configurationsPerSecond, restartsPerSecond float64) {
 	t.Helper()
 	mux := http.NewServeMux()
 	mux.Handle("/", s.Handler(t.Context()))
@@ -293,7 +293,7 @@
 	if err := hollow.Serve(ctx, address, mux); err != nil {
 		t.Fatal(err)
 	}
-	rates := hollow.Rates{ConfigurationsPerSecond: configurations, RestartsPerSecond: restarts}
+	rates := hollow.Rates{ConfigurationsPerSecond: configurationsPerSecond, RestartsPerSecond: restartsPerSecond}
 	if err := hollow.Call(ctx, http.MethodPost, "http://"+address+"/v1/rates", rates, &rates); err != nil {
 		t.Fatal(err)
 	}
