--- a/cmd/lab/formats_test.go
+++ b/cmd/lab/formats_test.go
@@ -94,7 +94,7 @@
 			case name == "" && x.PkgPath() != "" && !strings.Contains(strings.SplitN(x.PkgPath(), "/", 2)[0], "."):
 				t.Errorf("%s: field %s.%s has no explicit key, so renaming it changes the format", path, x, f.Name)
 			case name == "":
-				name = f.Name // a type of a library
+				name = f.Name // a field of a library's type, which has no tag of ours
 			}
 			if options != "" {
 				name += "," + options
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -1,5 +1,5 @@
-// Command lab runs experiments on real agent processes. It emulates the programme servers, clients and
-// links around them, injects faults and checks rules.
+// Command lab runs experiments on real agent processes. It emulates the servers, clients and links
+// around the agents, injects faults and checks rules.
 //
 // Each file has one command or a few related ones: run.go (run), experiments.go (list, validate),
 // compare.go (compare), mutants.go, soak.go, capacity.go, cost.go, hollow.go and worker.go. scale.go has the
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -16,9 +16,10 @@
 )
 
 const (
-	// maxSoakSeeds bounds the number of seeds of one command, and maxSoakConcurrency how many run at a time.
+	// maxSoakSeeds bounds the number of seeds of one command, and maxSoakConcurrency the number that
+	// run at a time.
 	maxSoakSeeds, maxSoakConcurrency = 10_000, 16
-	// maxShrinkTimeFactor bounds the duration of --shrink, as a multiple of the duration of a run.
+	// maxShrinkTimeFactor is the time limit of --shrink, as a multiple of the duration of a run.
 	maxShrinkTimeFactor = 12
 )
 
--- a/internal/lab/capacity/comparison.go
+++ b/internal/lab/capacity/comparison.go
@@ -1,7 +1,7 @@
 package capacity
 
 // comparisonTable compares the figures of the variants Before and After, at the largest size that was
-// run with both and at the target.
+// run in both variants and at the target.
 func comparisonTable(target *Target, data Dataset) string {
 	var rows [][]string
 	for _, role := range roles(target) {
@@ -52,7 +52,7 @@
 	return quotient.String()
 }
 
-// largestCommonSize returns the largest size at which both have a point, and whether there is one.
+// largestCommonSize returns the largest size at which both series have a point, and whether there is one.
 func largestCommonSize(a, b []Point) (float64, bool) {
 	largest, found := 0.0, false
 	for _, pointA := range a {
--- a/internal/lab/capacity/derived.go
+++ b/internal/lab/capacity/derived.go
@@ -47,7 +47,7 @@
 	changesPerSecond  float64 // list changes by configuration, restarts and failures
 	renewalsPerSecond float64
 	controlPerDay     float64 // expected failures of control machines
-	machinePerDay     float64 // probability that one given machine fails
+	machinePerDay     float64 // probability that a given machine fails on a day
 }
 
 func (t *Target) rates() rates {
@@ -145,7 +145,8 @@
 // shareOutsideRegion is the share of the fleet that is outside a given region.
 func (t *Target) shareOutsideRegion() float64 { return (t.Regions - 1) / t.Regions }
 
-// deriveRegionPartition computes the changes that each side misses during a region's partition.
+// deriveRegionPartition computes the list changes during a region's partition, and how many of them the region
+// and the rest of the fleet miss.
 func deriveRegionPartition(t *Target) []derivedFigure {
 	changes, outside := t.changesInPartition(), t.shareOutsideRegion()
 	return []derivedFigure{
--- a/internal/lab/capacity/estimate.go
+++ b/internal/lab/capacity/estimate.go
@@ -5,12 +5,12 @@
 // Basis is the way in which a value was obtained.
 type Basis int
 
-// The bases. Of the known ones, later ones are less certain.
+// The bases. After Unknown, each one is less certain than the one before it.
 const (
 	Unknown Basis = iota
 	Measured
 	Fitted       // on the fitted line, up to extrapolationFactor times the largest measured size
-	Extrapolated // on the fitted line, beyond that size
+	Extrapolated // on the fitted line, beyond extrapolationFactor times the largest measured size
 )
 
 // Estimate is a value at one size of the fleet.
--- a/internal/lab/capacity/limits.go
+++ b/internal/lab/capacity/limits.go
@@ -67,7 +67,7 @@
 
 // firstListsLimit returns the limit on the fleet size above which the current number of control-plane
 // servers cannot admit the first lists of all agents within Target.ConfigInForceSeconds. The first list
-// now has the servers of the agent's services; before, it had all servers.
+// has the servers of the agent's services; before lists by service were introduced, it had all servers.
 func firstListsLimit(target *Target, callRate float64) ScalingLimit {
 	admittedCalls := callRate * controlPlaneServersToday * target.ConfigInForceSeconds
 	const source = "`control.Defaults().CallRate`, without its burst"
--- a/internal/lab/capacity/order.go
+++ b/internal/lab/capacity/order.go
@@ -14,7 +14,7 @@
 	Now    Threshold
 }
 
-// orderTable lists the limits in the order of the fleet sizes at which they are reached.
+// orderTable lists the limits, ordered by the fleet size at which each is reached.
 func orderTable(target *Target, data Dataset) string {
 	limits := append(constantLimits(target), fittedLimits(target, data)...)
 	slices.SortStableFunc(limits, compareLimits)
@@ -37,7 +37,7 @@
 }
 
 // remedy describes the mechanisms that raise the limit. A limit that is reached at size 0 is exceeded by
-// the constant part of the cost, which mechanisms that slow its growth don't reduce.
+// the constant part of the cost. Mechanisms that only slow the growth of the cost don't reduce that part.
 func (l ScalingLimit) remedy(data Dataset) string {
 	switch {
 	case l.Now.Status == NotReached:
--- a/internal/lab/capacity/placement.go
+++ b/internal/lab/capacity/placement.go
@@ -138,15 +138,16 @@
 	return acrossRegions
 }
 
-// summariesSuffix is the text that quorums per region append to a cell for the summaries that they
-// exchange.
+// summariesSuffix returns the end of a cell on the summaries that the quorums of the regions exchange. It
+// returns "" if there is one quorum for all regions.
 func (a Arrangement) summariesSuffix() string { return a.chooseText(", and summaries: unknown", "") }
 
 // toleratedFailures is the number of voters of a quorum that may be down at the same time.
 func (a Arrangement) toleratedFailures() float64 { return math.Floor((a.Voters - 1) / 2) }
 
-// quorumsLostPerYear is the rate at which any quorum loses one voter more than it tolerates, all within
-// replacementHours of each other. Failures are assumed to be independent.
+// quorumsLostPerYear is the expected number of times a year that a quorum loses one voter more than it
+// tolerates, with all of these failures within replacementHours of each other. Failures are assumed to be
+// independent.
 func (a Arrangement) quorumsLostPerYear(t *Target) float64 {
 	perDay := t.rates().machinePerDay
 	rate := a.quorums(t) * a.Voters * perDay * daysPerYear
@@ -156,8 +157,8 @@
 	return rate
 }
 
-// watchesPerMachine is the number of watches per control machine in a region with the fewest machines
-// after the loss of some of them.
+// watchesPerMachine is the number of watches per control machine in the region with the fewest control
+// machines, after the loss of lostMachines of them.
 func (t *Target) watchesPerMachine(lostMachines float64) float64 {
 	machines := math.Floor(t.ControlMachines / t.Regions)
 	return t.Servers / t.Regions / (machines - lostMachines)
--- a/internal/lab/capacity/role.go
+++ b/internal/lab/capacity/role.go
@@ -37,7 +37,7 @@
 const (
 	measuredAgent        = "agent"        // a real agent whose calls are measured
 	measuredRealAgent    = "real agent"   // a real agent of a scale run
-	measuredHollowAgent  = "hollow agent" // an emulated agent of a scale run, without calls
+	measuredHollowAgent  = "hollow agent" // an emulated agent of a scale run, which handles no calls
 	measuredHollowServer = "hollow server"
 	measuredFollower     = "steward follower"
 	measuredLeader       = "steward leader"
@@ -84,7 +84,7 @@
 	Mechanism     string      // the mechanism that serves the role at the target
 	Needs         []Mechanism // mechanisms that the target needs and that are missing or were built last
 	NotApplicable []Quantity  // required quantities that don't apply to the role
-	Experiments   []string    // the experiments that measure it, in order of preference
+	Experiments   []string    // the experiments that measure the role, in order of preference
 	Variables     []Variable  // the variables to fit over, in order of preference
 	Figures       []Figure
 	Quoted        []Quoted
--- a/internal/lab/capacity/roles.go
+++ b/internal/lab/capacity/roles.go
@@ -22,8 +22,8 @@
 	overWatches = []Variable{Watches, Servers}
 )
 
-// controlCores is the assumed number of cores of a control machine. The operators give no number; 8 is
-// that of the machine on which the measurements were made.
+// controlCores is the assumed number of cores of a control machine, for which the operators give no number.
+// The machine on which the measurements were made has 8 cores.
 const controlCores = 8
 
 // Benchmark results quoted from docs/ROADMAP.md.
@@ -171,7 +171,7 @@
 }
 
 // controlPlaneFigures returns the figures on the state and the resources of a control-plane server, as
-// measured on a follower or on the leader, with the given figures on messages between them.
+// measured on a follower or on the leader, with the given figures on messages between the servers.
 func controlPlaneFigures(measured string, limits limits, messages ...Figure) []Figure {
 	state := []Figure{{State, "log entries", measured, "log_entries", noLimit}}
 	resources := []Figure{
--- a/internal/lab/capacity/tables.go
+++ b/internal/lab/capacity/tables.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Table is a generated part of the page.
+// Table is a generated part of the capacity page, docs/CAPACITY.md.
 type Table struct {
 	Name string // name in the begin marker of the table
 	Text string // Markdown
--- a/internal/lab/capacity/tables_test.go
+++ b/internal/lab/capacity/tables_test.go
@@ -205,7 +205,8 @@
 	placement := tableText(t, loadTarget(t), nil, "placement")
 	checkContains(t, onlyLine(t, placement, "| voters |"), "| 5 | 18 |")
 	checkContains(t, onlyLine(t, placement, "register or renew"), "| 6,500 | 0 |")
-	// 18 voters x 365 days x 0.002486 a day x 2 others x 0.002486 / 24.
+	// 18 voters x 365 days x 0.002486 x 2 other voters x 0.002486 / 24, where 0.002486 is the probability that
+	// a machine fails on a day, and a second voter has to fail within one hour.
 	checkContains(t, onlyLine(t, placement, "quorums lost a year"), "| 0.00338 |")
 }
 
--- a/internal/lab/client/arrivals.go
+++ b/internal/lab/client/arrivals.go
@@ -10,7 +10,7 @@
 // The second seed words of the random sources that the load is drawn from.
 const (
 	agentWeightStream  = 999
-	firstArrivalStream = 1000 // of the first agent; the following agents have the following numbers
+	firstArrivalStream = 1000 // stream of the first agent; each further agent has the next number
 )
 
 // Arrival is one request of the generated load. All of its random properties are drawn in advance, except
@@ -18,12 +18,12 @@
 type Arrival struct {
 	At               time.Duration
 	Class            int
-	Key              uint64 // 0: none
+	Key              uint64 // 0 if the request has none
 	Work             float64
 	AttemptTimeout   time.Duration
 	CancelAfter      time.Duration // time after which the client cancels its first attempt; 0: never
 	HonorsRetryAfter bool
-	Seed             uint64 // seeds its idempotency key and the backoff of its retries
+	Seed             uint64 // seed of the request's idempotency key and of the backoff of its retries
 }
 
 // DrawArrivals draws the arrivals of each agent up to end. They depend only on the arguments.
@@ -65,8 +65,8 @@
 }
 
 // drawAll draws a Poisson process with the given rate per second and the load changes' factors. It
-// draws at the highest rate and keeps each arrival with a probability of the rate at that time over
-// the highest rate (thinning).
+// draws at the highest rate and keeps each arrival with a probability that is the rate at its time
+// divided by the highest rate (thinning).
 func (d *arrivalGenerator) drawAll(rate float64, end time.Duration) []Arrival {
 	if rate <= 0 {
 		return nil
--- a/internal/lab/client/baseline.go
+++ b/internal/lab/client/baseline.go
@@ -32,12 +32,12 @@
 	baselineStream = 77
 	// maxFirstIndex bounds the random index at which round robin starts.
 	maxFirstIndex = 1 << 20
-	// maxBaselineAttempts bounds the servers to which a baseline sends one request.
+	// maxBaselineAttempts bounds the number of servers to which a baseline sends one request.
 	maxBaselineAttempts = 3
 )
 
-// Baseline is a plain client-side load balancer within the lab, with which the agent is compared. It knows
-// discovery's list without delay, needs no separate process, and retries a request at another server if
+// Baseline is a plain client-side load balancer within the lab, with which the agent is compared. It sees
+// changes of the discovery list without delay, needs no separate process, and retries a request at another server if
 // the request's class allows that. The exported fields are set before NewBaseline and not changed
 // afterwards. It is safe for concurrent use.
 type Baseline struct {
@@ -51,8 +51,8 @@
 	mu        sync.Mutex
 	rng       *rand.Rand
 	nextIndex int
-	inFlight  map[string]int   // by address
-	pools     map[string]*Pool // by address
+	inFlight  map[string]int   // requests in flight, by server address
+	pools     map[string]*Pool // connections, by server address
 }
 
 // NewBaseline initializes a baseline. It returns ErrUnknownPolicy if its policy is not one of Policies.
@@ -126,7 +126,7 @@
 
 // pick returns one of the addresses by the baseline's policy. The caller holds b.mu.
 func (b *Baseline) pick(ready []string) string {
-	addr := ready[b.rng.IntN(len(ready))] // drawn with every policy
+	addr := ready[b.rng.IntN(len(ready))] // drawn for every policy, even if the policy doesn't use it
 	switch b.Policy {
 	case policyRoundRobin:
 		b.nextIndex++
--- a/internal/lab/client/call.go
+++ b/internal/lab/client/call.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// maxAnswerBytes bounds the body of an answer.
+	// maxAnswerBytes bounds the size of the body of an answer.
 	maxAnswerBytes = 64 << 10
-	// maxRetryAfter is the delay from which on a Retry-After header is ignored.
+	// maxRetryAfter is the shortest delay for which a Retry-After header is ignored as too long.
 	maxRetryAfter = time.Hour
 )
 
@@ -54,7 +54,7 @@
 type response struct {
 	check.Answer
 	notStarted bool          // the server has not begun to execute the request
-	retryAfter time.Duration // 0: not given
+	retryAfter time.Duration // delay that the Retry-After header asks for; 0 if there is none
 }
 
 // call sends a request and waits for its answer until the deadline. If the other side closes an idle
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -19,13 +19,13 @@
 type Result struct {
 	Agent          int32
 	Class          int16
-	Outcome        check.Outcome // of its last attempt
+	Outcome        check.Outcome // outcome of the last attempt
 	InTime         bool          // served within its class's target latency
 	ClientAttempts uint8
-	ServerAttempts uint8 // attempts that arrived at servers, over all attempts of the client; 255: 255 or more
+	ServerAttempts uint8 // attempts that arrived at servers, summed over the client's attempts; 255 means 255 or more
 	Planned        time.Duration
-	Latency        time.Duration // from the planned time to the end
-	SendDelay      time.Duration // from the planned time until the lab sent the request
+	Latency        time.Duration // time from the planned time to the end of the request
+	SendDelay      time.Duration // time from the planned time until the lab sent the request
 }
 
 // Sender sends a client's requests to its agent, or through a baseline.
@@ -46,7 +46,7 @@
 	Epoch     time.Time // the time at which the clock was 0
 	Checker   *check.Checker
 	Load      *Load
-	WaitSlack time.Duration // how long a client waits after the deadline, so that the checker sees late answers
+	WaitSlack time.Duration // time that a client waits after the deadline, so that the checker sees late answers
 	IDPrefix  string        // prefix of the requests' IDs
 	// Finished is called with the result of each request, from many goroutines.
 	Finished func(Result)
@@ -58,9 +58,9 @@
 	index       int
 	sender      Sender
 	up          atomic.Bool
-	incarnation atomic.Int64   // how many times it was killed
-	skipped     atomic.Int64   // arrivals while the client was down
-	attempts    atomic.Int64   // attempts that were sent
+	incarnation atomic.Int64   // number of times that the client was killed
+	skipped     atomic.Int64   // number of arrivals while the client was down
+	attempts    atomic.Int64   // number of attempts that were sent
 	serial      atomic.Int64   // number in the last request's ID
 	running     sync.WaitGroup // the requests in progress
 }
@@ -130,7 +130,7 @@
 		idempotencyKey = formatIdempotencyKey(rng.Uint64(), rng.Uint64())
 	}
 	result := Result{Agent: int32(c.index), Class: int16(a.Class), Planned: a.At, SendDelay: delay}
-	deadline := a.At + class.Deadline // of all attempts together
+	deadline := a.At + class.Deadline // common deadline of all attempts
 	for attempt := 0; ; attempt++ {
 		r, response := c.sendAttempt(a, class, idempotencyKey, attempt, deadline)
 		arrived, _ := r.Attempts()
--- a/internal/lab/client/load.go
+++ b/internal/lab/client/load.go
@@ -1,9 +1,9 @@
 // Package client emulates the applications that call the agents. Their requests form an open loop: they
 // are drawn from the seed in advance, and never wait for answers to earlier requests.
 //
-// Each client owns one goroutine for each request in progress. Client.Run, which its caller runs in
-// another goroutine, ends after them. The mutexes of Baseline and Pool each guard the fields below
-// them; Baseline's is taken before a Pool's.
+// Each client owns one goroutine for each request in progress. Client.Run runs in a goroutine of its
+// caller and returns after these goroutines have ended. In Baseline and Pool, the mutex guards the fields
+// below it. A goroutine that needs both locks Baseline's mutex before Pool's.
 package client
 
 import (
@@ -22,31 +22,34 @@
 // GroupAll is the group of classes whose repeats are dropped by all servers.
 const GroupAll = "all"
 
-// The distributions of a class's work, as experiment files name them. Any other is exponential.
+// The distributions of a class's work, as experiment files name them. Any other value selects
+// the exponential distribution.
 const (
 	distributionFixed     = "fixed"
 	distributionLognormal = "lognormal"
 )
 
-// The backoffs between retries, as experiment files name them. Any other is none.
+// The backoffs between retries, as experiment files name them. Any other value selects no
+// backoff.
 const (
 	backoffFixed       = "fixed"
 	backoffExponential = "exp"
 )
 
-// Class is a class of requests.
+// Class is a class of requests: what they cost, how urgent they are, and whether they may be repeated. Its
+// keys are fixed by the format of experiment files.
 type Class struct {
 	Name           string        `koanf:"name"`
-	Share          float64       `koanf:"share"`   // of the requests, relative to that of the other classes
-	Work           float64       `koanf:"work"`    // mean, in standard-core ms
-	Distribution   string        `koanf:"dist"`    // of the work: "exp", "fixed" or "lognormal"
-	WorkCV         float64       `koanf:"cv"`      // coefficient of variation, of lognormal work
+	Share          float64       `koanf:"share"`   // share of the requests, relative to the shares of the other classes
+	Work           float64       `koanf:"work"`    // mean work of a request, in ms on a standard core
+	Distribution   string        `koanf:"dist"`    // distribution of the work: "exp", "fixed" or "lognormal"
+	WorkCV         float64       `koanf:"cv"`      // coefficient of variation of lognormal work
 	TargetLatency  time.Duration `koanf:"aim"`     // latency within which a request counts as served in time
-	Deadline       time.Duration `koanf:"give_up"` // of a request including its retries
+	Deadline       time.Duration `koanf:"give_up"` // deadline of a request, including its retries
 	PriorityWeight float64       `koanf:"worth"`
 	Effect         string        `koanf:"effect"`  // one of the Effect constants
 	Group          string        `koanf:"group"`   // servers within which repeats are dropped: "all", "zone" or "cell"
-	DedupWindow    time.Duration `koanf:"key_ttl"` // time in which repeats are dropped
+	DedupWindow    time.Duration `koanf:"key_ttl"` // time for which repeats of a request are dropped
 }
 
 // mayRepeat reports whether a request of the class may be sent again, to any server, after it may
@@ -72,11 +75,11 @@
 	AgentCV              float64       `koanf:"agent_cv"` // coefficient of variation of the agents' shares of the rate
 	Keys                 int           `koanf:"keys"`     // number of different keys; 0: requests have none
 	Zipf                 float64       `koanf:"zipf"`     // exponent of the keys' popularity
-	Retries              int           `koanf:"retries"`  // maximum for each request
+	Retries              int           `koanf:"retries"`  // maximum number of retries of a request
 	Backoff              string        `koanf:"backoff"`  // "none", "fixed" or "exp"
 	BackoffBase          time.Duration `koanf:"backoff_by"`
 	HonorRetryAfterShare float64       `koanf:"honour"`    // share of the requests whose client honors Retry-After
-	AttemptTimeoutShare  []float64     `koanf:"try_share"` // from and to: the timeout of an attempt as a share of the deadline
+	AttemptTimeoutShare  []float64     `koanf:"try_share"` // bounds of the timeout of an attempt, as shares of the deadline
 	EarlyCancelShare     float64       `koanf:"impatient"` // share of the requests that are canceled early
 	BodyBytes            int           `koanf:"body"`      // size of a request body, if there is one
 	Classes              []Class       `koanf:"class"`
@@ -88,7 +91,7 @@
 	Factor     float64       // factor of the rate; 0: unchanged
 	RampTime   time.Duration // time in which the rate rises to Factor after From, and falls back before To
 	Class      string        // class whose requests may be heavy; "": all classes
-	HeavyShare float64       // share of these requests that are heavy
+	HeavyShare float64       // share of the requests of Class that are heavy
 	WorkFactor float64       // factor of the work of a heavy request
 }
 
--- a/internal/lab/client/pipeline.go
+++ b/internal/lab/client/pipeline.go
@@ -49,7 +49,8 @@
 	c.readPipelined(bufio.NewReader(conn), requests, sent)
 }
 
-// newPipelinedRequest adds a request to the checker, and its bytes to text. Its time begins after the pause.
+// newPipelinedRequest adds a request to the checker, and its bytes to text. The request is planned for the end
+// of the pause.
 func (c *Client) newPipelinedRequest(a *Arrival, pause time.Duration, text *bytes.Buffer) *check.Request {
 	class := &c.env.Load.Classes[a.Class]
 	key := ""
--- a/internal/lab/client/pool.go
+++ b/internal/lab/client/pool.go
@@ -56,9 +56,9 @@
 	p.reuseOnly = reuseOnly
 }
 
-// get returns an idle connection, or a new one if there is none or forceNew is set. It fails if a new one
-// can't be opened by the deadline and within connectTimeout, or must not be opened. extraBytes reports
-// that it closed an idle connection which had received bytes that no request asked for.
+// get returns an idle connection, or a new one if there is none or forceNew is set. It fails if a new
+// connection is needed and can't be opened by the deadline and within connectTimeout, or if reuseOnly is set.
+// extraBytes reports that get closed an idle connection, because it had received bytes that answer no request.
 func (p *Pool) get(addr string, deadline time.Time, connectTimeout time.Duration, forceNew bool) (conn *pooledConn, extraBytes bool, err error) {
 	for !forceNew {
 		idle := p.takeIdle()
--- a/internal/lab/client/surplus_test.go
+++ b/internal/lab/client/surplus_test.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// A second answer that an agent sends some milliseconds after the first is not taken for the answer to the
-// client's next request, and it is a breach. Otherwise the lab would count a request that the agent failed
-// as rejected, and would find no fault in the agent.
+// A second answer that an agent sends some milliseconds after the first is a breach, and the client does not
+// take it for the answer to its next request. Otherwise the lab would count a request that the agent failed as
+// rejected, and would find no fault in the agent.
 func TestLateSecondAnswerOfAgentIsABreach(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -112,8 +112,8 @@
 	s.requireExtraAnswerBreach(t)
 }
 
-// An answer after that to the last request of a connection is a breach: it may mean that the last request's
-// answer was not the one that was read.
+// An answer that follows the answer to the last request of a connection is a breach, because the client may
+// have read the wrong answer for the last request.
 func TestExtraAnswerToPipelinedRequestsIsABreach(t *testing.T) {
 	s := newExtraAnswerTest()
 	c := New(&Env{Clock: s.clock, Epoch: s.epoch, Checker: s.checker}, 0, &AgentSender{Clock: s.clock})
--- a/internal/lab/cost/agentconfig.go
+++ b/internal/lab/cost/agentconfig.go
@@ -44,7 +44,7 @@
 }
 
 // AgentConfig returns the configuration file of an agent that listens on an address and knows the full
-// list from the start. The seed is that of the agent's random numbers.
+// list from the start. seed seeds the agent's random numbers.
 func (f *Fleet) AgentConfig(listen string, seed uint64) ([]byte, error) {
 	text, err := json.Marshal(agentConfig{
 		Name: "agent-cost", Listen: listen, Discovery: f.ListAddr, Seed: fmt.Sprintf("%016x", seed),
--- a/internal/lab/cost/caller.go
+++ b/internal/lab/cost/caller.go
@@ -49,8 +49,8 @@
 
 // callResult is the result of one call.
 type callResult struct {
-	latency  time.Duration // from the send to the last byte of the response
-	lateness time.Duration // from the planned time to the send
+	latency  time.Duration // time from the send to the last byte of the response
+	lateness time.Duration // delay of the send after the planned time
 	outcome  outcome
 }
 
--- a/internal/lab/cost/cell.go
+++ b/internal/lab/cost/cell.go
@@ -21,16 +21,16 @@
 type Cell struct {
 	Servers    int
 	Rate       float64  // calls a second
-	Violations []string // why the cell is invalid, one line each
+	Violations []string // reasons why the cell is invalid, one line each
 
 	idleCores float64       // cores that the agent used without load
 	cores     float64       // mean number of cores that the agent used in the window
-	window    time.Duration // from the start of the load to the last response
+	window    time.Duration // time from the start of the load to the last response
 	cpu       time.Duration // processor time that the agent used in the window
 	rssMB     float64       // resident memory at the window's end
 	peakRSSMB float64       // largest resident memory since the agent's start
-	counts    eventCounts   // in the window
-	load      *summary      // of the window's calls
+	counts    eventCounts   // events in the window
+	load      *summary      // results of the calls in the window
 }
 
 // eventCounts holds numbers of events at the emulated servers and at the list service.
--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -43,15 +43,15 @@
 	Servers  []int         // numbers of servers that the agent knows
 	Rates    []float64     // calls a second
 	Window   time.Duration // length of the measured load of each cell
-	Seed     uint64        // of arrival times, keys and the order of calls
-	Variant  string        // capacity.Results.Variant
+	Seed     uint64        // seed of the arrival times, the keys and the order of the calls
+	Variant  string        // value of capacity.Results.Variant
 	Command  string        // command line that repeats the measurement
 	Progress func(Step)    // called for each step; may be nil
 }
 
 // Step reports that the measurement of a cell begins or has ended.
 type Step struct {
-	Number  int // of the cell, from 1
+	Number  int // number of the cell, counted from 1
 	Total   int // number of cells
 	Servers int
 	Rate    float64 // calls a second
--- a/internal/lab/cost/figures.go
+++ b/internal/lab/cost/figures.go
@@ -15,7 +15,7 @@
 // loadName returns the name of a rate of calls in the results.
 func loadName(rate float64) string { return fmt.Sprintf("%g calls/s", rate) }
 
-// addTo adds the cell's figures to a run, which is the one for the cell's number of servers.
+// addTo adds the cell's figures to the run with the cell's number of servers.
 func (c *Cell) addTo(run *capacity.Run) {
 	load := loadName(c.Rate)
 	add := func(metric string, value float64) { run.Add(agentRole, load, metric, value) }
@@ -59,8 +59,8 @@
 	}
 }
 
-// addedQuantileMs returns the difference between a quantile of the calls through the agent and that
-// of the direct calls.
+// addedQuantileMs returns the difference between a latency quantile of the calls through the agent
+// and the same quantile of the direct calls.
 func (s *summary) addedQuantileMs(percent float64) float64 {
 	return quantileMs(s.latency[throughAgent], percent) - quantileMs(s.latency[direct], percent)
 }
--- a/internal/lab/cost/fleet.go
+++ b/internal/lab/cost/fleet.go
@@ -39,8 +39,8 @@
 // serves the list, and a few emulated servers that handle the calls to all listed servers.
 //
 // Several names share an address, so that 39,000 servers don't need 39,000 listeners. The agent keys
-// its connections by name, not by address, so it reuses and opens connections as it would with that
-// many machines. Calls with the same key tend to go to the same server. The number of connections
+// its connections by name, not by address, so it reuses and opens connections as it would with one
+// machine per server. Calls with the same key tend to go to the same server. The number of connections
 // opened per call is measured.
 type Fleet struct {
 	List      endpoints.List
@@ -110,7 +110,7 @@
 	f.serving.Add(1)
 	go func() {
 		defer f.serving.Done()
-		_ = server.Serve(listener) // ends with Close
+		_ = server.Serve(listener) // returns an error once Close has closed the server
 	}()
 	return listener.Addr().String(), nil
 }
--- a/internal/lab/cost/schedule.go
+++ b/internal/lab/cost/schedule.go
@@ -27,8 +27,8 @@
 
 // plannedCall is one call of a schedule.
 type plannedCall struct {
-	at     time.Duration // since the start of the load
-	pair   int           // index of its pair
+	at     time.Duration // planned time since the start of the load
+	pair   int           // index of the pair
 	route  route
 	key    uint64
 	server int // index of the emulated server of a direct call
--- a/internal/lab/cost/summary.go
+++ b/internal/lab/cost/summary.go
@@ -11,8 +11,8 @@
 type summary struct {
 	pairs    int
 	outcomes [routeCount][outcomeCount]int       // number of calls
-	latency  [routeCount]*hdrhistogram.Histogram // of served calls, in µs
-	lateness *hdrhistogram.Histogram             // of all calls, in µs
+	latency  [routeCount]*hdrhistogram.Histogram // latencies of served calls, in µs
+	lateness *hdrhistogram.Histogram             // lateness of all calls, in µs
 	addedMs  []float64                           // latency through the agent minus direct latency, of each pair with both calls served, sorted
 }
 
@@ -68,8 +68,8 @@
 	return float64(h.ValueAtQuantile(percent)) / 1000
 }
 
-// sortedQuantile returns a quantile of sorted values, or 0 without values. Unlike those of a histogram,
-// the values may be negative.
+// sortedQuantile returns a quantile of sorted values, or 0 without values. Unlike in a histogram, values
+// may be negative.
 func sortedQuantile(sorted []float64, percent float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/lab/link/direction.go
+++ b/internal/lab/link/direction.go
@@ -11,7 +11,7 @@
 // without delay.
 type Shape struct {
 	Cut                  bool          // nothing arrives; streams queue their data until the cut ends, datagrams are dropped
-	Delay                time.Duration // from receiving data to forwarding it
+	Delay                time.Duration // time from receiving data to forwarding it
 	Jitter               time.Duration // upper bound of a random addition to Delay, drawn for each chunk or datagram
 	Rate                 float64       // bytes per second; 0: unlimited
 	ResetAfter           int64         // bytes after which a connection is reset; 0: never
@@ -34,7 +34,7 @@
 	mu        sync.Mutex
 	cutEnded  chan struct{} // closed while the direction isn't cut
 	rng       *rand.Rand
-	busyUntil time.Time // when the data accepted so far will have been sent at Shape.Rate
+	busyUntil time.Time // time at which the data accepted so far will have been sent at Shape.Rate
 }
 
 func newDirection(seed uint64) *direction {
@@ -57,8 +57,8 @@
 	}
 }
 
-// arrivalTime returns when data of size bytes that is received now arrives, and reserves its transmission
-// time at Shape.Rate.
+// arrivalTime returns the time at which data of size bytes arrives if it is received now, and reserves its
+// transmission time at Shape.Rate.
 func (d *direction) arrivalTime(size int) time.Time {
 	shape := d.shape.Load()
 	at := time.Now()
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -5,8 +5,8 @@
 // A Link owns the goroutines of its listener, one goroutine for each connection, and four that relay
 // the connection's data. A UDP relay owns one goroutine that receives datagrams, and one for each sender
 // that relays answers. Close ends them. It doesn't wait for the timers of delayed datagrams, which send
-// nothing after Close. Link.mu is held while the listener changes its state; no goroutine holds two of
-// Link.mu, UDP.mu and a direction's mutex.
+// nothing after Close. Link.mu is held while the listener changes its state; no goroutine holds more
+// than one of Link.mu, UDP.mu and a direction's mutex.
 package link
 
 import (
@@ -35,10 +35,10 @@
 // Counters count the traffic of a link. They only increase.
 type Counters struct {
 	Connections atomic.Int64
-	Bytes       atomic.Int64 // of connections
-	Datagrams   atomic.Int64 // received, those that were dropped included
-	Dropped     atomic.Int64 // datagrams
-	Resets      atomic.Int64 // connections that were reset for Shape.ResetAfter
+	Bytes       atomic.Int64 // bytes on connections
+	Datagrams   atomic.Int64 // received datagrams, including dropped ones
+	Dropped     atomic.Int64 // dropped datagrams
+	Resets      atomic.Int64 // connections that were reset because of Shape.ResetAfter
 }
 
 // Link relays TCP connections to a target. It is safe for concurrent use.
@@ -46,8 +46,8 @@
 	Counters
 	target   string
 	listener *loopback.Listener
-	forward  *direction // to the target
-	reverse  *direction
+	forward  *direction // direction to the target
+	reverse  *direction // direction from the target
 	conns    loopback.ConnSet
 	closed   chan struct{} // closed by Close
 	once     sync.Once     // guards the closing of closed
@@ -59,7 +59,7 @@
 	shapedAt           time.Time // time of the latest Set
 }
 
-// New returns a link that listens at addr, where port 0 takes a free one, and relays connections to
+// New returns a link that listens at addr, where port 0 selects a free port, and relays connections to
 // target. seed seeds the random sources of the directions. The caller has to Close the link.
 func New(addr, target string, seed uint64) (*Link, error) {
 	l := &Link{target: target, forward: newDirection(seed), reverse: newDirection(seed + 1), closed: make(chan struct{})}
@@ -113,9 +113,9 @@
 	return err
 }
 
-// SetTargetAvailability makes the link handle new connections as its target does: a relay that accepted
-// connections which the target refuses would make a failed connect look like a reset. With Refused it
-// resets all connections.
+// SetTargetAvailability makes the link handle new connections as its target does. If the link accepted
+// connections that the target refuses, a failed connect would look like a reset. With Refused,
+// SetTargetAvailability resets all connections.
 func (l *Link) SetTargetAvailability(availability Availability) error {
 	err := l.setAvailability(&l.targetAvailability, availability)
 	if availability == Refused {
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// maxDelayedDatagrams bounds the datagrams that a relay delays at once. More are dropped and counted,
-	// as by a full queue.
+	// maxDelayedDatagrams bounds the datagrams that a relay delays at once. Datagrams beyond the bound are
+	// dropped and counted, as by a full queue.
 	maxDelayedDatagrams = 4096
 	// maxSenders bounds the senders that a relay keeps a socket for. A new sender beyond the bound
 	// replaces the one from which no datagram has come for the longest time.
 	maxSenders = 256
-	// maxDatagramBytes bounds a datagram.
+	// maxDatagramBytes bounds the size of a datagram.
 	maxDatagramBytes = 64 << 10
 )
 
@@ -25,24 +25,24 @@
 	Counters
 	target     *net.UDPAddr
 	conn       *net.UDPConn // receives the senders' datagrams
-	forward    *direction   // to the target
-	reverse    *direction
+	forward    *direction   // direction to the target
+	reverse    *direction   // direction from the target
 	goroutines sync.WaitGroup
 
 	mu           sync.Mutex
 	senders      map[string]*sender // by address
-	delayedCount int                // datagrams
+	delayedCount int                // number of datagrams that are being delayed
 	closed       bool
 }
 
 // sender is a process that sends datagrams to the relay.
 type sender struct {
 	addr         *net.UDPAddr
-	toTarget     *net.UDPConn // whose local address represents the sender at the target
+	toTarget     *net.UDPConn // socket whose local address represents the sender at the target
 	lastReceived time.Time    // guarded by UDP.mu
 }
 
-// NewUDP returns a relay that receives datagrams at addr, where port 0 takes a free one, and sends
+// NewUDP returns a relay that receives datagrams at addr, where port 0 selects a free port, and sends
 // them to target. seed seeds the random sources of the directions. The caller has to Close the relay.
 func NewUDP(addr, target string, seed uint64) (*UDP, error) {
 	targetAddr, err := net.ResolveUDPAddr("udp", target)
--- a/internal/lab/loopback/listener.go
+++ b/internal/lab/loopback/listener.go
@@ -30,15 +30,15 @@
 	serving   sync.WaitGroup // the calls of serve; only an accepting goroutine adds to it
 
 	mu             sync.Mutex
-	changed        *sync.Cond // of state and acceptorPaused
+	changed        *sync.Cond // signals changes of state and acceptorPaused
 	state          listenerState
-	ln             *net.TCPListener // nil until it has listened, closed while state is refused
-	heldConns      []net.Conn       // both ends of those that fill the queue of an unresponsive listener
+	ln             *net.TCPListener // nil until the first call of listen; closed while state is refused
+	heldConns      []net.Conn       // both ends of the connections that fill the queue of an unresponsive listener
 	acceptorPaused bool             // the accepting goroutine waits until the state is no longer unresponsive
 	closed         bool
 }
 
-// Listen returns an open listener at addr, where port 0 takes a free one. It calls serve with each
+// Listen returns an open listener at addr, where port 0 selects a free port. It calls serve with each
 // connection, in a new goroutine. The caller has to Close it.
 func Listen(addr string, serve func(net.Conn)) (*Listener, error) {
 	l := &Listener{addr: addr, serve: serve, state: refused}
@@ -156,7 +156,7 @@
 const (
 	// maxFillers bounds the connections that are opened to fill the queue of an unresponsive listener.
 	maxFillers = 8
-	// fillerTimeout bounds the time to open one. A timeout suggests that the queue is full.
+	// fillerTimeout bounds the time to open such a connection. A timeout suggests that the queue is full.
 	fillerTimeout = 40 * time.Millisecond
 	// firstFillerTimeout applies until the first connection was opened, which is always possible.
 	firstFillerTimeout = time.Second
@@ -239,7 +239,7 @@
 // acceptRetryDelay is the delay between a failed accept and the next one.
 const acceptRetryDelay = time.Millisecond
 
-// accept serves the connections of ln until that is closed.
+// accept serves the connections of ln until ln is closed.
 func (l *Listener) accept(ln *net.TCPListener) {
 	defer l.accepting.Done()
 	for {
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -4,7 +4,7 @@
 //
 // An AddressBlock is owned by the run that claimed it; a Listener and its accepting goroutine by the
 // party that listens. The goroutines that serve connections belong to the function that Listen was
-// given: Close of the listener doesn't wait for them, but its method Wait does.
+// given: Listener.Close doesn't wait for them, but Listener.Wait does.
 package loopback
 
 import (
@@ -30,10 +30,10 @@
 var ErrNoAddresses = fmt.Errorf("%d labs run on this machine", maxBlocks)
 
 // AddressBlock hands out addresses that no other AddressBlock on the machine hands out while this one is
-// open, so that no other lab takes the port of a party that has ended and starts again. It is safe for
+// open. This keeps other labs from taking the port of a party that ends and starts again. It is safe for
 // concurrent use.
 type AddressBlock struct {
-	claim net.Listener // at the last address, where no other process can listen meanwhile
+	claim net.Listener // listens at the block's last address, so that no other process can claim the block
 
 	mu   sync.Mutex
 	next int // index of the next address to hand out
--- a/internal/lab/mutant/mutant.go
+++ b/internal/lab/mutant/mutant.go
@@ -36,10 +36,10 @@
 type Mutant struct {
 	Name    string        `koanf:"name"`    // the removed mechanism; unique in its file
 	Edits   []Edit        `koanf:"edit"`    // applied in order
-	Package string        `koanf:"package"` // of the test, as a path from the root such as "./policy"
+	Package string        `koanf:"package"` // package of the test, as a path from the root such as "./policy"
 	Test    string        `koanf:"test"`    // regular expression for the test's name, as for go test -run
 	Env     []string      `koanf:"env"`     // additional environment variables of the test, as "KEY=value"
-	Timeout time.Duration `koanf:"within"`  // of the test; 0 in the file means defaultTimeout
+	Timeout time.Duration `koanf:"within"`  // time limit of the test; 0 in the file means defaultTimeout
 }
 
 // defaultTimeout is long enough for a test to fail by its own deadline if it waits for an effect that
--- a/internal/lab/mutant/run.go
+++ b/internal/lab/mutant/run.go
@@ -18,7 +18,7 @@
 // Result is the result of a mutant's test.
 type Result struct {
 	Killed   bool          // the test failed, so it detects the missing mechanism
-	Duration time.Duration // of the build and the test
+	Duration time.Duration // duration of the build and the test
 	Reason   string        // the failed test with its last messages, or that the test passed
 }
 
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -26,7 +26,7 @@
 
 // EndedError is the error of a process that ended before it was ready.
 type EndedError struct {
-	LastLogLine string // of the process
+	LastLogLine string // last line of the process's log
 }
 
 // Error quotes the last line of the process's log, which usually names the cause.
@@ -35,13 +35,13 @@
 // Spec describes a process, which can be started any number of times.
 type Spec struct {
 	Name     string
-	Path     string // of the program
+	Path     string // path of the program
 	Args     []string
-	Env      []string // in addition to PATH, HOME and TMPDIR of the lab; nothing else is inherited
-	Dir      string   // the working directory; "": that of the lab
-	Log      string   // the file that its output is appended to; a missing folder is created
-	ReadyURL string   // the process is ready once it answers 200 here; "": once it is started
-	MemoryMB float64  // the resident memory above which SampleUsage kills it; 0: unlimited
+	Env      []string // environment variables in addition to PATH, HOME and TMPDIR, the only ones inherited from the lab
+	Dir      string   // working directory; "" means the lab's
+	Log      string   // file to which the process's output is appended; a missing folder is created
+	ReadyURL string   // URL that answers 200 once the process is ready; "" means that it is ready once started
+	MemoryMB float64  // resident memory above which SampleUsage kills the process; 0: unlimited
 }
 
 // Process is a process of a supervisor. It is safe for concurrent use; its Spec may be changed only
@@ -51,7 +51,7 @@
 	supervisor *Supervisor
 
 	mu         sync.Mutex
-	cmd        *exec.Cmd     // of the latest run
+	cmd        *exec.Cmd     // command of the latest run
 	ended      chan struct{} // closed when the latest run has ended; nil before the first
 	expected   bool          // the lab requested the end of the latest run
 	startCount int
@@ -134,8 +134,8 @@
 }
 
 // Ended returns a channel that is closed when the latest run has ended, or nil if the process was never
-// started. To wait for the end of the current run, call Ended before the run can end and the process be
-// started again.
+// started. To wait for the end of the current run, call Ended before the process can have been started
+// again.
 func (p *Process) Ended() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/process/supervisor.go
+++ b/internal/lab/process/supervisor.go
@@ -4,8 +4,8 @@
 //
 // A Supervisor owns its processes and these goroutines: one that starts all processes, and for
 // each run of a process one that waits for the end of the run. Close ends them all. Supervisor.mu guards
-// the list of processes, Process.mu the state of one process; neither is held while the other is
-// taken.
+// the list of processes, Process.mu the state of one process; no goroutine holds both at the
+// same time.
 package process
 
 import (
--- a/internal/lab/process/usage.go
+++ b/internal/lab/process/usage.go
@@ -20,7 +20,7 @@
 // usageHistory summarizes the usage samples of a process.
 type usageHistory struct {
 	last       Usage         // the last sample of the latest run
-	peak       Usage         // the maximum of each field over all runs, except that CPU is their sum
+	peak       Usage         // the maximum of each field over all runs; CPU is the sum over the runs instead
 	earlierCPU time.Duration // processor time of the runs before the latest, by their last samples
 }
 
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -36,7 +36,7 @@
 // page accumulates the text of a report.
 type page struct {
 	text bytes.Buffer
-	errs []error // errors of its tables
+	errs []error // errors in formatting tables
 }
 
 // writeHeader writes the title, the description, the result, the parameters of the run and its violations.
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -15,7 +15,7 @@
 	"knotrouter/internal/lab/experiment"
 )
 
-// metric is a value of each point that is drawn as a line; name is its text in the legend.
+// metric is a value of each point of a summary. A plot draws it as a line, with name as its text in the legend.
 type metric struct {
 	name  string
 	value func(p *experiment.Point) float64
@@ -24,10 +24,10 @@
 // plotSpec describes one plot of a report.
 type plotSpec struct {
 	file, title, unit string
-	metrics           []metric // of the agents
+	metrics           []metric // metrics of the agents
 	baselines         bool     // also draw the first metric of each baseline
-	maxY              float64  // the upper end of the Y axis; 0: from the values
-	logScale          bool     // of the Y axis
+	maxY              float64  // upper end of the Y axis; 0 means that it follows from the values
+	logScale          bool     // whether the Y axis is logarithmic
 }
 
 // plotSpecs are the plots of a report, in page order.
@@ -118,8 +118,8 @@
 // chart is a plot that is being drawn.
 type chart struct {
 	*plot.Plot
-	minY, maxY float64 // of the Y axis
-	logScale   bool    // of the Y axis
+	minY, maxY float64 // range of the Y axis
+	logScale   bool    // whether the Y axis is logarithmic
 	lines      int     // number of addLine calls so far, which selects the next color
 	faults     int     // number of fault labels drawn so far, which selects the next position
 }
--- a/internal/lab/scale/beside_test.go
+++ b/internal/lab/scale/beside_test.go
@@ -42,8 +42,8 @@
 	os.Exit(code)
 }
 
-// runHollowAgent runs one hollow agent that reads its list from the controlPlane address, until it is
-// interrupted.
+// runHollowAgent runs one hollow agent until it is interrupted. The agent reads its list from the
+// control-plane server at the address controlPlane.
 func runHollowAgent(controlPlane, listen string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -108,8 +108,8 @@
 // listTakenLine matches the line that a real agent logs when it applies a list or a change.
 var listTakenLine = regexp.MustCompile(`msg="list taken".* version=(\d+) entries=(\d+)`)
 
-// realAgentLog holds the numbers of lines and entries and the last version that a real agent applied,
-// according to its log.
+// realAgentLog summarizes the log of a real agent: the numbers of lines and entries that the agent applied,
+// and the last list version.
 type realAgentLog struct{ lines, entries, version int64 }
 
 // parseRealAgentLog reads the log of a real agent.
@@ -122,7 +122,7 @@
 	defer file.Close()
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		match := listTakenLine.FindStringSubmatch(lines.Text())
-		if match != nil && match[1] != "0" { // 0 is the list of the agent's configuration
+		if match != nil && match[1] != "0" { // version 0 is the list in the agent's configuration file
 			r.lines++
 			r.version, _ = strconv.ParseInt(match[1], 10, 64)
 			entries, _ := strconv.ParseInt(match[2], 10, 64)
@@ -314,7 +314,7 @@
 	t.Helper()
 	realVersion := func() int64 { return parseRealAgentLog(t, pair.fleet.logPath("agent-1")).version }
 	_, ok := poll(t.Context(), time.Minute, func() bool {
-		hollow.Sleep(t.Context(), 300*time.Millisecond) // for a change in progress
+		hollow.Sleep(t.Context(), 300*time.Millisecond) // lets a change in progress reach the agents
 		status, err := pair.fleet.status(t.Context(), 0)
 		return err == nil && pair.hollowState(t).VersionMin == status.Seq && realVersion() == status.Seq
 	})
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -17,13 +17,14 @@
 	Scale Scale  `koanf:"scale"`
 }
 
-// Scale describes the fleets, their load, and the limits on the resources of the machine.
+// Scale describes the fleets, their load, and the limits on the resources of the machine. In the keys,
+// which are fixed by the file format, a control-plane server is called a steward.
 type Scale struct {
-	Variant              string         `koanf:"variant"`    // of the results, such as "before"
-	ControlPlaneServers  int            `koanf:"stewards"`   // number of them
+	Variant              string         `koanf:"variant"`    // variant of the results, such as "before"
+	ControlPlaneServers  int            `koanf:"stewards"`   // number of control-plane servers
 	ControlPlaneSettings map[string]any `koanf:"steward"`    // same keys as in a control-plane server's configuration file
-	Sizes                []Size         `koanf:"sizes"`      // in the order in which they are run
-	Phases               []string       `koanf:"phases"`     // a subset of allPhases, in its order
+	Sizes                []Size         `koanf:"sizes"`      // fleet sizes, run in this order
+	Phases               []string       `koanf:"phases"`     // phases to run: a subset of allPhases, in the same order
 	Subscribed           int            `koanf:"subscribed"` // number of services that each reader subscribes to; 0: the full list
 
 	RealAgents      int           `koanf:"real_agents"`
@@ -36,7 +37,7 @@
 	ConfigurationsPerDay float64       `koanf:"configurations_per_day"`
 	RestartsPerDay       float64       `koanf:"restarts_per_day"`
 	SteadyDuration       time.Duration `koanf:"steady"`         // length of each steady phase
-	RecoveryTimeout      time.Duration `koanf:"recover_within"` // for a fleet to start or to recover
+	RecoveryTimeout      time.Duration `koanf:"recover_within"` // time limit for a fleet to start or to recover
 
 	AgentsPerProcess int  `koanf:"agents_per_process"` // hollow agents in one process
 	MemoryMiB        int  `koanf:"memory_mib"`         // limit on the memory of all processes together
@@ -56,7 +57,8 @@
 	Services int `koanf:"services"`
 }
 
-// The phases, in the order in which they run.
+// The phases, in the order in which they run. Experiment files and results contain the values, in which
+// a control-plane server is called a steward.
 const (
 	FirstStart   = "first start"
 	Steady       = "steady"
--- a/internal/lab/scale/doc.go
+++ b/internal/lab/scale/doc.go
@@ -1,7 +1,7 @@
 // Package scale runs scale experiments: it runs fleets of growing size on real control-plane servers
 // and measures the resources that each role uses and how long changes and recoveries take.
 //
-// Run runs the sizes of the file one after the other. For each size it starts, as separate processes,
+// Run runs the sizes of the experiment file one after the other. For each size it starts, as separate processes,
 // the control-plane servers, some real agents, one process of hollow servers and as many processes of
 // hollow agents as the file's watches need (package hollow). It stops all of them before the next
 // size. The phases of a size also run one after the other. Each is measured as the difference between
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	startTimeout  = 30 * time.Second // for a process to become ready
-	stopTimeout   = 3 * time.Second  // for hollow processes to print their state and exit
-	statusTimeout = time.Second      // for one call to a control-plane server
+	startTimeout  = 30 * time.Second // time limit for a process to become ready
+	stopTimeout   = 3 * time.Second  // time limit for hollow processes to print their state and exit
+	statusTimeout = time.Second      // time limit for one call to a control-plane server
 	pollInterval  = 200 * time.Millisecond
 )
 
--- a/internal/lab/scale/forward.go
+++ b/internal/lab/scale/forward.go
@@ -16,8 +16,8 @@
 	listener net.Listener
 	target   string
 	calls    atomic.Int64
-	bytesIn  atomic.Int64 // to the agents
-	bytesOut atomic.Int64 // to the control-plane server
+	bytesIn  atomic.Int64 // bytes sent to the agents
+	bytesOut atomic.Int64 // bytes sent to the control-plane server
 
 	mu        sync.Mutex
 	openConns map[net.Conn]bool
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -14,7 +14,8 @@
 	"knotrouter/internal/lab/process"
 )
 
-// The roles of measurements in the results.
+// The roles of measurements. The format of the results fixes the values, in which a control-plane server
+// is called a steward.
 const (
 	roleLeader   = "steward leader"
 	roleFollower = "steward follower" // mean over the followers
@@ -34,7 +35,7 @@
 // sample holds the values of all counters at one time.
 type sample struct {
 	at           time.Time
-	cpu          map[*process.Process]time.Duration // by process, over all its runs
+	cpu          map[*process.Process]time.Duration // processor time of each process, summed over all its runs
 	readers      hollow.AgentsState
 	servers      hollow.ServersState
 	agents       map[string]hollow.Traffic // traffic of the real agents, by the address of the control-plane server
@@ -69,7 +70,7 @@
 	s.at = time.Now()
 	for _, p := range f.supervisor.All() {
 		_, peak, _ := p.SampleUsage()
-		s.cpu[p] = peak.CPU // over all its runs
+		s.cpu[p] = peak.CPU // the sum over all runs of the process
 	}
 	return s, nil
 }
@@ -193,7 +194,8 @@
 	}
 }
 
-// addTraffic adds the mean calls and bytes of one agent or server, from the traffic of count of them.
+// addTraffic adds the mean calls and bytes of one agent or server, from the total traffic of count agents or
+// servers.
 func (m *measurement) addTraffic(role string, traffic hollow.Traffic, count float64) {
 	m.add(role, "bytes_in_per_second", float64(traffic.BytesIn)/count/m.seconds)
 	m.add(role, "bytes_out_per_second", float64(traffic.BytesOut)/count/m.seconds)
--- a/internal/lab/scale/phases.go
+++ b/internal/lab/scale/phases.go
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// zonesPerRegion is the number of zones of a region: 22 in 6 regions, rounded up.
+// zonesPerRegion is the number of zones of a region: 22 zones in 6 regions, rounded up.
 const zonesPerRegion = 4
 
 // serversLost stops the renewals of the servers of one or more zones, waits until the readers' lists no
@@ -197,7 +197,7 @@
 	if err != nil {
 		return err
 	}
-	hollowWatches := status.Watches - len(f.agents) // a lower bound: each real agent has at most one watch there
+	hollowWatches := status.Watches - len(f.agents) // a lower bound: each real agent has at most one watch on it
 	var moved time.Duration
 	m, err := r.measure(ctx, FollowerKilled, func() error {
 		began := time.Now()
--- a/internal/lab/scale/requests.go
+++ b/internal/lab/scale/requests.go
@@ -28,7 +28,7 @@
 	mu        sync.Mutex
 	sent      int64
 	served    int64
-	latencies *hdrhistogram.Histogram // of requests served within requestDeadline, in µs
+	latencies *hdrhistogram.Histogram // latencies in µs of the requests served within requestDeadline
 }
 
 // newLoadGenerator starts to send ratePerAgent requests a second to each agent, until close is called.
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -14,7 +14,7 @@
 
 // Options says how an experiment is run.
 type Options struct {
-	Seed     uint64            // 0: the file's
+	Seed     uint64            // seed of the run; 0 selects the seed of the experiment file
 	Out      string            // folder of the results
 	Command  string            // command line that repeats the run
 	Progress func(line string) // called for each step of the run; may be nil
@@ -74,7 +74,7 @@
 	out      string
 	progress func(string)
 	results  *capacity.Results
-	failures []string // required sizes that were not run
+	failures []string // a text for each required size that was not run
 }
 
 // notRunError is the error of a size that can't be run to its end because a resource or a time limit
@@ -123,8 +123,8 @@
 // one in its table and, as in a real agent, one in the table by service.
 const tableCopies = 2
 
-// readersMemoryShare is the share of the memory that is for hollow readers. The rest is for
-// control-plane servers and real agents.
+// readersMemoryShare is the share of the memory limit that is reserved for hollow readers. The rest
+// is for control-plane servers and real agents.
 const readersMemoryShare = 0.8
 
 // maxWatchesInMemory returns the number of readers whose lists fit in the memory limit, but at least 1.
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// The memory limit bounds the number of readers by the list entries that each keeps, but to no less
-// than one.
+// The memory limit bounds the number of readers, according to the list entries that each of them keeps. The
+// bound is at least one reader.
 func TestMaxWatchesInMemory(t *testing.T) {
 	s := &Scale{MemoryMiB: 1000, EntryBytes: 1 << 10}
 	if n := maxWatchesInMemory(s, Size{Servers: 1024}); n != 800 {
--- a/internal/lab/scale/sizerun.go
+++ b/internal/lab/scale/sizerun.go
@@ -20,7 +20,7 @@
 // the memory guard sets.
 type sizeRun struct {
 	*runner
-	name         string // of the size in progress lines
+	name         string // name of the size in progress lines
 	size         Size
 	fleet        *fleet
 	result       *capacity.Run
--- a/internal/lab/syscallfault/syscallfault.go
+++ b/internal/lab/syscallfault/syscallfault.go
@@ -86,7 +86,7 @@
 	id           uint64
 	pid          uint32
 	flags        uint32
-	call         int32 // its number; struct seccomp_data begins here
+	call         int32 // number of the call; the kernel's struct seccomp_data begins here
 	architecture uint32
 	instruction  uint64
 	arguments    [6]uint64
@@ -96,7 +96,7 @@
 type response struct {
 	id    uint64
 	value int64
-	errno int32 // negative
+	errno int32 // negated error number
 	flags uint32
 }
 
@@ -129,7 +129,7 @@
 	program := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: callNumberOffset}}
 	for _, f := range faults {
 		program = append(program,
-			unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: uint32(f.call), Jf: 1}, // Jf: else skip the next one
+			unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: uint32(f.call), Jf: 1}, // else skip one instruction
 			unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: unix.SECCOMP_RET_USER_NOTIF})
 	}
 	return append(program, unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: unix.SECCOMP_RET_ALLOW})
--- a/internal/lab/worker/clock.go
+++ b/internal/lab/worker/clock.go
@@ -19,7 +19,7 @@
 // driftClock is a leaderelection.Clock that runs faster or slower than the machine's clock.
 type driftClock struct {
 	startedAt time.Time
-	rate      float64 // relative to the machine's clock, above 0
+	rate      float64 // rate relative to the machine's clock, above 0
 }
 
 // Now returns the time since the clock was started, scaled by its rate.
--- a/internal/lab/worker/worker.go
+++ b/internal/lab/worker/worker.go
@@ -29,9 +29,9 @@
 }
 
 const (
-	requestTimeout    = 15 * time.Second       // of a request to the control plane
-	operationTimeout  = 300 * time.Millisecond // of an operation
-	operationInterval = 5 * time.Millisecond   // from the end of an operation to the next one
+	requestTimeout    = 15 * time.Second       // time limit of a request to the control plane
+	operationTimeout  = 300 * time.Millisecond // time limit of an operation
+	operationInterval = 5 * time.Millisecond   // pause between the end of an operation and the next operation
 )
 
 // The kinds of tasks that a worker runs.
