--- a/cmd/lab/formats_test.go
+++ b/cmd/lab/formats_test.go
@@ -94,7 +94,7 @@
 			case name == "" && x.PkgPath() != "" && !strings.Contains(strings.SplitN(x.PkgPath(), "/", 2)[0], "."):
 				t.Errorf("%s: field %s.%s has no explicit key, so renaming it changes the format", path, x, f.Name)
 			case name == "":
-				name = f.Name // a field of a library's type, which has no tag of ours
+				name = f.Name // a field of a library's type, which has no such tag
 			}
 			if options != "" {
 				name += "," + options
@@ -175,7 +175,7 @@
 }
 
 // describeFlag returns the properties of a flag that scripts rely on. The name of a default program in
-// bin is not one of them.
+// bin is not one of these properties.
 func describeFlag(f *pflag.Flag) string {
 	value := fmt.Sprintf("%q", f.DefValue)
 	if strings.HasPrefix(f.DefValue, "bin/") {
--- a/cmd/lab/scale_test.go
+++ b/cmd/lab/scale_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Scale experiments are validated and listed as other experiments are.
+// Scale experiments are validated and listed like other experiments.
 func TestScaleExperimentIsValidatedAndListed(t *testing.T) {
 	path := scaleFile(t, "")
 	c := startLab(t, "validate", path)
--- a/internal/lab/capacity/dataset.go
+++ b/internal/lab/capacity/dataset.go
@@ -105,7 +105,7 @@
 	"rack lost", "zone lost", "region lost", "region cut off", "slow reader"}
 
 // loads returns the loads of the experiments' measurements: first those of fleetLoads in its order,
-// then the others by length and name.
+// then the others by the length of their names and then alphabetically.
 func (d Dataset) loads(experiments []string) []string {
 	found := map[string]bool{}
 	for _, source := range d {
--- a/internal/lab/capacity/placement.go
+++ b/internal/lab/capacity/placement.go
@@ -145,7 +145,7 @@
 // toleratedFailures is the number of voters of a quorum that may be down at the same time.
 func (a Arrangement) toleratedFailures() float64 { return math.Floor((a.Voters - 1) / 2) }
 
-// quorumsLostPerYear is the expected number of times a year that a quorum loses one voter more than it
+// quorumsLostPerYear is the expected number of times a year that any quorum loses one voter more than it
 // tolerates, with all of these failures within replacementHours of each other. Failures are assumed to be
 // independent.
 func (a Arrangement) quorumsLostPerYear(t *Target) float64 {
--- a/internal/lab/client/arrivals_test.go
+++ b/internal/lab/client/arrivals_test.go
@@ -69,7 +69,7 @@
 	byAgent := DrawArrivals(testLoad(), testAgents, testDuration, nil, testSeed)
 	byCount := func(a, b []Arrival) int { return len(a) - len(b) }
 	if least, most := len(slices.MinFunc(byAgent, byCount)), len(slices.MaxFunc(byAgent, byCount)); most < least*3/2 {
-		t.Errorf("agents with uneven shares have %d to %d arrivals, want at least half as many more", least, most)
+		t.Errorf("agents with uneven shares have %d to %d arrivals, want a maximum of at least 1.5 times the minimum", least, most)
 	}
 	for i := range byAgent {
 		if !slices.IsSortedFunc(byAgent[i], func(x, y Arrival) int { return int(x.At - y.At) }) {
--- a/internal/lab/client/baseline.go
+++ b/internal/lab/client/baseline.go
@@ -37,8 +37,8 @@
 )
 
 // Baseline is a plain client-side load balancer within the lab, with which the agent is compared. It sees
-// changes of the discovery list without delay, needs no separate process, and retries a request at another server if
-// the request's class allows that. The exported fields are set before NewBaseline and not changed
+// changes of the discovery list without delay, needs no separate process, and retries a request at another
+// server if the request's class allows that. The exported fields are set before NewBaseline and not changed
 // afterwards. It is safe for concurrent use.
 type Baseline struct {
 	Policy         string
--- a/internal/lab/client/pool.go
+++ b/internal/lab/client/pool.go
@@ -57,8 +57,9 @@
 }
 
 // get returns an idle connection, or a new one if there is none or forceNew is set. It fails if a new
-// connection is needed and can't be opened by the deadline and within connectTimeout, or if reuseOnly is set.
-// extraBytes reports that get closed an idle connection, because it had received bytes that answer no request.
+// connection is needed but can't be opened by the deadline and within connectTimeout, or must not be opened
+// because reuseOnly is set. extraBytes reports that get closed an idle connection that had received bytes
+// although no request was pending on it.
 func (p *Pool) get(addr string, deadline time.Time, connectTimeout time.Duration, forceNew bool) (conn *pooledConn, extraBytes bool, err error) {
 	for !forceNew {
 		idle := p.takeIdle()
--- a/internal/lab/client/surplus_test.go
+++ b/internal/lab/client/surplus_test.go
@@ -103,7 +103,7 @@
 		r := s.newRequest(id)
 		response := agent.send(r, http.Header{headerRequestID: {id}}, s.epoch.Add(time.Minute))
 		if s.checker.RecordAnswer(r, response.Answer) != check.Failed {
-			t.Errorf("request %s: outcome %v, want the failed one of its answer", id, response.Outcome)
+			t.Errorf("request %s: outcome %v, want Failed, as its answer says", id, response.Outcome)
 		}
 		if id == "1" {
 			awaitBytes(t, &agent.pool)
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -98,13 +98,13 @@
 		t.Errorf("counted %d pairs, %v direct and %v through the agent", s.pairs, s.outcomes[direct], s.outcomes[throughAgent])
 	}
 	if !reflect.DeepEqual(s.addedMs, []float64{-1, 1}) {
-		t.Errorf("added %v ms", s.addedMs)
+		t.Errorf("the added latencies are %v ms, want -1 and 1", s.addedMs)
 	}
 	if maxLatency := s.latency[throughAgent].Max(); maxLatency > 4000 {
 		t.Errorf("the latencies include a call that was not served: %d us", maxLatency)
 	}
 	if lateness := s.lateness.Max(); lateness < 900 || lateness > 1100 {
-		t.Errorf("lateness %d us", lateness)
+		t.Errorf("the maximum lateness is %d us, want about 1000", lateness)
 	}
 }
 
@@ -140,7 +140,7 @@
 		}
 	}
 	if got := sortedQuantile(nil, 50); got != 0 {
-		t.Errorf("quantile of nothing is %v", got)
+		t.Errorf("the quantile of no values is %v, want 0", got)
 	}
 }
 
--- a/internal/lab/loopback/conns.go
+++ b/internal/lab/loopback/conns.go
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// Addr returns an address without a port, because net.Listener requires the method. The connections have different local
-// addresses.
+// Addr returns an address without a port, because net.Listener requires the method. The
+// connections have different local addresses.
 func (c *SharedListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
 // ConnSet holds the open connections of one party, so that all can be reset at once. The zero value is
--- a/internal/lab/process/process_test.go
+++ b/internal/lab/process/process_test.go
@@ -197,7 +197,7 @@
 	p := s.Add(childSpec("p", t.TempDir(), freeAddr()))
 
 	startReady(t, p)
-	if err := p.Start(); !errors.Is(err, ErrRunning) { // neither disturbs the run nor counts as a start
+	if err := p.Start(); !errors.Is(err, ErrRunning) { // the failed start neither disturbs the run nor counts
 		t.Errorf("start of a running process: %v, want ErrRunning", err)
 	}
 	usage, _, _ := p.SampleUsage()
@@ -213,7 +213,7 @@
 	}
 
 	startReady(t, p)
-	// Not killed through the supervisor, like a crash.
+	// The kill bypasses the supervisor, so the end counts as a crash.
 	if err := syscall.Kill(p.cmd.Process.Pid, syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -9,7 +9,7 @@
 )
 
 // Compare writes the agents' metrics of two results side by side, with their differences. It omits
-// windows, classes and recoveries that only one of them has. It returns an error if the table can't be
+// windows, classes and recoveries that only one of the results has. It returns an error if the table can't be
 // formatted.
 func Compare(w io.Writer, a, b *experiment.Summary) error {
 	fmt.Fprintf(w, "A: %s, agent build %s\nB: %s, agent build %s\n", ResultLine(a), a.Build, ResultLine(b), b.Build)
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -77,7 +77,7 @@
 var baselineDashes = []vg.Length{vg.Points(4), vg.Points(2)}
 
 // Plots draws the plots of a summary, which must have at least one fleet, into a folder. It returns the
-// paths of the files; on an error, only those drawn before it.
+// paths of the files; on an error, only the files drawn before the error.
 func Plots(dir string, s *experiment.Summary) ([]string, error) {
 	var files []string
 	for i := range plotSpecs {
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// programPath returns the absolute path of the program that is the value of a key of the file. The
+// programPath returns the absolute path of the program that is the value of a key of the experiment file. The
 // error names the key if there is no such program.
 func programPath(key, command string) (string, error) {
 	path, err := filepath.Abs(command)
--- a/internal/lab/worker/operator.go
+++ b/internal/lab/worker/operator.go
@@ -49,7 +49,7 @@
 }
 
 // addressOf returns the address that a task's operations are sent to. All workers with the same list of
-// addresses choose the same one.
+// addresses choose the same address for a task.
 func (o *operationSender) addressOf(task string) string {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(task))
--- a/internal/lab/worker/worker.go
+++ b/internal/lab/worker/worker.go
@@ -23,7 +23,7 @@
 	Name              string
 	Zone              string
 	ControlPlaneAddrs []string // HTTP addresses of the control-plane servers
-	OperationAddrs    []string // servers that receive operations, at least one; each task always uses the same one
+	OperationAddrs    []string // servers that receive operations, at least one; a task always uses the same server
 	MaxTasks          int      // maximum number of tasks that the worker holds at once
 	ClockRate         float64  // rate of the worker's clock relative to the machine's, above 0
 }
--- a/internal/lab/worker/worker_test.go
+++ b/internal/lab/worker/worker_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// All workers with the same addresses send a task's operations to the same one, and tasks spread over
+// All workers with the same addresses send a task's operations to the same address, and tasks spread over
 // the addresses.
 func TestTaskHasOneAddress(t *testing.T) {
 	addresses := []string{"a", "b", "c"}
