--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -198,8 +198,8 @@
 }
 
 // Task returns one leased task.
-func (c *Client) Task(ctx context.Context, name string) (d catalog.LeasedTask, err error) {
-	return d, c.do(ctx, http.MethodGet, "/v1/duties/"+name+"?consistent=1", nil, &d)
+func (c *Client) Task(ctx context.Context, name string) (task catalog.LeasedTask, err error) {
+	return task, c.do(ctx, http.MethodGet, "/v1/duties/"+name+"?consistent=1", nil, &task)
 }
 
 // Sessions returns all sessions.
@@ -209,8 +209,8 @@
 
 // DefineTask defines a leased task or changes its definition. The time to live of a task can't be
 // changed while the task is held.
-func (c *Client) DefineTask(ctx context.Context, name string, b TaskDefinition) error {
-	return c.do(ctx, http.MethodPut, "/v1/duties/"+name, b, nil)
+func (c *Client) DefineTask(ctx context.Context, name string, definition TaskDefinition) error {
+	return c.do(ctx, http.MethodPut, "/v1/duties/"+name, definition, nil)
 }
 
 // ClaimTask claims a task that has no holder for a session. Result.Fence is the fencing token. The
--- a/internal/control/servicetopics.go
+++ b/internal/control/servicetopics.go
@@ -282,9 +282,9 @@
 func (t *serviceTopics) watchesByService() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	count := make(map[string]int, len(t.byService))
+	counts := make(map[string]int, len(t.byService))
 	for name, topic := range t.byService {
-		count[name] = len(topic.subscriptions)
+		counts[name] = len(topic.subscriptions)
 	}
-	return count
+	return counts
 }
--- a/internal/control/watchload.go
+++ b/internal/control/watchload.go
@@ -23,13 +23,13 @@
 	if len(others) == 0 {
 		return 0
 	}
-	sum, fewest := own.watches, own.watches
+	totalWatches, fewestWatches := own.watches, own.watches
 	for _, o := range others {
-		sum, fewest = sum+o.watches, min(fewest, o.watches)
+		totalWatches, fewestWatches = totalWatches+o.watches, min(fewestWatches, o.watches)
 	}
-	fairShare := (sum + len(others)) / (len(others) + 1) // rounded up
+	fairShare := (totalWatches + len(others)) / (len(others) + 1) // rounded up
 	excess := own.watches - fairShare - loadTolerance(fairShare)
-	if excess <= 0 || fewest >= fairShare {
+	if excess <= 0 || fewestWatches >= fairShare {
 		return 0
 	}
 	return min(excess, max(own.watches/migrationDivisor, 1), own.movable)
