--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -23,8 +23,8 @@
 // callTimeout is how long the command line waits for a server's answer.
 const callTimeout = 40 * time.Second
 
-// newClientFunc returns a client of the servers that --at names. It must be called when a command
-// runs, as the flags are not parsed before.
+// newClientFunc returns a client of the servers that --at names. Call it only while a command runs,
+// because the flags are not parsed before then.
 type newClientFunc func() *control.Client
 
 func main() {
--- a/cmd/controlplane/members.go
+++ b/cmd/controlplane/members.go
@@ -18,10 +18,10 @@
 // viewTimeout is how long `members` waits for each server's view.
 const viewTimeout = 5 * time.Second
 
-// errNoView is the error of `members` if no server that gossips answered.
+// errNoView is the error of `members` if no server returned a membership view.
 var errNoView = errors.New("no steward answers that gossips")
 
-// unknownObserverError is the error of `members --from` if no server of that name answered.
+// unknownObserverError is the error of `members --from` if no server with the given name answered.
 type unknownObserverError struct{ name string }
 
 // Error names the flag and the server.
@@ -59,7 +59,7 @@
 }
 
 // printMembers prints the addresses that did not answer, and then the view, or the differences between the
-// views, that the options select. It returns errNoView if there is no view, and an *unknownObserverError if
+// views, depending on the options. It returns errNoView if there is no view, and an *unknownObserverError if
 // there is none from the selected server.
 func printMembers(out io.Writer, views []member.View, unanswered []string, options memberOptions) error {
 	if len(views) == 0 {
@@ -131,8 +131,8 @@
 	return state, durationMs, observed
 }
 
-// isShown reports whether a member gets a row. Members that don't gossip are many, so those that are present
-// are only counted unless all is set.
+// isShown reports whether a member gets a row. A present member that doesn't gossip gets one only if all is
+// set, because there can be many such members.
 func isShown(role member.Role, state member.State, all bool) bool {
 	return role.Gossips() || all || state != member.Present
 }
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// printDifferences prints the members whose states differ between the servers' views, or a line that says
-// that there are none.
+// printDifferences prints the members whose states differ between the servers' views, or a line saying that
+// the views agree.
 func printDifferences(out io.Writer, views []member.View) error {
 	differences := member.CompareViews(views)
 	if len(differences) == 0 {
--- a/cmd/controlplane/serve.go
+++ b/cmd/controlplane/serve.go
@@ -16,7 +16,7 @@
 // errReload is the cancellation cause that tells waitForReload that a SIGHUP ended its wait.
 var errReload = errors.New("reload of the configuration requested")
 
-// adjustConfig changes configuration fields that no setting reaches. Tests replace it to set the clock and the
+// adjustConfig changes configuration fields that have no setting. Tests replace it to set the clock and the
 // log store.
 var adjustConfig = func(*control.Config) {}
 
@@ -35,7 +35,7 @@
 
 // configSource tells where to read the configuration from, at the start and at each SIGHUP.
 type configSource struct {
-	path      string         // of the TOML file; "" if there is none
+	path      string         // path of the TOML file, or "" if there is none
 	overrides map[string]any // values of the settings that flags override, by key
 }
 
@@ -79,7 +79,7 @@
 	}
 	adjustConfig(config)
 	log := newLogger(config)
-	// Registered before the start, so that a SIGHUP during the start doesn't end the process.
+	// The signal is handled before the start, so that a SIGHUP during the start doesn't end the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
@@ -100,13 +100,13 @@
 // newLogger returns the logger of a server, which writes to standard error at the configured level.
 func newLogger(config *control.Config) *slog.Logger {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(config.LogLevel)) // LoadConfig has checked it
+	_ = level.UnmarshalText([]byte(config.LogLevel)) // can't fail: LoadConfig has validated the level
 	handler := slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})
 	return slog.New(handler).With("replica", config.Name)
 }
 
 // waitForReload waits until the server ends or a SIGHUP arrives. It returns true if the SIGHUP came
-// first, and otherwise what the server's Wait returned.
+// first, and otherwise false and the error returned by the server's Wait.
 func waitForReload(ctx context.Context, server *control.Server, hangups <-chan os.Signal) (reload bool, err error) {
 	waitCtx, cancel := context.WithCancelCause(ctx)
 	go func() {
--- a/cmd/controlplane/servers.go
+++ b/cmd/controlplane/servers.go
@@ -14,7 +14,7 @@
 	"knotrouter/internal/table"
 )
 
-// errNoOverride is the error of `servers set` if it is given nothing to set.
+// errNoOverride is the error of `servers set` if neither --share nor --health is given.
 var errNoOverride = errors.New("--share, --health: neither is given")
 
 // newServersCommand returns the command that shows the registered servers, with the subcommand that sets
@@ -61,7 +61,8 @@
 	}
 }
 
-// serverNote explains why an entry is not listed as its server last reported. It returns "" if it is.
+// serverNote explains why the list differs from the last report of the entry's server. It returns "" if it
+// doesn't differ.
 func serverNote(entry *catalog.Entry) string {
 	switch {
 	case entry.Removed:
@@ -80,7 +81,7 @@
 	var weight float64
 	var health string
 	var ifVersion int64
-	var flags *pflag.FlagSet // of the command below, which calls set after parsing them
+	var flags *pflag.FlagSet // the flags of the command below, which parses them before it calls set
 	set := func(ctx context.Context, server string) error {
 		override := control.ServerOverride{IfVersion: ifVersion}
 		if flags.Changed("share") {
--- a/cmd/controlplane/status.go
+++ b/cmd/controlplane/status.go
@@ -83,7 +83,7 @@
 }
 
 // quarantineNote returns a line that says how many servers the mass-failure guard keeps listed, for how long
-// it has done so, and which command removes them.
+// already, and which command removes them.
 func quarantineNote(status *control.Status) string {
 	duration := (time.Duration(status.QuarantinedForMs) * time.Millisecond).Round(time.Second)
 	return fmt.Sprintf("%s: %d servers would have lapsed at once and stay listed, for %v now; 'controlplane confirm' says that they are gone",
--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -14,7 +14,7 @@
 
 const (
 	// minRetryAfter is the shortest delay after which a rejected client is asked to retry.
-	// maxRetryAfter is the longest delay that is added to it, before jitter.
+	// maxRetryAfter is the longest delay that is added to minRetryAfter, before jitter.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 	// writeRetryAfter is the delay that is added to minRetryAfter for a rejected write, before jitter.
@@ -25,8 +25,8 @@
 	retryJitterRange = 0.5
 	// bytesPerCall is the number of bytes of a list that cost as much of the call rate as one request.
 	bytesPerCall = 24_000
-	// burstDivisor is the ratio of the call rate, in requests per second, to the burst: the number of
-	// requests that are admitted at once.
+	// burstDivisor is the call rate, in requests per second, divided by the burst size. The burst size
+	// is the number of requests that can be admitted at once.
 	burstDivisor = 4
 	// reservedDescriptors is the number of file descriptors left for the log, the connections to other
 	// servers, and requests other than watches.
@@ -44,7 +44,7 @@
 	rejectedCalls atomic.Int64 // for the metrics
 
 	mu            sync.Mutex
-	nextRetrySlot time.Time // by when all retries that clients were asked for so far can be admitted; guarded by mu
+	nextRetrySlot time.Time // the time by which all retries requested so far can be admitted; guarded by mu
 }
 
 // newAdmission returns an admission with the limits of the configuration.
@@ -82,8 +82,8 @@
 }
 
 // reserveRetrySlot reserves the next time at which a rejected request can be admitted, and returns the
-// delay until then, at most maxRetryAfter. cost is the time in which the configured rate admits as
-// many requests as this one counts for.
+// delay until then, at most maxRetryAfter. cost is the number of requests that this one
+// counts as, divided by the configured rate.
 func (a *admission) reserveRetrySlot(cost time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -100,8 +100,8 @@
 }
 
 // admitWrite admits a write. Writes have slots of their own, so that reads can't delay them. It
-// returns a function that releases the slot. If ok is false, it has already rejected the request
-// and the function is nil.
+// returns a function that releases the slot. If ok is false, the request has already been
+// rejected and release is nil.
 func (a *admission) admitWrite(w http.ResponseWriter) (release func(), ok bool) {
 	select {
 	case a.writeSlots <- struct{}{}:
--- a/internal/control/audit.go
+++ b/internal/control/audit.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	auditTimeout        = time.Second // for a server's answer
-	maxConcurrentAudits = 16          // concurrent health checks
+	auditTimeout        = time.Second // timeout of one health check
+	maxConcurrentAudits = 16          // maximum number of concurrent health checks
 )
 
 // auditFunction returns the function of the audit task. At the configured interval, the task checks
--- a/internal/control/barrier.go
+++ b/internal/control/barrier.go
@@ -33,8 +33,8 @@
 	return err
 }
 
-// verifyLeader has a quorum confirm that this server led when verifyLeader was called, and returns the
-// term in which it did. It returns errNoLeader if that can't be confirmed, or the context's error.
+// verifyLeader confirms with a quorum that this server led at the time of the call, and returns the raft
+// term in which it led. It returns errNoLeader if that can't be confirmed, or the context's error.
 func (s *Server) verifyLeader(ctx context.Context) (term uint64, err error) {
 	return s.joinSharedCheck(ctx, &s.leaderChecks, func() (uint64, error) {
 		return proveLeadership(s.raft(), s.config.Name, s.voters(), s.confirmedAppends, applyTimeout)
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -26,7 +26,7 @@
 	Addrs         []string
 	AddressSource func() []string // if not nil, returns the current addresses, which replace Addrs
 	HTTP          *http.Client
-	preferred     atomic.Int64 // the index of the address that is tried first, modulo their number
+	preferred     atomic.Int64 // index, modulo the number of addresses, of the address to try first
 }
 
 // NewClient returns a Client whose requests time out after the given time.
@@ -213,8 +213,8 @@
 	return c.do(ctx, http.MethodPut, "/v1/duties/"+name, definition, nil)
 }
 
-// ClaimTask claims a task that has no holder for a session. Result.Fence is the fencing token. The
-// call is idempotent: a repeated call returns the same token.
+// ClaimTask claims, on behalf of a session, a task that has no holder. Result.Fence is the fencing
+// token. The call is idempotent: a repeated call returns the same token.
 func (c *Client) ClaimTask(ctx context.Context, name, process, id string) (r catalog.Result, err error) {
 	return r, c.do(ctx, http.MethodPost, "/v1/duties/"+name+"/claim", claimBody{process, id}, &r)
 }
@@ -224,8 +224,8 @@
 	return c.do(ctx, http.MethodPost, "/v1/terms", termsBody{catalog.ReleaseTerm, []catalog.TermRef{t}, catalog.ReasonCompleted}, nil)
 }
 
-// Operators' commands on a leased task. All except CommandDelete are also the last element of their
-// path in the HTTP API.
+// Operators' commands on a leased task. The values are fixed: they are the names on the command line,
+// and all except CommandDelete are also the last element of the path in the HTTP API.
 const (
 	CommandTransfer = "move"   // transfer the task to another process
 	CommandRevoke   = "revoke" // have the holder stop
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -27,7 +27,7 @@
 	HTTP     string `koanf:"http"`
 	Raft     string `koanf:"raft"`
 	Gossip   string `koanf:"gossip"` // "": the server doesn't gossip
-	NonVoter bool   `koanf:"spare"`  // whether it is a non-voter in the first raft configuration of a new cluster
+	NonVoter bool   `koanf:"spare"`  // the server is a non-voter in the first raft configuration of a new cluster
 }
 
 // Config is the configuration of a control-plane server. See Defaults for the values of settings
@@ -49,21 +49,21 @@
 	GuardShare  float64       `koanf:"guard_share"` // the fraction of the listed servers that may expire within the window
 	GuardWindow time.Duration `koanf:"guard_window"`
 
-	Heartbeat  time.Duration `koanf:"heartbeat"`   // a follower that hears nothing from the leader for longer starts an election
-	StaleAfter time.Duration `koanf:"stale_after"` // after this time without a quorum, watches are migrated to peers
+	Heartbeat  time.Duration `koanf:"heartbeat"`   // time without a message from the leader after which a follower starts an election
+	StaleAfter time.Duration `koanf:"stale_after"` // time without a quorum after which watches are migrated to peers
 	Coalesce   time.Duration `koanf:"coalesce"`    // changes within this time are sent as one event of a watch
 	Drain      time.Duration `koanf:"drain"`       // the time over which Close migrates the watches
-	MaxWatches int           `koanf:"max_watches"` // fewer if there are not enough file descriptors
-	CallRate   float64       `koanf:"call_rate"`   // full lists and new watches per second; a full list counts as one for each 24,000 bytes
-	MaxWrites  int           `koanf:"max_writes"`  // concurrent writes
+	MaxWatches int           `koanf:"max_watches"` // maximum number of open watches; fewer if there are not enough file descriptors
+	CallRate   float64       `koanf:"call_rate"`   // full lists and new watches per second; a list counts once more for every 24,000 bytes
+	MaxWrites  int           `koanf:"max_writes"`  // maximum number of concurrent writes
 
-	SnapshotEvery uint64        `koanf:"snapshot_every"` // log entries
+	SnapshotEvery uint64        `koanf:"snapshot_every"` // log entries between two snapshots
 	SnapshotCheck time.Duration `koanf:"snapshot_check"` // the time between checks whether a snapshot is due
 	SaveEvery     time.Duration `koanf:"save_every"`     // the time between copies of the state by the state-copy task; 0: none
 	AuditEvery    time.Duration `koanf:"audit_every"`    // the time between audits by the audit task; 0: none
 	LogLevel      string        `koanf:"log_level"`
 
-	Now          func() time.Time                  `koanf:"-"` // the wall clock, which is used only as a hint
+	Now          func() time.Time                  `koanf:"-"` // the wall clock, for list versions and names of state copies; a hint only, as it may be wrong
 	WrapLogStore func(raft.LogStore) raft.LogStore `koanf:"-"` // for tests: wraps the log on the disk
 }
 
@@ -114,7 +114,7 @@
 // Unwrap returns the cause.
 func (e *configFileError) Unwrap() error { return e.cause }
 
-// configValueError reports settings whose values don't have the type of the setting.
+// configValueError reports settings with values of the wrong type.
 type configValueError struct{ cause error }
 
 // Error returns the first line of the cause, which describes the first such setting.
--- a/internal/control/controltasks.go
+++ b/internal/control/controltasks.go
@@ -13,7 +13,7 @@
 )
 
 // The control plane's own leased tasks. Each runs on the one server that holds its term. Their
-// names are stored in the replicated state.
+// names are stored in the replicated state and must not change.
 const (
 	sweepTask     = "sweep"     // has the leader expire the leases of servers that don't renew
 	stateCopyTask = "snapshots" // keeps copies of the replicated state
@@ -24,12 +24,12 @@
 const (
 	controlTaskTTL  = 2 * time.Second
 	sweepInterval   = 100 * time.Millisecond
-	maxControlTasks = 16 // held by one server at a time
-	// pollMargin is how much longer than a poll the requests of the task runner may take.
+	maxControlTasks = 16 // maximum number of tasks that one server holds at a time
+	// pollMargin is added to pollTimeout for the timeout of the task runner's requests.
 	pollMargin = 5 * time.Second
 )
 
-// controlTasks is the names of the control plane's own tasks.
+// controlTasks lists the names of the control plane's own tasks.
 var controlTasks = []string{sweepTask, stateCopyTask, auditTask, votersTask}
 
 // newTaskLeases returns the task leases of a new leader whose clock reads now. The control plane's
@@ -100,7 +100,7 @@
 	}()
 }
 
-// stopTaskRunner stops the tasks that run here and waits until they are released.
+// stopTaskRunner stops the tasks that run on this server and waits until they are released.
 func (s *Server) stopTaskRunner() {
 	if s.cancelTaskRunner != nil {
 		s.cancelTaskRunner()
--- a/internal/control/evidence.go
+++ b/internal/control/evidence.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	evidenceTimeout  = 1200 * time.Millisecond // for another voter's answer
+	evidenceTimeout  = 1200 * time.Millisecond // timeout of a voter's answer
 	evidenceReserve  = 100 * time.Millisecond  // part of evidenceTimeout, reserved for the transfer of the answer
-	probeTimeout     = 500 * time.Millisecond  // for a server's answer
-	maxEvidence      = 256                     // servers of one request
-	maxEvidenceCalls = 4                       // concurrent requests; one leader sends one at a time
-	// maxProbes is the number of concurrent probes. It covers all servers of a request, so that
-	// unresponsive servers take the timeout of one probe and not that of the whole request.
+	probeTimeout     = 500 * time.Millisecond  // timeout of one health check
+	maxEvidence      = 256                     // maximum number of servers in one request
+	maxEvidenceCalls = 4                       // maximum number of concurrent requests; a leader sends only one at a time
+	// maxProbes is the maximum number of concurrent probes. All servers of a request are probed at once,
+	// so that any number of unresponsive servers delay the answer by only one probeTimeout.
 	maxProbes = maxEvidence
 )
 
--- a/internal/control/failureobservations.go
+++ b/internal/control/failureobservations.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	evidenceInterval  = 250 * time.Millisecond // between rounds of evidence requests
+	evidenceInterval  = 250 * time.Millisecond // time between rounds of evidence requests
 	observationMaxAge = 3 * time.Second        // older observations are dropped
 )
 
--- a/internal/control/forwarding.go
+++ b/internal/control/forwarding.go
@@ -15,15 +15,15 @@
 // forwarded again.
 const forwardedByHeader = "Forwarded-By"
 
-// leaderWrites returns a handler for a write, which the leader carries out; any other server forwards
-// the request to it.
+// leaderWrites returns a handler for a write. The leader carries the write out; any other server forwards
+// the request to the leader.
 func (s *Server) leaderWrites(do commandHandler) http.HandlerFunc {
 	return s.leaderWritesAfter(func(http.ResponseWriter, *http.Request) error { return nil }, do)
 }
 
 // leaderWritesAfter is like leaderWrites, but calls before on the server where the request arrived,
 // after the request was admitted and before the leader carries it out. If before returns an error,
-// that is the answer.
+// the answer is that error and the write is not carried out.
 func (s *Server) leaderWritesAfter(before, do commandHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		release, ok := s.admission.admitWrite(w)
@@ -66,7 +66,7 @@
 	}
 }
 
-// forwardToLeader forwards a request to the leader and answers as the leader does. It answers
+// forwardToLeader forwards a request to the leader and relays the leader's answer. It answers
 // with errNoLeader if the leader certainly didn't get the request, and with errUnknownOutcome if
 // the leader didn't answer.
 func (s *Server) forwardToLeader(w http.ResponseWriter, r *http.Request) {
--- a/internal/control/gossip.go
+++ b/internal/control/gossip.go
@@ -77,7 +77,7 @@
 
 // openAgentSession records in the membership view that the agent that started a watch is present,
 // and returns a function that records that its watch has ended. Without gossip, or without a valid
-// name in the request, both do nothing.
+// name in the request, neither openAgentSession nor the returned function does anything.
 func (s *Server) openAgentSession(r *http.Request) func() {
 	name := r.Header.Get(endpoints.MemberHeader)
 	if s.gossip() == nil || !endpoints.IsToken(name, endpoints.MaxName) {
@@ -127,7 +127,8 @@
 	return absent
 }
 
-// gossipCounts returns the gossip counters by their names in the metrics, or nil without gossip.
+// gossipCounts returns the gossip counters by their names in the metrics, which are fixed. It returns nil
+// without gossip.
 func (s *Server) gossipCounts() map[string]float64 {
 	if s.gossip() == nil {
 		return nil
--- a/internal/control/incarnation.go
+++ b/internal/control/incarnation.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	incarnationCheckInterval = 500 * time.Millisecond // between checks of this process's incarnation
+	incarnationCheckInterval = 500 * time.Millisecond // time between checks of this process's incarnation
 	// nameConflictTimeout is how long this process retries requests that are rejected because
 	// another process has its name, before it gives up. After a restart with an empty data folder,
 	// the peers need some time to notice that the earlier process has ended.
 	nameConflictTimeout = 10 * time.Second
 )
 
-// incarnationRequestBody is the body of a request for a process's incarnation number: the identity
-// of its data folder, and that of this start of the process.
+// incarnationRequestBody is the body of a request for a process's incarnation number. ID is the identity
+// of the data folder. BootID is the identity of this start of the process; its JSON key is fixed by the
+// wire format.
 type incarnationRequestBody struct {
 	ID     string `json:"id"`
 	BootID string `json:"life"`
@@ -32,7 +33,7 @@
 	sameDataFolder bool // whether the other process has a copy of this one's data folder
 }
 
-// Error returns which process keeps the name, and that this one stops.
+// Error says which process keeps the name, and that this process stops.
 func (e *supersededError) Error() string {
 	if e.sameDataFolder {
 		return fmt.Sprintf("name: a later process is called %s and has a copy of this data folder: this one stops", e.name)
@@ -41,8 +42,8 @@
 }
 
 // incarnationLoop obtains this process's incarnation number from the catalog and gossips it. It
-// reports an error that ends this process if its name belongs to another one. It returns then or
-// when the server stops.
+// returns when the server stops, or after it has reported a fatal error because the name belongs to
+// another process.
 func (s *Server) incarnationLoop() {
 	client := NewClient(nil, applyTimeout+peerTimeout)
 	client.AddressSource = s.serverAddresses
@@ -88,7 +89,7 @@
 	return registered
 }
 
-// adoptIncarnation gossips this process's incarnation number, if it is new.
+// adoptIncarnation gossips this process's incarnation number, unless it already does.
 func (s *Server) adoptIncarnation(incarnation int64) {
 	if s.gossip().Self().Incarnation == incarnation {
 		return
@@ -100,8 +101,8 @@
 // incarnationRequester requests this process's incarnation number until the catalog has it.
 type incarnationRequester struct {
 	client *Client
-	// conflictSince is the time of the first of the latest consecutive requests that were rejected
-	// because another process has the name; zero if the last request was not.
+	// conflictSince is the time of the first rejection in the current run of requests that were rejected
+	// because another process has the name. It is zero if the last request was not rejected for this reason.
 	conflictSince time.Time
 }
 
@@ -123,8 +124,8 @@
 }
 
 // memberPresence reports whether a process of this name may be alive according to the membership
-// view, which includes one that is suspect or joining, and returns the identity of its data folder,
-// or "" if it is not known.
+// view. A suspect or joining process counts as present. dataID is the identity of the process's data
+// folder, or "" if it is not known.
 func (s *Server) memberPresence(name string) (dataID string, present bool) {
 	if s.gossip() == nil {
 		return "", false
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -22,16 +22,16 @@
 )
 
 const (
-	peerStatusInterval  = 100 * time.Millisecond // between rounds of status requests to the peers, on an empty data folder
-	readmissionInterval = 500 * time.Millisecond // between requests to be added to the raft configuration
-	raftTimeout         = 5 * time.Second        // of the raft transport's connections
+	peerStatusInterval  = 100 * time.Millisecond // time between rounds of status requests to the peers, on an empty data folder
+	readmissionInterval = 500 * time.Millisecond // time between requests to be added to the raft configuration
+	raftTimeout         = 5 * time.Second        // timeout of the raft transport's connections
 	raftPoolSize        = 3                      // idle connections kept per peer
 	commitTimeout       = 5 * time.Millisecond
 )
 
 // startRaft opens the data folder, starts gossip and then raft. A server with an empty data folder
-// may have voted before it lost its data, so it bootstraps only a new cluster, and otherwise has
-// itself removed from the voters before it rejoins.
+// may have voted before it lost its data. It therefore bootstraps only if the cluster is new;
+// otherwise it asks to be removed from the voters before it rejoins.
 func (s *Server) startRaft(ctx context.Context) error {
 	rl := newRaftLogger(s.log)
 	var err error
@@ -96,7 +96,7 @@
 	rc.LocalID = raft.ServerID(s.config.Name)
 	rc.Logger = rl
 	rc.HeartbeatTimeout, rc.ElectionTimeout = s.config.Heartbeat, s.config.Heartbeat
-	rc.LeaderLeaseTimeout = s.config.Heartbeat * 4 / 5 // raft requires that it is not above the heartbeat timeout
+	rc.LeaderLeaseTimeout = s.config.Heartbeat * 4 / 5 // raft accepts at most the heartbeat timeout
 	rc.CommitTimeout = commitTimeout
 	rc.SnapshotThreshold, rc.SnapshotInterval = s.config.SnapshotEvery, s.config.SnapshotCheck
 	rc.TrailingLogs = s.config.SnapshotEvery
@@ -139,10 +139,10 @@
 }
 
 // chooseStartMode returns the start mode for an empty data folder. It polls the peers until the mode
-// is certain. If the data folders of all peers are empty too, the cluster is new and is to be
-// bootstrapped. If one peer has state, this server was replaced or lost its data: it has itself
-// removed from the voters, as it may have voted, and is to rejoin. It returns an error if the context
-// ends or if another process has this server's name.
+// is certain. If the data folders of all peers are empty too, the cluster is new and the mode is
+// bootstrapCluster. If one peer has state, this server was replaced or lost its data and may have
+// voted before, so chooseStartMode first has it removed from the voters and then returns
+// rejoinCluster. It returns an error if the context ends or if another process has this server's name.
 func (s *Server) chooseStartMode(ctx context.Context) (startMode, error) {
 	others := s.config.otherPeerNames()
 	for first := true; ; first = false {
@@ -180,7 +180,7 @@
 }
 
 // requestRemoval asks the cluster to remove this server from the voters. It returns the error of
-// tryPeers: isConflict holds for it if another process has this server's name.
+// tryPeers, for which isConflict reports true if another process has this server's name.
 func (s *Server) requestRemoval(ctx context.Context) error {
 	return s.tryPeers(ctx, func(base string) error {
 		return call(ctx, s.peerClient, http.MethodDelete, base+"/v1/peers/"+s.config.Name+"?id="+s.dataID, nil, nil)
--- a/internal/control/leaderproof.go
+++ b/internal/control/leaderproof.go
@@ -46,7 +46,7 @@
 type confirmedAppends struct {
 	mu       sync.Mutex
 	byServer map[raft.ServerID]confirmedAppend
-	changed  chan struct{} // closed at the next record
+	changed  chan struct{} // closed when the next append is recorded
 }
 
 // newConfirmedAppends returns an empty table.
@@ -82,7 +82,7 @@
 }
 
 // proveLeadership confirms that this server led at the time of the call, and returns the term in which
-// it did. It returns errNoLeader if that can't be confirmed.
+// it led. It returns errNoLeader if that can't be confirmed.
 //
 // raft.Raft.VerifyLeader alone is not sufficient: it counts the next response of each server, even one
 // to a heartbeat that was sent before the call. A process that was suspended may find such responses in
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -109,7 +109,7 @@
 }
 
 // leaderClock returns the clock of the replicated state, which the leader advances by its own
-// monotonic clock, and whether this server leads. The time is meaningless if it doesn't.
+// monotonic clock, and whether this server leads. The time is meaningless if this server doesn't lead.
 func (s *Server) leaderClock() (now time.Duration, leads bool) {
 	s.leaderMu.Lock()
 	defer s.leaderMu.Unlock()
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -4,10 +4,10 @@
 	"knotrouter/internal/catalog"
 )
 
-// sweep decides which servers' leases have expired, which of those servers the mass-failure guard
-// quarantines, which quarantined servers recover and which servers' damping ends, and proposes the
-// decisions with the fencing token of the sweep task. It returns a rejectedError if the token is no
-// longer valid, and errNoLeader if this server doesn't lead.
+// sweep decides on the servers' leases and proposes the decisions with the fencing token of the sweep
+// task: expiries, quarantines by the mass-failure guard, recoveries from quarantine and ends of
+// damping. It returns a rejectedError if the token is no longer valid, and errNoLeader if this server
+// doesn't lead.
 func (s *Server) sweep(fence int64) error {
 	now, leads := s.leaderClock()
 	if !leads {
--- a/internal/control/listencoding.go
+++ b/internal/control/listencoding.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	estimatedEntryBytes       = 120 // of an entry in the full list
-	estimatedScopedEntryBytes = 140 // of an entry in a list of services
+	estimatedEntryBytes       = 120 // size of an entry in the full list
+	estimatedScopedEntryBytes = 140 // size of an entry in a list limited to services
 )
 
 // encodeList returns a list encoded as a line of a watch.
--- a/internal/control/listhandler.go
+++ b/internal/control/listhandler.go
@@ -11,7 +11,8 @@
 	"knotrouter/internal/endpoints"
 )
 
-// Labels of the metric that counts requests for the list: the kind of call and the outcomes.
+// Label values of the metric that counts requests for the list: the kind of call and the outcomes. They
+// must not change, because dashboards depend on them.
 const (
 	listCallKind          = "list"
 	outcomeRejected       = "away"
--- a/internal/control/listrevision.go
+++ b/internal/control/listrevision.go
@@ -12,10 +12,11 @@
 	// catchUpTimeout is how long a reader whose version is later than this server's waits for this
 	// server to catch up.
 	catchUpTimeout = 1500 * time.Millisecond
-	// catchUpInterval is the interval at which this server's version is checked during that time.
+	// catchUpInterval is how often a waiting request checks whether this server has caught up.
 	catchUpInterval = 5 * time.Millisecond
-	// maxRevisionLead is how far a version that a reader really has can be ahead of the wall clock in
-	// microseconds: one version per microsecond for a day.
+	// maxRevisionLead is how far a valid version of a reader can be ahead of the wall clock in
+	// microseconds. Versions start at the wall clock (see raiseRevision) and increase with each change;
+	// the limit allows for one version per microsecond for a day.
 	maxRevisionLead = int64(24 * time.Hour / time.Microsecond)
 	// maxRevision is the highest version that is accepted from a reader. JSON numbers are exact up
 	// to it, and the limit keeps a reader with an invalid version from exhausting the range.
@@ -86,10 +87,10 @@
 	return nil
 }
 
-// raiseRevisionAbove raises the version above the one that a reader reported, unless it gets there by
-// applying the log. A follower may have applied entries that this leader has committed but not applied
-// yet, so all committed entries are applied first: raising the version drops the history, so that every
-// reader is sent the full list, which must not happen needlessly.
+// raiseRevisionAbove raises the version above the one that a reader reported, unless applying the log is
+// enough to reach it. A follower may have applied entries that this leader has committed but not applied
+// yet, so the leader first applies all committed entries. Raising the version needlessly is expensive: it
+// drops the history, so that every reader is sent the full list.
 func (s *Server) raiseRevisionAbove(ctx context.Context, reported int64) error {
 	if s.fsm.revision() >= reported {
 		return nil
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	shownRevisionDigits = 12 // leading digits of the VCS revision
+	shownRevisionDigits = 12 // number of leading digits of the VCS revision
 	maxDataIDBytes      = 64
 )
 
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -20,14 +20,14 @@
 	registry         *prometheus.Registry
 	electionsWon     prometheus.Counter
 	commitSeconds    prometheus.Histogram
-	leaseDecisions   *prometheus.CounterVec // by command
-	taskDecisions    *prometheus.CounterVec // by command
-	calls            *prometheus.CounterVec // by kind and outcome
+	leaseDecisions   *prometheus.CounterVec // label: command
+	taskDecisions    *prometheus.CounterVec // label: command
+	calls            *prometheus.CounterVec // labels: kind and status, which is the outcome
 	watchesMigrated  prometheus.Counter
 	savedCopies      prometheus.Counter
 	audits           prometheus.Counter
 	auditMismatches  prometheus.Gauge
-	memberChanges    *prometheus.CounterVec // by role and state
+	memberChanges    *prometheus.CounterVec // labels: role and state
 	nameConflicts    prometheus.Counter
 	reconfigurations prometheus.Counter
 }
--- a/internal/control/openwatches.go
+++ b/internal/control/openwatches.go
@@ -14,7 +14,7 @@
 	return watchLoad{b.openWatches, len(b.movable)}
 }
 
-// register adds a watch to the open ones and returns the channel that is closed to end it. It
+// register counts a new open watch and returns the channel that is closed to end that watch. It
 // returns false if limit watches are already open.
 func (b *watchBroadcaster) register(limit int, movable bool) (chan struct{}, bool) {
 	b.mu.Lock()
@@ -30,7 +30,7 @@
 	return end, true
 }
 
-// unregister removes a watch that has ended from the open ones.
+// unregister removes an ended watch from the open watches.
 func (b *watchBroadcaster) unregister(end chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -15,8 +15,8 @@
 	statusMinAge = 100 * time.Millisecond
 )
 
-// staleAfterDivisor is how many times the peers' statuses are requested within the time after which
-// a server is stale, so that a stale server is noticed in time.
+// staleAfterDivisor is the number of requests for the peers' statuses within Config.StaleAfter. Several
+// requests in that time ensure that staleness is noticed soon after it begins.
 const staleAfterDivisor = 4
 
 // statusInterval returns the interval at which the peers' statuses are requested.
--- a/internal/control/raftlogger.go
+++ b/internal/control/raftlogger.go
@@ -16,8 +16,8 @@
 )
 
 // newRaftLogger returns a logger for the raft library that writes its lines to log, limited to
-// raftLogLinesPerSecond with bursts of raftLogBurst. The first line after suppressed ones has their
-// number as suppressed_lines.
+// raftLogLinesPerSecond with bursts of raftLogBurst. The first line after suppressed lines has
+// their number as the attribute suppressed_lines.
 func newRaftLogger(log *slog.Logger) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
 		Name:        "raft",
@@ -33,7 +33,7 @@
 	log        *slog.Logger
 	limiter    *rate.Limiter
 	mu         sync.Mutex
-	suppressed int // lines since the last one that was logged; guarded by mu
+	suppressed int // number of lines dropped since the last logged line; guarded by mu
 }
 
 // Write implements io.Writer for one line. It never fails.
--- a/internal/control/raftstream.go
+++ b/internal/control/raftstream.go
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// namePreamble is the first byte that a dialling server sends, followed by the name of the server
-// that it dials. No raft message begins with this byte.
+// namePreamble is the first byte that a dialling server sends, followed by the length and the name of
+// the server that it dials. No raft message begins with this byte.
 const namePreamble = 0xfe
 
 // errWrongServer means that a peer reached this server when it dialled another one, because its peer
@@ -44,10 +44,10 @@
 	resolve func(name string) (addr string, known bool)
 }
 
-// Dial implements raft.StreamLayer. It sends the name of the dialled server, which closes the
-// connection if that is not its own name: with a wrong address in the peer table, the votes and
-// acknowledgements of one server would otherwise be counted twice towards a quorum. It returns an
-// error that wraps errNotInPeerTable if the table has no address for the name.
+// Dial implements raft.StreamLayer. It first sends the name of the dialled server; a server with
+// another name closes the connection. Without this check, a wrong address in the peer table would let
+// the votes and acknowledgements of one server count twice towards a quorum. Dial returns an error that
+// wraps errNotInPeerTable if the table has no address for the name.
 func (s *peerDialer) Dial(name raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	addr, known := s.resolve(string(name))
 	if !known {
--- a/internal/control/rebalance.go
+++ b/internal/control/rebalance.go
@@ -5,8 +5,8 @@
 // drainSteps is the number of steps in which drain migrates the watches to other servers.
 const drainSteps = 20
 
-// watchLoop migrates watches to other servers: all of them once this server is stale and another
-// one can serve, and a few at a time while others have fewer. It also measures this server's
+// watchLoop migrates watches to other servers: all watches if this server is stale and another server
+// can serve, otherwise a few at a time while other servers have fewer watches. It also measures this server's
 // replication lag, and rejoins the raft configuration if this server was removed from it. It
 // returns when the server stops.
 func (s *Server) watchLoop() {
@@ -47,7 +47,7 @@
 }
 
 // endWatches ends all watches because this server is stale, so that their readers reconnect to
-// another one.
+// another server.
 func (s *Server) endWatches() {
 	ended := s.broadcaster.endAll()
 	if ended == 0 {
@@ -58,8 +58,8 @@
 		"replication_lag", time.Duration(s.replicationLag.Load()).Round(time.Millisecond))
 }
 
-// rebalance ends a small part of the watches if other servers have fewer, so that their readers
-// reconnect to those.
+// rebalance ends a small part of the watches if other servers have fewer, so that the readers
+// reconnect to those servers.
 func (s *Server) rebalance(statuses []Status) {
 	migrated := s.broadcaster.migrate(excessWatches(s.broadcaster.load(), peerLoads(statuses)))
 	if migrated == 0 {
@@ -80,7 +80,7 @@
 }
 
 // drain sets the draining flag and, if a drain time is configured and another server can serve, ends
-// the watches whose readers know other servers. It does so in steps spread over that time, so that
+// the watches whose readers know other servers. It does so in steps spread over the drain time, so that
 // the other servers don't get all of the watches at once.
 func (s *Server) drain() {
 	s.draining.Store(true)
--- a/internal/control/registrations.go
+++ b/internal/control/registrations.go
@@ -22,7 +22,7 @@
 // ServerOverride is an operator's override of a server's weight and health. A nil field leaves that
 // part of the override unchanged.
 type ServerOverride struct {
-	Weight    *float64 `json:"share,omitempty"`
+	Weight    *float64 `json:"share,omitempty"`  // the JSON key is fixed by the HTTP API
 	Health    *string  `json:"health,omitempty"` // "" withdraws the override
 	IfVersion int64    `json:"if,omitempty"`     // if not 0, the override is rejected unless the entry has this version
 }
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -13,7 +13,7 @@
 
 const (
 	// voterCatchUpTimeout is how long a server may take to catch up before it becomes a voter, and
-	// voterCatchUpPollInterval is how often that is checked.
+	// voterCatchUpPollInterval is how often its progress is checked.
 	voterCatchUpTimeout      = 30 * time.Second
 	voterCatchUpPollInterval = 20 * time.Millisecond
 	// maxReplicaLag is the number of log entries by which a server may lag behind the commit index
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// awaitCaughtUp waits until another server has caught up. It returns an error that wraps
+// awaitCaughtUp waits until the named server has caught up. It returns an error that wraps
 // errNotCaughtUp if that takes longer than voterCatchUpTimeout or the context ends.
 func (s *Server) awaitCaughtUp(ctx context.Context, name string) error {
 	deadline := time.Now().Add(voterCatchUpTimeout)
--- a/internal/control/routes.go
+++ b/internal/control/routes.go
@@ -34,7 +34,7 @@
 	mux.Handle("GET /metrics", promhttp.HandlerFor(s.metrics.registry, promhttp.HandlerOpts{}))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength != 0 {
-			// This also covers a body that no handler reads: net/http reads it to its end after the
+			// The deadline also covers a body that no handler reads: net/http reads it to its end after the
 			// handler, and would wait for it without a deadline.
 			_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 		}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	applyTimeout = 3 * time.Second // for raft to accept a command, barrier or configuration change
-	peerTimeout  = time.Second     // for a request to a peer
+	applyTimeout = 3 * time.Second // timeout for raft to accept a command, barrier or configuration change
+	peerTimeout  = time.Second     // timeout of a request to a peer
 
 	readHeaderTimeout = 2 * time.Second
 	idleTimeout       = time.Minute
 	maxHeaderBytes    = 16 << 10
-	maxIdlePeerConns  = 8 // kept per peer
+	maxIdlePeerConns  = 8 // idle connections kept per peer
 	idlePeerTimeout   = 30 * time.Second
 
 	repeatedLogsPerSecond = 1
@@ -44,10 +44,10 @@
 	bootID    string                          // identity of this start of the process
 	peerTable atomic.Pointer[map[string]Peer] // replaced by Reload
 	metrics   *metrics
-	// logLimiter limits log messages that a persisting fault repeats.
+	// logLimiter limits messages that a persistent fault would otherwise log repeatedly.
 	logLimiter *rate.Limiter
 
-	goroutines  sync.WaitGroup // started by startGoroutine
+	goroutines  sync.WaitGroup // the goroutines started by startGoroutine
 	ctx         context.Context
 	cancel      context.CancelFunc
 	fatalErrors chan error // buffers the first error that ends the process
@@ -84,8 +84,8 @@
 	taskRunnerDone   chan struct{}
 	openPolls        atomic.Int64 // requests waiting for a change of assignments
 	// suspendMu serializes suspensions of tasks by operators and automatic resumptions by the leader, so
-	// that the leader doesn't undo an operator's suspension. It is held over a proposal, and locked
-	// before leaderMu.
+	// that the leader doesn't undo an operator's suspension. It stays locked while a command is proposed,
+	// and is locked before leaderMu.
 	suspendMu sync.Mutex
 
 	statusCache    statusCache
@@ -222,7 +222,7 @@
 	s.log.Info("ended")
 }
 
-// close releases all resources, however far start has come.
+// close releases all resources that start has acquired, even if start failed partway.
 func (s *Server) close() {
 	s.cancel()
 	if s.httpServer != nil {
--- a/internal/control/servicelists.go
+++ b/internal/control/servicelists.go
@@ -21,9 +21,9 @@
 	encodedCount int64 // for the metrics
 }
 
-// encodedService is the listed entries of a service, as encoded by encodeEntries.
+// encodedService holds the listed entries of a service, as encoded by encodeEntries.
 type encodedService struct {
-	version int64 // of the service's last change
+	version int64 // list version of the service's last change
 	entries []byte
 }
 
--- a/internal/control/servicetopics.go
+++ b/internal/control/servicetopics.go
@@ -62,8 +62,8 @@
 	return &serviceTopics{fsm: f, fullLists: newServiceLists(f), byService: map[string]*serviceTopic{}}
 }
 
-// subscribe starts a subscription. A list that is read after this call has no gap to the events that
-// the subscription gets.
+// subscribe starts a subscription. A list that is read after this call, together with the events that
+// the subscription then gets, contains all changes.
 func (t *serviceTopics) subscribe(services []string) *subscription {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -16,7 +16,8 @@
 	maxOpenPolls = 4 * catalog.MaxSessions
 )
 
-// renewalBody renews a session. Revision is that of the assignments that the process has.
+// renewalBody is a request to renew a session. Revision is the revision of the assignments that the
+// process already has.
 type renewalBody struct {
 	ID       string `json:"id"`
 	Revision int64  `json:"rev"`
@@ -64,8 +65,8 @@
 	if code != catalog.Done {
 		return renewalRejection(code, process)
 	}
-	// The assignments were read as the leader of this term. Proof of leadership in another term doesn't
-	// confirm them.
+	// The assignments were read while this server led in term, so proof of leadership in another term
+	// doesn't confirm them.
 	switch verifiedTerm, err := s.verifyLeader(r.Context()); {
 	case err != nil:
 		return err
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -26,22 +26,23 @@
 	raft.Shutdown:  stateEnded,
 }
 
-// Status is the status of a control-plane server, as reported by that server.
+// Status is the status of a control-plane server, as reported by that server. JSON keys that differ from
+// the names of the fields are fixed by the HTTP API.
 type Status struct {
 	Name                 string            `json:"name"`
 	State                string            `json:"state"` // "leader", "follower", "candidate", "ended" or "starting"
 	Leader               string            `json:"leader"`
-	Term                 uint64            `json:"term"`      // raft's
+	Term                 uint64            `json:"term"`      // raft term
 	Seq                  int64             `json:"seq"`       // version of the list
 	Applied              uint64            `json:"applied"`   // index of the last log entry that this server has applied
 	Committed            uint64            `json:"committed"` // highest log index that this server knows to be committed
-	HasState             bool              `json:"has_state"` // its raft log holds more than the initial configuration
+	HasState             bool              `json:"has_state"` // the raft log holds more than the initial configuration
 	Stale                bool              `json:"stale"`
 	SinceLeaderContactMs int64             `json:"silent_ms"` // see sinceLeaderContact
 	Voters               []string          `json:"voters"`
 	Peers                map[string]string `json:"peers"`    // raft suffrage by server name
 	LagMs                int64             `json:"lag_ms"`   // replication lag behind the leader's commit index
-	Draining             bool              `json:"draining"` // it is about to stop
+	Draining             bool              `json:"draining"` // the server is about to stop
 	Watches              int               `json:"watches"`
 	Movable              int               `json:"movable"` // watches that can migrate to another server
 	Listed               int               `json:"listed"`  // servers that are listed
--- a/internal/control/tasks.go
+++ b/internal/control/tasks.go
@@ -34,7 +34,7 @@
 // termsBody is a holder's report that it released terms or accepted their transfer.
 type termsBody struct {
 	Kind   catalog.Kind      `json:"kind"`
-	Terms  []catalog.TermRef `json:"ties"`
+	Terms  []catalog.TermRef `json:"ties"` // the JSON key is fixed by the HTTP API
 	Reason string            `json:"why,omitempty"`
 }
 
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -15,14 +15,14 @@
 // votersInterval is the time between two reconfiguration steps of the voters task.
 const votersInterval = time.Second
 
-// memberFailures holds the time since which the leader has seen each failed member as failed.
+// memberFailures holds, for each failed member, the time since which the leader has seen it as failed.
 type memberFailures struct {
 	mu          sync.Mutex
 	failedSince map[string]time.Time // guarded by mu
 }
 
-// recordFailed records that a member currently counts as failed, and returns for how long it has. The
-// caller holds the lock.
+// recordFailed records that a member currently counts as failed, and returns for how long it has been
+// failed. The caller holds the lock.
 func (f *memberFailures) recordFailed(name string) time.Duration {
 	if f.failedSince == nil {
 		f.failedSince = map[string]time.Time{}
@@ -160,9 +160,9 @@
 	s.log.Info("rejoined as a non-voter after a replacement")
 }
 
-// findLeader returns the status of the first server that is the leader, or nil if there is none. A
-// leader of an earlier term than this server's counts only if this server has been without contact
-// with a leader for StaleAfter.
+// findLeader returns the status of the first server that is the leader, or nil if there is none. It
+// ignores a leader whose term is earlier than this server's, unless this server has had no contact with
+// a leader for StaleAfter.
 func (s *Server) findLeader(statuses []Status) *Status {
 	for i := range statuses {
 		st := &statuses[i]
--- a/internal/control/watchbroadcaster.go
+++ b/internal/control/watchbroadcaster.go
@@ -27,7 +27,7 @@
 	publishedRevision int64      // the events hold all changes up to this version
 	events            []listEvent
 	eventBytes        int
-	changed           chan struct{} // closed at the next event
+	changed           chan struct{} // closed when the next event is published
 	endAllSignal      chan struct{} // closed to end all watches
 	openWatches       int
 	movable           map[chan struct{}]bool // channels that end the watches of readers that know other servers
@@ -139,8 +139,8 @@
 // listEvents is the result of eventsSince.
 type listEvents struct {
 	events   []listEvent
-	complete bool            // the events hold all changes after the version
-	changed  <-chan struct{} // closed at the next event
+	complete bool            // whether events holds all changes after the requested version
+	changed  <-chan struct{} // closed when the next event is published
 	endAll   <-chan struct{} // closed to end all watches
 }
 
--- a/internal/control/watchload.go
+++ b/internal/control/watchload.go
@@ -6,9 +6,10 @@
 }
 
 const (
-	minLoadTolerance     = 2  // watches
-	loadToleranceDivisor = 10 // of a server's fair share
-	// migrationDivisor limits how many watches migrate at a time: a server's watches divided by it.
+	minLoadTolerance     = 2  // in watches
+	loadToleranceDivisor = 10 // the tolerance is a server's fair share divided by this number
+	// migrationDivisor limits how many watches migrate at a time: the number of a server's watches divided
+	// by migrationDivisor.
 	migrationDivisor = 20
 )
 
--- a/internal/control/watchwriter.go
+++ b/internal/control/watchwriter.go
@@ -26,7 +26,7 @@
 	return &watchWriter{w, http.NewResponseController(w), time.NewTimer(heartbeatInterval)}
 }
 
-// watchTermination holds the signals, other than the reader's, that end a watch.
+// watchTermination holds the signals that end a watch, apart from a failed write to the reader.
 type watchTermination struct {
 	ctx      context.Context
 	endAll   <-chan struct{} // closed to end all watches
