--- a/internal/control/admission_test.go
+++ b/internal/control/admission_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Of a thousand simultaneous requests, those within the rate limit's burst are admitted. The others are
+// Of 1000 simultaneous requests, those within the rate limit's burst are admitted. The others are
 // asked to retry at times spread over the period that the rate limit needs to admit all of them. Writes
 // have their own limit on concurrent requests.
 func TestAdmissionBoundsCallsAndWrites(t *testing.T) {
@@ -37,7 +37,8 @@
 		if admitted != 100 {
 			t.Errorf("%d admitted at once, want the burst of 100", admitted)
 		}
-		// 900 at 400 a second take 2.25 s, so about six in ten must be asked to wait for more than 1 s.
+		// Admitting the other 900 requests at 400 per second takes 2.25 s, so about six in ten of them must be
+		// asked to wait for more than 1 s.
 		if overOneSecond < 450 || overOneSecond > 650 {
 			t.Errorf("%d of 900 asked to wait for more than a second before a retry, want 450 to 650", overOneSecond)
 		}
@@ -71,8 +72,8 @@
 	})
 }
 
-// The cost of a request depends on the estimated size of its response: the list of a small service costs
-// the same however many servers there are in total, and a small list costs one request.
+// The cost of a request depends on the estimated size of its response: the cost of listing a small
+// service doesn't depend on the total number of servers, and a small list costs one request.
 func TestAdmissionCostsByBytes(t *testing.T) {
 	fixture := newFSMFixture(t)
 	s := &Server{broadcaster: fixture.broadcaster, fsm: fixture.fsm}
--- a/internal/control/controltasks_test.go
+++ b/internal/control/controltasks_test.go
@@ -45,7 +45,7 @@
 // again after an earlier build has suspended it because its holders died, and that a suspension by an
 // operator stays in effect.
 func TestControlTasksAreHeldAgainAfterDeaths(t *testing.T) {
-	const deaths = 3 // an earlier build suspends a task after this many
+	const deaths = 3 // number of holder deaths after which an earlier build suspends a task
 	s, addr := startSingleServer(t)
 	for _, name := range controlTasks {
 		for range deaths {
--- a/internal/control/fixture_test.go
+++ b/internal/control/fixture_test.go
@@ -86,7 +86,7 @@
 	synctest.Wait()
 }
 
-const publishDelay = 20 * time.Millisecond // bounds the time from a change until its event is written
+const publishDelay = 20 * time.Millisecond // upper bound of the time from a change until its event is written
 
 // startSingleServer starts a server without peers, waits until it is the leader, and returns it with the
 // address of its API.
--- a/internal/control/leaderproof_test.go
+++ b/internal/control/leaderproof_test.go
@@ -48,7 +48,7 @@
 	t.holdResponses, t.failAppends = holdResponses, failAppends
 }
 
-// delayedCluster is three raft instances on delayed transports.
+// delayedCluster holds three raft instances on delayed transports.
 type delayedCluster struct {
 	names      []string
 	instances  map[string]*raft.Raft
@@ -118,8 +118,8 @@
 }
 
 // TestDelayedResponsesDoNotProveLeadership holds back the responses of all followers until after a
-// leadership check has begun, as happens when the leader's process is suspended. The responses are to
-// appends that were sent before the check, so they don't prove leadership at the time of the check.
+// leadership check has begun, as happens when the leader's process is suspended. The responses belong
+// to appends that were sent before the check, so they don't prove leadership at the time of the check.
 func TestDelayedResponsesDoNotProveLeadership(t *testing.T) {
 	cluster := newDelayedCluster(t)
 	leader := cluster.leader(t)
@@ -167,7 +167,7 @@
 		appends := newConfirmedAppends()
 		for id, confirmed := range c.confirmed {
 			appends.record(id, confirmed)
-			appends.record(id, confirmedAppend{confirmed.term, confirmed.sentAt.Add(-time.Minute)}) // an older one is ignored
+			appends.record(id, confirmedAppend{confirmed.term, confirmed.sentAt.Add(-time.Minute)}) // an append that was sent earlier is ignored
 		}
 		if got, _ := appends.quorumSince(voters, "self", 7, since); got != c.want {
 			t.Errorf("case %d: quorum %v, want %v", i, got, c.want)
--- a/internal/control/requests_test.go
+++ b/internal/control/requests_test.go
@@ -16,7 +16,7 @@
 )
 
 // TestClientKeepsItsRequests checks that each client method sends the same HTTP method, path, query and
-// body as the program of commit d25b370.
+// body as the program of commit d25b370, from which the golden file was recorded.
 func TestClientKeepsItsRequests(t *testing.T) {
 	var mu sync.Mutex
 	var got []string
@@ -79,8 +79,8 @@
 }
 
 // TestRejectionsKeepTheirHeaders checks the headers of a rejected request, without a leader and at the
-// request limit: they tell the client when to retry and that the request had no effect. A write with an
-// unknown outcome must not claim the latter.
+// request limit: they tell the client when to retry and that the request had no effect. The
+// answer to a write with an unknown outcome must not claim that the write had no effect.
 func TestRejectionsKeepTheirHeaders(t *testing.T) {
 	s := newUnstartedServer(t)
 	check := func(name string, status int, w *httptest.ResponseRecorder, notApplied string) {
--- a/internal/control/routes_test.go
+++ b/internal/control/routes_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Whatever the request, the server doesn't fail: it answers with a status that the API uses, and with one
+// The server doesn't fail on any request: it answers with a status that the API uses, and with one
 // line if it rejects the request. A rejected request changes nothing.
 func FuzzHTTP(f *testing.F) {
 	validEntry := `{"host":"x","dial":"127.0.0.1:9","site":"a","class":"k","block":0,"health":"ready","share":1,"born_ms":5}`
@@ -61,7 +61,7 @@
 }
 
 // Clients that send slowly, stop in the middle of a request or send an invalid request don't delay other
-// clients, and are disconnected within a bounded time. Nothing that they sent has an effect.
+// clients, and are disconnected within a bounded time. Their requests have no effect.
 func TestSlowSendersAreCutOff(t *testing.T) {
 	server, addr := startSingleServer(t)
 	before := server.fsm.revision()
@@ -75,7 +75,7 @@
 	outcomes := make(chan outcome)
 	for name, chunks := range map[string][]string{
 		"half a header": {header[:30]}, "half a body": {header, body[:40]}, "no body": {header},
-		"byte by byte": append([]string{header}, strings.Split(body, "")...), // at 100 ms a byte, longer than a body may take
+		"byte by byte": append([]string{header}, strings.Split(body, "")...), // at 100 ms per byte, which takes longer than bodyTimeout
 		"not HTTP":     {"\x16\x03\x01\r\n\r\n"},
 	} {
 		go func() {
--- a/internal/control/servicetopics_test.go
+++ b/internal/control/servicetopics_test.go
@@ -77,8 +77,8 @@
 	})
 }
 
-// A reader of two services that is blocked while a server moves between them ends up with the server in
-// its last service.
+// A reader of two services is blocked while a server moves between these services. After it is unblocked, it
+// has the server in the service that the server moved to last.
 func TestServiceEventsKeepVersionOrder(t *testing.T) {
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
 		fixture.registerInService(t, "a", "s", 1)
@@ -112,7 +112,7 @@
 }
 
 // A topic retains no more than its maximum number of events for a reader of services that lags. The reader
-// is then sent the full list of its services and the events after it.
+// is then sent the full list of its services, followed by later events.
 func TestLaggingServiceReaderGetsFullList(t *testing.T) {
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
 		fixture.registerInService(t, "a", "a", 1)
--- a/internal/control/watchbroadcaster_test.go
+++ b/internal/control/watchbroadcaster_test.go
@@ -8,8 +8,8 @@
 )
 
 // Changes within a few milliseconds are combined into one event, which is encoded once for all watches. An
-// idle watch is sent an empty line every two seconds. A reader whose revision is in the middle of such an
-// event misses nothing.
+// idle watch is sent an empty line every two seconds. A reader whose revision is in the middle of a
+// combined event misses nothing.
 func TestWatchesShareEvents(t *testing.T) {
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
 		fixture.register(t, "a", 1)
@@ -24,7 +24,7 @@
 		for i := range 3 {
 			fixture.register(t, "b", float64(i+1))
 		}
-		between := newWatchReader() // starts before the event with two of its three changes
+		between := newWatchReader() // already has two of the three changes of the event
 		go fixture.broadcaster.watch(fixture.ctx, between, fixture.revision()-1, nil)
 		fixture.awaitPublished()
 		if n := fixture.broadcaster.encodedCount - before; n != 1 {
@@ -46,7 +46,7 @@
 }
 
 // The broadcaster retains no more than its maximum number of events for a reader that lags. The reader is
-// then sent the full list and the events after it. Other readers don't wait for it.
+// then sent the full list, followed by later events. Other readers don't wait for the lagging one.
 func TestLaggingReaderGetsFullList(t *testing.T) {
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
 		fixture.register(t, "a", 1)
--- a/internal/control/watchload_test.go
+++ b/internal/control/watchload_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// maxRebalanceSteps is far more steps than any generated distribution takes.
+// maxRebalanceSteps bounds the steps of a rebalancing. Every generated distribution takes far fewer.
 const maxRebalanceSteps = 3000
 
 // drawLoads generates the loads of up to five servers. On about half of the servers, all watches can
@@ -25,8 +25,8 @@
 	return loads
 }
 
-// fairShare returns the number of watches per server in an even distribution, rounded up, and how many
-// watches exceed it on their servers and so have to migrate.
+// fairShare returns the number of watches per server in an even distribution, rounded up, and the number
+// of watches beyond this share on their servers, which have to migrate.
 func fairShare(loads []watchLoad) (share, excess int) {
 	sum := 0
 	for _, load := range loads {
@@ -87,7 +87,7 @@
 				rt.Fatalf("rebalancing stopped with %+v, the fair share is %d", loads, share)
 			}
 		}
-		// With two other servers to choose from, about half of the readers move to one where they can stay.
+		// With two other servers to choose from, about half of the readers reconnect to a server on which they stay.
 		if ended > 8*excess+8*len(loads) {
 			rt.Fatalf("%d watches were ended, with an excess of %d", ended, excess)
 		}
--- a/internal/control/watchreader_test.go
+++ b/internal/control/watchreader_test.go
@@ -16,7 +16,7 @@
 
 // blockableWriter is the common part of the response writers of watches. Its writes can be made to block.
 type blockableWriter struct {
-	mu      sync.Mutex    // also guards the fields of the types that embed it
+	mu      sync.Mutex    // also guards the fields of the types that embed blockableWriter
 	blocked chan struct{} // if not nil, writes block until it is closed
 }
 
@@ -53,8 +53,8 @@
 	}
 }
 
-// watchReader is the response writer of a watch of all services. It records the writes and keeps the list
-// that they result in.
+// watchReader is the response writer of a watch of all services. It records the writes and applies
+// them to its copy of the list.
 type watchReader struct {
 	blockableWriter
 	lines    []string
--- a/internal/control/wire_test.go
+++ b/internal/control/wire_test.go
@@ -333,7 +333,7 @@
 }
 
 // TestAnswersKeepStatusAndHeaders checks the status and headers of each response, with the first word of
-// each rejection and the JSON keys of each other response.
+// each rejection and the JSON keys of every other response.
 func TestAnswersKeepStatusAndHeaders(t *testing.T) {
 	s := startServerOnFolder(t, t.TempDir())
 	var got []string
