--- a/internal/control/watchlines_test.go
+++ b/internal/control/watchlines_test.go
@@ -27,8 +27,9 @@
 }
 
 // TestWatchLinesKeepTheirForm checks that a watch of all services and a watch of two services write the
-// same lines as the program of commit d25b370, from which the golden file was recorded: for the changes since revision 0, a new server, a change of
-// service, a drain, a removal, and the heartbeat of an idle watch.
+// same lines as the program of commit d25b370, from which the golden file was recorded: for the changes
+// since revision 0, a new server, a change of service, a drain, a removal, and the heartbeat of an idle
+// watch.
 func TestWatchLinesKeepTheirForm(t *testing.T) {
 	runBroadcaster(t, func(t *testing.T, fixture *fsmFixture) {
 		register := func(name, service string, startedMs float64) {
