--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -14,7 +14,7 @@
 	// errNoLeader means that a command was certainly not applied and is safe to retry.
 	errNoLeader = errors.New("there is no leader at the moment")
 	// errUnknownOutcome means that the outcome of a command is ambiguous: it may have been
-	// applied, or may yet be.
+	// applied, or may still be applied later.
 	errUnknownOutcome = errors.New("the leader changed: whether it was carried out is unknown")
 	// errNotInPeerTable means that a control-plane server can't be reached, as this server's
 	// configuration has no address for its name.
@@ -22,7 +22,7 @@
 )
 
 // retryAfterNoLeader is the Retry-After value, in seconds, of the answer to a request that this
-// server could not serve: an election takes about that long.
+// server could not serve. It is about the duration of an election.
 const retryAfterNoLeader = "0.2"
 
 // notAppliedHeader marks an answer to a request that certainly had no effect.
--- a/internal/control/fsm.go
+++ b/internal/control/fsm.go
@@ -14,8 +14,8 @@
 	"knotrouter/internal/leaderelection"
 )
 
-// maxSnapshotBytes is the maximum size of a snapshot. It is far above what the limits of the state
-// allow.
+// maxSnapshotBytes is the maximum size of a snapshot. A state within the catalog's limits is far
+// smaller.
 const maxSnapshotBytes = 256 << 20
 
 // errSnapshotTooLarge means that a snapshot was not restored because it is larger than
@@ -60,7 +60,7 @@
 	return result
 }
 
-// logEntryError adds the index of an entry to the error for which it can't be applied.
+// logEntryError wraps the error that keeps an entry from being applied, and adds the entry's index.
 func logEntryError(entry *raft.Log, err error) error {
 	return fmt.Errorf("entry %d of the log: %w", entry.Index, err)
 }
--- a/internal/control/listrevision.go
+++ b/internal/control/listrevision.go
@@ -31,7 +31,7 @@
 // awaitRevision waits until this server has reached the version that a reader has. Either this server
 // lags and catches up, or the version is from an earlier state of the control plane that was lost, and
 // the leader raises the current version above it. It returns false if this server still lags after
-// catchUpTimeout and another one can serve, or if the context ends.
+// catchUpTimeout and another server can serve, or if the context ends.
 func (s *Server) awaitRevision(ctx context.Context, since int64) bool {
 	if since <= s.fsm.revision() || since > s.config.Now().UnixMicro()+maxRevisionLead {
 		return true
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -213,7 +213,7 @@
 	if s.raft() != nil {
 		s.drain()
 	}
-	// Leave comes after drain, because until then this server gossips for the agents whose watches have
+	// Leave comes after drain: until it leaves, this server gossips for the agents whose watches have
 	// migrated.
 	if s.gossip() != nil {
 		s.gossip().Leave()
--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// renewalRejection returns the rejectedError for a renewal that TaskLeases.Renew answered with a code.
+// renewalRejection translates a code of TaskLeases.Renew other than Done to a rejectedError.
 func renewalRejection(code catalog.Code, process string) error {
 	text := "no session of " + process
 	switch code {
--- a/internal/control/staleness.go
+++ b/internal/control/staleness.go
@@ -55,8 +55,8 @@
 	h.samples = append(h.samples, commitSample{now, committed})
 }
 
-// lag returns for how long the oldest commit index that is not applied here has been known, or zero
-// if all are applied. It drops the samples up to the applied index.
+// lag returns the age of the oldest sample whose commit index this server has not applied yet, or zero
+// if it has applied all of them. It drops the samples up to the applied index.
 func (h *commitHistory) lag(now time.Duration, applied uint64) time.Duration {
 	for len(h.samples) > 0 && h.samples[0].committed <= applied {
 		h.samples = h.samples[1:]
