--- a/internal/control/servicetopics.go
+++ b/internal/control/servicetopics.go
@@ -62,8 +62,8 @@
 	return &serviceTopics{fsm: f, fullLists: newServiceLists(f), byService: map[string]*serviceTopic{}}
 }
 
-// subscribe starts a subscription. A list that is read after this call has no gap to the events that
-// the subscription gets.
+// subscribe starts a subscription. A list that is read after this call, together with the events that
+// the subscription then gets, contains all changes.
 func (t *serviceTopics) subscribe(services []string) *subscription {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -282,9 +282,9 @@
 func (t *serviceTopics) watchesByService() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	count := make(map[string]int, len(t.byService))
+	counts := make(map[string]int, len(t.byService))
 	for name, topic := range t.byService {
-		count[name] = len(topic.subscriptions)
+		counts[name] = len(topic.subscriptions)
 	}
-	return count
+	return counts
 }
--- a/internal/control/watchload.go
+++ b/internal/control/watchload.go
@@ -6,9 +6,10 @@
 }
 
 const (
-	minLoadTolerance     = 2  // watches
-	loadToleranceDivisor = 10 // of a server's fair share
-	// migrationDivisor limits how many watches migrate at a time: a server's watches divided by it.
+	minLoadTolerance     = 2  // in watches
+	loadToleranceDivisor = 10 // the tolerance is a server's fair share divided by this number
+	// migrationDivisor limits how many watches migrate at a time: the number of a server's watches divided
+	// by migrationDivisor.
 	migrationDivisor = 20
 )
 
@@ -23,13 +24,13 @@
 	if len(others) == 0 {
 		return 0
 	}
-	sum, fewest := own.watches, own.watches
+	totalWatches, fewestWatches := own.watches, own.watches
 	for _, o := range others {
-		sum, fewest = sum+o.watches, min(fewest, o.watches)
+		totalWatches, fewestWatches = totalWatches+o.watches, min(fewestWatches, o.watches)
 	}
-	fairShare := (sum + len(others)) / (len(others) + 1) // rounded up
+	fairShare := (totalWatches + len(others)) / (len(others) + 1) // rounded up
 	excess := own.watches - fairShare - loadTolerance(fairShare)
-	if excess <= 0 || fewest >= fairShare {
+	if excess <= 0 || fewestWatches >= fairShare {
 		return 0
 	}
 	return min(excess, max(own.watches/migrationDivisor, 1), own.movable)
