--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -156,7 +156,7 @@
 // closeIdle closes a server's idle connections if this agent sends to it so seldom that keeping them costs
 // more than opening new ones. The request rate of all agents is estimated as this agent's rate times the
 // number of agents. Before closeIdle existed, a thousand agents that each sent to every server kept 400
-// connections per server open (simulation run i5db14f).
+// connections per server open (case i5db14f).
 func (b *Balancer) closeIdle(s *server) {
 	p := &b.settings.Prices
 	// The request rate of all agents, in requests per ms.
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// Idle connections are closed where keeping them costs more than opening new ones. In simulation run i5db14f,
+// Idle connections are closed where keeping them costs more than opening new ones. In case i5db14f,
 // a thousand agents that each sent to every server kept 400 connections per server open.
 func TestIdleConnectionsAreClosedWhereTheyCostMore(t *testing.T) {
 	for _, c := range []struct {
--- a/policy/health.go
+++ b/policy/health.go
@@ -57,7 +57,7 @@
 
 // recordResponse records a response. If the server's connects had failed for long, its slow start begins
 // now: it may be a new, cold process that is not listed yet. Timeouts alone are no evidence of a restart, as
-// overloaded servers would be left idle (simulation run i228a10). One or two failed connects are no evidence
+// overloaded servers would be left idle (case i228a10). One or two failed connects are no evidence
 // either: when one server in three starts late, all servers would be taken for cold in turn.
 func (b *Balancer) recordResponse(s *server) {
 	if s.connectFailures >= restartConnectFailures &&
@@ -86,7 +86,7 @@
 //
 // If a validation costs a request, the time is at least the mean time between two requests of this agent to
 // a server: agents with few requests lost a third of them by validating slow servers again and again
-// (simulation run id753de). While the other servers have no capacity, the time is 0 unless the server is
+// (case id753de). While the other servers have no capacity, the time is 0 unless the server is
 // unresponsive: using a server that fails some requests is better than rejecting all requests. In a large
 // fleet, an unresponsive server gets at least minOverloadEjection.
 func (b *Balancer) ejectionTime(s *server) float64 {
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// An agent with few requests and no probes ejects a server for longer. In simulation run id753de, such an agent
+// An agent with few requests and no probes ejects a server for longer. In case id753de, such an agent
 // spent a request on validating each slow server again after only one target latency.
 func TestAgentWithFewRequestsEjectsLonger(t *testing.T) {
 	for _, probing := range []bool{false, true} {
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -16,7 +16,7 @@
 	// maxServerConcurrency is the number of attempts of all agents that a server may have in flight when
 	// each agent has raised its limit to the maximum. One attempt keeps a server busy; a few more that queue
 	// for long make it several times slower, permanently. Latency reveals this too late: by the time a burst
-	// raised the latency, the limits had long been raised (simulation run case5409).
+	// raised the latency, the limits had long been raised (case5409).
 	maxServerConcurrency = 4.0
 	// baselineSamples is the number of responses in the first baseline. No limit grows before the baseline
 	// is complete, so that the agent does not overload the servers that it is measuring.
@@ -100,7 +100,7 @@
 	b.fleetLatency = movingAverage(b.fleetLatency, latency, max(fleetSmoothing, 1/b.latencySamples))
 	switch {
 	case b.latencySamples <= baselineSamples:
-		// Neither one fast response nor an overload at startup may determine the baseline (simulation run
+		// Neither one fast response nor an overload at startup may determine the baseline (case
 		// id08146).
 		b.baselineLatency = min(b.fleetLatency, overloadLatencyShare/2)
 	case b.fleetLatency < b.baselineLatency:
@@ -124,7 +124,7 @@
 // overloadThreshold is the mean latency, as a fraction of the target, above which a server counts as
 // overloaded. With few agents, each sees most of the load, and a server that answers well within the target
 // is not at risk of overload. A cold server is slow even without overload, so its threshold is higher
-// (simulation run i5d0607).
+// (case i5d0607).
 func (b *Balancer) overloadThreshold(s *server) float64 {
 	minThreshold := 2 * overloadLatencyShare / (2 + float64(b.settings.Replicas))
 	threshold := max(overloadBaselineFactor*b.baselineLatency, minThreshold)
@@ -153,8 +153,8 @@
 // adjustWeights derives from latency the weights that the list does not give. The agent's own zone gets more
 // traffic, up to a maximum in proportion to the price of crossing zones, unless it is slower than the other
 // zones: a zone with more traffic than it can handle becomes slower. If the list gives no weights, a machine
-// type that is slower than the mean gets a lower weight: equal shares overload the small machines (simulation
-// run i5db14f).
+// type that is slower than the mean gets a lower weight: equal shares overload the small machines (case
+// i5db14f).
 func (b *Balancer) adjustWeights(s *server, latency float64) {
 	zoneLatency := &b.otherZoneLatency
 	if s.zone == b.settings.Zone {
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// An overload while an agent starts must not become its baseline. In simulation run id08146, agents were
+// An overload while an agent starts must not become its baseline. In case id08146, agents were
 // restarted one by one while the fleet was overloaded.
 func TestOverloadAtTheStartDoesNotSetTheBaseline(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
@@ -65,7 +65,7 @@
 
 func TestOverloadReducesConcurrencyLimit(t *testing.T) {
 	set := testSettings()
-	set.Replicas = 20 // as in simulation run ie9df20: each of many agents sees little of the load
+	set.Replicas = 20 // as in case ie9df20: each of many agents sees little of the load
 	r := newRig(t, set, 1)
 	srv := r.b.servers[0]
 	for range 300 { // long enough to learn the baseline
@@ -84,14 +84,14 @@
 	if srv.concurrencyLimit >= limitBefore {
 		t.Errorf("latency rose sevenfold and the limit went from %.2f to %.2f", limitBefore, srv.concurrencyLimit)
 	}
-	// With many agents, one attempt of each keeps a collapsed server busy (simulation run ie9df20).
+	// With many agents, one attempt of each keeps a collapsed server busy (case ie9df20).
 	if srv.concurrencyLimit >= 1 {
 		t.Errorf("a collapsed server gets no idle time: limit %.2f", srv.concurrencyLimit)
 	}
 }
 
 // The concurrency limits of all agents together stay below the load that makes a server permanently several
-// times slower. In simulation run case5409, limits that had grown under low load let a burst exceed it.
+// times slower. In case5409, limits that had grown under low load let a burst exceed it.
 func TestConcurrencyLimitsOfAllAgentsAreBounded(t *testing.T) {
 	for _, agents := range []int{1, 2, 8} {
 		set := testSettings()
@@ -127,7 +127,7 @@
 	}
 }
 
-// No concurrency limit grows before the baseline is known. In simulation run i452d3e, limits that did so
+// No concurrency limit grows before the baseline is known. In case i452d3e, limits that did so
 // overloaded the servers, and the latency under overload became the baseline.
 func TestNoConcurrencyLimitGrowsBeforeTheBaseline(t *testing.T) {
 	set := testSettings()
@@ -190,7 +190,7 @@
 	}
 }
 
-// If the list gives no weights, they follow from the latencies of the machine types. In simulation run i5db14f,
+// If the list gives no weights, they follow from the latencies of the machine types. In case i5db14f,
 // machines whose speeds differed 2.5 times got equal shares, and the slow ones were overloaded.
 func TestSlowMachineKindGetsFewerRequests(t *testing.T) {
 	for _, weights := range []string{"off", "nominal"} {
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -97,8 +97,8 @@
 
 // subsetSize is the number of servers of a tier that the agent sends to, the first in subsetOrder: as many as
 // it can send to every few seconds. An agent with few requests that sent to each server of the fleet once a
-// minute opened a connection for each request and could not learn which servers were slow or hung (simulation
-// run id753de). The order differs between agents, so that each server gets its share; keys are hashed within
+// minute opened a connection for each request and could not learn which servers were slow or hung (case
+// id753de). The order differs between agents, so that each server gets its share; keys are hashed within
 // the subset. If new connections have no price, the subset is larger, as more servers keep more keys warm.
 func (b *Balancer) subsetSize() int {
 	n := b.recentRequests
@@ -118,7 +118,7 @@
 
 // affinityHash returns the hash that determines the order of servers for a key. A popular key is split into
 // parts, each with its own order: otherwise one key put twenty times the load on its server that the server
-// can serve (simulation run id753de), and the load cap has no effect when each agent has only one request in
+// can serve (case id753de), and the load cap has no effect when each agent has only one request in
 // flight. With few agents, each sees enough of a server's load for the cap, so the key is split less or not
 // at all.
 func (b *Balancer) affinityHash(key uint64) uint64 {
--- a/policy/pick_test.go
+++ b/policy/pick_test.go
@@ -14,7 +14,7 @@
 }
 
 // Queued requests that wait for the servers of their key must not keep other requests from servers with
-// capacity, as they did in the simulation runs i8d4be0 and ifafc7b.
+// capacity, as they did in the cases i8d4be0 and ifafc7b.
 func TestWaitForAffinityBlocksNoOtherRequest(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
 	for range 30 {
@@ -52,7 +52,7 @@
 	}
 }
 
-// A popular key is split if there are many agents: in simulation run id753de, with one request of each agent in
+// A popular key is split if there are many agents: in case id753de, with one request of each agent in
 // flight, such a key put twenty times the mean load on one server. With few agents the load cap is sufficient, and
 // a rare key is not split.
 func TestPopularKeyIsSplitInLargeFleets(t *testing.T) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// An agent with few requests uses a subset of the servers, to each of which it sends often. In simulation run
+// An agent with few requests uses a subset of the servers, to each of which it sends often. In case
 // id753de, such an agent sent to each of hundreds of servers once a minute. Subsets differ between agents, so that each
 // server gets its share; a failed server of a subset is replaced. An agent with many requests uses the whole
 // fleet.
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -164,7 +164,7 @@
 // withinRetryBudget reports whether the retry budget allows another attempt. As in adaptive throttling,
 // failed and late attempts reduce what is sent, first attempts included. This is needed as the concurrency
 // limits of servers do not hold back a thousand agents with one or two requests in flight each: every
-// rejected attempt went on to the next server, until requests were sent nine times (simulation run i86bcad).
+// rejected attempt went on to the next server, until requests were sent nine times (case i86bcad).
 func (b *Balancer) withinRetryBudget() bool { return b.currentRetryDebt() < retryBudgetBurst }
 
 // expireQueued ends queued requests that can no longer earn credit, before they cost server work.
--- a/policy/requests_test.go
+++ b/policy/requests_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// The worst class of the objective counts in the order of queued requests. In simulation run i7e1314, the class
+// The worst class of the objective counts in the order of queued requests. In case i7e1314, the class
 // with the lowest credit was starved.
 func TestWorstClassCountsAmongQueued(t *testing.T) {
 	set := testSettings()
@@ -50,7 +50,7 @@
 	}
 }
 
-// Failures reduce the number of attempts that an agent sends. In the simulation runs i86bcad and i5db14f, each of
+// Failures reduce the number of attempts that an agent sends. In the cases i86bcad and i5db14f, each of
 // many agents retried every rejected request elsewhere, and all together kept the servers too full to serve any.
 func TestFailuresUseUpTheRetryBudget(t *testing.T) {
 	for _, st := range []Status{OK, Full} {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -36,7 +36,7 @@
 }
 
 // cost is the work of a request in units of the mean request, at least 1: hints are rough, and a cold server
-// would otherwise be sent costly requests with a small hint (simulation run i299663).
+// would otherwise be sent costly requests with a small hint (case i299663).
 func (b *Balancer) cost(r *request) float64 {
 	if r.costHint > b.meanCostHint {
 		return r.costHint / b.meanCostHint
@@ -47,7 +47,7 @@
 // refillSlowStartBudgets refills the budget of each cold server after a warm server has answered: relative to
 // the work that warm servers answer, a cold server may get its share by weight and slow start. This keeps the
 // servers' shares of all agents together in proportion to their capacity, without coordination. Rejected
-// attempts refill nothing: in a retry storm they raised cold servers' shares ninefold (simulation run
+// attempts refill nothing: in a retry storm they raised cold servers' shares ninefold (case
 // i86bcad).
 func (b *Balancer) refillSlowStartBudgets(s *server, cost float64) {
 	if b.slowStartFactor(s) < 1 {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// Attempts that warm servers reject are not counted as work done. In simulation run i86bcad such attempts were
+// Attempts that warm servers reject are not counted as work done. In case i86bcad such attempts were
 // counted, and in a retry storm the agents overloaded cold servers.
 func TestRejectedAttemptsRefillNoSlowStartBudget(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
@@ -37,7 +37,7 @@
 	}
 }
 
-// A request is charged to the slow-start budget by its cost hint. In simulation run i299663, 69 requests hinted at
+// A request is charged to the slow-start budget by its cost hint. In case i299663, 69 requests hinted at
 // ten times the mean cost overloaded a cold server.
 func TestSlowStartBudgetIsChargedByCost(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
@@ -116,7 +116,7 @@
 	}
 }
 
-// Cold servers serve requests when all others have failed. In simulation run i5d0607, a zone failed and only cold
+// Cold servers serve requests when all others have failed. In case i5d0607, a zone failed and only cold
 // servers were left.
 func TestServersInSlowStartServeWhenOthersFailed(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
@@ -135,7 +135,7 @@
 	}
 }
 
-// Consecutive connect failures of requests or probes over a long time indicate a restart. In simulation run
+// Consecutive connect failures of requests or probes over a long time indicate a restart. In case
 // i958eff, servers that had been unreachable came back cold before the list showed the restart. One or two
 // failures, or several at once, indicate none: a server that is wrongly taken for cold because of a late connect
 // stays idle during its slow start.
@@ -182,7 +182,7 @@
 	}
 }
 
-// An agent that sends to a subset refills the budgets of cold servers by shares of the subset. In simulation run
+// An agent that sends to a subset refills the budgets of cold servers by shares of the subset. In case
 // ifa5a01, when the fleet doubled, agents with few requests used shares of the full fleet: the new servers idled
 // while the old ones were overloaded.
 func TestSlowStartBudgetCountsTheSubset(t *testing.T) {
--- a/policy/types.go
+++ b/policy/types.go
@@ -6,7 +6,7 @@
 // This file holds the interface: events and actions. The settings are in settings.go, the decisions in the
 // files that policy.go lists, and the state that they share in state.go.
 //
-// An identifier such as i5d0607 or case5409 in a comment names a recorded simulation run in which the described
+// An identifier such as i5d0607 or case5409 in a comment names a recorded case in which the described
 // failure was seen.
 package policy
 
