--- a/cmd/simadapter/replay_amd64_test.go
+++ b/cmd/simadapter/replay_amd64_test.go
@@ -10,11 +10,11 @@
 // fixed seed. Because every batch depends on the replies to the earlier ones, one changed decision
 // or one additional random draw changes the rest of the day.
 //
-// The test speaks the bytes of the wire only and names no identifier of the program but run, so that
-// it compares the decisions before and after any refactoring.
+// The test depends only on the wire format and on the function run, so that it can compare the decisions
+// before and after any refactoring.
 
-// replayDays are the recorded days. The sums are of all reply frames, as recorded at commit d25b370
-// on amd64. A change of behaviour that is meant replaces them; a refactoring must not.
+// replayDays are the recorded days. The sums are SHA-256 sums of all reply frames, recorded at commit
+// d25b370 on amd64. Only an intended change of behaviour may replace them, never a refactoring.
 var replayDays = []struct {
 	name   string
 	seed   uint64
@@ -54,7 +54,7 @@
 		actionCounts{All: 14299, Sends: 3348, Retries: 93, Cancels: 14, Rejects: 3017, Failures: 59, Probes: 421, Timers: 7417, Watches: 0, Fetches: 23, Closes: 0, Logs: 0}},
 }
 
-// actionCounts tells where two days differ, when their sums do.
+// actionCounts counts the actions of a day by kind. It shows how two days differ if their sums do.
 type actionCounts struct {
 	All, Sends, Retries, Cancels, Rejects, Failures, Probes, Timers, Watches, Fetches, Closes, Logs int
 }
--- a/cmd/simadapter/replay_wire_amd64_test.go
+++ b/cmd/simadapter/replay_wire_amd64_test.go
@@ -5,7 +5,7 @@
 	"encoding/binary"
 )
 
-// This file holds the codes of the wire and the encoding of events.
+// This file holds the codes of the wire format and encodes events.
 
 // The codes of the events that the simulator writes.
 const (
--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -1,6 +1,6 @@
-// Package simwire translates between the simulator's binary frames and the policy's events and actions.
-// It decides nothing. The frames are described in WIRE-knotrouter.md; the names that the page gives to
-// records stand beside their codes below, and in the texts of errors.
+// Package simwire decodes the simulator's binary frames into the policy's events and encodes the policy's
+// actions as reply frames. It makes no decisions. WIRE-knotrouter.md specifies the frames; its names of
+// records are given next to their codes below and used in error messages.
 package simwire
 
 import (
@@ -9,17 +9,17 @@
 	"math"
 )
 
-// Sizes of the wire in bytes.
+// Sizes, in bytes, and limits of the wire format.
 const (
 	EventSize  = 48
 	ActionSize = 24
 
-	frameHeaderSize = 8 // number of records and length of the rest
-	clockSize       = 8 // the first of a batch's rest
+	frameHeaderSize = 8 // number of records and length of the body
+	clockSize       = 8 // at the start of a batch's body
 	listEntrySize   = 24
-	maxFrameSize    = 1 << 30 // no legal batch comes near it
+	maxFrameSize    = 1 << 30 // far above the size of any valid batch
 	maxReportValues = 4
-	serverListCount = 16 // numbers of lists: 0 to 15
+	serverListCount = 16 // lists are numbered 0 to 15
 )
 
 // Codes of event records.
@@ -58,9 +58,9 @@
 	flagRetry   = 2
 )
 
-// A FormatError names the part of a frame that does not follow the wire's format.
+// A FormatError reports a part of a frame that violates the wire format.
 type FormatError struct {
-	Field  string // the record and the field, as the wire's page names them
+	Field  string // the record and the field, as the specification names them
 	Reason string
 }
 
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -11,17 +11,17 @@
 	"knotrouter/policy"
 )
 
-// Kind tells what a record of a batch is about.
+// Kind is the kind of a Record.
 type Kind uint8
 
-// The kinds of records, with the fields of Record that are set.
+// The kinds of records, each with the fields of Record that it sets.
 const (
 	Boot   Kind = iota + 1 // Instance, Seed, Settings
 	Killed                 // Instance
 	Event                  // Instance, Event
 )
 
-// Record is one event record of a batch, with the numbers of lists resolved.
+// Record is a decoded event record of a batch, with the entries of a list in place of its number.
 type Record struct {
 	Kind     Kind
 	Instance uint32
@@ -30,11 +30,11 @@
 	Event    policy.Event
 }
 
-// Decoder reads batches from a stream. It keeps the numbered lists of servers, which belong to the
-// process and are shared, read-only, by all instances. It is not safe for concurrent use.
+// Decoder reads batches from a stream. It stores the numbered server lists, which belong to the process
+// and are shared, read-only, by all instances. It is not safe for concurrent use.
 type Decoder struct {
 	r     io.Reader
-	buf   []byte // of the batch at hand
+	buf   []byte // the body of the current batch
 	lists [serverListCount][]policy.Entry
 }
 
@@ -42,9 +42,9 @@
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
 
 // Next reads one batch and calls fn with the batch's clock, in ms, for each record in order. The record
-// and its Settings are valid only during the call. Next returns io.EOF itself at a clean end of input,
-// the first error of fn, an error that is or wraps a *FormatError for a batch that breaks the format,
-// and one that wraps the reader's error, io.EOF included, for a batch that is truncated.
+// and its Settings are valid only during the call. Next returns io.EOF, not wrapped, if the input ends
+// between two batches; the first error of fn; an error that is or wraps a *FormatError if the batch violates
+// the format; and an error that wraps the reader's error, which may be io.EOF, if the batch is truncated.
 func (d *Decoder) Next(fn func(now float64, rec *Record) error) error {
 	count, err := d.readFrame()
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 	now := getF64(d.buf)
 	if math.IsNaN(now) || math.IsInf(now, 0) {
-		return formatError("batch header", "clock: not a number")
+		return formatError("batch header", "clock: not a finite number")
 	}
 	records := d.buf[clockSize : clockSize+count*EventSize]
 	tail := d.buf[clockSize+len(records):]
@@ -64,7 +64,7 @@
 			return fmt.Errorf("record %d: %w", i, err)
 		}
 		if rec.Kind == 0 {
-			continue // a list of servers: it is kept, and is no event
+			continue // a server list, which is stored and is not an event
 		}
 		if err := fn(now, &rec); err != nil {
 			return err
@@ -92,8 +92,8 @@
 	return int(records), d.readBody(int(size))
 }
 
-// readBody reads size bytes in steps, so that a false length allocates no more than about twice what really
-// arrives.
+// readBody reads size bytes into d.buf in steps, so that a wrong length allocates at most about twice the
+// bytes that arrive.
 func (d *Decoder) readBody(size int) error {
 	const step = 1 << 20
 	d.buf = d.buf[:0]
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// decode decodes one record. It leaves rec.Kind 0 for a list of servers.
+// decode decodes one record into rec. A server list is stored instead, and leaves rec.Kind 0.
 func (d *Decoder) decode(raw, tail []byte, rec *Record) (err error) {
 	be := binary.BigEndian
 	rec.Kind, rec.Instance = Event, be.Uint32(raw[1:])
@@ -181,7 +181,7 @@
 		return formatError("targets: mode", "unknown value %d", raw[5])
 	}
 	if ev.List == policy.ListFailed {
-		return nil // it has no entries, and its number means nothing
+		return nil // there are no entries, and the list number is not used
 	}
 	number := binary.BigEndian.Uint32(raw[10:])
 	if int64(number) >= int64(len(d.lists)) {
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// decodeServerList keeps a numbered list of servers for the list updates that refer to it.
+// decodeServerList stores a numbered server list for the list updates that refer to it.
 func (d *Decoder) decodeServerList(raw, tail []byte) error {
 	be := binary.BigEndian
 	number := be.Uint32(raw[1:])
@@ -217,11 +217,11 @@
 			Kind:      int(entryBytes[23]),
 		})
 	}
-	d.lists[number] = entries // a new slice: events that refer to the old list keep theirs
+	d.lists[number] = entries // a new slice: events that refer to the previous list keep its entries
 	return nil
 }
 
-// decodeReport decodes a load report: the number of its values, and these.
+// decodeReport decodes a load report: the number of values, followed by the values.
 func decodeReport(field string, raw []byte) ([]float32, error) {
 	if raw[0] == 0 {
 		return nil, nil
@@ -236,17 +236,18 @@
 	return values, nil
 }
 
-// sliceTail resolves a field of an offset and a length, the length in units of the given size.
+// sliceTail returns the part of the tail that a field refers to: raw has its offset, in bytes, and its length,
+// in units of the given size.
 func sliceTail(field string, raw, tail []byte, unit int) ([]byte, error) {
 	off, n := uint64(binary.BigEndian.Uint32(raw)), uint64(binary.BigEndian.Uint32(raw[4:]))
 	if off+n*uint64(unit) > uint64(len(tail)) {
-		return nil, formatError(field, "offset %d and length %d pass the tail's %d bytes", off, n, len(tail))
+		return nil, formatError(field, "offset %d and length %d exceed the tail's %d bytes", off, n, len(tail))
 	}
 	return tail[off : off+n*uint64(unit)], nil
 }
 
-// ParseSettings reads the JSON text of a boot record. Unknown keys are skipped. It returns a
-// *policy.SettingError for a value of the wrong type; what a value means is not checked.
+// ParseSettings parses the JSON text of a boot record and ignores unknown keys. It returns a
+// *policy.SettingError for a value of the wrong type, and does not check values otherwise.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	var s policy.Settings
 	if err := json.Unmarshal(text, &s); err != nil {
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -14,10 +14,10 @@
 	tail    []byte
 }
 
-// Reset empties the reply, to build the next one.
+// Reset empties the reply, so that the encoder can build the next one.
 func (e *Encoder) Reset() { e.count, e.records, e.tail = 0, e.records[:0], e.tail[:0] }
 
-// addRecord appends a record and returns its bytes, to set the fields behind the instance.
+// addRecord appends a record and returns its bytes, in which the caller sets the fields after the instance.
 func (e *Encoder) addRecord(code byte, instance uint32) []byte {
 	at := len(e.records)
 	e.records = append(e.records, make([]byte, ActionSize)...)
@@ -28,7 +28,7 @@
 	return raw
 }
 
-// addText appends a record with a text in the tail.
+// addText appends a record that refers to a text in the tail, and the text.
 func (e *Encoder) addText(code byte, instance uint32, text string) {
 	raw := e.addRecord(code, instance)
 	binary.BigEndian.PutUint32(raw[5:], uint32(len(e.tail)))
@@ -36,10 +36,10 @@
 	e.tail = append(e.tail, text...)
 }
 
-// Crash appends the statement that an instance's decision code failed.
+// Crash appends a record that reports, with a message, that an instance's decision code failed.
 func (e *Encoder) Crash(instance uint32, text string) { e.addText(codeCrash, instance, text) }
 
-// Add appends one action of an instance. An action that the wire lacks (ActWithdraw) is left out.
+// Add appends one action of an instance. It skips ActWithdraw, which the wire format does not have.
 func (e *Encoder) Add(instance uint32, a *policy.Action) {
 	be := binary.BigEndian
 	switch a.Kind {
